--- /dev/null
+++ b/tests/golden_formats/records.rs
@@ -0,0 +1,277 @@
+//! Records in the state service, and their keys.
+
+use sorrelhinge::state::job_entry::JobEntry;
+use sorrelhinge::state::record::{
+    block_key, chunk_key, drain_key, gone_key, image_hash, job_key, member_key, slice_key,
+    wave_key, BlockRecord, ChunkRecord, Fence, GoneRecord, GrantRecord, JobRecord, Key,
+    LeaderRecord, MapRecord, MemberRecord, NewJob, Phase, SliceRecord, WaitsRecord, GRANT, LEADER,
+    MAP,
+};
+use sorrelhinge::state::view::Versioned;
+use sorrelhinge::types::{
+    Amount, Attempt, Image, JobId, JobSpec, MachineId, NodeId, Revision, Seal, Term, TypeName,
+};
+use sorrelhinge_blocks::shard::BlockId;
+use sorrelhinge_calendar::record::CALENDAR_KEY;
+use sorrelhinge_staging::record::WaveRecord;
+use sorrelhinge_topology::devices::Unit;
+use sorrelhinge_topology::drain::{Drain, Progress, Target};
+
+use crate::add_json;
+use crate::golden_files::Golden;
+use crate::users::{described, placement_rules};
+
+fn chunk() -> ChunkRecord {
+    ChunkRecord {
+        next_attempt: 4,
+        done: 5,
+        claims: vec![(1, Attempt(3), MachineId::from("vm-000231"))],
+        units: vec![(1, vec![Unit::new("encoder", "enc0")])],
+    }
+}
+
+fn seal() -> Seal {
+    Seal {
+        gang: true,
+        types: Some(vec![TypeName::from("g8")]),
+        placement: Some(Box::new(placement_rules())),
+    }
+}
+
+/// A job's record with a value for each field.
+fn full(phase: Phase) -> JobRecord {
+    let spec = JobSpec {
+        seal: Some(Box::new(seal())),
+        ..described(|_| {})
+    };
+    JobRecord {
+        phase,
+        tasks: 16,
+        chunk: 64,
+        accepted_ms: 1_700_000_000_000,
+        spec: Some(Box::new(spec)),
+        inline: Some(chunk()),
+        place: Some(Revision(77)),
+        waits: Some(Box::new(WaitsRecord {
+            needs: vec![JobId::from("run-000410"), JobId::from("run-000411")],
+            types: Some(vec![TypeName::from("g8")]),
+            seal: Some(Box::new(seal())),
+        })),
+        done_ms: Some(1_700_000_000_900),
+    }
+}
+
+#[test]
+fn records_of_jobs_are_the_golden_ones() {
+    let mut golden = Golden::default();
+    for (name, phase) in [
+        ("live", Phase::Live),
+        ("done", Phase::Done),
+        ("cancelled", Phase::Cancelled),
+    ] {
+        add_json(&mut golden, name, &full(phase));
+    }
+    let least = JobRecord {
+        spec: None,
+        inline: None,
+        place: None,
+        waits: None,
+        done_ms: None,
+        ..full(Phase::Live)
+    };
+    add_json(&mut golden, "without what may be left out", &least);
+    add_json(&mut golden, "chunk", &chunk());
+    add_json(&mut golden, "new chunk", &ChunkRecord::new());
+    golden.check("records_of_jobs.txt");
+}
+
+/// A job's record from its acceptance to its end, for values of two sizes.
+#[test]
+fn steps_of_jobs_records_are_the_golden_ones() {
+    let mut golden = Golden::default();
+    for value_bytes in [700, 1024, 4096] {
+        for (name, new) in new_jobs() {
+            let name = |step: &str| format!("{name}, {value_bytes} bytes, {step}");
+            let record = JobRecord::accepted(new, 1_700_000_000_000, value_bytes);
+            add_json(&mut golden, &name("accepted"), &record);
+            golden.add(&name("fits"), &record.fits(value_bytes).to_string());
+            add_json(&mut golden, &name("done"), &record.done(1_700_000_000_900));
+            let entry = JobEntry {
+                record: Versioned {
+                    stamp: Revision(78),
+                    value: record,
+                },
+                chunks: Default::default(),
+                place: Revision(77),
+            };
+            for in_lane in [false, true] {
+                let lane = if in_lane { "in a lane" } else { "in no lane" };
+                let again = entry.rewritten(in_lane);
+                add_json(&mut golden, &name(&format!("again {lane}")), &again);
+                let cancelled = entry.cancelled(in_lane, value_bytes);
+                let step = format!("cancelled {lane}");
+                add_json(&mut golden, &name(&step), &cancelled.record);
+                add_json(&mut golden, &name(&(step + ", claims")), &cancelled.claims);
+            }
+        }
+    }
+    golden.check("steps_of_jobs_records.txt");
+}
+
+fn new_jobs() -> Vec<(&'static str, NewJob)> {
+    let with_rules = JobSpec {
+        placement: Some(Box::new(placement_rules())),
+        ..described(|_| {})
+    };
+    let needs = vec![JobId::from("run-000410")];
+    vec![
+        ("sweep", described(|_| {}).into()),
+        ("large sweep", described(|job| job.pieces = 500).into()),
+        (
+            "ensemble",
+            described(|job| job.shape = "ensemble".into()).into(),
+        ),
+        (
+            "service",
+            described(|job| job.shape = "standing".into()).into(),
+        ),
+        ("sweep with placement rules", with_rules.clone().into()),
+        (
+            "sweep that waits",
+            NewJob {
+                spec: described(|_| {}),
+                needs: needs.clone(),
+            },
+        ),
+        (
+            "sweep with placement rules that waits",
+            NewJob {
+                spec: with_rules,
+                needs,
+            },
+        ),
+    ]
+}
+
+#[test]
+fn records_of_controllers_are_the_golden_ones() {
+    let mut golden = Golden::default();
+    let node = || NodeId::from("n-0");
+    let leader = LeaderRecord {
+        node: node(),
+        run: 9,
+        term: Term(3),
+    };
+    add_json(&mut golden, "leader", &leader);
+    for (name, owner) in [("grant", Some(node())), ("grant to nobody", None)] {
+        let grant = GrantRecord {
+            owner,
+            term: Term(3),
+            number: 12,
+        };
+        add_json(&mut golden, name, &grant);
+    }
+    let several = Fence {
+        version: 1,
+        blocks: 3,
+    };
+    add_json(&mut golden, "grant of several blocks", &several);
+    let map = MapRecord {
+        version: MapRecord::VERSION,
+        blocks: 3,
+    };
+    add_json(&mut golden, "map", &map);
+    let block = BlockRecord {
+        version: BlockRecord::VERSION,
+        owner: node(),
+        run: 9,
+        term: Term(3),
+        number: 12,
+        to: Some(NodeId::from("n-1")),
+        pin: Some(NodeId::from("n-2")),
+    };
+    add_json(&mut golden, "block", &block);
+    let settled = BlockRecord {
+        to: None,
+        pin: None,
+        ..block
+    };
+    add_json(&mut golden, "block that stays", &settled);
+    let part = Amount {
+        cpu: 8000,
+        gpu: 1000,
+        ram: 5,
+    };
+    let slice = SliceRecord::new([("vision".to_owned(), part)].into_iter());
+    add_json(&mut golden, "slice", &slice);
+    add_json(&mut golden, "member", &MemberRecord { run: 9 });
+    let gone = GoneRecord {
+        version: GoneRecord::VERSION,
+        machines: vec![MachineId::from("vm-000231")],
+    };
+    add_json(&mut golden, "gone machines", &gone);
+    let wave = WaveRecord {
+        v: sorrelhinge_staging::record::VERSION,
+        image: Image::from("img-07"),
+        stage: 4,
+        seeds: vec![MachineId::from("vm-000231")],
+    };
+    add_json(&mut golden, "wave", &wave);
+    for (name, target, keep) in [
+        ("domain", Target::Domain("za/s0".into()), false),
+        ("machine", Target::Machine("vm-000231".into()), true),
+    ] {
+        let drain = Drain {
+            version: Drain::VERSION,
+            target,
+            started_ms: 1_700_000_000_000,
+            deadline_ms: 1_700_000_090_000,
+            away: 2,
+            keep,
+        };
+        add_json(&mut golden, &format!("drain of a {name}"), &drain);
+    }
+    let progress = Progress {
+        machines: 6,
+        empty: 1,
+        tasks: 17,
+        stopping: 4,
+    };
+    add_json(&mut golden, "progress of a drain", &progress);
+    golden.check("records_of_controllers.txt");
+}
+
+#[test]
+fn keys_are_the_golden_ones() {
+    let mut golden = Golden::default();
+    let (job, block) = (JobId::from("run-000412"), BlockId(1));
+    let image = image_hash(&Image::from("img-07"));
+    let keys = [
+        ("leader", LEADER.to_owned(), Key::Leader),
+        ("grant", GRANT.to_owned(), Key::Grant),
+        ("map", MAP.to_owned(), Key::Map),
+        ("calendar", CALENDAR_KEY.to_owned(), Key::Calendar),
+        ("job", job_key(&job), Key::Job(job.clone())),
+        ("chunk", chunk_key(&job, 7), Key::Chunk(job, 7)),
+        ("block", block_key(block), Key::Block(block)),
+        ("slice", slice_key(block), Key::Slice(block)),
+        (
+            "member",
+            member_key(&NodeId::from("n-0")),
+            Key::Member(NodeId::from("n-0")),
+        ),
+        ("gone machines", gone_key(15), Key::DeletedMachines(15)),
+        ("drain", drain_key(3), Key::Drain(3)),
+        ("wave", wave_key(block, image), Key::Wave(block, image)),
+        (
+            "occurrence",
+            sorrelhinge_calendar::record::key("finale", 1_764_936_000_000),
+            Key::Window("finale".into(), 1_764_936_000_000),
+        ),
+    ];
+    for (name, text, key) in keys {
+        assert_eq!(Key::parse(&text), Some(key), "{name}");
+        golden.add(name, &text);
+    }
+    golden.check("keys.txt");
+}
