--- a/tests/place_model.rs
+++ b/tests/place_model.rs
@@ -17,6 +17,13 @@
 use sorrelhinge_protocol::placement::{Device, PlacementRules, Spread};
 use sorrelhinge_topology::Topology;
 
+use self::trace::Trace;
+
+#[path = "golden_files/mod.rs"]
+mod golden_files;
+#[path = "golden_files/trace.rs"]
+mod trace;
+
 const RULE: DelayRule = DelayRule {
     fetches: 0.5,
     max_s: 5.0,
@@ -475,52 +482,58 @@
     }
 }
 
+/// A generated case: the scheduler, and the model with the same machines and jobs.
+fn generate(seed: u64) -> (ClusterState, Model) {
+    let kinds = [kind("small", 4.0), kind("large", 16.0)];
+    let mut rng = StdRng::seed_from_u64(seed);
+    let ids: Vec<MachineId> = (0..rng.random_range(3..14))
+        .map(|n| MachineId::from(format!("vm-{n:03}").as_str()))
+        .collect();
+    let mut model = Model {
+        machines: BTreeMap::new(),
+        jobs: BTreeMap::new(),
+        shapes: vec![Amount::new(f64::from(rng.random_range(2..7)), 0.0, 6.0)],
+        used: vec![Amount::default(); 2],
+        at: BTreeMap::new(),
+        sites: Sites::default(),
+    };
+    let mut cluster_state = ClusterState::new(teams());
+    cluster_state.shapes = model.shapes.clone();
+    for id in &ids {
+        let m = machine(&mut rng, &kinds);
+        model.machines.insert(id.clone(), m.clone());
+        cluster_state.add_machine(id.clone(), m);
+    }
+    let priority = pick(&mut rng, &[Priority::Normal, Priority::High]);
+    for n in 0..rng.random_range(1..9) {
+        let id = JobId::from(format!("run-{n:03}").as_str());
+        let mut j = job(&mut rng, n, &ids);
+        // It may be inherited from a job that needs this one.
+        j.priority = priority;
+        model.jobs.insert(id, j);
+    }
+    // Half of the cases have failure domains, devices and wishes.
+    if seed % 2 == 1 {
+        let (sites, topology) = Sites::generate(&mut rng, &model.machines, &mut model.jobs);
+        model.sites = sites;
+        cluster_state.set_topology(Some(Rc::new(topology)), |_| None);
+    }
+    for (id, j) in &model.jobs {
+        let policy = ClusterState::policy_of(cluster_state.topology().map(|t| &**t), &j.spec);
+        let j = Job {
+            policy,
+            ..j.clone()
+        };
+        cluster_state.add_job(id.clone(), j);
+    }
+    (cluster_state, model)
+}
+
 #[test]
 fn indexed_placing_matches_a_look_at_every_machine() {
-    let kinds = [kind("small", 4.0), kind("large", 16.0)];
     let mut placed = 0;
     for seed in 0..400 {
-        let mut rng = StdRng::seed_from_u64(seed);
-        let ids: Vec<MachineId> = (0..rng.random_range(3..14))
-            .map(|n| MachineId::from(format!("vm-{n:03}").as_str()))
-            .collect();
-        let mut model = Model {
-            machines: BTreeMap::new(),
-            jobs: BTreeMap::new(),
-            shapes: vec![Amount::new(f64::from(rng.random_range(2..7)), 0.0, 6.0)],
-            used: vec![Amount::default(); 2],
-            at: BTreeMap::new(),
-            sites: Sites::default(),
-        };
-        let mut cluster_state = ClusterState::new(teams());
-        cluster_state.shapes = model.shapes.clone();
-        for id in &ids {
-            let m = machine(&mut rng, &kinds);
-            model.machines.insert(id.clone(), m.clone());
-            cluster_state.add_machine(id.clone(), m);
-        }
-        let priority = pick(&mut rng, &[Priority::Normal, Priority::High]);
-        for n in 0..rng.random_range(1..9) {
-            let id = JobId::from(format!("run-{n:03}").as_str());
-            let mut j = job(&mut rng, n, &ids);
-            // It may be inherited from a job that needs this one.
-            j.priority = priority;
-            model.jobs.insert(id, j);
-        }
-        // Half of the cases have failure domains, devices and wishes.
-        if seed % 2 == 1 {
-            let (sites, topology) = Sites::generate(&mut rng, &model.machines, &mut model.jobs);
-            model.sites = sites;
-            cluster_state.set_topology(Some(Rc::new(topology)), |_| None);
-        }
-        for (id, j) in &model.jobs {
-            let policy = ClusterState::policy_of(cluster_state.topology().map(|t| &**t), &j.spec);
-            let j = Job {
-                policy,
-                ..j.clone()
-            };
-            cluster_state.add_job(id.clone(), j);
-        }
+        let (mut cluster_state, mut model) = generate(seed);
         for now in [1.0, 2.0, 3.5, 8.0, 40.0] {
             cluster_state.look_at_dues(Time(now));
             let real: Vec<(JobId, MachineId)> = cluster_state
@@ -535,6 +548,54 @@
     assert!(placed > 900, "only {placed} tasks were placed");
 }
 
+/// Folds launches, and gives them back.
+fn fold_launches(trace: &mut Trace, now: f64, launches: Vec<Launch>) -> Vec<Launch> {
+    trace.fold(&format!("at {now}"));
+    for launch in &launches {
+        trace.fold(&launch.task.to_string());
+        trace.fold(launch.machine.as_str());
+        trace.fold(if launch.cached { "cached" } else { "fetched" });
+    }
+    launches
+}
+
+/// The hash of what is placed in a case: all jobs, then by walks of each machine once some
+/// tasks have ended, then all again after what is urgent has made room.
+fn placed(seed: u64) -> u64 {
+    let (mut cluster_state, model) = generate(seed);
+    let mut trace = Trace::default();
+    let mut launched = Vec::new();
+    for now in [1.0, 2.0, 3.5, 8.0] {
+        cluster_state.look_at_dues(Time(now));
+        let launches = cluster_state.place(RULE, Time(now));
+        launched.extend(fold_launches(&mut trace, now, launches));
+    }
+    for launch in launched.iter().step_by(2) {
+        cluster_state.ran(&launch.task);
+        cluster_state.release(&launch.task, Time(9.0));
+    }
+    for machine in model.machines.keys() {
+        let launches = cluster_state.walk(machine, RULE, Time(12.0));
+        fold_launches(&mut trace, 12.0, launches);
+    }
+    for task in cluster_state.preempt(|_| 1.0, Time(20.0)) {
+        trace.fold(&task.to_string());
+    }
+    let launches = cluster_state.place(RULE, Time(40.0));
+    fold_launches(&mut trace, 40.0, launches);
+    trace.hash()
+}
+
+/// A renaming or a restructuring changes nothing of what is placed under a seed.
+#[test]
+fn placing_under_a_seed_is_the_golden_one() {
+    let mut golden = golden_files::Golden::default();
+    for seed in 0..200 {
+        golden.add(&format!("{seed}"), &format!("{:016x}", placed(seed)));
+    }
+    golden.check("decisions_of_placing.txt");
+}
+
 /// A fleet whose machines are nearly all full, and jobs that find no place.
 fn crowded(machines: u32) -> (ClusterState, MachineId) {
     let kinds = [kind("small", 4.0), kind("large", 16.0)];
--- a/tests/rules/blocks.rs
+++ b/tests/rules/blocks.rs
@@ -27,6 +27,8 @@
             let o = &mut self.owners[at];
             o.core.look_elsewhere(&o.view);
             for left in o.core.leave(&o.view, now) {
+                let text = sorrelhinge::shares::encode_left(&left).expect("a short name");
+                self.trace.fold_json("left to a block", &text);
                 let taker = self
                     .owners
                     .iter()
@@ -76,6 +78,7 @@
                 ram: 0,
             };
             o.core.giving(vec![amount(give), amount(0)], &o.view);
+            self.trace.fold_json("part of a limit", &txn);
             o.gift = Some((txn, give));
         }
         let o = &mut self.owners[at];
--- a/tests/rules/faults.rs
+++ b/tests/rules/faults.rs
@@ -196,7 +196,8 @@
         for o in &mut self.owners {
             if o.core.shard.covers(&report.machine) && o.core.report(report, Source::Beat, now) {
                 o.core.walk(&report.machine, now);
-                o.core.reply(&report.machine, &o.view, now);
+                let reply = o.core.reply(&report.machine, &o.view, now);
+                self.trace.fold_json(report.machine.as_str(), &reply);
             }
         }
     }
--- a/tests/rules/main.rs
+++ b/tests/rules/main.rs
@@ -4,7 +4,10 @@
 
 mod blocks;
 mod commands;
+mod decision_trace;
 mod faults;
+#[path = "../golden_files/mod.rs"]
+mod golden_files;
 mod invariants;
 mod meetings;
 mod mistaken;
@@ -19,6 +22,8 @@
 mod silence;
 mod store;
 mod takeover;
+#[path = "../golden_files/trace.rs"]
+mod trace;
 mod views;
 mod worker;
 mod workload;
@@ -28,6 +33,7 @@
 pub(crate) use self::invariants::*;
 pub(crate) use self::scenes::*;
 pub(crate) use self::store::*;
+pub(crate) use self::trace::Trace;
 pub(crate) use self::worker::*;
 pub(crate) use self::workload::*;
 pub(crate) use self::world::*;
--- a/tests/rules/world.rs
+++ b/tests/rules/world.rs
@@ -77,6 +77,8 @@
     pub(crate) accepted_bytes: usize,
     /// All that the state service holds, as its last reader has it.
     pub(crate) reader: View,
+    /// Every transaction, command, answer and request to the cloud, in order.
+    pub(crate) trace: Trace,
 }
 
 impl Owner {
@@ -142,6 +144,7 @@
             needs: BTreeMap::new(),
             accepted_bytes: 1024,
             reader: View::default(),
+            trace: Trace::default(),
         };
         world.reader.replace(Revision(0), Vec::new());
         if of > 1 {
@@ -374,6 +377,7 @@
 
     pub(crate) fn send(&mut self, owner: usize, send: Dispatch) {
         let id = send.machine.as_str().to_owned();
+        self.trace.fold_json(&id, &send.orders);
         let orders = serde_json::to_value(&send.orders).expect("orders");
         let apart = self.owners[owner].apart_until > self.now;
         let reachable = !apart
@@ -440,6 +444,7 @@
         else {
             return;
         };
+        self.trace.fold_json("transaction", &batch.txn);
         let txn = serde_json::to_value::<&Txn>(&batch.txn).expect("txn");
         if self.store.rejects(&txn) {
             self.faults.rejected += 1;
@@ -516,6 +521,7 @@
         }
         o.core.walk(&report.machine, Time(self.now));
         let reply = o.core.reply(&report.machine, &o.view, Time(self.now));
+        self.trace.fold_json(report.machine.as_str(), &reply);
         let reply = serde_json::to_value(&reply).expect("reply");
         let baton = reply["baton"].as_u64().expect("baton");
         if self.luck(0.2) {
@@ -542,7 +548,8 @@
             // Nobody takes the answer.
             if !o.core.is_copy(report) && o.core.report(report, Source::Beat, Time(self.now)) {
                 o.core.walk(&report.machine, Time(self.now));
-                o.core.reply(&report.machine, &o.view, Time(self.now));
+                let reply = o.core.reply(&report.machine, &o.view, Time(self.now));
+                self.trace.fold_json(report.machine.as_str(), &reply);
             }
         }
     }
@@ -570,7 +577,9 @@
             .collect();
         self.owners[owner].core.listed(&list, now);
         let (gone, rentals) = self.owners[owner].core.fleet(now);
+        self.trace.fold_json("deleted machines", &gone);
         for rental in rentals {
+            self.trace.fold_json("rental", &rental);
             self.owners[owner].core.rented(&rental, Err(true), now);
         }
         for id in gone {
