--- a/src/control/drains.rs
+++ b/src/control/drains.rs
@@ -12,8 +12,9 @@
 use crate::state::{Change, Outcome};
 use crate::types::{MachineId, NodeId, Revision};
 
-/// Most drains at a time: each is a key that all controllers hold.
-const MOST_DRAINS: usize = 1000;
+/// Most drains at a time: each is a key that all controllers hold, in about 300 bytes.
+/// Every machine of a fleet of thousands may have one of its own.
+const MOST_DRAINS: usize = 10_000;
 
 /// Why a request of an operator was not taken.
 #[derive(Clone, Debug, PartialEq, Eq)]
