--- a/src/state/history.rs
+++ b/src/state/history.rs
@@ -9,7 +9,10 @@
 use crate::types::{Image, JobSpec, MachineId};
 
 const MOST_ARRIVALS: usize = 1000;
-const MOST_MACHINES: usize = 4096;
+/// When so many are known, the half that ran nothing for longest is forgotten, so at
+/// least 5,000 machines stay known however many come and go. With [`MOST_IMAGES`] for
+/// each that is up to 10 MB.
+const MOST_MACHINES: usize = 10_000;
 const MOST_IMAGES: usize = 32;
 
 /// The images that a machine ran, the latest last.
