--- a/src/peer/mod.rs
+++ b/src/peer/mod.rs
@@ -25,8 +25,9 @@
 use self::message::{HEARD_TOGETHER, MOST_TEXT};
 use crate::types::{NodeId, Revision};
 
-/// Messages that wait to be sent to one controller.
-const MOST_WAITING: usize = 512;
+/// Messages that wait to be sent to one controller: the heartbeats of a whole fleet may
+/// come while a line stands still. A place takes no memory until there is a message.
+const MOST_WAITING: usize = 10_000;
 /// How long an answer may take: a worker waits 4 s for two of them.
 const ANSWER: Duration = Duration::from_millis(1400);
 /// The same for a report that a worker was sent here with: there is one hop.
