--- a/src/peer/listening.rs
+++ b/src/peer/listening.rs
@@ -15,8 +15,9 @@
 use super::{send_together, Answered, BUFFER};
 use crate::types::{NodeId, Revision};
 
-/// Requests passed on by one controller that are being answered here.
-const MOST_ANSWERING: usize = 512;
+/// Requests passed on by one controller that are being answered here: the heartbeats of
+/// a whole fleet may be. A place takes no memory until there is an answer.
+const MOST_ANSWERING: usize = 10_000;
 /// Reports that are handled without letting others have a turn.
 const IN_A_TURN: usize = 12;
 
