--- a/src/state/record.rs
+++ b/src/state/record.rs
@@ -60,8 +60,10 @@
     format!("h/node/{node}")
 }
 
-/// Lists of machines that are gone; the oldest is overwritten.
-pub const GONE_SLOTS: u32 = 16;
+/// Lists of machines that are gone; the oldest is overwritten. At values of 4 KiB each
+/// holds about 200 names, and all of them up to 1.2 MB in memory. Versions before know
+/// the first 16 only, and ignore the others.
+pub const GONE_SLOTS: u32 = 64;
 
 /// Key of a list of machines that are gone.
 pub fn gone_key(slot: u32) -> String {
