--- a/tests/rules/world.rs
+++ b/tests/rules/world.rs
@@ -68,6 +68,8 @@
     pub(crate) rented: u64,
     /// Images go from machine to machine, for two of three owners.
     pub(crate) staged: bool,
+    /// Users wait for services to start.
+    pub(crate) start_aims: bool,
     pub(crate) faults: Faults,
     /// Jobs wait for others.
     pub(crate) pipelines: bool,
@@ -139,6 +141,7 @@
             faulty: None,
             rented: 0,
             staged: false,
+            start_aims: false,
             faults: Faults::default(),
             pipelines: false,
             needs: BTreeMap::new(),
@@ -170,6 +173,10 @@
         if self.staged && self.grants % 3 > 0 {
             Rc::make_mut(&mut config).tuning.staging_least_gb = Some(0.5);
         }
+        if self.start_aims {
+            let aims = &mut Rc::make_mut(&mut config).start_aims;
+            aims.insert("live".into(), 4.0);
+        }
         config
     }
 
