--- a/tests/fleet_limits.rs
+++ b/tests/fleet_limits.rs
@@ -163,13 +163,12 @@
 #[test]
 fn the_lists_of_gone_machines_go_on_beyond_the_sixteenth() {
     let mut owner = Owner::new();
-    let mut deleted = 0;
-    while owner.view.gone.len() < 17 {
-        owner
-            .core
-            .deleted(&[machine(deleted)], Time(4.0 * deleted as f64));
-        deleted += 1;
-        owner.record(Time(4.0 * deleted as f64));
+    // At 4 KiB a list holds 255 names that come one by one.
+    let deleted = 16 * 256 + 1;
+    for n in 0..deleted {
+        let now = Time(4.0 * n as f64);
+        owner.core.deleted(&[machine(n)], now);
+        owner.record(now.after(3.5));
     }
     assert_eq!(owner.names().len(), deleted);
     let last = *owner.view.gone.keys().next_back().expect("a list");
