--- a/tests/fleet_limits.rs
+++ b/tests/fleet_limits.rs
@@ -163,7 +163,7 @@
 #[test]
 fn the_lists_of_gone_machines_go_on_beyond_the_sixteenth() {
     let mut owner = Owner::new();
-    // At 4 KiB a list holds 255 names that come one by one.
+    // At 4 KiB a list holds 256 names of 9 bytes that come one by one.
     let deleted = 16 * 256 + 1;
     for n in 0..deleted {
         let now = Time(4.0 * n as f64);
