--- a/src/sched/preempt.rs
+++ b/src/sched/preempt.rs
@@ -4,6 +4,7 @@
 
 use sorrelhinge_staging::patience;
 
+use super::machine::Machine;
 use super::{idle, Claim, ClusterState, Job, Progress};
 use crate::types::{Amount, JobId, Kind, MachineId, Priority, TaskId, Time};
 
@@ -19,8 +20,107 @@
 /// What a stopped task loses besides its work.
 const REQUEUE_S: f64 = 3.0;
 
-/// Tasks to stop on one machine, and what that wastes.
-type Room = (f64, Vec<TaskId>);
+/// What stopping one more task costs beside what it wastes, in CPU-seconds.
+const PER_STOP: f64 = 0.1;
+/// A fetch that takes more than this part of the time within which a job's users
+/// expect its start makes it late.
+const LATE_FETCH: f64 = 0.8;
+
+/// Room for one task on one machine, and how it is made.
+struct PreemptionPlan {
+    /// What it wastes, in CPU-seconds.
+    cost: f64,
+    /// Tasks to stop, in the order in which they were chosen.
+    victims: Vec<TaskId>,
+}
+
+/// A task that may be stopped.
+struct Candidate<'a> {
+    /// What stopping it wastes, in CPU-seconds.
+    waste: f64,
+    task: &'a TaskId,
+    job: &'a Job,
+}
+
+/// A claim on a machine.
+struct Claimed<'a> {
+    task: &'a TaskId,
+    job: &'a Job,
+    claim: &'a Claim,
+}
+
+/// A job that waits for room to be made, and in how many places.
+struct StarvedJob {
+    id: JobId,
+    places: u32,
+}
+
+/// For whom room is to be made.
+struct RoomRequest<'a> {
+    id: &'a JobId,
+    job: &'a Job,
+    /// Rooms made for the job elsewhere in this round.
+    made: u32,
+    now: Time,
+}
+
+/// What is being stopped, kept up to date within a round of preemption.
+struct Stopping {
+    /// What the teams' tasks take that are being stopped, by team.
+    leaving: Vec<Amount>,
+    /// Thousandths of a CPU that idle work holds beyond its part and that are not
+    /// being stopped.
+    idle_beyond: i64,
+}
+
+/// Free room on a machine and what teams use, as it would be once the tasks that
+/// were chosen so far are gone.
+struct Balance {
+    /// Free on the machine for the job.
+    free: Amount,
+    /// What the job's team uses, with the task that room is made for.
+    used: Amount,
+    /// What the job's team may use.
+    limit: Amount,
+    /// What each team still holds beyond its guarantee.
+    beyond: Vec<Amount>,
+    /// The job's team is within its guarantee with the task.
+    within_guarantee: bool,
+    /// The job's team is beyond its limit unless it stops own work.
+    limited: bool,
+}
+
+impl Balance {
+    /// Whether a task of this size finds its room now.
+    fn suffices(&self, each: Amount) -> bool {
+        each.fits(self.free) && self.used.fits_team(self.limit)
+    }
+
+    /// Whether a candidate may be stopped for a job.
+    fn allows(&self, job: &Job, candidate: &Candidate) -> bool {
+        let other = candidate.job;
+        let own = other.team == job.team;
+        let borrowed = !own && other.spec.each.fits_team(self.beyond[other.team]);
+        // A lower priority gives way, unless that would push a team below
+        // its guarantee for one that is beyond its own: the two would
+        // then take turns stopping each other. Production has no such
+        // turns: nothing stops it.
+        let lower = other.priority < job.priority
+            && (job.priority == Priority::Critical || self.within_guarantee || borrowed || own);
+        (own || !self.limited) && (lower || (self.within_guarantee && borrowed))
+    }
+
+    /// Counts a candidate as gone.
+    fn stop(&mut self, job: &Job, candidate: &Candidate) {
+        let other = candidate.job;
+        let each = other.spec.each;
+        self.free += each;
+        if other.team == job.team {
+            self.used -= each;
+        }
+        self.beyond[other.team] -= each;
+    }
+}
 
 impl ClusterState {
     /// What stopping a claim's task now would waste, in CPU-seconds.
@@ -53,12 +153,29 @@
     /// Reserves the room. Live services are never chosen.
     pub fn preempt(&mut self, patience: impl Fn(&Job) -> f64, now: Time) -> Vec<TaskId> {
         self.reserved.retain(|_, (_, until)| now < *until);
+        let waiting = self.starved_jobs(patience, now);
+        if waiting.is_empty() {
+            return Vec::new();
+        }
+        let mut stopping = Stopping {
+            leaving: self.leaving(),
+            idle_beyond: self.idle_beyond(),
+        };
+        let mut stops = Vec::new();
+        for starved in waiting {
+            stops.extend(self.preempt_for(&starved, &mut stopping, now));
+        }
+        stops
+    }
+
+    /// The first jobs of the order that found no place for `patience` seconds, and that
+    /// have fewer places reserved than they could use.
+    fn starved_jobs(&self, patience: impl Fn(&Job) -> f64, now: Time) -> Vec<StarvedJob> {
         let mut held: BTreeMap<&JobId, u32> = BTreeMap::new();
         for (job, _) in self.reserved.values() {
             *held.entry(job).or_insert(0) += 1;
         }
-        let waiting: Vec<(JobId, u32)> = self
-            .in_order(now)
+        self.in_order(now)
             // Room made piece by piece does not make a gang fit; what falls
             // free is held for it.
             .filter(|(_, job)| job.spec.kind != Kind::Gang)
@@ -66,74 +183,103 @@
             .map(|(id, job)| {
                 let wanted = job.tasks.pending().min(MOST_ROOMS);
                 let reserved = held.get(id).copied().unwrap_or(0);
-                (id.clone(), wanted.saturating_sub(reserved))
+                StarvedJob {
+                    id: id.clone(),
+                    places: wanted.saturating_sub(reserved),
+                }
             })
-            .filter(|(_, places)| *places > 0)
+            .filter(|starved| starved.places > 0)
             .take(MOST_JOBS)
-            .collect();
-        if waiting.is_empty() {
+            .collect()
+    }
+
+    /// Makes and reserves room for one job, where that wastes least. Returns the tasks
+    /// to stop.
+    fn preempt_for(
+        &mut self,
+        starved: &StarvedJob,
+        stopping: &mut Stopping,
+        now: Time,
+    ) -> Vec<TaskId> {
+        let id = &starved.id;
+        let Some(job) = self.jobs.get(id) else {
             return Vec::new();
-        }
-        let mut leaving = self.leaving();
-        let mut idle = self.idle_beyond();
+        };
+        let (team, hurry) = (job.team, job.start_within.is_some());
         let mut stops = Vec::new();
-        for (id, places) in waiting {
-            let Some(job) = self.jobs.get(&id) else {
+        let mut made = 0;
+        for m_id in self.by_preemption_cost(id, job, stopping, now) {
+            if made == starved.places {
+                break;
+            }
+            let Some(job) = self.jobs.get(id) else { break };
+            let request = RoomRequest { id, job, made, now };
+            let Some(plan) = self.make_room(&request, &m_id, stopping) else {
                 continue;
             };
-            let (team, hurry) = (job.team, job.start_within.is_some());
-            // One look at all machines finds the best of them; each is looked
-            // at again when its turn comes, as those before it count.
-            let mut found: Vec<(f64, MachineId)> = self
-                .machines
-                .keys()
-                .filter_map(|m| {
-                    Some((
-                        self.make_room(&id, job, m, (&leaving, idle), 0, now)?.0,
-                        m.clone(),
-                    ))
-                })
-                .collect();
-            found.sort_by(|a, b| a.0.total_cmp(&b.0).then(a.1.cmp(&b.1)));
-            let mut made = 0;
-            for (_, m_id) in found {
-                if made == places {
-                    break;
-                }
-                let Some(job) = self.jobs.get(&id) else { break };
-                let Some((_, victims)) =
-                    self.make_room(&id, job, &m_id, (&leaving, idle), made, now)
-                else {
-                    continue;
-                };
-                made += 1;
-                for task in &victims {
-                    if let Some(other) = self.jobs.get(&task.job) {
-                        leaving[other.team] += other.spec.each;
-                        if idle::is_bounded(other) {
-                            idle -= other.spec.each.cpu;
-                        }
-                    }
-                    self.stop(task, hurry);
-                }
-                self.reserved
-                    .insert(m_id, (id.clone(), now.after(RESERVED_S)));
-                for task in victims {
-                    let gang = self
-                        .jobs
-                        .get(&task.job)
-                        .is_some_and(|j| j.spec.kind == Kind::Gang);
-                    if gang {
-                        stops.extend(self.stop_gang(&task.job));
-                    }
-                    stops.push(task);
-                }
+            made += 1;
+            for task in &plan.victims {
+                self.stop_victim(task, hurry, stopping);
+            }
+            self.reserved
+                .insert(m_id, (id.clone(), now.after(RESERVED_S)));
+            for task in plan.victims {
+                stops.extend(self.stop_rest_of_gang(&task));
+                stops.push(task);
             }
-            tracing::debug!(job = %id, team, made, "room made");
         }
+        tracing::debug!(job = %id, team, made, "room made");
         stops
     }
 
+    /// Machines on which room for a job can be made, the cheapest first. One look at
+    /// all machines finds the best of them; each is looked at again when its turn
+    /// comes, as those before it count.
+    fn by_preemption_cost(
+        &self,
+        id: &JobId,
+        job: &Job,
+        stopping: &Stopping,
+        now: Time,
+    ) -> Vec<MachineId> {
+        let request = RoomRequest {
+            id,
+            job,
+            made: 0,
+            now,
+        };
+        let mut found: Vec<(f64, &MachineId)> = self
+            .machines
+            .keys()
+            .filter_map(|m_id| Some((self.make_room(&request, m_id, stopping)?.cost, m_id)))
+            .collect();
+        found.sort_by(|(cost, id), (other_cost, other_id)| {
+            cost.total_cmp(other_cost).then(id.cmp(other_id))
+        });
+        found.into_iter().map(|(_, m_id)| m_id.clone()).collect()
+    }
+
+    /// Marks a chosen task to be stopped, and counts it as leaving.
+    fn stop_victim(&mut self, task: &TaskId, hurry: bool, stopping: &mut Stopping) {
+        if let Some(job) = self.jobs.get(&task.job) {
+            stopping.leaving[job.team] += job.spec.each;
+            if idle::is_bounded(job) {
+                stopping.idle_beyond -= job.spec.each.cpu;
+            }
+        }
+        self.stop(task, hurry);
+    }
+
+    /// Stops the other tasks of a gang of which one was stopped.
+    fn stop_rest_of_gang(&mut self, task: &TaskId) -> Vec<TaskId> {
+        let job = self.jobs.get(&task.job);
+        if job.is_some_and(|j| j.spec.kind == Kind::Gang) {
+            self.stop_gang(&task.job)
+        } else {
+            Vec::new()
+        }
+    }
+
     /// What the teams' tasks take that are being stopped.
     fn leaving(&self) -> Vec<Amount> {
         let mut sums = vec![Amount::default(); self.teams.len()];
@@ -149,111 +295,160 @@
         sums
     }
 
-    /// Whether and how room for one more task of a job can be made on a
-    /// machine, when `made` rooms have been made for it elsewhere.
+    /// Whether and how room for one more task of a job can be made on a machine.
     fn make_room(
         &self,
-        id: &JobId,
-        job: &Job,
+        request: &RoomRequest,
         m_id: &MachineId,
-        (leaving, idle): (&[Amount], i64),
-        made: u32,
-        now: Time,
-    ) -> Option<Room> {
+        stopping: &Stopping,
+    ) -> Option<PreemptionPlan> {
         let machine = self.machines.get(m_id)?;
-        if !machine.usable
-            || self.reserved.contains_key(m_id)
-            || !Self::suits(&job.spec, machine)
-            || job.avoid.get(m_id).is_some_and(|until| now < *until)
-            || !self.could_site(job, m_id, now)
-            || !Self::zone_allows(job, &self.zones_of(id, job, None)?, &machine.zone)
-        {
+        if !self.may_make_room(request, m_id, machine) {
+            return None;
+        }
+        let claimed: Vec<Claimed> = self.claimed_on(machine).collect();
+        let mut balance = self.balance(request, m_id, &claimed, stopping);
+        let candidates = self.candidates(request, &claimed, stopping);
+        let (wasted, victims) = choose_victims(request.job, candidates, &mut balance);
+        if !balance.suffices(request.job.spec.each) {
             return None;
         }
+        Some(PreemptionPlan {
+            cost: cost_with_fetch(wasted, request.job, machine),
+            victims,
+        })
+    }
+
+    /// Whether a machine suits a job but for its room.
+    fn may_make_room(&self, request: &RoomRequest, m_id: &MachineId, machine: &Machine) -> bool {
+        let RoomRequest { id, job, now, .. } = *request;
+        machine.usable
+            && !self.reserved.contains_key(m_id)
+            && Self::suits(&job.spec, machine)
+            && job.avoid.get(m_id).is_none_or(|until| now >= *until)
+            && self.could_site(job, m_id, now)
+            && self
+                .zones_of(id, job, None)
+                .is_some_and(|zones| Self::zone_allows(job, &zones, &machine.zone))
+    }
+
+    /// The claims on a machine, with their jobs.
+    fn claimed_on<'a>(&'a self, machine: &'a Machine) -> impl Iterator<Item = Claimed<'a>> {
+        machine.claims.iter().filter_map(|task| {
+            let job = self.jobs.get(&task.job)?;
+            let claim = job.tasks.claims().get(&task.index)?;
+            Some(Claimed { task, job, claim })
+        })
+    }
+
+    /// Room and use before anything is chosen: what is leaving already counts as gone.
+    fn balance(
+        &self,
+        request: &RoomRequest,
+        m_id: &MachineId,
+        claimed: &[Claimed],
+        stopping: &Stopping,
+    ) -> Balance {
+        let RoomRequest { id, job, made, now } = *request;
         let team = &self.teams[job.team];
         let more = job.spec.each.times(i64::from(made + 1));
-        let within_guarantee = (team.used + more).fits_team(team.guarantee);
         // At the team's limit only the team's own work can make room. It is the
         // limit that the walk keeps to: beyond it nobody takes the room, and
         // tasks were stopped for it again and again.
-        let over = team.used - leaving[job.team] + more;
+        let used = team.used - stopping.leaving[job.team] + more;
         let limit = self.limit_to_start(job);
-        let limited = !over.fits_team(limit);
         let mut free = self.room_for(id, job.spec.spot, m_id, now);
+        for leaving in claimed.iter().filter(|c| c.claim.stop.is_some()) {
+            free += leaving.job.spec.each;
+        }
+        let teams = self.teams.iter().zip(&stopping.leaving);
+        Balance {
+            free,
+            used,
+            limit,
+            beyond: teams.map(|(t, l)| t.used - t.guarantee - *l).collect(),
+            within_guarantee: (team.used + more).fits_team(team.guarantee),
+            limited: !used.fits_team(limit),
+        }
+    }
+
+    /// Those of a machine's claims that may be stopped, the least worth first.
+    fn candidates<'a>(
+        &self,
+        request: &RoomRequest,
+        claimed: &[Claimed<'a>],
+        stopping: &Stopping,
+    ) -> Vec<Candidate<'a>> {
         // Production alone may take what idle work has as its part.
-        let spared = idle <= 0 && job.priority < Priority::Critical;
-        // What each team would still hold beyond its guarantee.
-        let mut beyond: Vec<Amount> = self
-            .teams
+        let spared = stopping.idle_beyond <= 0 && request.job.priority < Priority::Critical;
+        let stoppable = |c: &&Claimed| {
+            c.claim.stop.is_none()
+                && c.job.spec.kind != Kind::Service
+                && c.claim.committed
+                && !(idle::is_bounded(c.job) && spared)
+        };
+        let mut candidates: Vec<Candidate> = claimed
             .iter()
-            .zip(leaving)
-            .map(|(t, l)| t.used - t.guarantee - *l)
+            .filter(stoppable)
+            .map(|c| Candidate {
+                waste: self.waste_of_stop(c.job, c.claim, request.now),
+                task: c.task,
+                job: c.job,
+            })
             .collect();
-        let mut candidates: Vec<(Priority, f64, &TaskId)> = Vec::new();
-        for task in &machine.claims {
-            let Some(other) = self.jobs.get(&task.job) else {
-                continue;
-            };
-            let Some(claim) = other.tasks.claims().get(&task.index) else {
-                continue;
-            };
-            if claim.stop.is_some() {
-                // Leaving already.
-                free += other.spec.each;
-            } else if other.spec.kind != Kind::Service
-                && claim.committed
-                && !(idle::is_bounded(other) && spared)
-            {
-                // Whoever stops one task of a gang stops them all.
-                let tasks = match other.spec.kind {
-                    Kind::Gang => other.tasks.claims().len() as f64,
-                    Kind::Array | Kind::Service => 1.0,
-                };
-                let waste = tasks * self.waste(other, claim, now);
-                candidates.push((other.priority, waste, task));
-            }
-        }
-        candidates.sort_by(|a, b| a.0.cmp(&b.0).then(a.1.total_cmp(&b.1)).then(a.2.cmp(b.2)));
-        let mut victims = Vec::new();
-        let mut cost = 0.0;
-        let mut used = over;
-        for (priority, waste, task) in candidates {
-            if job.spec.each.fits(free) && used.fits_team(limit) {
-                break;
-            }
-            let Some(other) = self.jobs.get(&task.job) else {
-                continue;
-            };
-            let each = other.spec.each;
-            let own = other.team == job.team;
-            let borrowed = !own && each.fits_team(beyond[other.team]);
-            // A lower priority gives way, unless that would push a team below
-            // its guarantee for one that is beyond its own: the two would
-            // then take turns stopping each other. Production has no such
-            // turns: nothing stops it.
-            let lower = priority < job.priority
-                && (job.priority == Priority::Critical || within_guarantee || borrowed || own);
-            if (limited && !own) || !(lower || (within_guarantee && borrowed)) {
-                continue;
-            }
-            free += each;
-            if own {
-                used -= each;
-            }
-            beyond[other.team] -= each;
-            cost += waste + 0.1;
-            victims.push(task.clone());
+        candidates.sort_by(|a, b| {
+            let by_priority = a.job.priority.cmp(&b.job.priority);
+            by_priority
+                .then(a.waste.total_cmp(&b.waste))
+                .then(a.task.cmp(b.task))
+        });
+        candidates
+    }
+
+    /// What stopping a task wastes, in CPU-seconds. Whoever stops one task of a gang
+    /// stops them all.
+    fn waste_of_stop(&self, job: &Job, claim: &Claim, now: Time) -> f64 {
+        let tasks = match job.spec.kind {
+            Kind::Gang => job.tasks.claims().len() as f64,
+            Kind::Array | Kind::Service => 1.0,
+        };
+        tasks * self.waste(job, claim, now)
+    }
+}
+
+/// Chooses tasks to stop until a task of the job has its room. Returns what that
+/// wastes, in CPU-seconds, and the tasks.
+fn choose_victims(
+    job: &Job,
+    candidates: Vec<Candidate>,
+    balance: &mut Balance,
+) -> (f64, Vec<TaskId>) {
+    let mut wasted = 0.0;
+    let mut victims = Vec::new();
+    for candidate in candidates {
+        if balance.suffices(job.spec.each) {
+            break;
         }
-        if !job.spec.each.fits(free) || !used.fits_team(limit) {
-            return None;
+        if !balance.allows(job, &candidate) {
+            continue;
         }
-        if !machine.cache.has(&job.spec.image) {
-            let fetch = job.spec.image_gb / machine.kind.fetch_gb_per_s.max(1e-3);
-            cost += fetch * job.spec.each.cpu as f64 / 1000.0;
-            if job.start_within.is_some_and(|s| fetch > 0.8 * s) {
-                cost += LATE_START;
-            }
+        balance.stop(job, &candidate);
+        wasted += candidate.waste + PER_STOP;
+        victims.push(candidate.task.clone());
+    }
+    (wasted, victims)
+}
+
+/// What a task costs on a machine with what was wasted for its room, in CPU-seconds:
+/// its image is fetched if it is not there.
+fn cost_with_fetch(wasted: f64, job: &Job, machine: &Machine) -> f64 {
+    let mut cost = wasted;
+    if !machine.cache.has(&job.spec.image) {
+        let fetch_s = job.spec.image_gb / machine.kind.fetch_gb_per_s.max(1e-3);
+        cost += fetch_s * job.spec.each.cpu as f64 / 1000.0;
+        if job.start_within.is_some_and(|s| fetch_s > LATE_FETCH * s) {
+            cost += LATE_START;
         }
-        Some((cost, victims))
     }
+    cost
 }
