--- a/src/sched/capacity_index.rs
+++ b/src/sched/capacity_index.rs
@@ -7,7 +7,7 @@
 
 use sorrelhinge_topology::tree::Domain;
 
-use super::machine::Machine;
+use super::machine::{Machine, MachineTraits};
 use crate::types::{Amount, Image, MachineId, MachineType, TypeName, Zone};
 
 /// What a group's machines have in common.
@@ -29,9 +29,44 @@
     pub devices: Rc<[(String, u32)]>,
 }
 
+impl GroupKey {
+    /// What counts for the cost of a start on one of the machines, whose type is `kind`.
+    pub(super) fn traits<'a>(&'a self, kind: &'a MachineType) -> MachineTraits<'a> {
+        MachineTraits {
+            spot: self.spot,
+            retiring: self.retiring,
+            slow: self.slow,
+            kind,
+            zone: &self.zone,
+        }
+    }
+}
+
 /// Whether a machine passes, or up to which place none does.
 pub type Pass<'a> = &'a dyn Fn(Domain, &MachineId) -> Result<(), u32>;
 
+/// What machine is looked for in a group.
+pub struct Search<'a> {
+    /// Its free room.
+    pub each: Amount,
+    /// Room that is kept doesn't count.
+    pub leaves_kept: bool,
+    /// The image.
+    pub image: &'a Image,
+    /// How far the image is from it.
+    pub near: Nearness,
+}
+
+/// A machine that was found in a group.
+pub struct Found {
+    /// What is free there, without what is kept if that doesn't count.
+    pub free: Size,
+    /// Where it is.
+    pub place: Domain,
+    /// The machine.
+    pub machine: MachineId,
+}
+
 /// How far an image is from being on a machine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Nearness {
@@ -104,7 +139,7 @@
 
 impl Shelves {
     fn change(&mut self, filed: &Filed, size: Size, id: &MachineId, put: bool) {
-        let place = filed.place;
+        let place = filed.filing.place;
         let on = |shelf: &mut Shelf| {
             if put {
                 shelf.put(size, place, id);
@@ -140,89 +175,110 @@
     count: usize,
 }
 
+/// By what a machine is filed: while none of it changes, it stays where it is.
 #[derive(Clone, Debug, PartialEq)]
-struct Filed {
+struct Filing {
     group: GroupKey,
     place: Domain,
+    /// What is free, and what of it is not kept.
     own: Size,
     open: Size,
+    /// Of its images.
     version: u64,
+}
+
+impl Filing {
+    fn of(machine: &Machine) -> Self {
+        Self {
+            group: GroupKey {
+                spot: machine.spot,
+                retiring: machine.retiring,
+                slow: machine.slow,
+                keeps: machine.kept != Amount::default(),
+                kind: machine.kind.name.clone(),
+                zone: machine.zone.clone(),
+                devices: machine.working.clone(),
+            },
+            place: machine.place,
+            own: size(machine.free()),
+            open: size(machine.free() - machine.kept),
+            version: machine.cache.version(),
+        }
+    }
+}
+
+/// A machine in the index, with its images, and whether they are there already.
+#[derive(Clone, Debug, PartialEq)]
+struct Filed {
+    filing: Filing,
     images: Vec<(Image, bool)>,
 }
 
+/// A type, and how many usable machines there are of it.
+#[derive(Clone, Debug)]
+struct CountedType {
+    kind: Rc<MachineType>,
+    machines: usize,
+}
+
 /// The index.
 #[derive(Clone, Debug, Default)]
 pub struct CapacityIndex {
     groups: BTreeMap<GroupKey, Group>,
     filed: HashMap<MachineId, Filed>,
-    kinds: BTreeMap<TypeName, (Rc<MachineType>, usize)>,
+    kinds: BTreeMap<TypeName, CountedType>,
     /// How many places were looked at, for tests of how the work grows.
     pub steps: Cell<u64>,
 }
 
 impl CapacityIndex {
+    /// Counts a place that is looked at.
+    pub(super) fn count_step(&self) {
+        self.steps.set(self.steps.get() + 1);
+    }
+
     /// Files a machine anew after a change.
     pub fn file(&mut self, id: &MachineId, machine: &Machine) {
         if !machine.usable {
             self.drop_out(id);
             return;
         }
-        let keeps = machine.kept != Amount::default();
-        let group = GroupKey {
-            spot: machine.spot,
-            retiring: machine.retiring,
-            slow: machine.slow,
-            keeps,
-            kind: machine.kind.name.clone(),
-            zone: machine.zone.clone(),
-            devices: machine.working.clone(),
-        };
-        let place = machine.place;
-        let own = size(machine.free());
-        let open = size(machine.free() - machine.kept);
-        let version = machine.cache.version();
-        if let Some(f) = self.filed.get(id) {
-            if f.group == group
-                && f.place == place
-                && f.own == own
-                && f.open == open
-                && f.version == version
-            {
-                return;
-            }
+        let filing = Filing::of(machine);
+        if self.filed.get(id).is_some_and(|f| f.filing == filing) {
+            return;
         }
         self.drop_out(id);
+        let images = machine.cache.images();
         let filed = Filed {
-            group,
-            place,
-            own,
-            open,
-            version,
-            images: machine
-                .cache
-                .images()
-                .map(|(i, ready)| (i.clone(), ready))
-                .collect(),
+            filing,
+            images: images.map(|(i, ready)| (i.clone(), ready)).collect(),
         };
-        let group = self
-            .groups
-            .entry(filed.group.clone())
-            .or_insert_with(|| Group {
-                kind: machine.kind.clone(),
-                own: Shelves::default(),
-                open: Shelves::default(),
-                count: 0,
-            });
+        self.put_in(id, &filed, &machine.kind);
+        self.filed.insert(id.clone(), filed);
+    }
+
+    /// Puts a machine into its group, and counts it in its type.
+    fn put_in(&mut self, id: &MachineId, filed: &Filed, kind: &Rc<MachineType>) {
+        let key = &filed.filing.group;
+        let group = self.groups.entry(key.clone()).or_insert_with(|| Group {
+            kind: kind.clone(),
+            own: Shelves::default(),
+            open: Shelves::default(),
+            count: 0,
+        });
         group.count += 1;
-        group.own.change(&filed, own, id, true);
-        if keeps {
-            group.open.change(&filed, open, id, true);
+        group.own.change(filed, filed.filing.own, id, true);
+        if key.keeps {
+            group.open.change(filed, filed.filing.open, id, true);
         }
-        self.kinds
-            .entry(machine.kind.name.clone())
-            .or_insert_with(|| (machine.kind.clone(), 0))
-            .1 += 1;
-        self.filed.insert(id.clone(), filed);
+        let counted = self
+            .kinds
+            .entry(kind.name.clone())
+            .or_insert_with(|| CountedType {
+                kind: kind.clone(),
+                machines: 0,
+            });
+        counted.machines += 1;
     }
 
     /// Takes a machine out.
@@ -230,20 +286,21 @@
         let Some(filed) = self.filed.remove(id) else {
             return;
         };
-        if let Some(group) = self.groups.get_mut(&filed.group) {
-            group.own.change(&filed, filed.own, id, false);
-            if filed.group.keeps {
-                group.open.change(&filed, filed.open, id, false);
+        let key = &filed.filing.group;
+        if let Some(group) = self.groups.get_mut(key) {
+            group.own.change(&filed, filed.filing.own, id, false);
+            if key.keeps {
+                group.open.change(&filed, filed.filing.open, id, false);
             }
             group.count -= 1;
             if group.count == 0 {
-                self.groups.remove(&filed.group);
+                self.groups.remove(key);
             }
         }
-        if let Some(kind) = self.kinds.get_mut(&filed.group.kind) {
-            kind.1 -= 1;
-            if kind.1 == 0 {
-                self.kinds.remove(&filed.group.kind);
+        if let Some(counted) = self.kinds.get_mut(&key.kind) {
+            counted.machines -= 1;
+            if counted.machines == 0 {
+                self.kinds.remove(&key.kind);
             }
         }
     }
@@ -255,7 +312,7 @@
 
     /// The types of usable machines.
     pub fn kinds(&self) -> impl Iterator<Item = &Rc<MachineType>> {
-        self.kinds.values().map(|(kind, _)| kind)
+        self.kinds.values().map(|counted| &counted.kind)
     }
 
     /// The tightest machine of a group with room for `each` whose image is
@@ -264,24 +321,27 @@
         &self,
         key: &GroupKey,
         group: &Group,
-        (each, leaves_kept): (Amount, bool),
-        (image, near): (&Image, Nearness),
+        search: &Search,
         pass: Pass<'_>,
-    ) -> Option<(Size, Domain, MachineId)> {
-        self.steps.set(self.steps.get() + 1);
-        let shelves = if key.keeps && leaves_kept {
+    ) -> Option<Found> {
+        self.count_step();
+        let shelves = if key.keeps && search.leaves_kept {
             &group.open
         } else {
             &group.own
         };
-        let shelf = match near {
-            Nearness::Ready => shelves.ready.get(image)?,
-            Nearness::Coming => shelves.coming.get(image)?,
+        let shelf = match search.near {
+            Nearness::Ready => shelves.ready.get(search.image)?,
+            Nearness::Coming => shelves.coming.get(search.image)?,
             Nearness::Absent => &shelves.all,
         };
         shelf
-            .first(each, &self.steps, pass)
-            .map(|(size, place, id)| (size, place, id.clone()))
+            .first(search.each, &self.steps, pass)
+            .map(|(free, place, id)| Found {
+                free,
+                place,
+                machine: id.clone(),
+            })
     }
 
     /// Whether a group's machines, free or not, have an image.
--- /dev/null
+++ b/src/sched/filter/free_room.rs
@@ -0,0 +1,44 @@
+//! Rule: room on a machine that is not reserved, held or kept for others.
+
+use crate::sched::ClusterState;
+use crate::types::{Amount, JobId, MachineId, Time};
+
+impl ClusterState {
+    /// Room on a machine for a job, less what is reserved for others, and less what is
+    /// kept there for work that can't use spot machines if the job `leaves_kept`.
+    pub(in crate::sched) fn room_for(
+        &self,
+        id: &JobId,
+        leaves_kept: bool,
+        m_id: &MachineId,
+        now: Time,
+    ) -> Amount {
+        let Some(machine) = self.machines.get(m_id) else {
+            return Amount::default();
+        };
+        let mut free = machine.free();
+        if let Some((other, until)) = self.reserved.get(m_id) {
+            if other != id && now < *until {
+                if let Some(job) = self.jobs.get(other).filter(|j| j.wants(now)) {
+                    free -= job.spec.each;
+                }
+            }
+        }
+        if let Some((other, amount)) = self.gang_room.get(m_id) {
+            if other != id {
+                free -= *amount;
+            }
+        }
+        if leaves_kept {
+            free -= machine.kept;
+        }
+        free - self.held_from(id, m_id, now)
+    }
+
+    /// Whether room on a machine is meant for somebody.
+    pub(in crate::sched) fn is_spoken_for(&self, m_id: &MachineId) -> bool {
+        self.reserved.contains_key(m_id)
+            || self.gang_room.contains_key(m_id)
+            || self.has_held_room(m_id)
+    }
+}
--- /dev/null
+++ b/src/sched/filter/larger_types.rs
@@ -0,0 +1,74 @@
+//! Rule: large machines are left to jobs that wait and fit no smaller ones.
+
+use std::collections::BTreeMap;
+
+use super::PlacementRequest;
+use crate::sched::machine::{CapacityPool, MachineTraits};
+use crate::sched::ClusterState;
+use crate::types::{JobId, Time};
+
+/// Jobs that wait for the types that only they fit, at the start of a pass.
+pub(in crate::sched) type Needy = BTreeMap<CapacityPool, Vec<JobId>>;
+
+impl ClusterState {
+    /// Whether another job waits that fits only machines as large as this one,
+    /// while this one fits smaller ones and has not waited for long.
+    pub(in crate::sched) fn left_to_others(
+        &self,
+        request: &PlacementRequest,
+        traits: &MachineTraits,
+    ) -> bool {
+        let PlacementRequest {
+            id,
+            job,
+            needy,
+            now,
+        } = *request;
+        if job.start_within.is_some()
+            || self.needs(job.spec.each, traits.kind)
+            || job.outwaits_reservations(now)
+        {
+            return false;
+        }
+        let waited = job.blocked_since.map_or(0.0, |t| now.since(t));
+        let more_urgent = |other: &JobId| {
+            let other = self.jobs.get(other);
+            other.is_some_and(|o| job.priority > o.priority)
+        };
+        needy
+            .get_or_init(|| self.needy(now))
+            .get(&traits.pool())
+            .and_then(|ids| ids.iter().find(|other| *other != id))
+            .is_some_and(|other| {
+                let waits_for_s = match more_urgent(other) {
+                    true => job.patience_s,
+                    false => job.late_s,
+                };
+                waited < waits_for_s
+            })
+    }
+
+    /// Which jobs wait that fit only types as large as each group's.
+    pub(in crate::sched) fn needy(&self, now: Time) -> Needy {
+        let mut needy = Needy::new();
+        let smallest = self.capacity_index.kinds().min_by_key(|k| k.total.cpu);
+        for (id, job) in self.wanting() {
+            if smallest.is_none_or(|k| job.spec.each.fits(k.total)) || !job.wants(now) {
+                continue;
+            }
+            for (key, group) in self.capacity_index.groups() {
+                if Self::kind_suits(&job.spec, key.spot, &group.kind, &key.zone)
+                    && self.needs(job.spec.each, &group.kind)
+                    && self.limit_allows(job, now)
+                {
+                    let ids = needy.entry(key.traits(&group.kind).pool()).or_default();
+                    // Two tell whether there is another than one itself.
+                    if ids.len() < 2 && ids.last() != Some(id) {
+                        ids.push(id.clone());
+                    }
+                }
+            }
+        }
+        needy
+    }
+}
--- a/src/sched/gangs.rs
+++ b/src/sched/gangs.rs
@@ -3,22 +3,43 @@
 
 use std::cell::OnceCell;
 
-use sorrelhinge_topology::devices::{choose, Held};
+use sorrelhinge_protocol::placement::Device;
+use sorrelhinge_topology::devices::{choose, Held, Stock};
 use sorrelhinge_topology::gang::{self, Rules, Slot};
 use sorrelhinge_topology::policy::Reach;
 use sorrelhinge_topology::settings::Gangs;
 use sorrelhinge_topology::tree::Tree;
 
 use super::capacity_index::Nearness;
+use super::filter::{Needy, PlacementRequest};
 use super::machine::Machine;
 use super::topology_rules::Ask;
-use super::{ClusterState, Delay, DelayRule, Job, Launch, Needy};
+use super::{ClusterState, Delay, DelayRule, Job, Launch};
 use crate::types::{Amount, JobId, Kind, MachineId, TaskId, Time};
 
 /// How long a gang that found no room waits until all machines are looked at
 /// for it again.
 const TRY_AGAIN_S: f64 = 0.5;
 
+/// A slot's cost is counted in tenths of a second.
+const COST_STEPS: f64 = 10.0;
+
+/// A gang that is to be placed whole.
+struct GangRequest<'a> {
+    id: &'a JobId,
+    job: &'a Job,
+    /// Devices that each of its tasks needs.
+    needs: Vec<Device>,
+    now: Time,
+}
+
+/// What stays on a machine until somebody stops it.
+#[derive(Default)]
+struct LastingUse {
+    amount: Amount,
+    units: Held,
+}
+
 /// What a job's rules say of a plan for all its tasks.
 struct JobRules<'a> {
     cluster_state: &'a ClusterState,
@@ -74,6 +95,23 @@
     }
 }
 
+/// How many of `most` tasks find the devices that each needs, beside what is held.
+fn with_devices(stock: &Stock, held: &Held, needs: &[Device], most: u32) -> u32 {
+    if needs.is_empty() {
+        return most;
+    }
+    let mut held = held.clone();
+    let mut count = 0;
+    while count < most {
+        match choose(stock, &held, needs) {
+            Some(units) => held.take(&units),
+            None => break,
+        }
+        count += 1;
+    }
+    count
+}
+
 impl ClusterState {
     fn gang_settings(&self) -> Gangs {
         let settings = self.topology.as_ref().map(|t| t.settings.gangs.clone());
@@ -82,69 +120,69 @@
 
     /// Machines that could take tasks of a gang. The only decision that looks
     /// at all machines, twice a second at most for each gang that waits.
-    fn slots(&self, id: &JobId, job: &Job, reach: Reach, now: Time) -> Vec<Slot> {
-        let spec = &job.spec;
-        let needs = job.policy.needs(reach);
+    fn slots(&self, request: &GangRequest) -> Vec<Slot> {
+        let GangRequest { job, now, .. } = *request;
         let mut slots = Vec::new();
         for (m_id, m) in &self.machines {
-            self.capacity_index
-                .steps
-                .set(self.capacity_index.steps.get() + 1);
-            let avoided = job.avoid.get(m_id).is_some_and(|until| now < *until);
-            if !m.usable || avoided || !Self::suits(spec, m) || !Machine::could(&m.working, &needs)
-            {
-                continue;
+            self.capacity_index.count_step();
+            let suits = m.usable
+                && !job.avoids(m_id, now)
+                && Self::suits(&job.spec, m)
+                && Machine::could(&m.working, &request.needs);
+            if suits {
+                slots.push(self.slot(request, m_id, m));
             }
-            let room = self.room_for(id, job.leaves_kept_room(now), m_id, now);
-            let fit = |amount: Amount| spec.each.how_many(amount).min(spec.tasks);
-            let mut lasting = Amount::default();
-            let mut stays = Held::default();
-            for task in &m.claims {
-                let Some(other) = self.jobs.get(&task.job) else {
-                    continue;
-                };
-                let claim = other.tasks.claims().get(&task.index);
-                let ends =
-                    other.spec.kind != Kind::Service || claim.is_some_and(|c| c.stop.is_some());
-                if !ends {
-                    lasting += other.spec.each;
-                    stays.take(claim.map_or(&[][..], |c| &c.units));
-                }
-            }
-            let with_devices = |held: &Held, most: u32| {
-                if needs.is_empty() {
-                    return most;
-                }
-                let mut held = held.clone();
-                let mut count = 0;
-                while count < most {
-                    match choose(&m.stock, &held, &needs) {
-                        Some(units) => held.take(&units),
-                        None => break,
-                    }
-                    count += 1;
-                }
-                count
-            };
-            let free = with_devices(&m.held, fit(room));
-            let later = with_devices(&stays, fit(m.kind.total - lasting));
-            let near = if m.cache.has(&spec.image) {
-                Nearness::Ready
-            } else {
-                Nearness::Absent
-            };
-            let cost = self.place_cost(spec, near, &m.zone, (m.spot, m.retiring, m.slow, &m.kind));
-            slots.push(Slot {
-                machine: m_id.clone(),
-                place: m.place,
-                free,
-                later: later.max(free),
-                cost: (cost * 10.0) as u32,
-            });
         }
         slots
     }
 
+    /// How many tasks of a gang a machine could take now, and later.
+    fn slot(&self, request: &GangRequest, m_id: &MachineId, m: &Machine) -> Slot {
+        let GangRequest { id, job, now, .. } = *request;
+        let spec = &*job.spec;
+        let needs = &request.needs;
+        let room = self.room_for(id, job.leaves_kept_room(now), m_id, now);
+        let fit = |amount: Amount| spec.each.how_many(amount).min(spec.tasks);
+        let lasting = self.lasting_use(m);
+        let free = with_devices(&m.stock, &m.held, needs, fit(room));
+        let later = with_devices(
+            &m.stock,
+            &lasting.units,
+            needs,
+            fit(m.kind.total - lasting.amount),
+        );
+        let near = if m.cache.has(&spec.image) {
+            Nearness::Ready
+        } else {
+            Nearness::Absent
+        };
+        let cost = self.place_cost(spec, near, &m.traits());
+        Slot {
+            machine: m_id.clone(),
+            place: m.place,
+            free,
+            later: later.max(free),
+            cost: (cost * COST_STEPS) as u32,
+        }
+    }
+
+    /// What on a machine doesn't end by itself: services that are not being stopped.
+    fn lasting_use(&self, m: &Machine) -> LastingUse {
+        let mut lasting = LastingUse::default();
+        for task in &m.claims {
+            let Some(job) = self.jobs.get(&task.job) else {
+                continue;
+            };
+            let claim = job.tasks.claims().get(&task.index);
+            let ends = job.spec.kind != Kind::Service || claim.is_some_and(|c| c.stop.is_some());
+            if !ends {
+                lasting.amount += job.spec.each;
+                lasting.units.take(claim.map_or(&[][..], |c| &c.units));
+            }
+        }
+        lasting
+    }
+
     /// Places a gang whole, or holds room for it if it is its turn. Nothing is
     /// placed while tasks of an earlier start are not provably gone.
     pub(super) fn place_gang(&mut self, id: &JobId, rule: DelayRule, now: Time) -> Vec<Launch> {
@@ -167,7 +205,12 @@
             if reach == Reach::Musts && !job.policy.prefers() {
                 continue;
             }
-            let slots = self.slots(id, job, reach, now);
+            let slots = self.slots(&GangRequest {
+                id,
+                job,
+                needs: job.policy.needs(reach),
+                now,
+            });
             let rules = JobRules {
                 cluster_state: self,
                 job,
@@ -314,11 +357,17 @@
     ) -> Option<MachineId> {
         let job = self.jobs.get(id)?;
         let needy = OnceCell::from(Needy::new());
+        let request = PlacementRequest {
+            id,
+            job,
+            needy: &needy,
+            now,
+        };
         let ask = Ask {
             leave_out: Some(index),
             settled: ask.settled,
         };
-        self.best_of(id, job, &ask, reach, &needy, now)
+        self.best_of(&request, &ask, reach)
             .map(|offer| offer.machine)
     }
 }
--- /dev/null
+++ b/src/sched/job.rs
@@ -0,0 +1,203 @@
+//! A job as the scheduler sees it: what it asks, how urgent it is, and how its waits
+//! stand.
+
+use std::collections::BTreeMap;
+use std::rc::Rc;
+
+use sorrelhinge_blocks::served::Sort;
+use sorrelhinge_topology::policy::Policy;
+
+use super::delay::Delay;
+use super::lanes::Laned;
+use super::tasks::{Claim, Progress, Tasks};
+use crate::types::{Amount, JobSpec, Kind, MachineId, Priority, Time};
+
+/// Part of the estimated run time that a task needs at least.
+const DUE_RUN: f64 = 0.8;
+/// A job that met none of its aims is due at this multiple of the last.
+const OVERDUE: f64 = 3.0;
+/// A job of which nothing was placed for so long, in seconds, may take room that is
+/// reserved for work that is only expected: the users' rule is that no job waits for
+/// 90 s beside room that fits it, below its team's limit. The rest is for a takeover.
+const RESERVATION_WAIT_S: f64 = 60.0;
+
+/// Aims that differ by less, in seconds, are the same.
+const SAME_AIM_S: f64 = 0.5;
+
+/// A job that is not over, or whose tasks are not provably gone.
+#[derive(Clone, Debug)]
+pub struct Job {
+    /// As submitted.
+    pub spec: Rc<JobSpec>,
+    /// Its team's place in [`ClusterState::teams`].
+    pub team: usize,
+    /// The highest of its own priority and those of the jobs that need it.
+    pub priority: Priority,
+    /// When it was submitted, or the last of the jobs that it needs was done.
+    pub submitted: Time,
+    /// Cancelled: nothing of it may start.
+    pub cancelled: bool,
+    /// Its tasks.
+    pub tasks: Tasks,
+    /// Delay scheduling.
+    pub delay: Delay,
+    /// When it should be done, by its aims or its deadline, earliest first.
+    pub aims: Vec<Time>,
+    /// The earliest of them that it can still meet, see [`ClusterState::look_at_dues`].
+    pub due: Time,
+    /// Machines that refused it or failed it, until a time.
+    pub avoid: BTreeMap<MachineId, Time>,
+    /// Nothing starts before this, after failures on several machines.
+    pub hold_until: Time,
+    /// Failures in a row.
+    pub failures: u32,
+    /// Its tasks fail wherever they run and none has ended well: the job itself
+    /// is mistaken, most likely, until its user withdraws it. See [`Job::open`].
+    pub doubted: bool,
+    /// How soon its users expect it to start, if an aim says so.
+    pub start_within: Option<f64>,
+    /// How long it may wait before that endangers its aims.
+    pub patience_s: f64,
+    /// After waiting this long it misses its aims unless a machine is rented
+    /// for it now.
+    pub late_s: f64,
+    /// Since when it has had pending tasks that found no place.
+    pub blocked_since: Option<Time>,
+    /// What its placement rules and its class's come to.
+    pub policy: Rc<Policy>,
+    /// A gang that found no room is not tried again before.
+    pub try_at: Time,
+    /// A task of it has been placed.
+    pub started: bool,
+    /// When a task of it was placed last, as far as this owner knows.
+    pub last_placed: Option<Time>,
+    /// It has waited for too long to begin, see [`ClusterState::look_at_dues`].
+    pub aged: bool,
+    /// Its standing in its lane, if it is in one.
+    pub lane: Option<Laned>,
+}
+
+impl Job {
+    /// A job that has just come: no aims, no placement rules, nothing placed.
+    pub fn new(spec: Rc<JobSpec>, team: usize, submitted: Time, tasks: Tasks) -> Self {
+        Self {
+            priority: spec.priority,
+            spec,
+            team,
+            submitted,
+            cancelled: false,
+            tasks,
+            delay: Delay::default(),
+            aims: Vec::new(),
+            due: Time(f64::INFINITY),
+            avoid: BTreeMap::new(),
+            hold_until: Time(0.0),
+            failures: 0,
+            doubted: false,
+            start_within: None,
+            patience_s: 5.0,
+            late_s: 60.0,
+            blocked_since: None,
+            policy: Rc::default(),
+            try_at: Time(0.0),
+            started: false,
+            last_placed: None,
+            aged: false,
+            lane: None,
+        }
+    }
+    /// How many of its tasks may be placed now. Of a job that is mistaken, most
+    /// likely, one is tried at a time, so it costs a start and a few changes now
+    /// and then: all its tasks came back at each try once, hundreds at a time.
+    pub fn open(&self) -> u32 {
+        let pending = self.tasks.pending();
+        match self.doubted {
+            true => pending.min(u32::from(self.tasks.claims().is_empty())),
+            false => pending,
+        }
+    }
+    /// Whether a task of it has ended well, or runs as a service does.
+    pub fn is_sound(&self) -> bool {
+        let runs = |c: &Claim| matches!(c.progress, Progress::Running(_));
+        self.tasks.done() > 0
+            || self.spec.kind == Kind::Service && self.tasks.claims().values().any(runs)
+    }
+    /// Whether it wants a task placed now.
+    pub fn wants(&self, now: Time) -> bool {
+        !self.cancelled && self.open() > 0 && now >= self.hold_until
+    }
+    /// What it counts as when what binds is divided: its class and team.
+    pub fn sort(&self) -> Sort {
+        (self.spec.class.clone(), self.spec.team.clone())
+    }
+    /// Whether a machine refused it or failed it of late.
+    pub(super) fn avoids(&self, machine: &MachineId, now: Time) -> bool {
+        self.avoid.get(machine).is_some_and(|until| now < *until)
+    }
+    /// Whether it has waited so long that its aims are in danger.
+    pub fn late(&self, now: Time) -> bool {
+        self.blocked_since
+            .is_some_and(|t| now.since(t) > self.late_s)
+    }
+    /// Whether it has waited so long for its next task to be placed that room reserved
+    /// for expected work is open to it. Placing a task begins the wait anew, so that of
+    /// a large job one task at a time takes such room and the others leave it.
+    pub fn outwaits_reservations(&self, now: Time) -> bool {
+        now.since(self.last_placed.unwrap_or(self.submitted)) >= RESERVATION_WAIT_S
+    }
+    /// Whether room kept on ordinary machines for work that can't use spot ones is
+    /// withheld from it.
+    pub(super) fn leaves_kept_room(&self, now: Time) -> bool {
+        self.spec.spot && !self.outwaits_reservations(now)
+    }
+    /// When it should be done: the earliest aim that it can still meet. One
+    /// that can meet none any more waits for those that can, yet not for ever.
+    pub(super) fn due_now(&self, now: Time) -> Time {
+        let soonest = now.after(DUE_RUN * self.spec.estimate_s);
+        let open = self.aims.iter().find(|aim| soonest <= **aim);
+        match (open, self.aims.last()) {
+            (Some(aim), _) => *aim,
+            (None, Some(last)) => self.submitted.after(OVERDUE * last.since(self.submitted)),
+            (None, None) => Time(f64::INFINITY),
+        }
+    }
+    /// What its pending tasks want.
+    pub(super) fn demand(&self) -> Amount {
+        if self.cancelled {
+            Amount::default()
+        } else {
+            self.spec.each.times(i64::from(self.open()))
+        }
+    }
+}
+
+/// How urgent a job is, with what it inherits from the jobs that need it.
+#[derive(Clone, Debug, PartialEq)]
+pub struct JobUrgency {
+    /// See [`Job::priority`].
+    pub priority: Priority,
+    /// See [`Job::aims`].
+    pub aims: Vec<Time>,
+    /// See [`Job::patience_s`].
+    pub patience_s: f64,
+    /// See [`Job::late_s`].
+    pub late_s: f64,
+}
+
+impl JobUrgency {
+    /// Has a job be as urgent. It is due at the first of its aims until it is looked at.
+    pub fn apply(&self, job: &mut Job) {
+        job.priority = self.priority;
+        job.aims.clone_from(&self.aims);
+        job.due = self.aims.first().copied().unwrap_or(Time(f64::INFINITY));
+        job.patience_s = self.patience_s;
+        job.late_s = self.late_s;
+    }
+    /// Whether a job is as urgent already: times may differ by what clocks wander.
+    pub fn is_of(&self, job: &Job) -> bool {
+        let mut aims = self.aims.iter().zip(&job.aims);
+        job.priority == self.priority
+            && job.aims.len() == self.aims.len()
+            && aims.all(|(one, other)| (one.0 - other.0).abs() < SAME_AIM_S)
+    }
+}
--- a/src/sched/lanes.rs
+++ b/src/sched/lanes.rs
@@ -1,7 +1,6 @@
 //! Lane jobs go ahead of all others, as far as their lane's part goes
 //! (`docs/lanes.md`). Without lanes nothing here is ever filled.
 
-use std::cell::OnceCell;
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
@@ -9,7 +8,9 @@
 use sorrelhinge_lanes::part::{Bound, Held};
 use sorrelhinge_lanes::{LaneId, Lanes};
 
-use super::{ClusterState, DelayRule, Group, Job, Launch, Needy};
+use super::placement_pass::PassContext;
+use super::queue::Group;
+use super::{ClusterState, Job, Launch};
 use crate::types::{JobId, Kind, Priority, Revision, Time};
 
 /// A job's standing in its lane.
@@ -55,10 +56,28 @@
     pub(super) used: BTreeMap<LaneId, i64>,
 }
 
-/// Jobs with the same could stand in for each other.
-fn asks(job: &Job) -> (usize, Arc<str>, Group, Priority) {
-    let class = job.spec.class.clone();
-    (job.team, class, job.group(), job.priority)
+/// Jobs of which this is the same could stand in for each other.
+#[derive(PartialEq, Eq, PartialOrd, Ord)]
+struct Alike {
+    team: usize,
+    class: Arc<str>,
+    group: Group,
+    priority: Priority,
+}
+
+fn asks(job: &Job) -> Alike {
+    Alike {
+        team: job.team,
+        class: job.spec.class.clone(),
+        group: job.group(),
+        priority: job.priority,
+    }
+}
+
+/// What was placed for lane jobs ahead of all others, and who was tried.
+pub(super) struct LanesPlaced {
+    pub launches: Vec<Launch>,
+    pub tried: Vec<JobId>,
 }
 
 impl ClusterState {
@@ -68,6 +87,32 @@
         if lanes.is_empty() {
             return;
         }
+        let order = self.arranged(now, now_ms);
+        self.lanes.bounds = lanes.iter().map(|(id, lane)| (id, lane.bound)).collect();
+        let mut turns = self.turns_of_alike(&order);
+        let others_wait = self.others_wait();
+        let mut held = self.lanes.used.clone();
+        for key in &order {
+            let Some(job) = self.jobs.get(&key.id) else {
+                continue;
+            };
+            let held = held.entry(key.lane).or_default();
+            let ahead = self.goes_ahead(key.lane, job, *held, others_wait);
+            *held += job.demand().cpu;
+            let laned = Laned {
+                behind: key.behind,
+                must_ms: key.must_ms,
+                ahead,
+                turn: turns.get_mut(&asks(job)).and_then(Vec::pop),
+                ..Laned::new(key.lane, key.place)
+            };
+            self.set_laned(&key.id, laned);
+        }
+        self.lanes.order = order;
+    }
+
+    /// The lane jobs that wait, the first first.
+    fn arranged(&self, now: Time, now_ms: u64) -> Vec<Key> {
         let waits = self.wanting().filter_map(|(id, job)| {
             let laned = job.lane?;
             let waited_ms = (now.since(job.submitted) * 1000.0).max(0.0) as u64;
@@ -79,50 +124,42 @@
                 may_wait_ms: may_wait_ms(job.spec.deadline_s, job.spec.estimate_s),
             })
         });
-        let order = arrange(waits.collect(), now_ms);
-        self.lanes.bounds = lanes.iter().map(|(id, lane)| (id, lane.bound)).collect();
-        let mut turns: BTreeMap<_, Vec<(i64, i64)>> = BTreeMap::new();
+        arrange(waits.collect(), now_ms)
+    }
+
+    /// The turns of lane jobs that ask for the same, the last first, as the first in
+    /// order takes the first turn from the end.
+    fn turns_of_alike(&self, order: &[Key]) -> BTreeMap<Alike, Vec<(i64, i64)>> {
+        let mut turns: BTreeMap<Alike, Vec<(i64, i64)>> = BTreeMap::new();
         for job in order.iter().filter_map(|key| self.jobs.get(&key.id)) {
             turns.entry(asks(job)).or_default().push(job.turn());
         }
         for alike in turns.values_mut() {
-            // The last is taken first.
             alike.sort_by(|a, b| b.cmp(a));
         }
-        let others_wait = self.others_wait();
-        let mut held = self.lanes.used.clone();
-        for key in &order {
-            let Some(job) = self.jobs.get(&key.id) else {
-                continue;
-            };
-            let held = held.entry(key.lane).or_default();
-            let want = job.demand().cpu;
-            let part = self.lanes.bounds.get(&key.lane);
-            let part = part.map_or(0, |bound| bound.of(self.capacity.cpu));
-            let ahead =
-                !others_wait || *held + want <= part || *held <= 0 && want <= job.spec.each.cpu;
-            *held += want;
-            let laned = Laned {
-                behind: key.behind,
-                must_ms: key.must_ms,
-                ahead,
-                turn: turns.get_mut(&asks(job)).and_then(Vec::pop),
-                ..Laned::new(key.lane, key.place)
-            };
-            if job.lane == Some(laned) {
-                continue;
-            }
-            // Filed anew, as its standing is part of its place.
-            let Some(job) = self.jobs.get_mut(&key.id) else {
-                continue;
-            };
-            let waits = self.queues[job.team].remove(&job.place(&key.id));
-            job.lane = Some(laned);
-            if waits {
-                self.queues[job.team].insert(job.place(&key.id));
-            }
+        turns
+    }
+
+    /// Whether a lane job is within its lane's part, of which `held` is taken by the
+    /// lane's claims and by the jobs before it, in thousandths of a CPU.
+    fn goes_ahead(&self, lane: LaneId, job: &Job, held: i64, others_wait: bool) -> bool {
+        let want = job.demand().cpu;
+        let part = self.lanes.bounds.get(&lane);
+        let part = part.map_or(0, |bound| bound.of(self.capacity.cpu));
+        !others_wait || held + want <= part || held <= 0 && want <= job.spec.each.cpu
+    }
+
+    /// Gives a job its standing in its lane; it is filed anew, as that is part of its
+    /// place.
+    fn set_laned(&mut self, id: &JobId, laned: Laned) {
+        let Some(job) = self.jobs.get_mut(id).filter(|j| j.lane != Some(laned)) else {
+            return;
+        };
+        let waits = self.queues[job.team].remove(&job.place(id));
+        job.lane = Some(laned);
+        if waits {
+            self.queues[job.team].insert(job.place(id));
         }
-        self.lanes.order = order;
     }
 
     /// A job came since the last look: it is among those behind until the next, and
@@ -213,46 +250,51 @@
             .collect()
     }
 
-    /// Offers the lane jobs the best machines, ahead of all others. Returns what was
-    /// placed, and who was tried.
-    pub(super) fn place_lanes(
-        &mut self,
-        rule: DelayRule,
-        needy: &OnceCell<Needy>,
-        now: Time,
-    ) -> (Vec<Launch>, Vec<JobId>) {
+    /// Offers the lane jobs the best machines, ahead of all others.
+    pub(super) fn place_lanes(&mut self, context: &PassContext) -> LanesPlaced {
         let mut launches = Vec::new();
         let mut skipped = Vec::new();
-        let first = self.lanes_first(now);
+        let first = self.lanes_first(context.now);
         // A gang is placed whole, in its ordinary turn.
         let first = first.iter().filter(|(_, j)| j.spec.kind != Kind::Gang);
-        let first: Vec<JobId> = first.map(|(id, _)| (*id).clone()).collect();
-        for id in &first {
-            while let Some(job) = self.jobs.get(id) {
-                self.capacity_index
-                    .steps
-                    .set(self.capacity_index.steps.get() + 1);
-                if !job.wants(now)
-                    || !self.may_claim(id, job)
-                    || !self.within_part(job, self.others_wait())
-                    || !self.leaves_guarantees(job, &self.owed())
-                {
-                    break;
-                }
-                let Some(offer) = self.best(id, job, needy, now) else {
-                    break;
-                };
-                if !self.may_launch(job, &offer.machine, rule, now) {
-                    skipped.push(id.clone());
-                    break;
-                }
-                let Some(launch) = self.launch(id, &offer.machine, now) else {
-                    break;
-                };
-                launches.push(launch);
+        let tried: Vec<JobId> = first.map(|(id, _)| (*id).clone()).collect();
+        for id in &tried {
+            launches.extend(self.place_lane_job(id, context, &mut skipped));
+        }
+        self.skip(skipped, context.now);
+        LanesPlaced { launches, tried }
+    }
+
+    /// Places as many tasks of a lane job as go ahead of others; `skipped` gets the job if
+    /// it waits for a machine with its image.
+    fn place_lane_job(
+        &mut self,
+        id: &JobId,
+        context: &PassContext,
+        skipped: &mut Vec<JobId>,
+    ) -> Vec<Launch> {
+        let mut launches = Vec::new();
+        while let Some(job) = self.jobs.get(id) {
+            self.capacity_index.count_step();
+            if !job.wants(context.now)
+                || !self.may_claim(id, job)
+                || !self.within_part(job, self.others_wait())
+                || !self.leaves_guarantees(job, &self.owed())
+            {
+                break;
             }
+            let Some(offer) = self.best(&context.request(id, job)) else {
+                break;
+            };
+            if !self.may_launch(job, &offer.machine, context.rule, context.now) {
+                skipped.push(id.clone());
+                break;
+            }
+            let Some(launch) = self.launch(id, &offer.machine, context.now) else {
+                break;
+            };
+            launches.push(launch);
         }
-        self.skip(skipped, now);
-        (launches, first)
+        launches
     }
 }
--- a/src/sched/machine.rs
+++ b/src/sched/machine.rs
@@ -8,7 +8,8 @@
 use sorrelhinge_topology::devices::{Held, Stock};
 use sorrelhinge_topology::tree::{Domain, ROOT};
 
-use crate::types::{Amount, Image, JobSpec, MachineType, TaskId, Time, Zone};
+use super::capacity_index::Nearness;
+use crate::types::{Amount, Image, JobSpec, MachineType, TaskId, Time, TypeName, Zone};
 
 #[derive(Clone, Debug, PartialEq)]
 struct Cached {
@@ -36,6 +37,16 @@
     pub fn expects(&self, image: &Image) -> bool {
         self.held.iter().any(|c| c.image == *image)
     }
+    /// How far an image is from being there.
+    pub(super) fn nearness(&self, image: &Image) -> Nearness {
+        if self.has(image) {
+            Nearness::Ready
+        } else if self.expects(image) {
+            Nearness::Coming
+        } else {
+            Nearness::Absent
+        }
+    }
     /// An image is used; the oldest ones leave if there is no room. `ran`: a
     /// task runs on it, so it is there.
     pub fn touch(&mut self, image: &Image, gb: f64, room: f64, ran: bool) {
@@ -99,6 +110,43 @@
     }
 }
 
+/// Machines that the cloud offers as one: of a type, in a zone, at one price.
+#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub(crate) struct CapacityPool {
+    /// Spot machines.
+    pub spot: bool,
+    /// Type.
+    pub kind: TypeName,
+    /// Zone.
+    pub zone: Zone,
+}
+
+/// What of a machine, or of a group of them, counts for the cost of a start there.
+#[derive(Clone, Copy, Debug)]
+pub(super) struct MachineTraits<'a> {
+    /// A spot machine.
+    pub spot: bool,
+    /// It should fall idle.
+    pub retiring: bool,
+    /// It takes commands only now and then.
+    pub slow: bool,
+    /// Its type.
+    pub kind: &'a MachineType,
+    /// Its zone.
+    pub zone: &'a Zone,
+}
+
+impl MachineTraits<'_> {
+    /// The pool that it is of.
+    pub fn pool(&self) -> CapacityPool {
+        CapacityPool {
+            spot: self.spot,
+            kind: self.kind.name.clone(),
+            zone: self.zone.clone(),
+        }
+    }
+}
+
 /// A machine as the scheduler sees it.
 #[derive(Clone, Debug)]
 pub struct Machine {
@@ -178,6 +226,16 @@
                 .any(|(kind, n)| *kind == d.kind && *n >= d.count)
         })
     }
+    /// What counts for the cost of a start here.
+    pub(super) fn traits(&self) -> MachineTraits<'_> {
+        MachineTraits {
+            spot: self.spot,
+            retiring: self.retiring,
+            slow: self.slow,
+            kind: &self.kind,
+            zone: &self.zone,
+        }
+    }
     /// Price an hour of a thousandth of a CPU.
     pub fn price_per_cpu(&self) -> f64 {
         let price = if self.spot {
--- /dev/null
+++ b/src/sched/machine_changes.rs
@@ -0,0 +1,46 @@
+//! Changes of machines, with the index of room and the sums that are kept of them.
+
+use super::{ClusterState, Machine};
+use crate::types::MachineId;
+
+impl ClusterState {
+    /// Changes a machine, other than its claims.
+    pub fn edit_machine<R>(
+        &mut self,
+        id: &MachineId,
+        change: impl FnOnce(&mut Machine) -> R,
+    ) -> Option<R> {
+        let machine = self.machines.get_mut(id)?;
+        let before = machine.usable;
+        let result = change(machine);
+        match (before, machine.usable) {
+            (false, true) => self.capacity += machine.kind.total,
+            (true, false) => self.capacity -= machine.kind.total,
+            _ => {}
+        }
+        self.capacity_index.file(id, machine);
+        Some(result)
+    }
+
+    /// A machine appears; claims found earlier on it are entered.
+    pub fn add_machine(&mut self, id: MachineId, machine: Machine) {
+        if machine.usable {
+            self.capacity += machine.kind.total;
+        }
+        self.machines.insert(id.clone(), machine);
+        for task in self.homeless.remove(&id).unwrap_or_default() {
+            self.occupy(&id, &task);
+        }
+        self.edit_machine(&id, |_| ());
+    }
+
+    /// A machine is gone. Nothing may claim it any more.
+    pub fn remove_machine(&mut self, id: &MachineId) {
+        self.edit_machine(id, |m| m.usable = false);
+        self.machines.remove(id);
+        self.reserved.remove(id);
+        self.gang_room.remove(id);
+        self.holds.drop_machine(id);
+        self.homeless.remove(id);
+    }
+}
--- a/src/sched/placement_pass.rs
+++ b/src/sched/placement_pass.rs
@@ -1,71 +1,80 @@
-//! The placement pass, Algorithm 1 (section 4.2): a machine with room is filled with
-//! jobs in their order, by delay scheduling.
+//! The placement pass, Algorithm 1 (section 4.2): jobs in their order are bound to
+//! machines that pass the filters and score best, by delay scheduling.
 
 use std::cell::OnceCell;
 use std::collections::HashSet;
 use std::ops::Bound;
 
-use super::capacity_index::Nearness;
-use super::{ClusterState, Delay, DelayRule, Job, Launch, Pass, Place, CLEARLY_S, DEVICES_S};
-use crate::types::{JobId, Kind, MachineId, TaskId, Time};
+use super::filter::{Needy, PlacementRequest};
+use super::machine::Machine;
+use super::queue::Place;
+use super::score::CLEARLY_S;
+use super::{ClusterState, DelayRule, Job, Launch};
+use crate::types::{JobId, Kind, MachineId, Time};
 
-impl ClusterState {
-    /// Whether delay scheduling lets a job launch on a machine now. Only a
-    /// job that could find its image elsewhere waits.
-    pub(super) fn may_launch(
-        &self,
-        job: &Job,
-        m_id: &MachineId,
-        rule: DelayRule,
-        now: Time,
-    ) -> bool {
-        let Some(machine) = self.machines.get(m_id) else {
-            return false;
-        };
-        machine.cache.has(&job.spec.image)
-            || job.delay.anywhere
-            || job.delay.wait(now)
-                >= rule.threshold(&job.spec, self.stages(&job.spec), &machine.kind)
-            || !self.cached_somewhere(&job.spec)
-    }
+/// What walks that follow each other at once have in common. It is as of the
+/// first of them that asks: to find it anew for each machine would take longer
+/// than all the rest of a walk.
+#[derive(Clone, Debug, Default)]
+pub struct Pass {
+    needy: OnceCell<Needy>,
+}
 
-    pub(super) fn launch(&mut self, id: &JobId, m_id: &MachineId, now: Time) -> Option<Launch> {
-        let cached = {
-            let job = self.jobs.get(id)?;
-            self.machines.get(m_id)?.cache.has(&job.spec.image)
-        };
-        let index = self.jobs.get_mut(id)?.tasks.next_pending()?;
-        let task = TaskId {
-            job: id.clone(),
-            index,
-        };
-        if !self.claim(&task, m_id, now) {
-            return None;
+/// What stays the same throughout a pass.
+pub(super) struct PassContext {
+    /// Jobs that wait for the types that only they fit, at its start.
+    pub needy: OnceCell<Needy>,
+    /// When waiting for a cached image ends.
+    pub rule: DelayRule,
+    /// Now.
+    pub now: Time,
+}
+
+impl PassContext {
+    /// A task of a job that wants a machine in this pass.
+    pub fn request<'a>(&'a self, id: &'a JobId, job: &'a Job) -> PlacementRequest<'a> {
+        PlacementRequest {
+            id,
+            job,
+            needy: &self.needy,
+            now: self.now,
         }
-        self.claims_wait(id);
-        self.look_whether_begun(id, now);
-        let job = self.jobs.get_mut(id)?;
-        // A launch on a cached image takes the job back to waiting for one;
-        // any other leaves it free to launch anywhere.
-        job.delay = Delay {
-            anywhere: !cached,
-            skipped_since: None,
-        };
-        Some(Launch {
-            task,
-            machine: m_id.clone(),
-            cached,
-        })
     }
+}
 
-    pub(super) fn skip(&mut self, skipped: Vec<JobId>, now: Time) {
-        for id in skipped {
-            if let Some(job) = self.jobs.get_mut(&id) {
-                job.delay.skipped_since.get_or_insert(now);
-            }
-        }
+/// How far a pass has come.
+struct PassProgress {
+    /// Jobs that were offered a machine, or a turn to be placed whole.
+    tried: HashSet<JobId>,
+    /// By team, from where in its queue the pass goes on.
+    from: Vec<Bound<Place>>,
+}
+
+impl PassProgress {
+    /// The rest of a team's queue begins after this place.
+    fn go_past(&mut self, team: usize, place: Place) {
+        self.from[team] = Bound::Excluded(place);
     }
+}
+
+/// What one look through the teams' queues found.
+#[derive(Default)]
+struct QueueScan {
+    /// Gangs, which have their turn before `found`.
+    gangs: Vec<JobId>,
+    /// Jobs that wait for a machine with their image.
+    skipped: Vec<JobId>,
+    /// The first job that has a machine.
+    found: Option<Found>,
+}
+
+/// A job, and the machine that is chosen for its next task.
+struct Found {
+    job: JobId,
+    machine: MachineId,
+}
 
+impl ClusterState {
     /// Fills one machine, after its report: the walk of delay scheduling,
     /// until nothing more launches. Launched tasks are claimed on the cluster state.
     pub fn walk(&mut self, m_id: &MachineId, rule: DelayRule, now: Time) -> Vec<Launch> {
@@ -103,7 +112,9 @@
         }
     }
 
-    pub(super) fn pick(
+    /// The first job of the order that may start a task on a machine now; `skipped` gets
+    /// those that wait for a machine with their image.
+    fn pick(
         &self,
         pass: &Pass,
         m_id: &MachineId,
@@ -112,12 +123,8 @@
         now: Time,
     ) -> Option<JobId> {
         let machine = self.machines.get(m_id)?;
-        let needy = &pass.needy;
-        let sort = (machine.spot, machine.retiring, machine.slow, &*machine.kind);
         for (id, job) in self.in_order(now) {
-            self.capacity_index
-                .steps
-                .set(self.capacity_index.steps.get() + 1);
+            self.capacity_index.count_step();
             if job.spec.kind == Kind::Gang
                 || !job.spec.each.fits(machine.free())
                 || !self.may_claim(id, job)
@@ -125,39 +132,15 @@
                 // A gang is placed whole, not by the walk of one machine.
                 continue;
             }
-            let placeable = Self::suits(&job.spec, machine)
-                && job
-                    .spec
-                    .each
-                    .fits(self.room_for(id, job.leaves_kept_room(now), m_id, now))
-                && job.avoid.get(m_id).is_none_or(|until| now >= *until)
-                && self
-                    .zones_of(id, job, None)
-                    .is_some_and(|zones| Self::zone_allows(job, &zones, &machine.zone))
-                && self.limit_allows(job, now);
-            let group = (machine.spot, &*machine.kind, &machine.zone);
-            if !placeable
-                || self.left_to_others((id, job), group, needy, now)
-                || !self.site_suits(id, job, m_id, needy, now)
-            {
-                continue;
-            }
-            let near = if machine.cache.has(&job.spec.image) {
-                Nearness::Ready
-            } else if machine.cache.expects(&job.spec.image) {
-                Nearness::Coming
-            } else {
-                Nearness::Absent
+            let request = PlacementRequest {
+                id,
+                job,
+                needy: &pass.needy,
+                now,
             };
-            let mut cost = self.place_cost(&job.spec, near, &machine.zone, sort);
-            if !machine.working.is_empty() && job.policy.devices.is_empty() {
-                cost += DEVICES_S;
-            }
-            let better = cost > CLEARLY_S
-                && self
-                    .best(id, job, needy, now)
-                    .is_some_and(|b| b.cost + CLEARLY_S < cost);
-            if better {
+            if !self.may_start_on(&request, m_id, machine)
+                || self.has_clearly_better(&request, machine)
+            {
                 continue;
             }
             if self.may_launch(job, m_id, rule, now) {
@@ -168,84 +151,132 @@
         None
     }
 
+    /// Whether another machine is cheaper for a task by more than [`CLEARLY_S`].
+    fn has_clearly_better(&self, request: &PlacementRequest, machine: &Machine) -> bool {
+        let job = request.job;
+        let near = machine.cache.nearness(&job.spec.image);
+        let cost = self.start_cost(job, near, &machine.traits(), &machine.working);
+        cost > CLEARLY_S
+            && self
+                .best(request)
+                .is_some_and(|b| b.cost + CLEARLY_S < cost)
+    }
+
     /// Offers every job that waits the best machine for it: what the walks of
     /// all machines come to, when work arrived or waits passed that no report
     /// shows. Within a pass room only shrinks, so a job that found none is not
     /// asked again: each team's queue is gone through once, however often the
     /// teams take turns.
     pub fn place(&mut self, rule: DelayRule, now: Time) -> Vec<Launch> {
-        let needy = OnceCell::from(self.needy(now));
-        let (mut launches, first) = self.place_lanes(rule, &needy, now);
-        let mut tried: HashSet<JobId> = first.into_iter().collect();
-        let mut from: Vec<Bound<Place>> = vec![Bound::Unbounded; self.teams.len()];
+        let context = PassContext {
+            needy: OnceCell::from(self.needy(now)),
+            rule,
+            now,
+        };
+        let lanes = self.place_lanes(&context);
+        let mut launches = lanes.launches;
+        let mut progress = PassProgress {
+            tried: lanes.tried.into_iter().collect(),
+            from: vec![Bound::Unbounded; self.teams.len()],
+        };
         self.drop_old_holds(now);
         loop {
-            let mut gangs = Vec::new();
-            let mut skipped = Vec::new();
-            let mut found = None;
-            'teams: for team in self.team_order() {
-                let queue = &self.queues[team];
-                let mut passed = None;
-                for place in queue.range((from[team].clone(), Bound::Unbounded)) {
-                    let id = &place.id;
-                    let Some(job) = self.jobs.get(id) else {
-                        continue;
-                    };
-                    // What may not be claimed now may not be later in the pass.
-                    if now < job.hold_until || !self.may_claim(id, job) {
-                        passed = Some(place);
-                        continue;
-                    }
-                    self.capacity_index
-                        .steps
-                        .set(self.capacity_index.steps.get() + 1);
-                    if job.spec.kind == Kind::Gang {
-                        gangs.push(id.clone());
-                    } else {
-                        match self.best(id, job, &needy, now) {
-                            Some(offer) if self.may_launch(job, &offer.machine, rule, now) => {
-                                found = Some((id.clone(), offer.machine));
-                                from[team] =
-                                    passed.cloned().map_or(from[team].clone(), Bound::Excluded);
-                                break 'teams;
-                            }
-                            Some(_) => skipped.push(id.clone()),
-                            None => {}
-                        }
-                    }
-                    tried.insert(id.clone());
-                    passed = Some(place);
-                }
-                if let Some(place) = passed {
-                    from[team] = Bound::Excluded(place.clone());
-                }
-            }
-            self.skip(skipped, now);
+            let scan = self.scan_queues(&context, &mut progress);
+            self.skip(scan.skipped, now);
             // A gang has its turn before whatever comes after it, and what was
             // found for that counted on room and limits that it may have taken.
-            if !gangs.is_empty() {
-                for id in &gangs {
+            if !scan.gangs.is_empty() {
+                for id in &scan.gangs {
                     launches.extend(self.place_gang(id, rule, now));
                 }
                 continue;
             }
-            let Some((id, machine)) = found else { break };
-            match self.launch(&id, &machine, now) {
-                Some(launch) => launches.push(launch),
-                None => {
-                    let job = self.jobs.get(&id);
-                    if let Some((team, place)) = job.map(|j| (j.team, j.place(&id))) {
-                        from[team] = Bound::Excluded(place);
+            let Some(found) = scan.found else { break };
+            launches.extend(self.launch_found(found, &mut progress, now));
+        }
+        self.mark_blocked(progress.tried, now);
+        launches
+    }
+
+    /// Goes on through the teams' queues until a job has a machine.
+    fn scan_queues(&self, context: &PassContext, progress: &mut PassProgress) -> QueueScan {
+        let mut scan = QueueScan::default();
+        for team in self.team_order() {
+            self.scan_queue(team, context, progress, &mut scan);
+            if scan.found.is_some() {
+                break;
+            }
+        }
+        scan
+    }
+
+    /// Goes on through a team's queue until a job has a machine.
+    fn scan_queue(
+        &self,
+        team: usize,
+        context: &PassContext,
+        progress: &mut PassProgress,
+        scan: &mut QueueScan,
+    ) {
+        let PassContext { rule, now, .. } = *context;
+        let mut passed = None;
+        for place in self.queues[team].range((progress.from[team].clone(), Bound::Unbounded)) {
+            let id = &place.id;
+            let Some(job) = self.jobs.get(id) else {
+                continue;
+            };
+            // What may not be claimed now may not be later in the pass.
+            if now < job.hold_until || !self.may_claim(id, job) {
+                passed = Some(place);
+                continue;
+            }
+            self.capacity_index.count_step();
+            if job.spec.kind == Kind::Gang {
+                scan.gangs.push(id.clone());
+            } else {
+                match self.best(&context.request(id, job)) {
+                    Some(offer) if self.may_launch(job, &offer.machine, rule, now) => {
+                        scan.found = Some(Found {
+                            job: id.clone(),
+                            machine: offer.machine,
+                        });
+                        break;
                     }
-                    tried.insert(id);
+                    Some(_) => scan.skipped.push(id.clone()),
+                    None => {}
                 }
             }
+            progress.tried.insert(id.clone());
+            passed = Some(place);
+        }
+        if let Some(place) = passed {
+            progress.go_past(team, place.clone());
+        }
+    }
+    /// Binds what was found. If that can't be, the job is not tried again in this pass.
+    fn launch_found(
+        &mut self,
+        found: Found,
+        progress: &mut PassProgress,
+        now: Time,
+    ) -> Option<Launch> {
+        let Found { job: id, machine } = found;
+        let launch = self.launch(&id, &machine, now);
+        if launch.is_none() {
+            if let Some(job) = self.jobs.get(&id) {
+                progress.go_past(job.team, job.place(&id));
+            }
+            progress.tried.insert(id);
         }
+        launch
+    }
+
+    /// Jobs that were tried and still want tasks placed wait from now on.
+    fn mark_blocked(&mut self, tried: HashSet<JobId>, now: Time) {
         for id in tried {
             if let Some(job) = self.jobs.get_mut(&id).filter(|j| j.wants(now)) {
                 job.blocked_since.get_or_insert(now);
             }
         }
-        launches
     }
 }
--- a/src/sched/preempt.rs
+++ b/src/sched/preempt.rs
@@ -325,7 +325,7 @@
         machine.usable
             && !self.reserved.contains_key(m_id)
             && Self::suits(&job.spec, machine)
-            && job.avoid.get(m_id).is_none_or(|until| now >= *until)
+            && !job.avoids(m_id, now)
             && self.could_site(job, m_id, now)
             && self
                 .zones_of(id, job, None)
--- /dev/null
+++ b/src/sched/quota.rs
@@ -0,0 +1,47 @@
+//! Quotas: what a team may use, and what is left to some of its jobs.
+
+use super::{ClusterState, Job};
+use crate::types::{Amount, Time};
+
+impl ClusterState {
+    /// What a job's team may use once a task of the job starts: its limit, less
+    /// what is held for windows, and less the part that is left to jobs whose
+    /// users wait for the start unless it is one of them.
+    pub(super) fn limit_to_start(&self, job: &Job) -> Amount {
+        let limit = self.limit_for(job);
+        match job.start_within {
+            Some(_) => limit,
+            None => limit - self.teams[job.team].held_back,
+        }
+    }
+
+    /// Whether one more task of a job stays within its team's limit. A job that has
+    /// waited for long leaves no part of it to others: under constant load such jobs
+    /// waited beside that part for as long as the load lasted (`tests/reservations.rs`).
+    pub fn limit_allows(&self, job: &Job, now: Time) -> bool {
+        let limit = if job.outwaits_reservations(now) {
+            self.limit_for(job)
+        } else {
+            self.limit_to_start(job)
+        };
+        job.spec.each.fits_team(limit - self.teams[job.team].used)
+    }
+
+    /// Leaves part of a team's limit to jobs whose users wait for the start.
+    pub fn hold_back(&mut self, team: usize, amount: Amount) {
+        self.teams[team].held_back = amount;
+    }
+
+    /// This block's part of the limits, and of the guarantees as much: by team.
+    pub fn set_limits(&mut self, parts: impl Iterator<Item = (Amount, Amount)>) {
+        for (team, (limit, guarantee)) in self.teams.iter_mut().zip(parts) {
+            team.limit = limit;
+            team.guarantee = guarantee;
+        }
+    }
+
+    /// What waits, by team.
+    pub fn demands(&self) -> &[Amount] {
+        &self.demand
+    }
+}
--- a/src/sched/rebalance.rs
+++ b/src/sched/rebalance.rs
@@ -132,10 +132,7 @@
             leave_out: None,
             settled: Some((moving.stability, settle_s)),
         };
-        let any = Ask {
-            leave_out: None,
-            settled: None,
-        };
+        let any = Ask::default();
         let find = |ask: &Ask, reach| self.elsewhere(&task.job, task.index, ask, reach, now);
         let to = find(&quiet, Reach::All)
             .or_else(|| find(&any, Reach::All))
--- a/src/sched/topology_rules.rs
+++ b/src/sched/topology_rules.rs
@@ -2,7 +2,6 @@
 //! machine. Without the operator's file no job has a policy, and nothing here
 //! is asked.
 
-use std::cell::OnceCell;
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
@@ -13,13 +12,15 @@
 use sorrelhinge_topology::tree::{Domain, ROOT};
 use sorrelhinge_topology::Topology;
 
+use super::filter::PlacementRequest;
 use super::machine::Machine;
-use super::{ClusterState, Job, Needy};
+use super::{ClusterState, Job};
 use crate::types::{JobId, JobSpec, MachineId, Time};
 
 const TAKEN: &str = "its devices are taken";
 
 /// How a place is asked for.
+#[derive(Default)]
 pub(super) struct Ask<'a> {
     /// A task that will have moved off: where it is does not count.
     pub leave_out: Option<u32>,
@@ -182,18 +183,9 @@
 
     /// Whether a machine whose turn it is suits a job's policy: it meets all
     /// placement rules, or what is required where no machine meets all.
-    pub(super) fn site_suits(
-        &self,
-        id: &JobId,
-        job: &Job,
-        m_id: &MachineId,
-        needy: &OnceCell<Needy>,
-        now: Time,
-    ) -> bool {
-        let ask = Ask {
-            leave_out: None,
-            settled: None,
-        };
+    pub(super) fn site_suits(&self, request: &PlacementRequest, m_id: &MachineId) -> bool {
+        let PlacementRequest { job, now, .. } = *request;
+        let ask = Ask::default();
         let passes = |reach: Reach| match self.site(job, reach, None) {
             None => true,
             Some(site) => self.machines.get(m_id).is_some_and(|m| {
@@ -204,18 +196,13 @@
         passes(Reach::All)
             || job.policy.prefers()
                 && passes(Reach::Musts)
-                && self
-                    .best_of(id, job, &ask, Reach::All, needy, now)
-                    .is_none()
+                && self.best_of(request, &ask, Reach::All).is_none()
     }
 
     /// Whether a machine would suit a job's required rules, its devices being
     /// in order and free: what preemption asks.
     pub(super) fn could_site(&self, job: &Job, m_id: &MachineId, now: Time) -> bool {
-        let ask = Ask {
-            leave_out: None,
-            settled: None,
-        };
+        let ask = Ask::default();
         self.site(job, Reach::Musts, None).is_none_or(|site| {
             let machine = self.machines.get(m_id);
             machine.is_some_and(|m| self.site_passes(&site, &ask, m.place, m_id, now).is_ok())
