--- a/src/sched/claims.rs
+++ b/src/sched/claims.rs
@@ -2,9 +2,10 @@
 
 use sorrelhinge_topology::devices::Unit;
 
+use super::cluster_state::Reservation;
 use super::tasks::{Claim, Progress, Sent};
 use super::{idle, ClusterState};
-use crate::types::{Attempt, Image, JobSpec, MachineId, TaskId, Time};
+use crate::types::{Attempt, Image, JobId, JobSpec, MachineId, TaskId, Time};
 
 impl ClusterState {
     /// Enters a claim that its job holds already on a known machine.
@@ -91,7 +92,7 @@
         if self
             .reserved
             .get(&claim.machine)
-            .is_some_and(|(j, _)| *j == task.job)
+            .is_some_and(|reserved| reserved.job == task.job)
         {
             self.reserved.remove(&claim.machine);
         }
@@ -108,6 +109,12 @@
         }
     }
 
+    /// Keeps room for a job's next task on a machine, until a time.
+    pub(super) fn reserve(&mut self, machine: MachineId, job: &JobId, until: Time) {
+        let job = job.clone();
+        self.reserved.insert(machine, Reservation { job, until });
+    }
+
     /// Marks a claimed task to be stopped, with time to save if that is of use
     /// and there is no hurry.
     pub fn stop(&mut self, task: &TaskId, hurry: bool) {
--- a/src/sched/cluster_state.rs
+++ b/src/sched/cluster_state.rs
@@ -12,6 +12,24 @@
 use super::{holds, idle, lanes, Claim, Job, Machine, Team};
 use crate::types::{Amount, Attempt, JobId, MachineId, Priority, TaskId, Time, TypeName, Zone};
 
+/// Room on a machine that is being made, or found, for a job's next task.
+#[derive(Clone, Debug)]
+pub(super) struct Reservation {
+    /// For whom.
+    pub job: JobId,
+    /// It is free for all from then on.
+    pub until: Time,
+}
+
+/// Room on a machine that is held for a gang.
+#[derive(Clone, Debug)]
+pub(super) struct GangRoom {
+    /// The gang.
+    pub job: JobId,
+    /// So much.
+    pub amount: Amount,
+}
+
 /// Everything the scheduler decides from. Jobs and machines are changed
 /// through its methods only, which keep its sums and indexes.
 #[derive(Clone, Debug, Default)]
@@ -44,9 +62,9 @@
     /// Where there is room.
     pub capacity_index: CapacityIndex,
     /// Room that is being made for a job, until a time.
-    pub(super) reserved: BTreeMap<MachineId, (JobId, Time)>,
+    pub(super) reserved: BTreeMap<MachineId, Reservation>,
     /// Room held for a gang, at each machine so much.
-    pub(super) gang_room: BTreeMap<MachineId, (JobId, Amount)>,
+    pub(super) gang_room: BTreeMap<MachineId, GangRoom>,
     pub(super) turn: Turn<JobId>,
     /// Failure domains, if the feature is on.
     pub(super) topology: Option<Rc<Topology>>,
--- a/src/sched/filter/free_room.rs
+++ b/src/sched/filter/free_room.rs
@@ -17,16 +17,16 @@
             return Amount::default();
         };
         let mut free = machine.free();
-        if let Some((other, until)) = self.reserved.get(m_id) {
-            if other != id && now < *until {
-                if let Some(job) = self.jobs.get(other).filter(|j| j.wants(now)) {
+        if let Some(reserved) = self.reserved.get(m_id) {
+            if reserved.job != *id && now < reserved.until {
+                if let Some(job) = self.jobs.get(&reserved.job).filter(|j| j.wants(now)) {
                     free -= job.spec.each;
                 }
             }
         }
-        if let Some((other, amount)) = self.gang_room.get(m_id) {
-            if other != id {
-                free -= *amount;
+        if let Some(held) = self.gang_room.get(m_id) {
+            if held.job != *id {
+                free -= held.amount;
             }
         }
         if leaves_kept {
--- a/src/sched/gangs.rs
+++ b/src/sched/gangs.rs
@@ -11,6 +11,7 @@
 use sorrelhinge_topology::tree::Tree;
 
 use super::capacity_index::Nearness;
+use super::cluster_state::GangRoom;
 use super::filter::{Needy, PlacementRequest};
 use super::machine::Machine;
 use super::topology_rules::Ask;
@@ -309,14 +310,18 @@
         }
         self.gang_room = plan
             .iter()
-            .map(|(m, n)| (m.clone(), (id.clone(), each.times(i64::from(*n)))))
+            .map(|(m, n)| {
+                let amount = each.times(i64::from(*n));
+                let job = id.clone();
+                (m.clone(), GangRoom { job, amount })
+            })
             .collect();
     }
 
     /// A gang needs no more room held.
     pub(super) fn leave_turn(&mut self, id: &JobId) {
         self.turn.leave(id);
-        self.gang_room.retain(|_, (job, _)| job != id);
+        self.gang_room.retain(|_, held| held.job != *id);
     }
 
     /// Ends what is held beyond its time, or for a gang that is over.
@@ -333,7 +338,7 @@
 
     /// Machines with room held for a gang.
     pub fn held_for_gangs(&self) -> impl Iterator<Item = (&MachineId, &JobId)> {
-        self.gang_room.iter().map(|(m, (job, _))| (m, job))
+        self.gang_room.iter().map(|(m, held)| (m, &held.job))
     }
 
     /// The domain, as far in as it is one, that a gang's tasks run in.
--- /dev/null
+++ b/src/sched/holds/lending.rs
@@ -0,0 +1,94 @@
+//! Lending of held room to work that leaves it in time, see [`may_lend`].
+
+use sorrelhinge_calendar::lend::{may_lend, Borrower, Lend};
+
+use super::Held;
+use crate::sched::{Claim, ClusterState, Job, Machine, Progress};
+use crate::types::{Amount, JobId, Kind, MachineId, MachineType, Time};
+
+/// What has run longer than its estimate is taken to run for so long yet, in seconds:
+/// estimates are too small at times.
+const OVERRUN_S: f64 = 2.0;
+
+/// How long until a claim's task ends by its estimate, with its image's fetch;
+/// none if it doesn't by itself.
+fn ends_in_s(job: &Job, claim: Option<&Claim>, kind: &MachineType, now: Time) -> Option<f64> {
+    if job.spec.kind != Kind::Array {
+        return None;
+    }
+    let ran = claim.map(|c| c.progress);
+    match ran {
+        Some(Progress::Running(since)) => {
+            Some((job.spec.estimate_s - now.since(since)).max(OVERRUN_S))
+        }
+        _ => {
+            let fetch = job.spec.image_gb / kind.fetch_gb_per_s.max(1e-3);
+            Some(job.spec.estimate_s + fetch)
+        }
+    }
+}
+
+impl ClusterState {
+    /// Whether a hold's room is lent to a job's task, claimed or to be.
+    pub(super) fn lends(
+        &self,
+        held: &Held,
+        job: &Job,
+        claim: Option<&Claim>,
+        m: &Machine,
+        now: Time,
+    ) -> bool {
+        let team = &self.teams[job.team];
+        let more = match claim {
+            Some(_) => Amount::default(),
+            None => job.spec.each,
+        };
+        let own = &self.teams[held.hold.team];
+        let whole = own.used + held.open_amount();
+        // PROTOCOL lets a borrower's work be stopped for a team's guarantee; what
+        // priority the window's work will have is not known.
+        let stoppable = job.spec.kind == Kind::Array
+            && job.team != held.hold.team
+            && !(team.used + more).fits_team(team.guarantee)
+            && whole.fits_team(own.guarantee);
+        let work = Borrower {
+            ends_in_s: ends_in_s(job, claim, &m.kind, now),
+            stoppable,
+            stash_s: match job.spec.checkpoint_s > 0.0 {
+                true => job.spec.save_s,
+                false => 0.0,
+            },
+        };
+        let lending = &held.hold.lending;
+        let left_s = lending.until.since(now);
+        may_lend(&work, left_s, lending.stop_s, lending.wait_s) != Lend::No
+    }
+
+    /// What is held on a machine and not lent to a job.
+    pub(in crate::sched) fn held_from(&self, id: &JobId, m_id: &MachineId, now: Time) -> Amount {
+        let mut sum = Amount::default();
+        if self.holds.by_window.is_empty() {
+            return sum;
+        }
+        let (Some(job), Some(m)) = (self.jobs.get(id), self.machines.get(m_id)) else {
+            return sum;
+        };
+        for held in self.holds.by_window.values() {
+            let Some(n) = held.placed.get(m_id) else {
+                continue;
+            };
+            if !held.is_for(job.team, &job.spec) && !self.lends(held, job, None, m, now) {
+                sum += held.room_of(*n);
+            }
+        }
+        sum
+    }
+
+    /// Whether room is held on a machine.
+    pub(in crate::sched) fn has_held_room(&self, m_id: &MachineId) -> bool {
+        self.holds
+            .by_window
+            .values()
+            .any(|h| h.placed.contains_key(m_id))
+    }
+}
--- /dev/null
+++ b/src/sched/holds/mod.rs
@@ -0,0 +1,146 @@
+//! Room held for windows of the release calendar, on machines that are there.
+//!
+//! Held room is taken by nobody but the window's own work, unless it is lent
+//! ([`sorrelhinge_calendar::lend`]); it counts in its team's limit. Where it is,
+//! no record says: each owner chooses anew, from what it hears of its machines.
+
+mod lending;
+mod placement;
+mod shown;
+
+use std::collections::BTreeMap;
+use std::rc::Rc;
+
+use sorrelhinge_calendar::settings::Window;
+
+pub use self::shown::HoldSeen;
+use crate::types::{Amount, JobSpec, MachineId, Time};
+
+/// To whom held room may be lent, see [`may_lend`].
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct Lending {
+    /// When its window begins, as early as clocks may say and less its `early_s`.
+    pub until: Time,
+    /// Seconds until a task that is to stop is told.
+    pub stop_s: f64,
+    /// How long the window's work may wait, in seconds.
+    pub wait_s: f64,
+}
+
+/// How much room a window is to have here.
+#[derive(Clone, Debug, PartialEq)]
+pub struct Hold {
+    /// The window.
+    pub window: Rc<Window>,
+    /// Its team's place in [`ClusterState::teams`].
+    pub team: usize,
+    /// So many tasks' room, with what its work uses.
+    pub tasks: u32,
+    /// To whom it may be lent.
+    pub lending: Lending,
+}
+
+/// A hold, and where its room is.
+#[derive(Clone, Debug)]
+pub(in crate::sched) struct Held {
+    pub(in crate::sched) hold: Hold,
+    /// What the claims of its window's work take.
+    used: Amount,
+    /// Tasks' room set aside, by machine.
+    pub(in crate::sched) placed: BTreeMap<MachineId, u32>,
+}
+
+impl Held {
+    /// Whether a team's job is of its window's work.
+    pub(in crate::sched) fn is_for(&self, team: usize, spec: &JobSpec) -> bool {
+        self.hold.team == team && self.hold.window.is_for(&spec.team, &spec.class)
+    }
+
+    /// What is to be set aside beside what is used.
+    pub(in crate::sched) fn open_amount(&self) -> Amount {
+        self.room_of(self.open())
+    }
+
+    /// What so many of its tasks take.
+    pub(in crate::sched) fn room_of(&self, tasks: u32) -> Amount {
+        self.hold.window.each().times(i64::from(tasks))
+    }
+
+    /// So many of its tasks take what its work uses.
+    pub(in crate::sched) fn used_tasks(&self) -> u32 {
+        let each = self.hold.window.each();
+        let of = |used: i64, each: i64| match each {
+            0 => 0,
+            each => (used.max(0) + each - 1) / each,
+        };
+        let most = of(self.used.cpu, each.cpu)
+            .max(of(self.used.gpu, each.gpu))
+            .max(of(self.used.ram, each.ram));
+        u32::try_from(most).unwrap_or(u32::MAX)
+    }
+
+    /// What is to be set aside beside what is used.
+    pub(in crate::sched) fn open(&self) -> u32 {
+        self.hold.tasks.saturating_sub(self.used_tasks())
+    }
+
+    /// What is still to be set aside.
+    pub(in crate::sched) fn lacks(&self) -> u32 {
+        self.open().saturating_sub(self.set_aside())
+    }
+
+    /// How many tasks' room is set aside.
+    pub(in crate::sched) fn set_aside(&self) -> u32 {
+        self.placed.values().sum()
+    }
+
+    /// Lets room go that is set aside beyond what is due, on `first` first.
+    fn trim(&mut self, first: &MachineId) {
+        let mut over = self.set_aside().saturating_sub(self.open());
+        while over > 0 {
+            let at = match self.placed.contains_key(first) {
+                true => Some(first.clone()),
+                false => self.placed.keys().next_back().cloned(),
+            };
+            let Some(at) = at else { return };
+            if let Some(n) = self.placed.get_mut(&at) {
+                let gone = (*n).min(over);
+                over -= gone;
+                *n -= gone;
+                if *n == 0 {
+                    self.placed.remove(&at);
+                }
+            }
+        }
+    }
+}
+
+/// All holds, by their windows' names.
+#[derive(Clone, Debug, Default)]
+pub(in crate::sched) struct Holds {
+    pub(in crate::sched) by_window: BTreeMap<String, Held>,
+}
+
+impl Holds {
+    /// Work was placed: its window's hold is smaller by as much.
+    pub fn taken(&mut self, team: usize, spec: &JobSpec, machine: &MachineId) {
+        for held in self.by_window.values_mut().filter(|h| h.is_for(team, spec)) {
+            held.used += spec.each;
+            held.trim(machine);
+        }
+    }
+
+    /// Work has ended.
+    pub fn left(&mut self, team: usize, spec: &JobSpec) {
+        for held in self.by_window.values_mut().filter(|h| h.is_for(team, spec)) {
+            held.used -= spec.each;
+        }
+    }
+
+    /// A machine is gone.
+    pub fn drop_machine(&mut self, id: &MachineId) {
+        for held in self.by_window.values_mut() {
+            held.placed.remove(id);
+        }
+    }
+}
--- a/src/sched/holds_shown.rs
+++ b/src/sched/holds/shown.rs
@@ -6,8 +6,7 @@
 use sorrelhinge_calendar::plan::divide;
 use sorrelhinge_calendar::settings::Window;
 
-use super::machine::Machine;
-use super::{ClusterState, Job};
+use crate::sched::{ClusterState, Job, Machine};
 use crate::types::{Amount, MachineId, Zone};
 
 /// What a window has here, in tasks' room.
@@ -26,7 +25,7 @@
 impl ClusterState {
     /// All room set aside: the window, the machine, how many tasks' room.
     pub fn held_room(&self) -> impl Iterator<Item = (&Rc<Window>, &MachineId, u32)> {
-        self.holds.0.values().flat_map(|h| {
+        self.holds.by_window.values().flat_map(|h| {
             let window = &h.hold.window;
             h.placed.iter().map(move |(id, n)| (window, id, *n))
         })
@@ -40,7 +39,7 @@
         for ((name, id), n) in left.iter_mut() {
             let Some(held) = self
                 .holds
-                .0
+                .by_window
                 .get(name)
                 .filter(|h| h.is_for(job.team, &job.spec))
             else {
@@ -72,7 +71,7 @@
     /// What a window has: tasks' room set aside, of it what is free now, what its
     /// work uses, and how many of its tasks wait.
     pub fn hold_of(&self, name: &str) -> Option<HoldSeen> {
-        let held = self.holds.0.get(name)?;
+        let held = self.holds.by_window.get(name)?;
         let each = held.hold.window.each();
         let free = held.placed.iter().map(|(id, n)| {
             let free = self
@@ -91,10 +90,10 @@
 
     /// How much of a hold each of its zones lacks; without zones, of it as a whole.
     pub fn lacking(&self, name: &str) -> Vec<(Option<Zone>, u32)> {
-        let Some(held) = self.holds.0.get(name) else {
+        let Some(held) = self.holds.by_window.get(name) else {
             return Vec::new();
         };
-        let lacks = held.open().saturating_sub(held.set_aside());
+        let lacks = held.lacks();
         let zones = &held.hold.window.zones;
         if zones.is_empty() || lacks == 0 {
             return vec![(None, lacks)];
--- a/src/sched/preempt.rs
+++ b/src/sched/preempt.rs
@@ -152,7 +152,7 @@
     /// team its guarantee out of what another team runs beyond its own.
     /// Reserves the room. Live services are never chosen.
     pub fn preempt(&mut self, patience: impl Fn(&Job) -> f64, now: Time) -> Vec<TaskId> {
-        self.reserved.retain(|_, (_, until)| now < *until);
+        self.reserved.retain(|_, reserved| now < reserved.until);
         let waiting = self.starved_jobs(patience, now);
         if waiting.is_empty() {
             return Vec::new();
@@ -172,8 +172,8 @@
     /// have fewer places reserved than they could use.
     fn starved_jobs(&self, patience: impl Fn(&Job) -> f64, now: Time) -> Vec<StarvedJob> {
         let mut held: BTreeMap<&JobId, u32> = BTreeMap::new();
-        for (job, _) in self.reserved.values() {
-            *held.entry(job).or_insert(0) += 1;
+        for reserved in self.reserved.values() {
+            *held.entry(&reserved.job).or_insert(0) += 1;
         }
         self.in_order(now)
             // Room made piece by piece does not make a gang fit; what falls
@@ -221,8 +221,7 @@
             for task in &plan.victims {
                 self.stop_victim(task, hurry, stopping);
             }
-            self.reserved
-                .insert(m_id, (id.clone(), now.after(RESERVED_S)));
+            self.reserve(m_id, id, now.after(RESERVED_S));
             for task in plan.victims {
                 stops.extend(self.stop_rest_of_gang(&task));
                 stops.push(task);
--- a/src/sched/quota.rs
+++ b/src/sched/quota.rs
@@ -44,4 +44,25 @@
     pub fn demands(&self) -> &[Amount] {
         &self.demand
     }
+
+    /// What a job's team may use, less what is held for other work of the team:
+    /// held room is inside the limit, whether or not its machines are there.
+    pub(super) fn limit_for(&self, job: &Job) -> Amount {
+        let mut limit = self.teams[job.team].limit;
+        for held in self.holds.by_window.values() {
+            if held.hold.team == job.team && !held.is_for(job.team, &job.spec) {
+                limit -= held.open_amount();
+            }
+        }
+        limit
+    }
+
+    /// What is held of each team's limit beside what is used.
+    pub fn held_of_limits(&self) -> Vec<Amount> {
+        let mut sums = vec![Amount::default(); self.teams.len()];
+        for held in self.holds.by_window.values() {
+            sums[held.hold.team] += held.open_amount();
+        }
+        sums
+    }
 }
--- a/src/sched/rebalance.rs
+++ b/src/sched/rebalance.rs
@@ -137,8 +137,7 @@
         let to = find(&quiet, Reach::All)
             .or_else(|| find(&any, Reach::All))
             .or_else(|| find(&any, Reach::Musts))?;
-        let until = now.after(MOVE_S);
-        self.reserved.insert(to.clone(), (task.job.clone(), until));
+        self.reserve(to.clone(), &task.job, now.after(MOVE_S));
         Some(to)
     }
 
@@ -183,8 +182,7 @@
             Some((task, to))
         });
         let (task, to) = found?;
-        let until = now.after(MOVE_S);
-        self.reserved.insert(to.clone(), (task.job.clone(), until));
+        self.reserve(to.clone(), &task.job, now.after(MOVE_S));
         self.stop(&task, false);
         Some(Move { task, to: Some(to) })
     }
