--- a/crates/topology/src/gang.rs
+++ b/crates/topology/src/gang.rs
@@ -72,64 +72,96 @@
     (left == 0).then_some(chosen)
 }
 
-/// The plan on the fewest machines within the innermost domain that fits.
-fn within(
-    tree: Option<&Tree>,
-    slots: &[Slot],
+/// A gang that is to be planned.
+struct Wanted<'a> {
     tasks: u32,
-    room: &dyn Fn(&Slot) -> u32,
-    rules: &dyn Rules,
-) -> Option<Plan> {
-    let owned = |chosen: Vec<(&Slot, u32)>| -> Plan {
-        chosen
-            .into_iter()
-            .map(|(s, n)| (s.machine.clone(), n))
-            .collect()
-    };
-    if let Some(tree) = tree {
-        let above_machine = tree.levels().len().saturating_sub(1);
-        for level in (0..above_machine as u8).rev().map(Level) {
-            let mut best: Option<(usize, u32, Plan)> = None;
-            let mut domains: Vec<Domain> = slots
+    /// How many of its tasks a slot takes.
+    room: &'a dyn Fn(&Slot) -> u32,
+    rules: &'a dyn Rules,
+}
+
+impl Wanted<'_> {
+    fn fill<'s>(&self, slots: &[&'s Slot]) -> Option<Vec<(&'s Slot, u32)>> {
+        fill(slots, self.tasks, self.room, self.rules)
+    }
+
+    /// The plan on the fewest machines within the innermost domain that fits.
+    fn within(&self, tree: Option<&Tree>, slots: &[Slot]) -> Option<Plan> {
+        if let Some(tree) = tree {
+            let above_machine = tree.levels().len().saturating_sub(1);
+            let mut levels = (0..above_machine as u8).rev().map(Level);
+            if let Some(plan) = levels.find_map(|level| self.within_level(tree, slots, level)) {
+                return Some(plan);
+            }
+        }
+        let all: Vec<&Slot> = slots.iter().collect();
+        self.fill(&all).map(owned)
+    }
+
+    /// The plan on the fewest machines within one domain of a level; of several the one
+    /// in the tightest domain.
+    fn within_level(&self, tree: &Tree, slots: &[Slot], level: Level) -> Option<Plan> {
+        let mut best: Option<(Rank, Plan)> = None;
+        let places = slots.iter().filter_map(|s| tree.at(s.place, level));
+        let mut domains: Vec<Domain> = places.collect();
+        domains.sort_unstable();
+        domains.dedup();
+        for domain in domains {
+            let inside: Vec<&Slot> = slots
                 .iter()
-                .filter_map(|s| tree.at(s.place, level))
+                .filter(|s| tree.covers(domain, s.place))
                 .collect();
-            domains.sort_unstable();
-            domains.dedup();
-            for domain in domains {
-                let inside: Vec<&Slot> = slots
-                    .iter()
-                    .filter(|s| tree.covers(domain, s.place))
-                    .collect();
-                let sum = inside.iter().fold(0_u32, |n, s| n.saturating_add(room(s)));
-                if sum < tasks {
-                    continue;
-                }
-                if let Some(chosen) = fill(&inside, tasks, room, rules) {
-                    let rank = (chosen.len(), sum);
-                    if best.as_ref().is_none_or(|(n, s, _)| rank < (*n, *s)) {
-                        best = Some((rank.0, rank.1, owned(chosen)));
-                    }
-                }
+            let rooms = inside.iter().map(|s| (self.room)(s));
+            let room = rooms.fold(0_u32, u32::saturating_add);
+            if room < self.tasks {
+                continue;
             }
-            if let Some((_, _, plan)) = best {
-                return Some(plan);
+            if let Some(chosen) = self.fill(&inside) {
+                let machines = chosen.len();
+                let rank = Rank { machines, room };
+                if best.as_ref().is_none_or(|(known, _)| rank < *known) {
+                    best = Some((rank, owned(chosen)));
+                }
             }
         }
+        best.map(|(_, plan)| plan)
     }
-    let all: Vec<&Slot> = slots.iter().collect();
-    fill(&all, tasks, room, rules).map(owned)
+}
+
+/// How good a plan is, the least first.
+#[derive(PartialEq, PartialOrd)]
+struct Rank {
+    machines: usize,
+    /// How many tasks its domain would take.
+    room: u32,
+}
+
+fn owned(chosen: Vec<(&Slot, u32)>) -> Plan {
+    chosen
+        .into_iter()
+        .map(|(s, n)| (s.machine.clone(), n))
+        .collect()
 }
 
 /// Places a gang whole in what is free, if that suffices: within one domain of
 /// the innermost level that has room, on the fewest machines.
 pub fn whole(tree: Option<&Tree>, slots: &[Slot], tasks: u32, rules: &dyn Rules) -> Option<Plan> {
-    within(tree, slots, tasks, &|s| s.free, rules)
+    let wanted = Wanted {
+        tasks,
+        room: &|s| s.free,
+        rules,
+    };
+    wanted.within(tree, slots)
 }
 
 /// The fewest machines that would fit a gang once they are free.
 pub fn hold(tree: Option<&Tree>, slots: &[Slot], tasks: u32, rules: &dyn Rules) -> Option<Plan> {
-    within(tree, slots, tasks, &|s| s.later, rules)
+    let wanted = Wanted {
+        tasks,
+        room: &|s| s.later,
+        rules,
+    };
+    wanted.within(tree, slots)
 }
 
 /// Whose turn it is to have machines held.
--- a/crates/topology/src/policy.rs
+++ b/crates/topology/src/policy.rs
@@ -3,13 +3,16 @@
 //! A placement asks twice: first with everything wished ([`Reach::All`]), and
 //! if that finds no place, with what is required only ([`Reach::Musts`]).
 
+mod feasible;
+mod judge;
+
 use std::collections::BTreeMap;
 
-use sorrelhinge_protocol::placement::{Device, PlacementRules};
-use sorrelhinge_protocol::types::{JobSpec, Kind};
+use sorrelhinge_protocol::placement::{Device, PlacementRules, Spread};
+
+pub use judge::Barred;
 
-use crate::tree::{Domain, Level, Tree, ROOT};
-use crate::Topology;
+use crate::tree::{Domain, Level, Tree};
 
 /// Which rules count.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -27,6 +30,12 @@
     must: bool,
 }
 
+#[derive(Clone, Debug, PartialEq)]
+struct TogetherRule {
+    level: Level,
+    must: bool,
+}
+
 #[derive(Clone, Debug, PartialEq)]
 struct FewRule {
     level: Level,
@@ -39,7 +48,7 @@
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Policy {
     spread: Vec<SpreadRule>,
-    together: Vec<(Level, bool)>,
+    together: Vec<TogetherRule>,
     fewest: Vec<FewRule>,
     /// Devices that each task needs.
     pub devices: Vec<Device>,
@@ -65,11 +74,18 @@
     unknown: u32,
 }
 
+/// How many of a job's tasks are in each domain of one level.
+#[derive(Clone, Debug)]
+struct LevelCounts {
+    level: Level,
+    counts: Counts,
+}
+
 /// How many of a job's tasks are in each domain of each level that a rule of
 /// its policy names.
 #[derive(Clone, Debug, Default)]
 pub struct Tally {
-    levels: Vec<(Level, Counts)>,
+    levels: Vec<LevelCounts>,
     total: u32,
 }
 
@@ -81,21 +97,11 @@
         };
         self.levels
             .iter()
-            .find(|(l, _)| *l == level)
-            .map_or(&NONE, |(_, c)| c)
+            .find(|l| l.level == level)
+            .map_or(&NONE, |l| &l.counts)
     }
 }
 
-/// A machine that a rule keeps a job off.
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Barred {
-    /// Which rule, in words.
-    pub why: String,
-    /// All machines with places from the asked one's up to here are barred by
-    /// it too.
-    pub until: u32,
-}
-
 fn key(tree: &Tree, level: Level, (place, machine): (Domain, &str)) -> Option<Key> {
     if tree.is_machine(level) {
         return Some(Key::Machine(machine.to_owned()));
@@ -103,6 +109,18 @@
     tree.at(place, level).map(Key::Domain)
 }
 
+/// The most tasks in a domain if they are spread evenly; of several tasks never all in
+/// one.
+fn most_if_even(tree: &Tree, level: Level, tasks: u32) -> u32 {
+    let domains = if tree.is_machine(level) {
+        tasks
+    } else {
+        tree.domains(level).count() as u32
+    };
+    let even = tasks.div_ceil(domains.max(1));
+    even.min(tasks.saturating_sub(1)).max(1)
+}
+
 impl Policy {
     /// The placement rules of a job of `tasks` tasks: its own and its class's.
     pub fn new<'a>(
@@ -125,68 +143,70 @@
         }
     }
 
-    fn add(&mut self, w: &PlacementRules, tree: &Tree, tasks: u32) {
-        self.lost |= w.lost;
-        let mut unknown = |name: &str, must: bool| {
-            if must {
-                self.unjudged
-                    .get_or_insert(format!("there is no level {name:?}"));
-            }
-        };
-        for rule in &w.spread {
-            let Some(level) = tree.level(&rule.level) else {
-                unknown(&rule.level, rule.must);
-                continue;
-            };
-            let share = rule
-                .share
-                .map(|s| ((s * f64::from(tasks)).ceil() as u32).max(1));
-            let most = match (rule.most, share) {
-                (None, None) => {
-                    let domains = if tree.is_machine(level) {
-                        tasks
-                    } else {
-                        tree.domains(level).count() as u32
-                    };
-                    // Evenly, and with several tasks never all in one.
-                    let even = tasks.div_ceil(domains.max(1));
-                    even.min(tasks.saturating_sub(1)).max(1)
-                }
-                (most, share) => most.unwrap_or(u32::MAX).min(share.unwrap_or(u32::MAX)),
-            };
-            // A rule that the job can't break whatever happens is none.
-            if most < tasks {
-                self.spread.push(SpreadRule {
-                    level,
-                    most,
-                    must: rule.must,
-                });
-            }
+    fn add(&mut self, rules: &PlacementRules, tree: &Tree, tasks: u32) {
+        self.lost |= rules.lost;
+        for rule in &rules.spread {
+            self.add_spread(rule, tree, tasks);
         }
-        if let Some(rule) = w.together.as_ref().filter(|_| tasks > 1) {
-            match tree.level(&rule.level) {
-                Some(level) => self.together.push((level, rule.must)),
-                None => unknown(&rule.level, rule.must),
+        if let Some(rule) = rules.together.as_ref().filter(|_| tasks > 1) {
+            if let Some(level) = self.level_of_rule(tree, &rule.level, rule.must) {
+                let must = rule.must;
+                self.together.push(TogetherRule { level, must });
             }
         }
-        if let Some(rule) = w.fewest.as_ref().filter(|_| tasks > 1) {
-            match tree.level(&rule.level) {
-                Some(level) => self.fewest.push(FewRule {
+        if let Some(rule) = rules.fewest.as_ref().filter(|_| tasks > 1) {
+            if let Some(level) = self.level_of_rule(tree, &rule.level, rule.must) {
+                self.fewest.push(FewRule {
                     level,
                     most: rule.most,
                     must: rule.must,
-                }),
-                None => unknown(&rule.level, rule.must),
+                });
             }
         }
-        for device in &w.devices {
-            match self.devices.iter_mut().find(|d| d.kind == device.kind) {
-                Some(known) => {
-                    known.count = known.count.max(device.count);
-                    known.must |= device.must;
-                }
-                None => self.devices.push(device.clone()),
+        for device in &rules.devices {
+            self.add_device(device);
+        }
+    }
+
+    /// The level that a rule names. A required rule of an unknown level can't be judged.
+    fn level_of_rule(&mut self, tree: &Tree, name: &str, must: bool) -> Option<Level> {
+        let level = tree.level(name);
+        if level.is_none() && must {
+            self.unjudged
+                .get_or_insert(format!("there is no level {name:?}"));
+        }
+        level
+    }
+
+    fn add_spread(&mut self, rule: &Spread, tree: &Tree, tasks: u32) {
+        let Some(level) = self.level_of_rule(tree, &rule.level, rule.must) else {
+            return;
+        };
+        let share = rule
+            .share
+            .map(|s| ((s * f64::from(tasks)).ceil() as u32).max(1));
+        let most = match (rule.most, share) {
+            (None, None) => most_if_even(tree, level, tasks),
+            (most, share) => most.unwrap_or(u32::MAX).min(share.unwrap_or(u32::MAX)),
+        };
+        // A rule that the job can't break whatever happens is none.
+        if most < tasks {
+            self.spread.push(SpreadRule {
+                level,
+                most,
+                must: rule.must,
+            });
+        }
+    }
+
+    /// Of a kind that several rules name the strictest counts.
+    fn add_device(&mut self, device: &Device) {
+        match self.devices.iter_mut().find(|d| d.kind == device.kind) {
+            Some(known) => {
+                known.count = known.count.max(device.count);
+                known.must |= device.must;
             }
+            None => self.devices.push(device.clone()),
         }
     }
 
@@ -199,7 +219,7 @@
         self.lost
             || self.unjudged.is_some()
             || self.spread.iter().any(|r| r.must)
-            || self.together.iter().any(|(_, must)| *must)
+            || self.together.iter().any(|r| r.must)
             || self.fewest.iter().any(|r| r.must && r.most > 0)
             || self.devices.iter().any(|d| d.must)
     }
@@ -214,7 +234,7 @@
     /// [`Reach::All`].
     pub fn prefers(&self) -> bool {
         self.spread.iter().any(|r| !r.must)
-            || self.together.iter().any(|(_, must)| !must)
+            || self.together.iter().any(|r| !r.must)
             || !self.fewest.is_empty()
             || self.devices.iter().any(|d| !d.must)
     }
@@ -228,8 +248,8 @@
     }
     /// The innermost level at which all tasks have to be together, if any.
     pub fn one_domain(&self) -> Option<Level> {
-        let musts = self.together.iter().filter(|(_, must)| *must);
-        musts.map(|(level, _)| *level).max()
+        let musts = self.together.iter().filter(|r| r.must);
+        musts.map(|r| r.level).max()
     }
 
     /// Counts a job's tasks.
@@ -242,13 +262,19 @@
             .spread
             .iter()
             .map(|r| r.level)
-            .chain(self.together.iter().map(|(l, _)| *l))
+            .chain(self.together.iter().map(|r| r.level))
             .chain(self.fewest.iter().map(|r| r.level))
             .collect();
         levels.sort_unstable();
         levels.dedup();
         let mut tally = Tally {
-            levels: levels.into_iter().map(|l| (l, Counts::default())).collect(),
+            levels: levels
+                .into_iter()
+                .map(|level| LevelCounts {
+                    level,
+                    counts: Counts::default(),
+                })
+                .collect(),
             total: 0,
         };
         for task in tasks {
@@ -260,204 +286,11 @@
     /// Counts one more task.
     pub fn count(&self, tree: &Tree, tally: &mut Tally, task: Whereabouts<'_>) {
         tally.total += 1;
-        for (level, counts) in &mut tally.levels {
+        for LevelCounts { level, counts } in &mut tally.levels {
             match task.and_then(|t| key(tree, *level, t)) {
                 Some(key) => *counts.by.entry(key).or_insert(0) += 1,
                 None => counts.unknown += 1,
             }
         }
     }
-
-    /// The rule that keeps one more task off a machine, if any does. A task
-    /// whose place is not known could be in any domain.
-    pub fn bars(
-        &self,
-        tree: &Tree,
-        tally: &Tally,
-        at: (Domain, &str),
-        reach: Reach,
-    ) -> Option<Barred> {
-        if let Some(why) = &self.unjudged {
-            return Some(Barred {
-                why: why.clone(),
-                until: u32::MAX,
-            });
-        }
-        let counted = |must: bool| must || reach == Reach::All;
-        let barred = |level: Level, why: String| {
-            let until = match tree.at(at.0, level) {
-                _ if tree.is_machine(level) => at.0 .0,
-                Some(domain) => tree.range(domain).end,
-                None => at.0 .0 + 1,
-            };
-            Some(Barred { why, until })
-        };
-        for rule in self.spread.iter().filter(|r| counted(r.must)) {
-            let name = tree.level_name(rule.level);
-            let counts = tally.of(rule.level);
-            match key(tree, rule.level, at) {
-                // It may share a domain with any other task.
-                None => return barred(rule.level, format!("its {name} is not known")),
-                Some(key) => {
-                    let here = counts.by.get(&key).copied().unwrap_or(0);
-                    if here + counts.unknown >= rule.most {
-                        return barred(rule.level, format!("at most {} in a {name}", rule.most));
-                    }
-                }
-            }
-        }
-        for &(level, _) in self.together.iter().filter(|(_, must)| counted(*must)) {
-            let name = tree.level_name(level);
-            let counts = tally.of(level);
-            let fits = key(tree, level, at).is_some_and(|key| {
-                tally.total == 0 || counts.unknown == 0 && counts.by.contains_key(&key)
-            });
-            if !fits {
-                return barred(level, format!("all in one {name}"));
-            }
-        }
-        for rule in &self.fewest {
-            let name = tree.level_name(rule.level);
-            let counts = tally.of(rule.level);
-            let used = counts.by.len() as u32 + counts.unknown;
-            let known = key(tree, rule.level, at);
-            if known
-                .as_ref()
-                .is_some_and(|key| counts.by.contains_key(key))
-            {
-                continue;
-            }
-            let preferred = reach == Reach::All && (used > 0 || known.is_none());
-            let required = rule.must && rule.most > 0 && (used >= rule.most || known.is_none());
-            if preferred || required {
-                return barred(rule.level, format!("in as few of each {name} as can be"));
-            }
-        }
-        None
-    }
-
-    /// A task in a domain that has more than a rule wants, the fullest first;
-    /// `tasks` are the job's tasks that could be moved. Required rules can be
-    /// broken only by labels that changed under the tasks.
-    pub fn excess<'a, T: Copy>(
-        &self,
-        tree: &Tree,
-        tally: &Tally,
-        tasks: impl IntoIterator<Item = (T, (Domain, &'a str))> + Clone,
-    ) -> Option<T> {
-        let mut most: Option<(u32, T)> = None;
-        for rule in &self.spread {
-            let counts = tally.of(rule.level);
-            for (task, at) in tasks.clone() {
-                let here = match key(tree, rule.level, at) {
-                    Some(key) => counts.by.get(&key).copied().unwrap_or(0),
-                    None => u32::MAX,
-                };
-                if here > rule.most && most.as_ref().is_none_or(|(n, _)| here > *n) {
-                    most = Some((here, task));
-                }
-            }
-        }
-        most.map(|(_, task)| task)
-    }
-
-    /// How many tasks of the job can be within `domain` at a time, were all
-    /// its machines there and free.
-    fn room(&self, tree: &Tree, domain: Domain) -> u64 {
-        let own = |level: Level| {
-            let rules = self.spread.iter().filter(|r| r.must && r.level == level);
-            rules.map(|r| u64::from(r.most)).min()
-        };
-        let level = tree.level_of(domain);
-        let deepest = self
-            .spread
-            .iter()
-            .filter(|r| r.must && !tree.is_machine(r.level))
-            .map(|r| r.level)
-            .max();
-        let inner = match (deepest, level) {
-            (None, _) => u64::MAX,
-            (Some(deepest), Some(level)) if level >= deepest => u64::MAX,
-            _ => {
-                let next = level.map_or(Level(0), |l| Level(l.0 + 1));
-                let range = tree.range(domain);
-                tree.domains(next)
-                    .filter(|d| range.contains(&d.0))
-                    .map(|d| self.room(tree, d))
-                    .fold(0, u64::saturating_add)
-            }
-        };
-        level.and_then(own).unwrap_or(u64::MAX).min(inner)
-    }
-
-    /// Why a job can never be placed on the machines that the file describes,
-    /// if that is so.
-    pub fn never(&self, topology: &Topology, spec: &JobSpec) -> Option<String> {
-        let tree = &topology.tree;
-        if let Some(why) = &self.unjudged {
-            return Some(why.clone());
-        }
-        let most = topology.most_units();
-        for need in self.devices.iter().filter(|d| d.must) {
-            let there = most.get(&need.kind).copied().unwrap_or(0);
-            if there < need.count {
-                return Some(format!(
-                    "{} of {:?} on one machine: the most there is, is {there}",
-                    need.count, need.kind
-                ));
-            }
-        }
-        // An array's tasks can run one after another.
-        let at_once = match spec.kind {
-            Kind::Array => 1,
-            Kind::Service | Kind::Gang => u64::from(spec.tasks),
-        };
-        let outer = match &spec.zone {
-            // A zone that the file doesn't name has no known domains in it.
-            Some(zone) => tree.find(zone.as_str()),
-            None => Some(ROOT),
-        };
-        let one_zone = (spec.one_zone && tree.levels().len() > 1).then_some(Level(0));
-        let one = self
-            .one_domain()
-            .max(one_zone)
-            .filter(|level| !tree.is_machine(*level));
-        let within = |d: Domain| outer.is_some_and(|o| tree.covers(o, d) || tree.covers(d, o));
-        let rooms: Vec<u64> = match one {
-            Some(level) => tree
-                .domains(level)
-                .filter(|d| within(*d))
-                .map(|d| self.room(tree, d))
-                .collect(),
-            None => outer.map(|o| self.room(tree, o)).into_iter().collect(),
-        };
-        let judged = self.spread.iter().any(|r| r.must) || self.one_domain().is_some();
-        let room = rooms.into_iter().max().unwrap_or(0);
-        if judged && room < at_once {
-            return Some(format!(
-                "{at_once} tasks at a time; its rules allow {room} on all the machines described"
-            ));
-        }
-        let few = self.fewest.iter().find(|r| r.must && r.most > 0);
-        if let Some(rule) = few.filter(|r| !tree.is_machine(r.level)) {
-            let mut rooms: Vec<u64> = tree
-                .domains(rule.level)
-                .filter(|d| within(*d))
-                .map(|d| self.room(tree, d))
-                .collect();
-            rooms.sort_unstable_by(|a, b| b.cmp(a));
-            let room = rooms
-                .into_iter()
-                .take(rule.most as usize)
-                .fold(0, u64::saturating_add);
-            if room < at_once {
-                return Some(format!(
-                    "{at_once} tasks at a time in at most {} of each {}: its rules allow {room}",
-                    rule.most,
-                    tree.level_name(rule.level)
-                ));
-            }
-        }
-        None
-    }
 }
--- /dev/null
+++ b/crates/topology/src/policy/feasible.rs
@@ -0,0 +1,153 @@
+//! Whether a job could ever be placed on the machines that the file describes, were all of
+//! them there and free.
+
+use sorrelhinge_protocol::types::{JobSpec, Kind};
+
+use super::Policy;
+use crate::tree::{Domain, Level, Tree, ROOT};
+use crate::Topology;
+
+/// Where a job's tasks may be at all.
+struct Bounds {
+    /// The zone that the job asks for, or everything; none: the file doesn't name that
+    /// zone, so it has no known domains.
+    outer: Option<Domain>,
+    /// The level at which all tasks have to be in one domain, if any.
+    one: Option<Level>,
+}
+
+impl Bounds {
+    fn of(policy: &Policy, tree: &Tree, spec: &JobSpec) -> Self {
+        let outer = match &spec.zone {
+            Some(zone) => tree.find(zone.as_str()),
+            None => Some(ROOT),
+        };
+        let one_zone = (spec.one_zone && tree.levels().len() > 1).then_some(Level(0));
+        let one = policy
+            .one_domain()
+            .max(one_zone)
+            .filter(|level| !tree.is_machine(*level));
+        Self { outer, one }
+    }
+
+    fn admit(&self, tree: &Tree, domain: Domain) -> bool {
+        self.outer
+            .is_some_and(|o| tree.covers(o, domain) || tree.covers(domain, o))
+    }
+}
+
+/// How many tasks run at a time. An array's can run one after another.
+fn tasks_at_once(spec: &JobSpec) -> u64 {
+    match spec.kind {
+        Kind::Array => 1,
+        Kind::Service | Kind::Gang => u64::from(spec.tasks),
+    }
+}
+
+impl Policy {
+    /// Why a job can never be placed on the machines that the file describes,
+    /// if that is so.
+    pub fn never(&self, topology: &Topology, spec: &JobSpec) -> Option<String> {
+        if let Some(why) = &self.unjudged {
+            return Some(why.clone());
+        }
+        let tree = &topology.tree;
+        let bounds = Bounds::of(self, tree, spec);
+        let at_once = tasks_at_once(spec);
+        self.lacks_devices(topology)
+            .or_else(|| self.lacks_room(tree, &bounds, at_once))
+            .or_else(|| self.lacks_room_in_few(tree, &bounds, at_once))
+    }
+
+    /// More units are required than any machine has.
+    fn lacks_devices(&self, topology: &Topology) -> Option<String> {
+        let most = topology.most_units();
+        self.devices.iter().filter(|d| d.must).find_map(|need| {
+            let there = most.get(&need.kind).copied().unwrap_or(0);
+            (there < need.count).then(|| {
+                format!(
+                    "{} of {:?} on one machine: the most there is, is {there}",
+                    need.count, need.kind
+                )
+            })
+        })
+    }
+
+    /// The required rules leave too little room where all tasks have to be.
+    fn lacks_room(&self, tree: &Tree, bounds: &Bounds, at_once: u64) -> Option<String> {
+        let judged = self.spread.iter().any(|r| r.must) || self.one_domain().is_some();
+        if !judged {
+            return None;
+        }
+        let rooms: Vec<u64> = match bounds.one {
+            Some(level) => self.rooms(tree, bounds, level),
+            None => bounds
+                .outer
+                .map(|o| self.room(tree, o))
+                .into_iter()
+                .collect(),
+        };
+        let room = rooms.into_iter().max().unwrap_or(0);
+        (room < at_once).then(|| {
+            format!(
+                "{at_once} tasks at a time; its rules allow {room} on all the machines described"
+            )
+        })
+    }
+
+    /// The required rules leave too little room in as many domains as the tasks may use.
+    fn lacks_room_in_few(&self, tree: &Tree, bounds: &Bounds, at_once: u64) -> Option<String> {
+        let few = self.fewest.iter().find(|r| r.must && r.most > 0);
+        let rule = few.filter(|r| !tree.is_machine(r.level))?;
+        let mut rooms = self.rooms(tree, bounds, rule.level);
+        rooms.sort_unstable_by(|a, b| b.cmp(a));
+        let room = rooms
+            .into_iter()
+            .take(rule.most as usize)
+            .fold(0, u64::saturating_add);
+        (room < at_once).then(|| {
+            format!(
+                "{at_once} tasks at a time in at most {} of each {}: its rules allow {room}",
+                rule.most,
+                tree.level_name(rule.level)
+            )
+        })
+    }
+
+    /// How many tasks can be within each domain of a level at a time.
+    fn rooms(&self, tree: &Tree, bounds: &Bounds, level: Level) -> Vec<u64> {
+        tree.domains(level)
+            .filter(|d| bounds.admit(tree, *d))
+            .map(|d| self.room(tree, d))
+            .collect()
+    }
+
+    /// How many tasks of the job can be within `domain` at a time, were all
+    /// its machines there and free.
+    fn room(&self, tree: &Tree, domain: Domain) -> u64 {
+        let own = |level: Level| {
+            let rules = self.spread.iter().filter(|r| r.must && r.level == level);
+            rules.map(|r| u64::from(r.most)).min()
+        };
+        let level = tree.level_of(domain);
+        let deepest = self
+            .spread
+            .iter()
+            .filter(|r| r.must && !tree.is_machine(r.level))
+            .map(|r| r.level)
+            .max();
+        let inner = match (deepest, level) {
+            (None, _) => u64::MAX,
+            (Some(deepest), Some(level)) if level >= deepest => u64::MAX,
+            _ => {
+                let next = level.map_or(Level(0), |l| Level(l.0 + 1));
+                let range = tree.range(domain);
+                tree.domains(next)
+                    .filter(|d| range.contains(&d.0))
+                    .map(|d| self.room(tree, d))
+                    .fold(0, u64::saturating_add)
+            }
+        };
+        level.and_then(own).unwrap_or(u64::MAX).min(inner)
+    }
+}
--- a/crates/topology/src/tree.rs
+++ b/crates/topology/src/tree.rs
@@ -34,6 +34,54 @@
     by_path: HashMap<String, Domain>,
 }
 
+/// A domain by names, before it has a number.
+#[derive(Default)]
+struct Branch {
+    inner: BTreeMap<String, Branch>,
+}
+
+impl Branch {
+    /// Adds a domain and all that it lies in; `levels` counts the machine.
+    fn add(&mut self, path: &str, levels: usize) -> Result<(), PathError> {
+        let names: Vec<&str> = path.split('/').collect();
+        if names.len() >= levels {
+            return Err(PathError::TooDeep {
+                path: path.to_owned(),
+                named: names.len(),
+                above: levels.saturating_sub(1),
+            });
+        }
+        let mut branch = self;
+        for name in names {
+            if name.is_empty() || name.chars().any(char::is_whitespace) {
+                return Err(PathError::Name(path.to_owned()));
+            }
+            branch = branch.inner.entry(name.to_owned()).or_default();
+        }
+        Ok(())
+    }
+
+    /// Numbers it and what lies within it, depth first.
+    fn number(&self, nodes: &mut Vec<Node>, path: &str, depth: u8, parent: Domain) {
+        let at = nodes.len();
+        nodes.push(Node {
+            path: path.to_owned(),
+            depth,
+            parent,
+            end: 0,
+        });
+        for (name, inner) in &self.inner {
+            let path = if depth == 0 {
+                name.clone()
+            } else {
+                format!("{path}/{name}")
+            };
+            inner.number(nodes, &path, depth + 1, Domain(at as u32));
+        }
+        nodes[at].end = nodes.len() as u32;
+    }
+}
+
 /// Why a path names no domain.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum PathError {
@@ -63,46 +111,12 @@
         levels: &[String],
         paths: impl IntoIterator<Item = &'a str>,
     ) -> Result<Self, PathError> {
-        #[derive(Default)]
-        struct Branch(BTreeMap<String, Branch>);
         let mut root = Branch::default();
         for path in paths {
-            let names: Vec<&str> = path.split('/').collect();
-            if names.len() >= levels.len() {
-                return Err(PathError::TooDeep {
-                    path: path.to_owned(),
-                    named: names.len(),
-                    above: levels.len().saturating_sub(1),
-                });
-            }
-            let mut branch = &mut root;
-            for name in names {
-                if name.is_empty() || name.chars().any(char::is_whitespace) {
-                    return Err(PathError::Name(path.to_owned()));
-                }
-                branch = branch.0.entry(name.to_owned()).or_default();
-            }
-        }
-        fn number(nodes: &mut Vec<Node>, branch: &Branch, path: &str, depth: u8, parent: Domain) {
-            let at = nodes.len();
-            nodes.push(Node {
-                path: path.to_owned(),
-                depth,
-                parent,
-                end: 0,
-            });
-            for (name, inner) in &branch.0 {
-                let path = if depth == 0 {
-                    name.clone()
-                } else {
-                    format!("{path}/{name}")
-                };
-                number(nodes, inner, &path, depth + 1, Domain(at as u32));
-            }
-            nodes[at].end = nodes.len() as u32;
+            root.add(path, levels.len())?;
         }
         let mut nodes = Vec::new();
-        number(&mut nodes, &root, "", 0, ROOT);
+        root.number(&mut nodes, "", 0, ROOT);
         let by_path = nodes
             .iter()
             .enumerate()
