--- a/crates/topology/src/lib.rs
+++ b/crates/topology/src/lib.rs
@@ -28,7 +28,7 @@
 
 use devices::Stock;
 use finder::Finder;
-use settings::{Settings, SettingsError};
+use settings::{DeviceStock, Settings, SettingsError};
 use tree::Tree;
 
 /// The operator's file, checked and made fit for questions.
@@ -39,7 +39,7 @@
     /// The file, for what is looked up rarely.
     pub settings: Settings,
     finder: Finder<tree::Domain>,
-    devices: Vec<(finder::Matcher, Vec<String>, Stock)>,
+    devices: Vec<DeviceStock>,
 }
 
 impl Topology {
@@ -82,9 +82,10 @@
     /// What is attached to a machine.
     pub fn stock(&self, name: &str, addr: Option<IpAddr>, kind: &TypeName) -> Stock {
         let mut stock = Stock::default();
-        for (matcher, types, units) in &self.devices {
-            if matcher.matches(name, addr) || types.iter().any(|t| t == kind.as_str()) {
-                stock.add(units);
+        for entry in &self.devices {
+            let by_type = || entry.types.iter().any(|t| t == kind.as_str());
+            if entry.matcher.matches(name, addr) || by_type() {
+                stock.add(&entry.stock);
             }
         }
         stock
@@ -94,8 +95,8 @@
     /// file names; by machine types, where only types are named.
     pub fn most_units(&self) -> BTreeMap<String, u32> {
         let mut most: BTreeMap<String, u32> = BTreeMap::new();
-        for (_, _, units) in &self.devices {
-            for (kind, count) in units.slots() {
+        for entry in &self.devices {
+            for (kind, count) in entry.stock.slots() {
                 // Several entries can meet on one machine.
                 *most.entry(kind.to_owned()).or_insert(0) += count;
             }
--- a/crates/topology/src/settings.rs
+++ b/crates/topology/src/settings.rs
@@ -17,11 +17,13 @@
 
 /// What is wrong with the file: the line, or the path to the wrong field.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
-#[error("{0}")]
-pub struct SettingsError(pub String);
-
-fn wrong(why: String) -> SettingsError {
-    SettingsError(why)
+pub enum SettingsError {
+    /// It is not TOML, or not of the format.
+    #[error(transparent)]
+    Toml(#[from] MalformedToml),
+    /// A field is not valid.
+    #[error(transparent)]
+    Field(#[from] InvalidField),
 }
 
 fn levels() -> Vec<String> {
@@ -100,7 +102,57 @@
     pub broken: Vec<String>,
 }
 
+/// Units that the file gives to machines.
+#[derive(Debug)]
+pub(crate) struct DeviceStock {
+    /// Machines by name, pattern and network.
+    pub matcher: Matcher,
+    /// Machines by type.
+    pub types: Vec<String>,
+    /// The units.
+    pub stock: Stock,
+}
+
 impl DeviceEntry {
+    /// The units and who has them; `at` is the path to the entry.
+    fn stock(&self, at: &str) -> Result<DeviceStock, InvalidField> {
+        let wrong = |field: &str, why: &str| InvalidField::value(format!("{at}.{field}"), why);
+        if self.count.is_some() != self.units.is_empty() {
+            return Err(wrong("units", "either count or units names them"));
+        }
+        if self.names_nothing() {
+            return Err(wrong(
+                "machines",
+                "no machine, pattern, network or type is named",
+            ));
+        }
+        let names = self.names();
+        if let Some(other) = self.broken.iter().find(|b| !names.contains(b)) {
+            return Err(wrong("broken", &format!("there is no unit {other:?}")));
+        }
+        let mut stock = Stock::default();
+        for name in &names {
+            let broken = self.broken.contains(name);
+            stock.put(Unit::new(&self.kind, name), self.share, broken);
+        }
+        Ok(DeviceStock {
+            matcher: Matcher {
+                names: self.machines.clone(),
+                patterns: patterns(&self.patterns),
+                networks: self.networks.clone(),
+            },
+            types: self.types.clone(),
+            stock,
+        })
+    }
+
+    fn names_nothing(&self) -> bool {
+        self.machines.is_empty()
+            && self.patterns.is_empty()
+            && self.networks.is_empty()
+            && self.types.is_empty()
+    }
+
     fn names(&self) -> Vec<String> {
         match self.count {
             Some(count) => (0..count).map(|n| n.to_string()).collect(),
@@ -234,18 +286,18 @@
     /// Reads and validates; the tree and the rules are checked by what is
     /// built from them.
     pub fn parse(text: &str) -> Result<Self, SettingsError> {
-        let settings: Self =
-            toml::from_str(text).map_err(|e| wrong(MalformedToml::new(text, &e).to_string()))?;
+        let settings: Self = toml::from_str(text).map_err(|e| MalformedToml::new(text, &e))?;
         settings
             .validate()
-            .map_err(|report| wrong(InvalidField::first(&report, "topology").to_string()))?;
+            .map_err(|report| InvalidField::first(&report, "topology"))?;
         let mut names = BTreeSet::new();
         if let Some(twice) = settings.levels.iter().find(|l| !names.insert(l.as_str())) {
-            return Err(wrong(format!("topology.levels: {twice:?} appears twice")));
+            let reason = format!("{twice:?} appears twice");
+            return Err(InvalidField::value("topology.levels", reason).into());
         }
         for (i, policy) in settings.policy.iter().enumerate() {
             let at = format!("topology.policy[{i}].wishes");
-            policy.wishes.check(&at).map_err(|e| wrong(e.to_string()))?;
+            policy.wishes.check(&at)?;
         }
         Ok(settings)
     }
@@ -258,25 +310,29 @@
 
     pub(crate) fn tree(&self) -> Result<Tree, SettingsError> {
         for (i, place) in self.place.iter().enumerate() {
+            let at = format!("topology.place[{i}].domain");
             Tree::new(&self.levels, [place.domain.as_str()])
-                .map_err(|why| wrong(format!("topology.place[{i}].domain: {why}")))?;
+                .map_err(|why| InvalidField::value(at, why.to_string()))?;
         }
         let paths = self.place.iter().map(|p| p.domain.as_str());
-        Tree::new(&self.levels, paths).map_err(|why| wrong(format!("topology.place: {why}")))
+        let tree = Tree::new(&self.levels, paths);
+        Ok(tree.map_err(|why| InvalidField::value("topology.place", why.to_string()))?)
     }
 
+    /// Which place each machine has.
     pub(crate) fn finder(&self, tree: &Tree) -> Result<Finder<Domain>, SettingsError> {
         let mut finder = Finder::default();
         for (i, place) in self.place.iter().enumerate() {
-            let at =
-                |field: &str, why: String| wrong(format!("topology.place[{i}].{field}: {why}"));
+            let wrong = |field: &str, why: String| {
+                InvalidField::value(format!("topology.place[{i}].{field}"), why)
+            };
             let Some(domain) = tree.find(&place.domain) else {
-                return Err(at("domain", "not in the tree".into()));
+                return Err(wrong("domain", "not in the tree".into()).into());
             };
             for name in &place.machines {
                 finder
                     .name(name, domain)
-                    .map_err(|e| at("machines", e.to_string()))?;
+                    .map_err(|e| wrong("machines", e.to_string()))?;
             }
             for pattern in &place.patterns {
                 finder.pattern(pattern, domain);
@@ -284,76 +340,62 @@
             for network in &place.networks {
                 finder
                     .network(*network, domain)
-                    .map_err(|e| at("networks", e.to_string()))?;
+                    .map_err(|e| wrong("networks", e.to_string()))?;
             }
         }
         Ok(finder)
     }
 
-    pub(crate) fn stocks(&self) -> Result<Vec<(Matcher, Vec<String>, Stock)>, SettingsError> {
-        let mut stocks = Vec::new();
-        for (i, entry) in self.device.iter().enumerate() {
-            let at = |field: &str, why: &str| wrong(format!("topology.device[{i}].{field}: {why}"));
-            if entry.count.is_some() != entry.units.is_empty() {
-                return Err(at("units", "either count or units names them"));
-            }
-            let nowhere = entry.machines.is_empty()
-                && entry.patterns.is_empty()
-                && entry.networks.is_empty()
-                && entry.types.is_empty();
-            if nowhere {
-                return Err(at(
-                    "machines",
-                    "no machine, pattern, network or type is named",
-                ));
-            }
-            let names = entry.names();
-            if let Some(other) = entry.broken.iter().find(|b| !names.contains(b)) {
-                return Err(at("broken", &format!("there is no unit {other:?}")));
-            }
-            let mut stock = Stock::default();
-            for name in &names {
-                let broken = entry.broken.contains(name);
-                stock.put(Unit::new(&entry.kind, name), entry.share, broken);
-            }
-            let matcher = Matcher {
-                names: entry.machines.clone(),
-                patterns: patterns(&entry.patterns),
-                networks: entry.networks.clone(),
-            };
-            stocks.push((matcher, entry.types.clone(), stock));
-        }
-        Ok(stocks)
+    /// The entries of devices, checked.
+    pub(crate) fn stocks(&self) -> Result<Vec<DeviceStock>, SettingsError> {
+        let entries = self.device.iter().enumerate();
+        entries
+            .map(|(i, entry)| Ok(entry.stock(&format!("topology.device[{i}]"))?))
+            .collect()
     }
 
+    /// Classes ask only for levels and kinds of devices that are described.
     pub(crate) fn check_policies(&self, tree: &Tree) -> Result<(), SettingsError> {
         let kinds: BTreeSet<&str> = self.device.iter().map(|d| d.kind.as_str()).collect();
         for (i, policy) in self.policy.iter().enumerate() {
-            let w = &policy.wishes;
             let at = format!("topology.policy[{i}].wishes");
-            let levels = w
-                .spread
-                .iter()
-                .enumerate()
-                .map(|(n, r)| (format!("spread[{n}]"), &r.level))
-                .chain(w.together.iter().map(|r| ("together".into(), &r.level)))
-                .chain(w.fewest.iter().map(|r| ("fewest".into(), &r.level)));
-            for (field, level) in levels {
-                if tree.level(level).is_none() {
-                    return Err(wrong(format!(
-                        "{at}.{field}.level: there is no level {level:?}"
-                    )));
-                }
-            }
-            for (n, device) in w.devices.iter().enumerate() {
-                if !kinds.contains(device.kind.as_str()) {
-                    return Err(wrong(format!(
-                        "{at}.devices[{n}].kind: no device of kind {:?} is described",
-                        device.kind
-                    )));
-                }
-            }
+            check_levels(&policy.wishes, &at, tree)?;
+            check_kinds(&policy.wishes, &at, &kinds)?;
         }
         Ok(())
     }
 }
+
+/// All levels that rules name are in the tree.
+fn check_levels(rules: &PlacementRules, at: &str, tree: &Tree) -> Result<(), InvalidField> {
+    let spread = rules.spread.iter().enumerate();
+    let levels = spread
+        .map(|(n, r)| (format!("spread[{n}]"), &r.level))
+        .chain(rules.together.iter().map(|r| ("together".into(), &r.level)))
+        .chain(rules.fewest.iter().map(|r| ("fewest".into(), &r.level)));
+    for (field, level) in levels {
+        if tree.level(level).is_none() {
+            let reason = format!("there is no level {level:?}");
+            return Err(InvalidField::value(format!("{at}.{field}.level"), reason));
+        }
+    }
+    Ok(())
+}
+
+/// All kinds of devices that rules name are described.
+fn check_kinds(
+    rules: &PlacementRules,
+    at: &str,
+    kinds: &BTreeSet<&str>,
+) -> Result<(), InvalidField> {
+    for (n, device) in rules.devices.iter().enumerate() {
+        if !kinds.contains(device.kind.as_str()) {
+            let reason = format!("no device of kind {:?} is described", device.kind);
+            return Err(InvalidField::value(
+                format!("{at}.devices[{n}].kind"),
+                reason,
+            ));
+        }
+    }
+    Ok(())
+}
