--- a/crates/lanes/src/lanes.rs
+++ b/crates/lanes/src/lanes.rs
@@ -11,6 +11,8 @@
 pub const PREFIX: &str = "lane.";
 /// The part of a lane that names none.
 const DEFAULT_PART: f64 = 0.25;
+/// What sums of parts may be off by, as they are rounded.
+const ROUNDING: f64 = 1e-9;
 /// Most lanes: each is looked at for each job that comes.
 const MAX_LANES: usize = 16;
 
@@ -57,6 +59,71 @@
     high: bool,
 }
 
+/// A key of a lane's property: `lane.NAME.WHAT`.
+struct Property<'a> {
+    key: &'a str,
+    lane: &'a str,
+    what: &'a str,
+}
+
+impl<'a> Property<'a> {
+    /// Of a key; none if it doesn't begin with [`PREFIX`].
+    fn parse(key: &'a str) -> Result<Option<Self>, LanesError> {
+        let Some(rest) = key.strip_prefix(PREFIX) else {
+            return Ok(None);
+        };
+        let Some((lane, what)) = rest.rsplit_once('.') else {
+            return Err(LanesError::NoSuchProperty(key.to_owned()));
+        };
+        let good = |c: char| c.is_ascii_alphanumeric() || c == '-' || c == '_';
+        if lane.is_empty() || !lane.chars().all(good) {
+            return Err(LanesError::Name(key.to_owned()));
+        }
+        Ok(Some(Self { key, lane, what }))
+    }
+}
+
+impl Raw {
+    /// Takes the value of one property.
+    fn set(&mut self, property: &Property, value: &str) -> Result<(), LanesError> {
+        let key = || property.key.to_owned();
+        let owned = || value.to_owned();
+        match property.what {
+            "classes" => self.classes = classes(property.key, value)?,
+            "order" => {
+                self.order = value.parse().map_err(|_| LanesError::Order {
+                    key: key(),
+                    value: owned(),
+                })?;
+            }
+            "part" => {
+                let part = value.parse().ok().filter(|p| (0.0..=1.0).contains(p));
+                self.part = Some(part.ok_or_else(|| LanesError::Part {
+                    key: key(),
+                    value: owned(),
+                })?);
+            }
+            "high" => self.high = value.parse().map_err(|_| LanesError::High(key()))?,
+            _ => return Err(LanesError::NoSuchProperty(key())),
+        }
+        Ok(())
+    }
+
+    /// The lane of this name, if something can be in it.
+    fn named(self, name: &str) -> Result<Lane, LanesError> {
+        if self.classes.is_empty() && !self.high {
+            return Err(LanesError::NoClasses(name.to_owned()));
+        }
+        Ok(Lane {
+            name: name.to_owned(),
+            order: self.order,
+            bound: Bound::new(self.part.unwrap_or(DEFAULT_PART)),
+            classes: self.classes,
+            high: self.high,
+        })
+    }
+}
+
 /// Why properties of lanes can't be read: one line that names the key.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum LanesError {
@@ -130,62 +197,20 @@
     ) -> Result<Self, LanesError> {
         let mut raws: BTreeMap<&str, Raw> = BTreeMap::new();
         for (key, value) in pairs {
-            let Some(rest) = key.strip_prefix(PREFIX) else {
+            let Some(property) = Property::parse(key)? else {
                 continue;
             };
-            let Some((name, what)) = rest.rsplit_once('.') else {
-                return Err(LanesError::NoSuchProperty(key.to_owned()));
-            };
-            let good = |c: char| c.is_ascii_alphanumeric() || c == '-' || c == '_';
-            if name.is_empty() || !name.chars().all(good) {
-                return Err(LanesError::Name(key.to_owned()));
-            }
-            let raw = raws.entry(name).or_default();
-            let value = value.trim();
-            match what {
-                "classes" => raw.classes = classes(key, value)?,
-                "order" => {
-                    let number = value.parse();
-                    raw.order = number.map_err(|_| LanesError::Order {
-                        key: key.to_owned(),
-                        value: value.to_owned(),
-                    })?;
-                }
-                "part" => {
-                    let part = value.parse().ok();
-                    let part = part.filter(|p| (0.0..=1.0).contains(p));
-                    let wrong = || LanesError::Part {
-                        key: key.to_owned(),
-                        value: value.to_owned(),
-                    };
-                    raw.part = Some(part.ok_or_else(wrong)?);
-                }
-                "high" => {
-                    let high = value.parse();
-                    raw.high = high.map_err(|_| LanesError::High(key.to_owned()))?;
-                }
-                _ => return Err(LanesError::NoSuchProperty(key.to_owned())),
-            }
+            let raw = raws.entry(property.lane).or_default();
+            raw.set(&property, value.trim())?;
         }
         if raws.len() > MAX_LANES {
             return Err(LanesError::TooMany);
         }
-        let mut lanes = Vec::new();
-        for (name, raw) in raws {
-            if raw.classes.is_empty() && !raw.high {
-                return Err(LanesError::NoClasses(name.to_owned()));
-            }
-            lanes.push(Lane {
-                name: name.to_owned(),
-                order: raw.order,
-                bound: Bound::new(raw.part.unwrap_or(DEFAULT_PART)),
-                classes: raw.classes,
-                high: raw.high,
-            });
-        }
+        let named = raws.into_iter().map(|(name, raw)| raw.named(name));
+        let mut lanes = named.collect::<Result<Vec<Lane>, _>>()?;
         // Else two lanes together could keep everybody else waiting.
         let all: f64 = lanes.iter().map(|l| l.bound.part()).sum();
-        if all > 1.0 + 1e-9 {
+        if all > 1.0 + ROUNDING {
             return Err(LanesError::Parts(all));
         }
         lanes.sort_by(|a, b| (a.order, &a.name).cmp(&(b.order, &b.name)));
