--- a/crates/calendar/src/settings.rs
+++ b/crates/calendar/src/settings.rs
@@ -94,6 +94,11 @@
         Amount::new(self.cpus, self.cards, self.ram_gb)
     }
 
+    /// What all its tasks take together.
+    fn all_tasks(&self) -> Amount {
+        self.each().times(i64::from(self.tasks))
+    }
+
     /// The first occurrence that begins after a moment.
     pub fn next(&self, after_ms: i64) -> Option<Span> {
         next(&self.when, self.lasts_s, after_ms)
@@ -284,64 +289,7 @@
 /// The same for windows that are pinned one by one.
 pub fn check_windows(windows: &[Window], known: &Known) -> Result<(), WindowError> {
     for window in windows {
-        let wrong = |field, reason: String| Err(window.refused(field, reason));
-        let Some(limit) = known.teams.get(&window.team) else {
-            return wrong("team", format!("there is no team {:?}", window.team));
-        };
-        if let Some(zone) = window
-            .zones
-            .iter()
-            .find(|z| !known.zones.is_empty() && !known.zones.contains(*z))
-        {
-            return wrong("zones", format!("there is no zone {zone:?}"));
-        }
-        let named = |name: &String| known.types.iter().any(|t| t.name.as_str() == name);
-        if let Some(name) = window
-            .types
-            .iter()
-            .find(|t| !known.types.is_empty() && !named(t))
-        {
-            return wrong("types", format!("there is no machine type {name:?}"));
-        }
-        let fits = |zone: Option<&String>| {
-            known.types.iter().any(|t| {
-                window.each().fits(t.total)
-                    && (window.types.is_empty()
-                        || window.types.iter().any(|n| n == t.name.as_str()))
-                    && zone.is_none_or(|z| t.zones.iter().any(|has| has.as_str() == z))
-            })
-        };
-        if !known.types.is_empty() {
-            if !fits(None) {
-                return wrong("cpus", "a task fits no machine type that it allows".into());
-            }
-            if let Some(zone) = window.zones.iter().find(|z| !fits(Some(z))) {
-                return wrong(
-                    "zones",
-                    format!("in {zone:?} a task fits no machine type that it allows"),
-                );
-            }
-        }
-        let needs = window.each().times(i64::from(window.tasks));
-        if !needs.fits_team(*limit) {
-            return wrong(
-                "tasks",
-                format!(
-                    "it holds {}, the limit of team {:?} is {}",
-                    shown(needs),
-                    window.team,
-                    shown(*limit)
-                ),
-            );
-        }
-        // One that is over has nothing to overlap: a file isn't wrong because
-        // time has passed, or no controller would start again with it.
-        if let Some(first) = window.current_or_next(known.now_ms) {
-            let second = window.next(first.start_ms);
-            if second.is_some_and(|second| second.meets(first)) {
-                return wrong("lasts_s", "it begins again before it ends".into());
-            }
-        }
+        check_window(window, known)?;
     }
     for (team, limit) in &known.teams {
         overlaps(windows, team, *limit, known.now_ms)?;
@@ -349,6 +297,84 @@
     Ok(())
 }
 
+/// What can't be of a window by itself.
+fn check_window(window: &Window, known: &Known) -> Result<(), WindowError> {
+    let Some(limit) = known.teams.get(&window.team) else {
+        return Err(window.refused("team", format!("there is no team {:?}", window.team)));
+    };
+    check_names(window, known)?;
+    check_task_fits(window, known)?;
+    check_limit(window, *limit)?;
+    check_own_overlap(window, known.now_ms)
+}
+
+/// All zones and machine types that it names are there.
+fn check_names(window: &Window, known: &Known) -> Result<(), WindowError> {
+    let mut zones = window.zones.iter();
+    if let Some(zone) = zones.find(|z| !known.zones.is_empty() && !known.zones.contains(*z)) {
+        return Err(window.refused("zones", format!("there is no zone {zone:?}")));
+    }
+    let named = |name: &String| known.types.iter().any(|t| t.name.as_str() == name);
+    let mut types = window.types.iter();
+    if let Some(name) = types.find(|t| !known.types.is_empty() && !named(t)) {
+        return Err(window.refused("types", format!("there is no machine type {name:?}")));
+    }
+    Ok(())
+}
+
+/// A task fits some machine type that it allows, in each of its zones.
+fn check_task_fits(window: &Window, known: &Known) -> Result<(), WindowError> {
+    if known.types.is_empty() {
+        return Ok(());
+    }
+    let fits = |zone: Option<&String>| {
+        known.types.iter().any(|t| {
+            window.each().fits(t.total)
+                && (window.types.is_empty() || window.types.iter().any(|n| n == t.name.as_str()))
+                && zone.is_none_or(|z| t.zones.iter().any(|has| has.as_str() == z))
+        })
+    };
+    if !fits(None) {
+        let reason = "a task fits no machine type that it allows".into();
+        return Err(window.refused("cpus", reason));
+    }
+    match window.zones.iter().find(|z| !fits(Some(z))) {
+        None => Ok(()),
+        Some(zone) => {
+            let reason = format!("in {zone:?} a task fits no machine type that it allows");
+            Err(window.refused("zones", reason))
+        }
+    }
+}
+
+/// All its tasks together are within its team's limit.
+fn check_limit(window: &Window, limit: Amount) -> Result<(), WindowError> {
+    let needs = window.all_tasks();
+    if needs.fits_team(limit) {
+        return Ok(());
+    }
+    let reason = format!(
+        "it holds {}, the limit of team {:?} is {}",
+        shown(needs),
+        window.team,
+        shown(limit)
+    );
+    Err(window.refused("tasks", reason))
+}
+
+/// It ends before it begins again. One that is over has nothing to overlap: a file isn't
+/// wrong because time has passed, or no controller would start again with it.
+fn check_own_overlap(window: &Window, now_ms: i64) -> Result<(), WindowError> {
+    let Some(first) = window.current_or_next(now_ms) else {
+        return Ok(());
+    };
+    let second = window.next(first.start_ms);
+    if second.is_some_and(|second| second.meets(first)) {
+        return Err(window.refused("lasts_s", "it begins again before it ends".into()));
+    }
+    Ok(())
+}
+
 /// The first window that won't happen any more; for whoever has just written
 /// the file, as [`check`] lets it pass.
 pub fn past(calendar: &Calendar, now_ms: i64) -> Result<(), WindowError> {
@@ -364,21 +390,35 @@
     format!("{} CPUs and {} GPUs", whole(amount.cpu), whole(amount.gpu))
 }
 
+/// A window's beginning or end.
+struct Edge<'a> {
+    /// In milliseconds of the time of day.
+    at_ms: i64,
+    begins: bool,
+    window: &'a Window,
+}
+
+fn edges_of(window: &Window, now_ms: i64) -> impl Iterator<Item = Edge<'_>> {
+    occurrences(window, now_ms).flat_map(move |span| {
+        let edge = |at_ms, begins| Edge {
+            at_ms,
+            begins,
+            window,
+        };
+        [edge(span.start_ms, true), edge(span.end_ms, false)]
+    })
+}
+
 /// Goes through beginnings and ends of all of a team's occurrences in order of
 /// time, ends first, with what is held then.
 fn overlaps(windows: &[Window], team: &str, limit: Amount, now_ms: i64) -> Result<(), WindowError> {
-    let mut edges: Vec<(i64, bool, &Window)> = Vec::new();
-    for window in windows.iter().filter(|w| w.team == team) {
-        for span in occurrences(window, now_ms) {
-            edges.push((span.start_ms, true, window));
-            edges.push((span.end_ms, false, window));
-        }
-    }
-    edges.sort_by(|a, b| (a.0, a.1, &a.2.name).cmp(&(b.0, b.1, &b.2.name)));
+    let own = windows.iter().filter(|w| w.team == team);
+    let mut edges: Vec<Edge> = own.flat_map(|w| edges_of(w, now_ms)).collect();
+    edges.sort_by_key(|e| (e.at_ms, e.begins, &e.window.name));
     let mut held = Amount::default();
     let mut open: Vec<&str> = Vec::new();
-    for (_, begins, window) in edges {
-        let needs = window.each().times(i64::from(window.tasks));
+    for Edge { begins, window, .. } in edges {
+        let needs = window.all_tasks();
         if !begins {
             held -= needs;
             open.retain(|name| *name != window.name);
