--- a/src/sched/claims.rs
+++ b/src/sched/claims.rs
@@ -28,11 +28,7 @@
             if unnamed {
                 m.held.take_unnamed();
             }
-            let room = m.kind.cache_gb;
-            match &serving {
-                Some(beside) => m.cache.touch_beside(&spec, room, false, beside),
-                None => m.cache.touch(&spec.image, spec.image_gb, room, false),
-            }
+            m.use_image(&spec, serving.as_deref(), false);
         });
     }
 
@@ -143,15 +139,21 @@
             *self.lanes.used.entry(laned.lane).or_default() -= spec.each.cpu;
         }
         self.holds.left(team, &spec);
-        let awaited = self.machines.get(&claim.machine).is_some_and(|m| {
-            m.claims.iter().any(|t| {
-                t != task
-                    && self
-                        .jobs
-                        .get(&t.job)
-                        .is_some_and(|j| j.spec.image == spec.image)
-            })
-        });
+        let known = self.vacate(task, &claim, &spec, now);
+        if !known {
+            if let Some(tasks) = self.homeless.get_mut(&claim.machine) {
+                tasks.remove(task);
+                if tasks.is_empty() {
+                    self.homeless.remove(&claim.machine);
+                }
+            }
+        }
+        Some(claim)
+    }
+
+    /// Takes a claim off its machine. False if that is not known.
+    fn vacate(&mut self, task: &TaskId, claim: &Claim, spec: &JobSpec, now: Time) -> bool {
+        let awaited = self.awaited_by_others(task, claim, spec);
         let known = self.edit_machine(&claim.machine, |m| {
             if m.claims.remove(task) {
                 m.used -= spec.each;
@@ -170,15 +172,16 @@
                 m.idle_since = now;
             }
         });
-        if known.is_none() {
-            if let Some(tasks) = self.homeless.get_mut(&claim.machine) {
-                tasks.remove(task);
-                if tasks.is_empty() {
-                    self.homeless.remove(&claim.machine);
-                }
-            }
-        }
-        Some(claim)
+        known.is_some()
+    }
+
+    /// Whether other tasks on a claim's machine need the image, too.
+    fn awaited_by_others(&self, task: &TaskId, claim: &Claim, spec: &JobSpec) -> bool {
+        let image_of = |t: &TaskId| self.jobs.get(&t.job).map(|j| &j.spec.image);
+        self.machines.get(&claim.machine).is_some_and(|m| {
+            let mut others = m.claims.iter().filter(|t| *t != task);
+            others.any(|t| image_of(t) == Some(&spec.image))
+        })
     }
 
     /// The other images that tasks on a machine need, if a job's image goes from
@@ -204,11 +207,7 @@
         };
         let serving = self.serving_beside(&machine, &spec);
         self.edit_machine(&machine, |m| {
-            let room = m.kind.cache_gb;
-            match &serving {
-                Some(beside) => m.cache.touch_beside(&spec, room, true, beside),
-                None => m.cache.touch(&spec.image, spec.image_gb, room, true),
-            }
+            m.use_image(&spec, serving.as_deref(), true);
         });
     }
 }
--- a/src/sched/gangs.rs
+++ b/src/sched/gangs.rs
@@ -16,7 +16,7 @@
 use super::machine::Machine;
 use super::topology_rules::Ask;
 use super::{ClusterState, Delay, DelayRule, Job, Launch};
-use crate::types::{Amount, JobId, Kind, MachineId, TaskId, Time};
+use crate::types::{Amount, JobId, Kind, MachineId, TaskId, Time, Zone};
 
 /// How long a gang that found no room waits until all machines are looked at
 /// for it again.
@@ -25,6 +25,15 @@
 /// A slot's cost is counted in tenths of a second.
 const COST_STEPS: f64 = 10.0;
 
+/// What can be done for a gang.
+#[derive(Default)]
+struct GangPlans {
+    /// It finds its place now.
+    whole: Option<gang::Plan>,
+    /// Else what to hold for it.
+    to_hold: Option<gang::Plan>,
+}
+
 /// A gang that is to be placed whole.
 struct GangRequest<'a> {
     id: &'a JobId,
@@ -50,49 +59,51 @@
 
 impl Rules for JobRules<'_> {
     fn allowed(&self, chosen: &[(&Slot, u32)], slot: &Slot, wanted: u32) -> u32 {
-        let cluster_state = self.cluster_state;
-        let zone_of = |m: &MachineId| cluster_state.machines.get(m).map(|m| &m.zone);
-        let Some(zone) = zone_of(&slot.machine) else {
+        let Some(zone) = self.zone_of(slot) else {
             return 0;
         };
         let spec = &self.job.spec;
-        let mut allowed = wanted;
-        if spec.one_zone
-            && chosen
-                .iter()
-                .any(|(s, _)| zone_of(&s.machine) != Some(zone))
-        {
+        let elsewhere = |s: &Slot| self.zone_of(s) != Some(zone);
+        if spec.one_zone && chosen.iter().any(|(s, _)| elsewhere(s)) {
             return 0;
         }
+        let mut allowed = wanted;
         if spec.spread {
-            let here = chosen
-                .iter()
-                .filter(|(s, _)| zone_of(&s.machine) == Some(zone));
+            let here = chosen.iter().filter(|(s, _)| !elsewhere(s));
             let here: u32 = here.map(|(_, n)| n).sum();
             allowed = allowed.min(spec.tasks.div_ceil(2).saturating_sub(here));
         }
+        self.allowed_by_policy(chosen, slot, allowed)
+    }
+}
+
+impl JobRules<'_> {
+    fn zone_of(&self, slot: &Slot) -> Option<&Zone> {
+        let machine = self.cluster_state.machines.get(&slot.machine)?;
+        Some(&machine.zone)
+    }
+
+    /// How many of `wanted` more tasks the job's placement rules allow on a slot.
+    fn allowed_by_policy(&self, chosen: &[(&Slot, u32)], slot: &Slot, wanted: u32) -> u32 {
         let policy = &self.job.policy;
-        if policy.counts() {
-            let Some(topology) = &cluster_state.topology else {
-                return 0;
-            };
-            let at = (slot.place, slot.machine.as_str());
-            let planned = chosen
-                .iter()
-                .flat_map(|(s, n)| (0..*n).map(|_| Some((s.place, s.machine.as_str()))));
-            let mut tally = policy.tally(&topology.tree, planned);
-            let mut count = 0;
-            while count < allowed
-                && policy
-                    .bars(&topology.tree, &tally, at, self.reach)
-                    .is_none()
-            {
-                policy.count(&topology.tree, &mut tally, Some(at));
-                count += 1;
-            }
-            allowed = count;
+        if !policy.counts() {
+            return wanted;
+        }
+        let Some(topology) = &self.cluster_state.topology else {
+            return 0;
+        };
+        let tree = &topology.tree;
+        let at = (slot.place, slot.machine.as_str());
+        let planned = chosen
+            .iter()
+            .flat_map(|(s, n)| (0..*n).map(|_| Some((s.place, s.machine.as_str()))));
+        let mut tally = policy.tally(tree, planned);
+        let mut count = 0;
+        while count < wanted && policy.bars(tree, &tally, at, self.reach).is_none() {
+            policy.count(tree, &mut tally, Some(at));
+            count += 1;
         }
-        allowed
+        count
     }
 }
 
@@ -199,9 +210,31 @@
         if !(team.used + all).fits_team(self.limit_for(job)) {
             return Vec::new();
         }
+        let plans = self.gang_plans(id, job, now);
+        if let Some(job) = self.jobs.get_mut(id) {
+            job.try_at = now.after(TRY_AGAIN_S);
+        }
+        match plans.whole {
+            Some(plan) if self.gang_may_launch(id, &plan, rule, now) => {
+                self.leave_turn(id);
+                return self.launch_gang(id, &plan, now);
+            }
+            Some(_) => self.skip(vec![id.clone()], now),
+            None => {
+                if let Some(plan) = plans.to_hold {
+                    self.hold_for(id, &plan, now);
+                }
+            }
+        }
+        Vec::new()
+    }
+
+    /// How a gang could be placed: with all its placement rules, else with those that are
+    /// required.
+    fn gang_plans(&self, id: &JobId, job: &Job, now: Time) -> GangPlans {
         let tree = self.topology.as_ref().map(|t| &t.tree);
-        let mut plan = None;
-        let mut to_hold = None;
+        let tasks = job.tasks.pending();
+        let mut plans = GangPlans::default();
         for reach in [Reach::All, Reach::Musts] {
             if reach == Reach::Musts && !job.policy.prefers() {
                 continue;
@@ -217,33 +250,15 @@
                 job,
                 reach,
             };
-            plan = gang::whole(tree, &slots, tasks, &rules);
-            if plan.is_some() {
+            plans.whole = gang::whole(tree, &slots, tasks, &rules);
+            if plans.whole.is_some() {
                 break;
             }
-            if to_hold.is_none() {
-                to_hold = gang::hold(tree, &slots, tasks, &rules);
-            }
-        }
-        if let Some(job) = self.jobs.get_mut(id) {
-            job.try_at = now.after(TRY_AGAIN_S);
-        }
-        match plan {
-            Some(plan) if self.gang_may_launch(id, &plan, rule, now) => {
-                self.leave_turn(id);
-                self.launch_gang(id, &plan, now)
-            }
-            Some(_) => {
-                self.skip(vec![id.clone()], now);
-                Vec::new()
-            }
-            None => {
-                if let Some(plan) = to_hold {
-                    self.hold_for(id, &plan, now);
-                }
-                Vec::new()
+            if plans.to_hold.is_none() {
+                plans.to_hold = gang::hold(tree, &slots, tasks, &rules);
             }
         }
+        plans
     }
 
     fn gang_may_launch(&self, id: &JobId, plan: &gang::Plan, rule: DelayRule, now: Time) -> bool {
--- a/src/sched/machine.rs
+++ b/src/sched/machine.rs
@@ -217,6 +217,15 @@
         self.working = stock.working().into();
         self.stock = Rc::new(stock);
     }
+    /// A task uses its image here, and `ran` on it or has yet to. `serving` are the other
+    /// images that tasks here need, if the image goes from machine to machine.
+    pub(super) fn use_image(&mut self, spec: &JobSpec, serving: Option<&[Image]>, ran: bool) {
+        let room = self.kind.cache_gb;
+        match serving {
+            Some(beside) => self.cache.touch_beside(spec, room, ran, beside),
+            None => self.cache.touch(&spec.image, spec.image_gb, room, ran),
+        }
+    }
     /// Whether it has enough units of all required kinds in order, taken or
     /// not.
     pub fn could(working: &[(String, u32)], needs: &[Device]) -> bool {
--- a/src/sched/mod.rs
+++ b/src/sched/mod.rs
@@ -1,9 +1,25 @@
-//! Scheduling without I/O or clock: fair shares, the delay walk, placement
-//! checks and preemption over a plain [`ClusterState`].
+//! Scheduling without I/O or clock: fair shares, delay scheduling, placement
+//! rules and preemption over a plain [`ClusterState`].
 //!
 //! The walk follows Algorithm 1 of the paper (section 4.2) with the changes
 //! that `docs/design.md` lists. No decision looks at every machine or every
 //! job: the cluster state keeps its sums, its queues and an index of room up to date.
+//!
+//! A task is placed in these steps:
+//!
+//! 1. `order`, `queue`, `lanes`, `aging`: which team and job is next;
+//! 2. `filter`, `topology_rules`: on which machines it may start, with `quota` and
+//!    `write_limit` for whether it may start at all now;
+//! 3. `score`, `best_machine`: which of them costs least, found by `capacity_index`;
+//! 4. `delay`: whether it waits for a machine that has its image;
+//! 5. `bind`, `claims`: the task is claimed there.
+//!
+//! `placement_pass` takes these steps for one machine or for all jobs, `gangs` for all
+//! tasks of a gang at once. Where no room is free, `preempt` makes it and `holds` keeps
+//! it for windows of the release calendar; `rebalance` moves what runs.
+//!
+//! Decisions are the same for the same state and time: all iteration is in order of
+//! keys, and ties are broken by id.
 
 mod aging;
 mod best_machine;
@@ -32,6 +48,7 @@
 mod tasks;
 mod team;
 mod topology_rules;
+mod waiting_reason;
 mod write_limit;
 
 pub use bind::Launch;
--- a/src/sched/rebalance.rs
+++ b/src/sched/rebalance.rs
@@ -5,6 +5,7 @@
 use sorrelhinge_topology::drain::{self, Drain, Step, Tenant};
 use sorrelhinge_topology::policy::Reach;
 use sorrelhinge_topology::repair::Stability;
+use sorrelhinge_topology::Topology;
 
 use super::tasks::{Progress, Sent};
 use super::topology_rules::Ask;
@@ -79,51 +80,65 @@
                 continue;
             };
             for task in self.claims_on(&m_id) {
-                let Some(job) = self.jobs.get(&task.job).filter(|j| !j.cancelled) else {
+                let Some(tenant) = self.tenant(&task, now) else {
                     continue;
                 };
-                let Some(claim) = job.tasks.claims().get(&task.index) else {
-                    continue;
-                };
-                let ran = match claim.progress {
-                    Progress::Running(since) => Some(now.since(since)),
-                    // Found at a takeover and not seen yet: it may well run.
-                    Progress::Unseen if claim.sent != Sent::No => Some(0.0),
-                    _ => None,
-                };
-                let estimate = job.spec.estimate_s;
-                let left = (estimate > 0.0).then(|| (estimate - ran.unwrap_or(0.0)).max(0.0));
-                let tenant = Tenant {
-                    kind: job.spec.kind,
-                    running: ran.is_some(),
-                    stopping: claim.stop.is_some(),
-                    left_s: left.filter(|_| job.spec.kind != Kind::Service),
-                    away: Self::away(job),
-                };
-                let gang = job.spec.kind == Kind::Gang;
-                match drain::step(drain, &tenant, *left_s) {
-                    Step::Wait => {}
-                    Step::Move => {
-                        if let Some(to) = self.ready_elsewhere(&task, moving, now) {
-                            self.stop(&task, false);
-                            moves.push(Move { task, to: Some(to) });
-                        }
-                    }
-                    Step::Stop if gang => {
-                        for task in self.stop_gang(&task.job) {
-                            moves.push(Move { task, to: None });
-                        }
-                    }
-                    Step::Stop => {
-                        self.stop(&task, false);
-                        moves.push(Move { task, to: None });
-                    }
-                }
+                let step = drain::step(drain, &tenant, *left_s);
+                moves.extend(self.move_off(step, task, moving, now));
             }
         }
         moves
     }
 
+    /// What a drain has to know of a task; none if it has no claim, or its job is
+    /// cancelled and it goes anyway.
+    fn tenant(&self, task: &TaskId, now: Time) -> Option<Tenant> {
+        let job = self.jobs.get(&task.job).filter(|j| !j.cancelled)?;
+        let claim = job.tasks.claims().get(&task.index)?;
+        let ran = match claim.progress {
+            Progress::Running(since) => Some(now.since(since)),
+            // Found at a takeover and not seen yet: it may well run.
+            Progress::Unseen if claim.sent != Sent::No => Some(0.0),
+            _ => None,
+        };
+        let estimate = job.spec.estimate_s;
+        let left = (estimate > 0.0).then(|| (estimate - ran.unwrap_or(0.0)).max(0.0));
+        Some(Tenant {
+            kind: job.spec.kind,
+            running: ran.is_some(),
+            stopping: claim.stop.is_some(),
+            left_s: left.filter(|_| job.spec.kind != Kind::Service),
+            away: Self::away(job),
+        })
+    }
+
+    /// Takes a drain's step: what is to move has its place reserved, and is marked to be
+    /// stopped.
+    fn move_off(&mut self, step: Step, task: TaskId, moving: &Moving, now: Time) -> Vec<Move> {
+        let gang = self
+            .jobs
+            .get(&task.job)
+            .is_some_and(|j| j.spec.kind == Kind::Gang);
+        match step {
+            Step::Wait => Vec::new(),
+            Step::Move => {
+                let Some(to) = self.ready_elsewhere(&task, moving, now) else {
+                    return Vec::new();
+                };
+                self.stop(&task, false);
+                vec![Move { task, to: Some(to) }]
+            }
+            Step::Stop if gang => {
+                let tasks = self.stop_gang(&task.job).into_iter();
+                tasks.map(|task| Move { task, to: None }).collect()
+            }
+            Step::Stop => {
+                self.stop(&task, false);
+                vec![Move { task, to: None }]
+            }
+        }
+    }
+
     /// Reserves a place for a task that is to move: one that meets all placement rules,
     /// else one that meets what is required.
     fn ready_elsewhere(&mut self, task: &TaskId, moving: &Moving, now: Time) -> Option<MachineId> {
@@ -148,45 +163,49 @@
     pub fn repair(&mut self, moving: &Moving, now: Time) -> Option<Move> {
         let topology = self.topology.clone()?;
         let settle_s = topology.settings.repair.settle_s;
-        let found = self.jobs.iter().find_map(|(id, job)| {
-            let whole = job.spec.kind == Kind::Service
-                && !job.cancelled
-                && job.policy.counts()
-                && job.tasks.pending() == 0
-                && Self::away(job) == 0
-                && job
-                    .tasks
-                    .claims()
-                    .values()
-                    .all(|c| matches!(c.progress, Progress::Running(_)));
-            if !whole {
+        let quiet = Ask {
+            leave_out: None,
+            settled: Some((moving.stability, settle_s)),
+        };
+        let (task, to) = self.jobs.iter().find_map(|(id, job)| {
+            if !Self::may_be_repaired(job) {
                 return None;
             }
-            let tally = job
-                .policy
-                .tally(&topology.tree, self.whereabouts(job, None));
-            let claims = job.tasks.claims().iter().filter_map(|(index, c)| {
-                let place = self.machines.get(&c.machine)?.place;
-                Some((*index, (place, c.machine.as_str())))
-            });
-            let index = job.policy.excess(&topology.tree, &tally, claims)?;
-            let ask = Ask {
-                leave_out: None,
-                settled: Some((moving.stability, settle_s)),
-            };
-            let to = self.elsewhere(id, index, &ask, Reach::All, now)?;
-            let task = TaskId {
-                job: id.clone(),
-                index,
-            };
-            Some((task, to))
-        });
-        let (task, to) = found?;
+            let index = self.excess_task(&topology, job)?;
+            let to = self.elsewhere(id, index, &quiet, Reach::All, now)?;
+            let job = id.clone();
+            Some((TaskId { job, index }, to))
+        })?;
         self.reserve(to.clone(), &task.job, now.after(MOVE_S));
         self.stop(&task, false);
         Some(Move { task, to: Some(to) })
     }
 
+    /// Whether a job is a service with rules of which all tasks run.
+    fn may_be_repaired(job: &Job) -> bool {
+        job.spec.kind == Kind::Service
+            && !job.cancelled
+            && job.policy.counts()
+            && job.tasks.pending() == 0
+            && Self::away(job) == 0
+            && job
+                .tasks
+                .claims()
+                .values()
+                .all(|c| matches!(c.progress, Progress::Running(_)))
+    }
+
+    /// A task of a job in a domain that has more of them than its rules want.
+    fn excess_task(&self, topology: &Topology, job: &Job) -> Option<u32> {
+        let whereabouts = self.whereabouts(job, None);
+        let tally = job.policy.tally(&topology.tree, whereabouts);
+        let claims = job.tasks.claims().iter().filter_map(|(index, c)| {
+            let place = self.machines.get(&c.machine)?.place;
+            Some((*index, (place, c.machine.as_str())))
+        });
+        job.policy.excess(&topology.tree, &tally, claims)
+    }
+
     /// Stops all tasks of a gang: it runs as one or not at all.
     pub fn stop_gang(&mut self, id: &JobId) -> Vec<TaskId> {
         let Some(job) = self.jobs.get(id) else {
--- a/src/sched/topology_rules.rs
+++ b/src/sched/topology_rules.rs
@@ -2,7 +2,6 @@
 //! machine. Without the operator's file no job has a policy, and nothing here
 //! is asked.
 
-use std::collections::BTreeMap;
 use std::rc::Rc;
 
 use sorrelhinge_protocol::placement::Device;
@@ -17,8 +16,6 @@
 use super::{ClusterState, Job};
 use crate::types::{JobId, JobSpec, MachineId, Time};
 
-const TAKEN: &str = "its devices are taken";
-
 /// How a place is asked for.
 #[derive(Default)]
 pub(super) struct Ask<'a> {
@@ -30,11 +27,13 @@
 
 /// What a job's policy needs to judge machines.
 pub(super) struct Site<'a> {
-    policy: &'a Policy,
-    tally: Tally,
+    pub policy: &'a Policy,
+    /// Where the job's tasks are.
+    pub tally: Tally,
     /// Devices that count as required.
     pub needs: Vec<Device>,
-    reach: Reach,
+    /// Which rules count.
+    pub reach: Reach,
 }
 
 impl ClusterState {
@@ -219,65 +218,4 @@
         let m = self.machines.get(m_id)?;
         choose(&m.stock, &m.held, &job.policy.devices)
     }
-
-    /// Why a job that wants a task placed has found no place, in words.
-    pub fn why_waits(&self, id: &JobId, now: Time) -> Option<String> {
-        let job = self.jobs.get(id).filter(|j| j.wants(now))?;
-        job.blocked_since?;
-        if !self.limit_allows(job, now) {
-            return Some("its team is at its limit".into());
-        }
-        let gang_claims = job.spec.kind == crate::types::Kind::Gang;
-        if gang_claims && !job.tasks.claims().is_empty() {
-            return Some("the gang starts anew once all its tasks are gone".into());
-        }
-        let roomy = |m: &Machine| m.usable && Self::suits(&job.spec, m);
-        let (mut roomy_machines, mut with_room) = (0_u32, 0_u32);
-        let mut reasons: BTreeMap<String, u32> = BTreeMap::new();
-        let site = self.site(job, Reach::Musts, None);
-        for (m_id, m) in self.machines.iter().filter(|(_, m)| roomy(m)) {
-            roomy_machines += 1;
-            if !job
-                .spec
-                .each
-                .fits(self.room_for(id, job.leaves_kept_room(now), m_id, now))
-            {
-                continue;
-            }
-            with_room += 1;
-            let (Some(site), Some(topology)) = (&site, &self.topology) else {
-                continue;
-            };
-            let at = (m.place, m_id.as_str());
-            let barred = site
-                .policy
-                .bars(&topology.tree, &site.tally, at, Reach::Musts);
-            if let Some(barred) = barred {
-                *reasons.entry(barred.why).or_insert(0) += 1;
-            } else if choose(&m.stock, &m.held, &site.needs).is_none() {
-                let there = Machine::could(&m.working, &site.needs);
-                let why = if there {
-                    TAKEN
-                } else {
-                    "it has no such device"
-                };
-                *reasons.entry(why.into()).or_insert(0) += 1;
-            }
-        }
-        // What could change by itself tells most.
-        let telling = reasons.iter().max_by_key(|(why, n)| (**why == TAKEN, **n));
-        Some(match telling {
-            Some((why, n)) => format!("{why} ({n} of {with_room} machines with room)"),
-            None if site.is_some() && self.topology.is_none() => {
-                "this controller has no topology".into()
-            }
-            None if with_room == 0 => {
-                format!("no room on any of {roomy_machines} machines that suit it")
-            }
-            None if gang_claims => {
-                format!("no room for the whole gang; {with_room} machines have some")
-            }
-            None => "others go first".into(),
-        })
-    }
 }
