--- a/src/fleet/mod.rs
+++ b/src/fleet/mod.rs
@@ -4,15 +4,18 @@
 //! the machines that there are; what finds no room there is rented, the
 //! cheapest first, and machines that nothing was packed into may go.
 
+mod offers;
 mod packing;
 mod placed;
+mod room;
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::rc::Rc;
 
 use sorrelhinge_topology::renting::Memory;
 
-use self::packing::{Item, Packing, Room};
+use self::packing::{Item, Packing};
+use self::room::Room;
 use crate::sched::{ClusterState, Job, Machine, Progress};
 use crate::types::{Amount, JobId, JobSpec, Kind, MachineId, MachineType, Time, TypeName, Zone};
 
@@ -298,10 +301,10 @@
     let rent = packing.rent.into_iter();
     let mut plan = Plan {
         rent: rent
-            .map(|((spot, kind, zone), count)| Want {
-                kind,
-                zone,
-                spot,
+            .map(|(pool, count)| Want {
+                kind: pool.kind,
+                zone: pool.zone,
+                spot: pool.spot,
                 count,
             })
             .collect(),
--- a/src/fleet/packing.rs
+++ b/src/fleet/packing.rs
@@ -4,85 +4,10 @@
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::rc::Rc;
 
-use sorrelhinge_topology::devices::{Held, Stock};
-use sorrelhinge_topology::tree::Domain;
-
+use super::room::{Bin, Room};
 use super::Input;
-use crate::sched::ClusterState;
-use crate::types::{Amount, JobId, JobSpec, Kind, MachineId, MachineType, TypeName, Zone};
-
-/// How much dearer a machine counts for a service in a zone without a controller.
-const UNSERVED: f64 = 2.0;
-/// Most machines in one request.
-pub(super) const MOST_RENTED: u32 = 50;
-
-/// Room on a machine, there or rented by the plan.
-pub(super) struct Room {
-    pub(super) id: Option<MachineId>,
-    pub(super) kind: Rc<MachineType>,
-    pub(super) zone: Zone,
-    pub(super) spot: bool,
-    /// Free now.
-    pub(super) free: Amount,
-    /// Free once tasks have ended that should end while a machine boots.
-    pub(super) soon: Amount,
-    pub(super) kept: Amount,
-    /// Where it is, once it is up.
-    pub(super) place: Option<Domain>,
-    /// Its devices, and those that are held; what comes up has those of its type.
-    pub(super) stock: Rc<Stock>,
-    pub(super) held: Held,
-    /// A task hopes for it: it may come up where its rules allow it.
-    pub(super) hoped: bool,
-    /// Something that can't be moved off, or was packed here.
-    pub(super) used: bool,
-}
-
-impl Room {
-    pub(super) fn new(kind: Rc<MachineType>, zone: Zone, spot: bool) -> Self {
-        Self {
-            id: None,
-            free: kind.total,
-            soon: kind.total,
-            kind,
-            zone,
-            spot,
-            kept: Amount::default(),
-            place: None,
-            stock: Rc::default(),
-            held: Held::default(),
-            hoped: false,
-            used: true,
-        }
-    }
-    pub(super) fn suits(&self, spec: &JobSpec) -> bool {
-        ClusterState::kind_suits(spec, self.spot, &self.kind, &self.zone)
-    }
-    pub(super) fn available(&self, soon: bool) -> Amount {
-        if soon {
-            self.soon
-        } else {
-            self.free
-        }
-    }
-    fn bin(&self) -> Bin {
-        Bin {
-            spot: self.spot,
-            used: self.used,
-            kind: self.kind.name.clone(),
-            zone: self.zone.clone(),
-        }
-    }
-}
-
-/// Rooms that are as good as each other but for how tight they are.
-#[derive(Clone, PartialEq, Eq, PartialOrd, Ord)]
-struct Bin {
-    spot: bool,
-    used: bool,
-    kind: TypeName,
-    zone: Zone,
-}
+use crate::sched::CapacityPool;
+use crate::types::{JobId, JobSpec, Kind, Zone};
 
 /// Tasks of a job, or expected ones, to pack.
 pub(super) struct Item {
@@ -119,6 +44,19 @@
     }
 }
 
+/// How good a room is for a task, the least first.
+#[derive(PartialEq, PartialOrd)]
+struct Rank {
+    /// An ordinary machine, for what may use spot ones.
+    dear: bool,
+    /// For a service, in a zone without a controller.
+    apart: bool,
+    /// It might be given back.
+    unused: bool,
+    /// Free thousandths of a CPU.
+    cpu: i64,
+}
+
 /// Rooms, and what was packed into them so far.
 pub(super) struct Packing<'a> {
     pub(super) input: &'a Input<'a>,
@@ -128,7 +66,7 @@
     pub(super) crowd: HashMap<Zone, u32>,
     pub(super) total_cpu: i64,
     pub(super) guaranteed_cpu: i64,
-    pub(super) rent: BTreeMap<(bool, TypeName, Zone), u32>,
+    pub(super) rent: BTreeMap<CapacityPool, u32>,
     /// Machines rented for the sake of where they may come up, on their way
     /// and new.
     pub(super) hoped: u32,
@@ -188,7 +126,7 @@
         barred: &dyn Fn(&Zone) -> bool,
         pass: &dyn Fn(&Room) -> bool,
     ) -> Option<usize> {
-        let mut best: Option<((bool, bool, bool, i64), usize)> = None;
+        let mut best: Option<(Rank, usize)> = None;
         for (bin, rooms) in &self.bins[usize::from(soon)] {
             if barred(&bin.zone) {
                 continue;
@@ -203,7 +141,12 @@
                 }
                 let apart =
                     spec.kind == Kind::Service && !self.input.cluster_state.is_served(&bin.zone);
-                let rank = (spec.spot && !bin.spot, apart, !bin.used, cpu);
+                let rank = Rank {
+                    dear: spec.spot && !bin.spot,
+                    apart,
+                    unused: !bin.used,
+                    cpu,
+                };
                 if best.as_ref().is_none_or(|(r, _)| rank < *r) {
                     best = Some((rank, at));
                 }
@@ -213,47 +156,6 @@
         best.map(|(_, at)| at)
     }
 
-    fn cheapest(&self, item: &Item, left_cpu: i64, barred: &dyn Fn(&Zone) -> bool) -> Option<Room> {
-        let spec = &item.spec;
-        let mut best: Option<(f64, Room)> = None;
-        for kind in self.input.types.iter().filter(|t| t.total.cpu > 0) {
-            for zone in kind.zones.iter().filter(|z| !barred(z)) {
-                for spot in [true, false] {
-                    let room = self.new_room(kind, zone, spot);
-                    let asked = self
-                        .rent
-                        .get(&(spot, kind.name.clone(), zone.clone()))
-                        .copied()
-                        .unwrap_or(0);
-                    if !room.suits(spec)
-                        || asked >= MOST_RENTED
-                        || !(self.input.open)(&kind.name, zone, spot)
-                    {
-                        continue;
-                    }
-                    if spec.spot && !spot && !item.late && self.total_cpu >= self.guaranteed_cpu {
-                        // Dear: only for what the teams were promised, or for
-                        // a queue that spot machines have not kept short.
-                        continue;
-                    }
-                    let price = if spot { kind.spot_price } else { kind.price };
-                    // By what of the machine will be of use now; among equals
-                    // the zone with the fewest machines, so that work spreads.
-                    let useful = kind.total.cpu.min(left_cpu.max(spec.each.cpu)).max(1);
-                    let crowd = self.crowd.get(zone).copied().unwrap_or(0);
-                    let apart =
-                        spec.kind == Kind::Service && !self.input.cluster_state.is_served(zone);
-                    let apart = if apart { UNSERVED } else { 1.0 };
-                    let score = price / useful as f64 * (1.0 + 1e-4 * f64::from(crowd)) * apart;
-                    if best.as_ref().is_none_or(|(s, _)| score < *s) {
-                        best = Some((score, room));
-                    }
-                }
-            }
-        }
-        best.map(|(_, room)| room)
-    }
-
     /// The room for a task, there or to be rented.
     fn choose_room(
         &mut self,
@@ -278,11 +180,7 @@
         let Some(room) = rented else {
             return fitting;
         };
-        *self
-            .rent
-            .entry((room.spot, room.kind.name.clone(), room.zone.clone()))
-            .or_insert(0) += 1;
-        Some(self.add(room))
+        Some(self.rent_room(room))
     }
 
     /// Packs an item's tasks, and rents for those that find no room.
@@ -303,8 +201,7 @@
             let left_cpu = spec.each.cpu * i64::from(left);
             let chosen = self.choose_room(item, soon, left_cpu, &barred);
             let Some(at) = chosen else { return };
-            self.file(at, false);
-            let room = &mut self.rooms[at];
+            let room = &self.rooms[at];
             let in_zone = zones.entry(room.zone.clone()).or_insert(0);
             // A spread job's tasks go to one room after another, as their
             // zones fill up.
@@ -315,20 +212,27 @@
                 .min(most - *in_zone)
                 .max(1);
             let count = if spec.spread { 1 } else { count };
-            let taken = spec.each.times(i64::from(count));
-            room.free -= taken;
-            room.soon -= taken;
-            room.used = true;
-            match &item.window {
-                Some(window) if room.id.is_none() && at < self.new_from => {
-                    *self.coming.entry(window.clone()).or_insert(0) += count;
-                }
-                None if item.expected && !spec.spot => room.kept += taken,
-                _ => {}
-            }
+            self.take(at, item, count);
             *in_zone += count;
             left -= count;
-            self.file(at, true);
         }
     }
+
+    /// Takes a room for so many tasks of an item.
+    fn take(&mut self, at: usize, item: &Item, count: u32) {
+        self.file(at, false);
+        let room = &mut self.rooms[at];
+        let taken = item.spec.each.times(i64::from(count));
+        room.free -= taken;
+        room.soon -= taken;
+        room.used = true;
+        match &item.window {
+            Some(window) if room.id.is_none() && at < self.new_from => {
+                *self.coming.entry(window.clone()).or_insert(0) += count;
+            }
+            None if item.expected && !item.spec.spot => room.kept += taken,
+            _ => {}
+        }
+        self.file(at, true);
+    }
 }
--- a/src/fleet/placed.rs
+++ b/src/fleet/placed.rs
@@ -5,162 +5,196 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
 
-use sorrelhinge_topology::devices::{choose, Held};
+use sorrelhinge_protocol::placement::Device;
+use sorrelhinge_topology::devices::{choose, Held, Unit};
 use sorrelhinge_topology::policy::{Policy, Reach, Tally};
 use sorrelhinge_topology::renting::tries;
 use sorrelhinge_topology::tree::Domain;
 use sorrelhinge_topology::Topology;
 
-use super::packing::{Item, Packing, Room, MOST_RENTED};
+use super::packing::{Item, Packing};
+use super::room::Room;
+use super::Input;
 use crate::sched::Job;
-use crate::types::{MachineType, Zone};
+use crate::types::Zone;
 
 /// Types and zones that hardly ever bring what is wanted are not tried, until
 /// what was seen is forgotten.
 const LEAST_CHANCE: f64 = 0.1;
 
-impl Packing<'_> {
-    /// A machine of a sort, with the devices that all of its type have.
-    pub(super) fn new_room(&self, kind: &Rc<MachineType>, zone: &Zone, spot: bool) -> Room {
-        let mut room = Room::new(kind.clone(), zone.clone(), spot);
-        if let Some(topology) = self.input.cluster_state.topology() {
-            room.stock = Rc::new(topology.stock("", None, &kind.name));
-        }
-        room
-    }
+/// An item whose job's rules look at where machines are, or at devices, as far as it is
+/// packed. Only required rules are worth money.
+struct PlacedItem<'a> {
+    item: &'a Item,
+    policy: Rc<Policy>,
+    topology: Rc<Topology>,
+    /// Devices that each task needs.
+    needs: Vec<Device>,
+    /// Where the job's tasks are and will be.
+    tally: Tally,
+    /// How many of the item's tasks were packed into each zone, and how many may be.
+    zones: BTreeMap<Zone, u32>,
+    most_in_zone: u32,
+}
 
-    /// Packs tasks one by one: into machines whose place their rules allow;
-    /// else into ones that are on their way, in hope; else into new ones, as
-    /// many as the bound allows. Only required rules are worth money.
-    pub(super) fn pack_placed(&mut self, item: &Item, job: &Job) {
-        let Some(topology) = self.input.cluster_state.topology().cloned() else {
-            // Nothing is placed by a controller that can't judge, so nothing
-            // is rented for it either.
-            return;
-        };
+impl<'a> PlacedItem<'a> {
+    /// Nothing of it is packed yet. None: nothing is placed by a controller that can't
+    /// judge, so nothing is rented for it either.
+    fn new(input: &Input, item: &'a Item, job: &Job) -> Option<Self> {
+        let topology = input.cluster_state.topology()?.clone();
         let policy = job.policy.clone();
-        let spec = &item.spec;
-        let needs = policy.needs(Reach::Musts);
         let there = job.tasks.claims().values().map(|claim| {
-            let machine = self.input.cluster_state.machines().get(&claim.machine)?;
+            let machine = input.cluster_state.machines().get(&claim.machine)?;
             // What is to move off a draining machine does not stay there.
             (!machine.draining).then_some((machine.place, claim.machine.as_str()))
         });
         let staying: Vec<_> = there.flatten().map(Some).collect();
-        let mut tally = policy.tally(&topology.tree, staying);
-        let mut zones: BTreeMap<Zone, u32> = BTreeMap::new();
-        let most = match spec.spread {
-            true => spec.tasks.div_ceil(2),
-            false => u32::MAX,
+        let tally = policy.tally(&topology.tree, staying);
+        Some(Self {
+            item,
+            needs: policy.needs(Reach::Musts),
+            policy,
+            topology,
+            tally,
+            zones: BTreeMap::new(),
+            most_in_zone: match item.spec.spread {
+                true => item.spec.tasks.div_ceil(2),
+                false => u32::MAX,
+            },
+        })
+    }
+
+    /// Whether a zone has as many of its tasks as it may.
+    fn bars_zone(&self, zone: &Zone) -> bool {
+        self.zones
+            .get(zone)
+            .is_some_and(|n| *n >= self.most_in_zone)
+    }
+
+    /// Whether the required rules allow one more task at a place.
+    fn allows_at(&self, place: Domain, machine: &str) -> bool {
+        self.policy
+            .bars(
+                &self.topology.tree,
+                &self.tally,
+                (place, machine),
+                Reach::Musts,
+            )
+            .is_none()
+    }
+
+    /// Whether they allow one more task on a machine that is up.
+    fn allows(&self, room: &Room) -> bool {
+        match (room.place, &room.id) {
+            (Some(place), Some(id)) => self.allows_at(place, id.as_str()),
+            _ => false,
+        }
+    }
+
+    /// The units that a task would hold, beside what is held; none if one is missing.
+    fn units(&self, room: &Room, held: &Held) -> Option<Vec<Unit>> {
+        choose(&room.stock, held, &self.needs)
+    }
+
+    /// Counts a task that is packed into a room.
+    fn count(&mut self, room: &Room) {
+        *self.zones.entry(room.zone.clone()).or_insert(0) += 1;
+        if let Some(place) = room.place {
+            let name = room.id.as_ref().map_or("", |id| id.as_str());
+            let at = Some((place, name));
+            self.policy.count(&self.topology.tree, &mut self.tally, at);
+        }
+    }
+}
+
+impl Packing<'_> {
+    /// Packs tasks one by one: into machines whose place their rules allow;
+    /// else into ones that are on their way, in hope; else into new ones, as
+    /// many as the bound allows.
+    pub(super) fn pack_placed(&mut self, item: &Item, job: &Job) {
+        let Some(mut placed) = PlacedItem::new(self.input, item, job) else {
+            return;
         };
         for left in (1..=item.tasks).rev() {
-            let barred = |z: &Zone| zones.get(z).is_some_and(|n| *n >= most);
-            let allowed = |room: &Room| allows(&policy, &topology, &tally, room);
-            let fits = |room: &Room| choose(&room.stock, &room.held, &needs).is_some();
-            let known = self.fitting(spec, false, &barred, &|r| allowed(r) && fits(r));
-            let coming = |r: &Room| r.place.is_none() && !r.hoped;
-            let chosen = known
-                .or_else(|| self.fitting(spec, false, &barred, &coming))
-                .or_else(|| self.rent_in_hope(item, left, &policy, &tally, &topology, &barred));
-            let Some(at) = chosen else { return };
-            self.file(at, false);
-            let room = &mut self.rooms[at];
-            room.free -= spec.each;
-            room.soon -= spec.each;
-            room.used = true;
-            let units = choose(&room.stock, &room.held, &needs);
-            let sure = units.is_some() && !policy.counts();
-            if let Some(units) = units {
-                room.held.take(&units);
-            }
-            *zones.entry(room.zone.clone()).or_insert(0) += 1;
-            match room.place {
-                Some(place) => {
-                    let name = room.id.as_ref().map_or("", |id| id.as_str());
-                    policy.count(&topology.tree, &mut tally, Some((place, name)));
-                }
-                None => {
-                    room.hoped = !sure;
-                    self.hoped += u32::from(!sure);
-                }
-            }
-            self.file(at, true);
+            let Some(at) = self.choose_for_placed(&placed, left) else {
+                return;
+            };
+            self.take_for_placed(at, &mut placed);
         }
     }
 
+    /// The room for one more task, there or rented in hope.
+    fn choose_for_placed(&mut self, placed: &PlacedItem, left: u32) -> Option<usize> {
+        let spec = &placed.item.spec;
+        let barred = |zone: &Zone| placed.bars_zone(zone);
+        let known = |r: &Room| placed.allows(r) && placed.units(r, &r.held).is_some();
+        let coming = |r: &Room| r.place.is_none() && !r.hoped;
+        self.fitting(spec, false, &barred, &known)
+            .or_else(|| self.fitting(spec, false, &barred, &coming))
+            .or_else(|| self.rent_in_hope(placed, left))
+    }
+
+    /// Takes a room for one task.
+    fn take_for_placed(&mut self, at: usize, placed: &mut PlacedItem) {
+        self.file(at, false);
+        let room = &mut self.rooms[at];
+        room.free -= placed.item.spec.each;
+        room.soon -= placed.item.spec.each;
+        room.used = true;
+        let units = placed.units(room, &room.held);
+        let sure = units.is_some() && !placed.policy.counts();
+        if let Some(units) = units {
+            room.held.take(&units);
+        }
+        if room.place.is_none() {
+            room.hoped = !sure;
+            self.hoped += u32::from(!sure);
+        }
+        placed.count(room);
+        self.file(at, true);
+    }
+
     /// Rents the machine that most likely comes up where a task may go, for
     /// its price.
-    fn rent_in_hope(
-        &mut self,
-        item: &Item,
-        wanted: u32,
-        policy: &Policy,
-        tally: &Tally,
-        topology: &Topology,
-        barred: &dyn Fn(&Zone) -> bool,
-    ) -> Option<usize> {
-        let overshoot = topology.settings.renting.overshoot;
+    fn rent_in_hope(&mut self, placed: &PlacedItem, wanted: u32) -> Option<usize> {
+        let overshoot = placed.topology.settings.renting.overshoot;
         let bounded = tries(wanted, self.hoped, overshoot) == 0;
-        let needs = policy.needs(Reach::Musts);
-        // Devices that a type does not bring by itself are where others of the
-        // kind are.
-        let with_devices: BTreeSet<Domain> = match needs.is_empty() {
-            true => BTreeSet::new(),
-            false => self
-                .rooms
-                .iter()
-                .filter(|r| choose(&r.stock, &Held::default(), &needs).is_some())
-                .filter_map(|r| r.place)
-                .collect(),
-        };
+        let with_devices = self.places_with_devices(placed);
+        let barred = |zone: &Zone| placed.bars_zone(zone);
         let mut best: Option<(f64, Room)> = None;
-        for kind in self.input.types.iter().filter(|t| t.total.cpu > 0) {
-            for zone in kind.zones.iter().filter(|z| !barred(z)) {
-                for spot in [true, false] {
-                    let room = self.new_room(kind, zone, spot);
-                    let key = (spot, kind.name.clone(), zone.clone());
-                    let asked = self.rent.get(&key).copied().unwrap_or(0);
-                    let open = (self.input.open)(&kind.name, zone, spot);
-                    if !room.suits(&item.spec) || asked >= MOST_RENTED || !open {
-                        continue;
-                    }
-                    let equipped = choose(&room.stock, &Held::default(), &needs).is_some();
-                    let may = |place: Domain| {
-                        let free = policy
-                            .bars(&topology.tree, tally, (place, ""), Reach::Musts)
-                            .is_none();
-                        free && (equipped || with_devices.contains(&place))
-                    };
-                    let sort = (kind.name.clone(), zone.clone(), spot);
-                    let certain = equipped && !policy.counts();
-                    let chance = match certain {
-                        true => 1.0,
-                        false => self.input.memory.chance(&sort, &may),
-                    };
-                    if chance < LEAST_CHANCE || bounded && !certain {
-                        continue;
-                    }
-                    let price = if spot { kind.spot_price } else { kind.price };
-                    let score = price / chance;
-                    if best.as_ref().is_none_or(|(s, _)| score < *s) {
-                        best = Some((score, room));
-                    }
+        for room in self.rentable(&placed.item.spec, &barred) {
+            let equipped = placed.units(&room, &Held::default()).is_some();
+            let certain = equipped && !placed.policy.counts();
+            let may = |place: Domain| {
+                placed.allows_at(place, "") && (equipped || with_devices.contains(&place))
+            };
+            let chance = match certain {
+                true => 1.0,
+                false => {
+                    let sort = (room.kind.name.clone(), room.zone.clone(), room.spot);
+                    self.input.memory.chance(&sort, &may)
                 }
+            };
+            if chance < LEAST_CHANCE || bounded && !certain {
+                continue;
+            }
+            let score = room.price() / chance;
+            if best.as_ref().is_none_or(|(s, _)| score < *s) {
+                best = Some((score, room));
             }
         }
         let (_, room) = best?;
-        let key = (room.spot, room.kind.name.clone(), room.zone.clone());
-        *self.rent.entry(key).or_insert(0) += 1;
-        Some(self.add(room))
+        Some(self.rent_room(room))
     }
-}
 
-/// Whether a job's required rules allow one more task on a machine that is up.
-fn allows(policy: &Policy, topology: &Topology, tally: &Tally, room: &Room) -> bool {
-    let (Some(place), Some(id)) = (room.place, &room.id) else {
-        return false;
-    };
-    policy
-        .bars(&topology.tree, tally, (place, id.as_str()), Reach::Musts)
-        .is_none()
+    /// Where machines have the devices that the tasks need: those that a type does not
+    /// bring by itself are where others of the kind are.
+    fn places_with_devices(&self, placed: &PlacedItem) -> BTreeSet<Domain> {
+        if placed.needs.is_empty() {
+            return BTreeSet::new();
+        }
+        let equipped = |r: &&Room| placed.units(r, &Held::default()).is_some();
+        let rooms = self.rooms.iter().filter(equipped);
+        rooms.filter_map(|r| r.place).collect()
+    }
 }
--- a/src/sched/mod.rs
+++ b/src/sched/mod.rs
@@ -58,6 +58,7 @@
 pub use holds::{Hold, HoldSeen, Lending};
 pub use job::{Job, JobUrgency};
 pub use lanes::Laned;
+pub(crate) use machine::CapacityPool;
 pub use machine::{Cache, Machine};
 pub use placement_pass::Pass;
 pub use rebalance::{Move, Moving};
