--- a/src/sched/aging.rs
+++ b/src/sched/aging.rs
@@ -73,15 +73,8 @@
         let Some(job) = self.jobs.get(id).filter(|j| j.aged) else {
             return;
         };
-        if self.is_aged(job, now) {
-            return;
-        }
-        if let Some(job) = self.jobs.get_mut(id) {
-            let waits = self.queues[job.team].remove(&job.place(id));
-            job.aged = false;
-            if waits {
-                self.queues[job.team].insert(job.place(id));
-            }
+        if !self.is_aged(job, now) {
+            self.refile(id, |job| job.aged = false);
         }
     }
 }
--- a/src/sched/job.rs
+++ b/src/sched/job.rs
@@ -122,6 +122,10 @@
         self.tasks.done() > 0
             || self.spec.kind == Kind::Service && self.tasks.claims().values().any(runs)
     }
+    /// Whether it is in its team's queue.
+    pub(super) fn is_queued(&self) -> bool {
+        self.tasks.pending() > 0 && !self.cancelled
+    }
     /// Whether it wants a task placed now.
     pub fn wants(&self, now: Time) -> bool {
         !self.cancelled && self.open() > 0 && now >= self.hold_until
--- a/src/sched/job_changes.rs
+++ b/src/sched/job_changes.rs
@@ -9,7 +9,7 @@
     /// A job appears.
     pub fn add_job(&mut self, id: JobId, job: Job) {
         self.demand[job.team] += job.demand();
-        if job.tasks.pending() > 0 && !job.cancelled {
+        if job.is_queued() {
             self.queues[job.team].insert(job.place(&id));
             self.came_to_lane(&id, &job);
         }
@@ -19,14 +19,13 @@
     /// Changes a job, other than its claims.
     pub fn edit_job<R>(&mut self, id: &JobId, change: impl FnOnce(&mut Job) -> R) -> Option<R> {
         let job = self.jobs.get_mut(id)?;
-        let before = (job.demand(), job.tasks.pending() > 0 && !job.cancelled);
+        let (demand, was_queued) = (job.demand(), job.is_queued());
         let result = change(job);
-        let after = (job.demand(), job.tasks.pending() > 0 && !job.cancelled);
-        self.demand[job.team] -= before.0;
-        self.demand[job.team] += after.0;
-        if before.1 != after.1 {
+        self.demand[job.team] -= demand;
+        self.demand[job.team] += job.demand();
+        if was_queued != job.is_queued() {
             let place = job.place(id);
-            if after.1 {
+            if job.is_queued() {
                 self.queues[job.team].insert(place);
             } else {
                 job.blocked_since = None;
@@ -39,19 +38,29 @@
     /// Jobs that need this one came or went: it has another priority, and other times by
     /// which it should be done.
     pub fn set_urgency(&mut self, id: &JobId, urgency: &JobUrgency, now: Time) {
-        let Some(job) = self.jobs.get_mut(id) else {
+        let Some(bounded) = self.jobs.get(id).map(idle::is_bounded) else {
             return;
         };
-        let waits = self.queues[job.team].remove(&job.place(id));
-        let bounded = idle::is_bounded(job);
-        urgency.apply(job);
-        job.due = job.due_now(now);
+        self.refile(id, |job| {
+            urgency.apply(job);
+            job.due = job.due_now(now);
+        });
+        let Some(job) = self.jobs.get(id) else { return };
         let held = job.spec.each.times(job.tasks.claims().len() as i64);
         match (bounded, idle::is_bounded(job)) {
             (true, false) => self.idle.used -= held,
             (false, true) => self.idle.used += held,
             (true, true) | (false, false) => {}
         }
+    }
+
+    /// Changes what a job's place in its team's queue depends on.
+    pub(super) fn refile(&mut self, id: &JobId, change: impl FnOnce(&mut Job)) {
+        let Some(job) = self.jobs.get_mut(id) else {
+            return;
+        };
+        let waits = self.queues[job.team].remove(&job.place(id));
+        change(job);
         if waits {
             self.queues[job.team].insert(job.place(id));
         }
--- a/src/sched/lanes.rs
+++ b/src/sched/lanes.rs
@@ -9,7 +9,7 @@
 use sorrelhinge_lanes::{LaneId, Lanes};
 
 use super::placement_pass::PassContext;
-use super::queue::Group;
+use super::queue::{Group, QueueTurn};
 use super::{ClusterState, Job, Launch};
 use crate::types::{JobId, Kind, Priority, Revision, Time};
 
@@ -28,7 +28,7 @@
     pub ahead: bool,
     /// The turn it takes otherwise, of those of jobs that ask for the same: the first
     /// by its standing takes the first.
-    pub turn: Option<(i64, i64)>,
+    pub turn: Option<QueueTurn>,
 }
 
 impl Laned {
@@ -129,8 +129,8 @@
 
     /// The turns of lane jobs that ask for the same, the last first, as the first in
     /// order takes the first turn from the end.
-    fn turns_of_alike(&self, order: &[Key]) -> BTreeMap<Alike, Vec<(i64, i64)>> {
-        let mut turns: BTreeMap<Alike, Vec<(i64, i64)>> = BTreeMap::new();
+    fn turns_of_alike(&self, order: &[Key]) -> BTreeMap<Alike, Vec<QueueTurn>> {
+        let mut turns: BTreeMap<Alike, Vec<QueueTurn>> = BTreeMap::new();
         for job in order.iter().filter_map(|key| self.jobs.get(&key.id)) {
             turns.entry(asks(job)).or_default().push(job.turn());
         }
@@ -152,13 +152,8 @@
     /// Gives a job its standing in its lane; it is filed anew, as that is part of its
     /// place.
     fn set_laned(&mut self, id: &JobId, laned: Laned) {
-        let Some(job) = self.jobs.get_mut(id).filter(|j| j.lane != Some(laned)) else {
-            return;
-        };
-        let waits = self.queues[job.team].remove(&job.place(id));
-        job.lane = Some(laned);
-        if waits {
-            self.queues[job.team].insert(job.place(id));
+        if self.jobs.get(id).is_some_and(|j| j.lane != Some(laned)) {
+            self.refile(id, |job| job.lane = Some(laned));
         }
     }
 
--- a/src/sched/mod.rs
+++ b/src/sched/mod.rs
@@ -61,6 +61,7 @@
 pub(crate) use machine::CapacityPool;
 pub use machine::{Cache, Machine};
 pub use placement_pass::Pass;
+pub use queue::QueueTurn;
 pub use rebalance::{Move, Moving};
 pub use shares::{water_fill, Standing};
 pub use tasks::{Claim, Progress, Sent, Tasks};
--- a/src/sched/queue.rs
+++ b/src/sched/queue.rs
@@ -14,6 +14,21 @@
     Others,
 }
 
+/// When a job is due and was submitted, in milliseconds: the earliest goes first.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub struct QueueTurn {
+    due_ms: i64,
+    submitted_ms: i64,
+}
+
+/// A job's standing in its lane, see [`sorrelhinge_lanes::order::Key`].
+#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub(super) struct LaneStanding {
+    behind: bool,
+    must_ms: u64,
+    place: Revision,
+}
+
 /// Order of the jobs of a team that want tasks placed.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct Place {
@@ -23,8 +38,8 @@
     /// the lane's part goes. Once all of them did: a flood in a lane then kept all
     /// other classes of its team waiting.
     pub(super) after_lanes: bool,
-    pub(super) ahead: Option<(bool, u64, Revision)>,
-    pub(super) turn: (i64, i64),
+    pub(super) ahead: Option<LaneStanding>,
+    pub(super) turn: QueueTurn,
     pub(super) id: JobId,
     /// Never decides: ids are different.
     pub(super) in_lane: bool,
@@ -44,7 +59,11 @@
                 Group::Production | Group::Others => self.priority,
             }),
             after_lanes: ahead.is_none(),
-            ahead: ahead.map(|l| (l.behind, l.must_ms, l.place)),
+            ahead: ahead.map(|l| LaneStanding {
+                behind: l.behind,
+                must_ms: l.must_ms,
+                place: l.place,
+            }),
             turn: swapped.unwrap_or_else(|| self.turn()),
             id: id.clone(),
             in_lane: self.lane.is_some(),
@@ -57,14 +76,15 @@
             (_, false) => Group::Others,
         }
     }
-    /// Its turn among jobs of its team, group and priority, without lanes: when it is
-    /// due and was submitted, in milliseconds.
-    pub(super) fn turn(&self) -> (i64, i64) {
+    /// Its turn among jobs of its team, group and priority, without lanes.
+    pub(super) fn turn(&self) -> QueueTurn {
         let milli = |s: f64| (s * 1000.0) as i64;
-        let due_ms = match self.group() {
-            Group::Aged => i64::MIN,
-            Group::Production | Group::Others => milli(self.due.0),
-        };
-        (due_ms, milli(self.submitted.0))
+        QueueTurn {
+            due_ms: match self.group() {
+                Group::Aged => i64::MIN,
+                Group::Production | Group::Others => milli(self.due.0),
+            },
+            submitted_ms: milli(self.submitted.0),
+        }
     }
 }
