--- a/crates/calendar/src/record.rs
+++ b/crates/calendar/src/record.rs
@@ -122,50 +122,45 @@
     /// What a controller's file changes. Pinned windows stay, but for those
     /// that the newer file has itself.
     pub fn take(recorded: Option<&CalendarRecord>, file: &Calendar) -> Taken {
-        let of_file = || {
-            file.windows.iter().map(|window| Entry {
-                window: window.clone(),
-                pinned: false,
-            })
-        };
         let Some(recorded) = recorded else {
-            return Taken::Newer(CalendarRecord {
-                version: VERSION,
-                number: file.number,
-                entries: of_file().collect(),
-            });
+            return Taken::Newer(Self::of_file(file, []));
         };
         if !recorded.known() {
             return Taken::Later;
         }
         match file.number.cmp(&recorded.number) {
             std::cmp::Ordering::Less => Taken::Older,
-            std::cmp::Ordering::Equal => {
-                // Pins and unpins since then are no difference of the file's.
-                let differs = recorded
-                    .entries
-                    .iter()
-                    .filter(|e| !e.pinned)
-                    .any(|e| !file.windows.contains(&e.window));
-                if differs {
-                    Taken::Differs
-                } else {
-                    Taken::Same
-                }
-            }
+            std::cmp::Ordering::Equal if recorded.differs_from(file) => Taken::Differs,
+            std::cmp::Ordering::Equal => Taken::Same,
             std::cmp::Ordering::Greater => {
                 let stays =
                     |e: &&Entry| e.pinned && file.windows.iter().all(|w| w.name != e.window.name);
                 let pins = recorded.entries.iter().filter(stays).cloned();
-                Taken::Newer(CalendarRecord {
-                    version: VERSION,
-                    number: file.number,
-                    entries: of_file().chain(pins).collect(),
-                })
+                Taken::Newer(Self::of_file(file, pins))
             }
         }
     }
 
+    /// The record of a file, with these pinned windows.
+    fn of_file(file: &Calendar, pins: impl IntoIterator<Item = Entry>) -> Self {
+        let own = file.windows.iter().map(|window| Entry {
+            window: window.clone(),
+            pinned: false,
+        });
+        Self {
+            version: VERSION,
+            number: file.number,
+            entries: own.chain(pins).collect(),
+        }
+    }
+
+    /// Whether a file of the same number has other windows. Pins and unpins since then
+    /// are no difference of the file's.
+    fn differs_from(&self, file: &Calendar) -> bool {
+        let mut own = self.entries.iter().filter(|e| !e.pinned);
+        own.any(|e| !file.windows.contains(&e.window))
+    }
+
     /// An operator's window added, or put in the place of one of its name;
     /// `None` if nothing changes. The error says why it can't be.
     pub fn pin(
--- a/crates/calendar/src/shown.rs
+++ b/crates/calendar/src/shown.rs
@@ -7,6 +7,7 @@
 
 use crate::plan::{Seen, Short, Whole};
 use crate::record::{Entry, Step, WindowRecord};
+use crate::when::Span;
 
 /// The calendar.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
@@ -87,12 +88,53 @@
     seen: &Seen,
     now_ms: i64,
 ) -> Vec<WindowShown> {
+    if records.is_empty() {
+        return vec![next_row(name, entry, now_ms)];
+    }
+    let row = |(start_ms, record): (&i64, &WindowRecord)| {
+        let span = crate::record::span(*start_ms, record);
+        let next = whole.each.get(start_ms);
+        // Room belongs to the window; it is shown where it is held.
+        let holds = matches!(record.step, Step::Warming | Step::Held);
+        let room = |n: u32| if holds { n } else { 0 };
+        WindowShown {
+            step: Some(record.step),
+            tasks: record.tasks,
+            hold: next.map_or(0, |n| n.hold),
+            asked: room(seen.asked),
+            ready: room(seen.ready),
+            used: room(seen.used),
+            short: next.and_then(|n| n.short.clone()),
+            why: next.map_or_else(String::new, |n| n.why.clone()),
+            ..empty_row(name, entry, Some(span))
+        }
+    };
+    records.iter().map(row).collect()
+}
+
+/// The row of a window of which no occurrence is recorded.
+fn next_row(name: &str, entry: Option<&Entry>, now_ms: i64) -> WindowShown {
     let window = entry.map(|e| &e.window);
-    let row = |span: Option<(i64, i64)>| WindowShown {
+    let next = window.and_then(|w| w.current_or_next(now_ms));
+    let why = match next {
+        Some(_) => "not near",
+        None if window.is_some_and(|w| !w.when.zone_known()) => "no such time zone here",
+        None => "over",
+    };
+    WindowShown {
+        why: why.into(),
+        ..empty_row(name, entry, next)
+    }
+}
+
+/// A row of an occurrence of which nothing is known but when it is.
+fn empty_row(name: &str, entry: Option<&Entry>, span: Option<Span>) -> WindowShown {
+    let window = entry.map(|e| &e.window);
+    WindowShown {
         name: name.into(),
         team: window.map_or_else(String::new, |w| w.team.clone()),
-        start_ms: span.map(|(start_ms, _)| start_ms),
-        end_ms: span.map(|(_, end_ms)| end_ms),
+        start_ms: span.map(|s| s.start_ms),
+        end_ms: span.map(|s| s.end_ms),
         step: None,
         tasks: window.map_or(0, |w| w.tasks),
         hold: 0,
@@ -102,40 +144,7 @@
         pinned: entry.is_some_and(|e| e.pinned),
         short: None,
         why: String::new(),
-    };
-    let recorded: Vec<WindowShown> = records
-        .iter()
-        .map(|(start_ms, record)| {
-            let next = whole.each.get(start_ms);
-            // Room belongs to the window; it is shown where it is held.
-            let holds = matches!(record.step, Step::Warming | Step::Held);
-            let room = |n: u32| if holds { n } else { 0 };
-            WindowShown {
-                step: Some(record.step),
-                tasks: record.tasks,
-                hold: next.map_or(0, |n| n.hold),
-                asked: room(seen.asked),
-                ready: room(seen.ready),
-                used: room(seen.used),
-                short: next.and_then(|n| n.short.clone()),
-                why: next.map_or_else(String::new, |n| n.why.clone()),
-                ..row(Some((*start_ms, record.end_ms)))
-            }
-        })
-        .collect();
-    if !recorded.is_empty() {
-        return recorded;
     }
-    let next = window.and_then(|w| w.current_or_next(now_ms));
-    let why = match next {
-        Some(_) => "not near",
-        None if window.is_some_and(|w| !w.when.zone_known()) => "no such time zone here",
-        None => "over",
-    };
-    vec![WindowShown {
-        why: why.into(),
-        ..row(next.map(|span| (span.start_ms, span.end_ms)))
-    }]
 }
 
 fn moment(ms: Option<i64>) -> String {
@@ -143,6 +152,9 @@
         .map_or_else(|| "-".into(), |moment| moment.to_string())
 }
 
+/// Columns of the table.
+const COLUMNS: usize = 11;
+
 /// The table of `calendar show`. Moments are UTC.
 pub fn render(shown: &CalendarShown) -> String {
     let head = [
@@ -168,15 +180,21 @@
             w.why.clone(),
         ]);
     }
-    let mut widths = [0; 11];
-    for row in &rows {
+    let owner = shown.owner.as_deref().unwrap_or("nobody");
+    let head = format!("calendar {}, steps taken by {owner}\n", shown.number);
+    head + &aligned(&rows)
+}
+
+/// Rows of cells as text, all columns as wide as their widest cell.
+fn aligned(rows: &[[String; COLUMNS]]) -> String {
+    let mut widths = [0; COLUMNS];
+    for row in rows {
         for (width, cell) in widths.iter_mut().zip(row) {
             *width = (*width).max(cell.chars().count());
         }
     }
-    let owner = shown.owner.as_deref().unwrap_or("nobody");
-    let mut text = format!("calendar {}, steps taken by {owner}\n", shown.number);
-    for row in &rows {
+    let mut text = String::new();
+    for row in rows {
         let cells: Vec<String> = row
             .iter()
             .zip(widths)
