--- a/src/sched/capacity_index.rs
+++ b/src/sched/capacity_index/mod.rs
@@ -1,12 +1,16 @@
 //! Where there is room: usable machines by kind, zone, images and free room,
 //! kept up to date, so that no decision has to look at every machine.
 
+mod shelf;
+
 use std::cell::Cell;
-use std::collections::{BTreeMap, BTreeSet, HashMap};
+use std::collections::{BTreeMap, HashMap};
 use std::rc::Rc;
 
 use sorrelhinge_topology::tree::Domain;
 
+pub use self::shelf::Size;
+use self::shelf::{size, Shelves};
 use super::machine::{Machine, MachineTraits};
 use crate::types::{Amount, Image, MachineId, MachineType, TypeName, Zone};
 
@@ -78,91 +82,6 @@
     Absent,
 }
 
-/// Free CPUs, memory and GPUs, in the order of tightness.
-pub type Size = (i64, i64, i64);
-
-fn size(amount: Amount) -> Size {
-    (amount.cpu, amount.ram, amount.gpu)
-}
-
-/// Machines by their free room, the tightest first, and those of the same by
-/// their place, so that a domain that a rule bars is passed over at once.
-#[derive(Clone, Debug, Default)]
-struct Shelf(BTreeMap<Size, BTreeSet<(Domain, MachineId)>>);
-
-impl Shelf {
-    fn put(&mut self, size: Size, place: Domain, id: &MachineId) {
-        self.0.entry(size).or_default().insert((place, id.clone()));
-    }
-    fn take(&mut self, size: Size, place: Domain, id: &MachineId) {
-        if let Some(ids) = self.0.get_mut(&size) {
-            ids.remove(&(place, id.clone()));
-            if ids.is_empty() {
-                self.0.remove(&size);
-            }
-        }
-    }
-    fn first(
-        &self,
-        each: Amount,
-        steps: &Cell<u64>,
-        pass: Pass<'_>,
-    ) -> Option<(Size, Domain, &MachineId)> {
-        for (&size, ids) in self.0.range((each.cpu, i64::MIN, i64::MIN)..) {
-            steps.set(steps.get() + 1);
-            let (cpu, ram, gpu) = size;
-            if !each.fits(Amount { cpu, gpu, ram }) {
-                continue;
-            }
-            let mut rest = ids.range(..);
-            while let Some((place, id)) = rest.next() {
-                steps.set(steps.get() + 1);
-                match pass(*place, id) {
-                    Ok(()) => return Some((size, *place, id)),
-                    Err(until) if until > place.0 + 1 => {
-                        rest = ids.range((Domain(until), MachineId::from(""))..);
-                    }
-                    Err(_) => {}
-                }
-            }
-        }
-        None
-    }
-}
-
-#[derive(Clone, Debug, Default)]
-struct Shelves {
-    all: Shelf,
-    ready: HashMap<Image, Shelf>,
-    coming: HashMap<Image, Shelf>,
-}
-
-impl Shelves {
-    fn change(&mut self, filed: &Filed, size: Size, id: &MachineId, put: bool) {
-        let place = filed.filing.place;
-        let on = |shelf: &mut Shelf| {
-            if put {
-                shelf.put(size, place, id);
-            } else {
-                shelf.take(size, place, id);
-            }
-        };
-        on(&mut self.all);
-        for (image, ready) in &filed.images {
-            let by = if *ready {
-                &mut self.ready
-            } else {
-                &mut self.coming
-            };
-            let shelf = by.entry(image.clone()).or_default();
-            on(shelf);
-            if shelf.0.is_empty() {
-                by.remove(image);
-            }
-        }
-    }
-}
-
 /// Usable machines that have the properties of a [`GroupKey`] in common.
 #[derive(Clone, Debug)]
 pub struct Group {
@@ -330,22 +249,11 @@
         } else {
             &group.own
         };
-        let shelf = match search.near {
-            Nearness::Ready => shelves.ready.get(search.image)?,
-            Nearness::Coming => shelves.coming.get(search.image)?,
-            Nearness::Absent => &shelves.all,
-        };
-        shelf
-            .first(search.each, &self.steps, pass)
-            .map(|(free, place, id)| Found {
-                free,
-                place,
-                machine: id.clone(),
-            })
+        shelves.first(search, &self.steps, pass)
     }
 
     /// Whether a group's machines, free or not, have an image.
     pub fn has_image(group: &Group, image: &Image) -> bool {
-        group.own.ready.contains_key(image)
+        group.own.has_image(image)
     }
 }
--- /dev/null
+++ b/src/sched/gangs/rules.rs
@@ -0,0 +1,64 @@
+//! What a gang's job allows of a plan for all its tasks.
+
+use sorrelhinge_topology::gang::{Rules, Slot};
+use sorrelhinge_topology::policy::Reach;
+
+use crate::sched::{ClusterState, Job};
+use crate::types::Zone;
+
+/// What a job's rules say of a plan for all its tasks.
+pub(super) struct JobRules<'a> {
+    pub cluster_state: &'a ClusterState,
+    pub job: &'a Job,
+    pub reach: Reach,
+}
+
+impl Rules for JobRules<'_> {
+    fn allowed(&self, chosen: &[(&Slot, u32)], slot: &Slot, wanted: u32) -> u32 {
+        let Some(zone) = self.zone_of(slot) else {
+            return 0;
+        };
+        let spec = &self.job.spec;
+        let elsewhere = |s: &Slot| self.zone_of(s) != Some(zone);
+        if spec.one_zone && chosen.iter().any(|(s, _)| elsewhere(s)) {
+            return 0;
+        }
+        let mut allowed = wanted;
+        if spec.spread {
+            let here = chosen.iter().filter(|(s, _)| !elsewhere(s));
+            let here: u32 = here.map(|(_, n)| n).sum();
+            allowed = allowed.min(spec.tasks.div_ceil(2).saturating_sub(here));
+        }
+        self.allowed_by_policy(chosen, slot, allowed)
+    }
+}
+
+impl JobRules<'_> {
+    fn zone_of(&self, slot: &Slot) -> Option<&Zone> {
+        let machine = self.cluster_state.machines.get(&slot.machine)?;
+        Some(&machine.zone)
+    }
+
+    /// How many of `wanted` more tasks the job's placement rules allow on a slot.
+    fn allowed_by_policy(&self, chosen: &[(&Slot, u32)], slot: &Slot, wanted: u32) -> u32 {
+        let policy = &self.job.policy;
+        if !policy.counts() {
+            return wanted;
+        }
+        let Some(topology) = &self.cluster_state.topology else {
+            return 0;
+        };
+        let tree = &topology.tree;
+        let at = (slot.place, slot.machine.as_str());
+        let planned = chosen
+            .iter()
+            .flat_map(|(s, n)| (0..*n).map(|_| Some((s.place, s.machine.as_str()))));
+        let mut tally = policy.tally(tree, planned);
+        let mut count = 0;
+        while count < wanted && policy.bars(tree, &tally, at, self.reach).is_none() {
+            policy.count(tree, &mut tally, Some(at));
+            count += 1;
+        }
+        count
+    }
+}
--- a/src/sched/preempt.rs
+++ b/src/sched/preempt/victims.rs
@@ -1,22 +1,14 @@
-//! Making room: which tasks to stop for a job that found no place.
-
-use std::collections::BTreeMap;
+//! Room for one task on one machine: which tasks to stop for it, and what that wastes.
 
 use sorrelhinge_staging::patience;
 
-use super::machine::Machine;
-use super::{idle, Claim, ClusterState, Job, Progress};
+use super::Stopping;
+use crate::sched::{idle, Claim, ClusterState, Job, Machine, Progress};
 use crate::types::{Amount, JobId, Kind, MachineId, Priority, TaskId, Time};
 
 /// How many CPU-seconds may be wasted to start a job in time that its users
 /// wait for.
 const LATE_START: f64 = 200.0;
-/// On how many machines room is made for one job at a time.
-const MOST_ROOMS: u32 = 16;
-/// For how many jobs room is made at a time, as each looks at all machines.
-const MOST_JOBS: usize = 4;
-/// For how long room stays reserved for the job that it was made for.
-const RESERVED_S: f64 = 10.0;
 /// What a stopped task loses besides its work.
 const REQUEUE_S: f64 = 3.0;
 
@@ -27,11 +19,20 @@
 const LATE_FETCH: f64 = 0.8;
 
 /// Room for one task on one machine, and how it is made.
-struct PreemptionPlan {
+pub(super) struct PreemptionPlan {
     /// What it wastes, in CPU-seconds.
-    cost: f64,
+    pub cost: f64,
     /// Tasks to stop, in the order in which they were chosen.
-    victims: Vec<TaskId>,
+    pub victims: Vec<TaskId>,
+}
+
+/// For whom room is to be made.
+pub(super) struct RoomRequest<'a> {
+    pub id: &'a JobId,
+    pub job: &'a Job,
+    /// Rooms made for the job elsewhere in this round.
+    pub made: u32,
+    pub now: Time,
 }
 
 /// A task that may be stopped.
@@ -49,30 +50,6 @@
     claim: &'a Claim,
 }
 
-/// A job that waits for room to be made, and in how many places.
-struct StarvedJob {
-    id: JobId,
-    places: u32,
-}
-
-/// For whom room is to be made.
-struct RoomRequest<'a> {
-    id: &'a JobId,
-    job: &'a Job,
-    /// Rooms made for the job elsewhere in this round.
-    made: u32,
-    now: Time,
-}
-
-/// What is being stopped, kept up to date within a round of preemption.
-struct Stopping {
-    /// What the teams' tasks take that are being stopped, by team.
-    leaving: Vec<Amount>,
-    /// Thousandths of a CPU that idle work holds beyond its part and that are not
-    /// being stopped.
-    idle_beyond: i64,
-}
-
 /// Free room on a machine and what teams use, as it would be once the tasks that
 /// were chosen so far are gone.
 struct Balance {
@@ -147,155 +124,8 @@
         (lost + fetched + REQUEUE_S) * job.spec.each.cpu as f64 / 1000.0
     }
 
-    /// Chooses tasks to stop for jobs that found no place for `patience`
-    /// seconds, in the allowed cases only: for a higher priority, or to give a
-    /// team its guarantee out of what another team runs beyond its own.
-    /// Reserves the room. Live services are never chosen.
-    pub fn preempt(&mut self, patience: impl Fn(&Job) -> f64, now: Time) -> Vec<TaskId> {
-        self.reserved.retain(|_, reserved| now < reserved.until);
-        let waiting = self.starved_jobs(patience, now);
-        if waiting.is_empty() {
-            return Vec::new();
-        }
-        let mut stopping = Stopping {
-            leaving: self.leaving(),
-            idle_beyond: self.idle_beyond(),
-        };
-        let mut stops = Vec::new();
-        for starved in waiting {
-            stops.extend(self.preempt_for(&starved, &mut stopping, now));
-        }
-        stops
-    }
-
-    /// The first jobs of the order that found no place for `patience` seconds, and that
-    /// have fewer places reserved than they could use.
-    fn starved_jobs(&self, patience: impl Fn(&Job) -> f64, now: Time) -> Vec<StarvedJob> {
-        let mut held: BTreeMap<&JobId, u32> = BTreeMap::new();
-        for reserved in self.reserved.values() {
-            *held.entry(&reserved.job).or_insert(0) += 1;
-        }
-        self.in_order(now)
-            // Room made piece by piece does not make a gang fit; what falls
-            // free is held for it.
-            .filter(|(_, job)| job.spec.kind != Kind::Gang)
-            .filter(|(_, job)| job.blocked_since.map_or(0.0, |t| now.since(t)) >= patience(job))
-            .map(|(id, job)| {
-                let wanted = job.tasks.pending().min(MOST_ROOMS);
-                let reserved = held.get(id).copied().unwrap_or(0);
-                StarvedJob {
-                    id: id.clone(),
-                    places: wanted.saturating_sub(reserved),
-                }
-            })
-            .filter(|starved| starved.places > 0)
-            .take(MOST_JOBS)
-            .collect()
-    }
-
-    /// Makes and reserves room for one job, where that wastes least. Returns the tasks
-    /// to stop.
-    fn preempt_for(
-        &mut self,
-        starved: &StarvedJob,
-        stopping: &mut Stopping,
-        now: Time,
-    ) -> Vec<TaskId> {
-        let id = &starved.id;
-        let Some(job) = self.jobs.get(id) else {
-            return Vec::new();
-        };
-        let (team, hurry) = (job.team, job.start_within.is_some());
-        let mut stops = Vec::new();
-        let mut made = 0;
-        for m_id in self.by_preemption_cost(id, job, stopping, now) {
-            if made == starved.places {
-                break;
-            }
-            let Some(job) = self.jobs.get(id) else { break };
-            let request = RoomRequest { id, job, made, now };
-            let Some(plan) = self.make_room(&request, &m_id, stopping) else {
-                continue;
-            };
-            made += 1;
-            for task in &plan.victims {
-                self.stop_victim(task, hurry, stopping);
-            }
-            self.reserve(m_id, id, now.after(RESERVED_S));
-            for task in plan.victims {
-                stops.extend(self.stop_rest_of_gang(&task));
-                stops.push(task);
-            }
-        }
-        tracing::debug!(job = %id, team, made, "room made");
-        stops
-    }
-
-    /// Machines on which room for a job can be made, the cheapest first. One look at
-    /// all machines finds the best of them; each is looked at again when its turn
-    /// comes, as those before it count.
-    fn by_preemption_cost(
-        &self,
-        id: &JobId,
-        job: &Job,
-        stopping: &Stopping,
-        now: Time,
-    ) -> Vec<MachineId> {
-        let request = RoomRequest {
-            id,
-            job,
-            made: 0,
-            now,
-        };
-        let mut found: Vec<(f64, &MachineId)> = self
-            .machines
-            .keys()
-            .filter_map(|m_id| Some((self.make_room(&request, m_id, stopping)?.cost, m_id)))
-            .collect();
-        found.sort_by(|(cost, id), (other_cost, other_id)| {
-            cost.total_cmp(other_cost).then(id.cmp(other_id))
-        });
-        found.into_iter().map(|(_, m_id)| m_id.clone()).collect()
-    }
-
-    /// Marks a chosen task to be stopped, and counts it as leaving.
-    fn stop_victim(&mut self, task: &TaskId, hurry: bool, stopping: &mut Stopping) {
-        if let Some(job) = self.jobs.get(&task.job) {
-            stopping.leaving[job.team] += job.spec.each;
-            if idle::is_bounded(job) {
-                stopping.idle_beyond -= job.spec.each.cpu;
-            }
-        }
-        self.stop(task, hurry);
-    }
-
-    /// Stops the other tasks of a gang of which one was stopped.
-    fn stop_rest_of_gang(&mut self, task: &TaskId) -> Vec<TaskId> {
-        let job = self.jobs.get(&task.job);
-        if job.is_some_and(|j| j.spec.kind == Kind::Gang) {
-            self.stop_gang(&task.job)
-        } else {
-            Vec::new()
-        }
-    }
-
-    /// What the teams' tasks take that are being stopped.
-    fn leaving(&self) -> Vec<Amount> {
-        let mut sums = vec![Amount::default(); self.teams.len()];
-        for job in self.jobs.values() {
-            let stopped = job
-                .tasks
-                .claims()
-                .values()
-                .filter(|c| c.stop.is_some())
-                .count();
-            sums[job.team] += job.spec.each.times(stopped as i64);
-        }
-        sums
-    }
-
     /// Whether and how room for one more task of a job can be made on a machine.
-    fn make_room(
+    pub(super) fn make_room(
         &self,
         request: &RoomRequest,
         m_id: &MachineId,
