--- /dev/null
+++ b/crates/topology/src/settings/build.rs
@@ -0,0 +1,169 @@
+//! What is made from the file: the tree, who is where, and who has which units.
+
+use std::collections::BTreeSet;
+
+use sorrelhinge_protocol::invalid::InvalidField;
+use sorrelhinge_protocol::placement::PlacementRules;
+use wildmatch::WildMatch;
+
+use super::{DeviceEntry, Settings, SettingsError};
+use crate::devices::{Stock, Unit};
+use crate::finder::{Finder, Matcher};
+use crate::tree::{Domain, Tree};
+
+/// Units that the file gives to machines.
+#[derive(Debug)]
+pub(crate) struct DeviceStock {
+    /// Machines by name, pattern and network.
+    pub matcher: Matcher,
+    /// Machines by type.
+    pub types: Vec<String>,
+    /// The units.
+    pub stock: Stock,
+}
+
+impl DeviceEntry {
+    /// The units and who has them; `at` is the path to the entry.
+    fn stock(&self, at: &str) -> Result<DeviceStock, InvalidField> {
+        let wrong = |field: &str, why: &str| InvalidField::value(format!("{at}.{field}"), why);
+        if self.count.is_some() != self.units.is_empty() {
+            return Err(wrong("units", "either count or units names them"));
+        }
+        if self.names_nothing() {
+            return Err(wrong(
+                "machines",
+                "no machine, pattern, network or type is named",
+            ));
+        }
+        let names = self.names();
+        if let Some(other) = self.broken.iter().find(|b| !names.contains(b)) {
+            return Err(wrong("broken", &format!("there is no unit {other:?}")));
+        }
+        let mut stock = Stock::default();
+        for name in &names {
+            let broken = self.broken.contains(name);
+            stock.put(Unit::new(&self.kind, name), self.share, broken);
+        }
+        Ok(DeviceStock {
+            matcher: Matcher {
+                names: self.machines.clone(),
+                patterns: patterns(&self.patterns),
+                networks: self.networks.clone(),
+            },
+            types: self.types.clone(),
+            stock,
+        })
+    }
+
+    fn names_nothing(&self) -> bool {
+        self.machines.is_empty()
+            && self.patterns.is_empty()
+            && self.networks.is_empty()
+            && self.types.is_empty()
+    }
+
+    fn names(&self) -> Vec<String> {
+        match self.count {
+            Some(count) => (0..count).map(|n| n.to_string()).collect(),
+            None => self.units.clone(),
+        }
+    }
+}
+
+fn patterns(texts: &[String]) -> Vec<WildMatch> {
+    texts.iter().map(|p| WildMatch::new(p)).collect()
+}
+
+impl Settings {
+    /// The tree of all domains that are named.
+    pub(crate) fn tree(&self) -> Result<Tree, SettingsError> {
+        for (i, place) in self.place.iter().enumerate() {
+            let at = format!("topology.place[{i}].domain");
+            Tree::new(&self.levels, [place.domain.as_str()])
+                .map_err(|why| InvalidField::value(at, why.to_string()))?;
+        }
+        let paths = self.place.iter().map(|p| p.domain.as_str());
+        let tree = Tree::new(&self.levels, paths);
+        Ok(tree.map_err(|why| InvalidField::value("topology.place", why.to_string()))?)
+    }
+
+    /// Which place each machine has.
+    pub(crate) fn finder(&self, tree: &Tree) -> Result<Finder<Domain>, SettingsError> {
+        let mut finder = Finder::default();
+        for (i, place) in self.place.iter().enumerate() {
+            let wrong = |field: &str, why: String| {
+                InvalidField::value(format!("topology.place[{i}].{field}"), why)
+            };
+            let Some(domain) = tree.find(&place.domain) else {
+                return Err(wrong("domain", "not in the tree".into()).into());
+            };
+            for name in &place.machines {
+                finder
+                    .name(name, domain)
+                    .map_err(|e| wrong("machines", e.to_string()))?;
+            }
+            for pattern in &place.patterns {
+                finder.pattern(pattern, domain);
+            }
+            for network in &place.networks {
+                finder
+                    .network(*network, domain)
+                    .map_err(|e| wrong("networks", e.to_string()))?;
+            }
+        }
+        Ok(finder)
+    }
+
+    /// The entries of devices, checked.
+    pub(crate) fn stocks(&self) -> Result<Vec<DeviceStock>, SettingsError> {
+        let entries = self.device.iter().enumerate();
+        entries
+            .map(|(i, entry)| Ok(entry.stock(&format!("topology.device[{i}]"))?))
+            .collect()
+    }
+
+    /// Classes ask only for levels and kinds of devices that are described.
+    pub(crate) fn check_policies(&self, tree: &Tree) -> Result<(), SettingsError> {
+        let kinds: BTreeSet<&str> = self.device.iter().map(|d| d.kind.as_str()).collect();
+        for (i, policy) in self.policy.iter().enumerate() {
+            let at = format!("topology.policy[{i}].wishes");
+            check_levels(&policy.wishes, &at, tree)?;
+            check_kinds(&policy.wishes, &at, &kinds)?;
+        }
+        Ok(())
+    }
+}
+
+/// All levels that rules name are in the tree.
+fn check_levels(rules: &PlacementRules, at: &str, tree: &Tree) -> Result<(), InvalidField> {
+    let spread = rules.spread.iter().enumerate();
+    let levels = spread
+        .map(|(n, r)| (format!("spread[{n}]"), &r.level))
+        .chain(rules.together.iter().map(|r| ("together".into(), &r.level)))
+        .chain(rules.fewest.iter().map(|r| ("fewest".into(), &r.level)));
+    for (field, level) in levels {
+        if tree.level(level).is_none() {
+            let reason = format!("there is no level {level:?}");
+            return Err(InvalidField::value(format!("{at}.{field}.level"), reason));
+        }
+    }
+    Ok(())
+}
+
+/// All kinds of devices that rules name are described.
+fn check_kinds(
+    rules: &PlacementRules,
+    at: &str,
+    kinds: &BTreeSet<&str>,
+) -> Result<(), InvalidField> {
+    for (n, device) in rules.devices.iter().enumerate() {
+        if !kinds.contains(device.kind.as_str()) {
+            let reason = format!("no device of kind {:?} is described", device.kind);
+            return Err(InvalidField::value(
+                format!("{at}.devices[{n}].kind"),
+                reason,
+            ));
+        }
+    }
+    Ok(())
+}
