--- a/crates/topology/src/tree.rs
+++ b/crates/topology/src/tree.rs
@@ -26,7 +26,8 @@
     end: u32,
 }
 
-/// The tree.
+/// All failure domains. Domains are numbered depth first, so a domain and what lies
+/// within it are one range of numbers.
 #[derive(Clone, Debug)]
 pub struct Tree {
     levels: Vec<String>,
--- a/src/sched/capacity_index/mod.rs
+++ b/src/sched/capacity_index/mod.rs
@@ -140,7 +140,9 @@
     machines: usize,
 }
 
-/// The index.
+/// Usable machines by group and free room. Kept up to date by
+/// [`CapacityIndex::file`] with every change of a machine, so that a decision looks at a
+/// few places only, however many machines there are.
 #[derive(Clone, Debug, Default)]
 pub struct CapacityIndex {
     groups: BTreeMap<GroupKey, Group>,
--- a/src/sched/delay.rs
+++ b/src/sched/delay.rs
@@ -4,6 +4,7 @@
 use sorrelhinge_staging::patience;
 
 use super::capacity_index::CapacityIndex;
+use super::machine::{fetch_rate, fetch_s};
 use super::{ClusterState, Job};
 use crate::types::{JobId, JobSpec, MachineId, MachineType, Time};
 
@@ -36,11 +37,10 @@
 
 impl DelayRule {
     fn threshold(&self, spec: &JobSpec, staged: bool, kind: &MachineType) -> f64 {
-        let fetch_s = spec.image_gb / kind.fetch_gb_per_s.max(1e-3);
         if staged {
-            return patience::threshold_s(fetch_s);
+            return patience::threshold_s(fetch_s(spec, kind));
         }
-        (self.fetches * spec.image_gb / kind.fetch_gb_per_s.max(1e-3)).min(self.max_s)
+        (self.fetches * spec.image_gb / fetch_rate(kind)).min(self.max_s)
     }
 }
 
--- a/src/sched/holds/lending.rs
+++ b/src/sched/holds/lending.rs
@@ -3,6 +3,7 @@
 use sorrelhinge_calendar::lend::{may_lend, Borrower, Lend};
 
 use super::Held;
+use crate::sched::machine::fetch_s;
 use crate::sched::{Claim, ClusterState, Job, Machine, Progress};
 use crate::types::{Amount, JobId, Kind, MachineId, MachineType, Time};
 
@@ -21,10 +22,7 @@
         Some(Progress::Running(since)) => {
             Some((job.spec.estimate_s - now.since(since)).max(OVERRUN_S))
         }
-        _ => {
-            let fetch = job.spec.image_gb / kind.fetch_gb_per_s.max(1e-3);
-            Some(job.spec.estimate_s + fetch)
-        }
+        _ => Some(job.spec.estimate_s + fetch_s(&job.spec, kind)),
     }
 }
 
--- a/src/sched/machine.rs
+++ b/src/sched/machine.rs
@@ -110,6 +110,20 @@
     }
 }
 
+/// The rate of a fetch counts as at least so many GB a second, so that a type without one
+/// has a finite fetch time.
+const MIN_FETCH_GB_PER_S: f64 = 1e-3;
+
+/// The rate at which a machine of a type fetches images, in GB a second.
+pub(super) fn fetch_rate(kind: &MachineType) -> f64 {
+    kind.fetch_gb_per_s.max(MIN_FETCH_GB_PER_S)
+}
+
+/// How long a machine of a type fetches a job's image, in seconds.
+pub(super) fn fetch_s(spec: &JobSpec, kind: &MachineType) -> f64 {
+    spec.image_gb / fetch_rate(kind)
+}
+
 /// Machines that the cloud offers as one: of a type, in a zone, at one price.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct CapacityPool {
--- a/src/sched/order.rs
+++ b/src/sched/order.rs
@@ -7,6 +7,9 @@
 use super::{ClusterState, Job};
 use crate::types::{Amount, JobId, Time};
 
+/// Shares of everything that differ by less are the same but for rounding.
+const ROUNDING: f64 = 1e-9;
+
 impl ClusterState {
     /// Every team's standing now.
     pub fn standings(&self) -> Vec<Standing> {
@@ -30,7 +33,7 @@
                 let used = size(t.used);
                 let short = minimum[i].min(demand[i]) - used;
                 Standing {
-                    below_guarantee: if short > 1e-9 {
+                    below_guarantee: if short > ROUNDING {
                         short / minimum[i]
                     } else {
                         0.0
--- a/src/sched/preempt/victims.rs
+++ b/src/sched/preempt/victims.rs
@@ -3,6 +3,7 @@
 use sorrelhinge_staging::patience;
 
 use super::Stopping;
+use crate::sched::machine::fetch_s;
 use crate::sched::{idle, Claim, ClusterState, Job, Machine, Progress};
 use crate::types::{Amount, JobId, Kind, MachineId, Priority, TaskId, Time};
 
@@ -273,7 +274,7 @@
 fn cost_with_fetch(wasted: f64, job: &Job, machine: &Machine) -> f64 {
     let mut cost = wasted;
     if !machine.cache.has(&job.spec.image) {
-        let fetch_s = job.spec.image_gb / machine.kind.fetch_gb_per_s.max(1e-3);
+        let fetch_s = fetch_s(&job.spec, &machine.kind);
         cost += fetch_s * job.spec.each.cpu as f64 / 1000.0;
         if job.start_within.is_some_and(|s| fetch_s > LATE_FETCH * s) {
             cost += LATE_START;
--- a/src/sched/score.rs
+++ b/src/sched/score.rs
@@ -4,7 +4,7 @@
 use sorrelhinge_topology::tree::Domain;
 
 use super::capacity_index::{Nearness, Size};
-use super::machine::MachineTraits;
+use super::machine::{fetch_s, MachineTraits};
 use super::{ClusterState, Job};
 use crate::types::{JobSpec, Kind, MachineId};
 
@@ -65,7 +65,7 @@
     /// image's fetch, and for taking what others need more.
     pub(super) fn place_cost(&self, spec: &JobSpec, near: Nearness, traits: &MachineTraits) -> f64 {
         let kind = traits.kind;
-        let fetch = spec.image_gb / kind.fetch_gb_per_s.max(1e-3);
+        let fetch = fetch_s(spec, kind);
         let mut cost = match near {
             Nearness::Ready => 0.0,
             Nearness::Coming => fetch / 2.0,
--- a/src/sched/shares.rs
+++ b/src/sched/shares.rs
@@ -10,6 +10,9 @@
     pub below_fair: f64,
 }
 
+/// Amounts that differ by less are the same but for rounding.
+const ROUNDING: f64 = 1e-12;
+
 /// The paper's allocation (section 3.1, appendix A): demands below their
 /// minimum are met, the others get their minimum, and what is left is poured
 /// into the emptiest first.
@@ -24,12 +27,12 @@
     let mut left = capacity - total;
     loop {
         let open: Vec<usize> = (0..share.len())
-            .filter(|&i| share[i] < demand[i] - 1e-12)
+            .filter(|&i| share[i] < demand[i] - ROUNDING)
             .collect();
         let Some(level) = open.iter().map(|&i| share[i]).min_by(f64::total_cmp) else {
             return share;
         };
-        if left <= 1e-12 {
+        if left <= ROUNDING {
             return share;
         }
         // Raise all buckets at the lowest level to the next level above it,
@@ -37,12 +40,12 @@
         let lowest: Vec<usize> = open
             .iter()
             .copied()
-            .filter(|&i| share[i] <= level + 1e-12)
+            .filter(|&i| share[i] <= level + ROUNDING)
             .collect();
         let next = open
             .iter()
             .map(|&i| share[i])
-            .filter(|s| *s > level + 1e-12)
+            .filter(|s| *s > level + ROUNDING)
             .chain(lowest.iter().map(|&i| demand[i]))
             .min_by(f64::total_cmp)
             .unwrap_or(level);
