--- a/crates/calendar/src/plan/arbitration.rs
+++ b/crates/calendar/src/plan/arbitration.rs
@@ -64,8 +64,8 @@
         for &i in &by_name {
             let want = &wants[i];
             let room = teams.entry(want.team.clone()).or_default();
-            let (most, by_team) = fits(want, room, guaranteed, pool);
-            let takes = most.min(want.tasks - got[i].tasks);
+            let fit = fits(want, room, guaranteed, pool);
+            let takes = fit.all.min(want.tasks - got[i].tasks);
             if takes > 0 {
                 let amount = want.each.times(i64::from(takes));
                 room.guarantee -= amount;
@@ -75,7 +75,7 @@
                 taken.push(i);
             }
             if !guaranteed && got[i].tasks < want.tasks {
-                let short_pool = most < by_team;
+                let short_pool = fit.all < fit.by_team;
                 got[i].gives_way_to = rival(wants, i, short_pool, &taken);
             }
         }
@@ -83,9 +83,16 @@
     got
 }
 
-/// How many tasks of a window fit: into what there is, and into its team's room
-/// alone. `guaranteed`: within its guarantee.
-fn fits(want: &Want, room: &TeamRoom, guaranteed: bool, pool: Option<Amount>) -> (u32, u32) {
+/// How many tasks of a window fit.
+struct Fit {
+    /// Into its team's room and into what there is.
+    all: u32,
+    /// Into its team's room alone.
+    by_team: u32,
+}
+
+/// How many tasks of a window fit. `guaranteed`: within its team's guarantee.
+fn fits(want: &Want, room: &TeamRoom, guaranteed: bool, pool: Option<Amount>) -> Fit {
     // Memory is in no team's limit.
     let of_team = |amount: Amount| Amount {
         ram: i64::MAX,
@@ -95,11 +102,11 @@
     if guaranteed {
         by_team = by_team.min(want.each.how_many(of_team(room.guarantee)));
     }
-    let most = match pool {
+    let all = match pool {
         Some(pool) => by_team.min(want.each.how_many(pool)),
         None => by_team,
     };
-    (most, by_team)
+    Fit { all, by_team }
 }
 
 /// The window that took last of what `wants[i]` lacks: of the pool, if that is
--- a/src/sched/placement_pass.rs
+++ b/src/sched/placement_pass.rs
@@ -218,7 +218,6 @@
         progress: &mut PassProgress,
         scan: &mut QueueScan,
     ) {
-        let PassContext { rule, now, .. } = *context;
         let mut passed = None;
         for place in self.queues[team].range((progress.from[team].clone(), Bound::Unbounded)) {
             let id = &place.id;
@@ -226,25 +225,13 @@
                 continue;
             };
             // What may not be claimed now may not be later in the pass.
-            if now < job.hold_until || !self.may_claim(id, job) {
+            if context.now < job.hold_until || !self.may_claim(id, job) {
                 passed = Some(place);
                 continue;
             }
-            self.capacity_index.count_step();
-            if job.spec.kind == Kind::Gang {
-                scan.gangs.push(id.clone());
-            } else {
-                match self.best(&context.request(id, job)) {
-                    Some(offer) if self.may_launch(job, &offer.machine, rule, now) => {
-                        scan.found = Some(Found {
-                            job: id.clone(),
-                            machine: offer.machine,
-                        });
-                        break;
-                    }
-                    Some(_) => scan.skipped.push(id.clone()),
-                    None => {}
-                }
+            self.scan_job(id, job, context, scan);
+            if scan.found.is_some() {
+                break;
             }
             progress.tried.insert(id.clone());
             passed = Some(place);
@@ -253,6 +240,26 @@
             progress.go_past(team, place.clone());
         }
     }
+
+    /// Looks for the best machine for a job's next task.
+    fn scan_job(&self, id: &JobId, job: &Job, context: &PassContext, scan: &mut QueueScan) {
+        self.capacity_index.count_step();
+        if job.spec.kind == Kind::Gang {
+            scan.gangs.push(id.clone());
+            return;
+        }
+        match self.best(&context.request(id, job)) {
+            Some(offer) if self.may_launch(job, &offer.machine, context.rule, context.now) => {
+                scan.found = Some(Found {
+                    job: id.clone(),
+                    machine: offer.machine,
+                });
+            }
+            Some(_) => scan.skipped.push(id.clone()),
+            None => {}
+        }
+    }
+
     /// Binds what was found. If that can't be, the job is not tried again in this pass.
     fn launch_found(
         &mut self,
