--- a/crates/calendar/src/settings.rs
+++ b/crates/calendar/src/settings.rs
@@ -1,14 +1,17 @@
 //! The operator's file, see `docs/calendar.md`. Its JSON Schema is generated
 //! from these types and committed as `deploy/calendar.schema.json`.
 
-use std::collections::{BTreeMap, BTreeSet};
+mod checks;
+
+use std::collections::BTreeSet;
 
 use garde::Validate;
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
 use sorrelhinge_protocol::invalid::{InvalidField, MalformedToml};
-use sorrelhinge_protocol::types::{Amount, MachineType};
+use sorrelhinge_protocol::types::Amount;
 
+pub use self::checks::{check, check_windows, past, Known, WindowError};
 use crate::when::{current_or_next, next, Span, When};
 
 fn early() -> u32 {
@@ -116,14 +119,6 @@
         among(&self.types, machine_type) && among(&self.zones, zone)
     }
 
-    fn refused(&self, field: &'static str, reason: String) -> WindowError {
-        WindowError {
-            window: self.name.clone(),
-            field,
-            reason,
-        }
-    }
-
     /// What is wrong with it by itself.
     pub fn check(&self, at: &str) -> Result<(), InvalidField> {
         self.validate()
@@ -234,167 +229,3 @@
     let schema = schemars::schema_for!(Calendar);
     serde_json::to_string_pretty(&schema).unwrap_or_default() + "\n"
 }
-
-/// What of the controllers' settings and the cloud a calendar is checked by.
-#[derive(Clone, Debug, Default)]
-pub struct Known {
-    /// Each team's limit; memory is not limited.
-    pub teams: BTreeMap<String, Amount>,
-    /// Zones; not checked if empty.
-    pub zones: BTreeSet<String>,
-    /// Machine types; not checked if empty.
-    pub types: Vec<MachineType>,
-    /// The time of day: overlaps are looked for from then on.
-    pub now_ms: i64,
-}
-
-/// How far ahead overlaps are looked for, in milliseconds: five weeks, in which
-/// all weekdays meet, also over a month's end.
-const OVERLAP_HORIZON_MS: i64 = 35 * 86_400_000;
-
-/// The most occurrences of a window that overlaps are looked for among, so that
-/// `every = "1s"` is checked as fast as any.
-const MAX_OCCURRENCES: usize = 400;
-
-fn occurrences(window: &Window, now_ms: i64) -> impl Iterator<Item = Span> + '_ {
-    std::iter::successors(window.current_or_next(now_ms), |span| {
-        window.next(span.start_ms)
-    })
-    .take_while(move |span| span.start_ms < now_ms + OVERLAP_HORIZON_MS)
-    .take(MAX_OCCURRENCES)
-}
-
-/// A window that can't be as it is: one line that names it.
-#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("window {window:?}: {field}: {reason}")]
-pub struct WindowError {
-    /// The window's name.
-    pub window: String,
-    /// The field that is to be changed.
-    pub field: &'static str,
-    /// What is wrong with it.
-    pub reason: String,
-}
-
-/// What can't be, by the controllers' settings; one line that names the window.
-pub fn check(calendar: &Calendar, known: &Known) -> Result<(), WindowError> {
-    check_windows(&calendar.windows, known)
-}
-
-/// The same for windows that are pinned one by one.
-pub fn check_windows(windows: &[Window], known: &Known) -> Result<(), WindowError> {
-    for window in windows {
-        let wrong = |field, reason: String| Err(window.refused(field, reason));
-        let Some(limit) = known.teams.get(&window.team) else {
-            return wrong("team", format!("there is no team {:?}", window.team));
-        };
-        if let Some(zone) = window
-            .zones
-            .iter()
-            .find(|z| !known.zones.is_empty() && !known.zones.contains(*z))
-        {
-            return wrong("zones", format!("there is no zone {zone:?}"));
-        }
-        let named = |name: &String| known.types.iter().any(|t| t.name.as_str() == name);
-        if let Some(name) = window
-            .types
-            .iter()
-            .find(|t| !known.types.is_empty() && !named(t))
-        {
-            return wrong("types", format!("there is no machine type {name:?}"));
-        }
-        let fits = |zone: Option<&String>| {
-            known.types.iter().any(|t| {
-                window.each().fits(t.total)
-                    && (window.types.is_empty()
-                        || window.types.iter().any(|n| n == t.name.as_str()))
-                    && zone.is_none_or(|z| t.zones.iter().any(|has| has.as_str() == z))
-            })
-        };
-        if !known.types.is_empty() {
-            if !fits(None) {
-                return wrong("cpus", "a task fits no machine type that it allows".into());
-            }
-            if let Some(zone) = window.zones.iter().find(|z| !fits(Some(z))) {
-                return wrong(
-                    "zones",
-                    format!("in {zone:?} a task fits no machine type that it allows"),
-                );
-            }
-        }
-        let needs = window.each().times(i64::from(window.tasks));
-        if !needs.fits_team(*limit) {
-            return wrong(
-                "tasks",
-                format!(
-                    "it holds {}, the limit of team {:?} is {}",
-                    shown(needs),
-                    window.team,
-                    shown(*limit)
-                ),
-            );
-        }
-        // One that is over has nothing to overlap: a file isn't wrong because
-        // time has passed, or no controller would start again with it.
-        if let Some(first) = window.current_or_next(known.now_ms) {
-            let second = window.next(first.start_ms);
-            if second.is_some_and(|second| second.meets(first)) {
-                return wrong("lasts_s", "it begins again before it ends".into());
-            }
-        }
-    }
-    for (team, limit) in &known.teams {
-        overlaps(windows, team, *limit, known.now_ms)?;
-    }
-    Ok(())
-}
-
-/// The first window that won't happen any more; for whoever has just written
-/// the file, as [`check`] lets it pass.
-pub fn past(calendar: &Calendar, now_ms: i64) -> Result<(), WindowError> {
-    let over = |w: &&Window| w.current_or_next(now_ms).is_none();
-    match calendar.windows.iter().find(over) {
-        None => Ok(()),
-        Some(window) => Err(window.refused("when", "it is over".into())),
-    }
-}
-
-fn shown(amount: Amount) -> String {
-    let whole = |milli: i64| milli as f64 / 1000.0;
-    format!("{} CPUs and {} GPUs", whole(amount.cpu), whole(amount.gpu))
-}
-
-/// Goes through beginnings and ends of all of a team's occurrences in order of
-/// time, ends first, with what is held then.
-fn overlaps(windows: &[Window], team: &str, limit: Amount, now_ms: i64) -> Result<(), WindowError> {
-    let mut edges: Vec<(i64, bool, &Window)> = Vec::new();
-    for window in windows.iter().filter(|w| w.team == team) {
-        for span in occurrences(window, now_ms) {
-            edges.push((span.start_ms, true, window));
-            edges.push((span.end_ms, false, window));
-        }
-    }
-    edges.sort_by(|a, b| (a.0, a.1, &a.2.name).cmp(&(b.0, b.1, &b.2.name)));
-    let mut held = Amount::default();
-    let mut open: Vec<&str> = Vec::new();
-    for (_, begins, window) in edges {
-        let needs = window.each().times(i64::from(window.tasks));
-        if !begins {
-            held -= needs;
-            open.retain(|name| *name != window.name);
-            continue;
-        }
-        held += needs;
-        if !held.fits_team(limit) {
-            let reason = format!(
-                "together with {} it holds {}, the limit of team {team:?} is {}",
-                open.join(", "),
-                shown(held),
-                shown(limit)
-            );
-            return Err(window.refused("tasks", reason));
-        }
-        open.push(&window.name);
-    }
-    Ok(())
-}
--- a/crates/topology/src/settings.rs
+++ b/crates/topology/src/settings.rs
@@ -1,6 +1,8 @@
 //! The operator's file, see `docs/topology.md`. Its JSON Schema is generated
 //! from these types and committed as `deploy/topology.schema.json`.
 
+mod build;
+
 use std::collections::BTreeSet;
 
 use garde::Validate;
@@ -9,19 +11,18 @@
 use serde::Deserialize;
 use sorrelhinge_protocol::invalid::{InvalidField, MalformedToml};
 use sorrelhinge_protocol::placement::PlacementRules;
-use wildmatch::WildMatch;
 
-use crate::devices::{Stock, Unit};
-use crate::finder::{Finder, Matcher};
-use crate::tree::{Domain, Tree};
+pub(crate) use self::build::DeviceStock;
 
 /// What is wrong with the file: the line, or the path to the wrong field.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
-#[error("{0}")]
-pub struct SettingsError(pub String);
-
-fn wrong(why: String) -> SettingsError {
-    SettingsError(why)
+pub enum SettingsError {
+    /// It is not TOML, or not of the format.
+    #[error(transparent)]
+    Toml(#[from] MalformedToml),
+    /// A field is not valid.
+    #[error(transparent)]
+    Field(#[from] InvalidField),
 }
 
 fn levels() -> Vec<String> {
@@ -100,15 +101,6 @@
     pub broken: Vec<String>,
 }
 
-impl DeviceEntry {
-    fn names(&self) -> Vec<String> {
-        match self.count {
-            Some(count) => (0..count).map(|n| n.to_string()).collect(),
-            None => self.units.clone(),
-        }
-    }
-}
-
 /// What is asked for all jobs of a class, beside what each asks itself.
 #[derive(Clone, Debug, Deserialize, JsonSchema, Validate)]
 #[serde(deny_unknown_fields)]
@@ -226,26 +218,22 @@
     pub gangs: Gangs,
 }
 
-fn patterns(texts: &[String]) -> Vec<WildMatch> {
-    texts.iter().map(|p| WildMatch::new(p)).collect()
-}
-
 impl Settings {
     /// Reads and validates; the tree and the rules are checked by what is
     /// built from them.
     pub fn parse(text: &str) -> Result<Self, SettingsError> {
-        let settings: Self =
-            toml::from_str(text).map_err(|e| wrong(MalformedToml::new(text, &e).to_string()))?;
+        let settings: Self = toml::from_str(text).map_err(|e| MalformedToml::new(text, &e))?;
         settings
             .validate()
-            .map_err(|report| wrong(InvalidField::first(&report, "topology").to_string()))?;
+            .map_err(|report| InvalidField::first(&report, "topology"))?;
         let mut names = BTreeSet::new();
         if let Some(twice) = settings.levels.iter().find(|l| !names.insert(l.as_str())) {
-            return Err(wrong(format!("topology.levels: {twice:?} appears twice")));
+            let reason = format!("{twice:?} appears twice");
+            return Err(InvalidField::value("topology.levels", reason).into());
         }
         for (i, policy) in settings.policy.iter().enumerate() {
             let at = format!("topology.policy[{i}].wishes");
-            policy.wishes.check(&at).map_err(|e| wrong(e.to_string()))?;
+            policy.wishes.check(&at)?;
         }
         Ok(settings)
     }
@@ -255,105 +243,4 @@
         let schema = schemars::schema_for!(Settings);
         serde_json::to_string_pretty(&schema).unwrap_or_default() + "\n"
     }
-
-    pub(crate) fn tree(&self) -> Result<Tree, SettingsError> {
-        for (i, place) in self.place.iter().enumerate() {
-            Tree::new(&self.levels, [place.domain.as_str()])
-                .map_err(|why| wrong(format!("topology.place[{i}].domain: {why}")))?;
-        }
-        let paths = self.place.iter().map(|p| p.domain.as_str());
-        Tree::new(&self.levels, paths).map_err(|why| wrong(format!("topology.place: {why}")))
-    }
-
-    pub(crate) fn finder(&self, tree: &Tree) -> Result<Finder<Domain>, SettingsError> {
-        let mut finder = Finder::default();
-        for (i, place) in self.place.iter().enumerate() {
-            let at =
-                |field: &str, why: String| wrong(format!("topology.place[{i}].{field}: {why}"));
-            let Some(domain) = tree.find(&place.domain) else {
-                return Err(at("domain", "not in the tree".into()));
-            };
-            for name in &place.machines {
-                finder
-                    .name(name, domain)
-                    .map_err(|e| at("machines", e.to_string()))?;
-            }
-            for pattern in &place.patterns {
-                finder.pattern(pattern, domain);
-            }
-            for network in &place.networks {
-                finder
-                    .network(*network, domain)
-                    .map_err(|e| at("networks", e.to_string()))?;
-            }
-        }
-        Ok(finder)
-    }
-
-    pub(crate) fn stocks(&self) -> Result<Vec<(Matcher, Vec<String>, Stock)>, SettingsError> {
-        let mut stocks = Vec::new();
-        for (i, entry) in self.device.iter().enumerate() {
-            let at = |field: &str, why: &str| wrong(format!("topology.device[{i}].{field}: {why}"));
-            if entry.count.is_some() != entry.units.is_empty() {
-                return Err(at("units", "either count or units names them"));
-            }
-            let nowhere = entry.machines.is_empty()
-                && entry.patterns.is_empty()
-                && entry.networks.is_empty()
-                && entry.types.is_empty();
-            if nowhere {
-                return Err(at(
-                    "machines",
-                    "no machine, pattern, network or type is named",
-                ));
-            }
-            let names = entry.names();
-            if let Some(other) = entry.broken.iter().find(|b| !names.contains(b)) {
-                return Err(at("broken", &format!("there is no unit {other:?}")));
-            }
-            let mut stock = Stock::default();
-            for name in &names {
-                let broken = entry.broken.contains(name);
-                stock.put(Unit::new(&entry.kind, name), entry.share, broken);
-            }
-            let matcher = Matcher {
-                names: entry.machines.clone(),
-                patterns: patterns(&entry.patterns),
-                networks: entry.networks.clone(),
-            };
-            stocks.push((matcher, entry.types.clone(), stock));
-        }
-        Ok(stocks)
-    }
-
-    pub(crate) fn check_policies(&self, tree: &Tree) -> Result<(), SettingsError> {
-        let kinds: BTreeSet<&str> = self.device.iter().map(|d| d.kind.as_str()).collect();
-        for (i, policy) in self.policy.iter().enumerate() {
-            let w = &policy.wishes;
-            let at = format!("topology.policy[{i}].wishes");
-            let levels = w
-                .spread
-                .iter()
-                .enumerate()
-                .map(|(n, r)| (format!("spread[{n}]"), &r.level))
-                .chain(w.together.iter().map(|r| ("together".into(), &r.level)))
-                .chain(w.fewest.iter().map(|r| ("fewest".into(), &r.level)));
-            for (field, level) in levels {
-                if tree.level(level).is_none() {
-                    return Err(wrong(format!(
-                        "{at}.{field}.level: there is no level {level:?}"
-                    )));
-                }
-            }
-            for (n, device) in w.devices.iter().enumerate() {
-                if !kinds.contains(device.kind.as_str()) {
-                    return Err(wrong(format!(
-                        "{at}.devices[{n}].kind: no device of kind {:?} is described",
-                        device.kind
-                    )));
-                }
-            }
-        }
-        Ok(())
-    }
 }
--- a/src/sched/claims.rs
+++ b/src/sched/claims.rs
@@ -2,9 +2,10 @@
 
 use sorrelhinge_topology::devices::Unit;
 
+use super::cluster_state::Reservation;
 use super::tasks::{Claim, Progress, Sent};
 use super::{idle, ClusterState};
-use crate::types::{Attempt, Image, JobSpec, MachineId, TaskId, Time};
+use crate::types::{Attempt, Image, JobId, JobSpec, MachineId, TaskId, Time};
 
 impl ClusterState {
     /// Enters a claim that its job holds already on a known machine.
@@ -27,11 +28,7 @@
             if unnamed {
                 m.held.take_unnamed();
             }
-            let room = m.kind.cache_gb;
-            match &serving {
-                Some(beside) => m.cache.touch_beside(&spec, room, false, beside),
-                None => m.cache.touch(&spec.image, spec.image_gb, room, false),
-            }
+            m.use_image(&spec, serving.as_deref(), false);
         });
     }
 
@@ -91,7 +88,7 @@
         if self
             .reserved
             .get(&claim.machine)
-            .is_some_and(|(j, _)| *j == task.job)
+            .is_some_and(|reserved| reserved.job == task.job)
         {
             self.reserved.remove(&claim.machine);
         }
@@ -108,6 +105,12 @@
         }
     }
 
+    /// Keeps room for a job's next task on a machine, until a time.
+    pub(super) fn reserve(&mut self, machine: MachineId, job: &JobId, until: Time) {
+        let job = job.clone();
+        self.reserved.insert(machine, Reservation { job, until });
+    }
+
     /// Marks a claimed task to be stopped, with time to save if that is of use
     /// and there is no hurry.
     pub fn stop(&mut self, task: &TaskId, hurry: bool) {
@@ -136,15 +139,21 @@
             *self.lanes.used.entry(laned.lane).or_default() -= spec.each.cpu;
         }
         self.holds.left(team, &spec);
-        let awaited = self.machines.get(&claim.machine).is_some_and(|m| {
-            m.claims.iter().any(|t| {
-                t != task
-                    && self
-                        .jobs
-                        .get(&t.job)
-                        .is_some_and(|j| j.spec.image == spec.image)
-            })
-        });
+        let known = self.vacate(task, &claim, &spec, now);
+        if !known {
+            if let Some(tasks) = self.homeless.get_mut(&claim.machine) {
+                tasks.remove(task);
+                if tasks.is_empty() {
+                    self.homeless.remove(&claim.machine);
+                }
+            }
+        }
+        Some(claim)
+    }
+
+    /// Takes a claim off its machine. False if that is not known.
+    fn vacate(&mut self, task: &TaskId, claim: &Claim, spec: &JobSpec, now: Time) -> bool {
+        let awaited = self.awaited_by_others(task, claim, spec);
         let known = self.edit_machine(&claim.machine, |m| {
             if m.claims.remove(task) {
                 m.used -= spec.each;
@@ -163,15 +172,16 @@
                 m.idle_since = now;
             }
         });
-        if known.is_none() {
-            if let Some(tasks) = self.homeless.get_mut(&claim.machine) {
-                tasks.remove(task);
-                if tasks.is_empty() {
-                    self.homeless.remove(&claim.machine);
-                }
-            }
-        }
-        Some(claim)
+        known.is_some()
+    }
+
+    /// Whether other tasks on a claim's machine need the image, too.
+    fn awaited_by_others(&self, task: &TaskId, claim: &Claim, spec: &JobSpec) -> bool {
+        let image_of = |t: &TaskId| self.jobs.get(&t.job).map(|j| &j.spec.image);
+        self.machines.get(&claim.machine).is_some_and(|m| {
+            let mut others = m.claims.iter().filter(|t| *t != task);
+            others.any(|t| image_of(t) == Some(&spec.image))
+        })
     }
 
     /// The other images that tasks on a machine need, if a job's image goes from
@@ -197,11 +207,7 @@
         };
         let serving = self.serving_beside(&machine, &spec);
         self.edit_machine(&machine, |m| {
-            let room = m.kind.cache_gb;
-            match &serving {
-                Some(beside) => m.cache.touch_beside(&spec, room, true, beside),
-                None => m.cache.touch(&spec.image, spec.image_gb, room, true),
-            }
+            m.use_image(&spec, serving.as_deref(), true);
         });
     }
 }
--- a/src/sched/gangs.rs
+++ b/src/sched/gangs/mod.rs
@@ -1,77 +1,35 @@
 //! Gangs: claimed whole or not at all (DESIGN). Where free slots don't
 //! suffice, what falls free is held on the fewest machines that would fit.
 
+mod rules;
+mod slots;
+
 use std::cell::OnceCell;
 
-use sorrelhinge_topology::devices::{choose, Held};
-use sorrelhinge_topology::gang::{self, Rules, Slot};
+use sorrelhinge_topology::gang;
 use sorrelhinge_topology::policy::Reach;
 use sorrelhinge_topology::settings::Gangs;
 use sorrelhinge_topology::tree::Tree;
 
-use super::capacity_index::Nearness;
-use super::machine::Machine;
+use self::rules::JobRules;
+use self::slots::GangRequest;
+use super::cluster_state::GangRoom;
+use super::filter::{Needy, PlacementRequest};
 use super::topology_rules::Ask;
-use super::{ClusterState, Delay, DelayRule, Job, Launch, Needy};
-use crate::types::{Amount, JobId, Kind, MachineId, TaskId, Time};
+use super::{ClusterState, Delay, DelayRule, Job, Launch};
+use crate::types::{JobId, MachineId, TaskId, Time};
 
 /// How long a gang that found no room waits until all machines are looked at
 /// for it again.
 const TRY_AGAIN_S: f64 = 0.5;
 
-/// What a job's rules say of a plan for all its tasks.
-struct JobRules<'a> {
-    cluster_state: &'a ClusterState,
-    job: &'a Job,
-    reach: Reach,
-}
-
-impl Rules for JobRules<'_> {
-    fn allowed(&self, chosen: &[(&Slot, u32)], slot: &Slot, wanted: u32) -> u32 {
-        let cluster_state = self.cluster_state;
-        let zone_of = |m: &MachineId| cluster_state.machines.get(m).map(|m| &m.zone);
-        let Some(zone) = zone_of(&slot.machine) else {
-            return 0;
-        };
-        let spec = &self.job.spec;
-        let mut allowed = wanted;
-        if spec.one_zone
-            && chosen
-                .iter()
-                .any(|(s, _)| zone_of(&s.machine) != Some(zone))
-        {
-            return 0;
-        }
-        if spec.spread {
-            let here = chosen
-                .iter()
-                .filter(|(s, _)| zone_of(&s.machine) == Some(zone));
-            let here: u32 = here.map(|(_, n)| n).sum();
-            allowed = allowed.min(spec.tasks.div_ceil(2).saturating_sub(here));
-        }
-        let policy = &self.job.policy;
-        if policy.counts() {
-            let Some(topology) = &cluster_state.topology else {
-                return 0;
-            };
-            let at = (slot.place, slot.machine.as_str());
-            let planned = chosen
-                .iter()
-                .flat_map(|(s, n)| (0..*n).map(|_| Some((s.place, s.machine.as_str()))));
-            let mut tally = policy.tally(&topology.tree, planned);
-            let mut count = 0;
-            while count < allowed
-                && policy
-                    .bars(&topology.tree, &tally, at, self.reach)
-                    .is_none()
-            {
-                policy.count(&topology.tree, &mut tally, Some(at));
-                count += 1;
-            }
-            allowed = count;
-        }
-        allowed
-    }
+/// What can be done for a gang.
+#[derive(Default)]
+struct GangPlans {
+    /// It finds its place now.
+    whole: Option<gang::Plan>,
+    /// Else what to hold for it.
+    to_hold: Option<gang::Plan>,
 }
 
 impl ClusterState {
@@ -80,71 +38,6 @@
         settings.unwrap_or_default()
     }
 
-    /// Machines that could take tasks of a gang. The only decision that looks
-    /// at all machines, twice a second at most for each gang that waits.
-    fn slots(&self, id: &JobId, job: &Job, reach: Reach, now: Time) -> Vec<Slot> {
-        let spec = &job.spec;
-        let needs = job.policy.needs(reach);
-        let mut slots = Vec::new();
-        for (m_id, m) in &self.machines {
-            self.capacity_index
-                .steps
-                .set(self.capacity_index.steps.get() + 1);
-            let avoided = job.avoid.get(m_id).is_some_and(|until| now < *until);
-            if !m.usable || avoided || !Self::suits(spec, m) || !Machine::could(&m.working, &needs)
-            {
-                continue;
-            }
-            let room = self.room_for(id, job.leaves_kept_room(now), m_id, now);
-            let fit = |amount: Amount| spec.each.how_many(amount).min(spec.tasks);
-            let mut lasting = Amount::default();
-            let mut stays = Held::default();
-            for task in &m.claims {
-                let Some(other) = self.jobs.get(&task.job) else {
-                    continue;
-                };
-                let claim = other.tasks.claims().get(&task.index);
-                let ends =
-                    other.spec.kind != Kind::Service || claim.is_some_and(|c| c.stop.is_some());
-                if !ends {
-                    lasting += other.spec.each;
-                    stays.take(claim.map_or(&[][..], |c| &c.units));
-                }
-            }
-            let with_devices = |held: &Held, most: u32| {
-                if needs.is_empty() {
-                    return most;
-                }
-                let mut held = held.clone();
-                let mut count = 0;
-                while count < most {
-                    match choose(&m.stock, &held, &needs) {
-                        Some(units) => held.take(&units),
-                        None => break,
-                    }
-                    count += 1;
-                }
-                count
-            };
-            let free = with_devices(&m.held, fit(room));
-            let later = with_devices(&stays, fit(m.kind.total - lasting));
-            let near = if m.cache.has(&spec.image) {
-                Nearness::Ready
-            } else {
-                Nearness::Absent
-            };
-            let cost = self.place_cost(spec, near, &m.zone, (m.spot, m.retiring, m.slow, &m.kind));
-            slots.push(Slot {
-                machine: m_id.clone(),
-                place: m.place,
-                free,
-                later: later.max(free),
-                cost: (cost * 10.0) as u32,
-            });
-        }
-        slots
-    }
-
     /// Places a gang whole, or holds room for it if it is its turn. Nothing is
     /// placed while tasks of an earlier start are not provably gone.
     pub(super) fn place_gang(&mut self, id: &JobId, rule: DelayRule, now: Time) -> Vec<Launch> {
@@ -160,46 +53,55 @@
         if !(team.used + all).fits_team(self.limit_for(job)) {
             return Vec::new();
         }
+        let plans = self.gang_plans(id, job, now);
+        if let Some(job) = self.jobs.get_mut(id) {
+            job.try_at = now.after(TRY_AGAIN_S);
+        }
+        match plans.whole {
+            Some(plan) if self.gang_may_launch(id, &plan, rule, now) => {
+                self.leave_turn(id);
+                return self.launch_gang(id, &plan, now);
+            }
+            Some(_) => self.skip(vec![id.clone()], now),
+            None => {
+                if let Some(plan) = plans.to_hold {
+                    self.hold_for(id, &plan, now);
+                }
+            }
+        }
+        Vec::new()
+    }
+
+    /// How a gang could be placed: with all its placement rules, else with those that are
+    /// required.
+    fn gang_plans(&self, id: &JobId, job: &Job, now: Time) -> GangPlans {
         let tree = self.topology.as_ref().map(|t| &t.tree);
-        let mut plan = None;
-        let mut to_hold = None;
+        let tasks = job.tasks.pending();
+        let mut plans = GangPlans::default();
         for reach in [Reach::All, Reach::Musts] {
             if reach == Reach::Musts && !job.policy.prefers() {
                 continue;
             }
-            let slots = self.slots(id, job, reach, now);
+            let slots = self.slots(&GangRequest {
+                id,
+                job,
+                needs: job.policy.needs(reach),
+                now,
+            });
             let rules = JobRules {
                 cluster_state: self,
                 job,
                 reach,
             };
-            plan = gang::whole(tree, &slots, tasks, &rules);
-            if plan.is_some() {
+            plans.whole = gang::whole(tree, &slots, tasks, &rules);
+            if plans.whole.is_some() {
                 break;
             }
-            if to_hold.is_none() {
-                to_hold = gang::hold(tree, &slots, tasks, &rules);
-            }
-        }
-        if let Some(job) = self.jobs.get_mut(id) {
-            job.try_at = now.after(TRY_AGAIN_S);
-        }
-        match plan {
-            Some(plan) if self.gang_may_launch(id, &plan, rule, now) => {
-                self.leave_turn(id);
-                self.launch_gang(id, &plan, now)
-            }
-            Some(_) => {
-                self.skip(vec![id.clone()], now);
-                Vec::new()
-            }
-            None => {
-                if let Some(plan) = to_hold {
-                    self.hold_for(id, &plan, now);
-                }
-                Vec::new()
+            if plans.to_hold.is_none() {
+                plans.to_hold = gang::hold(tree, &slots, tasks, &rules);
             }
         }
+        plans
     }
 
     fn gang_may_launch(&self, id: &JobId, plan: &gang::Plan, rule: DelayRule, now: Time) -> bool {
@@ -266,14 +168,18 @@
         }
         self.gang_room = plan
             .iter()
-            .map(|(m, n)| (m.clone(), (id.clone(), each.times(i64::from(*n)))))
+            .map(|(m, n)| {
+                let amount = each.times(i64::from(*n));
+                let job = id.clone();
+                (m.clone(), GangRoom { job, amount })
+            })
             .collect();
     }
 
     /// A gang needs no more room held.
     pub(super) fn leave_turn(&mut self, id: &JobId) {
         self.turn.leave(id);
-        self.gang_room.retain(|_, (job, _)| job != id);
+        self.gang_room.retain(|_, held| held.job != *id);
     }
 
     /// Ends what is held beyond its time, or for a gang that is over.
@@ -290,7 +196,7 @@
 
     /// Machines with room held for a gang.
     pub fn held_for_gangs(&self) -> impl Iterator<Item = (&MachineId, &JobId)> {
-        self.gang_room.iter().map(|(m, (job, _))| (m, job))
+        self.gang_room.iter().map(|(m, held)| (m, &held.job))
     }
 
     /// The domain, as far in as it is one, that a gang's tasks run in.
@@ -314,11 +220,17 @@
     ) -> Option<MachineId> {
         let job = self.jobs.get(id)?;
         let needy = OnceCell::from(Needy::new());
+        let request = PlacementRequest {
+            id,
+            job,
+            needy: &needy,
+            now,
+        };
         let ask = Ask {
             leave_out: Some(index),
             settled: ask.settled,
         };
-        self.best_of(id, job, &ask, reach, &needy, now)
+        self.best_of(&request, &ask, reach)
             .map(|offer| offer.machine)
     }
 }
--- /dev/null
+++ b/src/sched/job_changes.rs
@@ -0,0 +1,101 @@
+//! Changes of jobs, with the queues and the sums that are kept of them.
+
+use std::collections::{BTreeMap, BTreeSet};
+
+use super::{idle, ClusterState, Job, JobUrgency};
+use crate::types::{JobId, Time, Zone};
+
+impl ClusterState {
+    /// A job appears.
+    pub fn add_job(&mut self, id: JobId, job: Job) {
+        self.demand[job.team] += job.demand();
+        if job.is_queued() {
+            self.queues[job.team].insert(job.place(&id));
+            self.came_to_lane(&id, &job);
+        }
+        self.jobs.insert(id, job);
+    }
+
+    /// Changes a job, other than its claims.
+    pub fn edit_job<R>(&mut self, id: &JobId, change: impl FnOnce(&mut Job) -> R) -> Option<R> {
+        let job = self.jobs.get_mut(id)?;
+        let (demand, was_queued) = (job.demand(), job.is_queued());
+        let result = change(job);
+        self.demand[job.team] -= demand;
+        self.demand[job.team] += job.demand();
+        if was_queued != job.is_queued() {
+            let place = job.place(id);
+            if job.is_queued() {
+                self.queues[job.team].insert(place);
+            } else {
+                job.blocked_since = None;
+                self.queues[job.team].remove(&place);
+            }
+        }
+        Some(result)
+    }
+
+    /// Jobs that need this one came or went: it has another priority, and other times by
+    /// which it should be done.
+    pub fn set_urgency(&mut self, id: &JobId, urgency: &JobUrgency, now: Time) {
+        let Some(bounded) = self.jobs.get(id).map(idle::is_bounded) else {
+            return;
+        };
+        self.refile(id, |job| {
+            urgency.apply(job);
+            job.due = job.due_now(now);
+        });
+        let Some(job) = self.jobs.get(id) else { return };
+        let held = job.spec.each.times(job.tasks.claims().len() as i64);
+        match (bounded, idle::is_bounded(job)) {
+            (true, false) => self.idle.used -= held,
+            (false, true) => self.idle.used += held,
+            (true, true) | (false, false) => {}
+        }
+    }
+
+    /// Changes what a job's place in its team's queue depends on.
+    pub(super) fn refile(&mut self, id: &JobId, change: impl FnOnce(&mut Job)) {
+        let Some(job) = self.jobs.get_mut(id) else {
+            return;
+        };
+        let waits = self.queues[job.team].remove(&job.place(id));
+        change(job);
+        if waits {
+            self.queues[job.team].insert(job.place(id));
+        }
+    }
+
+    /// What other blocks claim of a job, or is left to them; and what is left to
+    /// this block, if another places it.
+    pub fn share_job(&mut self, id: &JobId, foreign: BTreeSet<u32>, left: Option<BTreeSet<u32>>) {
+        self.edit_job(id, |job| {
+            job.tasks.set_foreign(foreign);
+            job.tasks.set_left_here(left);
+        });
+    }
+
+    /// In which zones other blocks hold tasks of a job; none: that is not known.
+    pub fn set_elsewhere(&mut self, id: &JobId, zones: Option<BTreeMap<Zone, u32>>) {
+        if zones.as_ref().is_some_and(BTreeMap::is_empty) {
+            self.elsewhere.remove(id);
+        } else {
+            self.elsewhere.insert(id.clone(), zones);
+        }
+    }
+
+    /// Jobs of which it is not known where other blocks hold their tasks.
+    pub fn unknown_elsewhere(&self) -> impl Iterator<Item = &JobId> {
+        let unknown = self.elsewhere.iter().filter(|(_, zones)| zones.is_none());
+        unknown.map(|(id, _)| id)
+    }
+
+    /// A job goes. It must have no claims.
+    pub fn remove_job(&mut self, id: &JobId) {
+        self.edit_job(id, |job| job.cancelled = true);
+        self.claimed_all(id);
+        self.jobs.remove(id);
+        self.elsewhere.remove(id);
+        self.leave_turn(id);
+    }
+}
--- a/src/sched/machine.rs
+++ b/src/sched/machine.rs
@@ -8,7 +8,8 @@
 use sorrelhinge_topology::devices::{Held, Stock};
 use sorrelhinge_topology::tree::{Domain, ROOT};
 
-use crate::types::{Amount, Image, JobSpec, MachineType, TaskId, Time, Zone};
+use super::capacity_index::Nearness;
+use crate::types::{Amount, Image, JobSpec, MachineType, TaskId, Time, TypeName, Zone};
 
 #[derive(Clone, Debug, PartialEq)]
 struct Cached {
@@ -36,6 +37,16 @@
     pub fn expects(&self, image: &Image) -> bool {
         self.held.iter().any(|c| c.image == *image)
     }
+    /// How far an image is from being there.
+    pub(super) fn nearness(&self, image: &Image) -> Nearness {
+        if self.has(image) {
+            Nearness::Ready
+        } else if self.expects(image) {
+            Nearness::Coming
+        } else {
+            Nearness::Absent
+        }
+    }
     /// An image is used; the oldest ones leave if there is no room. `ran`: a
     /// task runs on it, so it is there.
     pub fn touch(&mut self, image: &Image, gb: f64, room: f64, ran: bool) {
@@ -99,6 +110,57 @@
     }
 }
 
+/// The rate of a fetch counts as at least so many GB a second, so that a type without one
+/// has a finite fetch time.
+const MIN_FETCH_GB_PER_S: f64 = 1e-3;
+
+/// The rate at which a machine of a type fetches images, in GB a second.
+pub(super) fn fetch_rate(kind: &MachineType) -> f64 {
+    kind.fetch_gb_per_s.max(MIN_FETCH_GB_PER_S)
+}
+
+/// How long a machine of a type fetches a job's image, in seconds.
+pub(super) fn fetch_s(spec: &JobSpec, kind: &MachineType) -> f64 {
+    spec.image_gb / fetch_rate(kind)
+}
+
+/// Machines that the cloud offers as one: of a type, in a zone, at one price.
+#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub(crate) struct CapacityPool {
+    /// Spot machines.
+    pub spot: bool,
+    /// Type.
+    pub kind: TypeName,
+    /// Zone.
+    pub zone: Zone,
+}
+
+/// What of a machine, or of a group of them, counts for the cost of a start there.
+#[derive(Clone, Copy, Debug)]
+pub(super) struct MachineTraits<'a> {
+    /// A spot machine.
+    pub spot: bool,
+    /// It should fall idle.
+    pub retiring: bool,
+    /// It takes commands only now and then.
+    pub slow: bool,
+    /// Its type.
+    pub kind: &'a MachineType,
+    /// Its zone.
+    pub zone: &'a Zone,
+}
+
+impl MachineTraits<'_> {
+    /// The pool that it is of.
+    pub fn pool(&self) -> CapacityPool {
+        CapacityPool {
+            spot: self.spot,
+            kind: self.kind.name.clone(),
+            zone: self.zone.clone(),
+        }
+    }
+}
+
 /// A machine as the scheduler sees it.
 #[derive(Clone, Debug)]
 pub struct Machine {
@@ -169,6 +231,15 @@
         self.working = stock.working().into();
         self.stock = Rc::new(stock);
     }
+    /// A task uses its image here, and `ran` on it or has yet to. `serving` are the other
+    /// images that tasks here need, if the image goes from machine to machine.
+    pub(super) fn use_image(&mut self, spec: &JobSpec, serving: Option<&[Image]>, ran: bool) {
+        let room = self.kind.cache_gb;
+        match serving {
+            Some(beside) => self.cache.touch_beside(spec, room, ran, beside),
+            None => self.cache.touch(&spec.image, spec.image_gb, room, ran),
+        }
+    }
     /// Whether it has enough units of all required kinds in order, taken or
     /// not.
     pub fn could(working: &[(String, u32)], needs: &[Device]) -> bool {
@@ -178,6 +249,16 @@
                 .any(|(kind, n)| *kind == d.kind && *n >= d.count)
         })
     }
+    /// What counts for the cost of a start here.
+    pub(super) fn traits(&self) -> MachineTraits<'_> {
+        MachineTraits {
+            spot: self.spot,
+            retiring: self.retiring,
+            slow: self.slow,
+            kind: &self.kind,
+            zone: &self.zone,
+        }
+    }
     /// Price an hour of a thousandth of a CPU.
     pub fn price_per_cpu(&self) -> f64 {
         let price = if self.spot {
