--- a/crates/agent/src/hand_on.rs
+++ b/crates/agent/src/hand_on.rs
@@ -105,14 +105,22 @@
 
 /// The bound on what goes out, for all uploads together.
 #[derive(Debug)]
-struct Rate {
+pub struct Rate {
     bytes_per_s: f64,
     free: Time,
 }
 
 impl Rate {
+    /// A bound of so many bytes a second, with nothing on its way yet.
+    pub fn new(bytes_per_s: f64) -> Self {
+        Self {
+            bytes_per_s,
+            free: Time(0.0),
+        }
+    }
+
     /// How many seconds so many bytes have to wait, if they come now.
-    fn wait(&mut self, bytes: u64, now: Time) -> f64 {
+    pub fn wait(&mut self, bytes: u64, now: Time) -> f64 {
         let begin = Time(self.free.0.max(now.0));
         self.free = begin.after(bytes as f64 / self.bytes_per_s);
         begin.since(now)
@@ -157,10 +165,7 @@
     /// With nothing to hand on yet.
     pub fn new(settings: HandOn) -> Self {
         let uploads = settings.uploads as usize;
-        let rate = Rate {
-            bytes_per_s: settings.upload_mb_per_s * 1e6,
-            free: Time(0.0),
-        };
+        let rate = Rate::new(settings.upload_mb_per_s * 1e6);
         Self {
             settings,
             parts: RefCell::default(),
@@ -387,7 +392,7 @@
 
 /// The bytes that a `Range` names of so many: the first, and the first behind
 /// them. One range only; none if there are no such bytes.
-fn span(range: &str, of: u64) -> Option<(u64, u64)> {
+pub fn span(range: &str, of: u64) -> Option<(u64, u64)> {
     let (from, to) = range.strip_prefix("bytes=")?.split_once('-')?;
     let number = |text: &str| text.parse::<u64>().ok();
     let (from, to) = match (from, to) {
@@ -397,48 +402,3 @@
     };
     (from < to).then_some((from, to))
 }
-
-#[cfg(test)]
-mod tests {
-    use sorrelhinge_protocol::types::Time;
-
-    use super::{span, Rate};
-
-    #[test]
-    fn ranges() {
-        assert_eq!(span("bytes=0-0", 10), Some((0, 1)));
-        assert_eq!(span("bytes=3-", 10), Some((3, 10)));
-        assert_eq!(span("bytes=3-99", 10), Some((3, 10)));
-        assert_eq!(span("bytes=-4", 10), Some((6, 10)));
-        assert_eq!(span("bytes=-40", 10), Some((0, 10)));
-        for none in [
-            "bytes=10-",
-            "bytes=10-12",
-            "bytes=5-4",
-            "bytes=-0",
-            "bytes=-",
-            "bytes=0-1,3-4",
-            "0-1",
-            "bytes=a-b",
-            "bytes=1-18446744073709551615",
-        ] {
-            assert_eq!(span(none, 10), None, "{none}");
-        }
-    }
-
-    #[test]
-    fn the_rate_holds_for_all_together() {
-        let mut rate = Rate {
-            bytes_per_s: 100.0,
-            free: Time(0.0),
-        };
-        assert_eq!(rate.wait(50, Time(10.0)), 0.0);
-        assert_eq!(rate.wait(50, Time(10.0)), 0.5);
-        assert_eq!(rate.wait(50, Time(10.5)), 0.5);
-        assert_eq!(
-            rate.wait(50, Time(20.0)),
-            0.0,
-            "what was not used is not owed"
-        );
-    }
-}
--- a/crates/agent/src/sources.rs
+++ b/crates/agent/src/sources.rs
@@ -13,7 +13,7 @@
 /// fetch has not begun, since its start is still on its way.
 const NOT_YET_THERE_RETRY_S: f64 = 1.0;
 /// Failures in a row after which the origin counts as gone if nobody else is.
-const MAX_ORIGIN_FAILURES: u32 = 8;
+pub const MAX_ORIGIN_FAILURES: u32 = 8;
 
 /// Who is asked.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -213,74 +213,3 @@
         }
     }
 }
-
-#[cfg(test)]
-mod tests {
-    use std::net::SocketAddr;
-
-    use sorrelhinge_protocol::types::Time;
-
-    use super::{Outcome, Sources, Whom, MAX_ORIGIN_FAILURES};
-
-    fn at(n: u16) -> SocketAddr {
-        SocketAddr::from(([10, 0, 0, 1], n))
-    }
-
-    impl Sources {
-        fn came_at_once(&mut self, whom: Whom, outcome: Outcome, now: Time) {
-            self.over(whom);
-            self.came(whom, outcome, 0.5, now);
-        }
-    }
-
-    #[test]
-    fn the_next_is_asked_and_the_origin_only_when_agents_give_nothing() {
-        let mut s = Sources::new([at(1), at(2)], 10.0, 0.5, Time(0.0));
-        let one = Whom::Agent(at(1));
-        let two = Whom::Agent(at(2));
-        assert_eq!(s.pick(Time(0.0)), Some(one));
-        assert_eq!(s.pick(Time(0.0)), Some(two));
-        assert_eq!(s.pick(Time(0.0)), None, "each is asked one thing at a time");
-        s.came_at_once(one, Outcome::Right, Time(1.0));
-        assert_eq!(s.pick(Time(1.0)), Some(one), "the best again");
-        s.came_at_once(one, Outcome::Failed, Time(2.0));
-        s.came_at_once(two, Outcome::Wrong, Time(2.0));
-        assert_eq!(s.pick(Time(2.1)), None, "it rests, the other is dropped");
-        assert_eq!(s.pick(Time(2.5)), Some(one));
-        s.came_at_once(one, Outcome::NotYet(100.0), Time(3.0));
-        assert_eq!(s.pick(Time(15.9)), None, "the origin is not due");
-        assert_eq!(s.pick(Time(16.0)), Some(Whom::Origin));
-        s.came_at_once(Whom::Origin, Outcome::Right, Time(17.0));
-        assert_eq!(s.pick(Time(17.9)), Some(Whom::Origin));
-        assert_eq!(s.pick(Time(18.0)), Some(one));
-        s.came_at_once(one, Outcome::Right, Time(18.5));
-        s.came_at_once(Whom::Origin, Outcome::Right, Time(18.5));
-        assert_eq!(s.pick(Time(19.0)), Some(one));
-        assert_eq!(
-            s.pick(Time(19.0)),
-            None,
-            "agents give again: not the origin"
-        );
-    }
-
-    #[test]
-    fn a_fetch_ends_when_nobody_is_left_or_nothing_comes() {
-        let mut s = Sources::new([at(1)], 10.0, 0.0, Time(0.0));
-        s.came_at_once(Whom::Origin, Outcome::Nothing, Time(1.0));
-        assert_eq!(s.hopeless(60.0, Time(1.0)), None);
-        assert!(s.hopeless(60.0, Time(61.0)).is_some(), "nothing came");
-        s.came_at_once(Whom::Agent(at(1)), Outcome::Nothing, Time(1.0));
-        assert_eq!(s.hopeless(60.0, Time(2.0)), None, "it may have it later");
-        s.came_at_once(Whom::Agent(at(1)), Outcome::Wrong, Time(2.0));
-        assert!(s.hopeless(60.0, Time(2.0)).is_some(), "nobody is left");
-        s.add([at(2)], Time(3.0));
-        assert_eq!(s.hopeless(60.0, Time(3.0)), None);
-        assert_eq!(s.pick(Time(3.0)), Some(Whom::Agent(at(2))));
-        let mut s = Sources::new([], 10.0, 0.0, Time(0.0));
-        for n in 0..MAX_ORIGIN_FAILURES {
-            assert_eq!(s.hopeless(60.0, Time(0.0)), None, "{n} failures");
-            s.came_at_once(Whom::Origin, Outcome::Failed, Time(0.0));
-        }
-        assert!(s.hopeless(60.0, Time(0.0)).is_some());
-    }
-}
--- a/crates/agent/tests/sources.rs
+++ b/crates/agent/tests/sources.rs
@@ -1,12 +1,13 @@
 //! Sources of an image that fail in generated ways, in virtual time: a fetch
 //! comes to its end if anybody can give it, agents spare the origin, and nobody
-//! is asked what he must not be.
+//! is asked what he must not be. And by single steps: who is asked next, and when a
+//! fetch is given up.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
 
 use proptest::prelude::*;
-use sorrelhinge_agent::sources::{Outcome, Sources, Whom};
+use sorrelhinge_agent::sources::{Outcome, Sources, Whom, MAX_ORIGIN_FAILURES};
 use sorrelhinge_protocol::types::Time;
 
 const CHUNKS: usize = 12;
@@ -133,3 +134,63 @@
         }
     }
 }
+
+fn at(n: u16) -> SocketAddr {
+    SocketAddr::from(([10, 0, 0, 1], n))
+}
+
+fn came_at_once(sources: &mut Sources, whom: Whom, outcome: Outcome, now: Time) {
+    sources.over(whom);
+    sources.came(whom, outcome, 0.5, now);
+}
+
+#[test]
+fn the_next_is_asked_and_the_origin_only_when_agents_give_nothing() {
+    let mut s = Sources::new([at(1), at(2)], 10.0, 0.5, Time(0.0));
+    let one = Whom::Agent(at(1));
+    let two = Whom::Agent(at(2));
+    assert_eq!(s.pick(Time(0.0)), Some(one));
+    assert_eq!(s.pick(Time(0.0)), Some(two));
+    assert_eq!(s.pick(Time(0.0)), None, "each is asked one thing at a time");
+    came_at_once(&mut s, one, Outcome::Right, Time(1.0));
+    assert_eq!(s.pick(Time(1.0)), Some(one), "the best again");
+    came_at_once(&mut s, one, Outcome::Failed, Time(2.0));
+    came_at_once(&mut s, two, Outcome::Wrong, Time(2.0));
+    assert_eq!(s.pick(Time(2.1)), None, "it rests, the other is dropped");
+    assert_eq!(s.pick(Time(2.5)), Some(one));
+    came_at_once(&mut s, one, Outcome::NotYet(100.0), Time(3.0));
+    assert_eq!(s.pick(Time(15.9)), None, "the origin is not due");
+    assert_eq!(s.pick(Time(16.0)), Some(Whom::Origin));
+    came_at_once(&mut s, Whom::Origin, Outcome::Right, Time(17.0));
+    assert_eq!(s.pick(Time(17.9)), Some(Whom::Origin));
+    assert_eq!(s.pick(Time(18.0)), Some(one));
+    came_at_once(&mut s, one, Outcome::Right, Time(18.5));
+    came_at_once(&mut s, Whom::Origin, Outcome::Right, Time(18.5));
+    assert_eq!(s.pick(Time(19.0)), Some(one));
+    assert_eq!(
+        s.pick(Time(19.0)),
+        None,
+        "agents give again: not the origin"
+    );
+}
+
+#[test]
+fn a_fetch_ends_when_nobody_is_left_or_nothing_comes() {
+    let mut s = Sources::new([at(1)], 10.0, 0.0, Time(0.0));
+    came_at_once(&mut s, Whom::Origin, Outcome::Nothing, Time(1.0));
+    assert_eq!(s.hopeless(60.0, Time(1.0)), None);
+    assert!(s.hopeless(60.0, Time(61.0)).is_some(), "nothing came");
+    came_at_once(&mut s, Whom::Agent(at(1)), Outcome::Nothing, Time(1.0));
+    assert_eq!(s.hopeless(60.0, Time(2.0)), None, "it may have it later");
+    came_at_once(&mut s, Whom::Agent(at(1)), Outcome::Wrong, Time(2.0));
+    assert!(s.hopeless(60.0, Time(2.0)).is_some(), "nobody is left");
+    s.add([at(2)], Time(3.0));
+    assert_eq!(s.hopeless(60.0, Time(3.0)), None);
+    assert_eq!(s.pick(Time(3.0)), Some(Whom::Agent(at(2))));
+    let mut s = Sources::new([], 10.0, 0.0, Time(0.0));
+    for n in 0..MAX_ORIGIN_FAILURES {
+        assert_eq!(s.hopeless(60.0, Time(0.0)), None, "{n} failures");
+        came_at_once(&mut s, Whom::Origin, Outcome::Failed, Time(0.0));
+    }
+    assert!(s.hopeless(60.0, Time(0.0)).is_some());
+}
--- a/crates/standins/src/place.rs
+++ b/crates/standins/src/place.rs
@@ -90,6 +90,11 @@
         SocketAddr::from((self.address, port))
     }
 
+    /// What is bound as long as the claim lives, so that nobody else can have it.
+    pub fn guard(&self) -> SocketAddr {
+        self.at(GUARD)
+    }
+
     /// Where the state service listens.
     pub fn state(&self) -> SocketAddr {
         self.at(STATE)
@@ -144,27 +149,3 @@
     let told = TcpStream::connect_timeout(&at, Duration::from_millis(200));
     !told.is_err_and(|error| error.kind() == ErrorKind::ConnectionRefused)
 }
-
-#[cfg(test)]
-mod tests {
-    use std::net::{Ipv4Addr, TcpListener};
-
-    use super::{Place, GUARD};
-
-    /// Two that live at the same time never share an address, and what was let go
-    /// can be claimed again.
-    #[test]
-    fn no_two_claims_share_an_address() {
-        let held: Vec<Place> = (0..20).map(|_| Place::claim(5)).collect();
-        let mut addresses: Vec<Ipv4Addr> = held.iter().map(|p| p.address).collect();
-        addresses.sort();
-        addresses.dedup();
-        assert_eq!(addresses.len(), 20);
-        assert!(held
-            .iter()
-            .all(|p| TcpListener::bind((p.address, GUARD)).is_err()));
-        let first = held[0].address;
-        drop(held);
-        assert!(TcpListener::bind((first, GUARD)).is_ok());
-    }
-}
