--- a/crates/agent/src/agent/images.rs
+++ b/crates/agent/src/agent/images.rs
@@ -12,7 +12,7 @@
 use crate::clock;
 use crate::core::Key;
 use crate::describe::{self, Source};
-use crate::fetch::Fetch;
+use crate::fetch::{Failed, Fetch, FetchFailure};
 use crate::hand_on::Hands;
 use crate::images::{self, Image, Step};
 use crate::part;
@@ -125,30 +125,26 @@
     async fn fetch(self: Rc<Self>, source: Source, image: Image, sources: Rc<RefCell<Sources>>) {
         let fetched = match self.hands.clone() {
             Some(hands) => self.fetch_from_all(source, &image, sources, hands).await,
-            None => self
-                .fetch_alone(&source, &image)
-                .await
-                .map_err(|e| (e, false)),
+            None => self.fetch_alone(&source, &image).await,
         };
         self.fetches.borrow_mut().remove(&image.sha256);
         let bytes = fetched.as_ref().ok().copied();
         let waiting = self.images.borrow_mut().fetched(&image.sha256, bytes);
-        if let Err((error, keep)) = fetched {
-            self.fetch_failed(&image, &error, keep);
+        if let Err(failed) = fetched {
+            self.fetch_failed(&image, &failed);
         }
         self.make_room();
         self.imaged(waiting, bytes.is_some());
     }
 
-    /// An image from other agents and its origin, chunk by chunk. The error says
-    /// whether what has come may be gone on with.
+    /// An image from other agents and its origin, chunk by chunk.
     async fn fetch_from_all(
         self: &Rc<Self>,
         source: Source,
         image: &Image,
         sources: Rc<RefCell<Sources>>,
         hands: Rc<Hands>,
-    ) -> Result<u64, (String, bool)> {
+    ) -> Result<u64, Failed> {
         let agent = Rc::downgrade(self);
         let sum = image.sha256.clone();
         let fetch = Fetch {
@@ -167,15 +163,15 @@
                 }
             }),
         };
-        let fetched = fetch.run().await;
-        fetched.map_err(|failed| (failed.why, failed.keep))
+        fetch.run().await
     }
 
-    /// A fetch failed; `keep`: what has come may be gone on with.
-    fn fetch_failed(&self, image: &Image, error: &str, keep: bool) {
+    /// A fetch failed: what has come of it stays only if it may be of use.
+    fn fetch_failed(&self, image: &Image, failed: &Failed) {
+        let error = failed.to_string();
         tracing::error!(image = image.name, error, "image");
         let part = self.hands.as_ref().and_then(|h| h.part(&image.sha256));
-        match part.filter(|_| keep) {
+        match part.filter(|_| failed.keep) {
             Some(part) => {
                 let bytes = part.sums().bytes;
                 self.images.borrow_mut().leave(&image.sha256, bytes);
@@ -185,7 +181,7 @@
     }
 
     /// An image from its origin, where nothing is handed on.
-    async fn fetch_alone(&self, source: &Source, image: &Image) -> Result<u64, String> {
+    async fn fetch_alone(&self, source: &Source, image: &Image) -> Result<u64, Failed> {
         let root = self.settings.folder.join("images");
         let archive = root.join(format!(".{}.tar", image.sha256));
         let most = self.settings.cache_bytes();
@@ -196,14 +192,14 @@
                     images::unpack(File::open(from)?, &wanted, &root, most)
                 });
                 match unpacked.await {
-                    Ok(result) => result.map_err(|e| e.to_string()),
-                    Err(error) => Err(error.to_string()),
+                    Ok(result) => result.map_err(FetchFailure::Unpack),
+                    Err(error) => Err(FetchFailure::Step(error)),
                 }
             }
-            Err(failed) => Err(failed.why),
+            Err(failed) => Err(FetchFailure::Origin(failed)),
         };
         let _ = std::fs::remove_file(&archive);
-        unpacked
+        unpacked.map_err(|why| Failed { why, keep: false })
     }
 
     fn imaged(self: &Rc<Self>, keys: Vec<Key>, there: bool) {
--- a/crates/agent/src/agent/reports.rs
+++ b/crates/agent/src/agent/reports.rs
@@ -18,6 +18,7 @@
 use super::{Agent, MAX_BODY_BYTES};
 use crate::clock;
 use crate::core::{Answer, ANSWER_TIMEOUT_S};
+use crate::request_error::RequestError;
 use crate::settings::Controller;
 
 /// A connection that requests go out on.
@@ -111,12 +112,11 @@
     }
 }
 
-pub(super) async fn connect(to: SocketAddr) -> Result<Line, String> {
-    let stream = TcpStream::connect(to).await.map_err(|e| e.to_string())?;
-    stream.set_nodelay(true).map_err(|e| e.to_string())?;
-    let (line, connection) = handshake(TokioIo::new(stream))
-        .await
-        .map_err(|e| e.to_string())?;
+/// A new connection to a controller or an agent.
+pub(super) async fn connect(to: SocketAddr) -> Result<Line, RequestError> {
+    let stream = TcpStream::connect(to).await?;
+    stream.set_nodelay(true)?;
+    let (line, connection) = handshake(TokioIo::new(stream)).await?;
     spawn_local(connection);
     Ok(line)
 }
--- a/crates/agent/src/agent/status.rs
+++ b/crates/agent/src/agent/status.rs
@@ -11,49 +11,82 @@
 
 use super::reports::connect;
 use super::MAX_BODY_BYTES;
+use crate::request_error::RequestError;
+
+/// How long an agent has to answer.
+const STATUS_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// Why an agent's status is not known.
 #[derive(Debug, thiserror::Error)]
 pub enum StatusError {
-    /// It could not be asked, or what it answered could not be read.
-    #[error("{0}: {1}")]
-    Failed(SocketAddr, String),
+    /// It could not be asked, or its answer broke off.
+    #[error("{listen}: {source}")]
+    Request {
+        /// Where the agent takes commands.
+        listen: SocketAddr,
+        /// Why.
+        source: RequestError,
+    },
+    /// It answered with another status than 200.
+    #[error("{listen}: status {status}: {body}")]
+    Status {
+        /// Where the agent takes commands.
+        listen: SocketAddr,
+        /// The answer's status.
+        status: StatusCode,
+        /// The answer's body.
+        body: String,
+    },
+    /// What it answered is no report.
+    #[error("{listen}: {source}")]
+    Malformed {
+        /// Where the agent takes commands.
+        listen: SocketAddr,
+        /// What is wrong with it.
+        source: serde_json::Error,
+    },
     /// It gave no answer in time.
-    #[error("{0}: no answer")]
-    NoAnswer(SocketAddr),
+    #[error("{listen}: no answer")]
+    NoAnswer {
+        /// Where the agent takes commands.
+        listen: SocketAddr,
+    },
 }
 
 /// What an agent says of its machine, as a table.
+///
+/// # Errors
+/// The agent does not answer, or not with a report.
 pub async fn status(listen: SocketAddr) -> Result<String, StatusError> {
-    let report = match timeout(Duration::from_secs(5), ask(listen)).await {
-        Ok(report) => report.map_err(|e| StatusError::Failed(listen, e))?,
-        Err(_) => return Err(StatusError::NoAnswer(listen)),
-    };
+    let asked = timeout(STATUS_TIMEOUT, ask(listen)).await;
+    let (status, body) = asked
+        .map_err(|_| StatusError::NoAnswer { listen })?
+        .map_err(|source| StatusError::Request { listen, source })?;
+    if status != StatusCode::OK {
+        let body = String::from_utf8_lossy(&body).into_owned();
+        return Err(StatusError::Status {
+            listen,
+            status,
+            body,
+        });
+    }
+    let report = serde_json::from_slice(&body)
+        .map_err(|source| StatusError::Malformed { listen, source })?;
     Ok(table(&report))
 }
 
-async fn ask(listen: SocketAddr) -> Result<Report, String> {
+/// The answer's status and body.
+async fn ask(listen: SocketAddr) -> Result<(StatusCode, Bytes), RequestError> {
     let mut line = connect(listen).await?;
     let request = Request::get("/status")
         .header("host", listen.to_string())
-        .body(Full::new(Bytes::new()))
-        .map_err(|e| e.to_string())?;
-    let response = line
-        .send_request(request)
-        .await
-        .map_err(|e| e.to_string())?;
+        .body(Full::new(Bytes::new()))?;
+    let response = line.send_request(request).await?;
     let status = response.status();
     let body = Limited::new(response.into_body(), MAX_BODY_BYTES)
         .collect()
-        .await;
-    let body = body.map_err(|e| e.to_string())?.to_bytes();
-    if status != StatusCode::OK {
-        return Err(format!(
-            "status {status}: {}",
-            String::from_utf8_lossy(&body)
-        ));
-    }
-    serde_json::from_slice::<Report>(&body).map_err(|e| e.to_string())
+        .await?;
+    Ok((status, body.to_bytes()))
 }
 
 fn table(report: &Report) -> String {
--- a/crates/agent/src/describe.rs
+++ b/crates/agent/src/describe.rs
@@ -10,8 +10,9 @@
 use bytes::Bytes;
 use garde::Validate;
 use http_body_util::{BodyExt, Empty, Limited};
+use hyper::body::Incoming;
 use hyper::client::conn::http1::{handshake, SendRequest};
-use hyper::StatusCode;
+use hyper::{Response, StatusCode};
 use hyper_util::rt::TokioIo;
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
@@ -24,6 +25,7 @@
 
 use crate::core::Needs;
 use crate::images::Image;
+use crate::request_error::{RequestError, ServerError};
 
 const MAX_DESCRIPTION_BYTES: usize = 256 << 10;
 const FETCH_TIMEOUT: Duration = Duration::from_secs(10);
@@ -42,6 +44,39 @@
     Field(#[from] InvalidField),
 }
 
+/// Why a job's description can't be had from its source.
+#[derive(Debug, thiserror::Error)]
+pub enum SourceError {
+    /// Its file can't be read.
+    #[error("{}: {source}", path.display())]
+    File {
+        /// The file.
+        path: PathBuf,
+        /// Why.
+        source: std::io::Error,
+    },
+    /// Its file has more bytes than are read.
+    #[error("{}: longer than {MAX_DESCRIPTION_BYTES} bytes", path.display())]
+    TooLong {
+        /// The file.
+        path: PathBuf,
+    },
+    /// The server can't be asked, or its answer broke off.
+    #[error(transparent)]
+    Server(#[from] ServerError),
+    /// The server answered with neither 200 nor 404.
+    #[error("{server}: status {status}")]
+    Status {
+        /// The server.
+        server: SocketAddr,
+        /// The answer's status.
+        status: u16,
+    },
+    /// The server gave no answer in time.
+    #[error("no answer in time")]
+    NoAnswer,
+}
+
 /// How a task saves when it is told to stop.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema, Validate)]
 #[serde(deny_unknown_fields)]
@@ -199,11 +234,11 @@
             Self::Http(server, prefix) => {
                 let path = format!("{prefix}/{job}");
                 let got = timeout(FETCH_TIMEOUT, get(*server, &path)).await;
-                got.unwrap_or_else(|_| Err("no answer in time".into()))
+                got.unwrap_or(Err(SourceError::NoAnswer))
             }
         };
         let bytes = bytes.map_err(|error| {
-            tracing::error!(task = piece, error, "job description");
+            tracing::error!(task = piece, error = error.to_string(), "job description");
             Why::Error
         })?;
         let Some(bytes) = bytes else {
@@ -217,108 +252,166 @@
     }
 }
 
-fn read_file(path: &Path) -> Result<Option<Vec<u8>>, String> {
+/// A description's bytes, or none if there is no such file.
+fn read_file(path: &Path) -> Result<Option<Vec<u8>>, SourceError> {
+    let failed = |source| SourceError::File {
+        path: path.to_owned(),
+        source,
+    };
     match std::fs::metadata(path) {
-        Ok(meta) if meta.len() > MAX_DESCRIPTION_BYTES as u64 => Err(format!(
-            "{}: longer than {MAX_DESCRIPTION_BYTES} bytes",
-            path.display()
-        )),
-        Ok(_) => std::fs::read(path)
-            .map(Some)
-            .map_err(|e| format!("{}: {e}", path.display())),
-        Err(e) if e.kind() == std::io::ErrorKind::NotFound => Ok(None),
-        Err(e) => Err(format!("{}: {e}", path.display())),
+        Ok(meta) if meta.len() > MAX_DESCRIPTION_BYTES as u64 => Err(SourceError::TooLong {
+            path: path.to_owned(),
+        }),
+        Ok(_) => std::fs::read(path).map(Some).map_err(failed),
+        Err(error) if error.kind() == std::io::ErrorKind::NotFound => Ok(None),
+        Err(error) => Err(failed(error)),
     }
 }
 
 /// Why an image's archive did not come.
-#[derive(Clone, Debug, PartialEq, Eq)]
+#[derive(Debug, thiserror::Error)]
+#[error("{image}: {cause}")]
 pub struct Unfetched {
+    /// The image's name.
+    pub image: String,
     /// What is wrong.
-    pub why: String,
+    #[source]
+    pub cause: ArchiveError,
     /// It may come another time: nothing is wrong with it, or with the disk.
     pub again: bool,
 }
 
+/// What is wrong with an archive's source, or with the disk.
+#[derive(Debug, thiserror::Error)]
+pub enum ArchiveError {
+    /// It can't be copied or written.
+    #[error(transparent)]
+    Disk(#[from] std::io::Error),
+    /// The copy did not come to its end.
+    #[error(transparent)]
+    Copy(#[from] tokio::task::JoinError),
+    /// The origin can't be connected to.
+    #[error(transparent)]
+    Connect(#[from] ServerError),
+    /// The request failed.
+    #[error(transparent)]
+    Request(#[from] RequestError),
+    /// The origin answered with another status than 200.
+    #[error("status {0}")]
+    Status(StatusCode),
+    /// Nothing came for too long.
+    #[error(transparent)]
+    Stalled(#[from] tokio::time::error::Elapsed),
+    /// It has more bytes than there is room for.
+    #[error("larger than the cache")]
+    TooLarge,
+}
+
+impl ArchiveError {
+    /// Whether it may come another time, as only the connection failed, or the
+    /// origin was busy.
+    fn may_pass(&self) -> bool {
+        match self {
+            Self::Connect(_) | Self::Stalled(_) => true,
+            Self::Request(error) => !matches!(error, RequestError::Build(_)),
+            Self::Status(status) => {
+                status.is_server_error() || *status == StatusCode::TOO_MANY_REQUESTS
+            }
+            Self::Disk(_) | Self::Copy(_) | Self::TooLarge => false,
+        }
+    }
+}
+
 /// Fetches an image's archive into a file, `most` bytes at the most.
 ///
 /// # Errors
 /// The source doesn't have it or doesn't answer, or it can't be written.
 pub async fn fetch(source: &Source, image: &Image, to: &Path, most: u64) -> Result<(), Unfetched> {
-    let failed = |again: bool| {
-        move |e: &dyn std::fmt::Display| Unfetched {
-            why: format!("{}: {e}", image.name),
-            again,
+    let fetched = match source {
+        Source::Folder(folder) => copy_archive(folder, image, to).await,
+        Source::Http(server, prefix) => {
+            let path = format!("{prefix}/{}", image.name);
+            download_archive(*server, &path, to, most).await
         }
     };
-    let (line, fatal) = (failed(true), failed(false));
-    let (server, prefix) = match source {
-        Source::Folder(folder) => {
-            let from = folder.join(format!("{}.tar", image.name));
-            let to = to.to_owned();
-            let copied = tokio::task::spawn_blocking(move || std::fs::copy(from, to));
-            let copied = copied.await.map_err(|e| fatal(&e))?;
-            return copied.map(|_| ()).map_err(|e| fatal(&e));
-        }
-        Source::Http(server, prefix) => (*server, prefix),
-    };
-    let mut sender = connect(server).await.map_err(|e| line(&e))?;
-    let request = hyper::Request::get(format!("{prefix}/{}", image.name))
-        .header("host", server.to_string())
-        .body(Empty::new())
-        .map_err(|e| fatal(&e))?;
-    let response = sender.send_request(request).await.map_err(|e| line(&e))?;
-    match response.status() {
-        StatusCode::OK => {}
-        status if status.is_server_error() || status == StatusCode::TOO_MANY_REQUESTS => {
-            return Err(line(&format!("status {status}")));
-        }
-        status => return Err(fatal(&format!("status {status}"))),
+    fetched.map_err(|cause| Unfetched {
+        image: image.name.clone(),
+        again: cause.may_pass(),
+        cause,
+    })
+}
+
+async fn copy_archive(folder: &Path, image: &Image, to: &Path) -> Result<(), ArchiveError> {
+    let from = folder.join(format!("{}.tar", image.name));
+    let to = to.to_owned();
+    tokio::task::spawn_blocking(move || std::fs::copy(from, to)).await??;
+    Ok(())
+}
+
+async fn download_archive(
+    server: SocketAddr,
+    path: &str,
+    to: &Path,
+    most: u64,
+) -> Result<(), ArchiveError> {
+    let mut sender = connect(server).await?;
+    let response = send_get(&mut sender, server, path).await?;
+    if response.status() != StatusCode::OK {
+        return Err(ArchiveError::Status(response.status()));
     }
-    let mut file = std::fs::File::create(to).map_err(|e| fatal(&e))?;
+    let mut file = std::fs::File::create(to)?;
     let mut body = response.into_body();
     let mut left = most;
     // A server that stops in the middle must not keep tasks waiting for ever.
-    loop {
-        let frame = timeout(FETCH_TIMEOUT, body.frame())
-            .await
-            .map_err(|e| line(&e))?;
-        let Some(frame) = frame else { return Ok(()) };
-        if let Ok(data) = frame.map_err(|e| line(&e))?.into_data() {
+    while let Some(frame) = timeout(FETCH_TIMEOUT, body.frame()).await? {
+        if let Ok(data) = frame.map_err(RequestError::from)?.into_data() {
             let length = data.len() as u64;
-            left = left
-                .checked_sub(length)
-                .ok_or_else(|| fatal(&"larger than the cache"))?;
-            file.write_all(&data).map_err(|e| fatal(&e))?;
+            left = left.checked_sub(length).ok_or(ArchiveError::TooLarge)?;
+            file.write_all(&data)?;
         }
     }
+    Ok(())
 }
 
 /// A connection to a server.
-pub(crate) async fn connect(server: SocketAddr) -> Result<SendRequest<Empty<Bytes>>, String> {
-    let text = |e: &dyn std::fmt::Display| format!("{server}: {e}");
-    let stream = TcpStream::connect(server).await.map_err(|e| text(&e))?;
-    let (sender, connection) = handshake(TokioIo::new(stream))
+///
+/// # Errors
+/// It can't be reached, or doesn't speak HTTP.
+pub(crate) async fn connect(server: SocketAddr) -> Result<SendRequest<Empty<Bytes>>, ServerError> {
+    open_connection(server)
         .await
-        .map_err(|e| text(&e))?;
+        .map_err(ServerError::at(server))
+}
+
+async fn open_connection(server: SocketAddr) -> Result<SendRequest<Empty<Bytes>>, RequestError> {
+    let stream = TcpStream::connect(server).await?;
+    let (sender, connection) = handshake(TokioIo::new(stream)).await?;
     tokio::task::spawn_local(connection);
     Ok(sender)
 }
 
-async fn get(server: SocketAddr, path: &str) -> Result<Option<Vec<u8>>, String> {
-    let text = |e: &dyn std::fmt::Display| format!("{server}: {e}");
-    let mut sender = connect(server).await?;
+async fn send_get(
+    sender: &mut SendRequest<Empty<Bytes>>,
+    server: SocketAddr,
+    path: &str,
+) -> Result<Response<Incoming>, RequestError> {
     let request = hyper::Request::get(path)
         .header("host", server.to_string())
-        .body(Empty::new())
-        .map_err(|e| text(&e))?;
-    let response = sender.send_request(request).await.map_err(|e| text(&e))?;
+        .body(Empty::new())?;
+    Ok(sender.send_request(request).await?)
+}
+
+/// The body of a 200; none of a 404.
+async fn get(server: SocketAddr, path: &str) -> Result<Option<Vec<u8>>, SourceError> {
+    let failed = ServerError::at(server);
+    let mut sender = connect(server).await?;
+    let response = send_get(&mut sender, server, path).await.map_err(&failed)?;
     match response.status().as_u16() {
         200 => {}
         404 => return Ok(None),
-        status => return Err(format!("{server}: status {status}")),
+        status => return Err(SourceError::Status { server, status }),
     }
     let body = Limited::new(response.into_body(), MAX_DESCRIPTION_BYTES).collect();
-    let body = body.await.map_err(|e| text(&e))?;
+    let body = body.await.map_err(|error| failed(error.into()))?;
     Ok(Some(body.to_bytes().to_vec()))
 }
--- a/crates/agent/src/fetch.rs
+++ b/crates/agent/src/fetch.rs
@@ -16,16 +16,16 @@
 use std::time::Duration;
 
 use rand::Rng;
-use tokio::task::{spawn_blocking, JoinSet};
+use tokio::task::{spawn_blocking, JoinError, JoinSet};
 use tokio::time::sleep;
 
 use crate::clock;
-use crate::describe::{self, Source};
+use crate::describe::{self, Source, Unfetched};
 use crate::hand_on::Hands;
 use crate::images::{self, Image};
 use crate::part::{self, Part};
-use crate::sources::{Outcome, Sources, Whom};
-use crate::sums::{self, Sums};
+use crate::sources::{Hopeless, Outcome, Sources, Whom};
+use crate::sums::{self, Sums, SumsError};
 
 use find::Found;
 use lanes::Lanes;
@@ -38,28 +38,82 @@
 const MAX_CONFIRM_S: f64 = 30.0;
 
 /// Why a fetch failed, and whether what has come of it may be of use.
-#[derive(Clone, Debug, PartialEq, Eq)]
+#[derive(Debug, thiserror::Error)]
+#[error("{why}")]
 pub struct Failed {
     /// What is wrong.
-    pub why: String,
+    #[source]
+    pub why: FetchFailure,
     /// The chunks that are there are right, and stay for the next try.
     pub keep: bool,
 }
 
-fn keep(why: impl Into<String>) -> Failed {
+/// What is wrong with a fetch.
+#[derive(Debug, thiserror::Error)]
+pub enum FetchFailure {
+    /// The image has more bytes than there is room for.
+    #[error("larger than the cache: {bytes} bytes of {most}")]
+    TooLarge {
+        /// The archive's bytes.
+        bytes: u64,
+        /// Room for images, bytes.
+        most: u64,
+    },
+    /// A part can't be read or written.
+    #[error("the disk: {0}")]
+    Disk(#[source] std::io::Error),
+    /// The archive can't be unpacked or kept, or is another one.
+    #[error(transparent)]
+    Unpack(std::io::Error),
+    /// A step of it was cancelled, or panicked.
+    #[error(transparent)]
+    Step(#[from] JoinError),
+    /// The sums can't be used.
+    #[error(transparent)]
+    Sums(#[from] SumsError),
+    /// The sums are of another image.
+    #[error("another image of this name: its sum is {sha256}")]
+    OtherImage {
+        /// SHA-256 of that image's archive.
+        sha256: String,
+    },
+    /// The sums that an agent gave are not the origin's.
+    #[error("the origin has other sums of it")]
+    OtherSums,
+    /// The origin did not give the archive.
+    #[error(transparent)]
+    Origin(#[from] Unfetched),
+    /// Nobody is left who could give a chunk.
+    #[error("{why}; last: {last}")]
+    Hopeless {
+        /// Why nobody is.
+        why: Hopeless,
+        /// The last request that gave nothing.
+        last: String,
+    },
+}
+
+/// A failure after which the chunks that have come are of use.
+fn keep(why: impl Into<FetchFailure>) -> Failed {
     Failed {
         why: why.into(),
         keep: true,
     }
 }
 
-fn lost(why: impl Into<String>) -> Failed {
+/// A failure after which nothing that has come is of use.
+fn lost(why: impl Into<FetchFailure>) -> Failed {
     Failed {
         why: why.into(),
         keep: false,
     }
 }
 
+/// A failure of the disk that a part is on.
+fn disk(error: std::io::Error) -> Failed {
+    lost(FetchFailure::Disk(error))
+}
+
 /// One image's fetch.
 pub struct Fetch {
     /// The image.
@@ -102,19 +156,21 @@
             let why = match came {
                 Ok(()) => match fetch.unpack(part.archive()).await {
                     Ok(bytes) => {
-                        part.set_whole().map_err(|e| lost(e.to_string()))?;
+                        part.set_whole()
+                            .map_err(|e| lost(FetchFailure::Unpack(e)))?;
                         return Ok(bytes);
                     }
                     Err(error) if error.kind() == ErrorKind::StorageFull || part.hands_on() => {
-                        return Err(lost(error.to_string()));
+                        return Err(lost(FetchFailure::Unpack(error)));
                     }
-                    Err(error) => error.to_string(),
+                    Err(error) => FetchFailure::Unpack(error),
                 },
                 Err(failed) if part.hands_on() || !failed.keep => return Err(failed),
                 Err(failed) => failed.why,
             };
             // The sums were an agent's word, which proves nothing: it may be
             // wrong, and those who gave other bytes than it says right.
+            let why = why.to_string();
             tracing::error!(image = fetch.image.name, source = ?giver, why, "wrong sums");
             fetch.hands.drop_part(&fetch.image.sha256);
             liars.extend(giver);
@@ -147,10 +203,10 @@
             return Ok(None);
         };
         if found.sums.bytes > self.most {
-            return Err(lost(format!(
-                "larger than the cache: {} bytes of {}",
-                found.sums.bytes, self.most
-            )));
+            return Err(lost(FetchFailure::TooLarge {
+                bytes: found.sums.bytes,
+                most: self.most,
+            }));
         }
         (self.room)(found.sums.bytes);
         if let Some(part) = there.filter(|p| p.text() == found.text && !found.trusted) {
@@ -159,7 +215,7 @@
         }
         let Found { text, sums, .. } = found;
         let part = Part::begin(&self.parts, &self.image, text, sums, found.trusted);
-        let part = Rc::new(part.map_err(|e| lost(format!("the disk: {e}")))?);
+        let part = Rc::new(part.map_err(disk)?);
         self.hands.keep(part.clone());
         Ok(Some((part, found.giver)))
     }
@@ -171,8 +227,8 @@
         }
         let (archive, sums) = (part.archive(), part.sums().clone());
         let looked = spawn_blocking(move || Part::look(&archive, &sums)).await;
-        let have = looked.map_err(|e| lost(e.to_string()))?;
-        part.resume(have.map_err(|e| lost(format!("the disk: {e}")))?);
+        let have = looked.map_err(lost)?;
+        part.resume(have.map_err(disk)?);
         tracing::info!(
             image = self.image.name,
             chunks = part.count(),
@@ -205,7 +261,7 @@
         }
         let ended = async {
             while let Some(ended) = all.join_next().await {
-                ended.map_err(|e| lost(e.to_string()))??;
+                ended.map_err(lost)??;
             }
             Ok(())
         };
@@ -229,7 +285,7 @@
                     }
                 }
                 Ok(text) => match self.found(text, true, None) {
-                    Ok(_) => return keep("the origin has other sums of it"),
+                    Ok(_) => return keep(FetchFailure::OtherSums),
                     // Of another image of this name: the whole will tell.
                     Err(_) => break,
                 },
@@ -249,7 +305,6 @@
         let _coming = self.hands.comes(&self.image.sha256, &self.image.name);
         let sha256 = &self.image.sha256;
         let folder = part::folder_of(&self.parts, sha256);
-        let disk = |e: std::io::Error| lost(format!("the disk: {e}"));
         part::remove(&self.parts, sha256).map_err(disk)?;
         std::fs::create_dir_all(&folder).map_err(disk)?;
         let archive = folder.join("archive");
@@ -261,18 +316,18 @@
                 Ok(()) => break,
                 // A busy origin is not asked again by all at the same moment.
                 Err(failed) if tries < MAX_WHOLE_TRIES && failed.again => {
-                    let why = failed.why;
+                    let why = failed.to_string();
                     tracing::info!(image = self.image.name, why, "again");
                     sleep(Duration::from_secs_f64(f64::from(tries) * (0.5 + jitter()))).await;
                 }
-                Err(failed) => return Err(lost(failed.why)),
+                Err(failed) => return Err(lost(failed)),
             }
         }
         let bytes = self.unpack(archive.clone()).await;
-        let bytes = bytes.map_err(|e| lost(e.to_string()))?;
+        let bytes = bytes.map_err(|e| lost(FetchFailure::Unpack(e)))?;
         let summed =
             spawn_blocking(move || Sums::of(File::open(archive)?, sums::DEFAULT_CHUNK_BYTES)).await;
-        let sums = summed.map_err(|e| lost(e.to_string()))?;
+        let sums = summed.map_err(lost)?;
         let part = sums.and_then(|sums| Part::of_whole(&self.parts, &self.image, sums));
         match part {
             Ok(part) => self.hands.keep(Rc::new(part)),
--- a/crates/agent/src/fetch/find.rs
+++ b/crates/agent/src/fetch/find.rs
@@ -9,7 +9,7 @@
 use tokio::time::{sleep, timeout};
 
 use super::http::{ask, whole_body};
-use super::{jitter, keep, lost, Failed, Fetch, MAX_WHOLE_TRIES};
+use super::{jitter, keep, lost, Failed, Fetch, FetchFailure, MAX_WHOLE_TRIES};
 use crate::clock;
 use crate::describe::{self, Source};
 use crate::sources::{Outcome, Whom};
@@ -19,6 +19,17 @@
 /// before the origin is, in seconds: their own starts may be on their way.
 const SUMS_FROM_AGENTS_S: f64 = 3.0;
 
+/// Why the origin did not say whether it has sums.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
+enum OriginUnavailable {
+    /// It answers that it is busy.
+    #[error("it is busy")]
+    Busy,
+    /// It does not answer, or not with what was asked for.
+    #[error("no answer")]
+    NoAnswer,
+}
+
 /// Sums, whether they are trusted, and which agent gave them.
 pub(super) struct Found {
     pub(super) text: Bytes,
@@ -61,13 +72,17 @@
                     ),
                     // Of another image of this name: the agents may have ours.
                     Err(Failed { why, keep }) => {
-                        tracing::error!(image = self.image.name, why, "the origin's sums");
+                        let text = why.to_string();
+                        tracing::error!(image = self.image.name, why = text, "the origin's sums");
                         other = keep.then_some(why);
                     }
                 }
             }
             Ok(None) => {}
-            Err(why) => tracing::error!(image = self.image.name, why, "the origin's sums"),
+            Err(why) => {
+                let why = why.to_string();
+                tracing::error!(image = self.image.name, why, "the origin's sums");
+            }
         }
         // An agent's word, until the whole has proven it. Those that have begun
         // with it are waited for; nobody is that has not.
@@ -79,7 +94,7 @@
                     Ok(text) => match self.found(text, false, Some(agent)) {
                         Ok(found) => return Ok(Some(found)),
                         Err(failed) => {
-                            tracing::error!(image = self.image.name, %agent, error = failed.why, "sums");
+                            tracing::error!(image = self.image.name, %agent, error = failed.to_string(), "sums");
                             let mut sources = self.sources.borrow_mut();
                             sources.came(Whom::Agent(agent), Outcome::Wrong, 0.0, clock::now());
                         }
@@ -107,12 +122,11 @@
         trusted: bool,
         giver: Option<SocketAddr>,
     ) -> Result<Found, Failed> {
-        let sums = Sums::read(&text).map_err(|e| lost(e.to_string()))?;
+        let sums = Sums::read(&text).map_err(lost)?;
         if sums.sha256 != self.image.sha256 {
-            return Err(keep(format!(
-                "another image of this name: its sum is {}",
-                sums.sha256
-            )));
+            return Err(keep(FetchFailure::OtherImage {
+                sha256: sums.sha256,
+            }));
         }
         Ok(Found {
             text,
@@ -139,7 +153,7 @@
     }
 
     /// The sums that the origin has beside the image; none if it has none.
-    async fn sums_of_origin(&self) -> Result<Option<Bytes>, String> {
+    async fn sums_of_origin(&self) -> Result<Option<Bytes>, OriginUnavailable> {
         let mut tries = 0;
         loop {
             tries += 1;
@@ -147,12 +161,12 @@
                 Ok(text) => return Ok(Some(text)),
                 // Some stores say 403 of what they don't have.
                 Err(Outcome::Nothing | Outcome::Wrong) => return Ok(None),
-                Err(Outcome::NotYet(after)) => ("it is busy", after.min(5.0)),
-                Err(_) => ("no answer", 0.5),
+                Err(Outcome::NotYet(after)) => (OriginUnavailable::Busy, after.min(5.0)),
+                Err(_) => (OriginUnavailable::NoAnswer, 0.5),
             };
             // Agents may have them, and the whole proves what they say.
             if tries >= MAX_WHOLE_TRIES || tries >= 2 && !self.agents().is_empty() {
-                return Err(why.into());
+                return Err(why);
             }
             sleep(Duration::from_secs_f64(after * (0.5 + jitter()))).await;
         }
--- a/crates/agent/src/fetch/http.rs
+++ b/crates/agent/src/fetch/http.rs
@@ -8,6 +8,7 @@
 use hyper::client::conn::http1::SendRequest;
 use hyper::Response;
 
+use crate::request_error::RequestError;
 use crate::sources::Outcome;
 use crate::sums;
 
@@ -15,18 +16,20 @@
 pub(super) type Line = SendRequest<Empty<Bytes>>;
 
 /// Asks for a path, or for a range of it.
+///
+/// # Errors
+/// The path is none, or the connection broke.
 pub(super) async fn ask(
     line: &mut Line,
     at: SocketAddr,
     path: &str,
     range: Option<&str>,
-) -> Result<Response<Incoming>, String> {
+) -> Result<Response<Incoming>, RequestError> {
     let mut request = hyper::Request::get(path).header("host", at.to_string());
     if let Some(range) = range {
         request = request.header("range", range);
     }
-    let request = request.body(Empty::new()).map_err(|e| e.to_string())?;
-    line.send_request(request).await.map_err(|e| e.to_string())
+    Ok(line.send_request(request.body(Empty::new())?).await?)
 }
 
 /// A body of so many bytes at the most.
--- a/crates/agent/src/fetch/lanes.rs
+++ b/crates/agent/src/fetch/lanes.rs
@@ -17,7 +17,7 @@
 use tokio::time::{sleep, timeout};
 
 use super::http::{ask, body_of, whole_body, Line};
-use super::{jitter, keep, lost, Failed, Fetch};
+use super::{disk, jitter, keep, lost, Failed, Fetch, FetchFailure};
 use crate::clock;
 use crate::describe::{self, Source};
 use crate::hand_on::MIN_RATE_BYTES_PER_S;
@@ -56,7 +56,8 @@
             }
             let patience = self.fetch.hands.settings().patience_s;
             if let Some(why) = sources.borrow().hopeless(patience, clock::now()) {
-                return Err(keep(format!("{why}; last: {}", self.last.borrow())));
+                let last = self.last.borrow().clone();
+                return Err(keep(FetchFailure::Hopeless { why, last }));
             }
             let flying = |chunk| self.flying.borrow().contains(&chunk);
             let chunk = self.part.missing(flying);
@@ -190,13 +191,13 @@
     async fn write(&self, chunk: usize, bytes: Bytes) -> Result<Outcome, Failed> {
         let (archive, sums) = (self.part.archive(), self.part.sums().clone());
         let written = spawn_blocking(move || part::check_and_write(&archive, &sums, chunk, &bytes));
-        match written.await.map_err(|e| lost(e.to_string()))? {
+        match written.await.map_err(lost)? {
             Ok(true) => {
                 self.part.got(chunk);
                 Ok(Outcome::Right)
             }
             Ok(false) => Ok(Outcome::Wrong),
-            Err(error) => Err(lost(format!("the disk: {error}"))),
+            Err(error) => Err(disk(error)),
         }
     }
 }
--- a/crates/agent/src/lib.rs
+++ b/crates/agent/src/lib.rs
@@ -15,6 +15,7 @@
 pub mod images;
 pub mod journal;
 pub mod part;
+pub mod request_error;
 pub mod settings;
 pub mod sources;
 pub mod sums;
--- a/crates/agent/src/sources.rs
+++ b/crates/agent/src/sources.rs
@@ -39,6 +39,23 @@
     Wrong,
 }
 
+/// Why a fetch is given up.
+#[derive(Clone, Copy, Debug, PartialEq, thiserror::Error)]
+pub enum Hopeless {
+    /// Everyone was dropped.
+    #[error("nobody has it: not the origin, and no agent that was named")]
+    NobodyLeft,
+    /// Only the origin is left, and it failed again and again.
+    #[error("the origin failed {MAX_ORIGIN_FAILURES} times in a row")]
+    OriginFailed,
+    /// Nobody has given anything for too long.
+    #[error("nobody has given a chunk for {patience_s} s")]
+    NothingCame {
+        /// How long, in seconds.
+        patience_s: f64,
+    },
+}
+
 #[derive(Clone, Debug)]
 struct Source {
     whom: Whom,
@@ -178,19 +195,16 @@
 
     /// Why the fetch is to be given up, if it is: nobody is left, or nobody has
     /// given anything for `patience_s`.
-    pub fn hopeless(&self, patience_s: f64, now: Time) -> Option<String> {
+    pub fn hopeless(&self, patience_s: f64, now: Time) -> Option<Hopeless> {
         if self.all.iter().all(|s| s.dropped) {
-            return Some("nobody has it: not the origin, and no agent that was named".into());
+            return Some(Hopeless::NobodyLeft);
         }
         let origin = self.all.last();
         let tried = origin.is_some_and(|o| o.failures >= MAX_ORIGIN_FAILURES);
         if tried && self.agents().is_empty() {
-            return Some(format!(
-                "the origin failed {MAX_ORIGIN_FAILURES} times in a row"
-            ));
+            return Some(Hopeless::OriginFailed);
         }
-        (now.since(self.gave) > patience_s)
-            .then(|| format!("nobody has given a chunk for {patience_s} s"))
+        (now.since(self.gave) > patience_s).then_some(Hopeless::NothingCame { patience_s })
     }
 }
 
