--- a/crates/blocks/src/owners.rs
+++ b/crates/blocks/src/owners.rs
@@ -14,7 +14,7 @@
 //! proved by who is alive: a grant that was wrong costs time only, as claims are
 //! guarded by the block's record and commands by its number.
 
-use std::collections::{BTreeMap, BTreeSet};
+use std::collections::BTreeMap;
 
 use sorrelhinge_protocol::types::{NodeId, Time};
 
@@ -59,14 +59,29 @@
 /// Between two moves that only balance, in seconds.
 const BALANCE_INTERVAL_S: f64 = 1.0;
 
+/// A controller as the leader has seen it alive.
+#[derive(Debug)]
+struct Seen {
+    run: u64,
+    since: Time,
+}
+
+/// An offer as the leader has seen it recorded.
+#[derive(Debug)]
+struct SeenOffer {
+    to: NodeId,
+    since: Time,
+}
+
 /// What the leader remembers between its decisions. All of it can be lost: the
 /// next leader begins with what is recorded.
 #[derive(Debug, Default)]
 pub struct Owners {
-    /// Since when each controller has been seen alive, with its process.
-    seen: BTreeMap<NodeId, (u64, Time)>,
-    /// Since when each offer has been seen.
-    offers: BTreeMap<BlockId, (NodeId, Time)>,
+    /// Each controller that lives, by the process that it is.
+    seen: BTreeMap<NodeId, Seen>,
+    /// Each offer that stands.
+    offers: BTreeMap<BlockId, SeenOffer>,
+    /// When a block was last moved for balance, or because moves are forced.
     moved: Option<Time>,
 }
 
@@ -80,6 +95,28 @@
     pub move_every_s: Option<f64>,
 }
 
+/// What one decision looks at.
+struct Situation<'a> {
+    blocks: &'a BTreeMap<BlockId, Held>,
+    alive: &'a BTreeMap<NodeId, Member>,
+    /// How many blocks each controller has, and will have once what is offered
+    /// has moved.
+    counts: BTreeMap<&'a NodeId, usize>,
+    now: Time,
+}
+
+/// A controller, and how many blocks it has.
+struct Load {
+    node: NodeId,
+    blocks: usize,
+}
+
+/// From whom and to whom a block moves.
+struct Pair {
+    giver: NodeId,
+    taker: NodeId,
+}
+
 impl Owners {
     /// The next step, if any is due.
     pub fn next(
@@ -89,95 +126,218 @@
         wish: &Wish,
         now: Time,
     ) -> Option<Step> {
-        self.seen
-            .retain(|node, (run, _)| alive.get(node).is_some_and(|m| m.run == *run));
-        for (node, member) in alive {
-            self.seen.entry(node.clone()).or_insert((member.run, now));
-        }
-        self.offers
-            .retain(|b, (to, _)| blocks.get(b).is_some_and(|h| h.to.as_ref() == Some(to)));
-        for (block, held) in blocks {
-            if let Some(to) = &held.to {
-                self.offers.entry(*block).or_insert((to.clone(), now));
-            }
-        }
-        let lives = |held: &Held| alive.get(&held.owner).is_some_and(|m| m.run == held.run);
-        // How many blocks each has, and will have once what is offered moved.
-        let mut count: BTreeMap<&NodeId, usize> = alive.keys().map(|n| (n, 0)).collect();
-        for held in blocks.values() {
-            let owner = held.to.as_ref().filter(|to| alive.contains_key(*to));
-            let owner = owner.unwrap_or(&held.owner);
-            if let Some(n) = count.get_mut(owner) {
-                *n += usize::from(lives(held) || held.to.is_some());
-            }
-        }
-        let fewest = |but: Option<&NodeId>, settled: bool| {
-            count
-                .iter()
-                .filter(|(n, _)| Some(**n) != but)
-                .filter(|(n, _)| {
-                    let since = self.seen.get(**n).map(|(_, t)| *t);
-                    !settled || since.is_some_and(|t| now.since(t) >= MEMBERSHIP_SETTLED_S)
-                })
-                .min_by_key(|(n, c)| (**c, (**n).clone()))
-                .map(|(n, c)| ((*n).clone(), *c))
-        };
-        for (block, held) in blocks {
-            if !lives(held) {
-                // The one it was offered to, if that lives: it may know more.
-                let to = held.to.as_ref().filter(|to| alive.contains_key(*to));
-                let to = to.cloned().or_else(|| Some(fewest(None, false)?.0));
-                return Some(Step::Grant(*block, to?));
-            }
+        self.record_members(alive, now);
+        self.record_offers(blocks, now);
+        let situation = Situation::new(blocks, alive, now);
+        if let Some((block, held)) = situation.orphan() {
+            return Some(Step::Grant(block, situation.heir(held)?));
         }
-        for (block, (to, since)) in &self.offers {
-            if !alive.contains_key(to) || now.since(*since) > OFFER_TIMEOUT_S {
-                return Some(Step::TakeBack(*block));
-            }
+        if let Some(block) = self.expired_offer(&situation) {
+            return Some(Step::TakeBack(block));
         }
         if !self.offers.is_empty() {
             return None;
         }
         if let Some(gather) = wish.gather.as_ref().filter(|g| alive.contains_key(*g)) {
-            let away = blocks.iter().find(|(_, h)| h.owner != *gather);
-            return away.map(|(block, _)| Step::Offer(*block, gather.clone()));
+            return situation.gather_to(gather);
+        }
+        if let Some(step) = situation.move_to_pin() {
+            return Some(step);
+        }
+        self.balance(&situation, wish)
+    }
+
+    /// Notes who lives, and since when. One that was restarted begins anew.
+    fn record_members(&mut self, alive: &BTreeMap<NodeId, Member>, now: Time) {
+        self.seen
+            .retain(|node, seen| alive.get(node).is_some_and(|member| member.run == seen.run));
+        for (node, member) in alive {
+            let run = member.run;
+            let seen = Seen { run, since: now };
+            self.seen.entry(node.clone()).or_insert(seen);
         }
+    }
+
+    /// Notes which offers stand, and since when.
+    fn record_offers(&mut self, blocks: &BTreeMap<BlockId, Held>, now: Time) {
+        self.offers.retain(|block, offer| {
+            blocks
+                .get(block)
+                .is_some_and(|held| held.to.as_ref() == Some(&offer.to))
+        });
         for (block, held) in blocks {
-            let there = held.pin.as_ref().filter(|pin| alive.contains_key(*pin));
-            if let Some(pin) = there.filter(|pin| **pin != held.owner) {
-                return Some(Step::Offer(*block, pin.clone()));
+            if let Some(to) = held.to.clone() {
+                let offer = SeenOffer { to, since: now };
+                self.offers.entry(*block).or_insert(offer);
             }
         }
-        let quiet_s = self.moved.map_or(f64::INFINITY, |t| now.since(t));
+    }
+
+    /// The first offer whose taker is gone, or that has stood for too long.
+    fn expired_offer(&self, situation: &Situation<'_>) -> Option<BlockId> {
+        let expired = |offer: &SeenOffer| {
+            !situation.alive.contains_key(&offer.to)
+                || situation.now.since(offer.since) > OFFER_TIMEOUT_S
+        };
+        let mut offers = self.offers.iter();
+        offers
+            .find(|(_, offer)| expired(offer))
+            .map(|(block, _)| *block)
+    }
+
+    /// Whether a controller has lived long enough to be offered blocks.
+    fn is_settled(&self, node: &NodeId, now: Time) -> bool {
+        let seen = self.seen.get(node);
+        seen.is_some_and(|seen| now.since(seen.since) >= MEMBERSHIP_SETTLED_S)
+    }
+
+    /// A move for balance, or one that is forced, unless one was made just now.
+    fn balance(&mut self, situation: &Situation<'_>, wish: &Wish) -> Option<Step> {
+        let now = situation.now;
+        let quiet_s = self.moved.map_or(f64::INFINITY, |moved| now.since(moved));
         if quiet_s < BALANCE_INTERVAL_S {
             return None;
         }
-        let (least, has) = fewest(None, true)?;
-        let most = count.iter().max_by_key(|(n, c)| (**c, (**n).clone()));
-        let (from, least) = match most {
-            Some((most, c)) if *c >= has + 2 => ((*most).clone(), least),
-            _ => {
-                // Nothing to balance; one in turn, if moves are forced.
-                let every_s = wish.move_every_s;
-                let forced = every_s.is_some_and(|s| quiet_s >= s && alive.len() > 1);
-                let turn = (now.0 / every_s.unwrap_or(1.0).max(1.0)) as usize;
-                let block = blocks.keys().nth(turn % blocks.len().max(1));
-                let from = &blocks.get(block.filter(|_| forced)?)?.owner;
-                (from.clone(), fewest(Some(from), true)?.0)
-            }
+        let least = situation.fewest(|node| self.is_settled(node, now))?;
+        let Pair { giver, taker } = match situation.most() {
+            Some(most) if most.blocks >= least.blocks + 2 => Pair {
+                giver: most.node,
+                taker: least.node,
+            },
+            _ => self.forced_pair(situation, wish.move_every_s, quiet_s)?,
         };
-        let turn = self.moved.map_or(0, |t| t.0 as usize);
-        let own: BTreeSet<BlockId> = blocks
-            .iter()
-            .filter(|(_, h)| h.owner == from && h.pin.as_ref() != Some(&from))
-            .map(|(b, _)| *b)
-            .collect();
-        let block = own.iter().nth(turn % own.len().max(1)).copied()?;
-        if from == least {
+        let block = self.block_in_turn(situation, &giver)?;
+        if giver == taker {
             return None;
         }
         self.moved = Some(now);
-        Some(Step::Offer(block, least))
+        Some(Step::Offer(block, taker))
+    }
+
+    /// Where nothing is to balance: the owner of one block in turn gives, if moves
+    /// are forced and the last is long enough ago.
+    fn forced_pair(
+        &self,
+        situation: &Situation<'_>,
+        every_s: Option<f64>,
+        quiet_s: f64,
+    ) -> Option<Pair> {
+        let (blocks, now) = (situation.blocks, situation.now);
+        let forced = every_s.is_some_and(|s| quiet_s >= s && situation.alive.len() > 1);
+        let turn = (now.0 / every_s.unwrap_or(1.0).max(1.0)) as usize;
+        let block = blocks.keys().nth(turn % blocks.len().max(1));
+        let giver = &blocks.get(block.filter(|_| forced)?)?.owner;
+        let taker = situation.fewest(|node| node != giver && self.is_settled(node, now))?;
+        Some(Pair {
+            giver: giver.clone(),
+            taker: taker.node,
+        })
+    }
+
+    /// The block that its owner gives: one in turn of those not pinned to it.
+    fn block_in_turn(&self, situation: &Situation<'_>, giver: &NodeId) -> Option<BlockId> {
+        let turn = self.moved.map_or(0, |moved| moved.0 as usize);
+        let own: Vec<BlockId> = situation
+            .blocks
+            .iter()
+            .filter(|(_, held)| held.owner == *giver && held.pin.as_ref() != Some(giver))
+            .map(|(block, _)| *block)
+            .collect();
+        own.get(turn % own.len().max(1)).copied()
+    }
+}
+
+impl<'a> Situation<'a> {
+    fn new(
+        blocks: &'a BTreeMap<BlockId, Held>,
+        alive: &'a BTreeMap<NodeId, Member>,
+        now: Time,
+    ) -> Self {
+        let counts = alive.keys().map(|node| (node, 0)).collect();
+        let mut situation = Self {
+            blocks,
+            alive,
+            counts,
+            now,
+        };
+        for held in blocks.values() {
+            let owner = situation.living_taker(held).unwrap_or(&held.owner);
+            let counted = situation.is_owned(held) || held.to.is_some();
+            if let Some(count) = situation.counts.get_mut(owner) {
+                *count += usize::from(counted);
+            }
+        }
+        situation
+    }
+
+    /// Whether the process that was granted a block lives.
+    fn is_owned(&self, held: &Held) -> bool {
+        let member = self.alive.get(&held.owner);
+        member.is_some_and(|member| member.run == held.run)
+    }
+
+    /// To whom a block is offered, if that controller lives.
+    fn living_taker(&self, held: &'a Held) -> Option<&'a NodeId> {
+        held.to.as_ref().filter(|to| self.alive.contains_key(*to))
+    }
+
+    /// The first block whose owner is gone.
+    fn orphan(&self) -> Option<(BlockId, &'a Held)> {
+        let mut blocks = self.blocks.iter();
+        blocks
+            .find(|(_, held)| !self.is_owned(held))
+            .map(|(block, held)| (*block, held))
+    }
+
+    /// Who is granted a block whose owner is gone: the one it was offered to, if
+    /// that lives, as it may know more; else whoever has the fewest.
+    fn heir(&self, held: &'a Held) -> Option<NodeId> {
+        let taker = self.living_taker(held).cloned();
+        taker.or_else(|| Some(self.fewest(|_| true)?.node))
+    }
+
+    /// The controller with the fewest blocks of those that may be chosen.
+    fn fewest(&self, may: impl Fn(&NodeId) -> bool) -> Option<Load> {
+        let chosen = self.counts.iter().filter(|(node, _)| may(node));
+        let least = chosen.min_by_key(|(node, blocks)| (**blocks, **node));
+        least.map(Load::of)
+    }
+
+    /// The controller with the most blocks.
+    fn most(&self) -> Option<Load> {
+        let most = self
+            .counts
+            .iter()
+            .max_by_key(|(node, blocks)| (**blocks, **node));
+        most.map(Load::of)
+    }
+
+    /// The next block that is not yet there where all are to go.
+    fn gather_to(&self, gather: &NodeId) -> Option<Step> {
+        let mut blocks = self.blocks.iter();
+        let away = blocks.find(|(_, held)| held.owner != *gather);
+        away.map(|(block, _)| Step::Offer(*block, gather.clone()))
+    }
+
+    /// The next block that is not where an operator wants it, if that lives.
+    fn move_to_pin(&self) -> Option<Step> {
+        self.blocks.iter().find_map(|(block, held)| {
+            let there = held
+                .pin
+                .as_ref()
+                .filter(|pin| self.alive.contains_key(*pin));
+            let pin = there.filter(|pin| **pin != held.owner)?;
+            Some(Step::Offer(*block, pin.clone()))
+        })
+    }
+}
+
+impl Load {
+    fn of((node, blocks): (&&NodeId, &usize)) -> Self {
+        Self {
+            node: (*node).clone(),
+            blocks: *blocks,
+        }
     }
 }
 
