--- a/crates/blocks/tests/model.rs
+++ b/crates/blocks/tests/model.rs
@@ -88,7 +88,36 @@
     stamp: u64,
 }
 
+/// A block that is offered, by its record's stamp.
+struct Offer {
+    block: BlockId,
+    stamp: u64,
+    to: NodeId,
+}
+
+/// A block's record with this owner and nothing else.
+fn owned_by(owner: &NodeId, run: u64) -> Held {
+    Held {
+        owner: owner.clone(),
+        run,
+        to: None,
+        pin: None,
+    }
+}
+
 impl World {
+    /// All blocks are owned by the first of so many controllers.
+    fn new(controllers: u8, blocks: u32) -> Self {
+        let mut world = Self::default();
+        for n in 0..controllers {
+            world.alive.insert(node(n), Member { run: 1 });
+        }
+        for block in 0..blocks {
+            let first = owned_by(&node(0), 1);
+            world.blocks.insert(BlockId(block), (first, 0));
+        }
+        world
+    }
     fn held(&self) -> BTreeMap<BlockId, Held> {
         self.blocks
             .iter()
@@ -106,32 +135,9 @@
     }
     fn carry_out(&mut self, step: &Step, late: bool) {
         let (block, held) = match step {
-            Step::Grant(b, to) => {
-                let run = self.alive[to].run;
-                (
-                    *b,
-                    Held {
-                        owner: to.clone(),
-                        run,
-                        to: None,
-                        pin: None,
-                    },
-                )
-            }
-            Step::Offer(b, to) => (
-                *b,
-                Held {
-                    to: Some(to.clone()),
-                    ..self.blocks[b].0.clone()
-                },
-            ),
-            Step::TakeBack(b) => (
-                *b,
-                Held {
-                    to: None,
-                    ..self.blocks[b].0.clone()
-                },
-            ),
+            Step::Grant(block, to) => (*block, owned_by(to, self.alive[to].run)),
+            Step::Offer(block, to) => (*block, self.offered(*block, Some(to.clone()))),
+            Step::TakeBack(block) => (*block, self.offered(*block, None)),
         };
         let stamp = self.blocks[&block].1;
         if late {
@@ -140,6 +146,79 @@
             self.write(block, stamp, held);
         }
     }
+    /// A block's record with another offer, or none.
+    fn offered(&self, block: BlockId, to: Option<NodeId>) -> Held {
+        Held {
+            to,
+            ..self.blocks[&block].0.clone()
+        }
+    }
+    /// All offers that stand.
+    fn offers(&self) -> Vec<Offer> {
+        let offers = self.blocks.iter().filter_map(|(block, (held, stamp))| {
+            Some(Offer {
+                block: *block,
+                stamp: *stamp,
+                to: held.to.clone()?,
+            })
+        });
+        offers.collect()
+    }
+    /// A giver hands on what is offered, if the taker lives.
+    fn hand_over(&mut self, offer: Offer) {
+        if let Some(run) = self.alive.get(&offer.to).map(|m| m.run) {
+            self.write(offer.block, offer.stamp, owned_by(&offer.to, run));
+        }
+    }
+    /// The leader's next step, with what it must never do.
+    fn lead(
+        &mut self,
+        leader: &mut Owners,
+        wish: &Wish,
+        late: bool,
+        now: f64,
+    ) -> Result<(), TestCaseError> {
+        let Some(step) = leader.next(&self.held(), &self.alive, wish, Time(now)) else {
+            return Ok(());
+        };
+        if let Step::Grant(block, _) = &step {
+            let held = &self.blocks[block].0;
+            let lives = self
+                .alive
+                .get(&held.owner)
+                .is_some_and(|m| m.run == held.run);
+            prop_assert!(!lives, "granted away from one who lives");
+        }
+        if let Step::Grant(_, to) | Step::Offer(_, to) = &step {
+            prop_assert!(self.alive.contains_key(to));
+        }
+        self.carry_out(&step, late);
+        Ok(())
+    }
+    /// Nothing fails any more: one leader, and givers that hand on at once.
+    fn settle(&mut self, wish: &Wish, mut now: f64) {
+        self.late.clear();
+        let mut leader = Owners::default();
+        for _ in 0..200 {
+            now += 0.5;
+            if let Some(step) = leader.next(&self.held(), &self.alive, wish, Time(now)) {
+                self.carry_out(&step, false);
+            }
+            for offer in self.offers() {
+                self.hand_over(offer);
+            }
+        }
+    }
+    /// How many blocks each that lives owns; all are owned by who lives.
+    fn counts(&self) -> Result<BTreeMap<NodeId, usize>, TestCaseError> {
+        let mut counts: BTreeMap<NodeId, usize> =
+            self.alive.keys().map(|n| (n.clone(), 0)).collect();
+        for (held, _) in self.blocks.values() {
+            prop_assert_eq!(self.alive.get(&held.owner).map(|m| m.run), Some(held.run));
+            *counts.get_mut(&held.owner).expect("alive") += 1;
+        }
+        Ok(counts)
+    }
     /// Owners read the records: who is not named any more stops.
     fn read(&mut self) {
         self.believes.clear();
@@ -167,6 +246,90 @@
     NodeId::from(&*format!("c-{n}"))
 }
 
+/// The parts of one limit, and what their owners make of them.
+struct Shares {
+    slices: Vec<Amount>,
+    /// What each owner places up to: lowered before a transfer is sent.
+    bound: Vec<Amount>,
+    used: Vec<i64>,
+    wants: Vec<i64>,
+    under_way: Option<Transfer>,
+}
+
+/// A transfer under way, sent with these slices as its condition.
+struct Transfer {
+    from: usize,
+    given: LimitTransfer,
+    seen: Vec<Amount>,
+}
+
+impl Shares {
+    fn new(limits: [Amount; 1], blocks: usize) -> Self {
+        let none = vec![vec![Amount::default()]; blocks];
+        let parts = divide(&limits, &none).expect("nothing is used");
+        let slices: Vec<Amount> = parts.iter().map(|p| p[0]).collect();
+        Self {
+            bound: slices.clone(),
+            slices,
+            used: vec![0; blocks],
+            wants: vec![0; blocks],
+            under_way: None,
+        }
+    }
+    /// Uses what there is room for.
+    fn claim(&mut self, block: usize, wanted: i64) {
+        self.wants[block] = wanted;
+        let room = self.bound[block].cpu - self.used[block];
+        self.used[block] += wanted.min(room).max(0);
+    }
+    /// Sends a transfer, if one is worth it: never of what is used.
+    fn send(&mut self, block: usize) -> Result<(), TestCaseError> {
+        let needs: Vec<Vec<Need>> = (0..self.slices.len())
+            .map(|i| {
+                vec![Need {
+                    slice: self.slices[i],
+                    used: cpu(self.used[i]),
+                    waits: cpu(self.wants[i]),
+                }]
+            })
+            .collect();
+        if let Some(given) = next_transfer(BlockId(block as u32), &needs) {
+            let left = self.slices[block] - given.amounts[0];
+            prop_assert!(cpu(self.used[block]).fits_team(left), "gave what is used");
+            prop_assert!(given.to.0 as usize != block);
+            self.bound[block] = left;
+            self.under_way = Some(Transfer {
+                from: block,
+                given,
+                seen: self.slices.clone(),
+            });
+        }
+        Ok(())
+    }
+    /// What becomes of a transfer.
+    fn arrive(&mut self, fate: u8) {
+        let Some(transfer) = self.under_way.take() else {
+            return;
+        };
+        let (from, to) = (transfer.from, transfer.given.to.0 as usize);
+        let as_seen = |block: usize| transfer.seen[block] == self.slices[block];
+        let fits = as_seen(from) && as_seen(to);
+        match fate {
+            // Lost: the giver learns that, and takes up its part.
+            0 => self.bound[from] = self.slices[from],
+            // Carried out, but nobody knows yet.
+            1 if fits => {
+                let amount = transfer.given.amounts[0];
+                self.slices[from] -= amount;
+                self.slices[to] += amount;
+                self.bound[to] += amount;
+            }
+            // Late: it is still under way.
+            _ => self.under_way = Some(transfer),
+        }
+    }
+}
+
 proptest! {
     /// Whoever waits has its turn before anybody has two more.
     #[test]
@@ -203,14 +366,7 @@
         forced in any::<bool>(),
         gather in any::<bool>(),
     ) {
-        let mut world = World::default();
-        for n in 0..5 {
-            world.alive.insert(node(n), Member { run: 1 });
-        }
-        for b in 0..blocks {
-            let first = Held { owner: node(0), run: 1, to: None, pin: None };
-            world.blocks.insert(BlockId(b), (first, 0));
-        }
+        let mut world = World::new(5, blocks);
         let mut leaders = [Owners::default(), Owners::default()];
         let mut runs = 1;
         let mut now = 0.0;
@@ -226,59 +382,20 @@
                     let (block, stamp, held) = world.late.remove(0);
                     world.write(block, stamp, held);
                 }
-                3 => {
-                    // A giver hands on what is offered.
-                    let offered = world.blocks.iter().find_map(|(b, (h, s))| Some((*b, *s, h.to.clone()?)));
-                    if let Some((block, stamp, to)) = offered {
-                        if let Some(run) = world.alive.get(&to).map(|m| m.run) {
-                            let held = Held { owner: to, run, to: None, pin: None };
-                            world.write(block, stamp, held);
-                        }
-                    }
-                }
+                3 => world.offers().into_iter().take(1).for_each(|offer| world.hand_over(offer)),
                 _ => {
                     let leader = &mut leaders[usize::from(who % 2)];
                     let wish = Wish { gather: None, move_every_s: forced.then_some(2.0) };
-                    if let Some(step) = leader.next(&world.held(), &world.alive, &wish, Time(now)) {
-                        if let Step::Grant(b, _) = &step {
-                            let held = &world.blocks[b].0;
-                            let lives = world.alive.get(&held.owner).is_some_and(|m| m.run == held.run);
-                            prop_assert!(!lives, "granted away from one who lives");
-                        }
-                        if let Step::Grant(_, to) | Step::Offer(_, to) = &step {
-                            prop_assert!(world.alive.contains_key(to));
-                        }
-                        world.carry_out(&step, late);
-                    }
+                    world.lead(leader, &wish, late, now)?;
                 }
             }
             world.read();
             prop_assert_eq!(world.check(), Ok(()));
         }
-        world.late.clear();
         // At last all are to go to one, or stay balanced.
         let one = gather.then(|| world.alive.keys().next().cloned()).flatten();
-        let wish = Wish { gather: one.clone(), move_every_s: None };
-        let mut leader = Owners::default();
-        for _ in 0..200 {
-            now += 0.5;
-            if let Some(step) = leader.next(&world.held(), &world.alive, &wish, Time(now)) {
-                world.carry_out(&step, false);
-            }
-            let offered: Vec<_> = world.blocks.iter()
-                .filter_map(|(b, (h, s))| Some((*b, *s, h.to.clone()?))).collect();
-            for (block, stamp, to) in offered {
-                let Some(run) = world.alive.get(&to).map(|m| m.run) else {
-                    continue;
-                };
-                world.write(block, stamp, Held { owner: to, run, to: None, pin: None });
-            }
-        }
-        let mut count: BTreeMap<NodeId, usize> = world.alive.keys().map(|n| (n.clone(), 0)).collect();
-        for (held, _) in world.blocks.values() {
-            prop_assert_eq!(world.alive.get(&held.owner).map(|m| m.run), Some(held.run));
-            *count.get_mut(&held.owner).expect("alive") += 1;
-        }
+        world.settle(&Wish { gather: one.clone(), move_every_s: None }, now);
+        let count = world.counts()?;
         if let Some(one) = one {
             prop_assert_eq!(count[&one], blocks as usize, "{:?}", count);
             return Ok(());
@@ -299,60 +416,19 @@
         events in prop::collection::vec((0..4_u8, 0..5_usize, 1..400_i64, 0..3_u8), 1..200),
     ) {
         let limits = [cpu(limit * 8)];
-        let none = vec![vec![Amount::default()]; blocks];
-        let parts = divide(&limits, &none).expect("nothing is used");
-        let mut slices: Vec<Amount> = parts.iter().map(|p| p[0]).collect();
-        // What each owner places up to: lowered before a transfer is sent.
-        let mut bound = slices.clone();
-        let mut used = vec![0_i64; blocks];
-        let mut wants = vec![0_i64; blocks];
-        // A transfer under way, sent with these slices as its condition.
-        let mut under_way: Option<(usize, LimitTransfer, Vec<Amount>)> = None;
+        let mut shares = Shares::new(limits, blocks);
         for (what, block, n, fate) in events {
-            let b = block % blocks;
+            let block = block % blocks;
             match what {
-                0 => {
-                    wants[b] = n;
-                    let room = bound[b].cpu - used[b];
-                    used[b] += n.min(room).max(0);
-                }
-                1 => used[b] -= n.min(used[b]),
-                2 if under_way.is_none() => {
-                    let needs: Vec<Vec<Need>> = (0..blocks).map(|i| vec![Need {
-                        slice: slices[i],
-                        used: cpu(used[i]),
-                        waits: cpu(wants[i]),
-                    }]).collect();
-                    if let Some(given) = next_transfer(BlockId(b as u32), &needs) {
-                        let left = slices[b] - given.amounts[0];
-                        prop_assert!(cpu(used[b]).fits_team(left), "gave what is used");
-                        prop_assert!(given.to.0 as usize != b);
-                        bound[b] = left;
-                        under_way = Some((b, given, slices.clone()));
-                    }
-                }
-                _ => {
-                    if let Some((from, given, seen)) = under_way.take() {
-                        let to = given.to.0 as usize;
-                        let fits = seen[from] == slices[from] && seen[to] == slices[to];
-                        match fate {
-                            // Lost: the giver learns that, and takes up its part.
-                            0 => bound[from] = slices[from],
-                            // Carried out, but nobody knows yet.
-                            1 if fits => {
-                                slices[from] -= given.amounts[0];
-                                slices[to] += given.amounts[0];
-                                bound[to] += given.amounts[0];
-                            }
-                            // Late: it is still under way.
-                            _ => under_way = Some((from, given, seen)),
-                        }
-                    }
-                }
+                0 => shares.claim(block, n),
+                1 => shares.used[block] -= n.min(shares.used[block]),
+                2 if shares.under_way.is_none() => shares.send(block)?,
+                _ => shares.arrive(fate),
             }
-            let sum = slices.iter().fold(Amount::default(), |s, a| s + *a);
+            let sum = shares.slices.iter().fold(Amount::default(), |s, a| s + *a);
             prop_assert_eq!(sum, Amount { ram: 0, ..limits[0] });
-            prop_assert!(used.iter().sum::<i64>() <= limits[0].cpu, "more is used than allowed");
+            let used = shares.used.iter().sum::<i64>();
+            prop_assert!(used <= limits[0].cpu, "more is used than allowed");
         }
     }
 
