--- a/crates/agent/src/fetch.rs
+++ b/crates/agent/src/fetch.rs
@@ -10,7 +10,7 @@
 use std::fs::File;
 use std::io::ErrorKind;
 use std::net::SocketAddr;
-use std::path::PathBuf;
+use std::path::{Path, PathBuf};
 use std::rc::Rc;
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
@@ -93,6 +93,14 @@
     },
 }
 
+/// Why a part was not completed.
+enum Setback {
+    /// The fetch has failed.
+    Final(Failed),
+    /// The sums may be wrong: they were an agent's word only.
+    SumsInDoubt(FetchFailure),
+}
+
 /// A failure after which the chunks that have come are of use.
 fn keep(why: impl Into<FetchFailure>) -> Failed {
     Failed {
@@ -149,41 +157,58 @@
             let Some((part, giver)) = fetch.part().await? else {
                 return fetch.in_one_piece().await;
             };
-            let came = match part.is_whole() {
-                true => Ok(()),
-                false => fetch.chunks(&part).await,
-            };
-            let why = match came {
-                Ok(()) => match fetch.unpack(part.archive()).await {
-                    Ok(bytes) => {
-                        part.set_whole()
-                            .map_err(|e| lost(FetchFailure::Unpack(e)))?;
-                        return Ok(bytes);
-                    }
-                    Err(error) if error.kind() == ErrorKind::StorageFull || part.hands_on() => {
-                        return Err(lost(FetchFailure::Unpack(error)));
-                    }
-                    Err(error) => FetchFailure::Unpack(error),
-                },
-                Err(failed) if part.hands_on() || !failed.keep => return Err(failed),
-                Err(failed) => failed.why,
+            let why = match fetch.complete(&part).await {
+                Ok(bytes) => return Ok(bytes),
+                Err(Setback::Final(failed)) => return Err(failed),
+                Err(Setback::SumsInDoubt(why)) => why.to_string(),
             };
             // The sums were an agent's word, which proves nothing: it may be
             // wrong, and those who gave other bytes than it says right.
-            let why = why.to_string();
             tracing::error!(image = fetch.image.name, source = ?giver, why, "wrong sums");
-            fetch.hands.drop_part(&fetch.image.sha256);
             liars.extend(giver);
-            let all = fetch.sources.borrow().all_agents();
-            let mut anew = fetch.anew(all);
-            for liar in &liars {
-                anew.came(Whom::Agent(*liar), Outcome::Wrong, 0.0, clock::now());
-            }
-            *fetch.sources.borrow_mut() = anew;
+            fetch.restart_without(&liars);
         }
         fetch.in_one_piece().await
     }
 
+    /// Fetches what misses of a part and unpacks it.
+    async fn complete(self: &Rc<Self>, part: &Rc<Part>) -> Result<u64, Setback> {
+        if !part.is_whole() {
+            self.chunks(part).await.map_err(|failed| {
+                if part.hands_on() || !failed.keep {
+                    Setback::Final(failed)
+                } else {
+                    Setback::SumsInDoubt(failed.why)
+                }
+            })?;
+        }
+        let unpacked = self.unpack(part.archive()).await;
+        let bytes = unpacked.map_err(|error| {
+            let full = error.kind() == ErrorKind::StorageFull;
+            let why = FetchFailure::Unpack(error);
+            if full || part.hands_on() {
+                Setback::Final(lost(why))
+            } else {
+                Setback::SumsInDoubt(why)
+            }
+        })?;
+        let set = part.set_whole();
+        set.map_err(|error| Setback::Final(lost(FetchFailure::Unpack(error))))?;
+        Ok(bytes)
+    }
+
+    /// Forgets the part, and begins anew with all agents but those whose sums
+    /// proved wrong.
+    fn restart_without(&self, liars: &[SocketAddr]) {
+        self.hands.drop_part(&self.image.sha256);
+        let all = self.sources.borrow().all_agents();
+        let mut anew = self.anew(all);
+        for liar in liars {
+            anew.came(Whom::Agent(*liar), Outcome::Wrong, 0.0, clock::now());
+        }
+        *self.sources.borrow_mut() = anew;
+    }
+
     fn anew(&self, agents: impl IntoIterator<Item = SocketAddr>) -> Sources {
         let wait = self.hands.settings().origin_after_s;
         Sources::new(agents, wait, jitter(), clock::now())
@@ -308,21 +333,7 @@
         part::remove(&self.parts, sha256).map_err(disk)?;
         std::fs::create_dir_all(&folder).map_err(disk)?;
         let archive = folder.join("archive");
-        let mut tries = 0;
-        loop {
-            tries += 1;
-            let fetched = describe::fetch(&self.origin, &self.image, &archive, self.most).await;
-            match fetched {
-                Ok(()) => break,
-                // A busy origin is not asked again by all at the same moment.
-                Err(failed) if tries < MAX_WHOLE_TRIES && failed.again => {
-                    let why = failed.to_string();
-                    tracing::info!(image = self.image.name, why, "again");
-                    sleep(Duration::from_secs_f64(f64::from(tries) * (0.5 + jitter()))).await;
-                }
-                Err(failed) => return Err(lost(failed)),
-            }
-        }
+        self.download(&archive).await?;
         let bytes = self.unpack(archive.clone()).await;
         let bytes = bytes.map_err(|e| lost(FetchFailure::Unpack(e)))?;
         let summed =
@@ -337,6 +348,25 @@
         Ok(bytes)
     }
 
+    /// The archive from the origin, which is asked again while it is busy.
+    async fn download(&self, archive: &Path) -> Result<(), Failed> {
+        let mut tries = 0;
+        loop {
+            tries += 1;
+            match describe::fetch(&self.origin, &self.image, archive, self.most).await {
+                Ok(()) => return Ok(()),
+                // A busy origin is not asked again by all at the same moment.
+                Err(failed) if tries < MAX_WHOLE_TRIES && failed.again => {
+                    let why = failed.to_string();
+                    tracing::info!(image = self.image.name, why, "again");
+                    sleep(Duration::from_secs_f64(f64::from(tries) * (0.5 + jitter()))).await;
+                }
+                Err(failed) => return Err(lost(failed)),
+            }
+        }
+    }
+
+    /// Unpacks an archive into the cache, unless it is there; its bytes.
     async fn unpack(&self, archive: PathBuf) -> std::io::Result<u64> {
         let (image, images, most) = (self.image.clone(), self.images.clone(), self.most);
         let unpacking = self.unpacking.clone();
--- a/crates/agent/src/fetch/find.rs
+++ b/crates/agent/src/fetch/find.rs
@@ -5,6 +5,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
+use sorrelhinge_protocol::types::Time;
 use tokio::task::spawn_blocking;
 use tokio::time::{sleep, timeout};
 
@@ -39,79 +40,115 @@
 }
 
 impl Fetch {
+    /// Sums of the image: those that the job names, else the origin's, else an
+    /// agent's word; none if nobody has any.
     pub(super) async fn find_sums(&self) -> Result<Option<Found>, Failed> {
         let begun = clock::now();
         if let Some(known) = &self.image.sums_sha256 {
-            // Whoever gives them: their own sum tells.
-            loop {
-                for agent in self.agents() {
-                    if let Ok(text) = self.sums_of_agent(agent).await {
-                        if sums::sha256(&text) == *known {
-                            return self.found(text, true, None).map(Some);
-                        }
-                        tracing::error!(image = self.image.name, %agent, "other sums than the job names");
-                    }
-                }
-                let waited = clock::now().since(begun);
-                if self.agents().is_empty() || waited > SUMS_FROM_AGENTS_S * (0.5 + jitter()) {
-                    break;
-                }
-                sleep(Duration::from_secs_f64(0.2 + 0.3 * jitter())).await;
+            if let Some(found) = self.named_sums_of_agents(known, begun).await? {
+                return Ok(Some(found));
             }
         }
-        let mut other = None;
-        match self.sums_of_origin().await {
-            Ok(Some(text)) => {
-                let known = self.image.sums_sha256.as_ref();
-                let as_named = known.is_none_or(|known| *known == sums::sha256(&text));
-                match self.found(text, true, None) {
-                    Ok(found) if as_named => return Ok(Some(found)),
-                    Ok(_) => tracing::error!(
-                        image = self.image.name,
-                        "the origin has other sums than the job names"
-                    ),
-                    // Of another image of this name: the agents may have ours.
-                    Err(Failed { why, keep }) => {
-                        let text = why.to_string();
-                        tracing::error!(image = self.image.name, why = text, "the origin's sums");
-                        other = keep.then_some(why);
+        let other = match self.usable_sums_of_origin().await {
+            Ok(Some(found)) => return Ok(Some(found)),
+            Ok(None) => None,
+            Err(other) => Some(other),
+        };
+        if let Some(found) = self.unproven_sums_of_agents(begun).await {
+            return Ok(Some(found));
+        }
+        // What the origin calls so is another image: nothing to fetch whole.
+        other.map_or(Ok(None), |why| Err(keep(why)))
+    }
+
+    /// The sums that the job names, from whichever agent gives them: their own sum
+    /// tells.
+    async fn named_sums_of_agents(
+        &self,
+        known: &str,
+        begun: Time,
+    ) -> Result<Option<Found>, Failed> {
+        loop {
+            for agent in self.agents() {
+                if let Ok(text) = self.sums_of_agent(agent).await {
+                    if sums::sha256(&text) == known {
+                        return self.found(text, true, None).map(Some);
                     }
+                    tracing::error!(image = self.image.name, %agent, "other sums than the job names");
                 }
             }
-            Ok(None) => {}
+            let waited = clock::now().since(begun);
+            if self.agents().is_empty() || waited > SUMS_FROM_AGENTS_S * (0.5 + jitter()) {
+                return Ok(None);
+            }
+            sleep(Duration::from_secs_f64(0.2 + 0.3 * jitter())).await;
+        }
+    }
+
+    /// The origin's sums, if it has some that are of use.
+    ///
+    /// # Errors
+    /// They are of another image of this name: the agents may have ours.
+    async fn usable_sums_of_origin(&self) -> Result<Option<Found>, FetchFailure> {
+        let text = match self.sums_of_origin().await {
+            Ok(Some(text)) => text,
+            Ok(None) => return Ok(None),
             Err(why) => {
                 let why = why.to_string();
                 tracing::error!(image = self.image.name, why, "the origin's sums");
+                return Ok(None);
+            }
+        };
+        let known = self.image.sums_sha256.as_ref();
+        let as_named = known.is_none_or(|known| *known == sums::sha256(&text));
+        match self.found(text, true, None) {
+            Ok(found) if as_named => Ok(Some(found)),
+            Ok(_) => {
+                tracing::error!(
+                    image = self.image.name,
+                    "the origin has other sums than the job names"
+                );
+                Ok(None)
+            }
+            Err(Failed { why, keep }) => {
+                let text = why.to_string();
+                tracing::error!(image = self.image.name, why = text, "the origin's sums");
+                keep.then_some(why).map_or(Ok(None), Err)
             }
         }
-        // An agent's word, until the whole has proven it. Those that have begun
-        // with it are waited for; nobody is that has not.
+    }
+
+    /// An agent's word, until the whole has proven it. Those that have begun with
+    /// the image are waited for; nobody is that has not.
+    async fn unproven_sums_of_agents(&self, begun: Time) -> Option<Found> {
         let patience = self.hands.settings().origin_after_s * (1.0 + jitter());
         let mut heard = begun;
         loop {
             for agent in self.agents() {
                 match self.sums_of_agent(agent).await {
                     Ok(text) => match self.found(text, false, Some(agent)) {
-                        Ok(found) => return Ok(Some(found)),
-                        Err(failed) => {
-                            tracing::error!(image = self.image.name, %agent, error = failed.to_string(), "sums");
-                            let mut sources = self.sources.borrow_mut();
-                            sources.came(Whom::Agent(agent), Outcome::Wrong, 0.0, clock::now());
-                        }
+                        Ok(found) => return Some(found),
+                        Err(failed) => self.drop_agent(agent, &failed),
                     },
                     Err(Outcome::NotYet(_)) => heard = clock::now(),
                     Err(_) => {}
                 }
             }
             if self.agents().is_empty() || clock::now().since(heard) > patience {
-                break;
+                return None;
             }
             sleep(Duration::from_secs_f64(0.5 + jitter())).await;
         }
-        // What the origin calls so is another image: nothing to fetch whole.
-        other.map_or(Ok(None), |why| Err(keep(why)))
     }
 
+    /// An agent gave sums that can't be used: it is not asked again.
+    fn drop_agent(&self, agent: SocketAddr, failed: &Failed) {
+        tracing::error!(image = self.image.name, %agent, error = failed.to_string(), "sums");
+        let mut sources = self.sources.borrow_mut();
+        sources.came(Whom::Agent(agent), Outcome::Wrong, 0.0, clock::now());
+    }
+
+    /// Agents that may still be asked, in their order.
     pub(super) fn agents(&self) -> Vec<SocketAddr> {
         self.sources.borrow().agents()
     }
--- a/crates/agent/src/fetch/lanes.rs
+++ b/crates/agent/src/fetch/lanes.rs
@@ -37,6 +37,12 @@
     None(Outcome),
 }
 
+/// A chunk that is to be asked for.
+struct Request {
+    chunk: usize,
+    whom: Whom,
+}
+
 /// What several lanes share.
 pub(super) struct Lanes {
     pub(super) fetch: Rc<Fetch>,
@@ -49,52 +55,72 @@
 impl Lanes {
     /// Takes one chunk after the other, until none misses.
     pub(super) async fn lane(&self) -> Result<(), Failed> {
+        while self.part.missing(|_| false).is_some() {
+            self.check_hope()?;
+            match self.next_request() {
+                Some(request) => self.carry_out(request).await?,
+                None => sleep(POLL_INTERVAL).await,
+            }
+        }
+        Ok(())
+    }
+
+    /// Fails once nobody is left who could give a chunk.
+    fn check_hope(&self) -> Result<(), Failed> {
+        let patience = self.fetch.hands.settings().patience_s;
+        let hopeless = self.fetch.sources.borrow().hopeless(patience, clock::now());
+        hopeless.map_or(Ok(()), |why| {
+            let last = self.last.borrow().clone();
+            Err(keep(FetchFailure::Hopeless { why, last }))
+        })
+    }
+
+    /// The first chunk that misses and is not asked for yet, and whom to ask, if
+    /// anyone may be now.
+    fn next_request(&self) -> Option<Request> {
+        let flying = |chunk| self.flying.borrow().contains(&chunk);
+        let chunk = self.part.missing(flying)?;
+        let whom = self.fetch.sources.borrow_mut().pick(clock::now())?;
+        Some(Request { chunk, whom })
+    }
+
+    /// Asks for a chunk and writes it, and says what became of it.
+    async fn carry_out(&self, request: Request) -> Result<(), Failed> {
+        let Request { chunk, whom } = request;
+        self.flying.borrow_mut().insert(chunk);
+        let outcome = self.take(chunk, whom).await;
+        self.flying.borrow_mut().remove(&chunk);
+        let outcome = outcome?;
+        if !matches!(outcome, Outcome::Right | Outcome::NotYet(_)) {
+            *self.last.borrow_mut() = format!("{whom:?}: chunk {chunk} {outcome:?}");
+            tracing::info!(image = self.fetch.image.name, source = ?whom, chunk, ?outcome, "chunk");
+        }
+        let mut sources = self.fetch.sources.borrow_mut();
+        sources.came(whom, outcome, jitter(), clock::now());
+        Ok(())
+    }
+
+    async fn take(&self, chunk: usize, whom: Whom) -> Result<Outcome, Failed> {
         let sources = &self.fetch.sources;
-        loop {
-            if self.part.missing(|_| false).is_none() {
-                return Ok(());
+        let taken = match whom {
+            Whom::Agent(agent) => self.of_agent(agent, chunk).await,
+            Whom::Origin => self.of_origin(chunk).await,
+        };
+        match taken {
+            Taken::All(response) => {
+                let outcome = self.all_as_it_passes(response).await;
+                sources.borrow_mut().over(whom);
+                outcome
             }
-            let patience = self.fetch.hands.settings().patience_s;
-            if let Some(why) = sources.borrow().hopeless(patience, clock::now()) {
-                let last = self.last.borrow().clone();
-                return Err(keep(FetchFailure::Hopeless { why, last }));
+            Taken::Bytes(bytes) => {
+                // Before it is written: the source's line never idles meanwhile.
+                sources.borrow_mut().over(whom);
+                self.write(chunk, bytes).await
             }
-            let flying = |chunk| self.flying.borrow().contains(&chunk);
-            let chunk = self.part.missing(flying);
-            let next = chunk.and_then(|c| Some((c, sources.borrow_mut().pick(clock::now())?)));
-            let Some((chunk, whom)) = next else {
-                sleep(POLL_INTERVAL).await;
-                continue;
-            };
-            self.flying.borrow_mut().insert(chunk);
-            let taken = match whom {
-                Whom::Agent(agent) => self.of_agent(agent, chunk).await,
-                Whom::Origin => self.of_origin(chunk).await,
-            };
-            let outcome = match taken {
-                Taken::All(response) => {
-                    let outcome = self.all_as_it_passes(response).await;
-                    sources.borrow_mut().over(whom);
-                    outcome
-                }
-                Taken::Bytes(bytes) => {
-                    sources.borrow_mut().over(whom);
-                    self.write(chunk, bytes).await
-                }
-                Taken::None(outcome) => {
-                    sources.borrow_mut().over(whom);
-                    Ok(outcome)
-                }
-            };
-            self.flying.borrow_mut().remove(&chunk);
-            let outcome = outcome?;
-            if !matches!(outcome, Outcome::Right | Outcome::NotYet(_)) {
-                *self.last.borrow_mut() = format!("{whom:?}: chunk {chunk} {outcome:?}");
-                tracing::info!(image = self.fetch.image.name, source = ?whom, chunk, ?outcome, "chunk");
+            Taken::None(outcome) => {
+                sources.borrow_mut().over(whom);
+                Ok(outcome)
             }
-            sources
-                .borrow_mut()
-                .came(whom, outcome, jitter(), clock::now());
         }
     }
 
@@ -113,10 +139,10 @@
             }
             Source::Folder(folder) => {
                 let path = folder.join(format!("{}.tar", image.name));
-                let (from, to) = self.part.sums().span(chunk);
+                let span = self.part.sums().span(chunk);
                 let read = spawn_blocking(move || {
-                    let mut bytes = vec![0; (to - from) as usize];
-                    File::open(path)?.read_exact_at(&mut bytes, from)?;
+                    let mut bytes = vec![0; (span.end - span.start) as usize];
+                    File::open(path)?.read_exact_at(&mut bytes, span.start)?;
                     Ok::<_, std::io::Error>(Bytes::from(bytes))
                 });
                 let read = read.await.unwrap_or_else(|e| Err(std::io::Error::other(e)));
@@ -131,8 +157,8 @@
     }
 
     async fn over_http(&self, at: SocketAddr, path: &str, chunk: usize) -> Taken {
-        let (from, to) = self.part.sums().span(chunk);
-        let length = to - from;
+        let span = self.part.sums().span(chunk);
+        let length = span.end - span.start;
         let stall = Duration::from_secs_f64(self.fetch.hands.settings().stall_s);
         // One that drips must not hold a chunk for ever either.
         let patience = stall + Duration::from_secs_f64(length as f64 / MIN_RATE_BYTES_PER_S);
@@ -142,7 +168,7 @@
                 Some(line) => line,
                 None => describe::connect(at).await.map_err(|_| Outcome::Failed)?,
             };
-            let range = format!("bytes={from}-{}", to - 1);
+            let range = format!("bytes={}-{}", span.start, span.end - 1);
             let response = ask(&mut line, at, path, Some(&range)).await;
             let response = response.map_err(|_| Outcome::Failed)?;
             match response.status().as_u16() {
@@ -169,8 +195,8 @@
         let mut body = response.into_body();
         let mut buffer = BytesMut::new();
         for chunk in 0..self.part.sums().chunks() {
-            let (from, to) = self.part.sums().span(chunk);
-            let length = (to - from) as usize;
+            let span = self.part.sums().span(chunk);
+            let length = (span.end - span.start) as usize;
             while buffer.len() < length {
                 let Ok(Some(Ok(frame))) = timeout(stall, body.frame()).await else {
                     return Ok(Outcome::Failed);
--- a/crates/agent/src/hand_on.rs
+++ b/crates/agent/src/hand_on.rs
@@ -9,6 +9,7 @@
 use std::fs::File;
 use std::io::{Error, Result};
 use std::net::IpAddr;
+use std::ops::Range;
 use std::os::unix::fs::FileExt;
 use std::pin::Pin;
 use std::rc::Rc;
@@ -68,6 +69,23 @@
     response
 }
 
+fn no_slot() -> Answer {
+    refuse(503, "all uploads are taken", Some(RETRY_SOON_S))
+}
+
+/// The range that was asked for is none of so many bytes.
+fn no_such_range(bytes: u64) -> Answer {
+    let mut response = refuse(416, "no such range", None);
+    set_content_range(&mut response, &format!("bytes */{bytes}"));
+    response
+}
+
+fn set_content_range(response: &mut Answer, of: &str) {
+    if let Ok(of) = of.parse() {
+        response.headers_mut().insert("content-range", of);
+    }
+}
+
 /// A body that comes piece by piece, its length known.
 pub struct Pieces {
     from: mpsc::Receiver<Result<Bytes>>,
@@ -145,8 +163,49 @@
 
 /// Where the bytes of an answer are.
 enum Bytewise {
+    /// All of these.
     Memory(Bytes),
-    File(Arc<File>, u64),
+    /// Those of a file, from this one on.
+    File { file: Arc<File>, from: u64 },
+}
+
+impl Bytewise {
+    /// So many bytes, `offset` behind the first of the answer.
+    async fn read(&self, offset: u64, size: u64) -> Result<Bytes> {
+        match self {
+            Self::Memory(all) => Ok(all.slice(offset as usize..(offset + size) as usize)),
+            Self::File { file, from } => {
+                let (file, at) = (file.clone(), from + offset);
+                let read = tokio::task::spawn_blocking(move || {
+                    let mut buffer = vec![0; size as usize];
+                    file.read_exact_at(&mut buffer, at)?;
+                    Ok(Bytes::from(buffer))
+                });
+                read.await.unwrap_or_else(|e| Err(Error::other(e)))
+            }
+        }
+    }
+}
+
+/// What a request below `/images/` names. Names are looked up among images, never
+/// on the disk.
+struct Wanted<'a> {
+    name: &'a str,
+    sha256: Option<&'a str>,
+    /// The file of sums, not the archive.
+    sums: bool,
+}
+
+impl<'a> Wanted<'a> {
+    fn of(uri: &'a Uri) -> Self {
+        let rest = uri.path().strip_prefix("/images/").unwrap_or_default();
+        let sums_of = rest.strip_suffix("/sums");
+        Self {
+            name: sums_of.unwrap_or(rest),
+            sha256: uri.query().and_then(|q| q.strip_prefix("sha256=")),
+            sums: sums_of.is_some(),
+        }
+    }
 }
 
 /// What is handed on, and to whom.
@@ -208,7 +267,10 @@
     pub fn comes(self: &Rc<Self>, sha256: &str, name: &str) -> Coming {
         let mut coming = self.coming.borrow_mut();
         coming.insert(sha256.to_owned(), name.to_owned());
-        Coming(self.clone(), sha256.to_owned())
+        Coming {
+            hands: self.clone(),
+            sha256: sha256.to_owned(),
+        }
     }
 
     /// What a report tells of images, those on their way first.
@@ -241,52 +303,50 @@
         if method != Method::GET {
             return refuse(405, "only GET", None);
         }
-        let rest = uri.path().strip_prefix("/images/").unwrap_or_default();
-        let (name, of_sums) = match rest.strip_suffix("/sums") {
-            Some(name) => (name, true),
-            None => (rest, false),
-        };
-        let sha256 = uri.query().and_then(|q| q.strip_prefix("sha256="));
-        // Names are looked up among images, never on the disk.
-        let part = match self.find(name, sha256) {
-            Ok(part) => part,
-            Err(refused) => return *refused,
+        let wanted = Wanted::of(uri);
+        match self.find(wanted.name, wanted.sha256) {
+            Ok(part) if wanted.sums => self.answer_sums(&part),
+            Ok(part) => self.answer_archive(&part, range).await,
+            Err(refused) => *refused,
+        }
+    }
+
+    /// The file of sums.
+    fn answer_sums(&self, part: &Part) -> Answer {
+        let Some(slot) = Slot::take(&self.slots) else {
+            return no_slot();
         };
-        let (from, to) = match range {
-            _ if of_sums => (0, part.text().len() as u64),
-            None => (0, part.sums().bytes),
-            Some(range) => match span(range, part.sums().bytes) {
-                Some(span) => span,
-                None => {
-                    let mut response = refuse(416, "no such range", None);
-                    let of = format!("bytes */{}", part.sums().bytes);
-                    if let Ok(of) = of.parse() {
-                        response.headers_mut().insert("content-range", of);
-                    }
-                    return response;
-                }
-            },
+        let text = part.text();
+        let length = text.len() as u64;
+        let pieces = self.send(Bytewise::Memory(text), length, slot);
+        Response::new(Either::Right(pieces))
+    }
+
+    /// The archive, or a range of it.
+    async fn answer_archive(&self, part: &Part, range: Option<&str>) -> Answer {
+        let bytes = part.sums().bytes;
+        let Some(wanted) = range.map_or(Some(0..bytes), |range| span(range, bytes)) else {
+            return no_such_range(bytes);
         };
-        if !of_sums && !self.there(&part, from, to).await {
+        if !self.there(part, &wanted).await {
             return refuse(503, "not there yet", Some(RETRY_SOON_S));
         }
         let Some(slot) = Slot::take(&self.slots) else {
-            return refuse(503, "all uploads are taken", Some(RETRY_SOON_S));
+            return no_slot();
+        };
+        let Ok(file) = File::open(part.archive()) else {
+            return refuse(404, "no such image any more", None);
         };
-        let bytes = match of_sums {
-            true => Bytewise::Memory(part.text()),
-            false => match File::open(part.archive()) {
-                Ok(file) => Bytewise::File(Arc::new(file), from),
-                Err(_) => return refuse(404, "no such image any more", None),
-            },
+        let source = Bytewise::File {
+            file: Arc::new(file),
+            from: wanted.start,
         };
-        let mut response = Response::new(Either::Right(self.send(bytes, to - from, slot)));
-        if range.is_some() && !of_sums {
+        let pieces = self.send(source, wanted.end - wanted.start, slot);
+        let mut response = Response::new(Either::Right(pieces));
+        if range.is_some() {
             *response.status_mut() = StatusCode::PARTIAL_CONTENT;
-            let of = format!("bytes {from}-{}/{}", to - 1, part.sums().bytes);
-            if let Ok(of) = of.parse() {
-                response.headers_mut().insert("content-range", of);
-            }
+            let of = format!("bytes {}-{}/{bytes}", wanted.start, wanted.end - 1);
+            set_content_range(&mut response, &of);
         }
         response
     }
@@ -321,8 +381,9 @@
 
     /// Whether all chunks of a span are there; for those on their way it waits
     /// a little.
-    async fn there(&self, part: &Part, from: u64, to: u64) -> bool {
-        let all = || part.sums().within(from, to).all(|chunk| part.has(chunk));
+    async fn there(&self, part: &Part, wanted: &Range<u64>) -> bool {
+        let chunks = part.sums().within(wanted.start, wanted.end);
+        let all = || chunks.clone().all(|chunk| part.has(chunk));
         if all() {
             return true;
         }
@@ -339,6 +400,8 @@
         false
     }
 
+    /// Sends so many bytes piece by piece, as the rate of all uploads allows, and
+    /// holds the slot meanwhile.
     fn send(&self, bytes: Bytewise, length: u64, slot: Slot) -> Pieces {
         let (to, from) = mpsc::channel(1);
         let rate = self.rate.clone();
@@ -353,18 +416,7 @@
                 if wait > MIN_WAIT_S {
                     sleep(Duration::from_secs_f64(wait)).await;
                 }
-                let piece = match &bytes {
-                    Bytewise::Memory(all) => Ok(all.slice(sent as usize..(sent + size) as usize)),
-                    Bytewise::File(file, begin) => {
-                        let (file, at) = (file.clone(), begin + sent);
-                        let read = tokio::task::spawn_blocking(move || {
-                            let mut buffer = vec![0; size as usize];
-                            file.read_exact_at(&mut buffer, at)?;
-                            Ok(Bytes::from(buffer))
-                        });
-                        read.await.unwrap_or_else(|e| Err(Error::other(e)))
-                    }
-                };
+                let piece = bytes.read(sent, size).await;
                 let failed = piece.is_err();
                 // Who doesn't take what is sent must not keep the slot.
                 let left = Duration::from_secs_f64(patience).saturating_sub(blocked);
@@ -382,17 +434,20 @@
 }
 
 /// An image is on its way, as long as this is there.
-pub struct Coming(Rc<Hands>, String);
+pub struct Coming {
+    hands: Rc<Hands>,
+    sha256: String,
+}
 
 impl Drop for Coming {
     fn drop(&mut self) {
-        self.0.coming.borrow_mut().remove(&self.1);
+        self.hands.coming.borrow_mut().remove(&self.sha256);
     }
 }
 
-/// The bytes that a `Range` names of so many: the first, and the first behind
-/// them. One range only; none if there are no such bytes.
-pub fn span(range: &str, of: u64) -> Option<(u64, u64)> {
+/// The bytes that a `Range` names of so many. One range only; none if there are no
+/// such bytes.
+pub fn span(range: &str, of: u64) -> Option<Range<u64>> {
     let (from, to) = range.strip_prefix("bytes=")?.split_once('-')?;
     let number = |text: &str| text.parse::<u64>().ok();
     let (from, to) = match (from, to) {
@@ -400,5 +455,5 @@
         (from, "") => (number(from)?, of),
         (from, to) => (number(from)?, number(to)?.checked_add(1)?.min(of)),
     };
-    (from < to).then_some((from, to))
+    (from < to).then_some(from..to)
 }
--- a/crates/agent/src/images.rs
+++ b/crates/agent/src/images.rs
@@ -14,6 +14,7 @@
 use sha2::{Digest, Sha256};
 
 use crate::core::Key;
+use crate::sums;
 
 /// The image that a job's tasks need: a tar archive, by its name where archives
 /// are, and by the sum of its bytes, which is what it is known by here.
@@ -224,45 +225,51 @@
     most_bytes: u64,
 ) -> std::io::Result<u64> {
     let beside = root.join(format!(".{}.new", image.sha256));
-    let place = root.join(&image.sha256);
-    let clean = || match std::fs::remove_dir_all(&beside) {
-        Err(e) if e.kind() != std::io::ErrorKind::NotFound => Err(e),
-        _ => Ok(()),
-    };
-    clean()?;
+    remove_folder(&beside)?;
     std::fs::create_dir_all(&beside)?;
+    let unpacked = unpack_beside(from, image, &beside, most_bytes).and_then(|bytes| {
+        std::fs::rename(&beside, root.join(&image.sha256))?;
+        File::open(root)?.sync_all()?;
+        Ok(bytes)
+    });
+    if unpacked.is_err() {
+        remove_folder(&beside)?;
+    }
+    unpacked
+}
+
+fn remove_folder(folder: &Path) -> std::io::Result<()> {
+    match std::fs::remove_dir_all(folder) {
+        Err(error) if error.kind() != std::io::ErrorKind::NotFound => Err(error),
+        _ => Ok(()),
+    }
+}
+
+/// Unpacks an archive into a folder, on the disk when this returns, if its sum is
+/// right.
+fn unpack_beside(
+    from: impl Read,
+    image: &Image,
+    beside: &Path,
+    most_bytes: u64,
+) -> std::io::Result<u64> {
     let mut reader = Summing {
         from,
         sum: Sha256::new(),
         left: most_bytes,
     };
-    let unpacked = (|| {
-        // No path of the archive leads out of the folder.
-        tar::Archive::new(&mut reader).unpack(&beside)?;
-        // The sum is of all bytes, also those behind the archive's end.
-        std::io::copy(&mut reader, &mut std::io::sink())?;
-        let sum: String = reader
-            .sum
-            .finalize_reset()
-            .iter()
-            .map(|b| format!("{b:02x}"))
-            .collect();
-        if sum != image.sha256 {
-            return Err(std::io::Error::other(format!("its sum is {sum}")));
-        }
-        std::fs::write(
-            beside.join(SIZE_FILE),
-            (most_bytes - reader.left).to_string(),
-        )?;
-        sync(&beside)?;
-        std::fs::rename(&beside, &place)?;
-        File::open(root)?.sync_all()?;
-        Ok(most_bytes - reader.left)
-    })();
-    if unpacked.is_err() {
-        clean()?;
+    // No path of the archive leads out of the folder.
+    tar::Archive::new(&mut reader).unpack(beside)?;
+    // The sum is of all bytes, also those behind the archive's end.
+    std::io::copy(&mut reader, &mut std::io::sink())?;
+    let bytes = most_bytes - reader.left;
+    let sum = sums::hexadecimal(reader.sum.finalize().as_slice());
+    if sum != image.sha256 {
+        return Err(std::io::Error::other(format!("its sum is {sum}")));
     }
-    unpacked
+    std::fs::write(beside.join(SIZE_FILE), bytes.to_string())?;
+    sync(beside)?;
+    Ok(bytes)
 }
 
 /// The file in an image's folder that tells its size.
--- a/crates/agent/src/main.rs
+++ b/crates/agent/src/main.rs
@@ -1,11 +1,12 @@
 //! The program: the agent, the supervisors that it starts, and a look at it.
 
-use std::path::PathBuf;
+use std::fs::File;
+use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 
 use clap::{Parser, Subcommand};
 use sorrelhinge_agent::agent::Agent;
-use sorrelhinge_agent::describe::Description;
+use sorrelhinge_agent::describe::{Description, DescriptionError};
 use sorrelhinge_agent::settings::Settings;
 use sorrelhinge_agent::sums::Sums;
 use sorrelhinge_agent::supervise;
@@ -125,6 +126,72 @@
     }
 }
 
+/// Why a file is no job description.
+#[derive(Debug, thiserror::Error)]
+enum DescribeError {
+    #[error(transparent)]
+    Unreadable(#[from] std::io::Error),
+    #[error(transparent)]
+    Invalid(#[from] DescriptionError),
+}
+
+fn read_description(file: &Path) -> Result<Description, DescribeError> {
+    Ok(Description::read(&std::fs::read(file)?)?)
+}
+
+/// Checks a job description.
+fn describe(file: &Path) -> ExitCode {
+    match read_description(file) {
+        Ok(_) => {
+            println!("{}: valid", file.display());
+            ExitCode::SUCCESS
+        }
+        Err(why) => fail(format!("{}: {why}", file.display()), 2),
+    }
+}
+
+/// Prints the sums of an archive's chunks, each of so many bytes.
+fn print_sums(file: &Path, chunk: u64) -> ExitCode {
+    match File::open(file).and_then(|archive| Sums::of(archive, chunk)) {
+        Ok(sums) => {
+            println!("{}", sums.text());
+            ExitCode::SUCCESS
+        }
+        Err(why) => fail(format!("{}: {why}", file.display()), 1),
+    }
+}
+
+/// Prints what runs on this machine.
+fn print_status(config: &Path) -> ExitCode {
+    let settings = match Settings::load(config) {
+        Ok(settings) => settings,
+        Err(why) => return fail(why, 2),
+    };
+    match local(sorrelhinge_agent::agent::status(settings.listen)) {
+        Ok(Ok(text)) => {
+            print!("{text}");
+            ExitCode::SUCCESS
+        }
+        Ok(Err(why)) => fail(why, 1),
+        Err(error) => fail(error, 1),
+    }
+}
+
+/// Runs the agent, or only checks its settings.
+fn serve(config: &Path, check: bool) -> ExitCode {
+    match Settings::load(config) {
+        Err(why) => fail(why, 2),
+        Ok(_) if check => {
+            println!("settings are valid");
+            ExitCode::SUCCESS
+        }
+        Ok(settings) => {
+            log();
+            run(settings)
+        }
+    }
+}
+
 fn main() -> ExitCode {
     let args = Args::parse();
     match (args.command, args.config) {
@@ -137,49 +204,10 @@
             print!("{}", Description::schema());
             ExitCode::SUCCESS
         }
-        (Some(Command::Sums { file, chunk }), _) => {
-            let sums = std::fs::File::open(&file).and_then(|f| Sums::of(f, chunk));
-            match sums {
-                Ok(sums) => {
-                    println!("{}", sums.text());
-                    ExitCode::SUCCESS
-                }
-                Err(why) => fail(format!("{}: {why}", file.display()), 1),
-            }
-        }
-        (Some(Command::Describe { file }), _) => {
-            let text = std::fs::read(&file).map_err(|e| e.to_string());
-            let read = |text: Vec<u8>| Description::read(&text).map_err(|e| e.to_string());
-            match text.and_then(read) {
-                Ok(_) => {
-                    println!("{}: valid", file.display());
-                    ExitCode::SUCCESS
-                }
-                Err(why) => fail(format!("{}: {why}", file.display()), 2),
-            }
-        }
-        (Some(Command::Status { config }), _) => match Settings::load(&config) {
-            Err(why) => fail(why, 2),
-            Ok(settings) => match local(sorrelhinge_agent::agent::status(settings.listen)) {
-                Ok(Ok(text)) => {
-                    print!("{text}");
-                    ExitCode::SUCCESS
-                }
-                Ok(Err(why)) => fail(why, 1),
-                Err(error) => fail(error, 1),
-            },
-        },
-        (None, Some(config)) => match Settings::load(&config) {
-            Err(why) => fail(why, 2),
-            Ok(_) if args.check => {
-                println!("settings are valid");
-                ExitCode::SUCCESS
-            }
-            Ok(settings) => {
-                log();
-                run(settings)
-            }
-        },
+        (Some(Command::Sums { file, chunk }), _) => print_sums(&file, chunk),
+        (Some(Command::Describe { file }), _) => describe(&file),
+        (Some(Command::Status { config }), _) => print_status(&config),
+        (None, Some(config)) => serve(&config, args.check),
         (None, None) => fail("--config or a command is needed", 2),
     }
 }
--- a/crates/agent/src/part.rs
+++ b/crates/agent/src/part.rs
@@ -237,9 +237,9 @@
     pub fn look(archive: &Path, sums: &Sums) -> Result<Vec<bool>> {
         let file = File::open(archive)?;
         let look = |chunk| {
-            let (from, to) = sums.span(chunk);
-            let mut bytes = vec![0; (to - from) as usize];
-            file.read_exact_at(&mut bytes, from)?;
+            let span = sums.span(chunk);
+            let mut bytes = vec![0; (span.end - span.start) as usize];
+            file.read_exact_at(&mut bytes, span.start)?;
             Ok(sums.right(chunk, &bytes))
         };
         (0..sums.chunks()).map(look).collect()
@@ -267,6 +267,6 @@
         return Ok(false);
     }
     let file = OpenOptions::new().write(true).open(archive)?;
-    file.write_all_at(bytes, sums.span(chunk).0)?;
+    file.write_all_at(bytes, sums.span(chunk).start)?;
     Ok(true)
 }
--- a/crates/agent/src/sums.rs
+++ b/crates/agent/src/sums.rs
@@ -10,6 +10,7 @@
 //! byte by byte as it came, so that it may itself be known by its sum.
 
 use std::io::Read;
+use std::ops::{Range, RangeInclusive};
 
 use serde::{Deserialize, Serialize};
 use sha2::{Digest, Sha256};
@@ -18,7 +19,7 @@
 pub const DEFAULT_CHUNK_BYTES: u64 = 8 << 20;
 /// Bytes that a chunk has at the least and at the most: one is in memory while
 /// it is checked.
-const ALLOWED_CHUNK_BYTES: std::ops::RangeInclusive<u64> = 4 << 10..=64 << 20;
+const ALLOWED_CHUNK_BYTES: RangeInclusive<u64> = 4 << 10..=64 << 20;
 /// Bytes of a file of sums, at the most: a terabyte in chunks of 8 MiB.
 pub const MAX_FILE_BYTES: usize = 9 << 20;
 /// The version that this one reads and writes.
@@ -53,7 +54,8 @@
     hexadecimal(Sha256::digest(bytes).as_slice())
 }
 
-fn hexadecimal(sum: &[u8]) -> String {
+/// A sum as lower-case hexadecimal digits.
+pub(crate) fn hexadecimal(sum: &[u8]) -> String {
     sum.iter().map(|b| format!("{b:02x}")).collect()
 }
 
@@ -137,15 +139,15 @@
         self.sums.len()
     }
 
-    /// A chunk's first byte, and the first behind it.
-    pub fn span(&self, chunk: usize) -> (u64, u64) {
+    /// The bytes that a chunk has of the archive.
+    pub fn span(&self, chunk: usize) -> Range<u64> {
         let from = chunk as u64 * self.chunk;
-        (from, (from + self.chunk).min(self.bytes))
+        from..(from + self.chunk).min(self.bytes)
     }
 
     /// The chunks that bytes from `from` to before `to` are in; `to` is not
     /// beyond the end.
-    pub fn within(&self, from: u64, to: u64) -> std::ops::Range<usize> {
+    pub fn within(&self, from: u64, to: u64) -> Range<usize> {
         (from / self.chunk) as usize..to.div_ceil(self.chunk) as usize
     }
 
--- a/crates/agent/tests/sums.rs
+++ b/crates/agent/tests/sums.rs
@@ -7,7 +7,7 @@
     let bytes: Vec<u8> = (0..10_000_u32).map(|n| n as u8).collect();
     let sums = Sums::of(&bytes[..], 4096).expect("sums");
     assert_eq!(Sums::read(sums.text().as_bytes()), Ok(sums.clone()));
-    assert_eq!((sums.chunks(), sums.span(2)), (3, (8192, 10_000)));
+    assert_eq!((sums.chunks(), sums.span(2)), (3, 8192..10_000));
     assert_eq!(sums.within(4095, 4097), 0..2);
     assert_eq!(sums.within(4096, 8192), 1..2);
     assert_eq!(sums.sha256, sha256(&bytes));
--- a/crates/agent/tests/upload_limits.rs
+++ b/crates/agent/tests/upload_limits.rs
@@ -5,11 +5,11 @@
 
 #[test]
 fn ranges() {
-    assert_eq!(span("bytes=0-0", 10), Some((0, 1)));
-    assert_eq!(span("bytes=3-", 10), Some((3, 10)));
-    assert_eq!(span("bytes=3-99", 10), Some((3, 10)));
-    assert_eq!(span("bytes=-4", 10), Some((6, 10)));
-    assert_eq!(span("bytes=-40", 10), Some((0, 10)));
+    assert_eq!(span("bytes=0-0", 10), Some(0..1));
+    assert_eq!(span("bytes=3-", 10), Some(3..10));
+    assert_eq!(span("bytes=3-99", 10), Some(3..10));
+    assert_eq!(span("bytes=-4", 10), Some(6..10));
+    assert_eq!(span("bytes=-40", 10), Some(0..10));
     for none in [
         "bytes=10-",
         "bytes=10-12",
