--- a/crates/agent/tests/cut_sockets.rs
+++ b/crates/agent/tests/cut_sockets.rs
@@ -41,6 +41,11 @@
 /// again by right.
 const LEASE_S: f64 = 18.0;
 
+/// How long agents are killed and connections cut.
+const STORM: Duration = Duration::from_secs(12);
+/// How long everything has to come to its end after that.
+const CALM: Duration = Duration::from_secs(150);
+
 /// A way to `to` on which every connection breaks after some bytes.
 async fn cutting_proxy(
     to: SocketAddr,
@@ -218,60 +223,81 @@
     ended: bool,
 }
 
+/// The evidence of each attempt, by task and number.
+type AllEvidence = BTreeMap<String, BTreeMap<u64, Evidence>>;
+
 /// Reads all evidence and tells what is wrong with it.
 fn check(folder: &Path) -> Vec<String> {
-    let mut by_task: BTreeMap<String, BTreeMap<u64, Evidence>> = BTreeMap::new();
+    let by_task = read_evidence(folder);
+    let mut wrong = Vec::new();
+    if by_task.len() != JOBS * TASKS {
+        wrong.push(format!(
+            "{} of {} tasks ever ran",
+            by_task.len(),
+            JOBS * TASKS
+        ));
+    }
+    for (task, attempts) in &by_task {
+        check_task(task, attempts, &mut wrong);
+    }
+    wrong
+}
+
+fn read_evidence(folder: &Path) -> AllEvidence {
+    let mut by_task = AllEvidence::new();
     for file in std::fs::read_dir(folder).expect("evidence").flatten() {
         let name = file.file_name().into_string().expect("a name");
         let (task, attempt) = name.rsplit_once('+').expect("task and attempt");
         let attempts = by_task.entry(task.to_owned()).or_default();
-        let e = attempts
+        let evidence = attempts
             .entry(attempt.parse().expect("a number"))
             .or_default();
         for line in std::fs::read_to_string(file.path()).expect("text").lines() {
-            let Some((what, time)) = line.split_once(' ') else {
-                continue;
-            };
-            let Ok(time) = time.parse::<u128>() else {
-                continue;
-            };
-            if what == "start" {
-                e.starts += 1;
-                e.first = time;
-            }
-            e.last = e.last.max(time);
-            e.ended |= what == "end";
+            evidence.read_line(line);
         }
     }
-    let mut wrong = Vec::new();
-    if by_task.len() != JOBS * TASKS {
-        wrong.push(format!(
-            "{} of {} tasks ever ran",
-            by_task.len(),
-            JOBS * TASKS
-        ));
+    by_task
+}
+
+impl Evidence {
+    /// A line that was cut short tells nothing.
+    fn read_line(&mut self, line: &str) {
+        let Some((what, time)) = line.split_once(' ') else {
+            return;
+        };
+        let Ok(time) = time.parse::<u128>() else {
+            return;
+        };
+        if what == "start" {
+            self.starts += 1;
+            self.first = time;
+        }
+        self.last = self.last.max(time);
+        self.ended |= what == "end";
     }
-    for (task, attempts) in &by_task {
-        if !attempts.values().any(|e| e.ended) {
-            wrong.push(format!("{task} never ended"));
+}
+
+/// A task ended, each attempt began once, and none while or after another that
+/// rules it out.
+fn check_task(task: &str, attempts: &BTreeMap<u64, Evidence>, wrong: &mut Vec<String>) {
+    if !attempts.values().any(|e| e.ended) {
+        wrong.push(format!("{task} never ended"));
+    }
+    let mut before: Option<(u64, Evidence)> = None;
+    for (n, e) in attempts {
+        if e.starts != 1 {
+            wrong.push(format!("{task}, attempt {n}: {} starts", e.starts));
         }
-        let mut before: Option<(u64, Evidence)> = None;
-        for (n, e) in attempts {
-            if e.starts != 1 {
-                wrong.push(format!("{task}, attempt {n}: {} starts", e.starts));
+        if let Some((m, b)) = before {
+            if e.first <= b.last {
+                wrong.push(format!("{task}: attempt {n} began while {m} ran"));
             }
-            if let Some((m, b)) = before {
-                if e.first <= b.last {
-                    wrong.push(format!("{task}: attempt {n} began while {m} ran"));
-                }
-                if b.ended {
-                    wrong.push(format!("{task}: attempt {n} began after {m} had ended"));
-                }
+            if b.ended {
+                wrong.push(format!("{task}: attempt {n} began after {m} had ended"));
             }
-            before = Some((*n, *e));
         }
+        before = Some((*n, *e));
     }
-    wrong
 }
 
 /// Four images as archives; their sums.
@@ -294,57 +320,126 @@
     archives.collect()
 }
 
+/// What the checker found, and how many agents were killed.
+struct Outcome {
+    wrong: Vec<String>,
+    kills: usize,
+}
+
+/// Folders of a storm, and what all that is in it shares.
+struct Storm {
+    root: PathBuf,
+    jobs: PathBuf,
+    evidence: PathBuf,
+    rng: Rc<RefCell<StdRng>>,
+    /// Nothing is cut any more.
+    calm: Rc<RefCell<bool>>,
+    machines: Rc<RefCell<Vec<Machine>>>,
+    place: Place,
+}
+
 /// Runs the whole thing, and what the checker finds.
-async fn storm(seed: u64, broken: bool) -> (Vec<String>, usize) {
+async fn storm(seed: u64, broken: bool) -> Outcome {
     println!("seed {seed}");
-    let root = Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("storm-{broken}"));
-    let _ = std::fs::remove_dir_all(&root);
-    let (jobs, evidence) = (root.join("jobs"), root.join("evidence"));
-    std::fs::create_dir_all(&jobs).expect("a folder");
-    std::fs::create_dir_all(&evidence).expect("a folder");
-    let sums = images(&root.join("images"));
-    let rng = Rc::new(RefCell::new(StdRng::seed_from_u64(seed)));
-    let calm = Rc::new(RefCell::new(false));
-    // Held until the end.
-    let place = Place::claim(3);
-    let state = place.state();
-    store::start(&state).await;
+    let storm = Storm::new(seed, &format!("storm-{broken}"));
+    let sums = images(&storm.root.join("images"));
+    store::start(&storm.place.state()).await;
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let cloud_addr = listener.local_addr().expect("its address");
-    let machines: Rc<RefCell<Vec<Machine>>> = Rc::default();
-    cloud(listener, machines.clone());
-    let users: Vec<SocketAddr> = (0..3).map(|i| place.users(i)).collect();
-    let peers: Vec<SocketAddr> = (0..3).map(|i| place.peers(i)).collect();
-    let mut stops = Vec::new();
-    let mut near = String::new();
-    for i in 0..3 {
+    cloud(listener, storm.machines.clone());
+    let (stops, near) = storm.start_controllers(cloud_addr).await;
+    for n in 0..AGENTS {
+        storm.start_agent(n, &near, broken).await;
+    }
+    for n in 0..JOBS {
+        storm.describe_job(n, &sums);
+        storm.submit_job(n).await;
+    }
+    // The storm, and then calm, in which everything has to come to its end.
+    let kills = storm.kill_agents(broken).await;
+    *storm.calm.borrow_mut() = true;
+    let open = storm.wait_for_jobs().await;
+    for machine in storm.machines.borrow_mut().iter_mut() {
+        machine.switch_off();
+    }
+    drop(stops);
+    let mut wrong = check(&storm.evidence);
+    wrong.extend(open.iter().map(|uid| format!("{uid} is not done")));
+    println!("{kills} agents killed, {} faults found", wrong.len());
+    Outcome { wrong, kills }
+}
+
+impl Storm {
+    fn new(seed: u64, name: &str) -> Self {
+        let root = Path::new(env!("CARGO_TARGET_TMPDIR")).join(name);
+        let _ = std::fs::remove_dir_all(&root);
+        let (jobs, evidence) = (root.join("jobs"), root.join("evidence"));
+        std::fs::create_dir_all(&jobs).expect("a folder");
+        std::fs::create_dir_all(&evidence).expect("a folder");
+        Self {
+            root,
+            jobs,
+            evidence,
+            rng: Rc::new(RefCell::new(StdRng::seed_from_u64(seed))),
+            calm: Rc::default(),
+            machines: Rc::default(),
+            // Held until the end.
+            place: Place::claim(3),
+        }
+    }
+
+    async fn proxy(&self, to: SocketAddr) -> SocketAddr {
+        cutting_proxy(to, self.rng.clone(), self.calm.clone()).await
+    }
+
+    /// What stops each controller, and how agents are told of them.
+    async fn start_controllers(&self, cloud: SocketAddr) -> (Vec<oneshot::Sender<()>>, String) {
+        let mut stops = Vec::new();
+        let mut near = String::new();
+        for i in 0..3 {
+            stops.push(controller(&self.controller_text(i, cloud)));
+            let proxy = self.proxy(self.place.users(i)).await;
+            near += &format!("[[controllers]]\nnode = \"c-{i}\"\naddress = \"{proxy}\"\n");
+        }
+        (stops, near)
+    }
+
+    fn controller_text(&self, i: usize, cloud: SocketAddr) -> String {
+        let place = &self.place;
         let others: String = (0..3)
             .filter(|o| *o != i)
-            .map(|o| format!("[[others]]\nnode = \"c-{o}\"\naddress = \"{}\"\n", peers[o]))
+            .map(|o| {
+                let peer = place.peers(o);
+                format!("[[others]]\nnode = \"c-{o}\"\naddress = \"{peer}\"\n")
+            })
             .collect();
-        stops.push(controller(&format!(
+        format!(
             "node = \"c-{i}\"\narea = \"za\"\nbind = \"{}\"\npeer_bind = \"{}\"\n{others}\
-             [outside]\ncloud = \"{cloud_addr}\"\nstate = \"{state}\"\n\
+             [outside]\ncloud = \"{cloud}\"\nstate = \"{}\"\n\
              [params]\nzones = [\"za\"]\n[[params.teams]]\nname = \"t\"\ncpus = 100.0\n\
              cpus_max = 100.0\n[params.workers]\nreport_s = {REPORT_S:?}\n\
              lease_s = {LEASE_S:?}\ncancel_s = 30.0\n[params.state]\nrps = 500.0\n\
              write_rps = 300.0\nvalue_kb = 8.0\ntxn_ops = 16\n[params.cloud]\nrps = 50.0\n\
              list_lag_s = 0.2\n",
-            users[i], peers[i]
-        )));
-        let proxy = cutting_proxy(users[i], rng.clone(), calm.clone()).await;
-        near += &format!("[[controllers]]\nnode = \"c-{i}\"\naddress = \"{proxy}\"\n");
+            place.users(i),
+            place.peers(i),
+            place.state()
+        )
     }
-    for n in 0..AGENTS {
-        let (listen, name) = (place.more(n), format!("vm-{n:06}"));
-        let advertise = cutting_proxy(listen, rng.clone(), calm.clone()).await;
-        let (folder, config) = (root.join(&name), root.join(format!("{name}.toml")));
+
+    /// Starts a machine's agent, behind a proxy that cuts.
+    async fn start_agent(&self, n: usize, near: &str, broken: bool) {
+        let (listen, name) = (self.place.more(n), format!("vm-{n:06}"));
+        let advertise = self.proxy(listen).await;
+        let folder = self.root.join(&name);
+        let config = self.root.join(format!("{name}.toml"));
         let text = format!(
             "version = 1\nname = \"{name}\"\nkind = \"t\"\nzone = \"za\"\nlisten = \"{listen}\"\n\
              advertise = \"{advertise}\"\nfolder = {folder:?}\ncpus = 4.0\nram_gb = 16.0\n\
              report_s = {REPORT_S:?}\nlease_s = {LEASE_S:?}\ncache_gb = 0.001\n{near}\
-             [jobs]\nfolder = {jobs:?}\n[images]\nfolder = {:?}\n",
-            root.join("images")
+             [jobs]\nfolder = {:?}\n[images]\nfolder = {:?}\n",
+            self.jobs,
+            self.root.join("images")
         );
         std::fs::write(&config, text).expect("written");
         let mut machine = Machine {
@@ -356,19 +451,20 @@
             gone: false,
         };
         machine.start(broken);
-        machines.borrow_mut().push(machine);
+        self.machines.borrow_mut().push(machine);
     }
-    for n in 0..JOBS {
-        let uid = format!("run-{n:04}");
-        let beats = rng.borrow_mut().random_range(2..12);
-        // It lives as long as it writes; each write is one line.
+
+    /// Writes what a job's tasks run. They live as long as they write; each write
+    /// is one line. Every second job has an image, without which it does not even
+    /// begin.
+    fn describe_job(&self, n: usize, sums: &[String]) {
+        let beats = self.rng.borrow_mut().random_range(2..12);
         let script = format!(
             "f={}/$(echo $TASK | tr / _)+$TASK_ATTEMPT; echo start $(date +%s%N) >> $f; i=0; \
              while [ $i -lt {beats} ]; do sleep 0.04; echo beat $(date +%s%N) >> $f; \
              i=$((i+1)); done; echo end $(date +%s%N) >> $f",
-            evidence.display()
+            self.evidence.display()
         );
-        // Every second job has an image, without which it does not even begin.
         let image = n % 4;
         let (script, image) = match n % 2 {
             0 => (
@@ -379,7 +475,13 @@
         };
         let description = json!({"version": 1, "command": ["/bin/sh", "-c", script],
             "cpus": 1.0, "ram_gb": 1.0, "image": image});
-        std::fs::write(jobs.join(format!("{uid}.json")), description.to_string()).expect("written");
+        let file = self.jobs.join(format!("{}.json", uid(n)));
+        std::fs::write(file, description.to_string()).expect("written");
+    }
+
+    /// Submits a job until it is accepted.
+    async fn submit_job(&self, n: usize) {
+        let uid = uid(n);
         let job = json!({"uid": uid, "jobclass": "c", "crew": "t", "shape": "sweep",
             "rank": "normal", "pieces": TASKS, "cpus": 1.0, "cards": 0.0, "ram_gb": 1.0,
             "bundle": "i", "pull_gb": 0.0, "builds": null, "rack": null, "together": false,
@@ -387,7 +489,8 @@
             "due_s": null});
         let end = Instant::now() + Duration::from_secs(30);
         loop {
-            let told = ask(users[n % 3], Method::POST, "/v1/jobs", &job).await;
+            let users = self.place.users(n % 3);
+            let told = ask(users, Method::POST, "/v1/jobs", &job).await;
             if told.is_some_and(|(status, _)| status < 300) {
                 break;
             }
@@ -395,48 +498,48 @@
             sleep(Duration::from_millis(100)).await;
         }
     }
-    // The storm, and then calm, in which everything has to come to its end.
-    let begun = Instant::now();
-    let mut kills = 0;
-    while begun.elapsed() < Duration::from_secs(12) {
-        let pause = rng.borrow_mut().random_range(100..500);
-        sleep(Duration::from_millis(pause)).await;
-        let n = rng.borrow_mut().random_range(0..AGENTS);
-        let mut machines = machines.borrow_mut();
-        if !machines[n].gone {
-            machines[n].kill();
-            machines[n].start(broken);
-            kills += 1;
+
+    /// Kills agents and starts them again, and says how many.
+    async fn kill_agents(&self, broken: bool) -> usize {
+        let begun = Instant::now();
+        let mut kills = 0;
+        while begun.elapsed() < STORM {
+            let pause = self.rng.borrow_mut().random_range(100..500);
+            sleep(Duration::from_millis(pause)).await;
+            let n = self.rng.borrow_mut().random_range(0..AGENTS);
+            let mut machines = self.machines.borrow_mut();
+            if !machines[n].gone {
+                machines[n].kill();
+                machines[n].start(broken);
+                kills += 1;
+            }
         }
+        kills
     }
-    *calm.borrow_mut() = true;
-    let end = Instant::now() + Duration::from_secs(150);
-    let mut open: Vec<String> = (0..JOBS).map(|n| format!("run-{n:04}")).collect();
-    while !open.is_empty() && Instant::now() < end {
-        sleep(Duration::from_millis(200)).await;
-        let mut left = Vec::new();
-        for uid in open {
-            let told = ask(
-                users[0],
-                Method::GET,
-                &format!("/v1/jobs/{uid}"),
-                &Value::Null,
-            )
-            .await;
-            if told.is_none_or(|(_, body)| body["phase"] != "done") {
-                left.push(uid);
+
+    /// Waits until all jobs are done; those that are not in time.
+    async fn wait_for_jobs(&self) -> Vec<String> {
+        let users = self.place.users(0);
+        let end = Instant::now() + CALM;
+        let mut open: Vec<String> = (0..JOBS).map(uid).collect();
+        while !open.is_empty() && Instant::now() < end {
+            sleep(Duration::from_millis(200)).await;
+            let mut left = Vec::new();
+            for uid in open {
+                let path = format!("/v1/jobs/{uid}");
+                let told = ask(users, Method::GET, &path, &Value::Null).await;
+                if told.is_none_or(|(_, body)| body["phase"] != "done") {
+                    left.push(uid);
+                }
             }
+            open = left;
         }
-        open = left;
-    }
-    for machine in machines.borrow_mut().iter_mut() {
-        machine.switch_off();
+        open
     }
-    drop(stops);
-    let mut wrong = check(&evidence);
-    wrong.extend(open.iter().map(|uid| format!("{uid} is not done")));
-    println!("{kills} agents killed, {} faults found", wrong.len());
-    (wrong, kills)
+}
+
+fn uid(n: usize) -> String {
+    format!("run-{n:04}")
 }
 
 /// Not a test but the part of an agent that forgets what it ran whenever it
@@ -462,7 +565,7 @@
 #[test]
 fn every_task_ends_once_whatever_is_cut_or_killed() {
     run(async {
-        let (wrong, kills) = storm(41, false).await;
+        let Outcome { wrong, kills } = storm(41, false).await;
         assert_eq!(wrong, Vec::<String>::new());
         assert!(kills > 10, "only {kills} agents were killed");
     });
@@ -471,7 +574,7 @@
 #[test]
 fn the_checker_finds_an_agent_that_forgets() {
     run(async {
-        let (wrong, _) = storm(42, true).await;
+        let Outcome { wrong, .. } = storm(42, true).await;
         let overlaps = wrong.iter().filter(|w| w.contains("began"));
         assert!(overlaps.count() > 0, "found only: {wrong:?}");
     });
--- a/crates/agent/tests/worker_model.rs
+++ b/crates/agent/tests/worker_model.rs
@@ -98,6 +98,17 @@
     }
 }
 
+fn id_of(key: &Key) -> (String, u64) {
+    (key.piece.clone(), key.attempt.0)
+}
+
+fn key_of(id: &(String, u64)) -> Key {
+    Key {
+        piece: id.0.clone(),
+        attempt: Attempt(id.1),
+    }
+}
+
 /// What PROTOCOL says of one attempt, with nothing but its words.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Plain {
@@ -144,46 +155,14 @@
     }
 
     fn execute(&mut self, commands: &[Command]) {
-        for c in commands {
-            match c {
-                Command::Start { piece, attempt, .. } => {
-                    let key = (piece.clone(), attempt.0);
-                    if self.tasks.contains_key(&key) {
-                        continue;
-                    }
-                    let mut others = self.tasks.iter().filter(|((p, _), _)| p == piece);
-                    let in_use = others.any(|(_, t)| !matches!(t, Plain::Ended(_)));
-                    let phase = if in_use {
-                        Plain::Ended(Why::InUse)
-                    } else if self.results.contains(piece) {
-                        Plain::Ended(Why::Done)
-                    } else {
-                        Plain::Fetching
-                    };
-                    self.tasks.insert(key, phase);
-                }
+        for command in commands {
+            match command {
+                Command::Start { piece, attempt, .. } => self.start((piece.clone(), attempt.0)),
                 Command::Kill {
                     piece,
                     attempt,
                     mercy_s,
-                } => {
-                    let key = (piece.clone(), attempt.0);
-                    match self.tasks.get_mut(&key) {
-                        Some(phase) if *phase == Plain::Fetching => {
-                            *phase = Plain::Ended(Why::Stopped);
-                            self.imaging.remove(&key);
-                        }
-                        Some(phase) if *phase == Plain::Running => {
-                            let first = !self.processes.get(&key).copied().unwrap_or(false);
-                            let saves = needs_of(piece).save_s;
-                            if saves.is_some_and(|s| *mercy_s >= s) && first {
-                                *phase = Plain::Saving;
-                            }
-                            self.processes.insert(key, true);
-                        }
-                        _ => {}
-                    }
-                }
+                } => self.kill((piece.clone(), attempt.0), *mercy_s),
                 Command::Forget { piece, attempt } => {
                     let key = (piece.clone(), attempt.0);
                     if matches!(self.tasks.get(&key), Some(Plain::Ended(_))) {
@@ -194,6 +173,94 @@
         }
     }
 
+    fn start(&mut self, key: (String, u64)) {
+        if self.tasks.contains_key(&key) {
+            return;
+        }
+        let mut others = self.tasks.iter().filter(|((piece, _), _)| *piece == key.0);
+        let in_use = others.any(|(_, phase)| !matches!(phase, Plain::Ended(_)));
+        let phase = if in_use {
+            Plain::Ended(Why::InUse)
+        } else if self.results.contains(&key.0) {
+            Plain::Ended(Why::Done)
+        } else {
+            Plain::Fetching
+        };
+        self.tasks.insert(key, phase);
+    }
+
+    fn kill(&mut self, key: (String, u64), mercy_s: f64) {
+        match self.tasks.get_mut(&key) {
+            Some(phase) if *phase == Plain::Fetching => {
+                *phase = Plain::Ended(Why::Stopped);
+                self.imaging.remove(&key);
+            }
+            Some(phase) if *phase == Plain::Running => {
+                let first = !self.processes.get(&key).copied().unwrap_or(false);
+                let saves = needs_of(&key.0).save_s;
+                if saves.is_some_and(|s| mercy_s >= s) && first {
+                    *phase = Plain::Saving;
+                }
+                self.processes.insert(key, true);
+            }
+            _ => {}
+        }
+    }
+
+    /// A description was found, or not; `busy` attempts take room.
+    fn describe(&mut self, id: (String, u64), found: bool, busy: usize) {
+        let image = needs_of(&id.0).image;
+        if let Some(phase) = self.tasks.get_mut(&id) {
+            *phase = match found {
+                false => Plain::Ended(Why::NoSuch),
+                true if busy >= 3 => Plain::Ended(Why::Full),
+                true if image => {
+                    self.imaging.insert(id);
+                    Plain::Fetching
+                }
+                true => Plain::Running,
+            };
+        }
+    }
+
+    /// An attempt's processes are gone; `stopped`: it had been told to end.
+    fn exited(&mut self, id: &(String, u64), exit: Exit, stopped: bool) {
+        if let Some(phase) = self.tasks.get_mut(id) {
+            let why = match exit {
+                Exit::Done => Why::Done,
+                Exit::Saved => Why::Stopped,
+                _ if stopped => Why::Stopped,
+                _ => Why::Error,
+            };
+            *phase = Plain::Ended(why);
+            if why == Why::Done {
+                self.results.push(id.0.clone());
+            }
+        }
+    }
+
+    /// The agent starts again: it knows what the journal and the folders tell.
+    fn restart(&mut self, results: Vec<String>, unborn: &[Key]) {
+        self.results = results;
+        // A stop that was under way is not known any more.
+        for (id, killed) in &mut self.processes {
+            if self.tasks.contains_key(id) {
+                *killed = false;
+            }
+        }
+        for phase in self.tasks.values_mut() {
+            if *phase == Plain::Saving {
+                *phase = Plain::Running;
+            }
+        }
+        for key in unborn {
+            if let Some(phase) = self.tasks.get_mut(&id_of(key)) {
+                *phase = Plain::Running;
+            }
+        }
+        self.imaging.clear();
+    }
+
     /// A report says what the model holds, nothing else.
     fn agrees(&self, report: &Report) -> Result<(), TestCaseError> {
         prop_assert!(!self.dying(), "a report while tasks are not gone");
@@ -235,30 +302,9 @@
     fn act(&mut self, actions: Vec<Action>) -> Result<(), TestCaseError> {
         for action in actions {
             match action {
-                Action::Note(note) => {
-                    self.journal.apply(&note);
-                    if let Note::Token(t) = note {
-                        prop_assert!(t.0 > self.highest, "a token goes back");
-                        self.highest = t.0;
-                    }
-                }
+                Action::Note(note) => self.note(&note)?,
                 Action::Lease(since) => self.lease = Some(since),
-                Action::Run(key, _) => {
-                    let id = (key.piece.clone(), key.attempt.0);
-                    prop_assert!(
-                        self.journal.tasks.contains_key(&key),
-                        "{:?} runs before it is noted",
-                        key
-                    );
-                    let mut same = self.model.processes.keys();
-                    prop_assert!(
-                        !same.any(|(piece, _)| *piece == key.piece),
-                        "{:?} begins beside another process of its task",
-                        key
-                    );
-                    self.model.processes.insert(id.clone(), false);
-                    prop_assert_eq!(self.model.tasks.get(&id), Some(&Plain::Running));
-                }
+                Action::Run(key, _) => self.run(&key)?,
                 Action::Report(_, report) => {
                     self.said(&report)?;
                     self.flying = Some((self.core.sent().expect("sent"), report.shift));
@@ -274,6 +320,33 @@
         Ok(())
     }
 
+    fn note(&mut self, note: &Note) -> Result<(), TestCaseError> {
+        self.journal.apply(note);
+        if let Note::Token(token) = note {
+            prop_assert!(token.0 > self.highest, "a token goes back");
+            self.highest = token.0;
+        }
+        Ok(())
+    }
+
+    fn run(&mut self, key: &Key) -> Result<(), TestCaseError> {
+        let id = id_of(key);
+        prop_assert!(
+            self.journal.tasks.contains_key(key),
+            "{:?} runs before it is noted",
+            key
+        );
+        let mut same = self.model.processes.keys();
+        prop_assert!(
+            !same.any(|(piece, _)| *piece == key.piece),
+            "{:?} begins beside another process of its task",
+            key
+        );
+        self.model.processes.insert(id.clone(), false);
+        prop_assert_eq!(self.model.tasks.get(&id), Some(&Plain::Running));
+        Ok(())
+    }
+
     fn said(&mut self, report: &Report) -> Result<(), TestCaseError> {
         prop_assert!(report.tick.0 > self.last_tick, "a tick twice");
         self.last_tick = report.tick.0;
@@ -283,218 +356,175 @@
     fn nth(&self, n: u8) -> Option<(Key, Plain)> {
         let tasks: Vec<_> = self.model.tasks.iter().collect();
         let (id, phase) = tasks.get(usize::from(n) % tasks.len().max(1))?;
-        let key = Key {
-            piece: id.0.clone(),
-            attempt: Attempt(id.1),
-        };
-        Some((key, **phase))
+        Some((key_of(id), **phase))
     }
 
     fn step(&mut self, step: Step) -> Result<(), TestCaseError> {
-        let now = Time(self.now);
         match step {
-            Step::Wait(tenths) => {
-                self.now += f64::from(tenths) * 0.1;
-                self.model.lease(self.now);
-                let actions = self.core.tick(0.0, Time(self.now));
-                self.act(actions)?;
-            }
-            Step::Direct(token, matches, list) => {
-                let session = self.model.session + u64::from(!matches);
-                let commands: Vec<Command> = list.iter().map(command).collect();
-                let orders = Orders {
-                    baton: Token(u64::from(token)),
-                    shift: Session(session),
-                    orders: commands.clone(),
-                };
-                self.model.lease(self.now);
-                let (told, actions) = self.core.orders(&orders, now);
-                let taken = matches && u64::from(token) >= self.model.token && !self.model.dying();
-                if taken && session == self.model.session {
-                    self.model.token = u64::from(token);
-                    self.model.execute(&commands);
-                }
-                self.act(actions)?;
-                match told {
-                    Told::NotNow => prop_assert!(self.model.dying()),
-                    Told::Report(did, report) => {
-                        prop_assert_eq!(did, taken);
-                        self.said(&report)?;
-                    }
-                }
-            }
-            Step::Answer(token, list) => {
-                let Some((sent, session)) = self.flying.take() else {
-                    return Ok(());
-                };
-                self.model.lease(self.now);
-                let commands: Vec<Command> = list.iter().map(command).collect();
-                let token = u64::from(token);
-                // After 4 s the worker has given it up.
-                let late = self.core.sent() != Some(sent);
-                if !late && session.0 == self.model.session && token >= self.model.token {
-                    self.model.token = token;
-                    self.model.renewed = sent.0;
-                    self.model.execute(&commands);
-                }
-                let reply = Reply {
-                    baton: Token(token),
-                    orders: commands,
-                };
-                let actions = self.core.answered(sent, Answer::Reply(reply), now);
-                self.act(actions)?;
-            }
-            Step::Elsewhere(named) => {
-                let Some((sent, _)) = self.flying.take() else {
-                    return Ok(());
-                };
-                self.model.lease(self.now);
-                let answer = match named {
-                    true => Answer::Elsewhere(Some("c-1".into())),
-                    false => Answer::None,
-                };
-                let actions = self.core.answered(sent, answer, now);
-                self.act(actions)?;
-            }
-            Step::Describe(n, found) => {
-                let Some((key, Plain::Fetching)) = self.nth(n) else {
-                    return Ok(());
-                };
-                self.model.lease(self.now);
-                let id = (key.piece.clone(), key.attempt.0);
-                if self.model.imaging.contains(&id) {
-                    return Ok(());
-                }
-                let busy = self.model.processes.len() + self.model.imaging.len();
-                let image = needs_of(&key.piece).image;
-                if let Some(phase) = self.model.tasks.get_mut(&id) {
-                    *phase = match found {
-                        false => Plain::Ended(Why::NoSuch),
-                        true if busy >= 3 => Plain::Ended(Why::Full),
-                        true if image => {
-                            self.model.imaging.insert(id);
-                            Plain::Fetching
-                        }
-                        true => Plain::Running,
-                    };
-                }
-                let needs = if found {
-                    Ok(needs_of(&key.piece))
-                } else {
-                    Err(Why::NoSuch)
-                };
-                let actions = self.core.described(&key, needs, now);
-                self.act(actions)?;
-            }
-            Step::Imaged(n, there) => {
-                let Some((key, Plain::Fetching)) = self.nth(n) else {
-                    return Ok(());
-                };
-                self.model.lease(self.now);
-                let id = (key.piece.clone(), key.attempt.0);
-                if self.model.imaging.remove(&id) {
-                    let phase = match there {
-                        true => Plain::Running,
-                        false => Plain::Ended(Why::Error),
-                    };
-                    self.model.tasks.insert(id, phase);
-                }
-                let actions = self.core.imaged(&key, there, now);
-                self.act(actions)?;
-            }
-            Step::Exited(n, how) => {
-                let processes: Vec<_> = self.model.processes.keys().cloned().collect();
-                let Some(id) = processes.get(usize::from(n) % processes.len().max(1)) else {
-                    return Ok(());
-                };
-                let stopped = self.model.processes.remove(id).unwrap_or(false);
-                let exit = match how {
-                    0 => Exit::Done,
-                    1 => Exit::Failed,
-                    2 if stopped => Exit::Saved,
-                    _ => Exit::Killed,
-                };
-                if let Some(phase) = self.model.tasks.get_mut(id) {
-                    let why = match exit {
-                        Exit::Done => Why::Done,
-                        Exit::Saved => Why::Stopped,
-                        _ if stopped => Why::Stopped,
-                        _ => Why::Error,
-                    };
-                    *phase = Plain::Ended(why);
-                    if why == Why::Done {
-                        self.model.results.push(id.0.clone());
-                    }
-                }
-                self.model.lease(self.now);
-                let key = Key {
-                    piece: id.0.clone(),
-                    attempt: Attempt(id.1),
-                };
-                let actions = self.core.gone(&key, exit, now);
-                self.act(actions)?;
+            Step::Wait(tenths) => self.wait(tenths),
+            Step::Direct(token, matches, list) => self.direct(token, matches, &list),
+            Step::Answer(token, list) => self.answer(token, &list),
+            Step::Elsewhere(named) => self.elsewhere(named),
+            Step::Describe(n, found) => self.describe(n, found),
+            Step::Imaged(n, there) => self.imaged(n, there),
+            Step::Exited(n, how) => self.exited(n, how),
+            Step::Crash => self.crash(),
+        }
+    }
+
+    fn wait(&mut self, tenths: u8) -> Result<(), TestCaseError> {
+        self.now += f64::from(tenths) * 0.1;
+        self.model.lease(self.now);
+        let actions = self.core.tick(0.0, Time(self.now));
+        self.act(actions)
+    }
+
+    fn direct(
+        &mut self,
+        token: u8,
+        matches: bool,
+        list: &[(u8, u8, u8)],
+    ) -> Result<(), TestCaseError> {
+        let token = u64::from(token);
+        let session = self.model.session + u64::from(!matches);
+        let commands: Vec<Command> = list.iter().map(command).collect();
+        let orders = Orders {
+            baton: Token(token),
+            shift: Session(session),
+            orders: commands.clone(),
+        };
+        self.model.lease(self.now);
+        let (told, actions) = self.core.orders(&orders, Time(self.now));
+        let taken = matches && token >= self.model.token && !self.model.dying();
+        if taken && session == self.model.session {
+            self.model.token = token;
+            self.model.execute(&commands);
+        }
+        self.act(actions)?;
+        match told {
+            Told::NotNow => prop_assert!(self.model.dying()),
+            Told::Report(did, report) => {
+                prop_assert_eq!(did, taken);
+                self.said(&report)?;
             }
-            Step::Crash => self.crash()?,
         }
         Ok(())
     }
 
+    fn answer(&mut self, token: u8, list: &[(u8, u8, u8)]) -> Result<(), TestCaseError> {
+        let Some((sent, session)) = self.flying.take() else {
+            return Ok(());
+        };
+        self.model.lease(self.now);
+        let commands: Vec<Command> = list.iter().map(command).collect();
+        let token = u64::from(token);
+        // After 4 s the worker has given it up.
+        let late = self.core.sent() != Some(sent);
+        if !late && session.0 == self.model.session && token >= self.model.token {
+            self.model.token = token;
+            self.model.renewed = sent.0;
+            self.model.execute(&commands);
+        }
+        let reply = Reply {
+            baton: Token(token),
+            orders: commands,
+        };
+        let answer = Answer::Reply(reply);
+        let actions = self.core.answered(sent, answer, Time(self.now));
+        self.act(actions)
+    }
+
+    fn elsewhere(&mut self, named: bool) -> Result<(), TestCaseError> {
+        let Some((sent, _)) = self.flying.take() else {
+            return Ok(());
+        };
+        self.model.lease(self.now);
+        let answer = match named {
+            true => Answer::Elsewhere(Some("c-1".into())),
+            false => Answer::None,
+        };
+        let actions = self.core.answered(sent, answer, Time(self.now));
+        self.act(actions)
+    }
+
+    fn describe(&mut self, n: u8, found: bool) -> Result<(), TestCaseError> {
+        let Some((key, Plain::Fetching)) = self.nth(n) else {
+            return Ok(());
+        };
+        self.model.lease(self.now);
+        let id = id_of(&key);
+        if self.model.imaging.contains(&id) {
+            return Ok(());
+        }
+        let busy = self.model.processes.len() + self.model.imaging.len();
+        self.model.describe(id, found, busy);
+        let needs = match found {
+            true => Ok(needs_of(&key.piece)),
+            false => Err(Why::NoSuch),
+        };
+        let actions = self.core.described(&key, needs, Time(self.now));
+        self.act(actions)
+    }
+
+    fn imaged(&mut self, n: u8, there: bool) -> Result<(), TestCaseError> {
+        let Some((key, Plain::Fetching)) = self.nth(n) else {
+            return Ok(());
+        };
+        self.model.lease(self.now);
+        let id = id_of(&key);
+        if self.model.imaging.remove(&id) {
+            let phase = match there {
+                true => Plain::Running,
+                false => Plain::Ended(Why::Error),
+            };
+            self.model.tasks.insert(id, phase);
+        }
+        let actions = self.core.imaged(&key, there, Time(self.now));
+        self.act(actions)
+    }
+
+    fn exited(&mut self, n: u8, how: u8) -> Result<(), TestCaseError> {
+        let processes: Vec<_> = self.model.processes.keys().cloned().collect();
+        let Some(id) = processes.get(usize::from(n) % processes.len().max(1)) else {
+            return Ok(());
+        };
+        let stopped = self.model.processes.remove(id).unwrap_or(false);
+        let exit = match how {
+            0 => Exit::Done,
+            1 => Exit::Failed,
+            2 if stopped => Exit::Saved,
+            _ => Exit::Killed,
+        };
+        self.model.exited(id, exit, stopped);
+        self.model.lease(self.now);
+        let actions = self.core.gone(&key_of(id), exit, Time(self.now));
+        self.act(actions)
+    }
+
     /// Killed and started again: what the journal and the folders tell.
     fn crash(&mut self) -> Result<(), TestCaseError> {
-        let mut found = self.journal.recovered();
-        found.answered = self.lease;
-        for (key, (_, ended)) in &found.tasks {
-            match ended {
-                Some((Why::Done, _)) => {
-                    found.results.insert(key.piece.clone());
-                }
-                Some(_) => {}
-                None => {
-                    found.needs.insert(key.clone(), needs_of(&key.piece));
-                }
-            }
-        }
+        let found = self.found();
         // What was being fetched has no process: it is told to be gone.
         let unborn: Vec<Key> = found
             .tasks
             .iter()
             .filter(|(key, (_, ended))| {
-                let id = (key.piece.clone(), key.attempt.0);
-                ended.is_none() && !self.model.processes.contains_key(&id)
+                ended.is_none() && !self.model.processes.contains_key(&id_of(key))
             })
             .map(|(key, _)| key.clone())
             .collect();
-        self.model.results = found.results.iter().cloned().collect();
-        // A stop that was under way is not known any more.
-        for (id, killed) in &mut self.model.processes {
-            if self.model.tasks.contains_key(id) {
-                *killed = false;
-            }
-        }
-        for phase in self.model.tasks.values_mut() {
-            if *phase == Plain::Saving {
-                *phase = Plain::Running;
-            }
-        }
-        for key in &unborn {
-            let id = (key.piece.clone(), key.attempt.0);
-            if let Some(phase) = self.model.tasks.get_mut(&id) {
-                *phase = Plain::Running;
-            }
-        }
+        self.model
+            .restart(found.results.iter().cloned().collect(), &unborn);
         self.flying = None;
-        self.model.imaging.clear();
         let (core, actions) = Core::new(machine(), found, Time(self.now));
         self.core = core;
         let before: Vec<_> = self.model.tasks.keys().cloned().collect();
         self.model.lease(self.now);
         self.act(actions)?;
         for key in unborn {
-            let id = (key.piece.clone(), key.attempt.0);
-            if self.model.tasks.contains_key(&id) {
-                self.model
-                    .tasks
-                    .insert(id.clone(), Plain::Ended(Why::Stopped));
+            let id = id_of(&key);
+            if let Some(phase) = self.model.tasks.get_mut(&id) {
+                *phase = Plain::Ended(Why::Stopped);
             }
             if before.contains(&id) {
                 self.model.processes.remove(&id);
@@ -504,6 +534,24 @@
         }
         Ok(())
     }
+
+    /// What an agent finds when it starts.
+    fn found(&self) -> Recovered {
+        let mut found = self.journal.recovered();
+        found.answered = self.lease;
+        for (key, (_, ended)) in &found.tasks {
+            match ended {
+                Some((Why::Done, _)) => {
+                    found.results.insert(key.piece.clone());
+                }
+                Some(_) => {}
+                None => {
+                    found.needs.insert(key.clone(), needs_of(&key.piece));
+                }
+            }
+        }
+        found
+    }
 }
 
 proptest! {
