--- a/crates/standins/src/history/check/waiting.rs
+++ b/crates/standins/src/history/check/waiting.rs
@@ -2,6 +2,7 @@
 //! has room and its team is under its limit.
 
 use std::collections::{BTreeMap, BTreeSet};
+use std::ops::Range;
 
 use super::exchanges::Exchanges;
 use super::placement::Occupancy;
@@ -20,6 +21,17 @@
 }
 
 impl<'a> Scene<'a> {
+    /// Before anything has happened.
+    fn new(exchanges: &'a Exchanges, site: &'a Site) -> Self {
+        Self {
+            occupancy: Occupancy::default(),
+            out: BTreeSet::new(),
+            done: BTreeSet::new(),
+            exchanges,
+            site,
+        }
+    }
+
     fn apply(&mut self, event: &'a Event) {
         self.occupancy.apply(event);
         match event {
@@ -89,7 +101,7 @@
 
 /// When each accepted job begins to count, and when it no longer does: its user
 /// asked to cancel it, or was told that it is over.
-fn span(uid: &str, exchanges: &Exchanges, end: Moment) -> Option<(Moment, Moment)> {
+fn span(uid: &str, exchanges: &Exchanges, end: Moment) -> Option<Range<Moment>> {
     let about = exchanges.all.iter().filter(|e| e.request.uid() == uid);
     let (mut from, mut to) = (None, end);
     for exchange in about {
@@ -104,7 +116,27 @@
             to = to.min(exchange.answered);
         }
     }
-    Some((from?, to))
+    Some(from?..to)
+}
+
+/// A job whose waits count, while they do.
+struct CountedJob<'a> {
+    uid: &'a str,
+    job: &'a Job,
+    span: Range<Moment>,
+}
+
+/// All accepted jobs but gangs, which need room for all their tasks at once.
+fn counted_jobs(exchanges: &Exchanges, end: Moment) -> Vec<CountedJob<'_>> {
+    let jobs = exchanges.jobs.iter().filter(|(_, job)| !job.gang);
+    let counted = jobs.filter_map(|(uid, job)| {
+        Some(CountedJob {
+            uid,
+            job,
+            span: span(uid, exchanges, end)?,
+        })
+    });
+    counted.collect()
 }
 
 /// The rule of this module. A job whose tasks start is not left waiting: its time
@@ -121,22 +153,8 @@
     let Some(over) = over else {
         return Vec::new();
     };
-    let jobs: Vec<(&str, &Job, Moment, Moment)> = exchanges
-        .jobs
-        .iter()
-        .filter(|(_, job)| !job.gang)
-        .filter_map(|(uid, job)| {
-            let (from, to) = span(uid, exchanges, end)?;
-            Some((uid.as_str(), job, from, to))
-        })
-        .collect();
-    let mut scene = Scene {
-        occupancy: Occupancy::default(),
-        out: BTreeSet::new(),
-        done: BTreeSet::new(),
-        exchanges,
-        site,
-    };
+    let jobs = counted_jobs(exchanges, end);
+    let mut scene = Scene::new(exchanges, site);
     let mut since: BTreeMap<&str, Moment> = BTreeMap::new();
     let mut found: BTreeMap<&str, Moment> = BTreeMap::new();
     for (place, entry) in entries.iter().enumerate() {
@@ -149,13 +167,13 @@
         }
         // What is so now lasts until the next entry, or the end.
         let next = entries.get(place + 1).map_or(end, |e| e.at);
-        for (uid, job, from, to) in &jobs {
-            if *from > next || *to <= entry.at || !scene.could_run(uid, job) {
+        for CountedJob { uid, job, span } in &jobs {
+            if span.start > next || span.end <= entry.at || !scene.could_run(uid, job) {
                 since.remove(uid);
                 continue;
             }
-            let began = *since.entry(uid).or_insert(entry.at.max(*from));
-            if next.min(*to).saturating_sub(began) >= limits.waiting {
+            let began = *since.entry(uid).or_insert(entry.at.max(span.start));
+            if next.min(span.end).saturating_sub(began) >= limits.waiting {
                 found.entry(uid).or_insert(began + limits.waiting);
             }
         }
--- a/crates/standins/src/lib.rs
+++ b/crates/standins/src/lib.rs
@@ -5,6 +5,7 @@
 
 mod asking;
 pub mod cloud;
+mod controllers;
 pub mod history;
 pub mod lines;
 pub mod nodes;
@@ -20,7 +21,7 @@
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 use std::pin::Pin;
-use std::process::{Child, Command, Stdio};
+use std::process::Command;
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
@@ -38,12 +39,12 @@
 use tokio::time::sleep;
 
 use cloud::Cloud;
+use controllers::{Controller, Files};
 use history::Recorder;
 use lines::Cut;
 use nodes::Nodes;
 use place::Place;
 pub use plan::{file, Plan};
-use site::CREW_CPUS;
 use store::Store;
 
 /// Times of the small world, in seconds.
@@ -139,18 +140,7 @@
     calendars: Vec<Option<PathBuf>>,
 }
 
-struct Controller {
-    name: String,
-    program: PathBuf,
-    users: SocketAddr,
-    config: PathBuf,
-    /// One that ends by itself fails whatever waits.
-    process: RefCell<Option<Child>>,
-}
-
-/// Files that a controller has open besides its sockets.
-const FILES: usize = 24;
-
+/// The three zones, in the order in which machines and controllers are numbered.
 pub const ZONES: [&str; 3] = ["za", "zb", "zc"];
 
 impl World {
@@ -161,109 +151,30 @@
 
     /// The same with a file of windows, given to all three.
     pub async fn start_with(plan: Plan, calendar: Option<&str>) -> Self {
-        let (program, folder) = (plan.program, plan.folder);
-        std::fs::create_dir_all(&folder).expect("a folder");
+        std::fs::create_dir_all(&plan.folder).expect("a folder");
         let count = plan.controllers;
         let place = Place::claim(count);
-        let store = store::start(&place.state()).await;
-        for i in 0..count {
-            store::listen(&store, &place.state_of(i), Some(i)).await;
-        }
-        let users: Vec<SocketAddr> = (0..count).map(|i| place.users(i)).collect();
+        let store = start_store(&place, count).await;
+        let users = (0..count).map(|i| place.users(i)).collect();
         let recorder = Recorder::new(site::site());
         store.borrow_mut().recorder = Some(recorder.clone());
-        let nodes = Nodes::new(users.clone(), recorder.clone());
+        let nodes = Nodes::new(users, recorder.clone());
         let nodes = Rc::new(RefCell::new(nodes));
-        let cloud = place.cloud();
-        Cloud::start(nodes.clone(), cloud, plan.net, plan.switches).await;
-        for zone in 0..3 {
-            for switch in 0..plan.switches {
-                for _ in 0..plan.machines {
-                    nodes::add(&nodes, plan.net, zone, switch, Duration::ZERO);
-                }
-            }
+        Cloud::start(nodes.clone(), place.cloud(), plan.net, plan.switches).await;
+        add_machines(&nodes, &plan);
+        let topology = write_topology(&plan);
+        let (cuts, state_cuts) = (whole_lines(count), whole_lines(count));
+        if plan.lines {
+            start_lines(&place, &cuts, &state_cuts).await;
         }
-        let topology = plan.topology.map(|text| {
-            let path = folder.join("topology.toml");
-            std::fs::write(&path, text).expect("written");
-            path
-        });
-        let state_next = match plan.state_next {
-            "" => String::new(),
-            next => format!("[params.state.next]\n{next}\n"),
-        };
-        let sockets = plan.sockets.map_or(String::new(), |n| {
-            format!("[params.machine_limits]\nmax_sockets = {n}\n")
-        });
-        let whole = || (0..count).map(|_| watch::Sender::new(Cut::None)).collect();
-        let (cuts, state_cuts): (Vec<_>, Vec<_>) = (whole(), whole());
-        for i in (0..count).filter(|_| plan.lines) {
-            lines::line(
-                place.state_line(i),
-                place.state_of(i),
-                state_cuts[i].subscribe(),
-            )
-            .await;
-            for o in (0..count).filter(|o| *o != i) {
-                // Cut at either end: through one line after the other.
-                let (near, far) = (place.peer_line(i, o), place.middle(i, o));
-                lines::line(far, place.peers(o), cuts[o].subscribe()).await;
-                lines::line(near, far, cuts[i].subscribe()).await;
-            }
-        }
-        let controllers = (0..count)
-            .map(|i| {
-                let (state, peers): (_, Vec<_>) = match plan.lines {
-                    true => (
-                        place.state_line(i),
-                        (0..count).map(|o| place.peer_line(i, o)).collect(),
-                    ),
-                    false => (
-                        place.state_of(i),
-                        (0..count).map(|o| place.peers(o)).collect(),
-                    ),
-                };
-                let others: String = (0..count)
-                    .filter(|o| *o != i)
-                    .map(|o| {
-                        format!(
-                            "[[others]]\nnode = \"c-{o}\"\narea = \"{}\"\naddress = \"{}\"\n",
-                            ZONES[o % ZONES.len()],
-                            peers[o]
-                        )
-                    })
-                    .collect();
-                let text = format!(
-                    "node = \"c-{i}\"\narea = \"{}\"\nbind = \"{}\"\npeer_bind = \"{}\"\n{others}\
-                     [outside]\ncloud = \"{cloud}\"\nstate = \"{state}\"\n\
-                     [params]\nzones = [\"za\", \"zb\", \"zc\"]\n\
-                     [[params.teams]]\nname = \"crew\"\ncpus = 200.0\ncpus_max = {CREW_CPUS:?}\n\
-                     [[params.teams]]\nname = \"guest\"\ncpus = 0.0\ncpus_max = 0.0\n\
-                     [params.workers]\nreport_s = {REPORT_S:?}\nlease_s = {LEASE_S:?}\ncancel_s = {CANCEL_S:?}\n\
-                     [params.state]\nrps = 500.0\nwrite_rps = 300.0\nvalue_kb = 8.0\ntxn_ops = 16\n{state_next}\
-                     [params.cloud]\nrps = 50.0\nlist_lag_s = 0.2\n{sockets}",
-                    ZONES[i % ZONES.len()],
-                    users[i],
-                    place.peers(i)
-                );
-                let config = folder.join(format!("c-{i}.toml"));
-                std::fs::write(&config, text).expect("written");
-                Controller {
-                    name: format!("c-{i}"),
-                    program: program.clone(),
-                    users: users[i],
-                    config,
-                    process: RefCell::new(None),
-                }
-            })
-            .collect();
+        let controllers = (0..count).map(|i| Controller::prepare(&plan, &place, i));
         let mut world = Self {
             store,
             nodes,
             recorder,
-            controllers,
-            program,
-            folder,
+            controllers: controllers.collect(),
+            program: plan.program,
+            folder: plan.folder,
             topology,
             sockets: plan.sockets,
             cuts,
@@ -299,105 +210,42 @@
 
     /// Starts a controller, or starts it again.
     pub fn start_controller(&mut self, i: usize) {
-        let controller = &mut self.controllers[i];
-        let log = std::fs::OpenOptions::new()
-            .create(true)
-            .append(true)
-            .open(self.folder.join(format!("{}.log", controller.name)))
-            .expect("a log");
-        let mut command = match self.sockets {
-            None => Command::new(&controller.program),
-            // Its files and the runtime's own take some more.
-            Some(n) => {
-                let mut shell = Command::new("sh");
-                let limit = format!("ulimit -n {} && exec \"$0\" \"$@\"", n + FILES);
-                shell.arg("-c").arg(limit).arg(&controller.program);
-                shell
-            }
+        let files = Files {
+            properties: &self.properties_file(),
+            topology: self.topology.as_deref(),
+            calendar: self.calendars[i].as_deref(),
         };
-        command
-            .arg("--config")
-            .arg(&controller.config)
-            .arg("--properties")
-            .arg(self.folder.join("local.properties"));
-        if let Some(file) = &self.topology {
-            command.arg("--topology").arg(file);
-        }
-        if let Some(file) = &self.calendars[i] {
-            command.arg("--calendar").arg(file);
-        }
-        let process = command
-            .env("LOG_LEVEL", "info")
-            .stdin(Stdio::null())
-            .stdout(Stdio::null())
-            .stderr(log)
-            .spawn()
-            .expect("the program starts");
-        controller.process.replace(Some(process));
+        self.controllers[i].start(&files, self.sockets);
+    }
+
+    fn properties_file(&self) -> PathBuf {
+        self.folder.join("local.properties")
     }
 
     /// Changes the operators' own settings: read by whoever starts next.
     pub fn set_properties(&self, more: &str) {
         let text = format!("leader.lease.s=1\n{more}");
-        std::fs::write(self.folder.join("local.properties"), text).expect("written");
-    }
-
-    /// Sends a signal to a controller's process, if it runs.
-    fn signal(&self, i: usize, signal: &str) {
-        if let Some(process) = &*self.controllers[i].process.borrow() {
-            let told = Command::new("kill")
-                .args([signal, &process.id().to_string()])
-                .status();
-            assert!(told.expect("kill").success());
-        }
+        std::fs::write(self.properties_file(), text).expect("written");
     }
 
     /// Stops a controller's process, or lets it go on: its clocks run meanwhile.
     pub fn freeze_controller(&self, i: usize, frozen: bool) {
-        self.signal(i, if frozen { "-STOP" } else { "-CONT" });
+        self.controllers[i].signal(if frozen { "-STOP" } else { "-CONT" });
     }
 
     /// Asks a controller to end, and waits until it has.
     pub async fn ask_to_end(&mut self, i: usize) {
-        self.signal(i, "-TERM");
-        let process = self.controllers[i].process.borrow_mut().take();
-        let mut process = process.expect("it runs");
-        // The stand-ins that it still talks to run on this very thread.
-        loop {
-            if let Some(status) = process.try_wait().expect("its state") {
-                assert!(status.success(), "{status}");
-                return;
-            }
-            sleep(Duration::from_millis(10)).await;
-        }
+        self.controllers[i].end().await;
     }
 
     /// Kills a controller at once.
     pub fn kill_controller(&mut self, i: usize) {
-        if let Some(mut process) = self.controllers[i].process.borrow_mut().take() {
-            let _ = process.kill();
-            let _ = process.wait();
-        }
+        self.controllers[i].kill();
     }
 
-    /// Fails the test if a controller ended by itself, with what it said last.
+    /// Fails the test if a controller ended by itself.
     fn all_run(&self) {
-        for c in &self.controllers {
-            let ended = c
-                .process
-                .borrow_mut()
-                .as_mut()
-                .and_then(|p| p.try_wait().ok()?);
-            if let Some(status) = ended {
-                let log = self.folder.join(format!("{}.log", c.name));
-                let log = std::fs::read_to_string(log).unwrap_or_default();
-                let last = log.lines().last().unwrap_or("nothing");
-                panic!(
-                    "controller {} ended, {status}; it said last: {last}",
-                    c.name
-                );
-            }
-        }
+        self.controllers.iter().for_each(Controller::assert_runs);
     }
 
     /// Where a controller takes users' and workers' requests.
@@ -448,8 +296,8 @@
     pub fn reload(&self, text: &str) {
         let file = self.topology.as_ref().expect("the feature is on");
         std::fs::write(file, text).expect("written");
-        for i in 0..self.controllers.len() {
-            self.signal(i, "-HUP");
+        for controller in &self.controllers {
+            controller.signal("-HUP");
         }
     }
 
@@ -457,9 +305,7 @@
     pub fn logs(&self) -> String {
         self.controllers
             .iter()
-            .filter_map(|c| {
-                std::fs::read_to_string(self.folder.join(format!("{}.log", c.name))).ok()
-            })
+            .filter_map(Controller::log)
             .collect()
     }
 
@@ -483,8 +329,62 @@
 
 impl Drop for World {
     fn drop(&mut self) {
-        for i in 0..self.controllers.len() {
-            self.kill_controller(i);
+        for controller in &self.controllers {
+            controller.kill();
+        }
+    }
+}
+
+/// The state service, listening for each controller by itself and for whoever else
+/// asks.
+async fn start_store(place: &Place, controllers: usize) -> Rc<RefCell<Store>> {
+    let store = store::start(&place.state()).await;
+    for i in 0..controllers {
+        store::listen(&store, &place.state_of(i), Some(i)).await;
+    }
+    store
+}
+
+/// The machines that a plan begins with, up at once.
+fn add_machines(nodes: &Rc<RefCell<Nodes>>, plan: &Plan) {
+    for zone in 0..3 {
+        for switch in 0..plan.switches {
+            for _ in 0..plan.machines {
+                nodes::add(nodes, plan.net, zone, switch, Duration::ZERO);
+            }
+        }
+    }
+}
+
+/// The operator's file, if the feature is on.
+fn write_topology(plan: &Plan) -> Option<PathBuf> {
+    let text = plan.topology.as_ref()?;
+    let path = plan.folder.join("topology.toml");
+    std::fs::write(&path, text).expect("written");
+    Some(path)
+}
+
+/// What lines are cut by, one for each controller; none is cut yet.
+fn whole_lines(controllers: usize) -> Vec<watch::Sender<Cut>> {
+    (0..controllers)
+        .map(|_| watch::Sender::new(Cut::None))
+        .collect()
+}
+
+/// Carries each controller's line to the state service and to each other one.
+async fn start_lines(
+    place: &Place,
+    cuts: &[watch::Sender<Cut>],
+    state_cuts: &[watch::Sender<Cut>],
+) {
+    for (i, state_cut) in state_cuts.iter().enumerate() {
+        let (near, far) = (place.state_line(i), place.state_of(i));
+        lines::line(near, far, state_cut.subscribe()).await;
+        for o in (0..cuts.len()).filter(|o| *o != i) {
+            // Cut at either end: through one line after the other.
+            let (near, far) = (place.peer_line(i, o), place.middle(i, o));
+            lines::line(far, place.peers(o), cuts[o].subscribe()).await;
+            lines::line(near, far, cuts[i].subscribe()).await;
         }
     }
 }
--- a/crates/standins/src/nodes.rs
+++ b/crates/standins/src/nodes.rs
@@ -102,6 +102,35 @@
     pub to: Option<(usize, u64)>,
 }
 
+impl Task {
+    /// What a start makes of a job's task: refused where the machine is full.
+    fn begin(job: &Value, cpus: f64, full: bool, units: &[(String, String)]) -> Self {
+        let run_s = match job["shape"] == "standing" {
+            true => f64::INFINITY,
+            false => job["guess_s"].as_f64().unwrap_or(1.0),
+        };
+        Self {
+            phase: if full { "ended" } else { "fetching" }.into(),
+            cause: full.then_some("full"),
+            since: Instant::now(),
+            run_s,
+            cpus,
+            units: units.to_vec(),
+        }
+    }
+}
+
+impl Node {
+    /// CPUs of all tasks that have not ended.
+    fn used_cpus(&self) -> f64 {
+        self.tasks
+            .values()
+            .filter(|task| task.phase != "ended")
+            .map(|task| task.cpus)
+            .sum()
+    }
+}
+
 impl Nodes {
     /// None yet, for controllers that take reports at these addresses.
     pub fn new(controllers: Vec<SocketAddr>, recorder: Recorder) -> Self {
@@ -245,71 +274,62 @@
         }
         let uid = piece.rsplit_once('/').expect("a piece").0;
         let job = self.jobs.get(uid).cloned().unwrap_or(Value::Null);
+        self.check_runs_once(id, piece);
+        self.check_unit_count(id, piece, &job, units.len());
+        for unit in units {
+            self.check_unit(id, piece, unit);
+        }
+        self.starts += 1;
+        let node = self.all.get_mut(id).expect("it is there");
         let cpus = job["cpus"].as_f64().unwrap_or(1.0);
-        let (zone, switch) = (self.all[id].zone, self.all[id].switch);
-        let twice = self.all.values().any(|n| {
-            let here = n
-                .tasks
-                .iter()
-                .any(|((p, _), t)| p == piece && t.phase != "ended");
-            !n.gone && here
-        });
-        if twice {
+        let full = node.used_cpus() + cpus > CPUS;
+        node.tasks.insert(key, Task::begin(&job, cpus, full, units));
+        node.dirty = true;
+        if let Some(attempt) = attempt_id(id, piece, attempt).filter(|_| !full) {
+            self.recorder.note(Event::Started(attempt));
+        }
+    }
+
+    /// No machine that is there has the task already.
+    fn check_runs_once(&mut self, id: &str, piece: &str) {
+        let has = |node: &Node| {
+            let mut tasks = node.tasks.iter();
+            tasks.any(|((name, _), task)| name == piece && task.phase != "ended")
+        };
+        if self.all.values().any(|node| !node.gone && has(node)) {
             self.wrong
                 .push(format!("ran_twice: {piece} starts on {id}"));
         }
+    }
+
+    /// The start names as many devices as the job needs.
+    fn check_unit_count(&mut self, id: &str, piece: &str, job: &Value, count: usize) {
         let device = &job["topology"]["devices"][0];
         let asked = device["count"].as_u64().unwrap_or(1) as usize;
         let needs = if device.is_null() { 0 } else { asked };
-        if units.len() != needs {
-            let n = units.len();
+        if count != needs {
             self.wrong
-                .push(format!("{piece} on {id}: {n} of {needs} units"));
-        }
-        for unit in units {
-            let there = self.encoders.get(&(zone, switch));
-            let works = there.and_then(|list| list.iter().find(|(name, _)| *name == unit.1));
-            match works {
-                None => self
-                    .wrong
-                    .push(format!("{piece} on {id}: {unit:?} is missing")),
-                Some((_, false)) => self
-                    .wrong
-                    .push(format!("{piece} on {id}: {unit:?} is broken")),
-                Some(_) => {}
-            }
-            let mut others = self.all[id].tasks.values();
-            if others.any(|t| t.phase != "ended" && t.units.contains(unit)) {
-                self.wrong
-                    .push(format!("{piece} on {id}: {unit:?} is taken"));
-            }
+                .push(format!("{piece} on {id}: {count} of {needs} units"));
         }
-        self.starts += 1;
-        let node = self.all.get_mut(id).expect("it is there");
-        let used: f64 = node
+    }
+
+    /// A device that a start names is there, works, and is no other task's.
+    fn check_unit(&mut self, id: &str, piece: &str, unit: &(String, String)) {
+        let node = &self.all[id];
+        let there = self.encoders.get(&(node.zone, node.switch));
+        let works = there.and_then(|list| list.iter().find(|(name, _)| *name == unit.1));
+        let taken = node
             .tasks
             .values()
-            .filter(|t| t.phase != "ended")
-            .map(|t| t.cpus)
-            .sum();
-        let full = used + cpus > CPUS;
-        let service = job["shape"] == "standing";
-        let task = Task {
-            phase: if full { "ended" } else { "fetching" }.into(),
-            cause: full.then_some("full"),
-            since: Instant::now(),
-            run_s: if service {
-                f64::INFINITY
-            } else {
-                job["guess_s"].as_f64().unwrap_or(1.0)
-            },
-            cpus,
-            units: units.to_vec(),
+            .any(|task| task.phase != "ended" && task.units.contains(unit));
+        let wrong = match works {
+            None => Some("missing"),
+            Some((_, false)) => Some("broken"),
+            Some(_) => None,
         };
-        node.tasks.insert(key, task);
-        node.dirty = true;
-        if let Some(attempt) = attempt_id(id, piece, attempt).filter(|_| !full) {
-            self.recorder.note(Event::Started(attempt));
+        for wrong in wrong.into_iter().chain(taken.then_some("taken")) {
+            self.wrong
+                .push(format!("{piece} on {id}: {unit:?} is {wrong}"));
         }
     }
 
--- a/crates/standins/src/nodes/worker.rs
+++ b/crates/standins/src/nodes/worker.rs
@@ -18,21 +18,60 @@
 use crate::history::{Amounts, Event, Machine};
 use crate::{ask_over, serve, Told, REPORT_S, ZONES};
 
+/// How often a worker looks at its tasks, and whether a report is due.
+const POLL_INTERVAL: Duration = Duration::from_millis(25);
+
 /// A machine comes up behind a switch after `boot`.
 pub fn add(nodes: &Rc<RefCell<Nodes>>, net: u8, zone: u8, switch: u8, boot: Duration) -> String {
-    let listener;
-    let id = {
-        let mut n = nodes.borrow_mut();
-        n.count += 1;
-        let id = format!("vm-{:06}", n.count);
-        let last = (n.count % 250 + 1) as u8;
+    let (id, listener) = {
+        let mut nodes = nodes.borrow_mut();
+        nodes.count += 1;
+        let id = format!("vm-{:06}", nodes.count);
+        let last = (nodes.count % 250 + 1) as u8;
         // A free port, so that two runs on one machine do not meet. Nobody is
         // told of it before the machine is up.
-        listener = bind(([127, net + zone, switch, last], 0).into());
+        let listener = bind(([127, net + zone, switch, last], 0).into());
         let addr = listener.local_addr().expect("its address");
+        let target = nodes.count as usize % nodes.controllers.len();
+        let node = Node::new(&id, addr, (zone, switch), target, boot);
+        nodes.all.insert(id.clone(), node);
+        (id, listener)
+    };
+    spawn_local(boot_worker(nodes.clone(), id.clone(), listener, boot));
+    id
+}
+
+/// Serves a machine's worker once it is up, until the machine is gone.
+async fn boot_worker(
+    nodes: Rc<RefCell<Nodes>>,
+    id: String,
+    listener: std::net::TcpListener,
+    boot: Duration,
+) {
+    sleep(boot).await;
+    let listener = TcpListener::from_std(listener).expect("a listener");
+    note_up(&nodes.borrow(), &id);
+    let (served, me) = (nodes.clone(), id.clone());
+    serve(listener, move |_, path, body| {
+        let (nodes, id) = (served.clone(), me.clone());
+        Box::pin(async move { orders(nodes, id, path, &body).await })
+    });
+    work(nodes, id).await;
+}
+
+impl Node {
+    /// A machine that is up after `boot` and reports to the controller `target`
+    /// first.
+    fn new(
+        id: &str,
+        addr: SocketAddr,
+        (zone, switch): (u8, u8),
+        target: usize,
+        boot: Duration,
+    ) -> Self {
         let now = Instant::now();
-        let node = Node {
-            id: id.clone(),
+        Self {
+            id: id.to_owned(),
             addr,
             zone,
             switch,
@@ -45,26 +84,11 @@
             answered: now + boot,
             reported: now,
             dirty: true,
-            target: n.count as usize % n.controllers.len(),
+            target,
             hung_since: None,
             tasks: BTreeMap::new(),
-        };
-        n.all.insert(id.clone(), node);
-        id
-    };
-    let (all, name) = (nodes.clone(), id.clone());
-    spawn_local(async move {
-        sleep(boot).await;
-        let listener = TcpListener::from_std(listener).expect("a listener");
-        note_up(&all.borrow(), &name);
-        let (served, me) = (all.clone(), name.clone());
-        serve(listener, move |_, path, body| {
-            let (nodes, id) = (served.clone(), me.clone());
-            Box::pin(async move { orders(nodes, id, path, &body).await })
-        });
-        work(all, name).await;
-    });
-    id
+        }
+    }
 }
 
 fn note_up(nodes: &Nodes, id: &str) {
@@ -141,11 +165,31 @@
 /// Waits while a machine hangs.
 async fn while_hung(nodes: &Rc<RefCell<Nodes>>, id: &str) {
     while nodes.borrow().is_hung(id) {
-        sleep(Duration::from_millis(25)).await;
+        sleep(POLL_INTERVAL).await;
         nodes.borrow_mut().advance(id);
     }
 }
 
+/// What a worker does next.
+enum Due {
+    /// Nothing: its machine is gone.
+    End,
+    /// It waits.
+    Wait,
+    /// A report goes out.
+    Report(DueReport),
+}
+
+/// A report that is to go out.
+struct DueReport {
+    /// The controller that it goes to, by its number.
+    target: usize,
+    /// The session that it was made in.
+    session: u64,
+    sent: Instant,
+    body: Value,
+}
+
 /// The worker's own routine: time passes, and reports go out.
 async fn work(nodes: Rc<RefCell<Nodes>>, id: String) {
     // Connections stay open as PROTOCOL has it, unless a controller ends them.
@@ -156,75 +200,117 @@
         .map(|c| Pool::new(*c))
         .collect();
     loop {
-        sleep(Duration::from_millis(25)).await;
-        let (due, target, report, sent, session) = {
-            let mut n = nodes.borrow_mut();
-            if n.all[&id].gone {
-                return;
-            }
-            n.advance(&id);
-            if n.is_hung(&id) {
-                continue;
-            }
-            let cut = n.is_cut(&id);
-            let node = n.all.get_mut(&id).expect("it is there");
-            let age = node.reported.elapsed().as_secs_f64();
-            let due = !cut && (age >= REPORT_S || node.dirty && age >= REPORT_S / 2.0);
-            let (target, session) = (node.target, node.session);
-            if due {
-                node.reported = Instant::now();
-                node.dirty = false;
-            }
-            let report = if due { n.report(&id) } else { Value::Null };
-            if let Some(sent) = n.sent.as_mut().filter(|_| due) {
-                sent.push_back((Instant::now(), id.clone(), report.clone()));
-                if sent.len() > MOST_SENT {
-                    sent.pop_front();
-                }
-            }
-            (due, target, report, Instant::now(), session)
-        };
-        if !due {
-            continue;
-        }
-        let away = nodes.borrow().turned_away.contains(&id);
-        let apart = nodes.borrow().apart.is_some_and(|(at, _)| at == target);
-        let mute = nodes.borrow().faults.mute.contains(&id);
-        let told = match (away, apart || mute) {
-            (true, _) => Some((503, Value::Null)),
-            (_, true) => None,
-            (false, false) => ask_over(&pools[target], Method::POST, "/agent/beat", &report).await,
+        sleep(POLL_INTERVAL).await;
+        let due = nodes.borrow_mut().due(&id);
+        let report = match due {
+            Due::End => return,
+            Due::Wait => continue,
+            Due::Report(report) => report,
         };
+        let told = send(&nodes, &id, &pools[report.target], &report).await;
         while_hung(&nodes, &id).await;
-        let told = told.filter(|_| sent.elapsed() <= PATIENCE);
-        let mut n = nodes.borrow_mut();
-        if n.all[&id].gone || n.is_cut(&id) {
-            continue;
+        let told = told.filter(|_| report.sent.elapsed() <= PATIENCE);
+        nodes.borrow_mut().answered(&id, &report, told);
+    }
+}
+
+/// Sends a report, unless a fault keeps it from getting through.
+async fn send(
+    nodes: &Rc<RefCell<Nodes>>,
+    id: &str,
+    pool: &Pool,
+    report: &DueReport,
+) -> Option<Told> {
+    let (away, lost) = {
+        let nodes = nodes.borrow();
+        let apart = nodes.apart.is_some_and(|(at, _)| at == report.target);
+        let mute = nodes.faults.mute.contains(id);
+        (nodes.turned_away.contains(id), apart || mute)
+    };
+    match (away, lost) {
+        (true, _) => Some((503, Value::Null)),
+        (_, true) => None,
+        (false, false) => ask_over(pool, Method::POST, "/agent/beat", &report.body).await,
+    }
+}
+
+impl Nodes {
+    /// Lets time pass on a machine, and makes its report once it is due.
+    fn due(&mut self, id: &str) -> Due {
+        if self.all[id].gone {
+            return Due::End;
         }
-        let told = told.filter(|_| !n.is_deaf(&id, |(c, _)| c == target));
-        n.refused_reports += usize::from(told.as_ref().is_some_and(|(status, _)| *status == 503));
-        let node = n.all.get_mut(&id).expect("it is there");
-        match told {
-            Some((200, body)) => {
-                let Ok(reply) = serde_json::from_value::<Reply>(body) else {
-                    continue;
-                };
-                if reply.baton.0 >= node.token && session == node.session {
-                    node.token = reply.baton.0;
-                    node.answered = sent;
-                    n.execute(&id, &reply.orders);
-                }
+        self.advance(id);
+        if self.is_hung(id) {
+            return Due::Wait;
+        }
+        let cut = self.is_cut(id);
+        let node = self.all.get_mut(id).expect("it is there");
+        let age = node.reported.elapsed().as_secs_f64();
+        if cut || !(age >= REPORT_S || node.dirty && age >= REPORT_S / 2.0) {
+            return Due::Wait;
+        }
+        node.reported = Instant::now();
+        node.dirty = false;
+        let (target, session) = (node.target, node.session);
+        let body = self.report(id);
+        self.keep_copy(id, &body);
+        Due::Report(DueReport {
+            target,
+            session,
+            sent: Instant::now(),
+            body,
+        })
+    }
+
+    /// Keeps a report, if copies are to come.
+    fn keep_copy(&mut self, id: &str, report: &Value) {
+        if let Some(sent) = &mut self.sent {
+            sent.push_back((Instant::now(), id.to_owned(), report.clone()));
+            if sent.len() > MOST_SENT {
+                sent.pop_front();
             }
+        }
+    }
+
+    /// What a worker makes of the answer to its report, or of none.
+    fn answered(&mut self, id: &str, report: &DueReport, told: Option<Told>) {
+        if self.all[id].gone || self.is_cut(id) {
+            return;
+        }
+        let told = told.filter(|_| !self.is_deaf(id, |(c, _)| c == report.target));
+        let refused = told.as_ref().is_some_and(|(status, _)| *status == 503);
+        self.refused_reports += usize::from(refused);
+        match told {
+            Some((200, body)) => self.replied(id, report, body),
             Some((421, body)) => {
                 let named = body["foreman"].as_str().and_then(|f| f.strip_prefix("c-"));
-                let named = named.and_then(|f| f.parse().ok());
-                node.target = named.unwrap_or((node.target + 1) % pools.len());
-                node.dirty = true;
-            }
-            _ => {
-                node.target = (node.target + 1) % pools.len();
-                node.dirty = true;
+                self.turn_to(id, named.and_then(|f| f.parse().ok()));
             }
+            _ => self.turn_to(id, None),
         }
     }
+
+    /// A controller answered with commands: they count in the session that was
+    /// reported, and with no older token.
+    fn replied(&mut self, id: &str, report: &DueReport, body: Value) {
+        let Ok(reply) = serde_json::from_value::<Reply>(body) else {
+            return;
+        };
+        let node = self.all.get_mut(id).expect("it is there");
+        if reply.baton.0 >= node.token && report.session == node.session {
+            node.token = reply.baton.0;
+            node.answered = report.sent;
+            self.execute(id, &reply.orders);
+        }
+    }
+
+    /// The next report goes to the controller that was named, else to the next one,
+    /// and soon.
+    fn turn_to(&mut self, id: &str, named: Option<usize>) {
+        let controllers = self.controllers.len();
+        let node = self.all.get_mut(id).expect("it is there");
+        node.target = named.unwrap_or((node.target + 1) % controllers);
+        node.dirty = true;
+    }
 }
--- a/crates/standins/src/store.rs
+++ b/crates/standins/src/store.rs
@@ -25,12 +25,33 @@
     lease: Option<u64>,
 }
 
+/// What happened to a key at a revision.
+struct Change {
+    revision: u64,
+    key: String,
+    /// As those who follow the keys are told.
+    event: Value,
+}
+
+/// A lease: keys written with it are deleted when it ends.
+struct Lease {
+    life: Duration,
+    end: Instant,
+}
+
+impl Lease {
+    fn renew(&mut self) {
+        self.end = Instant::now() + self.life;
+    }
+}
+
 /// Keys, their history, and leases.
 pub struct Store {
     revision: u64,
     keys: BTreeMap<String, Held>,
-    log: Vec<(u64, String, Value)>,
-    leases: BTreeMap<u64, (Duration, Instant)>,
+    /// All changes, in their order.
+    log: Vec<Change>,
+    leases: BTreeMap<u64, Lease>,
     changed: Rc<Notify>,
     /// Nobody is served; leases have their full time again afterwards.
     down: bool,
@@ -83,20 +104,17 @@
 
     /// All that was written under a key, with the revisions.
     pub fn writes(&self, key: &str) -> Vec<(u64, &Value)> {
-        let of = self.log.iter().filter(|(_, k, _)| k == key);
-        let writes = of.filter(|(.., event)| event.get("write").is_some());
+        let of = self.log.iter().filter(|change| change.key == key);
+        let writes = of.filter(|change| change.event.get("write").is_some());
         writes
-            .map(|(at, _, event)| (*at, &event["value"]))
+            .map(|change| (change.revision, &change.event["value"]))
             .collect()
     }
 
     /// Begins or ends an outage.
     pub fn set_down(&mut self, down: bool) {
         self.down = down;
-        let now = Instant::now();
-        for (life, end) in self.leases.values_mut() {
-            *end = now + *life;
-        }
+        self.leases.values_mut().for_each(Lease::renew);
         self.changed.notify_waiters();
     }
 
@@ -169,7 +187,7 @@
         let over: Vec<u64> = self
             .leases
             .iter()
-            .filter(|(_, (_, end))| *end <= now)
+            .filter(|(_, lease)| lease.end <= now)
             .map(|(id, _)| *id)
             .collect();
         for id in over {
@@ -187,24 +205,16 @@
             .collect();
         for key in keys {
             self.revision += 1;
-            self.keys.remove(&key);
-            let event = json!({"delete": key, "stamp": self.revision});
-            self.log.push((self.revision, key, event));
+            self.delete(&key);
         }
         self.changed.notify_waiters();
     }
 
+    /// A transaction on conditions (PROTOCOL, "POST /txn"): all of it, or nothing.
     fn txn(&mut self, txn: &Value) -> Told {
         let none = Vec::new();
         let when = txn["when"].as_array().unwrap_or(&none);
-        let failed: Vec<&str> = when
-            .iter()
-            .filter_map(|w| {
-                let key = w["key"].as_str()?;
-                let stamp = self.keys.get(key).map_or(0, |h| h.stamp);
-                (w["stamp"] != json!(stamp)).then_some(key)
-            })
-            .collect();
+        let failed = self.failed_conditions(when);
         if !failed.is_empty() {
             return (409, json!({"failed": failed, "ledger": self.revision}));
         }
@@ -213,42 +223,67 @@
             self.rejected += 1;
             return (400, json!({"error": "too large"}));
         }
-        for change in apply {
-            let lease = change["ticket"].as_u64();
-            if lease.is_some_and(|l| !self.leases.contains_key(&l)) {
-                return (400, json!({"error": "no such lease"}));
-            }
+        let mut leases = apply.iter().filter_map(|change| change["ticket"].as_u64());
+        if leases.any(|lease| !self.leases.contains_key(&lease)) {
+            return (400, json!({"error": "no such lease"}));
         }
         self.revision += 1;
         self.changes += apply.len() as u64;
-        let stamp = self.revision;
         for change in apply {
             if let Some(key) = change["write"].as_str() {
-                let value = change["value"].clone();
-                self.note_final(key, &value);
-                let event = json!({"write": key, "value": value, "stamp": stamp});
-                self.log.push((stamp, key.into(), event));
-                let lease = change["ticket"].as_u64();
-                let held = Held {
-                    stamp,
-                    value,
-                    lease,
-                };
-                self.keys.insert(key.into(), held);
+                self.write(key, change);
             } else if let Some(key) = change["delete"].as_str() {
-                self.keys.remove(key);
-                let event = json!({"delete": key, "stamp": stamp});
-                self.log.push((stamp, key.into(), event));
+                self.delete(key);
             }
         }
         self.changed.notify_waiters();
-        (200, json!({"ledger": stamp}))
+        (200, json!({"ledger": self.revision}))
+    }
+
+    /// Keys that were changed since the revision which a condition names.
+    fn failed_conditions<'a>(&self, when: &'a [Value]) -> Vec<&'a str> {
+        let failed = when.iter().filter_map(|condition| {
+            let key = condition["key"].as_str()?;
+            let stamp = self.keys.get(key).map_or(0, |held| held.stamp);
+            (condition["stamp"] != json!(stamp)).then_some(key)
+        });
+        failed.collect()
+    }
+
+    /// Writes a key at the present revision.
+    fn write(&mut self, key: &str, change: &Value) {
+        let stamp = self.revision;
+        let value = change["value"].clone();
+        self.note_final(key, &value);
+        self.record(key, json!({"write": key, "value": value, "stamp": stamp}));
+        let held = Held {
+            stamp,
+            value,
+            lease: change["ticket"].as_u64(),
+        };
+        self.keys.insert(key.into(), held);
+    }
+
+    /// Deletes a key at the present revision.
+    fn delete(&mut self, key: &str) {
+        self.keys.remove(key);
+        self.record(key, json!({"delete": key, "stamp": self.revision}));
+    }
+
+    /// Notes what happened to a key at the present revision.
+    fn record(&mut self, key: &str, event: Value) {
+        self.log.push(Change {
+            revision: self.revision,
+            key: key.into(),
+            event,
+        });
     }
 
     fn grant_lease(&mut self, body: &Value) -> Told {
         let id = self.leases.keys().next_back().map_or(1, |l| l + 1) + self.revision * 1000;
         let life = Duration::from_millis(body["life_ms"].as_u64().unwrap_or(1000));
-        self.leases.insert(id, (life, Instant::now() + life));
+        let end = Instant::now() + life;
+        self.leases.insert(id, Lease { life, end });
         (200, json!({"ticket": id}))
     }
 
@@ -261,8 +296,8 @@
             return (200, json!({}));
         }
         match self.leases.get_mut(&id) {
-            Some((life, end)) => {
-                *end = Instant::now() + *life;
+            Some(lease) => {
+                lease.renew();
                 (200, json!({}))
             }
             None => (404, json!({})),
@@ -285,11 +320,11 @@
     }
 
     fn news(&self, since: u64, under: &str) -> Vec<Value> {
-        let at = self.log.partition_point(|(stamp, _, _)| *stamp <= since);
+        let at = self.log.partition_point(|change| change.revision <= since);
         self.log[at..]
             .iter()
-            .filter(|(_, key, _)| key.starts_with(under))
-            .map(|(_, _, event)| event.clone())
+            .filter(|change| change.key.starts_with(under))
+            .map(|change| change.event.clone())
             .collect()
     }
 }
@@ -308,6 +343,7 @@
     std::future::pending().await
 }
 
+/// Changes of keys since a revision, once there are some or the time is up.
 async fn follow(store: Rc<RefCell<Store>>, from: Option<usize>, path: String) -> Told {
     let number = |name: &str| query(&path, name).and_then(|n| n.parse().ok()).unwrap_or(0);
     let (since, block) = (number("since"), number("block_ms"));
@@ -375,13 +411,13 @@
             if path == "/txn" {
                 return transact(store, from, body).await;
             }
-            let mut s = store.borrow_mut();
+            let mut store = store.borrow_mut();
             if path == "/leases" {
-                return s.grant_lease(&body);
+                return store.grant_lease(&body);
             }
             match path.strip_prefix("/leases/") {
-                Some(rest) => s.change_lease(&method, rest),
-                None => s.list(&path),
+                Some(rest) => store.change_lease(&method, rest),
+                None => store.list(&path),
             }
         })
     });
--- a/crates/standins/src/users.rs
+++ b/crates/standins/src/users.rs
@@ -48,6 +48,44 @@
     cancel_asked: Option<Instant>,
 }
 
+impl Known {
+    /// Takes in the phase that an answer told of an accepted job; what is wrong with
+    /// it.
+    fn learn(
+        &mut self,
+        phase: &str,
+        question: Question,
+        asked: Instant,
+        tasks_done: bool,
+    ) -> Vec<String> {
+        let now = Instant::now();
+        let mut wrong = Vec::new();
+        self.accepted.get_or_insert(now);
+        if let Some((at, end)) = &self.ended {
+            if *at < asked && end != phase {
+                wrong.push(format!("older than {end}"));
+            }
+        }
+        match phase {
+            "done" | "cancelled" => {
+                let (_, end) = self.ended.get_or_insert((now, phase.to_owned()));
+                if end != phase {
+                    wrong.push("two ends".into());
+                }
+                if phase == "done" && !tasks_done {
+                    wrong.push("not done".into());
+                }
+                if phase == "cancelled" && self.cancel_asked.is_none() {
+                    wrong.push("nobody cancelled it".into());
+                }
+            }
+            "pending" | "running" if question != Question::Cancel => {}
+            _ => wrong.push("no phase".into()),
+        }
+        wrong
+    }
+}
+
 /// What users were told, and which answers were wrong.
 #[derive(Debug, Default)]
 pub struct Answers {
@@ -70,50 +108,24 @@
         tasks_done: bool,
     ) {
         let known = self.known.entry(uid.to_owned()).or_default();
-        let before = |at: &Instant| *at < asked;
-        let accepted_before = known.accepted.as_ref().is_some_and(before);
-        let ended_before = known.ended.clone().filter(|(at, _)| before(at));
-        let mut wrong = |what: &str| {
-            let text = format!("{what}: {uid} {question:?} was answered {status} {body}");
-            self.wrong.push(text);
-        };
-        let now = Instant::now();
-        if !matches!(status, 200 | 201) {
-            if accepted_before {
-                wrong("forgotten");
+        let accepted_before = known.accepted.is_some_and(|at| at < asked);
+        let mut wrong: Vec<String> = Vec::new();
+        if matches!(status, 200 | 201) {
+            self.told += 1;
+            if *status == 201 && accepted_before {
+                wrong.push("accepted twice".into());
             }
-            return;
-        }
-        self.told += 1;
-        if *status == 201 && accepted_before {
-            wrong("accepted twice");
-        }
-        if body["uid"] != *uid {
-            wrong("another job");
-        }
-        known.accepted.get_or_insert(now);
-        let phase = body["phase"].as_str().unwrap_or_default();
-        if let Some((_, end)) = &ended_before {
-            if end != phase {
-                wrong(&format!("older than {end}"));
+            if body["uid"] != *uid {
+                wrong.push("another job".into());
             }
+            let phase = body["phase"].as_str().unwrap_or_default();
+            wrong.extend(known.learn(phase, question, asked, tasks_done));
+        } else if accepted_before {
+            wrong.push("forgotten".into());
         }
-        match phase {
-            "done" | "cancelled" => {
-                let (_, end) = known.ended.get_or_insert((now, phase.to_owned()));
-                if end != phase {
-                    wrong("two ends");
-                }
-                if phase == "done" && !tasks_done {
-                    wrong("not done");
-                }
-                if phase == "cancelled" && known.cancel_asked.is_none() {
-                    wrong("nobody cancelled it");
-                }
-            }
-            "pending" | "running" if question != Question::Cancel => {}
-            _ => wrong("no phase"),
-        }
+        let told = format!("{uid} {question:?} was answered {status} {body}");
+        let texts = wrong.into_iter().map(|what| format!("{what}: {told}"));
+        self.wrong.extend(texts);
     }
 
     fn cancel_asked(&mut self, uid: &str) {
