--- a/crates/agent/examples/measure.rs
+++ b/crates/agent/examples/measure.rs
@@ -12,7 +12,7 @@
 use std::time::{Duration, Instant};
 
 use serde_json::{json, Value};
-use sorrelhinge_agent::core::{Core, Key, Known, Machine, Recovered};
+use sorrelhinge_agent::core::{Core, Ending, Key, Known, Machine, Recovered};
 use sorrelhinge_protocol::types::{Amount, Attempt, MachineId, Time, TypeName, Zone};
 use sorrelhinge_protocol::worker::Why;
 use sorrelhinge_standins::{ask, run, serve};
@@ -37,10 +37,15 @@
                 piece: format!("run-{:06}/{}", n / 10, n % 10),
                 attempt: Attempt(n),
             };
-            (
-                key,
-                (Vec::new(), (n % 2 == 0).then_some((Why::Done, false))),
-            )
+            let done = Ending {
+                why: Why::Done,
+                kept: false,
+            };
+            let known = Known {
+                units: Vec::new(),
+                ended: (n % 2 == 0).then_some(done),
+            };
+            (key, known)
         })
         .collect();
     let found = Recovered {
--- a/crates/agent/src/agent.rs
+++ b/crates/agent/src/agent.rs
@@ -28,7 +28,7 @@
 use tokio::time::sleep;
 
 use self::images::Fetching;
-use self::recovery::{cache_found, recover};
+use self::recovery::{cache_found, recover, Leftover};
 use self::reports::Line;
 pub use self::status::{status, StatusError};
 use self::tasks::Watched;
@@ -38,7 +38,7 @@
 use crate::describe::{Description, Source};
 use crate::hand_on::Hands;
 use crate::images::Cache;
-use crate::journal::Journal;
+use crate::journal::{Journal, JournalError};
 use crate::settings::Settings;
 use crate::supervise::write_lease;
 
@@ -77,32 +77,55 @@
 /// Why an agent does not start.
 #[derive(Debug, thiserror::Error)]
 pub enum StartError {
-    /// The folder or its journal can't be used.
-    #[error("{0}")]
-    Folder(String),
+    /// The folder can't be used.
+    #[error("{}: {source}", folder.display())]
+    Folder {
+        /// The agent's folder.
+        folder: PathBuf,
+        /// Why.
+        source: std::io::Error,
+    },
+    /// Its journal can't be used.
+    #[error(transparent)]
+    Journal(#[from] JournalError),
     /// Another agent uses the folder.
-    #[error("{0}: another agent uses this folder")]
-    Taken(String),
+    #[error("{}: another agent uses this folder", folder.display())]
+    Taken {
+        /// The folder.
+        folder: PathBuf,
+    },
     /// The address can't be had.
-    #[error("agent.listen {0}: {1}")]
-    Listen(SocketAddr, std::io::Error),
+    #[error("agent.listen {address}: {source}")]
+    Listen {
+        /// The address.
+        address: SocketAddr,
+        /// Why.
+        source: std::io::Error,
+    },
 }
 
 impl Agent {
     /// Takes the folder, reads what an earlier agent left, and finds the tasks
     /// that still run. If the lease ran out meanwhile, they are killed first.
+    ///
+    /// # Errors
+    /// The folder or its journal can't be used, or another agent uses it.
     pub fn open(settings: Settings, program: PathBuf) -> Result<Rc<Self>, StartError> {
         let root = settings.folder.clone();
-        let at = |e: &dyn std::fmt::Display| StartError::Folder(format!("{}: {e}", root.display()));
-        std::fs::create_dir_all(root.join("attempts")).map_err(|e| at(&e))?;
+        let failed = |source| StartError::Folder {
+            folder: root.clone(),
+            source,
+        };
+        std::fs::create_dir_all(root.join("attempts")).map_err(failed)?;
         let own = Folder(root.clone());
-        let only = own.lock().map_err(|e| at(&e))?;
-        let only = only.ok_or_else(|| StartError::Taken(root.display().to_string()))?;
-        let journal = Journal::open(&root).map_err(|e| StartError::Folder(e.to_string()))?;
-        let (found, watched) = recover(&root, &journal);
+        let only = own.lock().map_err(failed)?.ok_or(StartError::Taken {
+            folder: root.clone(),
+        })?;
+        let journal = Journal::open(&root)?;
+        let Leftover { found, watched } = recover(&root, &journal);
         let hands = settings.hand_on.clone().map(|s| Rc::new(Hands::new(s)));
         let cache = cache_found(&root, settings.cache_bytes(), hands.as_deref(), &watched)
-            .map_err(|e| at(&e))?;
+            .map_err(failed)?;
         let now = clock::now();
         tracing::info!(tasks = found.tasks.len(), running = watched.len(), session = %found.session, token = %found.token, "found");
         let (core, actions) = Core::new(settings.machine(), found, now);
@@ -129,6 +152,9 @@
 
     /// Serves, reports and looks after tasks until `stop` resolves. Tasks go on
     /// under their supervisors; the next agent finds them.
+    ///
+    /// # Errors
+    /// The address of the settings can't be had.
     pub async fn run(
         self: &Rc<Self>,
         stop: impl std::future::Future<Output = ()>,
@@ -136,7 +162,10 @@
         let listen = self.settings.listen;
         let listener = TcpListener::bind(listen)
             .await
-            .map_err(|e| StartError::Listen(listen, e))?;
+            .map_err(|source| StartError::Listen {
+                address: listen,
+                source,
+            })?;
         self.run_on(listener, stop).await;
         Ok(())
     }
--- a/crates/agent/src/agent/recovery.rs
+++ b/crates/agent/src/agent/recovery.rs
@@ -18,16 +18,23 @@
 use crate::part::{self, Part};
 use crate::supervise::read_lease;
 
-/// What the journal and the attempts' folders tell, and the supervisors that are
-/// to be looked at.
-pub(super) fn recover(root: &Path, journal: &Journal) -> (Recovered, BTreeMap<Key, Watched>) {
+/// What an earlier agent left.
+pub(super) struct Leftover {
+    /// What the journal and the attempts' folders tell.
+    pub(super) found: Recovered,
+    /// The supervisors that are to be looked at.
+    pub(super) watched: BTreeMap<Key, Watched>,
+}
+
+/// Reads what an earlier agent left of its attempts.
+pub(super) fn recover(root: &Path, journal: &Journal) -> Leftover {
     let mut found = journal.state().recovered();
     found.answered = read_lease(&root.join("lease")).map(Time);
     let mut watched = BTreeMap::new();
     let mut running: Vec<Key> = found.dying.iter().cloned().collect();
-    for (key, (_, ended)) in &found.tasks {
-        match ended {
-            Some((Why::Done, _)) => {
+    for (key, known) in &found.tasks {
+        match known.ended.map(|ending| ending.why) {
+            Some(Why::Done) => {
                 found.results.insert(key.piece.clone());
             }
             Some(_) => {}
@@ -47,7 +54,7 @@
             },
         );
     }
-    (found, watched)
+    Leftover { found, watched }
 }
 
 /// The images that are there, with the room that archives take, wanted by the
--- a/crates/agent/src/agent/server.rs
+++ b/crates/agent/src/agent/server.rs
@@ -21,17 +21,25 @@
 use crate::core::{Action, Told};
 use crate::hand_on;
 
+/// How long the body of a command may take.
+const BODY_TIMEOUT: Duration = Duration::from_secs(10);
+/// How long a connection may be idle before its next request.
+const HEADER_TIMEOUT: Duration = Duration::from_secs(60);
+/// After a connection could not be taken, as where there are too many files open.
+const ACCEPT_RETRY_INTERVAL: Duration = Duration::from_millis(50);
+
 impl Agent {
-    fn told(self: &Rc<Self>, (told, actions): (Told, Vec<Action>)) -> (u16, Vec<u8>) {
+    /// Carries out what a command came to, and answers it.
+    fn told(self: &Rc<Self>, told: Told, actions: Vec<Action>) -> hand_on::Answer {
         // What is answered is on disk before it is said.
         self.do_all(actions);
         match told {
             Told::Report(taken, report) if !*self.failed.borrow() => {
                 let body = serde_json::to_vec(&report).unwrap_or_default();
-                (if taken { 200 } else { 409 }, body)
+                hand_on::plain(if taken { 200 } else { 409 }, body)
             }
-            Told::Report(..) => (503, b"{\"error\":\"the disk fails\"}".to_vec()),
-            Told::NotNow => (503, b"{\"error\":\"tasks are being killed\"}".to_vec()),
+            Told::Report(..) => error(503, "the disk fails"),
+            Told::NotNow => error(503, "tasks are being killed"),
         }
     }
 
@@ -45,24 +53,20 @@
                 return hands.answer(from, method, uri, range).await;
             }
         }
-        let (status, body) = self.command(request).await;
-        hand_on::plain(status, body)
+        self.command(request).await
     }
 
-    async fn command(self: &Rc<Self>, request: Request<Incoming>) -> (u16, Vec<u8>) {
+    /// The answer to a request of a controller, or of whoever looks at the machine.
+    async fn command(self: &Rc<Self>, request: Request<Incoming>) -> hand_on::Answer {
         let (method, path) = (request.method().clone(), request.uri().path().to_owned());
-        let error = |status: u16, why: &str| {
-            let body = serde_json::json!({ "error": why });
-            (status, body.to_string().into_bytes())
-        };
         match (method, path.as_str()) {
             (Method::GET, "/status") => {
-                let told = self.core.borrow_mut().status(clock::now());
-                self.told(told)
+                let (told, actions) = self.core.borrow_mut().status(clock::now());
+                self.told(told, actions)
             }
             (Method::POST, "/orders") => {
                 let body = Limited::new(request.into_body(), MAX_BODY_BYTES).collect();
-                let body = match timeout(Duration::from_secs(10), body).await {
+                let body = match timeout(BODY_TIMEOUT, body).await {
                     Ok(Ok(body)) => body.to_bytes(),
                     _ => return error(400, "incomplete body"),
                 };
@@ -70,18 +74,24 @@
                     Ok(orders) => orders,
                     Err(why) => return error(400, &why.to_string()),
                 };
-                let told = self.core.borrow_mut().orders(&orders, clock::now());
-                self.told(told)
+                let (told, actions) = self.core.borrow_mut().orders(&orders, clock::now());
+                self.told(told, actions)
             }
             _ => error(404, "no such path"),
         }
     }
 }
 
+fn error(status: u16, why: &str) -> hand_on::Answer {
+    let body = serde_json::json!({ "error": why });
+    hand_on::plain(status, body.to_string())
+}
+
+/// Takes connections, and answers what comes over them, for ever.
 pub(super) async fn serve(agent: Rc<Agent>, listener: TcpListener) {
     loop {
         let Ok((stream, from)) = listener.accept().await else {
-            sleep(Duration::from_millis(50)).await;
+            sleep(ACCEPT_RETRY_INTERVAL).await;
             continue;
         };
         let _ = stream.set_nodelay(true);
@@ -93,7 +103,7 @@
             });
             let served = hyper::server::conn::http1::Builder::new()
                 .timer(TokioTimer::new())
-                .header_read_timeout(Duration::from_secs(60))
+                .header_read_timeout(HEADER_TIMEOUT)
                 .serve_connection(TokioIo::new(stream), service)
                 .await;
             if let Err(error) = served {
--- a/crates/agent/src/agent/status.rs
+++ b/crates/agent/src/agent/status.rs
@@ -5,7 +5,7 @@
 
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full, Limited};
-use hyper::{Request, StatusCode};
+use hyper::{Request, Response, StatusCode};
 use sorrelhinge_protocol::worker::Report;
 use tokio::time::timeout;
 
@@ -59,34 +59,31 @@
 /// The agent does not answer, or not with a report.
 pub async fn status(listen: SocketAddr) -> Result<String, StatusError> {
     let asked = timeout(STATUS_TIMEOUT, ask(listen)).await;
-    let (status, body) = asked
+    let answer = asked
         .map_err(|_| StatusError::NoAnswer { listen })?
         .map_err(|source| StatusError::Request { listen, source })?;
-    if status != StatusCode::OK {
-        let body = String::from_utf8_lossy(&body).into_owned();
+    if answer.status() != StatusCode::OK {
         return Err(StatusError::Status {
             listen,
-            status,
-            body,
+            status: answer.status(),
+            body: String::from_utf8_lossy(answer.body()).into_owned(),
         });
     }
-    let report = serde_json::from_slice(&body)
+    let report = serde_json::from_slice(answer.body())
         .map_err(|source| StatusError::Malformed { listen, source })?;
     Ok(table(&report))
 }
 
-/// The answer's status and body.
-async fn ask(listen: SocketAddr) -> Result<(StatusCode, Bytes), RequestError> {
+/// The agent's answer, whatever its status.
+async fn ask(listen: SocketAddr) -> Result<Response<Bytes>, RequestError> {
     let mut line = connect(listen).await?;
     let request = Request::get("/status")
         .header("host", listen.to_string())
         .body(Full::new(Bytes::new()))?;
     let response = line.send_request(request).await?;
-    let status = response.status();
-    let body = Limited::new(response.into_body(), MAX_BODY_BYTES)
-        .collect()
-        .await?;
-    Ok((status, body.to_bytes()))
+    let (head, body) = response.into_parts();
+    let body = Limited::new(body, MAX_BODY_BYTES).collect().await?;
+    Ok(Response::from_parts(head, body.to_bytes()))
 }
 
 fn table(report: &Report) -> String {
--- a/crates/agent/src/core.rs
+++ b/crates/agent/src/core.rs
@@ -17,7 +17,9 @@
 use sorrelhinge_protocol::worker::{ReportedImage, TaskPhase, Why};
 
 use self::attempts::{has_process, Held};
-pub use self::messages::{Action, Answer, Exit, Key, Known, Machine, Needs, Note, Recovered, Told};
+pub use self::messages::{
+    Action, Answer, Ending, Exit, Key, Known, Machine, Needs, Note, Recovered, Told,
+};
 pub use self::reports::ANSWER_TIMEOUT_S;
 
 /// The worker.
@@ -93,11 +95,6 @@
         self.tasks.iter().map(|(k, h)| (k, h.phase, h.cause))
     }
 
-    /// The session and the highest token seen.
-    pub fn standing(&self) -> (Session, Token) {
-        (self.session, self.token)
-    }
-
     /// Whether an attempt was killed with its session and is not gone yet.
     pub fn is_dying(&self, key: &Key) -> bool {
         self.dying.contains_key(key)
--- a/crates/agent/src/core/attempts.rs
+++ b/crates/agent/src/core/attempts.rs
@@ -27,16 +27,16 @@
 
 impl Held {
     /// An attempt found after a start of the agent: it runs, or has ended.
-    pub(super) fn recovered((units, ended): Known, needs: Option<Needs>) -> Self {
-        let (phase, cause) = match ended {
-            Some((why, _)) => (TaskPhase::Ended, Some(why)),
-            None => (TaskPhase::Running, None),
+    pub(super) fn recovered(known: Known, needs: Option<Needs>) -> Self {
+        let phase = match known.ended {
+            Some(_) => TaskPhase::Ended,
+            None => TaskPhase::Running,
         };
         Self {
             phase,
-            cause,
+            cause: known.ended.map(|ending| ending.why),
             needs,
-            units,
+            units: known.units,
             from: Vec::new(),
             stopping: false,
             save_until: None,
--- a/crates/agent/src/core/messages.rs
+++ b/crates/agent/src/core/messages.rs
@@ -121,9 +121,23 @@
     Report(usize, Box<Report>),
 }
 
-/// An attempt's devices, and how it ended and whether its progress was kept;
-/// nothing if it has not.
-pub type Known = (Vec<(String, String)>, Option<(Why, bool)>);
+/// What is on disk of an attempt.
+#[derive(Clone, Debug, Default, PartialEq)]
+pub struct Known {
+    /// Its devices, by kind and name.
+    pub units: Vec<(String, String)>,
+    /// How it ended; none: it may still run.
+    pub ended: Option<Ending>,
+}
+
+/// How an attempt ended.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct Ending {
+    /// Why.
+    pub why: Why,
+    /// Whether its progress was kept.
+    pub kept: bool,
+}
 
 /// What was found after a start of the agent.
 #[derive(Clone, Debug, Default, PartialEq)]
@@ -134,7 +148,7 @@
     pub session: Session,
     /// Ticks below this may have been used.
     pub tick: u64,
-    /// Attempts: their devices and how each ended, none if it still runs.
+    /// Attempts that were taken on and not forgotten.
     pub tasks: BTreeMap<Key, Known>,
     /// Attempts of an ended session that are not known to be gone.
     pub dying: BTreeSet<Key>,
--- a/crates/agent/src/fetch.rs
+++ b/crates/agent/src/fetch.rs
@@ -93,6 +93,13 @@
     },
 }
 
+/// A part that is there or has just begun.
+struct Begun {
+    part: Rc<Part>,
+    /// The agent whose word its sums are; none if they are trusted.
+    giver: Option<SocketAddr>,
+}
+
 /// Why a part was not completed.
 enum Setback {
     /// The fetch has failed.
@@ -154,7 +161,7 @@
         let fetch = Rc::new(self);
         let mut liars = Vec::new();
         for _ in 0..MAX_RESTARTS {
-            let Some((part, giver)) = fetch.part().await? else {
+            let Some(Begun { part, giver }) = fetch.part().await? else {
                 return fetch.in_one_piece().await;
             };
             let why = match fetch.complete(&part).await {
@@ -215,14 +222,14 @@
     }
 
     /// What there is of the image, or a part that has just begun; none if
-    /// nobody has sums of it. And which agent's word the sums are.
-    async fn part(&self) -> Result<Option<(Rc<Part>, Option<SocketAddr>)>, Failed> {
+    /// nobody has sums of it.
+    async fn part(&self) -> Result<Option<Begun>, Failed> {
         let sha256 = &self.image.sha256;
         let there = self.hands.part(sha256);
         if let Some(part) = there.clone().filter(|p| p.hands_on()) {
             (self.room)(part.sums().bytes);
             self.look(&part).await?;
-            return Ok(Some((part, None)));
+            return Ok(Some(Begun { part, giver: None }));
         }
         let Some(found) = self.find_sums().await? else {
             return Ok(None);
@@ -236,13 +243,19 @@
         (self.room)(found.sums.bytes);
         if let Some(part) = there.filter(|p| p.text() == found.text && !found.trusted) {
             self.look(&part).await?;
-            return Ok(Some((part, found.giver)));
+            let giver = found.giver;
+            return Ok(Some(Begun { part, giver }));
         }
-        let Found { text, sums, .. } = found;
-        let part = Part::begin(&self.parts, &self.image, text, sums, found.trusted);
+        let Found {
+            text,
+            sums,
+            trusted,
+            giver,
+        } = found;
+        let part = Part::begin(&self.parts, &self.image, text, sums, trusted);
         let part = Rc::new(part.map_err(disk)?);
         self.hands.keep(part.clone());
-        Ok(Some((part, found.giver)))
+        Ok(Some(Begun { part, giver }))
     }
 
     /// Goes on with the chunks that an earlier run left.
--- a/crates/agent/src/journal.rs
+++ b/crates/agent/src/journal.rs
@@ -22,7 +22,7 @@
 
 use sorrelhinge_protocol::types::{Session, Token};
 
-use crate::core::{Key, Known, Note, Recovered};
+use crate::core::{Ending, Key, Known, Note, Recovered};
 
 const MAGIC: &[u8; 4] = b"SHJ1";
 const VERSION: u32 = 1;
@@ -34,11 +34,32 @@
 #[derive(Debug, thiserror::Error)]
 pub enum JournalError {
     /// The file can't be read or written.
-    #[error("{0}: {1}")]
-    Io(PathBuf, std::io::Error),
+    #[error("{}: {source}", path.display())]
+    Io {
+        /// The file, or its folder.
+        path: PathBuf,
+        /// Why.
+        source: std::io::Error,
+    },
     /// The file is not a journal, or a later version wrote it.
-    #[error("{0}: {1}")]
-    Format(PathBuf, FormatError),
+    #[error("{}: {source}", path.display())]
+    Format {
+        /// The file.
+        path: PathBuf,
+        /// What is wrong with it.
+        source: FormatError,
+    },
+}
+
+impl JournalError {
+    /// Adds the file to what went wrong there.
+    fn io(path: &Path) -> impl Fn(std::io::Error) -> Self {
+        let path = path.to_owned();
+        move |source| Self::Io {
+            path: path.clone(),
+            source,
+        }
+    }
 }
 
 /// Why bytes are no journal that this version reads.
@@ -98,11 +119,14 @@
             Note::Session(_) => {}
             Note::Tick(tick) => self.tick = self.tick.max(*tick),
             Note::Took(key, units) => {
-                self.tasks.insert(key.clone(), (units.clone(), None));
+                let units = units.clone();
+                let known = Known { units, ended: None };
+                self.tasks.insert(key.clone(), known);
             }
             Note::Ended(key, why, kept) => {
-                if let Some((_, ended)) = self.tasks.get_mut(key) {
-                    *ended = Some((*why, *kept));
+                if let Some(known) = self.tasks.get_mut(key) {
+                    let (why, kept) = (*why, *kept);
+                    known.ended = Some(Ending { why, kept });
                 }
             }
             Note::Forgot(key) => {
@@ -120,10 +144,10 @@
         notes.extend(dying.map(|key| Note::Took(key, Vec::new())));
         // It ends the session of those before it.
         notes.push(Note::Session(self.session));
-        for (key, (units, ended)) in &self.tasks {
-            notes.push(Note::Took(key.clone(), units.clone()));
-            if let Some((why, kept)) = ended {
-                notes.push(Note::Ended(key.clone(), *why, *kept));
+        for (key, known) in &self.tasks {
+            notes.push(Note::Took(key.clone(), known.units.clone()));
+            if let Some(Ending { why, kept }) = known.ended {
+                notes.push(Note::Ended(key.clone(), why, kept));
             }
         }
         notes
@@ -205,35 +229,37 @@
     /// short left is taken off.
     pub fn open(folder: &Path) -> Result<Self, JournalError> {
         let path = folder.join("journal");
-        let io = |e| JournalError::Io(path.clone(), e);
+        let io = JournalError::io(&path);
         let mut bytes = Vec::new();
         if path.exists() {
-            let mut file = File::open(&path).map_err(io)?;
-            file.read_to_end(&mut bytes).map_err(io)?;
+            let mut file = File::open(&path).map_err(&io)?;
+            file.read_to_end(&mut bytes).map_err(&io)?;
         }
         let found = match bytes.len() {
             // The machine stopped while the first bytes were written.
             0..8 => Entries::default(),
-            _ => read(&bytes).map_err(|why| JournalError::Format(path.clone(), why))?,
+            _ => read(&bytes).map_err(|source| JournalError::Format {
+                path: path.clone(),
+                source,
+            })?,
         };
-        let (state, entries, whole) = (found.state, found.count, found.bytes);
         let mut file = OpenOptions::new()
             .create(true)
             .read(true)
             .append(true)
             .open(&path)
-            .map_err(io)?;
-        file.set_len(whole as u64).map_err(io)?;
-        if whole == 0 {
-            file.write_all(MAGIC).map_err(io)?;
-            file.write_all(&VERSION.to_le_bytes()).map_err(io)?;
+            .map_err(&io)?;
+        file.set_len(found.bytes as u64).map_err(&io)?;
+        if found.bytes == 0 {
+            file.write_all(MAGIC).map_err(&io)?;
+            file.write_all(&VERSION.to_le_bytes()).map_err(&io)?;
         }
-        file.sync_all().map_err(io)?;
+        file.sync_all().map_err(&io)?;
         Ok(Self {
             path,
             file,
-            state,
-            entries,
+            state: found.state,
+            entries: found.count,
         })
     }
 
@@ -245,9 +271,9 @@
     /// Writes entries down. They are on disk when this returns.
     pub fn note(&mut self, notes: &[Note]) -> Result<(), JournalError> {
         let bytes: Vec<u8> = notes.iter().flat_map(frame).collect();
-        let io = |e| JournalError::Io(self.path.clone(), e);
-        self.file.write_all(&bytes).map_err(io)?;
-        self.file.sync_data().map_err(io)?;
+        let io = JournalError::io(&self.path);
+        self.file.write_all(&bytes).map_err(&io)?;
+        self.file.sync_data().map_err(&io)?;
         for note in notes {
             self.state.apply(note);
         }
@@ -261,25 +287,25 @@
     /// Writes the journal anew with what is still of use.
     fn compact(&mut self) -> Result<(), JournalError> {
         let beside = self.path.with_extension("new");
-        let io = |e| JournalError::Io(beside.clone(), e);
+        let io = JournalError::io(&beside);
         let notes = self.state.notes();
-        let mut file = File::create(&beside).map_err(io)?;
-        file.write_all(MAGIC).map_err(io)?;
-        file.write_all(&VERSION.to_le_bytes()).map_err(io)?;
+        let mut file = File::create(&beside).map_err(&io)?;
+        file.write_all(MAGIC).map_err(&io)?;
+        file.write_all(&VERSION.to_le_bytes()).map_err(&io)?;
         for note in &notes {
-            file.write_all(&frame(note)).map_err(io)?;
+            file.write_all(&frame(note)).map_err(&io)?;
         }
-        file.sync_all().map_err(io)?;
-        std::fs::rename(&beside, &self.path).map_err(io)?;
+        file.sync_all().map_err(&io)?;
+        std::fs::rename(&beside, &self.path).map_err(&io)?;
         if let Some(folder) = self.path.parent() {
             let synced = File::open(folder).and_then(|f| f.sync_all());
-            synced.map_err(|e| JournalError::Io(folder.to_owned(), e))?;
+            synced.map_err(JournalError::io(folder))?;
         }
         self.file = OpenOptions::new()
             .read(true)
             .append(true)
             .open(&self.path)
-            .map_err(|e| JournalError::Io(self.path.clone(), e))?;
+            .map_err(JournalError::io(&self.path))?;
         self.entries = notes.len();
         Ok(())
     }
--- a/crates/agent/tests/worker_model.rs
+++ b/crates/agent/tests/worker_model.rs
@@ -508,8 +508,8 @@
         let unborn: Vec<Key> = found
             .tasks
             .iter()
-            .filter(|(key, (_, ended))| {
-                ended.is_none() && !self.model.processes.contains_key(&id_of(key))
+            .filter(|(key, known)| {
+                known.ended.is_none() && !self.model.processes.contains_key(&id_of(key))
             })
             .map(|(key, _)| key.clone())
             .collect();
@@ -539,9 +539,9 @@
     fn found(&self) -> Recovered {
         let mut found = self.journal.recovered();
         found.answered = self.lease;
-        for (key, (_, ended)) in &found.tasks {
-            match ended {
-                Some((Why::Done, _)) => {
+        for (key, known) in &found.tasks {
+            match known.ended.map(|ending| ending.why) {
+                Some(Why::Done) => {
                     found.results.insert(key.piece.clone());
                 }
                 Some(_) => {}
--- a/crates/blocks/src/largest_jobs.rs
+++ b/crates/blocks/src/largest_jobs.rs
@@ -28,8 +28,14 @@
     jobs.div_ceil(LARGEST_ONE_IN).max(1)
 }
 
-/// A job that came: its size in thousandths of CPUs, and whether it was told of.
-type Came = (i64, bool);
+/// A job that came.
+#[derive(Clone, Copy, Debug)]
+struct Came {
+    /// Thousandths of CPUs of all its tasks.
+    cpu: i64,
+    /// Whether it was told of.
+    told: bool,
+}
 
 /// The largest jobs of all classes.
 #[derive(Debug, Default)]
@@ -52,9 +58,9 @@
         if came.len() >= WINDOW_JOBS {
             came.pop_front();
         }
-        let before = |c: &&Came| c.0 > cpu || c.0 == cpu && c.1;
+        let before = |other: &&Came| other.cpu > cpu || other.cpu == cpu && other.told;
         let largest = came.iter().filter(before).count() < tenth(came.len() + 1);
-        came.push_back((cpu, largest));
+        came.push_back(Came { cpu, told: largest });
         if largest {
             self.told.insert(job.clone(), false);
         }
--- a/crates/blocks/src/tally.rs
+++ b/crates/blocks/src/tally.rs
@@ -6,6 +6,7 @@
 //! counted as accepted by the next one too, as long as it is not over. What is done
 //! is counted by one owner only.
 
+use std::cmp::Ordering;
 use std::collections::{BTreeMap, HashMap};
 
 use crate::largest_jobs::{tenth, BEGIN_WITHIN_S};
@@ -56,6 +57,20 @@
     period: usize,
 }
 
+/// A job that may be among its class's largest.
+struct Candidate<'a> {
+    job: &'a str,
+    large: &'a Large,
+}
+
+impl Candidate<'_> {
+    /// By CPUs, then by id.
+    fn largest_first(&self, other: &Self) -> Ordering {
+        let by_cpus = other.large.cpus.total_cmp(&self.large.cpus);
+        by_cpus.then_with(|| self.job.cmp(other.job))
+    }
+}
+
 /// What came of a class's largest jobs: the top tenth by CPUs of all tasks, at
 /// least one.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
@@ -83,13 +98,20 @@
     }
 }
 
+/// What was told while one controller owned a block.
+#[derive(Debug)]
+struct Period {
+    block: String,
+    counts: BTreeMap<Name, Count>,
+}
+
 /// Collects lines.
 #[derive(Debug, Default)]
 pub struct Tally {
     /// The largest jobs, by id.
     large: HashMap<String, Large>,
     /// Each controller's period as an owner of a block, as it speaks.
-    periods: Vec<(String, BTreeMap<Name, Count>)>,
+    periods: Vec<Period>,
     /// The period that each controller and block is in.
     present: BTreeMap<String, usize>,
 }
@@ -145,13 +167,16 @@
             waiting: number("waiting").unwrap_or(0),
         };
         let at = self.period(speaker, field(line, "block").unwrap_or("0"));
-        self.periods[at].1.insert((class, team), count);
+        self.periods[at].counts.insert((class, team), count);
     }
 
     fn period(&mut self, speaker: &str, block: &str) -> usize {
         let present = self.present.entry(format!("{speaker} {block}"));
         *present.or_insert_with(|| {
-            self.periods.push((block.to_owned(), BTreeMap::new()));
+            self.periods.push(Period {
+                block: block.to_owned(),
+                counts: BTreeMap::new(),
+            });
             self.periods.len() - 1
         })
     }
@@ -188,10 +213,10 @@
             *all.entry(class).or_default() += part.done + part.open + part.waiting;
         }
         let mut last: BTreeMap<&str, usize> = BTreeMap::new();
-        for (at, (block, _)) in self.periods.iter().enumerate() {
-            last.insert(block, at);
+        for (at, period) in self.periods.iter().enumerate() {
+            last.insert(&period.block, at);
         }
-        let mut classes: BTreeMap<&str, Vec<(&String, &Large)>> = BTreeMap::new();
+        let mut classes: BTreeMap<&str, Vec<Candidate>> = BTreeMap::new();
         let mut parts: BTreeMap<String, LargestPart> = BTreeMap::new();
         for (job, large) in self.large.iter().filter(|(_, l)| !l.cancelled) {
             let part = parts.entry(large.class.clone()).or_default();
@@ -200,14 +225,15 @@
             if !large.begun && !large.late && gone {
                 part.unknown += 1;
             } else {
-                classes.entry(&large.class).or_default().push((job, large));
+                let candidate = Candidate { job, large };
+                classes.entry(&large.class).or_default().push(candidate);
             }
         }
         for (class, mut jobs) in classes {
-            jobs.sort_by(|a, b| b.1.cpus.total_cmp(&a.1.cpus).then_with(|| a.0.cmp(b.0)));
+            jobs.sort_by(Candidate::largest_first);
             jobs.truncate(tenth(all.get(class).map_or(0, |n| *n as usize)));
             let part = parts.entry(class.to_owned()).or_default();
-            for (_, large) in jobs {
+            for Candidate { large, .. } in jobs {
                 part.jobs += 1;
                 part.begun += u64::from(large.begun);
                 let began_s = large.began_s.unwrap_or(0.0);
@@ -223,7 +249,7 @@
     pub fn parts(&self) -> BTreeMap<Name, Part> {
         let mut parts: BTreeMap<Name, Part> = BTreeMap::new();
         let mut last: BTreeMap<(&str, &Name), &Count> = BTreeMap::new();
-        for (block, counts) in &self.periods {
+        for Period { block, counts } in &self.periods {
             for (name, count) in counts {
                 let part = parts.entry(name.clone()).or_insert(Part {
                     done: 0,
--- a/crates/overload/src/asked.rs
+++ b/crates/overload/src/asked.rs
@@ -197,14 +197,14 @@
         self.unknown.entries.remove(&key);
     }
 
-    /// How many recorded jobs and other ids are remembered.
-    pub fn len(&self) -> (usize, usize) {
-        (self.known.entries.len(), self.unknown.entries.len())
+    /// How many recorded jobs are remembered.
+    pub fn known_count(&self) -> usize {
+        self.known.entries.len()
     }
 
-    /// Whether nothing is.
-    pub fn is_empty(&self) -> bool {
-        self.len() == (0, 0)
+    /// How many ids that no job has are remembered.
+    pub fn unknown_count(&self) -> usize {
+        self.unknown.entries.len()
     }
 }
 
--- a/crates/overload/src/order.rs
+++ b/crates/overload/src/order.rs
@@ -17,10 +17,17 @@
 /// longest are forgotten first.
 pub const MAX_MACHINES: usize = 20_000;
 
+/// The newest report of a machine, and when it came.
+struct Newest {
+    session: Session,
+    seq: Seq,
+    at: Time,
+}
+
 /// The newest report of each machine that came here.
 #[derive(Default)]
 pub struct Order {
-    newest: HashMap<MachineId, (Session, Seq, Time)>,
+    newest: HashMap<MachineId, Newest>,
     tidied: Option<Time>,
 }
 
@@ -28,13 +35,18 @@
     /// Takes note of a report. False if it is a copy.
     pub fn is_new(&mut self, machine: &MachineId, session: Session, seq: Seq, now: Time) -> bool {
         self.tidy(now);
+        let report = Newest {
+            session,
+            seq,
+            at: now,
+        };
         if let Some(known) = self.newest.get_mut(machine) {
-            if (session, seq) <= (known.0, known.1) {
+            if (session, seq) <= (known.session, known.seq) {
                 return false;
             }
-            *known = (session, seq, now);
+            *known = report;
         } else {
-            self.newest.insert(machine.clone(), (session, seq, now));
+            self.newest.insert(machine.clone(), report);
         }
         true
     }
@@ -59,13 +71,15 @@
         }
         self.tidied = Some(now);
         let mut keep_s = MACHINE_MEMORY_S;
-        self.newest.retain(|_, (_, _, at)| now.since(*at) <= keep_s);
+        self.newest
+            .retain(|_, report| now.since(report.at) <= keep_s);
         while self.newest.len() >= MAX_MACHINES {
             keep_s /= 2.0;
             if keep_s < 1.0 {
                 self.newest.clear();
             }
-            self.newest.retain(|_, (_, _, at)| now.since(*at) <= keep_s);
+            self.newest
+                .retain(|_, report| now.since(report.at) <= keep_s);
         }
     }
 }
--- a/crates/overload/tests/model.rs
+++ b/crates/overload/tests/model.rs
@@ -542,7 +542,7 @@
                     false => asked.failed(&job, true, Time(now)),
                 }
             }
-            prop_assert!(asked.len().0 <= 8 && asked.len().1 <= 5);
+            prop_assert!(asked.known_count() <= 8 && asked.unknown_count() <= 5);
         }
     }
 }
--- a/crates/staging/src/plan.rs
+++ b/crates/staging/src/plan.rs
@@ -139,7 +139,8 @@
         if self.seats.contains_key(&machine) {
             return;
         }
-        let (seat, node) = self.node_of(machine.clone(), path);
+        let seat = self.take_seat();
+        let node = self.node_of(machine.clone(), path);
         self.nodes.insert(seat, node);
         self.seats.insert(machine, seat);
         if whole {
@@ -296,11 +297,17 @@
         self.refused_until = self.refused_until.max(until);
     }
 
-    fn node_of(&mut self, id: MachineId, path: &[String]) -> (Seat, Node) {
+    /// The next seat, which no machine has had.
+    fn take_seat(&mut self) -> Seat {
         let seat = self.next_seat;
         self.next_seat += 1;
+        seat
+    }
+
+    /// A machine that wants the image.
+    fn node_of(&mut self, id: MachineId, path: &[String]) -> Node {
         let domain = self.near.domain(path);
-        let node = Node {
+        Node {
             domain,
             zone: self.near.zone(domain),
             state: State::Wants,
@@ -311,8 +318,7 @@
             from: Vec::new(),
             slow: false,
             id,
-        };
-        (seat, node)
+        }
     }
 
     fn node(&self, machine: &MachineId) -> Option<&Node> {
--- a/crates/staging/src/plan/takeover.rs
+++ b/crates/staging/src/plan/takeover.rs
@@ -83,7 +83,8 @@
         uploads: &mut Uploads,
     ) -> (Seat, Node) {
         let limits = self.limits;
-        let (seat, mut node) = self.node_of(ran.machine.clone(), ran.path);
+        let seat = self.take_seat();
+        let mut node = self.node_of(ran.machine.clone(), ran.path);
         match ran.has {
             Has::Whole => {
                 node.state = State::Whole;
