--- a/crates/agent/src/agent/images.rs
+++ b/crates/agent/src/agent/images.rs
@@ -11,7 +11,8 @@
 use super::{Agent, PARTS_FOLDER};
 use crate::clock;
 use crate::core::Key;
-use crate::describe::{self, Source};
+use crate::describe::Source;
+use crate::download;
 use crate::fetch::{Failed, Fetch, FetchFailure};
 use crate::hand_on::Hands;
 use crate::images::{self, Image, Step};
@@ -185,7 +186,7 @@
         let root = self.settings.folder.join("images");
         let archive = root.join(format!(".{}.tar", image.sha256));
         let most = self.settings.cache_bytes();
-        let unpacked = match describe::fetch(source, image, &archive, most).await {
+        let unpacked = match download::fetch(source, image, &archive, most).await {
             Ok(()) => {
                 let (wanted, from) = (image.clone(), archive.clone());
                 let unpacked = tokio::task::spawn_blocking(move || {
--- a/crates/agent/src/agent/reports.rs
+++ b/crates/agent/src/agent/reports.rs
@@ -16,9 +16,9 @@
 use tokio::time::timeout;
 
 use super::{Agent, MAX_BODY_BYTES};
+use crate::client::RequestError;
 use crate::clock;
 use crate::core::{Answer, ANSWER_TIMEOUT_S};
-use crate::request_error::RequestError;
 use crate::settings::Controller;
 
 /// A connection that requests go out on.
--- a/crates/agent/src/agent/status.rs
+++ b/crates/agent/src/agent/status.rs
@@ -11,7 +11,7 @@
 
 use super::reports::connect;
 use super::MAX_BODY_BYTES;
-use crate::request_error::RequestError;
+use crate::client::RequestError;
 
 /// How long an agent has to answer.
 const STATUS_TIMEOUT: Duration = Duration::from_secs(5);
--- a/crates/agent/src/describe.rs
+++ b/crates/agent/src/describe.rs
@@ -2,32 +2,27 @@
 //! by the job's id, from a folder (`ID.json`) or over HTTP (`GET PREFIX/ID`).
 
 use std::collections::BTreeMap;
-use std::io::Write;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-use bytes::Bytes;
 use garde::Validate;
-use http_body_util::{BodyExt, Empty, Limited};
-use hyper::body::Incoming;
-use hyper::client::conn::http1::{handshake, SendRequest};
-use hyper::{Response, StatusCode};
-use hyper_util::rt::TokioIo;
+use http_body_util::{BodyExt, Limited};
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
 use sorrelhinge_protocol::invalid::InvalidField;
 use sorrelhinge_protocol::types::Amount;
 use sorrelhinge_protocol::users::job_id;
 use sorrelhinge_protocol::worker::Why;
-use tokio::net::TcpStream;
 use tokio::time::timeout;
 
+use crate::client::{self, ServerError};
 use crate::core::Needs;
 use crate::images::Image;
-use crate::request_error::{RequestError, ServerError};
 
+/// Bytes of a description, at the most.
 const MAX_DESCRIPTION_BYTES: usize = 256 << 10;
+/// How long a server may take to answer with a description.
 const FETCH_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// Why a description can't be used.
@@ -268,144 +263,13 @@
     }
 }
 
-/// Why an image's archive did not come.
-#[derive(Debug, thiserror::Error)]
-#[error("{image}: {cause}")]
-pub struct Unfetched {
-    /// The image's name.
-    pub image: String,
-    /// What is wrong.
-    #[source]
-    pub cause: ArchiveError,
-    /// It may come another time: nothing is wrong with it, or with the disk.
-    pub again: bool,
-}
-
-/// What is wrong with an archive's source, or with the disk.
-#[derive(Debug, thiserror::Error)]
-pub enum ArchiveError {
-    /// It can't be copied or written.
-    #[error(transparent)]
-    Disk(#[from] std::io::Error),
-    /// The copy did not come to its end.
-    #[error(transparent)]
-    Copy(#[from] tokio::task::JoinError),
-    /// The origin can't be connected to.
-    #[error(transparent)]
-    Connect(#[from] ServerError),
-    /// The request failed.
-    #[error(transparent)]
-    Request(#[from] RequestError),
-    /// The origin answered with another status than 200.
-    #[error("status {0}")]
-    Status(StatusCode),
-    /// Nothing came for too long.
-    #[error(transparent)]
-    Stalled(#[from] tokio::time::error::Elapsed),
-    /// It has more bytes than there is room for.
-    #[error("larger than the cache")]
-    TooLarge,
-}
-
-impl ArchiveError {
-    /// Whether it may come another time, as only the connection failed, or the
-    /// origin was busy.
-    fn may_pass(&self) -> bool {
-        match self {
-            Self::Connect(_) | Self::Stalled(_) => true,
-            Self::Request(error) => !matches!(error, RequestError::Build(_)),
-            Self::Status(status) => {
-                status.is_server_error() || *status == StatusCode::TOO_MANY_REQUESTS
-            }
-            Self::Disk(_) | Self::Copy(_) | Self::TooLarge => false,
-        }
-    }
-}
-
-/// Fetches an image's archive into a file, `most` bytes at the most.
-///
-/// # Errors
-/// The source doesn't have it or doesn't answer, or it can't be written.
-pub async fn fetch(source: &Source, image: &Image, to: &Path, most: u64) -> Result<(), Unfetched> {
-    let fetched = match source {
-        Source::Folder(folder) => copy_archive(folder, image, to).await,
-        Source::Http(server, prefix) => {
-            let path = format!("{prefix}/{}", image.name);
-            download_archive(*server, &path, to, most).await
-        }
-    };
-    fetched.map_err(|cause| Unfetched {
-        image: image.name.clone(),
-        again: cause.may_pass(),
-        cause,
-    })
-}
-
-async fn copy_archive(folder: &Path, image: &Image, to: &Path) -> Result<(), ArchiveError> {
-    let from = folder.join(format!("{}.tar", image.name));
-    let to = to.to_owned();
-    tokio::task::spawn_blocking(move || std::fs::copy(from, to)).await??;
-    Ok(())
-}
-
-async fn download_archive(
-    server: SocketAddr,
-    path: &str,
-    to: &Path,
-    most: u64,
-) -> Result<(), ArchiveError> {
-    let mut sender = connect(server).await?;
-    let response = send_get(&mut sender, server, path).await?;
-    if response.status() != StatusCode::OK {
-        return Err(ArchiveError::Status(response.status()));
-    }
-    let mut file = std::fs::File::create(to)?;
-    let mut body = response.into_body();
-    let mut left = most;
-    // A server that stops in the middle must not keep tasks waiting for ever.
-    while let Some(frame) = timeout(FETCH_TIMEOUT, body.frame()).await? {
-        if let Ok(data) = frame.map_err(RequestError::from)?.into_data() {
-            let length = data.len() as u64;
-            left = left.checked_sub(length).ok_or(ArchiveError::TooLarge)?;
-            file.write_all(&data)?;
-        }
-    }
-    Ok(())
-}
-
-/// A connection to a server.
-///
-/// # Errors
-/// It can't be reached, or doesn't speak HTTP.
-pub(crate) async fn connect(server: SocketAddr) -> Result<SendRequest<Empty<Bytes>>, ServerError> {
-    open_connection(server)
-        .await
-        .map_err(ServerError::at(server))
-}
-
-async fn open_connection(server: SocketAddr) -> Result<SendRequest<Empty<Bytes>>, RequestError> {
-    let stream = TcpStream::connect(server).await?;
-    let (sender, connection) = handshake(TokioIo::new(stream)).await?;
-    tokio::task::spawn_local(connection);
-    Ok(sender)
-}
-
-async fn send_get(
-    sender: &mut SendRequest<Empty<Bytes>>,
-    server: SocketAddr,
-    path: &str,
-) -> Result<Response<Incoming>, RequestError> {
-    let request = hyper::Request::get(path)
-        .header("host", server.to_string())
-        .body(Empty::new())?;
-    Ok(sender.send_request(request).await?)
-}
-
 /// The body of a 200; none of a 404.
 async fn get(server: SocketAddr, path: &str) -> Result<Option<Vec<u8>>, SourceError> {
     let failed = ServerError::at(server);
-    let mut sender = connect(server).await?;
-    let response = send_get(&mut sender, server, path).await.map_err(&failed)?;
+    let mut sender = client::connect(server).await?;
+    let response = client::send_get(&mut sender, server, path, None)
+        .await
+        .map_err(&failed)?;
     match response.status().as_u16() {
         200 => {}
         404 => return Ok(None),
--- a/crates/agent/src/fetch.rs
+++ b/crates/agent/src/fetch.rs
@@ -20,7 +20,8 @@
 use tokio::time::sleep;
 
 use crate::clock;
-use crate::describe::{self, Source, Unfetched};
+use crate::describe::Source;
+use crate::download::{self, Unfetched};
 use crate::hand_on::Hands;
 use crate::images::{self, Image};
 use crate::part::{self, Part};
@@ -366,7 +367,7 @@
         let mut tries = 0;
         loop {
             tries += 1;
-            match describe::fetch(&self.origin, &self.image, archive, self.most).await {
+            match download::fetch(&self.origin, &self.image, archive, self.most).await {
                 Ok(()) => return Ok(()),
                 // A busy origin is not asked again by all at the same moment.
                 Err(failed) if tries < MAX_WHOLE_TRIES && failed.again => {
--- a/crates/agent/src/fetch/find.rs
+++ b/crates/agent/src/fetch/find.rs
@@ -9,10 +9,11 @@
 use tokio::task::spawn_blocking;
 use tokio::time::{sleep, timeout};
 
-use super::http::{ask, whole_body};
+use super::http::whole_body;
 use super::{jitter, keep, lost, Failed, Fetch, FetchFailure, MAX_WHOLE_TRIES};
+use crate::client;
 use crate::clock;
-use crate::describe::{self, Source};
+use crate::describe::Source;
 use crate::sources::{Outcome, Whom};
 use crate::sums::{self, Sums};
 
@@ -178,15 +179,19 @@
             "/images/{}/sums?sha256={}",
             self.image.name, self.image.sha256
         );
-        let patience = self.hands.settings().stall_s;
-        let got = timeout(Duration::from_secs_f64(patience), async {
-            let mut line = describe::connect(agent)
-                .await
-                .map_err(|_| Outcome::Failed)?;
-            let response = ask(&mut line, agent, &path, None).await;
+        self.file_of_sums(agent, &path).await
+    }
+
+    /// A file of sums from a server, within the time that a source may be silent.
+    async fn file_of_sums(&self, server: SocketAddr, path: &str) -> Result<Bytes, Outcome> {
+        let patience = Duration::from_secs_f64(self.hands.settings().stall_s);
+        let asked = timeout(patience, async {
+            let line = client::connect(server).await;
+            let mut line = line.map_err(|_| Outcome::Failed)?;
+            let response = client::send_get(&mut line, server, path, None).await;
             whole_body(response.map_err(|_| Outcome::Failed)?).await
         });
-        got.await.unwrap_or(Err(Outcome::Failed))
+        asked.await.unwrap_or(Err(Outcome::Failed))
     }
 
     /// The sums that the origin has beside the image; none if it has none.
@@ -223,14 +228,7 @@
             }
             Source::Http(server, prefix) => {
                 let path = format!("{prefix}/{name}");
-                let patience = self.hands.settings().stall_s;
-                let got = timeout(Duration::from_secs_f64(patience), async {
-                    let line = describe::connect(*server).await;
-                    let mut line = line.map_err(|_| Outcome::Failed)?;
-                    let response = ask(&mut line, *server, &path, None).await;
-                    whole_body(response.map_err(|_| Outcome::Failed)?).await
-                });
-                got.await.unwrap_or(Err(Outcome::Failed))
+                self.file_of_sums(*server, &path).await
             }
         }
     }
--- a/crates/agent/src/fetch/http.rs
+++ b/crates/agent/src/fetch/http.rs
@@ -1,37 +1,13 @@
-//! What is asked of other agents and of an origin over HTTP.
-
-use std::net::SocketAddr;
+//! What other agents and an origin answer over HTTP.
 
 use bytes::Bytes;
-use http_body_util::{BodyExt, Empty, Limited};
+use http_body_util::{BodyExt, Limited};
 use hyper::body::Incoming;
-use hyper::client::conn::http1::SendRequest;
 use hyper::Response;
 
-use crate::request_error::RequestError;
 use crate::sources::Outcome;
 use crate::sums;
 
-/// A connection.
-pub(super) type Line = SendRequest<Empty<Bytes>>;
-
-/// Asks for a path, or for a range of it.
-///
-/// # Errors
-/// The path is none, or the connection broke.
-pub(super) async fn ask(
-    line: &mut Line,
-    at: SocketAddr,
-    path: &str,
-    range: Option<&str>,
-) -> Result<Response<Incoming>, RequestError> {
-    let mut request = hyper::Request::get(path).header("host", at.to_string());
-    if let Some(range) = range {
-        request = request.header("range", range);
-    }
-    Ok(line.send_request(request.body(Empty::new())?).await?)
-}
-
 /// A body of so many bytes at the most.
 pub(super) async fn body_of(response: Response<Incoming>, most: usize) -> Result<Bytes, Outcome> {
     let body = Limited::new(response.into_body(), most);
--- a/crates/agent/src/fetch/lanes.rs
+++ b/crates/agent/src/fetch/lanes.rs
@@ -16,10 +16,11 @@
 use tokio::task::spawn_blocking;
 use tokio::time::{sleep, timeout};
 
-use super::http::{ask, body_of, whole_body, Line};
+use super::http::{body_of, whole_body};
 use super::{disk, jitter, keep, lost, Failed, Fetch, FetchFailure};
+use crate::client::{self, Line};
 use crate::clock;
-use crate::describe::{self, Source};
+use crate::describe::Source;
 use crate::hand_on::MIN_RATE_BYTES_PER_S;
 use crate::part::{self, Part};
 use crate::sources::{Outcome, Whom};
@@ -166,10 +167,10 @@
             let line = self.lines.borrow_mut().remove(&at);
             let mut line = match line.filter(|line| line.is_ready()) {
                 Some(line) => line,
-                None => describe::connect(at).await.map_err(|_| Outcome::Failed)?,
+                None => client::connect(at).await.map_err(|_| Outcome::Failed)?,
             };
             let range = format!("bytes={}-{}", span.start, span.end - 1);
-            let response = ask(&mut line, at, path, Some(&range)).await;
+            let response = client::send_get(&mut line, at, path, Some(&range)).await;
             let response = response.map_err(|_| Outcome::Failed)?;
             match response.status().as_u16() {
                 206 => {}
--- a/crates/agent/src/lib.rs
+++ b/crates/agent/src/lib.rs
@@ -7,15 +7,16 @@
 
 pub mod agent;
 pub mod attempt;
+pub mod client;
 pub mod clock;
 pub mod core;
 pub mod describe;
+pub mod download;
 pub mod fetch;
 pub mod hand_on;
 pub mod images;
 pub mod journal;
 pub mod part;
-pub mod request_error;
 pub mod settings;
 pub mod sources;
 pub mod sums;
