--- a/crates/standins/src/lib.rs
+++ b/crates/standins/src/lib.rs
@@ -47,9 +47,11 @@
 pub use plan::{file, Plan};
 use store::Store;
 
-/// Times of the small world, in seconds.
+/// Between two reports of a worker of the small world, in seconds.
 pub const REPORT_S: f64 = 0.5;
+/// How long a worker's lease lasts there, in seconds.
 pub const LEASE_S: f64 = 3.0;
+/// How long a cancellation may take there, in seconds.
 pub const CANCEL_S: f64 = 12.0;
 
 /// An answer of a stand-in: status and body.
@@ -118,7 +120,9 @@
 
 /// Everything outside the controllers, and the controllers.
 pub struct World {
+    /// The state service.
     pub store: Rc<RefCell<Store>>,
+    /// The machines with their workers.
     pub nodes: Rc<RefCell<Nodes>>,
     /// The history of what users asked and machines did.
     pub recorder: Recorder,
--- a/crates/standins/src/nodes.rs
+++ b/crates/standins/src/nodes.rs
@@ -18,38 +18,58 @@
 
 /// A task on a machine.
 pub struct Task {
+    /// Its phase, as reports have it.
     pub phase: String,
+    /// Why it ended, as reports have it.
     cause: Option<&'static str>,
+    /// When it was started.
     since: Instant,
+    /// How long it runs; for ever if it is a service's.
     run_s: f64,
     cpus: f64,
+    /// Its devices, by kind and name.
     pub units: Vec<(String, String)>,
 }
 
 /// A machine and its worker.
 pub struct Node {
+    /// The machine's name.
     pub id: String,
+    /// Where its worker takes direct commands.
     pub addr: SocketAddr,
+    /// Its zone, a place in [`ZONES`].
     pub zone: u8,
+    /// The number of its switch in that zone.
     pub switch: u8,
+    /// It was given back, or failed: it is never there again.
     pub gone: bool,
+    /// When it has come up.
     pub(crate) up_at: Instant,
+    /// When it was rented.
     pub(crate) born: Instant,
+    /// The worker's session; a lease that ends begins the next one.
     session: u64,
     tick: u64,
+    /// The highest token seen.
     token: u64,
+    /// When the last answered report was sent: the lease runs from then.
     answered: Instant,
     reported: Instant,
+    /// Something changed since the last report.
     dirty: bool,
+    /// The controller that reports go to, by its number.
     target: usize,
     /// Since when it hangs, if it does.
     hung_since: Option<Instant>,
+    /// All tasks there, by name and attempt.
     pub tasks: BTreeMap<(String, u64), Task>,
 }
 
 /// All machines, and what is known of them from outside.
 pub struct Nodes {
+    /// By name, those that are gone too.
     pub all: BTreeMap<String, Node>,
+    /// Submitted jobs, as their users described them.
     pub jobs: BTreeMap<String, Value>,
     /// Switches that are cut, by zone and number.
     pub cut: BTreeSet<(u8, u8)>,
@@ -80,13 +100,17 @@
     pub faults: Faults,
     /// Takes notes of what happens on the machines.
     pub recorder: Recorder,
+    /// Where each controller takes reports.
     controllers: Vec<SocketAddr>,
+    /// How many machines there have ever been.
     count: u32,
 }
 
-/// The one machine type, and what its machines have room for.
+/// The one machine type.
 pub(crate) const TYPE: &str = "t";
+/// CPUs of a machine.
 pub(crate) const CPUS: f64 = 4.0;
+/// Memory of a machine, gigabytes.
 pub(crate) const RAM_GB: f64 = 16.0;
 /// A worker waits so long for an answer to its report (PROTOCOL).
 const PATIENCE: Duration = Duration::from_secs(4);
@@ -97,8 +121,12 @@
 /// its grant, or of any.
 #[derive(Clone, Debug, Default)]
 pub struct Deaf {
+    /// Only this machine.
     pub machine: Option<String>,
+    /// Only machines of this zone.
     pub zone: Option<u8>,
+    /// Only what this controller says, by its number and the grant that it commands
+    /// with.
     pub to: Option<(usize, u64)>,
 }
 
--- a/crates/standins/src/plan.rs
+++ b/crates/standins/src/plan.rs
@@ -26,8 +26,9 @@
     /// The limits that the state service will have from some moment on, as the settings
     /// tell them; empty: they don't. See [`Store::set_limits`](crate::store::Store).
     pub state_next: &'static str,
-    /// The program, and a folder for files and logs.
+    /// The controllers' program.
     pub program: PathBuf,
+    /// For files and logs.
     pub folder: PathBuf,
 }
 
