--- a/crates/overload/tests/model.rs
+++ b/crates/overload/tests/model.rs
@@ -101,6 +101,31 @@
     }
 }
 
+/// A turn of the queue: nobody passes too late, or is turned away too early. How
+/// many were told one of both.
+fn take_turn(
+    queue: &mut AdmissionQueue<usize>,
+    waiting: &mut Vec<(usize, f64)>,
+    now: f64,
+) -> usize {
+    let turn = queue.admit_next(Time(now));
+    assert!(turn.admitted.len() <= 6);
+    let mut waited = |who: &usize| {
+        let at = waiting
+            .iter()
+            .position(|(w, _)| w == who)
+            .expect("it waits");
+        now - waiting.swap_remove(at).1
+    };
+    for who in &turn.admitted {
+        assert!(waited(who) <= 4.0, "reading it would be in vain");
+    }
+    for who in &turn.expired {
+        assert!(waited(who) > 4.0);
+    }
+    turn.admitted.len() + turn.expired.len()
+}
+
 proptest! {
     #![proptest_config(ProptestConfig { cases: 300, failure_persistence: None, rng_seed: proptest::test_runner::RngSeed::Fixed(7), ..ProptestConfig::default() })]
 
@@ -158,22 +183,7 @@
         let mut queue: AdmissionQueue<usize> = AdmissionQueue::new(6, 4.0);
         let mut now = 0.0;
         let mut waiting: Vec<(usize, f64)> = Vec::new();
-        let (mut passed, mut late) = (0, 0);
-        let mut turn = |queue: &mut AdmissionQueue<usize>, waiting: &mut Vec<(usize, f64)>, now: f64| {
-            let turn = queue.admit_next(Time(now));
-            assert!(turn.admitted.len() <= 6);
-            for who in &turn.admitted {
-                let at = waiting.iter().position(|(w, _)| w == who).expect("it waits");
-                assert!(now - waiting.swap_remove(at).1 <= 4.0, "reading it would be in vain");
-            }
-            for who in &turn.expired {
-                let at = waiting.iter().position(|(w, _)| w == who).expect("it waits");
-                assert!(now - waiting.swap_remove(at).1 > 4.0);
-            }
-            passed += turn.admitted.len();
-            late += turn.expired.len();
-        };
-        let mut direct = 0;
+        let (mut told, mut direct) = (0, 0);
         for (who, (class, pause)) in arrivals.iter().enumerate() {
             if queue.try_admit() {
                 direct += 1;
@@ -185,14 +195,14 @@
             prop_assert_eq!(queue.waiting(), waiting.len());
             if *pause == 5 {
                 now += 0.5;
-                turn(&mut queue, &mut waiting, now);
+                told += take_turn(&mut queue, &mut waiting, now);
             }
         }
         while queue.waiting() > 0 {
             now += 0.3;
-            turn(&mut queue, &mut waiting, now);
+            told += take_turn(&mut queue, &mut waiting, now);
         }
-        prop_assert_eq!(direct + passed + late, arrivals.len());
+        prop_assert_eq!(direct + told, arrivals.len());
     }
 }
 
@@ -259,23 +269,28 @@
     }
 }
 
+/// The levels that pressure goes through while a sample lasts, the present one first.
+fn levels_for(pressure: &mut Pressure, sample: Sample, now: &mut f64, seconds: f64) -> Vec<Level> {
+    let end = *now + seconds;
+    let mut levels = vec![pressure.level()];
+    while *now < end {
+        *now += 0.5;
+        pressure.take(sample, Time(*now));
+        if levels.last() != Some(&pressure.level()) {
+            levels.push(pressure.level());
+        }
+    }
+    levels
+}
+
 /// Overload is entered after seconds, level by level, and left more slowly; a
 /// single long wait enters nothing.
 #[test]
 fn overload_is_entered_by_levels_and_left_late() {
     let mut pressure = Pressure::default();
     let mut now = 0.0;
-    let mut run = |p: &mut Pressure, sample: Sample, seconds: f64| {
-        let end = now + seconds;
-        let mut levels = vec![p.level()];
-        while now < end {
-            now += 0.5;
-            p.take(sample, Time(now));
-            if levels.last() != Some(&p.level()) {
-                levels.push(p.level());
-            }
-        }
-        levels
+    let mut run = |pressure: &mut Pressure, sample: Sample, seconds: f64| {
+        levels_for(pressure, sample, &mut now, seconds)
     };
     run(&mut pressure, wait(0.0), 10.0);
     assert_eq!(run(&mut pressure, wait(30.0), 0.5), [Level::None]);
--- a/crates/pipelines/tests/model.rs
+++ b/crates/pipelines/tests/model.rs
@@ -176,33 +176,32 @@
             Some((JobId::from(format!("run-{at:04}").as_str()), facts))
         }
         Step::Finish(which) => {
-            let ready: Vec<JobId> = model
-                .open()
-                .filter(|id| model.seen(id).ready)
-                .cloned()
-                .collect();
-            let id = (!ready.is_empty()).then(|| which.get(&ready).clone())?;
-            let recorded = Recorded::Done {
-                since_ms: at as u64 + 1,
-            };
-            let facts = Facts {
-                recorded,
-                ..model.records[&id].clone()
-            };
-            Some((id, facts))
+            let ready = model.open().filter(|id| model.seen(id).ready).cloned();
+            let since_ms = at as u64 + 1;
+            ended(which, ready.collect(), Recorded::Done { since_ms }, model)
         }
         Step::Cancel(which) => {
-            let open: Vec<JobId> = model.open().cloned().collect();
-            let id = (!open.is_empty()).then(|| which.get(&open).clone())?;
-            let facts = Facts {
-                recorded: Recorded::Cancelled,
-                ..model.records[&id].clone()
-            };
-            Some((id, facts))
+            let open = model.open().cloned().collect();
+            ended(which, open, Recorded::Cancelled, model)
         }
     }
 }
 
+/// The record of one of these jobs once it has ended; none if there is none.
+fn ended(
+    which: &prop::sample::Index,
+    ids: Vec<JobId>,
+    recorded: Recorded,
+    model: &Model,
+) -> Option<(JobId, Facts)> {
+    let id = (!ids.is_empty()).then(|| which.get(&ids).clone())?;
+    let facts = Facts {
+        recorded,
+        ..model.records[&id].clone()
+    };
+    Some((id, facts))
+}
+
 proptest! {
     #![proptest_config(ProptestConfig { cases: 400, failure_persistence: None, ..ProptestConfig::default() })]
 
