--- a/crates/agent/tests/cut_sockets.rs
+++ b/crates/agent/tests/cut_sockets.rs
@@ -25,6 +25,7 @@
 use sorrelhinge_standins::place::Place;
 use sorrelhinge_standins::{ask, run, serve, store};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
+use tokio::net::tcp::{OwnedReadHalf, OwnedWriteHalf};
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::oneshot;
 use tokio::task::spawn_local;
@@ -71,19 +72,6 @@
                 let (near_in, near_out) = near.into_split();
                 let (far_in, far_out) = far.into_split();
                 let left = Rc::new(RefCell::new(most));
-                let pass = |mut from: tokio::net::tcp::OwnedReadHalf,
-                            mut to: tokio::net::tcp::OwnedWriteHalf,
-                            left: Rc<RefCell<usize>>| async move {
-                    let mut buffer = [0; 4096];
-                    while let Ok(n) = from.read(&mut buffer).await {
-                        let allowed = n.min(*left.borrow());
-                        *left.borrow_mut() -= allowed;
-                        let sent = to.write_all(&buffer[..allowed]).await;
-                        if n == 0 || allowed < n || sent.is_err() {
-                            return;
-                        }
-                    }
-                };
                 tokio::select! {
                     () = pass(near_in, far_out, left.clone()) => {}
                     () = pass(far_in, near_out, left) => {}
@@ -94,6 +82,19 @@
     addr
 }
 
+/// Carries bytes on, as long as some are left for the connection.
+async fn pass(mut from: OwnedReadHalf, mut to: OwnedWriteHalf, left: Rc<RefCell<usize>>) {
+    let mut buffer = [0; 4096];
+    while let Ok(n) = from.read(&mut buffer).await {
+        let allowed = n.min(*left.borrow());
+        *left.borrow_mut() -= allowed;
+        let sent = to.write_all(&buffer[..allowed]).await;
+        if n == 0 || allowed < n || sent.is_err() {
+            return;
+        }
+    }
+}
+
 struct Machine {
     name: String,
     config: PathBuf,
--- a/crates/agent/tests/images.rs
+++ b/crates/agent/tests/images.rs
@@ -57,9 +57,8 @@
     assert_eq!(cache.evict(), ["wanted"]);
 }
 
-#[test]
-fn only_a_whole_and_right_image_is_there() {
-    let root = std::env::temp_dir().join(format!("images-{}", std::process::id()));
+/// An archive of one small file, and the image that it is.
+fn archive() -> (Vec<u8>, Image) {
     let mut tar = tar::Builder::new(Vec::new());
     let mut header = tar::Header::new_gnu();
     header.set_size(5);
@@ -74,9 +73,17 @@
         .collect();
     let image = Image {
         name: "img".into(),
-        sha256: sum.clone(),
+        sha256: sum,
         sums_sha256: None,
     };
+    (bytes, image)
+}
+
+#[test]
+fn only_a_whole_and_right_image_is_there() {
+    let root = std::env::temp_dir().join(format!("images-{}", std::process::id()));
+    let (bytes, image) = archive();
+    let sum = image.sha256.clone();
     assert!(there(&root).expect("empty").is_empty());
     for cut in [0, 100, 600, bytes.len() - 1] {
         assert!(
--- a/crates/agent/tests/sources.rs
+++ b/crates/agent/tests/sources.rs
@@ -7,7 +7,7 @@
 use std::net::SocketAddr;
 
 use proptest::prelude::*;
-use sorrelhinge_agent::sources::{Outcome, Sources, Whom, MAX_ORIGIN_FAILURES};
+use sorrelhinge_agent::sources::{Hopeless, Outcome, Sources, Whom, MAX_ORIGIN_FAILURES};
 use sorrelhinge_protocol::types::Time;
 
 const CHUNKS: usize = 12;
@@ -57,6 +57,105 @@
     SocketAddr::from(([10, 0, 0, 1], n as u16 + 1))
 }
 
+/// A chunk that was asked for.
+#[derive(Clone, Copy)]
+struct Request {
+    whom: Whom,
+    chunk: usize,
+    /// When its outcome comes, in seconds.
+    ends: f64,
+}
+
+/// Who was asked, and when, in seconds.
+struct Asked {
+    whom: Whom,
+    at: f64,
+}
+
+/// A fetch in virtual time.
+struct Fetch {
+    agents: Vec<Kind>,
+    origin: Kind,
+    sources: Sources,
+    missing: BTreeSet<usize>,
+    lanes: Vec<Option<Request>>,
+    asked: Vec<Asked>,
+}
+
+impl Fetch {
+    fn new(agents: Vec<Kind>, origin: Kind, drawn: f64) -> Self {
+        let all = (0..agents.len()).map(address);
+        Self {
+            sources: Sources::new(all, ORIGIN_AFTER_S, drawn, Time(0.0)),
+            agents,
+            origin,
+            missing: (0..CHUNKS).collect(),
+            lanes: vec![None; LANES],
+            asked: Vec::new(),
+        }
+    }
+
+    fn kind(&self, whom: Whom) -> Kind {
+        match whom {
+            Whom::Agent(agent) => self.agents[usize::from(agent.port()) - 1],
+            Whom::Origin => self.origin,
+        }
+    }
+
+    /// The outcome of a lane's request, if it is there.
+    fn receive(&mut self, lane: usize, jitter: f64, now: f64) {
+        let Some(request) = self.lanes[lane].filter(|request| request.ends <= now) else {
+            return;
+        };
+        self.lanes[lane] = None;
+        let outcome = self.kind(request.whom).at(now);
+        if outcome == Outcome::Right {
+            self.missing.remove(&request.chunk);
+        }
+        self.sources.over(request.whom);
+        self.sources.came(request.whom, outcome, jitter, Time(now));
+    }
+
+    /// A lane that is free asks for the next chunk, if anyone may be asked: nobody is
+    /// asked two things at once.
+    fn ask(&mut self, lane: usize, now: f64) -> Result<(), TestCaseError> {
+        let flying = |c: &usize| self.lanes.iter().flatten().any(|l| l.chunk == *c);
+        let Some(chunk) = self.missing.iter().copied().find(|c| !flying(c)) else {
+            return Ok(());
+        };
+        if self.lanes[lane].is_some() {
+            return Ok(());
+        }
+        if let Some(whom) = self.sources.pick(Time(now)) {
+            let twice = self.lanes.iter().flatten().any(|l| l.whom == whom);
+            prop_assert!(!twice, "{whom:?} is asked two things at once");
+            self.asked.push(Asked { whom, at: now });
+            let ends = now + self.kind(whom).takes_s;
+            self.lanes[lane] = Some(Request { whom, chunk, ends });
+        }
+        Ok(())
+    }
+
+    /// To its end: why it was given up, and when, in seconds.
+    fn run(&mut self, jitters: &[f64]) -> Result<(Option<Hopeless>, f64), TestCaseError> {
+        let (mut now, mut hopeless, mut steps) = (0.0, None, 0);
+        while !self.missing.is_empty() && hopeless.is_none() {
+            for lane in 0..LANES {
+                self.receive(lane, jitters[steps % jitters.len()], now);
+                self.ask(lane, now)?;
+            }
+            steps += 1;
+            now = steps as f64 * STEP_S;
+            hopeless = self.sources.hopeless(PATIENCE_S, Time(now));
+        }
+        Ok((hopeless, now))
+    }
+
+    fn count(&self, whom: Whom) -> usize {
+        self.asked.iter().filter(|a| a.whom == whom).count()
+    }
+}
+
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(300))]
     #[test]
@@ -68,69 +167,28 @@
     ) {
         // The origin has an image from the beginning or not at all.
         let origin = Kind { from_s: 0.0, ..origin };
-        let all = (0..agents.len()).map(address);
-        let mut sources = Sources::new(all, ORIGIN_AFTER_S, drawn, Time(0.0));
-        let mut missing: BTreeSet<usize> = (0..CHUNKS).collect();
-        let mut lanes: Vec<Option<(Whom, usize, f64)>> = vec![None; LANES];
-        let mut asked: Vec<(Whom, f64)> = Vec::new();
-        let (mut now, mut hopeless, mut steps) = (0.0, None, 0);
-        while !missing.is_empty() && hopeless.is_none() {
-            for lane in 0..LANES {
-                if let Some((whom, chunk, _)) = lanes[lane].filter(|l| l.2 <= now) {
-                    lanes[lane] = None;
-                    let kind = match whom {
-                        Whom::Agent(a) => agents[usize::from(a.port()) - 1],
-                        Whom::Origin => origin,
-                    };
-                    let outcome = kind.at(now);
-                    if outcome == Outcome::Right {
-                        missing.remove(&chunk);
-                    }
-                    sources.over(whom);
-                    sources.came(whom, outcome, jitters[steps % 7], Time(now));
-                }
-                let flying = |c: &usize| lanes.iter().flatten().any(|l| l.1 == *c);
-                let Some(chunk) = missing.iter().copied().find(|c| !flying(c)) else {
-                    continue;
-                };
-                if lanes[lane].is_some() {
-                    continue;
-                }
-                if let Some(whom) = sources.pick(Time(now)) {
-                    let twice = lanes.iter().flatten().any(|l| l.0 == whom);
-                    prop_assert!(!twice, "{whom:?} is asked two things at once");
-                    asked.push((whom, now));
-                    let takes_s = match whom {
-                        Whom::Agent(a) => agents[usize::from(a.port()) - 1].takes_s,
-                        Whom::Origin => origin.takes_s,
-                    };
-                    lanes[lane] = Some((whom, chunk, now + takes_s));
-                }
-            }
-            steps += 1;
-            now = steps as f64 * STEP_S;
-            hopeless = sources.hopeless(PATIENCE_S, Time(now));
-        }
+        let mut fetch = Fetch::new(agents, origin, drawn);
+        let (hopeless, now) = fetch.run(&jitters)?;
+        let agents = &fetch.agents;
         let good = origin.good() || agents.iter().any(Kind::good);
-        prop_assert_eq!(missing.is_empty(), good, "{:?} after {} s", hopeless, now);
-        let count = |whom| asked.iter().filter(|(w, _)| *w == whom).count();
+        prop_assert_eq!(fetch.missing.is_empty(), good, "{:?} after {} s", hopeless, now);
         for (n, kind) in agents.iter().enumerate() {
-            let times = count(Whom::Agent(address(n)));
+            let times = fetch.count(Whom::Agent(address(n)));
             prop_assert!(kind.gives != Outcome::Wrong || times <= 1, "wrong, asked {times} times");
         }
         // One that gives from the beginning leaves the origin alone, whatever
         // the others do.
         if agents.iter().any(|k| k.good() && k.from_s == 0.0) {
-            prop_assert_eq!(count(Whom::Origin), 0);
+            prop_assert_eq!(fetch.count(Whom::Origin), 0);
         }
         // With agents that may still have it the origin is not asked at once.
-        let first = asked.iter().find(|(whom, _)| *whom == Whom::Origin);
+        let first = fetch.asked.iter().find(|a| a.whom == Whom::Origin);
         let others = agents.iter().any(|k| k.gives != Outcome::Wrong);
-        if let Some((_, at)) = first.filter(|_| others) {
+        if let Some(Asked { at, .. }) = first.filter(|_| others) {
             prop_assert!(*at >= ORIGIN_AFTER_S * (1.0 + drawn) - STEP_S, "at {at} s");
         }
         if agents.is_empty() {
-            prop_assert_eq!(asked.first().map(|a| a.0), Some(Whom::Origin));
+            prop_assert_eq!(fetch.asked.first().map(|a| a.whom), Some(Whom::Origin));
         }
     }
 }
