--- a/crates/staging/examples/wave.rs
+++ b/crates/staging/examples/wave.rs
@@ -70,6 +70,41 @@
     done: Vec<f64>,
 }
 
+/// What is wrong with a plan, or keeps it from being weighed.
+enum WaveError {
+    /// A machine that is never lost has no image at the end.
+    WithoutImage(usize),
+    /// A source gives to more machines than it has links; none: the origin.
+    TooManyAtOnce { source: Option<usize>, most: usize },
+    /// The wave has written nothing.
+    NoRecord,
+    /// The wave's record is not read by this version.
+    OtherVersion,
+    /// Times can't be kept.
+    Histogram(hdrhistogram::CreationError),
+}
+
+/// As `main` shows it.
+impl std::fmt::Debug for WaveError {
+    fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
+        match self {
+            Self::WithoutImage(machine) => write!(f, "vm-{machine:05} stays without the image"),
+            Self::TooManyAtOnce { source, most } => {
+                write!(f, "{source:?} gives to more than {most} at once")
+            }
+            Self::NoRecord => write!(f, "no record"),
+            Self::OtherVersion => write!(f, "a record of another version"),
+            Self::Histogram(error) => write!(f, "{error}"),
+        }
+    }
+}
+
+impl From<hdrhistogram::CreationError> for WaveError {
+    fn from(error: hdrhistogram::CreationError) -> Self {
+        Self::Histogram(error)
+    }
+}
+
 /// Whole images only, from the origin and, if `hand_on`, from machines that have
 /// it; who loses its source begins again.
 fn whole(lost: &[f64], fetch_s: f64, hand_on: bool) -> Outcome {
@@ -138,61 +173,96 @@
     from: Vec<Source>,
 }
 
-/// The controller's side: starts in the order and at the times that the wave
-/// says.
-fn starts(
-    lost: &[f64],
-    times: &mut Histogram<u64>,
-    limits: Limits,
-) -> (Vec<Started>, Wave, Uploads) {
-    let mut wave = Wave::new(Image::from("weights"), limits);
-    let mut uploads = Uploads::default();
-    for m in 0..lost.len() {
-        wave.join(id(m), &path(m), false);
-    }
-    let mut leaves: Vec<(f64, usize)> = (0..lost.len()).map(|m| (lost[m], m)).collect();
-    leaves.sort_by(|a, b| b.0.total_cmp(&a.0));
-    let mut pending: VecDeque<usize> = (0..lost.len()).collect();
-    let mut started = Vec::new();
-    let mut now = 0.0;
-    while !pending.is_empty() {
-        while let Some((_, m)) = next_lost(&mut leaves, now) {
-            timed(times, || wave.lost(&id(m), &mut uploads));
+/// The controller's side: starts in the order and at the times that the wave says.
+struct Starts<'a> {
+    lost: &'a [f64],
+    times: &'a mut Histogram<u64>,
+    wave: Wave,
+    uploads: Uploads,
+    /// Who is lost and when, the earliest last.
+    leaves: Vec<Leave>,
+    /// Who has not been started.
+    pending: VecDeque<usize>,
+    started: Vec<Started>,
+}
+
+/// A machine that is lost, and when.
+struct Leave {
+    at: f64,
+    machine: usize,
+}
+
+impl<'a> Starts<'a> {
+    fn new(lost: &'a [f64], times: &'a mut Histogram<u64>, limits: Limits) -> Self {
+        let mut wave = Wave::new(Image::from("weights"), limits);
+        for m in 0..lost.len() {
+            wave.join(id(m), &path(m), false);
         }
-        if let Some(record) = timed(times, || wave.next(now)) {
-            now += WRITE_S;
-            wave.written(record, now);
+        let leaves = lost.iter().enumerate();
+        let mut leaves: Vec<Leave> = leaves
+            .map(|(machine, at)| Leave { at: *at, machine })
+            .collect();
+        leaves.sort_by(|a, b| b.at.total_cmp(&a.at));
+        Self {
+            lost,
+            times,
+            wave,
+            uploads: Uploads::default(),
+            leaves,
+            pending: (0..lost.len()).collect(),
+            started: Vec::new(),
         }
-        while let Some(m) = pending.front().copied() {
-            if lost[m] <= now {
-                pending.pop_front();
-                continue;
-            }
-            let may = timed(times, || wave.may_start(&id(m), &uploads, now));
-            if !may {
-                break;
+    }
+
+    /// Starts all that are not lost before.
+    fn run(&mut self) {
+        let mut now = 0.0;
+        while !self.pending.is_empty() {
+            self.lose(now);
+            if let Some(record) = timed(self.times, || self.wave.next(now)) {
+                now += WRITE_S;
+                self.wave.written(record, now);
             }
-            let from = timed(times, || wave.assign(&id(m), &mut uploads, now));
-            started.push(Started {
-                machine: m,
-                at: now,
-                from,
-            });
-            pending.pop_front();
+            self.start(now);
+            now += TICK_S;
         }
-        now += TICK_S;
+        // Who is lost later moves nobody's start, but is decided about all the same.
+        self.lose(f64::MAX);
     }
-    // Who is lost later moves nobody's start, but is decided about all the same.
-    while let Some((_, m)) = next_lost(&mut leaves, f64::MAX) {
-        timed(times, || wave.lost(&id(m), &mut uploads));
+
+    /// Tells the wave who is lost up to a time.
+    fn lose(&mut self, until: f64) {
+        while let Some(leave) = next_lost(&mut self.leaves, until) {
+            let machine = id(leave.machine);
+            timed(self.times, || self.wave.lost(&machine, &mut self.uploads));
+        }
+    }
+
+    /// Starts machines in their order, as far as the wave lets them.
+    fn start(&mut self, now: f64) {
+        while let Some(machine) = self.pending.front().copied() {
+            if self.lost[machine] > now {
+                let name = id(machine);
+                let (wave, uploads) = (&mut self.wave, &mut self.uploads);
+                if !timed(self.times, || wave.may_start(&name, uploads, now)) {
+                    return;
+                }
+                let from = timed(self.times, || wave.assign(&name, uploads, now));
+                self.started.push(Started {
+                    machine,
+                    at: now,
+                    from,
+                });
+            }
+            self.pending.pop_front();
+        }
     }
-    (started, wave, uploads)
 }
 
 /// Who is lost next, up to a time; the earliest are last.
-fn next_lost(leaves: &mut Vec<(f64, usize)>, until: f64) -> Option<(f64, usize)> {
+fn next_lost(leaves: &mut Vec<Leave>, until: f64) -> Option<Leave> {
     match leaves.last() {
-        Some((at, _)) if *at <= until => leaves.pop(),
+        Some(leave) if leave.at <= until => leaves.pop(),
         _ => None,
     }
 }
@@ -208,89 +278,154 @@
 
 /// The machines' side, part by part: a machine takes parts from its source as it
 /// has them, and from the next in its list once that one is lost.
-fn ours(lost: &[f64], args: &Args, times: &mut Decisions) -> Result<Outcome, String> {
-    let (started, wave, _) = starts(lost, &mut times.each, Limits::default());
-    let parts = (args.gb * 1000.0 / args.part_mb).ceil() as usize;
-    let part_s = args.gb / args.rate / parts as f64;
-    let order: BTreeMap<MachineId, usize> = started
-        .iter()
-        .enumerate()
-        .map(|(i, s)| (id(s.machine), i))
-        .collect();
-    let mut last_use = vec![0; started.len()];
-    for (i, s) in started.iter().enumerate() {
-        for source in &s.from {
-            if let Some(o) = number(&order, source) {
-                last_use[o] = i;
+struct Transfers<'a> {
+    args: &'a Args,
+    lost: &'a [f64],
+    started: &'a [Started],
+    /// Parts of the image, and seconds that one takes at full rate.
+    parts: usize,
+    part_s: f64,
+    /// The place of each machine among those that were started.
+    order: BTreeMap<MachineId, usize>,
+    /// When each that may still be asked had each part.
+    had: BTreeMap<usize, Vec<f64>>,
+    /// When each source gave; none: the origin.
+    busy: BTreeMap<Option<usize>, Vec<Interval>>,
+    outcome: Outcome,
+}
+
+/// From when to when a source gave, in seconds.
+struct Interval {
+    from: f64,
+    to: f64,
+}
+
+impl<'a> Transfers<'a> {
+    fn new(args: &'a Args, lost: &'a [f64], started: &'a [Started]) -> Self {
+        let parts = (args.gb * 1000.0 / args.part_mb).ceil() as usize;
+        let order = started.iter().enumerate();
+        Self {
+            args,
+            lost,
+            started,
+            parts,
+            part_s: args.gb / args.rate / parts as f64,
+            order: order.map(|(i, s)| (id(s.machine), i)).collect(),
+            had: BTreeMap::new(),
+            busy: BTreeMap::new(),
+            outcome: Outcome {
+                last_s: 0.0,
+                copies: 0.0,
+                done: Vec::new(),
+            },
+        }
+    }
+
+    fn run(mut self) -> Result<Outcome, WaveError> {
+        let drop_at = self.last_uses();
+        for (i, of_no_use) in drop_at.iter().enumerate() {
+            let arrived = self.fetch(&self.started[i])?;
+            self.had.insert(i, arrived);
+            for o in of_no_use {
+                self.had.remove(o);
             }
         }
+        self.check_rates()?;
+        Ok(self.outcome)
     }
-    let mut drop_at: Vec<Vec<usize>> = vec![Vec::new(); started.len()];
-    for (o, i) in last_use.iter().enumerate() {
-        drop_at[(*i).max(o)].push(o);
+
+    /// Whose parts nobody asks for any more, by the machine after which that is so.
+    fn last_uses(&self) -> Vec<Vec<usize>> {
+        let mut last_use = vec![0; self.started.len()];
+        for (i, start) in self.started.iter().enumerate() {
+            for source in &start.from {
+                if let Some(o) = number(&self.order, source) {
+                    last_use[o] = i;
+                }
+            }
+        }
+        let mut drop_at: Vec<Vec<usize>> = vec![Vec::new(); self.started.len()];
+        for (o, i) in last_use.iter().enumerate() {
+            drop_at[(*i).max(o)].push(o);
+        }
+        drop_at
     }
-    let mut had: BTreeMap<usize, Vec<f64>> = BTreeMap::new();
-    let mut busy: BTreeMap<Option<usize>, Vec<(f64, f64)>> = BTreeMap::new();
-    let mut out = Outcome {
-        last_s: 0.0,
-        copies: 0.0,
-        done: Vec::new(),
-    };
-    for (i, s) in started.iter().enumerate() {
-        let mine = lost[s.machine];
-        let mut link = s.at;
-        let mut arrived = Vec::with_capacity(parts);
+
+    /// A machine's fetch: when it had each part.
+    fn fetch(&mut self, start: &Started) -> Result<Vec<f64>, WaveError> {
+        let mine = self.lost[start.machine];
+        let mut link = start.at;
+        let mut arrived = Vec::with_capacity(self.parts);
         let mut at = 0;
         let mut since = link;
-        while arrived.len() < parts && link < mine {
-            let source = s.from.get(at).and_then(|f| number(&order, f));
-            let (has, gone) = match source {
-                Some(o) => (
-                    had.get(&o).and_then(|h| h.get(arrived.len())).copied(),
-                    lost[started[o].machine],
-                ),
-                None => (Some(0.0), f64::INFINITY),
-            };
-            let end = has.map_or(f64::INFINITY, |h| link.max(h + args.hop_s) + part_s);
+        let source_at = |at: usize| start.from.get(at);
+        while arrived.len() < self.parts && link < mine {
+            let source = source_at(at).and_then(|f| number(&self.order, f));
+            let gone = source.map_or(f64::INFINITY, |o| self.lost[self.started[o].machine]);
+            let end = self.part_end(source, arrived.len(), link);
             if end.min(mine) > gone {
-                busy.entry(source).or_default().push((since, gone));
-                link = link.max(gone) + args.detect_s;
+                self.gave(source, since, gone);
+                link = link.max(gone) + self.args.detect_s;
                 since = link;
                 at += 1;
                 continue;
             }
             if source.is_none() {
-                out.copies += 1.0 / parts as f64;
+                self.outcome.copies += 1.0 / self.parts as f64;
             }
             link = end;
             if end < mine {
                 arrived.push(end);
             }
         }
-        let source = s.from.get(at).and_then(|f| number(&order, f));
-        busy.entry(source)
-            .or_default()
-            .push((since, link.min(mine)));
-        if arrived.len() == parts {
-            out.last_s = out.last_s.max(link);
-            out.done.push(link);
+        let source = source_at(at).and_then(|f| number(&self.order, f));
+        self.gave(source, since, link.min(mine));
+        if arrived.len() == self.parts {
+            self.outcome.last_s = self.outcome.last_s.max(link);
+            self.outcome.done.push(link);
         } else if mine.is_infinite() {
-            return Err(format!("vm-{:05} stays without the image", s.machine));
-        }
-        had.insert(i, arrived);
-        for o in &drop_at[i] {
-            had.remove(o);
+            return Err(WaveError::WithoutImage(start.machine));
         }
+        Ok(arrived)
+    }
+
+    /// When a part has come from a source; never if it will not have it.
+    fn part_end(&self, source: Option<usize>, part: usize, link: f64) -> f64 {
+        let has = match source {
+            Some(o) => self.had.get(&o).and_then(|had| had.get(part)).copied(),
+            None => Some(0.0),
+        };
+        has.map_or(f64::INFINITY, |has| {
+            link.max(has + self.args.hop_s) + self.part_s
+        })
     }
-    // Full rate was assumed: nobody may have given to two at once.
-    for (source, uses) in &mut busy {
-        let most = if source.is_some() { 1 } else { ORIGIN_LINKS };
-        if at_once(uses) > most {
-            return Err(format!("{source:?} gives to more than {most} at once"));
+
+    fn gave(&mut self, source: Option<usize>, from: f64, to: f64) {
+        let interval = Interval { from, to };
+        self.busy.entry(source).or_default().push(interval);
+    }
+
+    /// Full rate was assumed: nobody may have given to two at once.
+    fn check_rates(&self) -> Result<(), WaveError> {
+        for (source, uses) in &self.busy {
+            let most = if source.is_some() { 1 } else { ORIGIN_LINKS };
+            if at_once(uses) > most {
+                let source = *source;
+                return Err(WaveError::TooManyAtOnce { source, most });
+            }
         }
+        Ok(())
     }
+}
+
+/// The plan of [`Wave`], and how long its decisions take.
+fn ours(lost: &[f64], args: &Args, times: &mut Decisions) -> Result<Outcome, WaveError> {
+    let mut starts = Starts::new(lost, &mut times.each, Limits::default());
+    starts.run();
+    let Starts { wave, started, .. } = starts;
+    let outcome = Transfers::new(args, lost, &started).run()?;
     times.resume_ns = resumed(&started, &wave, lost)?;
-    Ok(out)
+    Ok(outcome)
 }
 
 fn number(order: &BTreeMap<MachineId, usize>, source: &Source) -> Option<usize> {
@@ -301,9 +436,9 @@
 }
 
 /// The most of these intervals that hold at once.
-fn at_once(uses: &mut [(f64, f64)]) -> usize {
+fn at_once(uses: &[Interval]) -> usize {
     let mut edges: Vec<(f64, i32)> = Vec::new();
-    for (from, to) in uses.iter().filter(|(from, to)| from < to) {
+    for Interval { from, to } in uses.iter().filter(|gave| gave.from < gave.to) {
         edges.push((*from, 1));
         edges.push((*to, -1));
     }
@@ -316,9 +451,9 @@
 }
 
 /// How long a successor takes to go on with the wave, in ns.
-fn resumed(started: &[Started], wave: &Wave, lost: &[f64]) -> Result<u64, String> {
+fn resumed(started: &[Started], wave: &Wave, lost: &[f64]) -> Result<u64, WaveError> {
     let mut record = wave.next(f64::INFINITY).or_else(|| wave.record().cloned());
-    let record = record.take().ok_or("no record")?;
+    let record = record.take().ok_or(WaveError::NoRecord)?;
     // As the controller keeps its machines: by name.
     let stay = started.iter().filter(|s| lost[s.machine].is_infinite());
     let stay: BTreeMap<_, _> = stay.map(|s| (id(s.machine), path(s.machine))).collect();
@@ -339,57 +474,92 @@
         0.0,
     );
     let ns = begin.elapsed().as_nanos() as u64;
-    next.map(|_| ns)
-        .ok_or_else(|| "a record of another version".into())
+    next.map(|_| ns).ok_or(WaveError::OtherVersion)
 }
 
-fn main() -> Result<(), String> {
-    let args = Args::parse();
+/// A line of the table.
+struct Row<'a> {
+    plan: &'a str,
+    machines: usize,
+    /// The part of the machines that is lost.
+    lost: f64,
+    outcome: &'a Outcome,
+    fetch_s: f64,
+}
+
+impl Row<'_> {
+    fn print(&self, json: bool) -> Result<(), WaveError> {
+        let (plan, n, part) = (self.plan, self.machines, self.lost);
+        let of_limit = self.outcome.last_s / self.fetch_s;
+        let copies = (self.outcome.copies * 100.0).round() / 100.0;
+        if json {
+            println!(
+                "{{\"plan\":\"{plan}\",\"machines\":{n},\"of_limit\":{of_limit:.3},\
+                 \"origin_copies\":{copies},\"lost\":{part}}}"
+            );
+            return Ok(());
+        }
+        let mut done = Histogram::<u64>::new_with_max(1_000_000_000, 3)?;
+        for t in &self.outcome.done {
+            done.saturating_record((t * 1000.0) as u64);
+        }
+        let q = |q| done.value_at_quantile(q) as f64 / 1000.0;
+        println!(
+            "{plan:<5}{n:>7} machines, lost {part}: {of_limit:>8.3} of the limit, \
+             {copies:>8} copies; done p50 {:.0} s, p99 {:.0} s, last {:.0} s",
+            q(0.5),
+            q(0.99),
+            self.outcome.last_s
+        );
+        Ok(())
+    }
+}
+
+impl Decisions {
+    fn print(&self) {
+        let us = |ns: u64| ns as f64 / 1000.0;
+        println!(
+            "     decisions: p50 {:.1} us, p99 {:.1} us, longest {:.0} us; resume {:.0} us",
+            us(self.each.value_at_quantile(0.5)),
+            us(self.each.value_at_quantile(0.99)),
+            us(self.each.max()),
+            us(self.resume_ns)
+        );
+    }
+}
+
+/// Weighs the three plans for so many machines, of which a part is lost.
+fn compare(args: &Args, machines: usize, part: f64) -> Result<(), WaveError> {
     let fetch_s = args.gb / args.rate;
+    let lost = losses(machines, part, fetch_s);
+    let each = Histogram::new_with_max(10_000_000_000, 3)?;
+    let mut times = Decisions { each, resume_ns: 0 };
+    let plans = [
+        ("flat", whole(&lost, fetch_s, false)),
+        ("tree", whole(&lost, fetch_s, true)),
+        ("ours", ours(&lost, args, &mut times)?),
+    ];
+    for (plan, outcome) in &plans {
+        let row = Row {
+            plan,
+            machines,
+            lost: part,
+            outcome,
+            fetch_s,
+        };
+        row.print(args.json)?;
+    }
+    if !args.json {
+        times.print();
+    }
+    Ok(())
+}
+
+fn main() -> Result<(), WaveError> {
+    let args = Args::parse();
     for part in [0.0, 0.1] {
-        for n in [10, 100, 1_000, 10_000] {
-            let lost = losses(n, part, fetch_s);
-            let each = Histogram::new_with_max(10_000_000_000, 3).map_err(|e| e.to_string())?;
-            let mut times = Decisions { each, resume_ns: 0 };
-            let plans = [
-                ("flat", whole(&lost, fetch_s, false)),
-                ("tree", whole(&lost, fetch_s, true)),
-                ("ours", ours(&lost, &args, &mut times)?),
-            ];
-            for (plan, out) in plans {
-                let of_limit = out.last_s / fetch_s;
-                let copies = (out.copies * 100.0).round() / 100.0;
-                if args.json {
-                    println!(
-                        "{{\"plan\":\"{plan}\",\"machines\":{n},\"of_limit\":{of_limit:.3},\
-                         \"origin_copies\":{copies},\"lost\":{part}}}"
-                    );
-                    continue;
-                }
-                let mut done =
-                    Histogram::<u64>::new_with_max(1_000_000_000, 3).map_err(|e| e.to_string())?;
-                for t in &out.done {
-                    done.saturating_record((t * 1000.0) as u64);
-                }
-                let q = |q| done.value_at_quantile(q) as f64 / 1000.0;
-                println!(
-                    "{plan:<5}{n:>7} machines, lost {part}: {of_limit:>8.3} of the limit, \
-                     {copies:>8} copies; done p50 {:.0} s, p99 {:.0} s, last {:.0} s",
-                    q(0.5),
-                    q(0.99),
-                    out.last_s
-                );
-            }
-            if !args.json {
-                let us = |ns: u64| ns as f64 / 1000.0;
-                println!(
-                    "     decisions: p50 {:.1} us, p99 {:.1} us, longest {:.0} us; resume {:.0} us",
-                    us(times.each.value_at_quantile(0.5)),
-                    us(times.each.value_at_quantile(0.99)),
-                    us(times.each.max()),
-                    us(times.resume_ns)
-                );
-            }
+        for machines in [10, 100, 1_000, 10_000] {
+            compare(&args, machines, part)?;
         }
     }
     Ok(())
