--- a/crates/agent/src/agent.rs
+++ b/crates/agent/src/agent.rs
@@ -185,6 +185,7 @@
         }
     }
 
+    /// Lets time pass for the core, and looks at processes, for ever.
     async fn time(self: Rc<Self>) {
         loop {
             // The lease first: a machine that has slept must not do anything
@@ -224,6 +225,8 @@
         }
     }
 
+    /// Carries out one action. Once the journal has failed only what ends tasks is
+    /// done.
     fn act(self: &Rc<Self>, action: Action) {
         let failed = *self.failed.borrow();
         match action {
@@ -245,6 +248,7 @@
         }
     }
 
+    /// Tells those who run tasks since when the lease runs.
     fn keep_lease(&self, since: Time) {
         if let Err(error) = write_lease(&self.settings.folder.join("lease"), since.0) {
             // Those who run tasks end them when the old one is over.
@@ -252,6 +256,7 @@
         }
     }
 
+    /// Removes an attempt's folder.
     fn clean(&self, key: &Key) {
         if let Err(error) = Folder::of(&self.settings.folder, key).remove() {
             tracing::error!(task = %key.piece, %error, "the attempt's folder stays");
--- a/crates/agent/src/agent/images.rs
+++ b/crates/agent/src/agent/images.rs
@@ -26,6 +26,8 @@
 }
 
 impl Agent {
+    /// Has a task's image there, or begins to fetch it; `from`: agents that may have
+    /// it.
     pub(super) fn want_image(self: &Rc<Self>, key: &Key, from: Vec<SocketAddr>) {
         let image = self
             .descriptions
@@ -70,6 +72,7 @@
         }
     }
 
+    /// Begins to fetch an image, from these agents and its origin.
     fn start_fetch(
         self: &Rc<Self>,
         source: Source,
@@ -99,6 +102,7 @@
         }
     }
 
+    /// Hands an image's archive on no more, and removes it.
     fn remove_part(&self, sum: &str) {
         let Some(hands) = &self.hands else { return };
         hands.drop_part(sum);
@@ -123,6 +127,7 @@
         }
     }
 
+    /// Fetches an image, and tells whoever waits for it how that ended.
     async fn fetch(self: Rc<Self>, source: Source, image: Image, sources: Rc<RefCell<Sources>>) {
         let fetched = match self.hands.clone() {
             Some(hands) => self.fetch_from_all(source, &image, sources, hands).await,
@@ -203,6 +208,7 @@
         unpacked.map_err(|why| Failed { why, keep: false })
     }
 
+    /// Tells the core that these attempts' image is there, or can't be had.
     fn imaged(self: &Rc<Self>, keys: Vec<Key>, there: bool) {
         for key in keys {
             let actions = self.core.borrow_mut().imaged(&key, there, clock::now());
--- a/crates/agent/src/agent/reports.rs
+++ b/crates/agent/src/agent/reports.rs
@@ -31,6 +31,7 @@
 }
 
 impl Agent {
+    /// Sends a report to a controller, and has the core act on the outcome.
     pub(super) async fn send(self: Rc<Self>, target: usize, report: Report) {
         let sent = self.core.borrow().sent();
         let answered = self.exchange(target, &report);
@@ -44,6 +45,7 @@
         self.do_all(actions);
     }
 
+    /// Sends a report over the open connection, or a new one, and reads the answer.
     async fn exchange(&self, target: usize, report: &Report) -> Answer {
         let Some(controller) = self.settings.controllers.get(target) else {
             return Answer::None;
--- a/crates/agent/src/agent/server.rs
+++ b/crates/agent/src/agent/server.rs
@@ -43,6 +43,7 @@
         }
     }
 
+    /// The answer to any request: parts of images are handed on, all else is a command.
     async fn answer(self: &Rc<Self>, from: IpAddr, request: Request<Incoming>) -> hand_on::Answer {
         if let Some(hands) = &self.hands {
             if request.uri().path().starts_with("/images/") {
@@ -82,6 +83,7 @@
     }
 }
 
+/// An answer that tells what is wrong.
 fn error(status: u16, why: &str) -> hand_on::Answer {
     let body = serde_json::json!({ "error": why });
     hand_on::plain(status, body.to_string())
--- a/crates/agent/src/agent/status.rs
+++ b/crates/agent/src/agent/status.rs
@@ -86,6 +86,7 @@
     Ok(Response::from_parts(head, body.to_bytes()))
 }
 
+/// A report as a table, one line a task.
 fn table(report: &Report) -> String {
     let mut text = format!(
         "{} ({}, {}): session {}, token {}, {} tasks\n",
--- a/crates/agent/src/agent/tasks.rs
+++ b/crates/agent/src/agent/tasks.rs
@@ -54,6 +54,7 @@
         }
     }
 
+    /// Tells a supervisor to end its task, and to save first if `save`.
     pub(super) fn stop(&self, key: &Key, save: bool) {
         tracing::info!(task = %key.piece, attempt = %key.attempt, save, "stopping");
         // Also of one that has not shown itself yet: it finds the word there.
@@ -146,6 +147,7 @@
         });
     }
 
+    /// Looks at a supervisor from now on, if its attempt is still to end.
     fn watch(&self, key: Key, folder: Folder) {
         let stopping = folder.stopped() == Some(false);
         let running = {
--- a/crates/agent/src/attempt.rs
+++ b/crates/agent/src/attempt.rs
@@ -98,6 +98,9 @@
 pub struct Folder(pub PathBuf);
 
 /// Writes a file so that it is there whole or not at all, also after a crash.
+///
+/// # Errors
+/// The disk's.
 pub fn write_whole(path: &Path, bytes: &[u8]) -> std::io::Result<()> {
     let beside = path.with_extension("new");
     let mut file = File::create(&beside)?;
@@ -131,6 +134,9 @@
     }
 
     /// Makes the folder, with what is to run.
+    ///
+    /// # Errors
+    /// The disk's.
     pub fn prepare(&self, task: &Task) -> std::io::Result<()> {
         std::fs::create_dir_all(self.work())?;
         let text = serde_json::to_vec_pretty(task)?;
@@ -144,6 +150,9 @@
     }
 
     /// Takes the lock; none if somebody holds it.
+    ///
+    /// # Errors
+    /// The disk's.
     pub fn lock(&self) -> std::io::Result<Option<File>> {
         let file = OpenOptions::new()
             .create(true)
@@ -169,6 +178,9 @@
     }
 
     /// Writes down how it ended. The supervisor's last act.
+    ///
+    /// # Errors
+    /// The disk's.
     pub fn ended(&self, exit: Exit) -> std::io::Result<()> {
         write_whole(&self.file("exit"), &serde_json::to_vec(&exit)?)
     }
@@ -180,11 +192,17 @@
     }
 
     /// Writes down who runs it.
+    ///
+    /// # Errors
+    /// The disk's.
     pub fn runs(&self, pid: &Pid) -> std::io::Result<()> {
         write_whole(&self.file("pid"), &serde_json::to_vec(pid)?)
     }
 
     /// Tells the supervisor to save and end, or to end at once.
+    ///
+    /// # Errors
+    /// The disk's.
     pub fn stop(&self, save: bool) -> std::io::Result<()> {
         let word: &[u8] = if save { b"save" } else { b"kill" };
         write_whole(&self.file("stop"), word)
@@ -251,6 +269,9 @@
     }
 
     /// Removes the folder; its attempt is forgotten.
+    ///
+    /// # Errors
+    /// The disk's.
     pub fn remove(&self) -> std::io::Result<()> {
         match std::fs::remove_dir_all(&self.0) {
             Err(e) if e.kind() == std::io::ErrorKind::NotFound => Ok(()),
--- a/crates/agent/src/client.rs
+++ b/crates/agent/src/client.rs
@@ -59,6 +59,7 @@
         .map_err(ServerError::at(server))
 }
 
+/// A connection, with a routine that carries it.
 async fn open_connection(server: SocketAddr) -> Result<Line, RequestError> {
     let stream = TcpStream::connect(server).await?;
     let (sender, connection) = handshake(TokioIo::new(stream)).await?;
--- a/crates/agent/src/clock.rs
+++ b/crates/agent/src/clock.rs
@@ -7,8 +7,8 @@
 /// Seconds since the machine started, those that it slept included. A step of
 /// the time of day does not move it.
 pub fn now() -> Time {
-    let t = clock_gettime(ClockId::Boottime);
-    Time(t.tv_sec as f64 + t.tv_nsec as f64 / 1e9)
+    let since_boot = clock_gettime(ClockId::Boottime);
+    Time(since_boot.tv_sec as f64 + since_boot.tv_nsec as f64 / 1e9)
 }
 
 /// This start of the machine.
--- a/crates/agent/src/core/attempts.rs
+++ b/crates/agent/src/core/attempts.rs
@@ -45,6 +45,7 @@
 }
 
 impl Core {
+    /// What all attempts that have not ended take of the machine.
     fn used(&self) -> Amount {
         let mut sum = Amount::default();
         for held in self.tasks.values().filter(|h| h.phase != TaskPhase::Ended) {
@@ -56,6 +57,7 @@
         sum
     }
 
+    /// An attempt has ended; `kept`: its progress was saved.
     pub(super) fn end(&mut self, key: &Key, why: Why, kept: bool, actions: &mut Vec<Action>) {
         let Some(held) = self.tasks.get_mut(key) else {
             return;
@@ -103,6 +105,7 @@
         actions
     }
 
+    /// An attempt has all that it needs: it runs.
     fn begin(&mut self, key: &Key, actions: &mut Vec<Action>) {
         if let Some(held) = self.tasks.get_mut(key) {
             held.phase = TaskPhase::Running;
--- a/crates/agent/src/core/commands.rs
+++ b/crates/agent/src/core/commands.rs
@@ -49,6 +49,7 @@
         (Told::Report(true, Box::new(report)), actions)
     }
 
+    /// Carries out commands in their order.
     pub(super) fn execute(&mut self, orders: &[Command], now: Time, actions: &mut Vec<Action>) {
         for order in orders {
             match order {
--- a/crates/agent/src/core/reports.rs
+++ b/crates/agent/src/core/reports.rs
@@ -121,6 +121,7 @@
         }
     }
 
+    /// No answer came: the next controller is asked, after a pause.
     fn no_answer(&mut self, now: Time) {
         self.flying = None;
         self.target = (self.target + 1) % self.machine.controllers.len().max(1);
@@ -174,6 +175,7 @@
         }
     }
 
+    /// Notes a token, if it is higher than any before.
     pub(super) fn learn(&mut self, token: Token, now: Time, actions: &mut Vec<Action>) {
         if token > self.token {
             self.token = token;
--- a/crates/agent/src/describe.rs
+++ b/crates/agent/src/describe.rs
@@ -157,6 +157,9 @@
 
 impl Description {
     /// Reads a description; the error names what is wrong.
+    ///
+    /// # Errors
+    /// It is too long, not JSON, not of the format, or a field is not valid.
     pub fn read(bytes: &[u8]) -> Result<Self, DescriptionError> {
         if bytes.len() > MAX_DESCRIPTION_BYTES {
             return Err(DescriptionError::TooLong);
@@ -215,6 +218,9 @@
     /// The description of the job of a task. `no_such` if there is none; a
     /// description that can't be used is the job's mistake, and `error`. The
     /// reason goes into the log.
+    ///
+    /// # Errors
+    /// Why the task ends: there is no such job, or its description is of no use.
     pub async fn find(&self, piece: &str) -> Result<Description, Why> {
         let job = piece.rsplit_once('/').and_then(|(job, index)| {
             index.parse::<u32>().ok()?;
--- a/crates/agent/src/download.rs
+++ b/crates/agent/src/download.rs
@@ -89,6 +89,7 @@
     })
 }
 
+/// Copies an image's archive from a folder.
 async fn copy_archive(folder: &Path, image: &Image, to: &Path) -> Result<(), ArchiveError> {
     let from = folder.join(format!("{}.tar", image.name));
     let to = to.to_owned();
@@ -96,6 +97,7 @@
     Ok(())
 }
 
+/// Reads an archive from a server, `most` bytes at the most.
 async fn download_archive(
     server: SocketAddr,
     path: &str,
--- a/crates/agent/src/fetch.rs
+++ b/crates/agent/src/fetch.rs
@@ -217,6 +217,7 @@
         *self.sources.borrow_mut() = anew;
     }
 
+    /// Sources of which none has been asked yet.
     fn anew(&self, agents: impl IntoIterator<Item = SocketAddr>) -> Sources {
         let wait = self.hands.settings().origin_after_s;
         Sources::new(agents, wait, jitter(), clock::now())
--- a/crates/agent/src/fetch/find.rs
+++ b/crates/agent/src/fetch/find.rs
@@ -154,6 +154,7 @@
         self.sources.borrow().agents()
     }
 
+    /// Reads a file of sums, which must be of this image; `giver`: whose word it is.
     pub(super) fn found(
         &self,
         text: Bytes,
@@ -174,6 +175,7 @@
         })
     }
 
+    /// The file of sums from another agent, or why it gave none.
     async fn sums_of_agent(&self, agent: SocketAddr) -> Result<Bytes, Outcome> {
         let path = format!(
             "/images/{}/sums?sha256={}",
@@ -214,6 +216,7 @@
         }
     }
 
+    /// The file of sums from the origin, or why it gave none.
     pub(super) async fn ask_origin_for_sums(&self) -> Result<Bytes, Outcome> {
         let name = format!("{}.sums", self.image.name);
         match &self.origin {
--- a/crates/agent/src/fetch/lanes.rs
+++ b/crates/agent/src/fetch/lanes.rs
@@ -101,6 +101,7 @@
         Ok(())
     }
 
+    /// Asks for a chunk and writes what comes.
     async fn take(&self, chunk: usize, whom: Whom) -> Result<Outcome, Failed> {
         let sources = &self.fetch.sources;
         let taken = match whom {
@@ -125,12 +126,14 @@
         }
     }
 
+    /// A chunk from another agent.
     async fn of_agent(&self, agent: SocketAddr, chunk: usize) -> Taken {
         let image = &self.fetch.image;
         let path = format!("/images/{}?sha256={}", image.name, image.sha256);
         self.over_http(agent, &path, chunk).await
     }
 
+    /// A chunk from the origin.
     async fn of_origin(&self, chunk: usize) -> Taken {
         let image = &self.fetch.image;
         match &self.fetch.origin {
@@ -157,6 +160,7 @@
         }
     }
 
+    /// A chunk's range of a path, over the connection that is open or a new one.
     async fn over_http(&self, at: SocketAddr, path: &str, chunk: usize) -> Taken {
         let span = self.part.sums().span(chunk);
         let length = span.end - span.start;
--- a/crates/agent/src/hand_on.rs
+++ b/crates/agent/src/hand_on.rs
@@ -61,6 +61,7 @@
     response
 }
 
+/// A refusal, with its reason and when to ask again.
 fn refuse(status: u16, why: &str, retry_s: Option<u32>) -> Answer {
     let mut response = plain(status, serde_json::json!({ "error": why }).to_string());
     if let Some(s) = retry_s {
@@ -69,6 +70,7 @@
     response
 }
 
+/// As many uploads as the settings allow are under way.
 fn no_slot() -> Answer {
     refuse(503, "all uploads are taken", Some(RETRY_SOON_S))
 }
--- a/crates/agent/src/images.rs
+++ b/crates/agent/src/images.rs
@@ -36,6 +36,7 @@
     pub sums_sha256: Option<String>,
 }
 
+/// A name that can be part of a path.
 fn plain_name(name: &str, _: &()) -> garde::Result {
     let plain = |b: u8| b.is_ascii_alphanumeric() || matches!(b, b'-' | b'_' | b'.');
     match name.bytes().all(plain) && !name.starts_with('.') {
@@ -203,13 +204,13 @@
 
 impl<R: Read> Read for Summing<R> {
     fn read(&mut self, buffer: &mut [u8]) -> std::io::Result<usize> {
-        let n = self.from.read(buffer)?;
-        self.sum.update(&buffer[..n]);
+        let length = self.from.read(buffer)?;
+        self.sum.update(&buffer[..length]);
         self.left = self
             .left
-            .checked_sub(n as u64)
+            .checked_sub(length as u64)
             .ok_or_else(|| std::io::Error::other("larger than the cache"))?;
-        Ok(n)
+        Ok(length)
     }
 }
 
@@ -238,6 +239,7 @@
     unpacked
 }
 
+/// Removes a folder. It is no error if there is none.
 fn remove_folder(folder: &Path) -> std::io::Result<()> {
     match std::fs::remove_dir_all(folder) {
         Err(error) if error.kind() != std::io::ErrorKind::NotFound => Err(error),
@@ -281,6 +283,7 @@
     size.ok()?.parse().ok()
 }
 
+/// Has all files of a folder on the disk when it returns.
 fn sync(folder: &Path) -> std::io::Result<()> {
     for entry in std::fs::read_dir(folder)? {
         let entry = entry?;
@@ -296,6 +299,9 @@
 
 /// The images that are there whole; what an earlier run left half done is
 /// removed.
+///
+/// # Errors
+/// The disk's.
 pub fn there(root: &Path) -> std::io::Result<Vec<(String, u64)>> {
     std::fs::create_dir_all(root)?;
     let mut out = Vec::new();
--- a/crates/agent/src/journal.rs
+++ b/crates/agent/src/journal.rs
@@ -167,6 +167,9 @@
 }
 
 /// Reads entries as far as they are whole.
+///
+/// # Errors
+/// The bytes are no journal, or a later version wrote them.
 pub fn read(bytes: &[u8]) -> Result<Entries, FormatError> {
     let Some((head, mut rest)) = bytes.split_at_checked(8) else {
         return Err(FormatError::NoHead);
@@ -206,6 +209,7 @@
     })
 }
 
+/// An entry as it stands in the file.
 fn frame(note: &Note) -> Vec<u8> {
     // A note has string keys and finite numbers: it always serializes.
     let payload = serde_json::to_vec(note).unwrap_or_default();
@@ -227,6 +231,9 @@
 impl Journal {
     /// Opens the journal in a folder, or begins one. What a write that was cut
     /// short left is taken off.
+    ///
+    /// # Errors
+    /// The disk's, or the file is no journal of this version.
     pub fn open(folder: &Path) -> Result<Self, JournalError> {
         let path = folder.join("journal");
         let io = JournalError::io(&path);
@@ -269,6 +276,9 @@
     }
 
     /// Writes entries down. They are on disk when this returns.
+    ///
+    /// # Errors
+    /// The disk's; then it is not certain what of them is kept.
     pub fn note(&mut self, notes: &[Note]) -> Result<(), JournalError> {
         let bytes: Vec<u8> = notes.iter().flat_map(frame).collect();
         let io = JournalError::io(&self.path);
--- a/crates/agent/src/main.rs
+++ b/crates/agent/src/main.rs
@@ -69,11 +69,13 @@
     },
 }
 
+/// Says why it failed, and with which code it ends.
 fn fail(why: impl std::fmt::Display, code: u8) -> ExitCode {
     eprintln!("sorrelhinge-agent: {why}");
     ExitCode::from(code)
 }
 
+/// Logs to standard error, from the level that `LOG_LEVEL` names on.
 fn log() {
     let level = match std::env::var("LOG_LEVEL").as_deref() {
         Ok("debug") => LevelFilter::DEBUG,
@@ -103,6 +105,7 @@
     }
 }
 
+/// Runs a routine on a runtime of this thread.
 fn local<T>(routine: impl std::future::Future<Output = T>) -> std::io::Result<T> {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
@@ -110,6 +113,7 @@
     Ok(tokio::task::LocalSet::new().block_on(&runtime, routine))
 }
 
+/// Runs the agent until it is asked to end.
 fn run(settings: Settings) -> ExitCode {
     let program = match std::env::current_exe() {
         Ok(program) => program,
--- a/crates/agent/src/part.rs
+++ b/crates/agent/src/part.rs
@@ -58,6 +58,9 @@
 }
 
 /// Removes what is there of an image. It is no error if nothing is.
+///
+/// # Errors
+/// The disk's.
 pub fn remove(root: &Path, sha256: &str) -> Result<()> {
     match std::fs::remove_dir_all(folder_of(root, sha256)) {
         Err(e) if e.kind() != ErrorKind::NotFound => Err(e),
@@ -87,6 +90,7 @@
         Ok(part)
     }
 
+    /// A part of which these chunks are there.
     fn new(
         folder: PathBuf,
         image: &Image,
@@ -112,6 +116,7 @@
         }
     }
 
+    /// Writes down which image it is, and the file of sums.
     fn write_about(&self) -> Result<()> {
         write_whole(&self.folder.join("sums"), &self.text)?;
         // Last: without it the folder is nothing.
--- a/crates/agent/src/settings.rs
+++ b/crates/agent/src/settings.rs
@@ -188,6 +188,7 @@
 }
 
 impl Places {
+    /// The folder or server of the settings; none if neither is set.
     fn source(&self) -> Option<Source> {
         match (&self.folder, self.server) {
             (_, Some(server)) => {
@@ -201,6 +202,9 @@
 
 impl Settings {
     /// Reads and checks the file; the error names the line or the field.
+    ///
+    /// # Errors
+    /// The file can't be read, or what it says is wrong.
     pub fn load(path: &Path) -> Result<Self, SettingsError> {
         let path = path.to_owned();
         match std::fs::read_to_string(&path) {
@@ -210,6 +214,9 @@
     }
 
     /// Reads and checks the settings.
+    ///
+    /// # Errors
+    /// It is not TOML, not of the format, or a field is not valid.
     pub fn parse(text: &str) -> Result<Self, SettingsError> {
         let settings: Self = toml::from_str(text).map_err(|e| MalformedToml::new(text, &e))?;
         settings
--- a/crates/agent/src/sources.rs
+++ b/crates/agent/src/sources.rs
@@ -142,6 +142,7 @@
         Some(picked.whom)
     }
 
+    /// Whether the origin may be asked: agents have given nothing for long enough.
     fn origin_is_due(&self, now: Time) -> bool {
         let waited = now.since(self.agents_gave);
         self.agents().is_empty() || waited >= self.origin_after_s * (1.0 + self.drawn)
--- a/crates/agent/src/supervise.rs
+++ b/crates/agent/src/supervise.rs
@@ -28,6 +28,9 @@
 /// Since when the lease runs, as the agent writes it: the start of the machine,
 /// and seconds since then. Written in place of the old, not synced: after a
 /// crash of the machine no task is left that could go by it.
+///
+/// # Errors
+/// The disk's.
 pub fn write_lease(path: &Path, since: f64) -> std::io::Result<()> {
     let beside = path.with_extension("new");
     std::fs::write(&beside, format!("{} {since}", clock::boot_id()))?;
@@ -109,6 +112,7 @@
     folder.ended(exit).map_err(text)
 }
 
+/// Starts the task as a process group of its own, with what keeps its output.
 fn spawn(folder: &Folder, task: &Task) -> std::io::Result<(Child, Vec<JoinHandle<()>>)> {
     let mut child = Command::new(std::env::current_exe()?)
         .arg("become")
@@ -195,6 +199,7 @@
     }
 }
 
+/// Has the task save and end: by its own command, else by the signal TERM.
 fn save(task: &Task, group: Number) {
     let command = task
         .description
--- a/crates/blocks/src/shard.rs
+++ b/crates/blocks/src/shard.rs
@@ -43,6 +43,7 @@
     hasher.finish()
 }
 
+/// The block that draws highest for a name: rendezvous hashing.
 fn highest(sort: u8, name: &str, of: u32) -> BlockId {
     let best = (0..of.max(1)).max_by_key(|b| draw(sort, name, *b));
     BlockId(best.unwrap_or(0))
--- a/crates/blocks/src/slices.rs
+++ b/crates/blocks/src/slices.rs
@@ -26,10 +26,12 @@
 /// CPUs and GPUs: what is limited.
 type Pair = [i64; 2];
 
+/// What limits are divided by: CPUs and GPUs.
 fn pair(amount: Amount) -> Pair {
     [amount.cpu, amount.gpu]
 }
 
+/// The amount of a pair.
 fn amount([cpu, gpu]: Pair) -> Amount {
     Amount { cpu, gpu, ram: 0 }
 }
@@ -40,7 +42,7 @@
 /// limit would then be less than what is used somewhere, and what is claimed
 /// elsewhere meanwhile would be too much.
 pub fn divide(limits: &[Amount], used: &[Vec<Amount>]) -> Option<Vec<Vec<Amount>>> {
-    let n = used.len().max(1) as i64;
+    let blocks = used.len().max(1) as i64;
     for (team, limit) in limits.iter().enumerate() {
         let all = used.iter().fold(Amount::default(), |sum, u| sum + u[team]);
         if !all.fits_team(*limit) {
@@ -54,7 +56,7 @@
         for i in 0..2 {
             let all: i64 = used.iter().map(|u| pair(u[team])[i]).sum();
             let rest = limit[i] - all;
-            part[i] = mine[i] + rest / n + i64::from((block as i64) < rest % n);
+            part[i] = mine[i] + rest / blocks + i64::from((block as i64) < rest % blocks);
         }
         amount(part)
     };
--- a/crates/blocks/src/tally.rs
+++ b/crates/blocks/src/tally.rs
@@ -116,6 +116,7 @@
     present: BTreeMap<String, usize>,
 }
 
+/// A field's text, as `key=text` in the line.
 fn field<'a>(line: &'a str, key: &str) -> Option<&'a str> {
     line.split_whitespace()
         .find_map(|word| word.strip_prefix(key)?.strip_prefix('='))
@@ -154,6 +155,7 @@
         }
     }
 
+    /// Takes a line that tells what was served of a class and team.
     fn served(&mut self, speaker: &str, line: &str) {
         let text = |key: &str| field(line, key).map(str::to_owned);
         let number = |key: &str| field(line, key).and_then(|n| n.parse().ok());
@@ -170,6 +172,8 @@
         self.periods[at].counts.insert((class, team), count);
     }
 
+    /// The place of the period that a controller and block are in; a new one if none
+    /// is.
     fn period(&mut self, speaker: &str, block: &str) -> usize {
         let present = self.present.entry(format!("{speaker} {block}"));
         *present.or_insert_with(|| {
@@ -181,6 +185,7 @@
         })
     }
 
+    /// Takes a line that tells of one of a class's largest jobs.
     fn largest_line(&mut self, speaker: &str, line: &str) {
         let number = |key: &str| field(line, key).and_then(|n| n.parse::<f64>().ok());
         let Some((job, class)) = field(line, "job").zip(field(line, "class")) else {
--- a/crates/overload/src/asked.rs
+++ b/crates/overload/src/asked.rs
@@ -60,6 +60,7 @@
     refused: bool,
 }
 
+/// A time in tenths of a second, as tables keep it.
 fn tenths(now: Time) -> u32 {
     // A clock that is no number or before its beginning counts as its beginning.
     (now.0 * 10.0) as u32
@@ -208,6 +209,7 @@
     }
 }
 
+/// An id's place in a table.
 fn key(job: &JobId) -> u64 {
     let mut hasher = DefaultHasher::new();
     job.hash(&mut hasher);
--- a/crates/overload/src/order.rs
+++ b/crates/overload/src/order.rs
@@ -61,6 +61,7 @@
         self.newest.is_empty()
     }
 
+    /// Forgets machines that were quiet for long, and the quietest of too many.
     fn tidy(&mut self, now: Time) {
         let full = self.newest.len() >= MAX_MACHINES;
         let due = self
--- a/crates/overload/src/pressure.rs
+++ b/crates/overload/src/pressure.rs
@@ -77,6 +77,7 @@
             Self::Placements => "placements",
         }
     }
+    /// The next level.
     fn up(self) -> Self {
         match self {
             Self::None => Self::Polls,
@@ -84,6 +85,7 @@
             Self::Submissions | Self::Placements => Self::Placements,
         }
     }
+    /// The level before.
     fn down(self) -> Self {
         match self {
             Self::None | Self::Polls => Self::None,
@@ -108,6 +110,7 @@
 /// None may bind for so long before a level is left.
 const LOWER_AFTER_S: f64 = 3.0;
 
+/// When a resource binds, and when it is worth turning users away for it.
 fn bounds(resource: Resource) -> Bounds {
     match resource {
         // Seconds of waiting: a processor that is all in use binds nothing
--- a/crates/overload/src/renewal.rs
+++ b/crates/overload/src/renewal.rs
@@ -103,6 +103,7 @@
         self.asked.is_empty()
     }
 
+    /// Forgets machines that have not reported for long.
     fn tidy(&mut self, report_s: f64, now: Time) {
         let keep_s = FORGOTTEN_REPORT_INTERVALS * report_s;
         if self.tidied.is_none_or(|t| now.since(t) > keep_s / 2.0) {
--- a/crates/overload/src/report_offload.rs
+++ b/crates/overload/src/report_offload.rs
@@ -97,6 +97,7 @@
     }
 }
 
+/// A number for a machine and a node: the node with the highest is its home.
 fn mix(machine: &str, node: &str) -> u64 {
     let mut hasher = DefaultHasher::new();
     (machine, node).hash(&mut hasher);
--- a/crates/overload/src/sockets.rs
+++ b/crates/overload/src/sockets.rs
@@ -132,6 +132,7 @@
         self.held[Class::Busy as usize] + self.held[Class::Idle as usize]
     }
 
+    /// A connection is idle from now on.
     fn rest(&mut self, id: ConnId, class: Class, kept: bool, now: Time) {
         self.count += 1;
         self.idle[class as usize].insert(self.count, (id, now));
@@ -151,6 +152,7 @@
         self.held[class as usize] += 1;
     }
 
+    /// Chooses the connection that is ended in place of a new one, if any is idle.
     fn longest_idle(&mut self, now: Time) -> Option<ConnId> {
         let silent = self.idle[Class::New as usize]
             .first_key_value()
--- a/crates/pipelines/src/graph.rs
+++ b/crates/pipelines/src/graph.rs
@@ -113,6 +113,7 @@
         changed
     }
 
+    /// Takes a job in whose record was not read before.
     fn insert(
         &mut self,
         id: &JobId,
@@ -173,6 +174,7 @@
         }
     }
 
+    /// Jobs that a job needs and that are not done.
     fn unmet(&self, id: &JobId) -> impl Iterator<Item = &JobId> {
         let node = self.nodes.get(id);
         node.into_iter().flat_map(|n| &n.unmet)
--- a/crates/staging/src/near.rs
+++ b/crates/staging/src/near.rs
@@ -77,9 +77,11 @@
     pub fn zone(&self, domain: Domain) -> Domain {
         self.around(domain).last().unwrap_or(ALL)
     }
+    /// A machine hands on from now on.
     pub fn insert(&mut self, domain: Domain, rank: Rank) {
         self.each(domain, |sources| sources.insert(rank));
     }
+    /// A machine hands on no more, or with another rank.
     pub fn remove(&mut self, domain: Domain, rank: Rank) {
         self.each(domain, |sources| sources.remove(&rank));
     }
@@ -102,6 +104,7 @@
         self.parts[domain].sources.iter().copied()
     }
 
+    /// Changes the sources of a domain and of all around it.
     fn each(&mut self, domain: Domain, change: impl Fn(&mut BTreeSet<Rank>) -> bool) {
         let mut at = domain;
         while at != ALL {
--- a/crates/staging/src/plan.rs
+++ b/crates/staging/src/plan.rs
@@ -321,6 +321,7 @@
         }
     }
 
+    /// A machine of the wave.
     fn node(&self, machine: &MachineId) -> Option<&Node> {
         self.nodes.get(self.seats.get(machine)?)
     }
--- a/crates/staging/src/plan/chains.rs
+++ b/crates/staging/src/plan/chains.rs
@@ -24,12 +24,14 @@
         }
     }
 
+    /// A machine has its copy from outside its zone.
     pub(super) fn seed(&mut self, machine: &MachineId, zone: Domain) {
         if self.seeds.insert(machine.clone(), zone).is_none() {
             *self.heads.entry(zone).or_default() += 1;
         }
     }
 
+    /// A machine takes from this source from now on.
     pub(super) fn attach(&mut self, seat: Seat, up: Up, uploads: &mut Uploads) {
         let Some(node) = self.nodes.get(&seat) else {
             return;
@@ -64,6 +66,7 @@
         });
     }
 
+    /// A machine takes from its source no more.
     pub(super) fn detach(&mut self, seat: Seat, uploads: &mut Uploads) {
         match self.nodes[&seat].up {
             Up::None => {}
--- a/crates/staging/src/plan/choice.rs
+++ b/crates/staging/src/plan/choice.rs
@@ -22,6 +22,7 @@
 const MAX_OTHER_SOURCES: usize = 2;
 
 impl Wave {
+    /// Whether the origin refused lately.
     pub(super) fn refused(&self, now: f64) -> bool {
         now < self.refused_until
     }
@@ -32,10 +33,12 @@
         stage.max(self.whole)
     }
 
+    /// Machines of a zone that had their copies from outside it.
     pub(super) fn heads_of(&self, zone: Domain) -> u32 {
         self.heads.get(&zone).copied().unwrap_or(0)
     }
 
+    /// The sources that a start was sent; the origin if none is left.
     pub(super) fn named(&self, node: &Node) -> Vec<Source> {
         let named = node.from.iter().filter_map(|s| self.nodes.get(s));
         let named: Vec<Source> = named.map(|n| Source::Machine(n.id.clone())).collect();
--- a/crates/staging/src/plan/node.rs
+++ b/crates/staging/src/plan/node.rs
@@ -42,9 +42,12 @@
 }
 
 impl Node {
+    /// Uploads that it makes, or may make by a plan of before.
     pub(super) fn load(&self) -> u32 {
         self.children.len() as u32 + self.assumed
     }
+    /// Its place among sources: who has least to do, and is nearest to the image, comes
+    /// first.
     pub(super) fn rank(&self, seat: Seat) -> Rank {
         Rank {
             load: self.load(),
@@ -56,6 +59,7 @@
     pub(super) fn hands_on(&self) -> bool {
         self.state != State::Wants && !self.slow
     }
+    /// Whether it has a slot free.
     pub(super) fn gives(&self, slots: u32) -> bool {
         self.hands_on() && self.load() < slots
     }
--- a/crates/staging/src/plan/uploads.rs
+++ b/crates/staging/src/plan/uploads.rs
@@ -60,9 +60,11 @@
     pub fn origin(&self) -> u32 {
         self.origin
     }
+    /// A machine makes one more.
     pub(super) fn add(&mut self, machine: &MachineId) {
         *self.of.entry(machine.clone()).or_default() += 1;
     }
+    /// A machine makes one less.
     pub(super) fn sub(&mut self, machine: &MachineId) {
         if let Some(n) = self.of.get_mut(machine) {
             *n -= 1;
--- a/crates/standins/src/cloud.rs
+++ b/crates/standins/src/cloud.rs
@@ -54,6 +54,7 @@
         });
     }
 
+    /// The answer to a request by its path.
     fn answer(&self, path: &str, body: &Value) -> Told {
         match path {
             "/machine_types" => (200, machine_types()),
--- a/crates/standins/src/controllers.rs
+++ b/crates/standins/src/controllers.rs
@@ -81,6 +81,7 @@
         self.process.replace(Some(process));
     }
 
+    /// The program, under a limit on files if sockets are limited.
     fn command(&self, sockets: Option<usize>) -> Command {
         let Some(sockets) = sockets else {
             return Command::new(&self.program);
@@ -191,6 +192,7 @@
     texts.collect()
 }
 
+/// A controller's zone: they go round.
 fn zone_of(controller: usize) -> &'static str {
     ZONES[controller % ZONES.len()]
 }
--- a/crates/standins/src/history/check/waiting.rs
+++ b/crates/standins/src/history/check/waiting.rs
@@ -32,6 +32,7 @@
         }
     }
 
+    /// What happened changes who is where.
     fn apply(&mut self, event: &'a Event) {
         self.occupancy.apply(event);
         match event {
@@ -178,10 +179,14 @@
             }
         }
     }
-    let breach = |(uid, at): (&str, Moment)| Breach {
+    let found = found.into_iter();
+    found.map(|(uid, at)| breach(uid, at, limits)).collect()
+}
+
+fn breach(uid: &str, at: Moment, limits: &Limits) -> Breach {
+    Breach {
         rule: Rule::LeftWaiting,
         at,
         what: format!("{uid} waited for {:?} where it could run", limits.waiting),
-    };
-    found.into_iter().map(breach).collect()
+    }
 }
--- a/crates/standins/src/lib.rs
+++ b/crates/standins/src/lib.rs
@@ -95,6 +95,7 @@
     answer: Duration::from_secs(2),
 };
 
+/// A body of a request; nothing if there is none.
 fn text(body: &Value) -> Bytes {
     match body {
         Value::Null => Bytes::new(),
@@ -102,6 +103,7 @@
     }
 }
 
+/// An answer as a status and JSON; none without one.
 fn told(answer: Result<http::Answer, CallError>) -> Option<Told> {
     let answer = answer.ok()?;
     let told = serde_json::from_slice(&answer.body).unwrap_or(Value::Null);
@@ -222,6 +224,7 @@
         self.controllers[i].start(&files, self.sockets);
     }
 
+    /// The operators' own settings.
     fn properties_file(&self) -> PathBuf {
         self.folder.join("local.properties")
     }
--- a/crates/standins/src/lines.rs
+++ b/crates/standins/src/lines.rs
@@ -50,6 +50,7 @@
     });
 }
 
+/// Carries bytes one way, as long as the line is whole.
 async fn carry(mut from: OwnedReadHalf, mut to: OwnedWriteHalf, mut cut: watch::Receiver<Cut>) {
     let mut buffer = vec![0; 16 << 10];
     let mut end = cut.clone();
--- a/crates/standins/src/nodes.rs
+++ b/crates/standins/src/nodes.rs
@@ -191,6 +191,7 @@
         }
     }
 
+    /// Whether a machine's switch is cut.
     fn is_cut(&self, id: &str) -> bool {
         let node = &self.all[id];
         self.cut.contains(&(node.zone, node.switch))
@@ -214,9 +215,9 @@
         let sent = self.sent.iter().flatten().rev();
         let old = sent.filter(|(at, ..)| at.elapsed().as_secs_f64() >= age_s);
         let some = old.filter(|(_, id, _)| {
-            let n = taken.entry(id).or_default();
-            *n += 1;
-            *n <= most
+            let count = taken.entry(id).or_default();
+            *count += 1;
+            *count <= most
         });
         let mut some: Vec<Value> = some.map(|(.., report)| report.clone()).collect();
         some.reverse();
@@ -251,6 +252,7 @@
         places
     }
 
+    /// A machine's next report.
     fn report(&mut self, id: &str) -> Value {
         let node = self.all.get_mut(id).expect("it is there");
         node.tick += 1;
@@ -266,6 +268,7 @@
             "warning_s": null, "pieces": pieces})
     }
 
+    /// Carries out commands in their order.
     fn execute(&mut self, id: &str, orders: &[Command]) {
         for order in orders {
             match order {
@@ -413,6 +416,7 @@
     }
 }
 
+/// An attempt as the history names it; none if its task has no such name.
 fn attempt_id(machine: &str, piece: &str, attempt: u64) -> Option<AttemptId> {
     Some(AttemptId {
         task: TaskName::parse(piece)?,
--- a/crates/standins/src/nodes/faults.rs
+++ b/crates/standins/src/nodes/faults.rs
@@ -23,6 +23,7 @@
 }
 
 impl Hold {
+    /// Whether these commands to a machine are held back.
     fn concerns(&self, machine: &str, orders: &Orders) -> bool {
         let start = |o: &_| matches!(o, sorrelhinge_protocol::worker::Command::Start { .. });
         self.grant.is_none_or(|g| orders.baton.grant() == g)
@@ -101,6 +102,7 @@
         self.release(|_| true)
     }
 
+    /// Carries out what was held back for these machines.
     fn release(&mut self, of: impl Fn(&str) -> bool) -> Released {
         let mut released = Released::default();
         for (id, orders) in std::mem::take(&mut self.faults.held) {
--- a/crates/standins/src/nodes/worker.rs
+++ b/crates/standins/src/nodes/worker.rs
@@ -21,6 +21,9 @@
 /// How often a worker looks at its tasks, and whether a report is due.
 const POLL_INTERVAL: Duration = Duration::from_millis(25);
 
+/// How long a request that gets no answer is kept: longer than any client waits.
+const NO_ANSWER: Duration = Duration::from_secs(30);
+
 /// A machine comes up behind a switch after `boot`.
 pub fn add(nodes: &Rc<RefCell<Nodes>>, net: u8, zone: u8, switch: u8, boot: Duration) -> String {
     let (id, listener) = {
@@ -91,6 +94,7 @@
     }
 }
 
+/// Notes in the history that a machine is up.
 fn note_up(nodes: &Nodes, id: &str) {
     let node = &nodes.all[id];
     let room = Amounts {
@@ -120,25 +124,12 @@
     })
 }
 
+/// The answer to direct commands, unless a fault keeps them from getting through.
 async fn orders(nodes: Rc<RefCell<Nodes>>, id: String, path: String, body: &[u8]) -> Told {
-    let silent = {
-        let n = nodes.borrow();
-        n.all[&id].gone || n.is_cut(&id)
-    };
-    if silent {
-        // No answer: the client gives up by itself.
-        sleep(Duration::from_secs(30)).await;
-        return (503, Value::Null);
-    }
     let orders = serde_json::from_slice::<Orders>(body);
-    let apart = nodes.borrow().apart;
-    let from_there = |o: &Orders| {
-        let grant = o.baton.grant();
-        let n = nodes.borrow();
-        apart.is_some_and(|(_, g)| grant == g) || n.is_deaf(&id, |(_, g)| grant == g)
-    };
-    if orders.as_ref().is_ok_and(from_there) {
-        sleep(Duration::from_secs(30)).await;
+    if nodes.borrow().is_unreached(&id, orders.as_ref().ok()) {
+        // No answer: the client gives up by itself.
+        sleep(NO_ANSWER).await;
         return (503, Value::Null);
     }
     let held = match &orders {
@@ -149,16 +140,16 @@
         // The controller gives up by itself.
         return std::future::pending().await;
     }
-    let mut n = nodes.borrow_mut();
+    let mut nodes = nodes.borrow_mut();
     if path == "/status" {
-        return (200, n.report(&id));
+        return (200, nodes.report(&id));
     }
     let Ok(orders) = orders else {
         return (400, Value::Null);
     };
-    match n.obey(&id, &orders) {
-        true => (200, n.report(&id)),
-        false => (409, n.report(&id)),
+    match nodes.obey(&id, &orders) {
+        true => (200, nodes.report(&id)),
+        false => (409, nodes.report(&id)),
     }
 }
 
@@ -235,6 +226,16 @@
 }
 
 impl Nodes {
+    /// Whether a request does not get through to a machine: it is gone, behind a
+    /// switch that is cut, or cut off from who commands.
+    fn is_unreached(&self, id: &str, orders: Option<&Orders>) -> bool {
+        let grant = orders.map(|orders| orders.baton.grant());
+        let commands = |(_, g): (usize, u64)| grant == Some(g);
+        self.all[id].gone
+            || self.is_cut(id)
+            || grant.is_some() && (self.apart.is_some_and(commands) || self.is_deaf(id, commands))
+    }
+
     /// Lets time pass on a machine, and makes its report once it is due.
     fn due(&mut self, id: &str) -> Due {
         if self.all[id].gone {
--- a/crates/standins/src/place.rs
+++ b/crates/standins/src/place.rs
@@ -68,6 +68,7 @@
         found.expect("an address on loopback")
     }
 
+    /// Whether nobody listens where so many controllers would.
     fn is_free(&self, controllers: usize) -> bool {
         let own = [self.state(), self.cloud()].into_iter();
         let own = own.chain((0..MOST_MORE).map(|n| self.more(n)));
@@ -86,6 +87,7 @@
         own.chain(theirs).chain(lines).all(|at| !listens(at))
     }
 
+    /// A port of the address.
     fn at(&self, port: u16) -> SocketAddr {
         SocketAddr::from((self.address, port))
     }
--- a/crates/standins/src/site.rs
+++ b/crates/standins/src/site.rs
@@ -8,6 +8,7 @@
 /// CPUs that the team `crew` may use; `guest` is listed with 0, which means no limit.
 pub(crate) const CREW_CPUS: f64 = 400.0;
 
+/// The teams and the machine type.
 pub(crate) fn site() -> Site {
     let team = |name: &str, cpus_max| Team {
         name: name.into(),
--- a/crates/standins/src/store.rs
+++ b/crates/standins/src/store.rs
@@ -40,6 +40,7 @@
 }
 
 impl Lease {
+    /// It has its full time again.
     fn renew(&mut self) {
         self.end = Instant::now() + self.life;
     }
@@ -81,6 +82,7 @@
         changes: 16,
     };
 
+    /// Whether a transaction is small enough.
     fn allow(&self, when: &[Value], apply: &[Value]) -> bool {
         let small = |change: &Value| change["value"].to_string().len() <= self.value_bytes;
         apply.len() <= self.changes && when.len() <= 4 * self.changes && apply.iter().all(small)
@@ -90,6 +92,7 @@
 /// The key of a job's record begins so.
 const JOB_KEYS: &str = "h/job/";
 
+/// A parameter of a path's query.
 fn query(path: &str, name: &str) -> Option<String> {
     let (_, query) = path.split_once('?')?;
     let mut pairs = query.split('&').filter_map(|p| p.split_once('='));
@@ -161,6 +164,7 @@
         told.collect()
     }
 
+    /// Whether a controller is served; none: whoever asks at the common address.
     fn serves(&self, from: Option<usize>) -> bool {
         !self.down && from.is_none_or(|c| !self.faults.refused.contains(&c))
     }
@@ -179,6 +183,7 @@
         recorder.note(Event::Recorded { uid, phase });
     }
 
+    /// Ends the leases that ran out.
     fn expire(&mut self) {
         if self.down {
             return;
@@ -195,6 +200,7 @@
         }
     }
 
+    /// Ends a lease, and deletes the keys written with it.
     fn end(&mut self, lease: u64) {
         self.leases.remove(&lease);
         let keys: Vec<String> = self
@@ -279,6 +285,7 @@
         });
     }
 
+    /// A new lease.
     fn grant_lease(&mut self, body: &Value) -> Told {
         let id = self.leases.keys().next_back().map_or(1, |l| l + 1) + self.revision * 1000;
         let life = Duration::from_millis(body["life_ms"].as_u64().unwrap_or(1000));
@@ -304,6 +311,7 @@
         }
     }
 
+    /// All keys under a prefix.
     fn list(&self, path: &str) -> Told {
         let under = query(path, "under").unwrap_or_default();
         let since = query(path, "since").unwrap_or_default();
@@ -319,6 +327,7 @@
         )
     }
 
+    /// Changes under a prefix since a revision.
     fn news(&self, since: u64, under: &str) -> Vec<Value> {
         let at = self.log.partition_point(|change| change.revision <= since);
         self.log[at..]
--- a/crates/standins/src/store/faults.rs
+++ b/crates/standins/src/store/faults.rs
@@ -43,6 +43,7 @@
         }
     }
 
+    /// Whether it meets a transaction of this controller.
     fn concerns(&self, from: Option<usize>, txn: &Value) -> bool {
         let changes = txn["apply"].as_array();
         let written = changes.into_iter().flatten().any(|change| {
@@ -72,6 +73,7 @@
 }
 
 impl Faults {
+    /// Has a fault meet transactions from now on.
     pub(super) fn arm(&mut self, fault: TxnFault) {
         let (concerned, met) = (0, 0);
         self.armed.push(Armed {
@@ -81,6 +83,7 @@
         });
     }
 
+    /// No fault meets any further transaction.
     pub(super) fn disarm(&mut self) {
         self.armed.clear();
     }
--- a/crates/standins/src/users.rs
+++ b/crates/standins/src/users.rs
@@ -128,6 +128,7 @@
         self.wrong.extend(texts);
     }
 
+    /// A user asks to cancel a job.
     fn cancel_asked(&mut self, uid: &str) {
         let known = self.known.entry(uid.to_owned()).or_default();
         known.cancel_asked.get_or_insert(Instant::now());
@@ -165,6 +166,7 @@
         }
     }
 
+    /// A job as its user submits it.
     fn job(&self, uid: &str) -> Value {
         let nodes = self.nodes.borrow();
         nodes.jobs.get(uid).cloned().unwrap_or(Value::Null)
