--- a/crates/agent/src/agent/recovery.rs
+++ b/crates/agent/src/agent/recovery.rs
@@ -13,7 +13,7 @@
 use crate::attempt::Folder;
 use crate::core::{Key, Recovered};
 use crate::hand_on::Hands;
-use crate::images::{self, Cache};
+use crate::images::{self, Cache, CachedImage};
 use crate::journal::Journal;
 use crate::part::{self, Part};
 use crate::supervise::read_lease;
@@ -66,11 +66,8 @@
     watched: &BTreeMap<Key, Watched>,
 ) -> std::io::Result<Cache> {
     let there = images::there(&root.join("images"))?;
-    let parts = parts(root, hands, &there)?;
-    let mut cache = Cache::new(most_bytes, there);
-    for (sum, bytes) in parts {
-        cache.leave(&sum, bytes);
-    }
+    let mut cache = Cache::new(most_bytes, there.iter().cloned());
+    find_parts(root, hands, &there, &mut cache)?;
     for (key, watched) in watched {
         let image = watched.folder.task().and_then(|t| t.description.image);
         if let Some(image) = image {
@@ -83,33 +80,33 @@
 /// What earlier runs left to hand on: archives of images that are there are
 /// handed on again; the others, and their bytes, may be gone on with. Whatever
 /// is of no use is removed.
-fn parts(
+fn find_parts(
     root: &Path,
     hands: Option<&Hands>,
-    there: &[(String, u64)],
-) -> std::io::Result<Vec<(String, u64)>> {
+    there: &[CachedImage],
+    cache: &mut Cache,
+) -> std::io::Result<()> {
     let folder = root.join(PARTS_FOLDER);
     let Some(hands) = hands else {
         return match std::fs::remove_dir_all(folder) {
             Err(e) if e.kind() != std::io::ErrorKind::NotFound => Err(e),
-            _ => Ok(Vec::new()),
+            _ => Ok(()),
         };
     };
     std::fs::create_dir_all(&folder)?;
-    let mut left = Vec::new();
     for entry in std::fs::read_dir(&folder)? {
         let sum = entry?.file_name().to_string_lossy().into_owned();
-        let is_there = there.iter().any(|(s, _)| *s == sum);
+        let is_there = there.iter().any(|image| image.sha256 == sum);
         match Part::found(&folder, &sum) {
             // Without the image beside it, its room is not counted otherwise.
             Ok(part) if part.is_whole() || !is_there => {
                 if !is_there {
-                    left.push((sum, part.sums().bytes));
+                    cache.leave(&sum, part.sums().bytes);
                 }
                 hands.keep(Rc::new(part));
             }
             _ => part::remove(&folder, &sum)?,
         }
     }
-    Ok(left)
+    Ok(())
 }
--- a/crates/agent/src/core.rs
+++ b/crates/agent/src/core.rs
@@ -22,6 +22,13 @@
 };
 pub use self::reports::ANSWER_TIMEOUT_S;
 
+/// A report that was sent and not answered yet.
+#[derive(Clone, Copy, Debug)]
+struct SentReport {
+    sent: Time,
+    session: Session,
+}
+
 /// The worker.
 #[derive(Clone, Debug)]
 pub struct Core {
@@ -37,8 +44,8 @@
     results: BTreeSet<String>,
     answered: Time,
     target: usize,
-    /// The report under way: when it was sent, and in which session.
-    flying: Option<(Time, Session)>,
+    /// The report under way.
+    flying: Option<SentReport>,
     reported: Time,
     next: Time,
     changed: bool,
--- a/crates/agent/src/core/reports.rs
+++ b/crates/agent/src/core/reports.rs
@@ -4,7 +4,7 @@
 use sorrelhinge_protocol::types::{Seq, Time, Token};
 use sorrelhinge_protocol::worker::{Report, ReportedImage, ReportedTask};
 
-use super::{Action, Answer, Core, Key, Note};
+use super::{Action, Answer, Core, Key, Note, SentReport};
 
 /// Ticks reserved on disk at a time.
 const TICKS_RESERVED: u64 = 1000;
@@ -31,7 +31,7 @@
 impl Core {
     /// When the report under way was sent.
     pub fn sent(&self) -> Option<Time> {
-        self.flying.map(|(sent, _)| sent)
+        self.flying.map(|report| report.sent)
     }
 
     /// Images that are handed on now, the most wanted first. No change that is
@@ -52,7 +52,7 @@
         let mut actions = Vec::new();
         self.check_lease(now, &mut actions);
         self.end_late_saves(now, &mut actions);
-        if let Some((sent, _)) = self.flying {
+        if let Some(SentReport { sent, .. }) = self.flying {
             if now.since(sent) > ANSWER_TIMEOUT_S {
                 self.no_answer(now);
             }
@@ -65,7 +65,10 @@
             self.reported = now;
             self.next = now;
             self.changed = false;
-            self.flying = Some((now, self.session));
+            self.flying = Some(SentReport {
+                sent: now,
+                session: self.session,
+            });
             // The wait until the next is measured from this one.
             self.reported = now.after(jitter * self.machine.report_s);
             let report = self.report(&mut actions);
@@ -134,13 +137,13 @@
     pub fn answered(&mut self, sent: Time, answer: Answer, now: Time) -> Vec<Action> {
         let mut actions = Vec::new();
         self.check_lease(now, &mut actions);
-        let Some((_, session)) = self.flying.filter(|(at, _)| *at == sent) else {
+        let Some(report) = self.flying.filter(|report| report.sent == sent) else {
             return actions;
         };
         match answer {
             Answer::Reply(reply) => {
                 self.flying = None;
-                if session != self.session || reply.baton < self.token {
+                if report.session != self.session || reply.baton < self.token {
                     // It stays here while its lease runs out.
                     return actions;
                 }
--- a/crates/agent/src/describe.rs
+++ b/crates/agent/src/describe.rs
@@ -210,8 +210,13 @@
 pub enum Source {
     /// A folder with a file for each job.
     Folder(PathBuf),
-    /// A server, and the path before the id.
-    Http(SocketAddr, String),
+    /// A server.
+    Http {
+        /// Where it is.
+        server: SocketAddr,
+        /// The path before the id.
+        prefix: String,
+    },
 }
 
 impl Source {
@@ -232,7 +237,7 @@
         };
         let bytes = match self {
             Self::Folder(folder) => read_file(&folder.join(format!("{job}.json"))),
-            Self::Http(server, prefix) => {
+            Self::Http { server, prefix } => {
                 let path = format!("{prefix}/{job}");
                 let got = timeout(FETCH_TIMEOUT, get(*server, &path)).await;
                 got.unwrap_or(Err(SourceError::NoAnswer))
--- a/crates/agent/src/download.rs
+++ b/crates/agent/src/download.rs
@@ -77,7 +77,7 @@
 pub async fn fetch(source: &Source, image: &Image, to: &Path, most: u64) -> Result<(), Unfetched> {
     let fetched = match source {
         Source::Folder(folder) => copy_archive(folder, image, to).await,
-        Source::Http(server, prefix) => {
+        Source::Http { server, prefix } => {
             let path = format!("{prefix}/{}", image.name);
             download_archive(*server, &path, to, most).await
         }
--- a/crates/agent/src/fetch.rs
+++ b/crates/agent/src/fetch.rs
@@ -25,7 +25,7 @@
 use crate::hand_on::Hands;
 use crate::images::{self, Image};
 use crate::part::{self, Part};
-use crate::sources::{Hopeless, Outcome, Sources, Whom};
+use crate::sources::{GiveUpReason, Outcome, Sources, Whom};
 use crate::sums::{self, Sums, SumsError};
 
 use find::Found;
@@ -86,9 +86,9 @@
     Origin(#[from] Unfetched),
     /// Nobody is left who could give a chunk.
     #[error("{why}; last: {last}")]
-    Hopeless {
+    GivenUp {
         /// Why nobody is.
-        why: Hopeless,
+        why: GiveUpReason,
         /// The last request that gave nothing.
         last: String,
     },
@@ -102,7 +102,7 @@
 }
 
 /// Why a part was not completed.
-enum Setback {
+enum CompleteError {
     /// The fetch has failed.
     Final(Failed),
     /// The sums may be wrong: they were an agent's word only.
@@ -167,8 +167,8 @@
             };
             let why = match fetch.complete(&part).await {
                 Ok(bytes) => return Ok(bytes),
-                Err(Setback::Final(failed)) => return Err(failed),
-                Err(Setback::SumsInDoubt(why)) => why.to_string(),
+                Err(CompleteError::Final(failed)) => return Err(failed),
+                Err(CompleteError::SumsInDoubt(why)) => why.to_string(),
             };
             // The sums were an agent's word, which proves nothing: it may be
             // wrong, and those who gave other bytes than it says right.
@@ -180,13 +180,13 @@
     }
 
     /// Fetches what misses of a part and unpacks it.
-    async fn complete(self: &Rc<Self>, part: &Rc<Part>) -> Result<u64, Setback> {
+    async fn complete(self: &Rc<Self>, part: &Rc<Part>) -> Result<u64, CompleteError> {
         if !part.is_whole() {
             self.chunks(part).await.map_err(|failed| {
                 if part.hands_on() || !failed.keep {
-                    Setback::Final(failed)
+                    CompleteError::Final(failed)
                 } else {
-                    Setback::SumsInDoubt(failed.why)
+                    CompleteError::SumsInDoubt(failed.why)
                 }
             })?;
         }
@@ -195,13 +195,13 @@
             let full = error.kind() == ErrorKind::StorageFull;
             let why = FetchFailure::Unpack(error);
             if full || part.hands_on() {
-                Setback::Final(lost(why))
+                CompleteError::Final(lost(why))
             } else {
-                Setback::SumsInDoubt(why)
+                CompleteError::SumsInDoubt(why)
             }
         })?;
         let set = part.set_whole();
-        set.map_err(|error| Setback::Final(lost(FetchFailure::Unpack(error))))?;
+        set.map_err(|error| CompleteError::Final(lost(FetchFailure::Unpack(error))))?;
         Ok(bytes)
     }
 
@@ -236,25 +236,18 @@
         let Some(found) = self.find_sums().await? else {
             return Ok(None);
         };
-        if found.sums.bytes > self.most {
-            return Err(lost(FetchFailure::TooLarge {
-                bytes: found.sums.bytes,
-                most: self.most,
-            }));
+        let Found { known, giver } = found;
+        let bytes = known.sums.bytes;
+        if bytes > self.most {
+            let most = self.most;
+            return Err(lost(FetchFailure::TooLarge { bytes, most }));
         }
-        (self.room)(found.sums.bytes);
-        if let Some(part) = there.filter(|p| p.text() == found.text && !found.trusted) {
+        (self.room)(bytes);
+        if let Some(part) = there.filter(|p| p.text() == known.text && !known.trusted) {
             self.look(&part).await?;
-            let giver = found.giver;
             return Ok(Some(Begun { part, giver }));
         }
-        let Found {
-            text,
-            sums,
-            trusted,
-            giver,
-        } = found;
-        let part = Part::begin(&self.parts, &self.image, text, sums, trusted);
+        let part = Part::begin(&self.parts, &self.image, known);
         let part = Rc::new(part.map_err(disk)?);
         self.hands.keep(part.clone());
         Ok(Some(Begun { part, giver }))
--- a/crates/agent/src/fetch/find.rs
+++ b/crates/agent/src/fetch/find.rs
@@ -14,6 +14,7 @@
 use crate::client;
 use crate::clock;
 use crate::describe::Source;
+use crate::part::KnownSums;
 use crate::sources::{Outcome, Whom};
 use crate::sums::{self, Sums};
 
@@ -32,11 +33,10 @@
     NoAnswer,
 }
 
-/// Sums, whether they are trusted, and which agent gave them.
+/// Sums, and which agent gave them.
 pub(super) struct Found {
-    pub(super) text: Bytes,
-    pub(super) sums: Sums,
-    pub(super) trusted: bool,
+    pub(super) known: KnownSums,
+    /// None if they are trusted.
     pub(super) giver: Option<SocketAddr>,
 }
 
@@ -167,12 +167,12 @@
                 sha256: sums.sha256,
             }));
         }
-        Ok(Found {
+        let known = KnownSums {
             text,
             sums,
             trusted,
-            giver,
-        })
+        };
+        Ok(Found { known, giver })
     }
 
     /// The file of sums from another agent, or why it gave none.
@@ -229,7 +229,7 @@
                 });
                 read.await.unwrap_or(Err(Outcome::Failed)).map(Bytes::from)
             }
-            Source::Http(server, prefix) => {
+            Source::Http { server, prefix } => {
                 let path = format!("{prefix}/{name}");
                 self.file_of_sums(*server, &path).await
             }
--- a/crates/agent/src/fetch/lanes.rs
+++ b/crates/agent/src/fetch/lanes.rs
@@ -57,7 +57,7 @@
     /// Takes one chunk after the other, until none misses.
     pub(super) async fn lane(&self) -> Result<(), Failed> {
         while self.part.missing(|_| false).is_some() {
-            self.check_hope()?;
+            self.check_given_up()?;
             match self.next_request() {
                 Some(request) => self.carry_out(request).await?,
                 None => sleep(POLL_INTERVAL).await,
@@ -67,12 +67,12 @@
     }
 
     /// Fails once nobody is left who could give a chunk.
-    fn check_hope(&self) -> Result<(), Failed> {
+    fn check_given_up(&self) -> Result<(), Failed> {
         let patience = self.fetch.hands.settings().patience_s;
         let hopeless = self.fetch.sources.borrow().hopeless(patience, clock::now());
         hopeless.map_or(Ok(()), |why| {
             let last = self.last.borrow().clone();
-            Err(keep(FetchFailure::Hopeless { why, last }))
+            Err(keep(FetchFailure::GivenUp { why, last }))
         })
     }
 
@@ -137,7 +137,7 @@
     async fn of_origin(&self, chunk: usize) -> Taken {
         let image = &self.fetch.image;
         match &self.fetch.origin {
-            Source::Http(server, prefix) => {
+            Source::Http { server, prefix } => {
                 let path = format!("{prefix}/{}", image.name);
                 self.over_http(*server, &path, chunk).await
             }
--- a/crates/agent/src/hand_on.rs
+++ b/crates/agent/src/hand_on.rs
@@ -191,14 +191,14 @@
 
 /// What a request below `/images/` names. Names are looked up among images, never
 /// on the disk.
-struct Wanted<'a> {
+struct ImageRequest<'a> {
     name: &'a str,
     sha256: Option<&'a str>,
     /// The file of sums, not the archive.
     sums: bool,
 }
 
-impl<'a> Wanted<'a> {
+impl<'a> ImageRequest<'a> {
     fn of(uri: &'a Uri) -> Self {
         let rest = uri.path().strip_prefix("/images/").unwrap_or_default();
         let sums_of = rest.strip_suffix("/sums");
@@ -305,7 +305,7 @@
         if method != Method::GET {
             return refuse(405, "only GET", None);
         }
-        let wanted = Wanted::of(uri);
+        let wanted = ImageRequest::of(uri);
         match self.find(wanted.name, wanted.sha256) {
             Ok(part) if wanted.sums => self.answer_sums(&part),
             Ok(part) => self.answer_archive(&part, range).await,
--- a/crates/agent/src/images.rs
+++ b/crates/agent/src/images.rs
@@ -74,29 +74,54 @@
     Fetch,
 }
 
+/// A part of an image that nobody waits for.
+#[derive(Clone, Copy, Debug)]
+struct LeftPart {
+    /// When it was left, by the cache's own count.
+    left: u64,
+    bytes: u64,
+}
+
+/// An image that is there and that nobody uses: the least recently used is first.
+#[derive(PartialEq, Eq, PartialOrd, Ord)]
+struct Idle {
+    used: u64,
+    sha256: String,
+    bytes: u64,
+}
+
+/// An image that is there whole.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct CachedImage {
+    /// SHA-256 of its archive.
+    pub sha256: String,
+    /// The archive's bytes.
+    pub bytes: u64,
+}
+
 /// The images of a machine.
 #[derive(Clone, Debug, Default)]
 pub struct Cache {
     entries: BTreeMap<String, Entry>,
-    /// Parts of images that nobody waits for: bytes, and when each was left.
-    left: BTreeMap<String, (u64, u64)>,
+    /// Parts of images that nobody waits for.
+    left: BTreeMap<String, LeftPart>,
     most_bytes: u64,
     clock: u64,
 }
 
 impl Cache {
     /// A cache of so many bytes, with the images that are there already.
-    pub fn new(most_bytes: u64, there: impl IntoIterator<Item = (String, u64)>) -> Self {
+    pub fn new(most_bytes: u64, there: impl IntoIterator<Item = CachedImage>) -> Self {
         let mut cache = Self {
             most_bytes,
             ..Self::default()
         };
-        for (sum, bytes) in there {
+        for CachedImage { sha256, bytes } in there {
             let entry = Entry {
                 bytes: Some(bytes),
                 ..Entry::default()
             };
-            cache.entries.insert(sum, entry);
+            cache.entries.insert(sha256, entry);
         }
         cache
     }
@@ -104,7 +129,8 @@
     /// A part of an image is there that nobody waits for.
     pub fn leave(&mut self, sum: &str, bytes: u64) {
         self.clock += 1;
-        self.left.insert(sum.to_owned(), (self.clock, bytes));
+        let left = self.clock;
+        self.left.insert(sum.to_owned(), LeftPart { left, bytes });
     }
 
     /// An image on its way will take so many bytes.
@@ -119,8 +145,8 @@
         self.clock += 1;
         let new = !self.entries.contains_key(sum);
         let entry = self.entries.entry(sum.to_owned()).or_default();
-        if let Some((_, bytes)) = self.left.remove(sum) {
-            entry.coming = bytes;
+        if let Some(part) = self.left.remove(sum) {
+            entry.coming = part.bytes;
         }
         entry.users.insert(key.clone());
         entry.used = self.clock;
@@ -166,30 +192,36 @@
     pub fn evict(&mut self) -> Vec<String> {
         let of = |e: &Entry| e.bytes.unwrap_or(e.coming);
         let mut total: u64 = self.entries.values().map(of).sum();
-        total += self.left.values().map(|(_, bytes)| bytes).sum::<u64>();
-        let mut idle: Vec<(u64, String, u64)> = self
+        total += self.left.values().map(|part| part.bytes).sum::<u64>();
+        let mut idle: Vec<Idle> = self
             .entries
             .iter()
             .filter(|(_, e)| e.users.is_empty())
-            .filter_map(|(sum, e)| Some((e.used, sum.clone(), e.bytes?)))
+            .filter_map(|(sum, e)| {
+                Some(Idle {
+                    used: e.used,
+                    sha256: sum.clone(),
+                    bytes: e.bytes?,
+                })
+            })
             .collect();
         idle.sort();
         let mut out = Vec::new();
         while total > self.most_bytes {
-            let oldest = self.left.iter().min_by_key(|(_, (left, _))| *left);
+            let oldest = self.left.iter().min_by_key(|(_, part)| part.left);
             let Some(sum) = oldest.map(|(sum, _)| sum.clone()) else {
                 break;
             };
-            total -= self.left.remove(&sum).map_or(0, |(_, bytes)| bytes);
+            total -= self.left.remove(&sum).map_or(0, |part| part.bytes);
             out.push(sum);
         }
-        for (_, sum, bytes) in idle {
+        for Idle { sha256, bytes, .. } in idle {
             if total <= self.most_bytes {
                 break;
             }
             total -= bytes;
-            self.entries.remove(&sum);
-            out.push(sum);
+            self.entries.remove(&sha256);
+            out.push(sha256);
         }
         out
     }
@@ -302,14 +334,17 @@
 ///
 /// # Errors
 /// The disk's.
-pub fn there(root: &Path) -> std::io::Result<Vec<(String, u64)>> {
+pub fn there(root: &Path) -> std::io::Result<Vec<CachedImage>> {
     std::fs::create_dir_all(root)?;
     let mut out = Vec::new();
     for entry in std::fs::read_dir(root)? {
         let entry = entry?;
         let name = entry.file_name().to_string_lossy().into_owned();
         match size(root, &name) {
-            Some(bytes) if !name.starts_with('.') => out.push((name, bytes)),
+            Some(bytes) if !name.starts_with('.') => out.push(CachedImage {
+                sha256: name,
+                bytes,
+            }),
             _ if entry.file_type()?.is_dir() => std::fs::remove_dir_all(entry.path())?,
             _ => std::fs::remove_file(entry.path())?,
         }
--- a/crates/agent/src/part.rs
+++ b/crates/agent/src/part.rs
@@ -38,6 +38,17 @@
     trusted: bool,
 }
 
+/// An image's sums, as they came.
+#[derive(Clone, Debug)]
+pub struct KnownSums {
+    /// The file of sums.
+    pub text: Bytes,
+    /// What it says.
+    pub sums: Sums,
+    /// Whether they come from whom they may come, see [`About`].
+    pub trusted: bool,
+}
+
 /// An image's archive, whole or in part.
 #[derive(Debug)]
 pub struct Part {
@@ -73,32 +84,24 @@
     ///
     /// # Errors
     /// The disk's.
-    pub fn begin(
-        root: &Path,
-        image: &Image,
-        text: Bytes,
-        sums: Sums,
-        trusted: bool,
-    ) -> Result<Self> {
+    pub fn begin(root: &Path, image: &Image, known: KnownSums) -> Result<Self> {
         remove(root, &image.sha256)?;
         let folder = folder_of(root, &image.sha256);
         std::fs::create_dir_all(&folder)?;
-        File::create(folder.join("archive"))?.set_len(sums.bytes)?;
-        let have = vec![false; sums.chunks()];
-        let part = Self::new(folder, image, text, sums, trusted, have);
+        File::create(folder.join("archive"))?.set_len(known.sums.bytes)?;
+        let have = vec![false; known.sums.chunks()];
+        let part = Self::new(folder, image, known, have);
         part.write_about()?;
         Ok(part)
     }
 
     /// A part of which these chunks are there.
-    fn new(
-        folder: PathBuf,
-        image: &Image,
-        text: Bytes,
-        sums: Sums,
-        trusted: bool,
-        have: Vec<bool>,
-    ) -> Self {
+    fn new(folder: PathBuf, image: &Image, known: KnownSums, have: Vec<bool>) -> Self {
+        let KnownSums {
+            text,
+            sums,
+            trusted,
+        } = known;
         let about = About {
             version: 1,
             image: image.clone(),
@@ -143,7 +146,13 @@
         }
         let whole = folder.join("whole").exists();
         let have = vec![whole; sums.chunks()];
-        let part = Self::new(folder, &about.image, text, sums, about.trusted, have);
+        let trusted = about.trusted;
+        let known = KnownSums {
+            text,
+            sums,
+            trusted,
+        };
+        let part = Self::new(folder, &about.image, known, have);
         part.whole.set(whole);
         part.looked_at.set(whole);
         Ok(part)
@@ -156,15 +165,12 @@
     /// The disk's.
     pub fn of_whole(root: &Path, image: &Image, sums: Sums) -> Result<Self> {
         let have = vec![true; sums.chunks()];
-        let text = Bytes::from(sums.text());
-        let part = Self::new(
-            folder_of(root, &image.sha256),
-            image,
-            text,
+        let known = KnownSums {
+            text: Bytes::from(sums.text()),
             sums,
-            false,
-            have,
-        );
+            trusted: false,
+        };
+        let part = Self::new(folder_of(root, &image.sha256), image, known, have);
         part.write_about()?;
         part.set_whole()?;
         Ok(part)
--- a/crates/agent/src/settings.rs
+++ b/crates/agent/src/settings.rs
@@ -17,11 +17,21 @@
 #[derive(Debug, thiserror::Error)]
 pub enum SettingsError {
     /// The file can't be read.
-    #[error("{0}: {1}")]
-    Io(PathBuf, std::io::Error),
+    #[error("{}: {source}", path.display())]
+    Io {
+        /// The file.
+        path: PathBuf,
+        /// Why.
+        source: std::io::Error,
+    },
     /// What the file says is wrong.
-    #[error("{0}: {1}")]
-    File(PathBuf, Box<SettingsError>),
+    #[error("{}: {source}", path.display())]
+    File {
+        /// The file.
+        path: PathBuf,
+        /// What is wrong.
+        source: Box<SettingsError>,
+    },
     /// It is not TOML, or not of the format.
     #[error(transparent)]
     Toml(#[from] MalformedToml),
@@ -193,7 +203,8 @@
         match (&self.folder, self.server) {
             (_, Some(server)) => {
                 let prefix = self.prefix.trim_end_matches('/');
-                Some(Source::Http(server, prefix.to_owned()))
+                let prefix = prefix.to_owned();
+                Some(Source::Http { server, prefix })
             }
             (folder, None) => folder.clone().map(Source::Folder),
         }
@@ -206,11 +217,14 @@
     /// # Errors
     /// The file can't be read, or what it says is wrong.
     pub fn load(path: &Path) -> Result<Self, SettingsError> {
-        let path = path.to_owned();
-        match std::fs::read_to_string(&path) {
-            Ok(text) => Self::parse(&text).map_err(|why| SettingsError::File(path, Box::new(why))),
-            Err(error) => Err(SettingsError::Io(path, error)),
-        }
+        let text = std::fs::read_to_string(path).map_err(|source| SettingsError::Io {
+            path: path.to_owned(),
+            source,
+        })?;
+        Self::parse(&text).map_err(|why| SettingsError::File {
+            path: path.to_owned(),
+            source: Box::new(why),
+        })
     }
 
     /// Reads and checks the settings.
--- a/crates/agent/src/sources.rs
+++ b/crates/agent/src/sources.rs
@@ -41,7 +41,7 @@
 
 /// Why a fetch is given up.
 #[derive(Clone, Copy, Debug, PartialEq, thiserror::Error)]
-pub enum Hopeless {
+pub enum GiveUpReason {
     /// Everyone was dropped.
     #[error("nobody has it: not the origin, and no agent that was named")]
     NobodyLeft,
@@ -196,16 +196,16 @@
 
     /// Why the fetch is to be given up, if it is: nobody is left, or nobody has
     /// given anything for `patience_s`.
-    pub fn hopeless(&self, patience_s: f64, now: Time) -> Option<Hopeless> {
+    pub fn hopeless(&self, patience_s: f64, now: Time) -> Option<GiveUpReason> {
         if self.all.iter().all(|s| s.dropped) {
-            return Some(Hopeless::NobodyLeft);
+            return Some(GiveUpReason::NobodyLeft);
         }
         let origin = self.all.last();
         let tried = origin.is_some_and(|o| o.failures >= MAX_ORIGIN_FAILURES);
         if tried && self.agents().is_empty() {
-            return Some(Hopeless::OriginFailed);
+            return Some(GiveUpReason::OriginFailed);
         }
-        (now.since(self.gave) > patience_s).then_some(Hopeless::NothingCame { patience_s })
+        (now.since(self.gave) > patience_s).then_some(GiveUpReason::NothingCame { patience_s })
     }
 }
 
--- a/crates/agent/src/supervise.rs
+++ b/crates/agent/src/supervise.rs
@@ -48,8 +48,13 @@
 #[derive(Debug, thiserror::Error)]
 pub enum SuperviseError {
     /// The attempt's folder can't be used.
-    #[error("{0}: {1}")]
-    Folder(PathBuf, std::io::Error),
+    #[error("{}: {source}", folder.display())]
+    Folder {
+        /// The attempt's folder.
+        folder: PathBuf,
+        /// Why.
+        source: std::io::Error,
+    },
     /// Another supervisor runs the attempt.
     #[error("another supervisor holds the lock")]
     Locked,
@@ -60,7 +65,7 @@
     #[error("task.json can't be read")]
     NoTask,
     /// What the task leaves behind would not become this process's child.
-    #[error("{0}")]
+    #[error(transparent)]
     Subreaper(rustix::io::Errno),
     /// This process is not found among those that run.
     #[error("no process of this number")]
@@ -73,8 +78,11 @@
 /// What kept it from doing so; then nothing runs.
 pub fn supervise(path: PathBuf) -> Result<(), SuperviseError> {
     let folder = Folder(path);
-    let text = |e: std::io::Error| SuperviseError::Folder(folder.0.clone(), e);
-    let Some(_lock) = folder.lock().map_err(text)? else {
+    let failed = |source| SuperviseError::Folder {
+        folder: folder.0.clone(),
+        source,
+    };
+    let Some(_lock) = folder.lock().map_err(failed)? else {
         return Err(SuperviseError::Locked);
     };
     if folder.over() {
@@ -90,7 +98,7 @@
         supervisor: Process::find(own).ok_or(SuperviseError::NoProcess)?,
         task: None,
     };
-    folder.runs(&pid).map_err(text)?;
+    folder.runs(&pid).map_err(failed)?;
     let exit = match spawn(&folder, &task) {
         Ok((child, keepers)) => {
             pid.task = Process::find(child.id() as i32);
@@ -109,7 +117,7 @@
             Exit::Failed
         }
     };
-    folder.ended(exit).map_err(text)
+    folder.ended(exit).map_err(failed)
 }
 
 /// Starts the task as a process group of its own, with what keeps its output.
--- a/crates/agent/tests/images.rs
+++ b/crates/agent/tests/images.rs
@@ -2,7 +2,7 @@
 
 use sha2::{Digest, Sha256};
 use sorrelhinge_agent::core::Key;
-use sorrelhinge_agent::images::{there, unpack, Cache, Image, Step};
+use sorrelhinge_agent::images::{there, unpack, Cache, CachedImage, Image, Step};
 use sorrelhinge_protocol::types::Attempt;
 
 fn key(n: u64) -> Key {
@@ -12,9 +12,16 @@
     }
 }
 
+fn cached(sha256: &str, bytes: u64) -> CachedImage {
+    CachedImage {
+        sha256: sha256.to_owned(),
+        bytes,
+    }
+}
+
 #[test]
 fn an_image_is_fetched_once_and_given_up_when_nobody_waits() {
-    let mut cache = Cache::new(100, [("old".to_owned(), 60)]);
+    let mut cache = Cache::new(100, [cached("old", 60)]);
     assert_eq!(cache.want("old", &key(9)), Step::Ready);
     assert_eq!(cache.want("a", &key(1)), Step::Fetch);
     assert_eq!(cache.want("a", &key(2)), Step::Wait);
@@ -40,7 +47,7 @@
 /// not be taken for one that nobody does.
 #[test]
 fn room_is_made_before_an_image_comes_parts_first() {
-    let mut cache = Cache::new(100, [("old".to_owned(), 40)]);
+    let mut cache = Cache::new(100, [cached("old", 40)]);
     cache.leave("part", 30);
     cache.leave("wanted", 30);
     assert_eq!(cache.evict(), [] as [&str; 0]);
@@ -106,7 +113,7 @@
     // Half done when the machine stopped: removed.
     std::fs::create_dir_all(root.join(".x.new")).expect("made");
     std::fs::write(root.join(".x.tar"), "half").expect("written");
-    assert_eq!(there(&root).expect("read"), [(sum, length)]);
+    assert_eq!(there(&root).expect("read"), [cached(&sum, length)]);
     assert!(!root.join(".x.new").exists() && !root.join(".x.tar").exists());
     std::fs::remove_dir_all(&root).expect("removed");
 }
--- a/crates/agent/tests/sources.rs
+++ b/crates/agent/tests/sources.rs
@@ -7,7 +7,7 @@
 use std::net::SocketAddr;
 
 use proptest::prelude::*;
-use sorrelhinge_agent::sources::{Hopeless, Outcome, Sources, Whom, MAX_ORIGIN_FAILURES};
+use sorrelhinge_agent::sources::{GiveUpReason, Outcome, Sources, Whom, MAX_ORIGIN_FAILURES};
 use sorrelhinge_protocol::types::Time;
 
 const CHUNKS: usize = 12;
@@ -137,7 +137,7 @@
     }
 
     /// To its end: why it was given up, and when, in seconds.
-    fn run(&mut self, jitters: &[f64]) -> Result<(Option<Hopeless>, f64), TestCaseError> {
+    fn run(&mut self, jitters: &[f64]) -> Result<(Option<GiveUpReason>, f64), TestCaseError> {
         let (mut now, mut hopeless, mut steps) = (0.0, None, 0);
         while !self.missing.is_empty() && hopeless.is_none() {
             for lane in 0..LANES {
--- a/crates/blocks/src/owners.rs
+++ b/crates/blocks/src/owners.rs
@@ -129,8 +129,8 @@
         self.record_members(alive, now);
         self.record_offers(blocks, now);
         let situation = Situation::new(blocks, alive, now);
-        if let Some(block) = situation.orphan() {
-            return Some(Step::Grant(block, situation.heir(block)?));
+        if let Some(block) = situation.unowned() {
+            return Some(Step::Grant(block, situation.new_owner(block)?));
         }
         if let Some(block) = self.expired_offer(&situation) {
             return Some(Step::TakeBack(block));
@@ -282,7 +282,7 @@
     }
 
     /// The first block whose owner is gone.
-    fn orphan(&self) -> Option<BlockId> {
+    fn unowned(&self) -> Option<BlockId> {
         let mut blocks = self.blocks.iter();
         blocks
             .find(|(_, held)| !self.is_owned(held))
@@ -291,7 +291,7 @@
 
     /// Who is granted a block whose owner is gone: the one it was offered to, if
     /// that lives, as it may know more; else whoever has the fewest.
-    fn heir(&self, block: BlockId) -> Option<NodeId> {
+    fn new_owner(&self, block: BlockId) -> Option<NodeId> {
         let taker = self.living_taker(self.blocks.get(&block)?).cloned();
         taker.or_else(|| Some(self.fewest(|_| true)?.node))
     }
