--- a/crates/agent/src/fetch/lanes.rs
+++ b/crates/agent/src/fetch/lanes.rs
@@ -21,9 +21,9 @@
 use crate::client::{self, Line};
 use crate::clock;
 use crate::describe::Source;
-use crate::hand_on::MIN_RATE_BYTES_PER_S;
 use crate::part::{self, Part};
 use crate::sources::{Outcome, Whom};
+use crate::upload::MIN_RATE_BYTES_PER_S;
 
 /// How often a lane looks whether there is something to do.
 const POLL_INTERVAL: Duration = Duration::from_millis(5);
--- a/crates/agent/src/lib.rs
+++ b/crates/agent/src/lib.rs
@@ -2,8 +2,9 @@
 //! "Controller nodes -> workers"). What it decides is in [`core`], without I/O
 //! or clock; what outlives it is in [`journal`] and [`attempt`]; a task is run
 //! by a small process of its own, [`supervise`], which ends it when the lease
-//! ends, whether or not the agent lives. Images come from an origin and, chunk by
-//! chunk, from other agents ([`fetch`], [`hand_on`]). See `docs/agent.md`.
+//! ends, whether or not the agent lives. Images come from an origin, in one piece
+//! ([`download`]), or, chunk by chunk, from other agents too ([`fetch`]); this one
+//! gives them what it has ([`hand_on`], [`upload`]). See `docs/agent.md`.
 
 pub mod agent;
 pub mod attempt;
@@ -21,3 +22,4 @@
 pub mod sources;
 pub mod sums;
 pub mod supervise;
+pub mod upload;
--- a/crates/agent/tests/upload_limits.rs
+++ b/crates/agent/tests/upload_limits.rs
@@ -1,6 +1,6 @@
 //! What of an image a request may ask for, and how fast it goes out.
 
-use sorrelhinge_agent::hand_on::{span, Rate};
+use sorrelhinge_agent::upload::{span, Rate};
 use sorrelhinge_protocol::types::Time;
 
 #[test]
