--- a/crates/agent/examples/measure.rs
+++ b/crates/agent/examples/measure.rs
@@ -6,7 +6,7 @@
 //!     cargo build --release --locked --workspace
 //!     cargo run --release --locked -p sorrelhinge-agent --example measure
 
-use std::collections::BTreeMap;
+use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 use std::process::{Child, Command, Stdio};
 use std::time::{Duration, Instant};
@@ -17,9 +17,18 @@
 use sorrelhinge_protocol::worker::Why;
 use sorrelhinge_standins::{ask, run, serve};
 use tokio::net::TcpListener;
+use tokio::sync::mpsc::{unbounded_channel, UnboundedReceiver};
 use tokio::time::sleep;
 
-fn report_cost(tasks: u64) {
+/// Reports that are made for one figure.
+const REPORTS: u32 = 1000;
+/// Tasks that are started at once.
+const STARTS: usize = 200;
+/// How often an agent is killed and started again.
+const RESTARTS: usize = 5;
+
+/// A machine with so many tasks, of which half have ended.
+fn core_with(tasks: u64) -> Core {
     let machine = Machine {
         name: MachineId::from("vm-000001"),
         addr: "127.0.0.1:9000".parse().expect("an address"),
@@ -31,38 +40,39 @@
         lease_s: 30.0,
         controllers: vec!["c-0".into()],
     };
-    let known: BTreeMap<Key, Known> = (0..tasks)
-        .map(|n| {
-            let key = Key {
-                piece: format!("run-{:06}/{}", n / 10, n % 10),
-                attempt: Attempt(n),
-            };
-            let done = Ending {
-                why: Why::Done,
-                kept: false,
-            };
-            let known = Known {
-                units: Vec::new(),
-                ended: (n % 2 == 0).then_some(done),
-            };
-            (key, known)
-        })
-        .collect();
+    let known = |n: u64| {
+        let done = Ending {
+            why: Why::Done,
+            kept: false,
+        };
+        Known {
+            units: Vec::new(),
+            ended: (n % 2 == 0).then_some(done),
+        }
+    };
+    let key = |n: u64| Key {
+        piece: format!("run-{:06}/{}", n / 10, n % 10),
+        attempt: Attempt(n),
+    };
     let found = Recovered {
-        tasks: known,
+        tasks: (0..tasks).map(|n| (key(n), known(n))).collect(),
         ..Recovered::default()
     };
-    let (mut core, _) = Core::new(machine, found, Time(0.0));
+    Core::new(machine, found, Time(0.0)).0
+}
+
+/// How large a report is, and how long one takes.
+fn report_cost(tasks: u64) {
+    let mut core = core_with(tasks);
     let mut bytes = 0;
     let begun = Instant::now();
-    const TIMES: u32 = 1000;
-    for _ in 0..TIMES {
+    for _ in 0..REPORTS {
         let (told, _) = core.status(Time(1.0));
         if let sorrelhinge_agent::core::Told::Report(_, report) = told {
             bytes = serde_json::to_vec(&report).expect("JSON").len();
         }
     }
-    let micros = begun.elapsed().as_secs_f64() * 1e6 / f64::from(TIMES);
+    let micros = begun.elapsed().as_secs_f64() * 1e6 / f64::from(REPORTS);
     println!("a report of {tasks} tasks: {bytes} bytes, {micros:.0} us");
 }
 
@@ -88,7 +98,8 @@
     all.filter(|p| p["phase"] == phase).count()
 }
 
-async fn all_ended(listen: std::net::SocketAddr, tasks: usize) {
+/// Waits until so many tasks have ended.
+async fn all_ended(listen: SocketAddr, tasks: usize) {
     loop {
         let told = ask(listen, hyper::Method::GET, "/status", &Value::Null).await;
         if told.is_some_and(|(_, report)| pieces(&report, "ended") == tasks) {
@@ -98,18 +109,11 @@
     }
 }
 
-async fn live(program: PathBuf) {
-    let root = std::env::temp_dir().join(format!("measure-{}", std::process::id()));
-    let jobs = root.join("jobs");
-    std::fs::create_dir_all(&jobs).expect("a folder");
-    for (name, seconds) in [("run-short", "0"), ("run-long", "600")] {
-        let text = json!({"version": 1, "command": ["/bin/sleep", seconds], "cpus": 1.0,
-            "ram_gb": 1.0});
-        std::fs::write(jobs.join(format!("{name}.json")), text.to_string()).expect("written");
-    }
+/// A controller that answers each report with no command; the reports.
+async fn controller() -> (SocketAddr, UnboundedReceiver<Value>) {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-    let controller = listener.local_addr().expect("its address");
-    let (tell, mut told) = tokio::sync::mpsc::unbounded_channel::<Value>();
+    let address = listener.local_addr().expect("its address");
+    let (tell, told) = unbounded_channel();
     serve(listener, move |_, _, body| {
         let tell = tell.clone();
         Box::pin(async move {
@@ -117,76 +121,116 @@
             (200, json!({"baton": 1, "orders": []}))
         })
     });
-    let listen: std::net::SocketAddr = "127.0.0.1:28999".parse().expect("an address");
-    let config = root.join("agent.toml");
-    let text = format!(
-        "version = 1\nname = \"vm-1\"\nkind = \"t\"\nzone = \"za\"\nlisten = \"{listen}\"\n\
-         folder = {:?}\ncpus = 1000.0\nram_gb = 1000.0\nreport_s = 1.0\nlease_s = 60.0\n\
-         [[controllers]]\nnode = \"c-0\"\naddress = \"{controller}\"\n[jobs]\nfolder = {jobs:?}\n",
-        root.join("agent")
-    );
-    std::fs::write(&config, text).expect("written");
-    let mut process = agent(&program, &config);
-    let _ = told.recv().await;
-    let order = |job: &str, n: usize, verb: &str| {
-        let orders: Vec<Value> = (0..n)
+    (address, told)
+}
+
+/// A running agent.
+struct Live {
+    program: PathBuf,
+    root: PathBuf,
+    config: PathBuf,
+    listen: SocketAddr,
+    process: Child,
+    reports: UnboundedReceiver<Value>,
+}
+
+impl Live {
+    /// Starts an agent with jobs that end at once and jobs that run.
+    async fn start(program: PathBuf) -> Self {
+        let root = std::env::temp_dir().join(format!("measure-{}", std::process::id()));
+        let jobs = root.join("jobs");
+        std::fs::create_dir_all(&jobs).expect("a folder");
+        for (name, seconds) in [("run-short", "0"), ("run-long", "600")] {
+            let text = json!({"version": 1, "command": ["/bin/sleep", seconds], "cpus": 1.0,
+                "ram_gb": 1.0});
+            std::fs::write(jobs.join(format!("{name}.json")), text.to_string()).expect("written");
+        }
+        let (controller, mut reports) = controller().await;
+        let listen: SocketAddr = "127.0.0.1:28999".parse().expect("an address");
+        let config = root.join("agent.toml");
+        let text = format!(
+            "version = 1\nname = \"vm-1\"\nkind = \"t\"\nzone = \"za\"\nlisten = \"{listen}\"\n\
+             folder = {:?}\ncpus = 1000.0\nram_gb = 1000.0\nreport_s = 1.0\nlease_s = 60.0\n\
+             [[controllers]]\nnode = \"c-0\"\naddress = \"{controller}\"\n[jobs]\nfolder = {jobs:?}\n",
+            root.join("agent")
+        );
+        std::fs::write(&config, text).expect("written");
+        let process = agent(&program, &config);
+        let _ = reports.recv().await;
+        Self {
+            program,
+            root,
+            config,
+            listen,
+            process,
+            reports,
+        }
+    }
+
+    /// Sends a command for each task of a job.
+    async fn order(&self, job: &str, verb: &str) {
+        let orders: Vec<Value> = (0..STARTS)
             .map(|i| json!({"verb": verb, "piece": format!("{job}/{i}"), "try": 1, "mercy_s": 0.0}))
             .collect();
-        json!({"baton": 1, "shift": 1, "orders": orders})
-    };
-    const STARTS: usize = 200;
-    let begun = Instant::now();
-    let post = hyper::Method::POST;
-    ask(
-        listen,
-        post.clone(),
-        "/orders",
-        &order("run-short", STARTS, "start"),
-    )
-    .await;
-    all_ended(listen, STARTS).await;
-    let rate = STARTS as f64 / begun.elapsed().as_secs_f64();
-    println!("{STARTS} tasks that end at once: {rate:.0} started and ended a second");
-    ask(
-        listen,
-        post.clone(),
-        "/orders",
-        &order("run-short", STARTS, "forget"),
-    )
-    .await;
-    ask(
-        listen,
-        post.clone(),
-        "/orders",
-        &order("run-long", STARTS, "start"),
-    )
-    .await;
-    sleep(Duration::from_secs(5)).await;
-    println!(
-        "{STARTS} tasks that run: the agent holds {} kB",
-        memory_kb(process.id())
-    );
-    let (mut most, mut count) = (0.0_f64, 0);
-    for _ in 0..5 {
-        process.kill().expect("killed");
-        process.wait().expect("gone");
-        while told.try_recv().is_ok() {}
+        let body = json!({"baton": 1, "shift": 1, "orders": orders});
+        ask(self.listen, hyper::Method::POST, "/orders", &body).await;
+    }
+
+    /// How many tasks a second are started and ended.
+    async fn measure_starts(&self) {
         let begun = Instant::now();
-        process = agent(&program, &config);
-        while let Some(report) = told.recv().await {
-            if pieces(&report, "running") == STARTS {
-                break;
+        self.order("run-short", "start").await;
+        all_ended(self.listen, STARTS).await;
+        let rate = STARTS as f64 / begun.elapsed().as_secs_f64();
+        println!("{STARTS} tasks that end at once: {rate:.0} started and ended a second");
+        self.order("run-short", "forget").await;
+    }
+
+    /// How much memory the agent holds while tasks run.
+    async fn measure_memory(&self) {
+        self.order("run-long", "start").await;
+        sleep(Duration::from_secs(5)).await;
+        println!(
+            "{STARTS} tasks that run: the agent holds {} kB",
+            memory_kb(self.process.id())
+        );
+    }
+
+    /// How long until a killed agent that is started again reports all that runs.
+    async fn measure_restarts(&mut self) {
+        let mut most = 0.0_f64;
+        for _ in 0..RESTARTS {
+            self.process.kill().expect("killed");
+            self.process.wait().expect("gone");
+            while self.reports.try_recv().is_ok() {}
+            let begun = Instant::now();
+            self.process = agent(&self.program, &self.config);
+            while let Some(report) = self.reports.recv().await {
+                if pieces(&report, "running") == STARTS {
+                    break;
+                }
             }
+            most = most.max(begun.elapsed().as_secs_f64());
         }
-        most = most.max(begun.elapsed().as_secs_f64());
-        count += 1;
+        println!("from the start after kill -9 to the first report with all {STARTS}: at most {most:.2} s of {RESTARTS} tries");
+    }
+
+    /// Ends the tasks and the agent.
+    async fn end(mut self) {
+        self.order("run-long", "kill").await;
+        all_ended(self.listen, STARTS).await;
+        self.process.kill().expect("killed");
+        self.process.wait().expect("gone");
+        let _ = std::fs::remove_dir_all(&self.root);
     }
-    println!("from the start after kill -9 to the first report with all {STARTS}: at most {most:.2} s of {count} tries");
-    ask(listen, post, "/orders", &order("run-long", STARTS, "kill")).await;
-    all_ended(listen, STARTS).await;
-    process.kill().expect("killed");
-    process.wait().expect("gone");
-    let _ = std::fs::remove_dir_all(&root);
+}
+
+async fn live(program: PathBuf) {
+    let mut live = Live::start(program).await;
+    live.measure_starts().await;
+    live.measure_memory().await;
+    live.measure_restarts().await;
+    live.end().await;
 }
 
 fn main() {
--- a/crates/agent/tests/stopped_agent.rs
+++ b/crates/agent/tests/stopped_agent.rs
@@ -17,11 +17,26 @@
 use tokio::net::TcpListener;
 use tokio::time::sleep;
 
+/// All reports that came.
+type Reports = Rc<RefCell<Vec<Value>>>;
+
+/// A controller that keeps each report and answers it with no command.
+async fn controller(reports: Reports) -> SocketAddr {
+    let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
+    let address = listener.local_addr().expect("its address");
+    serve(listener, move |_, _, body| {
+        let report = serde_json::from_slice(&body).unwrap_or(Value::Null);
+        reports.borrow_mut().push(report);
+        Box::pin(async { (200, json!({"baton": 1, "orders": []})) })
+    });
+    address
+}
+
 struct Agent {
     process: Child,
     listen: SocketAddr,
     folder: PathBuf,
-    reports: Rc<RefCell<Vec<Value>>>,
+    reports: Reports,
     /// Its address, let go last.
     _place: Place,
 }
@@ -36,15 +51,8 @@
         let job = json!({"version": 1, "cpus": 1.0, "ram_gb": 1.0,
             "command": ["/bin/sh", "-c", "echo 1 > pid; exec sleep 300"]});
         std::fs::write(jobs.join("run-1.json"), job.to_string()).expect("written");
-        let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-        let controller = listener.local_addr().expect("its address");
-        let reports: Rc<RefCell<Vec<Value>>> = Rc::default();
-        let heard = reports.clone();
-        serve(listener, move |_, _, body| {
-            let report = serde_json::from_slice(&body).unwrap_or(Value::Null);
-            heard.borrow_mut().push(report);
-            Box::pin(async { (200, json!({"baton": 1, "orders": []})) })
-        });
+        let reports: Reports = Rc::default();
+        let controller = controller(reports.clone()).await;
         let place = Place::claim(0);
         let listen = place.more(0);
         let config = root.join("agent.toml");
