--- a/crates/agent/src/agent/images.rs
+++ b/crates/agent/src/agent/images.rs
@@ -11,8 +11,9 @@
 use super::{Agent, PARTS_FOLDER};
 use crate::clock;
 use crate::core::Key;
-use crate::describe::{self, Source};
-use crate::fetch::Fetch;
+use crate::describe::Source;
+use crate::download;
+use crate::fetch::{Failed, Fetch, FetchFailure};
 use crate::hand_on::Hands;
 use crate::images::{self, Image, Step};
 use crate::part;
@@ -25,6 +26,8 @@
 }
 
 impl Agent {
+    /// Has a task's image there, or begins to fetch it; `from`: agents that may have
+    /// it.
     pub(super) fn want_image(self: &Rc<Self>, key: &Key, from: Vec<SocketAddr>) {
         let image = self
             .descriptions
@@ -69,6 +72,7 @@
         }
     }
 
+    /// Begins to fetch an image, from these agents and its origin.
     fn start_fetch(
         self: &Rc<Self>,
         source: Source,
@@ -98,6 +102,7 @@
         }
     }
 
+    /// Hands an image's archive on no more, and removes it.
     fn remove_part(&self, sum: &str) {
         let Some(hands) = &self.hands else { return };
         hands.drop_part(sum);
@@ -122,33 +127,30 @@
         }
     }
 
+    /// Fetches an image, and tells whoever waits for it how that ended.
     async fn fetch(self: Rc<Self>, source: Source, image: Image, sources: Rc<RefCell<Sources>>) {
         let fetched = match self.hands.clone() {
             Some(hands) => self.fetch_from_all(source, &image, sources, hands).await,
-            None => self
-                .fetch_alone(&source, &image)
-                .await
-                .map_err(|e| (e, false)),
+            None => self.fetch_alone(&source, &image).await,
         };
         self.fetches.borrow_mut().remove(&image.sha256);
         let bytes = fetched.as_ref().ok().copied();
         let waiting = self.images.borrow_mut().fetched(&image.sha256, bytes);
-        if let Err((error, keep)) = fetched {
-            self.fetch_failed(&image, &error, keep);
+        if let Err(failed) = fetched {
+            self.fetch_failed(&image, &failed);
         }
         self.make_room();
         self.imaged(waiting, bytes.is_some());
     }
 
-    /// An image from other agents and its origin, chunk by chunk. The error says
-    /// whether what has come may be gone on with.
+    /// An image from other agents and its origin, chunk by chunk.
     async fn fetch_from_all(
         self: &Rc<Self>,
         source: Source,
         image: &Image,
         sources: Rc<RefCell<Sources>>,
         hands: Rc<Hands>,
-    ) -> Result<u64, (String, bool)> {
+    ) -> Result<u64, Failed> {
         let agent = Rc::downgrade(self);
         let sum = image.sha256.clone();
         let fetch = Fetch {
@@ -167,15 +169,15 @@
                 }
             }),
         };
-        let fetched = fetch.run().await;
-        fetched.map_err(|failed| (failed.why, failed.keep))
+        fetch.run().await
     }
 
-    /// A fetch failed; `keep`: what has come may be gone on with.
-    fn fetch_failed(&self, image: &Image, error: &str, keep: bool) {
+    /// A fetch failed: what has come of it stays only if it may be of use.
+    fn fetch_failed(&self, image: &Image, failed: &Failed) {
+        let error = failed.to_string();
         tracing::error!(image = image.name, error, "image");
         let part = self.hands.as_ref().and_then(|h| h.part(&image.sha256));
-        match part.filter(|_| keep) {
+        match part.filter(|_| failed.keep) {
             Some(part) => {
                 let bytes = part.sums().bytes;
                 self.images.borrow_mut().leave(&image.sha256, bytes);
@@ -185,27 +187,28 @@
     }
 
     /// An image from its origin, where nothing is handed on.
-    async fn fetch_alone(&self, source: &Source, image: &Image) -> Result<u64, String> {
+    async fn fetch_alone(&self, source: &Source, image: &Image) -> Result<u64, Failed> {
         let root = self.settings.folder.join("images");
         let archive = root.join(format!(".{}.tar", image.sha256));
         let most = self.settings.cache_bytes();
-        let unpacked = match describe::fetch(source, image, &archive, most).await {
+        let unpacked = match download::fetch(source, image, &archive, most).await {
             Ok(()) => {
                 let (wanted, from) = (image.clone(), archive.clone());
                 let unpacked = tokio::task::spawn_blocking(move || {
                     images::unpack(File::open(from)?, &wanted, &root, most)
                 });
                 match unpacked.await {
-                    Ok(result) => result.map_err(|e| e.to_string()),
-                    Err(error) => Err(error.to_string()),
+                    Ok(result) => result.map_err(FetchFailure::Unpack),
+                    Err(error) => Err(FetchFailure::Step(error)),
                 }
             }
-            Err(failed) => Err(failed.why),
+            Err(failed) => Err(FetchFailure::Origin(failed)),
         };
         let _ = std::fs::remove_file(&archive);
-        unpacked
+        unpacked.map_err(|why| Failed { why, keep: false })
     }
 
+    /// Tells the core that these attempts' image is there, or can't be had.
     fn imaged(self: &Rc<Self>, keys: Vec<Key>, there: bool) {
         for key in keys {
             let actions = self.core.borrow_mut().imaged(&key, there, clock::now());
--- a/crates/agent/src/agent/reports.rs
+++ b/crates/agent/src/agent/reports.rs
@@ -16,6 +16,7 @@
 use tokio::time::timeout;
 
 use super::{Agent, MAX_BODY_BYTES};
+use crate::client::RequestError;
 use crate::clock;
 use crate::core::{Answer, ANSWER_TIMEOUT_S};
 use crate::settings::Controller;
@@ -30,6 +31,7 @@
 }
 
 impl Agent {
+    /// Sends a report to a controller, and has the core act on the outcome.
     pub(super) async fn send(self: Rc<Self>, target: usize, report: Report) {
         let sent = self.core.borrow().sent();
         let answered = self.exchange(target, &report);
@@ -43,6 +45,7 @@
         self.do_all(actions);
     }
 
+    /// Sends a report over the open connection, or a new one, and reads the answer.
     async fn exchange(&self, target: usize, report: &Report) -> Answer {
         let Some(controller) = self.settings.controllers.get(target) else {
             return Answer::None;
@@ -111,12 +114,11 @@
     }
 }
 
-pub(super) async fn connect(to: SocketAddr) -> Result<Line, String> {
-    let stream = TcpStream::connect(to).await.map_err(|e| e.to_string())?;
-    stream.set_nodelay(true).map_err(|e| e.to_string())?;
-    let (line, connection) = handshake(TokioIo::new(stream))
-        .await
-        .map_err(|e| e.to_string())?;
+/// A new connection to a controller or an agent.
+pub(super) async fn connect(to: SocketAddr) -> Result<Line, RequestError> {
+    let stream = TcpStream::connect(to).await?;
+    stream.set_nodelay(true)?;
+    let (line, connection) = handshake(TokioIo::new(stream)).await?;
     spawn_local(connection);
     Ok(line)
 }
--- a/crates/agent/src/core.rs
+++ b/crates/agent/src/core.rs
@@ -17,9 +17,18 @@
 use sorrelhinge_protocol::worker::{ReportedImage, TaskPhase, Why};
 
 use self::attempts::{has_process, Held};
-pub use self::messages::{Action, Answer, Exit, Key, Known, Machine, Needs, Note, Recovered, Told};
+pub use self::messages::{
+    Action, Answer, Ending, Exit, Key, Known, Machine, Needs, Note, Recovered, Told,
+};
 pub use self::reports::ANSWER_TIMEOUT_S;
 
+/// A report that was sent and not answered yet.
+#[derive(Clone, Copy, Debug)]
+struct SentReport {
+    sent: Time,
+    session: Session,
+}
+
 /// The worker.
 #[derive(Clone, Debug)]
 pub struct Core {
@@ -35,8 +44,8 @@
     results: BTreeSet<String>,
     answered: Time,
     target: usize,
-    /// The report under way: when it was sent, and in which session.
-    flying: Option<(Time, Session)>,
+    /// The report under way.
+    flying: Option<SentReport>,
     reported: Time,
     next: Time,
     changed: bool,
@@ -93,11 +102,6 @@
         self.tasks.iter().map(|(k, h)| (k, h.phase, h.cause))
     }
 
-    /// The session and the highest token seen.
-    pub fn standing(&self) -> (Session, Token) {
-        (self.session, self.token)
-    }
-
     /// Whether an attempt was killed with its session and is not gone yet.
     pub fn is_dying(&self, key: &Key) -> bool {
         self.dying.contains_key(key)
--- a/crates/agent/src/core/attempts.rs
+++ b/crates/agent/src/core/attempts.rs
@@ -27,16 +27,16 @@
 
 impl Held {
     /// An attempt found after a start of the agent: it runs, or has ended.
-    pub(super) fn recovered((units, ended): Known, needs: Option<Needs>) -> Self {
-        let (phase, cause) = match ended {
-            Some((why, _)) => (TaskPhase::Ended, Some(why)),
-            None => (TaskPhase::Running, None),
+    pub(super) fn recovered(known: Known, needs: Option<Needs>) -> Self {
+        let phase = match known.ended {
+            Some(_) => TaskPhase::Ended,
+            None => TaskPhase::Running,
         };
         Self {
             phase,
-            cause,
+            cause: known.ended.map(|ending| ending.why),
             needs,
-            units,
+            units: known.units,
             from: Vec::new(),
             stopping: false,
             save_until: None,
@@ -45,6 +45,7 @@
 }
 
 impl Core {
+    /// What all attempts that have not ended take of the machine.
     fn used(&self) -> Amount {
         let mut sum = Amount::default();
         for held in self.tasks.values().filter(|h| h.phase != TaskPhase::Ended) {
@@ -56,6 +57,7 @@
         sum
     }
 
+    /// An attempt has ended; `kept`: its progress was saved.
     pub(super) fn end(&mut self, key: &Key, why: Why, kept: bool, actions: &mut Vec<Action>) {
         let Some(held) = self.tasks.get_mut(key) else {
             return;
@@ -103,6 +105,7 @@
         actions
     }
 
+    /// An attempt has all that it needs: it runs.
     fn begin(&mut self, key: &Key, actions: &mut Vec<Action>) {
         if let Some(held) = self.tasks.get_mut(key) {
             held.phase = TaskPhase::Running;
--- a/crates/agent/src/describe.rs
+++ b/crates/agent/src/describe.rs
@@ -2,30 +2,27 @@
 //! by the job's id, from a folder (`ID.json`) or over HTTP (`GET PREFIX/ID`).
 
 use std::collections::BTreeMap;
-use std::io::Write;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-use bytes::Bytes;
 use garde::Validate;
-use http_body_util::{BodyExt, Empty, Limited};
-use hyper::client::conn::http1::{handshake, SendRequest};
-use hyper::StatusCode;
-use hyper_util::rt::TokioIo;
+use http_body_util::{BodyExt, Limited};
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
 use sorrelhinge_protocol::invalid::InvalidField;
 use sorrelhinge_protocol::types::Amount;
 use sorrelhinge_protocol::users::job_id;
 use sorrelhinge_protocol::worker::Why;
-use tokio::net::TcpStream;
 use tokio::time::timeout;
 
+use crate::client::{self, ServerError};
 use crate::core::Needs;
 use crate::images::Image;
 
+/// Bytes of a description, at the most.
 const MAX_DESCRIPTION_BYTES: usize = 256 << 10;
+/// How long a server may take to answer with a description.
 const FETCH_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// Why a description can't be used.
@@ -42,6 +39,39 @@
     Field(#[from] InvalidField),
 }
 
+/// Why a job's description can't be had from its source.
+#[derive(Debug, thiserror::Error)]
+pub enum SourceError {
+    /// Its file can't be read.
+    #[error("{}: {source}", path.display())]
+    File {
+        /// The file.
+        path: PathBuf,
+        /// Why.
+        source: std::io::Error,
+    },
+    /// Its file has more bytes than are read.
+    #[error("{}: longer than {MAX_DESCRIPTION_BYTES} bytes", path.display())]
+    TooLong {
+        /// The file.
+        path: PathBuf,
+    },
+    /// The server can't be asked, or its answer broke off.
+    #[error(transparent)]
+    Server(#[from] ServerError),
+    /// The server answered with neither 200 nor 404.
+    #[error("{server}: status {status}")]
+    Status {
+        /// The server.
+        server: SocketAddr,
+        /// The answer's status.
+        status: u16,
+    },
+    /// The server gave no answer in time.
+    #[error("no answer in time")]
+    NoAnswer,
+}
+
 /// How a task saves when it is told to stop.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema, Validate)]
 #[serde(deny_unknown_fields)]
@@ -127,6 +157,9 @@
 
 impl Description {
     /// Reads a description; the error names what is wrong.
+    ///
+    /// # Errors
+    /// It is too long, not JSON, not of the format, or a field is not valid.
     pub fn read(bytes: &[u8]) -> Result<Self, DescriptionError> {
         if bytes.len() > MAX_DESCRIPTION_BYTES {
             return Err(DescriptionError::TooLong);
@@ -177,14 +210,22 @@
 pub enum Source {
     /// A folder with a file for each job.
     Folder(PathBuf),
-    /// A server, and the path before the id.
-    Http(SocketAddr, String),
+    /// A server.
+    Http {
+        /// Where it is.
+        server: SocketAddr,
+        /// The path before the id.
+        prefix: String,
+    },
 }
 
 impl Source {
     /// The description of the job of a task. `no_such` if there is none; a
     /// description that can't be used is the job's mistake, and `error`. The
     /// reason goes into the log.
+    ///
+    /// # Errors
+    /// Why the task ends: there is no such job, or its description is of no use.
     pub async fn find(&self, piece: &str) -> Result<Description, Why> {
         let job = piece.rsplit_once('/').and_then(|(job, index)| {
             index.parse::<u32>().ok()?;
@@ -196,14 +237,14 @@
         };
         let bytes = match self {
             Self::Folder(folder) => read_file(&folder.join(format!("{job}.json"))),
-            Self::Http(server, prefix) => {
+            Self::Http { server, prefix } => {
                 let path = format!("{prefix}/{job}");
                 let got = timeout(FETCH_TIMEOUT, get(*server, &path)).await;
-                got.unwrap_or_else(|_| Err("no answer in time".into()))
+                got.unwrap_or(Err(SourceError::NoAnswer))
             }
         };
         let bytes = bytes.map_err(|error| {
-            tracing::error!(task = piece, error, "job description");
+            tracing::error!(task = piece, error = error.to_string(), "job description");
             Why::Error
         })?;
         let Some(bytes) = bytes else {
@@ -217,108 +258,35 @@
     }
 }
 
-fn read_file(path: &Path) -> Result<Option<Vec<u8>>, String> {
-    match std::fs::metadata(path) {
-        Ok(meta) if meta.len() > MAX_DESCRIPTION_BYTES as u64 => Err(format!(
-            "{}: longer than {MAX_DESCRIPTION_BYTES} bytes",
-            path.display()
-        )),
-        Ok(_) => std::fs::read(path)
-            .map(Some)
-            .map_err(|e| format!("{}: {e}", path.display())),
-        Err(e) if e.kind() == std::io::ErrorKind::NotFound => Ok(None),
-        Err(e) => Err(format!("{}: {e}", path.display())),
-    }
-}
-
-/// Why an image's archive did not come.
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Unfetched {
-    /// What is wrong.
-    pub why: String,
-    /// It may come another time: nothing is wrong with it, or with the disk.
-    pub again: bool,
-}
-
-/// Fetches an image's archive into a file, `most` bytes at the most.
-///
-/// # Errors
-/// The source doesn't have it or doesn't answer, or it can't be written.
-pub async fn fetch(source: &Source, image: &Image, to: &Path, most: u64) -> Result<(), Unfetched> {
-    let failed = |again: bool| {
-        move |e: &dyn std::fmt::Display| Unfetched {
-            why: format!("{}: {e}", image.name),
-            again,
-        }
-    };
-    let (line, fatal) = (failed(true), failed(false));
-    let (server, prefix) = match source {
-        Source::Folder(folder) => {
-            let from = folder.join(format!("{}.tar", image.name));
-            let to = to.to_owned();
-            let copied = tokio::task::spawn_blocking(move || std::fs::copy(from, to));
-            let copied = copied.await.map_err(|e| fatal(&e))?;
-            return copied.map(|_| ()).map_err(|e| fatal(&e));
-        }
-        Source::Http(server, prefix) => (*server, prefix),
+/// A description's bytes, or none if there is no such file.
+fn read_file(path: &Path) -> Result<Option<Vec<u8>>, SourceError> {
+    let failed = |source| SourceError::File {
+        path: path.to_owned(),
+        source,
     };
-    let mut sender = connect(server).await.map_err(|e| line(&e))?;
-    let request = hyper::Request::get(format!("{prefix}/{}", image.name))
-        .header("host", server.to_string())
-        .body(Empty::new())
-        .map_err(|e| fatal(&e))?;
-    let response = sender.send_request(request).await.map_err(|e| line(&e))?;
-    match response.status() {
-        StatusCode::OK => {}
-        status if status.is_server_error() || status == StatusCode::TOO_MANY_REQUESTS => {
-            return Err(line(&format!("status {status}")));
-        }
-        status => return Err(fatal(&format!("status {status}"))),
-    }
-    let mut file = std::fs::File::create(to).map_err(|e| fatal(&e))?;
-    let mut body = response.into_body();
-    let mut left = most;
-    // A server that stops in the middle must not keep tasks waiting for ever.
-    loop {
-        let frame = timeout(FETCH_TIMEOUT, body.frame())
-            .await
-            .map_err(|e| line(&e))?;
-        let Some(frame) = frame else { return Ok(()) };
-        if let Ok(data) = frame.map_err(|e| line(&e))?.into_data() {
-            let length = data.len() as u64;
-            left = left
-                .checked_sub(length)
-                .ok_or_else(|| fatal(&"larger than the cache"))?;
-            file.write_all(&data).map_err(|e| fatal(&e))?;
-        }
+    match std::fs::metadata(path) {
+        Ok(meta) if meta.len() > MAX_DESCRIPTION_BYTES as u64 => Err(SourceError::TooLong {
+            path: path.to_owned(),
+        }),
+        Ok(_) => std::fs::read(path).map(Some).map_err(failed),
+        Err(error) if error.kind() == std::io::ErrorKind::NotFound => Ok(None),
+        Err(error) => Err(failed(error)),
     }
 }
 
-/// A connection to a server.
-pub(crate) async fn connect(server: SocketAddr) -> Result<SendRequest<Empty<Bytes>>, String> {
-    let text = |e: &dyn std::fmt::Display| format!("{server}: {e}");
-    let stream = TcpStream::connect(server).await.map_err(|e| text(&e))?;
-    let (sender, connection) = handshake(TokioIo::new(stream))
+/// The body of a 200; none of a 404.
+async fn get(server: SocketAddr, path: &str) -> Result<Option<Vec<u8>>, SourceError> {
+    let failed = ServerError::at(server);
+    let mut sender = client::connect(server).await?;
+    let response = client::send_get(&mut sender, server, path, None)
         .await
-        .map_err(|e| text(&e))?;
-    tokio::task::spawn_local(connection);
-    Ok(sender)
-}
-
-async fn get(server: SocketAddr, path: &str) -> Result<Option<Vec<u8>>, String> {
-    let text = |e: &dyn std::fmt::Display| format!("{server}: {e}");
-    let mut sender = connect(server).await?;
-    let request = hyper::Request::get(path)
-        .header("host", server.to_string())
-        .body(Empty::new())
-        .map_err(|e| text(&e))?;
-    let response = sender.send_request(request).await.map_err(|e| text(&e))?;
+        .map_err(&failed)?;
     match response.status().as_u16() {
         200 => {}
         404 => return Ok(None),
-        status => return Err(format!("{server}: status {status}")),
+        status => return Err(SourceError::Status { server, status }),
     }
     let body = Limited::new(response.into_body(), MAX_DESCRIPTION_BYTES).collect();
-    let body = body.await.map_err(|e| text(&e))?;
+    let body = body.await.map_err(|error| failed(error.into()))?;
     Ok(Some(body.to_bytes().to_vec()))
 }
--- a/crates/agent/src/fetch.rs
+++ b/crates/agent/src/fetch.rs
@@ -10,22 +10,23 @@
 use std::fs::File;
 use std::io::ErrorKind;
 use std::net::SocketAddr;
-use std::path::PathBuf;
+use std::path::{Path, PathBuf};
 use std::rc::Rc;
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
 use rand::Rng;
-use tokio::task::{spawn_blocking, JoinSet};
+use tokio::task::{spawn_blocking, JoinError, JoinSet};
 use tokio::time::sleep;
 
 use crate::clock;
-use crate::describe::{self, Source};
+use crate::describe::Source;
+use crate::download::{self, Unfetched};
 use crate::hand_on::Hands;
 use crate::images::{self, Image};
 use crate::part::{self, Part};
-use crate::sources::{Outcome, Sources, Whom};
-use crate::sums::{self, Sums};
+use crate::sources::{GiveUpReason, Outcome, Sources, Whom};
+use crate::sums::{self, Sums, SumsError};
 
 use find::Found;
 use lanes::Lanes;
@@ -38,28 +39,97 @@
 const MAX_CONFIRM_S: f64 = 30.0;
 
 /// Why a fetch failed, and whether what has come of it may be of use.
-#[derive(Clone, Debug, PartialEq, Eq)]
+#[derive(Debug, thiserror::Error)]
+#[error("{why}")]
 pub struct Failed {
     /// What is wrong.
-    pub why: String,
+    #[source]
+    pub why: FetchFailure,
     /// The chunks that are there are right, and stay for the next try.
     pub keep: bool,
 }
 
-fn keep(why: impl Into<String>) -> Failed {
+/// What is wrong with a fetch.
+#[derive(Debug, thiserror::Error)]
+pub enum FetchFailure {
+    /// The image has more bytes than there is room for.
+    #[error("larger than the cache: {bytes} bytes of {most}")]
+    TooLarge {
+        /// The archive's bytes.
+        bytes: u64,
+        /// Room for images, bytes.
+        most: u64,
+    },
+    /// A part can't be read or written.
+    #[error("the disk: {0}")]
+    Disk(#[source] std::io::Error),
+    /// The archive can't be unpacked or kept, or is another one.
+    #[error(transparent)]
+    Unpack(std::io::Error),
+    /// A step of it was cancelled, or panicked.
+    #[error(transparent)]
+    Step(#[from] JoinError),
+    /// The sums can't be used.
+    #[error(transparent)]
+    Sums(#[from] SumsError),
+    /// The sums are of another image.
+    #[error("another image of this name: its sum is {sha256}")]
+    OtherImage {
+        /// SHA-256 of that image's archive.
+        sha256: String,
+    },
+    /// The sums that an agent gave are not the origin's.
+    #[error("the origin has other sums of it")]
+    OtherSums,
+    /// The origin did not give the archive.
+    #[error(transparent)]
+    Origin(#[from] Unfetched),
+    /// Nobody is left who could give a chunk.
+    #[error("{why}; last: {last}")]
+    GivenUp {
+        /// Why nobody is.
+        why: GiveUpReason,
+        /// The last request that gave nothing.
+        last: String,
+    },
+}
+
+/// A part that is there or has just begun.
+struct Begun {
+    part: Rc<Part>,
+    /// The agent whose word its sums are; none if they are trusted.
+    giver: Option<SocketAddr>,
+}
+
+/// Why a part was not completed.
+enum CompleteError {
+    /// The fetch has failed.
+    Final(Failed),
+    /// The sums may be wrong: they were an agent's word only.
+    SumsInDoubt(FetchFailure),
+}
+
+/// A failure after which the chunks that have come are of use.
+fn keep(why: impl Into<FetchFailure>) -> Failed {
     Failed {
         why: why.into(),
         keep: true,
     }
 }
 
-fn lost(why: impl Into<String>) -> Failed {
+/// A failure after which nothing that has come is of use.
+fn lost(why: impl Into<FetchFailure>) -> Failed {
     Failed {
         why: why.into(),
         keep: false,
     }
 }
 
+/// A failure of the disk that a part is on.
+fn disk(error: std::io::Error) -> Failed {
+    lost(FetchFailure::Disk(error))
+}
+
 /// One image's fetch.
 pub struct Fetch {
     /// The image.
@@ -92,76 +162,95 @@
         let fetch = Rc::new(self);
         let mut liars = Vec::new();
         for _ in 0..MAX_RESTARTS {
-            let Some((part, giver)) = fetch.part().await? else {
+            let Some(Begun { part, giver }) = fetch.part().await? else {
                 return fetch.in_one_piece().await;
             };
-            let came = match part.is_whole() {
-                true => Ok(()),
-                false => fetch.chunks(&part).await,
-            };
-            let why = match came {
-                Ok(()) => match fetch.unpack(part.archive()).await {
-                    Ok(bytes) => {
-                        part.set_whole().map_err(|e| lost(e.to_string()))?;
-                        return Ok(bytes);
-                    }
-                    Err(error) if error.kind() == ErrorKind::StorageFull || part.hands_on() => {
-                        return Err(lost(error.to_string()));
-                    }
-                    Err(error) => error.to_string(),
-                },
-                Err(failed) if part.hands_on() || !failed.keep => return Err(failed),
-                Err(failed) => failed.why,
+            let why = match fetch.complete(&part).await {
+                Ok(bytes) => return Ok(bytes),
+                Err(CompleteError::Final(failed)) => return Err(failed),
+                Err(CompleteError::SumsInDoubt(why)) => why.to_string(),
             };
             // The sums were an agent's word, which proves nothing: it may be
             // wrong, and those who gave other bytes than it says right.
             tracing::error!(image = fetch.image.name, source = ?giver, why, "wrong sums");
-            fetch.hands.drop_part(&fetch.image.sha256);
             liars.extend(giver);
-            let all = fetch.sources.borrow().all_agents();
-            let mut anew = fetch.anew(all);
-            for liar in &liars {
-                anew.came(Whom::Agent(*liar), Outcome::Wrong, 0.0, clock::now());
-            }
-            *fetch.sources.borrow_mut() = anew;
+            fetch.restart_without(&liars);
         }
         fetch.in_one_piece().await
     }
 
+    /// Fetches what misses of a part and unpacks it.
+    async fn complete(self: &Rc<Self>, part: &Rc<Part>) -> Result<u64, CompleteError> {
+        if !part.is_whole() {
+            self.chunks(part).await.map_err(|failed| {
+                if part.hands_on() || !failed.keep {
+                    CompleteError::Final(failed)
+                } else {
+                    CompleteError::SumsInDoubt(failed.why)
+                }
+            })?;
+        }
+        let unpacked = self.unpack(part.archive()).await;
+        let bytes = unpacked.map_err(|error| {
+            let full = error.kind() == ErrorKind::StorageFull;
+            let why = FetchFailure::Unpack(error);
+            if full || part.hands_on() {
+                CompleteError::Final(lost(why))
+            } else {
+                CompleteError::SumsInDoubt(why)
+            }
+        })?;
+        let set = part.set_whole();
+        set.map_err(|error| CompleteError::Final(lost(FetchFailure::Unpack(error))))?;
+        Ok(bytes)
+    }
+
+    /// Forgets the part, and begins anew with all agents but those whose sums
+    /// proved wrong.
+    fn restart_without(&self, liars: &[SocketAddr]) {
+        self.hands.drop_part(&self.image.sha256);
+        let all = self.sources.borrow().all_agents();
+        let mut anew = self.anew(all);
+        for liar in liars {
+            anew.came(Whom::Agent(*liar), Outcome::Wrong, 0.0, clock::now());
+        }
+        *self.sources.borrow_mut() = anew;
+    }
+
+    /// Sources of which none has been asked yet.
     fn anew(&self, agents: impl IntoIterator<Item = SocketAddr>) -> Sources {
         let wait = self.hands.settings().origin_after_s;
         Sources::new(agents, wait, jitter(), clock::now())
     }
 
     /// What there is of the image, or a part that has just begun; none if
-    /// nobody has sums of it. And which agent's word the sums are.
-    async fn part(&self) -> Result<Option<(Rc<Part>, Option<SocketAddr>)>, Failed> {
+    /// nobody has sums of it.
+    async fn part(&self) -> Result<Option<Begun>, Failed> {
         let sha256 = &self.image.sha256;
         let there = self.hands.part(sha256);
         if let Some(part) = there.clone().filter(|p| p.hands_on()) {
             (self.room)(part.sums().bytes);
             self.look(&part).await?;
-            return Ok(Some((part, None)));
+            return Ok(Some(Begun { part, giver: None }));
         }
         let Some(found) = self.find_sums().await? else {
             return Ok(None);
         };
-        if found.sums.bytes > self.most {
-            return Err(lost(format!(
-                "larger than the cache: {} bytes of {}",
-                found.sums.bytes, self.most
-            )));
+        let Found { known, giver } = found;
+        let bytes = known.sums.bytes;
+        if bytes > self.most {
+            let most = self.most;
+            return Err(lost(FetchFailure::TooLarge { bytes, most }));
         }
-        (self.room)(found.sums.bytes);
-        if let Some(part) = there.filter(|p| p.text() == found.text && !found.trusted) {
+        (self.room)(bytes);
+        if let Some(part) = there.filter(|p| p.text() == known.text && !known.trusted) {
             self.look(&part).await?;
-            return Ok(Some((part, found.giver)));
+            return Ok(Some(Begun { part, giver }));
         }
-        let Found { text, sums, .. } = found;
-        let part = Part::begin(&self.parts, &self.image, text, sums, found.trusted);
-        let part = Rc::new(part.map_err(|e| lost(format!("the disk: {e}")))?);
+        let part = Part::begin(&self.parts, &self.image, known);
+        let part = Rc::new(part.map_err(disk)?);
         self.hands.keep(part.clone());
-        Ok(Some((part, found.giver)))
+        Ok(Some(Begun { part, giver }))
     }
 
     /// Goes on with the chunks that an earlier run left.
@@ -171,8 +260,8 @@
         }
         let (archive, sums) = (part.archive(), part.sums().clone());
         let looked = spawn_blocking(move || Part::look(&archive, &sums)).await;
-        let have = looked.map_err(|e| lost(e.to_string()))?;
-        part.resume(have.map_err(|e| lost(format!("the disk: {e}")))?);
+        let have = looked.map_err(lost)?;
+        part.resume(have.map_err(disk)?);
         tracing::info!(
             image = self.image.name,
             chunks = part.count(),
@@ -205,7 +294,7 @@
         }
         let ended = async {
             while let Some(ended) = all.join_next().await {
-                ended.map_err(|e| lost(e.to_string()))??;
+                ended.map_err(lost)??;
             }
             Ok(())
         };
@@ -229,7 +318,7 @@
                     }
                 }
                 Ok(text) => match self.found(text, true, None) {
-                    Ok(_) => return keep("the origin has other sums of it"),
+                    Ok(_) => return keep(FetchFailure::OtherSums),
                     // Of another image of this name: the whole will tell.
                     Err(_) => break,
                 },
@@ -249,30 +338,15 @@
         let _coming = self.hands.comes(&self.image.sha256, &self.image.name);
         let sha256 = &self.image.sha256;
         let folder = part::folder_of(&self.parts, sha256);
-        let disk = |e: std::io::Error| lost(format!("the disk: {e}"));
         part::remove(&self.parts, sha256).map_err(disk)?;
         std::fs::create_dir_all(&folder).map_err(disk)?;
         let archive = folder.join("archive");
-        let mut tries = 0;
-        loop {
-            tries += 1;
-            let fetched = describe::fetch(&self.origin, &self.image, &archive, self.most).await;
-            match fetched {
-                Ok(()) => break,
-                // A busy origin is not asked again by all at the same moment.
-                Err(failed) if tries < MAX_WHOLE_TRIES && failed.again => {
-                    let why = failed.why;
-                    tracing::info!(image = self.image.name, why, "again");
-                    sleep(Duration::from_secs_f64(f64::from(tries) * (0.5 + jitter()))).await;
-                }
-                Err(failed) => return Err(lost(failed.why)),
-            }
-        }
+        self.download(&archive).await?;
         let bytes = self.unpack(archive.clone()).await;
-        let bytes = bytes.map_err(|e| lost(e.to_string()))?;
+        let bytes = bytes.map_err(|e| lost(FetchFailure::Unpack(e)))?;
         let summed =
             spawn_blocking(move || Sums::of(File::open(archive)?, sums::DEFAULT_CHUNK_BYTES)).await;
-        let sums = summed.map_err(|e| lost(e.to_string()))?;
+        let sums = summed.map_err(lost)?;
         let part = sums.and_then(|sums| Part::of_whole(&self.parts, &self.image, sums));
         match part {
             Ok(part) => self.hands.keep(Rc::new(part)),
@@ -282,6 +356,25 @@
         Ok(bytes)
     }
 
+    /// The archive from the origin, which is asked again while it is busy.
+    async fn download(&self, archive: &Path) -> Result<(), Failed> {
+        let mut tries = 0;
+        loop {
+            tries += 1;
+            match download::fetch(&self.origin, &self.image, archive, self.most).await {
+                Ok(()) => return Ok(()),
+                // A busy origin is not asked again by all at the same moment.
+                Err(failed) if tries < MAX_WHOLE_TRIES && failed.again => {
+                    let why = failed.to_string();
+                    tracing::info!(image = self.image.name, why, "again");
+                    sleep(Duration::from_secs_f64(f64::from(tries) * (0.5 + jitter()))).await;
+                }
+                Err(failed) => return Err(lost(failed)),
+            }
+        }
+    }
+
+    /// Unpacks an archive into the cache, unless it is there; its bytes.
     async fn unpack(&self, archive: PathBuf) -> std::io::Result<u64> {
         let (image, images, most) = (self.image.clone(), self.images.clone(), self.most);
         let unpacking = self.unpacking.clone();
--- a/crates/agent/src/fetch/find.rs
+++ b/crates/agent/src/fetch/find.rs
@@ -5,13 +5,16 @@
 use std::time::Duration;
 
 use bytes::Bytes;
+use sorrelhinge_protocol::types::Time;
 use tokio::task::spawn_blocking;
 use tokio::time::{sleep, timeout};
 
-use super::http::{ask, whole_body};
-use super::{jitter, keep, lost, Failed, Fetch, MAX_WHOLE_TRIES};
+use super::http::whole_body;
+use super::{jitter, keep, lost, Failed, Fetch, FetchFailure, MAX_WHOLE_TRIES};
+use crate::client;
 use crate::clock;
-use crate::describe::{self, Source};
+use crate::describe::Source;
+use crate::part::KnownSums;
 use crate::sources::{Outcome, Whom};
 use crate::sums::{self, Sums};
 
@@ -19,127 +22,182 @@
 /// before the origin is, in seconds: their own starts may be on their way.
 const SUMS_FROM_AGENTS_S: f64 = 3.0;
 
-/// Sums, whether they are trusted, and which agent gave them.
+/// Why the origin did not say whether it has sums.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
+enum OriginUnavailable {
+    /// It answers that it is busy.
+    #[error("it is busy")]
+    Busy,
+    /// It does not answer, or not with what was asked for.
+    #[error("no answer")]
+    NoAnswer,
+}
+
+/// Sums, and which agent gave them.
 pub(super) struct Found {
-    pub(super) text: Bytes,
-    pub(super) sums: Sums,
-    pub(super) trusted: bool,
+    pub(super) known: KnownSums,
+    /// None if they are trusted.
     pub(super) giver: Option<SocketAddr>,
 }
 
 impl Fetch {
+    /// Sums of the image: those that the job names, else the origin's, else an
+    /// agent's word; none if nobody has any.
     pub(super) async fn find_sums(&self) -> Result<Option<Found>, Failed> {
         let begun = clock::now();
         if let Some(known) = &self.image.sums_sha256 {
-            // Whoever gives them: their own sum tells.
-            loop {
-                for agent in self.agents() {
-                    if let Ok(text) = self.sums_of_agent(agent).await {
-                        if sums::sha256(&text) == *known {
-                            return self.found(text, true, None).map(Some);
-                        }
-                        tracing::error!(image = self.image.name, %agent, "other sums than the job names");
-                    }
-                }
-                let waited = clock::now().since(begun);
-                if self.agents().is_empty() || waited > SUMS_FROM_AGENTS_S * (0.5 + jitter()) {
-                    break;
-                }
-                sleep(Duration::from_secs_f64(0.2 + 0.3 * jitter())).await;
+            if let Some(found) = self.named_sums_of_agents(known, begun).await? {
+                return Ok(Some(found));
             }
         }
-        let mut other = None;
-        match self.sums_of_origin().await {
-            Ok(Some(text)) => {
-                let known = self.image.sums_sha256.as_ref();
-                let as_named = known.is_none_or(|known| *known == sums::sha256(&text));
-                match self.found(text, true, None) {
-                    Ok(found) if as_named => return Ok(Some(found)),
-                    Ok(_) => tracing::error!(
-                        image = self.image.name,
-                        "the origin has other sums than the job names"
-                    ),
-                    // Of another image of this name: the agents may have ours.
-                    Err(Failed { why, keep }) => {
-                        tracing::error!(image = self.image.name, why, "the origin's sums");
-                        other = keep.then_some(why);
+        let other = match self.usable_sums_of_origin().await {
+            Ok(Some(found)) => return Ok(Some(found)),
+            Ok(None) => None,
+            Err(other) => Some(other),
+        };
+        if let Some(found) = self.unproven_sums_of_agents(begun).await {
+            return Ok(Some(found));
+        }
+        // What the origin calls so is another image: nothing to fetch whole.
+        other.map_or(Ok(None), |why| Err(keep(why)))
+    }
+
+    /// The sums that the job names, from whichever agent gives them: their own sum
+    /// tells.
+    async fn named_sums_of_agents(
+        &self,
+        known: &str,
+        begun: Time,
+    ) -> Result<Option<Found>, Failed> {
+        loop {
+            for agent in self.agents() {
+                if let Ok(text) = self.sums_of_agent(agent).await {
+                    if sums::sha256(&text) == known {
+                        return self.found(text, true, None).map(Some);
                     }
+                    tracing::error!(image = self.image.name, %agent, "other sums than the job names");
                 }
             }
-            Ok(None) => {}
-            Err(why) => tracing::error!(image = self.image.name, why, "the origin's sums"),
+            let waited = clock::now().since(begun);
+            if self.agents().is_empty() || waited > SUMS_FROM_AGENTS_S * (0.5 + jitter()) {
+                return Ok(None);
+            }
+            sleep(Duration::from_secs_f64(0.2 + 0.3 * jitter())).await;
         }
-        // An agent's word, until the whole has proven it. Those that have begun
-        // with it are waited for; nobody is that has not.
+    }
+
+    /// The origin's sums, if it has some that are of use.
+    ///
+    /// # Errors
+    /// They are of another image of this name: the agents may have ours.
+    async fn usable_sums_of_origin(&self) -> Result<Option<Found>, FetchFailure> {
+        let text = match self.sums_of_origin().await {
+            Ok(Some(text)) => text,
+            Ok(None) => return Ok(None),
+            Err(why) => {
+                let why = why.to_string();
+                tracing::error!(image = self.image.name, why, "the origin's sums");
+                return Ok(None);
+            }
+        };
+        let known = self.image.sums_sha256.as_ref();
+        let as_named = known.is_none_or(|known| *known == sums::sha256(&text));
+        match self.found(text, true, None) {
+            Ok(found) if as_named => Ok(Some(found)),
+            Ok(_) => {
+                tracing::error!(
+                    image = self.image.name,
+                    "the origin has other sums than the job names"
+                );
+                Ok(None)
+            }
+            Err(Failed { why, keep }) => {
+                let text = why.to_string();
+                tracing::error!(image = self.image.name, why = text, "the origin's sums");
+                keep.then_some(why).map_or(Ok(None), Err)
+            }
+        }
+    }
+
+    /// An agent's word, until the whole has proven it. Those that have begun with
+    /// the image are waited for; nobody is that has not.
+    async fn unproven_sums_of_agents(&self, begun: Time) -> Option<Found> {
         let patience = self.hands.settings().origin_after_s * (1.0 + jitter());
         let mut heard = begun;
         loop {
             for agent in self.agents() {
                 match self.sums_of_agent(agent).await {
                     Ok(text) => match self.found(text, false, Some(agent)) {
-                        Ok(found) => return Ok(Some(found)),
-                        Err(failed) => {
-                            tracing::error!(image = self.image.name, %agent, error = failed.why, "sums");
-                            let mut sources = self.sources.borrow_mut();
-                            sources.came(Whom::Agent(agent), Outcome::Wrong, 0.0, clock::now());
-                        }
+                        Ok(found) => return Some(found),
+                        Err(failed) => self.drop_agent(agent, &failed),
                     },
                     Err(Outcome::NotYet(_)) => heard = clock::now(),
                     Err(_) => {}
                 }
             }
             if self.agents().is_empty() || clock::now().since(heard) > patience {
-                break;
+                return None;
             }
             sleep(Duration::from_secs_f64(0.5 + jitter())).await;
         }
-        // What the origin calls so is another image: nothing to fetch whole.
-        other.map_or(Ok(None), |why| Err(keep(why)))
     }
 
+    /// An agent gave sums that can't be used: it is not asked again.
+    fn drop_agent(&self, agent: SocketAddr, failed: &Failed) {
+        tracing::error!(image = self.image.name, %agent, error = failed.to_string(), "sums");
+        let mut sources = self.sources.borrow_mut();
+        sources.came(Whom::Agent(agent), Outcome::Wrong, 0.0, clock::now());
+    }
+
+    /// Agents that may still be asked, in their order.
     pub(super) fn agents(&self) -> Vec<SocketAddr> {
         self.sources.borrow().agents()
     }
 
+    /// Reads a file of sums, which must be of this image; `giver`: whose word it is.
     pub(super) fn found(
         &self,
         text: Bytes,
         trusted: bool,
         giver: Option<SocketAddr>,
     ) -> Result<Found, Failed> {
-        let sums = Sums::read(&text).map_err(|e| lost(e.to_string()))?;
+        let sums = Sums::read(&text).map_err(lost)?;
         if sums.sha256 != self.image.sha256 {
-            return Err(keep(format!(
-                "another image of this name: its sum is {}",
-                sums.sha256
-            )));
+            return Err(keep(FetchFailure::OtherImage {
+                sha256: sums.sha256,
+            }));
         }
-        Ok(Found {
+        let known = KnownSums {
             text,
             sums,
             trusted,
-            giver,
-        })
+        };
+        Ok(Found { known, giver })
     }
 
+    /// The file of sums from another agent, or why it gave none.
     async fn sums_of_agent(&self, agent: SocketAddr) -> Result<Bytes, Outcome> {
         let path = format!(
             "/images/{}/sums?sha256={}",
             self.image.name, self.image.sha256
         );
-        let patience = self.hands.settings().stall_s;
-        let got = timeout(Duration::from_secs_f64(patience), async {
-            let mut line = describe::connect(agent)
-                .await
-                .map_err(|_| Outcome::Failed)?;
-            let response = ask(&mut line, agent, &path, None).await;
+        self.file_of_sums(agent, &path).await
+    }
+
+    /// A file of sums from a server, within the time that a source may be silent.
+    async fn file_of_sums(&self, server: SocketAddr, path: &str) -> Result<Bytes, Outcome> {
+        let patience = Duration::from_secs_f64(self.hands.settings().stall_s);
+        let asked = timeout(patience, async {
+            let line = client::connect(server).await;
+            let mut line = line.map_err(|_| Outcome::Failed)?;
+            let response = client::send_get(&mut line, server, path, None).await;
             whole_body(response.map_err(|_| Outcome::Failed)?).await
         });
-        got.await.unwrap_or(Err(Outcome::Failed))
+        asked.await.unwrap_or(Err(Outcome::Failed))
     }
 
     /// The sums that the origin has beside the image; none if it has none.
-    async fn sums_of_origin(&self) -> Result<Option<Bytes>, String> {
+    async fn sums_of_origin(&self) -> Result<Option<Bytes>, OriginUnavailable> {
         let mut tries = 0;
         loop {
             tries += 1;
@@ -147,17 +205,18 @@
                 Ok(text) => return Ok(Some(text)),
                 // Some stores say 403 of what they don't have.
                 Err(Outcome::Nothing | Outcome::Wrong) => return Ok(None),
-                Err(Outcome::NotYet(after)) => ("it is busy", after.min(5.0)),
-                Err(_) => ("no answer", 0.5),
+                Err(Outcome::NotYet(after)) => (OriginUnavailable::Busy, after.min(5.0)),
+                Err(_) => (OriginUnavailable::NoAnswer, 0.5),
             };
             // Agents may have them, and the whole proves what they say.
             if tries >= MAX_WHOLE_TRIES || tries >= 2 && !self.agents().is_empty() {
-                return Err(why.into());
+                return Err(why);
             }
             sleep(Duration::from_secs_f64(after * (0.5 + jitter()))).await;
         }
     }
 
+    /// The file of sums from the origin, or why it gave none.
     pub(super) async fn ask_origin_for_sums(&self) -> Result<Bytes, Outcome> {
         let name = format!("{}.sums", self.image.name);
         match &self.origin {
@@ -170,16 +229,9 @@
                 });
                 read.await.unwrap_or(Err(Outcome::Failed)).map(Bytes::from)
             }
-            Source::Http(server, prefix) => {
+            Source::Http { server, prefix } => {
                 let path = format!("{prefix}/{name}");
-                let patience = self.hands.settings().stall_s;
-                let got = timeout(Duration::from_secs_f64(patience), async {
-                    let line = describe::connect(*server).await;
-                    let mut line = line.map_err(|_| Outcome::Failed)?;
-                    let response = ask(&mut line, *server, &path, None).await;
-                    whole_body(response.map_err(|_| Outcome::Failed)?).await
-                });
-                got.await.unwrap_or(Err(Outcome::Failed))
+                self.file_of_sums(*server, &path).await
             }
         }
     }
--- a/crates/agent/src/hand_on.rs
+++ b/crates/agent/src/hand_on.rs
@@ -7,37 +7,22 @@
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 use std::fs::File;
-use std::io::{Error, Result};
 use std::net::IpAddr;
-use std::os::unix::fs::FileExt;
-use std::pin::Pin;
+use std::ops::Range;
 use std::rc::Rc;
 use std::sync::Arc;
-use std::task::{Context, Poll};
 use std::time::{Duration, Instant};
 
 use bytes::Bytes;
 use http_body_util::{Either, Full};
-use hyper::body::{Body, Frame, SizeHint};
 use hyper::{Method, Response, StatusCode, Uri};
-use sorrelhinge_protocol::types::Time;
 use sorrelhinge_protocol::worker::ReportedImage;
-use tokio::sync::mpsc;
-use tokio::task::spawn_local;
-use tokio::time::{sleep, timeout};
+use tokio::time::sleep;
 
-use crate::clock;
 use crate::part::Part;
 use crate::settings::HandOn;
+use crate::upload::{span, Bytewise, Pieces, Rate, Slot, Upload, MIN_RATE_BYTES_PER_S};
 
-/// Bytes that go out at a time: between two of them anything else of the agent
-/// has its turn.
-const SEND_BYTES: u64 = 128 << 10;
-/// A wait that is shorter is left to the next piece: timers go by milliseconds,
-/// and one for each piece would bound an upload far below any rate.
-const MIN_WAIT_S: f64 = 0.002;
-/// Who takes less than this, bytes a second, doesn't keep a slot.
-pub const MIN_RATE_BYTES_PER_S: f64 = 1e6;
 /// How long a request waits for a chunk that is on its way here: it saves the
 /// asker a pause in each step of a chain.
 const MAX_CHUNK_WAIT: Duration = Duration::from_secs(2);
@@ -60,6 +45,7 @@
     response
 }
 
+/// A refusal, with its reason and when to ask again.
 fn refuse(status: u16, why: &str, retry_s: Option<u32>) -> Answer {
     let mut response = plain(status, serde_json::json!({ "error": why }).to_string());
     if let Some(s) = retry_s {
@@ -68,79 +54,45 @@
     response
 }
 
-/// A body that comes piece by piece, its length known.
-pub struct Pieces {
-    from: mpsc::Receiver<Result<Bytes>>,
-    left: u64,
+/// As many uploads as the settings allow are under way.
+fn no_slot() -> Answer {
+    refuse(503, "all uploads are taken", Some(RETRY_SOON_S))
 }
 
-impl Body for Pieces {
-    type Data = Bytes;
-    type Error = Error;
-
-    fn poll_frame(
-        mut self: Pin<&mut Self>,
-        context: &mut Context<'_>,
-    ) -> Poll<Option<Result<Frame<Bytes>>>> {
-        self.from.poll_recv(context).map(|piece| match piece {
-            Some(Ok(bytes)) => {
-                self.left = self.left.saturating_sub(bytes.len() as u64);
-                Some(Ok(Frame::data(bytes)))
-            }
-            Some(Err(error)) => Some(Err(error)),
-            // Half a body must not look like a whole one.
-            None if self.left > 0 => Some(Err(Error::other("cut short"))),
-            None => None,
-        })
-    }
-
-    fn is_end_stream(&self) -> bool {
-        self.left == 0
-    }
-
-    fn size_hint(&self) -> SizeHint {
-        SizeHint::with_exact(self.left)
-    }
-}
-
-/// The bound on what goes out, for all uploads together.
-#[derive(Debug)]
-struct Rate {
-    bytes_per_s: f64,
-    free: Time,
+/// The range that was asked for is none of so many bytes.
+fn no_such_range(bytes: u64) -> Answer {
+    let mut response = refuse(416, "no such range", None);
+    set_content_range(&mut response, &format!("bytes */{bytes}"));
+    response
 }
 
-impl Rate {
-    /// How many seconds so many bytes have to wait, if they come now.
-    fn wait(&mut self, bytes: u64, now: Time) -> f64 {
-        let begin = Time(self.free.0.max(now.0));
-        self.free = begin.after(bytes as f64 / self.bytes_per_s);
-        begin.since(now)
+fn set_content_range(response: &mut Answer, of: &str) {
+    if let Ok(of) = of.parse() {
+        response.headers_mut().insert("content-range", of);
     }
 }
 
-/// One of a bounded number, given back when it is dropped.
-struct Slot(Rc<Cell<usize>>);
-
-impl Slot {
-    fn take(free: &Rc<Cell<usize>>) -> Option<Self> {
-        free.set(free.get().checked_sub(1)?);
-        Some(Self(free.clone()))
-    }
+/// What a request below `/images/` names. Names are looked up among images, never
+/// on the disk.
+struct ImageRequest<'a> {
+    name: &'a str,
+    sha256: Option<&'a str>,
+    /// The file of sums, not the archive.
+    sums: bool,
 }
 
-impl Drop for Slot {
-    fn drop(&mut self) {
-        self.0.set(self.0.get() + 1);
+impl<'a> ImageRequest<'a> {
+    fn of(uri: &'a Uri) -> Self {
+        let rest = uri.path().strip_prefix("/images/").unwrap_or_default();
+        let sums_of = rest.strip_suffix("/sums");
+        Self {
+            name: sums_of.unwrap_or(rest),
+            sha256: uri.query().and_then(|q| q.strip_prefix("sha256=")),
+            sums: sums_of.is_some(),
+        }
     }
 }
 
-/// Where the bytes of an answer are.
-enum Bytewise {
-    Memory(Bytes),
-    File(Arc<File>, u64),
-}
-
 /// What is handed on, and to whom.
 pub struct Hands {
     settings: HandOn,
@@ -157,10 +109,7 @@
     /// With nothing to hand on yet.
     pub fn new(settings: HandOn) -> Self {
         let uploads = settings.uploads as usize;
-        let rate = Rate {
-            bytes_per_s: settings.upload_mb_per_s * 1e6,
-            free: Time(0.0),
-        };
+        let rate = Rate::new(settings.upload_mb_per_s * 1e6);
         Self {
             settings,
             parts: RefCell::default(),
@@ -203,7 +152,10 @@
     pub fn comes(self: &Rc<Self>, sha256: &str, name: &str) -> Coming {
         let mut coming = self.coming.borrow_mut();
         coming.insert(sha256.to_owned(), name.to_owned());
-        Coming(self.clone(), sha256.to_owned())
+        Coming {
+            hands: self.clone(),
+            sha256: sha256.to_owned(),
+        }
     }
 
     /// What a report tells of images, those on their way first.
@@ -236,57 +188,55 @@
         if method != Method::GET {
             return refuse(405, "only GET", None);
         }
-        let rest = uri.path().strip_prefix("/images/").unwrap_or_default();
-        let (name, of_sums) = match rest.strip_suffix("/sums") {
-            Some(name) => (name, true),
-            None => (rest, false),
-        };
-        let sha256 = uri.query().and_then(|q| q.strip_prefix("sha256="));
-        // Names are looked up among images, never on the disk.
-        let part = match self.find(name, sha256) {
-            Ok(part) => part,
-            Err(refused) => return *refused,
+        let wanted = ImageRequest::of(uri);
+        match self.find(wanted.name, wanted.sha256) {
+            Ok(part) if wanted.sums => self.answer_sums(&part),
+            Ok(part) => self.answer_archive(&part, range).await,
+            Err(refused) => *refused,
+        }
+    }
+
+    /// The file of sums.
+    fn answer_sums(&self, part: &Part) -> Answer {
+        let Some(slot) = Slot::take(&self.slots) else {
+            return no_slot();
         };
-        let (from, to) = match range {
-            _ if of_sums => (0, part.text().len() as u64),
-            None => (0, part.sums().bytes),
-            Some(range) => match span(range, part.sums().bytes) {
-                Some(span) => span,
-                None => {
-                    let mut response = refuse(416, "no such range", None);
-                    let of = format!("bytes */{}", part.sums().bytes);
-                    if let Ok(of) = of.parse() {
-                        response.headers_mut().insert("content-range", of);
-                    }
-                    return response;
-                }
-            },
+        let text = part.text();
+        let length = text.len() as u64;
+        let pieces = self.send(Bytewise::Memory(text), length, slot);
+        Response::new(Either::Right(pieces))
+    }
+
+    /// The archive, or a range of it.
+    async fn answer_archive(&self, part: &Part, range: Option<&str>) -> Answer {
+        let bytes = part.sums().bytes;
+        let Some(wanted) = range.map_or(Some(0..bytes), |range| span(range, bytes)) else {
+            return no_such_range(bytes);
         };
-        if !of_sums && !self.there(&part, from, to).await {
+        if !self.there(part, &wanted).await {
             return refuse(503, "not there yet", Some(RETRY_SOON_S));
         }
         let Some(slot) = Slot::take(&self.slots) else {
-            return refuse(503, "all uploads are taken", Some(RETRY_SOON_S));
+            return no_slot();
+        };
+        let Ok(file) = File::open(part.archive()) else {
+            return refuse(404, "no such image any more", None);
         };
-        let bytes = match of_sums {
-            true => Bytewise::Memory(part.text()),
-            false => match File::open(part.archive()) {
-                Ok(file) => Bytewise::File(Arc::new(file), from),
-                Err(_) => return refuse(404, "no such image any more", None),
-            },
+        let source = Bytewise::File {
+            file: Arc::new(file),
+            from: wanted.start,
         };
-        let mut response = Response::new(Either::Right(self.send(bytes, to - from, slot)));
-        if range.is_some() && !of_sums {
+        let pieces = self.send(source, wanted.end - wanted.start, slot);
+        let mut response = Response::new(Either::Right(pieces));
+        if range.is_some() {
             *response.status_mut() = StatusCode::PARTIAL_CONTENT;
-            let of = format!("bytes {from}-{}/{}", to - 1, part.sums().bytes);
-            if let Ok(of) = of.parse() {
-                response.headers_mut().insert("content-range", of);
-            }
+            let of = format!("bytes {}-{}/{bytes}", wanted.start, wanted.end - 1);
+            set_content_range(&mut response, &of);
         }
         response
     }
 
-    fn find(&self, name: &str, sha256: Option<&str>) -> std::result::Result<Rc<Part>, Box<Answer>> {
+    fn find(&self, name: &str, sha256: Option<&str>) -> Result<Rc<Part>, Box<Answer>> {
         let no = |status, why, retry_s| Box::new(refuse(status, why, retry_s));
         let parts = self.parts.borrow();
         let asked = |sum: &str| sha256.is_none_or(|asked| asked == sum);
@@ -316,8 +266,9 @@
 
     /// Whether all chunks of a span are there; for those on their way it waits
     /// a little.
-    async fn there(&self, part: &Part, from: u64, to: u64) -> bool {
-        let all = || part.sums().within(from, to).all(|chunk| part.has(chunk));
+    async fn there(&self, part: &Part, wanted: &Range<u64>) -> bool {
+        let chunks = part.sums().within(wanted.start, wanted.end);
+        let all = || chunks.clone().all(|chunk| part.has(chunk));
         if all() {
             return true;
         }
@@ -334,111 +285,29 @@
         false
     }
 
+    /// Sends so many bytes, and holds the slot meanwhile.
     fn send(&self, bytes: Bytewise, length: u64, slot: Slot) -> Pieces {
-        let (to, from) = mpsc::channel(1);
-        let rate = self.rate.clone();
-        let patience = self.settings.stall_s + length as f64 / MIN_RATE_BYTES_PER_S;
-        spawn_local(async move {
-            let _slot = slot;
-            let mut blocked = Duration::ZERO;
-            let mut sent = 0;
-            while sent < length {
-                let size = SEND_BYTES.min(length - sent);
-                let wait = rate.borrow_mut().wait(size, clock::now());
-                if wait > MIN_WAIT_S {
-                    sleep(Duration::from_secs_f64(wait)).await;
-                }
-                let piece = match &bytes {
-                    Bytewise::Memory(all) => Ok(all.slice(sent as usize..(sent + size) as usize)),
-                    Bytewise::File(file, begin) => {
-                        let (file, at) = (file.clone(), begin + sent);
-                        let read = tokio::task::spawn_blocking(move || {
-                            let mut buffer = vec![0; size as usize];
-                            file.read_exact_at(&mut buffer, at)?;
-                            Ok(Bytes::from(buffer))
-                        });
-                        read.await.unwrap_or_else(|e| Err(Error::other(e)))
-                    }
-                };
-                let failed = piece.is_err();
-                // Who doesn't take what is sent must not keep the slot.
-                let left = Duration::from_secs_f64(patience).saturating_sub(blocked);
-                let before = Instant::now();
-                match timeout(left, to.send(piece)).await {
-                    Ok(Ok(())) if !failed => {}
-                    _ => return,
-                }
-                blocked += before.elapsed();
-                sent += size;
-            }
-        });
-        Pieces { from, left: length }
+        let upload = Upload {
+            bytes,
+            length,
+            rate: self.rate.clone(),
+            patience: Duration::from_secs_f64(
+                self.settings.stall_s + length as f64 / MIN_RATE_BYTES_PER_S,
+            ),
+            slot,
+        };
+        upload.start()
     }
 }
 
 /// An image is on its way, as long as this is there.
-pub struct Coming(Rc<Hands>, String);
+pub struct Coming {
+    hands: Rc<Hands>,
+    sha256: String,
+}
 
 impl Drop for Coming {
     fn drop(&mut self) {
-        self.0.coming.borrow_mut().remove(&self.1);
-    }
-}
-
-/// The bytes that a `Range` names of so many: the first, and the first behind
-/// them. One range only; none if there are no such bytes.
-fn span(range: &str, of: u64) -> Option<(u64, u64)> {
-    let (from, to) = range.strip_prefix("bytes=")?.split_once('-')?;
-    let number = |text: &str| text.parse::<u64>().ok();
-    let (from, to) = match (from, to) {
-        ("", last) => (of.saturating_sub(number(last)?), of),
-        (from, "") => (number(from)?, of),
-        (from, to) => (number(from)?, number(to)?.checked_add(1)?.min(of)),
-    };
-    (from < to).then_some((from, to))
-}
-
-#[cfg(test)]
-mod tests {
-    use sorrelhinge_protocol::types::Time;
-
-    use super::{span, Rate};
-
-    #[test]
-    fn ranges() {
-        assert_eq!(span("bytes=0-0", 10), Some((0, 1)));
-        assert_eq!(span("bytes=3-", 10), Some((3, 10)));
-        assert_eq!(span("bytes=3-99", 10), Some((3, 10)));
-        assert_eq!(span("bytes=-4", 10), Some((6, 10)));
-        assert_eq!(span("bytes=-40", 10), Some((0, 10)));
-        for none in [
-            "bytes=10-",
-            "bytes=10-12",
-            "bytes=5-4",
-            "bytes=-0",
-            "bytes=-",
-            "bytes=0-1,3-4",
-            "0-1",
-            "bytes=a-b",
-            "bytes=1-18446744073709551615",
-        ] {
-            assert_eq!(span(none, 10), None, "{none}");
-        }
-    }
-
-    #[test]
-    fn the_rate_holds_for_all_together() {
-        let mut rate = Rate {
-            bytes_per_s: 100.0,
-            free: Time(0.0),
-        };
-        assert_eq!(rate.wait(50, Time(10.0)), 0.0);
-        assert_eq!(rate.wait(50, Time(10.0)), 0.5);
-        assert_eq!(rate.wait(50, Time(10.5)), 0.5);
-        assert_eq!(
-            rate.wait(50, Time(20.0)),
-            0.0,
-            "what was not used is not owed"
-        );
+        self.hands.coming.borrow_mut().remove(&self.sha256);
     }
 }
--- a/crates/agent/src/images.rs
+++ b/crates/agent/src/images.rs
@@ -14,6 +14,7 @@
 use sha2::{Digest, Sha256};
 
 use crate::core::Key;
+use crate::sums;
 
 /// The image that a job's tasks need: a tar archive, by its name where archives
 /// are, and by the sum of its bytes, which is what it is known by here.
@@ -35,6 +36,7 @@
     pub sums_sha256: Option<String>,
 }
 
+/// A name that can be part of a path.
 fn plain_name(name: &str, _: &()) -> garde::Result {
     let plain = |b: u8| b.is_ascii_alphanumeric() || matches!(b, b'-' | b'_' | b'.');
     match name.bytes().all(plain) && !name.starts_with('.') {
@@ -72,29 +74,54 @@
     Fetch,
 }
 
+/// A part of an image that nobody waits for.
+#[derive(Clone, Copy, Debug)]
+struct LeftPart {
+    /// When it was left, by the cache's own count.
+    left: u64,
+    bytes: u64,
+}
+
+/// An image that is there and that nobody uses: the least recently used is first.
+#[derive(PartialEq, Eq, PartialOrd, Ord)]
+struct Idle {
+    used: u64,
+    sha256: String,
+    bytes: u64,
+}
+
+/// An image that is there whole.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct CachedImage {
+    /// SHA-256 of its archive.
+    pub sha256: String,
+    /// The archive's bytes.
+    pub bytes: u64,
+}
+
 /// The images of a machine.
 #[derive(Clone, Debug, Default)]
 pub struct Cache {
     entries: BTreeMap<String, Entry>,
-    /// Parts of images that nobody waits for: bytes, and when each was left.
-    left: BTreeMap<String, (u64, u64)>,
+    /// Parts of images that nobody waits for.
+    left: BTreeMap<String, LeftPart>,
     most_bytes: u64,
     clock: u64,
 }
 
 impl Cache {
     /// A cache of so many bytes, with the images that are there already.
-    pub fn new(most_bytes: u64, there: impl IntoIterator<Item = (String, u64)>) -> Self {
+    pub fn new(most_bytes: u64, there: impl IntoIterator<Item = CachedImage>) -> Self {
         let mut cache = Self {
             most_bytes,
             ..Self::default()
         };
-        for (sum, bytes) in there {
+        for CachedImage { sha256, bytes } in there {
             let entry = Entry {
                 bytes: Some(bytes),
                 ..Entry::default()
             };
-            cache.entries.insert(sum, entry);
+            cache.entries.insert(sha256, entry);
         }
         cache
     }
@@ -102,7 +129,8 @@
     /// A part of an image is there that nobody waits for.
     pub fn leave(&mut self, sum: &str, bytes: u64) {
         self.clock += 1;
-        self.left.insert(sum.to_owned(), (self.clock, bytes));
+        let left = self.clock;
+        self.left.insert(sum.to_owned(), LeftPart { left, bytes });
     }
 
     /// An image on its way will take so many bytes.
@@ -117,8 +145,8 @@
         self.clock += 1;
         let new = !self.entries.contains_key(sum);
         let entry = self.entries.entry(sum.to_owned()).or_default();
-        if let Some((_, bytes)) = self.left.remove(sum) {
-            entry.coming = bytes;
+        if let Some(part) = self.left.remove(sum) {
+            entry.coming = part.bytes;
         }
         entry.users.insert(key.clone());
         entry.used = self.clock;
@@ -164,30 +192,36 @@
     pub fn evict(&mut self) -> Vec<String> {
         let of = |e: &Entry| e.bytes.unwrap_or(e.coming);
         let mut total: u64 = self.entries.values().map(of).sum();
-        total += self.left.values().map(|(_, bytes)| bytes).sum::<u64>();
-        let mut idle: Vec<(u64, String, u64)> = self
+        total += self.left.values().map(|part| part.bytes).sum::<u64>();
+        let mut idle: Vec<Idle> = self
             .entries
             .iter()
             .filter(|(_, e)| e.users.is_empty())
-            .filter_map(|(sum, e)| Some((e.used, sum.clone(), e.bytes?)))
+            .filter_map(|(sum, e)| {
+                Some(Idle {
+                    used: e.used,
+                    sha256: sum.clone(),
+                    bytes: e.bytes?,
+                })
+            })
             .collect();
         idle.sort();
         let mut out = Vec::new();
         while total > self.most_bytes {
-            let oldest = self.left.iter().min_by_key(|(_, (left, _))| *left);
+            let oldest = self.left.iter().min_by_key(|(_, part)| part.left);
             let Some(sum) = oldest.map(|(sum, _)| sum.clone()) else {
                 break;
             };
-            total -= self.left.remove(&sum).map_or(0, |(_, bytes)| bytes);
+            total -= self.left.remove(&sum).map_or(0, |part| part.bytes);
             out.push(sum);
         }
-        for (_, sum, bytes) in idle {
+        for Idle { sha256, bytes, .. } in idle {
             if total <= self.most_bytes {
                 break;
             }
             total -= bytes;
-            self.entries.remove(&sum);
-            out.push(sum);
+            self.entries.remove(&sha256);
+            out.push(sha256);
         }
         out
     }
@@ -202,13 +236,13 @@
 
 impl<R: Read> Read for Summing<R> {
     fn read(&mut self, buffer: &mut [u8]) -> std::io::Result<usize> {
-        let n = self.from.read(buffer)?;
-        self.sum.update(&buffer[..n]);
+        let length = self.from.read(buffer)?;
+        self.sum.update(&buffer[..length]);
         self.left = self
             .left
-            .checked_sub(n as u64)
+            .checked_sub(length as u64)
             .ok_or_else(|| std::io::Error::other("larger than the cache"))?;
-        Ok(n)
+        Ok(length)
     }
 }
 
@@ -224,45 +258,52 @@
     most_bytes: u64,
 ) -> std::io::Result<u64> {
     let beside = root.join(format!(".{}.new", image.sha256));
-    let place = root.join(&image.sha256);
-    let clean = || match std::fs::remove_dir_all(&beside) {
-        Err(e) if e.kind() != std::io::ErrorKind::NotFound => Err(e),
-        _ => Ok(()),
-    };
-    clean()?;
+    remove_folder(&beside)?;
     std::fs::create_dir_all(&beside)?;
+    let unpacked = unpack_beside(from, image, &beside, most_bytes).and_then(|bytes| {
+        std::fs::rename(&beside, root.join(&image.sha256))?;
+        File::open(root)?.sync_all()?;
+        Ok(bytes)
+    });
+    if unpacked.is_err() {
+        remove_folder(&beside)?;
+    }
+    unpacked
+}
+
+/// Removes a folder. It is no error if there is none.
+fn remove_folder(folder: &Path) -> std::io::Result<()> {
+    match std::fs::remove_dir_all(folder) {
+        Err(error) if error.kind() != std::io::ErrorKind::NotFound => Err(error),
+        _ => Ok(()),
+    }
+}
+
+/// Unpacks an archive into a folder, on the disk when this returns, if its sum is
+/// right.
+fn unpack_beside(
+    from: impl Read,
+    image: &Image,
+    beside: &Path,
+    most_bytes: u64,
+) -> std::io::Result<u64> {
     let mut reader = Summing {
         from,
         sum: Sha256::new(),
         left: most_bytes,
     };
-    let unpacked = (|| {
-        // No path of the archive leads out of the folder.
-        tar::Archive::new(&mut reader).unpack(&beside)?;
-        // The sum is of all bytes, also those behind the archive's end.
-        std::io::copy(&mut reader, &mut std::io::sink())?;
-        let sum: String = reader
-            .sum
-            .finalize_reset()
-            .iter()
-            .map(|b| format!("{b:02x}"))
-            .collect();
-        if sum != image.sha256 {
-            return Err(std::io::Error::other(format!("its sum is {sum}")));
-        }
-        std::fs::write(
-            beside.join(SIZE_FILE),
-            (most_bytes - reader.left).to_string(),
-        )?;
-        sync(&beside)?;
-        std::fs::rename(&beside, &place)?;
-        File::open(root)?.sync_all()?;
-        Ok(most_bytes - reader.left)
-    })();
-    if unpacked.is_err() {
-        clean()?;
+    // No path of the archive leads out of the folder.
+    tar::Archive::new(&mut reader).unpack(beside)?;
+    // The sum is of all bytes, also those behind the archive's end.
+    std::io::copy(&mut reader, &mut std::io::sink())?;
+    let bytes = most_bytes - reader.left;
+    let sum = sums::hexadecimal(reader.sum.finalize().as_slice());
+    if sum != image.sha256 {
+        return Err(std::io::Error::other(format!("its sum is {sum}")));
     }
-    unpacked
+    std::fs::write(beside.join(SIZE_FILE), bytes.to_string())?;
+    sync(beside)?;
+    Ok(bytes)
 }
 
 /// The file in an image's folder that tells its size.
@@ -274,6 +315,7 @@
     size.ok()?.parse().ok()
 }
 
+/// Has all files of a folder on the disk when it returns.
 fn sync(folder: &Path) -> std::io::Result<()> {
     for entry in std::fs::read_dir(folder)? {
         let entry = entry?;
@@ -289,125 +331,23 @@
 
 /// The images that are there whole; what an earlier run left half done is
 /// removed.
-pub fn there(root: &Path) -> std::io::Result<Vec<(String, u64)>> {
+///
+/// # Errors
+/// The disk's.
+pub fn there(root: &Path) -> std::io::Result<Vec<CachedImage>> {
     std::fs::create_dir_all(root)?;
     let mut out = Vec::new();
     for entry in std::fs::read_dir(root)? {
         let entry = entry?;
         let name = entry.file_name().to_string_lossy().into_owned();
         match size(root, &name) {
-            Some(bytes) if !name.starts_with('.') => out.push((name, bytes)),
+            Some(bytes) if !name.starts_with('.') => out.push(CachedImage {
+                sha256: name,
+                bytes,
+            }),
             _ if entry.file_type()?.is_dir() => std::fs::remove_dir_all(entry.path())?,
             _ => std::fs::remove_file(entry.path())?,
         }
     }
     Ok(out)
 }
-
-#[cfg(test)]
-mod tests {
-    use sha2::{Digest, Sha256};
-    use sorrelhinge_protocol::types::Attempt;
-
-    use super::{there, unpack, Cache, Image, Step};
-    use crate::core::Key;
-
-    fn key(n: u64) -> Key {
-        Key {
-            piece: format!("run-1/{n}"),
-            attempt: Attempt(1),
-        }
-    }
-
-    #[test]
-    fn an_image_is_fetched_once_and_given_up_when_nobody_waits() {
-        let mut cache = Cache::new(100, [("old".to_owned(), 60)]);
-        assert_eq!(cache.want("old", &key(9)), Step::Ready);
-        assert_eq!(cache.want("a", &key(1)), Step::Fetch);
-        assert_eq!(cache.want("a", &key(2)), Step::Wait);
-        assert_eq!(cache.release(&key(1)), None);
-        assert_eq!(cache.release(&key(2)), Some("a".to_owned()));
-        assert_eq!(cache.want("a", &key(3)), Step::Fetch);
-        assert_eq!(cache.fetched("a", Some(50)), [key(3)]);
-        // Both are in use: the bound waits.
-        assert_eq!(cache.evict(), [] as [&str; 0]);
-        assert_eq!(cache.release(&key(9)), None);
-        assert_eq!(cache.evict(), ["old"]);
-        assert_eq!(cache.want("b", &key(4)), Step::Fetch);
-        assert_eq!(cache.fetched("b", None), [key(4)]);
-        assert_eq!(
-            cache.want("b", &key(5)),
-            Step::Fetch,
-            "a failed one is tried again"
-        );
-    }
-
-    /// Without room made first, an image on its way and all that is kept would
-    /// fill the disk together; and a part that somebody waits for again must
-    /// not be taken for one that nobody does.
-    #[test]
-    fn room_is_made_before_an_image_comes_parts_first() {
-        let mut cache = Cache::new(100, [("old".to_owned(), 40)]);
-        cache.leave("part", 30);
-        cache.leave("wanted", 30);
-        assert_eq!(cache.evict(), [] as [&str; 0]);
-        assert_eq!(cache.want("wanted", &key(1)), Step::Fetch);
-        assert_eq!(cache.want("new", &key(2)), Step::Fetch);
-        cache.comes("new", 30);
-        assert_eq!(cache.evict(), ["part"], "its room is enough");
-        cache.comes("new", 60);
-        assert_eq!(cache.evict(), ["old"]);
-        cache.comes("new", 90);
-        assert_eq!(cache.evict(), [] as [&str; 0], "the rest is waited for");
-        assert_eq!(cache.release(&key(1)), Some("wanted".to_owned()));
-        cache.leave("wanted", 30);
-        assert_eq!(cache.evict(), ["wanted"]);
-    }
-
-    #[test]
-    fn only_a_whole_and_right_image_is_there() {
-        let root = std::env::temp_dir().join(format!("images-{}", std::process::id()));
-        let mut tar = tar::Builder::new(Vec::new());
-        let mut header = tar::Header::new_gnu();
-        header.set_size(5);
-        header.set_mode(0o644);
-        header.set_cksum();
-        tar.append_data(&mut header, "level/tile", &b"hello"[..])
-            .expect("added");
-        let bytes = tar.into_inner().expect("an archive");
-        let sum: String = Sha256::digest(&bytes)
-            .iter()
-            .map(|b| format!("{b:02x}"))
-            .collect();
-        let image = Image {
-            name: "img".into(),
-            sha256: sum.clone(),
-            sums_sha256: None,
-        };
-        assert!(there(&root).expect("empty").is_empty());
-        for cut in [0, 100, 600, bytes.len() - 1] {
-            assert!(
-                unpack(&bytes[..cut], &image, &root, 1 << 20).is_err(),
-                "cut at {cut}"
-            );
-        }
-        let mut wrong = bytes.clone();
-        wrong[513] ^= 1;
-        assert!(unpack(&wrong[..], &image, &root, 1 << 20).is_err());
-        assert!(unpack(&bytes[..], &image, &root, 100).is_err(), "too large");
-        assert!(
-            there(&root).expect("empty").is_empty(),
-            "nothing is left of them"
-        );
-        let length = unpack(&bytes[..], &image, &root, 1 << 20).expect("whole");
-        assert_eq!(length, bytes.len() as u64);
-        let tile = std::fs::read(root.join(&sum).join("level/tile")).expect("unpacked");
-        assert_eq!(tile, b"hello");
-        // Half done when the machine stopped: removed.
-        std::fs::create_dir_all(root.join(".x.new")).expect("made");
-        std::fs::write(root.join(".x.tar"), "half").expect("written");
-        assert_eq!(there(&root).expect("read"), [(sum, length)]);
-        assert!(!root.join(".x.new").exists() && !root.join(".x.tar").exists());
-        std::fs::remove_dir_all(&root).expect("removed");
-    }
-}
--- a/crates/agent/src/part.rs
+++ b/crates/agent/src/part.rs
@@ -38,6 +38,17 @@
     trusted: bool,
 }
 
+/// An image's sums, as they came.
+#[derive(Clone, Debug)]
+pub struct KnownSums {
+    /// The file of sums.
+    pub text: Bytes,
+    /// What it says.
+    pub sums: Sums,
+    /// Whether they come from whom they may come, see [`About`].
+    pub trusted: bool,
+}
+
 /// An image's archive, whole or in part.
 #[derive(Debug)]
 pub struct Part {
@@ -58,6 +69,9 @@
 }
 
 /// Removes what is there of an image. It is no error if nothing is.
+///
+/// # Errors
+/// The disk's.
 pub fn remove(root: &Path, sha256: &str) -> Result<()> {
     match std::fs::remove_dir_all(folder_of(root, sha256)) {
         Err(e) if e.kind() != ErrorKind::NotFound => Err(e),
@@ -70,31 +84,24 @@
     ///
     /// # Errors
     /// The disk's.
-    pub fn begin(
-        root: &Path,
-        image: &Image,
-        text: Bytes,
-        sums: Sums,
-        trusted: bool,
-    ) -> Result<Self> {
+    pub fn begin(root: &Path, image: &Image, known: KnownSums) -> Result<Self> {
         remove(root, &image.sha256)?;
         let folder = folder_of(root, &image.sha256);
         std::fs::create_dir_all(&folder)?;
-        File::create(folder.join("archive"))?.set_len(sums.bytes)?;
-        let have = vec![false; sums.chunks()];
-        let part = Self::new(folder, image, text, sums, trusted, have);
+        File::create(folder.join("archive"))?.set_len(known.sums.bytes)?;
+        let have = vec![false; known.sums.chunks()];
+        let part = Self::new(folder, image, known, have);
         part.write_about()?;
         Ok(part)
     }
 
-    fn new(
-        folder: PathBuf,
-        image: &Image,
-        text: Bytes,
-        sums: Sums,
-        trusted: bool,
-        have: Vec<bool>,
-    ) -> Self {
+    /// A part of which these chunks are there.
+    fn new(folder: PathBuf, image: &Image, known: KnownSums, have: Vec<bool>) -> Self {
+        let KnownSums {
+            text,
+            sums,
+            trusted,
+        } = known;
         let about = About {
             version: 1,
             image: image.clone(),
@@ -112,6 +119,7 @@
         }
     }
 
+    /// Writes down which image it is, and the file of sums.
     fn write_about(&self) -> Result<()> {
         write_whole(&self.folder.join("sums"), &self.text)?;
         // Last: without it the folder is nothing.
@@ -138,7 +146,13 @@
         }
         let whole = folder.join("whole").exists();
         let have = vec![whole; sums.chunks()];
-        let part = Self::new(folder, &about.image, text, sums, about.trusted, have);
+        let trusted = about.trusted;
+        let known = KnownSums {
+            text,
+            sums,
+            trusted,
+        };
+        let part = Self::new(folder, &about.image, known, have);
         part.whole.set(whole);
         part.looked_at.set(whole);
         Ok(part)
@@ -151,15 +165,12 @@
     /// The disk's.
     pub fn of_whole(root: &Path, image: &Image, sums: Sums) -> Result<Self> {
         let have = vec![true; sums.chunks()];
-        let text = Bytes::from(sums.text());
-        let part = Self::new(
-            folder_of(root, &image.sha256),
-            image,
-            text,
+        let known = KnownSums {
+            text: Bytes::from(sums.text()),
             sums,
-            false,
-            have,
-        );
+            trusted: false,
+        };
+        let part = Self::new(folder_of(root, &image.sha256), image, known, have);
         part.write_about()?;
         part.set_whole()?;
         Ok(part)
@@ -237,9 +248,9 @@
     pub fn look(archive: &Path, sums: &Sums) -> Result<Vec<bool>> {
         let file = File::open(archive)?;
         let look = |chunk| {
-            let (from, to) = sums.span(chunk);
-            let mut bytes = vec![0; (to - from) as usize];
-            file.read_exact_at(&mut bytes, from)?;
+            let span = sums.span(chunk);
+            let mut bytes = vec![0; (span.end - span.start) as usize];
+            file.read_exact_at(&mut bytes, span.start)?;
             Ok(sums.right(chunk, &bytes))
         };
         (0..sums.chunks()).map(look).collect()
@@ -267,6 +278,6 @@
         return Ok(false);
     }
     let file = OpenOptions::new().write(true).open(archive)?;
-    file.write_all_at(bytes, sums.span(chunk).0)?;
+    file.write_all_at(bytes, sums.span(chunk).start)?;
     Ok(true)
 }
--- a/crates/agent/src/sources.rs
+++ b/crates/agent/src/sources.rs
@@ -13,7 +13,7 @@
 /// fetch has not begun, since its start is still on its way.
 const NOT_YET_THERE_RETRY_S: f64 = 1.0;
 /// Failures in a row after which the origin counts as gone if nobody else is.
-const MAX_ORIGIN_FAILURES: u32 = 8;
+pub const MAX_ORIGIN_FAILURES: u32 = 8;
 
 /// Who is asked.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -39,6 +39,23 @@
     Wrong,
 }
 
+/// Why a fetch is given up.
+#[derive(Clone, Copy, Debug, PartialEq, thiserror::Error)]
+pub enum GiveUpReason {
+    /// Everyone was dropped.
+    #[error("nobody has it: not the origin, and no agent that was named")]
+    NobodyLeft,
+    /// Only the origin is left, and it failed again and again.
+    #[error("the origin failed {MAX_ORIGIN_FAILURES} times in a row")]
+    OriginFailed,
+    /// Nobody has given anything for too long.
+    #[error("nobody has given a chunk for {patience_s} s")]
+    NothingCame {
+        /// How long, in seconds.
+        patience_s: f64,
+    },
+}
+
 #[derive(Clone, Debug)]
 struct Source {
     whom: Whom,
@@ -125,6 +142,7 @@
         Some(picked.whom)
     }
 
+    /// Whether the origin may be asked: agents have given nothing for long enough.
     fn origin_is_due(&self, now: Time) -> bool {
         let waited = now.since(self.agents_gave);
         self.agents().is_empty() || waited >= self.origin_after_s * (1.0 + self.drawn)
@@ -178,19 +196,16 @@
 
     /// Why the fetch is to be given up, if it is: nobody is left, or nobody has
     /// given anything for `patience_s`.
-    pub fn hopeless(&self, patience_s: f64, now: Time) -> Option<String> {
+    pub fn hopeless(&self, patience_s: f64, now: Time) -> Option<GiveUpReason> {
         if self.all.iter().all(|s| s.dropped) {
-            return Some("nobody has it: not the origin, and no agent that was named".into());
+            return Some(GiveUpReason::NobodyLeft);
         }
         let origin = self.all.last();
         let tried = origin.is_some_and(|o| o.failures >= MAX_ORIGIN_FAILURES);
         if tried && self.agents().is_empty() {
-            return Some(format!(
-                "the origin failed {MAX_ORIGIN_FAILURES} times in a row"
-            ));
+            return Some(GiveUpReason::OriginFailed);
         }
-        (now.since(self.gave) > patience_s)
-            .then(|| format!("nobody has given a chunk for {patience_s} s"))
+        (now.since(self.gave) > patience_s).then_some(GiveUpReason::NothingCame { patience_s })
     }
 }
 
@@ -213,74 +228,3 @@
         }
     }
 }
-
-#[cfg(test)]
-mod tests {
-    use std::net::SocketAddr;
-
-    use sorrelhinge_protocol::types::Time;
-
-    use super::{Outcome, Sources, Whom, MAX_ORIGIN_FAILURES};
-
-    fn at(n: u16) -> SocketAddr {
-        SocketAddr::from(([10, 0, 0, 1], n))
-    }
-
-    impl Sources {
-        fn came_at_once(&mut self, whom: Whom, outcome: Outcome, now: Time) {
-            self.over(whom);
-            self.came(whom, outcome, 0.5, now);
-        }
-    }
-
-    #[test]
-    fn the_next_is_asked_and_the_origin_only_when_agents_give_nothing() {
-        let mut s = Sources::new([at(1), at(2)], 10.0, 0.5, Time(0.0));
-        let one = Whom::Agent(at(1));
-        let two = Whom::Agent(at(2));
-        assert_eq!(s.pick(Time(0.0)), Some(one));
-        assert_eq!(s.pick(Time(0.0)), Some(two));
-        assert_eq!(s.pick(Time(0.0)), None, "each is asked one thing at a time");
-        s.came_at_once(one, Outcome::Right, Time(1.0));
-        assert_eq!(s.pick(Time(1.0)), Some(one), "the best again");
-        s.came_at_once(one, Outcome::Failed, Time(2.0));
-        s.came_at_once(two, Outcome::Wrong, Time(2.0));
-        assert_eq!(s.pick(Time(2.1)), None, "it rests, the other is dropped");
-        assert_eq!(s.pick(Time(2.5)), Some(one));
-        s.came_at_once(one, Outcome::NotYet(100.0), Time(3.0));
-        assert_eq!(s.pick(Time(15.9)), None, "the origin is not due");
-        assert_eq!(s.pick(Time(16.0)), Some(Whom::Origin));
-        s.came_at_once(Whom::Origin, Outcome::Right, Time(17.0));
-        assert_eq!(s.pick(Time(17.9)), Some(Whom::Origin));
-        assert_eq!(s.pick(Time(18.0)), Some(one));
-        s.came_at_once(one, Outcome::Right, Time(18.5));
-        s.came_at_once(Whom::Origin, Outcome::Right, Time(18.5));
-        assert_eq!(s.pick(Time(19.0)), Some(one));
-        assert_eq!(
-            s.pick(Time(19.0)),
-            None,
-            "agents give again: not the origin"
-        );
-    }
-
-    #[test]
-    fn a_fetch_ends_when_nobody_is_left_or_nothing_comes() {
-        let mut s = Sources::new([at(1)], 10.0, 0.0, Time(0.0));
-        s.came_at_once(Whom::Origin, Outcome::Nothing, Time(1.0));
-        assert_eq!(s.hopeless(60.0, Time(1.0)), None);
-        assert!(s.hopeless(60.0, Time(61.0)).is_some(), "nothing came");
-        s.came_at_once(Whom::Agent(at(1)), Outcome::Nothing, Time(1.0));
-        assert_eq!(s.hopeless(60.0, Time(2.0)), None, "it may have it later");
-        s.came_at_once(Whom::Agent(at(1)), Outcome::Wrong, Time(2.0));
-        assert!(s.hopeless(60.0, Time(2.0)).is_some(), "nobody is left");
-        s.add([at(2)], Time(3.0));
-        assert_eq!(s.hopeless(60.0, Time(3.0)), None);
-        assert_eq!(s.pick(Time(3.0)), Some(Whom::Agent(at(2))));
-        let mut s = Sources::new([], 10.0, 0.0, Time(0.0));
-        for n in 0..MAX_ORIGIN_FAILURES {
-            assert_eq!(s.hopeless(60.0, Time(0.0)), None, "{n} failures");
-            s.came_at_once(Whom::Origin, Outcome::Failed, Time(0.0));
-        }
-        assert!(s.hopeless(60.0, Time(0.0)).is_some());
-    }
-}
--- a/crates/overload/src/asked.rs
+++ b/crates/overload/src/asked.rs
@@ -60,6 +60,7 @@
     refused: bool,
 }
 
+/// A time in tenths of a second, as tables keep it.
 fn tenths(now: Time) -> u32 {
     // A clock that is no number or before its beginning counts as its beginning.
     (now.0 * 10.0) as u32
@@ -197,17 +198,18 @@
         self.unknown.entries.remove(&key);
     }
 
-    /// How many recorded jobs and other ids are remembered.
-    pub fn len(&self) -> (usize, usize) {
-        (self.known.entries.len(), self.unknown.entries.len())
+    /// How many recorded jobs are remembered.
+    pub fn known_count(&self) -> usize {
+        self.known.entries.len()
     }
 
-    /// Whether nothing is.
-    pub fn is_empty(&self) -> bool {
-        self.len() == (0, 0)
+    /// How many ids that no job has are remembered.
+    pub fn unknown_count(&self) -> usize {
+        self.unknown.entries.len()
     }
 }
 
+/// An id's place in a table.
 fn key(job: &JobId) -> u64 {
     let mut hasher = DefaultHasher::new();
     job.hash(&mut hasher);
--- a/crates/standins/src/nodes.rs
+++ b/crates/standins/src/nodes.rs
@@ -18,38 +18,58 @@
 
 /// A task on a machine.
 pub struct Task {
+    /// Its phase, as reports have it.
     pub phase: String,
+    /// Why it ended, as reports have it.
     cause: Option<&'static str>,
+    /// When it was started.
     since: Instant,
+    /// How long it runs; for ever if it is a service's.
     run_s: f64,
     cpus: f64,
+    /// Its devices, by kind and name.
     pub units: Vec<(String, String)>,
 }
 
 /// A machine and its worker.
 pub struct Node {
+    /// The machine's name.
     pub id: String,
+    /// Where its worker takes direct commands.
     pub addr: SocketAddr,
+    /// Its zone, a place in [`ZONES`].
     pub zone: u8,
+    /// The number of its switch in that zone.
     pub switch: u8,
+    /// It was given back, or failed: it is never there again.
     pub gone: bool,
+    /// When it has come up.
     pub(crate) up_at: Instant,
+    /// When it was rented.
     pub(crate) born: Instant,
+    /// The worker's session; a lease that ends begins the next one.
     session: u64,
     tick: u64,
+    /// The highest token seen.
     token: u64,
+    /// When the last answered report was sent: the lease runs from then.
     answered: Instant,
     reported: Instant,
+    /// Something changed since the last report.
     dirty: bool,
+    /// The controller that reports go to, by its number.
     target: usize,
     /// Since when it hangs, if it does.
     hung_since: Option<Instant>,
+    /// All tasks there, by name and attempt.
     pub tasks: BTreeMap<(String, u64), Task>,
 }
 
 /// All machines, and what is known of them from outside.
 pub struct Nodes {
+    /// By name, those that are gone too.
     pub all: BTreeMap<String, Node>,
+    /// Submitted jobs, as their users described them.
     pub jobs: BTreeMap<String, Value>,
     /// Switches that are cut, by zone and number.
     pub cut: BTreeSet<(u8, u8)>,
@@ -80,13 +100,17 @@
     pub faults: Faults,
     /// Takes notes of what happens on the machines.
     pub recorder: Recorder,
+    /// Where each controller takes reports.
     controllers: Vec<SocketAddr>,
+    /// How many machines there have ever been.
     count: u32,
 }
 
-/// The one machine type, and what its machines have room for.
+/// The one machine type.
 pub(crate) const TYPE: &str = "t";
+/// CPUs of a machine.
 pub(crate) const CPUS: f64 = 4.0;
+/// Memory of a machine, gigabytes.
 pub(crate) const RAM_GB: f64 = 16.0;
 /// A worker waits so long for an answer to its report (PROTOCOL).
 const PATIENCE: Duration = Duration::from_secs(4);
@@ -97,11 +121,44 @@
 /// its grant, or of any.
 #[derive(Clone, Debug, Default)]
 pub struct Deaf {
+    /// Only this machine.
     pub machine: Option<String>,
+    /// Only machines of this zone.
     pub zone: Option<u8>,
+    /// Only what this controller says, by its number and the grant that it commands
+    /// with.
     pub to: Option<(usize, u64)>,
 }
 
+impl Task {
+    /// What a start makes of a job's task: refused where the machine is full.
+    fn begin(job: &Value, cpus: f64, full: bool, units: &[(String, String)]) -> Self {
+        let run_s = match job["shape"] == "standing" {
+            true => f64::INFINITY,
+            false => job["guess_s"].as_f64().unwrap_or(1.0),
+        };
+        Self {
+            phase: if full { "ended" } else { "fetching" }.into(),
+            cause: full.then_some("full"),
+            since: Instant::now(),
+            run_s,
+            cpus,
+            units: units.to_vec(),
+        }
+    }
+}
+
+impl Node {
+    /// CPUs of all tasks that have not ended.
+    fn used_cpus(&self) -> f64 {
+        self.tasks
+            .values()
+            .filter(|task| task.phase != "ended")
+            .map(|task| task.cpus)
+            .sum()
+    }
+}
+
 impl Nodes {
     /// None yet, for controllers that take reports at these addresses.
     pub fn new(controllers: Vec<SocketAddr>, recorder: Recorder) -> Self {
@@ -134,6 +191,7 @@
         }
     }
 
+    /// Whether a machine's switch is cut.
     fn is_cut(&self, id: &str) -> bool {
         let node = &self.all[id];
         self.cut.contains(&(node.zone, node.switch))
@@ -157,9 +215,9 @@
         let sent = self.sent.iter().flatten().rev();
         let old = sent.filter(|(at, ..)| at.elapsed().as_secs_f64() >= age_s);
         let some = old.filter(|(_, id, _)| {
-            let n = taken.entry(id).or_default();
-            *n += 1;
-            *n <= most
+            let count = taken.entry(id).or_default();
+            *count += 1;
+            *count <= most
         });
         let mut some: Vec<Value> = some.map(|(.., report)| report.clone()).collect();
         some.reverse();
@@ -194,6 +252,7 @@
         places
     }
 
+    /// A machine's next report.
     fn report(&mut self, id: &str) -> Value {
         let node = self.all.get_mut(id).expect("it is there");
         node.tick += 1;
@@ -209,6 +268,7 @@
             "warning_s": null, "pieces": pieces})
     }
 
+    /// Carries out commands in their order.
     fn execute(&mut self, id: &str, orders: &[Command]) {
         for order in orders {
             match order {
@@ -245,71 +305,62 @@
         }
         let uid = piece.rsplit_once('/').expect("a piece").0;
         let job = self.jobs.get(uid).cloned().unwrap_or(Value::Null);
+        self.check_runs_once(id, piece);
+        self.check_unit_count(id, piece, &job, units.len());
+        for unit in units {
+            self.check_unit(id, piece, unit);
+        }
+        self.starts += 1;
+        let node = self.all.get_mut(id).expect("it is there");
         let cpus = job["cpus"].as_f64().unwrap_or(1.0);
-        let (zone, switch) = (self.all[id].zone, self.all[id].switch);
-        let twice = self.all.values().any(|n| {
-            let here = n
-                .tasks
-                .iter()
-                .any(|((p, _), t)| p == piece && t.phase != "ended");
-            !n.gone && here
-        });
-        if twice {
+        let full = node.used_cpus() + cpus > CPUS;
+        node.tasks.insert(key, Task::begin(&job, cpus, full, units));
+        node.dirty = true;
+        if let Some(attempt) = attempt_id(id, piece, attempt).filter(|_| !full) {
+            self.recorder.note(Event::Started(attempt));
+        }
+    }
+
+    /// No machine that is there has the task already.
+    fn check_runs_once(&mut self, id: &str, piece: &str) {
+        let has = |node: &Node| {
+            let mut tasks = node.tasks.iter();
+            tasks.any(|((name, _), task)| name == piece && task.phase != "ended")
+        };
+        if self.all.values().any(|node| !node.gone && has(node)) {
             self.wrong
                 .push(format!("ran_twice: {piece} starts on {id}"));
         }
+    }
+
+    /// The start names as many devices as the job needs.
+    fn check_unit_count(&mut self, id: &str, piece: &str, job: &Value, count: usize) {
         let device = &job["topology"]["devices"][0];
         let asked = device["count"].as_u64().unwrap_or(1) as usize;
         let needs = if device.is_null() { 0 } else { asked };
-        if units.len() != needs {
-            let n = units.len();
+        if count != needs {
             self.wrong
-                .push(format!("{piece} on {id}: {n} of {needs} units"));
-        }
-        for unit in units {
-            let there = self.encoders.get(&(zone, switch));
-            let works = there.and_then(|list| list.iter().find(|(name, _)| *name == unit.1));
-            match works {
-                None => self
-                    .wrong
-                    .push(format!("{piece} on {id}: {unit:?} is missing")),
-                Some((_, false)) => self
-                    .wrong
-                    .push(format!("{piece} on {id}: {unit:?} is broken")),
-                Some(_) => {}
-            }
-            let mut others = self.all[id].tasks.values();
-            if others.any(|t| t.phase != "ended" && t.units.contains(unit)) {
-                self.wrong
-                    .push(format!("{piece} on {id}: {unit:?} is taken"));
-            }
+                .push(format!("{piece} on {id}: {count} of {needs} units"));
         }
-        self.starts += 1;
-        let node = self.all.get_mut(id).expect("it is there");
-        let used: f64 = node
+    }
+
+    /// A device that a start names is there, works, and is no other task's.
+    fn check_unit(&mut self, id: &str, piece: &str, unit: &(String, String)) {
+        let node = &self.all[id];
+        let there = self.encoders.get(&(node.zone, node.switch));
+        let works = there.and_then(|list| list.iter().find(|(name, _)| *name == unit.1));
+        let taken = node
             .tasks
             .values()
-            .filter(|t| t.phase != "ended")
-            .map(|t| t.cpus)
-            .sum();
-        let full = used + cpus > CPUS;
-        let service = job["shape"] == "standing";
-        let task = Task {
-            phase: if full { "ended" } else { "fetching" }.into(),
-            cause: full.then_some("full"),
-            since: Instant::now(),
-            run_s: if service {
-                f64::INFINITY
-            } else {
-                job["guess_s"].as_f64().unwrap_or(1.0)
-            },
-            cpus,
-            units: units.to_vec(),
+            .any(|task| task.phase != "ended" && task.units.contains(unit));
+        let wrong = match works {
+            None => Some("missing"),
+            Some((_, false)) => Some("broken"),
+            Some(_) => None,
         };
-        node.tasks.insert(key, task);
-        node.dirty = true;
-        if let Some(attempt) = attempt_id(id, piece, attempt).filter(|_| !full) {
-            self.recorder.note(Event::Started(attempt));
+        for wrong in wrong.into_iter().chain(taken.then_some("taken")) {
+            self.wrong
+                .push(format!("{piece} on {id}: {unit:?} is {wrong}"));
         }
     }
 
@@ -365,6 +416,7 @@
     }
 }
 
+/// An attempt as the history names it; none if its task has no such name.
 fn attempt_id(machine: &str, piece: &str, attempt: u64) -> Option<AttemptId> {
     Some(AttemptId {
         task: TaskName::parse(piece)?,
--- a/crates/standins/src/place.rs
+++ b/crates/standins/src/place.rs
@@ -68,6 +68,7 @@
         found.expect("an address on loopback")
     }
 
+    /// Whether nobody listens where so many controllers would.
     fn is_free(&self, controllers: usize) -> bool {
         let own = [self.state(), self.cloud()].into_iter();
         let own = own.chain((0..MOST_MORE).map(|n| self.more(n)));
@@ -86,10 +87,16 @@
         own.chain(theirs).chain(lines).all(|at| !listens(at))
     }
 
+    /// A port of the address.
     fn at(&self, port: u16) -> SocketAddr {
         SocketAddr::from((self.address, port))
     }
 
+    /// What is bound as long as the claim lives, so that nobody else can have it.
+    pub fn guard(&self) -> SocketAddr {
+        self.at(GUARD)
+    }
+
     /// Where the state service listens.
     pub fn state(&self) -> SocketAddr {
         self.at(STATE)
@@ -144,27 +151,3 @@
     let told = TcpStream::connect_timeout(&at, Duration::from_millis(200));
     !told.is_err_and(|error| error.kind() == ErrorKind::ConnectionRefused)
 }
-
-#[cfg(test)]
-mod tests {
-    use std::net::{Ipv4Addr, TcpListener};
-
-    use super::{Place, GUARD};
-
-    /// Two that live at the same time never share an address, and what was let go
-    /// can be claimed again.
-    #[test]
-    fn no_two_claims_share_an_address() {
-        let held: Vec<Place> = (0..20).map(|_| Place::claim(5)).collect();
-        let mut addresses: Vec<Ipv4Addr> = held.iter().map(|p| p.address).collect();
-        addresses.sort();
-        addresses.dedup();
-        assert_eq!(addresses.len(), 20);
-        assert!(held
-            .iter()
-            .all(|p| TcpListener::bind((p.address, GUARD)).is_err()));
-        let first = held[0].address;
-        drop(held);
-        assert!(TcpListener::bind((first, GUARD)).is_ok());
-    }
-}
