--- a/src/control/core/commands.rs
+++ b/src/control/core/commands.rs
@@ -1,5 +1,6 @@
 //! Commands for a machine: what is started, stopped and forgotten there.
 
+use super::command_queue::ContactOrder;
 use super::{Core, KILL_AGAIN_S};
 use crate::sched::{Claim, Job, Sent};
 use crate::state::view::View;
@@ -160,7 +161,9 @@
         self.starts_until = until;
         if now < until {
             let withheld = std::mem::take(&mut self.starts_withheld);
-            self.active.extend(withheld.into_iter().map(|id| (0, id)));
+            for id in withheld {
+                self.command_queue.add(id, ContactOrder::First);
+            }
         }
     }
 }
--- a/src/control/core/dispatch.rs
+++ b/src/control/core/dispatch.rs
@@ -1,9 +1,8 @@
 //! Commands sent to workers directly, and what became of them (PROTOCOL,
 //! "Controller nodes -> workers").
 
-use std::collections::BTreeSet;
-
-use super::{Core, Dispatch, Source, KILL_AGAIN_S, MOST_FLYING};
+use super::command_queue::ContactOrder;
+use super::{Core, Dispatch, Source, KILL_AGAIN_S};
 use crate::sched::Sent;
 use crate::state::view::View;
 use crate::types::{MachineId, Time};
@@ -14,11 +13,7 @@
     /// sockets nor the processor are short for the reports that answer them.
     pub fn dispatch(&mut self, view: &View, now: Time) -> Vec<Dispatch> {
         let mut out = Vec::new();
-        let mut waiting = BTreeSet::new();
-        while self.flying < MOST_FLYING {
-            let Some((_, id)) = self.active.pop_first() else {
-                break;
-            };
+        while let Some(id) = self.command_queue.take_next() {
             let Some(link) = self.links.get(&id) else {
                 continue;
             };
@@ -27,18 +22,12 @@
                 continue;
             }
             if now < link.direct_retry {
-                let at = (link.direct_retry.0 * 1000.0).ceil().max(0.0) as u64;
-                self.retries.insert((at, id));
+                self.command_queue.retry_at(id, link.direct_retry);
                 continue;
             }
-            let most = if link.suspect {
-                MOST_FLYING * 3 / 4
-            } else {
-                MOST_FLYING / 4
-            };
-            if link.direct_failures > 0 && self.flying >= most {
-                // Those that may hang must not keep the others waiting.
-                waiting.insert(((now.after(0.5).0 * 1000.0) as u64, id));
+            let unreachable = link.direct_failures > 0;
+            if unreachable && !self.command_queue.may_try_unreachable(link.suspect) {
+                self.command_queue.retry_unreachable(id, now);
                 continue;
             }
             if link.passed && link.fenced() {
@@ -55,12 +44,12 @@
             // reach is tried again.
             if forgets_only && link.fenced() && link.direct_failures == 0 && !link.suspect {
                 if !link.kill_sent.is_empty() {
-                    waiting.insert(((now.after(KILL_AGAIN_S).0 * 1000.0) as u64, id));
+                    self.command_queue.retry_after(id, KILL_AGAIN_S, now);
                 }
                 continue;
             }
             link.flying = true;
-            self.flying += 1;
+            self.command_queue.sent();
             out.push(Dispatch {
                 machine: id,
                 addr: link.addr,
@@ -71,19 +60,18 @@
                 },
             });
         }
-        self.retries.extend(waiting);
         out
     }
 
     /// What became of direct commands. False if we are deposed.
     pub fn dispatched(&mut self, id: &MachineId, outcome: Sending, now: Time) -> bool {
-        self.flying = self.flying.saturating_sub(1);
+        self.command_queue.settled();
         let claims = self.cluster_state.claims_on(id);
         let Some(link) = self.links.get_mut(id) else {
             return true;
         };
         link.flying = false;
-        self.active.insert((0, id.clone()));
+        self.command_queue.add(id.clone(), ContactOrder::First);
         let mut mark = |from: Sent, to: Sent| {
             for task in &claims {
                 if let Some(c) = self
--- a/src/control/core/job_changes.rs
+++ b/src/control/core/job_changes.rs
@@ -1,6 +1,7 @@
 //! Changes of jobs: new and cancelled ones, and claims that are given up.
 
 use super::aims::JobTimes;
+use super::command_queue::ContactOrder;
 use super::recorded_job::job_times;
 use super::Core;
 use crate::control::pending::ChunkId;
@@ -126,7 +127,8 @@
         let mut stop = Vec::new();
         for (&index, claim) in job.tasks.claims() {
             // Whatever is to happen there, its machine is told.
-            self.active.insert((0, claim.machine.clone()));
+            self.command_queue
+                .add(claim.machine.clone(), ContactOrder::First);
             let task = TaskId {
                 job: id.clone(),
                 index,
--- a/src/control/core/links.rs
+++ b/src/control/core/links.rs
@@ -7,6 +7,7 @@
 
 use sorrelhinge_overload::reachability::Reachability;
 
+use super::command_queue::ContactOrder;
 use super::link::Link;
 use super::Core;
 use crate::sched::{Machine, Sent};
@@ -110,15 +111,15 @@
     /// be asked at once, so then those with replicas come first, then those
     /// with other tasks.
     pub(super) fn wake(&mut self, id: &MachineId) {
-        let rank = match self.cluster_state.machines().get(id) {
+        let order = match self.cluster_state.machines().get(id) {
             Some(m) if self.young => match (self.has_replicas(id), m.claims.is_empty()) {
-                (true, _) => 0,
-                (false, false) => 1,
-                (false, true) => 2,
+                (true, _) => ContactOrder::First,
+                (false, false) => ContactOrder::WithTasks,
+                (false, true) => ContactOrder::Empty,
             },
-            _ => 0,
+            _ => ContactOrder::First,
         };
-        self.active.insert((rank, id.clone()));
+        self.command_queue.add(id.clone(), order);
     }
 
     /// Whether nothing speaks against a machine hearing what it is told.
--- a/src/control/core/load.rs
+++ b/src/control/core/load.rs
@@ -12,6 +12,7 @@
 use sorrelhinge_topology::repair::Stability;
 use sorrelhinge_topology::Topology;
 
+use super::command_queue::CommandQueue;
 use super::deleted_machines::DeletedMachines;
 use super::sharing::{self, Places};
 use super::{calendar, staging, Core};
@@ -87,15 +88,13 @@
             coming: BTreeMap::new(),
             pending: Pending::default(),
             ran_before: view.history.images(),
-            active: BTreeSet::new(),
+            command_queue: CommandQueue::default(),
             young: true,
             idle_yet: true,
             unheard_yet: true,
-            retries: BTreeSet::new(),
             touched: BTreeSet::new(),
             walked: MachineId::from(""),
             pass: None,
-            flying: 0,
             refused: HashMap::new(),
             rentals: 0,
             renting: 0,
--- a/src/control/core/mod.rs
+++ b/src/control/core/mod.rs
@@ -5,6 +5,7 @@
 mod batch;
 mod calendar;
 mod calendar_needs;
+mod command_queue;
 mod commands;
 mod deleted_machines;
 mod dispatch;
@@ -42,6 +43,8 @@
 
 use self::aims::Arrivals;
 pub use self::calendar::WindowStep;
+use self::command_queue::CommandQueue;
+pub use self::command_queue::MOST_FLYING;
 use self::deleted_machines::DeletedMachines;
 use self::link::Link;
 pub use self::sharing::Places;
@@ -125,21 +128,18 @@
     pending: Pending,
     /// Images that machines ran before this owner knew them.
     ran_before: HashMap<MachineId, Vec<(Image, f64)>>,
-    /// Machines that commands may have to go to, the most important first.
-    active: BTreeSet<(u8, MachineId)>,
+    /// Machines that commands may have to go to.
+    command_queue: CommandQueue,
     /// The takeover was a moment ago.
     young: bool,
     /// Nothing was placed yet; not all machines were heard.
     idle_yet: bool,
     unheard_yet: bool,
-    /// Machines to try again at a time, in milliseconds.
-    retries: BTreeSet<(u64, MachineId)>,
     /// Machines where room appeared, and the one that was walked last.
     touched: BTreeSet<MachineId>,
     walked: MachineId,
     /// What walks share, and since when.
     pass: Option<(Time, Pass)>,
-    flying: usize,
     refused: HashMap<(TypeName, Zone, bool), Time>,
     rentals: u64,
     renting: u32,
@@ -200,18 +200,13 @@
 /// For how long after a takeover machines are asked by what is on them.
 const YOUNG_S: f64 = 60.0;
 const KILL_AGAIN_S: f64 = 2.0;
-/// Direct commands under way at a time.
-pub const MOST_FLYING: usize = 48;
 /// How often all machines are looked at for what only time changes.
 const LOOK_S: f64 = 1.0;
 
 impl Core {
     /// Regular work: look at what only time changes, and place.
     pub fn tick(&mut self, now: Time) {
-        let due = ((now.0 * 1000.0) as u64 + 1, MachineId::from(""));
-        let later = self.retries.split_off(&due);
-        let retries = std::mem::replace(&mut self.retries, later);
-        for (_, id) in retries {
+        for id in self.command_queue.take_due_retries(now) {
             self.wake(&id);
         }
         self.young = now.since(self.started) < YOUNG_S;
--- a/src/control/core/sharing.rs
+++ b/src/control/core/sharing.rs
@@ -431,7 +431,7 @@
     /// to be recorded are not waited for: workers repeat them to the next owner.
     pub fn settled(&self, now: Time) -> bool {
         let patient = self.frozen_since.is_some_and(|t| now.since(t) < SETTLE_S);
-        !(self.pending.claims_any() || patient && self.flying > 0)
+        !(self.pending.claims_any() || patient && self.command_queue.awaits_answers())
     }
 }
 
