--- a/src/control/core/commands.rs
+++ b/src/control/core/commands.rs
@@ -120,9 +120,9 @@
     fn start_commands(&mut self, id: &MachineId, sent: Sent, now: Time) -> Vec<Command> {
         let mut tasks = self.cluster_state.claims_on(id);
         tasks.retain(|task| self.start_is_due(task));
-        if now >= self.starts_until {
+        if !self.start_permission.is_valid(now) {
             if !tasks.is_empty() {
-                self.starts_withheld.insert(id.clone());
+                self.start_permission.withhold(id.clone());
             }
             return Vec::new();
         }
@@ -158,12 +158,8 @@
     /// starts later could be on its machine after `cancel_s`, if its job was
     /// cancelled through another controller meanwhile.
     pub fn may_start_until(&mut self, until: Time, now: Time) {
-        self.starts_until = until;
-        if now < until {
-            let withheld = std::mem::take(&mut self.starts_withheld);
-            for id in withheld {
-                self.command_queue.add(id, ContactOrder::First);
-            }
+        for id in self.start_permission.set(until, now) {
+            self.command_queue.add(id, ContactOrder::First);
         }
     }
 }
--- a/src/control/core/load.rs
+++ b/src/control/core/load.rs
@@ -15,6 +15,7 @@
 use super::command_queue::CommandQueue;
 use super::deleted_machines::DeletedMachines;
 use super::sharing::{self, Places};
+use super::start_permission::StartPermission;
 use super::{calendar, staging, Core};
 use crate::config::Config;
 use crate::control::pending::Pending;
@@ -102,8 +103,7 @@
             claim_rate: ClaimRate::default(),
             claimed_cpu: 0,
             deaf_until: now,
-            starts_until: Time(f64::INFINITY),
-            starts_withheld: BTreeSet::new(),
+            start_permission: StartPermission::unbounded(),
             missing: BTreeMap::new(),
             listed: false,
             arrivals: BTreeMap::new(),
--- a/src/control/core/mod.rs
+++ b/src/control/core/mod.rs
@@ -26,6 +26,7 @@
 mod served;
 mod sharing;
 mod staging;
+mod start_permission;
 mod unlinked;
 mod waves;
 
@@ -48,6 +49,7 @@
 use self::deleted_machines::DeletedMachines;
 use self::link::Link;
 pub use self::sharing::Places;
+use self::start_permission::StartPermission;
 use super::pending::{ChunkId, Pending};
 use crate::config::Config;
 use crate::sched::{ClusterState, Pass};
@@ -150,10 +152,8 @@
     claimed_cpu: i64,
     /// Until then silence tells nothing.
     deaf_until: Time,
-    /// No task is started after this; no bound until one is told.
-    starts_until: Time,
-    /// Machines on which starts were due since.
-    starts_withheld: BTreeSet<MachineId>,
+    /// Until when tasks may be started.
+    start_permission: StartPermission,
     missing: BTreeMap<MachineId, u32>,
     /// A machine list was read under this grant.
     listed: bool,
