--- a/src/control/core/batch.rs
+++ b/src/control/core/batch.rs
@@ -19,11 +19,6 @@
 /// Bytes of the rest of a change that writes a job, and of one that writes a chunk, about.
 const JOB_CHANGE_BYTES: usize = 400;
 const CHUNK_CHANGE_BYTES: usize = 200;
-/// After a transaction that the state service rejected, each change is tried alone for so
-/// long, in seconds: what is wrong with one must not stop the others.
-const ALONE_S: f64 = 10.0;
-/// A change that was rejected alone is tried again after so long, in seconds.
-const REJECTED_S: f64 = 20.0;
 
 /// What one entry of the queues comes to.
 enum Written {
@@ -47,6 +42,15 @@
     }
 }
 
+impl Batch {
+    /// What it records; a job's own record by the key of its first chunk.
+    fn written_keys(&self) -> BTreeSet<ChunkId> {
+        let jobs = self.jobs.iter().map(|(id, _)| (id.clone(), 0));
+        let chunks = self.chunks.iter().map(|(chunk, _)| chunk.clone());
+        jobs.chain(chunks).collect()
+    }
+}
+
 /// A transaction while it is put together.
 struct Draft {
     batch: Batch,
@@ -137,7 +141,7 @@
         now: Time,
     ) -> Option<Batch> {
         let mut draft = Draft::new(self.grant_key(), self.grant_stamp);
-        let alone = now < self.alone_until;
+        let alone = self.rejected_changes.tries_alone(now);
         // First: starts wait for it.
         if let Some((when, change, step)) = self.staging.next(now) {
             draft.batch.txn.when.push(when);
@@ -152,7 +156,7 @@
             let (Due::Finished(id) | Due::Chunk((id, _))) = &due;
             let id = id.clone();
             self.cluster_state.claimed_all(&id);
-            if draft.written.contains(&id) || self.was_rejected(&due, now) {
+            if draft.written.contains(&id) || self.rejected_changes.holds_back(&due, now) {
                 again.push(due);
                 continue;
             }
@@ -224,7 +228,7 @@
         // The description alone is larger. While that can still be written, it is, as
         // earlier versions read no other form; then the claims' own key goes before the
         // claims in the record.
-        match self.limits_fell {
+        match self.rejected_changes.limits_fell() {
             false => Written::Job(JobRecord {
                 inline: Some(claims),
                 ..record
@@ -318,36 +322,16 @@
         }
     }
 
-    fn was_rejected(&mut self, due: &Due, now: Time) -> bool {
-        self.rejected.retain(|_, until| now < *until);
-        match due {
-            Due::Finished(id) => self.rejected.contains_key(&(id.clone(), 0)),
-            Due::Chunk(chunk) => self.rejected.contains_key(chunk),
-        }
-    }
-
     /// The state service does not take a transaction as it is. If that tells that its
     /// smaller limits are in force, all is tried again in the form for these. Else the
     /// changes are tried one by one, so that one that can't be recorded stops no other;
     /// that one waits. False if the grant is no longer ours.
     pub fn rejected(&mut self, batch: Batch, limits_fell: bool, view: &View, now: Time) -> bool {
-        let new = limits_fell && !self.limits_fell;
-        self.limits_fell |= limits_fell;
-        if !new {
-            self.set_apart(&batch, now);
+        if !self.rejected_changes.learn_limits(limits_fell) {
+            let with_wave = batch.wave.is_some();
+            let changes = batch.written_keys();
+            self.rejected_changes.set_apart(changes, with_wave, now);
         }
         self.conflicted(batch, view, now)
     }
-
-    fn set_apart(&mut self, batch: &Batch, now: Time) {
-        let jobs = batch.jobs.iter().map(|(id, _)| (id.clone(), 0));
-        let chunks = batch.chunks.iter().map(|(chunk, _)| chunk.clone());
-        let all: BTreeSet<ChunkId> = jobs.chain(chunks).collect();
-        if all.len() + usize::from(batch.wave.is_some()) > 1 {
-            self.alone_until = now.after(ALONE_S);
-        } else {
-            let until = now.after(REJECTED_S);
-            self.rejected.extend(all.into_iter().map(|c| (c, until)));
-        }
-    }
 }
--- a/src/control/core/load.rs
+++ b/src/control/core/load.rs
@@ -14,6 +14,7 @@
 
 use super::command_queue::CommandQueue;
 use super::deleted_machines::DeletedMachines;
+use super::rejected_changes::RejectedChanges;
 use super::sharing::{self, Places};
 use super::start_permission::StartPermission;
 use super::{calendar, staging, Core};
@@ -124,9 +125,7 @@
             gangs: BTreeSet::new(),
             last_repair: None,
             told: BTreeMap::new(),
-            limits_fell: false,
-            alone_until: now,
-            rejected: BTreeMap::new(),
+            rejected_changes: RejectedChanges::none(now),
             walk_all: true,
             last_fleet: now,
             last_plan: now,
--- a/src/control/core/mod.rs
+++ b/src/control/core/mod.rs
@@ -21,6 +21,7 @@
 mod placing;
 mod record;
 mod recorded_job;
+mod rejected_changes;
 mod renting;
 mod reports;
 mod served;
@@ -48,6 +49,7 @@
 pub use self::command_queue::MOST_FLYING;
 use self::deleted_machines::DeletedMachines;
 use self::link::Link;
+use self::rejected_changes::RejectedChanges;
 pub use self::sharing::Places;
 use self::start_permission::StartPermission;
 use super::pending::{ChunkId, Pending};
@@ -184,12 +186,8 @@
     last_repair: Option<Time>,
     /// When each job that waits was last spoken of in the log.
     told: BTreeMap<JobId, Time>,
-    /// The state service has its smaller limits (`state.next`).
-    limits_fell: bool,
-    /// Until then each change has a transaction of its own.
-    alone_until: Time,
-    /// Changes that were rejected alone, until when they wait.
-    rejected: BTreeMap<ChunkId, Time>,
+    /// What rejected transactions tell about the next ones.
+    rejected_changes: RejectedChanges,
     /// Work arrived or room appeared: walk all machines.
     pub walk_all: bool,
     last_fleet: Time,
--- /dev/null
+++ b/src/control/core/rejected_changes.rs
@@ -0,0 +1,75 @@
+//! Changes that the state service did not take as they were, and how the next ones are
+//! made because of that.
+//!
+//! Invariant: a change that can't be recorded stops no other one.
+
+use std::collections::{BTreeMap, BTreeSet};
+
+use crate::control::pending::{ChunkId, Due};
+use crate::types::Time;
+
+/// After a transaction that the state service rejected, each change is tried alone for so
+/// long, in seconds: what is wrong with one must not stop the others.
+const ALONE_S: f64 = 10.0;
+/// A change that was rejected alone is tried again after so long, in seconds.
+const REJECTED_S: f64 = 20.0;
+
+/// What rejected transactions tell about the next ones.
+#[derive(Debug)]
+pub(super) struct RejectedChanges {
+    /// The state service has its smaller limits (`state.next`).
+    limits_fell: bool,
+    /// Until then each change has a transaction of its own.
+    alone_until: Time,
+    /// Changes that were rejected alone, until when they wait. A job's own record has
+    /// the key of its first chunk.
+    waiting: BTreeMap<ChunkId, Time>,
+}
+
+impl RejectedChanges {
+    /// Nothing was rejected yet.
+    pub(super) fn none(now: Time) -> Self {
+        Self {
+            limits_fell: false,
+            alone_until: now,
+            waiting: BTreeMap::new(),
+        }
+    }
+
+    /// Whether the state service is known to have its smaller limits.
+    pub(super) fn limits_fell(&self) -> bool {
+        self.limits_fell
+    }
+
+    /// A rejection tells whether the smaller limits are in force. True if that is news.
+    pub(super) fn learn_limits(&mut self, fell: bool) -> bool {
+        let new = fell && !self.limits_fell;
+        self.limits_fell |= fell;
+        new
+    }
+
+    /// Whether each change has a transaction of its own now.
+    pub(super) fn tries_alone(&self, now: Time) -> bool {
+        now < self.alone_until
+    }
+
+    /// A transaction with these changes, and with an image's wave if `with_wave`, was
+    /// rejected: its changes are tried one by one, and one that was alone waits.
+    pub(super) fn set_apart(&mut self, changes: BTreeSet<ChunkId>, with_wave: bool, now: Time) {
+        if changes.len() + usize::from(with_wave) > 1 {
+            self.alone_until = now.after(ALONE_S);
+        } else {
+            let until = now.after(REJECTED_S);
+            self.waiting.extend(changes.into_iter().map(|c| (c, until)));
+        }
+    }
+
+    /// Whether a change was rejected alone and still waits.
+    pub(super) fn holds_back(&mut self, due: &Due, now: Time) -> bool {
+        self.waiting.retain(|_, until| now < *until);
+        match due {
+            Due::Finished(id) => self.waiting.contains_key(&(id.clone(), 0)),
+            Due::Chunk(chunk) => self.waiting.contains_key(chunk),
+        }
+    }
+}
