--- a/src/control/core/job_changes.rs
+++ b/src/control/core/job_changes.rs
@@ -160,7 +160,7 @@
         let claim = self.cluster_state.release(task, now)?;
         self.gangs.insert(task.job.clone());
         self.pending.released(self.chunk_of(task), now);
-        self.touched.insert(claim.machine.clone());
+        self.placement_queue.add(claim.machine.clone());
         Some(claim)
     }
 }
--- a/src/control/core/links.rs
+++ b/src/control/core/links.rs
@@ -175,7 +175,7 @@
                 m.usable = usable;
                 m.slow = slow;
             });
-            self.touched.insert(id.clone());
+            self.placement_queue.add(id.clone());
             let place = self.cluster_state.machines().get(id).map(|m| m.place);
             if let (true, Some(t), Some(place)) = (silent, self.cluster_state.topology(), place) {
                 self.stability.lost(&t.tree, place, now);
--- a/src/control/core/load.rs
+++ b/src/control/core/load.rs
@@ -14,6 +14,7 @@
 
 use super::command_queue::CommandQueue;
 use super::deleted_machines::DeletedMachines;
+use super::placement_queue::PlacementQueue;
 use super::rejected_changes::RejectedChanges;
 use super::sharing::{self, Places};
 use super::start_permission::StartPermission;
@@ -22,7 +23,7 @@
 use crate::control::pending::Pending;
 use crate::sched::{ClusterState, Team};
 use crate::state::view::{JobEntry, View};
-use crate::types::{Amount, JobId, MachineId, MachineType, Revision, Time, Token};
+use crate::types::{Amount, JobId, MachineType, Revision, Time, Token};
 
 impl Core {
     /// Takes up the grant of all machines.
@@ -94,9 +95,7 @@
             young: true,
             idle_yet: true,
             unheard_yet: true,
-            touched: BTreeSet::new(),
-            walked: MachineId::from(""),
-            pass: None,
+            placement_queue: PlacementQueue::default(),
             refused: HashMap::new(),
             rentals: 0,
             renting: 0,
--- a/src/control/core/mod.rs
+++ b/src/control/core/mod.rs
@@ -18,6 +18,7 @@
 mod load;
 mod machine_list;
 mod moving;
+mod placement_queue;
 mod placing;
 mod record;
 mod recorded_job;
@@ -49,12 +50,13 @@
 pub use self::command_queue::MOST_FLYING;
 use self::deleted_machines::DeletedMachines;
 use self::link::Link;
+use self::placement_queue::PlacementQueue;
 use self::rejected_changes::RejectedChanges;
 pub use self::sharing::Places;
 use self::start_permission::StartPermission;
 use super::pending::{ChunkId, Pending};
 use crate::config::Config;
-use crate::sched::{ClusterState, Pass};
+use crate::sched::ClusterState;
 use crate::state::record::{ChunkRecord, JobRecord};
 use crate::state::Txn;
 use crate::types::{Image, JobId, MachineId, MachineType, Revision, Time, TypeName, Zone};
@@ -139,11 +141,8 @@
     /// Nothing was placed yet; not all machines were heard.
     idle_yet: bool,
     unheard_yet: bool,
-    /// Machines where room appeared, and the one that was walked last.
-    touched: BTreeSet<MachineId>,
-    walked: MachineId,
-    /// What walks share, and since when.
-    pass: Option<(Time, Pass)>,
+    /// Machines where tasks may find a place now.
+    placement_queue: PlacementQueue,
     refused: HashMap<(TypeName, Zone, bool), Time>,
     rentals: u64,
     renting: u32,
--- /dev/null
+++ b/src/control/core/placement_queue.rs
@@ -0,0 +1,66 @@
+//! Machines on which room appeared, to be walked one after the other by name.
+
+use std::collections::BTreeSet;
+use std::ops::Bound;
+
+use crate::sched::Pass;
+use crate::types::{MachineId, Time};
+
+/// For so long walks share what they have in common, in seconds.
+const PASS_S: f64 = 0.2;
+
+/// Machines where tasks may find a place now.
+pub(super) struct PlacementQueue {
+    /// Machines where room appeared.
+    machines: BTreeSet<MachineId>,
+    /// The one that was taken last: the next one is behind it by name, so that none
+    /// waits for ever while room appears on others.
+    last: MachineId,
+    /// What walks share, and since when.
+    pass: Option<(Time, Pass)>,
+}
+
+impl Default for PlacementQueue {
+    fn default() -> Self {
+        Self {
+            machines: BTreeSet::new(),
+            last: MachineId::from(""),
+            pass: None,
+        }
+    }
+}
+
+impl PlacementQueue {
+    /// Room appeared on a machine.
+    pub(super) fn add(&mut self, machine: MachineId) {
+        self.machines.insert(machine);
+    }
+
+    /// The machines that wait to be walked, by name.
+    pub(super) fn iter(&self) -> impl Iterator<Item = &MachineId> {
+        self.machines.iter()
+    }
+
+    /// The next machine to walk: by name after the last one, then from the first.
+    pub(super) fn take_next(&mut self) -> Option<MachineId> {
+        let after = (Bound::Excluded(&self.last), Bound::Unbounded);
+        let next = self.machines.range(after).next().cloned();
+        let machine = next.or_else(|| self.machines.first().cloned())?;
+        self.machines.remove(&machine);
+        self.last = machine.clone();
+        Some(machine)
+    }
+
+    /// Begins a new pass if the present one is too old.
+    pub(super) fn refresh_pass(&mut self, now: Time) {
+        let begun = self.pass.as_ref().map(|(at, _)| *at);
+        if begun.is_none_or(|at| now.since(at) >= PASS_S) {
+            self.pass = Some((now, Pass::default()));
+        }
+    }
+
+    /// What walks share in the present pass.
+    pub(super) fn pass(&self) -> Option<&Pass> {
+        self.pass.as_ref().map(|(_, pass)| pass)
+    }
+}
--- a/src/control/core/placing.rs
+++ b/src/control/core/placing.rs
@@ -1,11 +1,9 @@
 //! When the scheduler places tasks, and what follows from each placement. Which
 //! machine a task gets is decided in [`crate::sched`].
 
-use std::ops::Bound;
-
 use super::Core;
 use crate::control::pending::Haste;
-use crate::sched::{DelayRule, Job, Launch, Pass};
+use crate::sched::{DelayRule, Job, Launch};
 use crate::types::{MachineId, Time};
 
 /// Part of its start aim after which room is made for a job.
@@ -14,8 +12,6 @@
 const PREEMPT_SLACK: f64 = 2.0;
 /// Steps of the walks in one turn: jobs and places that are looked at.
 const WALK_STEPS: u64 = 4000;
-/// For so long walks share what they have in common, in seconds.
-const PASS_S: f64 = 0.2;
 
 impl Core {
     fn launched(&mut self, launches: Vec<Launch>, now: Time) {
@@ -57,19 +53,13 @@
         if self.is_frozen() {
             return;
         }
-        if self
-            .pass
-            .as_ref()
-            .is_none_or(|(at, _)| now.since(*at) >= PASS_S)
-        {
-            self.pass = Some((now, Pass::default()));
-        }
+        self.placement_queue.refresh_pass(now);
         // A new owner's first report of a machine walks it at once: others' work
         // had a part of what was held.
         if self.windows.hold() {
             self.cluster_state.top_up_holds(id, now);
         }
-        let pass = self.pass.as_ref().map(|(_, pass)| pass);
+        let pass = self.placement_queue.pass();
         let launches = self.cluster_state.walk_in(pass, id, self.rule(), now);
         self.launched(launches, now);
     }
@@ -77,7 +67,7 @@
     /// Where room appeared, windows have what they lack before anybody else.
     fn top_up(&mut self, now: Time) {
         if self.windows.hold() {
-            for id in &self.touched {
+            for id in self.placement_queue.iter() {
                 self.cluster_state.top_up_holds(id, now);
             }
         }
@@ -91,14 +81,10 @@
         self.top_up(now);
         let begun = self.cluster_state.capacity_index.steps.get();
         while self.cluster_state.capacity_index.steps.get() - begun < WALK_STEPS {
-            let after = (Bound::Excluded(&self.walked), Bound::Unbounded);
-            let next = self.touched.range(after).next().cloned();
-            let Some(id) = next.or_else(|| self.touched.first().cloned()) else {
+            let Some(id) = self.placement_queue.take_next() else {
                 return;
             };
-            self.touched.remove(&id);
             self.walk(&id, now);
-            self.walked = id;
         }
     }
 
