--- a/src/control/core/calendar_needs.rs
+++ b/src/control/core/calendar_needs.rs
@@ -105,8 +105,8 @@
     /// machines there are: what a former owner rented would be rented again.
     pub(super) fn lacks(&self, now: Time) -> Vec<fleet::Lack> {
         // A list is late by twice its usual lag at most (PROTOCOL).
-        let listed = now.since(self.started) > 2.0 * self.cfg.list_lag_s + 2.0;
-        let quiet = now.since(self.started) <= self.cfg.silent_s();
+        let listed = self.failover.age_s(now) > 2.0 * self.cfg.list_lag_s + 2.0;
+        let quiet = self.failover.age_s(now) <= self.cfg.silent_s();
         let unheard = quiet && self.links.values().any(|l| !l.fenced() && !l.deleting);
         if self.windows.watched.is_empty() || !listed || unheard {
             return Vec::new();
--- a/src/control/core/links.rs
+++ b/src/control/core/links.rs
@@ -47,7 +47,7 @@
             let kind = self.types.get(kind)?.clone();
             self.coming.remove(id);
             let mut machine = Machine::new(kind, zone.clone(), spot, now);
-            for (image, gb) in self.ran_before.remove(id).unwrap_or_default() {
+            for (image, gb) in self.failover.take_cached_images(id) {
                 // That a task was placed there proves no fetch of minutes: taken
                 // for one, the next start there named no source, and all that
                 // had waited for their stage went to the origin after a takeover.
@@ -112,11 +112,13 @@
     /// with other tasks.
     pub(super) fn wake(&mut self, id: &MachineId) {
         let order = match self.cluster_state.machines().get(id) {
-            Some(m) if self.young => match (self.has_replicas(id), m.claims.is_empty()) {
-                (true, _) => ContactOrder::First,
-                (false, false) => ContactOrder::WithTasks,
-                (false, true) => ContactOrder::Empty,
-            },
+            Some(m) if self.failover.is_recent() => {
+                match (self.has_replicas(id), m.claims.is_empty()) {
+                    (true, _) => ContactOrder::First,
+                    (false, false) => ContactOrder::WithTasks,
+                    (false, true) => ContactOrder::Empty,
+                }
+            }
             _ => ContactOrder::First,
         };
         self.command_queue.add(id.clone(), order);
--- a/src/control/core/load.rs
+++ b/src/control/core/load.rs
@@ -14,6 +14,7 @@
 
 use super::command_queue::CommandQueue;
 use super::deleted_machines::DeletedMachines;
+use super::failover::Failover;
 use super::placement_queue::PlacementQueue;
 use super::rejected_changes::RejectedChanges;
 use super::sharing::{self, Places};
@@ -90,11 +91,8 @@
             links: BTreeMap::new(),
             coming: BTreeMap::new(),
             pending: Pending::default(),
-            ran_before: view.history.images(),
+            failover: Failover::begin(now, wall_ms, view.history.images()),
             command_queue: CommandQueue::default(),
-            young: true,
-            idle_yet: true,
-            unheard_yet: true,
             placement_queue: PlacementQueue::default(),
             refused: HashMap::new(),
             rentals: 0,
@@ -114,8 +112,6 @@
                 .values()
                 .flat_map(|held| held.value.machines.iter().cloned())
                 .collect(),
-            started: now,
-            started_ms: wall_ms,
             windows: calendar::Windows::default(),
             drains: Vec::new(),
             staging,
--- a/src/control/core/machine_list.rs
+++ b/src/control/core/machine_list.rs
@@ -84,7 +84,7 @@
         // is late by twice its usual lag at most (PROTOCOL), so by now it
         // tells of a time at which every machine that a former owner claimed
         // was there. Until they are gone these claims count against limits.
-        if now.since(self.started) > 2.0 * self.cfg.list_lag_s + 2.0 {
+        if self.failover.age_s(now) > 2.0 * self.cfg.list_lag_s + 2.0 {
             let ghosts: Vec<MachineId> = self
                 .cluster_state
                 .unknown_machines()
--- a/src/control/core/mod.rs
+++ b/src/control/core/mod.rs
@@ -9,6 +9,7 @@
 mod commands;
 mod deleted_machines;
 mod dispatch;
+mod failover;
 mod failures;
 mod job_changes;
 mod lanes;
@@ -49,6 +50,7 @@
 use self::command_queue::CommandQueue;
 pub use self::command_queue::MOST_FLYING;
 use self::deleted_machines::DeletedMachines;
+use self::failover::Failover;
 use self::link::Link;
 use self::placement_queue::PlacementQueue;
 use self::rejected_changes::RejectedChanges;
@@ -59,7 +61,7 @@
 use crate::sched::ClusterState;
 use crate::state::record::{ChunkRecord, JobRecord};
 use crate::state::Txn;
-use crate::types::{Image, JobId, MachineId, MachineType, Revision, Time, TypeName, Zone};
+use crate::types::{JobId, MachineId, MachineType, Revision, Time, TypeName, Zone};
 use crate::worker::Orders;
 
 /// Where a report came from.
@@ -132,15 +134,10 @@
     links: BTreeMap<MachineId, Link>,
     coming: BTreeMap<MachineId, Coming>,
     pending: Pending,
-    /// Images that machines ran before this owner knew them.
-    ran_before: HashMap<MachineId, Vec<(Image, f64)>>,
+    /// The time since the grant was taken up, and what is still open from then.
+    failover: Failover,
     /// Machines that commands may have to go to.
     command_queue: CommandQueue,
-    /// The takeover was a moment ago.
-    young: bool,
-    /// Nothing was placed yet; not all machines were heard.
-    idle_yet: bool,
-    unheard_yet: bool,
     /// Machines where tasks may find a place now.
     placement_queue: PlacementQueue,
     refused: HashMap<(TypeName, Zone, bool), Time>,
@@ -167,9 +164,6 @@
     /// Those to note for later owners, and those that earlier ones noted.
     deleted_machines: DeletedMachines,
     gone_before: BTreeSet<MachineId>,
-    started: Time,
-    /// The time of day when it started, in milliseconds.
-    started_ms: u64,
     /// Windows of the release calendar.
     windows: calendar::Windows,
     /// What operators drain.
@@ -194,8 +188,6 @@
     last_look: Time,
 }
 
-/// For how long after a takeover machines are asked by what is on them.
-const YOUNG_S: f64 = 60.0;
 const KILL_AGAIN_S: f64 = 2.0;
 /// How often all machines are looked at for what only time changes.
 const LOOK_S: f64 = 1.0;
@@ -206,7 +198,7 @@
         for id in self.command_queue.take_due_retries(now) {
             self.wake(&id);
         }
-        self.young = now.since(self.started) < YOUNG_S;
+        self.failover.tick(now);
         if now.since(self.last_look) >= LOOK_S {
             self.last_look = now;
             self.cluster_state.look_at_dues(now);
@@ -217,7 +209,7 @@
             self.look_at_drains(now);
             self.look_at_waves(now);
             self.tell_served(now);
-            if self.unheard_yet {
+            if self.failover.awaits_heartbeats() {
                 self.look_who_is_heard(now);
             }
             let ids: Vec<MachineId> = self.links.keys().cloned().collect();
--- a/src/control/core/moving.rs
+++ b/src/control/core/moving.rs
@@ -38,7 +38,7 @@
     }
 
     pub(super) fn wall_ms(&self, now: Time) -> u64 {
-        self.started_ms + (now.since(self.started) * 1000.0) as u64
+        self.failover.wall_ms(now)
     }
 
     /// Which machines are drained now: their place, or the drains, may have
--- a/src/control/core/placing.rs
+++ b/src/control/core/placing.rs
@@ -10,14 +10,15 @@
 const PREEMPT_START: f64 = 0.15;
 /// The same for other jobs, as a multiple of their patience.
 const PREEMPT_SLACK: f64 = 2.0;
+/// For so long after a failover nothing is preempted, in seconds.
+const PREEMPT_SETTLE_S: f64 = 3.0;
 /// Steps of the walks in one turn: jobs and places that are looked at.
 const WALK_STEPS: u64 = 4000;
 
 impl Core {
     fn launched(&mut self, launches: Vec<Launch>, now: Time) {
-        if self.idle_yet && !launches.is_empty() {
-            self.idle_yet = false;
-            let after_s = (now.since(self.started) * 10.0).round() / 10.0;
+        if !launches.is_empty() && self.failover.placed() {
+            let after_s = self.failover.logged_age_s(now);
             tracing::info!(after_s, "first task placed");
         }
         for launch in launches {
@@ -101,7 +102,10 @@
 
     /// Stops tasks for others that have waited too long.
     pub fn preempt(&mut self, now: Time) {
-        if self.cfg.tuning.preempt && now.since(self.started) > 3.0 && !self.is_frozen() {
+        if self.cfg.tuning.preempt
+            && self.failover.age_s(now) > PREEMPT_SETTLE_S
+            && !self.is_frozen()
+        {
             // Stopping costs more than it brings unless the wait is long for
             // the job's own aims: whoever is stopped waits in turn, and its
             // image may have to be fetched again.
--- a/src/control/core/renting.rs
+++ b/src/control/core/renting.rs
@@ -196,7 +196,7 @@
         // read: giving machines back then, and renting others, is how a fleet
         // that is too large for its controllers would be kept so.
         let hears_most = heard * 2 > self.links.len()
-            && now.since(self.started) > self.cfg.silent_s()
+            && self.failover.age_s(now) > self.cfg.silent_s()
             && now >= self.deaf_until;
         let deaf = match hears_most {
             true => self.deaf(now),
@@ -250,7 +250,7 @@
             .collect();
         let mut offered: Vec<Rc<MachineType>> = types.values().cloned().collect();
         offered.sort_by(|a, b| a.name.cmp(&b.name));
-        let settled = now.since(self.started) > 2.0 * self.cfg.report_s;
+        let settled = self.failover.age_s(now) > 2.0 * self.cfg.report_s;
         if !settled || self.renting > 0 {
             return (to_delete, Vec::new());
         }
--- a/src/control/core/served.rs
+++ b/src/control/core/served.rs
@@ -18,9 +18,9 @@
         let unheard = self.links.values().filter(|l| !l.fenced()).count();
         let missing = self.cluster_state.unknown_machines().count();
         let all = self.links.len() + missing;
-        if self.unheard_yet && all > 0 && (unheard + missing) * 50 <= all {
-            self.unheard_yet = false;
-            let after_s = (now.since(self.started) * 10.0).round() / 10.0;
+        if self.failover.awaits_heartbeats() && all > 0 && (unheard + missing) * 50 <= all {
+            self.failover.heard_machines();
+            let after_s = self.failover.logged_age_s(now);
             tracing::info!(
                 after_s,
                 machines = all,
--- a/src/control/core/waves.rs
+++ b/src/control/core/waves.rs
@@ -193,7 +193,7 @@
             }
         }
         let long = SETTLE_REPORTS * self.cfg.report_s + SETTLE_S;
-        let waited = now.since(self.started) >= long;
+        let waited = self.failover.age_s(now) >= long;
         for (image, on) in &all {
             if on.values().any(|d| *d == Does::Fetches) {
                 self.keep_wave(image);
