--- a/src/control/core/batch.rs
+++ b/src/control/core/batch.rs
@@ -185,7 +185,7 @@
         }
         if draft.len() < most_ops && !(alone && draft.len() > 0) {
             let value_bytes = self.cfg.state_limits.value_bytes;
-            let change = self.deleted_machines.change(value_bytes, now);
+            let change = self.tombstones.change(value_bytes, now);
             draft.batch.txn.apply.extend(change);
         }
         (draft.len() > 0).then_some(draft.batch)
--- a/src/control/core/load.rs
+++ b/src/control/core/load.rs
@@ -13,12 +13,12 @@
 use sorrelhinge_topology::Topology;
 
 use super::command_queue::CommandQueue;
-use super::deleted_machines::DeletedMachines;
 use super::failover::Failover;
 use super::placement_queue::PlacementQueue;
 use super::rejected_changes::RejectedChanges;
 use super::sharing::{self, Places};
 use super::start_permission::StartPermission;
+use super::tombstones::MachineTombstones;
 use super::{calendar, staging, Core};
 use crate::config::Config;
 use crate::control::pending::Pending;
@@ -105,13 +105,7 @@
             missing: BTreeMap::new(),
             listed: false,
             arrivals: BTreeMap::new(),
-            deleted: BTreeMap::new(),
-            deleted_machines: DeletedMachines::load(view, shard),
-            gone_before: view
-                .gone
-                .values()
-                .flat_map(|held| held.value.machines.iter().cloned())
-                .collect(),
+            tombstones: MachineTombstones::load(view, shard),
             windows: calendar::Windows::default(),
             drains: Vec::new(),
             staging,
--- a/src/control/core/machine_list.rs
+++ b/src/control/core/machine_list.rs
@@ -8,9 +8,6 @@
 use crate::cloud::{Listed, MachinePhase};
 use crate::types::{MachineId, Time, TypeName, Zone};
 
-/// Names of deleted machines are kept for so many leases, and so many of them.
-const DELETED_LEASES: f64 = 12.0;
-const MOST_DELETED: usize = 20_000;
 /// Clocks drift apart by 0.05% (PROTOCOL).
 const DRIFT: f64 = 1.001;
 /// How many times longer machines may hear nothing if most don't.
@@ -21,11 +18,11 @@
     pub fn listed(&mut self, list: &[Listed], now: Time) {
         let names: BTreeSet<&MachineId> = list.iter().map(|m| &m.uid).collect();
         self.listed = true;
-        self.forget_deleted(now);
+        self.tombstones.expire(&self.cfg, now);
         for m in list {
             // The list is late: a machine that is gone must not come back as
             // one to be asked, or waited for.
-            if self.deleted.contains_key(&m.uid) || self.gone_before.contains(&m.uid) {
+            if self.tombstones.contains(&m.uid) {
                 continue;
             }
             self.missing.remove(&m.uid);
@@ -97,18 +94,6 @@
         }
     }
 
-    /// Names of machines that are gone are kept for longer than a late list shows
-    /// them: copies of their reports come well over a lease late. They are few
-    /// enough, and beyond a bound the oldest go first.
-    fn forget_deleted(&mut self, now: Time) {
-        let mut keep_s = (4.0 * self.cfg.list_lag_s + 10.0).max(DELETED_LEASES * self.cfg.lease_s);
-        self.deleted.retain(|_, at| now.since(*at) < keep_s);
-        while self.deleted.len() > MOST_DELETED && keep_s > 1.0 {
-            keep_s /= 2.0;
-            self.deleted.retain(|_, at| now.since(*at) < keep_s);
-        }
-    }
-
     /// Machines that report and hear nothing, to be given back. Their answers renew
     /// no lease, so what ran there has ended by then: before, a cut that heals would
     /// cost their tasks.
@@ -158,8 +143,7 @@
                 self.release(&task, now);
             }
             self.walk_all = true;
-            self.deleted.insert(id.clone(), now);
-            self.deleted_machines.add(id, now);
+            self.tombstones.add(id, now);
             self.links.remove(id);
             self.coming.remove(id);
             self.missing.remove(id);
--- a/src/control/core/mod.rs
+++ b/src/control/core/mod.rs
@@ -30,6 +30,7 @@
 mod sharing;
 mod staging;
 mod start_permission;
+mod tombstones;
 mod unlinked;
 mod waves;
 
@@ -49,13 +50,13 @@
 pub use self::calendar::WindowStep;
 use self::command_queue::CommandQueue;
 pub use self::command_queue::MOST_FLYING;
-use self::deleted_machines::DeletedMachines;
 use self::failover::Failover;
 use self::link::Link;
 use self::placement_queue::PlacementQueue;
 use self::rejected_changes::RejectedChanges;
 pub use self::sharing::Places;
 use self::start_permission::StartPermission;
+use self::tombstones::MachineTombstones;
 use super::pending::{ChunkId, Pending};
 use crate::config::Config;
 use crate::sched::ClusterState;
@@ -158,12 +159,8 @@
     /// By class, and by the smallest machine type that a task fits: their
     /// room is not the same.
     arrivals: BTreeMap<(Rc<str>, Option<TypeName>), Arrivals>,
-    /// Deleted machines that a late list, or a late copy of a report, may still
-    /// show.
-    deleted: BTreeMap<MachineId, Time>,
-    /// Those to note for later owners, and those that earlier ones noted.
-    deleted_machines: DeletedMachines,
-    gone_before: BTreeSet<MachineId>,
+    /// Machines that are gone, which late lists and reports may still show.
+    tombstones: MachineTombstones,
     /// Windows of the release calendar.
     windows: calendar::Windows,
     /// What operators drain.
--- a/src/control/core/recorded_job.rs
+++ b/src/control/core/recorded_job.rs
@@ -155,7 +155,7 @@
             let here = held.claims.iter().filter(|c| self.shard.covers(&c.2));
             for (place, attempt, machine) in here {
                 let index = chunk * record.chunk + place;
-                if self.gone_before.contains(machine) {
+                if self.tombstones.is_inherited(machine) {
                     self.pending.released((id.clone(), chunk), now);
                 } else if index < record.tasks {
                     let units = held.units.iter().find(|(p, _)| p == place);
--- a/src/control/core/renting.rs
+++ b/src/control/core/renting.rs
@@ -420,7 +420,7 @@
 
     /// Another owner rented machines, some of which belong to this block.
     pub fn rented_for(&mut self, sort: (&TypeName, &Zone, bool), machine: &MachineId, now: Time) {
-        let known = self.links.contains_key(machine) || self.deleted.contains_key(machine);
+        let known = self.links.contains_key(machine) || self.tombstones.is_recent(machine);
         if self.shard.covers(machine) && !known {
             let (kind, zone, spot) = sort;
             let coming = || Coming {
--- a/src/control/core/reports.rs
+++ b/src/control/core/reports.rs
@@ -14,8 +14,7 @@
         if let Some(link) = self.links.get(&report.machine) {
             return (report.shift, report.tick) <= (link.session, link.seq);
         }
-        let gone = &report.machine;
-        self.deleted.contains_key(gone) || self.gone_before.contains(gone)
+        self.tombstones.contains(&report.machine)
     }
 
     /// Takes in a worker's report. False if a newer grant than ours commands
