--- a/src/control/core/links.rs
+++ b/src/control/core/links.rs
@@ -45,7 +45,7 @@
     ) -> Option<&mut Link> {
         if !self.links.contains_key(id) {
             let kind = self.types.get(kind)?.clone();
-            self.coming.remove(id);
+            self.inventory.came_up(id);
             let mut machine = Machine::new(kind, zone.clone(), spot, now);
             for (image, gb) in self.failover.take_cached_images(id) {
                 // That a task was placed there proves no fetch of minutes: taken
--- a/src/control/core/load.rs
+++ b/src/control/core/load.rs
@@ -14,6 +14,7 @@
 
 use super::command_queue::CommandQueue;
 use super::failover::Failover;
+use super::inventory::CloudInventory;
 use super::placement_queue::PlacementQueue;
 use super::rejected_changes::RejectedChanges;
 use super::sharing::{self, Places};
@@ -89,7 +90,7 @@
             starved: BTreeSet::new(),
             types: HashMap::new(),
             links: BTreeMap::new(),
-            coming: BTreeMap::new(),
+            inventory: CloudInventory::default(),
             pending: Pending::default(),
             failover: Failover::begin(now, wall_ms, view.history.images()),
             command_queue: CommandQueue::default(),
@@ -102,8 +103,6 @@
             claimed_cpu: 0,
             deaf_until: now,
             start_permission: StartPermission::unbounded(),
-            missing: BTreeMap::new(),
-            listed: false,
             arrivals: BTreeMap::new(),
             tombstones: MachineTombstones::load(view, shard),
             windows: calendar::Windows::default(),
--- a/src/control/core/machine_list.rs
+++ b/src/control/core/machine_list.rs
@@ -3,10 +3,11 @@
 
 use std::collections::BTreeSet;
 
+use super::inventory::Coming;
 use super::link::Link;
-use super::{Coming, Core};
+use super::Core;
 use crate::cloud::{Listed, MachinePhase};
-use crate::types::{MachineId, Time, TypeName, Zone};
+use crate::types::{MachineId, Time};
 
 /// Clocks drift apart by 0.05% (PROTOCOL).
 const DRIFT: f64 = 1.001;
@@ -17,83 +18,92 @@
     /// The machine list arrived: learn of machines, and of those that are gone.
     pub fn listed(&mut self, list: &[Listed], now: Time) {
         let names: BTreeSet<&MachineId> = list.iter().map(|m| &m.uid).collect();
-        self.listed = true;
+        self.inventory.list_read();
         self.tombstones.expire(&self.cfg, now);
-        for m in list {
+        for machine in list {
             // The list is late: a machine that is gone must not come back as
             // one to be asked, or waited for.
-            if self.tombstones.contains(&m.uid) {
-                continue;
-            }
-            self.missing.remove(&m.uid);
-            if self.links.contains_key(&m.uid) {
-                if m.phase == MachinePhase::Failed {
-                    // It stopped by itself. That proves nothing about its
-                    // tasks; the answer to deleting it will.
-                    self.give_back(&m.uid);
-                }
-                continue;
+            if !self.tombstones.contains(&machine.uid) {
+                self.machine_listed(machine, now);
             }
-            if m.phase == MachinePhase::Running {
-                if let Some(addr) = m.addr {
-                    // Up, and perhaps running tasks that a record claims: ask it.
-                    self.link(&m.uid, addr, &m.build, &m.rack, m.loaners, now);
-                    continue;
-                }
+        }
+        self.give_back_missing(&names, now);
+        // A list is late by twice its usual lag at most (PROTOCOL), so by now it
+        // tells of a time at which every machine that a former owner claimed
+        // was there.
+        if self.failover.age_s(now) > 2.0 * self.cfg.list_lag_s + 2.0 {
+            self.give_back_unknown(&names);
+        }
+    }
+
+    /// The list shows a machine that is not known to be gone.
+    fn machine_listed(&mut self, machine: &Listed, now: Time) {
+        let id = &machine.uid;
+        self.inventory.seen(id);
+        if self.links.contains_key(id) {
+            if machine.phase == MachinePhase::Failed {
+                // It stopped by itself. That proves nothing about its
+                // tasks; the answer to deleting it will.
+                self.give_back(id);
             }
-            self.coming.entry(m.uid.clone()).or_insert(Coming {
-                kind: m.build.clone(),
-                zone: m.rack.clone(),
-                spot: m.loaners,
-                since: Time(now.0 - m.held_s),
-            });
-            if m.phase == MachinePhase::Failed {
-                self.give_back(&m.uid);
+            return;
+        }
+        if machine.phase == MachinePhase::Running {
+            if let Some(addr) = machine.addr {
+                // Up, and perhaps running tasks that a record claims: ask it.
+                self.link(
+                    id,
+                    addr,
+                    &machine.build,
+                    &machine.rack,
+                    machine.loaners,
+                    now,
+                );
+                return;
             }
         }
-        // A machine that was heard of before and is missing from several
-        // lists in a row is probably gone; deleting it proves that.
-        let known: Vec<MachineId> = self
-            .links
-            .keys()
-            .chain(self.coming.keys())
-            .cloned()
-            .collect();
+        self.inventory.expect(id, || Coming {
+            kind: machine.build.clone(),
+            zone: machine.rack.clone(),
+            spot: machine.loaners,
+            since: Time(now.0 - machine.held_s),
+        });
+        if machine.phase == MachinePhase::Failed {
+            self.give_back(id);
+        }
+    }
+
+    /// A machine that was heard of before and is missing from several lists in a row is
+    /// probably gone; deleting it proves that.
+    fn give_back_missing(&mut self, listed: &BTreeSet<&MachineId>, now: Time) {
+        let known = self.links.keys().chain(self.inventory.coming().keys());
+        let known: Vec<MachineId> = known.cloned().collect();
         for id in known {
-            if names.contains(&id) {
+            if listed.contains(&id) {
                 continue;
             }
             let heard = self.links.get(&id).map(|l| l.last_heard);
             let silent = heard.is_none_or(|t| now.since(t) > self.cfg.report_s * 1.5);
-            let fresh = self
-                .coming
-                .get(&id)
-                .is_some_and(|c| now.since(c.since) < 3.0 * self.cfg.list_lag_s + 5.0);
-            if silent && !fresh {
-                let count = self.missing.entry(id.clone()).or_insert(0);
-                *count += 1;
-                if *count >= 2 {
-                    self.give_back(&id);
-                }
-            }
-        }
-        // Claims can name machines that neither list nor report shows. A list
-        // is late by twice its usual lag at most (PROTOCOL), so by now it
-        // tells of a time at which every machine that a former owner claimed
-        // was there. Until they are gone these claims count against limits.
-        if self.failover.age_s(now) > 2.0 * self.cfg.list_lag_s + 2.0 {
-            let ghosts: Vec<MachineId> = self
-                .cluster_state
-                .unknown_machines()
-                .filter(|id| !names.contains(id))
-                .cloned()
-                .collect();
-            for id in ghosts {
+            let coming = self.inventory.coming().get(&id);
+            let fresh =
+                coming.is_some_and(|c| now.since(c.since) < 3.0 * self.cfg.list_lag_s + 5.0);
+            if silent && !fresh && self.inventory.not_seen(&id) {
                 self.give_back(&id);
             }
         }
     }
 
+    /// Claims can name machines that neither list nor report shows. Until these are gone
+    /// their claims count against limits.
+    fn give_back_unknown(&mut self, listed: &BTreeSet<&MachineId>) {
+        let unknown = self.cluster_state.unknown_machines();
+        let unknown = unknown.filter(|id| !listed.contains(id));
+        let unknown: Vec<MachineId> = unknown.cloned().collect();
+        for id in unknown {
+            self.give_back(&id);
+        }
+    }
+
     /// Machines that report and hear nothing, to be given back. Their answers renew
     /// no lease, so what ran there has ended by then: before, a cut that heals would
     /// cost their tasks.
@@ -118,15 +128,7 @@
     pub(super) fn give_back(&mut self, id: &MachineId) {
         match self.links.get_mut(id) {
             Some(link) => link.deleting = true,
-            None => {
-                self.coming.entry(id.clone()).or_insert(Coming {
-                    kind: TypeName::from(""),
-                    zone: Zone::from(""),
-                    spot: false,
-                    since: Time(f64::NEG_INFINITY),
-                });
-                self.missing.insert(id.clone(), u32::MAX / 2);
-            }
+            None => self.inventory.give_back(id),
         }
     }
 
@@ -145,8 +147,7 @@
             self.walk_all = true;
             self.tombstones.add(id, now);
             self.links.remove(id);
-            self.coming.remove(id);
-            self.missing.remove(id);
+            self.inventory.forget(id);
             self.cluster_state.remove_machine(id);
         }
     }
--- a/src/control/core/mod.rs
+++ b/src/control/core/mod.rs
@@ -11,6 +11,7 @@
 mod dispatch;
 mod failover;
 mod failures;
+mod inventory;
 mod job_changes;
 mod lanes;
 mod largest_jobs;
@@ -51,6 +52,7 @@
 use self::command_queue::CommandQueue;
 pub use self::command_queue::MOST_FLYING;
 use self::failover::Failover;
+use self::inventory::CloudInventory;
 use self::link::Link;
 use self::placement_queue::PlacementQueue;
 use self::rejected_changes::RejectedChanges;
@@ -78,15 +80,6 @@
     Direct,
 }
 
-/// A machine that is on its way.
-#[derive(Clone, Debug)]
-struct Coming {
-    kind: TypeName,
-    zone: Zone,
-    spot: bool,
-    since: Time,
-}
-
 /// A transaction under way, with what it records.
 #[derive(Debug)]
 pub struct Batch {
@@ -133,7 +126,7 @@
     starved: BTreeSet<Sort>,
     types: HashMap<TypeName, Rc<MachineType>>,
     links: BTreeMap<MachineId, Link>,
-    coming: BTreeMap<MachineId, Coming>,
+    inventory: CloudInventory,
     pending: Pending,
     /// The time since the grant was taken up, and what is still open from then.
     failover: Failover,
@@ -153,9 +146,6 @@
     deaf_until: Time,
     /// Until when tasks may be started.
     start_permission: StartPermission,
-    missing: BTreeMap<MachineId, u32>,
-    /// A machine list was read under this grant.
-    listed: bool,
     /// By class, and by the smallest machine type that a task fits: their
     /// room is not the same.
     arrivals: BTreeMap<(Rc<str>, Option<TypeName>), Arrivals>,
--- a/src/control/core/renting.rs
+++ b/src/control/core/renting.rs
@@ -6,7 +6,8 @@
 
 use sorrelhinge_topology::drain::{Drain, Target};
 
-use super::{Coming, Core};
+use super::inventory::Coming;
+use super::Core;
 use crate::cloud::Rental;
 use crate::fleet;
 use crate::types::{Amount, JobSpec, Kind, MachineId, MachineType, Priority, Time, TypeName, Zone};
@@ -99,7 +100,7 @@
 
     /// How many machines there are, up and on their way.
     pub fn machines(&self) -> usize {
-        self.links.len() + self.coming.len()
+        self.links.len() + self.inventory.coming().len()
     }
 
     /// Whether no work of the lowest rank that waits is placed, while work of a
@@ -168,7 +169,7 @@
             spot = sums[1][0],
             spot_cpus = sums[1][1],
             spot_used = sums[1][2],
-            coming = self.coming.len(),
+            coming = self.inventory.coming().len(),
             retiring,
             pending,
             teams = teams.join(","),
@@ -228,16 +229,17 @@
             }
         }
         let types = &self.types;
-        for (id, c) in &self.coming {
+        for (id, c) in self.inventory.coming() {
             let boot = types.get(&c.kind).map_or(30.0, |t| t.boot_s);
             let stuck = now.since(c.since) > 2.5 * boot + 10.0;
-            let missing = self.missing.get(id).is_some_and(|n| *n >= 2);
+            let missing = self.inventory.is_missing(id);
             if stuck || missing {
                 to_delete.push(id.clone());
             }
         }
         let coming: Vec<fleet::Coming> = self
-            .coming
+            .inventory
+            .coming()
             .iter()
             .filter(|(id, _)| !to_delete.contains(id))
             .filter_map(|(_, c)| {
@@ -396,7 +398,7 @@
                 }
                 for id in machines.into_iter().filter(|m| self.shard.covers(m)) {
                     if !self.links.contains_key(&id) {
-                        self.coming.insert(
+                        self.inventory.rented(
                             id,
                             Coming {
                                 kind: rental.build.clone(),
@@ -429,7 +431,7 @@
                 spot,
                 since: now,
             };
-            self.coming.entry(machine.clone()).or_insert_with(coming);
+            self.inventory.expect(machine, coming);
         }
     }
 }
--- a/src/control/core/reports.rs
+++ b/src/control/core/reports.rs
@@ -32,8 +32,8 @@
         // list tells what machines there are it makes none. The answer has the
         // token, and the next report shows it.
         let id = &report.machine;
-        let shown = report.baton >= self.base_token() || self.coming.contains_key(id);
-        if self.listed && !shown && !self.links.contains_key(id) {
+        let shown = report.baton >= self.base_token() || self.inventory.is_coming(id);
+        if self.inventory.was_listed() && !shown && !self.links.contains_key(id) {
             return true;
         }
         let (lease_s, hears_badly) = (self.cfg.lease_s, now < self.deaf_until);
