--- a/src/control/core/load.rs
+++ b/src/control/core/load.rs
@@ -5,7 +5,6 @@
 use std::rc::Rc;
 
 use sorrelhinge_blocks::largest_jobs::Largest;
-use sorrelhinge_blocks::served::Served;
 use sorrelhinge_blocks::shard::Shard;
 use sorrelhinge_overload::fleet_limit::ClaimRate;
 use sorrelhinge_topology::renting::Memory;
@@ -17,6 +16,7 @@
 use super::inventory::CloudInventory;
 use super::placement_queue::PlacementQueue;
 use super::rejected_changes::RejectedChanges;
+use super::served::ServedLog;
 use super::sharing::{self, Places};
 use super::start_permission::StartPermission;
 use super::tombstones::MachineTombstones;
@@ -84,10 +84,8 @@
             frozen_since: None,
             sharing: sharing::Sharing::default(),
             places,
-            served: Served::default(),
+            served_log: ServedLog::new(now),
             largest_jobs: Largest::default(),
-            last_served: now,
-            starved: BTreeSet::new(),
             types: HashMap::new(),
             links: BTreeMap::new(),
             inventory: CloudInventory::default(),
--- a/src/control/core/mod.rs
+++ b/src/control/core/mod.rs
@@ -40,7 +40,6 @@
 use std::rc::Rc;
 
 use sorrelhinge_blocks::largest_jobs::Largest;
-use sorrelhinge_blocks::served::{Served, Sort};
 use sorrelhinge_blocks::shard::Shard;
 use sorrelhinge_overload::fleet_limit::ClaimRate;
 use sorrelhinge_topology::drain::Drain;
@@ -56,6 +55,7 @@
 use self::link::Link;
 use self::placement_queue::PlacementQueue;
 use self::rejected_changes::RejectedChanges;
+use self::served::ServedLog;
 pub use self::sharing::Places;
 use self::start_permission::StartPermission;
 use self::tombstones::MachineTombstones;
@@ -119,11 +119,8 @@
     /// Room that others' tasks may take, and what was left to others.
     sharing: sharing::Sharing,
     places: Places,
-    served: Served,
+    served_log: ServedLog,
     largest_jobs: Largest,
-    last_served: Time,
-    /// Who starved when that was last told.
-    starved: BTreeSet<Sort>,
     types: HashMap<TypeName, Rc<MachineType>>,
     links: BTreeMap<MachineId, Link>,
     inventory: CloudInventory,
--- a/src/control/core/placing.rs
+++ b/src/control/core/placing.rs
@@ -27,7 +27,7 @@
             let haste = job.map_or(Haste::Usual, Haste::of);
             let first = job.filter(|j| !j.started && j.tasks.at_home());
             if let Some((sort, wait_s)) = first.map(|j| (j.sort(), now.since(j.submitted))) {
-                self.served.started(&sort, Some(wait_s));
+                self.served_log.counts().started(&sort, Some(wait_s));
                 self.largest_began(&launch.task.job, wait_s, now);
                 self.cluster_state
                     .edit_job(&launch.task.job, |j| j.started = true);
--- a/src/control/core/record.rs
+++ b/src/control/core/record.rs
@@ -104,7 +104,7 @@
         for (id, value) in batch.jobs {
             if value.phase == Phase::Done {
                 if let Some(sort) = self.cluster_state.job(&id).map(Job::sort) {
-                    self.served.done(&sort);
+                    self.served_log.counts().done(&sort);
                 }
                 self.largest_over(&id, "done", now);
                 tracing::info!(job = %id, "done");
--- a/src/control/core/recorded_job.rs
+++ b/src/control/core/recorded_job.rs
@@ -108,9 +108,9 @@
         let devices = job.spec.placement.as_ref();
         let holds_devices = devices.is_some_and(|w| w.lost || !w.devices.is_empty());
         if homed && !over {
-            self.served.accepted(&job.sort());
+            self.served_log.counts().accepted(&job.sort());
             if started {
-                self.served.started(&job.sort(), None);
+                self.served_log.counts().started(&job.sort(), None);
             }
         }
         let last_placed = started.then_some(now);
--- a/src/control/core/served.rs
+++ b/src/control/core/served.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use sorrelhinge_blocks::served::{Sort, Waits};
+use sorrelhinge_blocks::served::{Line, Served, Sort, Waits};
 
 use super::Core;
 use crate::types::Time;
@@ -12,6 +12,48 @@
 const SERVED_S: f64 = 30.0;
 const SERVED_LEAST_S: f64 = 5.0;
 
+/// Counts of what classes and teams got, and what the log said of them last.
+pub(super) struct ServedLog {
+    counts: Served,
+    /// When it was last told.
+    told_at: Time,
+    /// Who starved then.
+    starved: BTreeSet<Sort>,
+}
+
+impl ServedLog {
+    /// Nothing was counted yet.
+    pub(super) fn new(now: Time) -> Self {
+        Self {
+            counts: Served::default(),
+            told_at: now,
+            starved: BTreeSet::new(),
+        }
+    }
+
+    /// Counts what becomes of jobs.
+    pub(super) fn counts(&mut self) -> &mut Served {
+        &mut self.counts
+    }
+
+    /// What is to be told now: now and then, and sooner if it changed who starves.
+    fn take_due(&mut self, waits: &BTreeMap<Sort, Waits>, now: Time) -> Option<Vec<Line>> {
+        let lines = self.counts.lines(waits);
+        let starving = lines.iter().filter(|l| l.starves);
+        let starving: BTreeSet<Sort> = starving.map(|l| l.sort.clone()).collect();
+        let due_s = match starving == self.starved {
+            true => SERVED_S,
+            false => SERVED_LEAST_S,
+        };
+        if now.since(self.told_at) < due_s {
+            return None;
+        }
+        self.told_at = now;
+        self.starved = starving;
+        Some(lines)
+    }
+}
+
 impl Core {
     /// Tells how long it took to hear of all machines, for the log.
     pub(super) fn look_who_is_heard(&mut self, now: Time) {
@@ -29,28 +71,25 @@
         }
     }
 
-    /// Says in the log what each class and team gets, now and then and when it
-    /// changes who starves.
-    pub(super) fn tell_served(&mut self, now: Time) {
+    /// By class and team: jobs that wait for their first start.
+    fn waits_by_sort(&self, now: Time) -> BTreeMap<Sort, Waits> {
         let mut waits: BTreeMap<Sort, Waits> = BTreeMap::new();
         for (_, job) in self.cluster_state.wanting().filter(|(_, j)| !j.started) {
             let w = waits.entry(job.sort()).or_default();
             w.jobs += 1;
             w.oldest_s = w.oldest_s.max(now.since(job.submitted));
         }
+        waits
+    }
+
+    /// Says in the log what each class and team gets, now and then and when it
+    /// changes who starves.
+    pub(super) fn tell_served(&mut self, now: Time) {
+        let waits = self.waits_by_sort(now);
         self.largest_late(now);
-        let lines = self.served.lines(&waits);
-        let starving = lines.iter().filter(|l| l.starves);
-        let starving: BTreeSet<Sort> = starving.map(|l| l.sort.clone()).collect();
-        let due = match starving == self.starved {
-            true => SERVED_S,
-            false => SERVED_LEAST_S,
-        };
-        if now.since(self.last_served) < due {
+        let Some(lines) = self.served_log.take_due(&waits, now) else {
             return;
-        }
-        self.last_served = now;
-        self.starved = starving;
+        };
         self.tell_lanes(now);
         for l in lines {
             tracing::info!(
