--- a/src/control/core/commands.rs
+++ b/src/control/core/commands.rs
@@ -12,7 +12,8 @@
     /// starts if they can't be sent directly.
     pub fn reply(&mut self, id: &MachineId, view: &View, now: Time) -> Reply {
         let starts = self.links.get(id).is_some_and(|l| {
-            !l.flying && (l.passed || l.direct_failures > 0 && now < l.direct_retry)
+            !l.direct.is_in_flight()
+                && (l.passed || l.direct.is_failing() && now < l.direct.retry_at())
         });
         let orders = self.commands(id, view, starts.then_some(Sent::InReply), now);
         let starts = orders.iter().any(|o| matches!(o, Command::Start { .. }));
--- a/src/control/core/dispatch.rs
+++ b/src/control/core/dispatch.rs
@@ -17,16 +17,16 @@
             let Some(link) = self.links.get(&id) else {
                 continue;
             };
-            if link.flying || link.deleting {
+            if link.direct.is_in_flight() || link.deleting {
                 // The answer brings it back.
                 continue;
             }
-            if now < link.direct_retry {
-                self.command_queue.retry_at(id, link.direct_retry);
+            if now < link.direct.retry_at() {
+                self.command_queue.retry_at(id, link.direct.retry_at());
                 continue;
             }
-            let unreachable = link.direct_failures > 0;
-            if unreachable && !self.command_queue.may_try_unreachable(link.suspect) {
+            let suspect = link.direct.is_suspect();
+            if link.direct.is_failing() && !self.command_queue.may_try_unreachable(suspect) {
                 self.command_queue.retry_unreachable(id, now);
                 continue;
             }
@@ -42,13 +42,13 @@
             // Forgetting waits for the next report; a worker that does not
             // know our token is told at once, and one that a command did not
             // reach is tried again.
-            if forgets_only && link.fenced() && link.direct_failures == 0 && !link.suspect {
+            if forgets_only && link.fenced() && !link.direct.is_failing() && !suspect {
                 if !link.kill_sent.is_empty() {
                     self.command_queue.retry_after(id, KILL_AGAIN_S, now);
                 }
                 continue;
             }
-            link.flying = true;
+            link.direct.sent();
             self.command_queue.sent();
             out.push(Dispatch {
                 machine: id,
@@ -70,7 +70,7 @@
         let Some(link) = self.links.get_mut(id) else {
             return true;
         };
-        link.flying = false;
+        link.direct.settled();
         self.command_queue.add(id.clone(), ContactOrder::First);
         let mut mark = |from: Sent, to: Sent| {
             for task in &claims {
@@ -85,21 +85,17 @@
         };
         match outcome {
             Sending::Executed(report) => {
-                link.direct_failures = 0;
+                link.direct.executed(now);
                 link.reachability.proved(now);
                 link.passed = false;
-                link.direct_retry = now;
                 // The session that took the command may end right after it;
                 // the report decides what is there.
                 mark(Sent::Flying, Sent::Answered);
                 self.report(&report, Source::Direct, now)
             }
             Sending::Refused(report) => {
-                link.direct_failures = 0;
+                link.direct.refused(now);
                 link.reachability.proved(now);
-                // Not at once: a report that was overtaken leaves the session
-                // as it was.
-                link.direct_retry = now.after(0.02);
                 let inherited = !link.fenced();
                 if !inherited {
                     mark(Sent::Flying, Sent::No);
@@ -118,22 +114,18 @@
                             link.token = link.token.raised();
                         }
                     }
-                    link.hangs = 0;
                 } else {
                     // The commands may be carried out minutes late, unless a
                     // higher token gets there first. Until a report carries
                     // it, nothing on this machine is settled.
                     link.token = link.token.raised();
-                    link.hangs += 1;
                 }
-                link.direct_failures += 1;
+                link.direct.failed(matches!(outcome, Sending::Unknown), now);
                 link.doubted = true;
                 // Its reports have to show the token.
                 if !link.fenced() {
                     link.reachability.asked(now);
                 }
-                let pause = 0.25 * f64::from(link.direct_failures.min(5)).exp2();
-                link.direct_retry = now.after(pause);
                 tracing::info!(machine = %id, token = %link.token, "direct command failed");
                 self.refresh_machine(id, now);
                 true
--- a/src/control/core/link.rs
+++ b/src/control/core/link.rs
@@ -5,6 +5,7 @@
 
 use sorrelhinge_overload::reachability::Reachability;
 
+use super::direct_line::DirectLine;
 use crate::types::{Attempt, JobId, Seq, Session, TaskId, Time, Token};
 use crate::worker::{ReportedImage, TaskPhase, Why};
 
@@ -24,15 +25,8 @@
     /// Whether anything that is sent there has an effect.
     pub(super) reachability: Reachability,
     pub(super) tasks: BTreeMap<(TaskId, Attempt), (TaskPhase, Option<Why>)>,
-    /// A direct command is under way.
-    pub(super) flying: bool,
-    /// Direct commands don't get through; next try at this time.
-    pub(super) direct_retry: Time,
-    pub(super) direct_failures: u32,
-    /// It is silent and has tasks: it is asked directly.
-    pub(super) suspect: bool,
-    /// How often in a row it took a connection and did not answer.
-    pub(super) hangs: u32,
+    /// Whether direct commands get through.
+    pub(super) direct: DirectLine,
     /// A direct command failed: no new tasks until a report shows that it heard.
     pub(super) doubted: bool,
     /// Its last report was passed on by another controller.
--- a/src/control/core/links.rs
+++ b/src/control/core/links.rs
@@ -8,6 +8,7 @@
 use sorrelhinge_overload::reachability::Reachability;
 
 use super::command_queue::ContactOrder;
+use super::direct_line::DirectLine;
 use super::link::Link;
 use super::Core;
 use crate::sched::{Machine, Sent};
@@ -71,11 +72,7 @@
                 told_of: Seq(0),
                 reachability: Reachability::default(),
                 tasks: BTreeMap::new(),
-                flying: false,
-                direct_retry: now,
-                direct_failures: 0,
-                suspect: false,
-                hangs: 0,
+                direct: DirectLine::new(now),
                 doubted: false,
                 passed: false,
                 leaving: false,
@@ -137,12 +134,12 @@
             return;
         };
         let quiet_s = now.since(link.last_heard);
-        if !link.suspect
+        if !link.direct.is_suspect()
             && quiet_s >= (SUSPECT_REPORTS * self.cfg.report_s).max(SUSPECT_LEAST_S)
             && self.has_tasks(id)
         {
             if let Some(link) = self.links.get_mut(id) {
-                link.suspect = true;
+                link.direct.suspect();
             }
             self.wake(id);
         }
@@ -166,7 +163,7 @@
         let leaving = link.leaving || link.deleting;
         let doubted = link.doubted;
         // Commands go there only in replies to its reports.
-        let slow = link.passed || link.direct_failures > 0;
+        let slow = link.passed || link.direct.is_failing();
         let was = self
             .cluster_state
             .machines()
--- a/src/control/core/mod.rs
+++ b/src/control/core/mod.rs
@@ -8,6 +8,7 @@
 mod command_queue;
 mod commands;
 mod deleted_machines;
+mod direct_line;
 mod dispatch;
 mod failover;
 mod failures;
--- a/src/control/core/renting.rs
+++ b/src/control/core/renting.rs
@@ -215,9 +215,9 @@
                 link.deleting = true;
             }
             let quiet_s = now.since(link.last_heard);
-            let hangs = link.suspect
-                && (link.hangs >= 2
-                    || link.hangs == 1 && quiet_s > HANGS_REPORTS * self.cfg.report_s);
+            let hangs = link.direct.is_suspect()
+                && (link.direct.hangs() >= 2
+                    || link.direct.hangs() == 1 && quiet_s > HANGS_REPORTS * self.cfg.report_s);
             if hears_most && (quiet_s > self.cfg.silent_s() || hangs) {
                 if hangs && !link.deleting {
                     tracing::info!(machine = %id, quiet_s, "it hangs: given back");
--- a/src/control/core/reports.rs
+++ b/src/control/core/reports.rs
@@ -56,13 +56,13 @@
         link.seen = link.seen.max(report.baton);
         link.last_heard = now;
         link.told_of = Seq(0);
-        (link.suspect, link.hangs) = (false, 0);
+        link.direct.heard();
         link.passed = source == Source::Passed;
         // Only what comes from the worker itself shows that there is a way. Reports
         // that others took did too once: while the owner was cut off from all
         // workers, commands were tried directly after each of them.
         if source == Source::Beat {
-            link.direct_retry = Time(link.direct_retry.0.min(now.0 + 1.0));
+            link.direct.reported(now);
         }
         if report.warning_s.is_some() {
             link.leaving = true;
@@ -163,7 +163,7 @@
         if link.session == session && seq > link.seq.max(link.told_of) {
             link.told_of = seq;
             link.last_heard = now;
-            (link.suspect, link.hangs) = (false, 0);
+            link.direct.heard();
         }
     }
 
@@ -219,7 +219,7 @@
                     // it took a reply: a direct answer may overtake it.
                     Sent::InReply if source == Source::Direct => {}
                     // An answer is still to come, and tells.
-                    Sent::Flying if link.flying => {}
+                    Sent::Flying if link.direct.is_in_flight() => {}
                     Sent::Flying | Sent::InReply => {
                         claim.sent = Sent::No;
                         if cancelled || claim.stop.is_some() {
