--- a/src/control/core/commands.rs
+++ b/src/control/core/commands.rs
@@ -58,7 +58,9 @@
             return orders;
         };
         link.kill_sent.retain(|key, _| link.tasks.contains_key(key));
-        for ((task, attempt), (phase, _)) in &link.tasks {
+        for (key, status) in &link.tasks {
+            let (task, attempt) = (&key.task, &key.attempt);
+            let phase = &status.phase;
             let piece = task.to_string();
             let job = self.cluster_state.job(&task.job);
             let claim = self.cluster_state.claim_on(id, task, *attempt);
@@ -87,15 +89,14 @@
             let Some(mercy_s) = grace.filter(|g| fenced || *g == 0.0) else {
                 continue;
             };
-            let key = (task.clone(), *attempt);
             let saving = *phase == TaskPhase::Saving && mercy_s > 0.0;
             // An answer renews the lease of a task that must not run, so it always
             // has the kill: the direct command that had it last may be lost.
             let renews = in_reply && mercy_s == 0.0;
-            let sent = link.kill_sent.get(&key);
+            let sent = link.kill_sent.get(key);
             let due = renews || sent.is_none_or(|t| now.since(*t) >= KILL_AGAIN_S);
             if !saving && due {
-                link.kill_sent.insert(key, now);
+                link.kill_sent.insert(key.clone(), now);
                 orders.push(Command::Kill {
                     piece,
                     attempt: *attempt,
--- a/src/control/core/link.rs
+++ b/src/control/core/link.rs
@@ -7,7 +7,22 @@
 
 use super::direct_line::DirectLine;
 use crate::types::{Attempt, JobId, Seq, Session, TaskId, Time, Token};
-use crate::worker::{ReportedImage, TaskPhase, Why};
+use crate::worker::{ReportedImage, ReportedTask, TaskPhase, Why};
+
+/// One attempt to run a task. Ordered by task, then by attempt.
+#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub(super) struct TaskAttempt {
+    pub(super) task: TaskId,
+    pub(super) attempt: Attempt,
+}
+
+/// What a report says of a task.
+#[derive(Clone, Copy, Debug)]
+pub(super) struct TaskStatus {
+    pub(super) phase: TaskPhase,
+    /// Why it ended, if it did.
+    pub(super) why: Option<Why>,
+}
 
 /// The line to one worker.
 #[derive(Debug)]
@@ -24,7 +39,8 @@
     pub(super) told_of: Seq,
     /// Whether anything that is sent there has an effect.
     pub(super) reachability: Reachability,
-    pub(super) tasks: BTreeMap<(TaskId, Attempt), (TaskPhase, Option<Why>)>,
+    /// What its last report said of its tasks.
+    pub(super) tasks: BTreeMap<TaskAttempt, TaskStatus>,
     /// Whether direct commands get through.
     pub(super) direct: DirectLine,
     /// A direct command failed: no new tasks until a report shows that it heard.
@@ -39,12 +55,29 @@
     pub(super) shunned_until: Time,
     /// Jobs that failed here.
     pub(super) errors: BTreeSet<JobId>,
-    pub(super) kill_sent: BTreeMap<(TaskId, Attempt), Time>,
+    /// When it was last told to stop a task.
+    pub(super) kill_sent: BTreeMap<TaskAttempt, Time>,
     /// Images that it said it hands on.
     pub(super) images: Vec<ReportedImage>,
 }
 
 impl Link {
+    /// Takes in what a report says of its tasks; one whose name can't be read is left out.
+    pub(super) fn set_tasks(&mut self, reported: &[ReportedTask]) {
+        let tasks = reported.iter().filter_map(|reported| {
+            let key = TaskAttempt {
+                task: reported.id()?,
+                attempt: reported.attempt,
+            };
+            let status = TaskStatus {
+                phase: reported.phase,
+                why: reported.cause,
+            };
+            Some((key, status))
+        });
+        self.tasks = tasks.collect();
+    }
+
     /// Whether the last report was made after the worker had learnt the token
     /// that now fences every earlier command to it.
     pub(super) fn fenced(&self) -> bool {
--- a/src/control/core/renting.rs
+++ b/src/control/core/renting.rs
@@ -211,7 +211,7 @@
         for (id, link) in &mut self.links {
             let machine = self.cluster_state.machines().get(id);
             let empty = machine.is_none_or(|m| m.claims.is_empty());
-            if link.leaving && empty && link.tasks.values().all(|(p, _)| *p == TaskPhase::Ended) {
+            if link.leaving && empty && link.tasks.values().all(|t| t.phase == TaskPhase::Ended) {
                 link.deleting = true;
             }
             let quiet_s = now.since(link.last_heard);
--- a/src/control/core/reports.rs
+++ b/src/control/core/reports.rs
@@ -1,10 +1,11 @@
 //! Workers' reports: which of them count, and what they prove about the claims on a
 //! machine.
 
+use super::link::{TaskAttempt, TaskStatus};
 use super::{Core, Source};
 use crate::sched::{Progress, Sent};
 use crate::types::{MachineId, Seq, Session, Time};
-use crate::worker::{Report, ReportedTask, TaskPhase, Why};
+use crate::worker::{Report, TaskPhase, Why};
 
 impl Core {
     /// Whether a report is a copy that came late: not newer than what is known, or
@@ -67,11 +68,7 @@
         if report.warning_s.is_some() {
             link.leaving = true;
         }
-        link.tasks = report
-            .pieces
-            .iter()
-            .filter_map(|p: &ReportedTask| Some(((p.id()?, p.attempt), (p.phase, p.cause))))
-            .collect();
+        link.set_tasks(&report.pieces);
         // That it reports is no sign that it hears: each report made a machine
         // usable again that no command reached.
         link.reachability.reported(now);
@@ -127,7 +124,10 @@
         let began = self.cluster_state.claims_on(id).into_iter().any(|task| {
             self.cluster_state.claim_of(&task).is_some_and(|c| {
                 matches!(c.sent, Sent::InReply | Sent::Flying)
-                    && link.tasks.contains_key(&(task, c.attempt))
+                    && link.tasks.contains_key(&TaskAttempt {
+                        task,
+                        attempt: c.attempt,
+                    })
             })
         });
         if began {
@@ -184,11 +184,18 @@
             let Some(link) = self.links.get(id) else {
                 return;
             };
-            match link.tasks.get(&(task.clone(), claim.attempt)).copied() {
-                Some((TaskPhase::Ended, why)) => {
+            let key = TaskAttempt {
+                task: task.clone(),
+                attempt: claim.attempt,
+            };
+            match link.tasks.get(&key).copied() {
+                Some(TaskStatus {
+                    phase: TaskPhase::Ended,
+                    why,
+                }) => {
                     self.ended(id, &task, &spec, why.unwrap_or(Why::Other), now);
                 }
-                Some((phase, _)) => {
+                Some(TaskStatus { phase, .. }) => {
                     claim.sent = Sent::Answered;
                     let waiting = phase == TaskPhase::Waiting;
                     let before = claim.progress;
