--- a/src/control/core/link.rs
+++ b/src/control/core/link.rs
@@ -6,8 +6,9 @@
 use sorrelhinge_overload::reachability::Reachability;
 
 use super::direct_line::DirectLine;
-use crate::types::{Attempt, JobId, Seq, Session, TaskId, Time, Token};
-use crate::worker::{ReportedImage, ReportedTask, TaskPhase, Why};
+use crate::cloud::Listed;
+use crate::types::{Attempt, JobId, MachineId, Seq, Session, TaskId, Time, Token, TypeName, Zone};
+use crate::worker::{Report, ReportedImage, ReportedTask, TaskPhase, Why};
 
 /// One attempt to run a task. Ordered by task, then by attempt.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -24,6 +25,39 @@
     pub(super) why: Option<Why>,
 }
 
+/// A machine as a list or a report shows it.
+pub(super) struct SeenMachine<'a> {
+    pub(super) id: &'a MachineId,
+    pub(super) addr: SocketAddr,
+    pub(super) kind: &'a TypeName,
+    pub(super) zone: &'a Zone,
+    pub(super) spot: bool,
+}
+
+impl<'a> SeenMachine<'a> {
+    /// By the cloud's list, at the address that this names.
+    pub(super) fn by_list(listed: &'a Listed, addr: SocketAddr) -> Self {
+        Self {
+            id: &listed.uid,
+            addr,
+            kind: &listed.build,
+            zone: &listed.rack,
+            spot: listed.loaners,
+        }
+    }
+
+    /// By its worker's report.
+    pub(super) fn by_report(report: &'a Report) -> Self {
+        Self {
+            id: &report.machine,
+            addr: report.addr,
+            kind: &report.build,
+            zone: &report.rack,
+            spot: report.loaners,
+        }
+    }
+}
+
 /// The line to one worker.
 #[derive(Debug)]
 pub(super) struct Link {
@@ -62,6 +96,30 @@
 }
 
 impl Link {
+    /// To a machine of which nothing was heard yet. `token`: the grant's lowest one.
+    pub(super) fn new(addr: SocketAddr, token: Token, now: Time) -> Self {
+        Self {
+            addr,
+            session: Session(1),
+            seq: Seq(0),
+            token,
+            seen: Token(0),
+            last_heard: now,
+            told_of: Seq(0),
+            reachability: Reachability::default(),
+            tasks: BTreeMap::new(),
+            direct: DirectLine::new(now),
+            doubted: false,
+            passed: false,
+            leaving: false,
+            deleting: false,
+            shunned_until: Time(0.0),
+            errors: BTreeSet::new(),
+            kill_sent: BTreeMap::new(),
+            images: Vec::new(),
+        }
+    }
+
     /// Takes in what a report says of its tasks; one whose name can't be read is left out.
     pub(super) fn set_tasks(&mut self, reported: &[ReportedTask]) {
         let tasks = reported.iter().filter_map(|reported| {
--- a/src/control/core/links.rs
+++ b/src/control/core/links.rs
@@ -1,18 +1,13 @@
 //! The lines to all workers: what a machine's first report adds, and which machines
 //! can be used.
 
-use std::collections::{BTreeMap, BTreeSet};
-use std::net::SocketAddr;
 use std::rc::Rc;
 
-use sorrelhinge_overload::reachability::Reachability;
-
 use super::command_queue::ContactOrder;
-use super::direct_line::DirectLine;
-use super::link::Link;
+use super::link::{Link, SeenMachine};
 use super::Core;
 use crate::sched::{Machine, Sent};
-use crate::types::{Kind, MachineId, MachineType, Seq, Session, Time, Token, TypeName, Zone};
+use crate::types::{Kind, MachineId, MachineType, Time};
 
 /// A machine with tasks that is silent for this many report intervals is asked
 /// directly. One that takes the connection and does not answer hangs, and its
@@ -35,57 +30,38 @@
         !self.types.is_empty()
     }
 
-    pub(super) fn link(
-        &mut self,
-        id: &MachineId,
-        addr: SocketAddr,
-        kind: &TypeName,
-        zone: &Zone,
-        spot: bool,
-        now: Time,
-    ) -> Option<&mut Link> {
-        if !self.links.contains_key(id) {
-            let kind = self.types.get(kind)?.clone();
-            self.inventory.came_up(id);
-            let mut machine = Machine::new(kind, zone.clone(), spot, now);
-            for (image, gb) in self.failover.take_cached_images(id) {
-                // That a task was placed there proves no fetch of minutes: taken
-                // for one, the next start there named no source, and all that
-                // had waited for their stage went to the origin after a takeover.
-                let ran = !self.cluster_state.is_staged(gb);
-                machine.cache.touch(&image, gb, machine.kind.cache_gb, ran);
-            }
-            let sort = (machine.kind.name.clone(), machine.zone.clone(), spot);
-            self.cluster_state.add_machine(id.clone(), machine);
-            if self.cluster_state.topology().is_some() {
-                self.cluster_state.locate(id, Some(addr.ip()));
-                let place = self.cluster_state.machines().get(id).map(|m| m.place);
-                self.memory.came(sort, place.unwrap_or_default(), now);
-            }
-            let link = Link {
-                addr,
-                session: Session(1),
-                seq: Seq(0),
-                token: self.base_token(),
-                seen: Token(0),
-                last_heard: now,
-                told_of: Seq(0),
-                reachability: Reachability::default(),
-                tasks: BTreeMap::new(),
-                direct: DirectLine::new(now),
-                doubted: false,
-                passed: false,
-                leaving: false,
-                deleting: false,
-                shunned_until: Time(0.0),
-                errors: BTreeSet::new(),
-                kill_sent: BTreeMap::new(),
-                images: Vec::new(),
-            };
-            self.links.insert(id.clone(), link);
-            self.wake(id);
+    /// The line to a machine, which is new if it was not known; none: its type is not.
+    pub(super) fn link(&mut self, seen: &SeenMachine<'_>, now: Time) -> Option<&mut Link> {
+        if !self.links.contains_key(seen.id) {
+            let kind = self.types.get(seen.kind)?.clone();
+            self.inventory.came_up(seen.id);
+            self.add_machine(seen, kind, now);
+            let link = Link::new(seen.addr, self.base_token(), now);
+            self.links.insert(seen.id.clone(), link);
+            self.wake(seen.id);
+        }
+        self.links.get_mut(seen.id)
+    }
+
+    /// A machine came up: it goes into the cluster state, with what it is known to have
+    /// in its cache.
+    fn add_machine(&mut self, seen: &SeenMachine<'_>, kind: Rc<MachineType>, now: Time) {
+        let id = seen.id;
+        let mut machine = Machine::new(kind, seen.zone.clone(), seen.spot, now);
+        for (image, gb) in self.failover.take_cached_images(id) {
+            // That a task was placed there proves no fetch of minutes: taken
+            // for one, the next start there named no source, and all that
+            // had waited for their stage went to the origin after a takeover.
+            let ran = !self.cluster_state.is_staged(gb);
+            machine.cache.touch(&image, gb, machine.kind.cache_gb, ran);
+        }
+        let sort = (machine.kind.name.clone(), machine.zone.clone(), seen.spot);
+        self.cluster_state.add_machine(id.clone(), machine);
+        if self.cluster_state.topology().is_some() {
+            self.cluster_state.locate(id, Some(seen.addr.ip()));
+            let place = self.cluster_state.machines().get(id).map(|m| m.place);
+            self.memory.came(sort, place.unwrap_or_default(), now);
         }
-        self.links.get_mut(id)
     }
 
     fn has_tasks(&self, id: &MachineId) -> bool {
--- a/src/control/core/machine_list.rs
+++ b/src/control/core/machine_list.rs
@@ -5,6 +5,7 @@
 
 use super::inventory::Coming;
 use super::link::Link;
+use super::link::SeenMachine;
 use super::Core;
 use crate::cloud::{Listed, MachinePhase};
 use crate::types::{MachineId, Time};
@@ -51,14 +52,7 @@
         if machine.phase == MachinePhase::Running {
             if let Some(addr) = machine.addr {
                 // Up, and perhaps running tasks that a record claims: ask it.
-                self.link(
-                    id,
-                    addr,
-                    &machine.build,
-                    &machine.rack,
-                    machine.loaners,
-                    now,
-                );
+                self.link(&SeenMachine::by_list(machine, addr), now);
                 return;
             }
         }
--- a/src/control/core/reports.rs
+++ b/src/control/core/reports.rs
@@ -1,7 +1,7 @@
 //! Workers' reports: which of them count, and what they prove about the claims on a
 //! machine.
 
-use super::link::{TaskAttempt, TaskStatus};
+use super::link::{SeenMachine, TaskAttempt, TaskStatus};
 use super::{Core, Source};
 use crate::sched::{Progress, Sent};
 use crate::types::{MachineId, Seq, Session, Time};
@@ -38,14 +38,7 @@
             return true;
         }
         let (lease_s, hears_badly) = (self.cfg.lease_s, now < self.deaf_until);
-        let Some(link) = self.link(
-            &report.machine,
-            report.addr,
-            &report.build,
-            &report.rack,
-            report.loaners,
-            now,
-        ) else {
+        let Some(link) = self.link(&SeenMachine::by_report(report), now) else {
             return true;
         };
         let ended = report.shift > link.session && link.seq > Seq(0);
