--- a/src/control/core/commands.rs
+++ b/src/control/core/commands.rs
@@ -1,7 +1,9 @@
 //! Commands for a machine: what is started, stopped and forgotten there.
 
 use super::command_queue::ContactOrder;
-use super::{Core, KILL_AGAIN_S};
+use super::link::TaskAttempt;
+use super::record::recorded_claim;
+use super::Core;
 use crate::sched::{Claim, Job, Sent};
 use crate::state::view::View;
 use crate::types::{Kind, MachineId, TaskId, Time};
@@ -48,60 +50,34 @@
         starts: Option<Sent>,
         now: Time,
     ) -> Vec<Command> {
-        let mut orders = Vec::new();
-        let Some(link) = self.links.get_mut(id) else {
-            return orders;
+        let machine = self.cluster_state.machines().get(id);
+        let (Some(link), Some(machine)) = (self.links.get_mut(id), machine) else {
+            return Vec::new();
         };
-        let fenced = link.fenced();
+        let (fenced, usable) = (link.fenced(), machine.usable);
         let in_reply = starts != Some(Sent::Flying);
-        let Some(usable) = self.cluster_state.machines().get(id).map(|m| m.usable) else {
-            return orders;
-        };
-        link.kill_sent.retain(|key, _| link.tasks.contains_key(key));
+        let mut orders = Vec::new();
+        link.sent_kills.keep_reported(&link.tasks);
         for (key, status) in &link.tasks {
-            let (task, attempt) = (&key.task, &key.attempt);
-            let phase = &status.phase;
-            let piece = task.to_string();
-            let job = self.cluster_state.job(&task.job);
-            let claim = self.cluster_state.claim_on(id, task, *attempt);
-            if *phase == TaskPhase::Ended {
-                if !fenced {
-                    continue;
-                }
-                // Only once the result is recorded, and while no start of
-                // this attempt can still arrive: it would run again.
-                if claim.is_none() && !super::record::recorded_claim(view, task, *attempt) {
-                    orders.push(Command::Forget {
-                        piece,
-                        attempt: *attempt,
-                    });
+            let claim = self.cluster_state.claim_on(id, &key.task, key.attempt);
+            if status.phase == TaskPhase::Ended {
+                if fenced && is_settled(claim, key, view) {
+                    orders.push(forget(key));
                 }
                 continue;
             }
-            let grace = match claim {
-                // Nobody claims it any more: it must not run on.
-                None => Some(0.0),
-                // Also when the cancellation was found in the record at a
-                // takeover, and no change of the job was ever seen.
-                Some(_) if job.is_some_and(|j| j.cancelled) => Some(0.0),
-                Some(claim) => claim.stop,
-            };
-            let Some(mercy_s) = grace.filter(|g| fenced || *g == 0.0) else {
+            let job = self.cluster_state.job(&key.task.job);
+            let grace_s = stop_grace_s(job, claim).filter(|g| fenced || *g == 0.0);
+            let Some(grace_s) = grace_s else {
                 continue;
             };
-            let saving = *phase == TaskPhase::Saving && mercy_s > 0.0;
+            let saving = status.phase == TaskPhase::Saving && grace_s > 0.0;
             // An answer renews the lease of a task that must not run, so it always
             // has the kill: the direct command that had it last may be lost.
-            let renews = in_reply && mercy_s == 0.0;
-            let sent = link.kill_sent.get(key);
-            let due = renews || sent.is_none_or(|t| now.since(*t) >= KILL_AGAIN_S);
-            if !saving && due {
-                link.kill_sent.insert(key.clone(), now);
-                orders.push(Command::Kill {
-                    piece,
-                    attempt: *attempt,
-                    mercy_s,
-                });
+            let renews = in_reply && grace_s == 0.0;
+            if !saving && (renews || link.sent_kills.is_due(key, now)) {
+                link.sent_kills.sent(key, now);
+                orders.push(kill(key, grace_s));
             }
         }
         if let (Some(sent), true) = (starts, usable && fenced) {
@@ -166,6 +142,40 @@
     }
 }
 
+/// Whether a worker may forget a task that ended: only once the result is recorded, and
+/// while no start of this attempt can still arrive: it would run again.
+fn is_settled(claim: Option<&Claim>, ended: &TaskAttempt, view: &View) -> bool {
+    claim.is_none() && !recorded_claim(view, &ended.task, ended.attempt)
+}
+
+/// For how long a reported task may save its state before it ends, in seconds; none: it
+/// may run on.
+fn stop_grace_s(job: Option<&Job>, claim: Option<&Claim>) -> Option<f64> {
+    match claim {
+        // Nobody claims it any more: it must not run on.
+        None => Some(0.0),
+        // Also when the cancellation was found in the record at a
+        // takeover, and no change of the job was ever seen.
+        Some(_) if job.is_some_and(|j| j.cancelled) => Some(0.0),
+        Some(claim) => claim.stop,
+    }
+}
+
+fn forget(ended: &TaskAttempt) -> Command {
+    Command::Forget {
+        piece: ended.task.to_string(),
+        attempt: ended.attempt,
+    }
+}
+
+fn kill(running: &TaskAttempt, grace_s: f64) -> Command {
+    Command::Kill {
+        piece: running.task.to_string(),
+        attempt: running.attempt,
+        mercy_s: grace_s,
+    }
+}
+
 /// Whether a job's claimed tasks may be started: those of a gang only once all
 /// of them are claimed, and each claim is recorded.
 fn starts_now(job: &Job) -> bool {
--- a/src/control/core/dispatch.rs
+++ b/src/control/core/dispatch.rs
@@ -2,7 +2,8 @@
 //! "Controller nodes -> workers").
 
 use super::command_queue::ContactOrder;
-use super::{Core, Dispatch, Source, KILL_AGAIN_S};
+use super::link::KILL_AGAIN_S;
+use super::{Core, Dispatch, Source};
 use crate::sched::Sent;
 use crate::state::view::View;
 use crate::types::{MachineId, Time};
@@ -43,7 +44,7 @@
             // know our token is told at once, and one that a command did not
             // reach is tried again.
             if forgets_only && link.fenced() && !link.direct.is_failing() && !suspect {
-                if !link.kill_sent.is_empty() {
+                if !link.sent_kills.is_empty() {
                     self.command_queue.retry_after(id, KILL_AGAIN_S, now);
                 }
                 continue;
--- a/src/control/core/link.rs
+++ b/src/control/core/link.rs
@@ -10,6 +10,9 @@
 use crate::types::{Attempt, JobId, MachineId, Seq, Session, TaskId, Time, Token, TypeName, Zone};
 use crate::worker::{Report, ReportedImage, ReportedTask, TaskPhase, Why};
 
+/// After so long without effect a worker is told again to stop a task, in seconds.
+pub(super) const KILL_AGAIN_S: f64 = 2.0;
+
 /// One attempt to run a task. Ordered by task, then by attempt.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct TaskAttempt {
@@ -25,6 +28,33 @@
     pub(super) why: Option<Why>,
 }
 
+/// Tasks that a worker was told to stop, and when that was last.
+#[derive(Debug, Default)]
+pub(super) struct SentKills(BTreeMap<TaskAttempt, Time>);
+
+impl SentKills {
+    /// Forgets those that its last report does not name.
+    pub(super) fn keep_reported(&mut self, reported: &BTreeMap<TaskAttempt, TaskStatus>) {
+        self.0.retain(|key, _| reported.contains_key(key));
+    }
+
+    /// Whether a task is to be stopped that was not, or whose stop may be lost.
+    pub(super) fn is_due(&self, task: &TaskAttempt, now: Time) -> bool {
+        let sent = self.0.get(task);
+        sent.is_none_or(|at| now.since(*at) >= KILL_AGAIN_S)
+    }
+
+    /// The worker is told to stop a task.
+    pub(super) fn sent(&mut self, task: &TaskAttempt, now: Time) {
+        self.0.insert(task.clone(), now);
+    }
+
+    /// Whether it was told to stop nothing that it still reports.
+    pub(super) fn is_empty(&self) -> bool {
+        self.0.is_empty()
+    }
+}
+
 /// A machine as a list or a report shows it.
 pub(super) struct SeenMachine<'a> {
     pub(super) id: &'a MachineId,
@@ -89,8 +119,8 @@
     pub(super) shunned_until: Time,
     /// Jobs that failed here.
     pub(super) errors: BTreeSet<JobId>,
-    /// When it was last told to stop a task.
-    pub(super) kill_sent: BTreeMap<TaskAttempt, Time>,
+    /// What it was told to stop.
+    pub(super) sent_kills: SentKills,
     /// Images that it said it hands on.
     pub(super) images: Vec<ReportedImage>,
 }
@@ -115,7 +145,7 @@
             deleting: false,
             shunned_until: Time(0.0),
             errors: BTreeSet::new(),
-            kill_sent: BTreeMap::new(),
+            sent_kills: SentKills::default(),
             images: Vec::new(),
         }
     }
--- a/src/control/core/mod.rs
+++ b/src/control/core/mod.rs
@@ -173,7 +173,6 @@
     last_look: Time,
 }
 
-const KILL_AGAIN_S: f64 = 2.0;
 /// How often all machines are looked at for what only time changes.
 const LOOK_S: f64 = 1.0;
 
