--- a/src/control/core/dispatch.rs
+++ b/src/control/core/dispatch.rs
@@ -15,122 +15,173 @@
     pub fn dispatch(&mut self, view: &View, now: Time) -> Vec<Dispatch> {
         let mut out = Vec::new();
         while let Some(id) = self.command_queue.take_next() {
-            let Some(link) = self.links.get(&id) else {
-                continue;
-            };
-            if link.direct.is_in_flight() || link.deleting {
-                // The answer brings it back.
-                continue;
+            if self.may_contact(&id, now) {
+                out.extend(self.dispatch_to(id, view, now));
             }
-            if now < link.direct.retry_at() {
-                self.command_queue.retry_at(id, link.direct.retry_at());
-                continue;
-            }
-            let suspect = link.direct.is_suspect();
-            if link.direct.is_failing() && !self.command_queue.may_try_unreachable(suspect) {
-                self.command_queue.retry_unreachable(id, now);
-                continue;
-            }
-            if link.passed && link.fenced() {
-                // The reply to its next report takes the commands there.
-                continue;
-            }
-            let orders = self.commands(&id, view, Some(Sent::Flying), now);
-            let Some(link) = self.links.get_mut(&id) else {
-                continue;
-            };
-            let forgets_only = orders.iter().all(|o| matches!(o, Command::Forget { .. }));
-            // Forgetting waits for the next report; a worker that does not
-            // know our token is told at once, and one that a command did not
-            // reach is tried again.
-            if forgets_only && link.fenced() && !link.direct.is_failing() && !suspect {
-                if !link.sent_kills.is_empty() {
-                    self.command_queue.retry_after(id, KILL_AGAIN_S, now);
-                }
-                continue;
-            }
-            link.direct.sent();
-            self.command_queue.sent();
-            out.push(Dispatch {
-                machine: id,
-                addr: link.addr,
-                orders: Orders {
-                    baton: link.token,
-                    shift: link.session,
-                    orders,
-                },
-            });
         }
         out
     }
 
+    /// Whether a machine may be sent a direct command now. If only later, it is queued
+    /// for then.
+    fn may_contact(&mut self, id: &MachineId, now: Time) -> bool {
+        let Some(link) = self.links.get(id) else {
+            return false;
+        };
+        if link.direct.is_in_flight() || link.deleting {
+            // The answer brings it back.
+            return false;
+        }
+        if now < link.direct.retry_at() {
+            let at = link.direct.retry_at();
+            self.command_queue.retry_at(id.clone(), at);
+            return false;
+        }
+        let suspect = link.direct.is_suspect();
+        if link.direct.is_failing() && !self.command_queue.may_try_unreachable(suspect) {
+            self.command_queue.retry_unreachable(id.clone(), now);
+            return false;
+        }
+        // Else the reply to its next report takes the commands there.
+        !(link.passed && link.fenced())
+    }
+
+    /// The commands for a machine that may be contacted; none if there is nothing that
+    /// does not wait for its next report.
+    fn dispatch_to(&mut self, id: MachineId, view: &View, now: Time) -> Option<Dispatch> {
+        let orders = self.commands(&id, view, Some(Sent::Flying), now);
+        let link = self.links.get_mut(&id)?;
+        let forgets_only = orders.iter().all(|o| matches!(o, Command::Forget { .. }));
+        // Forgetting waits for the next report; a worker that does not
+        // know our token is told at once, and one that a command did not
+        // reach is tried again.
+        let to_be_asked = !link.fenced() || link.direct.is_failing() || link.direct.is_suspect();
+        if forgets_only && !to_be_asked {
+            if !link.sent_kills.is_empty() {
+                self.command_queue.retry_after(id, KILL_AGAIN_S, now);
+            }
+            return None;
+        }
+        link.direct.sent();
+        self.command_queue.sent();
+        Some(Dispatch {
+            machine: id,
+            addr: link.addr,
+            orders: Orders {
+                baton: link.token,
+                shift: link.session,
+                orders,
+            },
+        })
+    }
+
     /// What became of direct commands. False if we are deposed.
     pub fn dispatched(&mut self, id: &MachineId, outcome: Sending, now: Time) -> bool {
         self.command_queue.settled();
-        let claims = self.cluster_state.claims_on(id);
         let Some(link) = self.links.get_mut(id) else {
             return true;
         };
         link.direct.settled();
         self.command_queue.add(id.clone(), ContactOrder::First);
-        let mut mark = |from: Sent, to: Sent| {
-            for task in &claims {
-                if let Some(c) = self
-                    .cluster_state
-                    .claim_mut(task)
-                    .filter(|c| c.sent == from)
-                {
-                    c.sent = to;
-                }
-            }
-        };
         match outcome {
             Sending::Executed(report) => {
-                link.direct.executed(now);
-                link.reachability.proved(now);
-                link.passed = false;
-                // The session that took the command may end right after it;
-                // the report decides what is there.
-                mark(Sent::Flying, Sent::Answered);
+                self.command_executed(id, now);
                 self.report(&report, Source::Direct, now)
             }
             Sending::Refused(report) => {
-                link.direct.refused(now);
-                link.reachability.proved(now);
-                let inherited = !link.fenced();
-                if !inherited {
-                    mark(Sent::Flying, Sent::No);
-                }
+                self.command_refused(id, now);
                 self.report(&report, Source::Direct, now)
             }
-            Sending::NotSent | Sending::Unknown => {
-                if matches!(outcome, Sending::NotSent) {
-                    // Claims found at the takeover stay in doubt until a
-                    // report carries our token.
-                    if link.fenced() {
-                        mark(Sent::Flying, Sent::No);
-                        // It may report on and hear nothing. Whether it does,
-                        // the token shows, by whatever way it gets there.
-                        if !link.reachability.is_confirmed(self.cfg.report_s, now) {
-                            link.token = link.token.raised();
-                        }
-                    }
-                } else {
-                    // The commands may be carried out minutes late, unless a
-                    // higher token gets there first. Until a report carries
-                    // it, nothing on this machine is settled.
-                    link.token = link.token.raised();
-                }
-                link.direct.failed(matches!(outcome, Sending::Unknown), now);
-                link.doubted = true;
-                // Its reports have to show the token.
-                if !link.fenced() {
-                    link.reachability.asked(now);
-                }
-                tracing::info!(machine = %id, token = %link.token, "direct command failed");
-                self.refresh_machine(id, now);
+            Sending::NotSent => {
+                self.command_not_sent(id, now);
+                self.command_failed(id, now);
+                true
+            }
+            Sending::Unknown => {
+                self.command_unanswered(id, now);
+                self.command_failed(id, now);
                 true
             }
         }
     }
+
+    /// The worker carried a command out.
+    fn command_executed(&mut self, id: &MachineId, now: Time) {
+        let Some(link) = self.links.get_mut(id) else {
+            return;
+        };
+        link.direct.executed(now);
+        link.reachability.proved(now);
+        link.passed = false;
+        // The session that took the command may end right after it;
+        // the report decides what is there.
+        self.mark_flying(id, Sent::Answered);
+    }
+
+    /// The worker answered that it did not carry a command out.
+    fn command_refused(&mut self, id: &MachineId, now: Time) {
+        let Some(link) = self.links.get_mut(id) else {
+            return;
+        };
+        link.direct.refused(now);
+        link.reachability.proved(now);
+        let inherited = !link.fenced();
+        if !inherited {
+            self.mark_flying(id, Sent::No);
+        }
+    }
+
+    /// A command certainly did not reach the worker.
+    fn command_not_sent(&mut self, id: &MachineId, now: Time) {
+        let Some(link) = self.links.get_mut(id) else {
+            return;
+        };
+        link.direct.failed(false, now);
+        // Claims found at the takeover stay in doubt until a
+        // report carries our token.
+        if !link.fenced() {
+            return;
+        }
+        // It may report on and hear nothing. Whether it does,
+        // the token shows, by whatever way it gets there.
+        if !link.reachability.is_confirmed(self.cfg.report_s, now) {
+            link.token = link.token.raised();
+        }
+        self.mark_flying(id, Sent::No);
+    }
+
+    /// A command may have reached the worker, and no answer came: it may be carried out
+    /// minutes late, unless a higher token gets there first. Until a report carries that,
+    /// nothing on this machine is settled.
+    fn command_unanswered(&mut self, id: &MachineId, now: Time) {
+        if let Some(link) = self.links.get_mut(id) {
+            link.direct.failed(true, now);
+            link.token = link.token.raised();
+        }
+    }
+
+    /// A command did not get through: the machine is in doubt.
+    fn command_failed(&mut self, id: &MachineId, now: Time) {
+        let Some(link) = self.links.get_mut(id) else {
+            return;
+        };
+        link.doubted = true;
+        // Its reports have to show the token.
+        if !link.fenced() {
+            link.reachability.asked(now);
+        }
+        tracing::info!(machine = %id, token = %link.token, "direct command failed");
+        self.refresh_machine(id, now);
+    }
+
+    /// It is known what became of the starts that were under way to a machine.
+    fn mark_flying(&mut self, id: &MachineId, to: Sent) {
+        for task in self.cluster_state.claims_on(id) {
+            if let Some(claim) = self.cluster_state.claim_mut(&task) {
+                if claim.sent == Sent::Flying {
+                    claim.sent = to;
+                }
+            }
+        }
+    }
 }
