--- a/src/control/core/links.rs
+++ b/src/control/core/links.rs
@@ -15,6 +15,26 @@
 const SUSPECT_REPORTS: f64 = 1.6;
 /// But not before this, in seconds: anything may stand still for a moment.
 const SUSPECT_LEAST_S: f64 = 5.0;
+/// A machine that is silent for so many report intervals, and so many seconds more, gets
+/// no new tasks.
+const SILENT_REPORTS: f64 = 2.5;
+const SILENT_S: f64 = 1.0;
+
+/// What the line to a machine says of it.
+struct LinkStatus {
+    /// Tasks may be placed there.
+    usable: bool,
+    /// Commands go there only in replies to its reports.
+    slow: bool,
+    /// It was not heard for too long.
+    silent: bool,
+    /// It is given back, or the cloud takes it.
+    leaving: bool,
+    /// A direct command failed, and no report shows yet what it heard.
+    doubted: bool,
+    /// An operator drains it.
+    draining: bool,
+}
 
 impl Core {
     /// The cloud's machine types.
@@ -104,68 +124,85 @@
             .is_none_or(|l| l.fenced() && !l.reachability.in_doubt())
     }
 
+    /// Looks whether tasks may be placed on a machine, and what becomes of those that are
+    /// there: its line, or the time, may have changed that.
     pub(super) fn refresh_machine(&mut self, id: &MachineId, now: Time) {
-        let silence = 2.5 * self.cfg.report_s + 1.0;
-        let Some(link) = self.links.get(id) else {
+        self.suspect_if_silent(id, now);
+        let Some(status) = self.link_status(id, now) else {
             return;
         };
-        let quiet_s = now.since(link.last_heard);
-        if !link.direct.is_suspect()
-            && quiet_s >= (SUSPECT_REPORTS * self.cfg.report_s).max(SUSPECT_LEAST_S)
-            && self.has_tasks(id)
-        {
-            if let Some(link) = self.links.get_mut(id) {
-                link.direct.suspect();
-            }
+        self.apply_status(id, &status, now);
+        if status.leaving || status.doubted || status.draining {
             self.wake(id);
+            self.settle_claims(id, status.leaving, now);
         }
+    }
+
+    /// A machine with tasks that is silent for long enough is asked directly.
+    fn suspect_if_silent(&mut self, id: &MachineId, now: Time) {
         let Some(link) = self.links.get(id) else {
             return;
         };
-        let draining = self
-            .cluster_state
-            .machines()
-            .get(id)
-            .is_some_and(|m| m.draining);
-        let silent = now.since(link.last_heard) >= silence;
+        let patience_s = (SUSPECT_REPORTS * self.cfg.report_s).max(SUSPECT_LEAST_S);
+        let silent = now.since(link.last_heard) >= patience_s;
+        if link.direct.is_suspect() || !silent || !self.has_tasks(id) {
+            return;
+        }
+        if let Some(link) = self.links.get_mut(id) {
+            link.direct.suspect();
+        }
+        self.wake(id);
+    }
+
+    /// What the line to a machine says of it now.
+    fn link_status(&self, id: &MachineId, now: Time) -> Option<LinkStatus> {
+        let link = self.links.get(id)?;
+        let machine = self.cluster_state.machines().get(id);
+        let draining = machine.is_some_and(|m| m.draining);
+        let silent = now.since(link.last_heard) >= SILENT_REPORTS * self.cfg.report_s + SILENT_S;
+        let leaving = link.leaving || link.deleting;
         let usable = link.fenced()
             && !draining
             && !link.doubted
-            && !link.leaving
-            && !link.deleting
+            && !leaving
             && now >= link.shunned_until
             && !link.reachability.is_quarantined(now)
             && !silent;
-        let leaving = link.leaving || link.deleting;
-        let doubted = link.doubted;
-        // Commands go there only in replies to its reports.
-        let slow = link.passed || link.direct.is_failing();
-        let was = self
-            .cluster_state
-            .machines()
-            .get(id)
-            .map(|m| (m.usable, m.slow));
-        if was.is_some_and(|was| was != (usable, slow)) {
-            self.cluster_state.edit_machine(id, |m| {
-                m.usable = usable;
-                m.slow = slow;
-            });
-            self.placement_queue.add(id.clone());
-            let place = self.cluster_state.machines().get(id).map(|m| m.place);
-            if let (true, Some(t), Some(place)) = (silent, self.cluster_state.topology(), place) {
-                self.stability.lost(&t.tree, place, now);
-            }
-        }
-        if !leaving && !doubted && !draining {
+        Some(LinkStatus {
+            usable,
+            slow: link.passed || link.direct.is_failing(),
+            silent,
+            leaving,
+            doubted: link.doubted,
+            draining,
+        })
+    }
+
+    /// Tells the cluster state, if that has it otherwise.
+    fn apply_status(&mut self, id: &MachineId, status: &LinkStatus, now: Time) {
+        let (usable, slow) = (status.usable, status.slow);
+        let known = self.cluster_state.machines().get(id);
+        if known.is_none_or(|m| (m.usable, m.slow) == (usable, slow)) {
             return;
         }
-        self.wake(id);
+        self.cluster_state.edit_machine(id, |m| {
+            m.usable = usable;
+            m.slow = slow;
+        });
+        self.placement_queue.add(id.clone());
+        let place = self.cluster_state.machines().get(id).map(|m| m.place);
+        let topology = self.cluster_state.topology();
+        if let (true, Some(t), Some(place)) = (status.silent, topology, place) {
+            self.stability.lost(&t.tree, place, now);
+        }
+    }
+
+    /// On a machine that can't be used, what was not sent is placed anew; on one that
+    /// leaves, the rest is stopped.
+    fn settle_claims(&mut self, id: &MachineId, leaving: bool, now: Time) {
         for task in self.cluster_state.claims_on(id) {
-            let unsent = self
-                .cluster_state
-                .claim_of(&task)
-                .is_some_and(|c| c.sent == Sent::No);
-            if unsent {
+            let claim = self.cluster_state.claim_of(&task);
+            if claim.is_some_and(|c| c.sent == Sent::No) {
                 // It has a better place where commands get through.
                 self.release(&task, now);
                 self.walk_all = true;
