--- a/src/control/core/link.rs
+++ b/src/control/core/link.rs
@@ -6,6 +6,7 @@
 use sorrelhinge_overload::reachability::Reachability;
 
 use super::direct_line::DirectLine;
+use super::Source;
 use crate::cloud::Listed;
 use crate::types::{Attempt, JobId, MachineId, Seq, Session, TaskId, Time, Token, TypeName, Zone};
 use crate::worker::{Report, ReportedImage, ReportedTask, TaskPhase, Why};
@@ -88,6 +89,14 @@
     }
 }
 
+/// What a report tells that the one before it did not.
+pub(super) struct ReportNews {
+    /// The worker's session ended, and all its tasks with it.
+    pub(super) session_ended: bool,
+    /// The worker has another address.
+    pub(super) moved: bool,
+}
+
 /// The line to one worker.
 #[derive(Debug)]
 pub(super) struct Link {
@@ -151,7 +160,7 @@
     }
 
     /// Takes in what a report says of its tasks; one whose name can't be read is left out.
-    pub(super) fn set_tasks(&mut self, reported: &[ReportedTask]) {
+    fn set_tasks(&mut self, reported: &[ReportedTask]) {
         let tasks = reported.iter().filter_map(|reported| {
             let key = TaskAttempt {
                 task: reported.id()?,
@@ -166,6 +175,41 @@
         self.tasks = tasks.collect();
     }
 
+    /// Takes in a report that is newer than the last one.
+    pub(super) fn take_in(&mut self, report: &Report, source: Source, now: Time) -> ReportNews {
+        let news = ReportNews {
+            session_ended: report.shift > self.session && self.seq > Seq(0),
+            moved: self.addr != report.addr,
+        };
+        self.addr = report.addr;
+        self.session = report.shift;
+        self.seq = report.tick;
+        let took_up = report.baton > self.seen && report.baton.grant() == self.token.grant();
+        self.seen = self.seen.max(report.baton);
+        self.last_heard = now;
+        self.told_of = Seq(0);
+        self.direct.heard();
+        self.passed = source == Source::Passed;
+        // Only what comes from the worker itself shows that there is a way. Reports
+        // that others took did too once: while the owner was cut off from all
+        // workers, commands were tried directly after each of them.
+        if source == Source::Beat {
+            self.direct.reported(now);
+        }
+        if report.warning_s.is_some() {
+            self.leaving = true;
+        }
+        self.set_tasks(&report.pieces);
+        self.images.clone_from(&report.images);
+        // That it reports is no sign that it hears: each report made a machine
+        // usable again that no command reached.
+        self.reachability.reported(now);
+        if took_up {
+            self.reachability.proved(now);
+        }
+        news
+    }
+
     /// Whether the last report was made after the worker had learnt the token
     /// that now fences every earlier command to it.
     pub(super) fn fenced(&self) -> bool {
--- a/src/control/core/reports.rs
+++ b/src/control/core/reports.rs
@@ -25,8 +25,16 @@
         if report.baton.grant() > self.grant {
             return false;
         }
+        if self.counts(report) {
+            self.take_in(report, source, now);
+        }
+        true
+    }
+
+    /// Whether a report is of a machine of this block, and certainly no late copy.
+    fn counts(&self, report: &Report) -> bool {
         if !self.shard.covers(&report.machine) || self.is_copy(report) {
-            return true;
+            return false;
         }
         // Only a report with our token was certainly made under this grant. Any
         // other may be a copy from before of a machine that is long gone: once the
@@ -34,75 +42,52 @@
         // token, and the next report shows it.
         let id = &report.machine;
         let shown = report.baton >= self.base_token() || self.inventory.is_coming(id);
-        if self.inventory.was_listed() && !shown && !self.links.contains_key(id) {
-            return true;
-        }
+        !self.inventory.was_listed() || shown || self.links.contains_key(id)
+    }
+
+    /// What follows from a report that counts: for the line to its machine, for the tasks
+    /// that it names, and for those that it does not.
+    fn take_in(&mut self, report: &Report, source: Source, now: Time) {
+        let id = &report.machine;
         let (lease_s, hears_badly) = (self.cfg.lease_s, now < self.deaf_until);
         let Some(link) = self.link(&SeenMachine::by_report(report), now) else {
-            return true;
+            return;
         };
-        let ended = report.shift > link.session && link.seq > Seq(0);
-        let moved = link.addr != report.addr;
-        link.addr = report.addr;
-        link.session = report.shift;
-        link.seq = report.tick;
-        let took_up = report.baton > link.seen && report.baton.grant() == link.token.grant();
-        link.seen = link.seen.max(report.baton);
-        link.last_heard = now;
-        link.told_of = Seq(0);
-        link.direct.heard();
-        link.passed = source == Source::Passed;
-        // Only what comes from the worker itself shows that there is a way. Reports
-        // that others took did too once: while the owner was cut off from all
-        // workers, commands were tried directly after each of them.
-        if source == Source::Beat {
-            link.direct.reported(now);
-        }
-        if report.warning_s.is_some() {
-            link.leaving = true;
-        }
-        link.set_tasks(&report.pieces);
-        // That it reports is no sign that it hears: each report made a machine
-        // usable again that no command reached.
-        link.reachability.reported(now);
-        if took_up {
-            link.reachability.proved(now);
-        }
+        let news = link.take_in(report, source, now);
         // Its leases end though its reports are answered: whatever runs there is
         // lost each time. While requests wait too long, answers may be too late.
-        if ended && link.reachability.session_ended(lease_s, now) && !hears_badly {
+        if news.session_ended && link.reachability.session_ended(lease_s, now) && !hears_badly {
             link.leaving = true;
         }
-        link.images.clone_from(&report.images);
-        self.hear_of_images(report);
-        let Some(link) = self.links.get(&report.machine) else {
-            return true;
-        };
         let fenced = report.baton >= link.token;
-        if moved {
-            self.cluster_state
-                .locate(&report.machine, Some(report.addr.ip()));
+        self.hear_of_images(report);
+        if news.moved {
+            self.cluster_state.locate(id, Some(report.addr.ip()));
         }
-        self.see_starts(&report.machine, now);
-        if ended {
-            self.session_ended(&report.machine, now);
+        self.see_starts(id, now);
+        if news.session_ended {
+            self.session_ended(id, now);
         }
         if fenced {
-            self.reconcile(&report.machine, source, now);
+            self.reconcile(id, source, now);
         }
-        if let Some(link) = self.links.get_mut(&report.machine) {
-            if link.fenced() && link.reachability.in_doubt() {
-                // It has the present token and does nothing: a higher one has
-                // to be taken up before anything more goes there.
-                link.token = link.token.raised();
-                link.doubted = true;
-            } else if link.fenced() {
-                link.doubted = false;
-            }
+        self.settle_doubt(id);
+        self.wake(id);
+        self.refresh_machine(id, now);
+    }
+
+    /// A machine that has the present token is no longer doubted, unless nothing that is
+    /// sent there has an effect.
+    fn settle_doubt(&mut self, id: &MachineId) {
+        let Some(link) = self.links.get_mut(id).filter(|l| l.fenced()) else {
+            return;
+        };
+        link.doubted = link.reachability.in_doubt();
+        if link.doubted {
+            // It has the present token and does nothing: a higher one has
+            // to be taken up before anything more goes there.
+            link.token = link.token.raised();
         }
-        self.wake(&report.machine);
-        self.refresh_machine(&report.machine, now);
-        true
     }
 
     /// A task that we started is in the report: the machine hears.
