--- a/src/control/core/reports.rs
+++ b/src/control/core/reports.rs
@@ -4,7 +4,7 @@
 use super::link::{SeenMachine, TaskAttempt, TaskStatus};
 use super::{Core, Source};
 use crate::sched::{Progress, Sent};
-use crate::types::{MachineId, Seq, Session, Time};
+use crate::types::{MachineId, Seq, Session, TaskId, Time};
 use crate::worker::{Report, TaskPhase, Why};
 
 impl Core {
@@ -152,70 +152,89 @@
             return;
         }
         for task in self.cluster_state.claims_on(id) {
-            let Some(job) = self.cluster_state.job(&task.job) else {
-                continue;
-            };
-            let (spec, cancelled) = (job.spec.clone(), job.cancelled);
-            let Some(claim) = self.cluster_state.claim_mut(&task) else {
-                continue;
-            };
-            let Some(link) = self.links.get(id) else {
-                return;
-            };
-            let key = TaskAttempt {
-                task: task.clone(),
-                attempt: claim.attempt,
-            };
-            match link.tasks.get(&key).copied() {
-                Some(TaskStatus {
-                    phase: TaskPhase::Ended,
-                    why,
-                }) => {
-                    self.ended(id, &task, &spec, why.unwrap_or(Why::Other), now);
-                }
-                Some(TaskStatus { phase, .. }) => {
-                    claim.sent = Sent::Answered;
-                    let waiting = phase == TaskPhase::Waiting;
-                    let before = claim.progress;
-                    claim.progress = match (phase, before) {
-                        (TaskPhase::Fetching | TaskPhase::Waiting, _) => Progress::Fetching,
-                        (TaskPhase::Saving, _) => Progress::Saving,
-                        (_, Progress::Running(since)) => Progress::Running(since),
-                        _ => Progress::Running(now),
-                    };
-                    let after = claim.progress;
-                    if waiting || matches!(after, Progress::Running(_)) && before != after {
-                        self.cluster_state.ran(&task);
-                    }
-                    if matches!(after, Progress::Running(_)) && before != after {
-                        self.image_ran(&task);
-                    }
+            self.reconcile_claim(id, &task, source, now);
+        }
+    }
+
+    /// Compares one claim with the report of its machine.
+    fn reconcile_claim(&mut self, id: &MachineId, task: &TaskId, source: Source, now: Time) {
+        let job = self.cluster_state.job(&task.job);
+        let claim = self.cluster_state.claim_of(task);
+        let (Some(job), Some(claim), Some(link)) = (job, claim, self.links.get(id)) else {
+            return;
+        };
+        let key = TaskAttempt {
+            task: task.clone(),
+            attempt: claim.attempt,
+        };
+        match link.tasks.get(&key).copied() {
+            Some(TaskStatus {
+                phase: TaskPhase::Ended,
+                why,
+            }) => {
+                let spec = job.spec.clone();
+                self.ended(id, task, &spec, why.unwrap_or(Why::Other), now);
+            }
+            Some(TaskStatus { phase, .. }) => self.claim_runs(task, phase, now),
+            None => self.claim_not_reported(id, task, source, now),
+        }
+    }
+
+    /// A claimed task is on its machine, and has not ended.
+    fn claim_runs(&mut self, task: &TaskId, phase: TaskPhase, now: Time) {
+        let Some(claim) = self.cluster_state.claim_mut(task) else {
+            return;
+        };
+        claim.sent = Sent::Answered;
+        let before = claim.progress;
+        let after = match (phase, before) {
+            (TaskPhase::Fetching | TaskPhase::Waiting, _) => Progress::Fetching,
+            (TaskPhase::Saving, _) => Progress::Saving,
+            (_, Progress::Running(since)) => Progress::Running(since),
+            _ => Progress::Running(now),
+        };
+        claim.progress = after;
+        let began = matches!(after, Progress::Running(_)) && before != after;
+        if phase == TaskPhase::Waiting || began {
+            self.cluster_state.ran(task);
+        }
+        if began {
+            self.image_ran(task);
+        }
+    }
+
+    /// A claimed task is not on its machine: it never was, or it is over, or its start is
+    /// still to arrive.
+    fn claim_not_reported(&mut self, id: &MachineId, task: &TaskId, source: Source, now: Time) {
+        let in_flight = self.links.get(id).is_some_and(|l| l.direct.is_in_flight());
+        let job = self.cluster_state.job(&task.job);
+        let cancelled = job.is_some_and(|j| j.cancelled);
+        let Some(claim) = self.cluster_state.claim_mut(task) else {
+            return;
+        };
+        match claim.sent {
+            Sent::No => {}
+            // Never started, or over. Its owner may have dropped it and
+            // given its limit, place or devices to another claim, and
+            // only that one may be in the record yet: so it is placed
+            // anew rather than started.
+            Sent::Found => {
+                self.release(task, now);
+            }
+            // Only the next report of the worker's own shows whether
+            // it took a reply: a direct answer may overtake it.
+            Sent::InReply if source == Source::Direct => {}
+            // An answer is still to come, and tells.
+            Sent::Flying if in_flight => {}
+            Sent::Flying | Sent::InReply => {
+                claim.sent = Sent::No;
+                if cancelled || claim.stop.is_some() {
+                    self.release(task, now);
                 }
-                None => match claim.sent {
-                    Sent::No => {}
-                    // Never started, or over. Its owner may have dropped it and
-                    // given its limit, place or devices to another claim, and
-                    // only that one may be in the record yet: so it is placed
-                    // anew rather than started.
-                    Sent::Found => {
-                        self.release(&task, now);
-                    }
-                    // Only the next report of the worker's own shows whether
-                    // it took a reply: a direct answer may overtake it.
-                    Sent::InReply if source == Source::Direct => {}
-                    // An answer is still to come, and tells.
-                    Sent::Flying if link.direct.is_in_flight() => {}
-                    Sent::Flying | Sent::InReply => {
-                        claim.sent = Sent::No;
-                        if cancelled || claim.stop.is_some() {
-                            self.release(&task, now);
-                        }
-                    }
-                    Sent::Answered => {
-                        tracing::info!(task = %task, machine = %id, "task is gone");
-                        self.release(&task, now);
-                    }
-                },
+            }
+            Sent::Answered => {
+                tracing::info!(task = %task, machine = %id, "task is gone");
+                self.release(task, now);
             }
         }
     }
