--- a/src/control/core/batch.rs
+++ b/src/control/core/batch.rs
@@ -5,130 +5,12 @@
 //! record that an earlier version wrote by the larger ones has its claims moved to keys of
 //! their own, in one transaction and in a form that every version reads.
 
-use std::collections::BTreeSet;
-
+use super::draft::{Draft, DraftBounds, Written};
 use super::{Batch, Core};
 use crate::control::pending::{ChunkId, Due, Haste};
-use crate::state::record::{chunk_key, encoded_bytes, job_key, ChunkRecord, JobRecord, Phase};
+use crate::state::record::{encoded_bytes, ChunkRecord, JobRecord, Phase};
 use crate::state::view::{JobEntry, View};
-use crate::state::{Change, Txn, When};
-use crate::types::{JobId, Revision, Time};
-
-/// Bytes of a transaction's values, about.
-const TXN_BYTES: usize = 48 << 10;
-/// Bytes of the rest of a change that writes a job, and of one that writes a chunk, about.
-const JOB_CHANGE_BYTES: usize = 400;
-const CHUNK_CHANGE_BYTES: usize = 200;
-
-/// What one entry of the queues comes to.
-enum Written {
-    /// Nothing: the record says it already, or nobody needs it.
-    Nothing,
-    /// The job's record, with all its claims if it keeps them.
-    Job(JobRecord),
-    /// A chunk under its own key; none: it is deleted.
-    Chunk(u32, Option<ChunkRecord>),
-    /// The job's record without its claims, and these under a key of their own.
-    Moved(JobRecord, ChunkRecord),
-}
-
-impl Written {
-    fn changes(&self) -> usize {
-        match self {
-            Self::Nothing => 0,
-            Self::Job(_) | Self::Chunk(..) => 1,
-            Self::Moved(..) => 2,
-        }
-    }
-}
-
-impl Batch {
-    /// What it records; a job's own record by the key of its first chunk.
-    fn written_keys(&self) -> BTreeSet<ChunkId> {
-        let jobs = self.jobs.iter().map(|(id, _)| (id.clone(), 0));
-        let chunks = self.chunks.iter().map(|(chunk, _)| chunk.clone());
-        jobs.chain(chunks).collect()
-    }
-}
-
-/// A transaction while it is put together.
-struct Draft {
-    batch: Batch,
-    /// Jobs whose records are among the conditions.
-    guarded: BTreeSet<JobId>,
-    /// Jobs whose records are written.
-    written: BTreeSet<JobId>,
-    bytes: usize,
-}
-
-impl Draft {
-    fn new(grant_key: String, grant_stamp: Revision) -> Self {
-        let guard = When {
-            key: grant_key,
-            stamp: grant_stamp,
-        };
-        Self {
-            batch: Batch {
-                txn: Txn {
-                    when: vec![guard],
-                    apply: Vec::new(),
-                },
-                chunks: Vec::new(),
-                jobs: Vec::new(),
-                wave: None,
-            },
-            guarded: BTreeSet::new(),
-            written: BTreeSet::new(),
-            bytes: 0,
-        }
-    }
-
-    fn len(&self) -> usize {
-        self.batch.txn.apply.len()
-    }
-
-    fn add(&mut self, id: &JobId, entry: &JobEntry, written: Written) {
-        match written {
-            Written::Nothing => return,
-            Written::Job(record) => self.add_job(id, record),
-            Written::Chunk(chunk, keep) => self.add_chunk(id, entry, chunk, keep),
-            Written::Moved(record, chunk) => {
-                self.add_job(id, record);
-                self.add_chunk(id, entry, 0, Some(chunk));
-            }
-        }
-        if self.guarded.insert(id.clone()) {
-            self.batch.txn.when.push(When {
-                key: job_key(id),
-                stamp: entry.record.stamp,
-            });
-        }
-    }
-
-    fn add_job(&mut self, id: &JobId, record: JobRecord) {
-        let claims = record.inline.as_ref().map_or(0, ChunkRecord::weight);
-        self.bytes += JOB_CHANGE_BYTES + claims;
-        let change = Change::write(job_key(id), &record, None);
-        self.batch.txn.apply.push(change);
-        self.written.insert(id.clone());
-        self.batch.jobs.push((id.clone(), record));
-    }
-
-    fn add_chunk(&mut self, id: &JobId, entry: &JobEntry, chunk: u32, keep: Option<ChunkRecord>) {
-        self.bytes += CHUNK_CHANGE_BYTES + keep.as_ref().map_or(0, ChunkRecord::weight);
-        let key = chunk_key(id, chunk);
-        let stamp = entry.chunks.get(&chunk).map_or(Revision(0), |c| c.stamp);
-        let change = match &keep {
-            Some(record) => Change::write(key.clone(), record, None),
-            None => Change::Delete {
-                delete: key.clone(),
-            },
-        };
-        self.batch.txn.when.push(When { key, stamp });
-        self.batch.txn.apply.push(change);
-        self.batch.chunks.push(((id.clone(), chunk), keep));
-    }
-}
+use crate::types::{JobId, Time};
 
 impl Core {
     /// The next transaction, if anything is to be recorded, of at most `most_ops` changes.
@@ -140,35 +22,44 @@
         spare: bool,
         now: Time,
     ) -> Option<Batch> {
-        let mut draft = Draft::new(self.grant_key(), self.grant_stamp);
-        let alone = self.rejected_changes.tries_alone(now);
+        let bounds = DraftBounds {
+            most_ops,
+            alone: self.rejected_changes.tries_alone(now),
+        };
+        let mut draft = Draft::new(self.grant_key(), self.grant_stamp, bounds);
         // First: starts wait for it.
         if let Some((when, change, step)) = self.staging.next(now) {
-            draft.batch.txn.when.push(when);
-            draft.batch.txn.apply.push(change);
-            draft.batch.wave = Some(step);
+            draft.add_wave(when, change, step);
+        }
+        self.add_pending(&mut draft, view, spare, now);
+        if draft.takes_change() {
+            let value_bytes = self.cfg.state_limits.value_bytes;
+            if let Some(change) = self.tombstones.change(value_bytes, now) {
+                draft.add_change(change);
+            }
         }
+        draft.finish()
+    }
+
+    /// Adds what waits to be recorded, the most urgent first, as far as there is room.
+    fn add_pending(&mut self, draft: &mut Draft, view: &View, spare: bool, now: Time) {
         let mut again = Vec::new();
-        while draft.len() < most_ops && draft.bytes <= TXN_BYTES && !(alone && draft.len() > 0) {
+        while draft.takes_more() {
             let Some(due) = self.pending.take(spare, now) else {
                 break;
             };
             let (Due::Finished(id) | Due::Chunk((id, _))) = &due;
             let id = id.clone();
             self.cluster_state.claimed_all(&id);
-            if draft.written.contains(&id) || self.rejected_changes.holds_back(&due, now) {
+            if draft.writes_job(&id) || self.rejected_changes.holds_back(&due, now) {
                 again.push(due);
                 continue;
             }
-            let Some(entry) = view.job(&id) else { continue };
-            if entry.record.value.phase == Phase::Live && !view.is_ready(&id) {
-                // Not reached: a job that waits is not in the cluster state. A claim of
-                // it must not be recorded, whatever brought it about.
-                tracing::error!(job = %id, "a job that waits for others has something to record");
+            let Some(entry) = recordable(view, &id) else {
                 continue;
-            }
+            };
             let written = self.written(&id, entry, &due, now);
-            if draft.len() + written.changes() > most_ops {
+            if !draft.has_room_for(&written) {
                 // It goes first into the next one.
                 if let Due::Chunk(chunk) = due {
                     self.claim_again(chunk, now);
@@ -178,19 +69,19 @@
             draft.add(&id, entry, written);
         }
         for due in again {
-            match due {
-                Due::Finished(id) => self.finished(id, now),
-                Due::Chunk(chunk) => self.pending.released(chunk, now),
-            }
+            self.put_back(due, now);
         }
-        if draft.len() < most_ops && !(alone && draft.len() > 0) {
-            let value_bytes = self.cfg.state_limits.value_bytes;
-            let change = self.tombstones.change(value_bytes, now);
-            draft.batch.txn.apply.extend(change);
+    }
+
+    /// Something is to be recorded later.
+    fn put_back(&mut self, due: Due, now: Time) {
+        match due {
+            Due::Finished(id) => self.finished(id, now),
+            Due::Chunk(chunk) => self.pending.released(chunk, now),
         }
-        (draft.len() > 0).then_some(draft.batch)
     }
 
+    /// What one entry of the queues comes to.
     fn written(&mut self, id: &JobId, entry: &JobEntry, due: &Due, now: Time) -> Written {
         let held = &entry.record.value;
         match due {
@@ -335,3 +226,15 @@
         self.conflicted(batch, view, now)
     }
 }
+
+/// A job's records, if anything of it may be recorded.
+fn recordable<'a>(view: &'a View, id: &JobId) -> Option<&'a JobEntry> {
+    let entry = view.job(id)?;
+    if entry.record.value.phase == Phase::Live && !view.is_ready(id) {
+        // Not reached: a job that waits is not in the cluster state. A claim of
+        // it must not be recorded, whatever brought it about.
+        tracing::error!(job = %id, "a job that waits for others has something to record");
+        return None;
+    }
+    Some(entry)
+}
--- /dev/null
+++ b/src/control/core/draft.rs
@@ -0,0 +1,182 @@
+//! A transaction while it is put together: its conditions, its changes, and what it
+//! records.
+//!
+//! Invariant: every transaction is on the condition of the grant, and each change of a
+//! job or a chunk on the conditions of the job's record and of the chunk's.
+
+use std::collections::BTreeSet;
+
+use super::staging::Step;
+use super::Batch;
+use crate::control::pending::ChunkId;
+use crate::state::record::{chunk_key, job_key, ChunkRecord, JobRecord};
+use crate::state::view::JobEntry;
+use crate::state::{Change, Txn, When};
+use crate::types::{JobId, Revision};
+
+/// Bytes of a transaction's values, about.
+const TXN_BYTES: usize = 48 << 10;
+/// Bytes of the rest of a change that writes a job, and of one that writes a chunk, about.
+const JOB_CHANGE_BYTES: usize = 400;
+const CHUNK_CHANGE_BYTES: usize = 200;
+
+/// What one entry of the queues comes to.
+pub(super) enum Written {
+    /// Nothing: the record says it already, or nobody needs it.
+    Nothing,
+    /// The job's record, with all its claims if it keeps them.
+    Job(JobRecord),
+    /// A chunk under its own key; none: it is deleted.
+    Chunk(u32, Option<ChunkRecord>),
+    /// The job's record without its claims, and these under a key of their own.
+    Moved(JobRecord, ChunkRecord),
+}
+
+impl Written {
+    /// How many changes of the transaction it makes.
+    fn changes(&self) -> usize {
+        match self {
+            Self::Nothing => 0,
+            Self::Job(_) | Self::Chunk(..) => 1,
+            Self::Moved(..) => 2,
+        }
+    }
+}
+
+impl Batch {
+    /// What it records; a job's own record by the key of its first chunk.
+    pub(super) fn written_keys(&self) -> BTreeSet<ChunkId> {
+        let jobs = self.jobs.iter().map(|(id, _)| (id.clone(), 0));
+        let chunks = self.chunks.iter().map(|(chunk, _)| chunk.clone());
+        jobs.chain(chunks).collect()
+    }
+}
+
+/// How large a transaction may be.
+pub(super) struct DraftBounds {
+    /// Most changes.
+    pub(super) most_ops: usize,
+    /// Each change has a transaction of its own now.
+    pub(super) alone: bool,
+}
+
+/// A transaction while it is put together.
+pub(super) struct Draft {
+    batch: Batch,
+    /// Jobs whose records are among the conditions.
+    guarded: BTreeSet<JobId>,
+    /// Jobs whose records are written.
+    written: BTreeSet<JobId>,
+    /// Bytes of the values, about.
+    bytes: usize,
+    bounds: DraftBounds,
+}
+
+impl Draft {
+    /// An empty one, on the condition of the grant.
+    pub(super) fn new(grant_key: String, grant_stamp: Revision, bounds: DraftBounds) -> Self {
+        let guard = When {
+            key: grant_key,
+            stamp: grant_stamp,
+        };
+        Self {
+            batch: Batch {
+                txn: Txn {
+                    when: vec![guard],
+                    apply: Vec::new(),
+                },
+                chunks: Vec::new(),
+                jobs: Vec::new(),
+                wave: None,
+            },
+            guarded: BTreeSet::new(),
+            written: BTreeSet::new(),
+            bytes: 0,
+            bounds,
+        }
+    }
+
+    fn len(&self) -> usize {
+        self.batch.txn.apply.len()
+    }
+
+    /// Whether one more change may go into it.
+    pub(super) fn takes_change(&self) -> bool {
+        self.len() < self.bounds.most_ops && !(self.bounds.alone && self.len() > 0)
+    }
+
+    /// Whether more of what waits to be recorded may go into it.
+    pub(super) fn takes_more(&self) -> bool {
+        self.takes_change() && self.bytes <= TXN_BYTES
+    }
+
+    /// Whether this may go into it in whole.
+    pub(super) fn has_room_for(&self, written: &Written) -> bool {
+        self.len() + written.changes() <= self.bounds.most_ops
+    }
+
+    /// Whether a job's record is written by it.
+    pub(super) fn writes_job(&self, id: &JobId) -> bool {
+        self.written.contains(id)
+    }
+
+    /// Adds a step of an image's wave.
+    pub(super) fn add_wave(&mut self, when: When, change: Change, step: Step) {
+        self.batch.txn.when.push(when);
+        self.batch.txn.apply.push(change);
+        self.batch.wave = Some(step);
+    }
+
+    /// Adds a change that has no condition of its own.
+    pub(super) fn add_change(&mut self, change: Change) {
+        self.batch.txn.apply.push(change);
+    }
+
+    /// The transaction; none: nothing is to be recorded.
+    pub(super) fn finish(self) -> Option<Batch> {
+        (self.len() > 0).then_some(self.batch)
+    }
+
+    /// Adds what one entry of the queues comes to, on the condition of its job's record.
+    pub(super) fn add(&mut self, id: &JobId, entry: &JobEntry, written: Written) {
+        match written {
+            Written::Nothing => return,
+            Written::Job(record) => self.add_job(id, record),
+            Written::Chunk(chunk, keep) => self.add_chunk(id, entry, chunk, keep),
+            Written::Moved(record, chunk) => {
+                self.add_job(id, record);
+                self.add_chunk(id, entry, 0, Some(chunk));
+            }
+        }
+        if self.guarded.insert(id.clone()) {
+            self.batch.txn.when.push(When {
+                key: job_key(id),
+                stamp: entry.record.stamp,
+            });
+        }
+    }
+
+    fn add_job(&mut self, id: &JobId, record: JobRecord) {
+        let claims = record.inline.as_ref().map_or(0, ChunkRecord::weight);
+        self.bytes += JOB_CHANGE_BYTES + claims;
+        let change = Change::write(job_key(id), &record, None);
+        self.batch.txn.apply.push(change);
+        self.written.insert(id.clone());
+        self.batch.jobs.push((id.clone(), record));
+    }
+
+    fn add_chunk(&mut self, id: &JobId, entry: &JobEntry, chunk: u32, keep: Option<ChunkRecord>) {
+        self.bytes += CHUNK_CHANGE_BYTES + keep.as_ref().map_or(0, ChunkRecord::weight);
+        let key = chunk_key(id, chunk);
+        let stamp = entry.chunks.get(&chunk).map_or(Revision(0), |c| c.stamp);
+        let change = match &keep {
+            Some(record) => Change::write(key.clone(), record, None),
+            None => Change::Delete {
+                delete: key.clone(),
+            },
+        };
+        self.batch.txn.when.push(When { key, stamp });
+        self.batch.txn.apply.push(change);
+        self.batch.chunks.push(((id.clone(), chunk), keep));
+    }
+}
--- a/src/control/core/mod.rs
+++ b/src/control/core/mod.rs
@@ -10,6 +10,7 @@
 mod deleted_machines;
 mod direct_line;
 mod dispatch;
+mod draft;
 mod failover;
 mod failures;
 mod inventory;
