--- a/src/control/core/draft.rs
+++ b/src/control/core/draft.rs
@@ -7,7 +7,6 @@
 use std::collections::BTreeSet;
 
 use super::staging::Step;
-use super::Batch;
 use crate::control::pending::ChunkId;
 use crate::state::record::{chunk_key, job_key, ChunkRecord, JobRecord};
 use crate::state::view::JobEntry;
@@ -43,11 +42,39 @@
     }
 }
 
+/// A transaction under way, with what it records.
+#[derive(Debug)]
+pub struct Batch {
+    /// The transaction.
+    pub txn: Txn,
+    /// Chunks under keys of their own.
+    pub(super) chunks: Vec<ChunkWrite>,
+    /// Jobs' own records: completed ones, and those that hold their claims.
+    pub(super) jobs: Vec<JobWrite>,
+    /// An image's wave.
+    pub(super) wave: Option<Step>,
+}
+
+/// A chunk that a transaction writes under its own key.
+#[derive(Debug)]
+pub(super) struct ChunkWrite {
+    pub(super) chunk: ChunkId,
+    /// None: it is deleted.
+    pub(super) record: Option<ChunkRecord>,
+}
+
+/// A job's own record that a transaction writes.
+#[derive(Debug)]
+pub(super) struct JobWrite {
+    pub(super) job: JobId,
+    pub(super) record: JobRecord,
+}
+
 impl Batch {
     /// What it records; a job's own record by the key of its first chunk.
     pub(super) fn written_keys(&self) -> BTreeSet<ChunkId> {
-        let jobs = self.jobs.iter().map(|(id, _)| (id.clone(), 0));
-        let chunks = self.chunks.iter().map(|(chunk, _)| chunk.clone());
+        let jobs = self.jobs.iter().map(|write| (write.job.clone(), 0));
+        let chunks = self.chunks.iter().map(|write| write.chunk.clone());
         jobs.chain(chunks).collect()
     }
 }
@@ -162,7 +189,8 @@
         let change = Change::write(job_key(id), &record, None);
         self.batch.txn.apply.push(change);
         self.written.insert(id.clone());
-        self.batch.jobs.push((id.clone(), record));
+        let job = id.clone();
+        self.batch.jobs.push(JobWrite { job, record });
     }
 
     fn add_chunk(&mut self, id: &JobId, entry: &JobEntry, chunk: u32, keep: Option<ChunkRecord>) {
@@ -177,6 +205,9 @@
         };
         self.batch.txn.when.push(When { key, stamp });
         self.batch.txn.apply.push(change);
-        self.batch.chunks.push(((id.clone(), chunk), keep));
+        self.batch.chunks.push(ChunkWrite {
+            chunk: (id.clone(), chunk),
+            record: keep,
+        });
     }
 }
--- a/src/control/core/mod.rs
+++ b/src/control/core/mod.rs
@@ -52,6 +52,7 @@
 pub use self::calendar::WindowStep;
 use self::command_queue::CommandQueue;
 pub use self::command_queue::MOST_FLYING;
+pub use self::draft::Batch;
 use self::failover::Failover;
 use self::inventory::CloudInventory;
 use self::link::Link;
@@ -61,11 +62,9 @@
 pub use self::sharing::Places;
 use self::start_permission::StartPermission;
 use self::tombstones::MachineTombstones;
-use super::pending::{ChunkId, Pending};
+use super::pending::Pending;
 use crate::config::Config;
 use crate::sched::ClusterState;
-use crate::state::record::{ChunkRecord, JobRecord};
-use crate::state::Txn;
 use crate::types::{JobId, MachineId, MachineType, Revision, Time, TypeName, Zone};
 use crate::worker::Orders;
 
@@ -82,19 +81,6 @@
     Direct,
 }
 
-/// A transaction under way, with what it records.
-#[derive(Debug)]
-pub struct Batch {
-    /// The transaction.
-    pub txn: Txn,
-    /// Chunks under keys of their own; none: deleted.
-    chunks: Vec<(ChunkId, Option<ChunkRecord>)>,
-    /// Jobs' own records: completed ones, and those that hold their claims.
-    jobs: Vec<(JobId, JobRecord)>,
-    /// An image's wave.
-    wave: Option<staging::Step>,
-}
-
 /// Direct commands to send.
 #[derive(Debug)]
 pub struct Dispatch {
--- a/src/control/core/record.rs
+++ b/src/control/core/record.rs
@@ -1,5 +1,6 @@
 //! Claims and results on their way into the record.
 
+use super::draft::{ChunkWrite, JobWrite};
 use super::{Batch, Core};
 use crate::control::pending::Haste;
 use crate::sched::Job;
@@ -85,15 +86,8 @@
 
     /// A transaction was carried out.
     pub fn committed(&mut self, batch: Batch, revision: Revision, view: &mut View, now: Time) {
-        for ((id, chunk), record) in batch.chunks {
-            match record {
-                Some(value) => {
-                    self.confirm(&id, chunk, &value, now);
-                    let stamp = revision;
-                    view.put_chunk(&id, chunk, Versioned { stamp, value });
-                }
-                None => view.drop_chunk(&id, chunk, revision),
-            }
+        for write in batch.chunks {
+            self.chunk_committed(write, revision, view, now);
         }
         if let Some(step) = batch.wave {
             for machine in self.staging.done(step, revision, now) {
@@ -101,21 +95,38 @@
             }
             self.wake_staged(now);
         }
-        for (id, value) in batch.jobs {
-            if value.phase == Phase::Done {
-                if let Some(sort) = self.cluster_state.job(&id).map(Job::sort) {
-                    self.served_log.counts().done(&sort);
-                }
-                self.largest_over(&id, "done", now);
-                tracing::info!(job = %id, "done");
+        for write in batch.jobs {
+            self.job_committed(write, revision, view, now);
+        }
+    }
+
+    /// A chunk is recorded, or deleted, under its own key.
+    fn chunk_committed(&mut self, write: ChunkWrite, stamp: Revision, view: &mut View, now: Time) {
+        let (id, chunk) = write.chunk;
+        match write.record {
+            Some(value) => {
+                self.confirm(&id, chunk, &value, now);
+                view.put_chunk(&id, chunk, Versioned { stamp, value });
             }
-            if let Some(inline) = &value.inline {
-                self.confirm(&id, 0, inline, now);
+            None => view.drop_chunk(&id, chunk, stamp),
+        }
+    }
+
+    /// A job's own record is written.
+    fn job_committed(&mut self, write: JobWrite, stamp: Revision, view: &mut View, now: Time) {
+        let (id, value) = (write.job, write.record);
+        if value.phase == Phase::Done {
+            if let Some(sort) = self.cluster_state.job(&id).map(Job::sort) {
+                self.served_log.counts().done(&sort);
             }
-            let stamp = revision;
-            view.put_job(&id, Versioned { stamp, value });
-            self.forget_job(view, &id, now);
+            self.largest_over(&id, "done", now);
+            tracing::info!(job = %id, "done");
+        }
+        if let Some(inline) = &value.inline {
+            self.confirm(&id, 0, inline, now);
         }
+        view.put_job(&id, Versioned { stamp, value });
+        self.forget_job(view, &id, now);
     }
 
     pub(super) fn confirm(&mut self, id: &JobId, chunk: u32, record: &ChunkRecord, now: Time) {
@@ -152,40 +163,48 @@
             self.staging.undone(step, view, now);
         }
         let mut chunks = batch.chunks;
-        for (id, record) in batch.jobs {
-            if record.phase != Phase::Done {
+        for write in batch.jobs {
+            if write.record.phase == Phase::Done {
+                self.done_conflicted(&write.job, view, now);
+            } else if write.record.inline.is_some() {
                 // Claims that were to be moved are among the chunks.
-                if record.inline.is_some() {
-                    chunks.push(((id, 0), record.inline));
-                }
-                continue;
-            }
-            let live = view
-                .job(&id)
-                .is_some_and(|e| e.record.value.phase == Phase::Live);
-            if live
-                && self
-                    .cluster_state
-                    .job(&id)
-                    .is_some_and(|j| j.tasks.all_done())
-            {
-                self.finished(id, now);
-            } else {
-                self.forget_job(view, &id, now);
+                chunks.push(ChunkWrite {
+                    chunk: (write.job, 0),
+                    record: write.record.inline,
+                });
             }
         }
-        for ((id, chunk), record) in chunks {
-            let held = view.job(&id).and_then(|e| e.chunk(chunk));
-            match (&record, held) {
-                (Some(ours), Some(held)) if ours == held => self.confirm(&id, chunk, ours, now),
-                (Some(_), _) => self.claim_again((id, chunk), now),
-                (None, _) => self.pending.useless((id, chunk), now),
-            }
+        for write in chunks {
+            self.chunk_conflicted(write, view, now);
         }
         self.still_granted(view)
     }
+
+    /// That a job is done was not recorded.
+    fn done_conflicted(&mut self, id: &JobId, view: &View, now: Time) {
+        let entry = view.job(id);
+        let live = entry.is_some_and(|e| e.record.value.phase == Phase::Live);
+        let job = self.cluster_state.job(id);
+        if live && job.is_some_and(|j| j.tasks.all_done()) {
+            self.finished(id.clone(), now);
+        } else {
+            self.forget_job(view, id, now);
+        }
+    }
+
+    /// A chunk was not recorded, or had been already.
+    fn chunk_conflicted(&mut self, write: ChunkWrite, view: &View, now: Time) {
+        let (id, chunk) = &write.chunk;
+        let held = view.job(id).and_then(|e| e.chunk(*chunk));
+        match (&write.record, held) {
+            (Some(ours), Some(held)) if ours == held => self.confirm(id, *chunk, ours, now),
+            (Some(_), _) => self.claim_again(write.chunk, now),
+            (None, _) => self.pending.useless(write.chunk, now),
+        }
+    }
 }
 
+/// Whether an attempt of a task is claimed by the records, for a job that is not done.
 pub(super) fn recorded_claim(view: &View, task: &TaskId, attempt: Attempt) -> bool {
     let live = |entry: &&JobEntry| entry.record.value.phase != Phase::Done;
     view.job(&task.job).filter(live).is_some_and(|entry| {
