--- a/src/control/core/record.rs
+++ b/src/control/core/record.rs
@@ -6,7 +6,7 @@
 use crate::sched::Job;
 use crate::state::record::{ChunkRecord, Phase};
 use crate::state::view::{JobEntry, Versioned, View};
-use crate::types::{Attempt, JobId, Kind, MachineId, Revision, TaskId, Time};
+use crate::types::{Attempt, JobId, Kind, Revision, TaskId, Time};
 
 impl Core {
     /// All tasks of a job are done: that is to be recorded.
@@ -33,48 +33,26 @@
         chunk: u32,
         held: Option<&ChunkRecord>,
     ) -> Option<ChunkRecord> {
-        let job = self.cluster_state.job(id)?;
-        let size = job.tasks.chunk_size();
-        let from = chunk * size;
-        let mut claims: Vec<(u32, Attempt, MachineId)> = job
-            .tasks
-            .claims()
-            .range(from..from + size)
-            .map(|(&i, c)| (i - from, c.attempt, c.machine.clone()))
-            .collect();
-        // Also of claims that hold none: a claim that is not named here was
-        // written by an earlier version, and may hold anything.
-        let devices = job
-            .spec
-            .placement
-            .as_ref()
-            .is_some_and(|w| !w.devices.is_empty());
-        let mut units: Vec<_> = job
-            .tasks
-            .claims()
-            .range(from..from + size)
-            .filter(|(_, c)| devices && !c.unnamed)
-            .map(|(&i, c)| (i - from, c.units.clone()))
-            .collect();
-        let mut next_attempt = job.tasks.next_attempt(chunk);
-        let mut done = job.tasks.done_bits(chunk);
+        let mut record = chunk_record(self.cluster_state.job(id)?, chunk);
         if let Some(held) = held.filter(|_| self.shard.is_part()) {
-            let theirs = |c: &&(u32, Attempt, MachineId)| !self.shard.covers(&c.2);
-            let theirs: Vec<_> = held.claims.iter().filter(theirs).cloned().collect();
-            let of = |place: u32| theirs.iter().any(|c| c.0 == place);
-            units.extend(held.units.iter().filter(|(p, _)| of(*p)).cloned());
-            units.sort_by_key(|(place, _)| *place);
-            claims.extend(theirs);
-            claims.sort_by_key(|c| c.0);
-            next_attempt = next_attempt.max(held.next_attempt);
-            done |= held.done;
+            self.keep_others_part(&mut record, held);
         }
-        Some(ChunkRecord {
-            next_attempt,
-            done,
-            claims,
-            units,
-        })
+        Some(record)
+    }
+
+    /// Leaves in a chunk's record what other blocks wrote into it.
+    fn keep_others_part(&self, record: &mut ChunkRecord, held: &ChunkRecord) {
+        let theirs = held.claims.iter();
+        let theirs = theirs.filter(|(_, _, machine)| !self.shard.covers(machine));
+        let theirs: Vec<_> = theirs.cloned().collect();
+        let of = |place: u32| theirs.iter().any(|c| c.0 == place);
+        let units = held.units.iter().filter(|(place, _)| of(*place));
+        record.units.extend(units.cloned());
+        record.units.sort_by_key(|(place, _)| *place);
+        record.claims.extend(theirs);
+        record.claims.sort_by_key(|c| c.0);
+        record.next_attempt = record.next_attempt.max(held.next_attempt);
+        record.done |= held.done;
     }
 
     /// Whether a chunk's record claims tasks on machines of this block, or, if not
@@ -204,6 +182,26 @@
     }
 }
 
+/// A chunk of a job as this block holds it.
+fn chunk_record(job: &Job, chunk: u32) -> ChunkRecord {
+    let size = job.tasks.chunk_size();
+    let from = chunk * size;
+    let held = || job.tasks.claims().range(from..from + size);
+    let claims = held().map(|(&index, c)| (index - from, c.attempt, c.machine.clone()));
+    // Also of claims that hold none: a claim that is not named here was
+    // written by an earlier version, and may hold anything.
+    let placement = job.spec.placement.as_ref();
+    let devices = placement.is_some_and(|w| !w.devices.is_empty());
+    let named = held().filter(|(_, c)| devices && !c.unnamed);
+    let units = named.map(|(&index, c)| (index - from, c.units.clone()));
+    ChunkRecord {
+        next_attempt: job.tasks.next_attempt(chunk),
+        done: job.tasks.done_bits(chunk),
+        claims: claims.collect(),
+        units: units.collect(),
+    }
+}
+
 /// Whether an attempt of a task is claimed by the records, for a job that is not done.
 pub(super) fn recorded_claim(view: &View, task: &TaskId, attempt: Attempt) -> bool {
     let live = |entry: &&JobEntry| entry.record.value.phase != Phase::Done;
