--- a/src/control/core/job_changes.rs
+++ b/src/control/core/job_changes.rs
@@ -110,7 +110,7 @@
     }
 
     /// Nothing needs the chunks of a job that is over.
-    fn drop_chunks(&mut self, id: &JobId, entry: &JobEntry, now: Time) {
+    pub(super) fn drop_chunks(&mut self, id: &JobId, entry: &JobEntry, now: Time) {
         for &chunk in entry.chunks.keys() {
             self.pending.useless((id.clone(), chunk), now);
         }
--- a/src/control/core/recorded_job.rs
+++ b/src/control/core/recorded_job.rs
@@ -89,36 +89,56 @@
             return;
         }
         let over = record.phase != Phase::Live;
-        let homed = self.shard.homes(id);
         // A done job's tasks have all ended, whatever a chunk that was not
         // deleted yet still claims.
         if record.phase == Phase::Done || over && !self.claims_here(entry) {
-            for &chunk in entry.chunks.keys().filter(|_| homed) {
-                self.pending.useless((id.clone(), chunk), now);
+            if self.shard.homes(id) {
+                self.drop_chunks(id, entry, now);
             }
             return;
         }
         let found = self.found_tasks(id, entry, now);
-        let (started, all_done) = (found.started(), found.tasks.all_done());
+        let all_done = found.tasks.all_done();
         let times = job_times(view, id, record, now, wall_ms);
         let Some((job, claims)) = self.recorded_job(view, id, found, &times) else {
             return;
         };
-        // An earlier version's record names no units.
-        let devices = job.spec.placement.as_ref();
-        let holds_devices = devices.is_some_and(|w| w.lost || !w.devices.is_empty());
-        if homed && !over {
-            self.served_log.counts().accepted(&job.sort());
-            if started {
-                self.served_log.counts().started(&job.sort(), None);
+        let placed_here = !over && self.shard.homes(id);
+        self.put_job(id, job, placed_here, now);
+        self.put_claims(id, claims, now);
+        self.share(id, entry);
+        if all_done && placed_here {
+            self.finished(id.clone(), now);
+        }
+        // A gang that was claimed in part, or lost a part, starts anew.
+        self.gangs.insert(id.clone());
+        self.walk_all = true;
+    }
+
+    /// A job goes into the cluster state. `placed_here`: this block places it, and it is
+    /// not over.
+    fn put_job(&mut self, id: &JobId, job: Job, placed_here: bool, now: Time) {
+        if placed_here {
+            let counts = self.served_log.counts();
+            counts.accepted(&job.sort());
+            if job.started {
+                counts.started(&job.sort(), None);
             }
         }
-        let last_placed = started.then_some(now);
+        let last_placed = job.started.then_some(now);
         let job = Job { last_placed, ..job };
         self.cluster_state.add_job(id.clone(), job);
-        if homed && !over {
+        if placed_here {
             self.largest_came(id, now);
         }
+    }
+
+    /// The claims of a job that was just put into the cluster state go there too.
+    fn put_claims(&mut self, id: &JobId, claims: Vec<FoundClaim>, now: Time) {
+        // An earlier version's record names no units.
+        let job = self.cluster_state.job(id);
+        let placement = job.and_then(|j| j.spec.placement.as_ref());
+        let holds_devices = placement.is_some_and(|w| w.lost || !w.devices.is_empty());
         for claim in claims {
             let task = TaskId {
                 job: id.clone(),
@@ -127,13 +147,6 @@
             let claim = claim.into_claim(holds_devices, now);
             self.cluster_state.put_claim(&task, claim);
         }
-        self.share(id, entry);
-        if all_done && !over && homed {
-            self.finished(id.clone(), now);
-        }
-        // A gang that was claimed in part, or lost a part, starts anew.
-        self.gangs.insert(id.clone());
-        self.walk_all = true;
     }
 
     /// Reads a job's tasks. What is claimed on machines that are gone is released: its
