--- a/src/control/core/placing.rs
+++ b/src/control/core/placing.rs
@@ -4,7 +4,7 @@
 use super::Core;
 use crate::control::pending::Haste;
 use crate::sched::{DelayRule, Job, Launch};
-use crate::types::{MachineId, Time};
+use crate::types::{JobId, MachineId, Time};
 
 /// Part of its start aim after which room is made for a job.
 const PREEMPT_START: f64 = 0.15;
@@ -16,6 +16,7 @@
 const WALK_STEPS: u64 = 4000;
 
 impl Core {
+    /// Tasks were placed: their claims are to be recorded.
     fn launched(&mut self, launches: Vec<Launch>, now: Time) {
         if !launches.is_empty() && self.failover.placed() {
             let after_s = self.failover.logged_age_s(now);
@@ -23,25 +24,31 @@
         }
         for launch in launches {
             tracing::debug!(task = %launch.task, machine = %launch.machine, cached = launch.cached, "claim");
-            let job = self.cluster_state.job(&launch.task.job);
-            let haste = job.map_or(Haste::Usual, Haste::of);
-            let first = job.filter(|j| !j.started && j.tasks.at_home());
-            if let Some((sort, wait_s)) = first.map(|j| (j.sort(), now.since(j.submitted))) {
-                self.served_log.counts().started(&sort, Some(wait_s));
-                self.largest_began(&launch.task.job, wait_s, now);
-                self.cluster_state
-                    .edit_job(&launch.task.job, |j| j.started = true);
-            }
-            let job = self.cluster_state.job(&launch.task.job);
-            self.claimed_cpu += job.map_or(0, |j| j.spec.each.cpu);
-            let Some(sort) = job.map(Job::sort) else {
+            self.job_began(&launch.task.job, now);
+            let Some(job) = self.cluster_state.job(&launch.task.job) else {
                 continue;
             };
+            self.claimed_cpu += job.spec.each.cpu;
+            let (haste, sort) = (Haste::of(job), job.sort());
             let chunk = self.chunk_of(&launch.task);
             self.pending.claimed(chunk, haste, sort, now);
         }
     }
 
+    /// A task of a job was placed. If it is the first one, that is counted, by the block
+    /// that places the job.
+    fn job_began(&mut self, id: &JobId, now: Time) {
+        let job = self.cluster_state.job(id);
+        let Some(job) = job.filter(|j| !j.started && j.tasks.at_home()) else {
+            return;
+        };
+        let (sort, wait_s) = (job.sort(), now.since(job.submitted));
+        self.served_log.counts().started(&sort, Some(wait_s));
+        self.largest_began(id, wait_s, now);
+        self.cluster_state.edit_job(id, |j| j.started = true);
+    }
+
+    /// For how long a task waits for a machine that has its image.
     fn rule(&self) -> DelayRule {
         DelayRule {
             fetches: self.cfg.tuning.delay_fetches,
--- a/src/control/core/recorded_job.rs
+++ b/src/control/core/recorded_job.rs
@@ -8,7 +8,7 @@
 use crate::sched::{Claim, ClusterState, Job, Laned, Progress, Sent, Tasks};
 use crate::state::record::{JobRecord, Phase};
 use crate::state::view::{JobEntry, View};
-use crate::types::{Attempt, JobId, Kind, MachineId, TaskId, Time};
+use crate::types::{Attempt, JobId, JobSpec, Kind, MachineId, TaskId, Time};
 use sorrelhinge_topology::devices::Unit;
 
 /// From when a job's times count, by the time of day in the records.
@@ -33,8 +33,12 @@
     }
 }
 
-/// After so many attempts without a result a new owner takes a job for mistaken.
+/// After as many attempts without a result as it has tasks a new owner takes a job for
+/// mistaken, but not after fewer than the first of these, nor later than after the second.
+const WASTED_LEAST: u64 = 3;
 const WASTED: u64 = 8;
+/// So many failures such a job is held to have had.
+const DOUBTED_FAILURES: u32 = 2;
 
 /// A claim in a record.
 struct FoundClaim {
@@ -72,6 +76,14 @@
 }
 
 impl FoundTasks {
+    /// Whether so many attempts came to nothing, while none has ended well, that one
+    /// task is to tell whether the job is mistaken, rather than all.
+    fn casts_doubt_on(&self, spec: &JobSpec) -> bool {
+        spec.kind == Kind::Array
+            && self.tasks.done() == 0
+            && self.wasted >= u64::from(spec.tasks).clamp(WASTED_LEAST, WASTED)
+    }
+
     /// Whether one of them was ever placed, as far as the records tell.
     fn started(&self) -> bool {
         !self.claims.is_empty() || self.tasks.done() > 0
@@ -205,11 +217,7 @@
         let spec = Rc::new(spec);
         tracing::debug!(job = %id, class = %spec.class, team = %spec.team, tasks = spec.tasks, image = %spec.image.as_str(), "job");
         let started = found.started();
-        // So many attempts came to nothing, and none has ended well: one task
-        // tells the next owner whether the job is mistaken, rather than all.
-        let doubted = spec.kind == Kind::Array
-            && found.tasks.done() == 0
-            && found.wasted >= u64::from(spec.tasks).clamp(3, WASTED);
+        let doubted = found.casts_doubt_on(&spec);
         let lanes = &self.cfg.lanes;
         let lane = lanes.of(&spec.class, spec.priority, spec.deadline_s.is_some());
         let topology = self.cluster_state.topology().map(|t| &**t);
@@ -217,7 +225,7 @@
         let mut job = Job {
             lane: lane.map(|lane| Laned::new(lane, entry.place)),
             doubted,
-            failures: if doubted { 2 } else { 0 },
+            failures: if doubted { DOUBTED_FAILURES } else { 0 },
             cancelled: record.phase == Phase::Cancelled,
             start_within: self.starts_within(&spec.class),
             policy: ClusterState::policy_of(topology, &spec),
