--- a/src/control/core/failures.rs
+++ b/src/control/core/failures.rs
@@ -6,7 +6,35 @@
 use crate::types::{JobId, JobSpec, Kind, MachineId, TaskId, Time};
 use crate::worker::Why;
 
+/// A machine that refused a task is avoided for so many report intervals.
+const REFUSED_REPORTS: f64 = 2.0;
+/// The longest pause of a job whose tasks machines do not know, in seconds.
+const MOST_UNKNOWN_PAUSE_S: f64 = 30.0;
+/// A job avoids a machine where it failed for so long, in seconds.
+const AVOIDED_S: f64 = 60.0;
+/// A job that failed so often, and on so many machines, is mistaken.
+const MISTAKEN_FAILURES: u32 = 3;
+const MISTAKEN_MACHINES: usize = 3;
+/// The first pause of a mistaken job, in seconds, and the longest one.
+const MISTAKEN_PAUSE_S: f64 = 2.0;
+const MOST_MISTAKEN_PAUSE_S: f64 = 40.0;
+/// A machine is not used for so long for each job that failed there, in seconds.
+const SHUNNED_S: f64 = 20.0;
+/// A machine on which so many sound jobs failed is faulty.
+const FAULTY_JOBS: usize = 2;
+
+/// What a failure is held against.
+enum Blame {
+    /// The machine.
+    Machine,
+    /// The job, which was taken for mistaken before.
+    Job,
+    /// The job, and so were all its failures.
+    JobFromNowOn,
+}
+
 impl Core {
+    /// A task ended on its machine, and for which reason.
     pub(super) fn ended(
         &mut self,
         id: &MachineId,
@@ -16,41 +44,15 @@
         now: Time,
     ) {
         self.release(task, now);
-        if self
-            .cluster_state
-            .job(&task.job)
-            .is_none_or(|j| j.cancelled)
-        {
+        let job = self.cluster_state.job(&task.job);
+        if job.is_none_or(|j| j.cancelled) {
             return;
         }
         match why {
-            Why::Done if spec.kind != Kind::Service => {
-                let all_done = self.cluster_state.edit_job(&task.job, |job| {
-                    job.tasks.set_done(task.index);
-                    (job.failures, job.doubted) = (0, false);
-                    job.tasks.all_done()
-                });
-                // Another block's jobs are done when that has read so.
-                if all_done == Some(true) && self.shard.homes(&task.job) {
-                    self.finished(task.job.clone(), now);
-                }
-                if let Some(link) = self.links.get_mut(id) {
-                    link.errors.clear();
-                }
-            }
+            Why::Done if spec.kind != Kind::Service => self.succeeded(id, task, now),
             Why::Error => self.failed(id, task, now),
-            Why::Full | Why::InUse => {
-                let until = now.after(2.0 * self.cfg.report_s);
-                self.cluster_state.edit_job(&task.job, |job| {
-                    job.avoid.insert(id.clone(), until);
-                });
-            }
-            Why::NoSuch => {
-                self.cluster_state.edit_job(&task.job, |job| {
-                    job.failures += 1;
-                    job.hold_until = now.after(f64::from(job.failures).exp2().min(30.0));
-                });
-            }
+            Why::Full | Why::InUse => self.avoid_for_now(id, &task.job, now),
+            Why::NoSuch => self.hold_unknown(&task.job, now),
             Why::Done | Why::Stopped | Why::Peers | Why::Incomplete | Why::Other => {}
         }
         // Its task may have a place elsewhere.
@@ -60,49 +62,70 @@
         }
     }
 
+    /// A task has its result.
+    fn succeeded(&mut self, id: &MachineId, task: &TaskId, now: Time) {
+        let all_done = self.cluster_state.edit_job(&task.job, |job| {
+            job.tasks.set_done(task.index);
+            (job.failures, job.doubted) = (0, false);
+            job.tasks.all_done()
+        });
+        // Another block's jobs are done when that has read so.
+        if all_done == Some(true) && self.shard.homes(&task.job) {
+            self.finished(task.job.clone(), now);
+        }
+        if let Some(link) = self.links.get_mut(id) {
+            link.errors.clear();
+        }
+    }
+
+    /// A machine refused a task: it had no room, or still has another attempt of it.
+    fn avoid_for_now(&mut self, id: &MachineId, job: &JobId, now: Time) {
+        let until = now.after(REFUSED_REPORTS * self.cfg.report_s);
+        self.cluster_state.edit_job(job, |job| {
+            job.avoid.insert(id.clone(), until);
+        });
+    }
+
+    /// A machine refused a task because there is none of that name: the job is tried less
+    /// and less often.
+    fn hold_unknown(&mut self, job: &JobId, now: Time) {
+        self.cluster_state.edit_job(job, |job| {
+            job.failures += 1;
+            let pause_s = f64::from(job.failures).exp2();
+            job.hold_until = now.after(pause_s.min(MOST_UNKNOWN_PAUSE_S));
+        });
+    }
+
     /// A task failed. Mostly the machine is faulty (PROTOCOL), so it is shunned,
     /// and given back once jobs that are sound failed there. A job that fails on
     /// several machines, and of which nothing ends well, is itself mistaken: it is
     /// held against no machine, and tried less and less often, until its user
     /// withdraws it.
     pub(super) fn failed(&mut self, id: &MachineId, task: &TaskId, now: Time) {
-        let doubted = self.cluster_state.edit_job(&task.job, |job| {
-            job.failures += 1;
-            job.avoid.retain(|_, until| now < *until);
-            job.avoid.insert(id.clone(), now.after(60.0));
-            let mistaken = job.failures >= 3 && job.avoid.len() >= 3;
-            let doubted = job.doubted;
-            if mistaken && !doubted && job.spec.kind == Kind::Array {
-                // However many of its tasks failed at once.
-                (job.doubted, job.failures) = (true, 3);
-            } else if doubted && !job.tasks.claims().is_empty() {
-                // Of those that were started before it was doubted.
-                job.failures -= 1;
-            }
-            if mistaken || doubted {
-                let wait = f64::from(job.failures.min(6) - 2).exp2();
-                job.hold_until = now.after((2.0 * wait).min(40.0));
-            }
-            (doubted, mistaken || doubted)
-        });
-        match doubted {
-            Some((false, true)) => self.clear(&task.job),
-            Some((true, _)) | None => {}
-            Some((false, false)) => {
-                let Some(link) = self.links.get_mut(id) else {
-                    return;
-                };
-                link.errors.insert(task.job.clone());
-                link.shunned_until = now.after(20.0 * link.errors.len() as f64);
-                // A job that is not shown to be sound proves nothing: two
-                // mistaken ones that met on a machine cost the machine once.
-                let cluster_state = &self.cluster_state;
-                let sound = |job: &&JobId| cluster_state.job(job).is_none_or(Job::is_sound);
-                link.leaving |= link.errors.iter().filter(sound).count() >= 2;
-            }
+        let blame = self
+            .cluster_state
+            .edit_job(&task.job, |job| count_failure(job, id, now));
+        match blame {
+            Some(Blame::JobFromNowOn) => self.clear(&task.job),
+            Some(Blame::Job) | None => {}
+            Some(Blame::Machine) => self.shun(id, &task.job, now),
         }
     }
 
+    /// A machine is not used for a while, as a job failed there.
+    fn shun(&mut self, id: &MachineId, job: &JobId, now: Time) {
+        let Some(link) = self.links.get_mut(id) else {
+            return;
+        };
+        link.errors.insert(job.clone());
+        link.shunned_until = now.after(SHUNNED_S * link.errors.len() as f64);
+        // A job that is not shown to be sound proves nothing: two
+        // mistaken ones that met on a machine cost the machine once.
+        let cluster_state = &self.cluster_state;
+        let sound = |job: &&JobId| cluster_state.job(job).is_none_or(Job::is_sound);
+        link.leaving |= link.errors.iter().filter(sound).count() >= FAULTY_JOBS;
+    }
+
     /// A job's failures are held against no machine any more: it is mistaken, or
     /// was withdrawn.
     pub(super) fn clear(&mut self, job: &JobId) {
@@ -113,3 +136,28 @@
         }
     }
 }
+
+/// Counts a failure of a job on a machine.
+fn count_failure(job: &mut Job, id: &MachineId, now: Time) -> Blame {
+    job.failures += 1;
+    job.avoid.retain(|_, until| now < *until);
+    job.avoid.insert(id.clone(), now.after(AVOIDED_S));
+    let mistaken = job.failures >= MISTAKEN_FAILURES && job.avoid.len() >= MISTAKEN_MACHINES;
+    let doubted = job.doubted;
+    if mistaken && !doubted && job.spec.kind == Kind::Array {
+        // However many of its tasks failed at once.
+        (job.doubted, job.failures) = (true, MISTAKEN_FAILURES);
+    } else if doubted && !job.tasks.claims().is_empty() {
+        // Of those that were started before it was doubted.
+        job.failures -= 1;
+    }
+    if mistaken || doubted {
+        let wait = f64::from(job.failures.min(6) - 2).exp2();
+        job.hold_until = now.after((MISTAKEN_PAUSE_S * wait).min(MOST_MISTAKEN_PAUSE_S));
+    }
+    match (doubted, mistaken) {
+        (true, _) => Blame::Job,
+        (false, true) => Blame::JobFromNowOn,
+        (false, false) => Blame::Machine,
+    }
+}
