--- a/src/control/core/aims.rs
+++ b/src/control/core/aims.rs
@@ -10,14 +10,36 @@
 use crate::sched::JobUrgency;
 use crate::types::{JobSpec, Time};
 
+/// Of so many jobs of one sort it is kept when they came.
 const MOST_ARRIVALS: usize = 2000;
 
 /// Jobs of one class that came of late.
 pub(super) struct Arrivals {
+    /// The latest one's description.
     pub(super) spec: Rc<JobSpec>,
+    /// When each came, and how many tasks it has; the latest last.
     pub(super) recent: VecDeque<(Time, u32)>,
 }
 
+impl Arrivals {
+    /// None came yet of those that are like this job.
+    fn new(spec: &Rc<JobSpec>) -> Self {
+        Self {
+            spec: spec.clone(),
+            recent: VecDeque::new(),
+        }
+    }
+
+    /// A job came.
+    fn add(&mut self, spec: &Rc<JobSpec>, at: Time) {
+        self.spec = spec.clone();
+        self.recent.push_back((at, spec.tasks));
+        if self.recent.len() > MOST_ARRIVALS {
+            self.recent.pop_front();
+        }
+    }
+}
+
 /// From when a job's times count, on this process's clock.
 pub(super) struct JobTimes {
     /// Its submission.
@@ -29,23 +51,14 @@
 }
 
 impl Core {
+    /// A job came: others of its sort may follow.
     pub(super) fn arrived(&mut self, spec: &Rc<JobSpec>, at: Time) {
-        let smallest = self
-            .types
-            .values()
-            .filter(|t| spec.each.fits(t.total))
-            .min_by_key(|t| t.total.cpu)
-            .map(|t| t.name.clone());
+        let smallest = self.types.smallest_for(spec.each).cloned();
         let class = (Rc::from(&*spec.class), smallest);
-        let arrivals = self.arrivals.entry(class).or_insert_with(|| Arrivals {
-            spec: spec.clone(),
-            recent: VecDeque::new(),
-        });
-        arrivals.spec = spec.clone();
-        arrivals.recent.push_back((at, spec.tasks));
-        if arrivals.recent.len() > MOST_ARRIVALS {
-            arrivals.recent.pop_front();
-        }
+        let arrivals = self.arrivals.entry(class);
+        arrivals
+            .or_insert_with(|| Arrivals::new(spec))
+            .add(spec, at);
     }
 
     /// How much a class depends on room that is there already: what a new
@@ -56,10 +69,7 @@
 
     /// The shortest usual boot.
     pub(super) fn boot_s(&self) -> f64 {
-        self.types
-            .values()
-            .map(|t| t.boot_s)
-            .fold(f64::INFINITY, f64::min)
+        self.types.shortest_boot_s()
     }
 
     /// How soon a class's jobs are to start, if that is sooner than a machine
--- a/src/control/core/links.rs
+++ b/src/control/core/links.rs
@@ -5,6 +5,7 @@
 
 use super::command_queue::ContactOrder;
 use super::link::{Link, SeenMachine};
+use super::machine_types::MachineTypes;
 use super::Core;
 use crate::sched::{Machine, Sent};
 use crate::types::{Kind, MachineId, MachineType, Time};
@@ -39,10 +40,7 @@
 impl Core {
     /// The cloud's machine types.
     pub fn set_types(&mut self, types: &[MachineType]) {
-        self.types = types
-            .iter()
-            .map(|t| (t.name.clone(), Rc::new(t.clone())))
-            .collect();
+        self.types = MachineTypes::new(types);
     }
 
     /// Whether the machine types are known.
--- a/src/control/core/load.rs
+++ b/src/control/core/load.rs
@@ -14,6 +14,7 @@
 use super::command_queue::CommandQueue;
 use super::failover::Failover;
 use super::inventory::CloudInventory;
+use super::machine_types::MachineTypes;
 use super::placement_queue::PlacementQueue;
 use super::rejected_changes::RejectedChanges;
 use super::served::ServedLog;
@@ -86,7 +87,7 @@
             places,
             served_log: ServedLog::new(now),
             largest_jobs: Largest::default(),
-            types: HashMap::new(),
+            types: MachineTypes::default(),
             links: BTreeMap::new(),
             inventory: CloudInventory::default(),
             pending: Pending::default(),
--- a/src/control/core/mod.rs
+++ b/src/control/core/mod.rs
@@ -21,6 +21,7 @@
 mod links;
 mod load;
 mod machine_list;
+mod machine_types;
 mod moving;
 mod placement_queue;
 mod placing;
@@ -56,6 +57,7 @@
 use self::failover::Failover;
 use self::inventory::CloudInventory;
 use self::link::Link;
+use self::machine_types::MachineTypes;
 use self::placement_queue::PlacementQueue;
 use self::rejected_changes::RejectedChanges;
 use self::served::ServedLog;
@@ -65,7 +67,7 @@
 use super::pending::Pending;
 use crate::config::Config;
 use crate::sched::ClusterState;
-use crate::types::{JobId, MachineId, MachineType, Revision, Time, TypeName, Zone};
+use crate::types::{JobId, MachineId, Revision, Time, TypeName, Zone};
 use crate::worker::Orders;
 
 /// Where a report came from.
@@ -109,7 +111,7 @@
     places: Places,
     served_log: ServedLog,
     largest_jobs: Largest,
-    types: HashMap<TypeName, Rc<MachineType>>,
+    types: MachineTypes,
     links: BTreeMap<MachineId, Link>,
     inventory: CloudInventory,
     pending: Pending,
