--- a/src/control/core/mod.rs
+++ b/src/control/core/mod.rs
@@ -1,5 +1,27 @@
 //! What the owner of the block knows and decides, without I/O: time, reports
 //! and outcomes come in, transactions, commands and cloud calls go out.
+//!
+//! [`Core`] composes the owners of its state. Each is a struct in a module of its own
+//! whose fields nothing else changes; the methods of `Core`, by subject in the other
+//! modules, are the steps in which several of them take part:
+//!
+//! | state | owner | main users |
+//! | --- | --- | --- |
+//! | machines that commands are due to, commands in flight | `command_queue` | `dispatch`, `links` |
+//! | until when tasks may be started | `start_permission` | `commands` |
+//! | machines on which room appeared | `placement_queue` | `placing` |
+//! | time since the failover, what is open from it | `failover` | all |
+//! | the cloud's machine list | `inventory` | `machine_list`, `renting` |
+//! | machines that are gone | `tombstones`, `deleted_machines` | `machine_list`, `reports` |
+//! | the cloud's machine types | `machine_types` | `links`, `aims`, `renting` |
+//! | a worker's last report, its token and commands | `link`, `direct_line` | `reports`, `dispatch` |
+//! | a transaction while it is put together | `draft` | `batch`, `record` |
+//! | changes that were rejected | `rejected_changes` | `batch` |
+//! | what the log says of who is served | `served` | `placing`, `record` |
+//!
+//! Invariants: no task is started before its claim is recorded; nothing is concluded
+//! about a machine's tasks before one of its reports carries the token that fences all
+//! earlier commands; the time of every step is handed in, and no clock is read.
 
 mod aims;
 mod batch;
@@ -96,6 +118,7 @@
 
 /// The block owner's knowledge.
 pub struct Core {
+    /// Settings; they don't change while the grant is held.
     cfg: Rc<Config>,
     /// The jobs, machines and shares.
     pub cluster_state: ClusterState,
@@ -108,12 +131,19 @@
     frozen_since: Option<Time>,
     /// Room that others' tasks may take, and what was left to others.
     sharing: sharing::Sharing,
+    /// Zones of all blocks' machines.
     places: Places,
+    /// What classes and teams got, for the log.
     served_log: ServedLog,
+    /// The largest jobs of each class, for the log.
     largest_jobs: Largest,
+    /// The cloud's machine types.
     types: MachineTypes,
+    /// The lines to the workers of all machines that are up.
     links: BTreeMap<MachineId, Link>,
+    /// What the cloud's machine lists tell.
     inventory: CloudInventory,
+    /// What waits to be recorded.
     pending: Pending,
     /// The time since the grant was taken up, and what is still open from then.
     failover: Failover,
@@ -129,7 +159,7 @@
     /// What is claimed a second, and since that was last looked at.
     claim_rate: ClaimRate,
     claimed_cpu: i64,
-    /// Until then silence tells nothing.
+    /// Until then silence tells nothing: requests waited too long to be read.
     deaf_until: Time,
     /// Until when tasks may be started.
     start_permission: StartPermission,
@@ -159,6 +189,7 @@
     pub walk_all: bool,
     last_fleet: Time,
     last_plan: Time,
+    /// When all machines were last looked at.
     last_look: Time,
 }
 
@@ -174,21 +205,7 @@
         self.failover.tick(now);
         if now.since(self.last_look) >= LOOK_S {
             self.last_look = now;
-            self.cluster_state.look_at_dues(now);
-            let wall_ms = self.wall_ms(now);
-            self.cluster_state
-                .look_at_lanes(&self.cfg.lanes, now, wall_ms);
-            self.cluster_state.look_at_idle(now);
-            self.look_at_drains(now);
-            self.look_at_waves(now);
-            self.tell_served(now);
-            if self.failover.awaits_heartbeats() {
-                self.look_who_is_heard(now);
-            }
-            let ids: Vec<MachineId> = self.links.keys().cloned().collect();
-            for id in ids {
-                self.refresh_machine(&id, now);
-            }
+            self.look_at_all(now);
         }
         self.wake_staged(now);
         self.settle_gangs(now);
@@ -196,4 +213,23 @@
         self.walk_all = true;
         self.place(now);
     }
+
+    /// Looks at all that only time changes.
+    fn look_at_all(&mut self, now: Time) {
+        self.cluster_state.look_at_dues(now);
+        let wall_ms = self.wall_ms(now);
+        self.cluster_state
+            .look_at_lanes(&self.cfg.lanes, now, wall_ms);
+        self.cluster_state.look_at_idle(now);
+        self.look_at_drains(now);
+        self.look_at_waves(now);
+        self.tell_served(now);
+        if self.failover.awaits_heartbeats() {
+            self.look_who_is_heard(now);
+        }
+        let ids: Vec<MachineId> = self.links.keys().cloned().collect();
+        for id in ids {
+            self.refresh_machine(&id, now);
+        }
+    }
 }
