--- a/src/control/core/failover.rs
+++ b/src/control/core/failover.rs
@@ -2,6 +2,7 @@
 
 use std::collections::HashMap;
 
+use super::log_format::tenths;
 use crate::types::{Image, MachineId, Time};
 
 /// For how long after a failover machines are asked by what is on them, in seconds.
@@ -48,7 +49,7 @@
 
     /// The same in tenths, as the log has it.
     pub(super) fn logged_age_s(&self, now: Time) -> f64 {
-        (self.age_s(now) * 10.0).round() / 10.0
+        tenths(self.age_s(now))
     }
 
     /// The time of day, in milliseconds: that of the failover, and what has passed since
--- a/src/control/core/lanes.rs
+++ b/src/control/core/lanes.rs
@@ -3,6 +3,7 @@
 use sorrelhinge_lanes::order::may_wait_ms;
 use sorrelhinge_lanes::shown::{LaneShown, LanesShown, WaitShown};
 
+use super::log_format::tenths;
 use super::Core;
 use crate::types::Time;
 
@@ -69,7 +70,7 @@
                 waiting,
                 next = %first.id,
                 place = first.place.0,
-                oldest_s = (oldest_s * 10.0).round() / 10.0,
+                oldest_s = tenths(oldest_s),
                 cpus = used / 1000,
                 of_cpus = all / 1000,
                 "lane"
--- a/src/control/core/largest_jobs.rs
+++ b/src/control/core/largest_jobs.rs
@@ -3,6 +3,7 @@
 
 use sorrelhinge_blocks::largest_jobs::BEGIN_WITHIN_S;
 
+use super::log_format::tenths;
 use super::Core;
 use crate::types::{JobId, Time};
 
@@ -54,7 +55,6 @@
         let Some(job) = self.cluster_state.job(id) else {
             return;
         };
-        let tenths = |s: f64| (s * 10.0).round() / 10.0;
         let cpu = job.spec.each.times(i64::from(job.spec.tasks)).cpu;
         let (class, team) = job.sort();
         tracing::info!(
--- /dev/null
+++ b/src/control/core/log_format.rs
@@ -0,0 +1,6 @@
+//! How figures are written in the log.
+
+/// Seconds in tenths.
+pub(super) fn tenths(seconds: f64) -> f64 {
+    (seconds * 10.0).round() / 10.0
+}
--- a/src/control/core/mod.rs
+++ b/src/control/core/mod.rs
@@ -42,6 +42,7 @@
 mod link;
 mod links;
 mod load;
+mod log_format;
 mod machine_list;
 mod machine_types;
 mod moving;
--- a/src/control/core/served.rs
+++ b/src/control/core/served.rs
@@ -4,6 +4,7 @@
 
 use sorrelhinge_blocks::served::{Line, Served, Sort, Waits};
 
+use super::log_format::tenths;
 use super::Core;
 use crate::types::Time;
 
@@ -100,7 +101,7 @@
                 started = l.started,
                 done = l.done,
                 waiting = l.waits.jobs,
-                oldest_s = (l.waits.oldest_s * 10.0).round() / 10.0,
+                oldest_s = tenths(l.waits.oldest_s),
                 starves = l.starves,
                 "served"
             );
