--- a/src/control/core/aims.rs
+++ b/src/control/core/aims.rs
@@ -8,12 +8,31 @@
 
 use super::Core;
 use crate::sched::JobUrgency;
-use crate::types::{JobSpec, Time};
+use crate::types::{JobSpec, Time, TypeName};
 
+/// Between these the haste of a class counts.
+const LEAST_HASTE: f64 = 0.2;
+const MOST_HASTE: f64 = 2.0;
+/// A job is patient for this part of the time that its aims leave, and for so many seconds
+/// at the least and at the most.
+const PATIENT_PART: f64 = 0.3;
+const LEAST_PATIENCE_S: f64 = 1.0;
+const MOST_PATIENCE_S: f64 = 30.0;
+/// A job is late once less than so many boots are left to it.
+const LATE_BOOTS: f64 = 1.5;
 /// Of so many jobs of one sort it is kept when they came.
 const MOST_ARRIVALS: usize = 2000;
 
-/// Jobs of one class that came of late.
+/// What jobs have in common whose arrivals are counted together: by class alone their
+/// room is not the same.
+#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub(super) struct ArrivalSort {
+    class: Rc<str>,
+    /// The smallest machine type that a task fits; none if no type is known that it does.
+    smallest_type: Option<TypeName>,
+}
+
+/// Jobs of one sort that came of late.
 pub(super) struct Arrivals {
     /// The latest one's description.
     pub(super) spec: Rc<JobSpec>,
@@ -53,9 +72,11 @@
 impl Core {
     /// A job came: others of its sort may follow.
     pub(super) fn arrived(&mut self, spec: &Rc<JobSpec>, at: Time) {
-        let smallest = self.types.smallest_for(spec.each).cloned();
-        let class = (Rc::from(&*spec.class), smallest);
-        let arrivals = self.arrivals.entry(class);
+        let sort = ArrivalSort {
+            class: Rc::from(&*spec.class),
+            smallest_type: self.types.smallest_for(spec.each).cloned(),
+        };
+        let arrivals = self.arrivals.entry(sort);
         arrivals
             .or_insert_with(|| Arrivals::new(spec))
             .add(spec, at);
@@ -64,7 +85,7 @@
     /// How much a class depends on room that is there already: what a new
     /// machine takes to boot, against the time that its aims leave.
     pub(super) fn haste(&self, spec: &JobSpec) -> f64 {
-        (self.boot_s() / self.slack(spec).max(1.0)).clamp(0.2, 2.0)
+        (self.boot_s() / self.slack(spec).max(1.0)).clamp(LEAST_HASTE, MOST_HASTE)
     }
 
     /// The shortest usual boot.
@@ -116,8 +137,10 @@
         JobUrgency {
             priority: inherited.map_or(spec.priority, |u| u.priority),
             aims,
-            patience_s: (0.3 * slack).clamp(1.0, 30.0),
-            late_s: (slack - 1.5 * self.boot_s()).max(0.3 * slack).max(1.0),
+            patience_s: (PATIENT_PART * slack).clamp(LEAST_PATIENCE_S, MOST_PATIENCE_S),
+            late_s: (slack - LATE_BOOTS * self.boot_s())
+                .max(PATIENT_PART * slack)
+                .max(LEAST_PATIENCE_S),
         }
     }
 
--- a/src/control/core/machine_list.rs
+++ b/src/control/core/machine_list.rs
@@ -12,6 +12,16 @@
 
 /// Clocks drift apart by 0.05% (PROTOCOL).
 const DRIFT: f64 = 1.001;
+/// A machine that was not heard for so many report intervals may be gone.
+const UNHEARD_REPORTS: f64 = 1.5;
+/// A machine that was rented less than so many usual lags of the list, and so many seconds,
+/// ago may not be listed yet.
+const FRESH_LAGS: f64 = 3.0;
+const FRESH_S: f64 = 5.0;
+/// So many usual lags, and so many seconds, after a failover the list is certainly not
+/// from before it (PROTOCOL: it is late by twice its usual lag at most).
+const LATEST_LAGS: f64 = 2.0;
+const LATEST_S: f64 = 2.0;
 /// How many times longer machines may hear nothing if most don't.
 const MOST_DEAF: f64 = 3.0;
 
@@ -32,7 +42,7 @@
         // A list is late by twice its usual lag at most (PROTOCOL), so by now it
         // tells of a time at which every machine that a former owner claimed
         // was there.
-        if self.failover.age_s(now) > 2.0 * self.cfg.list_lag_s + 2.0 {
+        if self.failover.age_s(now) > LATEST_LAGS * self.cfg.list_lag_s + LATEST_S {
             self.give_back_unknown(&names);
         }
     }
@@ -77,10 +87,10 @@
                 continue;
             }
             let heard = self.links.get(&id).map(|l| l.last_heard);
-            let silent = heard.is_none_or(|t| now.since(t) > self.cfg.report_s * 1.5);
+            let silent = heard.is_none_or(|t| now.since(t) > self.cfg.report_s * UNHEARD_REPORTS);
             let coming = self.inventory.coming().get(&id);
-            let fresh =
-                coming.is_some_and(|c| now.since(c.since) < 3.0 * self.cfg.list_lag_s + 5.0);
+            let fresh = coming
+                .is_some_and(|c| now.since(c.since) < FRESH_LAGS * self.cfg.list_lag_s + FRESH_S);
             if silent && !fresh && self.inventory.not_seen(&id) {
                 self.give_back(&id);
             }
--- a/src/control/core/mod.rs
+++ b/src/control/core/mod.rs
@@ -72,7 +72,7 @@
 use sorrelhinge_topology::renting::Memory;
 use sorrelhinge_topology::repair::Stability;
 
-use self::aims::Arrivals;
+use self::aims::{ArrivalSort, Arrivals};
 pub use self::calendar::WindowStep;
 use self::command_queue::CommandQueue;
 pub use self::command_queue::MOST_FLYING;
@@ -164,9 +164,8 @@
     deaf_until: Time,
     /// Until when tasks may be started.
     start_permission: StartPermission,
-    /// By class, and by the smallest machine type that a task fits: their
-    /// room is not the same.
-    arrivals: BTreeMap<(Rc<str>, Option<TypeName>), Arrivals>,
+    /// Jobs that came of late.
+    arrivals: BTreeMap<ArrivalSort, Arrivals>,
     /// Machines that are gone, which late lists and reports may still show.
     tombstones: MachineTombstones,
     /// Windows of the release calendar.
