--- a/src/control/core/job_changes.rs
+++ b/src/control/core/job_changes.rs
@@ -2,6 +2,7 @@
 
 use super::aims::JobTimes;
 use super::command_queue::ContactOrder;
+use super::largest_jobs::JobEvent;
 use super::recorded_job::job_times;
 use super::Core;
 use crate::control::pending::ChunkId;
@@ -27,7 +28,7 @@
                     self.catch_up(id, entry, now);
                     if entry.record.value.phase == Phase::Cancelled && !cancelled {
                         self.cluster_state.edit_job(id, |job| job.cancelled = true);
-                        self.largest_over(id, "cancelled", now);
+                        self.largest_over(id, JobEvent::Cancelled, now);
                         self.clear(id);
                         self.pending.not_finished(id);
                         self.settle_stopped(id, now);
@@ -156,6 +157,7 @@
         (task.job.clone(), chunk)
     }
 
+    /// Gives up a task's claim, which is to be recorded; its room is there for others.
     pub(super) fn release(&mut self, task: &TaskId, now: Time) -> Option<Claim> {
         let claim = self.cluster_state.release(task, now)?;
         self.gangs.insert(task.job.clone());
--- a/src/control/core/largest_jobs.rs
+++ b/src/control/core/largest_jobs.rs
@@ -1,12 +1,41 @@
 //! What the log tells of the largest jobs of each class; which they are is
 //! decided in [`sorrelhinge_blocks::largest`].
 
+use std::fmt;
+
 use sorrelhinge_blocks::largest_jobs::BEGIN_WITHIN_S;
 
 use super::log_format::tenths;
 use super::Core;
 use crate::types::{JobId, Time};
 
+/// What the log tells of a job.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum JobEvent {
+    /// It came, or was found by this owner.
+    Came,
+    /// Its first task was placed.
+    Begun,
+    /// It has waited for too long.
+    Late,
+    /// It is done.
+    Done,
+    /// It was cancelled.
+    Cancelled,
+}
+
+impl fmt::Display for JobEvent {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        f.write_str(match self {
+            Self::Came => "came",
+            Self::Begun => "begun",
+            Self::Late => "late",
+            Self::Done => "done",
+            Self::Cancelled => "cancelled",
+        })
+    }
+}
+
 impl Core {
     /// A job came, or was found by this owner.
     pub(super) fn largest_came(&mut self, id: &JobId, now: Time) {
@@ -18,22 +47,26 @@
         let begun = job.started;
         if self.largest_jobs.came(id, &class, cpu) {
             // When it began was told by the owner that placed it.
-            let state = if begun { "begun" } else { "came" };
-            self.tell_largest(id, state, None, now);
+            let event = if begun {
+                JobEvent::Begun
+            } else {
+                JobEvent::Came
+            };
+            self.tell_largest(id, event, None, now);
         }
     }
 
     /// A job's first task was placed here, after so many seconds.
     pub(super) fn largest_began(&self, id: &JobId, wait_s: f64, now: Time) {
         if self.largest_jobs.is(id) {
-            self.tell_largest(id, "begun", Some(wait_s), now);
+            self.tell_largest(id, JobEvent::Begun, Some(wait_s), now);
         }
     }
 
     /// A job is over.
-    pub(super) fn largest_over(&mut self, id: &JobId, state: &str, now: Time) {
+    pub(super) fn largest_over(&mut self, id: &JobId, event: JobEvent, now: Time) {
         if self.largest_jobs.over(id) {
-            self.tell_largest(id, state, None, now);
+            self.tell_largest(id, event, None, now);
         }
     }
 
@@ -46,12 +79,13 @@
         let late: Vec<JobId> = late.map(|(id, _)| id.clone()).collect();
         for id in late {
             if self.largest_jobs.late(&id) {
-                self.tell_largest(&id, "late", None, now);
+                self.tell_largest(&id, JobEvent::Late, None, now);
             }
         }
     }
 
-    fn tell_largest(&self, id: &JobId, state: &str, began_s: Option<f64>, now: Time) {
+    /// Says in the log what became of a job. `began_s`: how long it waited for that.
+    fn tell_largest(&self, id: &JobId, event: JobEvent, began_s: Option<f64>, now: Time) {
         let Some(job) = self.cluster_state.job(id) else {
             return;
         };
@@ -63,7 +97,7 @@
             %team,
             job = %id,
             cpus = cpu as f64 / 1000.0,
-            %state,
+            state = %event,
             began_s = began_s.map(tenths),
             age_s = tenths(now.since(job.submitted)),
             "largest"
--- a/src/control/core/record.rs
+++ b/src/control/core/record.rs
@@ -1,6 +1,7 @@
 //! Claims and results on their way into the record.
 
 use super::draft::{ChunkWrite, JobWrite};
+use super::largest_jobs::JobEvent;
 use super::{Batch, Core};
 use crate::control::pending::Haste;
 use crate::sched::Job;
@@ -97,7 +98,7 @@
             if let Some(sort) = self.cluster_state.job(&id).map(Job::sort) {
                 self.served_log.counts().done(&sort);
             }
-            self.largest_over(&id, "done", now);
+            self.largest_over(&id, JobEvent::Done, now);
             tracing::info!(job = %id, "done");
         }
         if let Some(inline) = &value.inline {
@@ -107,6 +108,7 @@
         self.forget_job(view, &id, now);
     }
 
+    /// A chunk is in the record: its claims are committed, and starts may be due.
     pub(super) fn confirm(&mut self, id: &JobId, chunk: u32, record: &ChunkRecord, now: Time) {
         let Some(size) = self.cluster_state.job(id).map(|j| j.tasks.chunk_size()) else {
             return;
