--- a/src/control/core/commands.rs
+++ b/src/control/core/commands.rs
@@ -161,6 +161,7 @@
     }
 }
 
+/// The command to forget a task that ended.
 fn forget(ended: &TaskAttempt) -> Command {
     Command::Forget {
         piece: ended.task.to_string(),
@@ -168,6 +169,7 @@
     }
 }
 
+/// The command to stop a task, with time to save its state, in seconds.
 fn kill(running: &TaskAttempt, grace_s: f64) -> Command {
     Command::Kill {
         piece: running.task.to_string(),
--- a/src/control/core/dispatch.rs
+++ b/src/control/core/dispatch.rs
@@ -145,7 +145,7 @@
         // It may report on and hear nothing. Whether it does,
         // the token shows, by whatever way it gets there.
         if !link.reachability.is_confirmed(self.cfg.report_s, now) {
-            link.token = link.token.raised();
+            link.raise_token();
         }
         self.mark_flying(id, Sent::No);
     }
@@ -156,7 +156,7 @@
     fn command_unanswered(&mut self, id: &MachineId, now: Time) {
         if let Some(link) = self.links.get_mut(id) {
             link.direct.failed(true, now);
-            link.token = link.token.raised();
+            link.raise_token();
         }
     }
 
--- a/src/control/core/draft.rs
+++ b/src/control/core/draft.rs
@@ -123,6 +123,7 @@
         }
     }
 
+    /// How many changes it has.
     fn len(&self) -> usize {
         self.batch.txn.apply.len()
     }
@@ -183,6 +184,7 @@
         }
     }
 
+    /// Adds the writing of a job's own record.
     fn add_job(&mut self, id: &JobId, record: JobRecord) {
         let claims = record.inline.as_ref().map_or(0, ChunkRecord::weight);
         self.bytes += JOB_CHANGE_BYTES + claims;
@@ -193,6 +195,7 @@
         self.batch.jobs.push(JobWrite { job, record });
     }
 
+    /// Adds the writing of a chunk, on the condition of what is there; none: its deletion.
     fn add_chunk(&mut self, id: &JobId, entry: &JobEntry, chunk: u32, keep: Option<ChunkRecord>) {
         self.bytes += CHUNK_CHANGE_BYTES + keep.as_ref().map_or(0, ChunkRecord::weight);
         let key = chunk_key(id, chunk);
--- a/src/control/core/link.rs
+++ b/src/control/core/link.rs
@@ -210,6 +210,11 @@
         news
     }
 
+    /// Fences all commands that were sent to it so far.
+    pub(super) fn raise_token(&mut self) {
+        self.token = self.token.raised();
+    }
+
     /// Whether the last report was made after the worker had learnt the token
     /// that now fences every earlier command to it.
     pub(super) fn fenced(&self) -> bool {
--- a/src/control/core/links.rs
+++ b/src/control/core/links.rs
@@ -82,6 +82,7 @@
         }
     }
 
+    /// Whether tasks are claimed on a machine.
     fn has_tasks(&self, id: &MachineId) -> bool {
         let machine = self.cluster_state.machines().get(id);
         machine.is_some_and(|m| !m.claims.is_empty())
--- a/src/control/core/machine_list.rs
+++ b/src/control/core/machine_list.rs
@@ -129,6 +129,7 @@
         deaf.map(|(id, _)| id.clone()).collect()
     }
 
+    /// A machine is to be deleted, whether it ever reported or not.
     pub(super) fn give_back(&mut self, id: &MachineId) {
         match self.links.get_mut(id) {
             Some(link) => link.deleting = true,
--- a/src/control/core/reports.rs
+++ b/src/control/core/reports.rs
@@ -86,7 +86,7 @@
         if link.doubted {
             // It has the present token and does nothing: a higher one has
             // to be taken up before anything more goes there.
-            link.token = link.token.raised();
+            link.raise_token();
         }
     }
 
