--- a/src/control/core/failures.rs
+++ b/src/control/core/failures.rs
@@ -18,8 +18,6 @@
 /// The first pause of a mistaken job, in seconds, and the longest one.
 const MISTAKEN_PAUSE_S: f64 = 2.0;
 const MOST_MISTAKEN_PAUSE_S: f64 = 40.0;
-/// A machine is not used for so long for each job that failed there, in seconds.
-const SHUNNED_S: f64 = 20.0;
 /// A machine on which so many sound jobs failed is faulty.
 const FAULTY_JOBS: usize = 2;
 
@@ -74,7 +72,7 @@
             self.finished(task.job.clone(), now);
         }
         if let Some(link) = self.links.get_mut(id) {
-            link.errors.clear();
+            link.failed_jobs.succeeded();
         }
     }
 
@@ -117,22 +115,19 @@
         let Some(link) = self.links.get_mut(id) else {
             return;
         };
-        link.errors.insert(job.clone());
-        link.shunned_until = now.after(SHUNNED_S * link.errors.len() as f64);
+        link.failed_jobs.add(job, now);
         // A job that is not shown to be sound proves nothing: two
         // mistaken ones that met on a machine cost the machine once.
         let cluster_state = &self.cluster_state;
         let sound = |job: &&JobId| cluster_state.job(job).is_none_or(Job::is_sound);
-        link.leaving |= link.errors.iter().filter(sound).count() >= FAULTY_JOBS;
+        link.leaving |= link.failed_jobs.jobs().filter(sound).count() >= FAULTY_JOBS;
     }
 
     /// A job's failures are held against no machine any more: it is mistaken, or
     /// was withdrawn.
     pub(super) fn clear(&mut self, job: &JobId) {
         for link in self.links.values_mut() {
-            if link.errors.remove(job) && link.errors.is_empty() {
-                link.shunned_until = Time(0.0);
-            }
+            link.failed_jobs.forgive(job);
         }
     }
 }
--- a/src/control/core/link.rs
+++ b/src/control/core/link.rs
@@ -1,14 +1,15 @@
 //! What an owner knows of the line to one worker.
 
-use std::collections::{BTreeMap, BTreeSet};
+use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
 use sorrelhinge_overload::reachability::Reachability;
 
 use super::direct_line::DirectLine;
+use super::failed_jobs::FailedJobs;
 use super::Source;
 use crate::cloud::Listed;
-use crate::types::{Attempt, JobId, MachineId, Seq, Session, TaskId, Time, Token, TypeName, Zone};
+use crate::types::{Attempt, MachineId, Seq, Session, TaskId, Time, Token, TypeName, Zone};
 use crate::worker::{Report, ReportedImage, ReportedTask, TaskPhase, Why};
 
 /// After so long without effect a worker is told again to stop a task, in seconds.
@@ -124,10 +125,8 @@
     pub(super) leaving: bool,
     /// Being deleted: nothing may count on it again.
     pub(super) deleting: bool,
-    /// Not used until then, after failures.
-    pub(super) shunned_until: Time,
     /// Jobs that failed here.
-    pub(super) errors: BTreeSet<JobId>,
+    pub(super) failed_jobs: FailedJobs,
     /// What it was told to stop.
     pub(super) sent_kills: SentKills,
     /// Images that it said it hands on.
@@ -152,8 +151,7 @@
             passed: false,
             leaving: false,
             deleting: false,
-            shunned_until: Time(0.0),
-            errors: BTreeSet::new(),
+            failed_jobs: FailedJobs::none(),
             sent_kills: SentKills::default(),
             images: Vec::new(),
         }
--- a/src/control/core/links.rs
+++ b/src/control/core/links.rs
@@ -164,7 +164,7 @@
             && !draining
             && !link.doubted
             && !leaving
-            && now >= link.shunned_until
+            && !link.failed_jobs.is_shunned(now)
             && !link.reachability.is_quarantined(now)
             && !silent;
         Some(LinkStatus {
--- a/src/control/core/mod.rs
+++ b/src/control/core/mod.rs
@@ -33,6 +33,7 @@
 mod direct_line;
 mod dispatch;
 mod draft;
+mod failed_jobs;
 mod failover;
 mod failures;
 mod inventory;
