--- a/src/control/core/dispatch.rs
+++ b/src/control/core/dispatch.rs
@@ -7,7 +7,7 @@
 use crate::sched::Sent;
 use crate::state::view::View;
 use crate::types::{MachineId, Time};
-use crate::worker::{Command, Orders, Sending};
+use crate::worker::{Command, Sending};
 
 impl Core {
     /// Direct commands that should go out now, so many at a time that neither
@@ -67,11 +67,7 @@
         Some(Dispatch {
             machine: id,
             addr: link.addr,
-            orders: Orders {
-                baton: link.token,
-                shift: link.session,
-                orders,
-            },
+            orders: link.orders(orders),
         })
     }
 
--- a/src/control/core/link.rs
+++ b/src/control/core/link.rs
@@ -10,7 +10,7 @@
 use super::Source;
 use crate::cloud::Listed;
 use crate::types::{Attempt, MachineId, Seq, Session, TaskId, Time, Token, TypeName, Zone};
-use crate::worker::{Report, ReportedImage, ReportedTask, TaskPhase, Why};
+use crate::worker::{Command, Orders, Report, ReportedImage, ReportedTask, TaskPhase, Why};
 
 /// After so long without effect a worker is told again to stop a task, in seconds.
 pub(super) const KILL_AGAIN_S: f64 = 2.0;
@@ -101,16 +101,19 @@
 /// The line to one worker.
 #[derive(Debug)]
 pub(super) struct Link {
+    /// Where its worker listens.
     pub(super) addr: SocketAddr,
-    pub(super) session: Session,
-    pub(super) seq: Seq,
+    /// The session, and the number in it, of its last report.
+    session: Session,
+    seq: Seq,
     /// The token that commands to this machine carry now.
     pub(super) token: Token,
     /// The highest token that the worker has reported.
-    pub(super) seen: Token,
+    seen: Token,
+    /// When it was last heard, by this controller or, as a hint, by another one.
     pub(super) last_heard: Time,
     /// The newest report that another controller spoke of.
-    pub(super) told_of: Seq,
+    told_of: Seq,
     /// Whether anything that is sent there has an effect.
     pub(super) reachability: Reachability,
     /// What its last report said of its tasks.
@@ -208,6 +211,30 @@
         news
     }
 
+    /// Whether a report is not newer than the last one.
+    pub(super) fn is_copy(&self, report: &Report) -> bool {
+        (report.shift, report.tick) <= (self.session, self.seq)
+    }
+
+    /// Another controller heard it. Each report counts once: told of again and again, a
+    /// copy kept a dead machine alive.
+    pub(super) fn heard_elsewhere(&mut self, session: Session, seq: Seq, now: Time) {
+        if self.session == session && seq > self.seq.max(self.told_of) {
+            self.told_of = seq;
+            self.last_heard = now;
+            self.direct.heard();
+        }
+    }
+
+    /// Direct commands for the session that was heard last, under the present token.
+    pub(super) fn orders(&self, commands: Vec<Command>) -> Orders {
+        Orders {
+            baton: self.token,
+            shift: self.session,
+            orders: commands,
+        }
+    }
+
     /// Fences all commands that were sent to it so far.
     pub(super) fn raise_token(&mut self) {
         self.token = self.token.raised();
--- a/src/control/core/reports.rs
+++ b/src/control/core/reports.rs
@@ -13,7 +13,7 @@
     /// machine's last report made a machine of it again, and kept it.
     pub fn is_copy(&self, report: &Report) -> bool {
         if let Some(link) = self.links.get(&report.machine) {
-            return (report.shift, report.tick) <= (link.session, link.seq);
+            return link.is_copy(report);
         }
         self.tombstones.contains(&report.machine)
     }
@@ -132,16 +132,10 @@
     }
 
     /// Another controller heard a machine, and there was nothing new. A hint:
-    /// it only spares the question whether the machine still answers. Each report
-    /// counts once: told of again and again, a copy kept a dead machine alive.
+    /// it only spares the question whether the machine still answers.
     pub fn heard(&mut self, id: &MachineId, session: Session, seq: Seq, now: Time) {
-        let Some(link) = self.links.get_mut(id) else {
-            return;
-        };
-        if link.session == session && seq > link.seq.max(link.told_of) {
-            link.told_of = seq;
-            link.last_heard = now;
-            link.direct.heard();
+        if let Some(link) = self.links.get_mut(id) {
+            link.heard_elsewhere(session, seq, now);
         }
     }
 
