--- a/src/control/core/job_changes.rs
+++ b/src/control/core/job_changes.rs
@@ -16,29 +16,37 @@
     pub fn jobs_changed(&mut self, view: &View, changed: &[JobId], now: Time, wall_ms: u64) {
         for id in changed {
             let Some(entry) = view.job(id) else { continue };
-            match self.cluster_state.job(id) {
-                None => {
-                    if entry.record.value.phase == Phase::Live && self.shard.homes(id) {
-                        self.job_came(view, id, now, wall_ms);
-                    }
-                }
-                Some(job) => {
-                    let cancelled = job.cancelled;
-                    self.look_at_urgency(view, id, now, wall_ms);
-                    self.catch_up(id, entry, now);
-                    if entry.record.value.phase == Phase::Cancelled && !cancelled {
-                        self.cluster_state.edit_job(id, |job| job.cancelled = true);
-                        self.largest_over(id, JobEvent::Cancelled, now);
-                        self.clear(id);
-                        self.pending.not_finished(id);
-                        self.settle_stopped(id, now);
-                    }
-                }
+            if self.cluster_state.job(id).is_some() {
+                self.job_changed(view, id, now, wall_ms);
+            } else if entry.record.value.phase == Phase::Live && self.shard.homes(id) {
+                self.job_came(view, id, now, wall_ms);
             }
             self.forget_job(view, id, now);
         }
     }
 
+    /// A job that is in the cluster state changed.
+    fn job_changed(&mut self, view: &View, id: &JobId, now: Time, wall_ms: u64) {
+        let (Some(job), Some(entry)) = (self.cluster_state.job(id), view.job(id)) else {
+            return;
+        };
+        let cancelled = job.cancelled;
+        self.look_at_urgency(view, id, now, wall_ms);
+        self.catch_up(id, entry, now);
+        if entry.record.value.phase == Phase::Cancelled && !cancelled {
+            self.job_cancelled(id, now);
+        }
+    }
+
+    /// A job was cancelled: its tasks end, and nothing it did is held against machines.
+    fn job_cancelled(&mut self, id: &JobId, now: Time) {
+        self.cluster_state.edit_job(id, |job| job.cancelled = true);
+        self.largest_over(id, JobEvent::Cancelled, now);
+        self.clear(id);
+        self.pending.not_finished(id);
+        self.settle_stopped(id, now);
+    }
+
     /// A job came, or became ready, or is cancelled with another one.
     fn job_came(&mut self, view: &View, id: &JobId, now: Time, wall_ms: u64) {
         let pipelines = view.pipelines();
@@ -125,7 +133,7 @@
         };
         let cancelled = job.cancelled;
         let mut unsent = Vec::new();
-        let mut stop = Vec::new();
+        let mut started = Vec::new();
         for (&index, claim) in job.tasks.claims() {
             // Whatever is to happen there, its machine is told.
             self.command_queue
@@ -134,18 +142,17 @@
                 job: id.clone(),
                 index,
             };
-            if cancelled || claim.stop.is_some() {
-                if claim.sent == Sent::No {
-                    unsent.push(task);
-                } else if cancelled {
-                    stop.push(task);
-                }
+            match claim.sent {
+                Sent::No if cancelled || claim.stop.is_some() => unsent.push(task),
+                Sent::No => {}
+                _ if cancelled => started.push(task),
+                _ => {}
             }
         }
         for task in unsent {
             self.release(&task, now);
         }
-        for task in stop {
+        for task in started {
             self.cluster_state.stop(&task, false);
         }
     }
