--- a/src/control/core/commands.rs
+++ b/src/control/core/commands.rs
@@ -13,11 +13,10 @@
     /// The answer to a report: token and commands that need no hurry, and the
     /// starts if they can't be sent directly.
     pub fn reply(&mut self, id: &MachineId, view: &View, now: Time) -> Reply {
-        let starts = self.links.get(id).is_some_and(|l| {
-            !l.direct.is_in_flight()
-                && (l.passed || l.direct.is_failing() && now < l.direct.retry_at())
-        });
-        let orders = self.commands(id, view, starts.then_some(Sent::InReply), now);
+        let link = self.links.get(id);
+        let starts = link.filter(|l| l.takes_starts_in_replies(now));
+        let starts = starts.map(|_| Sent::InReply);
+        let orders = self.commands(id, view, starts, now);
         let starts = orders.iter().any(|o| matches!(o, Command::Start { .. }));
         let lease_s = self.cfg.lease_s;
         if let Some(link) = self.links.get_mut(id) {
@@ -51,12 +50,31 @@
         now: Time,
     ) -> Vec<Command> {
         let machine = self.cluster_state.machines().get(id);
-        let (Some(link), Some(machine)) = (self.links.get_mut(id), machine) else {
+        let (Some(link), Some(machine)) = (self.links.get(id), machine) else {
             return Vec::new();
         };
-        let (fenced, usable) = (link.fenced(), machine.usable);
-        let in_reply = starts != Some(Sent::Flying);
+        let may_start = machine.usable && link.fenced();
+        let mut orders = self.stops_and_forgets(id, view, starts != Some(Sent::Flying), now);
+        if let Some(sent) = starts.filter(|_| may_start) {
+            orders.extend(self.start_commands(id, sent, now));
+        }
+        orders
+    }
+
+    /// What the machine's reported tasks are told: those that must not run, and those that
+    /// have ended. `in_reply`: they go in the answer to a report, which renews its lease.
+    fn stops_and_forgets(
+        &mut self,
+        id: &MachineId,
+        view: &View,
+        in_reply: bool,
+        now: Time,
+    ) -> Vec<Command> {
         let mut orders = Vec::new();
+        let Some(link) = self.links.get_mut(id) else {
+            return orders;
+        };
+        let fenced = link.fenced();
         link.sent_kills.keep_reported(&link.tasks);
         for (key, status) in &link.tasks {
             let claim = self.cluster_state.claim_on(id, &key.task, key.attempt);
@@ -80,9 +98,6 @@
                 orders.push(kill(key, grace_s));
             }
         }
-        if let (Some(sent), true) = (starts, usable && fenced) {
-            orders.extend(self.start_commands(id, sent, now));
-        }
         orders
     }
 
--- a/src/control/core/link.rs
+++ b/src/control/core/link.rs
@@ -226,6 +226,13 @@
         }
     }
 
+    /// Whether its starts go in the answers to its reports: direct commands don't get there
+    /// for now.
+    pub(super) fn takes_starts_in_replies(&self, now: Time) -> bool {
+        let pauses = self.direct.is_failing() && now < self.direct.retry_at();
+        !self.direct.is_in_flight() && (self.passed || pauses)
+    }
+
     /// Direct commands for the session that was heard last, under the present token.
     pub(super) fn orders(&self, commands: Vec<Command>) -> Orders {
         Orders {
