--- a/src/control/core/batch.rs
+++ b/src/control/core/batch.rs
@@ -114,7 +114,10 @@
             return Written::Nothing;
         };
         if encoded_bytes(&record) <= value_bytes {
-            return Written::Moved(record, self.fitting(id, 0, claims, now));
+            return Written::Moved {
+                claims: self.fitting(id, 0, claims, now),
+                job: record,
+            };
         }
         // The description alone is larger. While that can still be written, it is, as
         // earlier versions read no other form; then the claims' own key goes before the
@@ -124,7 +127,10 @@
                 inline: Some(claims),
                 ..record
             }),
-            true => Written::Chunk(0, Some(self.fitting(id, 0, claims, now))),
+            true => Written::Chunk {
+                chunk: 0,
+                record: Some(self.fitting(id, 0, claims, now)),
+            },
         }
     }
 
@@ -144,7 +150,10 @@
             let record = self.fitting(id, chunk, record, now);
             return match held.is_some_and(|h| h.value == record) {
                 true => Written::Nothing,
-                false => Written::Chunk(chunk, Some(record)),
+                false => Written::Chunk {
+                    chunk,
+                    record: Some(record),
+                },
             };
         }
         // Only once the job is over, and by the block that places it. Another one, that
@@ -157,7 +166,10 @@
         // next owner would not count them.
         match cancelled && held.is_some_and(|h| self.claims_in(&h.value, false)) {
             true => Written::Nothing,
-            false => Written::Chunk(chunk, None),
+            false => Written::Chunk {
+                chunk,
+                record: None,
+            },
         }
     }
 
--- a/src/control/core/draft.rs
+++ b/src/control/core/draft.rs
@@ -25,10 +25,20 @@
     Nothing,
     /// The job's record, with all its claims if it keeps them.
     Job(JobRecord),
-    /// A chunk under its own key; none: it is deleted.
-    Chunk(u32, Option<ChunkRecord>),
+    /// A chunk under its own key.
+    Chunk {
+        /// Which one.
+        chunk: u32,
+        /// None: it is deleted.
+        record: Option<ChunkRecord>,
+    },
     /// The job's record without its claims, and these under a key of their own.
-    Moved(JobRecord, ChunkRecord),
+    Moved {
+        /// The job's record.
+        job: JobRecord,
+        /// Its claims.
+        claims: ChunkRecord,
+    },
 }
 
 impl Written {
@@ -36,8 +46,8 @@
     fn changes(&self) -> usize {
         match self {
             Self::Nothing => 0,
-            Self::Job(_) | Self::Chunk(..) => 1,
-            Self::Moved(..) => 2,
+            Self::Job(_) | Self::Chunk { .. } => 1,
+            Self::Moved { .. } => 2,
         }
     }
 }
@@ -170,10 +180,10 @@
         match written {
             Written::Nothing => return,
             Written::Job(record) => self.add_job(id, record),
-            Written::Chunk(chunk, keep) => self.add_chunk(id, entry, chunk, keep),
-            Written::Moved(record, chunk) => {
-                self.add_job(id, record);
-                self.add_chunk(id, entry, 0, Some(chunk));
+            Written::Chunk { chunk, record } => self.add_chunk(id, entry, chunk, record),
+            Written::Moved { job, claims } => {
+                self.add_job(id, job);
+                self.add_chunk(id, entry, 0, Some(claims));
             }
         }
         if self.guarded.insert(id.clone()) {
