--- a/src/control/core/aims.rs
+++ b/src/control/core/aims.rs
@@ -8,16 +8,57 @@
 
 use super::Core;
 use crate::sched::JobUrgency;
-use crate::types::{JobSpec, Time};
+use crate::types::{JobSpec, Time, TypeName};
 
+/// Between these the haste of a class counts.
+const LEAST_HASTE: f64 = 0.2;
+const MOST_HASTE: f64 = 2.0;
+/// A job is patient for this part of the time that its aims leave, and for so many seconds
+/// at the least and at the most.
+const PATIENT_PART: f64 = 0.3;
+const LEAST_PATIENCE_S: f64 = 1.0;
+const MOST_PATIENCE_S: f64 = 30.0;
+/// A job is late once less than so many boots are left to it.
+const LATE_BOOTS: f64 = 1.5;
+/// Of so many jobs of one sort it is kept when they came.
 const MOST_ARRIVALS: usize = 2000;
 
-/// Jobs of one class that came of late.
+/// What jobs have in common whose arrivals are counted together: by class alone their
+/// room is not the same.
+#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub(super) struct ArrivalSort {
+    class: Rc<str>,
+    /// The smallest machine type that a task fits; none if no type is known that it does.
+    smallest_type: Option<TypeName>,
+}
+
+/// Jobs of one sort that came of late.
 pub(super) struct Arrivals {
+    /// The latest one's description.
     pub(super) spec: Rc<JobSpec>,
+    /// When each came, and how many tasks it has; the latest last.
     pub(super) recent: VecDeque<(Time, u32)>,
 }
 
+impl Arrivals {
+    /// None came yet of those that are like this job.
+    fn new(spec: &Rc<JobSpec>) -> Self {
+        Self {
+            spec: spec.clone(),
+            recent: VecDeque::new(),
+        }
+    }
+
+    /// A job came.
+    fn add(&mut self, spec: &Rc<JobSpec>, at: Time) {
+        self.spec = spec.clone();
+        self.recent.push_back((at, spec.tasks));
+        if self.recent.len() > MOST_ARRIVALS {
+            self.recent.pop_front();
+        }
+    }
+}
+
 /// From when a job's times count, on this process's clock.
 pub(super) struct JobTimes {
     /// Its submission.
@@ -29,37 +70,27 @@
 }
 
 impl Core {
+    /// A job came: others of its sort may follow.
     pub(super) fn arrived(&mut self, spec: &Rc<JobSpec>, at: Time) {
-        let smallest = self
-            .types
-            .values()
-            .filter(|t| spec.each.fits(t.total))
-            .min_by_key(|t| t.total.cpu)
-            .map(|t| t.name.clone());
-        let class = (Rc::from(&*spec.class), smallest);
-        let arrivals = self.arrivals.entry(class).or_insert_with(|| Arrivals {
-            spec: spec.clone(),
-            recent: VecDeque::new(),
-        });
-        arrivals.spec = spec.clone();
-        arrivals.recent.push_back((at, spec.tasks));
-        if arrivals.recent.len() > MOST_ARRIVALS {
-            arrivals.recent.pop_front();
-        }
+        let sort = ArrivalSort {
+            class: Rc::from(&*spec.class),
+            smallest_type: self.types.smallest_for(spec.each).cloned(),
+        };
+        let arrivals = self.arrivals.entry(sort);
+        arrivals
+            .or_insert_with(|| Arrivals::new(spec))
+            .add(spec, at);
     }
 
     /// How much a class depends on room that is there already: what a new
     /// machine takes to boot, against the time that its aims leave.
     pub(super) fn haste(&self, spec: &JobSpec) -> f64 {
-        (self.boot_s() / self.slack(spec).max(1.0)).clamp(0.2, 2.0)
+        (self.boot_s() / self.slack(spec).max(1.0)).clamp(LEAST_HASTE, MOST_HASTE)
     }
 
     /// The shortest usual boot.
     pub(super) fn boot_s(&self) -> f64 {
-        self.types
-            .values()
-            .map(|t| t.boot_s)
-            .fold(f64::INFINITY, f64::min)
+        self.types.shortest_boot_s()
     }
 
     /// How soon a class's jobs are to start, if that is sooner than a machine
@@ -106,8 +137,10 @@
         JobUrgency {
             priority: inherited.map_or(spec.priority, |u| u.priority),
             aims,
-            patience_s: (0.3 * slack).clamp(1.0, 30.0),
-            late_s: (slack - 1.5 * self.boot_s()).max(0.3 * slack).max(1.0),
+            patience_s: (PATIENT_PART * slack).clamp(LEAST_PATIENCE_S, MOST_PATIENCE_S),
+            late_s: (slack - LATE_BOOTS * self.boot_s())
+                .max(PATIENT_PART * slack)
+                .max(LEAST_PATIENCE_S),
         }
     }
 
--- a/src/control/core/commands.rs
+++ b/src/control/core/commands.rs
@@ -1,6 +1,9 @@
 //! Commands for a machine: what is started, stopped and forgotten there.
 
-use super::{Core, KILL_AGAIN_S};
+use super::command_queue::ContactOrder;
+use super::link::TaskAttempt;
+use super::record::recorded_claim;
+use super::Core;
 use crate::sched::{Claim, Job, Sent};
 use crate::state::view::View;
 use crate::types::{Kind, MachineId, TaskId, Time};
@@ -10,10 +13,10 @@
     /// The answer to a report: token and commands that need no hurry, and the
     /// starts if they can't be sent directly.
     pub fn reply(&mut self, id: &MachineId, view: &View, now: Time) -> Reply {
-        let starts = self.links.get(id).is_some_and(|l| {
-            !l.flying && (l.passed || l.direct_failures > 0 && now < l.direct_retry)
-        });
-        let orders = self.commands(id, view, starts.then_some(Sent::InReply), now);
+        let link = self.links.get(id);
+        let starts = link.filter(|l| l.takes_starts_in_replies(now));
+        let starts = starts.map(|_| Sent::InReply);
+        let orders = self.commands(id, view, starts, now);
         let starts = orders.iter().any(|o| matches!(o, Command::Start { .. }));
         let lease_s = self.cfg.lease_s;
         if let Some(link) = self.links.get_mut(id) {
@@ -45,65 +48,56 @@
         view: &View,
         starts: Option<Sent>,
         now: Time,
+    ) -> Vec<Command> {
+        let machine = self.cluster_state.machines().get(id);
+        let (Some(link), Some(machine)) = (self.links.get(id), machine) else {
+            return Vec::new();
+        };
+        let may_start = machine.usable && link.fenced();
+        let mut orders = self.stops_and_forgets(id, view, starts != Some(Sent::Flying), now);
+        if let Some(sent) = starts.filter(|_| may_start) {
+            orders.extend(self.start_commands(id, sent, now));
+        }
+        orders
+    }
+
+    /// What the machine's reported tasks are told: those that must not run, and those that
+    /// have ended. `in_reply`: they go in the answer to a report, which renews its lease.
+    fn stops_and_forgets(
+        &mut self,
+        id: &MachineId,
+        view: &View,
+        in_reply: bool,
+        now: Time,
     ) -> Vec<Command> {
         let mut orders = Vec::new();
         let Some(link) = self.links.get_mut(id) else {
             return orders;
         };
         let fenced = link.fenced();
-        let in_reply = starts != Some(Sent::Flying);
-        let Some(usable) = self.cluster_state.machines().get(id).map(|m| m.usable) else {
-            return orders;
-        };
-        link.kill_sent.retain(|key, _| link.tasks.contains_key(key));
-        for ((task, attempt), (phase, _)) in &link.tasks {
-            let piece = task.to_string();
-            let job = self.cluster_state.job(&task.job);
-            let claim = self.cluster_state.claim_on(id, task, *attempt);
-            if *phase == TaskPhase::Ended {
-                if !fenced {
-                    continue;
-                }
-                // Only once the result is recorded, and while no start of
-                // this attempt can still arrive: it would run again.
-                if claim.is_none() && !super::record::recorded_claim(view, task, *attempt) {
-                    orders.push(Command::Forget {
-                        piece,
-                        attempt: *attempt,
-                    });
+        link.sent_kills.keep_reported(&link.tasks);
+        for (key, status) in &link.tasks {
+            let claim = self.cluster_state.claim_on(id, &key.task, key.attempt);
+            if status.phase == TaskPhase::Ended {
+                if fenced && is_settled(claim, key, view) {
+                    orders.push(forget(key));
                 }
                 continue;
             }
-            let grace = match claim {
-                // Nobody claims it any more: it must not run on.
-                None => Some(0.0),
-                // Also when the cancellation was found in the record at a
-                // takeover, and no change of the job was ever seen.
-                Some(_) if job.is_some_and(|j| j.cancelled) => Some(0.0),
-                Some(claim) => claim.stop,
-            };
-            let Some(mercy_s) = grace.filter(|g| fenced || *g == 0.0) else {
+            let job = self.cluster_state.job(&key.task.job);
+            let grace_s = stop_grace_s(job, claim).filter(|g| fenced || *g == 0.0);
+            let Some(grace_s) = grace_s else {
                 continue;
             };
-            let key = (task.clone(), *attempt);
-            let saving = *phase == TaskPhase::Saving && mercy_s > 0.0;
+            let saving = status.phase == TaskPhase::Saving && grace_s > 0.0;
             // An answer renews the lease of a task that must not run, so it always
             // has the kill: the direct command that had it last may be lost.
-            let renews = in_reply && mercy_s == 0.0;
-            let sent = link.kill_sent.get(&key);
-            let due = renews || sent.is_none_or(|t| now.since(*t) >= KILL_AGAIN_S);
-            if !saving && due {
-                link.kill_sent.insert(key, now);
-                orders.push(Command::Kill {
-                    piece,
-                    attempt: *attempt,
-                    mercy_s,
-                });
+            let renews = in_reply && grace_s == 0.0;
+            if !saving && (renews || link.sent_kills.is_due(key, now)) {
+                link.sent_kills.sent(key, now);
+                orders.push(kill(key, grace_s));
             }
         }
-        if let (Some(sent), true) = (starts, usable && fenced) {
-            orders.extend(self.start_commands(id, sent, now));
-        }
         orders
     }
 
@@ -119,9 +113,9 @@
     fn start_commands(&mut self, id: &MachineId, sent: Sent, now: Time) -> Vec<Command> {
         let mut tasks = self.cluster_state.claims_on(id);
         tasks.retain(|task| self.start_is_due(task));
-        if now >= self.starts_until {
+        if !self.start_permission.is_valid(now) {
             if !tasks.is_empty() {
-                self.starts_withheld.insert(id.clone());
+                self.start_permission.withhold(id.clone());
             }
             return Vec::new();
         }
@@ -157,14 +151,48 @@
     /// starts later could be on its machine after `cancel_s`, if its job was
     /// cancelled through another controller meanwhile.
     pub fn may_start_until(&mut self, until: Time, now: Time) {
-        self.starts_until = until;
-        if now < until {
-            let withheld = std::mem::take(&mut self.starts_withheld);
-            self.active.extend(withheld.into_iter().map(|id| (0, id)));
+        for id in self.start_permission.set(until, now) {
+            self.command_queue.add(id, ContactOrder::First);
         }
     }
 }
 
+/// Whether a worker may forget a task that ended: only once the result is recorded, and
+/// while no start of this attempt can still arrive: it would run again.
+fn is_settled(claim: Option<&Claim>, ended: &TaskAttempt, view: &View) -> bool {
+    claim.is_none() && !recorded_claim(view, &ended.task, ended.attempt)
+}
+
+/// For how long a reported task may save its state before it ends, in seconds; none: it
+/// may run on.
+fn stop_grace_s(job: Option<&Job>, claim: Option<&Claim>) -> Option<f64> {
+    match claim {
+        // Nobody claims it any more: it must not run on.
+        None => Some(0.0),
+        // Also when the cancellation was found in the record at a
+        // takeover, and no change of the job was ever seen.
+        Some(_) if job.is_some_and(|j| j.cancelled) => Some(0.0),
+        Some(claim) => claim.stop,
+    }
+}
+
+/// The command to forget a task that ended.
+fn forget(ended: &TaskAttempt) -> Command {
+    Command::Forget {
+        piece: ended.task.to_string(),
+        attempt: ended.attempt,
+    }
+}
+
+/// The command to stop a task, with time to save its state, in seconds.
+fn kill(running: &TaskAttempt, grace_s: f64) -> Command {
+    Command::Kill {
+        piece: running.task.to_string(),
+        attempt: running.attempt,
+        mercy_s: grace_s,
+    }
+}
+
 /// Whether a job's claimed tasks may be started: those of a gang only once all
 /// of them are claimed, and each claim is recorded.
 fn starts_now(job: &Job) -> bool {
--- a/src/control/core/job_changes.rs
+++ b/src/control/core/job_changes.rs
@@ -1,6 +1,8 @@
 //! Changes of jobs: new and cancelled ones, and claims that are given up.
 
 use super::aims::JobTimes;
+use super::command_queue::ContactOrder;
+use super::largest_jobs::JobEvent;
 use super::recorded_job::job_times;
 use super::Core;
 use crate::control::pending::ChunkId;
@@ -14,29 +16,37 @@
     pub fn jobs_changed(&mut self, view: &View, changed: &[JobId], now: Time, wall_ms: u64) {
         for id in changed {
             let Some(entry) = view.job(id) else { continue };
-            match self.cluster_state.job(id) {
-                None => {
-                    if entry.record.value.phase == Phase::Live && self.shard.homes(id) {
-                        self.job_came(view, id, now, wall_ms);
-                    }
-                }
-                Some(job) => {
-                    let cancelled = job.cancelled;
-                    self.look_at_urgency(view, id, now, wall_ms);
-                    self.catch_up(id, entry, now);
-                    if entry.record.value.phase == Phase::Cancelled && !cancelled {
-                        self.cluster_state.edit_job(id, |job| job.cancelled = true);
-                        self.largest_over(id, "cancelled", now);
-                        self.clear(id);
-                        self.pending.not_finished(id);
-                        self.settle_stopped(id, now);
-                    }
-                }
+            if self.cluster_state.job(id).is_some() {
+                self.job_changed(view, id, now, wall_ms);
+            } else if entry.record.value.phase == Phase::Live && self.shard.homes(id) {
+                self.job_came(view, id, now, wall_ms);
             }
             self.forget_job(view, id, now);
         }
     }
 
+    /// A job that is in the cluster state changed.
+    fn job_changed(&mut self, view: &View, id: &JobId, now: Time, wall_ms: u64) {
+        let (Some(job), Some(entry)) = (self.cluster_state.job(id), view.job(id)) else {
+            return;
+        };
+        let cancelled = job.cancelled;
+        self.look_at_urgency(view, id, now, wall_ms);
+        self.catch_up(id, entry, now);
+        if entry.record.value.phase == Phase::Cancelled && !cancelled {
+            self.job_cancelled(id, now);
+        }
+    }
+
+    /// A job was cancelled: its tasks end, and nothing it did is held against machines.
+    fn job_cancelled(&mut self, id: &JobId, now: Time) {
+        self.cluster_state.edit_job(id, |job| job.cancelled = true);
+        self.largest_over(id, JobEvent::Cancelled, now);
+        self.clear(id);
+        self.pending.not_finished(id);
+        self.settle_stopped(id, now);
+    }
+
     /// A job came, or became ready, or is cancelled with another one.
     fn job_came(&mut self, view: &View, id: &JobId, now: Time, wall_ms: u64) {
         let pipelines = view.pipelines();
@@ -109,7 +119,7 @@
     }
 
     /// Nothing needs the chunks of a job that is over.
-    fn drop_chunks(&mut self, id: &JobId, entry: &JobEntry, now: Time) {
+    pub(super) fn drop_chunks(&mut self, id: &JobId, entry: &JobEntry, now: Time) {
         for &chunk in entry.chunks.keys() {
             self.pending.useless((id.clone(), chunk), now);
         }
@@ -123,26 +133,26 @@
         };
         let cancelled = job.cancelled;
         let mut unsent = Vec::new();
-        let mut stop = Vec::new();
+        let mut started = Vec::new();
         for (&index, claim) in job.tasks.claims() {
             // Whatever is to happen there, its machine is told.
-            self.active.insert((0, claim.machine.clone()));
+            self.command_queue
+                .add(claim.machine.clone(), ContactOrder::First);
             let task = TaskId {
                 job: id.clone(),
                 index,
             };
-            if cancelled || claim.stop.is_some() {
-                if claim.sent == Sent::No {
-                    unsent.push(task);
-                } else if cancelled {
-                    stop.push(task);
-                }
+            match claim.sent {
+                Sent::No if cancelled || claim.stop.is_some() => unsent.push(task),
+                Sent::No => {}
+                _ if cancelled => started.push(task),
+                _ => {}
             }
         }
         for task in unsent {
             self.release(&task, now);
         }
-        for task in stop {
+        for task in started {
             self.cluster_state.stop(&task, false);
         }
     }
@@ -154,11 +164,12 @@
         (task.job.clone(), chunk)
     }
 
+    /// Gives up a task's claim, which is to be recorded; its room is there for others.
     pub(super) fn release(&mut self, task: &TaskId, now: Time) -> Option<Claim> {
         let claim = self.cluster_state.release(task, now)?;
         self.gangs.insert(task.job.clone());
         self.pending.released(self.chunk_of(task), now);
-        self.touched.insert(claim.machine.clone());
+        self.placement_queue.add(claim.machine.clone());
         Some(claim)
     }
 }
--- a/src/control/core/link.rs
+++ b/src/control/core/link.rs
@@ -1,38 +1,125 @@
 //! What an owner knows of the line to one worker.
 
-use std::collections::{BTreeMap, BTreeSet};
+use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
 use sorrelhinge_overload::reachability::Reachability;
 
-use crate::types::{Attempt, JobId, Seq, Session, TaskId, Time, Token};
-use crate::worker::{ReportedImage, TaskPhase, Why};
+use super::direct_line::DirectLine;
+use super::failed_jobs::FailedJobs;
+use super::Source;
+use crate::cloud::Listed;
+use crate::types::{Attempt, MachineId, Seq, Session, TaskId, Time, Token, TypeName, Zone};
+use crate::worker::{Command, Orders, Report, ReportedImage, ReportedTask, TaskPhase, Why};
+
+/// After so long without effect a worker is told again to stop a task, in seconds.
+pub(super) const KILL_AGAIN_S: f64 = 2.0;
+
+/// One attempt to run a task. Ordered by task, then by attempt.
+#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub(super) struct TaskAttempt {
+    pub(super) task: TaskId,
+    pub(super) attempt: Attempt,
+}
+
+/// What a report says of a task.
+#[derive(Clone, Copy, Debug)]
+pub(super) struct TaskStatus {
+    pub(super) phase: TaskPhase,
+    /// Why it ended, if it did.
+    pub(super) why: Option<Why>,
+}
+
+/// Tasks that a worker was told to stop, and when that was last.
+#[derive(Debug, Default)]
+pub(super) struct SentKills(BTreeMap<TaskAttempt, Time>);
+
+impl SentKills {
+    /// Forgets those that its last report does not name.
+    pub(super) fn keep_reported(&mut self, reported: &BTreeMap<TaskAttempt, TaskStatus>) {
+        self.0.retain(|key, _| reported.contains_key(key));
+    }
+
+    /// Whether a task is to be stopped that was not, or whose stop may be lost.
+    pub(super) fn is_due(&self, task: &TaskAttempt, now: Time) -> bool {
+        let sent = self.0.get(task);
+        sent.is_none_or(|at| now.since(*at) >= KILL_AGAIN_S)
+    }
+
+    /// The worker is told to stop a task.
+    pub(super) fn sent(&mut self, task: &TaskAttempt, now: Time) {
+        self.0.insert(task.clone(), now);
+    }
+
+    /// Whether it was told to stop nothing that it still reports.
+    pub(super) fn is_empty(&self) -> bool {
+        self.0.is_empty()
+    }
+}
+
+/// A machine as a list or a report shows it.
+pub(super) struct SeenMachine<'a> {
+    pub(super) id: &'a MachineId,
+    pub(super) addr: SocketAddr,
+    pub(super) kind: &'a TypeName,
+    pub(super) zone: &'a Zone,
+    pub(super) spot: bool,
+}
+
+impl<'a> SeenMachine<'a> {
+    /// By the cloud's list, at the address that this names.
+    pub(super) fn by_list(listed: &'a Listed, addr: SocketAddr) -> Self {
+        Self {
+            id: &listed.uid,
+            addr,
+            kind: &listed.build,
+            zone: &listed.rack,
+            spot: listed.loaners,
+        }
+    }
+
+    /// By its worker's report.
+    pub(super) fn by_report(report: &'a Report) -> Self {
+        Self {
+            id: &report.machine,
+            addr: report.addr,
+            kind: &report.build,
+            zone: &report.rack,
+            spot: report.loaners,
+        }
+    }
+}
+
+/// What a report tells that the one before it did not.
+pub(super) struct ReportNews {
+    /// The worker's session ended, and all its tasks with it.
+    pub(super) session_ended: bool,
+    /// The worker has another address.
+    pub(super) moved: bool,
+}
 
 /// The line to one worker.
 #[derive(Debug)]
 pub(super) struct Link {
+    /// Where its worker listens.
     pub(super) addr: SocketAddr,
-    pub(super) session: Session,
-    pub(super) seq: Seq,
+    /// The session, and the number in it, of its last report.
+    session: Session,
+    seq: Seq,
     /// The token that commands to this machine carry now.
     pub(super) token: Token,
     /// The highest token that the worker has reported.
-    pub(super) seen: Token,
+    seen: Token,
+    /// When it was last heard, by this controller or, as a hint, by another one.
     pub(super) last_heard: Time,
     /// The newest report that another controller spoke of.
-    pub(super) told_of: Seq,
+    told_of: Seq,
     /// Whether anything that is sent there has an effect.
     pub(super) reachability: Reachability,
-    pub(super) tasks: BTreeMap<(TaskId, Attempt), (TaskPhase, Option<Why>)>,
-    /// A direct command is under way.
-    pub(super) flying: bool,
-    /// Direct commands don't get through; next try at this time.
-    pub(super) direct_retry: Time,
-    pub(super) direct_failures: u32,
-    /// It is silent and has tasks: it is asked directly.
-    pub(super) suspect: bool,
-    /// How often in a row it took a connection and did not answer.
-    pub(super) hangs: u32,
+    /// What its last report said of its tasks.
+    pub(super) tasks: BTreeMap<TaskAttempt, TaskStatus>,
+    /// Whether direct commands get through.
+    pub(super) direct: DirectLine,
     /// A direct command failed: no new tasks until a report shows that it heard.
     pub(super) doubted: bool,
     /// Its last report was passed on by another controller.
@@ -41,16 +128,125 @@
     pub(super) leaving: bool,
     /// Being deleted: nothing may count on it again.
     pub(super) deleting: bool,
-    /// Not used until then, after failures.
-    pub(super) shunned_until: Time,
     /// Jobs that failed here.
-    pub(super) errors: BTreeSet<JobId>,
-    pub(super) kill_sent: BTreeMap<(TaskId, Attempt), Time>,
+    pub(super) failed_jobs: FailedJobs,
+    /// What it was told to stop.
+    pub(super) sent_kills: SentKills,
     /// Images that it said it hands on.
     pub(super) images: Vec<ReportedImage>,
 }
 
 impl Link {
+    /// To a machine of which nothing was heard yet. `token`: the grant's lowest one.
+    pub(super) fn new(addr: SocketAddr, token: Token, now: Time) -> Self {
+        Self {
+            addr,
+            session: Session(1),
+            seq: Seq(0),
+            token,
+            seen: Token(0),
+            last_heard: now,
+            told_of: Seq(0),
+            reachability: Reachability::default(),
+            tasks: BTreeMap::new(),
+            direct: DirectLine::new(now),
+            doubted: false,
+            passed: false,
+            leaving: false,
+            deleting: false,
+            failed_jobs: FailedJobs::none(),
+            sent_kills: SentKills::default(),
+            images: Vec::new(),
+        }
+    }
+
+    /// Takes in what a report says of its tasks; one whose name can't be read is left out.
+    fn set_tasks(&mut self, reported: &[ReportedTask]) {
+        let tasks = reported.iter().filter_map(|reported| {
+            let key = TaskAttempt {
+                task: reported.id()?,
+                attempt: reported.attempt,
+            };
+            let status = TaskStatus {
+                phase: reported.phase,
+                why: reported.cause,
+            };
+            Some((key, status))
+        });
+        self.tasks = tasks.collect();
+    }
+
+    /// Takes in a report that is newer than the last one.
+    pub(super) fn take_in(&mut self, report: &Report, source: Source, now: Time) -> ReportNews {
+        let news = ReportNews {
+            session_ended: report.shift > self.session && self.seq > Seq(0),
+            moved: self.addr != report.addr,
+        };
+        self.addr = report.addr;
+        self.session = report.shift;
+        self.seq = report.tick;
+        let took_up = report.baton > self.seen && report.baton.grant() == self.token.grant();
+        self.seen = self.seen.max(report.baton);
+        self.last_heard = now;
+        self.told_of = Seq(0);
+        self.direct.heard();
+        self.passed = source == Source::Passed;
+        // Only what comes from the worker itself shows that there is a way. Reports
+        // that others took did too once: while the owner was cut off from all
+        // workers, commands were tried directly after each of them.
+        if source == Source::Beat {
+            self.direct.reported(now);
+        }
+        if report.warning_s.is_some() {
+            self.leaving = true;
+        }
+        self.set_tasks(&report.pieces);
+        self.images.clone_from(&report.images);
+        // That it reports is no sign that it hears: each report made a machine
+        // usable again that no command reached.
+        self.reachability.reported(now);
+        if took_up {
+            self.reachability.proved(now);
+        }
+        news
+    }
+
+    /// Whether a report is not newer than the last one.
+    pub(super) fn is_copy(&self, report: &Report) -> bool {
+        (report.shift, report.tick) <= (self.session, self.seq)
+    }
+
+    /// Another controller heard it. Each report counts once: told of again and again, a
+    /// copy kept a dead machine alive.
+    pub(super) fn heard_elsewhere(&mut self, session: Session, seq: Seq, now: Time) {
+        if self.session == session && seq > self.seq.max(self.told_of) {
+            self.told_of = seq;
+            self.last_heard = now;
+            self.direct.heard();
+        }
+    }
+
+    /// Whether its starts go in the answers to its reports: direct commands don't get there
+    /// for now.
+    pub(super) fn takes_starts_in_replies(&self, now: Time) -> bool {
+        let pauses = self.direct.is_failing() && now < self.direct.retry_at();
+        !self.direct.is_in_flight() && (self.passed || pauses)
+    }
+
+    /// Direct commands for the session that was heard last, under the present token.
+    pub(super) fn orders(&self, commands: Vec<Command>) -> Orders {
+        Orders {
+            baton: self.token,
+            shift: self.session,
+            orders: commands,
+        }
+    }
+
+    /// Fences all commands that were sent to it so far.
+    pub(super) fn raise_token(&mut self) {
+        self.token = self.token.raised();
+    }
+
     /// Whether the last report was made after the worker had learnt the token
     /// that now fences every earlier command to it.
     pub(super) fn fenced(&self) -> bool {
--- a/src/control/core/links.rs
+++ b/src/control/core/links.rs
@@ -1,16 +1,14 @@
 //! The lines to all workers: what a machine's first report adds, and which machines
 //! can be used.
 
-use std::collections::{BTreeMap, BTreeSet};
-use std::net::SocketAddr;
 use std::rc::Rc;
 
-use sorrelhinge_overload::reachability::Reachability;
-
-use super::link::Link;
+use super::command_queue::ContactOrder;
+use super::link::{Link, SeenMachine};
+use super::machine_types::MachineTypes;
 use super::Core;
 use crate::sched::{Machine, Sent};
-use crate::types::{Kind, MachineId, MachineType, Seq, Session, Time, Token, TypeName, Zone};
+use crate::types::{Kind, MachineId, MachineType, Time};
 
 /// A machine with tasks that is silent for this many report intervals is asked
 /// directly. One that takes the connection and does not answer hangs, and its
@@ -18,14 +16,31 @@
 const SUSPECT_REPORTS: f64 = 1.6;
 /// But not before this, in seconds: anything may stand still for a moment.
 const SUSPECT_LEAST_S: f64 = 5.0;
+/// A machine that is silent for so many report intervals, and so many seconds more, gets
+/// no new tasks.
+const SILENT_REPORTS: f64 = 2.5;
+const SILENT_S: f64 = 1.0;
+
+/// What the line to a machine says of it.
+struct LinkStatus {
+    /// Tasks may be placed there.
+    usable: bool,
+    /// Commands go there only in replies to its reports.
+    slow: bool,
+    /// It was not heard for too long.
+    silent: bool,
+    /// It is given back, or the cloud takes it.
+    leaving: bool,
+    /// A direct command failed, and no report shows yet what it heard.
+    doubted: bool,
+    /// An operator drains it.
+    draining: bool,
+}
 
 impl Core {
     /// The cloud's machine types.
     pub fn set_types(&mut self, types: &[MachineType]) {
-        self.types = types
-            .iter()
-            .map(|t| (t.name.clone(), Rc::new(t.clone())))
-            .collect();
+        self.types = MachineTypes::new(types);
     }
 
     /// Whether the machine types are known.
@@ -33,63 +48,41 @@
         !self.types.is_empty()
     }
 
-    pub(super) fn link(
-        &mut self,
-        id: &MachineId,
-        addr: SocketAddr,
-        kind: &TypeName,
-        zone: &Zone,
-        spot: bool,
-        now: Time,
-    ) -> Option<&mut Link> {
-        if !self.links.contains_key(id) {
-            let kind = self.types.get(kind)?.clone();
-            self.coming.remove(id);
-            let mut machine = Machine::new(kind, zone.clone(), spot, now);
-            for (image, gb) in self.ran_before.remove(id).unwrap_or_default() {
-                // That a task was placed there proves no fetch of minutes: taken
-                // for one, the next start there named no source, and all that
-                // had waited for their stage went to the origin after a takeover.
-                let ran = !self.cluster_state.is_staged(gb);
-                machine.cache.touch(&image, gb, machine.kind.cache_gb, ran);
-            }
-            let sort = (machine.kind.name.clone(), machine.zone.clone(), spot);
-            self.cluster_state.add_machine(id.clone(), machine);
-            if self.cluster_state.topology().is_some() {
-                self.cluster_state.locate(id, Some(addr.ip()));
-                let place = self.cluster_state.machines().get(id).map(|m| m.place);
-                self.memory.came(sort, place.unwrap_or_default(), now);
-            }
-            let link = Link {
-                addr,
-                session: Session(1),
-                seq: Seq(0),
-                token: self.base_token(),
-                seen: Token(0),
-                last_heard: now,
-                told_of: Seq(0),
-                reachability: Reachability::default(),
-                tasks: BTreeMap::new(),
-                flying: false,
-                direct_retry: now,
-                direct_failures: 0,
-                suspect: false,
-                hangs: 0,
-                doubted: false,
-                passed: false,
-                leaving: false,
-                deleting: false,
-                shunned_until: Time(0.0),
-                errors: BTreeSet::new(),
-                kill_sent: BTreeMap::new(),
-                images: Vec::new(),
-            };
-            self.links.insert(id.clone(), link);
-            self.wake(id);
+    /// The line to a machine, which is new if it was not known; none: its type is not.
+    pub(super) fn link(&mut self, seen: &SeenMachine<'_>, now: Time) -> Option<&mut Link> {
+        if !self.links.contains_key(seen.id) {
+            let kind = self.types.get(seen.kind)?.clone();
+            self.inventory.came_up(seen.id);
+            self.add_machine(seen, kind, now);
+            let link = Link::new(seen.addr, self.base_token(), now);
+            self.links.insert(seen.id.clone(), link);
+            self.wake(seen.id);
         }
-        self.links.get_mut(id)
+        self.links.get_mut(seen.id)
     }
 
+    /// A machine came up: it goes into the cluster state, with what it is known to have
+    /// in its cache.
+    fn add_machine(&mut self, seen: &SeenMachine<'_>, kind: Rc<MachineType>, now: Time) {
+        let id = seen.id;
+        let mut machine = Machine::new(kind, seen.zone.clone(), seen.spot, now);
+        for (image, gb) in self.failover.take_cached_images(id) {
+            // That a task was placed there proves no fetch of minutes: taken
+            // for one, the next start there named no source, and all that
+            // had waited for their stage went to the origin after a takeover.
+            let ran = !self.cluster_state.is_staged(gb);
+            machine.cache.touch(&image, gb, machine.kind.cache_gb, ran);
+        }
+        let sort = (machine.kind.name.clone(), machine.zone.clone(), seen.spot);
+        self.cluster_state.add_machine(id.clone(), machine);
+        if self.cluster_state.topology().is_some() {
+            self.cluster_state.locate(id, Some(seen.addr.ip()));
+            let place = self.cluster_state.machines().get(id).map(|m| m.place);
+            self.memory.came(sort, place.unwrap_or_default(), now);
+        }
+    }
+
+    /// Whether tasks are claimed on a machine.
     fn has_tasks(&self, id: &MachineId) -> bool {
         let machine = self.cluster_state.machines().get(id);
         machine.is_some_and(|m| !m.claims.is_empty())
@@ -110,15 +103,17 @@
     /// be asked at once, so then those with replicas come first, then those
     /// with other tasks.
     pub(super) fn wake(&mut self, id: &MachineId) {
-        let rank = match self.cluster_state.machines().get(id) {
-            Some(m) if self.young => match (self.has_replicas(id), m.claims.is_empty()) {
-                (true, _) => 0,
-                (false, false) => 1,
-                (false, true) => 2,
-            },
-            _ => 0,
+        let order = match self.cluster_state.machines().get(id) {
+            Some(m) if self.failover.is_recent() => {
+                match (self.has_replicas(id), m.claims.is_empty()) {
+                    (true, _) => ContactOrder::First,
+                    (false, false) => ContactOrder::WithTasks,
+                    (false, true) => ContactOrder::Empty,
+                }
+            }
+            _ => ContactOrder::First,
         };
-        self.active.insert((rank, id.clone()));
+        self.command_queue.add(id.clone(), order);
     }
 
     /// Whether nothing speaks against a machine hearing what it is told.
@@ -128,68 +123,85 @@
             .is_none_or(|l| l.fenced() && !l.reachability.in_doubt())
     }
 
+    /// Looks whether tasks may be placed on a machine, and what becomes of those that are
+    /// there: its line, or the time, may have changed that.
     pub(super) fn refresh_machine(&mut self, id: &MachineId, now: Time) {
-        let silence = 2.5 * self.cfg.report_s + 1.0;
-        let Some(link) = self.links.get(id) else {
+        self.suspect_if_silent(id, now);
+        let Some(status) = self.link_status(id, now) else {
             return;
         };
-        let quiet_s = now.since(link.last_heard);
-        if !link.suspect
-            && quiet_s >= (SUSPECT_REPORTS * self.cfg.report_s).max(SUSPECT_LEAST_S)
-            && self.has_tasks(id)
-        {
-            if let Some(link) = self.links.get_mut(id) {
-                link.suspect = true;
-            }
+        self.apply_status(id, &status, now);
+        if status.leaving || status.doubted || status.draining {
             self.wake(id);
+            self.settle_claims(id, status.leaving, now);
         }
+    }
+
+    /// A machine with tasks that is silent for long enough is asked directly.
+    fn suspect_if_silent(&mut self, id: &MachineId, now: Time) {
         let Some(link) = self.links.get(id) else {
             return;
         };
-        let draining = self
-            .cluster_state
-            .machines()
-            .get(id)
-            .is_some_and(|m| m.draining);
-        let silent = now.since(link.last_heard) >= silence;
+        let patience_s = (SUSPECT_REPORTS * self.cfg.report_s).max(SUSPECT_LEAST_S);
+        let silent = now.since(link.last_heard) >= patience_s;
+        if link.direct.is_suspect() || !silent || !self.has_tasks(id) {
+            return;
+        }
+        if let Some(link) = self.links.get_mut(id) {
+            link.direct.suspect();
+        }
+        self.wake(id);
+    }
+
+    /// What the line to a machine says of it now.
+    fn link_status(&self, id: &MachineId, now: Time) -> Option<LinkStatus> {
+        let link = self.links.get(id)?;
+        let machine = self.cluster_state.machines().get(id);
+        let draining = machine.is_some_and(|m| m.draining);
+        let silent = now.since(link.last_heard) >= SILENT_REPORTS * self.cfg.report_s + SILENT_S;
+        let leaving = link.leaving || link.deleting;
         let usable = link.fenced()
             && !draining
             && !link.doubted
-            && !link.leaving
-            && !link.deleting
-            && now >= link.shunned_until
+            && !leaving
+            && !link.failed_jobs.is_shunned(now)
             && !link.reachability.is_quarantined(now)
             && !silent;
-        let leaving = link.leaving || link.deleting;
-        let doubted = link.doubted;
-        // Commands go there only in replies to its reports.
-        let slow = link.passed || link.direct_failures > 0;
-        let was = self
-            .cluster_state
-            .machines()
-            .get(id)
-            .map(|m| (m.usable, m.slow));
-        if was.is_some_and(|was| was != (usable, slow)) {
-            self.cluster_state.edit_machine(id, |m| {
-                m.usable = usable;
-                m.slow = slow;
-            });
-            self.touched.insert(id.clone());
-            let place = self.cluster_state.machines().get(id).map(|m| m.place);
-            if let (true, Some(t), Some(place)) = (silent, self.cluster_state.topology(), place) {
-                self.stability.lost(&t.tree, place, now);
-            }
-        }
-        if !leaving && !doubted && !draining {
+        Some(LinkStatus {
+            usable,
+            slow: link.passed || link.direct.is_failing(),
+            silent,
+            leaving,
+            doubted: link.doubted,
+            draining,
+        })
+    }
+
+    /// Tells the cluster state, if that has it otherwise.
+    fn apply_status(&mut self, id: &MachineId, status: &LinkStatus, now: Time) {
+        let (usable, slow) = (status.usable, status.slow);
+        let known = self.cluster_state.machines().get(id);
+        if known.is_none_or(|m| (m.usable, m.slow) == (usable, slow)) {
             return;
         }
-        self.wake(id);
+        self.cluster_state.edit_machine(id, |m| {
+            m.usable = usable;
+            m.slow = slow;
+        });
+        self.placement_queue.add(id.clone());
+        let place = self.cluster_state.machines().get(id).map(|m| m.place);
+        let topology = self.cluster_state.topology();
+        if let (true, Some(t), Some(place)) = (status.silent, topology, place) {
+            self.stability.lost(&t.tree, place, now);
+        }
+    }
+
+    /// On a machine that can't be used, what was not sent is placed anew; on one that
+    /// leaves, the rest is stopped.
+    fn settle_claims(&mut self, id: &MachineId, leaving: bool, now: Time) {
         for task in self.cluster_state.claims_on(id) {
-            let unsent = self
-                .cluster_state
-                .claim_of(&task)
-                .is_some_and(|c| c.sent == Sent::No);
-            if unsent {
+            let claim = self.cluster_state.claim_of(&task);
+            if claim.is_some_and(|c| c.sent == Sent::No) {
                 // It has a better place where commands get through.
                 self.release(&task, now);
                 self.walk_all = true;
--- a/src/control/core/load.rs
+++ b/src/control/core/load.rs
@@ -5,21 +5,28 @@
 use std::rc::Rc;
 
 use sorrelhinge_blocks::largest_jobs::Largest;
-use sorrelhinge_blocks::served::Served;
 use sorrelhinge_blocks::shard::Shard;
 use sorrelhinge_overload::fleet_limit::ClaimRate;
 use sorrelhinge_topology::renting::Memory;
 use sorrelhinge_topology::repair::Stability;
 use sorrelhinge_topology::Topology;
 
-use super::deleted_machines::DeletedMachines;
+use super::command_queue::CommandQueue;
+use super::failover::Failover;
+use super::inventory::CloudInventory;
+use super::machine_types::MachineTypes;
+use super::placement_queue::PlacementQueue;
+use super::rejected_changes::RejectedChanges;
+use super::served::ServedLog;
 use super::sharing::{self, Places};
+use super::start_permission::StartPermission;
+use super::tombstones::MachineTombstones;
 use super::{calendar, staging, Core};
 use crate::config::Config;
 use crate::control::pending::Pending;
 use crate::sched::{ClusterState, Team};
 use crate::state::view::{JobEntry, View};
-use crate::types::{Amount, JobId, MachineId, MachineType, Revision, Time, Token};
+use crate::types::{Amount, JobId, MachineType, Revision, Time, Token};
 
 impl Core {
     /// Takes up the grant of all machines.
@@ -78,24 +85,15 @@
             frozen_since: None,
             sharing: sharing::Sharing::default(),
             places,
-            served: Served::default(),
+            served_log: ServedLog::new(now),
             largest_jobs: Largest::default(),
-            last_served: now,
-            starved: BTreeSet::new(),
-            types: HashMap::new(),
+            types: MachineTypes::default(),
             links: BTreeMap::new(),
-            coming: BTreeMap::new(),
+            inventory: CloudInventory::default(),
             pending: Pending::default(),
-            ran_before: view.history.images(),
-            active: BTreeSet::new(),
-            young: true,
-            idle_yet: true,
-            unheard_yet: true,
-            retries: BTreeSet::new(),
-            touched: BTreeSet::new(),
-            walked: MachineId::from(""),
-            pass: None,
-            flying: 0,
+            failover: Failover::begin(now, wall_ms, view.history.images()),
+            command_queue: CommandQueue::default(),
+            placement_queue: PlacementQueue::default(),
             refused: HashMap::new(),
             rentals: 0,
             renting: 0,
@@ -103,20 +101,9 @@
             claim_rate: ClaimRate::default(),
             claimed_cpu: 0,
             deaf_until: now,
-            starts_until: Time(f64::INFINITY),
-            starts_withheld: BTreeSet::new(),
-            missing: BTreeMap::new(),
-            listed: false,
+            start_permission: StartPermission::unbounded(),
             arrivals: BTreeMap::new(),
-            deleted: BTreeMap::new(),
-            deleted_machines: DeletedMachines::load(view, shard),
-            gone_before: view
-                .gone
-                .values()
-                .flat_map(|held| held.value.machines.iter().cloned())
-                .collect(),
-            started: now,
-            started_ms: wall_ms,
+            tombstones: MachineTombstones::load(view, shard),
             windows: calendar::Windows::default(),
             drains: Vec::new(),
             staging,
@@ -125,9 +112,7 @@
             gangs: BTreeSet::new(),
             last_repair: None,
             told: BTreeMap::new(),
-            limits_fell: false,
-            alone_until: now,
-            rejected: BTreeMap::new(),
+            rejected_changes: RejectedChanges::none(now),
             walk_all: true,
             last_fleet: now,
             last_plan: now,
--- a/src/control/core/machine_list.rs
+++ b/src/control/core/machine_list.rs
@@ -3,16 +3,25 @@
 
 use std::collections::BTreeSet;
 
+use super::inventory::Coming;
 use super::link::Link;
-use super::{Coming, Core};
+use super::link::SeenMachine;
+use super::Core;
 use crate::cloud::{Listed, MachinePhase};
-use crate::types::{MachineId, Time, TypeName, Zone};
+use crate::types::{MachineId, Time};
 
-/// Names of deleted machines are kept for so many leases, and so many of them.
-const DELETED_LEASES: f64 = 12.0;
-const MOST_DELETED: usize = 20_000;
 /// Clocks drift apart by 0.05% (PROTOCOL).
 const DRIFT: f64 = 1.001;
+/// A machine that was not heard for so many report intervals may be gone.
+const UNHEARD_REPORTS: f64 = 1.5;
+/// A machine that was rented less than so many usual lags of the list, and so many seconds,
+/// ago may not be listed yet.
+const FRESH_LAGS: f64 = 3.0;
+const FRESH_S: f64 = 5.0;
+/// So many usual lags, and so many seconds, after a failover the list is certainly not
+/// from before it (PROTOCOL: it is late by twice its usual lag at most).
+const LATEST_LAGS: f64 = 2.0;
+const LATEST_S: f64 = 2.0;
 /// How many times longer machines may hear nothing if most don't.
 const MOST_DEAF: f64 = 3.0;
 
@@ -20,92 +29,82 @@
     /// The machine list arrived: learn of machines, and of those that are gone.
     pub fn listed(&mut self, list: &[Listed], now: Time) {
         let names: BTreeSet<&MachineId> = list.iter().map(|m| &m.uid).collect();
-        self.listed = true;
-        self.forget_deleted(now);
-        for m in list {
+        self.inventory.list_read();
+        self.tombstones.expire(&self.cfg, now);
+        for machine in list {
             // The list is late: a machine that is gone must not come back as
             // one to be asked, or waited for.
-            if self.deleted.contains_key(&m.uid) || self.gone_before.contains(&m.uid) {
-                continue;
-            }
-            self.missing.remove(&m.uid);
-            if self.links.contains_key(&m.uid) {
-                if m.phase == MachinePhase::Failed {
-                    // It stopped by itself. That proves nothing about its
-                    // tasks; the answer to deleting it will.
-                    self.give_back(&m.uid);
-                }
-                continue;
+            if !self.tombstones.contains(&machine.uid) {
+                self.machine_listed(machine, now);
             }
-            if m.phase == MachinePhase::Running {
-                if let Some(addr) = m.addr {
-                    // Up, and perhaps running tasks that a record claims: ask it.
-                    self.link(&m.uid, addr, &m.build, &m.rack, m.loaners, now);
-                    continue;
-                }
+        }
+        self.give_back_missing(&names, now);
+        // A list is late by twice its usual lag at most (PROTOCOL), so by now it
+        // tells of a time at which every machine that a former owner claimed
+        // was there.
+        if self.failover.age_s(now) > LATEST_LAGS * self.cfg.list_lag_s + LATEST_S {
+            self.give_back_unknown(&names);
+        }
+    }
+
+    /// The list shows a machine that is not known to be gone.
+    fn machine_listed(&mut self, machine: &Listed, now: Time) {
+        let id = &machine.uid;
+        self.inventory.seen(id);
+        if self.links.contains_key(id) {
+            if machine.phase == MachinePhase::Failed {
+                // It stopped by itself. That proves nothing about its
+                // tasks; the answer to deleting it will.
+                self.give_back(id);
             }
-            self.coming.entry(m.uid.clone()).or_insert(Coming {
-                kind: m.build.clone(),
-                zone: m.rack.clone(),
-                spot: m.loaners,
-                since: Time(now.0 - m.held_s),
-            });
-            if m.phase == MachinePhase::Failed {
-                self.give_back(&m.uid);
+            return;
+        }
+        if machine.phase == MachinePhase::Running {
+            if let Some(addr) = machine.addr {
+                // Up, and perhaps running tasks that a record claims: ask it.
+                self.link(&SeenMachine::by_list(machine, addr), now);
+                return;
             }
         }
-        // A machine that was heard of before and is missing from several
-        // lists in a row is probably gone; deleting it proves that.
-        let known: Vec<MachineId> = self
-            .links
-            .keys()
-            .chain(self.coming.keys())
-            .cloned()
-            .collect();
+        self.inventory.expect(id, || Coming {
+            kind: machine.build.clone(),
+            zone: machine.rack.clone(),
+            spot: machine.loaners,
+            since: Time(now.0 - machine.held_s),
+        });
+        if machine.phase == MachinePhase::Failed {
+            self.give_back(id);
+        }
+    }
+
+    /// A machine that was heard of before and is missing from several lists in a row is
+    /// probably gone; deleting it proves that.
+    fn give_back_missing(&mut self, listed: &BTreeSet<&MachineId>, now: Time) {
+        let known = self.links.keys().chain(self.inventory.coming().keys());
+        let known: Vec<MachineId> = known.cloned().collect();
         for id in known {
-            if names.contains(&id) {
+            if listed.contains(&id) {
                 continue;
             }
             let heard = self.links.get(&id).map(|l| l.last_heard);
-            let silent = heard.is_none_or(|t| now.since(t) > self.cfg.report_s * 1.5);
-            let fresh = self
-                .coming
-                .get(&id)
-                .is_some_and(|c| now.since(c.since) < 3.0 * self.cfg.list_lag_s + 5.0);
-            if silent && !fresh {
-                let count = self.missing.entry(id.clone()).or_insert(0);
-                *count += 1;
-                if *count >= 2 {
-                    self.give_back(&id);
-                }
-            }
-        }
-        // Claims can name machines that neither list nor report shows. A list
-        // is late by twice its usual lag at most (PROTOCOL), so by now it
-        // tells of a time at which every machine that a former owner claimed
-        // was there. Until they are gone these claims count against limits.
-        if now.since(self.started) > 2.0 * self.cfg.list_lag_s + 2.0 {
-            let ghosts: Vec<MachineId> = self
-                .cluster_state
-                .unknown_machines()
-                .filter(|id| !names.contains(id))
-                .cloned()
-                .collect();
-            for id in ghosts {
+            let silent = heard.is_none_or(|t| now.since(t) > self.cfg.report_s * UNHEARD_REPORTS);
+            let coming = self.inventory.coming().get(&id);
+            let fresh = coming
+                .is_some_and(|c| now.since(c.since) < FRESH_LAGS * self.cfg.list_lag_s + FRESH_S);
+            if silent && !fresh && self.inventory.not_seen(&id) {
                 self.give_back(&id);
             }
         }
     }
 
-    /// Names of machines that are gone are kept for longer than a late list shows
-    /// them: copies of their reports come well over a lease late. They are few
-    /// enough, and beyond a bound the oldest go first.
-    fn forget_deleted(&mut self, now: Time) {
-        let mut keep_s = (4.0 * self.cfg.list_lag_s + 10.0).max(DELETED_LEASES * self.cfg.lease_s);
-        self.deleted.retain(|_, at| now.since(*at) < keep_s);
-        while self.deleted.len() > MOST_DELETED && keep_s > 1.0 {
-            keep_s /= 2.0;
-            self.deleted.retain(|_, at| now.since(*at) < keep_s);
+    /// Claims can name machines that neither list nor report shows. Until these are gone
+    /// their claims count against limits.
+    fn give_back_unknown(&mut self, listed: &BTreeSet<&MachineId>) {
+        let unknown = self.cluster_state.unknown_machines();
+        let unknown = unknown.filter(|id| !listed.contains(id));
+        let unknown: Vec<MachineId> = unknown.cloned().collect();
+        for id in unknown {
+            self.give_back(&id);
         }
     }
 
@@ -130,18 +129,11 @@
         deaf.map(|(id, _)| id.clone()).collect()
     }
 
+    /// A machine is to be deleted, whether it ever reported or not.
     pub(super) fn give_back(&mut self, id: &MachineId) {
         match self.links.get_mut(id) {
             Some(link) => link.deleting = true,
-            None => {
-                self.coming.entry(id.clone()).or_insert(Coming {
-                    kind: TypeName::from(""),
-                    zone: Zone::from(""),
-                    spot: false,
-                    since: Time(f64::NEG_INFINITY),
-                });
-                self.missing.insert(id.clone(), u32::MAX / 2);
-            }
+            None => self.inventory.give_back(id),
         }
     }
 
@@ -158,11 +150,9 @@
                 self.release(&task, now);
             }
             self.walk_all = true;
-            self.deleted.insert(id.clone(), now);
-            self.deleted_machines.add(id, now);
+            self.tombstones.add(id, now);
             self.links.remove(id);
-            self.coming.remove(id);
-            self.missing.remove(id);
+            self.inventory.forget(id);
             self.cluster_state.remove_machine(id);
         }
     }
--- a/src/control/core/placing.rs
+++ b/src/control/core/placing.rs
@@ -1,50 +1,54 @@
 //! When the scheduler places tasks, and what follows from each placement. Which
 //! machine a task gets is decided in [`crate::sched`].
 
-use std::ops::Bound;
-
 use super::Core;
 use crate::control::pending::Haste;
-use crate::sched::{DelayRule, Job, Launch, Pass};
-use crate::types::{MachineId, Time};
+use crate::sched::{DelayRule, Job, Launch};
+use crate::types::{JobId, MachineId, Time};
 
 /// Part of its start aim after which room is made for a job.
 const PREEMPT_START: f64 = 0.15;
 /// The same for other jobs, as a multiple of their patience.
 const PREEMPT_SLACK: f64 = 2.0;
+/// For so long after a failover nothing is preempted, in seconds.
+const PREEMPT_SETTLE_S: f64 = 3.0;
 /// Steps of the walks in one turn: jobs and places that are looked at.
 const WALK_STEPS: u64 = 4000;
-/// For so long walks share what they have in common, in seconds.
-const PASS_S: f64 = 0.2;
 
 impl Core {
+    /// Tasks were placed: their claims are to be recorded.
     fn launched(&mut self, launches: Vec<Launch>, now: Time) {
-        if self.idle_yet && !launches.is_empty() {
-            self.idle_yet = false;
-            let after_s = (now.since(self.started) * 10.0).round() / 10.0;
+        if !launches.is_empty() && self.failover.placed() {
+            let after_s = self.failover.logged_age_s(now);
             tracing::info!(after_s, "first task placed");
         }
         for launch in launches {
             tracing::debug!(task = %launch.task, machine = %launch.machine, cached = launch.cached, "claim");
-            let job = self.cluster_state.job(&launch.task.job);
-            let haste = job.map_or(Haste::Usual, Haste::of);
-            let first = job.filter(|j| !j.started && j.tasks.at_home());
-            if let Some((sort, wait_s)) = first.map(|j| (j.sort(), now.since(j.submitted))) {
-                self.served.started(&sort, Some(wait_s));
-                self.largest_began(&launch.task.job, wait_s, now);
-                self.cluster_state
-                    .edit_job(&launch.task.job, |j| j.started = true);
-            }
-            let job = self.cluster_state.job(&launch.task.job);
-            self.claimed_cpu += job.map_or(0, |j| j.spec.each.cpu);
-            let Some(sort) = job.map(Job::sort) else {
+            self.job_began(&launch.task.job, now);
+            let Some(job) = self.cluster_state.job(&launch.task.job) else {
                 continue;
             };
+            self.claimed_cpu += job.spec.each.cpu;
+            let (haste, sort) = (Haste::of(job), job.sort());
             let chunk = self.chunk_of(&launch.task);
             self.pending.claimed(chunk, haste, sort, now);
         }
     }
 
+    /// A task of a job was placed. If it is the first one, that is counted, by the block
+    /// that places the job.
+    fn job_began(&mut self, id: &JobId, now: Time) {
+        let job = self.cluster_state.job(id);
+        let Some(job) = job.filter(|j| !j.started && j.tasks.at_home()) else {
+            return;
+        };
+        let (sort, wait_s) = (job.sort(), now.since(job.submitted));
+        self.served_log.counts().started(&sort, Some(wait_s));
+        self.largest_began(id, wait_s, now);
+        self.cluster_state.edit_job(id, |j| j.started = true);
+    }
+
+    /// For how long a task waits for a machine that has its image.
     fn rule(&self) -> DelayRule {
         DelayRule {
             fetches: self.cfg.tuning.delay_fetches,
@@ -57,19 +61,13 @@
         if self.is_frozen() {
             return;
         }
-        if self
-            .pass
-            .as_ref()
-            .is_none_or(|(at, _)| now.since(*at) >= PASS_S)
-        {
-            self.pass = Some((now, Pass::default()));
-        }
+        self.placement_queue.refresh_pass(now);
         // A new owner's first report of a machine walks it at once: others' work
         // had a part of what was held.
         if self.windows.hold() {
             self.cluster_state.top_up_holds(id, now);
         }
-        let pass = self.pass.as_ref().map(|(_, pass)| pass);
+        let pass = self.placement_queue.pass();
         let launches = self.cluster_state.walk_in(pass, id, self.rule(), now);
         self.launched(launches, now);
     }
@@ -77,7 +75,7 @@
     /// Where room appeared, windows have what they lack before anybody else.
     fn top_up(&mut self, now: Time) {
         if self.windows.hold() {
-            for id in &self.touched {
+            for id in self.placement_queue.iter() {
                 self.cluster_state.top_up_holds(id, now);
             }
         }
@@ -91,14 +89,10 @@
         self.top_up(now);
         let begun = self.cluster_state.capacity_index.steps.get();
         while self.cluster_state.capacity_index.steps.get() - begun < WALK_STEPS {
-            let after = (Bound::Excluded(&self.walked), Bound::Unbounded);
-            let next = self.touched.range(after).next().cloned();
-            let Some(id) = next.or_else(|| self.touched.first().cloned()) else {
+            let Some(id) = self.placement_queue.take_next() else {
                 return;
             };
-            self.touched.remove(&id);
             self.walk(&id, now);
-            self.walked = id;
         }
     }
 
@@ -115,7 +109,10 @@
 
     /// Stops tasks for others that have waited too long.
     pub fn preempt(&mut self, now: Time) {
-        if self.cfg.tuning.preempt && now.since(self.started) > 3.0 && !self.is_frozen() {
+        if self.cfg.tuning.preempt
+            && self.failover.age_s(now) > PREEMPT_SETTLE_S
+            && !self.is_frozen()
+        {
             // Stopping costs more than it brings unless the wait is long for
             // the job's own aims: whoever is stopped waits in turn, and its
             // image may have to be fetched again.
--- a/src/control/core/record.rs
+++ b/src/control/core/record.rs
@@ -1,11 +1,13 @@
 //! Claims and results on their way into the record.
 
+use super::draft::{ChunkWrite, JobWrite};
+use super::largest_jobs::JobEvent;
 use super::{Batch, Core};
 use crate::control::pending::Haste;
 use crate::sched::Job;
 use crate::state::record::{ChunkRecord, Phase};
 use crate::state::view::{JobEntry, Versioned, View};
-use crate::types::{Attempt, JobId, Kind, MachineId, Revision, TaskId, Time};
+use crate::types::{Attempt, JobId, Kind, Revision, TaskId, Time};
 
 impl Core {
     /// All tasks of a job are done: that is to be recorded.
@@ -32,48 +34,26 @@
         chunk: u32,
         held: Option<&ChunkRecord>,
     ) -> Option<ChunkRecord> {
-        let job = self.cluster_state.job(id)?;
-        let size = job.tasks.chunk_size();
-        let from = chunk * size;
-        let mut claims: Vec<(u32, Attempt, MachineId)> = job
-            .tasks
-            .claims()
-            .range(from..from + size)
-            .map(|(&i, c)| (i - from, c.attempt, c.machine.clone()))
-            .collect();
-        // Also of claims that hold none: a claim that is not named here was
-        // written by an earlier version, and may hold anything.
-        let devices = job
-            .spec
-            .placement
-            .as_ref()
-            .is_some_and(|w| !w.devices.is_empty());
-        let mut units: Vec<_> = job
-            .tasks
-            .claims()
-            .range(from..from + size)
-            .filter(|(_, c)| devices && !c.unnamed)
-            .map(|(&i, c)| (i - from, c.units.clone()))
-            .collect();
-        let mut next_attempt = job.tasks.next_attempt(chunk);
-        let mut done = job.tasks.done_bits(chunk);
+        let mut record = chunk_record(self.cluster_state.job(id)?, chunk);
         if let Some(held) = held.filter(|_| self.shard.is_part()) {
-            let theirs = |c: &&(u32, Attempt, MachineId)| !self.shard.covers(&c.2);
-            let theirs: Vec<_> = held.claims.iter().filter(theirs).cloned().collect();
-            let of = |place: u32| theirs.iter().any(|c| c.0 == place);
-            units.extend(held.units.iter().filter(|(p, _)| of(*p)).cloned());
-            units.sort_by_key(|(place, _)| *place);
-            claims.extend(theirs);
-            claims.sort_by_key(|c| c.0);
-            next_attempt = next_attempt.max(held.next_attempt);
-            done |= held.done;
+            self.keep_others_part(&mut record, held);
         }
-        Some(ChunkRecord {
-            next_attempt,
-            done,
-            claims,
-            units,
-        })
+        Some(record)
+    }
+
+    /// Leaves in a chunk's record what other blocks wrote into it.
+    fn keep_others_part(&self, record: &mut ChunkRecord, held: &ChunkRecord) {
+        let theirs = held.claims.iter();
+        let theirs = theirs.filter(|(_, _, machine)| !self.shard.covers(machine));
+        let theirs: Vec<_> = theirs.cloned().collect();
+        let of = |place: u32| theirs.iter().any(|c| c.0 == place);
+        let units = held.units.iter().filter(|(place, _)| of(*place));
+        record.units.extend(units.cloned());
+        record.units.sort_by_key(|(place, _)| *place);
+        record.claims.extend(theirs);
+        record.claims.sort_by_key(|c| c.0);
+        record.next_attempt = record.next_attempt.max(held.next_attempt);
+        record.done |= held.done;
     }
 
     /// Whether a chunk's record claims tasks on machines of this block, or, if not
@@ -85,15 +65,8 @@
 
     /// A transaction was carried out.
     pub fn committed(&mut self, batch: Batch, revision: Revision, view: &mut View, now: Time) {
-        for ((id, chunk), record) in batch.chunks {
-            match record {
-                Some(value) => {
-                    self.confirm(&id, chunk, &value, now);
-                    let stamp = revision;
-                    view.put_chunk(&id, chunk, Versioned { stamp, value });
-                }
-                None => view.drop_chunk(&id, chunk, revision),
-            }
+        for write in batch.chunks {
+            self.chunk_committed(write, revision, view, now);
         }
         if let Some(step) = batch.wave {
             for machine in self.staging.done(step, revision, now) {
@@ -101,23 +74,41 @@
             }
             self.wake_staged(now);
         }
-        for (id, value) in batch.jobs {
-            if value.phase == Phase::Done {
-                if let Some(sort) = self.cluster_state.job(&id).map(Job::sort) {
-                    self.served.done(&sort);
-                }
-                self.largest_over(&id, "done", now);
-                tracing::info!(job = %id, "done");
+        for write in batch.jobs {
+            self.job_committed(write, revision, view, now);
+        }
+    }
+
+    /// A chunk is recorded, or deleted, under its own key.
+    fn chunk_committed(&mut self, write: ChunkWrite, stamp: Revision, view: &mut View, now: Time) {
+        let (id, chunk) = write.chunk;
+        match write.record {
+            Some(value) => {
+                self.confirm(&id, chunk, &value, now);
+                view.put_chunk(&id, chunk, Versioned { stamp, value });
             }
-            if let Some(inline) = &value.inline {
-                self.confirm(&id, 0, inline, now);
+            None => view.drop_chunk(&id, chunk, stamp),
+        }
+    }
+
+    /// A job's own record is written.
+    fn job_committed(&mut self, write: JobWrite, stamp: Revision, view: &mut View, now: Time) {
+        let (id, value) = (write.job, write.record);
+        if value.phase == Phase::Done {
+            if let Some(sort) = self.cluster_state.job(&id).map(Job::sort) {
+                self.served_log.counts().done(&sort);
             }
-            let stamp = revision;
-            view.put_job(&id, Versioned { stamp, value });
-            self.forget_job(view, &id, now);
+            self.largest_over(&id, JobEvent::Done, now);
+            tracing::info!(job = %id, "done");
+        }
+        if let Some(inline) = &value.inline {
+            self.confirm(&id, 0, inline, now);
         }
+        view.put_job(&id, Versioned { stamp, value });
+        self.forget_job(view, &id, now);
     }
 
+    /// A chunk is in the record: its claims are committed, and starts may be due.
     pub(super) fn confirm(&mut self, id: &JobId, chunk: u32, record: &ChunkRecord, now: Time) {
         let Some(size) = self.cluster_state.job(id).map(|j| j.tasks.chunk_size()) else {
             return;
@@ -152,40 +143,68 @@
             self.staging.undone(step, view, now);
         }
         let mut chunks = batch.chunks;
-        for (id, record) in batch.jobs {
-            if record.phase != Phase::Done {
+        for write in batch.jobs {
+            if write.record.phase == Phase::Done {
+                self.done_conflicted(&write.job, view, now);
+            } else if write.record.inline.is_some() {
                 // Claims that were to be moved are among the chunks.
-                if record.inline.is_some() {
-                    chunks.push(((id, 0), record.inline));
-                }
-                continue;
-            }
-            let live = view
-                .job(&id)
-                .is_some_and(|e| e.record.value.phase == Phase::Live);
-            if live
-                && self
-                    .cluster_state
-                    .job(&id)
-                    .is_some_and(|j| j.tasks.all_done())
-            {
-                self.finished(id, now);
-            } else {
-                self.forget_job(view, &id, now);
+                chunks.push(ChunkWrite {
+                    chunk: (write.job, 0),
+                    record: write.record.inline,
+                });
             }
         }
-        for ((id, chunk), record) in chunks {
-            let held = view.job(&id).and_then(|e| e.chunk(chunk));
-            match (&record, held) {
-                (Some(ours), Some(held)) if ours == held => self.confirm(&id, chunk, ours, now),
-                (Some(_), _) => self.claim_again((id, chunk), now),
-                (None, _) => self.pending.useless((id, chunk), now),
-            }
+        for write in chunks {
+            self.chunk_conflicted(write, view, now);
         }
         self.still_granted(view)
     }
+
+    /// That a job is done was not recorded.
+    fn done_conflicted(&mut self, id: &JobId, view: &View, now: Time) {
+        let entry = view.job(id);
+        let live = entry.is_some_and(|e| e.record.value.phase == Phase::Live);
+        let job = self.cluster_state.job(id);
+        if live && job.is_some_and(|j| j.tasks.all_done()) {
+            self.finished(id.clone(), now);
+        } else {
+            self.forget_job(view, id, now);
+        }
+    }
+
+    /// A chunk was not recorded, or had been already.
+    fn chunk_conflicted(&mut self, write: ChunkWrite, view: &View, now: Time) {
+        let (id, chunk) = &write.chunk;
+        let held = view.job(id).and_then(|e| e.chunk(*chunk));
+        match (&write.record, held) {
+            (Some(ours), Some(held)) if ours == held => self.confirm(id, *chunk, ours, now),
+            (Some(_), _) => self.claim_again(write.chunk, now),
+            (None, _) => self.pending.useless(write.chunk, now),
+        }
+    }
+}
+
+/// A chunk of a job as this block holds it.
+fn chunk_record(job: &Job, chunk: u32) -> ChunkRecord {
+    let size = job.tasks.chunk_size();
+    let from = chunk * size;
+    let held = || job.tasks.claims().range(from..from + size);
+    let claims = held().map(|(&index, c)| (index - from, c.attempt, c.machine.clone()));
+    // Also of claims that hold none: a claim that is not named here was
+    // written by an earlier version, and may hold anything.
+    let placement = job.spec.placement.as_ref();
+    let devices = placement.is_some_and(|w| !w.devices.is_empty());
+    let named = held().filter(|(_, c)| devices && !c.unnamed);
+    let units = named.map(|(&index, c)| (index - from, c.units.clone()));
+    ChunkRecord {
+        next_attempt: job.tasks.next_attempt(chunk),
+        done: job.tasks.done_bits(chunk),
+        claims: claims.collect(),
+        units: units.collect(),
+    }
 }
 
+/// Whether an attempt of a task is claimed by the records, for a job that is not done.
 pub(super) fn recorded_claim(view: &View, task: &TaskId, attempt: Attempt) -> bool {
     let live = |entry: &&JobEntry| entry.record.value.phase != Phase::Done;
     view.job(&task.job).filter(live).is_some_and(|entry| {
--- a/src/control/core/recorded_job.rs
+++ b/src/control/core/recorded_job.rs
@@ -8,7 +8,7 @@
 use crate::sched::{Claim, ClusterState, Job, Laned, Progress, Sent, Tasks};
 use crate::state::record::{JobRecord, Phase};
 use crate::state::view::{JobEntry, View};
-use crate::types::{Attempt, JobId, Kind, MachineId, TaskId, Time};
+use crate::types::{Attempt, JobId, JobSpec, Kind, MachineId, TaskId, Time};
 use sorrelhinge_topology::devices::Unit;
 
 /// From when a job's times count, by the time of day in the records.
@@ -33,8 +33,12 @@
     }
 }
 
-/// After so many attempts without a result a new owner takes a job for mistaken.
+/// After as many attempts without a result as it has tasks a new owner takes a job for
+/// mistaken, but not after fewer than the first of these, nor later than after the second.
+const WASTED_LEAST: u64 = 3;
 const WASTED: u64 = 8;
+/// So many failures such a job is held to have had.
+const DOUBTED_FAILURES: u32 = 2;
 
 /// A claim in a record.
 struct FoundClaim {
@@ -72,6 +76,14 @@
 }
 
 impl FoundTasks {
+    /// Whether so many attempts came to nothing, while none has ended well, that one
+    /// task is to tell whether the job is mistaken, rather than all.
+    fn casts_doubt_on(&self, spec: &JobSpec) -> bool {
+        spec.kind == Kind::Array
+            && self.tasks.done() == 0
+            && self.wasted >= u64::from(spec.tasks).clamp(WASTED_LEAST, WASTED)
+    }
+
     /// Whether one of them was ever placed, as far as the records tell.
     fn started(&self) -> bool {
         !self.claims.is_empty() || self.tasks.done() > 0
@@ -89,36 +101,56 @@
             return;
         }
         let over = record.phase != Phase::Live;
-        let homed = self.shard.homes(id);
         // A done job's tasks have all ended, whatever a chunk that was not
         // deleted yet still claims.
         if record.phase == Phase::Done || over && !self.claims_here(entry) {
-            for &chunk in entry.chunks.keys().filter(|_| homed) {
-                self.pending.useless((id.clone(), chunk), now);
+            if self.shard.homes(id) {
+                self.drop_chunks(id, entry, now);
             }
             return;
         }
         let found = self.found_tasks(id, entry, now);
-        let (started, all_done) = (found.started(), found.tasks.all_done());
+        let all_done = found.tasks.all_done();
         let times = job_times(view, id, record, now, wall_ms);
         let Some((job, claims)) = self.recorded_job(view, id, found, &times) else {
             return;
         };
-        // An earlier version's record names no units.
-        let devices = job.spec.placement.as_ref();
-        let holds_devices = devices.is_some_and(|w| w.lost || !w.devices.is_empty());
-        if homed && !over {
-            self.served.accepted(&job.sort());
-            if started {
-                self.served.started(&job.sort(), None);
+        let placed_here = !over && self.shard.homes(id);
+        self.put_job(id, job, placed_here, now);
+        self.put_claims(id, claims, now);
+        self.share(id, entry);
+        if all_done && placed_here {
+            self.finished(id.clone(), now);
+        }
+        // A gang that was claimed in part, or lost a part, starts anew.
+        self.gangs.insert(id.clone());
+        self.walk_all = true;
+    }
+
+    /// A job goes into the cluster state. `placed_here`: this block places it, and it is
+    /// not over.
+    fn put_job(&mut self, id: &JobId, job: Job, placed_here: bool, now: Time) {
+        if placed_here {
+            let counts = self.served_log.counts();
+            counts.accepted(&job.sort());
+            if job.started {
+                counts.started(&job.sort(), None);
             }
         }
-        let last_placed = started.then_some(now);
+        let last_placed = job.started.then_some(now);
         let job = Job { last_placed, ..job };
         self.cluster_state.add_job(id.clone(), job);
-        if homed && !over {
+        if placed_here {
             self.largest_came(id, now);
         }
+    }
+
+    /// The claims of a job that was just put into the cluster state go there too.
+    fn put_claims(&mut self, id: &JobId, claims: Vec<FoundClaim>, now: Time) {
+        // An earlier version's record names no units.
+        let job = self.cluster_state.job(id);
+        let placement = job.and_then(|j| j.spec.placement.as_ref());
+        let holds_devices = placement.is_some_and(|w| w.lost || !w.devices.is_empty());
         for claim in claims {
             let task = TaskId {
                 job: id.clone(),
@@ -127,13 +159,6 @@
             let claim = claim.into_claim(holds_devices, now);
             self.cluster_state.put_claim(&task, claim);
         }
-        self.share(id, entry);
-        if all_done && !over && homed {
-            self.finished(id.clone(), now);
-        }
-        // A gang that was claimed in part, or lost a part, starts anew.
-        self.gangs.insert(id.clone());
-        self.walk_all = true;
     }
 
     /// Reads a job's tasks. What is claimed on machines that are gone is released: its
@@ -155,7 +180,7 @@
             let here = held.claims.iter().filter(|c| self.shard.covers(&c.2));
             for (place, attempt, machine) in here {
                 let index = chunk * record.chunk + place;
-                if self.gone_before.contains(machine) {
+                if self.tombstones.is_inherited(machine) {
                     self.pending.released((id.clone(), chunk), now);
                 } else if index < record.tasks {
                     let units = held.units.iter().find(|(p, _)| p == place);
@@ -192,11 +217,7 @@
         let spec = Rc::new(spec);
         tracing::debug!(job = %id, class = %spec.class, team = %spec.team, tasks = spec.tasks, image = %spec.image.as_str(), "job");
         let started = found.started();
-        // So many attempts came to nothing, and none has ended well: one task
-        // tells the next owner whether the job is mistaken, rather than all.
-        let doubted = spec.kind == Kind::Array
-            && found.tasks.done() == 0
-            && found.wasted >= u64::from(spec.tasks).clamp(3, WASTED);
+        let doubted = found.casts_doubt_on(&spec);
         let lanes = &self.cfg.lanes;
         let lane = lanes.of(&spec.class, spec.priority, spec.deadline_s.is_some());
         let topology = self.cluster_state.topology().map(|t| &**t);
@@ -204,7 +225,7 @@
         let mut job = Job {
             lane: lane.map(|lane| Laned::new(lane, entry.place)),
             doubted,
-            failures: if doubted { 2 } else { 0 },
+            failures: if doubted { DOUBTED_FAILURES } else { 0 },
             cancelled: record.phase == Phase::Cancelled,
             start_within: self.starts_within(&spec.class),
             policy: ClusterState::policy_of(topology, &spec),
--- a/src/control/core/renting.rs
+++ b/src/control/core/renting.rs
@@ -6,7 +6,8 @@
 
 use sorrelhinge_topology::drain::{Drain, Target};
 
-use super::{Coming, Core};
+use super::inventory::Coming;
+use super::Core;
 use crate::cloud::Rental;
 use crate::fleet;
 use crate::types::{Amount, JobSpec, Kind, MachineId, MachineType, Priority, Time, TypeName, Zone};
@@ -99,7 +100,7 @@
 
     /// How many machines there are, up and on their way.
     pub fn machines(&self) -> usize {
-        self.links.len() + self.coming.len()
+        self.links.len() + self.inventory.coming().len()
     }
 
     /// Whether no work of the lowest rank that waits is placed, while work of a
@@ -168,7 +169,7 @@
             spot = sums[1][0],
             spot_cpus = sums[1][1],
             spot_used = sums[1][2],
-            coming = self.coming.len(),
+            coming = self.inventory.coming().len(),
             retiring,
             pending,
             teams = teams.join(","),
@@ -196,7 +197,7 @@
         // read: giving machines back then, and renting others, is how a fleet
         // that is too large for its controllers would be kept so.
         let hears_most = heard * 2 > self.links.len()
-            && now.since(self.started) > self.cfg.silent_s()
+            && self.failover.age_s(now) > self.cfg.silent_s()
             && now >= self.deaf_until;
         let deaf = match hears_most {
             true => self.deaf(now),
@@ -210,13 +211,13 @@
         for (id, link) in &mut self.links {
             let machine = self.cluster_state.machines().get(id);
             let empty = machine.is_none_or(|m| m.claims.is_empty());
-            if link.leaving && empty && link.tasks.values().all(|(p, _)| *p == TaskPhase::Ended) {
+            if link.leaving && empty && link.tasks.values().all(|t| t.phase == TaskPhase::Ended) {
                 link.deleting = true;
             }
             let quiet_s = now.since(link.last_heard);
-            let hangs = link.suspect
-                && (link.hangs >= 2
-                    || link.hangs == 1 && quiet_s > HANGS_REPORTS * self.cfg.report_s);
+            let hangs = link.direct.is_suspect()
+                && (link.direct.hangs() >= 2
+                    || link.direct.hangs() == 1 && quiet_s > HANGS_REPORTS * self.cfg.report_s);
             if hears_most && (quiet_s > self.cfg.silent_s() || hangs) {
                 if hangs && !link.deleting {
                     tracing::info!(machine = %id, quiet_s, "it hangs: given back");
@@ -228,16 +229,17 @@
             }
         }
         let types = &self.types;
-        for (id, c) in &self.coming {
+        for (id, c) in self.inventory.coming() {
             let boot = types.get(&c.kind).map_or(30.0, |t| t.boot_s);
             let stuck = now.since(c.since) > 2.5 * boot + 10.0;
-            let missing = self.missing.get(id).is_some_and(|n| *n >= 2);
+            let missing = self.inventory.is_missing(id);
             if stuck || missing {
                 to_delete.push(id.clone());
             }
         }
         let coming: Vec<fleet::Coming> = self
-            .coming
+            .inventory
+            .coming()
             .iter()
             .filter(|(id, _)| !to_delete.contains(id))
             .filter_map(|(_, c)| {
@@ -250,7 +252,7 @@
             .collect();
         let mut offered: Vec<Rc<MachineType>> = types.values().cloned().collect();
         offered.sort_by(|a, b| a.name.cmp(&b.name));
-        let settled = now.since(self.started) > 2.0 * self.cfg.report_s;
+        let settled = self.failover.age_s(now) > 2.0 * self.cfg.report_s;
         if !settled || self.renting > 0 {
             return (to_delete, Vec::new());
         }
@@ -396,7 +398,7 @@
                 }
                 for id in machines.into_iter().filter(|m| self.shard.covers(m)) {
                     if !self.links.contains_key(&id) {
-                        self.coming.insert(
+                        self.inventory.rented(
                             id,
                             Coming {
                                 kind: rental.build.clone(),
@@ -420,7 +422,7 @@
 
     /// Another owner rented machines, some of which belong to this block.
     pub fn rented_for(&mut self, sort: (&TypeName, &Zone, bool), machine: &MachineId, now: Time) {
-        let known = self.links.contains_key(machine) || self.deleted.contains_key(machine);
+        let known = self.links.contains_key(machine) || self.tombstones.is_recent(machine);
         if self.shard.covers(machine) && !known {
             let (kind, zone, spot) = sort;
             let coming = || Coming {
@@ -429,7 +431,7 @@
                 spot,
                 since: now,
             };
-            self.coming.entry(machine.clone()).or_insert_with(coming);
+            self.inventory.expect(machine, coming);
         }
     }
 }
--- a/src/control/core/reports.rs
+++ b/src/control/core/reports.rs
@@ -1,10 +1,11 @@
 //! Workers' reports: which of them count, and what they prove about the claims on a
 //! machine.
 
+use super::link::{SeenMachine, TaskAttempt, TaskStatus};
 use super::{Core, Source};
 use crate::sched::{Progress, Sent};
-use crate::types::{MachineId, Seq, Session, Time};
-use crate::worker::{Report, ReportedTask, TaskPhase, Why};
+use crate::types::{MachineId, Seq, Session, TaskId, Time};
+use crate::worker::{Report, TaskPhase, Why};
 
 impl Core {
     /// Whether a report is a copy that came late: not newer than what is known, or
@@ -12,10 +13,9 @@
     /// machine's last report made a machine of it again, and kept it.
     pub fn is_copy(&self, report: &Report) -> bool {
         if let Some(link) = self.links.get(&report.machine) {
-            return (report.shift, report.tick) <= (link.session, link.seq);
+            return link.is_copy(report);
         }
-        let gone = &report.machine;
-        self.deleted.contains_key(gone) || self.gone_before.contains(gone)
+        self.tombstones.contains(&report.machine)
     }
 
     /// Takes in a worker's report. False if a newer grant than ours commands
@@ -25,95 +25,69 @@
         if report.baton.grant() > self.grant {
             return false;
         }
+        if self.counts(report) {
+            self.take_in(report, source, now);
+        }
+        true
+    }
+
+    /// Whether a report is of a machine of this block, and certainly no late copy.
+    fn counts(&self, report: &Report) -> bool {
         if !self.shard.covers(&report.machine) || self.is_copy(report) {
-            return true;
+            return false;
         }
         // Only a report with our token was certainly made under this grant. Any
         // other may be a copy from before of a machine that is long gone: once the
         // list tells what machines there are it makes none. The answer has the
         // token, and the next report shows it.
         let id = &report.machine;
-        let shown = report.baton >= self.base_token() || self.coming.contains_key(id);
-        if self.listed && !shown && !self.links.contains_key(id) {
-            return true;
-        }
+        let shown = report.baton >= self.base_token() || self.inventory.is_coming(id);
+        !self.inventory.was_listed() || shown || self.links.contains_key(id)
+    }
+
+    /// What follows from a report that counts: for the line to its machine, for the tasks
+    /// that it names, and for those that it does not.
+    fn take_in(&mut self, report: &Report, source: Source, now: Time) {
+        let id = &report.machine;
         let (lease_s, hears_badly) = (self.cfg.lease_s, now < self.deaf_until);
-        let Some(link) = self.link(
-            &report.machine,
-            report.addr,
-            &report.build,
-            &report.rack,
-            report.loaners,
-            now,
-        ) else {
-            return true;
+        let Some(link) = self.link(&SeenMachine::by_report(report), now) else {
+            return;
         };
-        let ended = report.shift > link.session && link.seq > Seq(0);
-        let moved = link.addr != report.addr;
-        link.addr = report.addr;
-        link.session = report.shift;
-        link.seq = report.tick;
-        let took_up = report.baton > link.seen && report.baton.grant() == link.token.grant();
-        link.seen = link.seen.max(report.baton);
-        link.last_heard = now;
-        link.told_of = Seq(0);
-        (link.suspect, link.hangs) = (false, 0);
-        link.passed = source == Source::Passed;
-        // Only what comes from the worker itself shows that there is a way. Reports
-        // that others took did too once: while the owner was cut off from all
-        // workers, commands were tried directly after each of them.
-        if source == Source::Beat {
-            link.direct_retry = Time(link.direct_retry.0.min(now.0 + 1.0));
-        }
-        if report.warning_s.is_some() {
-            link.leaving = true;
-        }
-        link.tasks = report
-            .pieces
-            .iter()
-            .filter_map(|p: &ReportedTask| Some(((p.id()?, p.attempt), (p.phase, p.cause))))
-            .collect();
-        // That it reports is no sign that it hears: each report made a machine
-        // usable again that no command reached.
-        link.reachability.reported(now);
-        if took_up {
-            link.reachability.proved(now);
-        }
+        let news = link.take_in(report, source, now);
         // Its leases end though its reports are answered: whatever runs there is
         // lost each time. While requests wait too long, answers may be too late.
-        if ended && link.reachability.session_ended(lease_s, now) && !hears_badly {
+        if news.session_ended && link.reachability.session_ended(lease_s, now) && !hears_badly {
             link.leaving = true;
         }
-        link.images.clone_from(&report.images);
-        self.hear_of_images(report);
-        let Some(link) = self.links.get(&report.machine) else {
-            return true;
-        };
         let fenced = report.baton >= link.token;
-        if moved {
-            self.cluster_state
-                .locate(&report.machine, Some(report.addr.ip()));
+        self.hear_of_images(report);
+        if news.moved {
+            self.cluster_state.locate(id, Some(report.addr.ip()));
         }
-        self.see_starts(&report.machine, now);
-        if ended {
-            self.session_ended(&report.machine, now);
+        self.see_starts(id, now);
+        if news.session_ended {
+            self.session_ended(id, now);
         }
         if fenced {
-            self.reconcile(&report.machine, source, now);
-        }
-        if let Some(link) = self.links.get_mut(&report.machine) {
-            if link.fenced() && link.reachability.in_doubt() {
-                // It has the present token and does nothing: a higher one has
-                // to be taken up before anything more goes there.
-                link.token = link.token.raised();
-                link.doubted = true;
-            } else if link.fenced() {
-                link.doubted = false;
-            }
+            self.reconcile(id, source, now);
+        }
+        self.settle_doubt(id);
+        self.wake(id);
+        self.refresh_machine(id, now);
+    }
+
+    /// A machine that has the present token is no longer doubted, unless nothing that is
+    /// sent there has an effect.
+    fn settle_doubt(&mut self, id: &MachineId) {
+        let Some(link) = self.links.get_mut(id).filter(|l| l.fenced()) else {
+            return;
+        };
+        link.doubted = link.reachability.in_doubt();
+        if link.doubted {
+            // It has the present token and does nothing: a higher one has
+            // to be taken up before anything more goes there.
+            link.raise_token();
         }
-        self.wake(&report.machine);
-        self.refresh_machine(&report.machine, now);
-        true
     }
 
     /// A task that we started is in the report: the machine hears.
@@ -128,7 +102,10 @@
         let began = self.cluster_state.claims_on(id).into_iter().any(|task| {
             self.cluster_state.claim_of(&task).is_some_and(|c| {
                 matches!(c.sent, Sent::InReply | Sent::Flying)
-                    && link.tasks.contains_key(&(task, c.attempt))
+                    && link.tasks.contains_key(&TaskAttempt {
+                        task,
+                        attempt: c.attempt,
+                    })
             })
         });
         if began {
@@ -155,16 +132,10 @@
     }
 
     /// Another controller heard a machine, and there was nothing new. A hint:
-    /// it only spares the question whether the machine still answers. Each report
-    /// counts once: told of again and again, a copy kept a dead machine alive.
+    /// it only spares the question whether the machine still answers.
     pub fn heard(&mut self, id: &MachineId, session: Session, seq: Seq, now: Time) {
-        let Some(link) = self.links.get_mut(id) else {
-            return;
-        };
-        if link.session == session && seq > link.seq.max(link.told_of) {
-            link.told_of = seq;
-            link.last_heard = now;
-            (link.suspect, link.hangs) = (false, 0);
+        if let Some(link) = self.links.get_mut(id) {
+            link.heard_elsewhere(session, seq, now);
         }
     }
 
@@ -175,63 +146,89 @@
             return;
         }
         for task in self.cluster_state.claims_on(id) {
-            let Some(job) = self.cluster_state.job(&task.job) else {
-                continue;
-            };
-            let (spec, cancelled) = (job.spec.clone(), job.cancelled);
-            let Some(claim) = self.cluster_state.claim_mut(&task) else {
-                continue;
-            };
-            let Some(link) = self.links.get(id) else {
-                return;
-            };
-            match link.tasks.get(&(task.clone(), claim.attempt)).copied() {
-                Some((TaskPhase::Ended, why)) => {
-                    self.ended(id, &task, &spec, why.unwrap_or(Why::Other), now);
-                }
-                Some((phase, _)) => {
-                    claim.sent = Sent::Answered;
-                    let waiting = phase == TaskPhase::Waiting;
-                    let before = claim.progress;
-                    claim.progress = match (phase, before) {
-                        (TaskPhase::Fetching | TaskPhase::Waiting, _) => Progress::Fetching,
-                        (TaskPhase::Saving, _) => Progress::Saving,
-                        (_, Progress::Running(since)) => Progress::Running(since),
-                        _ => Progress::Running(now),
-                    };
-                    let after = claim.progress;
-                    if waiting || matches!(after, Progress::Running(_)) && before != after {
-                        self.cluster_state.ran(&task);
-                    }
-                    if matches!(after, Progress::Running(_)) && before != after {
-                        self.image_ran(&task);
-                    }
+            self.reconcile_claim(id, &task, source, now);
+        }
+    }
+
+    /// Compares one claim with the report of its machine.
+    fn reconcile_claim(&mut self, id: &MachineId, task: &TaskId, source: Source, now: Time) {
+        let job = self.cluster_state.job(&task.job);
+        let claim = self.cluster_state.claim_of(task);
+        let (Some(job), Some(claim), Some(link)) = (job, claim, self.links.get(id)) else {
+            return;
+        };
+        let key = TaskAttempt {
+            task: task.clone(),
+            attempt: claim.attempt,
+        };
+        match link.tasks.get(&key).copied() {
+            Some(TaskStatus {
+                phase: TaskPhase::Ended,
+                why,
+            }) => {
+                let spec = job.spec.clone();
+                self.ended(id, task, &spec, why.unwrap_or(Why::Other), now);
+            }
+            Some(TaskStatus { phase, .. }) => self.claim_runs(task, phase, now),
+            None => self.claim_not_reported(id, task, source, now),
+        }
+    }
+
+    /// A claimed task is on its machine, and has not ended.
+    fn claim_runs(&mut self, task: &TaskId, phase: TaskPhase, now: Time) {
+        let Some(claim) = self.cluster_state.claim_mut(task) else {
+            return;
+        };
+        claim.sent = Sent::Answered;
+        let before = claim.progress;
+        let after = match (phase, before) {
+            (TaskPhase::Fetching | TaskPhase::Waiting, _) => Progress::Fetching,
+            (TaskPhase::Saving, _) => Progress::Saving,
+            (_, Progress::Running(since)) => Progress::Running(since),
+            _ => Progress::Running(now),
+        };
+        claim.progress = after;
+        let began = matches!(after, Progress::Running(_)) && before != after;
+        if phase == TaskPhase::Waiting || began {
+            self.cluster_state.ran(task);
+        }
+        if began {
+            self.image_ran(task);
+        }
+    }
+
+    /// A claimed task is not on its machine: it never was, or it is over, or its start is
+    /// still to arrive.
+    fn claim_not_reported(&mut self, id: &MachineId, task: &TaskId, source: Source, now: Time) {
+        let in_flight = self.links.get(id).is_some_and(|l| l.direct.is_in_flight());
+        let job = self.cluster_state.job(&task.job);
+        let cancelled = job.is_some_and(|j| j.cancelled);
+        let Some(claim) = self.cluster_state.claim_mut(task) else {
+            return;
+        };
+        match claim.sent {
+            Sent::No => {}
+            // Never started, or over. Its owner may have dropped it and
+            // given its limit, place or devices to another claim, and
+            // only that one may be in the record yet: so it is placed
+            // anew rather than started.
+            Sent::Found => {
+                self.release(task, now);
+            }
+            // Only the next report of the worker's own shows whether
+            // it took a reply: a direct answer may overtake it.
+            Sent::InReply if source == Source::Direct => {}
+            // An answer is still to come, and tells.
+            Sent::Flying if in_flight => {}
+            Sent::Flying | Sent::InReply => {
+                claim.sent = Sent::No;
+                if cancelled || claim.stop.is_some() {
+                    self.release(task, now);
                 }
-                None => match claim.sent {
-                    Sent::No => {}
-                    // Never started, or over. Its owner may have dropped it and
-                    // given its limit, place or devices to another claim, and
-                    // only that one may be in the record yet: so it is placed
-                    // anew rather than started.
-                    Sent::Found => {
-                        self.release(&task, now);
-                    }
-                    // Only the next report of the worker's own shows whether
-                    // it took a reply: a direct answer may overtake it.
-                    Sent::InReply if source == Source::Direct => {}
-                    // An answer is still to come, and tells.
-                    Sent::Flying if link.flying => {}
-                    Sent::Flying | Sent::InReply => {
-                        claim.sent = Sent::No;
-                        if cancelled || claim.stop.is_some() {
-                            self.release(&task, now);
-                        }
-                    }
-                    Sent::Answered => {
-                        tracing::info!(task = %task, machine = %id, "task is gone");
-                        self.release(&task, now);
-                    }
-                },
+            }
+            Sent::Answered => {
+                tracing::info!(task = %task, machine = %id, "task is gone");
+                self.release(task, now);
             }
         }
     }
