--- a/src/http.rs
+++ b/src/http.rs
@@ -11,6 +11,7 @@
 use hyper::{Method, Request, StatusCode};
 use hyper_util::rt::TokioIo;
 use tokio::net::TcpStream;
+use tokio::time::error::Elapsed;
 use tokio::time::timeout;
 
 /// Why a call has no answer.
@@ -18,10 +19,30 @@
 pub enum CallError {
     /// No connection came about, so the request was certainly not carried out.
     #[error("not connected: {0}")]
-    NotSent(String),
+    NotSent(#[source] TransportError),
     /// The request may have been carried out, or may still be.
     #[error("no answer: {0}")]
-    Unknown(String),
+    Unknown(#[source] TransportError),
+}
+
+/// What failed below HTTP's own answers.
+#[derive(Debug, thiserror::Error)]
+pub enum TransportError {
+    /// The time limit passed.
+    #[error(transparent)]
+    Timeout(#[from] Elapsed),
+    /// No connection came about.
+    #[error(transparent)]
+    Connect(#[from] std::io::Error),
+    /// The method, path or address make no request.
+    #[error(transparent)]
+    Request(#[from] hyper::http::Error),
+    /// The connection failed, or what came over it is not HTTP.
+    #[error(transparent)]
+    Http(#[from] hyper::Error),
+    /// The answer's body did not come whole, or is longer than [`MOST_BYTES`].
+    #[error(transparent)]
+    Body(Box<dyn std::error::Error + Send + Sync>),
 }
 
 /// A call's time limits.
@@ -42,22 +63,20 @@
     pub body: Bytes,
 }
 
+/// The longest body of an answer that is read, in bytes.
 const MOST_BYTES: usize = 64 << 20;
+/// Connections to one address that are kept open while nothing is asked.
 const MOST_IDLE: usize = 4;
 
 type Sender = SendRequest<Full<Bytes>>;
 
-async fn connect(address: SocketAddr, limit: Duration) -> Result<Sender, CallError> {
-    let not_sent = |e: &dyn std::fmt::Display| CallError::NotSent(e.to_string());
-    let stream = timeout(limit, TcpStream::connect(address))
-        .await
-        .map_err(|e| not_sent(&e))?
-        .map_err(|e| not_sent(&e))?;
+/// Opens a connection. Its task ends with it: when the sender is dropped, or the other end
+/// closes.
+async fn connect(address: SocketAddr, limit: Duration) -> Result<Sender, TransportError> {
+    let stream = timeout(limit, TcpStream::connect(address)).await??;
     // Small requests must not wait for an earlier packet's acknowledgement.
-    stream.set_nodelay(true).map_err(|e| not_sent(&e))?;
-    let (sender, connection) = handshake(TokioIo::new(stream))
-        .await
-        .map_err(|e| not_sent(&e))?;
+    stream.set_nodelay(true)?;
+    let (sender, connection) = handshake(TokioIo::new(stream)).await?;
     tokio::task::spawn_local(async move {
         if let Err(error) = connection.await {
             tracing::debug!(%address, %error, "connection ended");
@@ -66,37 +85,46 @@
     Ok(sender)
 }
 
-async fn exchange(
-    sender: &mut Sender,
+fn request(
     address: SocketAddr,
     method: Method,
     path: &str,
     body: Bytes,
-    limit: Duration,
-) -> Result<Answer, CallError> {
-    let unknown = |e: &dyn std::fmt::Display| CallError::Unknown(e.to_string());
-    let request = Request::builder()
+) -> Result<Request<Full<Bytes>>, TransportError> {
+    Ok(Request::builder()
         .method(method)
         .uri(path)
         .header("host", address.to_string())
         .header("content-type", "application/json")
-        .body(Full::new(body))
-        .map_err(|e| CallError::NotSent(e.to_string()))?;
-    timeout(limit, async {
-        let response = sender
-            .send_request(request)
-            .await
-            .map_err(|e| unknown(&e))?;
-        let status = response.status();
-        let body = Limited::new(response.into_body(), MOST_BYTES)
-            .collect()
-            .await
-            .map_err(|e| unknown(&e))?
-            .to_bytes();
-        Ok(Answer { status, body })
-    })
-    .await
-    .map_err(|e| unknown(&e))?
+        .body(Full::new(body))?)
+}
+
+/// Sends a request and reads the whole answer.
+async fn send(
+    sender: &mut Sender,
+    request: Request<Full<Bytes>>,
+) -> Result<Answer, TransportError> {
+    let response = sender.send_request(request).await?;
+    let status = response.status();
+    let body = Limited::new(response.into_body(), MOST_BYTES)
+        .collect()
+        .await
+        .map_err(TransportError::Body)?
+        .to_bytes();
+    Ok(Answer { status, body })
+}
+
+/// Sends a request within a time limit; one that can't be made is not sent.
+async fn exchange(
+    sender: &mut Sender,
+    request: Result<Request<Full<Bytes>>, TransportError>,
+    limit: Duration,
+) -> Result<Answer, CallError> {
+    let request = request.map_err(CallError::NotSent)?;
+    match timeout(limit, send(sender, request)).await {
+        Ok(result) => result.map_err(CallError::Unknown),
+        Err(elapsed) => Err(CallError::Unknown(elapsed.into())),
+    }
 }
 
 /// One call over a connection of its own. If that can't be made, nothing was
@@ -108,8 +136,11 @@
     body: Bytes,
     limits: Limits,
 ) -> Result<Answer, CallError> {
-    let mut sender = connect(address, limits.connect).await?;
-    exchange(&mut sender, address, method, path, body, limits.answer).await
+    let mut sender = connect(address, limits.connect)
+        .await
+        .map_err(CallError::NotSent)?;
+    let request = request(address, method, path, body);
+    exchange(&mut sender, request, limits.answer).await
 }
 
 /// Calls over connections that stay open.
@@ -148,9 +179,12 @@
     ) -> Result<Answer, CallError> {
         let mut sender = match self.take_idle() {
             Some(sender) => sender,
-            None => connect(self.address, limits.connect).await?,
+            None => connect(self.address, limits.connect)
+                .await
+                .map_err(CallError::NotSent)?,
         };
-        let result = exchange(&mut sender, self.address, method, path, body, limits.answer).await;
+        let request = request(self.address, method, path, body);
+        let result = exchange(&mut sender, request, limits.answer).await;
         let mut idle = self.idle.borrow_mut();
         if result.is_err() {
             idle.clear();
