--- a/src/state/job_record.rs
+++ b/src/state/job_record.rs
@@ -3,9 +3,9 @@
 use serde::{Deserialize, Serialize};
 use sorrelhinge_pipelines::graph::{Facts, Recorded};
 use sorrelhinge_pipelines::urgency::Urgency;
-use sorrelhinge_topology::devices::Unit;
 
-use crate::types::{Attempt, JobId, JobSpec, MachineId, Priority, Revision, Seal, TypeName};
+use super::chunk_record::{chunk_size_of, claim_bytes, ChunkRecord, CLAIM_BYTES, OWN_BYTES};
+use crate::types::{JobId, JobSpec, Priority, Revision, Seal, TypeName};
 
 /// A job's phase, as far as it is recorded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -128,6 +128,7 @@
         }
         record
     }
+
     /// Whether it can be written, now and with all its claims, if values have at most
     /// `value_bytes`. One that can't must not be accepted: the state service refuses it.
     pub fn fits(&self, value_bytes: usize) -> bool {
@@ -139,6 +140,7 @@
         let claims = self.inline.as_ref().map_or(0, |_| self.tasks as usize);
         record.len() + OWN_BYTES + claims * claim <= value_bytes
     }
+
     /// Keeps the job from versions that don't know what it needs.
     fn wait_for(&mut self, needs: Vec<JobId>) {
         let Some(spec) = self.spec.as_mut().filter(|_| !needs.is_empty()) else {
@@ -151,6 +153,7 @@
         }));
         spec.fence();
     }
+
     /// The job as its user described it, if its description is kept.
     pub fn description(&self) -> Option<JobSpec> {
         let mut spec = (**self.spec.as_ref()?).clone();
@@ -160,10 +163,12 @@
         }
         Some(spec.opened())
     }
+
     /// The jobs that it needs.
     pub fn needs(&self) -> &[JobId] {
         self.waits.as_ref().map_or(&[], |waits| &waits.needs)
     }
+
     /// What it says for the graph of jobs that wait for each other.
     pub fn facts(&self) -> Facts {
         let milli = |seconds: f64| (seconds * 1000.0) as i64;
@@ -185,6 +190,7 @@
             run_ms: spec.map_or(0, |s| milli(s.estimate_s + STAGE_OVERHEAD_S)),
         }
     }
+
     /// The record of the same job once it is done.
     pub fn done(&self, done_ms: u64) -> Self {
         Self {
@@ -198,66 +204,3 @@
         }
     }
 }
-
-/// Claims and results of up to 64 tasks.
-#[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct ChunkRecord {
-    /// The next attempt number.
-    #[serde(rename = "a")]
-    pub next_attempt: u64,
-    /// Done tasks, one bit each.
-    #[serde(rename = "d")]
-    pub done: u64,
-    /// Claims: the task's place in the chunk, the attempt, the machine.
-    #[serde(rename = "c", default, skip_serializing_if = "Vec::is_empty")]
-    pub claims: Vec<(u32, Attempt, MachineId)>,
-    /// Devices that claims of a job with devices hold, if only none: the
-    /// task's place in the chunk, the units. A
-    /// field of its own, so that earlier versions can read the claims; what
-    /// they write has none, and then any device of the machine may be held.
-    #[serde(rename = "u", default, skip_serializing_if = "Vec::is_empty")]
-    pub units: Vec<(u32, Vec<Unit>)>,
-}
-
-impl ChunkRecord {
-    /// Nothing claimed, nothing done.
-    pub fn new() -> Self {
-        Self {
-            next_attempt: 1,
-            ..Self::default()
-        }
-    }
-    /// About how many bytes its claims take.
-    pub fn weight(&self) -> usize {
-        let units = self.units.iter().flat_map(|(_, units)| units);
-        CLAIM_BYTES * self.claims.len() + units.map(|u| u.kind().len() + UNIT_BYTES).sum::<usize>()
-    }
-}
-
-/// Bytes of a claim: about 25, and machine names may be longer than usual.
-const CLAIM_BYTES: usize = 40;
-/// Bytes of a unit that a claim names, but for its kind: a name has at most 40.
-const UNIT_BYTES: usize = 56;
-
-/// Bytes left out for a chunk's own fields, and in a job's record for its place, which
-/// comes later: it must not make the record too large to write.
-const OWN_BYTES: usize = 128;
-
-/// Bytes of a claim of such a job's task: units that it names take room beside it.
-fn claim_bytes(spec: &JobSpec) -> usize {
-    let sealed = spec.seal.iter().flat_map(|seal| &seal.placement);
-    let devices = spec.placement.iter().chain(sealed).flat_map(|w| &w.devices);
-    let units: usize = devices
-        .map(|d| d.count as usize * (d.kind.len() + UNIT_BYTES))
-        .sum();
-    CLAIM_BYTES + units
-}
-
-fn chunk_size_of(value_bytes: usize, claim_bytes: usize) -> u32 {
-    (value_bytes.saturating_sub(OWN_BYTES) / claim_bytes).clamp(1, 64) as u32
-}
-
-/// Tasks that fit into a chunk when values have at most `value_bytes`.
-pub fn chunk_size(value_bytes: usize) -> u32 {
-    chunk_size_of(value_bytes, CLAIM_BYTES)
-}
--- a/src/state/mod.rs
+++ b/src/state/mod.rs
@@ -11,10 +11,11 @@
 //! | [`client`] | requests to the service |
 //! | [`budget`] | this controller's share of them |
 //! | [`error`] | outcomes and errors |
-//! | [`record`], [`job_record`] | keys and values |
+//! | [`record`], [`job_record`], [`chunk_record`] | keys and values |
 //! | [`view`], [`job_entry`], [`history`] | the copy of them |
 
 pub mod budget;
+pub mod chunk_record;
 pub mod client;
 pub mod error;
 pub mod history;
--- /dev/null
+++ b/src/state/record/keys.rs
@@ -0,0 +1,145 @@
+//! Keys of the records: how each is made, and read back. Their texts are stored, so they
+//! never change.
+
+use sorrelhinge_blocks::shard::{BlockId, MAX_BLOCKS};
+use sorrelhinge_calendar::record::{parse_key, CALENDAR_KEY};
+
+use super::deleted_machines::GONE_SLOTS;
+use crate::types::{Image, JobId, NodeId};
+
+/// Prefix of all keys.
+pub const ROOT: &str = "h/";
+/// Key of the leader's record.
+pub const LEADER: &str = "h/leader";
+/// Key of the block grant.
+pub const GRANT: &str = "h/grant";
+
+/// Key of a job.
+pub fn job_key(job: &JobId) -> String {
+    format!("h/job/{job}")
+}
+
+/// Key of a chunk of a job's tasks; padded, so that keys sort by number.
+pub fn chunk_key(job: &JobId, chunk: u32) -> String {
+    format!("h/task/{job}/{chunk:06}")
+}
+
+/// Key of the number of blocks.
+pub const MAP: &str = "h/map";
+
+/// Key of a block's owner.
+pub fn block_key(block: BlockId) -> String {
+    format!("h/block/{block}")
+}
+
+/// Key of a block's part of the limits.
+pub fn slice_key(block: BlockId) -> String {
+    format!("h/slice/{block}")
+}
+
+/// Key of a controller that lives.
+pub fn member_key(node: &NodeId) -> String {
+    format!("h/node/{node}")
+}
+
+/// Key of a list of machines that are gone.
+pub fn gone_key(slot: u32) -> String {
+    format!("h/gone/{slot}")
+}
+
+/// Key of a drain.
+pub fn drain_key(number: u64) -> String {
+    format!("h/drain/{number}")
+}
+
+/// Key of an image's wave among a block's machines.
+pub fn wave_key(block: BlockId, image: u64) -> String {
+    format!("h/wave/{block}/{image:016x}")
+}
+
+/// What an image is called in keys: FNV-1a of its name, which may be long and
+/// may have any character.
+pub fn image_hash(image: &Image) -> u64 {
+    let mix = |hash: u64, byte: u8| (hash ^ u64::from(byte)).wrapping_mul(0x100_0000_01b3);
+    image.as_str().bytes().fold(0xcbf2_9ce4_8422_2325, mix)
+}
+
+/// What a key holds.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub enum Key {
+    /// The leader.
+    Leader,
+    /// The grant.
+    Grant,
+    /// A job.
+    Job(JobId),
+    /// A chunk of tasks.
+    Chunk(JobId, u32),
+    /// A drain.
+    Drain(u64),
+    /// Machines that are gone.
+    DeletedMachines(u32),
+    /// The number of blocks.
+    Map,
+    /// A block's owner.
+    Block(BlockId),
+    /// A block's part of the limits.
+    Slice(BlockId),
+    /// A controller that lives.
+    Member(NodeId),
+    /// The windows of the release calendar.
+    Calendar,
+    /// An occurrence of a window: its name, and its beginning in milliseconds.
+    Window(String, i64),
+    /// An image's wave among a block's machines.
+    Wave(BlockId, u64),
+}
+
+impl Key {
+    /// Reads a key; none if it is not one of ours.
+    pub fn parse(text: &str) -> Option<Self> {
+        match text {
+            LEADER => Some(Self::Leader),
+            GRANT => Some(Self::Grant),
+            MAP => Some(Self::Map),
+            CALENDAR_KEY => Some(Self::Calendar),
+            _ => Self::parse_window(text).or_else(|| Self::parse_numbered(text)),
+        }
+    }
+
+    fn parse_window(text: &str) -> Option<Self> {
+        let (name, start_ms) = parse_key(text)?;
+        Some(Self::Window(name.into(), start_ms))
+    }
+
+    /// Reads the key of a kind of which there are many: the kind, and which one.
+    fn parse_numbered(text: &str) -> Option<Self> {
+        let (kind, which) = text.strip_prefix(ROOT)?.split_once('/')?;
+        match kind {
+            "job" => Some(Self::Job(JobId::from(which))),
+            "node" => Some(Self::Member(NodeId::from(which))),
+            "block" => parse_block(which).map(Self::Block),
+            "slice" => parse_block(which).map(Self::Slice),
+            "wave" => {
+                let (block, image) = which.split_once('/')?;
+                let image = u64::from_str_radix(image, 16).ok()?;
+                parse_block(block).map(|block| Self::Wave(block, image))
+            }
+            "drain" => Some(Self::Drain(which.parse().ok()?)),
+            "gone" => {
+                let slot = which.parse().ok().filter(|slot| *slot < GONE_SLOTS);
+                slot.map(Self::DeletedMachines)
+            }
+            "task" => {
+                let (job, chunk) = which.rsplit_once('/')?;
+                Some(Self::Chunk(JobId::from(job), chunk.parse().ok()?))
+            }
+            _ => None,
+        }
+    }
+}
+
+fn parse_block(text: &str) -> Option<BlockId> {
+    let block = text.parse().ok().filter(|block| *block < MAX_BLOCKS);
+    block.map(BlockId)
+}
--- /dev/null
+++ b/src/state/record/leadership.rs
@@ -0,0 +1,38 @@
+//! Who leads, and to whom the leader granted the machines while they are one block.
+
+use serde::{Deserialize, Serialize};
+
+use crate::types::{NodeId, Term};
+
+/// The present leader; the key goes away with the leader's lease.
+#[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
+pub struct LeaderRecord {
+    /// Who.
+    pub node: NodeId,
+    /// Its process: a restarted controller is not the leader that it was.
+    pub run: u64,
+    /// Rises with each leader.
+    pub term: Term,
+}
+
+/// The block of machines, granted to one controller.
+#[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
+pub struct GrantRecord {
+    /// To whom.
+    pub owner: Option<NodeId>,
+    /// By the leader of this term.
+    pub term: Term,
+    /// Rises with each grant; tokens are made from it.
+    pub number: u64,
+}
+
+/// What `h/grant` holds while there are several blocks. A version that knows one
+/// only can't read it, so it never takes all machines for its own.
+#[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
+pub struct Fence {
+    /// Of the format.
+    #[serde(rename = "v")]
+    pub version: u32,
+    /// See `h/map`.
+    pub blocks: u32,
+}
--- /dev/null
+++ b/src/state/record/shards.rs
@@ -0,0 +1,83 @@
+//! Into how many blocks the machines are divided, who owns each, and each one's part of
+//! the teams' limits.
+
+use serde::{Deserialize, Serialize};
+
+use crate::types::{Amount, NodeId, Term};
+
+/// How many blocks there are. Which one a machine belongs to follows from its
+/// name ([`sorrelhinge_blocks::shard`]).
+#[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
+pub struct MapRecord {
+    /// Of the format.
+    #[serde(rename = "v")]
+    pub version: u32,
+    /// How many; 1: the one that `h/grant` grants.
+    pub blocks: u32,
+}
+
+impl MapRecord {
+    /// The format that this version writes.
+    pub const VERSION: u32 = 1;
+}
+
+/// Who owns a block.
+#[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
+pub struct BlockRecord {
+    /// Of the format.
+    #[serde(rename = "v")]
+    pub version: u32,
+    /// Whom it is granted.
+    pub owner: NodeId,
+    /// That controller's process: one that was restarted owns nothing.
+    pub run: u64,
+    /// By the leader of this term.
+    pub term: Term,
+    /// Rises with each grant of any block; tokens are made from it.
+    pub number: u64,
+    /// To whom it is offered.
+    #[serde(default, skip_serializing_if = "Option::is_none")]
+    pub to: Option<NodeId>,
+    /// Where an operator wants it.
+    #[serde(default, skip_serializing_if = "Option::is_none")]
+    pub pin: Option<NodeId>,
+}
+
+impl BlockRecord {
+    /// The format that this version writes.
+    pub const VERSION: u32 = 1;
+}
+
+/// A block's part of the teams' limits, in thousandths of CPUs and GPUs.
+#[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
+pub struct SliceRecord {
+    /// Of the format.
+    #[serde(rename = "v")]
+    pub version: u32,
+    /// Each team's name, CPUs and GPUs.
+    #[serde(rename = "t")]
+    pub teams: Vec<(String, i64, i64)>,
+}
+
+impl SliceRecord {
+    /// The format that this version writes.
+    pub const VERSION: u32 = 1;
+
+    /// Of these parts.
+    pub fn new(parts: impl Iterator<Item = (String, Amount)>) -> Self {
+        Self {
+            version: Self::VERSION,
+            teams: parts.map(|(name, a)| (name, a.cpu, a.gpu)).collect(),
+        }
+    }
+
+    /// A team's part; none recorded: nothing.
+    pub fn of(&self, team: &str) -> Amount {
+        let found = self.teams.iter().find(|(name, ..)| name == team);
+        found.map_or(Amount::default(), |(_, cpu, gpu)| Amount {
+            cpu: *cpu,
+            gpu: *gpu,
+            ram: 0,
+        })
+    }
+}
