--- a/src/cli/pipeline.rs
+++ b/src/cli/pipeline.rs
@@ -3,12 +3,12 @@
 
 use std::fmt::Write;
 
-use bytes::Bytes;
 use clap::Subcommand;
-use hyper::Method;
 use sorrelhinge_protocol::users::WireStatus;
 
-use super::{ask, Controllers};
+use super::ask::Controllers;
+use super::error::CliError;
+use super::json_or;
 
 /// Jobs that wait for other jobs.
 #[derive(Subcommand, Debug)]
@@ -26,21 +26,18 @@
     },
 }
 
-/// Asks about a job and says how it stands in its pipeline.
-pub(super) async fn show(
-    controllers: &Controllers,
-    job: &str,
-    json: bool,
-) -> Result<String, String> {
-    let path = format!("/v1/jobs/{job}");
-    let status: WireStatus = ask(controllers, Method::GET, &path, Bytes::new()).await?;
-    if json {
-        let text = serde_json::to_string_pretty(&status).map_err(|e| e.to_string())?;
-        return Ok(text + "\n");
-    }
-    Ok(render(&status))
+/// Carries out a command; returns what goes to standard output.
+pub(super) async fn run(command: PipelineCommand) -> Result<String, CliError> {
+    let PipelineCommand::Show {
+        job,
+        json,
+        controllers,
+    } = command;
+    let status: WireStatus = controllers.get(&format!("/v1/jobs/{job}")).await?;
+    json_or(json, &status, render)
 }
 
+/// How a job stands in its pipeline.
 fn render(status: &WireStatus) -> String {
     let (uid, phase) = (&status.uid, &status.phase);
     let Some(pipeline) = &status.pipeline else {
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -10,65 +10,26 @@
 pub mod control;
 pub mod fleet;
 pub mod http;
+pub mod operator_file;
 pub mod peer;
 pub mod sched;
 pub mod serve;
 pub mod shares;
 pub mod state;
+mod topology_file;
 pub mod worker;
 
 pub use sorrelhinge_protocol::types;
+pub use topology_file::TopologyFile;
 
-use std::path::{Path, PathBuf};
 use std::rc::Rc;
 
-use sorrelhinge_topology::Topology;
 use tokio::net::TcpListener;
 use tokio::task::LocalSet;
 
 use crate::config::Config;
 use crate::control::Node;
 
-/// The operator's file for the topology, read once at the start.
-pub struct TopologyFile {
-    /// Where it is, to be read again.
-    pub path: PathBuf,
-    /// What was read.
-    pub first: Rc<Topology>,
-}
-
-impl TopologyFile {
-    /// Reads and checks the file. The error names it, and the line or field.
-    pub fn load(path: &Path) -> Result<Self, String> {
-        Ok(Self {
-            first: Rc::new(cli::check_topology(path)?),
-            path: path.to_owned(),
-        })
-    }
-}
-
-/// Reads the topology file again at each SIGHUP. One that is wrong changes
-/// nothing.
-async fn reload(node: Rc<Node>, path: PathBuf) {
-    use tokio::signal::unix::{signal, SignalKind};
-    let mut hangups = match signal(SignalKind::hangup()) {
-        Ok(hangups) => hangups,
-        Err(error) => {
-            tracing::error!(%error, "SIGHUP can't be had: the topology stays as it is");
-            return;
-        }
-    };
-    while hangups.recv().await.is_some() {
-        match cli::check_topology(&path) {
-            Ok(topology) => {
-                tracing::info!(domains = topology.tree.len() - 1, "topology read again");
-                node.set_topology(Rc::new(topology));
-            }
-            Err(error) => tracing::error!(%error, "topology: the earlier one stays"),
-        }
-    }
-}
-
 /// Runs one controller until `stop` resolves.
 pub async fn run(
     config: Config,
@@ -87,7 +48,7 @@
             let node = Node::new(cfg.clone(), peer::Peers::start(&cfg.node, others), first);
             node.start();
             if let Some(file) = topology {
-                tokio::task::spawn_local(reload(node.clone(), file.path));
+                tokio::task::spawn_local(topology_file::reload_on_hangup(node.clone(), file.path));
             }
             let heard = Rc::new(api::ForPeers::new(node.clone()));
             tokio::task::spawn_local(peer::listen(peers, 4 * cfg.others.len() + 8, heard));
--- a/src/main.rs
+++ b/src/main.rs
@@ -5,10 +5,16 @@
 
 use clap::Parser;
 use sorrelhinge::cli::Command;
-use sorrelhinge::config::Config;
+use sorrelhinge::config::{Config, ConfigError};
+use sorrelhinge::operator_file::OperatorFileError;
 use sorrelhinge::TopologyFile;
 use tracing::level_filters::LevelFilter;
 
+/// Exit code of a command or a controller that failed.
+const EXIT_FAILED: u8 = 1;
+/// Exit code for wrong arguments and files of a controller, as `clap` has it.
+const EXIT_USAGE: u8 = 2;
+
 /// A cluster scheduler controller.
 #[derive(Parser)]
 #[command(
@@ -80,10 +86,11 @@
             };
             control(&files, args.check)
         }
-        (None, None) => fail("--config or a command is needed", 2),
+        (None, None) => fail("--config or a command is needed", EXIT_USAGE),
     }
 }
 
+/// Says on standard error why the program ends.
 fn fail(why: impl std::fmt::Display, code: u8) -> ExitCode {
     eprintln!("sorrelhinge: {why}");
     ExitCode::from(code)
@@ -97,18 +104,21 @@
 
 /// Carries out an operator's command.
 fn operate(command: Command) -> ExitCode {
-    let told = runtime().map_err(|e| e.to_string()).and_then(|runtime| {
-        tokio::task::LocalSet::new().block_on(&runtime, sorrelhinge::cli::run(command))
-    });
-    match told {
+    let runtime = match runtime() {
+        Ok(runtime) => runtime,
+        Err(error) => return fail(error, EXIT_FAILED),
+    };
+    let tasks = tokio::task::LocalSet::new();
+    match tasks.block_on(&runtime, sorrelhinge::cli::run(command)) {
         Ok(text) => {
             print!("{text}");
             ExitCode::SUCCESS
         }
-        Err(why) => fail(why, 1),
+        Err(error) => fail(error, EXIT_FAILED),
     }
 }
 
+/// The files that a controller is started with.
 struct Files {
     config: PathBuf,
     properties: Option<PathBuf>,
@@ -116,25 +126,41 @@
     calendar: Option<PathBuf>,
 }
 
+/// What was in them.
+struct Loaded {
+    config: Config,
+    topology: Option<TopologyFile>,
+}
+
+impl Files {
+    /// Reads and checks all of them; the first that is wrong is the error.
+    fn load(&self) -> Result<Loaded, FilesError> {
+        let mut config = Config::load(&self.config, self.properties.as_deref())?;
+        if let Some(file) = &self.calendar {
+            config = config.with_calendar(file, sorrelhinge::control::day_ms())?;
+        }
+        let topology = self.topology.as_deref().map(TopologyFile::load);
+        Ok(Loaded {
+            config,
+            topology: topology.transpose()?,
+        })
+    }
+}
+
+/// What is wrong with the files.
+#[derive(Debug, thiserror::Error)]
+enum FilesError {
+    #[error(transparent)]
+    Settings(#[from] ConfigError),
+    #[error(transparent)]
+    Topology(#[from] OperatorFileError),
+}
+
 /// Runs a controller, or only checks its files.
 fn control(files: &Files, check: bool) -> ExitCode {
-    let loaded = Config::load(&files.config, files.properties.as_deref());
-    let loaded = loaded.and_then(|config| match &files.calendar {
-        Some(file) => config.with_calendar(file, sorrelhinge::control::day_ms()),
-        None => Ok(config),
-    });
-    let config = match loaded {
-        Ok(config) => config,
-        Err(error) => return fail(error, 2),
-    };
-    let topology = match files
-        .topology
-        .as_deref()
-        .map(TopologyFile::load)
-        .transpose()
-    {
-        Ok(topology) => topology,
-        Err(error) => return fail(error, 2),
+    let Loaded { config, topology } = match files.load() {
+        Ok(loaded) => loaded,
+        Err(error) => return fail(error, EXIT_USAGE),
     };
     if check {
         println!("settings are valid");
@@ -144,6 +170,6 @@
         .and_then(|runtime| runtime.block_on(sorrelhinge::run(config, topology, asked_to_end())));
     match served {
         Ok(()) => ExitCode::SUCCESS,
-        Err(error) => fail(error, 1),
+        Err(error) => fail(error, EXIT_FAILED),
     }
 }
