--- /dev/null
+++ b/src/api/for_peers.rs
@@ -0,0 +1,104 @@
+//! What other controllers ask this one to answer or to take note of.
+
+use std::future::Future;
+use std::pin::Pin;
+use std::rc::Rc;
+
+use http_body_util::BodyExt;
+
+use super::reply::{refuse, Reply};
+use super::{agent, jobs};
+use crate::control::core::Source;
+use crate::control::load::count;
+use crate::control::{Beat, Node};
+use crate::peer::{self, Answered, Heard};
+use crate::types::{NodeId, Revision};
+use crate::worker::Report;
+
+/// What other controllers ask this one to answer.
+pub struct ForPeers(Rc<Node>);
+
+impl ForPeers {
+    /// Asked of `node`.
+    pub fn new(node: Rc<Node>) -> Self {
+        Self(node)
+    }
+}
+
+impl Heard for ForPeers {
+    fn hint(&self, revision: Revision, from: &NodeId, standing: peer::Standing, flags: u16) {
+        self.0.hinted(revision);
+        self.0.stands(from, standing, flags);
+    }
+
+    fn homed(&self, text: &[u8]) -> Answered {
+        let reply = match serde_json::from_slice::<Report>(text) {
+            Ok(report) => {
+                count(&self.0.load().counts.homed);
+                self.0.own_beat(&report, Source::Homed)
+            }
+            Err(_) => return (400, Vec::new()),
+        };
+        match reply {
+            Beat::Reply(answer) => match serde_json::to_vec(&answer) {
+                Ok(text) => (200, text),
+                Err(_) => (503, Vec::new()),
+            },
+            Beat::Passed(answered) => answered,
+            Beat::Elsewhere(_) => (421, Vec::new()),
+            Beat::Unavailable => (503, Vec::new()),
+        }
+    }
+
+    fn share(&self, kind: peer::Kind, text: &[u8]) {
+        self.0.told_of_shares(kind, text);
+    }
+
+    fn heard(&self, machines: &[peer::HeardOf]) {
+        self.0.heard_of(machines);
+    }
+
+    fn answer(
+        self: Rc<Self>,
+        kind: peer::Kind,
+        text: Vec<u8>,
+    ) -> Pin<Box<dyn Future<Output = Answered>>> {
+        Box::pin(async move { answered(self.answer_here(kind, &text).await).await })
+    }
+}
+
+impl ForPeers {
+    async fn answer_here(&self, kind: peer::Kind, text: &[u8]) -> Reply {
+        let node = &self.0;
+        match kind {
+            peer::Kind::Submit => jobs::submit(node, text).await,
+            peer::Kind::Withdraw => jobs::withdraw(node, &String::from_utf8_lossy(text)).await,
+            peer::Kind::Poll => jobs::poll_passed(node, &String::from_utf8_lossy(text)).await,
+            peer::Kind::Beat => match serde_json::from_slice::<Report>(text) {
+                Ok(report) => agent::beat_reply(node.own_beat(&report, Source::Passed)),
+                Err(_) => refuse(400, "malformed report"),
+            },
+            peer::Kind::Via => match serde_json::from_slice::<Report>(text) {
+                Ok(report) => agent::beat_reply(node.passed_via(&report, text).await),
+                Err(_) => refuse(400, "malformed report"),
+            },
+            peer::Kind::Hint
+            | peer::Kind::Answer
+            | peer::Kind::Homed
+            | peer::Kind::Heard
+            | peer::Kind::Needs
+            | peer::Kind::Rented
+            | peer::Kind::Left => refuse(400, "not a request"),
+        }
+    }
+}
+
+/// An answer as it goes back to the controller that passed the request on.
+async fn answered(reply: Reply) -> Answered {
+    let status = reply.status().as_u16();
+    let text = match reply.into_body().collect().await {
+        Ok(body) => body.to_bytes().to_vec(),
+        Err(never) => match never {},
+    };
+    (status, text)
+}
--- /dev/null
+++ b/src/api/jobs.rs
@@ -0,0 +1,180 @@
+//! Users' requests about jobs: submissions, polls and cancellations (PROTOCOL, "Users").
+
+use std::future::Future;
+use std::time::{Duration, Instant};
+
+use serde_json::{json, Value};
+use sorrelhinge_overload::pressure::Level;
+use sorrelhinge_protocol::placement::PlacementRules;
+use sorrelhinge_protocol::users::{job_id, read_job, read_needs};
+
+use super::reply::{later, passed, refuse, reply, Reply};
+use crate::control::load::count;
+use crate::control::{Node, Polled, Submitted};
+use crate::peer;
+use crate::state::record::{NewJob, Phase};
+use crate::state::view::Summary;
+use crate::types::{JobId, JobSpec};
+
+/// A user waits so long for an answer (PROTOCOL).
+const WAITED: Duration = Duration::from_secs(2);
+/// A poll that is shed comes back after so many seconds.
+const SHED_POLL_S: u32 = 2;
+/// A submission that is shed comes back after so many seconds.
+const SHED_SUBMISSION_S: u32 = 3;
+
+/// Takes a user's submission, unless too much is asked for.
+pub(super) async fn take_submission(node: &Node, body: &[u8]) -> Reply {
+    if node.load().level() >= Level::Submissions && !node.jumps_the_queue(body) {
+        count(&node.load().counts.shed);
+        return later(SHED_SUBMISSION_S, "too much is asked for now");
+    }
+    count(&node.load().counts.submissions);
+    here_or_there(node, peer::Kind::Submit, body, submit(node, body)).await
+}
+
+/// Takes a user's cancellation.
+pub(super) async fn take_cancellation(node: &Node, id: &str) -> Reply {
+    count(&node.load().counts.cancellations);
+    let here = withdraw(node, id);
+    here_or_there(node, peer::Kind::Withdraw, id.as_bytes(), here).await
+}
+
+/// Answers a submission here.
+pub(super) async fn submit(node: &Node, body: &[u8]) -> Reply {
+    let Ok(value) = serde_json::from_slice::<Value>(body) else {
+        return refuse(400, "not JSON");
+    };
+    if !value.is_object() {
+        return refuse(400, "not an object");
+    }
+    let Some(id) = value.get("uid").and_then(Value::as_str).and_then(job_id) else {
+        return refuse(400, "uid is missing or invalid");
+    };
+    let placement = match node.topology() {
+        Some(_) => PlacementRules::read(&value),
+        // An unknown field, and ignored like any other.
+        None => Ok(None),
+    };
+    let needs = read_needs(&value).map_err(String::from);
+    let new = read_job(value).map_err(String::from).and_then(|spec| {
+        let placement = placement.map_err(|e| e.to_string())?.map(Box::new);
+        let spec = JobSpec { placement, ..spec };
+        let needs = needs?;
+        Ok(NewJob { spec, needs })
+    });
+    match node.submit(&id, new).await {
+        Err(why) => refuse(400, &why),
+        Ok(Submitted::Accepted(summary)) => {
+            node.told_of(&id, true);
+            reply(201, json!({"uid": id, "phase": phase_name(summary)}))
+        }
+        Ok(Submitted::Known(summary)) => {
+            node.told_of(&id, true);
+            reply(200, describe(&id, summary))
+        }
+        Ok(Submitted::Never(why)) => refuse(422, &why),
+        Ok(Submitted::Unavailable) => refuse(503, "can't decide now, ask again"),
+    }
+}
+
+/// Answers a user's poll.
+pub(super) async fn poll(node: &Node, id: &str) -> Reply {
+    let Some(id) = job_id(id) else {
+        return refuse(404, "no such job");
+    };
+    // While too much is asked for, polls of jobs that are not over are told to
+    // come back, but none twice in a row: when they were drawn, a user was now
+    // and then refused for longer than the 75 s after which a job is forgotten.
+    if node.sheds_poll(&id) {
+        count(&node.load().counts.shed);
+        return later(SHED_POLL_S, "too much is asked for now");
+    }
+    let asked = Instant::now();
+    let answer = match node.poll(&id).await {
+        Polled::Here(summary) => tell(node, &id, summary),
+        Polled::There(answered) => passed(answered),
+        Polled::Unknown => refuse(503, "can't tell now, ask again"),
+    };
+    // Later than that nobody listens, and the next poll is not to be shed either.
+    let told = answer.status() != 503 && asked.elapsed() < WAITED;
+    node.told_of(&id, told);
+    answer
+}
+
+/// What a user is told of a job.
+fn tell(node: &Node, id: &JobId, summary: Option<Summary>) -> Reply {
+    let Some(summary) = summary else {
+        return refuse(404, "no such job");
+    };
+    let mut told = describe(id, summary);
+    if let Some(status) = node.pipeline_status(id) {
+        told["pipeline"] = json!(status);
+    }
+    // It looks at all machines, so only where operators asked for it.
+    if summary.phase == Phase::Live && node.topology().is_some() {
+        if let Some(why) = node.why_waits(id) {
+            told["waits"] = json!(why);
+        }
+    }
+    reply(200, told)
+}
+
+/// A poll that another controller could not confirm: never shed a second time.
+pub(super) async fn poll_passed(node: &Node, id: &str) -> Reply {
+    let Some(id) = job_id(id) else {
+        return refuse(404, "no such job");
+    };
+    match node.poll_for_peer(&id).await {
+        None => refuse(503, "can't tell now, ask again"),
+        Some(summary) => tell(node, &id, summary),
+    }
+}
+
+/// Answers a cancellation here.
+pub(super) async fn withdraw(node: &Node, id: &str) -> Reply {
+    let Some(id) = job_id(id) else {
+        return refuse(404, "no such job");
+    };
+    match node.cancel(&id).await {
+        None => refuse(503, "can't decide now, ask again"),
+        Some(None) => refuse(404, "no such job"),
+        Some(Some(Phase::Done)) => reply(200, json!({"uid": id, "phase": "done"})),
+        Some(Some(_)) => reply(200, json!({"uid": id, "phase": "cancelled"})),
+    }
+}
+
+/// Answers a user's request here, or passes it on: at once if the state
+/// service is known to serve others only, else if it did not serve this one.
+async fn here_or_there(
+    node: &Node,
+    kind: peer::Kind,
+    text: &[u8],
+    here: impl Future<Output = Reply>,
+) -> Reply {
+    if node.cut_off() {
+        if let Some(answered) = node.pass_on(kind, text).await {
+            return passed(answered);
+        }
+    }
+    let answer = here.await;
+    if answer.status() == 503 && node.passes_on() {
+        if let Some(answered) = node.pass_on(kind, text).await {
+            return passed(answered);
+        }
+    }
+    answer
+}
+
+fn phase_name(summary: Summary) -> &'static str {
+    match summary.phase {
+        Phase::Done => "done",
+        Phase::Cancelled => "cancelled",
+        Phase::Live if summary.running > 0 => "running",
+        Phase::Live => "pending",
+    }
+}
+
+fn describe(id: &JobId, summary: Summary) -> Value {
+    json!({"uid": id, "phase": phase_name(summary), "done": summary.done, "running": summary.running})
+}
--- /dev/null
+++ b/src/api/operators.rs
@@ -0,0 +1,115 @@
+//! What operators ask, see [`sorrelhinge_protocol::operators`].
+
+use serde::de::DeserializeOwned;
+use serde_json::{json, Value};
+use sorrelhinge_protocol::operators::UndrainAsked;
+
+use super::reply::{refuse, reply, Reply};
+use crate::control::{Node, Refused};
+
+/// What is under an operators' path.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum Resource {
+    /// Domains, devices and drains.
+    Topology,
+    /// Priority lanes.
+    Lanes,
+    /// The machines' blocks.
+    Blocks,
+    /// Windows for which capacity is held.
+    Calendar,
+    /// Drains, to begin one.
+    Drains,
+    /// Drains, to end one.
+    Undrains,
+}
+
+impl Resource {
+    /// What is at a path.
+    pub(super) fn at(path: &str) -> Option<Self> {
+        match path {
+            "/v1/topology" => Some(Self::Topology),
+            "/v1/lanes" => Some(Self::Lanes),
+            "/v1/blocks" => Some(Self::Blocks),
+            "/v1/calendar" => Some(Self::Calendar),
+            "/v1/drains" => Some(Self::Drains),
+            "/v1/undrains" => Some(Self::Undrains),
+            _ => None,
+        }
+    }
+
+    /// Whether it is shown (GET).
+    pub(super) fn is_shown(self) -> bool {
+        match self {
+            Self::Topology | Self::Lanes | Self::Blocks | Self::Calendar => true,
+            Self::Drains | Self::Undrains => false,
+        }
+    }
+
+    /// Whether it is changed (POST).
+    pub(super) fn is_changed(self) -> bool {
+        match self {
+            Self::Blocks | Self::Calendar | Self::Drains | Self::Undrains => true,
+            Self::Topology | Self::Lanes => false,
+        }
+    }
+}
+
+/// Shows a resource, or changes it as `body` says. Without a body those that can be shown
+/// are shown, by whichever method.
+pub(super) async fn operate(node: &Node, resource: Resource, body: &[u8]) -> Reply {
+    let answer = match resource.is_shown() && body.is_empty() {
+        true => show(node, resource),
+        false => change(node, resource, body).await,
+    };
+    match answer {
+        Ok(told) => reply(200, told),
+        Err(refused) => refusal(refused),
+    }
+}
+
+fn show(node: &Node, resource: Resource) -> Result<Value, Refused> {
+    match resource {
+        Resource::Topology => node.show().map(|shown| json!(shown)),
+        Resource::Lanes => node.show_lanes().map(|shown| json!(shown)),
+        Resource::Blocks => Ok(json!(node.show_blocks())),
+        Resource::Calendar => node.show_calendar().map(|shown| json!(shown)),
+        Resource::Drains | Resource::Undrains => Err(Refused::NoSuch),
+    }
+}
+
+async fn change(node: &Node, resource: Resource, body: &[u8]) -> Result<Value, Refused> {
+    match resource {
+        Resource::Blocks => node.pin(&read("blocks", body)?).await.map(|()| json!({})),
+        Resource::Calendar => {
+            let asked = read("calendar", body)?;
+            node.change_calendar(&asked).await.map(|()| json!({}))
+        }
+        Resource::Drains => {
+            let number = node.drain(&read("drain", body)?).await?;
+            Ok(json!({ "number": number }))
+        }
+        Resource::Undrains => {
+            let asked: UndrainAsked = read("undrain", body)?;
+            node.undrain(&asked.target).await.map(|()| json!({}))
+        }
+        Resource::Topology | Resource::Lanes => show(node, resource),
+    }
+}
+
+/// Reads what is asked; an error names it by `what`.
+fn read<T: DeserializeOwned>(what: &str, body: &[u8]) -> Result<T, Refused> {
+    serde_json::from_slice(body).map_err(|error| Refused::Wrong(format!("{what}: {error}")))
+}
+
+fn refusal(refused: Refused) -> Reply {
+    match refused {
+        Refused::Off => refuse(404, "this controller has no topology"),
+        Refused::NoCalendar => refuse(404, "this controller has no calendar"),
+        Refused::NoWindow => refuse(404, "no such window"),
+        Refused::NoSuch => refuse(404, "no such drain"),
+        Refused::Wrong(why) => refuse(400, &why),
+        Refused::Elsewhere(node) => reply(421, json!({ "foreman": node })),
+        Refused::Unavailable => refuse(503, "can't tell now, ask again"),
+    }
+}
