--- a/src/peer/listening.rs
+++ b/src/peer/listening.rs
@@ -6,9 +6,10 @@
 use std::time::Duration;
 
 use tokio::io::BufReader;
+use tokio::net::tcp::OwnedReadHalf;
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::mpsc;
-use tokio::task::yield_now;
+use tokio::task::{spawn_local, yield_now};
 use tokio::time::{sleep, timeout};
 
 use super::message::{HeardOf, Kind, Message, Standing};
@@ -19,6 +20,10 @@
 const MOST_ANSWERING: usize = 512;
 /// Reports that are handled without letting others have a turn.
 const IN_A_TURN: usize = 12;
+/// A silent connection ends: its other end may be long gone.
+const SILENCE: Duration = Duration::from_secs(300);
+/// After a connection that could not be accepted.
+const ACCEPT_PAUSE: Duration = Duration::from_millis(100);
 
 /// What is done with other controllers' messages.
 pub trait Heard {
@@ -36,12 +41,13 @@
         -> Pin<Box<dyn Future<Output = Answered>>>;
 }
 
-/// Takes messages from other controllers until cancelled.
+/// Takes messages from other controllers until cancelled, over `most` connections at a
+/// time; those beyond are closed at once.
 pub async fn listen<H: Heard + 'static>(listener: TcpListener, most: usize, heard: Rc<H>) {
     let open = Rc::new(());
     loop {
         let Ok((stream, _)) = listener.accept().await else {
-            sleep(Duration::from_millis(100)).await;
+            sleep(ACCEPT_PAUSE).await;
             continue;
         };
         if Rc::strong_count(&open) > most {
@@ -49,70 +55,104 @@
         }
         let _ = stream.set_nodelay(true);
         let (heard, held) = (heard.clone(), open.clone());
-        tokio::task::spawn_local(async move {
+        spawn_local(async move {
             let _held = held;
             hear(stream, heard).await;
         });
     }
 }
 
+/// Takes one connection's messages, and sends answers to them, until either fails. Requests
+/// that are being answered then go on, and their answers are lost.
 async fn hear<H: Heard + 'static>(stream: TcpStream, heard: Rc<H>) {
     let (from, mut to) = stream.into_split();
-    let mut from = BufReader::with_capacity(BUFFER, from);
     let (out, mut answers) = mpsc::channel::<Message>(MOST_ANSWERING);
-    let receive = async {
-        let mut in_a_turn = 0;
-        // A silent connection ends: its other end may be long gone.
-        while let Ok(Some(message)) =
-            timeout(Duration::from_secs(300), Message::read(&mut from)).await
-        {
-            match message.kind {
-                Kind::Hint => {
-                    let name = String::from_utf8_lossy(&message.text);
-                    let standing = Standing::parse(message.status);
-                    let from = NodeId::from(&*name);
-                    heard.hint(Revision(message.number), &from, standing, message.flags);
-                }
-                Kind::Answer => return,
-                Kind::Heard => {
-                    // Of another length it is not what this version knows.
-                    heard.heard(HeardOf::parse(&message.text).unwrap_or_default());
-                }
-                kind @ (Kind::Needs | Kind::Rented | Kind::Left) => {
-                    heard.share(kind, &message.text);
-                }
-                Kind::Homed => {
-                    let Ok(place) = out.clone().try_reserve_owned() else {
-                        continue;
-                    };
-                    let answered = heard.homed(&message.text);
-                    place.send(message.answer(answered));
-                    // They come in batches, and others wait.
-                    in_a_turn += 1;
-                    if in_a_turn % IN_A_TURN == 0 {
-                        yield_now().await;
-                    }
-                }
-                kind => {
-                    // Each holds a place for its answer; without one it is not
-                    // taken, and the other end's patience ends.
-                    let Ok(place) = out.clone().try_reserve_owned() else {
-                        continue;
-                    };
-                    let heard = heard.clone();
-                    tokio::task::spawn_local(async move {
-                        let mut message = message;
-                        let text = std::mem::take(&mut message.text);
-                        let answered = heard.answer(kind, text).await;
-                        place.send(message.answer(answered));
-                    });
-                }
-            }
-        }
+    let inbound = Inbound {
+        heard,
+        out,
+        in_a_turn: 0,
     };
+    let receive = inbound.receive(BufReader::with_capacity(BUFFER, from));
     let send = send_together(&mut to, &mut answers);
     tokio::select! {
         () = receive => {}
         () = send => {}
     }
 }
+
+/// One connection's messages, on their way to those who handle them.
+struct Inbound<H> {
+    heard: Rc<H>,
+    /// Answers, to be sent back.
+    out: mpsc::Sender<Message>,
+    /// Reports that were handled, modulo [`IN_A_TURN`] to give others a turn.
+    in_a_turn: usize,
+}
+
+impl<H: Heard + 'static> Inbound<H> {
+    async fn receive(mut self, mut from: BufReader<OwnedReadHalf>) {
+        while let Ok(Some(message)) = timeout(SILENCE, Message::read(&mut from)).await {
+            if !self.take(message).await {
+                return;
+            }
+        }
+    }
+
+    /// Handles one message. False if the connection is to end: nobody sends answers here.
+    async fn take(&mut self, message: Message) -> bool {
+        match message.kind {
+            Kind::Answer => return false,
+            Kind::Hint => self.hint(&message),
+            // Of another length it is not what this version knows.
+            Kind::Heard => {
+                let machines = HeardOf::parse(&message.text).unwrap_or_default();
+                self.heard.heard(machines);
+            }
+            kind @ (Kind::Needs | Kind::Rented | Kind::Left) => {
+                self.heard.share(kind, &message.text);
+            }
+            Kind::Homed => self.report(&message).await,
+            Kind::Beat | Kind::Via | Kind::Submit | Kind::Withdraw | Kind::Poll => {
+                self.request(message);
+            }
+        }
+        true
+    }
+
+    fn hint(&self, message: &Message) {
+        let name = String::from_utf8_lossy(&message.text);
+        let standing = Standing::parse(message.status);
+        let from = NodeId::from(&*name);
+        self.heard
+            .hint(Revision(message.number), &from, standing, message.flags);
+    }
+
+    /// Answers a report at once; without room for the answer it is not taken.
+    async fn report(&mut self, message: &Message) {
+        let Ok(place) = self.out.clone().try_reserve_owned() else {
+            return;
+        };
+        let answered = self.heard.homed(&message.text);
+        place.send(message.answer(answered));
+        // They come in batches, and others wait.
+        self.in_a_turn += 1;
+        if self.in_a_turn % IN_A_TURN == 0 {
+            yield_now().await;
+        }
+    }
+
+    /// Has a request answered by a task of its own. Each holds a place for its answer;
+    /// without one it is not taken, and the other end's patience ends. The task is not
+    /// cancelled with the connection: a request that was begun is carried out.
+    fn request(&self, mut message: Message) {
+        let Ok(place) = self.out.clone().try_reserve_owned() else {
+            return;
+        };
+        let heard = self.heard.clone();
+        spawn_local(async move {
+            let text = std::mem::take(&mut message.text);
+            let answered = heard.answer(message.kind, text).await;
+            place.send(message.answer(answered));
+        });
+    }
+}
--- a/src/peer/mod.rs
+++ b/src/peer/mod.rs
@@ -14,9 +14,10 @@
 use std::time::Duration;
 
 use tokio::io::{AsyncWriteExt, BufReader};
-use tokio::net::tcp::OwnedWriteHalf;
+use tokio::net::tcp::{OwnedReadHalf, OwnedWriteHalf};
 use tokio::net::TcpStream;
 use tokio::sync::{mpsc, oneshot};
+use tokio::task::spawn_local;
 use tokio::time::{sleep, timeout, Instant};
 use zerocopy::IntoBytes;
 
@@ -39,6 +40,12 @@
 /// Reports and their answers wait so long for company: one packet then takes
 /// many, and it is the packets that cost most.
 const LINGER: Duration = Duration::from_millis(30);
+/// For a connection to another controller.
+const CONNECT: Duration = Duration::from_secs(1);
+/// After a connection that failed or could not be made.
+const RECONNECT_PAUSE: Duration = Duration::from_millis(500);
+/// A connection that takes nothing for so long has failed.
+const WRITE_TIMEOUT: Duration = Duration::from_secs(2);
 /// Most messages in one packet.
 const TOGETHER: usize = 64;
 /// What is read of a connection at a time.
@@ -47,18 +54,54 @@
 /// An answer to a request that was passed on: HTTP status and body.
 pub type Answered = (u16, Vec<u8>);
 
+/// What a line's task and those who use the line share.
+#[derive(Default)]
+struct LineState {
+    /// Who waits for which answer, by the request's number.
+    waiting: RefCell<HashMap<u64, oneshot::Sender<Answered>>>,
+    connected: Cell<bool>,
+}
+
 /// The line to another controller.
 struct Line {
     out: mpsc::Sender<Message>,
-    waiting: Rc<RefCell<HashMap<u64, oneshot::Sender<Answered>>>>,
-    connected: Rc<Cell<bool>>,
+    state: Rc<LineState>,
     doubted_until: Cell<Option<Instant>>,
 }
 
 impl Line {
+    /// Whether it is connected; messages that ask for no answer need no more.
+    fn connected(&self) -> bool {
+        self.state.connected.get()
+    }
+
+    /// Whether requests go over it.
     fn open(&self) -> bool {
         let doubted = self.doubted_until.get();
-        self.connected.get() && doubted.is_none_or(|t| Instant::now() >= t)
+        self.connected() && doubted.is_none_or(|t| Instant::now() >= t)
+    }
+
+    /// Sends a request and waits for its answer.
+    async fn ask(&self, message: Message, patience: Duration) -> Option<Answered> {
+        let number = message.number;
+        let (tell, told) = oneshot::channel();
+        self.state.waiting.borrow_mut().insert(number, tell);
+        let answered = match self.out.try_send(message) {
+            Ok(()) => timeout(patience, told).await.ok().and_then(Result::ok),
+            Err(_) => None,
+        };
+        self.state.waiting.borrow_mut().remove(&number);
+        answered
+    }
+
+    /// A request of this kind was not answered: others are not sent this way for some time.
+    fn doubt(&self, kind: Kind) {
+        let doubted = match kind {
+            // A poll may have had next to no time left.
+            Kind::Homed | Kind::Poll => DOUBTED_REPORT,
+            _ => DOUBTED,
+        };
+        self.doubted_until.set(Some(Instant::now() + doubted));
     }
 }
 
@@ -83,18 +126,13 @@
         };
         for (node, address) in others {
             let (out, messages) = mpsc::channel(MOST_WAITING);
+            let state = Rc::<LineState>::default();
+            spawn_local(keep(address, messages, state.clone()));
             let line = Line {
                 out,
-                waiting: Rc::default(),
-                connected: Rc::default(),
+                state,
                 doubted_until: Cell::new(None),
             };
-            tokio::task::spawn_local(keep(
-                address,
-                messages,
-                line.waiting.clone(),
-                line.connected.clone(),
-            ));
             peers.lines.insert(node, line);
         }
         Rc::new(peers)
@@ -122,7 +160,7 @@
             true => LIMITS_FELL,
             false => 0,
         };
-        for line in self.lines.values().filter(|l| l.connected.get()) {
+        for line in self.lines.values().filter(|l| l.connected()) {
             // A hint that finds no room is replaced by the next one.
             let _ = line.out.try_send(Message {
                 number: self.newest.get().0,
@@ -143,7 +181,7 @@
 
     /// Tells another controller something about blocks. What finds no room is lost.
     pub fn share(&self, node: &NodeId, kind: Kind, text: Vec<u8>) {
-        if let Some(line) = self.lines.get(node).filter(|l| l.connected.get()) {
+        if let Some(line) = self.lines.get(node).filter(|l| l.connected()) {
             let _ = line.out.try_send(Message::new(kind, text));
         }
     }
@@ -151,7 +189,7 @@
     /// Tells the owner of machines that they were heard. What finds no room is
     /// lost: the next report of each goes to the owner itself, by and by.
     pub fn heard(&self, owner: &NodeId, machines: &[HeardOf]) {
-        let Some(line) = self.lines.get(owner).filter(|l| l.connected.get()) else {
+        let Some(line) = self.lines.get(owner).filter(|l| l.connected()) else {
             return;
         };
         for some in machines.chunks(HEARD_TOGETHER) {
@@ -171,7 +209,8 @@
         self.pass_on_within(node, kind, text, patience).await
     }
 
-    /// The same, with so much time for the answer.
+    /// The same, with so much time for the answer. A line that gives none is not used for
+    /// some time.
     pub async fn pass_on_within(
         &self,
         node: &NodeId,
@@ -185,63 +224,55 @@
         }
         let number = self.requests.get() + 1;
         self.requests.set(number);
-        let (tell, told) = oneshot::channel();
-        line.waiting.borrow_mut().insert(number, tell);
         let message = Message {
             number,
             waits: kind == Kind::Homed,
             ..Message::new(kind, text)
         };
-        let answered = match line.out.try_send(message) {
-            Ok(()) => timeout(patience, told).await.ok().and_then(Result::ok),
-            Err(_) => None,
-        };
-        line.waiting.borrow_mut().remove(&number);
+        let answered = line.ask(message, patience).await;
         if answered.is_none() {
-            let doubted = match kind {
-                // A poll may have had next to no time left.
-                Kind::Homed | Kind::Poll => DOUBTED_REPORT,
-                _ => DOUBTED,
-            };
-            line.doubted_until.set(Some(Instant::now() + doubted));
+            line.doubt(kind);
         }
         answered
     }
 }
 
-async fn keep(
-    address: SocketAddr,
-    mut messages: mpsc::Receiver<Message>,
-    waiting: Rc<RefCell<HashMap<u64, oneshot::Sender<Answered>>>>,
-    connected: Rc<Cell<bool>>,
-) {
+/// Keeps a line connected until cancelled.
+async fn keep(address: SocketAddr, mut messages: mpsc::Receiver<Message>, state: Rc<LineState>) {
     loop {
-        let made = timeout(Duration::from_secs(1), TcpStream::connect(address)).await;
+        let made = timeout(CONNECT, TcpStream::connect(address)).await;
         if let Ok(Ok(stream)) = made {
-            let _ = stream.set_nodelay(true);
-            let (from, mut to) = stream.into_split();
-            let mut from = BufReader::with_capacity(BUFFER, from);
-            connected.set(true);
-            let send = send_together(&mut to, &mut messages);
-            let receive = async {
-                while let Some(message) = Message::read(&mut from).await {
-                    if message.kind != Kind::Answer {
-                        return;
-                    }
-                    if let Some(tell) = waiting.borrow_mut().remove(&message.number) {
-                        // Whoever asked may have given up.
-                        let _ = tell.send((message.status, message.text));
-                    }
-                }
-            };
-            tokio::select! {
-                () = send => {}
-                () = receive => {}
-            }
-            connected.set(false);
-            waiting.borrow_mut().clear();
+            state.connected.set(true);
+            exchange(stream, &mut messages, &state).await;
+            state.connected.set(false);
+            state.waiting.borrow_mut().clear();
+        }
+        sleep(RECONNECT_PAUSE).await;
+    }
+}
+
+/// Sends messages and takes answers until the connection fails.
+async fn exchange(stream: TcpStream, messages: &mut mpsc::Receiver<Message>, state: &LineState) {
+    let _ = stream.set_nodelay(true);
+    let (from, mut to) = stream.into_split();
+    let send = send_together(&mut to, messages);
+    let receive = take_answers(BufReader::with_capacity(BUFFER, from), state);
+    tokio::select! {
+        () = send => {}
+        () = receive => {}
+    }
+}
+
+/// Hands answers to those who wait, until the connection fails or brings anything else.
+async fn take_answers(mut from: BufReader<OwnedReadHalf>, state: &LineState) {
+    while let Some(message) = Message::read(&mut from).await {
+        if message.kind != Kind::Answer {
+            return;
+        }
+        if let Some(tell) = state.waiting.borrow_mut().remove(&message.number) {
+            // Whoever asked may have given up.
+            let _ = tell.send((message.status, message.text));
         }
-        sleep(Duration::from_millis(500)).await;
     }
 }
 
@@ -263,7 +294,7 @@
             .filter_map(|m| m.encode())
             .flatten()
             .collect();
-        let sent = timeout(Duration::from_secs(2), to.write_all(&bytes)).await;
+        let sent = timeout(WRITE_TIMEOUT, to.write_all(&bytes)).await;
         if !matches!(sent, Ok(Ok(()))) {
             return;
         }
