--- a/src/cloud.rs
+++ b/src/cloud.rs
@@ -1,4 +1,5 @@
-//! The cloud's interface.
+//! The cloud's interface: machine types, the list of machines, renting and giving back
+//! (PROTOCOL, "Cloud"). Requests are paced by one budget.
 
 use std::cell::RefCell;
 use std::collections::BTreeSet;
@@ -8,10 +9,10 @@
 
 use bytes::Bytes;
 use hyper::Method;
-use serde::Deserialize;
+use serde::{Deserialize, Serialize};
 use tokio::time::Instant;
 
-use crate::http::{Limits, Pool};
+use crate::http::{CallError, Limits, Pool};
 use crate::state::Budget;
 use crate::types::{MachineId, MachineType};
 pub use sorrelhinge_protocol::cloud::{Listed, MachinePhase, Rental};
@@ -24,10 +25,45 @@
     #[error("no capacity")]
     NoCapacity,
     /// Any other refusal, or none at all; the request may be carried out late.
-    #[error("{0}")]
-    Failed(String),
+    #[error(transparent)]
+    Failed(#[from] CloudFailure),
 }
 
+/// Why a request to the cloud came to nothing.
+#[derive(Debug, thiserror::Error)]
+pub enum CloudFailure {
+    /// Not sent: this controller's share of the requests is used up.
+    #[error("over this controller's share")]
+    OverBudget,
+    /// Not sent: the request can't be written as JSON.
+    #[error(transparent)]
+    Encode(serde_json::Error),
+    /// There was no answer; whether it was sent, the cause says.
+    #[error(transparent)]
+    NoAnswer(CallError),
+    /// The cloud refused.
+    #[error("status {status}: {text}")]
+    Status {
+        /// HTTP status.
+        status: u16,
+        /// How the answer's body begins.
+        text: String,
+    },
+    /// The answer can't be read.
+    #[error("malformed answer: {0}")]
+    Malformed(#[source] serde_json::Error),
+}
+
+/// Characters of an answer's body that an error keeps.
+const MAX_REPLY_CHARS: usize = 200;
+/// A request waits so long for its share.
+const PATIENCE: Duration = Duration::from_secs(5);
+/// For one request.
+const LIMITS: Limits = Limits {
+    connect: Duration::from_secs(2),
+    answer: Duration::from_secs(6),
+};
+
 /// Client of the cloud.
 pub struct CloudClient {
     pool: Pool,
@@ -52,39 +88,46 @@
         waiting.first().map_or(0.0, |t| t.elapsed().as_secs_f64())
     }
 
+    /// Sends one request once this controller's share allows.
     async fn call(&self, method: Method, path: &str, body: Bytes) -> Result<Bytes, CloudError> {
-        let since = Instant::now();
-        self.waiting.borrow_mut().insert(since);
-        let allowed = self.budget.wait(1.0, Duration::from_secs(5)).await;
-        self.waiting.borrow_mut().remove(&since);
-        if !allowed {
-            return Err(CloudError::Failed("over this controller's share".into()));
-        }
-        let limits = Limits {
-            connect: Duration::from_secs(2),
-            answer: Duration::from_secs(6),
-        };
-        let answer = self
-            .pool
-            .call(method, path, body, limits)
-            .await
-            .map_err(|e| CloudError::Failed(e.to_string()))?;
+        self.take_request().await?;
+        let answer = self.pool.call(method, path, body, LIMITS).await;
+        let answer = answer.map_err(CloudFailure::NoAnswer)?;
         let text = || {
-            String::from_utf8_lossy(&answer.body)
-                .chars()
-                .take(200)
-                .collect::<String>()
+            let text = String::from_utf8_lossy(&answer.body);
+            text.chars().take(MAX_REPLY_CHARS).collect::<String>()
         };
         match answer.status.as_u16() {
             200 => Ok(answer.body),
             503 if text().contains("no capacity") => Err(CloudError::NoCapacity),
-            status => Err(CloudError::Failed(format!("status {status}: {}", text()))),
+            status => {
+                let text = text();
+                Err(CloudFailure::Status { status, text }.into())
+            }
         }
     }
 
+    /// Waits for one request's share. How long the first has waited so far can be asked for
+    /// meanwhile.
+    async fn take_request(&self) -> Result<(), CloudFailure> {
+        let since = Instant::now();
+        self.waiting.borrow_mut().insert(since);
+        let allowed = self.budget.wait(1.0, PATIENCE).await;
+        self.waiting.borrow_mut().remove(&since);
+        match allowed {
+            true => Ok(()),
+            false => Err(CloudFailure::OverBudget),
+        }
+    }
+
+    /// Sends one request with a body.
+    async fn post(&self, path: &str, body: &impl Serialize) -> Result<Bytes, CloudError> {
+        let body = serde_json::to_vec(body).map_err(CloudFailure::Encode)?;
+        self.call(Method::POST, path, body.into()).await
+    }
+
     fn read<'a, T: Deserialize<'a>>(body: &'a [u8]) -> Result<T, CloudError> {
-        serde_json::from_slice(body)
-            .map_err(|e| CloudError::Failed(format!("malformed answer: {e}")))
+        Ok(serde_json::from_slice(body).map_err(CloudFailure::Malformed)?)
     }
 
     /// All machine types, at current prices.
@@ -114,10 +157,9 @@
         }
     }
 
-    /// Rents machines.
+    /// Rents machines; returns the names of those that it got, which may be fewer.
     pub async fn rent(&self, rental: &Rental) -> Result<Vec<MachineId>, CloudError> {
-        let body = serde_json::to_vec(rental).map_err(|e| CloudError::Failed(e.to_string()))?;
-        let body = self.call(Method::POST, "/rentals", body.into()).await?;
+        let body = self.post("/rentals", rental).await?;
         Ok(Self::read::<WireBoxes>(&body)?.boxes)
     }
 
@@ -126,9 +168,6 @@
         let boxes = WireBoxes {
             boxes: machines.to_vec(),
         };
-        let body = serde_json::to_vec(&boxes).map_err(|e| CloudError::Failed(e.to_string()))?;
-        self.call(Method::POST, "/rentals/delete", body.into())
-            .await
-            .map(|_| ())
+        self.post("/rentals/delete", &boxes).await.map(|_| ())
     }
 }
--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -1,4 +1,8 @@
-//! The platform's settings (TOML) and the operators' own (Java properties).
+//! The platform's settings (TOML, see DEPLOY) and the operators' own (Java properties, see
+//! `docs/operations.md`). All are read and checked once, before anything is started; a
+//! [`Config`] that exists is valid.
+//!
+//! Times are in seconds (`_s`) or milliseconds (`_ms`), as they are written in the files.
 
 mod platform;
 mod properties;
@@ -11,27 +15,50 @@
 use sorrelhinge_calendar::settings::{Calendar, Known};
 use sorrelhinge_lanes::Lanes;
 
+pub use platform::WrongLine;
 pub use properties::{lanes, Tuning};
 
+use crate::operator_file::{OperatorFileCause, OperatorFileError};
 use crate::state::record::JobRecord;
 use crate::types::{Amount, NodeId, Zone};
 
-/// What is wrong with the settings, in one line that names the field.
+/// What is wrong with the settings, in one line that names the file or the field.
 #[derive(Debug, thiserror::Error)]
 pub enum ConfigError {
-    /// The file can't be read.
-    #[error("{0}: {1}")]
-    Read(PathBuf, std::io::Error),
-    /// The file is not TOML, or a field is missing or of the wrong type.
-    #[error("{0}: {1}")]
-    Toml(PathBuf, String),
+    /// The platform's file or the properties can't be read.
+    #[error("{}: {source}", path.display())]
+    Read {
+        /// The file.
+        path: PathBuf,
+        /// Why not.
+        source: std::io::Error,
+    },
+    /// The platform's file is not TOML, or a field is missing or of the wrong type.
+    #[error("{}: {source}", path.display())]
+    Toml {
+        /// The file; empty: the text did not come from one.
+        path: PathBuf,
+        /// Where it is wrong, and how.
+        source: WrongLine,
+    },
+    /// The calendar can't be used.
+    #[error(transparent)]
+    Calendar(#[from] OperatorFileError),
     /// A field's value is out of range.
-    #[error("{0}: {1}")]
-    Field(String, String),
+    #[error("{field}: {why}")]
+    Field {
+        /// The field, as a path or a property's name.
+        field: String,
+        /// What is wrong with its value.
+        why: String,
+    },
 }
 
 fn field(name: impl Into<String>, why: impl Into<String>) -> ConfigError {
-    ConfigError::Field(name.into(), why.into())
+    ConfigError::Field {
+        field: name.into(),
+        why: why.into(),
+    }
 }
 
 /// A number that has to be within bounds.
@@ -154,15 +181,25 @@
 }
 
 fn read(path: &Path) -> Result<Vec<u8>, ConfigError> {
-    std::fs::read(path).map_err(|e| ConfigError::Read(path.to_owned(), e))
+    std::fs::read(path).map_err(|source| ConfigError::Read {
+        path: path.to_owned(),
+        source,
+    })
+}
+
+/// Reads a file's text; what is not UTF-8 in it is replaced.
+fn read_text(path: &Path) -> Result<String, ConfigError> {
+    Ok(String::from_utf8_lossy(&read(path)?).into_owned())
 }
 
 impl Config {
     /// Reads and checks the platform's file and, if given, the properties.
     pub fn load(path: &Path, properties: Option<&Path>) -> Result<Self, ConfigError> {
-        let text = String::from_utf8_lossy(&read(path)?).into_owned();
-        let mut config = Self::parse(&text).map_err(|e| match e {
-            ConfigError::Toml(_, why) => ConfigError::Toml(path.to_owned(), why),
+        let mut config = Self::parse(&read_text(path)?).map_err(|e| match e {
+            ConfigError::Toml { source, .. } => ConfigError::Toml {
+                path: path.to_owned(),
+                source,
+            },
             other => other,
         })?;
         if let Some(file) = properties {
@@ -188,13 +225,17 @@
     /// Reads and checks the operators' file of windows, and turns the feature on.
     /// The error is one line that names the file.
     pub fn with_calendar(mut self, path: &Path, now_ms: i64) -> Result<Self, ConfigError> {
-        let wrong = |why| ConfigError::Toml(path.to_owned(), why);
-        let text = String::from_utf8_lossy(&read(path)?).into_owned();
-        let calendar =
-            sorrelhinge_calendar::settings::read(&text).map_err(|e| wrong(e.to_string()))?;
-        sorrelhinge_calendar::settings::check(&calendar, &self.calendar_known(now_ms))
-            .map_err(|e| wrong(e.to_string()))?;
+        let text = read_text(path)?;
+        let calendar = self
+            .checked_calendar(&text, now_ms)
+            .map_err(|cause| cause.of(path))?;
         self.calendar = Some(Arc::new(calendar));
         Ok(self)
     }
+
+    fn checked_calendar(&self, text: &str, now_ms: i64) -> Result<Calendar, OperatorFileCause> {
+        let calendar = sorrelhinge_calendar::settings::read(text)?;
+        sorrelhinge_calendar::settings::check(&calendar, &self.calendar_known(now_ms))?;
+        Ok(calendar)
+    }
 }
--- a/src/config/platform.rs
+++ b/src/config/platform.rs
@@ -128,14 +128,38 @@
     }
 }
 
-/// Says where the file is wrong: the line itself names the field, the message alone may
-/// not.
-fn toml_error(text: &str, error: &toml::de::Error) -> ConfigError {
-    let MalformedToml { line, reason } = MalformedToml::new(text, error);
-    let shown = text.lines().nth(line - 1).unwrap_or("").trim();
-    let shown: String = shown.chars().take(LINE_SHOWN).collect();
-    let why = format!("line {line} ({shown}): {reason}");
-    ConfigError::Toml(PathBuf::new(), why)
+/// Where the file is wrong: the line itself names the field, the message alone may not.
+#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
+#[error("line {line} ({shown}): {reason}")]
+pub struct WrongLine {
+    /// The line's number, from 1 on.
+    pub line: usize,
+    /// How the line begins.
+    pub shown: String,
+    /// What is wrong with it.
+    pub reason: String,
+}
+
+impl WrongLine {
+    fn new(text: &str, error: &toml::de::Error) -> Self {
+        let MalformedToml { line, reason } = MalformedToml::new(text, error);
+        let shown = text.lines().nth(line - 1).unwrap_or("").trim();
+        Self {
+            line,
+            shown: shown.chars().take(LINE_SHOWN).collect(),
+            reason,
+        }
+    }
+}
+
+impl From<RawOther> for Other {
+    fn from(raw: RawOther) -> Self {
+        Self {
+            node: NodeId::from(raw.node.as_str()),
+            zone: Zone::from(raw.area.as_str()),
+            address: raw.address,
+        }
+    }
 }
 
 fn teams(raw: Vec<RawTeam>) -> Result<Vec<TeamConfig>, ConfigError> {
@@ -245,7 +269,10 @@
 impl Config {
     /// Reads and checks the platform's settings.
     pub fn parse(text: &str) -> Result<Self, ConfigError> {
-        let raw: Raw = toml::from_str(text).map_err(|e| toml_error(text, &e))?;
+        let raw: Raw = toml::from_str(text).map_err(|e| ConfigError::Toml {
+            path: PathBuf::new(),
+            source: WrongLine::new(text, &e),
+        })?;
         let p = raw.params;
         check(&p)?;
         let positive = |key: &str, value: f64| in_range(key, value, 1e-3, 1e9);
@@ -256,15 +283,7 @@
             zone: Zone::from(raw.area.as_str()),
             bind: raw.bind,
             peer_bind: raw.peer_bind,
-            others: raw
-                .others
-                .into_iter()
-                .map(|o| Other {
-                    node: NodeId::from(o.node.as_str()),
-                    zone: Zone::from(o.area.as_str()),
-                    address: o.address,
-                })
-                .collect(),
+            others: raw.others.into_iter().map(Other::from).collect(),
             cloud: raw.outside.cloud,
             state: raw.outside.state,
             zones: p.zones.iter().map(|z| Zone::from(z.as_str())).collect(),
--- a/src/config/properties.rs
+++ b/src/config/properties.rs
@@ -1,5 +1,6 @@
 //! The operators' own settings: Java properties.
 
+use sorrelhinge_blocks::shard::MAX_BLOCKS;
 use sorrelhinge_lanes::Lanes;
 
 use super::{field, in_range, ConfigError};
@@ -53,6 +54,7 @@
     }
 }
 
+/// A number within bounds.
 fn number(key: &str, text: &str, least: f64, most: f64) -> Result<f64, ConfigError> {
     let value: f64 = text
         .trim()
@@ -69,43 +71,50 @@
         let mut tuning = Self::default();
         for (key, value) in &pairs {
             // Read by `lanes`, which refuses those that it doesn't know.
-            if key.starts_with(sorrelhinge_lanes::PREFIX) {
-                continue;
-            }
-            let t = &mut tuning;
-            match key.as_str() {
-                "delay.fetches" => t.delay_fetches = number(key, value, 0.0, 100.0)?,
-                "delay.max.s" => t.delay_max_s = number(key, value, 0.0, 600.0)?,
-                "leader.lease.s" => t.leader_lease_s = number(key, value, 1.0, 60.0)?,
-                "machine.silent.s" => t.silent_s = Some(number(key, value, 5.0, 600.0)?),
-                "fleet.idle.s" => t.idle_s = number(key, value, 0.0, 86_400.0)?,
-                "fleet.headroom" => t.headroom = number(key, value, 0.0, 10.0)?,
-                "fleet.floor" => t.floor = number(key, value, 0.0, 10.0)?,
-                "blocks.least" => {
-                    let most = f64::from(sorrelhinge_blocks::shard::MAX_BLOCKS);
-                    let least = number(key, value, 1.0, most)?;
-                    if least.fract() != 0.0 {
-                        return Err(field(key, format!("{least} is not a whole number")));
-                    }
-                    t.blocks_least = least as u32;
-                }
-                "blocks.move.every.s" => {
-                    t.move_every_s = Some(number(key, value, 2.0, 86_400.0)?);
-                }
-                "staging.least.gb" => {
-                    t.staging_least_gb = Some(number(key, value, 0.001, 1e6)?);
-                }
-                "preempt" => {
-                    t.preempt = value
-                        .trim()
-                        .parse()
-                        .map_err(|_| field(key, "neither true nor false"))?;
-                }
-                _ => return Err(field(key, "no such property")),
+            if !key.starts_with(sorrelhinge_lanes::PREFIX) {
+                tuning.set(key, value)?;
             }
         }
         Ok(tuning)
     }
+
+    /// Takes one property.
+    fn set(&mut self, key: &str, value: &str) -> Result<(), ConfigError> {
+        match key {
+            "delay.fetches" => self.delay_fetches = number(key, value, 0.0, 100.0)?,
+            "delay.max.s" => self.delay_max_s = number(key, value, 0.0, 600.0)?,
+            "leader.lease.s" => self.leader_lease_s = number(key, value, 1.0, 60.0)?,
+            "machine.silent.s" => self.silent_s = Some(number(key, value, 5.0, 600.0)?),
+            "fleet.idle.s" => self.idle_s = number(key, value, 0.0, 86_400.0)?,
+            "fleet.headroom" => self.headroom = number(key, value, 0.0, 10.0)?,
+            "fleet.floor" => self.floor = number(key, value, 0.0, 10.0)?,
+            "blocks.least" => self.blocks_least = block_count(key, value)?,
+            "blocks.move.every.s" => {
+                self.move_every_s = Some(number(key, value, 2.0, 86_400.0)?);
+            }
+            "staging.least.gb" => {
+                self.staging_least_gb = Some(number(key, value, 0.001, 1e6)?);
+            }
+            "preempt" => self.preempt = boolean(key, value)?,
+            _ => return Err(field(key, "no such property")),
+        }
+        Ok(())
+    }
+}
+
+/// A number of blocks.
+fn block_count(key: &str, text: &str) -> Result<u32, ConfigError> {
+    let count = number(key, text, 1.0, f64::from(MAX_BLOCKS))?;
+    if count.fract() != 0.0 {
+        return Err(field(key, format!("{count} is not a whole number")));
+    }
+    Ok(count as u32)
+}
+
+fn boolean(key: &str, text: &str) -> Result<bool, ConfigError> {
+    text.trim()
+        .parse()
+        .map_err(|_| field(key, "neither true nor false"))
 }
 
 /// Reads the lanes in the operators' properties.
