--- a/src/api/agent.rs
+++ b/src/api/agent.rs
@@ -1,4 +1,4 @@
-//! Workers' reports (PROTOCOL, "Workers").
+//! Workers' reports (PROTOCOL, "Workers -> controller nodes").
 
 use std::rc::Rc;
 
--- a/src/api/jobs.rs
+++ b/src/api/jobs.rs
@@ -1,4 +1,4 @@
-//! Users' requests about jobs: submissions, polls and cancellations (PROTOCOL, "Users").
+//! Users' requests about jobs: submissions, polls and cancellations (PROTOCOL, "Users -> controller nodes").
 
 use std::future::Future;
 use std::time::{Duration, Instant};
--- a/src/cloud.rs
+++ b/src/cloud.rs
@@ -1,5 +1,5 @@
 //! The cloud's interface: machine types, the list of machines, renting and giving back
-//! (PROTOCOL, "Cloud"). Requests are paced by one budget.
+//! (PROTOCOL, "Controller nodes -> cloud"). Requests are paced by one budget.
 
 use std::cell::RefCell;
 use std::collections::BTreeSet;
--- a/src/connections.rs
+++ b/src/connections.rs
@@ -35,7 +35,9 @@
 enum PassState {
     #[default]
     Waits,
+    /// May read once.
     Granted,
+    /// Waited longer than anybody waits for an answer; the connection ends.
     Late,
 }
 
@@ -43,11 +45,17 @@
 pub struct Connections {
     sockets: RefCell<Sockets>,
     admission: RefCell<AdmissionQueue<Rc<Pass>>>,
+    /// Wakes [`Connections::take_turns`].
     somebody_waits: Notify,
+    /// By which each open connection is told to end.
     ends: RefCell<HashMap<ConnId, Rc<Notify>>>,
+    /// The next connection's id.
     next: Cell<u64>,
+    /// Those that are being told that there is no room.
     turned_away: Cell<usize>,
+    /// Those that waited in vain so far.
     late: Cell<u64>,
+    /// From when on [`Time`] is counted here.
     epoch: Instant,
 }
 
@@ -102,9 +110,8 @@
         self.admission.borrow().longest_s(self.now())
     }
 
-    /// A connection was accepted: its books are opened, and what is to tell it to
-    /// end. None if there is no room.
-    pub(crate) fn accepted(self: &Rc<Self>) -> Option<(Open, Rc<Notify>)> {
+    /// A connection was accepted: its books are opened. None if there is no room.
+    pub(crate) fn accepted(self: &Rc<Self>) -> Option<Accepted> {
         let id = ConnId(self.next.get());
         self.next.set(id.0 + 1);
         let opened = self.sockets.borrow_mut().opened(id, self.now());
@@ -124,7 +131,7 @@
             all: self.clone(),
             class: Rc::new(Cell::new(Class::New)),
         });
-        Some((open, end))
+        Some(Accepted { open, end })
     }
 
     /// How many are being told that there is no room.
@@ -193,6 +200,14 @@
     }
 }
 
+/// A connection that was accepted.
+pub(crate) struct Accepted {
+    /// Its books.
+    pub(crate) open: Open,
+    /// Tells it to end, when another takes its place.
+    pub(crate) end: Rc<Notify>,
+}
+
 /// Closes the books on a connection, however it ends.
 pub(crate) struct Open(Conn);
 
--- a/src/peer/message.rs
+++ b/src/peer/message.rs
@@ -8,8 +8,11 @@
 use super::Answered;
 use crate::types::{MachineId, Seq, Session};
 
+/// How a header begins: "hnge" in the order of its bytes.
 const MAGIC: u32 = 0x6567_6e68;
+/// The version of the layout; messages of another end the connection.
 const VERSION: u16 = 2;
+/// Bytes of a header.
 const LENGTH: usize = std::mem::size_of::<Header>();
 /// Longest text that is passed on: a body of 64 KiB and some.
 pub(super) const MOST_TEXT: usize = 72 << 10;
@@ -46,6 +49,7 @@
     Poll,
 }
 
+/// All kinds; the place of one is its number on the wire, so new ones go to the end.
 const KINDS: [Kind; 12] = [
     Kind::Hint,
     Kind::Beat,
@@ -92,6 +96,7 @@
     pub share: u16,
 }
 
+// A standing on the wire: three flags, and below them the share.
 const HELPS: u16 = 0x8000;
 const CROWDED: u16 = 0x4000;
 /// A version that does not know it reads a share of 1000, which it then is.
@@ -251,6 +256,7 @@
         ours.then_some((message, length))
     }
 
+    /// Reads one from a connection; none if that ended, or brings what is no message.
     pub(super) async fn read(stream: &mut BufReader<OwnedReadHalf>) -> Option<Self> {
         let mut header = [0; LENGTH];
         stream.read_exact(&mut header).await.ok()?;
--- a/src/serve.rs
+++ b/src/serve.rs
@@ -12,12 +12,11 @@
 use hyper_util::rt::{TokioIo, TokioTimer};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
-use tokio::sync::Notify;
 use tokio::task::spawn_local;
 use tokio::time::{sleep, timeout};
 
 use crate::api;
-use crate::connections::{Connections, Gated, Open};
+use crate::connections::{Accepted, Connections, Gated};
 use crate::control::Node;
 
 /// A connection that is to end is given so long for what it is at.
@@ -26,8 +25,18 @@
 const IDLE: Duration = Duration::from_secs(60);
 /// How many at a time are told that there is no room.
 const MOST_TURNED_AWAY: usize = 32;
+/// While so many are, nobody is accepted; this is how often it is looked at.
+const TURNED_AWAY_PAUSE: Duration = Duration::from_millis(20);
+/// After a connection that could not be accepted.
+const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
+/// Whoever is told that there is no room has so long to send, and as long to receive.
+const TURN_AWAY_TIMEOUT: Duration = Duration::from_millis(300);
+/// The most that is buffered of a connection, in bytes: two of the largest bodies.
+const MAX_BUFFER: usize = 128 << 10;
 
-/// Serves connections until cancelled.
+/// Serves connections until cancelled. Each connection is a task of its own, which ends
+/// with it and closes its books by dropping [`Accepted::open`]; all are cancelled with the set of
+/// tasks that this one belongs to.
 pub async fn serve(node: Rc<Node>, listener: TcpListener) {
     let all = node.connections().clone();
     spawn_local(all.clone().take_turns());
@@ -36,24 +45,25 @@
             Ok((stream, _)) => stream,
             Err(error) => {
                 tracing::debug!(%error, "accept");
-                sleep(Duration::from_millis(50)).await;
+                sleep(ACCEPT_PAUSE).await;
                 continue;
             }
         };
-        let Some((open, end)) = all.accepted() else {
+        let Some(accepted) = all.accepted() else {
             // The others wait to be accepted, which a load balancer sees.
             while all.turned_away() >= MOST_TURNED_AWAY {
-                sleep(Duration::from_millis(20)).await;
+                sleep(TURNED_AWAY_PAUSE).await;
             }
             spawn_local(turn_away(all.clone(), stream));
             continue;
         };
-        spawn_local(attend(node.clone(), open, stream, end));
+        spawn_local(attend(node.clone(), accepted, stream));
     }
 }
 
 /// Answers one connection until either side ends it, or it is to end.
-async fn attend(node: Rc<Node>, open: Open, stream: TcpStream, end: Rc<Notify>) {
+async fn attend(node: Rc<Node>, accepted: Accepted, stream: TcpStream) {
+    let Accepted { open, end } = accepted;
     let _ = stream.set_nodelay(true);
     let conn = open.conn().clone();
     let gated = Gated::new(stream, conn.clone());
@@ -72,7 +82,7 @@
         .timer(TokioTimer::new())
         // Also ends connections on which nothing is asked any more.
         .header_read_timeout(IDLE)
-        .max_buf_size(128 << 10)
+        .max_buf_size(MAX_BUFFER)
         .serve_connection(TokioIo::new(gated), service));
     let result = tokio::select! {
         result = connection.as_mut() => result,
@@ -101,12 +111,8 @@
     async move {
         // What was sent is read, or the answer would be lost with it.
         let mut asked = [0; 2048];
-        let _ = timeout(Duration::from_millis(300), stream.read(&mut asked)).await;
-        let _ = timeout(
-            Duration::from_millis(300),
-            stream.write_all(told.as_bytes()),
-        )
-        .await;
+        let _ = timeout(TURN_AWAY_TIMEOUT, stream.read(&mut asked)).await;
+        let _ = timeout(TURN_AWAY_TIMEOUT, stream.write_all(told.as_bytes())).await;
         let _ = stream.shutdown().await;
         all.end_turning_away();
     }
--- a/src/state/client.rs
+++ b/src/state/client.rs
@@ -1,5 +1,5 @@
-//! Client of the state service: transactions, reads, watches and leases (PROTOCOL, "State
-//! service"). It paces requests and changes by two budgets and learns from refusals how
+//! Client of the state service: transactions, reads, watches and leases (PROTOCOL,
+//! "Controller nodes -> state service"). It paces requests and changes by two budgets and learns from refusals how
 //! many changes the service takes.
 
 use std::cell::{Cell, RefCell};
--- a/src/state/history.rs
+++ b/src/state/history.rs
@@ -8,23 +8,30 @@
 
 use crate::types::{Image, JobSpec, MachineId};
 
+/// Jobs that are remembered.
 const MOST_ARRIVALS: usize = 1000;
+/// Machines of which images are remembered. With one more the half that ran nothing for the
+/// longest is forgotten.
 const MOST_MACHINES: usize = 4096;
+/// Images that are remembered of a machine.
 const MOST_IMAGES: usize = 32;
 
 /// The images that a machine ran, the latest last.
 #[derive(Default)]
 struct Ran {
+    /// Each with its size in GB.
     images: VecDeque<(Image, f64)>,
-    /// When it ran the latest.
+    /// When it ran the latest: the number of tasks placed anywhere until then.
     at: u64,
 }
 
 /// What came and what ran of late.
 #[derive(Default)]
 pub struct History {
+    /// Each with when it was accepted, in milliseconds of the time of day.
     arrivals: VecDeque<(u64, Rc<JobSpec>)>,
     machines: HashMap<MachineId, Ran>,
+    /// Tasks placed so far.
     count: u64,
 }
 
@@ -37,15 +44,11 @@
         }
     }
 
-    /// A task with this image was placed on a machine.
+    /// A task with this image of `gb` GB was placed on a machine.
     pub fn placed(&mut self, machine: &MachineId, image: &Image, gb: f64) {
         self.count += 1;
         if self.machines.len() >= MOST_MACHINES && !self.machines.contains_key(machine) {
-            // Machines come and go; those that ran nothing for long are gone.
-            let mut ages: Vec<u64> = self.machines.values().map(|m| m.at).collect();
-            ages.sort_unstable();
-            let middle = ages[ages.len() / 2];
-            self.machines.retain(|_, m| m.at > middle);
+            self.forget_older_half();
         }
         let ran = self.machines.entry(machine.clone()).or_default();
         ran.at = self.count;
@@ -56,12 +59,21 @@
         }
     }
 
-    /// The jobs that came of late.
+    /// Machines come and go; those that ran nothing for long are gone.
+    fn forget_older_half(&mut self) {
+        let mut ages: Vec<u64> = self.machines.values().map(|m| m.at).collect();
+        ages.sort_unstable();
+        let middle = ages[ages.len() / 2];
+        self.machines.retain(|_, m| m.at > middle);
+    }
+
+    /// The jobs that came of late, in the order of their records, each with when it was
+    /// accepted, in milliseconds of the time of day.
     pub fn arrivals(&self) -> impl Iterator<Item = &(u64, Rc<JobSpec>)> {
         self.arrivals.iter()
     }
 
-    /// The images that each machine ran, the latest last.
+    /// The images that each machine ran, the latest last, each with its size in GB.
     pub fn images(&self) -> HashMap<MachineId, Vec<(Image, f64)>> {
         self.machines
             .iter()
--- a/src/state/mod.rs
+++ b/src/state/mod.rs
@@ -1,5 +1,5 @@
-//! The consensus-backed key-value store that all controllers share ("state service" in
-//! PROTOCOL): its client, the records kept in it, and this controller's copy of them.
+//! The consensus-backed key-value store that all controllers share (PROTOCOL,
+//! "Controller nodes -> state service"): its client, the records kept in it, and this controller's copy of them.
 //!
 //! A record is changed by compare-and-swap only: a transaction names the versions that it
 //! was decided on, and is carried out whole or not at all. A request whose outcome is
--- a/src/worker.rs
+++ b/src/worker.rs
@@ -1,4 +1,4 @@
-//! The direct line to the workers.
+//! The direct line to the workers (PROTOCOL, "Controller nodes -> workers").
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -10,6 +10,12 @@
     Command, Orders, Reply, Report, ReportedImage, ReportedTask, TaskPhase, Why,
 };
 
+/// For commands that are sent directly.
+const LIMITS: Limits = Limits {
+    connect: Duration::from_millis(700),
+    answer: Duration::from_millis(1500),
+};
+
 /// What became of commands sent directly.
 #[derive(Debug)]
 pub enum Sending {
@@ -29,11 +35,7 @@
     let Ok(body) = serde_json::to_vec(orders) else {
         return Sending::NotSent;
     };
-    let limits = Limits {
-        connect: Duration::from_millis(700),
-        answer: Duration::from_millis(1500),
-    };
-    match call_once(address, Method::POST, "/orders", Bytes::from(body), limits).await {
+    match call_once(address, Method::POST, "/orders", Bytes::from(body), LIMITS).await {
         Ok(answer) => {
             let report = serde_json::from_slice::<Report>(&answer.body).map(Box::new);
             match (answer.status.as_u16(), report) {
