--- a/src/control/block_grants.rs
+++ b/src/control/block_grants.rs
@@ -20,7 +20,7 @@
     fn leads(&self) -> bool {
         let view = self.view.borrow();
         let leader = view.leader.value.as_ref();
-        self.lease.get().is_some()
+        self.leadership.lease().is_some()
             && leader.is_some_and(|l| l.node == self.cfg.node && l.run == self.run)
     }
 
@@ -34,7 +34,7 @@
                 let leaderless = view.leader.value.is_none();
                 (view.loaded, view.block_count(), leaderless)
             };
-            if !loaded || self.lease.get().is_none() {
+            if !loaded || self.leadership.lease().is_none() {
                 continue;
             }
             if blocks > 1 && leaderless {
@@ -52,7 +52,7 @@
 
     /// Becomes leader while there are several blocks. That grants nothing.
     async fn stand_among(&self) {
-        let Some(lease) = self.lease.get() else {
+        let Some(lease) = self.leadership.lease() else {
             return;
         };
         let term = {
--- a/src/control/block_owners.rs
+++ b/src/control/block_owners.rs
@@ -2,7 +2,6 @@
 
 use std::time::Duration;
 
-use sorrelhinge_blocks::reach::Reach;
 use sorrelhinge_blocks::shard::{of_machine, BlockId, Shard};
 use tokio::time::Instant;
 
@@ -71,8 +70,7 @@
         };
         match self.state.txn(&txn, Urgency::First).await {
             Ok(_) => {
-                self.lease.set(Some(lease));
-                self.leads_until.set(asked + life);
+                self.leadership.acquired(lease, asked, life);
                 self.sync_wanted.notify_one();
             }
             Err(error) => tracing::info!(%error, "enlisting"),
@@ -108,7 +106,7 @@
                 wall_ms(),
             );
             if cores.is_empty() {
-                *self.reach.borrow_mut() = Reach::default();
+                self.leadership.forget_reachability();
             }
             cores.insert(*block, core);
             new = true;
--- a/src/control/dividing.rs
+++ b/src/control/dividing.rs
@@ -104,7 +104,7 @@
             Ok(Outcome::Done(revision)) => revision,
             other => return Err(format!("parts of the limits: {other:?}")),
         };
-        let Some(lease) = self.lease.get() else {
+        let Some(lease) = self.leadership.lease() else {
             return Err("the lease ended".into());
         };
         let mut when = vec![guard];
@@ -210,7 +210,9 @@
             }
             // If it was carried out after all, nobody owns the block: the lease
             // ends, and whoever leads next takes it.
-            Err(StateError::Unknown(_)) => self.lease.set(None),
+            Err(StateError::Unknown(_)) => {
+                self.leadership.release();
+            }
             other => {
                 tracing::info!(?other, "uniting the blocks");
                 self.fresh().await;
--- a/src/control/following.rs
+++ b/src/control/following.rs
@@ -170,7 +170,7 @@
         let mut shares = cores.len() < before;
         if shares && view.block_count() == 1 {
             // Without a block it does not lead either.
-            self.lease.set(None);
+            self.leadership.release();
         }
         for c in cores.values_mut() {
             c.set_drains(&view, self.now());
@@ -192,7 +192,7 @@
             self.work.notify_one();
         }
         if leaderless {
-            self.leader_changed.notify_one();
+            self.leadership.notify_vacant();
             self.shares_changed.notify_one();
         }
     }
--- a/src/control/leading.rs
+++ b/src/control/leading.rs
@@ -3,41 +3,47 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use sorrelhinge_blocks::reach::Reach;
 use sorrelhinge_blocks::shard::BlockId;
-use tokio::time::{sleep, timeout, Instant};
+use tokio::time::{sleep, Instant};
 
 use super::core::Core;
-use super::{wall_ms, Node, LEADER_CHANGES, LEADER_REQUESTS, UNFIT, UNFIT_WAIT};
+use super::{wall_ms, Node};
 use crate::state::record::{GrantRecord, LeaderRecord, GRANT, LEADER};
 use crate::state::view::Versioned;
 use crate::state::{Change, Outcome, StateError, Txn, Urgency, When};
 use crate::types::{Revision, Term};
 
+/// The leader's part of the requests that the state service takes.
+const LEADER_REQUESTS: f64 = 0.5;
+/// The leader's part of the changes that the state service takes.
+const LEADER_CHANGES: f64 = 0.65;
+/// A controller that lets others go first waits so long before each look whether one
+/// of them has become leader.
+const UNFIT_WAIT: Duration = Duration::from_secs(2);
+
 impl Node {
     /// Becomes leader whenever there is none, and stays it.
     pub(super) async fn lead(self: Rc<Self>) {
         let life = Duration::from_secs_f64(self.cfg.tuning.leader_lease_s);
         loop {
-            match self.lease.get() {
+            match self.leadership.lease() {
                 Some(lease) => {
                     let asked = Instant::now();
                     match self.state.renew(lease).await {
                         Ok(()) => {
-                            self.leads_until.set(asked + life);
+                            self.leadership.renewed(asked, life);
                             sleep(life / 4).await;
                         }
-                        Err(StateError::LeaseEnded) => self.lease.set(None),
+                        Err(StateError::LeaseEnded) => {
+                            self.leadership.release();
+                        }
                         Err(_) => sleep(life / 8).await,
                     }
                     continue;
                 }
-                None => {
-                    let _ =
-                        timeout(Duration::from_millis(300), self.leader_changed.notified()).await;
-                }
+                None => self.leadership.wait_for_vacancy().await,
             }
-            let unfit = Instant::now() < self.unfit_until.get();
+            let unfit = self.leadership.defers_to_others();
             if unfit {
                 // Whoever can do better goes first.
                 sleep(UNFIT_WAIT).await;
@@ -109,8 +115,7 @@
         }
         match self.state.txn(&txn, Urgency::First).await {
             Ok(Outcome::Done(revision)) => {
-                self.lease.set(Some(lease));
-                self.leads_until.set(asked + life);
+                self.leadership.acquired(lease, asked, life);
                 if !kept {
                     self.take_over(next, revision).await;
                 }
@@ -134,7 +139,7 @@
             }
         }
         if self.view.borrow().grant.value.number != grant.number {
-            self.lease.set(None);
+            self.leadership.release();
             return;
         }
         tracing::info!(term = %grant.term, grant = grant.number, "leading");
@@ -148,7 +153,7 @@
             wall_ms(),
         );
         // It gave up at once, by what it had seen as the owner before.
-        *self.reach.borrow_mut() = Reach::default();
+        self.leadership.forget_reachability();
         self.cores.borrow_mut().insert(BlockId(0), core);
         self.set_share();
         self.inherit_spread();
@@ -190,14 +195,13 @@
     /// to act first, then ends its lease, so that others need not wait for that.
     /// What it sent before is fenced as after any other end.
     pub async fn resign(&self, why: &'static str) {
-        let lease = self.lease.take();
+        let lease = self.leadership.release();
         let blocks: Vec<BlockId> = self.cores.borrow().keys().copied().collect();
         if blocks.is_empty() && lease.is_none() {
             return;
         }
         tracing::info!(why, "giving up what is owned here");
-        self.unfit_until.set(Instant::now() + UNFIT);
-        *self.reach.borrow_mut() = Reach::default();
+        self.leadership.defer_to_others();
         for block in blocks {
             self.stand_down(block);
         }
@@ -220,7 +224,7 @@
     pub(super) fn stand_down(&self, block: BlockId) {
         let core = self.cores.borrow_mut().remove(&block);
         if core.is_some_and(|c| !c.shard.is_part()) {
-            self.lease.set(None);
+            self.leadership.release();
         }
         self.set_share();
     }
--- a/src/control/mod.rs
+++ b/src/control/mod.rs
@@ -9,6 +9,7 @@
 mod dividing;
 mod drains;
 mod following;
+mod leadership;
 mod leading;
 mod limit_transfers;
 pub mod load;
@@ -27,7 +28,6 @@
 
 use sorrelhinge_blocks::isolation::DismissedWorkers;
 use sorrelhinge_blocks::owners::Owners;
-use sorrelhinge_blocks::reach::Reach;
 use sorrelhinge_blocks::shard::BlockId;
 use sorrelhinge_lanes::part::Turn as LaneTurn;
 use sorrelhinge_lanes::LaneId;
@@ -43,13 +43,14 @@
 use tokio::time::Instant;
 
 use self::core::Core;
+use self::leadership::Leadership;
 use crate::cloud::CloudClient;
 use crate::config::Config;
 use crate::connections::Connections;
 use crate::peer::{self, Peers};
 use crate::state::view::{Summary, View};
 use crate::state::StateClient;
-use crate::types::{LeaseId, MachineId, MachineType, NodeId, Revision, Time};
+use crate::types::{MachineId, MachineType, NodeId, Revision, Time};
 use crate::worker::Reply;
 
 pub use calendar::{day_ms, CalendarAsked};
@@ -105,13 +106,7 @@
     topology: RefCell<Option<Rc<Topology>>>,
     run: u64,
     epoch: Instant,
-    lease: Cell<Option<LeaseId>>,
-    /// Until then nobody else can have become leader.
-    leads_until: Cell<Instant>,
-    /// What tells whether workers are reached from here.
-    reach: RefCell<Reach>,
-    /// Until then others are left to take up what this controller gave up.
-    unfit_until: Cell<Instant>,
+    leadership: Leadership,
     sync_wanted: Notify,
     syncs_started: Cell<u64>,
     synced: watch::Sender<(u64, bool)>,
@@ -121,7 +116,6 @@
     behind_since: Cell<Option<Instant>>,
     work: Notify,
     record: Notify,
-    leader_changed: Notify,
     shares_changed: Notify,
     submissions: Cell<usize>,
     /// Whose turn it is among submissions while they are shed.
@@ -191,10 +185,6 @@
 /// Machines that are read from the list a second.
 const LISTED_A_SECOND: f64 = 350.0;
 const TICK: Duration = Duration::from_millis(200);
-/// A controller that gave up what it owned, as workers can't be reached from it,
-/// leaves it to the others for so long; and if none takes it, this much each time.
-const UNFIT: Duration = Duration::from_secs(30);
-const UNFIT_WAIT: Duration = Duration::from_secs(2);
 const MOST_SUBMISSIONS: usize = 64;
 /// While others are served for this long, requests are passed on to them.
 const CUT_OFF: Duration = Duration::from_millis(300);
@@ -203,10 +193,6 @@
 const PASS_ON: Duration = Duration::from_secs(45);
 /// Workers remembered as told whom to report to.
 const MOST_SENT_ON: usize = 8192;
-/// The leader's part of the requests that the state service takes.
-const LEADER_REQUESTS: f64 = 0.5;
-/// The leader's part of the changes.
-const LEADER_CHANGES: f64 = 0.65;
 
 fn wall_ms() -> u64 {
     SystemTime::now()
@@ -236,10 +222,7 @@
             topology: RefCell::new(topology),
             run: rand::random(),
             epoch: Instant::now(),
-            lease: Cell::new(None),
-            leads_until: Cell::new(Instant::now()),
-            reach: RefCell::default(),
-            unfit_until: Cell::new(Instant::now()),
+            leadership: Leadership::new(),
             sync_wanted: Notify::new(),
             syncs_started: Cell::new(0),
             synced: watch::Sender::new((0, false)),
@@ -248,7 +231,6 @@
             behind_since: Cell::new(None),
             work: Notify::new(),
             record: Notify::new(),
-            leader_changed: Notify::new(),
             shares_changed: Notify::new(),
             submissions: Cell::new(0),
             lane_turns: RefCell::default(),
--- a/src/control/owning.rs
+++ b/src/control/owning.rs
@@ -70,8 +70,8 @@
                 // What fails for an owner that is none any more says nothing of
                 // the next time that it is one.
                 match (reached, mine) {
-                    (true, _) => node.reach.borrow_mut().direct(),
-                    (false, Some(_)) => node.reach.borrow_mut().failed(&send.machine, now),
+                    (true, _) => node.leadership.worker_reached(),
+                    (false, Some(_)) => node.leadership.command_failed(&send.machine, now),
                     (false, None) => {}
                 }
                 if mine == Some(false) {
@@ -225,8 +225,8 @@
                 let now = self.now();
                 // Who took it up again as no other did keeps it: where nobody
                 // reaches the workers it would go round and round.
-                let fit = Instant::now() >= self.unfit_until.get();
-                if fit && self.reach.borrow().cut_off(now) {
+                let fit = !self.leadership.defers_to_others();
+                if fit && self.leadership.is_cut_off(now) {
                     self.resign("workers can't be reached from here").await;
                 }
                 let preempts = self.paces.preempt.borrow().due(now);
@@ -313,7 +313,7 @@
             sleep(FLEET_EVERY).await;
             // Without the lease another controller may own the block: its
             // machines would look silent here, and must not be given back.
-            if Instant::now() >= self.leads_until.get() {
+            if !self.leadership.is_exclusive() {
                 continue;
             }
             let now = self.now();
--- a/src/control/workers.rs
+++ b/src/control/workers.rs
@@ -46,7 +46,7 @@
     /// Whether a worker is sent away, as this controller is alone and certainly owns
     /// nothing any more: it finds the next owner before its lease ends.
     fn lets_go(&self, machine: &MachineId) -> bool {
-        let owns = Instant::now() < self.leads_until.get();
+        let owns = self.leadership.is_exclusive();
         if owns || !self.peer_contact().is_isolated() {
             return false;
         }
@@ -201,9 +201,9 @@
             // none heard this owner, its reports kept it one.
             let hears = c.hears(&report.machine);
             match source {
-                Source::Beat | Source::Direct if hears => self.reach.borrow_mut().direct(),
+                Source::Beat | Source::Direct if hears => self.leadership.worker_reached(),
                 Source::Beat | Source::Direct => {}
-                Source::Homed | Source::Passed => self.reach.borrow_mut().passed(now),
+                Source::Homed | Source::Passed => self.leadership.report_relayed(now),
             }
             if !c.report(report, source, now) {
                 drop(cores);
