--- a/src/control/block_grants.rs
+++ b/src/control/block_grants.rs
@@ -18,7 +18,7 @@
 impl Node {
     /// Whether this controller leads.
     fn leads(&self) -> bool {
-        let view = self.view.borrow();
+        let view = self.store.view();
         let leader = view.leader.value.as_ref();
         self.leadership.lease().is_some()
             && leader.is_some_and(|l| l.node == self.cfg.node && l.run == self.run)
@@ -30,7 +30,7 @@
         loop {
             let _ = timeout(GRANT_CHECK_INTERVAL, self.shares_changed.notified()).await;
             let (loaded, blocks, leaderless) = {
-                let view = self.view.borrow();
+                let view = self.store.view();
                 let leaderless = view.leader.value.is_none();
                 (view.loaded, view.block_count(), leaderless)
             };
@@ -56,7 +56,7 @@
             return;
         };
         let term = {
-            let view = self.view.borrow();
+            let view = self.store.view();
             let terms = view.blocks.values().map(|b| b.value.term);
             terms.max().unwrap_or_default()
         };
@@ -97,7 +97,7 @@
             move_every_s: self.cfg.tuning.move_every_s,
         };
         let step = {
-            let view = self.view.borrow();
+            let view = self.store.view();
             let blocks = view.blocks.iter().map(|(block, b)| {
                 let held = Held {
                     owner: b.value.owner.clone(),
@@ -115,7 +115,7 @@
         };
         let Some(step) = step else { return };
         let change = {
-            let view = self.view.borrow();
+            let view = self.store.view();
             let (block, to) = match &step {
                 Step::Grant(block, to) | Step::Offer(block, to) => (*block, Some(to.clone())),
                 Step::TakeBack(block) => (*block, None),
--- a/src/control/block_needs.rs
+++ b/src/control/block_needs.rs
@@ -60,7 +60,7 @@
             }
             let mut left = Vec::new();
             for c in self.cores.borrow_mut().values_mut() {
-                left.extend(c.leave(&self.view.borrow(), now));
+                left.extend(c.leave(&self.store.view(), now));
             }
             for some in left {
                 match self.owner_of(some.block) {
@@ -94,7 +94,7 @@
     fn take_left(&self, left: &LeftTo) {
         let now = self.now();
         if let Some(c) = self.cores.borrow_mut().get_mut(&left.block) {
-            c.left_here(&self.view.borrow(), left, now, wall_ms());
+            c.left_here(&self.store.view(), left, now, wall_ms());
         }
         self.work.notify_one();
     }
--- a/src/control/block_owners.rs
+++ b/src/control/block_owners.rs
@@ -15,12 +15,12 @@
 impl Node {
     /// How many blocks there are, by the view.
     pub(super) fn view_blocks(&self) -> u32 {
-        self.view.try_borrow().map_or(1, |v| v.block_count())
+        self.store.try_view().map_or(1, |v| v.block_count())
     }
 
     /// The block of a machine.
     pub(super) fn block_of(&self, machine: &MachineId) -> BlockId {
-        of_machine(machine, self.view.borrow().block_count())
+        of_machine(machine, self.store.view().block_count())
     }
 
     /// Whether a machine belongs to a block of this controller.
@@ -31,7 +31,7 @@
 
     /// Who owns a block, as recorded.
     pub(super) fn owner_of(&self, block: BlockId) -> Option<NodeId> {
-        let view = self.view.borrow();
+        let view = self.store.view();
         if view.block_count() == 1 {
             return view.leader.value.as_ref().map(|l| l.node.clone());
         }
@@ -43,7 +43,7 @@
 
     /// How many controllers own blocks.
     pub(super) fn owners_of_blocks(&self) -> usize {
-        let view = self.view.borrow();
+        let view = self.store.view();
         let owners: std::collections::BTreeSet<&NodeId> =
             view.blocks.values().map(|b| &b.value.owner).collect();
         match view.block_count() {
@@ -71,7 +71,7 @@
         match self.state.txn(&txn, Urgency::First).await {
             Ok(_) => {
                 self.leadership.acquired(lease, asked, life);
-                self.sync_wanted.notify_one();
+                self.store.request_refresh();
             }
             Err(error) => tracing::info!(%error, "enlisting"),
         }
@@ -141,7 +141,7 @@
         }
         let now = self.now();
         let due: Vec<(BlockId, Txn)> = {
-            let view = self.view.borrow();
+            let view = self.store.view();
             let cores = self.cores.borrow();
             let settled = cores
                 .iter()
--- a/src/control/blocks_shown.rs
+++ b/src/control/blocks_shown.rs
@@ -18,7 +18,7 @@
 impl Node {
     /// Blocks, owners, machines, parts of limits and moves under way.
     pub fn show_blocks(&self) -> BlocksShown {
-        let view = self.view.borrow();
+        let view = self.store.view();
         let told = self.needs.borrow();
         let leader = view.leader.value.as_ref().map(|l| l.node.to_string());
         let blocks = view.blocks.iter().filter(|_| view.block_count() > 1);
@@ -92,7 +92,7 @@
                 return Err(Refused::Unavailable);
             }
             let (key, stamp, record) = {
-                let view = self.view.borrow();
+                let view = self.store.view();
                 let block = BlockId(asked.block);
                 let held = view.blocks.get(&block).filter(|_| view.block_count() > 1);
                 let Some(held) = held else {
--- a/src/control/calendar.rs
+++ b/src/control/calendar.rs
@@ -43,12 +43,12 @@
         let mut told = false;
         loop {
             sleep(CALENDAR_INTERVAL).await;
-            if !self.view.borrow().loaded {
+            if !self.store.view().loaded {
                 continue;
             }
             self.take_file(&file, &mut told).await;
             let steps = {
-                let view = self.view.borrow();
+                let view = self.store.view();
                 let (wall, now) = (day_ms(), self.now());
                 let mut steps = Vec::new();
                 for c in self.cores.borrow_mut().values_mut() {
@@ -68,7 +68,7 @@
     /// controllers with files the largest number wins, whoever starts when.
     async fn take_file(&self, file: &sorrelhinge_calendar::settings::Calendar, told: &mut bool) {
         let (stamp, taken) = {
-            let view = self.view.borrow();
+            let view = self.store.view();
             let held = &view.calendar;
             // A record that can't be read at all is not written over.
             if held.stamp > Revision(0) && held.value.is_none() {
@@ -164,7 +164,7 @@
         if self.cfg.calendar.is_none() {
             return Err(Refused::NoCalendar);
         }
-        let view = self.view.borrow();
+        let view = self.store.view();
         let cores = self.cores.borrow();
         let Some(core) = cores.get(&BlockId(0)) else {
             let owner = match view.block_count() {
@@ -194,7 +194,7 @@
             if !self.fresh().await {
                 return Err(Refused::Unavailable);
             }
-            let held = self.view.borrow().calendar.clone();
+            let held = self.store.view().calendar.clone();
             if held.stamp > Revision(0) && held.value.is_none() {
                 return Err(Refused::Wrong("the calendar's record can't be read".into()));
             }
--- a/src/control/dividing.rs
+++ b/src/control/dividing.rs
@@ -73,7 +73,7 @@
             of,
         });
         let (slices, stamp, term) = {
-            let view = self.view.borrow();
+            let view = self.store.view();
             let used: Vec<Vec<Amount>> = shards
                 .map(|shard| {
                     let grant = (shard, (grant, Revision(0)), self.places.clone());
@@ -155,7 +155,7 @@
     pub(super) async fn unite_machines(&self, of: u32) {
         let now = self.now();
         let (txn, grant) = {
-            let view = self.view.borrow();
+            let view = self.store.view();
             let mut cores = self.cores.borrow_mut();
             let whole = (0..of).all(|b| {
                 let held = view.blocks.get(&BlockId(b));
--- a/src/control/drains.rs
+++ b/src/control/drains.rs
@@ -57,7 +57,7 @@
     }
 
     fn elsewhere(&self) -> Refused {
-        match &self.view.borrow().leader.value {
+        match &self.store.view().leader.value {
             Some(l) if l.node != self.cfg.node => Refused::Elsewhere(l.node.clone()),
             _ => Refused::Unavailable,
         }
@@ -82,7 +82,7 @@
                 return Err(Refused::Unavailable);
             }
             let (number, stamp, value) = {
-                let view = self.view.borrow();
+                let view = self.store.view();
                 let same = view
                     .drains
                     .iter()
@@ -126,7 +126,7 @@
                 return Err(Refused::Unavailable);
             }
             let found = {
-                let view = self.view.borrow();
+                let view = self.store.view();
                 let mut drains = view.drains.iter();
                 let found = drains.find(|(n, d)| match target {
                     Target::Number(number) => *n == number,
@@ -216,7 +216,7 @@
             }
         }
         let now = wall_ms();
-        let drains = self.view.borrow().drains.clone();
+        let drains = self.store.view().drains.clone();
         let drains = drains.iter().map(|(number, d)| {
             let progress = core.drained(&d.value);
             DrainShown {
--- a/src/control/following.rs
+++ b/src/control/following.rs
@@ -4,12 +4,32 @@
 use std::time::Duration;
 
 use sorrelhinge_overload::freshness::watch_s;
-use tokio::time::{sleep, timeout, Instant};
+use tokio::time::sleep;
 
-use super::{wall_ms, Node, BEHIND, FRESH, STALE, SYNC_GAP, SYNC_GAP_MOST};
+use super::{wall_ms, Node};
 use crate::state::{StateError, Urgency};
 use crate::types::Revision;
 
+/// Without news from the state service for this long, and while others have some
+/// for `BEHIND`, a controller is cut off.
+const STALE: Duration = Duration::from_millis(2500);
+/// An announced revision that is not read for this long shows that others are served.
+const BEHIND: Duration = Duration::from_secs(1);
+/// A user's request waits for a new view for so long: users wait 2 s.
+pub(super) const FRESH: Duration = Duration::from_millis(1400);
+/// The least pause between two reads of what is new.
+const SYNC_GAP: Duration = Duration::from_millis(20);
+/// The longest pause between two reads of what is new.
+const SYNC_GAP_MOST: Duration = Duration::from_millis(300);
+/// The pause after a watch that failed.
+const WATCH_RETRY_PAUSE: Duration = Duration::from_millis(250);
+/// The pause after a watch of a controller that owns a shard.
+const OWNER_WATCH_PAUSE: Duration = Duration::from_millis(50);
+/// The pause after a watch of one that owns none.
+const FOLLOWER_WATCH_PAUSE: Duration = Duration::from_millis(200);
+/// A read of what is new waits for its turn so long.
+const READ_PATIENCE: Duration = Duration::from_millis(800);
+
 impl Node {
     /// Whether requests can be taken: not while the others are served by the
     /// state service and this controller is not. While nobody is, users are
@@ -21,24 +41,15 @@
         if self.peer_contact().is_isolated() {
             return false;
         }
-        let view = self.view.borrow();
+        let view = self.store.view();
         let served = self.unserved() < STALE;
-        let behind = self
-            .behind_since
-            .get()
-            .is_some_and(|t| t.elapsed() >= BEHIND);
+        let behind = self.store.is_behind_for(BEHIND);
         view.loaded && (served || !behind)
     }
 
     /// A hint from another controller.
     pub fn hinted(&self, revision: Revision) {
-        if revision > self.view.borrow().ledger {
-            if self.behind_since.get().is_none() {
-                self.behind_since.set(Some(Instant::now()));
-            }
-            self.newest_hint.set(self.newest_hint.get().max(revision));
-            self.sync_wanted.notify_one();
-        }
+        self.store.hinted(revision);
     }
 
     /// Waits until the view is at least as new as the state service was when
@@ -49,31 +60,16 @@
 
     /// The same, for so long at the most.
     pub(super) async fn fresh_within(&self, patience: Duration) -> bool {
-        let need = self.syncs_started.get() + 1;
-        let mut done = self.synced.subscribe();
-        self.sync_wanted.notify_one();
-        let waited = timeout(patience, async {
-            loop {
-                let (number, ok) = *done.borrow_and_update();
-                if number >= need {
-                    return ok;
-                }
-                if done.changed().await.is_err() {
-                    return false;
-                }
-            }
-        });
-        waited.await.unwrap_or(false)
+        self.store.refresh_within(patience).await
     }
 
     /// Reads what is new whenever somebody needs to know that it is all.
     pub(super) async fn sync(self: Rc<Self>) {
         loop {
-            self.sync_wanted.notified().await;
-            let number = self.syncs_started.get() + 1;
-            self.syncs_started.set(number);
-            let ok = self.read_new(Duration::ZERO).await;
-            self.synced.send_replace((number, ok));
+            self.store.refresh_requested().await;
+            let number = self.store.begin_refresh();
+            let succeeded = self.read_new(Duration::ZERO).await;
+            self.store.end_refresh(number, succeeded);
             // Not more than half of this controller's requests.
             let gap = Duration::from_secs_f64(2.0 / self.state.requests.rate().max(1.0));
             sleep(gap.clamp(SYNC_GAP, SYNC_GAP_MOST)).await;
@@ -87,39 +83,32 @@
             let ok = self.read_new(wait).await;
             let leading = !self.cores.borrow().is_empty();
             let pause = match (ok, leading) {
-                (false, _) => 250,
-                (true, true) => 50,
-                (true, false) => 200,
+                (false, _) => WATCH_RETRY_PAUSE,
+                (true, true) => OWNER_WATCH_PAUSE,
+                (true, false) => FOLLOWER_WATCH_PAUSE,
             };
-            sleep(Duration::from_millis(pause)).await;
+            sleep(pause).await;
         }
     }
 
     /// For how long the state service has not served this controller.
     pub(super) fn unserved(&self) -> Duration {
-        Duration::from_secs_f64(self.freshness.get().age_s(self.now()))
+        self.store.age(self.now())
     }
 
     pub(super) async fn read_new(&self, wait: Duration) -> bool {
         let asked = self.now();
-        if !self.view.borrow().loaded {
+        if !self.store.view().loaded {
             return self.read_all().await;
         }
-        let since = self.view.borrow().ledger;
+        let since = self.store.view().ledger;
         match self
             .state
-            .follow(since, wait, Urgency::Within(Duration::from_millis(800)))
+            .follow(since, wait, Urgency::Within(READ_PATIENCE))
             .await
         {
             Ok(events) => {
-                let whole = self.view.borrow_mut().apply(since, events);
-                // A watch answers when something changes, or when its time is
-                // over: what it says was so at its end, but it may have been
-                // held up on the way. It too shows all that was so when it was
-                // sent; what does not fit the view shows nothing.
-                if whole {
-                    self.freshness.set(self.freshness.get().read(asked));
-                }
+                let whole = self.store.apply(since, events, asked);
                 self.view_changed();
                 whole
             }
@@ -136,9 +125,7 @@
         match self.state.read_all().await {
             Ok((ledger, items)) => {
                 tracing::info!(%ledger, keys = items.len(), "read everything");
-                self.view.borrow_mut().replace(ledger, items);
-                // One that was sent earlier may be answered last: the view is newer then.
-                self.freshness.set(self.freshness.get().read(asked));
+                self.store.replace(ledger, items, asked);
                 self.view_changed();
                 true
             }
@@ -150,11 +137,8 @@
     }
 
     pub(super) fn view_changed(&self) {
-        let mut view = self.view.borrow_mut();
-        if view.ledger >= self.newest_hint.get() {
-            self.behind_since.set(None);
-        }
-        let changed = view.take_changed();
+        let changed = self.store.take_changed();
+        let view = self.store.view();
         let mut cores = self.cores.borrow_mut();
         let before = cores.len();
         cores.retain(|block, c| {
--- a/src/control/leading.rs
+++ b/src/control/leading.rs
@@ -49,7 +49,7 @@
                 sleep(UNFIT_WAIT).await;
             }
             let (leader, grant, loaded) = {
-                let view = self.view.borrow();
+                let view = self.store.view();
                 (view.leader.clone(), view.grant.clone(), view.loaded)
             };
             if !loaded {
@@ -58,7 +58,7 @@
             if unfit && leader.value.is_some() {
                 continue;
             }
-            if self.view.borrow().block_count() > 1 {
+            if self.store.view().block_count() > 1 {
                 self.enlist(life).await;
                 continue;
             }
@@ -133,12 +133,12 @@
 
     pub(super) async fn take_over(&self, grant: GrantRecord, revision: Revision) {
         // Everything that earlier owners recorded is older than the grant.
-        while self.view.borrow().ledger < revision {
+        while self.store.view().ledger < revision {
             if !self.fresh().await {
                 sleep(Duration::from_millis(50)).await;
             }
         }
-        if self.view.borrow().grant.value.number != grant.number {
+        if self.store.view().grant.value.number != grant.number {
             self.leadership.release();
             return;
         }
@@ -146,7 +146,7 @@
         let core = Core::load(
             self.cfg.clone(),
             &self.types.borrow(),
-            &self.view.borrow(),
+            &self.store.view(),
             (grant.number, revision),
             self.topology.borrow().clone(),
             self.now(),
@@ -218,7 +218,7 @@
     pub(super) fn deposed(&self, block: BlockId) {
         tracing::info!(%block, "a newer grant commands: standing down");
         self.stand_down(block);
-        self.sync_wanted.notify_one();
+        self.store.request_refresh();
     }
 
     pub(super) fn stand_down(&self, block: BlockId) {
--- a/src/control/limit_transfers.rs
+++ b/src/control/limit_transfers.rs
@@ -18,7 +18,7 @@
 impl Node {
     /// What each block has and wants of each team's limit, as far as known.
     fn all_needs(&self) -> Option<Vec<Vec<Need>>> {
-        let view = self.view.borrow();
+        let view = self.store.view();
         let known = self.needs.borrow();
         (0..view.block_count())
             .map(|b| {
@@ -50,7 +50,7 @@
                 continue;
             };
             let txn = {
-                let view = self.view.borrow();
+                let view = self.store.view();
                 let mut cores = self.cores.borrow_mut();
                 let Some(core) = cores.get_mut(&block).filter(|c| !c.is_frozen()) else {
                     continue;
@@ -124,12 +124,12 @@
                 Outcome::Done(revision) | Outcome::Failed(revision) => revision,
             };
             self.peers.announce(revision);
-            while self.view.borrow().ledger < revision {
+            while self.store.view().ledger < revision {
                 if !self.fresh().await {
                     sleep(Duration::from_millis(100)).await;
                 }
             }
-            let view = self.view.borrow();
+            let view = self.store.view();
             if let Some(core) = self.cores.borrow_mut().get_mut(&block) {
                 core.giving(Vec::new(), &view);
             }
--- a/src/control/load.rs
+++ b/src/control/load.rs
@@ -203,7 +203,7 @@
             let peer_contact = self.peer_contact();
             if peer_contact.should_probe_state() {
                 // A quiet watch says nothing for seconds.
-                self.sync_wanted.notify_one();
+                self.store.request_refresh();
             }
             if !peer_contact.is_isolated() {
                 self.dismissed_workers.borrow_mut().clear();
--- a/src/control/mod.rs
+++ b/src/control/mod.rs
@@ -17,6 +17,7 @@
 pub mod pending;
 mod polls;
 mod renewing;
+mod store_view;
 mod users;
 pub mod vouching;
 mod workers;
@@ -32,25 +33,25 @@
 use sorrelhinge_lanes::part::Turn as LaneTurn;
 use sorrelhinge_lanes::LaneId;
 use sorrelhinge_overload::asked::Asked;
-use sorrelhinge_overload::freshness::Freshness;
 use sorrelhinge_overload::order::Order;
 use sorrelhinge_overload::pace::Pace;
 use sorrelhinge_overload::renewal::Renewals;
 use sorrelhinge_overload::sockets::Limits;
 use sorrelhinge_topology::Topology;
-use tokio::sync::{watch, Notify};
+use tokio::sync::Notify;
 use tokio::task::spawn_local;
 use tokio::time::Instant;
 
 use self::core::Core;
 use self::leadership::Leadership;
+use self::store_view::StoreView;
 use crate::cloud::CloudClient;
 use crate::config::Config;
 use crate::connections::Connections;
 use crate::peer::{self, Peers};
-use crate::state::view::{Summary, View};
+use crate::state::view::Summary;
 use crate::state::StateClient;
-use crate::types::{MachineId, MachineType, NodeId, Revision, Time};
+use crate::types::{MachineId, MachineType, NodeId, Time};
 use crate::worker::Reply;
 
 pub use calendar::{day_ms, CalendarAsked};
@@ -91,7 +92,8 @@
     connections: Rc<Connections>,
     paces: Paces,
     load: load::Load,
-    view: RefCell<View>,
+    /// The records as known here.
+    store: StoreView,
     /// What this controller knows of each block that it owns; while there is one
     /// block, it has number 0.
     cores: RefCell<BTreeMap<BlockId, Core>>,
@@ -107,13 +109,6 @@
     run: u64,
     epoch: Instant,
     leadership: Leadership,
-    sync_wanted: Notify,
-    syncs_started: Cell<u64>,
-    synced: watch::Sender<(u64, bool)>,
-    /// As of when the view shows all changes.
-    freshness: Cell<Freshness>,
-    newest_hint: Cell<Revision>,
-    behind_since: Cell<Option<Instant>>,
     work: Notify,
     record: Notify,
     shares_changed: Notify,
@@ -172,14 +167,6 @@
     passing_since: Option<Instant>,
 }
 
-/// Without news from the state service for this long, and while others have
-/// some for `BEHIND`, a controller is cut off.
-const STALE: Duration = Duration::from_millis(2500);
-const BEHIND: Duration = Duration::from_secs(1);
-/// A user's request waits for a new view for so long: users wait 2 s.
-const FRESH: Duration = Duration::from_millis(1400);
-const SYNC_GAP: Duration = Duration::from_millis(20);
-const SYNC_GAP_MOST: Duration = Duration::from_millis(300);
 /// How often the fleet is planned.
 const FLEET_EVERY: Duration = Duration::from_millis(700);
 /// Machines that are read from the list a second.
@@ -213,7 +200,7 @@
             state,
             cloud,
             peers,
-            view: RefCell::default(),
+            store: StoreView::new(),
             cores: RefCell::default(),
             places: core::Places::default(),
             owners: RefCell::default(),
@@ -223,12 +210,6 @@
             run: rand::random(),
             epoch: Instant::now(),
             leadership: Leadership::new(),
-            sync_wanted: Notify::new(),
-            syncs_started: Cell::new(0),
-            synced: watch::Sender::new((0, false)),
-            freshness: Cell::new(Freshness::replaced(Time(0.0))),
-            newest_hint: Cell::new(Revision(0)),
-            behind_since: Cell::new(None),
             work: Notify::new(),
             record: Notify::new(),
             shares_changed: Notify::new(),
--- a/src/control/owning.rs
+++ b/src/control/owning.rs
@@ -45,7 +45,7 @@
             if !may_command {
                 continue;
             }
-            let some = c.dispatch(&self.view.borrow(), now);
+            let some = c.dispatch(&self.store.view(), now);
             sends.extend(some.into_iter().map(|send| (*block, send)));
         }
         drop(cores);
@@ -123,7 +123,7 @@
             loop {
                 let batch = {
                     let mut cores = self.cores.borrow_mut();
-                    let view = self.view.borrow();
+                    let view = self.store.view();
                     let spare = self.state.writes.spare();
                     let now = self.now();
                     // The blocks take turns.
@@ -168,7 +168,7 @@
             match result {
                 Ok(Outcome::Done(revision)) => {
                     let mut cores = self.cores.borrow_mut();
-                    let mut view = self.view.borrow_mut();
+                    let mut view = self.store.view_for_commit();
                     if let Some(c) = cores.get_mut(&block) {
                         c.committed(batch, revision, &mut view, self.now());
                     }
@@ -178,7 +178,7 @@
                     return;
                 }
                 Ok(Outcome::Failed(revision)) => {
-                    while self.view.borrow().ledger < revision {
+                    while self.store.view().ledger < revision {
                         if !self.fresh().await {
                             sleep(Duration::from_millis(100)).await;
                         }
@@ -189,7 +189,7 @@
                     let mut cores = self.cores.borrow_mut();
                     let kept = cores
                         .get_mut(&block)
-                        .is_none_or(|c| c.conflicted(batch, &self.view.borrow(), self.now()));
+                        .is_none_or(|c| c.conflicted(batch, &self.store.view(), self.now()));
                     drop(cores);
                     if !kept {
                         tracing::info!(%block, "the grant is not ours any more");
@@ -202,7 +202,7 @@
                     let mut cores = self.cores.borrow_mut();
                     if let Some(c) = cores.get_mut(&block) {
                         let limits_fell = self.state.limits_fell();
-                        c.rejected(batch, limits_fell, &self.view.borrow(), self.now());
+                        c.rejected(batch, limits_fell, &self.store.view(), self.now());
                     }
                     return;
                 }
@@ -291,7 +291,7 @@
                     }
                     let mut cores = self.cores.borrow_mut();
                     for c in cores.values_mut() {
-                        c.look_elsewhere(&self.view.borrow());
+                        c.look_elsewhere(&self.store.view());
                         let shard = c.shard;
                         if shard.is_part() {
                             let own = list.iter().filter(|m| shard.covers(&m.uid));
--- a/src/control/polls.rs
+++ b/src/control/polls.rs
@@ -70,7 +70,7 @@
         }
         let poll = Poll {
             job: id,
-            known: self.view.borrow().job(id).is_some(),
+            known: self.store.view().job(id).is_some(),
             shed: self.load.level() >= Level::Polls,
         };
         self.asked.borrow_mut().poll(poll, self.now()) == Verdict::Refuse
@@ -81,7 +81,7 @@
         if self.is_over(id) {
             return self.asked.borrow_mut().over(id);
         }
-        let known = self.view.borrow().job(id).is_some();
+        let known = self.store.view().job(id).is_some();
         let mut asked = self.asked.borrow_mut();
         match answered {
             true => asked.answered(id, known, self.now()),
@@ -104,7 +104,7 @@
             }
         }
         let left = || end.saturating_duration_since(Instant::now());
-        let patience = match self.synced.borrow().1 {
+        let patience = match self.store.last_refresh_succeeded() {
             true => HERE,
             false => HERE_AGAIN,
         };
@@ -142,7 +142,7 @@
                 .pass_on_within(other, peer::Kind::Poll, text, left.min(THERE));
             let answered = asked.await;
             {
-                let view = self.view.borrow();
+                let view = self.store.view();
                 if let Some(s) = view.summary(id).filter(|s| s.phase != Phase::Live) {
                     return Some(Polled::Here(Some(s)));
                 }
@@ -163,7 +163,7 @@
     /// Other controllers that can be reached and know polls, in an order of each
     /// job's own; the leader last, as it has the most to do.
     fn who_answers_polls(&self, id: &JobId) -> Vec<NodeId> {
-        let leader = self.view.borrow().leader.value.clone().map(|l| l.node);
+        let leader = self.store.view().leader.value.clone().map(|l| l.node);
         let standings = self.standings.borrow();
         let knows = |n: &&NodeId| {
             let said = standings.get(*n);
--- a/src/control/renewing.rs
+++ b/src/control/renewing.rs
@@ -26,20 +26,20 @@
     /// that has come.
     pub(super) fn knows_the_cancelled(&self) -> bool {
         let (lease_s, cancel_s) = (self.cfg.lease_s, self.cfg.cancel_s);
-        let freshness = self.freshness.get();
-        self.view.borrow().loaded && freshness.may_answer_workers(self.now(), lease_s, cancel_s)
+        let freshness = self.store.freshness();
+        self.store.view().loaded && freshness.may_answer_workers(self.now(), lease_s, cancel_s)
     }
 
     /// Until when tasks may be started by this controller's view of the records.
     pub(super) fn starts_until(&self) -> Time {
         let (lease_s, cancel_s) = (self.cfg.lease_s, self.cfg.cancel_s);
-        self.freshness.get().may_start_until(lease_s, cancel_s)
+        self.store.freshness().may_start_until(lease_s, cancel_s)
     }
 
     /// Whether a worker's lease may be renewed without its machine's owner. The answer
     /// carries the token that the worker has, so it commands nothing and fences nobody.
     fn vouched(&self, report: &Report) -> bool {
-        self.knows_the_cancelled() && vouches(&self.view.borrow(), report)
+        self.knows_the_cancelled() && vouches(&self.store.view(), report)
     }
 
     /// The answer that only renews the lease, if that may be given.
--- a/src/control/users.rs
+++ b/src/control/users.rs
@@ -6,7 +6,8 @@
 use sorrelhinge_protocol::users::{read_job, PipelineStatus};
 
 use super::drains::Refused;
-use super::{wall_ms, Node, Submitted, FRESH, MOST_SUBMISSIONS};
+use super::following::FRESH;
+use super::{wall_ms, Node, Submitted, MOST_SUBMISSIONS};
 use crate::sched::ClusterState;
 use crate::state::record::{chunk_key, job_key, JobRecord, NewJob, Phase};
 use crate::state::view::{Cancellation, Summary, Versioned};
@@ -80,7 +81,7 @@
     /// Whether all jobs that a new one needs are known here. One that is not may have been
     /// accepted elsewhere a moment ago.
     fn knows_all(&self, needs: &[JobId]) -> bool {
-        let view = self.view.borrow();
+        let view = self.store.view();
         needs.iter().all(|need| view.job(need).is_some())
     }
 
@@ -90,7 +91,7 @@
         if needs.contains(id) {
             return Some("it waits on itself".into());
         }
-        let view = self.view.borrow();
+        let view = self.store.view();
         needs.iter().find_map(|need| {
             let Some(entry) = view.job(need) else {
                 return Some(format!("{need} was never accepted"));
@@ -103,7 +104,7 @@
 
     /// What a job in a pipeline waits for and inherits, by this controller's view.
     pub fn pipeline_status(&self, id: &JobId) -> Option<PipelineStatus> {
-        self.view.borrow().pipeline_status(id)
+        self.store.view().pipeline_status(id)
     }
 
     /// Why a job waits, if this controller places it and knows.
@@ -130,7 +131,7 @@
                 sum.waiting.sort_by_key(|w| (!w.front, w.place));
             }
         }
-        let leader = || self.view.borrow().leader.value.clone().map(|l| l.node);
+        let leader = || self.store.view().leader.value.clone().map(|l| l.node);
         all.ok_or_else(|| leader().map_or(Refused::Unavailable, Refused::Elsewhere))
     }
 
@@ -156,7 +157,7 @@
 
     /// Whether a job is known to be over: that never changes.
     pub fn is_over(&self, id: &JobId) -> bool {
-        let summary = self.view.borrow().summary(id);
+        let summary = self.store.view().summary(id);
         summary.is_some_and(|s| s.phase != Phase::Live)
     }
 
@@ -172,13 +173,13 @@
         patience: Duration,
     ) -> Option<Option<Summary>> {
         {
-            let view = self.view.borrow();
+            let view = self.store.view();
             if let Some(s) = view.summary(id).filter(|s| s.phase != Phase::Live) {
                 return Some(Some(s));
             }
         }
         let fresh = self.fresh_within(patience).await;
-        fresh.then(|| self.view.borrow().summary(id))
+        fresh.then(|| self.store.view().summary(id))
     }
 
     /// Takes a job.
@@ -198,7 +199,7 @@
             Ok((_, None)) => Some(Ok(Submitted::Unavailable)),
             Ok((_, Some(never))) => never.clone().map(|why| Ok(Submitted::Never(why))),
         };
-        let known = self.view.borrow().job(id).is_some();
+        let known = self.store.view().job(id).is_some();
         let needs = candidate.as_ref().map_or(&[][..], |(r, _)| r.needs());
         let never_waits = !self.knows_all(needs) || self.never_waits(id, needs).is_some();
         if known || refusal.is_some() || never_waits {
@@ -219,7 +220,7 @@
         let Ok((record, _)) = candidate else {
             return Ok(Submitted::Unavailable);
         };
-        if self.submissions.get() >= MOST_SUBMISSIONS || !self.view.borrow().loaded {
+        if self.submissions.get() >= MOST_SUBMISSIONS || !self.store.view().loaded {
             return Ok(Submitted::Unavailable);
         }
         self.submissions.set(self.submissions.get() + 1);
@@ -234,7 +235,7 @@
             stamp: revision,
             value: record,
         };
-        self.view.borrow_mut().put_job(id, record);
+        self.store.put_job(id, record);
         self.peers.announce(revision);
         self.view_changed();
     }
@@ -285,7 +286,7 @@
             Ok(Outcome::Done(revision)) => {
                 self.recorded(id, revision, record);
                 // It may need a job that is cancelled, and is cancelled with it then.
-                let summary = self.view.borrow().summary(id);
+                let summary = self.store.view().summary(id);
                 summary.map_or(Submitted::Unavailable, Submitted::Accepted)
             }
             Ok(Outcome::Failed(_)) => match self.status(id).await {
@@ -310,7 +311,7 @@
                 return Some(Some(summary.phase));
             }
             let (stamp, cancellation) = {
-                let view = self.view.borrow();
+                let view = self.store.view();
                 let entry = view.job(id)?;
                 let in_lane = self.cfg.in_lane(&entry.record.value);
                 let value_bytes = self.cfg.state_limits.value_bytes;
@@ -322,7 +323,7 @@
                     if let Some(value) = cancellation.claims {
                         let stamp = revision;
                         let claims = Versioned { stamp, value };
-                        self.view.borrow_mut().put_chunk(id, 0, claims);
+                        self.store.put_chunk(id, 0, claims);
                     }
                     self.recorded(id, revision, cancellation.record);
                     return Some(Some(Phase::Cancelled));
--- a/src/control/workers.rs
+++ b/src/control/workers.rs
@@ -157,8 +157,7 @@
 
     /// Whether the state service serves others and not this controller.
     pub fn cut_off(&self) -> bool {
-        let behind = self.behind_since.get();
-        behind.is_some_and(|t| t.elapsed() >= CUT_OFF) && self.unserved() >= CUT_OFF
+        self.store.is_behind_for(CUT_OFF) && self.unserved() >= CUT_OFF
     }
 
     /// Whether a submission or cancellation that could not be decided here is passed
@@ -172,7 +171,7 @@
 
     /// Passes a submission or cancellation on to a controller that may be served.
     pub async fn pass_on(&self, kind: peer::Kind, text: &[u8]) -> Option<peer::Answered> {
-        let leader = self.view.borrow().leader.value.clone().map(|l| l.node);
+        let leader = self.store.view().leader.value.clone().map(|l| l.node);
         let mut others: Vec<NodeId> = self.peers.reachable().cloned().collect();
         others.sort_by_key(|n| (Some(n) != leader.as_ref(), n.clone()));
         for other in others.iter().take(2) {
@@ -214,7 +213,7 @@
                 if self.paces.walk.borrow().due(now) {
                     self.timed("walk", &self.paces.walk, || c.walk(&report.machine, now));
                 }
-                reply = Some(c.answer(report, &self.view.borrow(), now));
+                reply = Some(c.answer(report, &self.store.view(), now));
             }
         }
         let owning = cores.contains_key(&block);
