--- a/src/control/block_needs.rs
+++ b/src/control/block_needs.rs
@@ -8,7 +8,7 @@
 
 use super::limit_transfers::GIVE_EVERY;
 use super::{wall_ms, Node};
-use crate::peer::{self, Kind};
+use crate::peer::Kind;
 use crate::shares::{encode_left, parse_left, LeftTo, Needs, Rented};
 use crate::types::{MachineId, NodeId};
 
@@ -19,13 +19,9 @@
 
 impl Node {
     pub(super) fn others_known(&self) -> Vec<NodeId> {
-        let standings = self.standings.borrow();
-        let knows = |o: &&crate::config::Other| {
-            let known = standings.get(&o.node);
-            known.is_some_and(|(_, _, flags)| flags & peer::BLOCKS != 0)
-        };
-        let others = self.cfg.others.iter().filter(knows);
-        others.map(|o| o.node.clone()).collect()
+        let others = self.cfg.others.iter().map(|other| &other.node);
+        let knowing = others.filter(|node| self.peer_statuses.knows_shards(node));
+        knowing.cloned().collect()
     }
 
     /// Tells the others what this controller's blocks use and want, leaves tasks
--- a/src/control/load.rs
+++ b/src/control/load.rs
@@ -77,8 +77,6 @@
     }
 }
 
-/// What is known of another controller's standing is of use for so long.
-const STANDING: Duration = Duration::from_secs(3);
 /// A worker that was sent elsewhere and came back is kept for so long.
 const CAME_BACK: Duration = Duration::from_secs(30);
 
@@ -87,10 +85,7 @@
     pub fn stands(&self, node: &NodeId, standing: peer::Standing, flags: u16) {
         let known = self.cfg.others.iter().any(|o| o.node == *node);
         if known {
-            let now = Instant::now();
-            self.standings
-                .borrow_mut()
-                .insert(node.clone(), (now, standing, flags));
+            self.peer_statuses.record(node, standing, flags);
             if flags & peer::LIMITS_FELL != 0 && self.state.told_limits_fell() {
                 tracing::info!(by = %node, "the state service takes fewer changes, says another controller");
                 self.set_share();
@@ -98,15 +93,6 @@
         }
     }
 
-    pub(super) fn standing_of(&self, node: &NodeId) -> peer::Standing {
-        let standings = self.standings.borrow();
-        standings
-            .get(node)
-            .filter(|(at, ..)| at.elapsed() < STANDING)
-            .map(|(_, s, _)| *s)
-            .unwrap_or_default()
-    }
-
     /// Controllers that take reports for this one; if `room`, only those that
     /// have room for more workers. Who is crowded goes on with those it has: if
     /// they all came back here, this one would be crowded and send them again.
@@ -115,7 +101,7 @@
             .peers
             .reachable()
             .filter(|n| {
-                let s = self.standing_of(n);
+                let s = self.peer_statuses.standing_of(n);
                 s.helps && !(room && s.crowded)
             })
             .cloned()
@@ -147,15 +133,14 @@
 
     /// A new owner goes on where the last one was.
     pub(super) fn inherit_spread(&self) {
-        let before = self.standings.borrow();
-        let share = before.values().map(|(_, s, _)| s.share).max().unwrap_or(0);
+        let share = self.peer_statuses.greatest_share();
         *self.load.report_offload.borrow_mut() =
             ReportOffload::from_share(f64::from(share) / 1000.0);
     }
 
     /// Whether a report that came here is taken for its owner.
     pub(super) fn takes_for(&self, owner: &NodeId) -> bool {
-        self.standing_of(owner).share > 0
+        self.peer_statuses.standing_of(owner).share > 0
     }
 
     /// The controller that a worker of ours is to report to instead.
--- a/src/control/mod.rs
+++ b/src/control/mod.rs
@@ -14,6 +14,7 @@
 mod limit_transfers;
 pub mod load;
 mod owning;
+mod peer_statuses;
 pub mod pending;
 mod polls;
 mod renewing;
@@ -44,6 +45,7 @@
 
 use self::core::Core;
 use self::leadership::Leadership;
+use self::peer_statuses::PeerStatuses;
 use self::store_view::StoreView;
 use crate::cloud::CloudClient;
 use crate::config::Config;
@@ -123,8 +125,8 @@
     /// What was answered for owners, and the machines to tell them of.
     renewals: RefCell<Renewals>,
     heard_for: RefCell<Vec<(NodeId, peer::HeardOf)>>,
-    /// How the other controllers stand, and since when that is known.
-    standings: RefCell<HashMap<NodeId, (Instant, peer::Standing, u16)>>,
+    /// How the other controllers stand.
+    peer_statuses: PeerStatuses,
     /// Who asked about which job, and who was told to come back.
     asked: RefCell<Asked>,
     /// Polls that other controllers answer at the moment, and until when none is
@@ -220,7 +222,7 @@
             dismissed_workers: RefCell::default(),
             renewals: RefCell::default(),
             heard_for: RefCell::default(),
-            standings: RefCell::default(),
+            peer_statuses: PeerStatuses::default(),
             asked: RefCell::default(),
             polls_passed: Cell::new(0),
             polls_stay_until: Cell::new(Instant::now()),
--- /dev/null
+++ b/src/control/peer_statuses.rs
@@ -0,0 +1,79 @@
+//! What the other controllers last said of themselves. All of it is a hint: it decides
+//! whom to ask first, never what holds.
+
+use std::cell::RefCell;
+use std::collections::HashMap;
+use std::time::Duration;
+
+use tokio::time::Instant;
+
+use crate::peer::{Standing, BLOCKS, POLLS};
+use crate::types::NodeId;
+
+/// What is known of another controller's standing is of use for so long.
+const STANDING: Duration = Duration::from_secs(3);
+/// Who has not said for so long what it knows may be another version by now.
+const SAID: Duration = Duration::from_secs(3);
+
+/// What one controller last said.
+struct PeerStatus {
+    heard_at: Instant,
+    standing: Standing,
+    /// What its version knows: the flags of a hint.
+    capabilities: u16,
+}
+
+/// The last status of each controller that was heard since the start.
+#[derive(Default)]
+pub(super) struct PeerStatuses {
+    by_node: RefCell<HashMap<NodeId, PeerStatus>>,
+}
+
+impl PeerStatuses {
+    /// A controller said how it stands, and what its version knows.
+    pub(super) fn record(&self, node: &NodeId, standing: Standing, capabilities: u16) {
+        let status = PeerStatus {
+            heard_at: Instant::now(),
+            standing,
+            capabilities,
+        };
+        self.by_node.borrow_mut().insert(node.clone(), status);
+    }
+
+    /// How a controller stands; the default if it has not said so lately.
+    pub(super) fn standing_of(&self, node: &NodeId) -> Standing {
+        let by_node = self.by_node.borrow();
+        let fresh = by_node
+            .get(node)
+            .filter(|status| status.heard_at.elapsed() < STANDING);
+        fresh.map(|status| status.standing).unwrap_or_default()
+    }
+
+    /// The largest part of reports, in thousandths, that any controller passed to others
+    /// when it was last heard, however long ago.
+    pub(super) fn greatest_share(&self) -> u16 {
+        let by_node = self.by_node.borrow();
+        let shares = by_node.values().map(|status| status.standing.share);
+        shares.max().unwrap_or(0)
+    }
+
+    /// When any controller was last heard; none: never.
+    pub(super) fn last_heard_at(&self) -> Option<Instant> {
+        let by_node = self.by_node.borrow();
+        by_node.values().map(|status| status.heard_at).max()
+    }
+
+    /// Whether a controller's version knows several shards.
+    pub(super) fn knows_shards(&self, node: &NodeId) -> bool {
+        let by_node = self.by_node.borrow();
+        let status = by_node.get(node);
+        status.is_some_and(|status| status.capabilities & BLOCKS != 0)
+    }
+
+    /// Whether a controller said lately that it answers polls for others.
+    pub(super) fn answers_polls(&self, node: &NodeId) -> bool {
+        let by_node = self.by_node.borrow();
+        let status = by_node.get(node);
+        status.is_some_and(|s| s.heard_at.elapsed() < SAID && s.capabilities & POLLS != 0)
+    }
+}
--- a/src/control/polls.rs
+++ b/src/control/polls.rs
@@ -31,8 +31,6 @@
 /// If no other could answer one, none is passed on for so long: while the state
 /// service is away for all, each would else go through two controllers in vain.
 pub(super) const IN_VAIN: Duration = Duration::from_secs(1);
-/// Who has not said for so long what it knows may be another version by now.
-const SAID: Duration = Duration::from_secs(3);
 
 /// One poll that is with another controller; its user may go away meanwhile.
 struct Passed<'a>(&'a Cell<usize>);
@@ -164,11 +162,7 @@
     /// job's own; the leader last, as it has the most to do.
     fn who_answers_polls(&self, id: &JobId) -> Vec<NodeId> {
         let leader = self.store.view().leader.value.clone().map(|l| l.node);
-        let standings = self.standings.borrow();
-        let knows = |n: &&NodeId| {
-            let said = standings.get(*n);
-            said.is_some_and(|(at, _, flags)| at.elapsed() < SAID && flags & peer::POLLS != 0)
-        };
+        let knows = |n: &&NodeId| self.peer_statuses.answers_polls(n);
         let mut others: Vec<NodeId> = self.peers.reachable().filter(knows).cloned().collect();
         others.sort();
         if !others.is_empty() {
--- a/src/control/renewing.rs
+++ b/src/control/renewing.rs
@@ -58,7 +58,7 @@
     /// that does not answer in time costs no lease.
     pub(super) async fn beat_for(&self, owner: NodeId, report: &Report, body: &[u8]) -> Beat {
         let content = Content::of(report);
-        let relief = self.standing_of(&owner).relief;
+        let relief = self.peer_statuses.standing_of(&owner).relief;
         let route = self.renewals.borrow_mut().route(
             &report.machine,
             content,
--- a/src/control/workers.rs
+++ b/src/control/workers.rs
@@ -58,8 +58,7 @@
 
     /// Who is still there besides the workers.
     pub(super) fn peer_contact(&self) -> PeerContact {
-        let standings = self.standings.borrow();
-        let last = standings.values().map(|(at, ..)| *at).max();
+        let last = self.peer_statuses.last_heard_at();
         let unheard = last.map_or_else(|| self.epoch.elapsed(), |at| at.elapsed());
         PeerContact {
             others: !self.cfg.others.is_empty(),
