--- /dev/null
+++ b/src/control/heartbeat_routing.rs
@@ -0,0 +1,162 @@
+//! Where a worker's report goes: which reports are copies, which workers report to
+//! another controller than the one that they know, and which answers were given for an
+//! owner that has no time.
+
+use std::cell::RefCell;
+use std::collections::HashMap;
+use std::time::Duration;
+
+use sorrelhinge_blocks::isolation::DismissedWorkers;
+use sorrelhinge_overload::order::Order;
+use sorrelhinge_overload::renewal::{Content, Renewals, Route};
+use tokio::time::Instant;
+
+use crate::peer::HeardOf;
+use crate::types::{MachineId, NodeId, Time};
+use crate::worker::Report;
+
+/// For how long a worker's reports are passed on before it is told again whom
+/// to report to.
+const PASS_ON: Duration = Duration::from_secs(45);
+/// Workers remembered as told whom to report to.
+const MOST_SENT_ON: usize = 8192;
+/// A worker that was sent elsewhere and came back is kept for so long.
+const CAME_BACK: Duration = Duration::from_secs(30);
+
+/// A worker that was told which controller to report to.
+struct SentOn {
+    to: NodeId,
+    last: Instant,
+    /// It came back, as it can't reach that one: its reports are passed on.
+    passing_since: Option<Instant>,
+}
+
+impl SentOn {
+    fn new(to: NodeId, now: Instant) -> Self {
+        Self {
+            to,
+            last: now,
+            passing_since: None,
+        }
+    }
+}
+
+/// What is done with a report that belongs to another controller.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum Redirect {
+    /// Its sender is told whom to report to.
+    Tell,
+    /// It was told and came back: the report is passed on.
+    PassOn,
+}
+
+/// What is remembered of workers that report here, whoever owns their machines.
+#[derive(Default)]
+pub(super) struct HeartbeatRouting {
+    /// The newest report of each machine, so that copies are known.
+    newest: RefCell<Order>,
+    sent_on: RefCell<HashMap<MachineId, SentOn>>,
+    /// Workers that were sent away as this controller is alone.
+    dismissed_workers: RefCell<DismissedWorkers>,
+    /// What owners were told, and which reports need not be told to them.
+    renewals: RefCell<Renewals>,
+    /// Machines that were answered for their owners, who don't know of it yet.
+    heard_for: RefCell<Vec<(NodeId, HeardOf)>>,
+}
+
+impl HeartbeatRouting {
+    /// Whether a report is newer than all others of its machine; it is the newest then.
+    pub(super) fn is_new(&self, report: &Report, now: Time) -> bool {
+        let mut newest = self.newest.borrow_mut();
+        newest.is_new(&report.machine, report.shift, report.tick, now)
+    }
+
+    /// Whether a worker is refused so that it looks for another controller; not again
+    /// within its lease of `lease_s` seconds.
+    pub(super) fn dismisses(&self, machine: &MachineId, lease_s: f64, now: Time) -> bool {
+        let mut dismissed = self.dismissed_workers.borrow_mut();
+        dismissed.refuses(machine, lease_s, now)
+    }
+
+    /// Forgets whom it dismissed, as this controller is not alone any more.
+    pub(super) fn forget_dismissed(&self) {
+        self.dismissed_workers.borrow_mut().clear();
+    }
+
+    /// Sends a worker of this controller's to `home`; false if it was sent elsewhere and
+    /// has come back, and is kept.
+    pub(super) fn sends_home(&self, machine: &MachineId, home: &NodeId) -> bool {
+        let now = Instant::now();
+        let mut sent_on = self.sent_on.borrow_mut();
+        make_room(&mut sent_on, now, CAME_BACK);
+        let came_back = sent_on
+            .get(machine)
+            .is_some_and(|s| now.duration_since(s.last) < CAME_BACK);
+        if !came_back {
+            sent_on.insert(machine.clone(), SentOn::new(home.clone(), now));
+        }
+        !came_back
+    }
+
+    /// What is done with a report for `owner`. Its sender is told to go there; one that
+    /// is `back` within that time can't reach it. It is told again after `PASS_ON`, as
+    /// the way may be open by then.
+    pub(super) fn redirect(&self, machine: &MachineId, owner: &NodeId, back: Duration) -> Redirect {
+        let now = Instant::now();
+        let mut sent_on = self.sent_on.borrow_mut();
+        make_room(&mut sent_on, now, back);
+        let known = sent_on
+            .get_mut(machine)
+            .filter(|s| s.to == *owner && now.duration_since(s.last) < back);
+        if let Some(known) = known {
+            known.last = now;
+            let since = *known.passing_since.get_or_insert(now);
+            if now.duration_since(since) < PASS_ON {
+                return Redirect::PassOn;
+            }
+        }
+        sent_on.insert(machine.clone(), SentOn::new(owner.clone(), now));
+        Redirect::Tell
+    }
+
+    /// Whether a report goes to its owner or, if that asked for `relief` and the report
+    /// tells nothing new, is answered for it. `report_s`: seconds between reports.
+    pub(super) fn route(
+        &self,
+        machine: &MachineId,
+        content: Content,
+        relief: bool,
+        report_s: f64,
+        now: Time,
+    ) -> Route {
+        let mut renewals = self.renewals.borrow_mut();
+        renewals.route(machine, content, relief, report_s, now)
+    }
+
+    /// The owner answered a report.
+    pub(super) fn answered_by_owner(&self, machine: &MachineId, content: Content, now: Time) {
+        let mut renewals = self.renewals.borrow_mut();
+        renewals.answered(machine, content, now);
+    }
+
+    /// A report was answered for its owner, who is to be told.
+    pub(super) fn answered_for(&self, owner: NodeId, heard: HeardOf) {
+        self.heard_for.borrow_mut().push((owner, heard));
+    }
+
+    /// What owners are to be told since the last call.
+    pub(super) fn take_answered_for(&self) -> HashMap<NodeId, Vec<HeardOf>> {
+        let mut by_owner: HashMap<NodeId, Vec<HeardOf>> = HashMap::new();
+        for (owner, heard) in self.heard_for.borrow_mut().drain(..) {
+            by_owner.entry(owner).or_default().push(heard);
+        }
+        by_owner
+    }
+}
+
+/// Forgets workers that were not sent anywhere for `kept`, once there are too many.
+fn make_room(sent_on: &mut HashMap<MachineId, SentOn>, now: Instant, kept: Duration) {
+    if sent_on.len() >= MOST_SENT_ON {
+        sent_on.retain(|_, s| now.duration_since(s.last) < kept);
+    }
+}
--- a/src/control/load.rs
+++ b/src/control/load.rs
@@ -12,7 +12,7 @@
 use tokio::time::{sleep, Instant};
 
 use super::core::Core;
-use super::{Node, SentOn, MOST_SENT_ON};
+use super::Node;
 use crate::peer;
 use crate::types::{MachineId, NodeId};
 
@@ -77,9 +77,6 @@
     }
 }
 
-/// A worker that was sent elsewhere and came back is kept for so long.
-const CAME_BACK: Duration = Duration::from_secs(30);
-
 impl Node {
     /// Another controller said how it stands.
     pub fn stands(&self, node: &NodeId, standing: peer::Standing, flags: u16) {
@@ -155,24 +152,8 @@
             .borrow()
             .home(machine, helpers.iter())?
             .clone();
-        let now = Instant::now();
-        let mut sent_on = self.sent_on.borrow_mut();
-        if sent_on.len() >= MOST_SENT_ON {
-            sent_on.retain(|_, s| now.duration_since(s.last) < CAME_BACK);
-        }
-        let came_back = sent_on
-            .get(machine)
-            .is_some_and(|s| now.duration_since(s.last) < CAME_BACK);
-        if came_back {
-            return None;
-        }
-        let sent = SentOn {
-            to: home.clone(),
-            last: now,
-            passing_since: None,
-        };
-        sent_on.insert(machine.clone(), sent);
-        Some(home)
+        let sent = self.heartbeat_routing.sends_home(machine, &home);
+        sent.then_some(home)
     }
 
     /// Measures the load again and again.
@@ -191,7 +172,7 @@
                 self.store.request_refresh();
             }
             if !peer_contact.is_isolated() {
-                self.dismissed_workers.borrow_mut().clear();
+                self.heartbeat_routing.forget_dismissed();
             }
             let sample = Sample {
                 // A timer that fires late waited like a request.
--- a/src/control/mod.rs
+++ b/src/control/mod.rs
@@ -9,6 +9,7 @@
 mod dividing;
 mod drains;
 mod following;
+mod heartbeat_routing;
 mod leadership;
 mod leading;
 mod limit_transfers;
@@ -28,15 +29,12 @@
 use std::rc::Rc;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-use sorrelhinge_blocks::isolation::DismissedWorkers;
 use sorrelhinge_blocks::owners::Owners;
 use sorrelhinge_blocks::shard::BlockId;
 use sorrelhinge_lanes::part::Turn as LaneTurn;
 use sorrelhinge_lanes::LaneId;
 use sorrelhinge_overload::asked::Asked;
-use sorrelhinge_overload::order::Order;
 use sorrelhinge_overload::pace::Pace;
-use sorrelhinge_overload::renewal::Renewals;
 use sorrelhinge_overload::sockets::Limits;
 use sorrelhinge_topology::Topology;
 use tokio::sync::Notify;
@@ -44,6 +42,7 @@
 use tokio::time::Instant;
 
 use self::core::Core;
+use self::heartbeat_routing::HeartbeatRouting;
 use self::leadership::Leadership;
 use self::peer_statuses::PeerStatuses;
 use self::store_view::StoreView;
@@ -53,7 +52,7 @@
 use crate::peer::{self, Peers};
 use crate::state::view::Summary;
 use crate::state::StateClient;
-use crate::types::{MachineId, MachineType, NodeId, Time};
+use crate::types::{MachineType, NodeId, Time};
 use crate::worker::Reply;
 
 pub use calendar::{day_ms, CalendarAsked};
@@ -117,14 +116,8 @@
     submissions: Cell<usize>,
     /// Whose turn it is among submissions while they are shed.
     lane_turns: RefCell<BTreeMap<LaneId, LaneTurn>>,
-    sent_on: RefCell<HashMap<MachineId, SentOn>>,
-    /// The newest report of each machine, so that copies are known.
-    order: RefCell<Order>,
-    /// Workers that were sent away as this controller is alone.
-    dismissed_workers: RefCell<DismissedWorkers>,
-    /// What was answered for owners, and the machines to tell them of.
-    renewals: RefCell<Renewals>,
-    heard_for: RefCell<Vec<(NodeId, peer::HeardOf)>>,
+    /// Where workers' reports go.
+    heartbeat_routing: HeartbeatRouting,
     /// How the other controllers stand.
     peer_statuses: PeerStatuses,
     /// Who asked about which job, and who was told to come back.
@@ -161,14 +154,6 @@
     }
 }
 
-/// A worker that was told which controller to report to.
-struct SentOn {
-    to: NodeId,
-    last: Instant,
-    /// It came back, as it can't reach that one: its reports are passed on.
-    passing_since: Option<Instant>,
-}
-
 /// How often the fleet is planned.
 const FLEET_EVERY: Duration = Duration::from_millis(700);
 /// Machines that are read from the list a second.
@@ -177,11 +162,6 @@
 const MOST_SUBMISSIONS: usize = 64;
 /// While others are served for this long, requests are passed on to them.
 const CUT_OFF: Duration = Duration::from_millis(300);
-/// For how long a worker's reports are passed on before it is told again whom
-/// to report to.
-const PASS_ON: Duration = Duration::from_secs(45);
-/// Workers remembered as told whom to report to.
-const MOST_SENT_ON: usize = 8192;
 
 fn wall_ms() -> u64 {
     SystemTime::now()
@@ -217,11 +197,7 @@
             shares_changed: Notify::new(),
             submissions: Cell::new(0),
             lane_turns: RefCell::default(),
-            sent_on: RefCell::default(),
-            order: RefCell::default(),
-            dismissed_workers: RefCell::default(),
-            renewals: RefCell::default(),
-            heard_for: RefCell::default(),
+            heartbeat_routing: HeartbeatRouting::default(),
             peer_statuses: PeerStatuses::default(),
             asked: RefCell::default(),
             polls_passed: Cell::new(0),
--- a/src/control/renewing.rs
+++ b/src/control/renewing.rs
@@ -1,7 +1,6 @@
 //! Leases renewed for an owner that has no time; what may be answered so is
 //! decided in `sorrelhinge_overload::renewal`.
 
-use std::collections::HashMap;
 use std::rc::Rc;
 use std::time::Duration;
 
@@ -59,7 +58,8 @@
     pub(super) async fn beat_for(&self, owner: NodeId, report: &Report, body: &[u8]) -> Beat {
         let content = Content::of(report);
         let relief = self.peer_statuses.standing_of(&owner).relief;
-        let route = self.renewals.borrow_mut().route(
+        let routing = &self.heartbeat_routing;
+        let route = routing.route(
             &report.machine,
             content,
             relief,
@@ -69,7 +69,7 @@
         if route == Route::Renew {
             let heard = HeardOf::new(&report.machine, report.shift, report.tick);
             if let Some((heard, answer)) = heard.and_then(|h| Some((h, self.renewed(report)?))) {
-                self.heard_for.borrow_mut().push((owner, heard));
+                routing.answered_for(owner, heard);
                 return answer;
             }
         }
@@ -77,10 +77,7 @@
         let taken = self.peers.pass_on(&owner, kind, body.to_vec()).await;
         match taken.filter(|(status, _)| *status == 200) {
             Some(answered) => {
-                let now = self.now();
-                self.renewals
-                    .borrow_mut()
-                    .answered(&report.machine, content, now);
+                routing.answered_by_owner(&report.machine, content, self.now());
                 Beat::Passed(answered)
             }
             // Not sent to the owner, which would have all come at once; and a
@@ -93,11 +90,7 @@
     pub(super) async fn tell_heard(self: Rc<Self>) {
         loop {
             sleep(HEARD_NOTICE_INTERVAL).await;
-            let mut by_owner: HashMap<NodeId, Vec<HeardOf>> = HashMap::new();
-            for (owner, heard) in self.heard_for.borrow_mut().drain(..) {
-                by_owner.entry(owner).or_default().push(heard);
-            }
-            for (owner, heard) in by_owner {
+            for (owner, heard) in self.heartbeat_routing.take_answered_for() {
                 self.peers.heard(&owner, &heard);
             }
         }
--- a/src/control/workers.rs
+++ b/src/control/workers.rs
@@ -7,7 +7,8 @@
 use tokio::time::Instant;
 
 use super::core::Source;
-use super::{polls, Beat, Node, SentOn, CUT_OFF, MOST_SENT_ON, PASS_ON};
+use super::heartbeat_routing::Redirect;
+use super::{polls, Beat, Node, CUT_OFF};
 use crate::peer;
 use crate::types::{MachineId, NodeId};
 use crate::worker::Report;
@@ -18,12 +19,7 @@
         // A copy that came late: nobody waits for its answer, and what it says was
         // said before. It moved machines to other controllers, and was passed on as
         // a sign of life.
-        let (session, seq, now) = (report.shift, report.tick, self.now());
-        if !self
-            .order
-            .borrow_mut()
-            .is_new(&report.machine, session, seq, now)
-        {
+        if !self.heartbeat_routing.is_new(report, self.now()) {
             return Beat::Unavailable;
         }
         if self.lets_go(&report.machine) {
@@ -51,9 +47,8 @@
             return false;
         }
         let lease_s = self.cfg.lease_s;
-        self.dismissed_workers
-            .borrow_mut()
-            .refuses(machine, lease_s, self.now())
+        self.heartbeat_routing
+            .dismisses(machine, lease_s, self.now())
     }
 
     /// Who is still there besides the workers.
@@ -73,40 +68,15 @@
     /// told again now and then, as the way may be open.
     pub(super) async fn beat_elsewhere(&self, report: &Report, owner: NodeId, body: &[u8]) -> Beat {
         let back = Duration::from_secs_f64(self.cfg.lease_s / 2.0);
-        let now = Instant::now();
-        let passing = {
-            let mut sent_on = self.sent_on.borrow_mut();
-            if sent_on.len() >= MOST_SENT_ON {
-                sent_on.retain(|_, s| now.duration_since(s.last) < back);
-            }
-            let known = sent_on
-                .get_mut(&report.machine)
-                .filter(|s| s.to == owner && now.duration_since(s.last) < back);
-            match known {
-                Some(s) => {
-                    s.last = now;
-                    let since = *s.passing_since.get_or_insert(now);
-                    now.duration_since(since) < PASS_ON
-                }
-                None => false,
-            }
-        };
-        if passing {
-            let passed = self.pass_report_on(&owner, body, true).await;
-            return match passed.filter(|(status, _)| *status == 200) {
-                Some(answered) => Beat::Passed(answered),
-                None => self.renewed(report).unwrap_or(Beat::Elsewhere(owner)),
-            };
+        let routing = &self.heartbeat_routing;
+        if routing.redirect(&report.machine, &owner, back) == Redirect::Tell {
+            return Beat::Elsewhere(owner);
+        }
+        let passed = self.pass_report_on(&owner, body, true).await;
+        match passed.filter(|(status, _)| *status == 200) {
+            Some(answered) => Beat::Passed(answered),
+            None => self.renewed(report).unwrap_or(Beat::Elsewhere(owner)),
         }
-        let sent = SentOn {
-            to: owner.clone(),
-            last: now,
-            passing_since: None,
-        };
-        self.sent_on
-            .borrow_mut()
-            .insert(report.machine.clone(), sent);
-        Beat::Elsewhere(owner)
     }
 
     /// Passes a report on to the owner, or if `via`, and if that can't be
