--- /dev/null
+++ b/src/control/admission.rs
@@ -0,0 +1,142 @@
+//! Which requests of users are taken here: how many submissions are recorded at a time,
+//! whose turn it is while requests are shed, and whether another controller is asked.
+
+use std::cell::{Cell, RefCell};
+use std::collections::BTreeMap;
+use std::time::Duration;
+
+use sorrelhinge_lanes::part::Turn as LaneTurn;
+use sorrelhinge_lanes::{LaneId, Lanes};
+use sorrelhinge_overload::asked::{Asked, Poll, Verdict};
+use tokio::time::Instant;
+
+use crate::types::{JobId, Time};
+
+/// Submissions that are recorded at a time.
+const MOST_SUBMISSIONS: usize = 64;
+/// Polls that may be with other controllers at a time.
+const MOST_PASSED: usize = 128;
+/// If no other could answer one, none is passed on for so long: while the state
+/// service is away for all, each would else go through two controllers in vain.
+const IN_VAIN: Duration = Duration::from_secs(1);
+
+/// One poll that is with another controller; its user may go away meanwhile.
+pub(super) struct Passed<'a> {
+    count: &'a Cell<usize>,
+}
+
+impl<'a> Passed<'a> {
+    fn new(count: &'a Cell<usize>) -> Self {
+        count.set(count.get() + 1);
+        Self { count }
+    }
+}
+
+impl Drop for Passed<'_> {
+    fn drop(&mut self) {
+        self.count.set(self.count.get().saturating_sub(1));
+    }
+}
+
+/// What was taken, shed and passed on.
+pub(super) struct RequestAdmission {
+    /// Submissions that are being recorded.
+    submissions: Cell<usize>,
+    /// Whose turn it is among submissions while they are shed.
+    lane_turns: RefCell<BTreeMap<LaneId, LaneTurn>>,
+    /// Who asked about which job, and who was told to come back.
+    asked: RefCell<Asked>,
+    /// Polls that other controllers answer at the moment.
+    polls_passed: Cell<usize>,
+    /// Before this instant no poll is passed on, as nobody could answer the last one.
+    polls_stay_until: Cell<Instant>,
+    /// The same for submissions and cancellations.
+    changes_stay_until: Cell<Instant>,
+}
+
+impl RequestAdmission {
+    /// Nothing is under way, and everything may be passed on.
+    pub(super) fn new() -> Self {
+        let now = Instant::now();
+        Self {
+            submissions: Cell::new(0),
+            lane_turns: RefCell::default(),
+            asked: RefCell::default(),
+            polls_passed: Cell::new(0),
+            polls_stay_until: Cell::new(now),
+            changes_stay_until: Cell::new(now),
+        }
+    }
+
+    /// Whether one more submission may be recorded now.
+    pub(super) fn has_room_for_submission(&self) -> bool {
+        self.submissions.get() < MOST_SUBMISSIONS
+    }
+
+    /// A submission is about to be recorded.
+    pub(super) fn begin_submission(&self) {
+        self.submissions.set(self.submissions.get() + 1);
+    }
+
+    /// It is recorded, or was refused.
+    pub(super) fn end_submission(&self) {
+        self.submissions.set(self.submissions.get() - 1);
+    }
+
+    /// Whether a submission is taken in its lane's turn, while submissions are shed.
+    /// Also counts it for the turns of all lanes.
+    pub(super) fn takes_lane_turn(&self, lanes: &Lanes, lane: Option<LaneId>) -> bool {
+        let mut turns = self.lane_turns.borrow_mut();
+        let jumps = lane.filter(|id| turns.entry(*id).or_default().allows(true));
+        for (id, lane) in lanes.iter() {
+            let turn = turns.entry(id).or_default();
+            turn.taken(lane.bound, jumps == Some(id));
+        }
+        jumps.is_some()
+    }
+
+    /// Whether a poll is refused for now; see [`sorrelhinge_overload::asked`].
+    pub(super) fn refuses_poll(&self, poll: Poll<'_>, now: Time) -> bool {
+        self.asked.borrow_mut().poll(poll, now) == Verdict::Refuse
+    }
+
+    /// A user was told about a job; `known`: it is recorded.
+    pub(super) fn poll_answered(&self, job: &JobId, known: bool, now: Time) {
+        self.asked.borrow_mut().answered(job, known, now);
+    }
+
+    /// A user could not be told about a job.
+    pub(super) fn poll_failed(&self, job: &JobId, known: bool, now: Time) {
+        self.asked.borrow_mut().failed(job, known, now);
+    }
+
+    /// A job is over: polls for it cost nothing from now on.
+    pub(super) fn job_over(&self, job: &JobId) {
+        self.asked.borrow_mut().over(job);
+    }
+
+    /// A poll goes to another controller, counted until the result is dropped; none if
+    /// that is not to be done now.
+    pub(super) fn pass_poll(&self) -> Option<Passed<'_>> {
+        let stays = Instant::now() < self.polls_stay_until.get();
+        if stays || self.polls_passed.get() >= MOST_PASSED {
+            return None;
+        }
+        Some(Passed::new(&self.polls_passed))
+    }
+
+    /// No other controller could answer a poll.
+    pub(super) fn polls_passed_in_vain(&self) {
+        self.polls_stay_until.set(Instant::now() + IN_VAIN);
+    }
+
+    /// Whether submissions and cancellations may be passed on.
+    pub(super) fn passes_changes(&self) -> bool {
+        Instant::now() >= self.changes_stay_until.get()
+    }
+
+    /// No other controller could decide a submission or cancellation.
+    pub(super) fn changes_passed_in_vain(&self) {
+        self.changes_stay_until.set(Instant::now() + IN_VAIN);
+    }
+}
--- a/src/control/mod.rs
+++ b/src/control/mod.rs
@@ -1,5 +1,6 @@
 //! Leadership, the block, claims and recovery: the only writer of truth.
 
+mod admission;
 mod block_grants;
 mod block_needs;
 mod block_owners;
@@ -24,16 +25,13 @@
 pub mod vouching;
 mod workers;
 
-use std::cell::{Cell, RefCell};
+use std::cell::RefCell;
 use std::collections::{BTreeMap, HashMap};
 use std::rc::Rc;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
 use sorrelhinge_blocks::owners::Owners;
 use sorrelhinge_blocks::shard::BlockId;
-use sorrelhinge_lanes::part::Turn as LaneTurn;
-use sorrelhinge_lanes::LaneId;
-use sorrelhinge_overload::asked::Asked;
 use sorrelhinge_overload::pace::Pace;
 use sorrelhinge_overload::sockets::Limits;
 use sorrelhinge_topology::Topology;
@@ -41,6 +39,7 @@
 use tokio::task::spawn_local;
 use tokio::time::Instant;
 
+use self::admission::RequestAdmission;
 use self::core::Core;
 use self::heartbeat_routing::HeartbeatRouting;
 use self::leadership::Leadership;
@@ -113,21 +112,12 @@
     work: Notify,
     record: Notify,
     shares_changed: Notify,
-    submissions: Cell<usize>,
-    /// Whose turn it is among submissions while they are shed.
-    lane_turns: RefCell<BTreeMap<LaneId, LaneTurn>>,
     /// Where workers' reports go.
     heartbeat_routing: HeartbeatRouting,
     /// How the other controllers stand.
     peer_statuses: PeerStatuses,
-    /// Who asked about which job, and who was told to come back.
-    asked: RefCell<Asked>,
-    /// Polls that other controllers answer at the moment, and until when none is
-    /// passed on, as none of them could answer the last one.
-    polls_passed: Cell<usize>,
-    polls_stay_until: Cell<Instant>,
-    /// The same for submissions and cancellations.
-    changes_stay_until: Cell<Instant>,
+    /// Which requests of users are taken.
+    admission: RequestAdmission,
 }
 
 /// Duties that look at the whole fleet.
@@ -159,7 +149,6 @@
 /// Machines that are read from the list a second.
 const LISTED_A_SECOND: f64 = 350.0;
 const TICK: Duration = Duration::from_millis(200);
-const MOST_SUBMISSIONS: usize = 64;
 /// While others are served for this long, requests are passed on to them.
 const CUT_OFF: Duration = Duration::from_millis(300);
 
@@ -195,14 +184,9 @@
             work: Notify::new(),
             record: Notify::new(),
             shares_changed: Notify::new(),
-            submissions: Cell::new(0),
-            lane_turns: RefCell::default(),
             heartbeat_routing: HeartbeatRouting::default(),
             peer_statuses: PeerStatuses::default(),
-            asked: RefCell::default(),
-            polls_passed: Cell::new(0),
-            polls_stay_until: Cell::new(Instant::now()),
-            changes_stay_until: Cell::new(Instant::now()),
+            admission: RequestAdmission::new(),
             cfg,
         });
         node.set_share();
--- a/src/control/polls.rs
+++ b/src/control/polls.rs
@@ -1,10 +1,9 @@
 //! Polls: which are answered while not all can be, and who answers one that
 //! this controller can't confirm.
 
-use std::cell::Cell;
 use std::time::Duration;
 
-use sorrelhinge_overload::asked::{Poll, Verdict};
+use sorrelhinge_overload::asked::Poll;
 use sorrelhinge_overload::pressure::Level;
 use tokio::time::Instant;
 
@@ -26,27 +25,6 @@
 const THERE: Duration = Duration::from_millis(950);
 /// With less time left no other is asked.
 const LEAST: Duration = Duration::from_millis(100);
-/// Polls that may be with other controllers at a time.
-const MOST_PASSED: usize = 128;
-/// If no other could answer one, none is passed on for so long: while the state
-/// service is away for all, each would else go through two controllers in vain.
-pub(super) const IN_VAIN: Duration = Duration::from_secs(1);
-
-/// One poll that is with another controller; its user may go away meanwhile.
-struct Passed<'a>(&'a Cell<usize>);
-
-impl<'a> Passed<'a> {
-    fn new(count: &'a Cell<usize>) -> Self {
-        count.set(count.get() + 1);
-        Self(count)
-    }
-}
-
-impl Drop for Passed<'_> {
-    fn drop(&mut self) {
-        self.0.set(self.0.get().saturating_sub(1));
-    }
-}
 
 /// What came of a poll.
 pub enum Polled {
@@ -63,7 +41,7 @@
     /// [`sorrelhinge_overload::asked`].
     pub fn sheds_poll(&self, id: &JobId) -> bool {
         if self.is_over(id) {
-            self.asked.borrow_mut().over(id);
+            self.admission.job_over(id);
             return false;
         }
         let poll = Poll {
@@ -71,19 +49,18 @@
             known: self.store.view().job(id).is_some(),
             shed: self.load.level() >= Level::Polls,
         };
-        self.asked.borrow_mut().poll(poll, self.now()) == Verdict::Refuse
+        self.admission.refuses_poll(poll, self.now())
     }
 
     /// A user was told about a job, or `answered` is false and it could not be.
     pub fn told_of(&self, id: &JobId, answered: bool) {
         if self.is_over(id) {
-            return self.asked.borrow_mut().over(id);
+            return self.admission.job_over(id);
         }
         let known = self.store.view().job(id).is_some();
-        let mut asked = self.asked.borrow_mut();
         match answered {
-            true => asked.answered(id, known, self.now()),
-            false => asked.failed(id, known, self.now()),
+            true => self.admission.poll_answered(id, known, self.now()),
+            false => self.admission.poll_failed(id, known, self.now()),
         }
     }
 
@@ -125,10 +102,7 @@
     }
 
     async fn poll_there(&self, id: &JobId, end: Instant) -> Option<Polled> {
-        if Instant::now() < self.polls_stay_until.get() || self.polls_passed.get() >= MOST_PASSED {
-            return None;
-        }
-        let _passed = Passed::new(&self.polls_passed);
+        let _passed = self.admission.pass_poll()?;
         for other in self.who_answers_polls(id).iter().take(2) {
             let left = end.saturating_duration_since(Instant::now());
             if left < LEAST {
@@ -154,7 +128,7 @@
                 return Some(Polled::There(answered));
             }
         }
-        self.polls_stay_until.set(Instant::now() + IN_VAIN);
+        self.admission.polls_passed_in_vain();
         None
     }
 
--- a/src/control/users.rs
+++ b/src/control/users.rs
@@ -7,7 +7,7 @@
 
 use super::drains::Refused;
 use super::following::FRESH;
-use super::{wall_ms, Node, Submitted, MOST_SUBMISSIONS};
+use super::{wall_ms, Node, Submitted};
 use crate::sched::ClusterState;
 use crate::state::record::{chunk_key, job_key, JobRecord, NewJob, Phase};
 use crate::state::view::{Cancellation, Summary, Versioned};
@@ -146,13 +146,7 @@
         let spec = serde_json::from_slice(body).ok();
         let spec = spec.and_then(|value| read_job(value).ok());
         let lane = spec.and_then(|s| lanes.of(&s.class, s.priority, s.deadline_s.is_some()));
-        let mut turns = self.lane_turns.borrow_mut();
-        let jumps = lane.filter(|id| turns.entry(*id).or_default().allows(true));
-        for (id, lane) in lanes.iter() {
-            let turn = turns.entry(id).or_default();
-            turn.taken(lane.bound, jumps == Some(id));
-        }
-        jumps.is_some()
+        self.admission.takes_lane_turn(lanes, lane)
     }
 
     /// Whether a job is known to be over: that never changes.
@@ -220,12 +214,12 @@
         let Ok((record, _)) = candidate else {
             return Ok(Submitted::Unavailable);
         };
-        if self.submissions.get() >= MOST_SUBMISSIONS || !self.store.view().loaded {
+        if !self.admission.has_room_for_submission() || !self.store.view().loaded {
             return Ok(Submitted::Unavailable);
         }
-        self.submissions.set(self.submissions.get() + 1);
+        self.admission.begin_submission();
         let result = self.accept(id, record).await;
-        self.submissions.set(self.submissions.get() - 1);
+        self.admission.end_submission();
         Ok(result)
     }
 
--- a/src/control/workers.rs
+++ b/src/control/workers.rs
@@ -4,11 +4,10 @@
 use std::time::Duration;
 
 use sorrelhinge_blocks::isolation::PeerContact;
-use tokio::time::Instant;
 
 use super::core::Source;
 use super::heartbeat_routing::Redirect;
-use super::{polls, Beat, Node, CUT_OFF};
+use super::{Beat, Node, CUT_OFF};
 use crate::peer;
 use crate::types::{MachineId, NodeId};
 use crate::worker::Report;
@@ -134,7 +133,7 @@
     /// nothing did, whoever the state service refused alone turned all of them away,
     /// so a failed request is reason enough, unless nobody else could help just now.
     pub fn passes_on(&self) -> bool {
-        let others_may = Instant::now() >= self.changes_stay_until.get();
+        let others_may = self.admission.passes_changes();
         self.cut_off() || self.state.fails() && others_may
     }
 
@@ -149,7 +148,7 @@
                 return Some(answered);
             }
         }
-        self.changes_stay_until.set(Instant::now() + polls::IN_VAIN);
+        self.admission.changes_passed_in_vain();
         None
     }
 
