--- a/src/control/block_grants.rs
+++ b/src/control/block_grants.rs
@@ -4,7 +4,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use sorrelhinge_blocks::owners::{Held, Member, Owners, Step, Wish};
+use sorrelhinge_blocks::owners::{Held, Member, Step, Wish};
 use tokio::time::{sleep, timeout};
 
 use super::Node;
@@ -76,7 +76,7 @@
         match self.state.txn(&txn, Urgency::First).await {
             Ok(Outcome::Done(_)) => {
                 tracing::info!(term = %leader.term, "leading");
-                *self.owners.borrow_mut() = Owners::default();
+                self.shards.forget_assignments();
                 self.fresh().await;
             }
             Ok(Outcome::Failed(_)) => {
@@ -109,9 +109,8 @@
             });
             let members = view.members.iter();
             let alive = members.map(|(node, m)| (node.clone(), Member { run: m.value.run }));
-            self.owners
-                .borrow_mut()
-                .next(&blocks.collect(), &alive.collect(), &wish, now)
+            self.shards
+                .next_assignment(&blocks.collect(), &alive.collect(), &wish, now)
         };
         let Some(step) = step else { return };
         let change = {
--- a/src/control/block_needs.rs
+++ b/src/control/block_needs.rs
@@ -13,9 +13,7 @@
 use crate::types::{MachineId, NodeId};
 
 /// How often owners tell what they use and want.
-pub(super) const NEEDS_INTERVAL: Duration = Duration::from_millis(700);
-/// What is known of another block's needs is of use for so long.
-pub(super) const NEEDS_VALID_FOR: Duration = Duration::from_secs(3);
+const NEEDS_INTERVAL: Duration = Duration::from_millis(700);
 
 impl Node {
     pub(super) fn others_known(&self) -> Vec<NodeId> {
@@ -30,12 +28,12 @@
         let mut gave = Instant::now();
         loop {
             sleep(NEEDS_INTERVAL).await;
-            if self.view_blocks() == 1 || self.cores.borrow().is_empty() {
+            if self.view_blocks() == 1 || self.shards.is_empty() {
                 continue;
             }
             let now = self.now();
             let mine: Vec<Needs> = {
-                let cores = self.cores.borrow();
+                let cores = self.shards.owned();
                 let needs = cores.iter().map(|(block, c)| {
                     let teams = self.cfg.teams.iter().map(|t| t.name.to_string());
                     Needs {
@@ -55,7 +53,7 @@
                 self.take_needs(needs);
             }
             let mut left = Vec::new();
-            for c in self.cores.borrow_mut().values_mut() {
+            for c in self.shards.owned_mut().values_mut() {
                 left.extend(c.leave(&self.store.view(), now));
             }
             for some in left {
@@ -78,18 +76,17 @@
 
     fn take_needs(&self, needs: Needs) {
         let now = self.now();
-        for (block, c) in self.cores.borrow_mut().iter_mut() {
+        for (block, c) in self.shards.owned_mut().iter_mut() {
             if *block != needs.block {
                 c.has_room(needs.block, needs.spare_cpu, now);
             }
         }
-        let known = (Instant::now(), needs.clone());
-        self.needs.borrow_mut().insert(needs.block, known);
+        self.shards.record_needs(needs);
     }
 
     fn take_left(&self, left: &LeftTo) {
         let now = self.now();
-        if let Some(c) = self.cores.borrow_mut().get_mut(&left.block) {
+        if let Some(c) = self.shards.owned_mut().get_mut(left.block) {
             c.left_here(&self.store.view(), left, now, wall_ms());
         }
         self.work.notify_one();
@@ -116,8 +113,8 @@
                 let sort = (&rented.kind, &rented.zone, rented.spot);
                 let zones = rented.machines.iter();
                 let zones = zones.map(|m| (m.clone(), rented.zone.clone()));
-                self.places.borrow_mut().extend(zones);
-                for c in self.cores.borrow_mut().values_mut() {
+                self.shards.learn_zones(zones);
+                for c in self.shards.owned_mut().values_mut() {
                     for machine in &rented.machines {
                         c.rented_for(sort, machine, now);
                     }
--- a/src/control/block_owners.rs
+++ b/src/control/block_owners.rs
@@ -26,7 +26,7 @@
     /// Whether a machine belongs to a block of this controller.
     pub(super) fn owns(&self, machine: &MachineId) -> bool {
         let block = self.block_of(machine);
-        self.cores.borrow().contains_key(&block)
+        self.shards.owns(block)
     }
 
     /// Who owns a block, as recorded.
@@ -84,14 +84,13 @@
         if of == 1 {
             return false;
         }
-        let mut cores = self.cores.borrow_mut();
         let mut new = false;
         for (block, held) in &view.blocks {
             let record = &held.value;
             let mine = record.owner == self.cfg.node
                 && record.run == self.run
                 && record.version <= BlockRecord::VERSION;
-            if !mine || block.0 >= of || cores.contains_key(block) {
+            if !mine || block.0 >= of || self.shards.owns(*block) {
                 continue;
             }
             tracing::info!(%block, term = %record.term, grant = record.number, "owning");
@@ -100,15 +99,19 @@
                 self.cfg.clone(),
                 &self.types.borrow(),
                 view,
-                (shard, (record.number, held.stamp), self.places.clone()),
+                (
+                    shard,
+                    (record.number, held.stamp),
+                    self.shards.machine_zones(),
+                ),
                 None,
                 self.now(),
                 wall_ms(),
             );
-            if cores.is_empty() {
+            if self.shards.is_empty() {
                 self.leadership.forget_reachability();
             }
-            cores.insert(*block, core);
+            self.shards.adopt(*block, core);
             new = true;
         }
         if new {
@@ -124,7 +127,7 @@
             return;
         }
         let now = self.now();
-        for (block, c) in self.cores.borrow_mut().iter_mut() {
+        for (block, c) in self.shards.owned_mut().iter_mut() {
             let offered = view.blocks.get(block).and_then(|b| b.value.to.as_ref());
             match offered {
                 Some(to) if view.members.contains_key(to) => c.freeze(now),
@@ -142,7 +145,7 @@
         let now = self.now();
         let due: Vec<(BlockId, Txn)> = {
             let view = self.store.view();
-            let cores = self.cores.borrow();
+            let cores = self.shards.owned();
             let settled = cores
                 .iter()
                 .filter(|(_, c)| c.is_frozen() && c.settled(now));
--- a/src/control/blocks_shown.rs
+++ b/src/control/blocks_shown.rs
@@ -5,7 +5,6 @@
 use sorrelhinge_blocks::shard::BlockId;
 use sorrelhinge_protocol::operators::{BlockShown, BlocksShown, PinAsked, TeamShown};
 
-use super::block_needs::NEEDS_VALID_FOR;
 use super::drains::Refused;
 use super::Node;
 use crate::state::record::{block_key, BlockRecord};
@@ -19,21 +18,19 @@
     /// Blocks, owners, machines, parts of limits and moves under way.
     pub fn show_blocks(&self) -> BlocksShown {
         let view = self.store.view();
-        let told = self.needs.borrow();
         let leader = view.leader.value.as_ref().map(|l| l.node.to_string());
         let blocks = view.blocks.iter().filter(|_| view.block_count() > 1);
         let blocks = blocks.map(|(block, held)| {
             let b = &held.value;
             let member = view.members.get(&b.owner);
             let alive = member.is_some_and(|m| m.value.run == b.run);
-            let told = told
-                .get(block)
-                .filter(|(at, _)| at.elapsed() < NEEDS_VALID_FOR);
-            let told = told.map(|(_, needs)| needs);
+            let told = self.shards.needs_of(*block);
             let cpus = |milli: i64| milli as f64 / 1000.0;
             let teams = self.cfg.teams.iter().map(|t| {
                 let slice = view.slices.get(block).map(|s| s.value.of(&t.name));
-                let need = told.and_then(|n| n.teams.iter().find(|(name, _)| **name == *t.name));
+                let need = told
+                    .as_ref()
+                    .and_then(|n| n.teams.iter().find(|(name, _)| **name == *t.name));
                 TeamShown {
                     team: t.name.to_string(),
                     part_cpus: cpus(slice.unwrap_or_default().cpu),
@@ -55,7 +52,7 @@
                 grant: b.number,
                 to: b.to.as_ref().map(|n| n.to_string()),
                 pin: b.pin.as_ref().map(|n| n.to_string()),
-                machines: told.map(|n| n.machines),
+                machines: told.as_ref().map(|n| n.machines),
                 why,
                 teams: teams.collect(),
             }
--- a/src/control/calendar.rs
+++ b/src/control/calendar.rs
@@ -51,7 +51,7 @@
                 let view = self.store.view();
                 let (wall, now) = (day_ms(), self.now());
                 let mut steps = Vec::new();
-                for c in self.cores.borrow_mut().values_mut() {
+                for c in self.shards.owned_mut().values_mut() {
                     c.look_at_windows(&view, wall, now);
                     steps.extend(c.window_steps());
                 }
@@ -165,8 +165,8 @@
             return Err(Refused::NoCalendar);
         }
         let view = self.store.view();
-        let cores = self.cores.borrow();
-        let Some(core) = cores.get(&BlockId(0)) else {
+        let cores = self.shards.owned();
+        let Some(core) = cores.get(BlockId(0)) else {
             let owner = match view.block_count() {
                 1 => view.leader.value.as_ref().map(|l| l.node.clone()),
                 _ => view.blocks.get(&BlockId(0)).map(|b| b.value.owner.clone()),
--- a/src/control/dividing.rs
+++ b/src/control/dividing.rs
@@ -32,15 +32,15 @@
         // With a topology one core must see all places.
         if of < 2 || self.topology().is_some() || !self.all_know_blocks() {
             // Also if that has changed since it was frozen.
-            if let Some(core) = self.cores.borrow_mut().values_mut().next() {
+            if let Some(core) = self.shards.owned_mut().first_mut() {
                 core.thaw();
             }
             return;
         }
         let due = *again.get_or_insert(now.after(DIVIDE_AFTER_S));
         let grant = {
-            let mut cores = self.cores.borrow_mut();
-            let Some(core) = cores.values_mut().next().filter(|_| now >= due) else {
+            let mut cores = self.shards.owned_mut();
+            let Some(core) = cores.first_mut().filter(|_| now >= due) else {
                 return;
             };
             if core.holds_gangs() {
@@ -51,13 +51,13 @@
                 return;
             }
             let zones = core.zones().map(|(id, zone)| (id.clone(), zone.clone()));
-            self.places.borrow_mut().extend(zones);
+            self.shards.learn_zones(zones);
             core.grant
         };
         if let Err(why) = self.divide_now(of, grant).await {
             tracing::info!(why, "the machines stay one block for now");
             *again = Some(self.now().after(5.0));
-            if let Some(core) = self.cores.borrow_mut().values_mut().next() {
+            if let Some(core) = self.shards.owned_mut().first_mut() {
                 core.thaw();
             }
         }
@@ -76,7 +76,7 @@
             let view = self.store.view();
             let used: Vec<Vec<Amount>> = shards
                 .map(|shard| {
-                    let grant = (shard, (grant, Revision(0)), self.places.clone());
+                    let grant = (shard, (grant, Revision(0)), self.shards.machine_zones());
                     let types = self.types.borrow();
                     let core =
                         Core::load_block(self.cfg.clone(), &types, &view, grant, None, now, wall);
@@ -156,10 +156,10 @@
         let now = self.now();
         let (txn, grant) = {
             let view = self.store.view();
-            let mut cores = self.cores.borrow_mut();
+            let mut cores = self.shards.owned_mut();
             let whole = (0..of).all(|b| {
                 let held = view.blocks.get(&BlockId(b));
-                let core = cores.get(&BlockId(b));
+                let core = cores.get(BlockId(b));
                 let held = held.filter(|h| h.value.to.is_none());
                 held.zip(core)
                     .is_some_and(|(h, c)| h.value.number == c.grant)
@@ -216,7 +216,7 @@
             other => {
                 tracing::info!(?other, "uniting the blocks");
                 self.fresh().await;
-                for c in self.cores.borrow_mut().values_mut() {
+                for c in self.shards.owned_mut().values_mut() {
                     c.thaw();
                 }
             }
--- a/src/control/drains.rs
+++ b/src/control/drains.rs
@@ -46,7 +46,7 @@
                 .machines()
                 .contains_key(&MachineId::from(text))
         };
-        match self.cores.borrow().values().next() {
+        match self.shards.owned().first() {
             Some(c) if known(c) => Ok(What::Machine(text.to_owned())),
             Some(_) => Err(Refused::Wrong(format!(
                 "there is no domain {text:?} in the file, and no machine of that name"
@@ -175,9 +175,9 @@
     /// Domains, devices and drains, with what only the owner knows.
     pub fn show(&self) -> Result<TopologyShown, Refused> {
         let topology = self.topology().ok_or(Refused::Off)?;
-        let cores = self.cores.borrow();
+        let cores = self.shards.owned();
         // With a topology all machines are one block.
-        let Some(core) = cores.values().next() else {
+        let Some(core) = cores.first() else {
             return Err(self.elsewhere());
         };
         let tree = &topology.tree;
--- a/src/control/following.rs
+++ b/src/control/following.rs
@@ -81,7 +81,7 @@
         let wait = Duration::from_secs_f64(watch_s(self.cfg.lease_s, self.cfg.cancel_s));
         loop {
             let ok = self.read_new(wait).await;
-            let leading = !self.cores.borrow().is_empty();
+            let leading = !self.shards.is_empty();
             let pause = match (ok, leading) {
                 (false, _) => WATCH_RETRY_PAUSE,
                 (true, true) => OWNER_WATCH_PAUSE,
@@ -139,23 +139,12 @@
     pub(super) fn view_changed(&self) {
         let changed = self.store.take_changed();
         let view = self.store.view();
-        let mut cores = self.cores.borrow_mut();
-        let before = cores.len();
-        cores.retain(|block, c| {
-            let kept = match c.shard.is_part() || view.block_count() > 1 {
-                true => c.still_granted(&view),
-                false => view.grant.value.number <= c.grant,
-            };
-            if !kept {
-                tracing::info!(%block, grant = c.grant, "the block was granted anew: standing down");
-            }
-            kept
-        });
-        let mut shares = cores.len() < before;
+        let mut shares = self.shards.retain_granted(&view);
         if shares && view.block_count() == 1 {
             // Without a block it does not lead either.
             self.leadership.release();
         }
+        let mut cores = self.shards.owned_mut();
         for c in cores.values_mut() {
             c.set_drains(&view, self.now());
             c.look_at_limits(&view);
--- a/src/control/leading.rs
+++ b/src/control/leading.rs
@@ -84,7 +84,7 @@
         let Ok(lease) = self.state.lease(life).await else {
             return;
         };
-        let held = self.cores.borrow().values().next().map(|c| c.grant);
+        let held = self.shards.owned().first().map(|c| c.grant);
         let kept = held == Some(grant.value.number);
         let term = Term(grant.value.term.0 + u64::from(!kept));
         let leader = LeaderRecord {
@@ -154,7 +154,7 @@
         );
         // It gave up at once, by what it had seen as the owner before.
         self.leadership.forget_reachability();
-        self.cores.borrow_mut().insert(BlockId(0), core);
+        self.shards.adopt(BlockId(0), core);
         self.set_share();
         self.inherit_spread();
         self.work.notify_one();
@@ -169,8 +169,8 @@
     /// and each controller an equal part of what is left.
     pub(super) fn set_share(&self) {
         let others = self.cfg.others.len() as f64;
-        let cores = self.cores.borrow();
-        let blocks = cores.values().next().map_or(1, |c| c.shard.of);
+        let cores = self.shards.owned();
+        let blocks = cores.first().map_or(1, |c| c.shard.of);
         let blocks = f64::from(blocks.max(self.view_blocks()));
         let here = cores.len() as f64;
         drop(cores);
@@ -196,7 +196,7 @@
     /// What it sent before is fenced as after any other end.
     pub async fn resign(&self, why: &'static str) {
         let lease = self.leadership.release();
-        let blocks: Vec<BlockId> = self.cores.borrow().keys().copied().collect();
+        let blocks: Vec<BlockId> = self.shards.ids();
         if blocks.is_empty() && lease.is_none() {
             return;
         }
@@ -222,7 +222,7 @@
     }
 
     pub(super) fn stand_down(&self, block: BlockId) {
-        let core = self.cores.borrow_mut().remove(&block);
+        let core = self.shards.give_up(block);
         if core.is_some_and(|c| !c.shard.is_part()) {
             self.leadership.release();
         }
--- a/src/control/limit_transfers.rs
+++ b/src/control/limit_transfers.rs
@@ -7,7 +7,6 @@
 use sorrelhinge_blocks::slices::{next_transfer, Need};
 use tokio::time::sleep;
 
-use super::block_needs::NEEDS_VALID_FOR;
 use super::Node;
 use crate::state::record::{block_key, slice_key, SliceRecord};
 use crate::state::{Change, Outcome, Txn, Urgency, When};
@@ -19,14 +18,11 @@
     /// What each block has and wants of each team's limit, as far as known.
     fn all_needs(&self) -> Option<Vec<Vec<Need>>> {
         let view = self.store.view();
-        let known = self.needs.borrow();
         (0..view.block_count())
             .map(|b| {
                 let block = BlockId(b);
                 let slices = &view.slices.get(&block)?.value;
-                let (_, needs) = known
-                    .get(&block)
-                    .filter(|(at, _)| at.elapsed() < NEEDS_VALID_FOR)?;
+                let needs = self.shards.needs_of(block)?;
                 let team = |t: &crate::config::TeamConfig| {
                     let need = needs.teams.iter().find(|(name, _)| **name == *t.name);
                     Need {
@@ -44,15 +40,15 @@
         let Some(needs) = self.all_needs() else {
             return;
         };
-        let blocks: Vec<BlockId> = self.cores.borrow().keys().copied().collect();
+        let blocks: Vec<BlockId> = self.shards.ids();
         for block in blocks {
             let Some(transfer) = next_transfer(block, &needs) else {
                 continue;
             };
             let txn = {
                 let view = self.store.view();
-                let mut cores = self.cores.borrow_mut();
-                let Some(core) = cores.get_mut(&block).filter(|c| !c.is_frozen()) else {
+                let mut cores = self.shards.owned_mut();
+                let Some(core) = cores.get_mut(block).filter(|c| !c.is_frozen()) else {
                     continue;
                 };
                 let held = (
@@ -116,7 +112,7 @@
                         sleep(Duration::from_millis(200)).await;
                     }
                 }
-                if !self.cores.borrow().contains_key(&block) {
+                if !self.shards.owns(block) {
                     return;
                 }
             };
@@ -130,7 +126,7 @@
                 }
             }
             let view = self.store.view();
-            if let Some(core) = self.cores.borrow_mut().get_mut(&block) {
+            if let Some(core) = self.shards.owned_mut().get_mut(block) {
                 core.giving(Vec::new(), &view);
             }
         }
--- a/src/control/load.rs
+++ b/src/control/load.rs
@@ -108,7 +108,7 @@
     }
 
     fn tell_standing(&self) {
-        let leading = !self.cores.borrow().is_empty();
+        let leading = !self.shards.is_empty();
         let share = if leading {
             (self.load.report_offload.borrow().share() * 1000.0).round() as u16
         } else {
@@ -182,8 +182,8 @@
                     .max(passed - LOAD_SAMPLE_INTERVAL.as_secs_f64() - 0.02),
                 sockets: self.connections.used(),
                 change_wait_s: self
-                    .cores
-                    .borrow()
+                    .shards
+                    .owned()
                     .values()
                     .map(|c| c.claims_wait(now))
                     .fold(0.0, f64::max),
@@ -192,7 +192,7 @@
             self.load.wait_s.set(sample.wait_s.max(0.0));
             let changed = self.load.pressure.borrow_mut().take(sample, now);
             let binds = self.load.pressure.borrow().binds(Resource::Processor);
-            let mut cores = self.cores.borrow_mut();
+            let mut cores = self.shards.owned_mut();
             if !cores.is_empty() {
                 let machines: usize = cores.values().map(Core::machines).sum();
                 let mut report_offload = self.load.report_offload.borrow_mut();
@@ -211,7 +211,7 @@
                 fleet_limit.take(machines, sample.wait_s, binds && helpers_exhausted, now);
                 // Nor more than all controllers together have sockets for.
                 let here = cores.len();
-                let blocks = cores.values().next().map_or(1, |c| c.shard.of as usize);
+                let blocks = cores.first().map_or(1, |c| c.shard.of as usize);
                 let sockets = report_load.room * (self.cfg.others.len() + 1) * here / blocks.max(1);
                 let most = fleet_limit.most().unwrap_or(usize::MAX).min(sockets);
                 let claims = (self.state.writes.rate() * CLAIMS_S) as usize / here;
--- a/src/control/mod.rs
+++ b/src/control/mod.rs
@@ -20,18 +20,16 @@
 pub mod pending;
 mod polls;
 mod renewing;
+mod shard_ownership;
 mod store_view;
 mod users;
 pub mod vouching;
 mod workers;
 
 use std::cell::RefCell;
-use std::collections::{BTreeMap, HashMap};
 use std::rc::Rc;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-use sorrelhinge_blocks::owners::Owners;
-use sorrelhinge_blocks::shard::BlockId;
 use sorrelhinge_overload::pace::Pace;
 use sorrelhinge_overload::sockets::Limits;
 use sorrelhinge_topology::Topology;
@@ -40,10 +38,10 @@
 use tokio::time::Instant;
 
 use self::admission::RequestAdmission;
-use self::core::Core;
 use self::heartbeat_routing::HeartbeatRouting;
 use self::leadership::Leadership;
 use self::peer_statuses::PeerStatuses;
+use self::shard_ownership::ShardOwnership;
 use self::store_view::StoreView;
 use crate::cloud::CloudClient;
 use crate::config::Config;
@@ -94,15 +92,8 @@
     load: load::Load,
     /// The records as known here.
     store: StoreView,
-    /// What this controller knows of each block that it owns; while there is one
-    /// block, it has number 0.
-    cores: RefCell<BTreeMap<BlockId, Core>>,
-    /// Where machines are, of all blocks.
-    places: core::Places,
-    /// What it remembers as leader of who owns what.
-    owners: RefCell<Owners>,
-    /// What other blocks use and want, and since when that is known.
-    needs: RefCell<HashMap<BlockId, (Instant, crate::shares::Needs)>>,
+    /// The shards that this controller owns, and hints about the others.
+    shards: ShardOwnership,
     types: RefCell<Vec<MachineType>>,
     /// Failure domains and devices, if the feature is on.
     topology: RefCell<Option<Rc<Topology>>>,
@@ -172,10 +163,7 @@
             cloud,
             peers,
             store: StoreView::new(),
-            cores: RefCell::default(),
-            places: core::Places::default(),
-            owners: RefCell::default(),
-            needs: RefCell::default(),
+            shards: ShardOwnership::default(),
             types: RefCell::default(),
             topology: RefCell::new(topology),
             run: rand::random(),
@@ -216,7 +204,7 @@
     /// Takes up the operator's file, new or changed.
     pub fn set_topology(&self, topology: Rc<Topology>) {
         *self.topology.borrow_mut() = Some(topology.clone());
-        for c in self.cores.borrow_mut().values_mut() {
+        for c in self.shards.owned_mut().values_mut() {
             c.set_topology(Some(topology.clone()), self.now());
         }
         self.work.notify_one();
--- a/src/control/owning.rs
+++ b/src/control/owning.rs
@@ -19,14 +19,12 @@
 /// A look at the whole fleet that takes so long, in seconds, is told of in the
 /// log: everything else waits for it.
 const LONG_S: f64 = 0.4;
-/// Machines whose place is remembered beyond twice those that are listed.
-const PLACES_MORE: usize = 1000;
 
 impl Node {
     /// Runs what is due on the core: walks, recording, commands.
     pub(super) fn drive(self: &Rc<Self>) {
         let now = self.now();
-        let mut cores = self.cores.borrow_mut();
+        let mut cores = self.shards.owned_mut();
         let walks = self.paces.walk.borrow().due(now);
         let starts_until = self.starts_until();
         // A lease that nobody renews ends, but the next session takes starts again:
@@ -62,9 +60,9 @@
                 let now = node.now();
                 let reached = matches!(outcome, Sending::Executed(_) | Sending::Refused(_));
                 let mine = node
-                    .cores
-                    .borrow_mut()
-                    .get_mut(&block)
+                    .shards
+                    .owned_mut()
+                    .get_mut(block)
                     .filter(|c| c.grant == send.orders.baton.grant())
                     .map(|c| c.dispatched(&send.machine, outcome, now));
                 // What fails for an owner that is none any more says nothing of
@@ -122,7 +120,7 @@
             let _ = timeout(TICK, self.record.notified()).await;
             loop {
                 let batch = {
-                    let mut cores = self.cores.borrow_mut();
+                    let mut cores = self.shards.owned_mut();
                     let view = self.store.view();
                     let spare = self.state.writes.spare();
                     let now = self.now();
@@ -153,10 +151,7 @@
         grant: u64,
         batch: core::Batch,
     ) {
-        let ours = || {
-            let cores = self.cores.borrow();
-            cores.get(&block).is_some_and(|c| c.grant == grant)
-        };
+        let ours = || self.shards.owns_by_grant(block, grant);
         loop {
             let result = self
                 .state
@@ -167,9 +162,9 @@
             }
             match result {
                 Ok(Outcome::Done(revision)) => {
-                    let mut cores = self.cores.borrow_mut();
+                    let mut cores = self.shards.owned_mut();
                     let mut view = self.store.view_for_commit();
-                    if let Some(c) = cores.get_mut(&block) {
+                    if let Some(c) = cores.get_mut(block) {
                         c.committed(batch, revision, &mut view, self.now());
                     }
                     drop(view);
@@ -186,9 +181,9 @@
                             return;
                         }
                     }
-                    let mut cores = self.cores.borrow_mut();
+                    let mut cores = self.shards.owned_mut();
                     let kept = cores
-                        .get_mut(&block)
+                        .get_mut(block)
                         .is_none_or(|c| c.conflicted(batch, &self.store.view(), self.now()));
                     drop(cores);
                     if !kept {
@@ -199,8 +194,8 @@
                 }
                 Err(StateError::Rejected(why)) => {
                     tracing::error!(%why, changes = batch.txn.apply.len(), "a transaction was rejected");
-                    let mut cores = self.cores.borrow_mut();
-                    if let Some(c) = cores.get_mut(&block) {
+                    let mut cores = self.shards.owned_mut();
+                    if let Some(c) = cores.get_mut(block) {
                         let limits_fell = self.state.limits_fell();
                         c.rejected(batch, limits_fell, &self.store.view(), self.now());
                     }
@@ -230,7 +225,7 @@
                     self.resign("workers can't be reached from here").await;
                 }
                 let preempts = self.paces.preempt.borrow().due(now);
-                for c in self.cores.borrow_mut().values_mut() {
+                for c in self.shards.owned_mut().values_mut() {
                     c.tick(now);
                     // What has a place needs nobody stopped.
                     self.place_all(c, now);
@@ -247,7 +242,7 @@
         loop {
             match self.cloud.types().await {
                 Ok(types) => {
-                    for c in self.cores.borrow_mut().values_mut() {
+                    for c in self.shards.owned_mut().values_mut() {
                         c.set_types(&types);
                     }
                     *self.types.borrow_mut() = types;
@@ -271,7 +266,7 @@
         loop {
             sleep(Duration::from_secs_f64(pause)).await;
             pause = 0.5;
-            if self.cores.borrow().is_empty() {
+            if self.shards.is_empty() {
                 continue;
             }
             match self.cloud.list().await {
@@ -282,14 +277,9 @@
                     let now = self.now();
                     if self.view_blocks() > 1 {
                         let zones = list.iter().map(|m| (m.uid.clone(), m.rack.clone()));
-                        let mut places = self.places.borrow_mut();
-                        // Those that were rented since are not listed yet.
-                        if places.len() > 2 * list.len() + PLACES_MORE {
-                            places.clear();
-                        }
-                        places.extend(zones);
+                        self.shards.learn_listed_zones(list.len(), zones);
                     }
-                    let mut cores = self.cores.borrow_mut();
+                    let mut cores = self.shards.owned_mut();
                     for c in cores.values_mut() {
                         c.look_elsewhere(&self.store.view());
                         let shard = c.shard;
@@ -322,7 +312,7 @@
             }
             let mut to_delete: Vec<MachineId> = Vec::new();
             let mut rentals = Vec::new();
-            for (block, c) in self.cores.borrow_mut().iter_mut() {
+            for (block, c) in self.shards.owned_mut().iter_mut() {
                 let plan = self.timed("fleet", &self.paces.fleet, || c.fleet(now));
                 to_delete.extend(plan.0);
                 rentals.extend(plan.1.into_iter().map(|r| (*block, c.grant, r)));
@@ -332,7 +322,7 @@
                     Ok(()) => {
                         tracing::info!(?machines, "deleted");
                         let now = self.now();
-                        for c in self.cores.borrow_mut().values_mut() {
+                        for c in self.shards.owned_mut().values_mut() {
                             let own = machines.iter().filter(|m| c.shard.covers(m));
                             c.deleted(&own.cloned().collect::<Vec<_>>(), now);
                         }
@@ -359,8 +349,8 @@
                         node.tell_rented(&rental, machines);
                     }
                     let now = node.now();
-                    let mut cores = node.cores.borrow_mut();
-                    if let Some(c) = cores.get_mut(&block).filter(|c| c.grant == grant) {
+                    let mut cores = node.shards.owned_mut();
+                    if let Some(c) = cores.get_mut(block).filter(|c| c.grant == grant) {
                         c.rented(&rental, result, now);
                     }
                 });
--- a/src/control/renewing.rs
+++ b/src/control/renewing.rs
@@ -100,9 +100,9 @@
     /// new to tell.
     pub fn heard_of(&self, machines: &[HeardOf]) {
         let now = self.now();
-        let mut cores = self.cores.borrow_mut();
+        let mut cores = self.shards.owned_mut();
         for (machine, session, seq) in machines.iter().filter_map(HeardOf::read) {
-            if let Some(c) = cores.get_mut(&self.block_of(&machine)) {
+            if let Some(c) = cores.get_mut(self.block_of(&machine)) {
                 c.heard(&machine, session, seq, now);
             }
         }
--- a/src/control/users.rs
+++ b/src/control/users.rs
@@ -109,14 +109,14 @@
 
     /// Why a job waits, if this controller places it and knows.
     pub fn why_waits(&self, id: &JobId) -> Option<String> {
-        let cores = self.cores.borrow();
+        let cores = self.shards.owned();
         let mut here = cores.values().filter(|c| c.shard.homes(id));
         here.find_map(|c| c.cluster_state.why_waits(id, self.now()))
     }
 
     /// The lanes of the blocks that are owned here; none: nothing is.
     pub fn show_lanes(&self) -> Result<LanesShown, Refused> {
-        let cores = self.cores.borrow();
+        let cores = self.shards.owned();
         let mut all: Option<LanesShown> = None;
         for c in cores.values() {
             let shown = c.show_lanes(self.now());
--- a/src/control/workers.rs
+++ b/src/control/workers.rs
@@ -156,9 +156,9 @@
     pub fn own_beat(self: &Rc<Self>, report: &Report, source: Source) -> Beat {
         let now = self.now();
         let block = self.block_of(&report.machine);
-        let mut cores = self.cores.borrow_mut();
+        let mut cores = self.shards.owned_mut();
         let mut reply = None;
-        if let Some(c) = cores.get_mut(&block) {
+        if let Some(c) = cores.get_mut(block) {
             // Before it can depose, and without an answer, which would have commands
             // that nobody takes count as sent.
             if c.is_copy(report) && report.baton.grant() <= c.grant {
@@ -184,7 +184,7 @@
                 reply = Some(c.answer(report, &self.store.view(), now));
             }
         }
-        let owning = cores.contains_key(&block);
+        let owning = cores.contains(block);
         drop(cores);
         if owning {
             self.drive();
