--- a/src/control/load.rs
+++ b/src/control/load.rs
@@ -14,13 +14,17 @@
 use super::core::Core;
 use super::Node;
 use crate::peer;
-use crate::types::{MachineId, NodeId};
+use crate::types::{MachineId, NodeId, Time};
 
 /// How often it is measured.
 const LOAD_SAMPLE_INTERVAL: Duration = Duration::from_millis(500);
 /// Claims may wait for so long to be recorded, in seconds, before no more are
 /// made.
 const CLAIMS_S: f64 = 2.5;
+/// A timer may fire so late, in seconds, without that being a wait.
+const TIMER_LATENESS_S: f64 = 0.02;
+/// Shorter times between two measurements, in seconds, are not divided by.
+const LEAST_ELAPSED_S: f64 = 1e-3;
 /// How often it is told in the log.
 const LOG: Duration = Duration::from_secs(10);
 
@@ -47,6 +51,14 @@
     pub shed: Cell<u64>,
 }
 
+impl Counts {
+    /// A duty over the whole fleet took so many seconds.
+    pub(super) fn duty_took(&self, cost_s: f64) {
+        self.spent.set(self.spent.get() + cost_s);
+        self.longest.set(self.longest.get().max(cost_s));
+    }
+}
+
 /// One more.
 pub fn count(cell: &Cell<u64>) {
     cell.set(cell.get() + 1);
@@ -75,6 +87,53 @@
     pub fn most_machines(&self) -> Option<usize> {
         self.fleet_limit.borrow().most()
     }
+
+    /// Whether a resource is short.
+    fn binds(&self, resource: Resource) -> bool {
+        self.pressure.borrow().binds(resource)
+    }
+
+    /// The part of workers that report to other controllers, from 0 to 1.
+    fn offload_share(&self) -> f64 {
+        self.report_offload.borrow().share()
+    }
+
+    /// Whether other controllers are asked to answer reports that tell nothing new.
+    fn asks_for_relief(&self) -> bool {
+        self.relief.borrow().asked()
+    }
+
+    /// A new owner begins with the part of workers that reported elsewhere before.
+    fn begin_with_share(&self, share: f64) {
+        *self.report_offload.borrow_mut() = ReportOffload::from_share(share);
+    }
+
+    /// The one of `helpers` that a worker is to report to, if it is among those that
+    /// report elsewhere.
+    fn home<'a>(&self, machine: &MachineId, helpers: &'a [NodeId]) -> Option<&'a NodeId> {
+        self.report_offload.borrow().home(machine, helpers.iter())
+    }
+
+    /// Takes a sample; true if what is shed has changed.
+    fn measured(&self, sample: Sample, now: Time) -> bool {
+        self.wait_s.set(sample.wait_s.max(0.0));
+        self.pressure.borrow_mut().take(sample, now)
+    }
+
+    /// Takes the load of an owner of shards; returns how many machines there may be.
+    fn measured_as_owner(&self, load: ReportLoad, now: Time) -> Option<usize> {
+        let mut report_offload = self.report_offload.borrow_mut();
+        report_offload.take(load, now);
+        let all_offloaded = report_offload.share() >= 1.0;
+        let mut relief = self.relief.borrow_mut();
+        relief.take(all_offloaded, load.wait_s, now);
+        // The others' help comes first.
+        let helpers_exhausted = load.helpers == 0 || all_offloaded;
+        let overloaded = self.binds(Resource::Processor) && helpers_exhausted;
+        let mut fleet_limit = self.fleet_limit.borrow_mut();
+        fleet_limit.take(load.machines, load.wait_s, overloaded, now);
+        fleet_limit.most()
+    }
 }
 
 impl Node {
@@ -110,14 +169,14 @@
     fn tell_standing(&self) {
         let leading = !self.shards.is_empty();
         let share = if leading {
-            (self.load.report_offload.borrow().share() * 1000.0).round() as u16
+            (self.load.offload_share() * 1000.0).round() as u16
         } else {
             0
         };
         let standing = peer::Standing {
             helps: true,
             crowded: self.connections.crowded(),
-            relief: leading && self.load.relief.borrow().asked(),
+            relief: leading && self.load.asks_for_relief(),
             share,
         };
         let limits_fell = self.state.limits_fell();
@@ -131,8 +190,7 @@
     /// A new owner goes on where the last one was.
     pub(super) fn inherit_spread(&self) {
         let share = self.peer_statuses.greatest_share();
-        *self.load.report_offload.borrow_mut() =
-            ReportOffload::from_share(f64::from(share) / 1000.0);
+        self.load.begin_with_share(f64::from(share) / 1000.0);
     }
 
     /// Whether a report that came here is taken for its owner.
@@ -142,123 +200,151 @@
 
     /// The controller that a worker of ours is to report to instead.
     pub(super) fn home_of(&self, machine: &MachineId) -> Option<NodeId> {
-        if !self.owns(machine) || self.load.report_offload.borrow().share() == 0.0 {
+        if !self.owns(machine) || self.load.offload_share() == 0.0 {
             return None;
         }
         let helpers = self.helpers(true);
-        let home = self
-            .load
-            .report_offload
-            .borrow()
-            .home(machine, helpers.iter())?
-            .clone();
-        let sent = self.heartbeat_routing.sends_home(machine, &home);
-        sent.then_some(home)
+        let home = self.load.home(machine, &helpers)?;
+        let sent = self.heartbeat_routing.sends_home(machine, home);
+        sent.then(|| home.clone())
     }
 
     /// Measures the load again and again.
     pub(super) async fn watch_load(self: Rc<Self>) {
         let mut last = Instant::now();
-        let mut logged = Instant::now();
-        let mut late_before = 0;
+        let mut log = LoadLog::new();
         loop {
             sleep(LOAD_SAMPLE_INTERVAL).await;
-            let passed = last.elapsed().as_secs_f64().max(1e-3);
+            let passed_s = last.elapsed().as_secs_f64().max(LEAST_ELAPSED_S);
             last = Instant::now();
             let now = self.now();
-            let peer_contact = self.peer_contact();
-            if peer_contact.should_probe_state() {
-                // A quiet watch says nothing for seconds.
-                self.store.request_refresh();
-            }
-            if !peer_contact.is_isolated() {
-                self.heartbeat_routing.forget_dismissed();
-            }
-            let sample = Sample {
-                // A timer that fires late waited like a request.
-                wait_s: self
-                    .connections
-                    .wait_s()
-                    .max(passed - LOAD_SAMPLE_INTERVAL.as_secs_f64() - 0.02),
-                sockets: self.connections.used(),
-                change_wait_s: self
-                    .shards
-                    .owned()
-                    .values()
-                    .map(|c| c.claims_wait(now))
-                    .fold(0.0, f64::max),
-                cloud_wait_s: self.cloud.wait_s(),
-            };
-            self.load.wait_s.set(sample.wait_s.max(0.0));
-            let changed = self.load.pressure.borrow_mut().take(sample, now);
-            let binds = self.load.pressure.borrow().binds(Resource::Processor);
-            let mut cores = self.shards.owned_mut();
-            if !cores.is_empty() {
-                let machines: usize = cores.values().map(Core::machines).sum();
-                let mut report_offload = self.load.report_offload.borrow_mut();
-                let report_load = ReportLoad {
-                    machines,
-                    room: self.connections.limits().workers,
-                    wait_s: sample.wait_s,
-                    helpers: self.helpers(false).len(),
-                };
-                report_offload.take(report_load, now);
-                let mut relief = self.load.relief.borrow_mut();
-                relief.take(report_offload.share() >= 1.0, sample.wait_s, now);
-                // The others' help comes first.
-                let helpers_exhausted = report_load.helpers == 0 || report_offload.share() >= 1.0;
-                let mut fleet_limit = self.load.fleet_limit.borrow_mut();
-                fleet_limit.take(machines, sample.wait_s, binds && helpers_exhausted, now);
-                // Nor more than all controllers together have sockets for.
-                let here = cores.len();
-                let blocks = cores.first().map_or(1, |c| c.shard.of as usize);
-                let sockets = report_load.room * (self.cfg.others.len() + 1) * here / blocks.max(1);
-                let most = fleet_limit.most().unwrap_or(usize::MAX).min(sockets);
-                let claims = (self.state.writes.rate() * CLAIMS_S) as usize / here;
-                for c in cores.values_mut() {
-                    c.set_most_machines(Some(most / here));
-                    c.shed_placements(self.load.level() >= Level::Placements);
-                    c.set_most_claiming(claims.max(2 * self.cfg.state_limits.txn_ops));
-                    if binds {
-                        c.hears_badly(now);
-                    }
-                }
-            }
-            drop(cores);
+            self.look_at_peer_contact();
+            let sample = self.sample_load(passed_s, now);
+            let changed = self.load.measured(sample, now);
+            self.limit_owned_shards(sample, now);
             self.tell_standing();
-            if changed || logged.elapsed() >= LOG {
-                let over = logged.elapsed().as_secs_f64().max(1e-3);
-                logged = Instant::now();
-                let pressure = self.load.pressure.borrow();
-                let binding: Vec<&str> = pressure.binding().map(Resource::name).collect();
-                let rate = |cell: &Cell<u64>| (cell.replace(0) as f64 / over * 10.0).round() / 10.0;
-                let counts = &self.load.counts;
-                let late = self.connections.late();
-                let (connections, workers) = self.connections.open();
-                tracing::info!(
-                    wait_s = (sample.wait_s * 100.0).round() / 100.0,
-                    change_wait_s = (sample.change_wait_s * 10.0).round() / 10.0,
-                    connections,
-                    workers,
-                    reports = rate(&counts.reports),
-                    homed = rate(&counts.homed),
-                    submissions = rate(&counts.submissions),
-                    polls = rate(&counts.polls),
-                    cancellations = rate(&counts.cancellations),
-                    renewed = rate(&counts.renewed),
-                    shed = rate(&counts.shed),
-                    duties = (counts.spent.replace(0.0) / over * 100.0).round() / 100.0,
-                    longest_s = (counts.longest.replace(0.0) * 100.0).round() / 100.0,
-                    late = late - late_before,
-                    spread = self.load.report_offload.borrow().share(),
-                    relief = self.load.relief.borrow().asked(),
-                    most_machines = self.load.most_machines(),
-                    binding = binding.join(","),
-                    shedding = pressure.level().name(),
-                    "load"
-                );
-                late_before = late;
+            if changed || log.is_due() {
+                log.write(&self, sample);
             }
         }
     }
+
+    /// Asks the state service when the others are silent, and takes workers again when
+    /// they are not.
+    fn look_at_peer_contact(&self) {
+        let peer_contact = self.peer_contact();
+        if peer_contact.should_probe_state() {
+            // A quiet watch says nothing for seconds.
+            self.store.request_refresh();
+        }
+        if !peer_contact.is_isolated() {
+            self.heartbeat_routing.forget_dismissed();
+        }
+    }
+
+    /// The waits and the sockets in use now; the last sample is `passed_s` seconds old.
+    fn sample_load(&self, passed_s: f64, now: Time) -> Sample {
+        Sample {
+            // A timer that fires late waited like a request.
+            wait_s: self
+                .connections
+                .wait_s()
+                .max(passed_s - LOAD_SAMPLE_INTERVAL.as_secs_f64() - TIMER_LATENESS_S),
+            sockets: self.connections.used(),
+            change_wait_s: self
+                .shards
+                .owned()
+                .values()
+                .map(|c| c.claims_wait(now))
+                .fold(0.0, f64::max),
+            cloud_wait_s: self.cloud.wait_s(),
+        }
+    }
+
+    /// Limits machines, placements and claims of the owned shards to what this
+    /// controller can serve.
+    fn limit_owned_shards(&self, sample: Sample, now: Time) {
+        let mut cores = self.shards.owned_mut();
+        if cores.is_empty() {
+            return;
+        }
+        let report_load = ReportLoad {
+            machines: cores.values().map(Core::machines).sum(),
+            room: self.connections.limits().workers,
+            wait_s: sample.wait_s,
+            helpers: self.helpers(false).len(),
+        };
+        let most = self.load.measured_as_owner(report_load, now);
+        // Nor more than all controllers together have sockets for.
+        let here = cores.len();
+        let blocks = cores.first().map_or(1, |c| c.shard.of as usize);
+        let sockets = report_load.room * (self.cfg.others.len() + 1) * here / blocks.max(1);
+        let most = most.unwrap_or(usize::MAX).min(sockets);
+        let claims = (self.state.writes.rate() * CLAIMS_S) as usize / here;
+        let processor_binds = self.load.binds(Resource::Processor);
+        for c in cores.values_mut() {
+            c.set_most_machines(Some(most / here));
+            c.shed_placements(self.load.level() >= Level::Placements);
+            c.set_most_claiming(claims.max(2 * self.cfg.state_limits.txn_ops));
+            if processor_binds {
+                c.hears_badly(now);
+            }
+        }
+    }
+}
+
+/// The line of the log that tells the load.
+struct LoadLog {
+    written_at: Instant,
+    /// Requests that were answered late, when it was last written.
+    late_before: u64,
+}
+
+impl LoadLog {
+    fn new() -> Self {
+        Self {
+            written_at: Instant::now(),
+            late_before: 0,
+        }
+    }
+
+    fn is_due(&self) -> bool {
+        self.written_at.elapsed() >= LOG
+    }
+
+    /// Writes what was counted since the last time, and starts to count anew.
+    fn write(&mut self, node: &Node, sample: Sample) {
+        let over_s = self.written_at.elapsed().as_secs_f64();
+        let over_s = over_s.max(LEAST_ELAPSED_S);
+        self.written_at = Instant::now();
+        let pressure = node.load.pressure.borrow();
+        let binding: Vec<&str> = pressure.binding().map(Resource::name).collect();
+        let rate = |cell: &Cell<u64>| (cell.replace(0) as f64 / over_s * 10.0).round() / 10.0;
+        let counts = &node.load.counts;
+        let late = node.connections.late();
+        let (connections, workers) = node.connections.open();
+        tracing::info!(
+            wait_s = (sample.wait_s * 100.0).round() / 100.0,
+            change_wait_s = (sample.change_wait_s * 10.0).round() / 10.0,
+            connections,
+            workers,
+            reports = rate(&counts.reports),
+            homed = rate(&counts.homed),
+            submissions = rate(&counts.submissions),
+            polls = rate(&counts.polls),
+            cancellations = rate(&counts.cancellations),
+            renewed = rate(&counts.renewed),
+            shed = rate(&counts.shed),
+            duties = (counts.spent.replace(0.0) / over_s * 100.0).round() / 100.0,
+            longest_s = (counts.longest.replace(0.0) * 100.0).round() / 100.0,
+            late = late - self.late_before,
+            spread = node.load.offload_share(),
+            relief = node.load.asks_for_relief(),
+            most_machines = node.load.most_machines(),
+            binding = binding.join(","),
+            shedding = pressure.level().name(),
+            "load"
+        );
+        self.late_before = late;
+    }
 }
--- a/src/control/mod.rs
+++ b/src/control/mod.rs
@@ -16,6 +16,7 @@
 mod limit_transfers;
 pub mod load;
 mod owning;
+mod paces;
 mod peer_statuses;
 pub mod pending;
 mod polls;
@@ -28,9 +29,8 @@
 
 use std::cell::RefCell;
 use std::rc::Rc;
-use std::time::{Duration, SystemTime, UNIX_EPOCH};
+use std::time::{SystemTime, UNIX_EPOCH};
 
-use sorrelhinge_overload::pace::Pace;
 use sorrelhinge_overload::sockets::Limits;
 use sorrelhinge_topology::Topology;
 use tokio::sync::Notify;
@@ -40,6 +40,7 @@
 use self::admission::RequestAdmission;
 use self::heartbeat_routing::HeartbeatRouting;
 use self::leadership::Leadership;
+use self::paces::Paces;
 use self::peer_statuses::PeerStatuses;
 use self::shard_ownership::ShardOwnership;
 use self::store_view::StoreView;
@@ -111,38 +112,6 @@
     admission: RequestAdmission,
 }
 
-/// Duties that look at the whole fleet.
-struct Paces {
-    /// Filling a machine at its report. Under load a report may do without:
-    /// offering all waiting jobs the best machine comes to the same.
-    walk: RefCell<Pace>,
-    /// Offering all waiting jobs the best machine.
-    place: RefCell<Pace>,
-    /// Making room.
-    preempt: RefCell<Pace>,
-    /// Planning the fleet.
-    fleet: RefCell<Pace>,
-}
-
-impl Default for Paces {
-    fn default() -> Self {
-        Self {
-            walk: RefCell::new(Pace::new(0.0, 0.5, 0.3)),
-            place: RefCell::new(Pace::new(0.0, 1.0, 0.3)),
-            preempt: RefCell::new(Pace::new(0.4, 4.0, 0.06)),
-            fleet: RefCell::new(Pace::new(0.6, 6.0, 0.08)),
-        }
-    }
-}
-
-/// How often the fleet is planned.
-const FLEET_EVERY: Duration = Duration::from_millis(700);
-/// Machines that are read from the list a second.
-const LISTED_A_SECOND: f64 = 350.0;
-const TICK: Duration = Duration::from_millis(200);
-/// While others are served for this long, requests are passed on to them.
-const CUT_OFF: Duration = Duration::from_millis(300);
-
 fn wall_ms() -> u64 {
     SystemTime::now()
         .duration_since(UNIX_EPOCH)
--- a/src/control/owning.rs
+++ b/src/control/owning.rs
@@ -1,21 +1,26 @@
 //! The block owner's duties: the loops that drive the core.
 
-use std::cell::RefCell;
 use std::rc::Rc;
 use std::time::Duration;
 
 use sorrelhinge_blocks::shard::BlockId;
-use sorrelhinge_overload::pace::Pace;
 use tokio::task::spawn_local;
 use tokio::time::{sleep, timeout, Instant};
 
 use super::core::Core;
-use super::{core, Node, FLEET_EVERY, LISTED_A_SECOND, TICK};
+use super::paces::Duty;
+use super::{core, Node};
 use crate::cloud::CloudError;
 use crate::state::{Outcome, StateError, Urgency};
 use crate::types::{MachineId, Time};
 use crate::worker::{send_orders, Sending};
 
+/// How often the fleet is planned.
+const FLEET_EVERY: Duration = Duration::from_millis(700);
+/// Machines that are read from the list a second.
+const LISTED_A_SECOND: f64 = 350.0;
+/// How often what is not urgent is looked at.
+const TICK: Duration = Duration::from_millis(200);
 /// A look at the whole fleet that takes so long, in seconds, is told of in the
 /// log: everything else waits for it.
 const LONG_S: f64 = 0.4;
@@ -25,7 +30,7 @@
     pub(super) fn drive(self: &Rc<Self>) {
         let now = self.now();
         let mut cores = self.shards.owned_mut();
-        let walks = self.paces.walk.borrow().due(now);
+        let walks = self.paces.due(Duty::Walk, now);
         let starts_until = self.starts_until();
         // A lease that nobody renews ends, but the next session takes starts again:
         // one of a job that was cancelled elsewhere, long ago by then.
@@ -34,7 +39,7 @@
         for (block, c) in cores.iter_mut() {
             c.may_start_until(starts_until, now);
             if walks {
-                self.timed("walk", &self.paces.walk, || c.place(now));
+                self.timed(Duty::Walk, || c.place(now));
             }
             self.place_all(c, now);
             if c.has_urgent() {
@@ -81,30 +86,22 @@
     }
 
     fn place_all(&self, core: &mut Core, now: Time) {
-        if core.walk_all && self.paces.place.borrow().due(now) {
-            self.timed("place", &self.paces.place, || core.place_all(now));
+        if core.walk_all && self.paces.due(Duty::Place, now) {
+            self.timed(Duty::Place, || core.place_all(now));
         }
     }
 
     /// Does a duty that looks at the whole fleet, and notes what it took.
-    pub(super) fn timed<R>(
-        &self,
-        name: &'static str,
-        pace: &RefCell<Pace>,
-        duty: impl FnOnce() -> R,
-    ) -> R {
+    pub(super) fn timed<R>(&self, duty: Duty, work: impl FnOnce() -> R) -> R {
         let begun = Instant::now();
-        let result = duty();
+        let result = work();
         let cost = begun.elapsed().as_secs_f64();
-        pace.borrow_mut()
-            .done(cost, self.load.wait_s.get(), self.now());
-        let spent = &self.load.counts.spent;
-        spent.set(spent.get() + cost);
-        let longest = &self.load.counts.longest;
-        longest.set(longest.get().max(cost));
+        self.paces
+            .done(duty, cost, self.load.wait_s.get(), self.now());
+        self.load.counts.duty_took(cost);
         if cost >= LONG_S {
             tracing::info!(
-                duty = name,
+                duty = duty.name(),
                 cost_s = (cost * 100.0).round() / 100.0,
                 "long duty"
             );
@@ -224,13 +221,13 @@
                 if fit && self.leadership.is_cut_off(now) {
                     self.resign("workers can't be reached from here").await;
                 }
-                let preempts = self.paces.preempt.borrow().due(now);
+                let preempts = self.paces.due(Duty::Preempt, now);
                 for c in self.shards.owned_mut().values_mut() {
                     c.tick(now);
                     // What has a place needs nobody stopped.
                     self.place_all(c, now);
                     if preempts {
-                        self.timed("preempt", &self.paces.preempt, || c.preempt(now));
+                        self.timed(Duty::Preempt, || c.preempt(now));
                     }
                 }
             }
@@ -307,13 +304,13 @@
                 continue;
             }
             let now = self.now();
-            if !self.paces.fleet.borrow().due(now) {
+            if !self.paces.due(Duty::Fleet, now) {
                 continue;
             }
             let mut to_delete: Vec<MachineId> = Vec::new();
             let mut rentals = Vec::new();
             for (block, c) in self.shards.owned_mut().iter_mut() {
-                let plan = self.timed("fleet", &self.paces.fleet, || c.fleet(now));
+                let plan = self.timed(Duty::Fleet, || c.fleet(now));
                 to_delete.extend(plan.0);
                 rentals.extend(plan.1.into_iter().map(|r| (*block, c.grant, r)));
             }
--- a/src/control/workers.rs
+++ b/src/control/workers.rs
@@ -7,11 +7,15 @@
 
 use super::core::Source;
 use super::heartbeat_routing::Redirect;
-use super::{Beat, Node, CUT_OFF};
+use super::paces::Duty;
+use super::{Beat, Node};
 use crate::peer;
 use crate::types::{MachineId, NodeId};
 use crate::worker::Report;
 
+/// While others are served for this long, requests are passed on to them.
+const CUT_OFF: Duration = Duration::from_millis(300);
+
 impl Node {
     /// Takes a worker's report, `body` as it came.
     pub async fn beat(self: &Rc<Self>, report: &Report, body: &[u8]) -> Beat {
@@ -178,8 +182,8 @@
                 return Beat::Unavailable;
             }
             if self.knows_the_cancelled() {
-                if self.paces.walk.borrow().due(now) {
-                    self.timed("walk", &self.paces.walk, || c.walk(&report.machine, now));
+                if self.paces.due(Duty::Walk, now) {
+                    self.timed(Duty::Walk, || c.walk(&report.machine, now));
                 }
                 reply = Some(c.answer(report, &self.store.view(), now));
             }
