--- a/src/control/dividing.rs
+++ b/src/control/dividing.rs
@@ -10,12 +10,48 @@
     block_key, member_key, slice_key, BlockRecord, Fence, GrantRecord, MapRecord, MemberRecord,
     SliceRecord, GRANT, LEADER, MAP,
 };
+use crate::state::view::View;
 use crate::state::{Change, Outcome, StateError, Txn, Urgency, When};
-use crate::types::{Amount, Revision, Term, Time};
+use crate::types::{Amount, LeaseId, Revision, Term, Time};
 
-/// The machines are divided only by a leader that has led for so long, in
-/// seconds, and again only so long after that failed.
+/// The machines are divided only by a leader that has led for so long, in seconds.
 const DIVIDE_AFTER_S: f64 = 1.0;
+/// After a failure they are divided again only so much later, in seconds.
+const DIVIDE_AGAIN_S: f64 = 5.0;
+
+/// Why the machines were not divided.
+#[derive(Debug, thiserror::Error)]
+enum DivideError {
+    /// The local copy of the records may be old.
+    #[error("the state service can't be asked")]
+    Unconfirmed,
+    /// Claims beyond a limit are not released yet.
+    #[error("releases wait to be recorded")]
+    ReleasesPending,
+    /// The shards' parts of the limits were not recorded.
+    #[error("parts of the limits: {0:?}")]
+    Quotas(Result<Outcome, StateError>),
+    /// This controller does not lead any more.
+    #[error("the lease ended")]
+    LeaseExpired,
+    /// The shards were not recorded, or that is not known.
+    #[error("blocks: {0:?}")]
+    Shards(Result<Outcome, StateError>),
+}
+
+/// A division into several shards that is about to be recorded.
+struct Division {
+    /// How many shards.
+    of: u32,
+    /// The number of the one grant that they replace.
+    grant: u64,
+    /// Each shard's part of each team's limit.
+    quotas: Vec<Vec<Amount>>,
+    /// Nothing is written if the grant is another by then.
+    guard: When,
+    /// The term of the grant.
+    term: Term,
+}
 
 impl Node {
     /// The other controllers all know that there may be several blocks.
@@ -54,60 +90,92 @@
             self.shards.learn_zones(zones);
             core.grant
         };
-        if let Err(why) = self.divide_now(of, grant).await {
+        if let Err(error) = self.divide_now(of, grant).await {
+            let why = error.to_string();
             tracing::info!(why, "the machines stay one block for now");
-            *again = Some(self.now().after(5.0));
+            *again = Some(self.now().after(DIVIDE_AGAIN_S));
             if let Some(core) = self.shards.owned_mut().first_mut() {
                 core.thaw();
             }
         }
     }
 
-    async fn divide_now(&self, of: u32, grant: u64) -> Result<(), String> {
+    /// Writes the parts of the limits, and then, if nothing changed meanwhile, the
+    /// shards in place of the one grant.
+    async fn divide_now(&self, of: u32, grant: u64) -> Result<(), DivideError> {
         if !self.fresh().await {
-            return Err("the state service can't be asked".into());
+            return Err(DivideError::Unconfirmed);
+        }
+        let division = self.plan_division(of, grant)?;
+        let quotas_at = self.record_quotas(&division).await?;
+        let lease = self.leadership.lease();
+        let lease = lease.ok_or(DivideError::LeaseExpired)?;
+        let txn = self.division_txn(&division, quotas_at, lease);
+        match self.state.txn(&txn, Urgency::First).await {
+            Ok(Outcome::Done(revision)) => {
+                tracing::info!(blocks = of, "the machines are divided");
+                self.peers.announce(revision);
+                self.fresh().await;
+                Ok(())
+            }
+            // If it was carried out after all, the view tells.
+            other => Err(DivideError::Shards(other)),
         }
+    }
+
+    /// What each shard would use, and its part of the limits by that.
+    fn plan_division(&self, of: u32, grant: u64) -> Result<Division, DivideError> {
         let (now, wall) = (self.now(), wall_ms());
         let shards = (0..of).map(|b| Shard {
             block: BlockId(b),
             of,
         });
-        let (slices, stamp, term) = {
-            let view = self.store.view();
-            let used: Vec<Vec<Amount>> = shards
-                .map(|shard| {
-                    let grant = (shard, (grant, Revision(0)), self.shards.machine_zones());
-                    let types = self.types.borrow();
-                    let core =
-                        Core::load_block(self.cfg.clone(), &types, &view, grant, None, now, wall);
-                    core.needs().iter().map(|n| n.used).collect()
-                })
-                .collect();
-            let limits: Vec<Amount> = self.cfg.teams.iter().map(|t| t.limit).collect();
-            let slices = divide(&limits, &used).ok_or("releases wait to be recorded")?;
-            (slices, view.grant.stamp, view.grant.value.term)
-        };
-        let guard = When {
-            key: GRANT.into(),
-            stamp,
-        };
+        let view = self.store.view();
+        let used: Vec<Vec<Amount>> = shards
+            .map(|shard| {
+                let grant = (shard, (grant, Revision(0)), self.shards.machine_zones());
+                let types = self.types.borrow();
+                let core =
+                    Core::load_block(self.cfg.clone(), &types, &view, grant, None, now, wall);
+                core.needs().iter().map(|n| n.used).collect()
+            })
+            .collect();
+        let limits: Vec<Amount> = self.cfg.teams.iter().map(|t| t.limit).collect();
+        let quotas = divide(&limits, &used).ok_or(DivideError::ReleasesPending)?;
+        Ok(Division {
+            of,
+            grant,
+            quotas,
+            guard: When {
+                key: GRANT.into(),
+                stamp: view.grant.stamp,
+            },
+            term: view.grant.value.term,
+        })
+    }
+
+    /// Writes each shard's part of the limits; returns the revision that has them.
+    async fn record_quotas(&self, division: &Division) -> Result<Revision, DivideError> {
         let names = || self.cfg.teams.iter().map(|t| t.name.to_string());
-        let parts = slices.into_iter().enumerate().map(|(b, part)| {
-            let record = SliceRecord::new(names().zip(part));
+        let parts = division.quotas.iter().enumerate().map(|(b, part)| {
+            let record = SliceRecord::new(names().zip(part.iter().copied()));
             Change::write(slice_key(BlockId(b as u32)), &record, None)
         });
-        let first = Txn {
-            when: vec![guard.clone()],
+        let txn = Txn {
+            when: vec![division.guard.clone()],
             apply: parts.collect(),
         };
-        let at = match self.state.txn(&first, Urgency::First).await {
-            Ok(Outcome::Done(revision)) => revision,
-            other => return Err(format!("parts of the limits: {other:?}")),
-        };
-        let Some(lease) = self.leadership.lease() else {
-            return Err("the lease ended".into());
-        };
-        let mut when = vec![guard];
+        match self.state.txn(&txn, Urgency::First).await {
+            Ok(Outcome::Done(revision)) => Ok(revision),
+            other => Err(DivideError::Quotas(other)),
+        }
+    }
+
+    /// The map, the fence in the grant's place, this controller as a member, and a
+    /// record for each shard; only if the quotas are as written at `quotas_at`.
+    fn division_txn(&self, division: &Division, quotas_at: Revision, lease: LeaseId) -> Txn {
+        let of = division.of;
+        let mut when = vec![division.guard.clone()];
         let map = MapRecord {
             version: MapRecord::VERSION,
             blocks: of,
@@ -125,82 +193,32 @@
         for block in (0..of).map(BlockId) {
             when.push(When {
                 key: slice_key(block),
-                stamp: at,
+                stamp: quotas_at,
             });
             let record = BlockRecord {
                 version: BlockRecord::VERSION,
                 owner: self.cfg.node.clone(),
                 run: self.run,
-                term,
-                number: grant + 1 + u64::from(block.0),
+                term: division.term,
+                number: division.grant + 1 + u64::from(block.0),
                 to: None,
                 pin: None,
             };
             apply.push(Change::write(block_key(block), &record, None));
         }
-        match self.state.txn(&Txn { when, apply }, Urgency::First).await {
-            Ok(Outcome::Done(revision)) => {
-                tracing::info!(blocks = of, "the machines are divided");
-                self.peers.announce(revision);
-                self.fresh().await;
-                Ok(())
-            }
-            // If it was carried out after all, the view tells.
-            other => Err(format!("blocks: {other:?}")),
-        }
+        Txn { when, apply }
     }
 
     /// From several blocks to one, once this controller owns all of them and
     /// nothing is under way: its grant is above all of theirs.
     pub(super) async fn unite_machines(&self, of: u32) {
-        let now = self.now();
+        if !self.settle_all(of) {
+            return;
+        }
         let (txn, grant) = {
             let view = self.store.view();
-            let mut cores = self.shards.owned_mut();
-            let whole = (0..of).all(|b| {
-                let held = view.blocks.get(&BlockId(b));
-                let core = cores.get(BlockId(b));
-                let held = held.filter(|h| h.value.to.is_none());
-                held.zip(core)
-                    .is_some_and(|(h, c)| h.value.number == c.grant)
-            });
-            if !whole {
-                return;
-            }
-            for c in cores.values_mut() {
-                c.freeze(now);
-            }
-            if !cores.values().all(|c| c.settled(now)) {
-                return;
-            }
-            let term = view.leader.value.as_ref().map_or(Term(0), |l| l.term);
-            let grant = GrantRecord {
-                owner: Some(self.cfg.node.clone()),
-                term,
-                number: view.newest_grant() + 1,
-            };
-            let map = MapRecord {
-                version: MapRecord::VERSION,
-                blocks: 1,
-            };
-            let mut when = vec![When {
-                key: LEADER.into(),
-                stamp: view.leader.stamp,
-            }];
-            let mut apply = vec![
-                Change::write(MAP.into(), &map, None),
-                Change::write(GRANT.into(), &grant, None),
-            ];
-            for (block, held) in &view.blocks {
-                when.push(When {
-                    key: block_key(*block),
-                    stamp: held.stamp,
-                });
-                apply.push(Change::Delete {
-                    delete: block_key(*block),
-                });
-            }
-            (Txn { when, apply }, grant)
+            let grant = self.united_grant(&view);
+            (united_txn(&view, &grant), grant)
         };
         match self.state.txn(&txn, Urgency::First).await {
             Ok(Outcome::Done(revision)) => {
@@ -222,4 +240,63 @@
             }
         }
     }
+
+    /// Freezes all shards if this controller owns them and none is moving; true once
+    /// nothing is under way in any.
+    fn settle_all(&self, of: u32) -> bool {
+        let now = self.now();
+        let view = self.store.view();
+        let mut cores = self.shards.owned_mut();
+        let whole = (0..of).all(|b| {
+            let held = view.blocks.get(&BlockId(b));
+            let core = cores.get(BlockId(b));
+            let held = held.filter(|h| h.value.to.is_none());
+            held.zip(core)
+                .is_some_and(|(h, c)| h.value.number == c.grant)
+        });
+        if !whole {
+            return false;
+        }
+        for c in cores.values_mut() {
+            c.freeze(now);
+        }
+        let settled = cores.values().all(|c| c.settled(now));
+        settled
+    }
+
+    /// The grant of the one shard that is to be.
+    fn united_grant(&self, view: &View) -> GrantRecord {
+        GrantRecord {
+            owner: Some(self.cfg.node.clone()),
+            term: view.leader.value.as_ref().map_or(Term(0), |l| l.term),
+            number: view.newest_grant() + 1,
+        }
+    }
+}
+
+/// The map and the grant of one shard in place of all shards' records; only if this
+/// controller still leads and none of them changed.
+fn united_txn(view: &View, grant: &GrantRecord) -> Txn {
+    let map = MapRecord {
+        version: MapRecord::VERSION,
+        blocks: 1,
+    };
+    let mut when = vec![When {
+        key: LEADER.into(),
+        stamp: view.leader.stamp,
+    }];
+    let mut apply = vec![
+        Change::write(MAP.into(), &map, None),
+        Change::write(GRANT.into(), grant, None),
+    ];
+    for (block, held) in &view.blocks {
+        when.push(When {
+            key: block_key(*block),
+            stamp: held.stamp,
+        });
+        apply.push(Change::Delete {
+            delete: block_key(*block),
+        });
+    }
+    Txn { when, apply }
 }
