--- a/src/control/block_grants.rs
+++ b/src/control/block_grants.rs
@@ -7,13 +7,14 @@
 use sorrelhinge_blocks::owners::{Held, Member, Step, Wish};
 use tokio::time::{sleep, timeout};
 
+use super::leading::STAND_RETRY_PAUSE;
 use super::Node;
 use crate::state::record::{block_key, BlockRecord, LeaderRecord, LEADER};
 use crate::state::{Change, Outcome, Txn, Urgency, When};
 use crate::types::{Revision, Term};
 
 /// How often the leader looks at who owns what.
-pub(super) const GRANT_CHECK_INTERVAL: Duration = Duration::from_millis(300);
+const GRANT_CHECK_INTERVAL: Duration = Duration::from_millis(300);
 
 impl Node {
     /// Whether this controller leads.
@@ -84,81 +85,19 @@
             }
             Err(error) => {
                 tracing::info!(%error, "standing for leader");
-                sleep(Duration::from_millis(150)).await;
+                sleep(STAND_RETRY_PAUSE).await;
             }
         }
     }
 
-    /// The next step of who owns what, if one is due.
+    /// Takes the next step of who owns what, if one is due.
     async fn share_out_once(&self) {
-        let now = self.now();
-        let wish = Wish {
-            gather: (self.cfg.tuning.blocks_least == 1).then(|| self.cfg.node.clone()),
-            move_every_s: self.cfg.tuning.move_every_s,
-        };
-        let step = {
-            let view = self.store.view();
-            let blocks = view.blocks.iter().map(|(block, b)| {
-                let held = Held {
-                    owner: b.value.owner.clone(),
-                    run: b.value.run,
-                    to: b.value.to.clone(),
-                    pin: b.value.pin.clone(),
-                };
-                (*block, held)
-            });
-            let members = view.members.iter();
-            let alive = members.map(|(node, m)| (node.clone(), Member { run: m.value.run }));
-            self.shards
-                .next_assignment(&blocks.collect(), &alive.collect(), &wish, now)
-        };
-        let Some(step) = step else { return };
-        let change = {
-            let view = self.store.view();
-            let (block, to) = match &step {
-                Step::Grant(block, to) | Step::Offer(block, to) => (*block, Some(to.clone())),
-                Step::TakeBack(block) => (*block, None),
-            };
-            let Some(held) = view.blocks.get(&block) else {
-                return;
-            };
-            let term = view.leader.value.as_ref().map_or(Term(0), |l| l.term);
-            let mut record = held.value.clone();
-            match (&step, to) {
-                (Step::Grant(..), Some(to)) => {
-                    let Some(member) = view.members.get(&to) else {
-                        return;
-                    };
-                    record = BlockRecord {
-                        version: BlockRecord::VERSION,
-                        owner: to,
-                        run: member.value.run,
-                        term,
-                        number: view.newest_grant() + 1,
-                        to: None,
-                        pin: held.value.pin.clone(),
-                    };
-                }
-                (_, to) => record.to = to,
-            }
-            // Also on the leader's record: a step of one that was deposed
-            // meanwhile, and is late, fails.
-            Txn {
-                when: vec![
-                    When {
-                        key: block_key(block),
-                        stamp: held.stamp,
-                    },
-                    When {
-                        key: LEADER.into(),
-                        stamp: view.leader.stamp,
-                    },
-                ],
-                apply: vec![Change::write(block_key(block), &record, None)],
-            }
+        let Some(step) = self.next_step() else { return };
+        let Some(txn) = self.step_txn(&step) else {
+            return;
         };
         tracing::info!(?step, "blocks");
-        match self.state.txn(&change, Urgency::First).await {
+        match self.state.txn(&txn, Urgency::First).await {
             Ok(Outcome::Done(revision)) => self.peers.announce(revision),
             Ok(Outcome::Failed(_)) => {}
             Err(error) => tracing::info!(%error, "blocks"),
@@ -166,4 +105,67 @@
         // Whatever became of it, the view tells.
         self.fresh().await;
     }
+
+    /// The step that is due by the records.
+    fn next_step(&self) -> Option<Step> {
+        let wish = Wish {
+            gather: (self.cfg.tuning.blocks_least == 1).then(|| self.cfg.node.clone()),
+            move_every_s: self.cfg.tuning.move_every_s,
+        };
+        let now = self.now();
+        let view = self.store.view();
+        let blocks = view.blocks.iter().map(|(block, b)| {
+            let held = Held {
+                owner: b.value.owner.clone(),
+                run: b.value.run,
+                to: b.value.to.clone(),
+                pin: b.value.pin.clone(),
+            };
+            (*block, held)
+        });
+        let members = view.members.iter();
+        let alive = members.map(|(node, m)| (node.clone(), Member { run: m.value.run }));
+        self.shards
+            .next_assignment(&blocks.collect(), &alive.collect(), &wish, now)
+    }
+
+    /// The change that takes a step. Also on the leader's record: a step of one that
+    /// was deposed meanwhile, and is late, fails.
+    fn step_txn(&self, step: &Step) -> Option<Txn> {
+        let view = self.store.view();
+        let (Step::Grant(block, _) | Step::Offer(block, _) | Step::TakeBack(block)) = step;
+        let held = view.blocks.get(block)?;
+        let record = match step {
+            Step::Grant(_, to) => BlockRecord {
+                version: BlockRecord::VERSION,
+                owner: to.clone(),
+                run: view.members.get(to)?.value.run,
+                term: view.leader.value.as_ref().map_or(Term(0), |l| l.term),
+                number: view.newest_grant() + 1,
+                to: None,
+                pin: held.value.pin.clone(),
+            },
+            Step::Offer(_, to) => BlockRecord {
+                to: Some(to.clone()),
+                ..held.value.clone()
+            },
+            Step::TakeBack(_) => BlockRecord {
+                to: None,
+                ..held.value.clone()
+            },
+        };
+        Some(Txn {
+            when: vec![
+                When {
+                    key: block_key(*block),
+                    stamp: held.stamp,
+                },
+                When {
+                    key: LEADER.into(),
+                    stamp: view.leader.stamp,
+                },
+            ],
+            apply: vec![Change::write(block_key(*block), &record, None)],
+        })
+    }
 }
--- a/src/control/following.rs
+++ b/src/control/following.rs
@@ -63,6 +63,15 @@
         self.store.refresh_within(patience).await
     }
 
+    /// Reads until the view shows a revision, with a pause after each read that failed.
+    pub(super) async fn catch_up(&self, revision: Revision, retry_pause: Duration) {
+        while self.store.view().ledger < revision {
+            if !self.fresh().await {
+                sleep(retry_pause).await;
+            }
+        }
+    }
+
     /// Reads what is new whenever somebody needs to know that it is all.
     pub(super) async fn sync(self: Rc<Self>) {
         loop {
--- a/src/control/leading.rs
+++ b/src/control/leading.rs
@@ -21,6 +21,12 @@
 /// of them has become leader.
 const UNFIT_WAIT: Duration = Duration::from_secs(2);
 
+/// The pause after a read that failed, before a new leader has read all that was
+/// recorded before its grant.
+const CATCH_UP_PAUSE: Duration = Duration::from_millis(50);
+/// The pause after an election whose outcome is not known.
+pub(super) const STAND_RETRY_PAUSE: Duration = Duration::from_millis(150);
+
 impl Node {
     /// Becomes leader whenever there is none, and stays it.
     pub(super) async fn lead(self: Rc<Self>) {
@@ -126,18 +132,14 @@
             Err(error) => {
                 // If it was carried out after all, the key goes with its lease.
                 tracing::info!(%error, "standing for leader");
-                sleep(Duration::from_millis(150)).await;
+                sleep(STAND_RETRY_PAUSE).await;
             }
         }
     }
 
     pub(super) async fn take_over(&self, grant: GrantRecord, revision: Revision) {
         // Everything that earlier owners recorded is older than the grant.
-        while self.store.view().ledger < revision {
-            if !self.fresh().await {
-                sleep(Duration::from_millis(50)).await;
-            }
-        }
+        self.catch_up(revision, CATCH_UP_PAUSE).await;
         if self.store.view().grant.value.number != grant.number {
             self.leadership.release();
             return;
--- a/src/control/limit_transfers.rs
+++ b/src/control/limit_transfers.rs
@@ -4,15 +4,23 @@
 use std::time::Duration;
 
 use sorrelhinge_blocks::shard::BlockId;
-use sorrelhinge_blocks::slices::{next_transfer, Need};
+use sorrelhinge_blocks::slices::{next_transfer, LimitTransfer, Need};
 use tokio::time::sleep;
 
+use super::core::Core;
 use super::Node;
 use crate::state::record::{block_key, slice_key, SliceRecord};
 use crate::state::{Change, Outcome, Txn, Urgency, When};
+use crate::types::Revision;
 
 /// A block gives part of its limits away so often at the most.
 pub(super) const GIVE_EVERY: Duration = Duration::from_millis(1500);
+/// A transfer waits for its turn at the state service so long.
+const TRANSFER_PATIENCE: Duration = Duration::from_millis(1500);
+/// The pause after a transfer whose outcome is not known.
+const TRANSFER_RETRY_PAUSE: Duration = Duration::from_millis(200);
+/// The pause after a read that failed, while the outcome is looked for.
+const CATCH_UP_PAUSE: Duration = Duration::from_millis(100);
 
 impl Node {
     /// What each block has and wants of each team's limit, as far as known.
@@ -40,95 +48,109 @@
         let Some(needs) = self.all_needs() else {
             return;
         };
-        let blocks: Vec<BlockId> = self.shards.ids();
-        for block in blocks {
+        for block in self.shards.ids() {
             let Some(transfer) = next_transfer(block, &needs) else {
                 continue;
             };
-            let txn = {
-                let view = self.store.view();
-                let mut cores = self.shards.owned_mut();
-                let Some(core) = cores.get_mut(block).filter(|c| !c.is_frozen()) else {
-                    continue;
-                };
-                let held = (
-                    view.blocks.get(&block),
-                    view.slices.get(&block),
-                    view.slices.get(&transfer.to),
-                );
-                let (Some(grant), Some(mine), Some(theirs)) = held else {
-                    continue;
-                };
-                if grant.value.number != core.grant {
-                    continue;
-                }
-                // What was claimed since the needs were told stays covered.
-                let used = core.needs();
-                let fits = transfer.amounts.iter().zip(&self.cfg.teams).enumerate();
-                let fits = fits
-                    .map(|(i, (give, t))| (mine.value.of(&t.name) - *give, used[i].used))
-                    .all(|(left, used)| used.fits_team(left));
-                if !fits {
-                    continue;
-                }
-                // Lowered before the change is sent: while its outcome is not
-                // known, it counts as used on both sides.
-                core.giving(transfer.amounts.clone(), &view);
-                let part = |record: &SliceRecord, sign: i64| {
-                    let teams = self.cfg.teams.iter().zip(&transfer.amounts);
-                    SliceRecord::new(teams.map(|(t, give)| {
-                        (t.name.to_string(), record.of(&t.name) + give.times(sign))
-                    }))
-                };
-                Txn {
-                    when: vec![
-                        When {
-                            key: block_key(block),
-                            stamp: grant.stamp,
-                        },
-                        When {
-                            key: slice_key(block),
-                            stamp: mine.stamp,
-                        },
-                        When {
-                            key: slice_key(transfer.to),
-                            stamp: theirs.stamp,
-                        },
-                    ],
-                    apply: vec![
-                        Change::write(slice_key(block), &part(&mine.value, -1), None),
-                        Change::write(slice_key(transfer.to), &part(&theirs.value, 1), None),
-                    ],
-                }
-            };
-            let patience = Urgency::Within(Duration::from_millis(1500));
-            let outcome = loop {
-                match self.state.txn(&txn, patience).await {
-                    Ok(outcome) => break outcome,
-                    // Sent again with the same conditions: whichever try is
-                    // carried out, the others fail.
-                    Err(error) => {
-                        tracing::debug!(%error, "giving part of the limits");
-                        sleep(Duration::from_millis(200)).await;
-                    }
-                }
-                if !self.shards.owns(block) {
-                    return;
-                }
+            let Some(txn) = self.reserve_transfer(block, &transfer) else {
+                continue;
             };
-            let revision = match outcome {
-                Outcome::Done(revision) | Outcome::Failed(revision) => revision,
+            let Some(revision) = self.send_transfer(block, &txn).await else {
+                return;
             };
-            self.peers.announce(revision);
-            while self.store.view().ledger < revision {
-                if !self.fresh().await {
-                    sleep(Duration::from_millis(100)).await;
+            self.settle_transfer(block, revision).await;
+        }
+    }
+
+    /// Lowers the block's own limits by what it gives, and returns the change to send;
+    /// none if it can't give that.
+    fn reserve_transfer(&self, block: BlockId, transfer: &LimitTransfer) -> Option<Txn> {
+        let view = self.store.view();
+        let mut cores = self.shards.owned_mut();
+        let core = cores.get_mut(block).filter(|c| !c.is_frozen())?;
+        let grant = view.blocks.get(&block)?;
+        let mine = view.slices.get(&block)?;
+        let theirs = view.slices.get(&transfer.to)?;
+        if grant.value.number != core.grant || !self.can_spare(core, &mine.value, transfer) {
+            return None;
+        }
+        // Lowered before the change is sent: while its outcome is not
+        // known, it counts as used on both sides.
+        core.giving(transfer.amounts.clone(), &view);
+        let given = self.with_part(&mine.value, transfer, -1);
+        let taken = self.with_part(&theirs.value, transfer, 1);
+        Some(Txn {
+            when: vec![
+                When {
+                    key: block_key(block),
+                    stamp: grant.stamp,
+                },
+                When {
+                    key: slice_key(block),
+                    stamp: mine.stamp,
+                },
+                When {
+                    key: slice_key(transfer.to),
+                    stamp: theirs.stamp,
+                },
+            ],
+            apply: vec![
+                Change::write(slice_key(block), &given, None),
+                Change::write(slice_key(transfer.to), &taken, None),
+            ],
+        })
+    }
+
+    /// Whether what is used here fits what is left: what was claimed since the needs
+    /// were told stays covered.
+    fn can_spare(&self, core: &Core, mine: &SliceRecord, transfer: &LimitTransfer) -> bool {
+        let used = core.needs();
+        let given = transfer.amounts.iter().zip(&self.cfg.teams);
+        given
+            .zip(&used)
+            .all(|((give, team), need)| need.used.fits_team(mine.of(&team.name) - *give))
+    }
+
+    /// A block's part of the limits after a transfer; `sign`: 1 of the block that takes,
+    /// -1 of the one that gives.
+    fn with_part(&self, record: &SliceRecord, transfer: &LimitTransfer, sign: i64) -> SliceRecord {
+        let teams = self.cfg.teams.iter().zip(&transfer.amounts);
+        SliceRecord::new(teams.map(|(t, give)| {
+            let part = record.of(&t.name) + give.times(sign);
+            (t.name.to_string(), part)
+        }))
+    }
+
+    /// Sends a transfer until its outcome is known; returns the revision that tells it,
+    /// or none if the block is not owned here any more.
+    async fn send_transfer(&self, block: BlockId, txn: &Txn) -> Option<Revision> {
+        loop {
+            match self
+                .state
+                .txn(txn, Urgency::Within(TRANSFER_PATIENCE))
+                .await
+            {
+                Ok(Outcome::Done(revision) | Outcome::Failed(revision)) => return Some(revision),
+                // Sent again with the same conditions: whichever try is
+                // carried out, the others fail.
+                Err(error) => {
+                    tracing::debug!(%error, "giving part of the limits");
+                    sleep(TRANSFER_RETRY_PAUSE).await;
                 }
             }
-            let view = self.store.view();
-            if let Some(core) = self.shards.owned_mut().get_mut(block) {
-                core.giving(Vec::new(), &view);
+            if !self.shards.owns(block) {
+                return None;
             }
         }
     }
+
+    /// Waits for the records to show the outcome, and lives by them again.
+    async fn settle_transfer(&self, block: BlockId, revision: Revision) {
+        self.peers.announce(revision);
+        self.catch_up(revision, CATCH_UP_PAUSE).await;
+        let view = self.store.view();
+        if let Some(core) = self.shards.owned_mut().get_mut(block) {
+            core.giving(Vec::new(), &view);
+        }
+    }
 }
