--- /dev/null
+++ b/src/control/cloud_duties.rs
@@ -0,0 +1,180 @@
+//! What is asked of the cloud: machine types, the list of machines, and scaling out and in.
+
+use std::rc::Rc;
+use std::time::Duration;
+
+use sorrelhinge_blocks::shard::BlockId;
+use tokio::task::spawn_local;
+use tokio::time::sleep;
+
+use super::paces::Duty;
+use super::Node;
+use crate::cloud::{CloudError, Listed, Rental};
+use crate::types::MachineId;
+
+/// How often the fleet is planned.
+const FLEET_EVERY: Duration = Duration::from_millis(700);
+/// Machines that are read from the list a second.
+const LISTED_A_SECOND: f64 = 350.0;
+/// The pause, in seconds, before the first list, and after one that failed.
+const LIST_RETRY_S: f64 = 0.5;
+/// The shortest pause between two lists, in seconds.
+const LIST_PAUSE_LEAST_S: f64 = 1.0;
+/// The shortest pause that a late list asks for is no longer than this, in seconds.
+const LIST_PAUSE_MOST_S: f64 = 5.0;
+/// How often machine types are read: prices change; the rest hardly does.
+const TYPES_INTERVAL: Duration = Duration::from_secs(45);
+/// The pause after types could not be read, while earlier ones are known.
+const TYPES_RETRY_PAUSE: Duration = Duration::from_secs(10);
+/// The same while none are known: nothing can be accepted before.
+const FIRST_TYPES_RETRY_PAUSE: Duration = Duration::from_secs(1);
+/// Machines that are given back with one request.
+const DELETED_TOGETHER: usize = 100;
+
+impl Node {
+    /// Keeps the machine types up to date.
+    pub(super) async fn learn_types(self: Rc<Self>) {
+        loop {
+            match self.cloud.types().await {
+                Ok(types) => {
+                    for c in self.shards.owned_mut().values_mut() {
+                        c.set_types(&types);
+                    }
+                    *self.types.borrow_mut() = types;
+                    sleep(TYPES_INTERVAL).await;
+                }
+                Err(error) => {
+                    tracing::info!(%error, "machine types");
+                    let pause = match self.types.borrow().is_empty() {
+                        true => FIRST_TYPES_RETRY_PAUSE,
+                        false => TYPES_RETRY_PAUSE,
+                    };
+                    sleep(pause).await;
+                }
+            }
+        }
+    }
+
+    /// Reads the machine list. It is late in any case, and longer with more
+    /// machines, so then it is read less often.
+    pub(super) async fn list_machines(self: Rc<Self>) {
+        let least = (self.cfg.list_lag_s / 2.0).clamp(LIST_PAUSE_LEAST_S, LIST_PAUSE_MOST_S);
+        let mut pause = LIST_RETRY_S;
+        loop {
+            sleep(Duration::from_secs_f64(pause)).await;
+            pause = LIST_RETRY_S;
+            if self.shards.is_empty() {
+                continue;
+            }
+            match self.cloud.list().await {
+                Ok(list) => {
+                    // Of several owners each reads it, so each less often.
+                    let owners = self.owners_of_blocks() as f64;
+                    pause = least.max(list.len() as f64 / LISTED_A_SECOND) * owners.sqrt();
+                    self.machines_listed(&list);
+                    self.drive();
+                }
+                Err(error) => tracing::info!(%error, "machine list"),
+            }
+        }
+    }
+
+    /// Tells each owned shard which of its machines are listed.
+    fn machines_listed(&self, list: &[Listed]) {
+        let now = self.now();
+        if self.view_blocks() > 1 {
+            let zones = list.iter().map(|m| (m.uid.clone(), m.rack.clone()));
+            self.shards.learn_listed_zones(list.len(), zones);
+        }
+        for c in self.shards.owned_mut().values_mut() {
+            c.look_elsewhere(&self.store.view());
+            let shard = c.shard;
+            if shard.is_part() {
+                let own = list.iter().filter(|m| shard.covers(&m.uid));
+                c.listed(&own.cloned().collect::<Vec<_>>(), now);
+            } else {
+                c.listed(list, now);
+            }
+        }
+    }
+
+    /// Plans the fleet, and rents and gives back by it.
+    pub(super) async fn tend_cloud(self: Rc<Self>) {
+        loop {
+            sleep(FLEET_EVERY).await;
+            // Without the lease another controller may own the block: its
+            // machines would look silent here, and must not be given back.
+            if !self.leadership.is_exclusive() {
+                continue;
+            }
+            let now = self.now();
+            if !self.paces.due(Duty::Fleet, now) {
+                continue;
+            }
+            let mut to_delete: Vec<MachineId> = Vec::new();
+            let mut rentals = Vec::new();
+            for (block, c) in self.shards.owned_mut().iter_mut() {
+                let (delete, rent) = self.timed(Duty::Fleet, || c.fleet(now));
+                to_delete.extend(delete);
+                rentals.extend(rent.into_iter().map(|rental| ShardRental {
+                    shard: *block,
+                    grant: c.grant,
+                    rental,
+                }));
+            }
+            self.give_back(&to_delete).await;
+            for rental in rentals {
+                spawn_local(self.clone().rent(rental));
+            }
+        }
+    }
+
+    /// Gives machines back to the cloud.
+    async fn give_back(self: &Rc<Self>, to_delete: &[MachineId]) {
+        for machines in to_delete.chunks(DELETED_TOGETHER) {
+            match self.cloud.delete(machines).await {
+                Ok(()) => {
+                    tracing::info!(?machines, "deleted");
+                    let now = self.now();
+                    for c in self.shards.owned_mut().values_mut() {
+                        let own = machines.iter().filter(|m| c.shard.covers(m));
+                        c.deleted(&own.cloned().collect::<Vec<_>>(), now);
+                    }
+                    self.drive();
+                }
+                Err(error) => tracing::info!(%error, "delete"),
+            }
+        }
+    }
+
+    /// Rents machines, and tells all who may own them. The shard that asked learns the
+    /// outcome if it is still owned by the same grant.
+    async fn rent(self: Rc<Self>, order: ShardRental) {
+        let rental = &order.rental;
+        let result = match self.cloud.rent(rental).await {
+            Ok(machines) => {
+                tracing::info!(hire = rental.hire, kind = %rental.build, zone = %rental.rack, spot = rental.loaners, asked = rental.number, got = machines.len(), "rented");
+                self.tell_rented(rental, &machines);
+                Ok(machines)
+            }
+            Err(error) => {
+                tracing::info!(hire = rental.hire, kind = %rental.build, zone = %rental.rack, spot = rental.loaners, %error, "not rented");
+                Err(matches!(error, CloudError::NoCapacity))
+            }
+        };
+        let now = self.now();
+        let mut cores = self.shards.owned_mut();
+        let core = cores.get_mut(order.shard);
+        if let Some(c) = core.filter(|c| c.grant == order.grant) {
+            c.rented(rental, result, now);
+        }
+    }
+}
+
+/// Machines that an owned shard asks for.
+struct ShardRental {
+    shard: BlockId,
+    /// The grant that it asked under.
+    grant: u64,
+    rental: Rental,
+}
--- a/src/control/owning.rs
+++ b/src/control/owning.rs
@@ -5,22 +5,16 @@
 
 use sorrelhinge_blocks::shard::BlockId;
 use tokio::task::spawn_local;
-use tokio::time::{sleep, timeout, Instant};
+use tokio::time::{timeout, Instant};
 
-use super::core::Core;
+use super::core::{Core, Dispatch};
 use super::paces::Duty;
-use super::{core, Node};
-use crate::cloud::CloudError;
-use crate::state::{Outcome, StateError, Urgency};
-use crate::types::{MachineId, Time};
+use super::Node;
+use crate::types::Time;
 use crate::worker::{send_orders, Sending};
 
-/// How often the fleet is planned.
-const FLEET_EVERY: Duration = Duration::from_millis(700);
-/// Machines that are read from the list a second.
-const LISTED_A_SECOND: f64 = 350.0;
 /// How often what is not urgent is looked at.
-const TICK: Duration = Duration::from_millis(200);
+pub(super) const TICK: Duration = Duration::from_millis(200);
 /// A look at the whole fleet that takes so long, in seconds, is told of in the
 /// log: everything else waits for it.
 const LONG_S: f64 = 0.4;
@@ -53,38 +47,41 @@
         }
         drop(cores);
         for (block, send) in sends {
-            let node = self.clone();
-            spawn_local(async move {
-                let outcome = match send_orders(send.addr, &send.orders).await {
-                    // The address now belongs to another machine.
-                    Sending::Executed(r) | Sending::Refused(r) if r.machine != send.machine => {
-                        Sending::NotSent
-                    }
-                    outcome => outcome,
-                };
-                let now = node.now();
-                let reached = matches!(outcome, Sending::Executed(_) | Sending::Refused(_));
-                let mine = node
-                    .shards
-                    .owned_mut()
-                    .get_mut(block)
-                    .filter(|c| c.grant == send.orders.baton.grant())
-                    .map(|c| c.dispatched(&send.machine, outcome, now));
-                // What fails for an owner that is none any more says nothing of
-                // the next time that it is one.
-                match (reached, mine) {
-                    (true, _) => node.leadership.worker_reached(),
-                    (false, Some(_)) => node.leadership.command_failed(&send.machine, now),
-                    (false, None) => {}
-                }
-                if mine == Some(false) {
-                    node.deposed(block);
-                }
-                node.drive();
-            });
+            spawn_local(self.clone().command(block, send));
+        }
+    }
+
+    /// Sends commands to a machine, and takes what came of them.
+    async fn command(self: Rc<Self>, block: BlockId, send: Dispatch) {
+        let outcome = match send_orders(send.addr, &send.orders).await {
+            // The address now belongs to another machine.
+            Sending::Executed(r) | Sending::Refused(r) if r.machine != send.machine => {
+                Sending::NotSent
+            }
+            outcome => outcome,
+        };
+        let now = self.now();
+        let reached = matches!(outcome, Sending::Executed(_) | Sending::Refused(_));
+        let mine = self
+            .shards
+            .owned_mut()
+            .get_mut(block)
+            .filter(|c| c.grant == send.orders.baton.grant())
+            .map(|c| c.dispatched(&send.machine, outcome, now));
+        // What fails for an owner that is none any more says nothing of
+        // the next time that it is one.
+        match (reached, mine) {
+            (true, _) => self.leadership.worker_reached(),
+            (false, Some(_)) => self.leadership.command_failed(&send.machine, now),
+            (false, None) => {}
         }
+        if mine == Some(false) {
+            self.deposed(block);
+        }
+        self.drive();
     }
 
+    /// Offers all waiting jobs the best machine, if that is due.
     fn place_all(&self, core: &mut Core, now: Time) {
         if core.walk_all && self.paces.due(Duty::Place, now) {
             self.timed(Duty::Place, || core.place_all(now));
@@ -109,105 +106,7 @@
         result
     }
 
-    /// Records claims and results, one transaction at a time.
-    pub(super) async fn pump(self: Rc<Self>) {
-        let mut last = BlockId(0);
-        loop {
-            // Also now and then for what is not urgent.
-            let _ = timeout(TICK, self.record.notified()).await;
-            loop {
-                let batch = {
-                    let mut cores = self.shards.owned_mut();
-                    let view = self.store.view();
-                    let spare = self.state.writes.spare();
-                    let now = self.now();
-                    // The blocks take turns.
-                    let (before, after): (Vec<_>, Vec<_>) =
-                        cores.iter_mut().partition(|(block, _)| **block <= last);
-                    let mut turns = after.into_iter().chain(before);
-                    turns.find_map(|(block, c)| {
-                        let batch =
-                            c.next_batch(&view, self.cfg.state_limits.txn_ops, spare, now)?;
-                        Some((*block, c.grant, batch))
-                    })
-                };
-                let Some((block, grant, batch)) = batch else {
-                    break;
-                };
-                last = block;
-                self.record_batch(block, grant, batch).await;
-                self.drive();
-            }
-            self.hand_on().await;
-        }
-    }
-
-    pub(super) async fn record_batch(
-        self: &Rc<Self>,
-        block: BlockId,
-        grant: u64,
-        batch: core::Batch,
-    ) {
-        let ours = || self.shards.owns_by_grant(block, grant);
-        loop {
-            let result = self
-                .state
-                .txn(&batch.txn, Urgency::Within(Duration::from_secs(3)))
-                .await;
-            if !ours() {
-                return;
-            }
-            match result {
-                Ok(Outcome::Done(revision)) => {
-                    let mut cores = self.shards.owned_mut();
-                    let mut view = self.store.view_for_commit();
-                    if let Some(c) = cores.get_mut(block) {
-                        c.committed(batch, revision, &mut view, self.now());
-                    }
-                    drop(view);
-                    drop(cores);
-                    self.peers.announce(revision);
-                    return;
-                }
-                Ok(Outcome::Failed(revision)) => {
-                    while self.store.view().ledger < revision {
-                        if !self.fresh().await {
-                            sleep(Duration::from_millis(100)).await;
-                        }
-                        if !ours() {
-                            return;
-                        }
-                    }
-                    let mut cores = self.shards.owned_mut();
-                    let kept = cores
-                        .get_mut(block)
-                        .is_none_or(|c| c.conflicted(batch, &self.store.view(), self.now()));
-                    drop(cores);
-                    if !kept {
-                        tracing::info!(%block, "the grant is not ours any more");
-                        self.stand_down(block);
-                    }
-                    return;
-                }
-                Err(StateError::Rejected(why)) => {
-                    tracing::error!(%why, changes = batch.txn.apply.len(), "a transaction was rejected");
-                    let mut cores = self.shards.owned_mut();
-                    if let Some(c) = cores.get_mut(block) {
-                        let limits_fell = self.state.limits_fell();
-                        c.rejected(batch, limits_fell, &self.store.view(), self.now());
-                    }
-                    return;
-                }
-                // The same transaction again: if an earlier try is carried out
-                // after all, its conditions or ours fail, and the view tells.
-                Err(error) => {
-                    tracing::debug!(%error, "recording");
-                    sleep(Duration::from_millis(150)).await;
-                }
-            }
-        }
-    }
-
+    /// Lets time pass on the owned shards, and does what is due by it.
     pub(super) async fn tend(self: Rc<Self>) {
         let mut last = Instant::now();
         loop {
@@ -234,124 +133,4 @@
             self.drive();
         }
     }
-
-    pub(super) async fn learn_types(self: Rc<Self>) {
-        loop {
-            match self.cloud.types().await {
-                Ok(types) => {
-                    for c in self.shards.owned_mut().values_mut() {
-                        c.set_types(&types);
-                    }
-                    *self.types.borrow_mut() = types;
-                    // Prices change; the rest hardly does.
-                    sleep(Duration::from_secs(45)).await;
-                }
-                Err(error) => {
-                    tracing::info!(%error, "machine types");
-                    let known = !self.types.borrow().is_empty();
-                    sleep(Duration::from_secs(if known { 10 } else { 1 })).await;
-                }
-            }
-        }
-    }
-
-    /// Reads the machine list. It is late in any case, and longer with more
-    /// machines, so then it is read less often.
-    pub(super) async fn list_machines(self: Rc<Self>) {
-        let least = (self.cfg.list_lag_s / 2.0).clamp(1.0, 5.0);
-        let mut pause = 0.5;
-        loop {
-            sleep(Duration::from_secs_f64(pause)).await;
-            pause = 0.5;
-            if self.shards.is_empty() {
-                continue;
-            }
-            match self.cloud.list().await {
-                Ok(list) => {
-                    // Of several owners each reads it, so each less often.
-                    let owners = self.owners_of_blocks() as f64;
-                    pause = least.max(list.len() as f64 / LISTED_A_SECOND) * owners.sqrt();
-                    let now = self.now();
-                    if self.view_blocks() > 1 {
-                        let zones = list.iter().map(|m| (m.uid.clone(), m.rack.clone()));
-                        self.shards.learn_listed_zones(list.len(), zones);
-                    }
-                    let mut cores = self.shards.owned_mut();
-                    for c in cores.values_mut() {
-                        c.look_elsewhere(&self.store.view());
-                        let shard = c.shard;
-                        if shard.is_part() {
-                            let own = list.iter().filter(|m| shard.covers(&m.uid));
-                            c.listed(&own.cloned().collect::<Vec<_>>(), now);
-                        } else {
-                            c.listed(&list, now);
-                        }
-                    }
-                    drop(cores);
-                    self.drive();
-                }
-                Err(error) => tracing::info!(%error, "machine list"),
-            }
-        }
-    }
-
-    pub(super) async fn tend_cloud(self: Rc<Self>) {
-        loop {
-            sleep(FLEET_EVERY).await;
-            // Without the lease another controller may own the block: its
-            // machines would look silent here, and must not be given back.
-            if !self.leadership.is_exclusive() {
-                continue;
-            }
-            let now = self.now();
-            if !self.paces.due(Duty::Fleet, now) {
-                continue;
-            }
-            let mut to_delete: Vec<MachineId> = Vec::new();
-            let mut rentals = Vec::new();
-            for (block, c) in self.shards.owned_mut().iter_mut() {
-                let plan = self.timed(Duty::Fleet, || c.fleet(now));
-                to_delete.extend(plan.0);
-                rentals.extend(plan.1.into_iter().map(|r| (*block, c.grant, r)));
-            }
-            for machines in to_delete.chunks(100) {
-                match self.cloud.delete(machines).await {
-                    Ok(()) => {
-                        tracing::info!(?machines, "deleted");
-                        let now = self.now();
-                        for c in self.shards.owned_mut().values_mut() {
-                            let own = machines.iter().filter(|m| c.shard.covers(m));
-                            c.deleted(&own.cloned().collect::<Vec<_>>(), now);
-                        }
-                        self.drive();
-                    }
-                    Err(error) => tracing::info!(%error, "delete"),
-                }
-            }
-            for (block, grant, rental) in rentals {
-                let node = self.clone();
-                spawn_local(async move {
-                    let result = node.cloud.rent(&rental).await;
-                    let result = match result {
-                        Ok(machines) => {
-                            tracing::info!(hire = rental.hire, kind = %rental.build, zone = %rental.rack, spot = rental.loaners, asked = rental.number, got = machines.len(), "rented");
-                            Ok(machines)
-                        }
-                        Err(error) => {
-                            tracing::info!(hire = rental.hire, kind = %rental.build, zone = %rental.rack, spot = rental.loaners, %error, "not rented");
-                            Err(matches!(error, CloudError::NoCapacity))
-                        }
-                    };
-                    if let Ok(machines) = &result {
-                        node.tell_rented(&rental, machines);
-                    }
-                    let now = node.now();
-                    let mut cores = node.shards.owned_mut();
-                    if let Some(c) = cores.get_mut(block).filter(|c| c.grant == grant) {
-                        c.rented(&rental, result, now);
-                    }
-                });
-            }
-        }
-    }
 }
--- /dev/null
+++ b/src/control/recording.rs
@@ -0,0 +1,131 @@
+//! Claims and results are recorded: one transaction at a time, the owned shards in turns.
+
+use std::rc::Rc;
+use std::time::Duration;
+
+use sorrelhinge_blocks::shard::BlockId;
+use tokio::time::{sleep, timeout};
+
+use super::core::Batch;
+use super::owning::TICK;
+use super::Node;
+use crate::state::{Outcome, StateError, Urgency};
+use crate::types::Revision;
+
+/// A transaction waits for its turn at the state service so long.
+const RECORD_PATIENCE: Duration = Duration::from_secs(3);
+/// The pause after a transaction whose outcome is not known.
+const RECORD_RETRY_PAUSE: Duration = Duration::from_millis(150);
+/// The pause after a read that failed, while a conflict is looked for.
+const CATCH_UP_PAUSE: Duration = Duration::from_millis(100);
+
+/// What a shard has to record.
+struct ShardBatch {
+    shard: BlockId,
+    /// The grant that it was claimed under.
+    grant: u64,
+    batch: Batch,
+}
+
+impl Node {
+    /// Records claims and results, one transaction at a time.
+    pub(super) async fn pump(self: Rc<Self>) {
+        let mut last = BlockId(0);
+        loop {
+            // Also now and then for what is not urgent.
+            let _ = timeout(TICK, self.record.notified()).await;
+            while let Some(next) = self.next_shard_batch(last) {
+                last = next.shard;
+                self.record_batch(next).await;
+                self.drive();
+            }
+            self.hand_on().await;
+        }
+    }
+
+    /// What is recorded next: the shards take turns, and `last` was the last one's.
+    fn next_shard_batch(&self, last: BlockId) -> Option<ShardBatch> {
+        let mut cores = self.shards.owned_mut();
+        let view = self.store.view();
+        let spare = self.state.writes.spare();
+        let now = self.now();
+        let (before, after): (Vec<_>, Vec<_>) =
+            cores.iter_mut().partition(|(block, _)| **block <= last);
+        let mut turns = after.into_iter().chain(before);
+        turns.find_map(|(block, c)| {
+            let batch = c.next_batch(&view, self.cfg.state_limits.txn_ops, spare, now)?;
+            Some(ShardBatch {
+                shard: *block,
+                grant: c.grant,
+                batch,
+            })
+        })
+    }
+
+    /// Sends a transaction until its outcome is known, or the shard is not owned any more.
+    async fn record_batch(&self, next: ShardBatch) {
+        loop {
+            let urgency = Urgency::Within(RECORD_PATIENCE);
+            let result = self.state.txn(&next.batch.txn, urgency).await;
+            if !self.shards.owns_by_grant(next.shard, next.grant) {
+                return;
+            }
+            match result {
+                Ok(Outcome::Done(revision)) => return self.batch_committed(next, revision),
+                Ok(Outcome::Failed(revision)) => {
+                    return self.batch_conflicted(next, revision).await;
+                }
+                Err(StateError::Rejected(why)) => {
+                    let changes = next.batch.txn.apply.len();
+                    tracing::error!(%why, changes, "a transaction was rejected");
+                    return self.batch_rejected(next);
+                }
+                // The same transaction again: if an earlier try is carried out
+                // after all, its conditions or ours fail, and the view tells.
+                Err(error) => {
+                    tracing::debug!(%error, "recording");
+                    sleep(RECORD_RETRY_PAUSE).await;
+                }
+            }
+        }
+    }
+
+    /// The transaction was carried out.
+    fn batch_committed(&self, done: ShardBatch, revision: Revision) {
+        if let Some(c) = self.shards.owned_mut().get_mut(done.shard) {
+            let mut view = self.store.view_for_commit();
+            c.committed(done.batch, revision, &mut view, self.now());
+        }
+        self.peers.announce(revision);
+    }
+
+    /// A condition of the transaction failed: the records at `revision` tell why.
+    async fn batch_conflicted(&self, failed: ShardBatch, revision: Revision) {
+        let (shard, grant) = (failed.shard, failed.grant);
+        while self.store.view().ledger < revision {
+            if !self.fresh().await {
+                sleep(CATCH_UP_PAUSE).await;
+            }
+            if !self.shards.owns_by_grant(shard, grant) {
+                return;
+            }
+        }
+        let kept = self
+            .shards
+            .owned_mut()
+            .get_mut(shard)
+            .is_none_or(|c| c.conflicted(failed.batch, &self.store.view(), self.now()));
+        if !kept {
+            tracing::info!(block = %shard, "the grant is not ours any more");
+            self.stand_down(shard);
+        }
+    }
+
+    /// The state service refuses the transaction as it is.
+    fn batch_rejected(&self, refused: ShardBatch) {
+        if let Some(c) = self.shards.owned_mut().get_mut(refused.shard) {
+            let limits_fell = self.state.limits_fell();
+            c.rejected(refused.batch, limits_fell, &self.store.view(), self.now());
+        }
+    }
+}
