--- a/src/control/calendar.rs
+++ b/src/control/calendar.rs
@@ -4,14 +4,15 @@
 use std::time::Duration;
 
 use sorrelhinge_blocks::shard::BlockId;
-use sorrelhinge_calendar::record::{CalendarRecord, Taken, CALENDAR_KEY};
-use sorrelhinge_calendar::settings::{check_windows, Known};
+use sorrelhinge_calendar::record::{CalendarRecord, RecordError, Taken, CALENDAR_KEY};
+use sorrelhinge_calendar::settings::{check_windows, Calendar, Known, WindowError};
 use sorrelhinge_calendar::shown::{CalendarShown, PinWindow, UnpinWindow};
 use tokio::time::sleep;
 
 use super::drains::Refused;
 use super::{core, wall_ms, Node};
-use crate::state::{Change, Outcome, Urgency};
+use crate::state::view::Versioned;
+use crate::state::{Change, Outcome, StateError, Urgency};
 use crate::types::Revision;
 
 /// How often windows are looked at.
@@ -19,6 +20,42 @@
 /// How long a change may take.
 const PATIENCE: Duration = Duration::from_millis(1500);
 
+/// How often a change that an operator asked for is tried while others are faster.
+const CHANGE_ATTEMPTS: usize = 4;
+
+/// Why windows are not recorded.
+#[derive(Debug, thiserror::Error)]
+enum CalendarError {
+    /// A window names what there is not, or asks for too much.
+    #[error(transparent)]
+    Window(#[from] WindowError),
+    /// The record would be too long.
+    #[error(transparent)]
+    Record(#[from] RecordError),
+}
+
+/// The file's windows as they are to be recorded.
+struct NewerCalendar {
+    /// The held record's revision.
+    stamp: Revision,
+    record: CalendarRecord,
+}
+
+/// What is wrong with the file is told in the log once.
+#[derive(Default)]
+struct Complaint {
+    made: bool,
+}
+
+impl Complaint {
+    fn make(&mut self, tell: impl FnOnce()) {
+        if !self.made {
+            self.made = true;
+            tell();
+        }
+    }
+}
+
 /// What an operator asks to change.
 #[derive(Debug, serde::Deserialize)]
 #[serde(untagged)]
@@ -40,13 +77,13 @@
         let Some(file) = self.cfg.calendar.clone() else {
             return;
         };
-        let mut told = false;
+        let mut complaint = Complaint::default();
         loop {
             sleep(CALENDAR_INTERVAL).await;
             if !self.store.view().loaded {
                 continue;
             }
-            self.take_file(&file, &mut told).await;
+            self.take_file(&file, &mut complaint).await;
             let steps = {
                 let view = self.store.view();
                 let (wall, now) = (day_ms(), self.now());
@@ -66,55 +103,26 @@
 
     /// Writes the file's windows if they are newer than those recorded. Of several
     /// controllers with files the largest number wins, whoever starts when.
-    async fn take_file(&self, file: &sorrelhinge_calendar::settings::Calendar, told: &mut bool) {
-        let (stamp, taken) = {
-            let view = self.store.view();
-            let held = &view.calendar;
-            // A record that can't be read at all is not written over.
-            if held.stamp > Revision(0) && held.value.is_none() {
-                return;
-            }
-            (held.stamp, CalendarRecord::take(held.value.as_ref(), file))
-        };
-        let record = match taken {
-            Taken::Newer(record) => record,
-            Taken::Differs if !*told => {
-                *told = true;
-                let number = file.number;
-                tracing::error!(
-                    number,
-                    "calendar: the file differs at the same number: raise it"
-                );
-                return;
-            }
-            Taken::Later if !*told => {
-                *told = true;
-                tracing::error!("calendar: its record is of a later version");
-                return;
-            }
-            Taken::Same | Taken::Differs | Taken::Older | Taken::Later => return,
+    async fn take_file(&self, file: &Calendar, complaint: &mut Complaint) {
+        let Some(newer) = self.newer_calendar(file, complaint) else {
+            return;
         };
         // Machine types are known only once the cloud has told.
         if self.types.borrow().is_empty() {
             return;
         }
-        if let Err(why) = self.check_calendar(&record) {
-            if !*told {
-                *told = true;
+        if let Err(error) = self.check_calendar(&newer.record) {
+            complaint.make(|| {
+                let why = error.to_string();
                 tracing::error!(why, "calendar: the file is not taken");
-            }
+            });
             return;
         }
-        let change = Change::write(CALENDAR_KEY.into(), &record, None);
-        match self
-            .state
-            .change(CALENDAR_KEY.into(), stamp, change, PATIENCE)
-            .await
-        {
+        match self.write_calendar(newer.stamp, &newer.record).await {
             Ok(Outcome::Done(revision)) => {
                 tracing::info!(
-                    number = record.number,
-                    windows = record.entries.len(),
+                    number = newer.record.number,
+                    windows = newer.record.entries.len(),
                     "calendar"
                 );
                 self.peers.announce(revision);
@@ -128,15 +136,59 @@
         }
     }
 
-    fn check_calendar(&self, record: &CalendarRecord) -> Result<(), String> {
+    /// The record by the file, if that is newer than the one that is held.
+    fn newer_calendar(&self, file: &Calendar, complaint: &mut Complaint) -> Option<NewerCalendar> {
+        let view = self.store.view();
+        let held = &view.calendar;
+        // A record that can't be read at all is not written over.
+        if held.stamp > Revision(0) && held.value.is_none() {
+            return None;
+        }
+        match CalendarRecord::take(held.value.as_ref(), file) {
+            Taken::Newer(record) => Some(NewerCalendar {
+                stamp: held.stamp,
+                record,
+            }),
+            Taken::Differs => {
+                complaint.make(|| {
+                    let number = file.number;
+                    tracing::error!(
+                        number,
+                        "calendar: the file differs at the same number: raise it"
+                    );
+                });
+                None
+            }
+            Taken::Later => {
+                complaint.make(|| tracing::error!("calendar: its record is of a later version"));
+                None
+            }
+            Taken::Same | Taken::Older => None,
+        }
+    }
+
+    /// Whether windows may be recorded: the teams, types and sizes that they name.
+    fn check_calendar(&self, record: &CalendarRecord) -> Result<(), CalendarError> {
         let known = Known {
             types: self.types.borrow().clone(),
             ..self.cfg.calendar_known(day_ms())
         };
         let windows: Vec<_> = record.entries.iter().map(|e| e.window.clone()).collect();
-        check_windows(&windows, &known).map_err(|e| e.to_string())?;
-        let fits = record.fits(self.cfg.state_limits.value_bytes as u64 / 1024);
-        fits.map_err(|e| e.to_string())
+        check_windows(&windows, &known)?;
+        record.fits(self.cfg.state_limits.value_bytes as u64 / 1024)?;
+        Ok(())
+    }
+
+    /// Writes the calendar's record, if it is still as of `stamp`.
+    async fn write_calendar(
+        &self,
+        stamp: Revision,
+        record: &CalendarRecord,
+    ) -> Result<Outcome, StateError> {
+        let change = Change::write(CALENDAR_KEY.into(), record, None);
+        self.state
+            .change(CALENDAR_KEY.into(), stamp, change, PATIENCE)
+            .await
     }
 
     /// Records a step, if nobody else has.
@@ -188,38 +240,17 @@
         }
         if let CalendarAsked::Pin(pin) = asked {
             let checked = pin.window.check("window");
-            checked.map_err(|e| Refused::Wrong(e.to_string()))?;
+            checked.map_err(wrong)?;
         }
-        for _ in 0..4 {
+        for _ in 0..CHANGE_ATTEMPTS {
             if !self.fresh().await {
                 return Err(Refused::Unavailable);
             }
             let held = self.store.view().calendar.clone();
-            if held.stamp > Revision(0) && held.value.is_none() {
-                return Err(Refused::Wrong("the calendar's record can't be read".into()));
-            }
-            let changed = match asked {
-                CalendarAsked::Pin(pin) => CalendarRecord::pin(held.value.as_ref(), &pin.window)
-                    .map_err(|e| Refused::Wrong(e.to_string()))?,
-                CalendarAsked::Unpin(unpin) => {
-                    let record = held.value.as_ref().ok_or(Refused::NoWindow)?;
-                    let changed = record.unpin(&unpin.name);
-                    let changed = changed.map_err(|e| Refused::Wrong(e.to_string()))?;
-                    Some(changed.ok_or(Refused::NoWindow)?)
-                }
-            };
-            let Some(record) = changed else {
+            let Some(record) = self.changed_calendar(&held, asked)? else {
                 return Ok(());
             };
-            if matches!(asked, CalendarAsked::Pin(_)) {
-                self.check_calendar(&record).map_err(Refused::Wrong)?;
-            }
-            let change = Change::write(CALENDAR_KEY.into(), &record, None);
-            match self
-                .state
-                .change(CALENDAR_KEY.into(), held.stamp, change, PATIENCE)
-                .await
-            {
+            match self.write_calendar(held.stamp, &record).await {
                 Ok(Outcome::Done(revision)) => {
                     tracing::info!(windows = record.entries.len(), "calendar");
                     self.peers.announce(revision);
@@ -235,4 +266,35 @@
         }
         Err(Refused::Unavailable)
     }
+
+    /// The record as an operator asked for it; none if it is so already.
+    fn changed_calendar(
+        &self,
+        held: &Versioned<Option<CalendarRecord>>,
+        asked: &CalendarAsked,
+    ) -> Result<Option<CalendarRecord>, Refused> {
+        if held.stamp > Revision(0) && held.value.is_none() {
+            return Err(Refused::Wrong("the calendar's record can't be read".into()));
+        }
+        match asked {
+            CalendarAsked::Pin(pin) => {
+                let changed = CalendarRecord::pin(held.value.as_ref(), &pin.window);
+                let Some(record) = changed.map_err(wrong)? else {
+                    return Ok(None);
+                };
+                self.check_calendar(&record).map_err(wrong)?;
+                Ok(Some(record))
+            }
+            CalendarAsked::Unpin(unpin) => {
+                let record = held.value.as_ref().ok_or(Refused::NoWindow)?;
+                let changed = record.unpin(&unpin.name).map_err(wrong)?;
+                Ok(Some(changed.ok_or(Refused::NoWindow)?))
+            }
+        }
+    }
+}
+
+/// An operator's request is wrong for this reason.
+fn wrong(error: impl std::fmt::Display) -> Refused {
+    Refused::Wrong(error.to_string())
 }
