--- a/src/control/blocks_shown.rs
+++ b/src/control/blocks_shown.rs
@@ -13,6 +13,8 @@
 
 /// For how long a change that an operator asked for is tried.
 const CHANGE_PATIENCE: Duration = Duration::from_secs(3);
+/// How often it is tried while others are faster.
+const CHANGE_ATTEMPTS: usize = 4;
 
 impl Node {
     /// Blocks, owners, machines, parts of limits and moves under way.
@@ -84,7 +86,7 @@
                 return Err(Refused::Wrong(format!("there is no controller {to}")));
             }
         }
-        for _ in 0..4 {
+        for _ in 0..CHANGE_ATTEMPTS {
             if !self.fresh().await {
                 return Err(Refused::Unavailable);
             }
--- a/src/control/drains.rs
+++ b/src/control/drains.rs
@@ -5,15 +5,21 @@
 
 use sorrelhinge_protocol::operators::{DomainShown, DrainAsked, DrainShown, Target, TopologyShown};
 use sorrelhinge_topology::drain::{Drain, Target as What};
+use sorrelhinge_topology::tree::{Domain, Level, Tree};
 
 use super::core::Core;
 use super::{wall_ms, Node};
+use crate::sched::Machine;
 use crate::state::record::drain_key;
 use crate::state::{Change, Outcome};
 use crate::types::{MachineId, NodeId, Revision};
 
 /// Most drains at a time: each is a key that all controllers hold.
 const MOST_DRAINS: usize = 1000;
+/// How often a change that an operator asked for is tried while others are faster.
+const CHANGE_ATTEMPTS: usize = 4;
+/// How long a change may take.
+const PATIENCE: Duration = Duration::from_millis(1500);
 
 /// Why a request of an operator was not taken.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -77,7 +83,7 @@
             away: asked.away,
             keep: asked.keep,
         };
-        for _ in 0..4 {
+        for _ in 0..CHANGE_ATTEMPTS {
             if !self.fresh().await {
                 return Err(Refused::Unavailable);
             }
@@ -121,7 +127,7 @@
         if self.topology().is_none() {
             return Err(Refused::Off);
         }
-        for _ in 0..4 {
+        for _ in 0..CHANGE_ATTEMPTS {
             if !self.fresh().await {
                 return Err(Refused::Unavailable);
             }
@@ -156,8 +162,7 @@
         stamp: Revision,
         change: Change,
     ) -> Result<bool, Refused> {
-        let patience = Duration::from_millis(1500);
-        match self.state.change(key, stamp, change, patience).await {
+        match self.state.change(key, stamp, change, PATIENCE).await {
             Ok(Outcome::Done(revision)) => {
                 self.peers.announce(revision);
                 // The next look at the view has it.
@@ -180,41 +185,17 @@
         let Some(core) = cores.first() else {
             return Err(self.elsewhere());
         };
-        let tree = &topology.tree;
-        let mut domains: BTreeMap<u32, DomainShown> = BTreeMap::new();
-        let mut unplaced = Vec::new();
-        for (id, m) in core.cluster_state.machines() {
-            let level = tree.level_of(m.place);
-            if level.is_none_or(|l| usize::from(l.0) + 2 < tree.levels().len()) {
-                unplaced.push(id.clone());
-            }
-            let shown = domains.entry(m.place.0).or_insert_with(|| DomainShown {
-                domain: tree.path(m.place).to_owned(),
-                level: level.map_or("-", |l| tree.level_name(l)).to_owned(),
-                ..DomainShown::default()
-            });
-            shown.machines += 1;
-            shown.usable += u32::from(m.usable);
-            shown.draining += u32::from(m.draining);
-            shown.tasks += m.claims.len() as u32;
-            for (unit, share, broken) in m.stock.units() {
-                let device = shown.devices.entry(unit.kind().to_owned()).or_default();
-                device.units += 1;
-                device.broken += u32::from(broken);
-                device.slots += if broken { 0 } else { share };
-                device.held += m.held.holders(unit);
-            }
-        }
-        // Domains that have no machine now are shown too.
-        for level in (0..tree.levels().len() as u8 - 1).map(sorrelhinge_topology::tree::Level) {
-            for domain in tree.domains(level) {
-                domains.entry(domain.0).or_insert_with(|| DomainShown {
-                    domain: tree.path(domain).to_owned(),
-                    level: tree.level_name(level).to_owned(),
-                    ..DomainShown::default()
-                });
-            }
-        }
+        let machines = shown_machines(core, &topology.tree);
+        Ok(TopologyShown {
+            levels: topology.tree.levels().to_vec(),
+            domains: machines.domains.into_values().collect(),
+            unplaced: machines.unplaced,
+            drains: self.shown_drains(core),
+        })
+    }
+
+    /// Drains and how far they are.
+    fn shown_drains(&self, core: &Core) -> Vec<DrainShown> {
         let now = wall_ms();
         let drains = self.store.view().drains.clone();
         let drains = drains.iter().map(|(number, d)| {
@@ -232,11 +213,67 @@
                 done: progress.done(),
             }
         });
-        Ok(TopologyShown {
-            levels: tree.levels().to_vec(),
-            domains: domains.into_values().collect(),
-            unplaced,
-            drains: drains.collect(),
-        })
+        drains.collect()
+    }
+}
+
+/// The machines of a topology, as operators see them.
+struct ShownMachines {
+    /// By the place in the tree.
+    domains: BTreeMap<u32, DomainShown>,
+    /// Machines that are not placed as far down as the tree tells.
+    unplaced: Vec<MachineId>,
+}
+
+/// The machines and devices of each domain; domains that have no machine now are
+/// shown too.
+fn shown_machines(core: &Core, tree: &Tree) -> ShownMachines {
+    let mut shown = ShownMachines {
+        domains: BTreeMap::new(),
+        unplaced: Vec::new(),
+    };
+    for (id, machine) in core.cluster_state.machines() {
+        let level = tree.level_of(machine.place);
+        if level.is_none_or(|l| usize::from(l.0) + 2 < tree.levels().len()) {
+            shown.unplaced.push(id.clone());
+        }
+        let level_name = level.map_or("-", |l| tree.level_name(l));
+        let domain = shown
+            .domains
+            .entry(machine.place.0)
+            .or_insert_with(|| empty_domain(tree, machine.place, level_name));
+        add_machine(domain, machine);
+    }
+    for level in (0..tree.levels().len() as u8 - 1).map(Level) {
+        for domain in tree.domains(level) {
+            let level_name = tree.level_name(level);
+            let empty = || empty_domain(tree, domain, level_name);
+            shown.domains.entry(domain.0).or_insert_with(empty);
+        }
+    }
+    shown
+}
+
+/// A domain without machines.
+fn empty_domain(tree: &Tree, domain: Domain, level_name: &str) -> DomainShown {
+    DomainShown {
+        domain: tree.path(domain).to_owned(),
+        level: level_name.to_owned(),
+        ..DomainShown::default()
+    }
+}
+
+/// Counts a machine and its devices in its domain.
+fn add_machine(domain: &mut DomainShown, machine: &Machine) {
+    domain.machines += 1;
+    domain.usable += u32::from(machine.usable);
+    domain.draining += u32::from(machine.draining);
+    domain.tasks += machine.claims.len() as u32;
+    for (unit, share, broken) in machine.stock.units() {
+        let device = domain.devices.entry(unit.kind().to_owned()).or_default();
+        device.units += 1;
+        device.broken += u32::from(broken);
+        device.slots += if broken { 0 } else { share };
+        device.held += machine.held.holders(unit);
     }
 }
--- a/src/control/users.rs
+++ b/src/control/users.rs
@@ -16,6 +16,13 @@
 
 /// A user's write waits so long for its turn.
 const WRITE_PATIENCE: Duration = Duration::from_millis(800);
+/// How often a cancellation is tried while others write the job's record.
+const CANCEL_ATTEMPTS: usize = 4;
+
+/// A job whose record is over the state service's limit of a value.
+#[derive(Debug, thiserror::Error)]
+#[error("the job's names are too long to be recorded")]
+struct NamesTooLong;
 
 impl Node {
     /// Why a job can never run, if that is so; none if it can't be told yet.
@@ -69,12 +76,12 @@
     /// The record of a job that is accepted now. One that would be over the state
     /// service's limit of a value makes the job malformed: it was answered 503 again and
     /// again, as its write was refused.
-    fn new_record(&self, new: &NewJob) -> Result<JobRecord, String> {
+    fn new_record(&self, new: &NewJob) -> Result<JobRecord, NamesTooLong> {
         let value_bytes = self.cfg.state_limits.value_bytes;
         let record = JobRecord::accepted(new.clone(), wall_ms(), value_bytes);
         match record.fits(value_bytes) {
             true => Ok(record),
-            false => Err("the job's names are too long to be recorded".into()),
+            false => Err(NamesTooLong),
         }
     }
 
@@ -186,7 +193,8 @@
             let spec = self.with_class_devices(new.spec);
             let never = self.never(&spec);
             let new = NewJob { spec, ..new };
-            Ok((self.new_record(&new)?, never))
+            let record = self.new_record(&new).map_err(|error| error.to_string())?;
+            Ok((record, never))
         });
         let refusal = match &candidate {
             Err(why) => Some(Err(why.clone())),
@@ -296,7 +304,7 @@
 
     /// Cancels a job. Some(None): there is no such job. None: not decided.
     pub async fn cancel(&self, id: &JobId) -> Option<Option<Phase>> {
-        for _ in 0..4 {
+        for _ in 0..CANCEL_ATTEMPTS {
             let summary = match self.status(id).await? {
                 None => return Some(None),
                 Some(s) => s,
