--- a/src/control/block_needs.rs
+++ b/src/control/block_needs.rs
@@ -16,6 +16,7 @@
 const NEEDS_INTERVAL: Duration = Duration::from_millis(700);
 
 impl Node {
+    /// The other controllers whose versions know several blocks.
     pub(super) fn others_known(&self) -> Vec<NodeId> {
         let others = self.cfg.others.iter().map(|other| &other.node);
         let knowing = others.filter(|node| self.peer_statuses.knows_shards(node));
@@ -31,49 +32,62 @@
             if self.view_blocks() == 1 || self.shards.is_empty() {
                 continue;
             }
-            let now = self.now();
-            let mine: Vec<Needs> = {
-                let cores = self.shards.owned();
-                let needs = cores.iter().map(|(block, c)| {
-                    let teams = self.cfg.teams.iter().map(|t| t.name.to_string());
-                    Needs {
-                        block: *block,
-                        machines: c.machines() as u32,
-                        spare_cpu: c.spare_cpu(),
-                        teams: teams.zip(c.needs()).collect(),
-                    }
-                });
-                needs.collect()
-            };
-            let others = self.others_known();
-            for needs in mine {
-                for other in &others {
-                    self.peers.share(other, Kind::Needs, needs.encode());
-                }
-                self.take_needs(needs);
+            self.tell_own_needs();
+            self.leave_tasks();
+            if gave.elapsed() >= GIVE_EVERY {
+                gave = Instant::now();
+                self.give_parts().await;
             }
-            let mut left = Vec::new();
-            for c in self.shards.owned_mut().values_mut() {
-                left.extend(c.leave(&self.store.view(), now));
+        }
+    }
+
+    /// Tells the others what this controller's blocks use and want.
+    fn tell_own_needs(&self) {
+        let others = self.others_known();
+        for needs in self.own_needs() {
+            for other in &others {
+                self.peers.share(other, Kind::Needs, needs.encode());
+            }
+            self.take_needs(needs);
+        }
+    }
+
+    /// What each owned block uses and wants.
+    fn own_needs(&self) -> Vec<Needs> {
+        let cores = self.shards.owned();
+        let needs = cores.iter().map(|(block, c)| {
+            let teams = self.cfg.teams.iter().map(|t| t.name.to_string());
+            Needs {
+                block: *block,
+                machines: c.machines() as u32,
+                spare_cpu: c.spare_cpu(),
+                teams: teams.zip(c.needs()).collect(),
             }
-            for some in left {
-                match self.owner_of(some.block) {
-                    Some(owner) if owner == self.cfg.node => self.take_left(&some),
-                    Some(owner) => {
-                        if let Some(text) = encode_left(&some) {
-                            self.peers.share(&owner, Kind::Left, text);
-                        }
+        });
+        needs.collect()
+    }
+
+    /// Leaves tasks to blocks that have room.
+    fn leave_tasks(&self) {
+        let now = self.now();
+        let mut left = Vec::new();
+        for c in self.shards.owned_mut().values_mut() {
+            left.extend(c.leave(&self.store.view(), now));
+        }
+        for some in left {
+            match self.owner_of(some.block) {
+                Some(owner) if owner == self.cfg.node => self.take_left(&some),
+                Some(owner) => {
+                    if let Some(text) = encode_left(&some) {
+                        self.peers.share(&owner, Kind::Left, text);
                     }
-                    None => {}
                 }
-            }
-            if gave.elapsed() >= GIVE_EVERY {
-                gave = Instant::now();
-                self.give_parts().await;
+                None => {}
             }
         }
     }
 
+    /// Takes up what a block uses and wants.
     fn take_needs(&self, needs: Needs) {
         let now = self.now();
         for (block, c) in self.shards.owned_mut().iter_mut() {
@@ -84,6 +98,7 @@
         self.shards.record_needs(needs);
     }
 
+    /// Takes up tasks that another block leaves to an owned one.
     fn take_left(&self, left: &LeftTo) {
         let now = self.now();
         if let Some(c) = self.shards.owned_mut().get_mut(left.block) {
@@ -106,24 +121,28 @@
                 }
             }
             Kind::Rented => {
-                let now = self.now();
-                let Some(rented) = Rented::parse(text) else {
-                    return;
-                };
-                let sort = (&rented.kind, &rented.zone, rented.spot);
-                let zones = rented.machines.iter();
-                let zones = zones.map(|m| (m.clone(), rented.zone.clone()));
-                self.shards.learn_zones(zones);
-                for c in self.shards.owned_mut().values_mut() {
-                    for machine in &rented.machines {
-                        c.rented_for(sort, machine, now);
-                    }
+                if let Some(rented) = Rented::parse(text) {
+                    self.take_rented(&rented);
                 }
             }
             _ => {}
         }
     }
 
+    /// Takes up machines that were rented: their zones, and that those of owned blocks come.
+    fn take_rented(&self, rented: &Rented) {
+        let now = self.now();
+        let sort = (&rented.kind, &rented.zone, rented.spot);
+        let zones = rented.machines.iter();
+        let zones = zones.map(|m| (m.clone(), rented.zone.clone()));
+        self.shards.learn_zones(zones);
+        for c in self.shards.owned_mut().values_mut() {
+            for machine in &rented.machines {
+                c.rented_for(sort, machine, now);
+            }
+        }
+    }
+
     /// Tells the owners of the other blocks of machines that were rented.
     pub(super) fn tell_rented(&self, rental: &crate::cloud::Rental, machines: &[MachineId]) {
         if self.view_blocks() == 1 {
--- a/src/control/users.rs
+++ b/src/control/users.rs
@@ -24,18 +24,46 @@
 #[error("the job's names are too long to be recorded")]
 struct NamesTooLong;
 
+/// Whether a job can ever run here.
+enum Feasibility {
+    /// That can't be told yet: the machine types are not known.
+    Unknown,
+    /// Nothing speaks against it.
+    Possible,
+    /// It can't, for this reason.
+    Never(String),
+}
+
+/// A submission that is well-formed.
+struct Candidate {
+    record: JobRecord,
+    feasibility: Feasibility,
+}
+
+/// What a submission is answered without its being recorded, if it is not known.
+fn refusal(candidate: &Result<Candidate, String>) -> Option<Result<Submitted, String>> {
+    match candidate {
+        Err(why) => Some(Err(why.clone())),
+        Ok(candidate) => match &candidate.feasibility {
+            Feasibility::Unknown => Some(Ok(Submitted::Unavailable)),
+            Feasibility::Possible => None,
+            Feasibility::Never(why) => Some(Ok(Submitted::Never(why.clone()))),
+        },
+    }
+}
+
 impl Node {
-    /// Why a job can never run, if that is so; none if it can't be told yet.
-    pub(super) fn never(&self, spec: &JobSpec) -> Option<Option<String>> {
+    /// Whether a job can ever run.
+    fn never(&self, spec: &JobSpec) -> Feasibility {
         let Some(team) = self.cfg.teams.iter().find(|t| t.name == spec.team) else {
-            return Some(Some("unknown team".into()));
+            return Feasibility::Never("unknown team".into());
         };
         if !spec.each.times(spec.at_once()).fits_team(team.limit) {
-            return Some(Some("more than the team's limit".into()));
+            return Feasibility::Never("more than the team's limit".into());
         }
         let types = self.types.borrow();
         if types.is_empty() {
-            return None;
+            return Feasibility::Unknown;
         }
         let fits = types.iter().any(|t| {
             spec.each.fits(t.total)
@@ -43,13 +71,14 @@
                 && spec.zone.as_ref().is_none_or(|z| t.zones.contains(z))
         });
         if !fits {
-            return Some(Some("a task fits no allowed machine type".into()));
+            return Feasibility::Never("a task fits no allowed machine type".into());
         }
         let topology = self.topology.borrow();
-        Some(topology.as_ref().and_then(|t| {
+        let never = topology.as_ref().and_then(|t| {
             let policy = ClusterState::policy_of(Some(t), spec);
             policy.never(t, spec)
-        }))
+        });
+        never.map_or(Feasibility::Possible, Feasibility::Never)
     }
 
     /// Devices that a class needs are written into each of its jobs, so that
@@ -73,6 +102,18 @@
         spec
     }
 
+    /// What a submission would become, if it is accepted.
+    fn candidate(&self, new: NewJob) -> Result<Candidate, NamesTooLong> {
+        let spec = self.with_class_devices(new.spec);
+        let feasibility = self.never(&spec);
+        let new = NewJob { spec, ..new };
+        let record = self.new_record(&new)?;
+        Ok(Candidate {
+            record,
+            feasibility,
+        })
+    }
+
     /// The record of a job that is accepted now. One that would be over the state
     /// service's limit of a value makes the job malformed: it was answered 503 again and
     /// again, as its write was refused.
@@ -189,20 +230,10 @@
         id: &JobId,
         new: Result<NewJob, String>,
     ) -> Result<Submitted, String> {
-        let candidate = new.and_then(|new| {
-            let spec = self.with_class_devices(new.spec);
-            let never = self.never(&spec);
-            let new = NewJob { spec, ..new };
-            let record = self.new_record(&new).map_err(|error| error.to_string())?;
-            Ok((record, never))
-        });
-        let refusal = match &candidate {
-            Err(why) => Some(Err(why.clone())),
-            Ok((_, None)) => Some(Ok(Submitted::Unavailable)),
-            Ok((_, Some(never))) => never.clone().map(|why| Ok(Submitted::Never(why))),
-        };
+        let candidate = new.and_then(|new| self.candidate(new).map_err(|error| error.to_string()));
+        let refusal = refusal(&candidate);
         let known = self.store.view().job(id).is_some();
-        let needs = candidate.as_ref().map_or(&[][..], |(r, _)| r.needs());
+        let needs = candidate.as_ref().map_or(&[][..], |c| c.record.needs());
         let never_waits = !self.knows_all(needs) || self.never_waits(id, needs).is_some();
         if known || refusal.is_some() || never_waits {
             // A job that is known is never refused, so look before refusing; what it
@@ -219,7 +250,7 @@
         if let Some(why) = self.never_waits(id, needs) {
             return Ok(Submitted::Never(why));
         }
-        let Ok((record, _)) = candidate else {
+        let Ok(Candidate { record, .. }) = candidate else {
             return Ok(Submitted::Unavailable);
         };
         if !self.admission.has_room_for_submission() || !self.store.view().loaded {
