--- a/src/control/block_owners.rs
+++ b/src/control/block_owners.rs
@@ -142,40 +142,9 @@
         if self.view_blocks() == 1 {
             return;
         }
-        let now = self.now();
-        let due: Vec<(BlockId, Txn)> = {
-            let view = self.store.view();
-            let cores = self.shards.owned();
-            let settled = cores
-                .iter()
-                .filter(|(_, c)| c.is_frozen() && c.settled(now));
-            settled
-                .filter_map(|(block, c)| {
-                    let held = view.blocks.get(block);
-                    let held = held.filter(|b| b.value.number == c.grant)?;
-                    let to = held.value.to.clone()?;
-                    let record = BlockRecord {
-                        version: BlockRecord::VERSION,
-                        run: view.members.get(&to)?.value.run,
-                        owner: to,
-                        term: held.value.term,
-                        number: view.newest_grant() + 1,
-                        to: None,
-                        pin: held.value.pin.clone(),
-                    };
-                    let txn = Txn {
-                        when: vec![When {
-                            key: block_key(*block),
-                            stamp: held.stamp,
-                        }],
-                        apply: vec![Change::write(block_key(*block), &record, None)],
-                    };
-                    Some((*block, txn))
-                })
-                .collect()
-        };
-        for (block, txn) in due {
-            match self.state.txn(&txn, Urgency::First).await {
+        for handover in self.due_handovers() {
+            let block = handover.block;
+            match self.state.txn(&handover.txn, Urgency::First).await {
                 Ok(Outcome::Done(revision)) => {
                     tracing::info!(%block, "handed on");
                     self.peers.announce(revision);
@@ -186,4 +155,48 @@
             self.fresh().await;
         }
     }
+
+    /// Owned blocks that are offered to others and have settled.
+    fn due_handovers(&self) -> Vec<Handover> {
+        let now = self.now();
+        let view = self.store.view();
+        let cores = self.shards.owned();
+        let settled = cores
+            .iter()
+            .filter(|(_, c)| c.is_frozen() && c.settled(now));
+        settled
+            .filter_map(|(block, c)| handover(&view, *block, c.grant))
+            .collect()
+    }
+}
+
+/// A block that goes to the controller that it was offered to.
+struct Handover {
+    block: BlockId,
+    txn: Txn,
+}
+
+/// The change that hands a block on, if it is still held by that grant and is offered
+/// to a controller that lives.
+fn handover(view: &View, block: BlockId, grant: u64) -> Option<Handover> {
+    let held = view.blocks.get(&block);
+    let held = held.filter(|b| b.value.number == grant)?;
+    let to = held.value.to.clone()?;
+    let record = BlockRecord {
+        version: BlockRecord::VERSION,
+        run: view.members.get(&to)?.value.run,
+        owner: to,
+        term: held.value.term,
+        number: view.newest_grant() + 1,
+        to: None,
+        pin: held.value.pin.clone(),
+    };
+    let txn = Txn {
+        when: vec![When {
+            key: block_key(block),
+            stamp: held.stamp,
+        }],
+        apply: vec![Change::write(block_key(block), &record, None)],
+    };
+    Some(Handover { block, txn })
 }
--- a/src/control/drains.rs
+++ b/src/control/drains.rs
@@ -40,6 +40,14 @@
     Unavailable,
 }
 
+/// A drain's record that is about to be written.
+struct DrainWrite {
+    number: u64,
+    /// The revision of the record in its place; 0: there is none.
+    stamp: Revision,
+    value: Drain,
+}
+
 impl Node {
     /// What a target's text names: a domain of the file, or a machine.
     fn target(&self, text: &str) -> Result<What, Refused> {
@@ -87,31 +95,11 @@
             if !self.fresh().await {
                 return Err(Refused::Unavailable);
             }
-            let (number, stamp, value) = {
-                let view = self.store.view();
-                let same = view
-                    .drains
-                    .iter()
-                    .find(|(_, d)| d.value.target == drain.target);
-                match same {
-                    Some((number, held)) => {
-                        let started_ms = held.value.started_ms;
-                        let value = Drain {
-                            started_ms,
-                            ..drain.clone()
-                        };
-                        (*number, held.stamp, value)
-                    }
-                    None if view.drains.len() >= MOST_DRAINS => {
-                        return Err(Refused::Wrong("too many drains at a time".into()));
-                    }
-                    None => {
-                        let last = view.drains.keys().next_back();
-                        let number = last.map_or(1, |n| n + 1);
-                        (number, Revision(0), drain.clone())
-                    }
-                }
-            };
+            let DrainWrite {
+                number,
+                stamp,
+                value,
+            } = self.drain_write(&drain)?;
             let key = drain_key(number);
             let change = Change::write(key.clone(), &value, None);
             if self.change_drain(key, stamp, change).await? {
@@ -122,6 +110,32 @@
         Err(Refused::Unavailable)
     }
 
+    /// Where a drain is to be recorded: in place of the one of the same target, which
+    /// keeps its start, or under the next number.
+    fn drain_write(&self, drain: &Drain) -> Result<DrainWrite, Refused> {
+        let view = self.store.view();
+        let mut drains = view.drains.iter();
+        if let Some((number, held)) = drains.find(|(_, d)| d.value.target == drain.target) {
+            return Ok(DrainWrite {
+                number: *number,
+                stamp: held.stamp,
+                value: Drain {
+                    started_ms: held.value.started_ms,
+                    ..drain.clone()
+                },
+            });
+        }
+        if view.drains.len() >= MOST_DRAINS {
+            return Err(Refused::Wrong("too many drains at a time".into()));
+        }
+        let last = view.drains.keys().next_back();
+        Ok(DrainWrite {
+            number: last.map_or(1, |n| n + 1),
+            stamp: Revision(0),
+            value: drain.clone(),
+        })
+    }
+
     /// Ends a drain: machines that are still there may be used again.
     pub async fn undrain(&self, target: &Target) -> Result<(), Refused> {
         if self.topology().is_none() {
--- a/src/control/leading.rs
+++ b/src/control/leading.rs
@@ -11,7 +11,7 @@
 use crate::state::record::{GrantRecord, LeaderRecord, GRANT, LEADER};
 use crate::state::view::Versioned;
 use crate::state::{Change, Outcome, StateError, Txn, Urgency, When};
-use crate::types::{Revision, Term};
+use crate::types::{LeaseId, Revision, Term};
 
 /// The leader's part of the requests that the state service takes.
 const LEADER_REQUESTS: f64 = 0.5;
@@ -27,98 +27,101 @@
 /// The pause after an election whose outcome is not known.
 pub(super) const STAND_RETRY_PAUSE: Duration = Duration::from_millis(150);
 
+/// What a controller without a lease may become.
+enum Candidacy {
+    /// Nothing now.
+    None,
+    /// A member that may own some of several blocks.
+    Member,
+    /// The leader, and owner of the only block.
+    Leader(Vacancy),
+}
+
+/// There is no leader, by these records.
+struct Vacancy {
+    /// The revision of the leader's record; 0: there is none.
+    leader_stamp: Revision,
+    /// The last grant of the block.
+    grant: Versioned<GrantRecord>,
+}
+
 impl Node {
     /// Becomes leader whenever there is none, and stays it.
     pub(super) async fn lead(self: Rc<Self>) {
         let life = Duration::from_secs_f64(self.cfg.tuning.leader_lease_s);
         loop {
-            match self.leadership.lease() {
-                Some(lease) => {
-                    let asked = Instant::now();
-                    match self.state.renew(lease).await {
-                        Ok(()) => {
-                            self.leadership.renewed(asked, life);
-                            sleep(life / 4).await;
-                        }
-                        Err(StateError::LeaseEnded) => {
-                            self.leadership.release();
-                        }
-                        Err(_) => sleep(life / 8).await,
-                    }
-                    continue;
-                }
-                None => self.leadership.wait_for_vacancy().await,
+            if let Some(lease) = self.leadership.lease() {
+                self.keep_lease(lease, life).await;
+                continue;
             }
-            let unfit = self.leadership.defers_to_others();
-            if unfit {
+            self.leadership.wait_for_vacancy().await;
+            let defers = self.leadership.defers_to_others();
+            if defers {
                 // Whoever can do better goes first.
                 sleep(UNFIT_WAIT).await;
             }
-            let (leader, grant, loaded) = {
-                let view = self.store.view();
-                (view.leader.clone(), view.grant.clone(), view.loaded)
-            };
-            if !loaded {
-                continue;
+            match self.candidacy(defers) {
+                Candidacy::None => {}
+                Candidacy::Member => self.enlist(life).await,
+                Candidacy::Leader(vacancy) => self.stand(vacancy, life).await,
             }
-            if unfit && leader.value.is_some() {
-                continue;
+        }
+    }
+
+    /// Renews the lease, and waits until that is due again.
+    async fn keep_lease(&self, lease: LeaseId, life: Duration) {
+        let asked = Instant::now();
+        match self.state.renew(lease).await {
+            Ok(()) => {
+                self.leadership.renewed(asked, life);
+                sleep(life / 4).await;
             }
-            if self.store.view().block_count() > 1 {
-                self.enlist(life).await;
-                continue;
+            Err(StateError::LeaseEnded) => {
+                self.leadership.release();
             }
-            // The key goes with its lease, unless an earlier run of this very
-            // controller wrote it: that run is over.
-            let stamp = match &leader.value {
-                None => Revision(0),
-                Some(l) if l.node == self.cfg.node && l.run != self.run => leader.stamp,
-                Some(_) => continue,
-            };
-            self.stand(stamp, grant, life).await;
+            Err(_) => sleep(life / 8).await,
+        }
+    }
+
+    /// What this controller may become now, by its view. `defers`: others go first, as
+    /// long as there is a leader.
+    fn candidacy(&self, defers: bool) -> Candidacy {
+        let view = self.store.view();
+        let leader = &view.leader;
+        if !view.loaded || defers && leader.value.is_some() {
+            return Candidacy::None;
         }
+        if view.block_count() > 1 {
+            return Candidacy::Member;
+        }
+        // The key goes with its lease, unless an earlier run of this very
+        // controller wrote it: that run is over.
+        let leader_stamp = match &leader.value {
+            None => Revision(0),
+            Some(l) if l.node == self.cfg.node && l.run != self.run => leader.stamp,
+            Some(_) => return Candidacy::None,
+        };
+        Candidacy::Leader(Vacancy {
+            leader_stamp,
+            grant: view.grant.clone(),
+        })
     }
 
     /// Tries to become leader; if the block is still ours, keeps the grant.
-    pub(super) async fn stand(
-        &self,
-        leader_stamp: Revision,
-        grant: Versioned<GrantRecord>,
-        life: Duration,
-    ) {
+    async fn stand(&self, vacancy: Vacancy, life: Duration) {
         let asked = Instant::now();
         let Ok(lease) = self.state.lease(life).await else {
             return;
         };
+        let grant = &vacancy.grant.value;
         let held = self.shards.owned().first().map(|c| c.grant);
-        let kept = held == Some(grant.value.number);
-        let term = Term(grant.value.term.0 + u64::from(!kept));
-        let leader = LeaderRecord {
-            node: self.cfg.node.clone(),
-            run: self.run,
-            term,
-        };
+        let kept = held == Some(grant.number);
         let next = GrantRecord {
             owner: Some(self.cfg.node.clone()),
-            term,
-            number: grant.value.number + 1,
-        };
-        let mut txn = Txn {
-            when: vec![
-                When {
-                    key: LEADER.into(),
-                    stamp: leader_stamp,
-                },
-                When {
-                    key: GRANT.into(),
-                    stamp: grant.stamp,
-                },
-            ],
-            apply: vec![Change::write(LEADER.into(), &leader, Some(lease))],
+            term: Term(grant.term.0 + u64::from(!kept)),
+            number: grant.number + 1,
         };
-        if !kept {
-            txn.apply.push(Change::write(GRANT.into(), &next, None));
-        }
+        let txn = self.election_txn(&vacancy, &next, kept, lease);
         match self.state.txn(&txn, Urgency::First).await {
             Ok(Outcome::Done(revision)) => {
                 self.leadership.acquired(lease, asked, life);
@@ -137,6 +140,40 @@
         }
     }
 
+    /// The leader's record under the lease and, unless the grant is `kept`, the next
+    /// grant; only if nobody else was faster.
+    fn election_txn(
+        &self,
+        vacancy: &Vacancy,
+        next: &GrantRecord,
+        kept: bool,
+        lease: LeaseId,
+    ) -> Txn {
+        let leader = LeaderRecord {
+            node: self.cfg.node.clone(),
+            run: self.run,
+            term: next.term,
+        };
+        let mut txn = Txn {
+            when: vec![
+                When {
+                    key: LEADER.into(),
+                    stamp: vacancy.leader_stamp,
+                },
+                When {
+                    key: GRANT.into(),
+                    stamp: vacancy.grant.stamp,
+                },
+            ],
+            apply: vec![Change::write(LEADER.into(), &leader, Some(lease))],
+        };
+        if !kept {
+            txn.apply.push(Change::write(GRANT.into(), next, None));
+        }
+        txn
+    }
+
+    /// Recovers the one block's state from the records, and owns it from then on.
     pub(super) async fn take_over(&self, grant: GrantRecord, revision: Revision) {
         // Everything that earlier owners recorded is older than the grant.
         self.catch_up(revision, CATCH_UP_PAUSE).await;
@@ -223,6 +260,7 @@
         self.store.request_refresh();
     }
 
+    /// Stops to act for a block.
     pub(super) fn stand_down(&self, block: BlockId) {
         let core = self.shards.give_up(block);
         if core.is_some_and(|c| !c.shard.is_part()) {
--- a/src/control/pending.rs
+++ b/src/control/pending.rs
@@ -183,6 +183,11 @@
                 return Some(Due::Chunk(chunk));
             }
         }
+        self.take_urgent().or_else(|| self.take_late(spare, now))
+    }
+
+    /// A claim or a job that is done.
+    fn take_urgent(&mut self) -> Option<Due> {
         // Claims that no user waits for take turns with jobs that are done:
         // while there are more claims than changes, nothing else would be told.
         let hurry = self
@@ -200,6 +205,11 @@
         if let Some(((_, job), _)) = self.finished.pop_first() {
             return Some(Due::Finished(job));
         }
+        None
+    }
+
+    /// What waits for company, once it has waited for long enough.
+    fn take_late(&mut self, spare: bool, now: Time) -> Option<Due> {
         let oldest = |queue: &BTreeMap<ChunkId, Time>, wait: f64| {
             queue
                 .iter()
