--- a/src/control/blocks_shown.rs
+++ b/src/control/blocks_shown.rs
@@ -8,6 +8,7 @@
 use super::drains::Refused;
 use super::Node;
 use crate::state::record::{block_key, BlockRecord};
+use crate::state::view::View;
 use crate::state::{Change, Outcome};
 use crate::types::NodeId;
 
@@ -21,47 +22,18 @@
     pub fn show_blocks(&self) -> BlocksShown {
         let view = self.store.view();
         let leader = view.leader.value.as_ref().map(|l| l.node.to_string());
-        let blocks = view.blocks.iter().filter(|_| view.block_count() > 1);
-        let blocks = blocks.map(|(block, held)| {
-            let b = &held.value;
-            let member = view.members.get(&b.owner);
-            let alive = member.is_some_and(|m| m.value.run == b.run);
-            let told = self.shards.needs_of(*block);
-            let cpus = |milli: i64| milli as f64 / 1000.0;
-            let teams = self.cfg.teams.iter().map(|t| {
-                let slice = view.slices.get(block).map(|s| s.value.of(&t.name));
-                let need = told
-                    .as_ref()
-                    .and_then(|n| n.teams.iter().find(|(name, _)| **name == *t.name));
-                TeamShown {
-                    team: t.name.to_string(),
-                    part_cpus: cpus(slice.unwrap_or_default().cpu),
-                    used_cpus: need.map(|(_, n)| cpus(n.used.cpu)),
-                    waiting_cpus: need.map(|(_, n)| cpus(n.waits.cpu)),
-                }
-            });
-            let why = match (&b.pin, &b.to, alive) {
-                (_, Some(to), _) => format!("it moves to {to}"),
-                (_, None, false) => "its owner is gone: it is granted next".into(),
-                (Some(pin), ..) if *pin == b.owner => "an operator pinned it there".into(),
-                (Some(pin), ..) => format!("pinned to {pin}, which does not live"),
-                _ => "balanced over those who live".into(),
-            };
-            BlockShown {
-                block: block.0,
-                owner: Some(b.owner.to_string()),
-                alive,
-                grant: b.number,
-                to: b.to.as_ref().map(|n| n.to_string()),
-                pin: b.pin.as_ref().map(|n| n.to_string()),
-                machines: told.as_ref().map(|n| n.machines),
-                why,
-                teams: teams.collect(),
+        let blocks = match view.block_count() > 1 {
+            true => {
+                let blocks = view.blocks.iter();
+                blocks
+                    .map(|(block, held)| self.shown_block(&view, *block, &held.value))
+                    .collect()
             }
-        });
+            false => Vec::new(),
+        };
         let mut shown = BlocksShown {
             leader: leader.clone(),
-            blocks: blocks.collect(),
+            blocks,
         };
         if shown.blocks.is_empty() {
             shown.blocks.push(BlockShown {
@@ -75,6 +47,35 @@
         shown
     }
 
+    /// One of several blocks.
+    fn shown_block(&self, view: &View, block: BlockId, record: &BlockRecord) -> BlockShown {
+        let member = view.members.get(&record.owner);
+        let alive = member.is_some_and(|m| m.value.run == record.run);
+        let told = self.shards.needs_of(block);
+        let teams = self.cfg.teams.iter().map(|t| {
+            let slice = view.slices.get(&block).map(|s| s.value.of(&t.name));
+            let needs = told.as_ref().map_or(&[][..], |told| &told.teams);
+            let need = needs.iter().find(|(name, _)| **name == *t.name);
+            TeamShown {
+                team: t.name.to_string(),
+                part_cpus: cpus(slice.unwrap_or_default().cpu),
+                used_cpus: need.map(|(_, n)| cpus(n.used.cpu)),
+                waiting_cpus: need.map(|(_, n)| cpus(n.waits.cpu)),
+            }
+        });
+        BlockShown {
+            block: block.0,
+            owner: Some(record.owner.to_string()),
+            alive,
+            grant: record.number,
+            to: record.to.as_ref().map(|n| n.to_string()),
+            pin: record.pin.as_ref().map(|n| n.to_string()),
+            machines: told.as_ref().map(|n| n.machines),
+            why: why_there(record, alive),
+            teams: teams.collect(),
+        }
+    }
+
     /// Pins a block to a controller, or takes its pin off. The answer comes once
     /// it is recorded; the leader does the rest.
     pub async fn pin(&self, asked: &PinAsked) -> Result<(), Refused> {
@@ -120,3 +121,19 @@
         Err(Refused::Unavailable)
     }
 }
+
+/// CPUs of so many thousandths.
+fn cpus(milli: i64) -> f64 {
+    milli as f64 / 1000.0
+}
+
+/// Why a block is where it is; `alive`: its owner lives.
+fn why_there(record: &BlockRecord, alive: bool) -> String {
+    match (&record.pin, &record.to, alive) {
+        (_, Some(to), _) => format!("it moves to {to}"),
+        (_, None, false) => "its owner is gone: it is granted next".into(),
+        (Some(pin), ..) if *pin == record.owner => "an operator pinned it there".into(),
+        (Some(pin), ..) => format!("pinned to {pin}, which does not live"),
+        _ => "balanced over those who live".into(),
+    }
+}
--- a/src/control/pending.rs
+++ b/src/control/pending.rs
@@ -50,14 +50,40 @@
 }
 
 /// A claim's place: by haste, then in the order they came.
-type Place = (Haste, u64);
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+struct Place {
+    haste: Haste,
+    number: u64,
+}
+
+/// A claim that waits to be recorded.
+#[derive(Debug)]
+struct WaitingClaim {
+    chunk: ChunkId,
+    since: Time,
+}
+
+/// Where a chunk's claim waits.
+#[derive(Debug)]
+struct ClaimPlace {
+    place: Place,
+    /// Class and team.
+    sort: Sort,
+}
+
+/// A job that is done: those of idle priority last, then by name.
+#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
+struct FinishedJob {
+    idle: bool,
+    job: JobId,
+}
 
 /// The queues.
 #[derive(Debug, Default)]
 pub struct Pending {
     /// By haste, then in the order they came.
-    claims: BTreeMap<Place, (ChunkId, Time)>,
-    claimed: BTreeMap<ChunkId, (Place, Sort)>,
+    claims: BTreeMap<Place, WaitingClaim>,
+    claimed: BTreeMap<ChunkId, ClaimPlace>,
     /// The same by class and team, which have turns once they wait for long.
     sorts: BTreeMap<Sort, BTreeSet<Place>>,
     turns: Turns<Sort>,
@@ -65,7 +91,7 @@
     /// How often something was taken.
     taken: u64,
     /// Those of idle priority last.
-    finished: BTreeMap<(bool, JobId), Time>,
+    finished: BTreeMap<FinishedJob, Time>,
     /// A claim was taken last.
     claim_last: bool,
     results: BTreeMap<ChunkId, Time>,
@@ -87,10 +113,17 @@
         self.results.remove(&chunk);
         if !self.claimed.contains_key(&chunk) {
             self.count += 1;
-            let place = (haste, self.count);
-            self.claims.insert(place, (chunk.clone(), now));
+            let place = Place {
+                haste,
+                number: self.count,
+            };
+            let claim = WaitingClaim {
+                chunk: chunk.clone(),
+                since: now,
+            };
+            self.claims.insert(place, claim);
             self.sorts.entry(sort.clone()).or_default().insert(place);
-            self.claimed.insert(chunk, (place, sort));
+            self.claimed.insert(chunk, ClaimPlace { place, sort });
         }
     }
     /// A claim was released, or its task ended.
@@ -101,13 +134,15 @@
     }
     /// All tasks of a job are done.
     pub fn finished(&mut self, job: JobId, haste: Haste, now: Time) {
-        let key = (haste == Haste::Idle, job);
+        let idle = haste == Haste::Idle;
+        let key = FinishedJob { idle, job };
         self.finished.entry(key).or_insert(now);
     }
     /// A job is not to be recorded as done.
     pub fn not_finished(&mut self, job: &JobId) {
         for idle in [false, true] {
-            self.finished.remove(&(idle, job.clone()));
+            let job = job.clone();
+            self.finished.remove(&FinishedJob { idle, job });
         }
     }
     /// A chunk is of no use any more.
@@ -125,7 +160,7 @@
         !self.claims.is_empty()
     }
     fn drop_claim(&mut self, chunk: &ChunkId) -> bool {
-        let Some((place, sort)) = self.claimed.remove(chunk) else {
+        let Some(ClaimPlace { place, sort }) = self.claimed.remove(chunk) else {
             return false;
         };
         self.claims.remove(&place);
@@ -141,8 +176,8 @@
     fn by_turns(&mut self, now: Time) -> Option<ChunkId> {
         let claims = &self.claims;
         let first = |places: &BTreeSet<Place>| {
-            let (chunk, since) = claims.get(places.first()?)?;
-            (now.since(*since) >= TURN_AFTER_S).then(|| chunk.clone())
+            let claim = claims.get(places.first()?)?;
+            (now.since(claim.since) >= TURN_AFTER_S).then(|| claim.chunk.clone())
         };
         let waiting = self.sorts.iter().filter(|(_, p)| first(p).is_some());
         let sort = self.turns.next(waiting.map(|(sort, _)| sort))?;
@@ -156,12 +191,12 @@
             .min_by(|a, b| a.1 .0.total_cmp(&b.1 .0))?;
         let key = (now.since(*since) >= TURN_AFTER_S).then(|| job.clone())?;
         self.finished.remove(&key);
-        Some(key.1)
+        Some(key.job)
     }
     /// How long the claim has waited that is recorded next, in seconds.
     pub fn claims_wait(&self, now: Time) -> f64 {
         let next = self.claims.first_key_value();
-        next.map_or(0.0, |(_, (_, since))| now.since(*since))
+        next.map_or(0.0, |(_, claim)| now.since(claim.since))
     }
     /// Whether something is due that should not wait for the next tick.
     pub fn urgent(&self) -> bool {
@@ -193,16 +228,16 @@
         let hurry = self
             .claims
             .first_key_value()
-            .is_some_and(|(p, _)| p.0 == Haste::Awaited);
+            .is_some_and(|(place, _)| place.haste == Haste::Awaited);
         let turn = hurry || !self.claim_last || self.finished.is_empty();
         let first = turn.then(|| self.claims.first_key_value()).flatten();
-        if let Some(chunk) = first.map(|(_, (chunk, _))| chunk.clone()) {
+        if let Some(chunk) = first.map(|(_, claim)| claim.chunk.clone()) {
             self.drop_claim(&chunk);
             self.claim_last = true;
             return Some(Due::Chunk(chunk));
         }
         self.claim_last = false;
-        if let Some(((_, job), _)) = self.finished.pop_first() {
+        if let Some((FinishedJob { job, .. }, _)) = self.finished.pop_first() {
             return Some(Due::Finished(job));
         }
         None
