--- a/src/control/block_grants.rs
+++ b/src/control/block_grants.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use sorrelhinge_blocks::owners::{Held, Member, Step, Wish};
-use tokio::time::{sleep, timeout};
+use tokio::time::sleep;
 
 use super::leading::STAND_RETRY_PAUSE;
 use super::Node;
@@ -29,7 +29,7 @@
     pub(super) async fn share_out(self: Rc<Self>) {
         let mut divide_at = None;
         loop {
-            let _ = timeout(GRANT_CHECK_INTERVAL, self.shares_changed.notified()).await;
+            self.wakeups.assignments_woken(GRANT_CHECK_INTERVAL).await;
             let (loaded, blocks, leaderless) = {
                 let view = self.store.view();
                 let leaderless = view.leader.value.is_none();
--- a/src/control/block_needs.rs
+++ b/src/control/block_needs.rs
@@ -104,7 +104,7 @@
         if let Some(c) = self.shards.owned_mut().get_mut(left.block) {
             c.left_here(&self.store.view(), left, now, wall_ms());
         }
-        self.work.notify_one();
+        self.wakeups.wake_owner();
     }
 
     /// What another owner told; it may be wrong or late.
--- a/src/control/block_owners.rs
+++ b/src/control/block_owners.rs
@@ -97,7 +97,7 @@
             let shard = Shard { block: *block, of };
             let core = Core::load_block(
                 self.cfg.clone(),
-                &self.types.borrow(),
+                &self.catalog.types(),
                 view,
                 (
                     shard,
@@ -115,7 +115,7 @@
             new = true;
         }
         if new {
-            self.work.notify_one();
+            self.wakeups.wake_owner();
         }
         new
     }
--- a/src/control/calendar.rs
+++ b/src/control/calendar.rs
@@ -94,7 +94,7 @@
                 }
                 steps
             };
-            self.work.notify_one();
+            self.wakeups.wake_owner();
             for step in steps {
                 self.take_step(step).await;
             }
@@ -108,7 +108,7 @@
             return;
         };
         // Machine types are known only once the cloud has told.
-        if self.types.borrow().is_empty() {
+        if !self.catalog.has_types() {
             return;
         }
         if let Err(error) = self.check_calendar(&newer.record) {
@@ -170,7 +170,7 @@
     /// Whether windows may be recorded: the teams, types and sizes that they name.
     fn check_calendar(&self, record: &CalendarRecord) -> Result<(), CalendarError> {
         let known = Known {
-            types: self.types.borrow().clone(),
+            types: self.catalog.types().clone(),
             ..self.cfg.calendar_known(day_ms())
         };
         let windows: Vec<_> = record.entries.iter().map(|e| e.window.clone()).collect();
--- a/src/control/cloud_duties.rs
+++ b/src/control/cloud_duties.rs
@@ -40,14 +40,14 @@
                     for c in self.shards.owned_mut().values_mut() {
                         c.set_types(&types);
                     }
-                    *self.types.borrow_mut() = types;
+                    self.catalog.set_types(types);
                     sleep(TYPES_INTERVAL).await;
                 }
                 Err(error) => {
                     tracing::info!(%error, "machine types");
-                    let pause = match self.types.borrow().is_empty() {
-                        true => FIRST_TYPES_RETRY_PAUSE,
-                        false => TYPES_RETRY_PAUSE,
+                    let pause = match self.catalog.has_types() {
+                        true => TYPES_RETRY_PAUSE,
+                        false => FIRST_TYPES_RETRY_PAUSE,
                     };
                     sleep(pause).await;
                 }
--- a/src/control/dividing.rs
+++ b/src/control/dividing.rs
@@ -134,7 +134,7 @@
         let used: Vec<Vec<Amount>> = shards
             .map(|shard| {
                 let grant = (shard, (grant, Revision(0)), self.shards.machine_zones());
-                let types = self.types.borrow();
+                let types = self.catalog.types();
                 let core =
                     Core::load_block(self.cfg.clone(), &types, &view, grant, None, now, wall);
                 core.needs().iter().map(|n| n.used).collect()
--- a/src/control/following.rs
+++ b/src/control/following.rs
@@ -168,14 +168,14 @@
         drop(view);
         if shares {
             self.set_share();
-            self.shares_changed.notify_one();
+            self.wakeups.wake_assignments();
         }
         if !changed.is_empty() {
-            self.work.notify_one();
+            self.wakeups.wake_owner();
         }
         if leaderless {
             self.leadership.notify_vacant();
-            self.shares_changed.notify_one();
+            self.wakeups.wake_assignments();
         }
     }
 }
--- a/src/control/leading.rs
+++ b/src/control/leading.rs
@@ -184,10 +184,10 @@
         tracing::info!(term = %grant.term, grant = grant.number, "leading");
         let core = Core::load(
             self.cfg.clone(),
-            &self.types.borrow(),
+            &self.catalog.types(),
             &self.store.view(),
             (grant.number, revision),
-            self.topology.borrow().clone(),
+            self.catalog.topology(),
             self.now(),
             wall_ms(),
         );
@@ -196,7 +196,7 @@
         self.shards.adopt(BlockId(0), core);
         self.set_share();
         self.inherit_spread();
-        self.work.notify_one();
+        self.wakeups.wake_owner();
     }
 
     /// Divides what all may ask of the state service: most changes are the
--- a/src/control/mod.rs
+++ b/src/control/mod.rs
@@ -1,4 +1,12 @@
-//! Leadership, the block, claims and recovery: the only writer of truth.
+//! The controller: leadership, owned blocks, claims and recovery. Only it writes the
+//! records.
+//!
+//! [`Node`] composes the owners of its state, a module each: `leadership` (the lease),
+//! `store_view` (the local copy of the records), `shard_ownership` (owned blocks),
+//! `catalog` (machine types, topology), `admission` (users' requests),
+//! `heartbeat_routing` (workers' reports), `peer_statuses` (the other controllers),
+//! `paces` and `load` (how much it can do), `wakeups` (signals between its loops). The
+//! other modules hold its duties, and change state only through these owners.
 
 mod admission;
 mod block_grants;
@@ -6,6 +14,7 @@
 mod block_owners;
 mod blocks_shown;
 mod calendar;
+mod catalog;
 mod cloud_duties;
 pub mod core;
 mod dividing;
@@ -27,32 +36,33 @@
 mod store_view;
 mod users;
 pub mod vouching;
+mod wakeups;
 mod workers;
 
-use std::cell::RefCell;
 use std::rc::Rc;
 use std::time::{SystemTime, UNIX_EPOCH};
 
 use sorrelhinge_overload::sockets::Limits;
 use sorrelhinge_topology::Topology;
-use tokio::sync::Notify;
 use tokio::task::spawn_local;
 use tokio::time::Instant;
 
 use self::admission::RequestAdmission;
+use self::catalog::Catalog;
 use self::heartbeat_routing::HeartbeatRouting;
 use self::leadership::Leadership;
 use self::paces::Paces;
 use self::peer_statuses::PeerStatuses;
 use self::shard_ownership::ShardOwnership;
 use self::store_view::StoreView;
+use self::wakeups::Wakeups;
 use crate::cloud::CloudClient;
 use crate::config::Config;
 use crate::connections::Connections;
 use crate::peer::{self, Peers};
 use crate::state::view::Summary;
 use crate::state::StateClient;
-use crate::types::{MachineType, NodeId, Time};
+use crate::types::{NodeId, Time};
 use crate::worker::Reply;
 
 pub use calendar::{day_ms, CalendarAsked};
@@ -84,28 +94,32 @@
     Unavailable,
 }
 
-/// One controller.
+/// One controller: its settings, its connections, and the owners of its state. Each
+/// owner has private fields, so its module tells who may change them, and when.
 pub struct Node {
     cfg: Rc<Config>,
     state: Rc<StateClient>,
     cloud: Rc<CloudClient>,
     peers: Rc<Peers>,
     connections: Rc<Connections>,
+    /// How often duties over the whole fleet are done.
     paces: Paces,
+    /// What it is asked for, and what is shed.
     load: load::Load,
     /// The records as known here.
     store: StoreView,
     /// The shards that this controller owns, and hints about the others.
     shards: ShardOwnership,
-    types: RefCell<Vec<MachineType>>,
-    /// Failure domains and devices, if the feature is on.
-    topology: RefCell<Option<Rc<Topology>>>,
+    /// Machine types and the topology.
+    catalog: Catalog,
+    /// Tells this run of the controller from its earlier ones.
     run: u64,
+    /// When this run began: times are counted from here.
     epoch: Instant,
+    /// The lease that its authority rests on.
     leadership: Leadership,
-    work: Notify,
-    record: Notify,
-    shares_changed: Notify,
+    /// Signals between its loops.
+    wakeups: Wakeups,
     /// Where workers' reports go.
     heartbeat_routing: HeartbeatRouting,
     /// How the other controllers stand.
@@ -135,14 +149,11 @@
             peers,
             store: StoreView::new(),
             shards: ShardOwnership::default(),
-            types: RefCell::default(),
-            topology: RefCell::new(topology),
+            catalog: Catalog::new(topology),
             run: rand::random(),
             epoch: Instant::now(),
             leadership: Leadership::new(),
-            work: Notify::new(),
-            record: Notify::new(),
-            shares_changed: Notify::new(),
+            wakeups: Wakeups::default(),
             heartbeat_routing: HeartbeatRouting::default(),
             peer_statuses: PeerStatuses::default(),
             admission: RequestAdmission::new(),
@@ -169,16 +180,16 @@
 
     /// Failure domains and devices, if the feature is on.
     pub fn topology(&self) -> Option<Rc<Topology>> {
-        self.topology.borrow().clone()
+        self.catalog.topology()
     }
 
     /// Takes up the operator's file, new or changed.
     pub fn set_topology(&self, topology: Rc<Topology>) {
-        *self.topology.borrow_mut() = Some(topology.clone());
+        self.catalog.set_topology(topology.clone());
         for c in self.shards.owned_mut().values_mut() {
             c.set_topology(Some(topology.clone()), self.now());
         }
-        self.work.notify_one();
+        self.wakeups.wake_owner();
     }
 
     fn now(&self) -> Time {
--- a/src/control/owning.rs
+++ b/src/control/owning.rs
@@ -5,7 +5,7 @@
 
 use sorrelhinge_blocks::shard::BlockId;
 use tokio::task::spawn_local;
-use tokio::time::{timeout, Instant};
+use tokio::time::Instant;
 
 use super::core::{Core, Dispatch};
 use super::paces::Duty;
@@ -37,7 +37,7 @@
             }
             self.place_all(c, now);
             if c.has_urgent() {
-                self.record.notify_one();
+                self.wakeups.wake_recording();
             }
             if !may_command {
                 continue;
@@ -110,7 +110,7 @@
     pub(super) async fn tend(self: Rc<Self>) {
         let mut last = Instant::now();
         loop {
-            let _ = timeout(TICK, self.work.notified()).await;
+            self.wakeups.owner_woken(TICK).await;
             if last.elapsed() >= TICK {
                 last = Instant::now();
                 let now = self.now();
--- a/src/control/recording.rs
+++ b/src/control/recording.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use sorrelhinge_blocks::shard::BlockId;
-use tokio::time::{sleep, timeout};
+use tokio::time::sleep;
 
 use super::core::Batch;
 use super::owning::TICK;
@@ -33,7 +33,7 @@
         let mut last = BlockId(0);
         loop {
             // Also now and then for what is not urgent.
-            let _ = timeout(TICK, self.record.notified()).await;
+            self.wakeups.recording_woken(TICK).await;
             while let Some(next) = self.next_shard_batch(last) {
                 last = next.shard;
                 self.record_batch(next).await;
--- a/src/control/users.rs
+++ b/src/control/users.rs
@@ -35,13 +35,13 @@
 }
 
 /// A submission that is well-formed.
-struct Candidate {
+struct JobCandidate {
     record: JobRecord,
     feasibility: Feasibility,
 }
 
 /// What a submission is answered without its being recorded, if it is not known.
-fn refusal(candidate: &Result<Candidate, String>) -> Option<Result<Submitted, String>> {
+fn refusal(candidate: &Result<JobCandidate, String>) -> Option<Result<Submitted, String>> {
     match candidate {
         Err(why) => Some(Err(why.clone())),
         Ok(candidate) => match &candidate.feasibility {
@@ -61,7 +61,7 @@
         if !spec.each.times(spec.at_once()).fits_team(team.limit) {
             return Feasibility::Never("more than the team's limit".into());
         }
-        let types = self.types.borrow();
+        let types = self.catalog.types();
         if types.is_empty() {
             return Feasibility::Unknown;
         }
@@ -73,7 +73,7 @@
         if !fits {
             return Feasibility::Never("a task fits no allowed machine type".into());
         }
-        let topology = self.topology.borrow();
+        let topology = self.catalog.topology();
         let never = topology.as_ref().and_then(|t| {
             let policy = ClusterState::policy_of(Some(t), spec);
             policy.never(t, spec)
@@ -84,7 +84,7 @@
     /// Devices that a class needs are written into each of its jobs, so that
     /// what a claim may hold does not change with the operator's file.
     fn with_class_devices(&self, mut spec: JobSpec) -> JobSpec {
-        let Some(topology) = self.topology.borrow().clone() else {
+        let Some(topology) = self.catalog.topology() else {
             return spec;
         };
         for class in topology.class_placement_rules(&spec.class) {
@@ -103,12 +103,12 @@
     }
 
     /// What a submission would become, if it is accepted.
-    fn candidate(&self, new: NewJob) -> Result<Candidate, NamesTooLong> {
+    fn candidate(&self, new: NewJob) -> Result<JobCandidate, NamesTooLong> {
         let spec = self.with_class_devices(new.spec);
         let feasibility = self.never(&spec);
         let new = NewJob { spec, ..new };
         let record = self.new_record(&new)?;
-        Ok(Candidate {
+        Ok(JobCandidate {
             record,
             feasibility,
         })
@@ -250,7 +250,7 @@
         if let Some(why) = self.never_waits(id, needs) {
             return Ok(Submitted::Never(why));
         }
-        let Ok(Candidate { record, .. }) = candidate else {
+        let Ok(JobCandidate { record, .. }) = candidate else {
             return Ok(Submitted::Unavailable);
         };
         if !self.admission.has_room_for_submission() || !self.store.view().loaded {
--- a/src/control/workers.rs
+++ b/src/control/workers.rs
@@ -5,17 +5,27 @@
 
 use sorrelhinge_blocks::isolation::PeerContact;
 
-use super::core::Source;
+use super::core::{Core, Source};
 use super::heartbeat_routing::Redirect;
 use super::paces::Duty;
 use super::{Beat, Node};
 use crate::peer;
 use crate::types::{MachineId, NodeId};
-use crate::worker::Report;
+use crate::worker::{Reply, Report};
 
 /// While others are served for this long, requests are passed on to them.
 const CUT_OFF: Duration = Duration::from_millis(300);
 
+/// What came of a report for an owned block.
+enum ReportOutcome {
+    /// It is an old one: nothing was taken.
+    Copy,
+    /// Its worker has the fencing token of a newer grant.
+    Superseded,
+    /// It was taken, with the answer; none: only the records could tell it.
+    Taken(Option<Reply>),
+}
+
 impl Node {
     /// Takes a worker's report, `body` as it came.
     pub async fn beat(self: &Rc<Self>, report: &Report, body: &[u8]) -> Beat {
@@ -158,45 +168,54 @@
 
     /// Takes a worker's report as the block's owner.
     pub fn own_beat(self: &Rc<Self>, report: &Report, source: Source) -> Beat {
-        let now = self.now();
         let block = self.block_of(&report.machine);
-        let mut cores = self.shards.owned_mut();
-        let mut reply = None;
-        if let Some(c) = cores.get_mut(block) {
-            // Before it can depose, and without an answer, which would have commands
-            // that nobody takes count as sent.
-            if c.is_copy(report) && report.baton.grant() <= c.grant {
-                return Beat::Unavailable;
-            }
-            // A report of one that hears nothing shows no way to the workers: while
-            // none heard this owner, its reports kept it one.
-            let hears = c.hears(&report.machine);
-            match source {
-                Source::Beat | Source::Direct if hears => self.leadership.worker_reached(),
-                Source::Beat | Source::Direct => {}
-                Source::Homed | Source::Passed => self.leadership.report_relayed(now),
-            }
-            if !c.report(report, source, now) {
-                drop(cores);
+        let outcome = {
+            let mut cores = self.shards.owned_mut();
+            let core = cores.get_mut(block);
+            core.map(|core| self.take_report(core, report, source))
+        };
+        match outcome {
+            Some(ReportOutcome::Copy) => Beat::Unavailable,
+            Some(ReportOutcome::Superseded) => {
                 self.deposed(block);
-                return Beat::Unavailable;
+                Beat::Unavailable
             }
-            if self.knows_the_cancelled() {
-                if self.paces.due(Duty::Walk, now) {
-                    self.timed(Duty::Walk, || c.walk(&report.machine, now));
-                }
-                reply = Some(c.answer(report, &self.store.view(), now));
+            Some(ReportOutcome::Taken(reply)) => {
+                self.drive();
+                reply.map_or(Beat::Unavailable, Beat::Reply)
             }
+            None => match self.owner_of(block) {
+                Some(owner) if owner != self.cfg.node => Beat::Elsewhere(owner),
+                _ => Beat::Unavailable,
+            },
+        }
+    }
+
+    /// Takes a report for an owned block, and answers it if that is safe.
+    fn take_report(&self, core: &mut Core, report: &Report, source: Source) -> ReportOutcome {
+        let now = self.now();
+        // Before it can depose, and without an answer, which would have commands
+        // that nobody takes count as sent.
+        if core.is_copy(report) && report.baton.grant() <= core.grant {
+            return ReportOutcome::Copy;
+        }
+        // A report of one that hears nothing shows no way to the workers: while
+        // none heard this owner, its reports kept it one.
+        let hears = core.hears(&report.machine);
+        match source {
+            Source::Beat | Source::Direct if hears => self.leadership.worker_reached(),
+            Source::Beat | Source::Direct => {}
+            Source::Homed | Source::Passed => self.leadership.report_relayed(now),
+        }
+        if !core.report(report, source, now) {
+            return ReportOutcome::Superseded;
         }
-        let owning = cores.contains(block);
-        drop(cores);
-        if owning {
-            self.drive();
-            return reply.map_or(Beat::Unavailable, Beat::Reply);
+        if !self.knows_the_cancelled() {
+            return ReportOutcome::Taken(None);
         }
-        match self.owner_of(block) {
-            Some(owner) if owner != self.cfg.node => Beat::Elsewhere(owner),
-            _ => Beat::Unavailable,
+        if self.paces.due(Duty::Walk, now) {
+            self.timed(Duty::Walk, || core.walk(&report.machine, now));
         }
+        ReportOutcome::Taken(Some(core.answer(report, &self.store.view(), now)))
     }
 }
