--- a/src/control/blocks_shown.rs
+++ b/src/control/blocks_shown.rs
@@ -8,7 +8,7 @@
 use super::drains::Refused;
 use super::Node;
 use crate::state::record::{block_key, BlockRecord};
-use crate::state::view::View;
+use crate::state::view::{Versioned, View};
 use crate::state::{Change, Outcome};
 use crate::types::NodeId;
 
@@ -76,6 +76,16 @@
         }
     }
 
+    /// The record of one of several blocks.
+    fn held_block(&self, block: BlockId) -> Result<Versioned<BlockRecord>, Refused> {
+        let view = self.store.view();
+        let held = view.blocks.get(&block).filter(|_| view.block_count() > 1);
+        held.cloned().ok_or_else(|| {
+            let n = view.block_count();
+            Refused::Wrong(format!("there is no block {block}: there are {n}, from 0"))
+        })
+    }
+
     /// Pins a block to a controller, or takes its pin off. The answer comes once
     /// it is recorded; the leader does the rest.
     pub async fn pin(&self, asked: &PinAsked) -> Result<(), Refused> {
@@ -91,24 +101,16 @@
             if !self.fresh().await {
                 return Err(Refused::Unavailable);
             }
-            let (key, stamp, record) = {
-                let view = self.store.view();
-                let block = BlockId(asked.block);
-                let held = view.blocks.get(&block).filter(|_| view.block_count() > 1);
-                let Some(held) = held else {
-                    let n = view.block_count();
-                    return Err(Refused::Wrong(format!(
-                        "there is no block {block}: there are {n}, from 0"
-                    )));
-                };
-                let record = BlockRecord {
-                    pin: to.clone(),
-                    ..held.value.clone()
-                };
-                (block_key(block), held.stamp, record)
+            let block = BlockId(asked.block);
+            let held = self.held_block(block)?;
+            let record = BlockRecord {
+                pin: to.clone(),
+                ..held.value
             };
+            let key = block_key(block);
             let change = Change::write(key.clone(), &record, None);
-            match self.state.change(key, stamp, change, CHANGE_PATIENCE).await {
+            let written = self.state.change(key, held.stamp, change, CHANGE_PATIENCE);
+            match written.await {
                 Ok(Outcome::Done(revision)) => {
                     self.peers.announce(revision);
                     return Ok(());
--- a/src/control/leading.rs
+++ b/src/control/leading.rs
@@ -17,6 +17,16 @@
 const LEADER_REQUESTS: f64 = 0.5;
 /// The leader's part of the changes that the state service takes.
 const LEADER_CHANGES: f64 = 0.65;
+/// The part of what the state service takes that all controllers together ask for.
+const RATE_USED: f64 = 0.95;
+/// Requests that may be sent at once after a quiet time.
+const REQUEST_BURST: f64 = 4.0;
+/// Changes that may be sent at once after a quiet time: this part of a second's changes.
+const CHANGE_BURSTS_A_SECOND: f64 = 4.0;
+/// The most changes that may be sent at once.
+const CHANGE_BURST_MOST: f64 = 4.0;
+/// Each controller may send so many changes a second, however few there are.
+const CHANGE_RATE_LEAST: f64 = 0.5;
 /// A controller that lets others go first waits so long before each look whether one
 /// of them has become leader.
 const UNFIT_WAIT: Duration = Duration::from_secs(2);
@@ -219,15 +229,16 @@
             (true, true) => leader,
             (false, true) => (1.0 - leader) / others,
         };
-        let rps = self.cfg.state_rps * 0.95;
+        let rps = self.cfg.state_rps * RATE_USED;
         self.state
             .requests
-            .set_rate(rps * part(LEADER_REQUESTS), 4.0);
-        let changes = self.state.change_rate() * 0.95;
-        let burst = (changes / 4.0).min(4.0);
-        self.state
-            .writes
-            .set_rate((changes * part(LEADER_CHANGES)).max(0.5), burst);
+            .set_rate(rps * part(LEADER_REQUESTS), REQUEST_BURST);
+        let changes = self.state.change_rate() * RATE_USED;
+        let burst = (changes / CHANGE_BURSTS_A_SECOND).min(CHANGE_BURST_MOST);
+        self.state.writes.set_rate(
+            (changes * part(LEADER_CHANGES)).max(CHANGE_RATE_LEAST),
+            burst,
+        );
     }
 
     /// Gives up all that this controller owns while it can still say so: it stops
--- a/src/control/load.rs
+++ b/src/control/load.rs
@@ -70,7 +70,7 @@
     /// What is asked for.
     pub counts: Counts,
     /// How long requests wait to be read, in seconds, when last measured.
-    pub wait_s: Cell<f64>,
+    wait_s: Cell<f64>,
     pressure: RefCell<Pressure>,
     fleet_limit: RefCell<FleetLimit>,
     report_offload: RefCell<ReportOffload>,
@@ -88,6 +88,11 @@
         self.fleet_limit.borrow().most()
     }
 
+    /// How long requests wait to be read, in seconds, when last measured.
+    pub(super) fn wait_s(&self) -> f64 {
+        self.wait_s.get()
+    }
+
     /// Whether a resource is short.
     fn binds(&self, resource: Resource) -> bool {
         self.pressure.borrow().binds(resource)
--- a/src/control/mod.rs
+++ b/src/control/mod.rs
@@ -128,6 +128,9 @@
     admission: RequestAdmission,
 }
 
+/// The part of the requests that the cloud takes that a controller asks for.
+const CLOUD_RATE_USED: f64 = 0.8;
+
 fn wall_ms() -> u64 {
     SystemTime::now()
         .duration_since(UNIX_EPOCH)
@@ -138,7 +141,7 @@
     /// A controller that is not running yet.
     pub fn new(cfg: Rc<Config>, peers: Rc<Peers>, topology: Option<Rc<Topology>>) -> Rc<Self> {
         let state = StateClient::new(cfg.state, cfg.state_rps, cfg.state_limits);
-        let cloud = CloudClient::new(cfg.cloud, cfg.cloud_rps * 0.8);
+        let cloud = CloudClient::new(cfg.cloud, cfg.cloud_rps * CLOUD_RATE_USED);
         let limits = Limits::of(cfg.max_sockets, cfg.others.len(), core::MOST_FLYING);
         let node = Rc::new(Self {
             connections: Connections::new(limits),
--- a/src/control/owning.rs
+++ b/src/control/owning.rs
@@ -93,8 +93,7 @@
         let begun = Instant::now();
         let result = work();
         let cost = begun.elapsed().as_secs_f64();
-        self.paces
-            .done(duty, cost, self.load.wait_s.get(), self.now());
+        self.paces.done(duty, cost, self.load.wait_s(), self.now());
         self.load.counts.duty_took(cost);
         if cost >= LONG_S {
             tracing::info!(
