--- a/src/control/mod.rs
+++ b/src/control/mod.rs
@@ -131,6 +131,7 @@
 /// The part of the requests that the cloud takes that a controller asks for.
 const CLOUD_RATE_USED: f64 = 0.8;
 
+/// Milliseconds since 1970 by the wall clock; 0 before that.
 fn wall_ms() -> u64 {
     SystemTime::now()
         .duration_since(UNIX_EPOCH)
@@ -195,6 +196,7 @@
         self.wakeups.wake_owner();
     }
 
+    /// Seconds since this run began: monotonic, unlike the wall clock.
     fn now(&self) -> Time {
         Time(self.epoch.elapsed().as_secs_f64())
     }
--- a/src/control/shard_ownership.rs
+++ b/src/control/shard_ownership.rs
@@ -32,22 +32,27 @@
 }
 
 impl OwnedShards {
+    /// Whether none is owned.
     pub(super) fn is_empty(&self) -> bool {
         self.cores.is_empty()
     }
 
+    /// How many are owned.
     pub(super) fn len(&self) -> usize {
         self.cores.len()
     }
 
+    /// Whether a shard is owned.
     pub(super) fn contains(&self, shard: BlockId) -> bool {
         self.cores.contains_key(&shard)
     }
 
+    /// A shard's state; none: it is not owned.
     pub(super) fn get(&self, shard: BlockId) -> Option<&Core> {
         self.cores.get(&shard)
     }
 
+    /// The same, to be changed.
     pub(super) fn get_mut(&mut self, shard: BlockId) -> Option<&mut Core> {
         self.cores.get_mut(&shard)
     }
@@ -62,18 +67,22 @@
         self.cores.values_mut().next()
     }
 
+    /// All in the order of their numbers.
     pub(super) fn iter(&self) -> impl Iterator<Item = (&BlockId, &Core)> {
         self.cores.iter()
     }
 
+    /// The same, to be changed.
     pub(super) fn iter_mut(&mut self) -> impl Iterator<Item = (&BlockId, &mut Core)> {
         self.cores.iter_mut()
     }
 
+    /// Their states in that order.
     pub(super) fn values(&self) -> impl Iterator<Item = &Core> {
         self.cores.values()
     }
 
+    /// The same, to be changed.
     pub(super) fn values_mut(&mut self) -> impl Iterator<Item = &mut Core> {
         self.cores.values_mut()
     }
