--- a/src/control/block_owners.rs
+++ b/src/control/block_owners.rs
@@ -2,7 +2,6 @@
 
 use std::time::Duration;
 
-use sorrelhinge_blocks::reach::Reach;
 use sorrelhinge_blocks::shard::{of_machine, BlockId, Shard};
 use tokio::time::Instant;
 
@@ -16,23 +15,23 @@
 impl Node {
     /// How many blocks there are, by the view.
     pub(super) fn view_blocks(&self) -> u32 {
-        self.view.try_borrow().map_or(1, |v| v.block_count())
+        self.store.try_view().map_or(1, |v| v.block_count())
     }
 
     /// The block of a machine.
     pub(super) fn block_of(&self, machine: &MachineId) -> BlockId {
-        of_machine(machine, self.view.borrow().block_count())
+        of_machine(machine, self.store.view().block_count())
     }
 
     /// Whether a machine belongs to a block of this controller.
     pub(super) fn owns(&self, machine: &MachineId) -> bool {
         let block = self.block_of(machine);
-        self.cores.borrow().contains_key(&block)
+        self.shards.owns(block)
     }
 
     /// Who owns a block, as recorded.
     pub(super) fn owner_of(&self, block: BlockId) -> Option<NodeId> {
-        let view = self.view.borrow();
+        let view = self.store.view();
         if view.block_count() == 1 {
             return view.leader.value.as_ref().map(|l| l.node.clone());
         }
@@ -44,7 +43,7 @@
 
     /// How many controllers own blocks.
     pub(super) fn owners_of_blocks(&self) -> usize {
-        let view = self.view.borrow();
+        let view = self.store.view();
         let owners: std::collections::BTreeSet<&NodeId> =
             view.blocks.values().map(|b| &b.value.owner).collect();
         match view.block_count() {
@@ -71,9 +70,8 @@
         };
         match self.state.txn(&txn, Urgency::First).await {
             Ok(_) => {
-                self.lease.set(Some(lease));
-                self.leads_until.set(asked + life);
-                self.sync_wanted.notify_one();
+                self.leadership.acquired(lease, asked, life);
+                self.store.request_refresh();
             }
             Err(error) => tracing::info!(%error, "enlisting"),
         }
@@ -86,35 +84,38 @@
         if of == 1 {
             return false;
         }
-        let mut cores = self.cores.borrow_mut();
         let mut new = false;
         for (block, held) in &view.blocks {
             let record = &held.value;
             let mine = record.owner == self.cfg.node
                 && record.run == self.run
                 && record.version <= BlockRecord::VERSION;
-            if !mine || block.0 >= of || cores.contains_key(block) {
+            if !mine || block.0 >= of || self.shards.owns(*block) {
                 continue;
             }
             tracing::info!(%block, term = %record.term, grant = record.number, "owning");
             let shard = Shard { block: *block, of };
             let core = Core::load_block(
                 self.cfg.clone(),
-                &self.types.borrow(),
+                &self.catalog.types(),
                 view,
-                (shard, (record.number, held.stamp), self.places.clone()),
+                (
+                    shard,
+                    (record.number, held.stamp),
+                    self.shards.machine_zones(),
+                ),
                 None,
                 self.now(),
                 wall_ms(),
             );
-            if cores.is_empty() {
-                *self.reach.borrow_mut() = Reach::default();
+            if self.shards.is_empty() {
+                self.leadership.forget_reachability();
             }
-            cores.insert(*block, core);
+            self.shards.adopt(*block, core);
             new = true;
         }
         if new {
-            self.work.notify_one();
+            self.wakeups.wake_owner();
         }
         new
     }
@@ -126,7 +127,7 @@
             return;
         }
         let now = self.now();
-        for (block, c) in self.cores.borrow_mut().iter_mut() {
+        for (block, c) in self.shards.owned_mut().iter_mut() {
             let offered = view.blocks.get(block).and_then(|b| b.value.to.as_ref());
             match offered {
                 Some(to) if view.members.contains_key(to) => c.freeze(now),
@@ -141,40 +142,9 @@
         if self.view_blocks() == 1 {
             return;
         }
-        let now = self.now();
-        let due: Vec<(BlockId, Txn)> = {
-            let view = self.view.borrow();
-            let cores = self.cores.borrow();
-            let settled = cores
-                .iter()
-                .filter(|(_, c)| c.is_frozen() && c.settled(now));
-            settled
-                .filter_map(|(block, c)| {
-                    let held = view.blocks.get(block);
-                    let held = held.filter(|b| b.value.number == c.grant)?;
-                    let to = held.value.to.clone()?;
-                    let record = BlockRecord {
-                        version: BlockRecord::VERSION,
-                        run: view.members.get(&to)?.value.run,
-                        owner: to,
-                        term: held.value.term,
-                        number: view.newest_grant() + 1,
-                        to: None,
-                        pin: held.value.pin.clone(),
-                    };
-                    let txn = Txn {
-                        when: vec![When {
-                            key: block_key(*block),
-                            stamp: held.stamp,
-                        }],
-                        apply: vec![Change::write(block_key(*block), &record, None)],
-                    };
-                    Some((*block, txn))
-                })
-                .collect()
-        };
-        for (block, txn) in due {
-            match self.state.txn(&txn, Urgency::First).await {
+        for handover in self.due_handovers() {
+            let block = handover.block;
+            match self.state.txn(&handover.txn, Urgency::First).await {
                 Ok(Outcome::Done(revision)) => {
                     tracing::info!(%block, "handed on");
                     self.peers.announce(revision);
@@ -185,4 +155,48 @@
             self.fresh().await;
         }
     }
+
+    /// Owned blocks that are offered to others and have settled.
+    fn due_handovers(&self) -> Vec<Handover> {
+        let now = self.now();
+        let view = self.store.view();
+        let cores = self.shards.owned();
+        let settled = cores
+            .iter()
+            .filter(|(_, c)| c.is_frozen() && c.settled(now));
+        settled
+            .filter_map(|(block, c)| handover(&view, *block, c.grant))
+            .collect()
+    }
+}
+
+/// A block that goes to the controller that it was offered to.
+struct Handover {
+    block: BlockId,
+    txn: Txn,
+}
+
+/// The change that hands a block on, if it is still held by that grant and is offered
+/// to a controller that lives.
+fn handover(view: &View, block: BlockId, grant: u64) -> Option<Handover> {
+    let held = view.blocks.get(&block);
+    let held = held.filter(|b| b.value.number == grant)?;
+    let to = held.value.to.clone()?;
+    let record = BlockRecord {
+        version: BlockRecord::VERSION,
+        run: view.members.get(&to)?.value.run,
+        owner: to,
+        term: held.value.term,
+        number: view.newest_grant() + 1,
+        to: None,
+        pin: held.value.pin.clone(),
+    };
+    let txn = Txn {
+        when: vec![When {
+            key: block_key(block),
+            stamp: held.stamp,
+        }],
+        apply: vec![Change::write(block_key(block), &record, None)],
+    };
+    Some(Handover { block, txn })
 }
--- a/src/control/blocks_shown.rs
+++ b/src/control/blocks_shown.rs
@@ -5,64 +5,35 @@
 use sorrelhinge_blocks::shard::BlockId;
 use sorrelhinge_protocol::operators::{BlockShown, BlocksShown, PinAsked, TeamShown};
 
-use super::block_needs::NEEDS_VALID_FOR;
 use super::drains::Refused;
 use super::Node;
 use crate::state::record::{block_key, BlockRecord};
+use crate::state::view::{Versioned, View};
 use crate::state::{Change, Outcome};
 use crate::types::NodeId;
 
 /// For how long a change that an operator asked for is tried.
 const CHANGE_PATIENCE: Duration = Duration::from_secs(3);
+/// How often it is tried while others are faster.
+const CHANGE_ATTEMPTS: usize = 4;
 
 impl Node {
     /// Blocks, owners, machines, parts of limits and moves under way.
     pub fn show_blocks(&self) -> BlocksShown {
-        let view = self.view.borrow();
-        let told = self.needs.borrow();
+        let view = self.store.view();
         let leader = view.leader.value.as_ref().map(|l| l.node.to_string());
-        let blocks = view.blocks.iter().filter(|_| view.block_count() > 1);
-        let blocks = blocks.map(|(block, held)| {
-            let b = &held.value;
-            let member = view.members.get(&b.owner);
-            let alive = member.is_some_and(|m| m.value.run == b.run);
-            let told = told
-                .get(block)
-                .filter(|(at, _)| at.elapsed() < NEEDS_VALID_FOR);
-            let told = told.map(|(_, needs)| needs);
-            let cpus = |milli: i64| milli as f64 / 1000.0;
-            let teams = self.cfg.teams.iter().map(|t| {
-                let slice = view.slices.get(block).map(|s| s.value.of(&t.name));
-                let need = told.and_then(|n| n.teams.iter().find(|(name, _)| **name == *t.name));
-                TeamShown {
-                    team: t.name.to_string(),
-                    part_cpus: cpus(slice.unwrap_or_default().cpu),
-                    used_cpus: need.map(|(_, n)| cpus(n.used.cpu)),
-                    waiting_cpus: need.map(|(_, n)| cpus(n.waits.cpu)),
-                }
-            });
-            let why = match (&b.pin, &b.to, alive) {
-                (_, Some(to), _) => format!("it moves to {to}"),
-                (_, None, false) => "its owner is gone: it is granted next".into(),
-                (Some(pin), ..) if *pin == b.owner => "an operator pinned it there".into(),
-                (Some(pin), ..) => format!("pinned to {pin}, which does not live"),
-                _ => "balanced over those who live".into(),
-            };
-            BlockShown {
-                block: block.0,
-                owner: Some(b.owner.to_string()),
-                alive,
-                grant: b.number,
-                to: b.to.as_ref().map(|n| n.to_string()),
-                pin: b.pin.as_ref().map(|n| n.to_string()),
-                machines: told.map(|n| n.machines),
-                why,
-                teams: teams.collect(),
+        let blocks = match view.block_count() > 1 {
+            true => {
+                let blocks = view.blocks.iter();
+                blocks
+                    .map(|(block, held)| self.shown_block(&view, *block, &held.value))
+                    .collect()
             }
-        });
+            false => Vec::new(),
+        };
         let mut shown = BlocksShown {
             leader: leader.clone(),
-            blocks: blocks.collect(),
+            blocks,
         };
         if shown.blocks.is_empty() {
             shown.blocks.push(BlockShown {
@@ -76,6 +47,45 @@
         shown
     }
 
+    /// One of several blocks.
+    fn shown_block(&self, view: &View, block: BlockId, record: &BlockRecord) -> BlockShown {
+        let member = view.members.get(&record.owner);
+        let alive = member.is_some_and(|m| m.value.run == record.run);
+        let told = self.shards.needs_of(block);
+        let teams = self.cfg.teams.iter().map(|t| {
+            let slice = view.slices.get(&block).map(|s| s.value.of(&t.name));
+            let needs = told.as_ref().map_or(&[][..], |told| &told.teams);
+            let need = needs.iter().find(|(name, _)| **name == *t.name);
+            TeamShown {
+                team: t.name.to_string(),
+                part_cpus: cpus(slice.unwrap_or_default().cpu),
+                used_cpus: need.map(|(_, n)| cpus(n.used.cpu)),
+                waiting_cpus: need.map(|(_, n)| cpus(n.waits.cpu)),
+            }
+        });
+        BlockShown {
+            block: block.0,
+            owner: Some(record.owner.to_string()),
+            alive,
+            grant: record.number,
+            to: record.to.as_ref().map(|n| n.to_string()),
+            pin: record.pin.as_ref().map(|n| n.to_string()),
+            machines: told.as_ref().map(|n| n.machines),
+            why: why_there(record, alive),
+            teams: teams.collect(),
+        }
+    }
+
+    /// The record of one of several blocks.
+    fn held_block(&self, block: BlockId) -> Result<Versioned<BlockRecord>, Refused> {
+        let view = self.store.view();
+        let held = view.blocks.get(&block).filter(|_| view.block_count() > 1);
+        held.cloned().ok_or_else(|| {
+            let n = view.block_count();
+            Refused::Wrong(format!("there is no block {block}: there are {n}, from 0"))
+        })
+    }
+
     /// Pins a block to a controller, or takes its pin off. The answer comes once
     /// it is recorded; the leader does the rest.
     pub async fn pin(&self, asked: &PinAsked) -> Result<(), Refused> {
@@ -87,28 +97,20 @@
                 return Err(Refused::Wrong(format!("there is no controller {to}")));
             }
         }
-        for _ in 0..4 {
+        for _ in 0..CHANGE_ATTEMPTS {
             if !self.fresh().await {
                 return Err(Refused::Unavailable);
             }
-            let (key, stamp, record) = {
-                let view = self.view.borrow();
-                let block = BlockId(asked.block);
-                let held = view.blocks.get(&block).filter(|_| view.block_count() > 1);
-                let Some(held) = held else {
-                    let n = view.block_count();
-                    return Err(Refused::Wrong(format!(
-                        "there is no block {block}: there are {n}, from 0"
-                    )));
-                };
-                let record = BlockRecord {
-                    pin: to.clone(),
-                    ..held.value.clone()
-                };
-                (block_key(block), held.stamp, record)
+            let block = BlockId(asked.block);
+            let held = self.held_block(block)?;
+            let record = BlockRecord {
+                pin: to.clone(),
+                ..held.value
             };
+            let key = block_key(block);
             let change = Change::write(key.clone(), &record, None);
-            match self.state.change(key, stamp, change, CHANGE_PATIENCE).await {
+            let written = self.state.change(key, held.stamp, change, CHANGE_PATIENCE);
+            match written.await {
                 Ok(Outcome::Done(revision)) => {
                     self.peers.announce(revision);
                     return Ok(());
@@ -121,3 +123,19 @@
         Err(Refused::Unavailable)
     }
 }
+
+/// CPUs of so many thousandths.
+fn cpus(milli: i64) -> f64 {
+    milli as f64 / 1000.0
+}
+
+/// Why a block is where it is; `alive`: its owner lives.
+fn why_there(record: &BlockRecord, alive: bool) -> String {
+    match (&record.pin, &record.to, alive) {
+        (_, Some(to), _) => format!("it moves to {to}"),
+        (_, None, false) => "its owner is gone: it is granted next".into(),
+        (Some(pin), ..) if *pin == record.owner => "an operator pinned it there".into(),
+        (Some(pin), ..) => format!("pinned to {pin}, which does not live"),
+        _ => "balanced over those who live".into(),
+    }
+}
--- a/src/control/leading.rs
+++ b/src/control/leading.rs
@@ -3,114 +3,138 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use sorrelhinge_blocks::reach::Reach;
 use sorrelhinge_blocks::shard::BlockId;
-use tokio::time::{sleep, timeout, Instant};
+use tokio::time::{sleep, Instant};
 
 use super::core::Core;
-use super::{wall_ms, Node, LEADER_CHANGES, LEADER_REQUESTS, UNFIT, UNFIT_WAIT};
+use super::{wall_ms, Node};
 use crate::state::record::{GrantRecord, LeaderRecord, GRANT, LEADER};
 use crate::state::view::Versioned;
 use crate::state::{Change, Outcome, StateError, Txn, Urgency, When};
-use crate::types::{Revision, Term};
+use crate::types::{LeaseId, Revision, Term};
+
+/// The leader's part of the requests that the state service takes.
+const LEADER_REQUESTS: f64 = 0.5;
+/// The leader's part of the changes that the state service takes.
+const LEADER_CHANGES: f64 = 0.65;
+/// The part of what the state service takes that all controllers together ask for.
+const RATE_USED: f64 = 0.95;
+/// Requests that may be sent at once after a quiet time.
+const REQUEST_BURST: f64 = 4.0;
+/// Changes that may be sent at once after a quiet time: this part of a second's changes.
+const CHANGE_BURSTS_A_SECOND: f64 = 4.0;
+/// The most changes that may be sent at once.
+const CHANGE_BURST_MOST: f64 = 4.0;
+/// Each controller may send so many changes a second, however few there are.
+const CHANGE_RATE_LEAST: f64 = 0.5;
+/// A controller that lets others go first waits so long before each look whether one
+/// of them has become leader.
+const UNFIT_WAIT: Duration = Duration::from_secs(2);
+
+/// The pause after a read that failed, before a new leader has read all that was
+/// recorded before its grant.
+const CATCH_UP_PAUSE: Duration = Duration::from_millis(50);
+/// The pause after an election whose outcome is not known.
+pub(super) const STAND_RETRY_PAUSE: Duration = Duration::from_millis(150);
+
+/// What a controller without a lease may become.
+enum Candidacy {
+    /// Nothing now.
+    None,
+    /// A member that may own some of several blocks.
+    Member,
+    /// The leader, and owner of the only block.
+    Leader(Vacancy),
+}
+
+/// There is no leader, by these records.
+struct Vacancy {
+    /// The revision of the leader's record; 0: there is none.
+    leader_stamp: Revision,
+    /// The last grant of the block.
+    grant: Versioned<GrantRecord>,
+}
 
 impl Node {
     /// Becomes leader whenever there is none, and stays it.
     pub(super) async fn lead(self: Rc<Self>) {
         let life = Duration::from_secs_f64(self.cfg.tuning.leader_lease_s);
         loop {
-            match self.lease.get() {
-                Some(lease) => {
-                    let asked = Instant::now();
-                    match self.state.renew(lease).await {
-                        Ok(()) => {
-                            self.leads_until.set(asked + life);
-                            sleep(life / 4).await;
-                        }
-                        Err(StateError::LeaseEnded) => self.lease.set(None),
-                        Err(_) => sleep(life / 8).await,
-                    }
-                    continue;
-                }
-                None => {
-                    let _ =
-                        timeout(Duration::from_millis(300), self.leader_changed.notified()).await;
-                }
+            if let Some(lease) = self.leadership.lease() {
+                self.keep_lease(lease, life).await;
+                continue;
             }
-            let unfit = Instant::now() < self.unfit_until.get();
-            if unfit {
+            self.leadership.wait_for_vacancy().await;
+            let defers = self.leadership.defers_to_others();
+            if defers {
                 // Whoever can do better goes first.
                 sleep(UNFIT_WAIT).await;
             }
-            let (leader, grant, loaded) = {
-                let view = self.view.borrow();
-                (view.leader.clone(), view.grant.clone(), view.loaded)
-            };
-            if !loaded {
-                continue;
+            match self.candidacy(defers) {
+                Candidacy::None => {}
+                Candidacy::Member => self.enlist(life).await,
+                Candidacy::Leader(vacancy) => self.stand(vacancy, life).await,
             }
-            if unfit && leader.value.is_some() {
-                continue;
+        }
+    }
+
+    /// Renews the lease, and waits until that is due again.
+    async fn keep_lease(&self, lease: LeaseId, life: Duration) {
+        let asked = Instant::now();
+        match self.state.renew(lease).await {
+            Ok(()) => {
+                self.leadership.renewed(asked, life);
+                sleep(life / 4).await;
             }
-            if self.view.borrow().block_count() > 1 {
-                self.enlist(life).await;
-                continue;
+            Err(StateError::LeaseEnded) => {
+                self.leadership.release();
             }
-            // The key goes with its lease, unless an earlier run of this very
-            // controller wrote it: that run is over.
-            let stamp = match &leader.value {
-                None => Revision(0),
-                Some(l) if l.node == self.cfg.node && l.run != self.run => leader.stamp,
-                Some(_) => continue,
-            };
-            self.stand(stamp, grant, life).await;
+            Err(_) => sleep(life / 8).await,
         }
     }
 
+    /// What this controller may become now, by its view. `defers`: others go first, as
+    /// long as there is a leader.
+    fn candidacy(&self, defers: bool) -> Candidacy {
+        let view = self.store.view();
+        let leader = &view.leader;
+        if !view.loaded || defers && leader.value.is_some() {
+            return Candidacy::None;
+        }
+        if view.block_count() > 1 {
+            return Candidacy::Member;
+        }
+        // The key goes with its lease, unless an earlier run of this very
+        // controller wrote it: that run is over.
+        let leader_stamp = match &leader.value {
+            None => Revision(0),
+            Some(l) if l.node == self.cfg.node && l.run != self.run => leader.stamp,
+            Some(_) => return Candidacy::None,
+        };
+        Candidacy::Leader(Vacancy {
+            leader_stamp,
+            grant: view.grant.clone(),
+        })
+    }
+
     /// Tries to become leader; if the block is still ours, keeps the grant.
-    pub(super) async fn stand(
-        &self,
-        leader_stamp: Revision,
-        grant: Versioned<GrantRecord>,
-        life: Duration,
-    ) {
+    async fn stand(&self, vacancy: Vacancy, life: Duration) {
         let asked = Instant::now();
         let Ok(lease) = self.state.lease(life).await else {
             return;
         };
-        let held = self.cores.borrow().values().next().map(|c| c.grant);
-        let kept = held == Some(grant.value.number);
-        let term = Term(grant.value.term.0 + u64::from(!kept));
-        let leader = LeaderRecord {
-            node: self.cfg.node.clone(),
-            run: self.run,
-            term,
-        };
+        let grant = &vacancy.grant.value;
+        let held = self.shards.owned().first().map(|c| c.grant);
+        let kept = held == Some(grant.number);
         let next = GrantRecord {
             owner: Some(self.cfg.node.clone()),
-            term,
-            number: grant.value.number + 1,
+            term: Term(grant.term.0 + u64::from(!kept)),
+            number: grant.number + 1,
         };
-        let mut txn = Txn {
-            when: vec![
-                When {
-                    key: LEADER.into(),
-                    stamp: leader_stamp,
-                },
-                When {
-                    key: GRANT.into(),
-                    stamp: grant.stamp,
-                },
-            ],
-            apply: vec![Change::write(LEADER.into(), &leader, Some(lease))],
-        };
-        if !kept {
-            txn.apply.push(Change::write(GRANT.into(), &next, None));
-        }
+        let txn = self.election_txn(&vacancy, &next, kept, lease);
         match self.state.txn(&txn, Urgency::First).await {
             Ok(Outcome::Done(revision)) => {
-                self.lease.set(Some(lease));
-                self.leads_until.set(asked + life);
+                self.leadership.acquired(lease, asked, life);
                 if !kept {
                     self.take_over(next, revision).await;
                 }
@@ -121,38 +145,68 @@
             Err(error) => {
                 // If it was carried out after all, the key goes with its lease.
                 tracing::info!(%error, "standing for leader");
-                sleep(Duration::from_millis(150)).await;
+                sleep(STAND_RETRY_PAUSE).await;
             }
         }
     }
 
+    /// The leader's record under the lease and, unless the grant is `kept`, the next
+    /// grant; only if nobody else was faster.
+    fn election_txn(
+        &self,
+        vacancy: &Vacancy,
+        next: &GrantRecord,
+        kept: bool,
+        lease: LeaseId,
+    ) -> Txn {
+        let leader = LeaderRecord {
+            node: self.cfg.node.clone(),
+            run: self.run,
+            term: next.term,
+        };
+        let mut txn = Txn {
+            when: vec![
+                When {
+                    key: LEADER.into(),
+                    stamp: vacancy.leader_stamp,
+                },
+                When {
+                    key: GRANT.into(),
+                    stamp: vacancy.grant.stamp,
+                },
+            ],
+            apply: vec![Change::write(LEADER.into(), &leader, Some(lease))],
+        };
+        if !kept {
+            txn.apply.push(Change::write(GRANT.into(), next, None));
+        }
+        txn
+    }
+
+    /// Recovers the one block's state from the records, and owns it from then on.
     pub(super) async fn take_over(&self, grant: GrantRecord, revision: Revision) {
         // Everything that earlier owners recorded is older than the grant.
-        while self.view.borrow().ledger < revision {
-            if !self.fresh().await {
-                sleep(Duration::from_millis(50)).await;
-            }
-        }
-        if self.view.borrow().grant.value.number != grant.number {
-            self.lease.set(None);
+        self.catch_up(revision, CATCH_UP_PAUSE).await;
+        if self.store.view().grant.value.number != grant.number {
+            self.leadership.release();
             return;
         }
         tracing::info!(term = %grant.term, grant = grant.number, "leading");
         let core = Core::load(
             self.cfg.clone(),
-            &self.types.borrow(),
-            &self.view.borrow(),
+            &self.catalog.types(),
+            &self.store.view(),
             (grant.number, revision),
-            self.topology.borrow().clone(),
+            self.catalog.topology(),
             self.now(),
             wall_ms(),
         );
         // It gave up at once, by what it had seen as the owner before.
-        *self.reach.borrow_mut() = Reach::default();
-        self.cores.borrow_mut().insert(BlockId(0), core);
+        self.leadership.forget_reachability();
+        self.shards.adopt(BlockId(0), core);
         self.set_share();
         self.inherit_spread();
-        self.work.notify_one();
+        self.wakeups.wake_owner();
     }
 
     /// Divides what all may ask of the state service: most changes are the
@@ -164,8 +218,8 @@
     /// and each controller an equal part of what is left.
     pub(super) fn set_share(&self) {
         let others = self.cfg.others.len() as f64;
-        let cores = self.cores.borrow();
-        let blocks = cores.values().next().map_or(1, |c| c.shard.of);
+        let cores = self.shards.owned();
+        let blocks = cores.first().map_or(1, |c| c.shard.of);
         let blocks = f64::from(blocks.max(self.view_blocks()));
         let here = cores.len() as f64;
         drop(cores);
@@ -175,29 +229,29 @@
             (true, true) => leader,
             (false, true) => (1.0 - leader) / others,
         };
-        let rps = self.cfg.state_rps * 0.95;
+        let rps = self.cfg.state_rps * RATE_USED;
         self.state
             .requests
-            .set_rate(rps * part(LEADER_REQUESTS), 4.0);
-        let changes = self.state.change_rate() * 0.95;
-        let burst = (changes / 4.0).min(4.0);
-        self.state
-            .writes
-            .set_rate((changes * part(LEADER_CHANGES)).max(0.5), burst);
+            .set_rate(rps * part(LEADER_REQUESTS), REQUEST_BURST);
+        let changes = self.state.change_rate() * RATE_USED;
+        let burst = (changes / CHANGE_BURSTS_A_SECOND).min(CHANGE_BURST_MOST);
+        self.state.writes.set_rate(
+            (changes * part(LEADER_CHANGES)).max(CHANGE_RATE_LEAST),
+            burst,
+        );
     }
 
     /// Gives up all that this controller owns while it can still say so: it stops
     /// to act first, then ends its lease, so that others need not wait for that.
     /// What it sent before is fenced as after any other end.
     pub async fn resign(&self, why: &'static str) {
-        let lease = self.lease.take();
-        let blocks: Vec<BlockId> = self.cores.borrow().keys().copied().collect();
+        let lease = self.leadership.release();
+        let blocks: Vec<BlockId> = self.shards.ids();
         if blocks.is_empty() && lease.is_none() {
             return;
         }
         tracing::info!(why, "giving up what is owned here");
-        self.unfit_until.set(Instant::now() + UNFIT);
-        *self.reach.borrow_mut() = Reach::default();
+        self.leadership.defer_to_others();
         for block in blocks {
             self.stand_down(block);
         }
@@ -214,13 +268,14 @@
     pub(super) fn deposed(&self, block: BlockId) {
         tracing::info!(%block, "a newer grant commands: standing down");
         self.stand_down(block);
-        self.sync_wanted.notify_one();
+        self.store.request_refresh();
     }
 
+    /// Stops to act for a block.
     pub(super) fn stand_down(&self, block: BlockId) {
-        let core = self.cores.borrow_mut().remove(&block);
+        let core = self.shards.give_up(block);
         if core.is_some_and(|c| !c.shard.is_part()) {
-            self.lease.set(None);
+            self.leadership.release();
         }
         self.set_share();
     }
--- a/src/control/mod.rs
+++ b/src/control/mod.rs
@@ -1,55 +1,68 @@
-//! Leadership, the block, claims and recovery: the only writer of truth.
-
+//! The controller: leadership, owned blocks, claims and recovery. Only it writes the
+//! records.
+//!
+//! [`Node`] composes the owners of its state, a module each: `leadership` (the lease),
+//! `store_view` (the local copy of the records), `shard_ownership` (owned blocks),
+//! `catalog` (machine types, topology), `admission` (users' requests),
+//! `heartbeat_routing` (workers' reports), `peer_statuses` (the other controllers),
+//! `paces` and `load` (how much it can do), `wakeups` (signals between its loops). The
+//! other modules hold its duties, and change state only through these owners.
+
+mod admission;
 mod block_grants;
 mod block_needs;
 mod block_owners;
 mod blocks_shown;
 mod calendar;
+mod catalog;
+mod cloud_duties;
 pub mod core;
 mod dividing;
 mod drains;
 mod following;
+mod heartbeat_routing;
+mod leadership;
 mod leading;
 mod limit_transfers;
 pub mod load;
 mod owning;
+mod paces;
+mod peer_statuses;
 pub mod pending;
 mod polls;
+mod recording;
 mod renewing;
+mod shard_ownership;
+mod store_view;
 mod users;
 pub mod vouching;
+mod wakeups;
 mod workers;
 
-use std::cell::{Cell, RefCell};
-use std::collections::{BTreeMap, HashMap};
 use std::rc::Rc;
-use std::time::{Duration, SystemTime, UNIX_EPOCH};
+use std::time::{SystemTime, UNIX_EPOCH};
 
-use sorrelhinge_blocks::isolation::DismissedWorkers;
-use sorrelhinge_blocks::owners::Owners;
-use sorrelhinge_blocks::reach::Reach;
-use sorrelhinge_blocks::shard::BlockId;
-use sorrelhinge_lanes::part::Turn as LaneTurn;
-use sorrelhinge_lanes::LaneId;
-use sorrelhinge_overload::asked::Asked;
-use sorrelhinge_overload::freshness::Freshness;
-use sorrelhinge_overload::order::Order;
-use sorrelhinge_overload::pace::Pace;
-use sorrelhinge_overload::renewal::Renewals;
 use sorrelhinge_overload::sockets::Limits;
 use sorrelhinge_topology::Topology;
-use tokio::sync::{watch, Notify};
 use tokio::task::spawn_local;
 use tokio::time::Instant;
 
-use self::core::Core;
+use self::admission::RequestAdmission;
+use self::catalog::Catalog;
+use self::heartbeat_routing::HeartbeatRouting;
+use self::leadership::Leadership;
+use self::paces::Paces;
+use self::peer_statuses::PeerStatuses;
+use self::shard_ownership::ShardOwnership;
+use self::store_view::StoreView;
+use self::wakeups::Wakeups;
 use crate::cloud::CloudClient;
 use crate::config::Config;
 use crate::connections::Connections;
 use crate::peer::{self, Peers};
-use crate::state::view::{Summary, View};
+use crate::state::view::Summary;
 use crate::state::StateClient;
-use crate::types::{LeaseId, MachineId, MachineType, NodeId, Revision, Time};
+use crate::types::{NodeId, Time};
 use crate::worker::Reply;
 
 pub use calendar::{day_ms, CalendarAsked};
@@ -81,133 +94,44 @@
     Unavailable,
 }
 
-/// One controller.
+/// One controller: its settings, its connections, and the owners of its state. Each
+/// owner has private fields, so its module tells who may change them, and when.
 pub struct Node {
     cfg: Rc<Config>,
     state: Rc<StateClient>,
     cloud: Rc<CloudClient>,
     peers: Rc<Peers>,
     connections: Rc<Connections>,
+    /// How often duties over the whole fleet are done.
     paces: Paces,
+    /// What it is asked for, and what is shed.
     load: load::Load,
-    view: RefCell<View>,
-    /// What this controller knows of each block that it owns; while there is one
-    /// block, it has number 0.
-    cores: RefCell<BTreeMap<BlockId, Core>>,
-    /// Where machines are, of all blocks.
-    places: core::Places,
-    /// What it remembers as leader of who owns what.
-    owners: RefCell<Owners>,
-    /// What other blocks use and want, and since when that is known.
-    needs: RefCell<HashMap<BlockId, (Instant, crate::shares::Needs)>>,
-    types: RefCell<Vec<MachineType>>,
-    /// Failure domains and devices, if the feature is on.
-    topology: RefCell<Option<Rc<Topology>>>,
+    /// The records as known here.
+    store: StoreView,
+    /// The shards that this controller owns, and hints about the others.
+    shards: ShardOwnership,
+    /// Machine types and the topology.
+    catalog: Catalog,
+    /// Tells this run of the controller from its earlier ones.
     run: u64,
+    /// When this run began: times are counted from here.
     epoch: Instant,
-    lease: Cell<Option<LeaseId>>,
-    /// Until then nobody else can have become leader.
-    leads_until: Cell<Instant>,
-    /// What tells whether workers are reached from here.
-    reach: RefCell<Reach>,
-    /// Until then others are left to take up what this controller gave up.
-    unfit_until: Cell<Instant>,
-    sync_wanted: Notify,
-    syncs_started: Cell<u64>,
-    synced: watch::Sender<(u64, bool)>,
-    /// As of when the view shows all changes.
-    freshness: Cell<Freshness>,
-    newest_hint: Cell<Revision>,
-    behind_since: Cell<Option<Instant>>,
-    work: Notify,
-    record: Notify,
-    leader_changed: Notify,
-    shares_changed: Notify,
-    submissions: Cell<usize>,
-    /// Whose turn it is among submissions while they are shed.
-    lane_turns: RefCell<BTreeMap<LaneId, LaneTurn>>,
-    sent_on: RefCell<HashMap<MachineId, SentOn>>,
-    /// The newest report of each machine, so that copies are known.
-    order: RefCell<Order>,
-    /// Workers that were sent away as this controller is alone.
-    dismissed_workers: RefCell<DismissedWorkers>,
-    /// What was answered for owners, and the machines to tell them of.
-    renewals: RefCell<Renewals>,
-    heard_for: RefCell<Vec<(NodeId, peer::HeardOf)>>,
-    /// How the other controllers stand, and since when that is known.
-    standings: RefCell<HashMap<NodeId, (Instant, peer::Standing, u16)>>,
-    /// Who asked about which job, and who was told to come back.
-    asked: RefCell<Asked>,
-    /// Polls that other controllers answer at the moment, and until when none is
-    /// passed on, as none of them could answer the last one.
-    polls_passed: Cell<usize>,
-    polls_stay_until: Cell<Instant>,
-    /// The same for submissions and cancellations.
-    changes_stay_until: Cell<Instant>,
-}
-
-/// Duties that look at the whole fleet.
-struct Paces {
-    /// Filling a machine at its report. Under load a report may do without:
-    /// offering all waiting jobs the best machine comes to the same.
-    walk: RefCell<Pace>,
-    /// Offering all waiting jobs the best machine.
-    place: RefCell<Pace>,
-    /// Making room.
-    preempt: RefCell<Pace>,
-    /// Planning the fleet.
-    fleet: RefCell<Pace>,
-}
-
-impl Default for Paces {
-    fn default() -> Self {
-        Self {
-            walk: RefCell::new(Pace::new(0.0, 0.5, 0.3)),
-            place: RefCell::new(Pace::new(0.0, 1.0, 0.3)),
-            preempt: RefCell::new(Pace::new(0.4, 4.0, 0.06)),
-            fleet: RefCell::new(Pace::new(0.6, 6.0, 0.08)),
-        }
-    }
-}
-
-/// A worker that was told which controller to report to.
-struct SentOn {
-    to: NodeId,
-    last: Instant,
-    /// It came back, as it can't reach that one: its reports are passed on.
-    passing_since: Option<Instant>,
+    /// The lease that its authority rests on.
+    leadership: Leadership,
+    /// Signals between its loops.
+    wakeups: Wakeups,
+    /// Where workers' reports go.
+    heartbeat_routing: HeartbeatRouting,
+    /// How the other controllers stand.
+    peer_statuses: PeerStatuses,
+    /// Which requests of users are taken.
+    admission: RequestAdmission,
 }
 
-/// Without news from the state service for this long, and while others have
-/// some for `BEHIND`, a controller is cut off.
-const STALE: Duration = Duration::from_millis(2500);
-const BEHIND: Duration = Duration::from_secs(1);
-/// A user's request waits for a new view for so long: users wait 2 s.
-const FRESH: Duration = Duration::from_millis(1400);
-const SYNC_GAP: Duration = Duration::from_millis(20);
-const SYNC_GAP_MOST: Duration = Duration::from_millis(300);
-/// How often the fleet is planned.
-const FLEET_EVERY: Duration = Duration::from_millis(700);
-/// Machines that are read from the list a second.
-const LISTED_A_SECOND: f64 = 350.0;
-const TICK: Duration = Duration::from_millis(200);
-/// A controller that gave up what it owned, as workers can't be reached from it,
-/// leaves it to the others for so long; and if none takes it, this much each time.
-const UNFIT: Duration = Duration::from_secs(30);
-const UNFIT_WAIT: Duration = Duration::from_secs(2);
-const MOST_SUBMISSIONS: usize = 64;
-/// While others are served for this long, requests are passed on to them.
-const CUT_OFF: Duration = Duration::from_millis(300);
-/// For how long a worker's reports are passed on before it is told again whom
-/// to report to.
-const PASS_ON: Duration = Duration::from_secs(45);
-/// Workers remembered as told whom to report to.
-const MOST_SENT_ON: usize = 8192;
-/// The leader's part of the requests that the state service takes.
-const LEADER_REQUESTS: f64 = 0.5;
-/// The leader's part of the changes.
-const LEADER_CHANGES: f64 = 0.65;
+/// The part of the requests that the cloud takes that a controller asks for.
+const CLOUD_RATE_USED: f64 = 0.8;
 
+/// Milliseconds since 1970 by the wall clock; 0 before that.
 fn wall_ms() -> u64 {
     SystemTime::now()
         .duration_since(UNIX_EPOCH)
@@ -218,7 +142,7 @@
     /// A controller that is not running yet.
     pub fn new(cfg: Rc<Config>, peers: Rc<Peers>, topology: Option<Rc<Topology>>) -> Rc<Self> {
         let state = StateClient::new(cfg.state, cfg.state_rps, cfg.state_limits);
-        let cloud = CloudClient::new(cfg.cloud, cfg.cloud_rps * 0.8);
+        let cloud = CloudClient::new(cfg.cloud, cfg.cloud_rps * CLOUD_RATE_USED);
         let limits = Limits::of(cfg.max_sockets, cfg.others.len(), core::MOST_FLYING);
         let node = Rc::new(Self {
             connections: Connections::new(limits),
@@ -227,41 +151,16 @@
             state,
             cloud,
             peers,
-            view: RefCell::default(),
-            cores: RefCell::default(),
-            places: core::Places::default(),
-            owners: RefCell::default(),
-            needs: RefCell::default(),
-            types: RefCell::default(),
-            topology: RefCell::new(topology),
+            store: StoreView::new(),
+            shards: ShardOwnership::default(),
+            catalog: Catalog::new(topology),
             run: rand::random(),
             epoch: Instant::now(),
-            lease: Cell::new(None),
-            leads_until: Cell::new(Instant::now()),
-            reach: RefCell::default(),
-            unfit_until: Cell::new(Instant::now()),
-            sync_wanted: Notify::new(),
-            syncs_started: Cell::new(0),
-            synced: watch::Sender::new((0, false)),
-            freshness: Cell::new(Freshness::replaced(Time(0.0))),
-            newest_hint: Cell::new(Revision(0)),
-            behind_since: Cell::new(None),
-            work: Notify::new(),
-            record: Notify::new(),
-            leader_changed: Notify::new(),
-            shares_changed: Notify::new(),
-            submissions: Cell::new(0),
-            lane_turns: RefCell::default(),
-            sent_on: RefCell::default(),
-            order: RefCell::default(),
-            dismissed_workers: RefCell::default(),
-            renewals: RefCell::default(),
-            heard_for: RefCell::default(),
-            standings: RefCell::default(),
-            asked: RefCell::default(),
-            polls_passed: Cell::new(0),
-            polls_stay_until: Cell::new(Instant::now()),
-            changes_stay_until: Cell::new(Instant::now()),
+            leadership: Leadership::new(),
+            wakeups: Wakeups::default(),
+            heartbeat_routing: HeartbeatRouting::default(),
+            peer_statuses: PeerStatuses::default(),
+            admission: RequestAdmission::new(),
             cfg,
         });
         node.set_share();
@@ -285,18 +184,19 @@
 
     /// Failure domains and devices, if the feature is on.
     pub fn topology(&self) -> Option<Rc<Topology>> {
-        self.topology.borrow().clone()
+        self.catalog.topology()
     }
 
     /// Takes up the operator's file, new or changed.
     pub fn set_topology(&self, topology: Rc<Topology>) {
-        *self.topology.borrow_mut() = Some(topology.clone());
-        for c in self.cores.borrow_mut().values_mut() {
+        self.catalog.set_topology(topology.clone());
+        for c in self.shards.owned_mut().values_mut() {
             c.set_topology(Some(topology.clone()), self.now());
         }
-        self.work.notify_one();
+        self.wakeups.wake_owner();
     }
 
+    /// Seconds since this run began: monotonic, unlike the wall clock.
     fn now(&self) -> Time {
         Time(self.epoch.elapsed().as_secs_f64())
     }
--- a/src/control/renewing.rs
+++ b/src/control/renewing.rs
@@ -1,7 +1,6 @@
 //! Leases renewed for an owner that has no time; what may be answered so is
 //! decided in `sorrelhinge_overload::renewal`.
 
-use std::collections::HashMap;
 use std::rc::Rc;
 use std::time::Duration;
 
@@ -26,20 +25,20 @@
     /// that has come.
     pub(super) fn knows_the_cancelled(&self) -> bool {
         let (lease_s, cancel_s) = (self.cfg.lease_s, self.cfg.cancel_s);
-        let freshness = self.freshness.get();
-        self.view.borrow().loaded && freshness.may_answer_workers(self.now(), lease_s, cancel_s)
+        let freshness = self.store.freshness();
+        self.store.view().loaded && freshness.may_answer_workers(self.now(), lease_s, cancel_s)
     }
 
     /// Until when tasks may be started by this controller's view of the records.
     pub(super) fn starts_until(&self) -> Time {
         let (lease_s, cancel_s) = (self.cfg.lease_s, self.cfg.cancel_s);
-        self.freshness.get().may_start_until(lease_s, cancel_s)
+        self.store.freshness().may_start_until(lease_s, cancel_s)
     }
 
     /// Whether a worker's lease may be renewed without its machine's owner. The answer
     /// carries the token that the worker has, so it commands nothing and fences nobody.
     fn vouched(&self, report: &Report) -> bool {
-        self.knows_the_cancelled() && vouches(&self.view.borrow(), report)
+        self.knows_the_cancelled() && vouches(&self.store.view(), report)
     }
 
     /// The answer that only renews the lease, if that may be given.
@@ -58,8 +57,9 @@
     /// that does not answer in time costs no lease.
     pub(super) async fn beat_for(&self, owner: NodeId, report: &Report, body: &[u8]) -> Beat {
         let content = Content::of(report);
-        let relief = self.standing_of(&owner).relief;
-        let route = self.renewals.borrow_mut().route(
+        let relief = self.peer_statuses.standing_of(&owner).relief;
+        let routing = &self.heartbeat_routing;
+        let route = routing.route(
             &report.machine,
             content,
             relief,
@@ -69,7 +69,7 @@
         if route == Route::Renew {
             let heard = HeardOf::new(&report.machine, report.shift, report.tick);
             if let Some((heard, answer)) = heard.and_then(|h| Some((h, self.renewed(report)?))) {
-                self.heard_for.borrow_mut().push((owner, heard));
+                routing.answered_for(owner, heard);
                 return answer;
             }
         }
@@ -77,10 +77,7 @@
         let taken = self.peers.pass_on(&owner, kind, body.to_vec()).await;
         match taken.filter(|(status, _)| *status == 200) {
             Some(answered) => {
-                let now = self.now();
-                self.renewals
-                    .borrow_mut()
-                    .answered(&report.machine, content, now);
+                routing.answered_by_owner(&report.machine, content, self.now());
                 Beat::Passed(answered)
             }
             // Not sent to the owner, which would have all come at once; and a
@@ -93,11 +90,7 @@
     pub(super) async fn tell_heard(self: Rc<Self>) {
         loop {
             sleep(HEARD_NOTICE_INTERVAL).await;
-            let mut by_owner: HashMap<NodeId, Vec<HeardOf>> = HashMap::new();
-            for (owner, heard) in self.heard_for.borrow_mut().drain(..) {
-                by_owner.entry(owner).or_default().push(heard);
-            }
-            for (owner, heard) in by_owner {
+            for (owner, heard) in self.heartbeat_routing.take_answered_for() {
                 self.peers.heard(&owner, &heard);
             }
         }
@@ -107,9 +100,9 @@
     /// new to tell.
     pub fn heard_of(&self, machines: &[HeardOf]) {
         let now = self.now();
-        let mut cores = self.cores.borrow_mut();
+        let mut cores = self.shards.owned_mut();
         for (machine, session, seq) in machines.iter().filter_map(HeardOf::read) {
-            if let Some(c) = cores.get_mut(&self.block_of(&machine)) {
+            if let Some(c) = cores.get_mut(self.block_of(&machine)) {
                 c.heard(&machine, session, seq, now);
             }
         }
--- a/src/control/users.rs
+++ b/src/control/users.rs
@@ -6,7 +6,8 @@
 use sorrelhinge_protocol::users::{read_job, PipelineStatus};
 
 use super::drains::Refused;
-use super::{wall_ms, Node, Submitted, FRESH, MOST_SUBMISSIONS};
+use super::following::FRESH;
+use super::{wall_ms, Node, Submitted};
 use crate::sched::ClusterState;
 use crate::state::record::{chunk_key, job_key, JobRecord, NewJob, Phase};
 use crate::state::view::{Cancellation, Summary, Versioned};
@@ -15,19 +16,54 @@
 
 /// A user's write waits so long for its turn.
 const WRITE_PATIENCE: Duration = Duration::from_millis(800);
+/// How often a cancellation is tried while others write the job's record.
+const CANCEL_ATTEMPTS: usize = 4;
+
+/// A job whose record is over the state service's limit of a value.
+#[derive(Debug, thiserror::Error)]
+#[error("the job's names are too long to be recorded")]
+struct NamesTooLong;
+
+/// Whether a job can ever run here.
+enum Feasibility {
+    /// That can't be told yet: the machine types are not known.
+    Unknown,
+    /// Nothing speaks against it.
+    Possible,
+    /// It can't, for this reason.
+    Never(String),
+}
+
+/// A submission that is well-formed.
+struct JobCandidate {
+    record: JobRecord,
+    feasibility: Feasibility,
+}
+
+/// What a submission is answered without its being recorded, if it is not known.
+fn refusal(candidate: &Result<JobCandidate, String>) -> Option<Result<Submitted, String>> {
+    match candidate {
+        Err(why) => Some(Err(why.clone())),
+        Ok(candidate) => match &candidate.feasibility {
+            Feasibility::Unknown => Some(Ok(Submitted::Unavailable)),
+            Feasibility::Possible => None,
+            Feasibility::Never(why) => Some(Ok(Submitted::Never(why.clone()))),
+        },
+    }
+}
 
 impl Node {
-    /// Why a job can never run, if that is so; none if it can't be told yet.
-    pub(super) fn never(&self, spec: &JobSpec) -> Option<Option<String>> {
+    /// Whether a job can ever run.
+    fn never(&self, spec: &JobSpec) -> Feasibility {
         let Some(team) = self.cfg.teams.iter().find(|t| t.name == spec.team) else {
-            return Some(Some("unknown team".into()));
+            return Feasibility::Never("unknown team".into());
         };
         if !spec.each.times(spec.at_once()).fits_team(team.limit) {
-            return Some(Some("more than the team's limit".into()));
+            return Feasibility::Never("more than the team's limit".into());
         }
-        let types = self.types.borrow();
+        let types = self.catalog.types();
         if types.is_empty() {
-            return None;
+            return Feasibility::Unknown;
         }
         let fits = types.iter().any(|t| {
             spec.each.fits(t.total)
@@ -35,19 +71,20 @@
                 && spec.zone.as_ref().is_none_or(|z| t.zones.contains(z))
         });
         if !fits {
-            return Some(Some("a task fits no allowed machine type".into()));
+            return Feasibility::Never("a task fits no allowed machine type".into());
         }
-        let topology = self.topology.borrow();
-        Some(topology.as_ref().and_then(|t| {
+        let topology = self.catalog.topology();
+        let never = topology.as_ref().and_then(|t| {
             let policy = ClusterState::policy_of(Some(t), spec);
             policy.never(t, spec)
-        }))
+        });
+        never.map_or(Feasibility::Possible, Feasibility::Never)
     }
 
     /// Devices that a class needs are written into each of its jobs, so that
     /// what a claim may hold does not change with the operator's file.
     fn with_class_devices(&self, mut spec: JobSpec) -> JobSpec {
-        let Some(topology) = self.topology.borrow().clone() else {
+        let Some(topology) = self.catalog.topology() else {
             return spec;
         };
         for class in topology.class_placement_rules(&spec.class) {
@@ -65,22 +102,34 @@
         spec
     }
 
+    /// What a submission would become, if it is accepted.
+    fn candidate(&self, new: NewJob) -> Result<JobCandidate, NamesTooLong> {
+        let spec = self.with_class_devices(new.spec);
+        let feasibility = self.never(&spec);
+        let new = NewJob { spec, ..new };
+        let record = self.new_record(&new)?;
+        Ok(JobCandidate {
+            record,
+            feasibility,
+        })
+    }
+
     /// The record of a job that is accepted now. One that would be over the state
     /// service's limit of a value makes the job malformed: it was answered 503 again and
     /// again, as its write was refused.
-    fn new_record(&self, new: &NewJob) -> Result<JobRecord, String> {
+    fn new_record(&self, new: &NewJob) -> Result<JobRecord, NamesTooLong> {
         let value_bytes = self.cfg.state_limits.value_bytes;
         let record = JobRecord::accepted(new.clone(), wall_ms(), value_bytes);
         match record.fits(value_bytes) {
             true => Ok(record),
-            false => Err("the job's names are too long to be recorded".into()),
+            false => Err(NamesTooLong),
         }
     }
 
     /// Whether all jobs that a new one needs are known here. One that is not may have been
     /// accepted elsewhere a moment ago.
     fn knows_all(&self, needs: &[JobId]) -> bool {
-        let view = self.view.borrow();
+        let view = self.store.view();
         needs.iter().all(|need| view.job(need).is_some())
     }
 
@@ -90,7 +139,7 @@
         if needs.contains(id) {
             return Some("it waits on itself".into());
         }
-        let view = self.view.borrow();
+        let view = self.store.view();
         needs.iter().find_map(|need| {
             let Some(entry) = view.job(need) else {
                 return Some(format!("{need} was never accepted"));
@@ -103,19 +152,19 @@
 
     /// What a job in a pipeline waits for and inherits, by this controller's view.
     pub fn pipeline_status(&self, id: &JobId) -> Option<PipelineStatus> {
-        self.view.borrow().pipeline_status(id)
+        self.store.view().pipeline_status(id)
     }
 
     /// Why a job waits, if this controller places it and knows.
     pub fn why_waits(&self, id: &JobId) -> Option<String> {
-        let cores = self.cores.borrow();
+        let cores = self.shards.owned();
         let mut here = cores.values().filter(|c| c.shard.homes(id));
         here.find_map(|c| c.cluster_state.why_waits(id, self.now()))
     }
 
     /// The lanes of the blocks that are owned here; none: nothing is.
     pub fn show_lanes(&self) -> Result<LanesShown, Refused> {
-        let cores = self.cores.borrow();
+        let cores = self.shards.owned();
         let mut all: Option<LanesShown> = None;
         for c in cores.values() {
             let shown = c.show_lanes(self.now());
@@ -130,7 +179,7 @@
                 sum.waiting.sort_by_key(|w| (!w.front, w.place));
             }
         }
-        let leader = || self.view.borrow().leader.value.clone().map(|l| l.node);
+        let leader = || self.store.view().leader.value.clone().map(|l| l.node);
         all.ok_or_else(|| leader().map_or(Refused::Unavailable, Refused::Elsewhere))
     }
 
@@ -145,18 +194,12 @@
         let spec = serde_json::from_slice(body).ok();
         let spec = spec.and_then(|value| read_job(value).ok());
         let lane = spec.and_then(|s| lanes.of(&s.class, s.priority, s.deadline_s.is_some()));
-        let mut turns = self.lane_turns.borrow_mut();
-        let jumps = lane.filter(|id| turns.entry(*id).or_default().allows(true));
-        for (id, lane) in lanes.iter() {
-            let turn = turns.entry(id).or_default();
-            turn.taken(lane.bound, jumps == Some(id));
-        }
-        jumps.is_some()
+        self.admission.takes_lane_turn(lanes, lane)
     }
 
     /// Whether a job is known to be over: that never changes.
     pub fn is_over(&self, id: &JobId) -> bool {
-        let summary = self.view.borrow().summary(id);
+        let summary = self.store.view().summary(id);
         summary.is_some_and(|s| s.phase != Phase::Live)
     }
 
@@ -172,13 +215,13 @@
         patience: Duration,
     ) -> Option<Option<Summary>> {
         {
-            let view = self.view.borrow();
+            let view = self.store.view();
             if let Some(s) = view.summary(id).filter(|s| s.phase != Phase::Live) {
                 return Some(Some(s));
             }
         }
         let fresh = self.fresh_within(patience).await;
-        fresh.then(|| self.view.borrow().summary(id))
+        fresh.then(|| self.store.view().summary(id))
     }
 
     /// Takes a job.
@@ -187,19 +230,10 @@
         id: &JobId,
         new: Result<NewJob, String>,
     ) -> Result<Submitted, String> {
-        let candidate = new.and_then(|new| {
-            let spec = self.with_class_devices(new.spec);
-            let never = self.never(&spec);
-            let new = NewJob { spec, ..new };
-            Ok((self.new_record(&new)?, never))
-        });
-        let refusal = match &candidate {
-            Err(why) => Some(Err(why.clone())),
-            Ok((_, None)) => Some(Ok(Submitted::Unavailable)),
-            Ok((_, Some(never))) => never.clone().map(|why| Ok(Submitted::Never(why))),
-        };
-        let known = self.view.borrow().job(id).is_some();
-        let needs = candidate.as_ref().map_or(&[][..], |(r, _)| r.needs());
+        let candidate = new.and_then(|new| self.candidate(new).map_err(|error| error.to_string()));
+        let refusal = refusal(&candidate);
+        let known = self.store.view().job(id).is_some();
+        let needs = candidate.as_ref().map_or(&[][..], |c| c.record.needs());
         let never_waits = !self.knows_all(needs) || self.never_waits(id, needs).is_some();
         if known || refusal.is_some() || never_waits {
             // A job that is known is never refused, so look before refusing; what it
@@ -216,15 +250,15 @@
         if let Some(why) = self.never_waits(id, needs) {
             return Ok(Submitted::Never(why));
         }
-        let Ok((record, _)) = candidate else {
+        let Ok(JobCandidate { record, .. }) = candidate else {
             return Ok(Submitted::Unavailable);
         };
-        if self.submissions.get() >= MOST_SUBMISSIONS || !self.view.borrow().loaded {
+        if !self.admission.has_room_for_submission() || !self.store.view().loaded {
             return Ok(Submitted::Unavailable);
         }
-        self.submissions.set(self.submissions.get() + 1);
+        self.admission.begin_submission();
         let result = self.accept(id, record).await;
-        self.submissions.set(self.submissions.get() - 1);
+        self.admission.end_submission();
         Ok(result)
     }
 
@@ -234,7 +268,7 @@
             stamp: revision,
             value: record,
         };
-        self.view.borrow_mut().put_job(id, record);
+        self.store.put_job(id, record);
         self.peers.announce(revision);
         self.view_changed();
     }
@@ -285,7 +319,7 @@
             Ok(Outcome::Done(revision)) => {
                 self.recorded(id, revision, record);
                 // It may need a job that is cancelled, and is cancelled with it then.
-                let summary = self.view.borrow().summary(id);
+                let summary = self.store.view().summary(id);
                 summary.map_or(Submitted::Unavailable, Submitted::Accepted)
             }
             Ok(Outcome::Failed(_)) => match self.status(id).await {
@@ -301,7 +335,7 @@
 
     /// Cancels a job. Some(None): there is no such job. None: not decided.
     pub async fn cancel(&self, id: &JobId) -> Option<Option<Phase>> {
-        for _ in 0..4 {
+        for _ in 0..CANCEL_ATTEMPTS {
             let summary = match self.status(id).await? {
                 None => return Some(None),
                 Some(s) => s,
@@ -310,7 +344,7 @@
                 return Some(Some(summary.phase));
             }
             let (stamp, cancellation) = {
-                let view = self.view.borrow();
+                let view = self.store.view();
                 let entry = view.job(id)?;
                 let in_lane = self.cfg.in_lane(&entry.record.value);
                 let value_bytes = self.cfg.state_limits.value_bytes;
@@ -322,7 +356,7 @@
                     if let Some(value) = cancellation.claims {
                         let stamp = revision;
                         let claims = Versioned { stamp, value };
-                        self.view.borrow_mut().put_chunk(id, 0, claims);
+                        self.store.put_chunk(id, 0, claims);
                     }
                     self.recorded(id, revision, cancellation.record);
                     return Some(Some(Phase::Cancelled));
--- a/src/control/workers.rs
+++ b/src/control/workers.rs
@@ -4,13 +4,27 @@
 use std::time::Duration;
 
 use sorrelhinge_blocks::isolation::PeerContact;
-use tokio::time::Instant;
 
-use super::core::Source;
-use super::{polls, Beat, Node, SentOn, CUT_OFF, MOST_SENT_ON, PASS_ON};
+use super::core::{Core, Source};
+use super::heartbeat_routing::Redirect;
+use super::paces::Duty;
+use super::{Beat, Node};
 use crate::peer;
 use crate::types::{MachineId, NodeId};
-use crate::worker::Report;
+use crate::worker::{Reply, Report};
+
+/// While others are served for this long, requests are passed on to them.
+const CUT_OFF: Duration = Duration::from_millis(300);
+
+/// What came of a report for an owned block.
+enum ReportOutcome {
+    /// It is an old one: nothing was taken.
+    Copy,
+    /// Its worker has the fencing token of a newer grant.
+    Superseded,
+    /// It was taken, with the answer; none: only the records could tell it.
+    Taken(Option<Reply>),
+}
 
 impl Node {
     /// Takes a worker's report, `body` as it came.
@@ -18,12 +32,7 @@
         // A copy that came late: nobody waits for its answer, and what it says was
         // said before. It moved machines to other controllers, and was passed on as
         // a sign of life.
-        let (session, seq, now) = (report.shift, report.tick, self.now());
-        if !self
-            .order
-            .borrow_mut()
-            .is_new(&report.machine, session, seq, now)
-        {
+        if !self.heartbeat_routing.is_new(report, self.now()) {
             return Beat::Unavailable;
         }
         if self.lets_go(&report.machine) {
@@ -46,20 +55,18 @@
     /// Whether a worker is sent away, as this controller is alone and certainly owns
     /// nothing any more: it finds the next owner before its lease ends.
     fn lets_go(&self, machine: &MachineId) -> bool {
-        let owns = Instant::now() < self.leads_until.get();
+        let owns = self.leadership.is_exclusive();
         if owns || !self.peer_contact().is_isolated() {
             return false;
         }
         let lease_s = self.cfg.lease_s;
-        self.dismissed_workers
-            .borrow_mut()
-            .refuses(machine, lease_s, self.now())
+        self.heartbeat_routing
+            .dismisses(machine, lease_s, self.now())
     }
 
     /// Who is still there besides the workers.
     pub(super) fn peer_contact(&self) -> PeerContact {
-        let standings = self.standings.borrow();
-        let last = standings.values().map(|(at, ..)| *at).max();
+        let last = self.peer_statuses.last_heard_at();
         let unheard = last.map_or_else(|| self.epoch.elapsed(), |at| at.elapsed());
         PeerContact {
             others: !self.cfg.others.is_empty(),
@@ -74,40 +81,15 @@
     /// told again now and then, as the way may be open.
     pub(super) async fn beat_elsewhere(&self, report: &Report, owner: NodeId, body: &[u8]) -> Beat {
         let back = Duration::from_secs_f64(self.cfg.lease_s / 2.0);
-        let now = Instant::now();
-        let passing = {
-            let mut sent_on = self.sent_on.borrow_mut();
-            if sent_on.len() >= MOST_SENT_ON {
-                sent_on.retain(|_, s| now.duration_since(s.last) < back);
-            }
-            let known = sent_on
-                .get_mut(&report.machine)
-                .filter(|s| s.to == owner && now.duration_since(s.last) < back);
-            match known {
-                Some(s) => {
-                    s.last = now;
-                    let since = *s.passing_since.get_or_insert(now);
-                    now.duration_since(since) < PASS_ON
-                }
-                None => false,
-            }
-        };
-        if passing {
-            let passed = self.pass_report_on(&owner, body, true).await;
-            return match passed.filter(|(status, _)| *status == 200) {
-                Some(answered) => Beat::Passed(answered),
-                None => self.renewed(report).unwrap_or(Beat::Elsewhere(owner)),
-            };
-        }
-        let sent = SentOn {
-            to: owner.clone(),
-            last: now,
-            passing_since: None,
-        };
-        self.sent_on
-            .borrow_mut()
-            .insert(report.machine.clone(), sent);
-        Beat::Elsewhere(owner)
+        let routing = &self.heartbeat_routing;
+        if routing.redirect(&report.machine, &owner, back) == Redirect::Tell {
+            return Beat::Elsewhere(owner);
+        }
+        let passed = self.pass_report_on(&owner, body, true).await;
+        match passed.filter(|(status, _)| *status == 200) {
+            Some(answered) => Beat::Passed(answered),
+            None => self.renewed(report).unwrap_or(Beat::Elsewhere(owner)),
+        }
     }
 
     /// Passes a report on to the owner, or if `via`, and if that can't be
@@ -157,8 +139,7 @@
 
     /// Whether the state service serves others and not this controller.
     pub fn cut_off(&self) -> bool {
-        let behind = self.behind_since.get();
-        behind.is_some_and(|t| t.elapsed() >= CUT_OFF) && self.unserved() >= CUT_OFF
+        self.store.is_behind_for(CUT_OFF) && self.unserved() >= CUT_OFF
     }
 
     /// Whether a submission or cancellation that could not be decided here is passed
@@ -166,13 +147,13 @@
     /// nothing did, whoever the state service refused alone turned all of them away,
     /// so a failed request is reason enough, unless nobody else could help just now.
     pub fn passes_on(&self) -> bool {
-        let others_may = Instant::now() >= self.changes_stay_until.get();
+        let others_may = self.admission.passes_changes();
         self.cut_off() || self.state.fails() && others_may
     }
 
     /// Passes a submission or cancellation on to a controller that may be served.
     pub async fn pass_on(&self, kind: peer::Kind, text: &[u8]) -> Option<peer::Answered> {
-        let leader = self.view.borrow().leader.value.clone().map(|l| l.node);
+        let leader = self.store.view().leader.value.clone().map(|l| l.node);
         let mut others: Vec<NodeId> = self.peers.reachable().cloned().collect();
         others.sort_by_key(|n| (Some(n) != leader.as_ref(), n.clone()));
         for other in others.iter().take(2) {
@@ -181,51 +162,60 @@
                 return Some(answered);
             }
         }
-        self.changes_stay_until.set(Instant::now() + polls::IN_VAIN);
+        self.admission.changes_passed_in_vain();
         None
     }
 
     /// Takes a worker's report as the block's owner.
     pub fn own_beat(self: &Rc<Self>, report: &Report, source: Source) -> Beat {
-        let now = self.now();
         let block = self.block_of(&report.machine);
-        let mut cores = self.cores.borrow_mut();
-        let mut reply = None;
-        if let Some(c) = cores.get_mut(&block) {
-            // Before it can depose, and without an answer, which would have commands
-            // that nobody takes count as sent.
-            if c.is_copy(report) && report.baton.grant() <= c.grant {
-                return Beat::Unavailable;
-            }
-            // A report of one that hears nothing shows no way to the workers: while
-            // none heard this owner, its reports kept it one.
-            let hears = c.hears(&report.machine);
-            match source {
-                Source::Beat | Source::Direct if hears => self.reach.borrow_mut().direct(),
-                Source::Beat | Source::Direct => {}
-                Source::Homed | Source::Passed => self.reach.borrow_mut().passed(now),
-            }
-            if !c.report(report, source, now) {
-                drop(cores);
+        let outcome = {
+            let mut cores = self.shards.owned_mut();
+            let core = cores.get_mut(block);
+            core.map(|core| self.take_report(core, report, source))
+        };
+        match outcome {
+            Some(ReportOutcome::Copy) => Beat::Unavailable,
+            Some(ReportOutcome::Superseded) => {
                 self.deposed(block);
-                return Beat::Unavailable;
+                Beat::Unavailable
             }
-            if self.knows_the_cancelled() {
-                if self.paces.walk.borrow().due(now) {
-                    self.timed("walk", &self.paces.walk, || c.walk(&report.machine, now));
-                }
-                reply = Some(c.answer(report, &self.view.borrow(), now));
+            Some(ReportOutcome::Taken(reply)) => {
+                self.drive();
+                reply.map_or(Beat::Unavailable, Beat::Reply)
             }
+            None => match self.owner_of(block) {
+                Some(owner) if owner != self.cfg.node => Beat::Elsewhere(owner),
+                _ => Beat::Unavailable,
+            },
+        }
+    }
+
+    /// Takes a report for an owned block, and answers it if that is safe.
+    fn take_report(&self, core: &mut Core, report: &Report, source: Source) -> ReportOutcome {
+        let now = self.now();
+        // Before it can depose, and without an answer, which would have commands
+        // that nobody takes count as sent.
+        if core.is_copy(report) && report.baton.grant() <= core.grant {
+            return ReportOutcome::Copy;
+        }
+        // A report of one that hears nothing shows no way to the workers: while
+        // none heard this owner, its reports kept it one.
+        let hears = core.hears(&report.machine);
+        match source {
+            Source::Beat | Source::Direct if hears => self.leadership.worker_reached(),
+            Source::Beat | Source::Direct => {}
+            Source::Homed | Source::Passed => self.leadership.report_relayed(now),
+        }
+        if !core.report(report, source, now) {
+            return ReportOutcome::Superseded;
         }
-        let owning = cores.contains_key(&block);
-        drop(cores);
-        if owning {
-            self.drive();
-            return reply.map_or(Beat::Unavailable, Beat::Reply);
+        if !self.knows_the_cancelled() {
+            return ReportOutcome::Taken(None);
         }
-        match self.owner_of(block) {
-            Some(owner) if owner != self.cfg.node => Beat::Elsewhere(owner),
-            _ => Beat::Unavailable,
+        if self.paces.due(Duty::Walk, now) {
+            self.timed(Duty::Walk, || core.walk(&report.machine, now));
         }
+        ReportOutcome::Taken(Some(core.answer(report, &self.store.view(), now)))
     }
 }
