--- a/src/control/core/batch.rs
+++ b/src/control/core/batch.rs
@@ -282,12 +282,12 @@
             let Some(last) = record
                 .claims
                 .iter()
-                .rposition(|c| self.is_unrecorded(id, chunk, c.0))
+                .rposition(|c| self.is_unrecorded(id, chunk, c.place))
             else {
                 break;
             };
-            let (place, ..) = record.claims.remove(last);
-            record.units.retain(|(of, _)| *of != place);
+            let place = record.claims.remove(last).place;
+            record.units.retain(|held| held.place != place);
             shortened = true;
         }
         if shortened {
--- a/src/control/core/record.rs
+++ b/src/control/core/record.rs
@@ -3,9 +3,9 @@
 use super::{Batch, Core};
 use crate::control::pending::Haste;
 use crate::sched::Job;
-use crate::state::record::{ChunkRecord, Phase};
+use crate::state::record::{ChunkRecord, Phase, RecordedClaim, RecordedUnits};
 use crate::state::view::{JobEntry, Versioned, View};
-use crate::types::{Attempt, JobId, Kind, MachineId, Revision, TaskId, Time};
+use crate::types::{Attempt, JobId, Kind, Revision, TaskId, Time};
 
 impl Core {
     /// All tasks of a job are done: that is to be recorded.
@@ -35,11 +35,11 @@
         let job = self.cluster_state.job(id)?;
         let size = job.tasks.chunk_size();
         let from = chunk * size;
-        let mut claims: Vec<(u32, Attempt, MachineId)> = job
+        let mut claims: Vec<RecordedClaim> = job
             .tasks
             .claims()
             .range(from..from + size)
-            .map(|(&i, c)| (i - from, c.attempt, c.machine.clone()))
+            .map(|(&i, c)| RecordedClaim::from((i - from, c.attempt, c.machine.clone())))
             .collect();
         // Also of claims that hold none: a claim that is not named here was
         // written by an earlier version, and may hold anything.
@@ -53,18 +53,18 @@
             .claims()
             .range(from..from + size)
             .filter(|(_, c)| devices && !c.unnamed)
-            .map(|(&i, c)| (i - from, c.units.clone()))
+            .map(|(&i, c)| RecordedUnits::from((i - from, c.units.clone())))
             .collect();
         let mut next_attempt = job.tasks.next_attempt(chunk);
         let mut done = job.tasks.done_bits(chunk);
         if let Some(held) = held.filter(|_| self.shard.is_part()) {
-            let theirs = |c: &&(u32, Attempt, MachineId)| !self.shard.covers(&c.2);
+            let theirs = |c: &&RecordedClaim| !self.shard.covers(&c.machine);
             let theirs: Vec<_> = held.claims.iter().filter(theirs).cloned().collect();
-            let of = |place: u32| theirs.iter().any(|c| c.0 == place);
-            units.extend(held.units.iter().filter(|(p, _)| of(*p)).cloned());
-            units.sort_by_key(|(place, _)| *place);
+            let of = |place: u32| theirs.iter().any(|c| c.place == place);
+            units.extend(held.units.iter().filter(|u| of(u.place)).cloned());
+            units.sort_by_key(|u| u.place);
             claims.extend(theirs);
-            claims.sort_by_key(|c| c.0);
+            claims.sort_by_key(|c| c.place);
             next_attempt = next_attempt.max(held.next_attempt);
             done |= held.done;
         }
@@ -80,7 +80,7 @@
     /// `here`, of other blocks.
     pub(super) fn claims_in(&self, chunk: &ChunkRecord, here: bool) -> bool {
         let mut claims = chunk.claims.iter();
-        claims.any(|(_, _, machine)| self.shard.covers(machine) == here)
+        claims.any(|c| self.shard.covers(&c.machine) == here)
     }
 
     /// A transaction was carried out.
@@ -122,7 +122,12 @@
         let Some(size) = self.cluster_state.job(id).map(|j| j.tasks.chunk_size()) else {
             return;
         };
-        for (place, attempt, machine) in &record.claims {
+        for RecordedClaim {
+            place,
+            attempt,
+            machine,
+        } in &record.claims
+        {
             let task = TaskId {
                 job: id.clone(),
                 index: chunk * size + place,
@@ -193,7 +198,7 @@
         entry.chunk(task.index / size).is_some_and(|c| {
             c.claims
                 .iter()
-                .any(|(place, a, _)| *place == task.index % size && *a == attempt)
+                .any(|c| c.place == task.index % size && c.attempt == attempt)
         })
     })
 }
--- a/src/control/core/recorded_job.rs
+++ b/src/control/core/recorded_job.rs
@@ -6,7 +6,7 @@
 use super::aims::JobTimes;
 use super::Core;
 use crate::sched::{Claim, ClusterState, Job, Laned, Progress, Sent, Tasks};
-use crate::state::record::{JobRecord, Phase};
+use crate::state::record::{JobRecord, Phase, RecordedClaim};
 use crate::state::view::{JobEntry, View};
 use crate::types::{Attempt, JobId, Kind, MachineId, TaskId, Time};
 use sorrelhinge_topology::devices::Unit;
@@ -152,18 +152,23 @@
             for bit in (0..found.tasks.chunk_size()).filter(|bit| held.done >> bit & 1 == 1) {
                 found.tasks.set_done(chunk * record.chunk + bit);
             }
-            let here = held.claims.iter().filter(|c| self.shard.covers(&c.2));
-            for (place, attempt, machine) in here {
+            let here = held.claims.iter().filter(|c| self.shard.covers(&c.machine));
+            for RecordedClaim {
+                place,
+                attempt,
+                machine,
+            } in here
+            {
                 let index = chunk * record.chunk + place;
                 if self.gone_before.contains(machine) {
                     self.pending.released((id.clone(), chunk), now);
                 } else if index < record.tasks {
-                    let units = held.units.iter().find(|(p, _)| p == place);
+                    let units = held.units.iter().find(|u| u.place == *place);
                     found.claims.push(FoundClaim {
                         index,
                         attempt: *attempt,
                         machine: machine.clone(),
-                        units: units.map(|(_, units)| units.clone()),
+                        units: units.map(|u| u.units.clone()),
                     });
                 }
             }
--- a/src/control/core/sharing.rs
+++ b/src/control/core/sharing.rs
@@ -85,17 +85,20 @@
         let left = self.sharing.left.get(id).into_iter().flatten();
         let mut foreign: BTreeSet<u32> = left.flat_map(|u| u.tasks.iter().copied()).collect();
         for (chunk, held) in entry.all_chunks() {
-            let theirs = held.claims.iter().filter(|c| !self.shard.covers(&c.2));
-            foreign.extend(theirs.map(|c| chunk * size + c.0));
+            let theirs = held
+                .claims
+                .iter()
+                .filter(|c| !self.shard.covers(&c.machine));
+            foreign.extend(theirs.map(|c| chunk * size + c.place));
         }
         let mut zones = Some(BTreeMap::new());
         if job.spec.spread || job.spec.one_zone {
             let known = self.places.borrow();
             for claim in entry.all_chunks().flat_map(|(_, c)| &c.claims) {
-                if self.shard.covers(&claim.2) {
+                if self.shard.covers(&claim.machine) {
                     continue;
                 }
-                let zone = known.get(&claim.2).cloned();
+                let zone = known.get(&claim.machine).cloned();
                 zones = zone.zip(zones).map(|(zone, mut zones)| {
                     *zones.entry(zone).or_insert(0) += 1;
                     zones
@@ -164,8 +167,8 @@
                     job: id.clone(),
                     index,
                 };
-                let recorded = held.claims.iter().find(|c| c.0 == place);
-                if recorded.is_some_and(|c| c.1 == attempt && self.shard.covers(&c.2)) {
+                let recorded = held.claims.iter().find(|c| c.place == place);
+                if recorded.is_some_and(|c| c.attempt == attempt && self.shard.covers(&c.machine)) {
                     continue;
                 }
                 if recorded.is_some() || held.done >> place & 1 == 1 {
--- a/src/control/vouching.rs
+++ b/src/control/vouching.rs
@@ -37,7 +37,9 @@
         return false;
     };
     record.phase == Phase::Live
-        && chunk.claims.iter().any(|(place, attempt, machine)| {
-            *place == task.index % size && *attempt == piece.attempt && *machine == report.machine
+        && chunk.claims.iter().any(|claim| {
+            claim.place == task.index % size
+                && claim.attempt == piece.attempt
+                && claim.machine == report.machine
         })
 }
--- a/src/state/chunk_record.rs
+++ b/src/state/chunk_record.rs
@@ -1,6 +1,6 @@
 //! Claims and results of some of a job's tasks, and how many tasks fit into a value.
 
-use serde::{Deserialize, Serialize};
+use serde::{Deserialize, Serialize, Serializer};
 use sorrelhinge_topology::devices::Unit;
 
 use crate::types::{Attempt, JobSpec, MachineId};
@@ -26,15 +26,64 @@
     /// Done tasks, one bit each.
     #[serde(rename = "d")]
     pub done: u64,
-    /// Claims: the task's place in the chunk, the attempt, the machine.
+    /// Claims of tasks, by their place.
     #[serde(rename = "c", default, skip_serializing_if = "Vec::is_empty")]
-    pub claims: Vec<(u32, Attempt, MachineId)>,
-    /// Devices that claims of a job with devices hold, if only none: the
-    /// task's place in the chunk, the units. A
-    /// field of its own, so that earlier versions can read the claims; what
-    /// they write has none, and then any device of the machine may be held.
+    pub claims: Vec<RecordedClaim>,
+    /// Devices that claims of a job with devices hold, if only none. A field of its own, so
+    /// that earlier versions can read the claims; what they write has none, and then any
+    /// device of the machine may be held.
     #[serde(rename = "u", default, skip_serializing_if = "Vec::is_empty")]
-    pub units: Vec<(u32, Vec<Unit>)>,
+    pub units: Vec<RecordedUnits>,
+}
+
+/// A task that is claimed. Stored as an array of its fields in their order.
+#[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
+#[serde(from = "(u32, Attempt, MachineId)")]
+pub struct RecordedClaim {
+    /// The task's place in the chunk, from 0 on.
+    pub place: u32,
+    /// The attempt to run it.
+    pub attempt: Attempt,
+    /// Where.
+    pub machine: MachineId,
+}
+
+impl From<(u32, Attempt, MachineId)> for RecordedClaim {
+    fn from((place, attempt, machine): (u32, Attempt, MachineId)) -> Self {
+        Self {
+            place,
+            attempt,
+            machine,
+        }
+    }
+}
+
+impl Serialize for RecordedClaim {
+    fn serialize<S: Serializer>(&self, serializer: S) -> Result<S::Ok, S::Error> {
+        (self.place, self.attempt, &self.machine).serialize(serializer)
+    }
+}
+
+/// The devices that a claim holds. Stored as an array of its fields in their order.
+#[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
+#[serde(from = "(u32, Vec<Unit>)")]
+pub struct RecordedUnits {
+    /// The task's place in the chunk, from 0 on.
+    pub place: u32,
+    /// Which units of the claim's machine.
+    pub units: Vec<Unit>,
+}
+
+impl From<(u32, Vec<Unit>)> for RecordedUnits {
+    fn from((place, units): (u32, Vec<Unit>)) -> Self {
+        Self { place, units }
+    }
+}
+
+impl Serialize for RecordedUnits {
+    fn serialize<S: Serializer>(&self, serializer: S) -> Result<S::Ok, S::Error> {
+        (self.place, &self.units).serialize(serializer)
+    }
 }
 
 impl ChunkRecord {
@@ -47,7 +96,7 @@
     }
     /// About how many bytes its claims take.
     pub fn weight(&self) -> usize {
-        let units = self.units.iter().flat_map(|(_, units)| units);
+        let units = self.units.iter().flat_map(|held| &held.units);
         CLAIM_BYTES * self.claims.len() + units.map(|u| u.kind().len() + UNIT_BYTES).sum::<usize>()
     }
 }
--- a/src/state/view/jobs.rs
+++ b/src/state/view/jobs.rs
@@ -121,8 +121,8 @@
         return;
     };
     for claim in &after.claims {
-        if before.is_none_or(|b| b.next_attempt <= claim.1 .0) {
-            history.placed(&claim.2, &spec.image, spec.image_gb);
+        if before.is_none_or(|b| b.next_attempt <= claim.attempt.0) {
+            history.placed(&claim.machine, &spec.image, spec.image_gb);
         }
     }
 }
--- a/src/state/view/mod.rs
+++ b/src/state/view/mod.rs
@@ -135,7 +135,7 @@
     pub fn may_run_cancelled(&self, machine: &MachineId) -> bool {
         let entries = self.cancelled_claims.iter().filter_map(|id| self.job(id));
         let mut chunks = entries.flat_map(JobEntry::all_chunks);
-        chunks.any(|(_, chunk)| chunk.claims.iter().any(|(.., at)| at == machine))
+        chunks.any(|(_, chunk)| chunk.claims.iter().any(|claim| claim.machine == *machine))
     }
 
     /// A job's phase as its users are told it: one that needs a cancelled job is cancelled
--- a/tests/edges.rs
+++ b/tests/edges.rs
@@ -255,7 +255,7 @@
     for bytes in [1024, 4096, 32_768] {
         let size = chunk_size(bytes);
         let claims = (0..size)
-            .map(|i| (i, Attempt(99_999), MachineId::from("vm-00000231")))
+            .map(|i| (i, Attempt(99_999), MachineId::from("vm-00000231")).into())
             .collect();
         let chunk = ChunkRecord {
             next_attempt: 99_999,
@@ -532,7 +532,7 @@
         record.place = Some(Revision(u64::MAX));
         let chunk = record.inline.as_mut().expect("claims");
         (chunk.next_attempt, chunk.done) = (u64::MAX, u64::MAX);
-        let claim = |n| (n, Attempt(9), MachineId::from("vm-000001"));
+        let claim = |n| (n, Attempt(9), MachineId::from("vm-000001")).into();
         chunk.claims = (0..record.tasks).map(claim).collect();
         assert!(serde_json::to_vec(&record).expect("record").len() <= 1024);
     }
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -108,7 +108,7 @@
         .inline
         .as_mut()
         .expect("a small job keeps its claims");
-    inline.claims = vec![(0, sorrelhinge::types::Attempt(1), machine.clone())];
+    inline.claims = vec![(0, sorrelhinge::types::Attempt(1), machine.clone()).into()];
     inline.next_attempt = 2;
     change(&record, 2);
     change(&record.done(99), 3);
