--- a/src/api/for_peers.rs
+++ b/src/api/for_peers.rs
@@ -37,16 +37,16 @@
                 count(&self.0.load().counts.homed);
                 self.0.own_beat(&report, Source::Homed)
             }
-            Err(_) => return (400, Vec::new()),
+            Err(_) => return Answered::empty(400),
         };
         match reply {
             Beat::Reply(answer) => match serde_json::to_vec(&answer) {
-                Ok(text) => (200, text),
-                Err(_) => (503, Vec::new()),
+                Ok(text) => Answered { status: 200, text },
+                Err(_) => Answered::empty(503),
             },
             Beat::Passed(answered) => answered,
-            Beat::Elsewhere(_) => (421, Vec::new()),
-            Beat::Unavailable => (503, Vec::new()),
+            Beat::Elsewhere(_) => Answered::empty(421),
+            Beat::Unavailable => Answered::empty(503),
         }
     }
 
@@ -100,5 +100,5 @@
         Ok(body) => body.to_bytes().to_vec(),
         Err(never) => match never {},
     };
-    (status, text)
+    Answered { status, text }
 }
--- a/src/api/reply.rs
+++ b/src/api/reply.rs
@@ -38,8 +38,8 @@
 }
 
 /// An answer that another controller gave.
-pub(super) fn passed((status, text): Answered) -> Reply {
-    let mut response = reply(status, Value::Null);
-    *response.body_mut() = Full::new(Bytes::from(text));
+pub(super) fn passed(answered: Answered) -> Reply {
+    let mut response = reply(answered.status, Value::Null);
+    *response.body_mut() = Full::new(Bytes::from(answered.text));
     response
 }
--- a/src/control/polls.rs
+++ b/src/control/polls.rs
@@ -147,12 +147,12 @@
                     return Some(Polled::Here(Some(s)));
                 }
                 // What is recorded here was accepted: nobody may be told otherwise.
-                if answered.as_ref().is_some_and(|(s, _)| *s == 404) && view.job(id).is_some() {
+                if answered.as_ref().is_some_and(|a| a.status == 404) && view.job(id).is_some() {
                     tracing::error!(job = %id, by = %other, "an answer older than what is known");
                     continue;
                 }
             }
-            if let Some(answered) = answered.filter(|(s, _)| matches!(s, 200 | 404)) {
+            if let Some(answered) = answered.filter(|a| matches!(a.status, 200 | 404)) {
                 return Some(Polled::There(answered));
             }
         }
--- a/src/control/renewing.rs
+++ b/src/control/renewing.rs
@@ -75,7 +75,7 @@
         }
         let kind = peer::Kind::Homed;
         let taken = self.peers.pass_on(&owner, kind, body.to_vec()).await;
-        match taken.filter(|(status, _)| *status == 200) {
+        match taken.filter(|a| a.status == 200) {
             Some(answered) => {
                 let now = self.now();
                 self.renewals
--- a/src/control/workers.rs
+++ b/src/control/workers.rs
@@ -94,7 +94,7 @@
         };
         if passing {
             let passed = self.pass_report_on(&owner, body, true).await;
-            return match passed.filter(|(status, _)| *status == 200) {
+            return match passed.filter(|a| a.status == 200) {
                 Some(answered) => Beat::Passed(answered),
                 None => self.renewed(report).unwrap_or(Beat::Elsewhere(owner)),
             };
@@ -177,7 +177,7 @@
         others.sort_by_key(|n| (Some(n) != leader.as_ref(), n.clone()));
         for other in others.iter().take(2) {
             let answered = self.peers.pass_on(other, kind, text.to_vec()).await;
-            if let Some(answered) = answered.filter(|(status, _)| *status != 503) {
+            if let Some(answered) = answered.filter(|a| a.status != 503) {
                 return Some(answered);
             }
         }
--- a/src/peer/message.rs
+++ b/src/peer/message.rs
@@ -207,12 +207,12 @@
     }
 
     /// The answer to this request, by its kind: reports' answers wait for company.
-    pub(super) fn answer(&self, (status, text): Answered) -> Self {
+    pub(super) fn answer(&self, answered: Answered) -> Self {
         Self {
             number: self.number,
-            status,
+            status: answered.status,
             waits: self.kind == Kind::Homed,
-            ..Self::new(Kind::Answer, text)
+            ..Self::new(Kind::Answer, answered.text)
         }
     }
 
--- a/src/peer/mod.rs
+++ b/src/peer/mod.rs
@@ -52,7 +52,21 @@
 const BUFFER: usize = 32 << 10;
 
 /// An answer to a request that was passed on: HTTP status and body.
-pub type Answered = (u16, Vec<u8>);
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct Answered {
+    /// HTTP status.
+    pub status: u16,
+    /// Body.
+    pub text: Vec<u8>,
+}
+
+impl Answered {
+    /// A status alone, which says all.
+    pub fn empty(status: u16) -> Self {
+        let text = Vec::new();
+        Self { status, text }
+    }
+}
 
 /// What a line's task and those who use the line share.
 #[derive(Default)]
@@ -271,7 +285,10 @@
         }
         if let Some(tell) = state.waiting.borrow_mut().remove(&message.number) {
             // Whoever asked may have given up.
-            let _ = tell.send((message.status, message.text));
+            let _ = tell.send(Answered {
+                status: message.status,
+                text: message.text,
+            });
         }
     }
 }
--- a/src/state/record.rs
+++ b/src/state/record.rs
@@ -37,6 +37,6 @@
 };
 pub use self::leadership::{Fence, GrantRecord, LeaderRecord};
 pub use self::members::MemberRecord;
-pub use self::shards::{BlockRecord, MapRecord, SliceRecord};
+pub use self::shards::{BlockRecord, MapRecord, SliceRecord, TeamPart};
 pub use super::chunk_record::{chunk_size, ChunkRecord, RecordedClaim, RecordedUnits};
 pub use super::job_record::{encoded_bytes, JobRecord, NewJob, Phase, WaitsRecord};
--- a/src/state/record/shards.rs
+++ b/src/state/record/shards.rs
@@ -1,7 +1,7 @@
 //! Into how many blocks the machines are divided, who owns each, and each one's part of
 //! the teams' limits.
 
-use serde::{Deserialize, Serialize};
+use serde::{Deserialize, Serialize, Serializer};
 
 use crate::types::{Amount, NodeId, Term};
 
@@ -54,9 +54,33 @@
     /// Of the format.
     #[serde(rename = "v")]
     pub version: u32,
-    /// Each team's name, CPUs and GPUs.
+    /// Each team's part.
     #[serde(rename = "t")]
-    pub teams: Vec<(String, i64, i64)>,
+    pub teams: Vec<TeamPart>,
+}
+
+/// A team's part of its limit. Stored as an array of its fields in their order.
+#[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
+#[serde(from = "(String, i64, i64)")]
+pub struct TeamPart {
+    /// The team's name.
+    pub team: String,
+    /// Thousandths of a CPU.
+    pub cpu: i64,
+    /// Thousandths of a GPU.
+    pub gpu: i64,
+}
+
+impl From<(String, i64, i64)> for TeamPart {
+    fn from((team, cpu, gpu): (String, i64, i64)) -> Self {
+        Self { team, cpu, gpu }
+    }
+}
+
+impl Serialize for TeamPart {
+    fn serialize<S: Serializer>(&self, serializer: S) -> Result<S::Ok, S::Error> {
+        (&self.team, self.cpu, self.gpu).serialize(serializer)
+    }
 }
 
 impl SliceRecord {
@@ -67,16 +91,18 @@
     pub fn new(parts: impl Iterator<Item = (String, Amount)>) -> Self {
         Self {
             version: Self::VERSION,
-            teams: parts.map(|(name, a)| (name, a.cpu, a.gpu)).collect(),
+            teams: parts
+                .map(|(team, a)| TeamPart::from((team, a.cpu, a.gpu)))
+                .collect(),
         }
     }
 
     /// A team's part; none recorded: nothing.
     pub fn of(&self, team: &str) -> Amount {
-        let found = self.teams.iter().find(|(name, ..)| name == team);
-        found.map_or(Amount::default(), |(_, cpu, gpu)| Amount {
-            cpu: *cpu,
-            gpu: *gpu,
+        let found = self.teams.iter().find(|part| part.team == team);
+        found.map_or(Amount::default(), |part| Amount {
+            cpu: part.cpu,
+            gpu: part.gpu,
             ram: 0,
         })
     }
--- a/tests/edges.rs
+++ b/tests/edges.rs
@@ -356,7 +356,8 @@
 impl Heard for Echo {
     fn hint(&self, _: Revision, _: &NodeId, _: Standing, _: u16) {}
     fn homed(&self, text: &[u8]) -> Answered {
-        (200, text.to_vec())
+        let text = text.to_vec();
+        Answered { status: 200, text }
     }
     fn share(&self, _: Kind, _: &[u8]) {}
     fn heard(&self, machines: &[HeardOf]) {
@@ -366,7 +367,7 @@
             .extend(read.map(|(machine, ..)| machine));
     }
     fn answer(self: Rc<Self>, _: Kind, text: Vec<u8>) -> Pin<Box<dyn Future<Output = Answered>>> {
-        Box::pin(async move { (200, text) })
+        Box::pin(async move { Answered { status: 200, text } })
     }
 }
 
@@ -389,14 +390,14 @@
         }
         for text in [b"one".to_vec(), vec![7; 60_000]] {
             let answered = peers.pass_on(&other, Kind::Beat, text.clone()).await;
-            assert_eq!(answered, Some((200, text)));
+            assert_eq!(answered, Some(Answered { status: 200, text }));
         }
         // Reports taken for the owner go in batches, each with its answer.
         let many = (0..200_u32).map(|n| {
             let (peers, other, text) = (peers.clone(), other.clone(), n.to_string().into_bytes());
             spawn_local(async move {
                 let answered = peers.pass_on(&other, Kind::Homed, text.clone()).await;
-                assert_eq!(answered, Some((200, text)));
+                assert_eq!(answered, Some(Answered { status: 200, text }));
             })
         });
         for one in many.collect::<Vec<_>>() {
--- a/tests/rules/blocks.rs
+++ b/tests/rules/blocks.rs
@@ -50,7 +50,7 @@
             else {
                 return;
             };
-            let part = |s: &SliceRecord| s.teams[0].1;
+            let part = |s: &SliceRecord| s.teams[0].cpu;
             let used = o.core.needs()[0].used.cpu;
             let most = part(&mine.value) - used;
             // One that knows it is deposed gives nothing.
@@ -61,7 +61,7 @@
             let give = self.rng.random_range(500..=most);
             let changed = |s: &SliceRecord, by: i64| {
                 let mut s = s.clone();
-                s.teams[0].1 += by;
+                s.teams[0].cpu += by;
                 serde_json::to_value(s).expect("record")
             };
             let block = format!("h/block/{}", me.0);
