--- a/src/cli/topology.rs
+++ b/src/cli/topology.rs
@@ -4,7 +4,7 @@
 use std::path::PathBuf;
 
 use clap::Subcommand;
-use sorrelhinge_protocol::operators::TopologyShown;
+use sorrelhinge_protocol::operators::{DomainShown, DrainShown, TopologyShown};
 use sorrelhinge_topology::settings::Settings;
 
 use super::ask::Controllers;
@@ -57,42 +57,44 @@
         "{:<40} {:<8} {:>8} {:>7} {:>8} {:>6}  devices (held/slots, broken)",
         "domain", "level", "machines", "usable", "draining", "tasks"
     );
-    for d in &shown.domains {
-        let devices: Vec<String> = d
-            .devices
-            .iter()
-            .map(|(kind, n)| format!("{kind} {}/{}, {}", n.held, n.slots, n.broken))
-            .collect();
-        let name = if d.domain.is_empty() {
-            "(not known)"
-        } else {
-            &d.domain
-        };
-        let _ = writeln!(
-            out,
-            "{name:<40} {:<8} {:>8} {:>7} {:>8} {:>6}  {}",
-            d.level,
-            d.machines,
-            d.usable,
-            d.draining,
-            d.tasks,
-            devices.join("; ")
-        );
+    for domain in &shown.domains {
+        let _ = writeln!(out, "{}", domain_row(domain));
     }
     if !shown.unplaced.is_empty() {
-        let _ = writeln!(
-            out,
-            "machines whose place is not known: {}",
-            shown.unplaced.len()
-        );
+        let unplaced = shown.unplaced.len();
+        let _ = writeln!(out, "machines whose place is not known: {unplaced}");
     }
-    for d in &shown.drains {
-        let state = if d.done { "empty" } else { "draining" };
-        let _ = writeln!(
-            out,
-            "drain {} of {}: {state}, {} of {} machines empty, {} tasks there, {} being stopped, {:.0} s left, at most {} away",
-            d.number, d.target, d.empty, d.machines, d.tasks, d.stopping, d.left_s, d.away
-        );
+    for drain in &shown.drains {
+        let _ = writeln!(out, "{}", drain_row(drain));
     }
     out
 }
+
+fn domain_row(d: &DomainShown) -> String {
+    let devices: Vec<String> = d
+        .devices
+        .iter()
+        .map(|(kind, n)| format!("{kind} {}/{}, {}", n.held, n.slots, n.broken))
+        .collect();
+    let name = match d.domain.is_empty() {
+        true => "(not known)",
+        false => &d.domain,
+    };
+    format!(
+        "{name:<40} {:<8} {:>8} {:>7} {:>8} {:>6}  {}",
+        d.level,
+        d.machines,
+        d.usable,
+        d.draining,
+        d.tasks,
+        devices.join("; ")
+    )
+}
+
+fn drain_row(d: &DrainShown) -> String {
+    let state = if d.done { "empty" } else { "draining" };
+    format!(
+        "drain {} of {}: {state}, {} of {} machines empty, {} tasks there, {} being stopped, {:.0} s left, at most {} away",
+        d.number, d.target, d.empty, d.machines, d.tasks, d.stopping, d.left_s, d.away
+    )
+}
