--- a/src/api/for_peers.rs
+++ b/src/api/for_peers.rs
@@ -1,7 +1,5 @@
 //! What other controllers ask this one to answer or to take note of.
 
-use std::future::Future;
-use std::pin::Pin;
 use std::rc::Rc;
 
 use http_body_util::BodyExt;
@@ -11,7 +9,7 @@
 use crate::control::core::Source;
 use crate::control::load::count;
 use crate::control::{Beat, Node};
-use crate::peer::{self, Answered, Heard};
+use crate::peer::{self, Answered, Answering, Heard};
 use crate::types::{NodeId, Revision};
 use crate::worker::Report;
 
@@ -58,11 +56,7 @@
         self.0.heard_of(machines);
     }
 
-    fn answer(
-        self: Rc<Self>,
-        kind: peer::Kind,
-        text: Vec<u8>,
-    ) -> Pin<Box<dyn Future<Output = Answered>>> {
+    fn answer(self: Rc<Self>, kind: peer::Kind, text: Vec<u8>) -> Answering {
         Box::pin(async move { answered(self.answer_here(kind, &text).await).await })
     }
 }
--- a/src/http.rs
+++ b/src/http.rs
@@ -40,7 +40,7 @@
     /// The connection failed, or what came over it is not HTTP.
     #[error(transparent)]
     Http(#[from] hyper::Error),
-    /// The answer's body did not come whole, or is longer than [`MOST_BYTES`].
+    /// The answer's body did not come whole, or is longer than 64 MiB.
     #[error(transparent)]
     Body(Box<dyn std::error::Error + Send + Sync>),
 }
--- a/src/peer/listening.rs
+++ b/src/peer/listening.rs
@@ -25,6 +25,9 @@
 /// After a connection that could not be accepted.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(100);
 
+/// An answer that is on its way.
+pub type Answering = Pin<Box<dyn Future<Output = Answered>>>;
+
 /// What is done with other controllers' messages.
 pub trait Heard {
     /// The state service has reached a revision, and how the sender stands;
@@ -37,8 +40,7 @@
     /// What another owner of a block tells.
     fn share(&self, kind: Kind, text: &[u8]);
     /// Answers a request that was passed on.
-    fn answer(self: Rc<Self>, kind: Kind, text: Vec<u8>)
-        -> Pin<Box<dyn Future<Output = Answered>>>;
+    fn answer(self: Rc<Self>, kind: Kind, text: Vec<u8>) -> Answering;
 }
 
 /// Takes messages from other controllers until cancelled, over `most` connections at a
--- a/src/peer/mod.rs
+++ b/src/peer/mod.rs
@@ -21,7 +21,7 @@
 use tokio::time::{sleep, timeout, Instant};
 use zerocopy::IntoBytes;
 
-pub use self::listening::{listen, Heard};
+pub use self::listening::{listen, Answering, Heard};
 pub use self::message::{Header, HeardOf, Kind, Message, Standing, BLOCKS, LIMITS_FELL, POLLS};
 use self::message::{HEARD_TOGETHER, MOST_TEXT};
 use crate::types::{NodeId, Revision};
--- a/src/serve.rs
+++ b/src/serve.rs
@@ -35,7 +35,7 @@
 const MAX_BUFFER: usize = 128 << 10;
 
 /// Serves connections until cancelled. Each connection is a task of its own, which ends
-/// with it and closes its books by dropping [`Accepted::open`]; all are cancelled with the set of
+/// with it and closes its books by dropping `Accepted::open`; all are cancelled with the set of
 /// tasks that this one belongs to.
 pub async fn serve(node: Rc<Node>, listener: TcpListener) {
     let all = node.connections().clone();
--- a/src/state/view/mod.rs
+++ b/src/state/view/mod.rs
@@ -4,8 +4,8 @@
 //! what this controller wrote itself is here before the watch brings it. Of each key the
 //! newest version that was seen is kept, so whatever comes late or twice changes nothing.
 //!
-//! This file answers what the records say; [`apply`] takes in reads and watch events, one
-//! function a kind of record, and [`jobs`] the records of jobs, with what follows from
+//! This file answers what the records say; `apply` takes in reads and watch events, one
+//! function a kind of record, and `jobs` the records of jobs, with what follows from
 //! them.
 
 mod apply;
