--- a/src/control/core/record.rs
+++ b/src/control/core/record.rs
@@ -5,7 +5,7 @@
 use super::{Batch, Core};
 use crate::control::pending::Haste;
 use crate::sched::Job;
-use crate::state::record::{ChunkRecord, Phase};
+use crate::state::record::{ChunkRecord, Phase, RecordedClaim, RecordedUnits};
 use crate::state::view::{JobEntry, Versioned, View};
 use crate::types::{Attempt, JobId, Kind, Revision, TaskId, Time};
 
@@ -44,14 +44,14 @@
     /// Leaves in a chunk's record what other blocks wrote into it.
     fn keep_others_part(&self, record: &mut ChunkRecord, held: &ChunkRecord) {
         let theirs = held.claims.iter();
-        let theirs = theirs.filter(|(_, _, machine)| !self.shard.covers(machine));
+        let theirs = theirs.filter(|claim| !self.shard.covers(&claim.machine));
         let theirs: Vec<_> = theirs.cloned().collect();
-        let of = |place: u32| theirs.iter().any(|c| c.0 == place);
-        let units = held.units.iter().filter(|(place, _)| of(*place));
+        let of = |place: u32| theirs.iter().any(|claim| claim.place == place);
+        let units = held.units.iter().filter(|units| of(units.place));
         record.units.extend(units.cloned());
-        record.units.sort_by_key(|(place, _)| *place);
+        record.units.sort_by_key(|units| units.place);
         record.claims.extend(theirs);
-        record.claims.sort_by_key(|c| c.0);
+        record.claims.sort_by_key(|claim| claim.place);
         record.next_attempt = record.next_attempt.max(held.next_attempt);
         record.done |= held.done;
     }
@@ -60,7 +60,7 @@
     /// `here`, of other blocks.
     pub(super) fn claims_in(&self, chunk: &ChunkRecord, here: bool) -> bool {
         let mut claims = chunk.claims.iter();
-        claims.any(|(_, _, machine)| self.shard.covers(machine) == here)
+        claims.any(|c| self.shard.covers(&c.machine) == here)
     }
 
     /// A transaction was carried out.
@@ -113,7 +113,12 @@
         let Some(size) = self.cluster_state.job(id).map(|j| j.tasks.chunk_size()) else {
             return;
         };
-        for (place, attempt, machine) in &record.claims {
+        for RecordedClaim {
+            place,
+            attempt,
+            machine,
+        } in &record.claims
+        {
             let task = TaskId {
                 job: id.clone(),
                 index: chunk * size + place,
@@ -189,13 +194,19 @@
     let size = job.tasks.chunk_size();
     let from = chunk * size;
     let held = || job.tasks.claims().range(from..from + size);
-    let claims = held().map(|(&index, c)| (index - from, c.attempt, c.machine.clone()));
+    let claims = held().map(|(&index, claim)| {
+        let place = index - from;
+        RecordedClaim::from((place, claim.attempt, claim.machine.clone()))
+    });
     // Also of claims that hold none: a claim that is not named here was
     // written by an earlier version, and may hold anything.
     let placement = job.spec.placement.as_ref();
     let devices = placement.is_some_and(|w| !w.devices.is_empty());
     let named = held().filter(|(_, c)| devices && !c.unnamed);
-    let units = named.map(|(&index, c)| (index - from, c.units.clone()));
+    let units = named.map(|(&index, claim)| {
+        let place = index - from;
+        RecordedUnits::from((place, claim.units.clone()))
+    });
     ChunkRecord {
         next_attempt: job.tasks.next_attempt(chunk),
         done: job.tasks.done_bits(chunk),
@@ -212,7 +223,7 @@
         entry.chunk(task.index / size).is_some_and(|c| {
             c.claims
                 .iter()
-                .any(|(place, a, _)| *place == task.index % size && *a == attempt)
+                .any(|c| c.place == task.index % size && c.attempt == attempt)
         })
     })
 }
--- a/src/control/workers.rs
+++ b/src/control/workers.rs
@@ -86,7 +86,7 @@
             return Beat::Elsewhere(owner);
         }
         let passed = self.pass_report_on(&owner, body, true).await;
-        match passed.filter(|(status, _)| *status == 200) {
+        match passed.filter(|answered| answered.status == 200) {
             Some(answered) => Beat::Passed(answered),
             None => self.renewed(report).unwrap_or(Beat::Elsewhere(owner)),
         }
@@ -158,7 +158,7 @@
         others.sort_by_key(|n| (Some(n) != leader.as_ref(), n.clone()));
         for other in others.iter().take(2) {
             let answered = self.peers.pass_on(other, kind, text.to_vec()).await;
-            if let Some(answered) = answered.filter(|(status, _)| *status != 503) {
+            if let Some(answered) = answered.filter(|a| a.status != 503) {
                 return Some(answered);
             }
         }
--- a/src/state/view/mod.rs
+++ b/src/state/view/mod.rs
@@ -4,8 +4,8 @@
 //! what this controller wrote itself is here before the watch brings it. Of each key the
 //! newest version that was seen is kept, so whatever comes late or twice changes nothing.
 //!
-//! This file answers what the records say; [`apply`] takes in reads and watch events, one
-//! function a kind of record, and [`jobs`] the records of jobs, with what follows from
+//! This file answers what the records say; `apply` takes in reads and watch events, one
+//! function a kind of record, and `jobs` the records of jobs, with what follows from
 //! them.
 
 mod apply;
@@ -135,7 +135,7 @@
     pub fn may_run_cancelled(&self, machine: &MachineId) -> bool {
         let entries = self.cancelled_claims.iter().filter_map(|id| self.job(id));
         let mut chunks = entries.flat_map(JobEntry::all_chunks);
-        chunks.any(|(_, chunk)| chunk.claims.iter().any(|(.., at)| at == machine))
+        chunks.any(|(_, chunk)| chunk.claims.iter().any(|claim| claim.machine == *machine))
     }
 
     /// A job's phase as its users are told it: one that needs a cancelled job is cancelled
--- a/tests/edges.rs
+++ b/tests/edges.rs
@@ -255,7 +255,7 @@
     for bytes in [1024, 4096, 32_768] {
         let size = chunk_size(bytes);
         let claims = (0..size)
-            .map(|i| (i, Attempt(99_999), MachineId::from("vm-00000231")))
+            .map(|i| (i, Attempt(99_999), MachineId::from("vm-00000231")).into())
             .collect();
         let chunk = ChunkRecord {
             next_attempt: 99_999,
@@ -356,7 +356,8 @@
 impl Heard for Echo {
     fn hint(&self, _: Revision, _: &NodeId, _: Standing, _: u16) {}
     fn homed(&self, text: &[u8]) -> Answered {
-        (200, text.to_vec())
+        let text = text.to_vec();
+        Answered { status: 200, text }
     }
     fn share(&self, _: Kind, _: &[u8]) {}
     fn heard(&self, machines: &[HeardOf]) {
@@ -366,7 +367,7 @@
             .extend(read.map(|(machine, ..)| machine));
     }
     fn answer(self: Rc<Self>, _: Kind, text: Vec<u8>) -> Pin<Box<dyn Future<Output = Answered>>> {
-        Box::pin(async move { (200, text) })
+        Box::pin(async move { Answered { status: 200, text } })
     }
 }
 
@@ -389,14 +390,14 @@
         }
         for text in [b"one".to_vec(), vec![7; 60_000]] {
             let answered = peers.pass_on(&other, Kind::Beat, text.clone()).await;
-            assert_eq!(answered, Some((200, text)));
+            assert_eq!(answered, Some(Answered { status: 200, text }));
         }
         // Reports taken for the owner go in batches, each with its answer.
         let many = (0..200_u32).map(|n| {
             let (peers, other, text) = (peers.clone(), other.clone(), n.to_string().into_bytes());
             spawn_local(async move {
                 let answered = peers.pass_on(&other, Kind::Homed, text.clone()).await;
-                assert_eq!(answered, Some((200, text)));
+                assert_eq!(answered, Some(Answered { status: 200, text }));
             })
         });
         for one in many.collect::<Vec<_>>() {
@@ -532,7 +533,7 @@
         record.place = Some(Revision(u64::MAX));
         let chunk = record.inline.as_mut().expect("claims");
         (chunk.next_attempt, chunk.done) = (u64::MAX, u64::MAX);
-        let claim = |n| (n, Attempt(9), MachineId::from("vm-000001"));
+        let claim = |n| (n, Attempt(9), MachineId::from("vm-000001")).into();
         chunk.claims = (0..record.tasks).map(claim).collect();
         assert!(serde_json::to_vec(&record).expect("record").len() <= 1024);
     }
--- a/tests/golden_formats/records.rs
+++ b/tests/golden_formats/records.rs
@@ -25,8 +25,8 @@
     ChunkRecord {
         next_attempt: 4,
         done: 5,
-        claims: vec![(1, Attempt(3), MachineId::from("vm-000231"))],
-        units: vec![(1, vec![Unit::new("encoder", "enc0")])],
+        claims: vec![(1, Attempt(3), MachineId::from("vm-000231")).into()],
+        units: vec![(1, vec![Unit::new("encoder", "enc0")]).into()],
     }
 }
 
