--- a/tests/rules/worker.rs
+++ b/tests/rules/worker.rs
@@ -34,6 +34,25 @@
 }
 
 impl Worker {
+    /// The world's worker of this number: in two zones in turn, and the later ones spot.
+    pub(crate) fn new(i: usize) -> Self {
+        Self {
+            id: format!("vm-{i:06}"),
+            zone: if i % 2 == 0 { "za" } else { "zb" },
+            spot: i >= 4,
+            session: 1,
+            tick: 0,
+            token: 0,
+            renewed: 0.0,
+            silent_until: 0.0,
+            deaf_until: 0.0,
+            mute_until: 0.0,
+            hangs_until: 0.0,
+            warned: false,
+            tasks: BTreeMap::new(),
+        }
+    }
+
     pub(crate) fn report(&mut self) -> Report {
         self.tick += 1;
         let pieces: Vec<Value> = self
--- a/tests/rules/world.rs
+++ b/tests/rules/world.rs
@@ -102,23 +102,6 @@
     }
 
     pub(crate) fn of_blocks(seed: u64, with_topology: bool, of: u32) -> Self {
-        let workers = (0..8)
-            .map(|i| Worker {
-                id: format!("vm-{i:06}"),
-                zone: if i % 2 == 0 { "za" } else { "zb" },
-                spot: i >= 4,
-                session: 1,
-                tick: 0,
-                token: 0,
-                renewed: 0.0,
-                silent_until: 0.0,
-                deaf_until: 0.0,
-                mute_until: 0.0,
-                hangs_until: 0.0,
-                warned: false,
-                tasks: BTreeMap::new(),
-            })
-            .collect();
         let mut world = Self {
             of,
             places: Places::default(),
@@ -127,7 +110,7 @@
             rng: StdRng::seed_from_u64(seed),
             now: 0.0,
             store: Store::default(),
-            workers,
+            workers: (0..8).map(Worker::new).collect(),
             jobs: BTreeMap::new(),
             cancelled: BTreeMap::new(),
             done_tasks: BTreeSet::new(),
@@ -150,23 +133,27 @@
             trace: Trace::default(),
         };
         world.reader.replace(Revision(0), Vec::new());
-        if of > 1 {
-            world.store.write("h/map", json!({"v": 1, "blocks": of}));
-            for block in 0..of {
-                let part =
-                    10_000 / i64::from(of) + i64::from(block == 0) * (10_000 % i64::from(of));
-                let slice = json!({"v": 1, "t": [["red", part, 0], ["blue", 1_000_000, 0]]});
-                world.store.write(&format!("h/slice/{block}"), slice);
-            }
-            for block in 0..of {
-                world.take_over_block(block);
-            }
-        } else {
-            world.take_over();
+        match of {
+            1 => world.take_over(),
+            _ => world.divide(),
         }
         world
     }
 
+    /// The blocks, their parts of the limits, and an owner for each.
+    fn divide(&mut self) {
+        let of = self.of;
+        self.store.write("h/map", json!({"v": 1, "blocks": of}));
+        for block in 0..of {
+            let part = 10_000 / i64::from(of) + i64::from(block == 0) * (10_000 % i64::from(of));
+            let slice = json!({"v": 1, "t": [["red", part, 0], ["blue", 1_000_000, 0]]});
+            self.store.write(&format!("h/slice/{block}"), slice);
+        }
+        for block in 0..of {
+            self.take_over_block(block);
+        }
+    }
+
     /// An owner's settings.
     pub(crate) fn config(&self) -> Rc<Config> {
         let mut config = settings::config(1.0);
@@ -628,6 +615,28 @@
         if !self.in_outage() && self.luck(0.02) {
             self.cancel();
         }
+        self.change_owners();
+        if self.of > 1 && !self.in_outage() {
+            self.between_blocks();
+        }
+        self.operate();
+        self.carry_out_late();
+        for at in 0..self.workers.len() {
+            self.step_worker(at);
+        }
+        if self.luck(0.3) {
+            self.copy();
+        }
+        for owner in (0..self.owners.len()).rev() {
+            self.step_owner(owner);
+        }
+        self.check();
+        self.check_not_orphaned();
+    }
+
+    /// Blocks that nobody owns are granted, others are granted anew now and then, and
+    /// owners stand still.
+    fn change_owners(&mut self) {
         let owned = |b: u32| self.owners.iter().any(|o| o.core.shard.block.0 == b);
         if self.in_outage() {
             // No grant is written.
@@ -648,9 +657,10 @@
             let at = self.rng.random_range(0..self.owners.len());
             self.owners[at].paused_until = self.now + self.rng.random_range(1.0..15.0);
         }
-        if self.of > 1 && !self.in_outage() {
-            self.between_blocks();
-        }
+    }
+
+    /// Operators drain; an owner of the version before is there for a moment.
+    fn operate(&mut self) {
         if self.topology.is_some() && !self.in_outage() && self.luck(0.01) {
             self.drain();
         }
@@ -658,6 +668,10 @@
             self.write_as_before();
             self.take_over();
         }
+    }
+
+    /// Commands that were held back arrive.
+    fn carry_out_late(&mut self) {
         let due: Vec<(f64, String, Value)> = self
             .late
             .iter()
@@ -668,79 +682,84 @@
         for (_, id, orders) in due {
             self.carry_out(&id, &orders);
         }
-        for at in 0..self.workers.len() {
-            let w = &mut self.workers[at];
-            let hangs = w.hangs_until > self.now;
-            for (piece, r) in w.tasks.iter_mut().filter(|_| !hangs) {
-                r.left -= STEP_S;
-                if r.phase == "running" && r.left <= 0.0 {
-                    r.phase = "ended";
-                    r.cause = Some("done");
-                    self.done_tasks.insert(piece.clone());
-                }
-            }
-            self.end_lease(at);
-            if self.luck(0.003) {
-                self.workers[at].silent_until = self.now + self.rng.random_range(1.0..30.0);
-            }
-            if self.luck(0.004) {
-                self.workers[at].deaf_until = self.now + self.rng.random_range(1.0..60.0);
-            }
-            if self.workers[at].spot && self.luck(0.004) {
-                self.workers[at].warned = true;
-            }
-            if self.rng.random_bool(0.5) {
-                self.beat(at);
+    }
+
+    /// A worker's tasks go on, its troubles begin, and it reports.
+    fn step_worker(&mut self, at: usize) {
+        let w = &mut self.workers[at];
+        let hangs = w.hangs_until > self.now;
+        for (piece, r) in w.tasks.iter_mut().filter(|_| !hangs) {
+            r.left -= STEP_S;
+            if r.phase == "running" && r.left <= 0.0 {
+                r.phase = "ended";
+                r.cause = Some("done");
+                self.done_tasks.insert(piece.clone());
             }
         }
-        if self.luck(0.3) {
-            self.copy();
+        self.end_lease(at);
+        if self.luck(0.003) {
+            self.workers[at].silent_until = self.now + self.rng.random_range(1.0..30.0);
         }
-        for owner in (0..self.owners.len()).rev() {
-            if self.owners[owner].paused_until > self.now {
-                continue;
-            }
-            let now = Time(self.now);
-            // A deposed owner may not have heard of anything for long.
-            let shard = self.owners[owner].core.shard;
-            let last = self.owners.iter().rposition(|o| o.core.shard == shard);
-            let hears = last == Some(owner) || self.rng.random_bool(0.1);
-            if hears && self.is_served(owner) {
-                let o = &mut self.owners[owner];
-                if self.store.follow(&mut o.view) {
-                    o.freshness = o.freshness.read(now);
-                }
-                let changed = o.view.take_changed();
-                o.core.jobs_changed(&o.view, &changed, now, 0);
-                o.core.set_drains(&o.view, now);
-                if shard.is_part() {
-                    o.core.look_at_limits(&o.view);
-                    o.core.still_granted(&o.view);
-                }
-            }
-            regular(&mut self.owners[owner].core, now);
-            if self.rng.random_bool(0.25) {
-                self.fleet(owner);
-            }
-            for _ in 0..3 {
-                if owner < self.owners.len() {
-                    self.record(owner);
-                }
-            }
-            let stop_s = self.faults.stop_after_record_s;
-            if owner < self.owners.len() && stop_s > 0.0 {
-                self.owners[owner].paused_until = self.now + stop_s;
-                continue;
+        if self.luck(0.004) {
+            self.workers[at].deaf_until = self.now + self.rng.random_range(1.0..60.0);
+        }
+        if self.workers[at].spot && self.luck(0.004) {
+            self.workers[at].warned = true;
+        }
+        if self.rng.random_bool(0.5) {
+            self.beat(at);
+        }
+    }
+
+    /// An owner follows, decides, records and commands, unless it stands still.
+    fn step_owner(&mut self, owner: usize) {
+        if self.owners[owner].paused_until > self.now {
+            return;
+        }
+        let now = Time(self.now);
+        self.follow(owner);
+        regular(&mut self.owners[owner].core, now);
+        if self.rng.random_bool(0.25) {
+            self.fleet(owner);
+        }
+        for _ in 0..3 {
+            if owner < self.owners.len() {
+                self.record(owner);
             }
-            if owner < self.owners.len() && self.owners[owner].may_command(self.now) {
-                let o = &mut self.owners[owner];
-                for send in o.core.dispatch(&o.view, now) {
-                    self.send(owner, send);
-                }
+        }
+        let stop_s = self.faults.stop_after_record_s;
+        if owner < self.owners.len() && stop_s > 0.0 {
+            self.owners[owner].paused_until = self.now + stop_s;
+            return;
+        }
+        if owner < self.owners.len() && self.owners[owner].may_command(self.now) {
+            let o = &mut self.owners[owner];
+            for send in o.core.dispatch(&o.view, now) {
+                self.send(owner, send);
             }
         }
-        self.check();
-        self.check_not_orphaned();
+    }
+
+    /// An owner hears of changes; a deposed one may not have heard of anything for long.
+    fn follow(&mut self, owner: usize) {
+        let now = Time(self.now);
+        let shard = self.owners[owner].core.shard;
+        let last = self.owners.iter().rposition(|o| o.core.shard == shard);
+        let hears = last == Some(owner) || self.rng.random_bool(0.1);
+        if !hears || !self.is_served(owner) {
+            return;
+        }
+        let o = &mut self.owners[owner];
+        if self.store.follow(&mut o.view) {
+            o.freshness = o.freshness.read(now);
+        }
+        let changed = o.view.take_changed();
+        o.core.jobs_changed(&o.view, &changed, now, 0);
+        o.core.set_drains(&o.view, now);
+        if shard.is_part() {
+            o.core.look_at_limits(&o.view);
+            o.core.still_granted(&o.view);
+        }
     }
 }
 
