--- a/tests/rules/commands.rs
+++ b/tests/rules/commands.rs
@@ -5,7 +5,6 @@
 use sorrelhinge::control::core::{Core, Source};
 use sorrelhinge::sched::Sent;
 use sorrelhinge::state::record::{job_key, JobRecord};
-use sorrelhinge::state::Outcome;
 use sorrelhinge::types::{JobId, MachineId, Time};
 use sorrelhinge::worker::{Command, Sending};
 
@@ -166,10 +165,7 @@
     let batch = core
         .next_batch(view, 4, false, Time(2.0))
         .expect("a claim to record");
-    let Outcome::Done(revision) = store.txn(&serde_json::to_value(&batch.txn).expect("txn")) else {
-        panic!("the claim is refused");
-    };
-    core.committed(batch, revision, view, Time(2.0));
+    commit(store, core, view, batch, Time(2.0));
 }
 
 /// A view that was not renewed for long may lack a cancellation that another
@@ -260,10 +256,7 @@
     let batch = core
         .next_batch(view, 4, false, Time(20.0))
         .expect("a result to record");
-    let Outcome::Done(revision) = store.txn(&serde_json::to_value(&batch.txn).expect("txn")) else {
-        panic!("the result is refused");
-    };
-    core.committed(batch, revision, view, Time(20.0));
+    commit(store, core, view, batch, Time(20.0));
     assert_eq!(
         core.reply(&id, view, Time(20.0)).orders.len(),
         1,
@@ -289,10 +282,7 @@
     }
     regular(core, Time(2.0));
     let batch = core.next_batch(view, 4, false, Time(2.0)).expect("a claim");
-    let Outcome::Done(revision) = store.txn(&serde_json::to_value(&batch.txn).expect("txn")) else {
-        panic!("the claim is refused");
-    };
-    core.committed(batch, revision, view, Time(2.0));
+    commit(store, core, view, batch, Time(2.0));
     assert!(core.dispatch(view, Time(2.5)).is_empty());
     let mut starts = 0;
     for w in workers.iter_mut() {
--- a/tests/rules/meetings/day.rs
+++ b/tests/rules/meetings/day.rs
@@ -64,6 +64,14 @@
         }
     }
 
+    /// The first owners, so many, stand still for so many seconds.
+    pub(crate) fn pause_first(&mut self, owners: usize, for_s: f64) {
+        let until = self.world.now + for_s;
+        for o in self.world.owners.iter_mut().take(owners) {
+            o.paused_until = until;
+        }
+    }
+
     /// An array of the blue team that may run anywhere, but for `fields`.
     pub(crate) fn submit(&mut self, pieces: u32, fields: Value) -> String {
         let number = u32::try_from(self.world.jobs.len()).expect("few jobs");
--- a/tests/rules/meetings/out_of_reach.rs
+++ b/tests/rules/meetings/out_of_reach.rs
@@ -86,10 +86,7 @@
         day.world.take_over();
         day.cancel(&services[0]);
         day.run(CANCEL_S - LEASE_S - 5.0);
-        let until = day.world.now + 2.0 * LEASE_S;
-        for o in day.world.owners.iter_mut().take(former) {
-            o.paused_until = until;
-        }
+        day.pause_first(former, 2.0 * LEASE_S);
         day.run(2.0 * LEASE_S);
         day.apart = None;
         day.settle(120.0);
--- a/tests/rules/meetings/partition.rs
+++ b/tests/rules/meetings/partition.rs
@@ -52,10 +52,7 @@
         day.cancel("run-000000");
         day.cancel("run-000003");
         day.run(answers_s - 2.0);
-        let until = day.world.now + 2.0 * LEASE_S;
-        for o in day.world.owners.iter_mut().take(former) {
-            o.paused_until = until;
-        }
+        day.pause_first(former, 2.0 * LEASE_S);
         day.run(2.0 * LEASE_S);
         day.apart = None;
         day.run(10.0);
--- a/tests/rules/recording.rs
+++ b/tests/rules/recording.rs
@@ -9,7 +9,7 @@
 use sorrelhinge::control::pending::{Due, Haste, Pending};
 use sorrelhinge::shares::LeftTo;
 use sorrelhinge::state::record::chunk_key;
-use sorrelhinge::state::{Outcome, Txn};
+use sorrelhinge::state::Txn;
 use sorrelhinge::types::{JobId, MachineId, Time};
 use sorrelhinge_blocks::served::Sort;
 use sorrelhinge_blocks::shard::{of_job, of_machine, BlockId};
@@ -37,10 +37,7 @@
         let batch = core.next_batch(view, 4, false, Time(2.0)).expect("a claim");
         let txn = serde_json::to_value(&batch.txn).expect("txn");
         assert_eq!(txn["apply"].as_array().map(Vec::len), Some(1));
-        let Outcome::Done(revision) = store.txn(&txn) else {
-            panic!("the claim is refused");
-        };
-        core.committed(batch, revision, view, Time(2.0));
+        commit(store, core, view, batch, Time(2.0));
         let entry = view.job(&id).expect("the job");
         assert!(entry.record.stamp > first && entry.place == first);
         assert_eq!(entry.record.value.place, has.then_some(first));
--- a/tests/rules/scenes.rs
+++ b/tests/rules/scenes.rs
@@ -4,8 +4,9 @@
 
 use serde_json::json;
 use sorrelhinge::api::read_job;
-use sorrelhinge::control::core::Source;
+use sorrelhinge::control::core::{Batch, Core, Source};
 use sorrelhinge::state::record::JobRecord;
+use sorrelhinge::state::view::View;
 use sorrelhinge::state::Outcome;
 use sorrelhinge::types::{JobId, Time};
 
@@ -91,10 +92,16 @@
     while let Some(batch) = o.core.next_batch(&o.view, 4, false, now) {
         let txn = serde_json::to_value(&batch.txn).expect("txn");
         claims += usize::from(txn.to_string().contains("[[0,"));
-        let Outcome::Done(revision) = store.txn(&txn) else {
-            panic!("the claim is refused");
-        };
-        o.core.committed(batch, revision, &mut o.view, now);
+        commit(store, &mut o.core, &mut o.view, batch, now);
     }
     claims
 }
+
+/// Carries out what an owner records, which the state service must not refuse.
+pub(crate) fn commit(store: &mut Store, core: &mut Core, view: &mut View, batch: Batch, now: Time) {
+    let txn = serde_json::to_value(&batch.txn).expect("txn");
+    let Outcome::Done(revision) = store.txn(&txn) else {
+        panic!("refused: {txn}");
+    };
+    core.committed(batch, revision, view, now);
+}
--- a/tests/rules/silence.rs
+++ b/tests/rules/silence.rs
@@ -4,7 +4,6 @@
 
 use sorrelhinge::control::core::Source;
 use sorrelhinge::state::view::View;
-use sorrelhinge::state::Outcome;
 use sorrelhinge::types::{JobId, MachineId, Seq, Time};
 use sorrelhinge::worker::{Report, Sending};
 
@@ -103,11 +102,7 @@
         let Owner { core, view, .. } = &mut owners[0];
         regular(core, Time(2.0));
         let batch = core.next_batch(view, 4, false, Time(2.0)).expect("a claim");
-        let txn = serde_json::to_value(&batch.txn).expect("txn");
-        let Outcome::Done(revision) = store.txn(&txn) else {
-            panic!("the claim is refused");
-        };
-        core.committed(batch, revision, view, Time(2.0));
+        commit(store, core, view, batch, Time(2.0));
         let silent = core.dispatch(view, Time(2.0))[0].machine.clone();
         core.dispatched(&silent, outcome(), Time(2.5));
         let mut gone_at = None;
