--- a/tests/cluster_states/mod.rs
+++ b/tests/cluster_states/mod.rs
@@ -1,10 +1,15 @@
 //! A small cluster that several tests of the placement use.
 
+mod machine_types;
+mod teams;
+
 use std::rc::Rc;
-use std::sync::Arc;
 
 use sorrelhinge::sched::{ClusterState, DelayRule, Machine, Team};
-use sorrelhinge::types::{Amount, MachineId, MachineType, Time, TypeName, Zone};
+use sorrelhinge::types::{Amount, MachineId, Time, Zone};
+
+use self::machine_types::machine_type;
+use self::teams::team;
 
 /// Nobody waits for a machine that has its image.
 pub const RULE: DelayRule = DelayRule {
@@ -20,29 +25,20 @@
     spot: bool,
     teams: &[(&str, f64, Option<f64>)],
 ) -> ClusterState {
-    let kind = Rc::new(MachineType {
-        name: TypeName::from("t"),
-        total: Amount::new(cpus, 0.0, 64.0),
-        cache_gb: 8.0,
-        fetch_gb_per_s: 1.0,
-        price: 1.0,
-        spot_price: 0.3,
-        boot_s: 10.0,
-        zones: vec![Zone::from("za")],
-    });
+    let kind = Rc::new(machine_type(cpus, 64.0, &["za"]));
     let none = Amount {
         cpu: Amount::NO_LIMIT,
         gpu: Amount::NO_LIMIT,
         ram: 0,
     };
-    let team = |(name, cpus, limit): &(&str, f64, Option<f64>)| Team {
-        name: Arc::from(*name),
-        guarantee: Amount::new(*cpus, 0.0, 0.0),
-        limit: limit.map_or(none, |most| Amount::new(most, 0.0, 0.0)),
-        used: Amount::default(),
-        held_back: Amount::default(),
+    let described = |(name, cpus, limit): &(&str, f64, Option<f64>)| match limit {
+        Some(most) => team(name, *cpus, *most),
+        None => Team {
+            limit: none,
+            ..team(name, *cpus, 0.0)
+        },
     };
-    let mut cluster_state = ClusterState::new(teams.iter().map(team).collect());
+    let mut cluster_state = ClusterState::new(teams.iter().map(described).collect());
     for n in 0..machines {
         let mut machine = Machine::new(kind.clone(), Zone::from("za"), spot, Time(0.0));
         machine.usable = true;
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -1,19 +1,24 @@
 //! What is rented, and what a new owner knows.
 
+#[path = "cluster_states/machine_types.rs"]
+mod machine_types;
+#[path = "cluster_states/teams.rs"]
+mod teams;
+
 use std::rc::Rc;
-use std::sync::Arc;
 
 use serde_json::json;
 use sorrelhinge::api::read_job;
 use sorrelhinge::fleet::{plan, Input};
-use sorrelhinge::sched::{ClusterState, Job, Machine, Progress, Tasks, Team};
+use sorrelhinge::sched::{ClusterState, Job, Machine, Progress, Tasks};
 use sorrelhinge::state::record::{job_key, JobRecord};
 use sorrelhinge::state::view::View;
-use sorrelhinge::types::{
-    Amount, Image, JobId, JobSpec, MachineId, MachineType, Revision, TaskId, Time, TypeName, Zone,
-};
+use sorrelhinge::types::{Image, JobId, JobSpec, MachineId, Revision, TaskId, Time, Zone};
 use sorrelhinge_topology::renting::Memory;
 
+use self::machine_types::machine_type;
+use self::teams::team;
+
 fn spec(uid: &str, pieces: u32) -> JobSpec {
     let value = json!({"uid": uid, "jobclass": "batch", "crew": "red", "shape": "sweep",
         "rank": "normal", "pieces": pieces, "cpus": 4.0, "cards": 0.0, "ram_gb": 1.0,
@@ -37,24 +42,9 @@
 /// that has waited for that in vain gets a machine: as much comes as ends.
 #[test]
 fn a_queue_that_lasts_gets_machines() {
-    let kind = Rc::new(MachineType {
-        name: TypeName::from("t"),
-        total: Amount::new(4.0, 0.0, 16.0),
-        cache_gb: 8.0,
-        fetch_gb_per_s: 1.0,
-        price: 1.0,
-        spot_price: 0.3,
-        boot_s: 10.0,
-        zones: vec![Zone::from("za")],
-    });
+    let kind = Rc::new(machine_type(4.0, 16.0, &["za"]));
     let rented = |waited: f64, now: f64| {
-        let mut cluster_state = ClusterState::new(vec![Team {
-            name: Arc::from("red"),
-            guarantee: Amount::new(100.0, 0.0, 0.0),
-            limit: Amount::new(100.0, 0.0, 0.0),
-            used: Amount::default(),
-            held_back: Amount::default(),
-        }]);
+        let mut cluster_state = ClusterState::new(vec![team("red", 100.0, 100.0)]);
         let id = MachineId::from("vm-1");
         let mut machine = Machine::new(kind.clone(), Zone::from("za"), true, Time(0.0));
         machine.usable = true;
--- a/tests/holds.rs
+++ b/tests/holds.rs
@@ -1,17 +1,24 @@
 //! Room held for windows: who may have it, and what is rented for it.
 
+#[path = "cluster_states/machine_types.rs"]
+mod machine_types;
+#[path = "cluster_states/teams.rs"]
+mod teams;
+
 use std::collections::BTreeMap;
 use std::rc::Rc;
-use std::sync::Arc;
 
 use serde_json::json;
 use sorrelhinge::api::read_job;
 use sorrelhinge::fleet::{plan, Coming, Input, Lack, Plan};
-use sorrelhinge::sched::{ClusterState, DelayRule, Hold, Job, Lending, Machine, Tasks, Team};
-use sorrelhinge::types::{Amount, JobId, JobSpec, MachineId, MachineType, Time, TypeName, Zone};
+use sorrelhinge::sched::{ClusterState, DelayRule, Hold, Job, Lending, Machine, Tasks};
+use sorrelhinge::types::{Amount, JobId, JobSpec, MachineId, MachineType, Time, Zone};
 use sorrelhinge_calendar::settings::Window;
 use sorrelhinge_topology::renting::Memory;
 
+use self::machine_types::machine_type;
+use self::teams::team;
+
 const NOW: Time = Time(1000.0);
 const RULE: DelayRule = DelayRule {
     fetches: 0.0,
@@ -19,16 +26,7 @@
 };
 
 fn kind() -> Rc<MachineType> {
-    Rc::new(MachineType {
-        name: TypeName::from("t"),
-        total: Amount::new(4.0, 0.0, 16.0),
-        cache_gb: 8.0,
-        fetch_gb_per_s: 1.0,
-        price: 1.0,
-        spot_price: 0.3,
-        boot_s: 10.0,
-        zones: vec![Zone::from("za"), Zone::from("zb")],
-    })
+    Rc::new(machine_type(4.0, 16.0, &["za", "zb"]))
 }
 
 fn window(zones: &[&str]) -> Rc<Window> {
@@ -40,14 +38,8 @@
 
 /// Two teams, of which the first has a limit, and machines in turn in two zones.
 fn cluster_state(limit: f64, machines: usize) -> ClusterState {
-    let team = |name: &str, limit: f64| Team {
-        name: Arc::from(name),
-        guarantee: Amount::default(),
-        limit: Amount::new(limit, 0.0, 0.0),
-        used: Amount::default(),
-        held_back: Amount::default(),
-    };
-    let mut cluster_state = ClusterState::new(vec![team("red", limit), team("blue", 100.0)]);
+    let mut cluster_state =
+        ClusterState::new(vec![team("red", 0.0, limit), team("blue", 0.0, 100.0)]);
     for n in 0..machines {
         let zone = Zone::from(["za", "zb"][n % 2]);
         let mut machine = Machine::new(kind(), zone, false, NOW);
--- a/tests/place_model.rs
+++ b/tests/place_model.rs
@@ -17,10 +17,16 @@
 use sorrelhinge_protocol::placement::{Device, PlacementRules, Spread};
 use sorrelhinge_topology::Topology;
 
+use self::machine_types::machine_type;
+use self::teams::team;
 use self::trace::Trace;
 
 #[path = "golden_files/mod.rs"]
 mod golden_files;
+#[path = "cluster_states/machine_types.rs"]
+mod machine_types;
+#[path = "cluster_states/teams.rs"]
+mod teams;
 #[path = "golden_files/trace.rs"]
 mod trace;
 
@@ -32,13 +38,9 @@
 fn kind(name: &str, cpus: f64) -> Rc<MachineType> {
     Rc::new(MachineType {
         name: TypeName::from(name),
-        total: Amount::new(cpus, 0.0, 4.0 * cpus),
         cache_gb: 50.0,
         fetch_gb_per_s: 0.5,
-        price: 1.0,
-        spot_price: 0.3,
-        boot_s: 10.0,
-        zones: vec![Zone::from("za"), Zone::from("zb")],
+        ..machine_type(cpus, 4.0 * cpus, &["za", "zb"])
     })
 }
 
@@ -120,14 +122,11 @@
 }
 
 fn teams() -> Vec<Team> {
-    let team = |guarantee: f64, limit: f64, held: f64| Team {
-        name: Arc::from("t"),
-        guarantee: Amount::new(guarantee, 0.0, 0.0),
-        limit: Amount::new(limit, 0.0, 0.0),
-        used: Amount::default(),
-        held_back: Amount::new(held, 0.0, 0.0),
+    let holds_back = Team {
+        held_back: Amount::new(2.0, 0.0, 0.0),
+        ..team("t", 10.0, 24.0)
     };
-    vec![team(10.0, 24.0, 2.0), team(20.0, 30.0, 0.0)]
+    vec![holds_back, team("t", 20.0, 30.0)]
 }
 
 /// Cost, ordinary, free CPUs and memory, place, machine.
@@ -642,13 +641,7 @@
 fn crowded(machines: u32) -> (ClusterState, MachineId) {
     let kinds = [kind("small", 4.0), kind("large", 16.0)];
     let mut rng = StdRng::seed_from_u64(5);
-    let mut cluster_state = ClusterState::new(vec![Team {
-        name: Arc::from("t"),
-        guarantee: Amount::new(1000.0, 0.0, 0.0),
-        limit: Amount::new(1e6, 0.0, 0.0),
-        used: Amount::default(),
-        held_back: Amount::default(),
-    }]);
+    let mut cluster_state = ClusterState::new(vec![team("t", 1000.0, 1e6)]);
     let ids: Vec<MachineId> = (0..machines)
         .map(|n| MachineId::from(format!("vm-{n:05}").as_str()))
         .collect();
@@ -715,13 +708,7 @@
     let mut rng = StdRng::seed_from_u64(3);
     let id = MachineId::from("vm-1");
     let mut first_at = |now: f64| {
-        let mut cluster_state = ClusterState::new(vec![Team {
-            name: Arc::from("t"),
-            guarantee: Amount::new(10.0, 0.0, 0.0),
-            limit: Amount::new(100.0, 0.0, 0.0),
-            used: Amount::default(),
-            held_back: Amount::default(),
-        }]);
+        let mut cluster_state = ClusterState::new(vec![team("t", 10.0, 100.0)]);
         for (n, submitted) in [(0, 0.0), (1, 60.0)] {
             let mut j = job(&mut rng, n, std::slice::from_ref(&id));
             let mut spec = (*j.spec).clone();
--- a/tests/rules/main.rs
+++ b/tests/rules/main.rs
@@ -9,6 +9,8 @@
 #[path = "../golden_files/mod.rs"]
 mod golden_files;
 mod invariants;
+#[path = "../cluster_states/machine_types.rs"]
+mod machine_types;
 mod meetings;
 mod mistaken;
 mod orders;
--- a/tests/rules/workload.rs
+++ b/tests/rules/workload.rs
@@ -3,21 +3,13 @@
 use rand::rngs::StdRng;
 use rand::Rng;
 use serde_json::{json, Value};
-use sorrelhinge::types::{Amount, MachineType, TypeName, Zone};
+use sorrelhinge::types::MachineType;
 
+use crate::machine_types::machine_type;
 use crate::*;
 
 pub(crate) fn kinds() -> Vec<MachineType> {
-    vec![MachineType {
-        name: TypeName::from("t"),
-        total: Amount::new(4.0, 0.0, 16.0),
-        cache_gb: 8.0,
-        fetch_gb_per_s: 1.0,
-        price: 1.0,
-        spot_price: 0.3,
-        boot_s: 10.0,
-        zones: vec![Zone::from("za"), Zone::from("zb")],
-    }]
+    vec![machine_type(4.0, 16.0, &["za", "zb"])]
 }
 
 /// Two switches in each zone, told by the last digit of a machine's name, and
--- a/tests/sched_model.rs
+++ b/tests/sched_model.rs
@@ -1,15 +1,23 @@
 //! The delay walk and the shares compared with slow plain models on generated
 //! cases.
 
+#[path = "cluster_states/machine_types.rs"]
+mod machine_types;
+#[path = "cluster_states/teams.rs"]
+mod teams;
+
 use std::rc::Rc;
 use std::sync::Arc;
 
 use proptest::prelude::*;
-use sorrelhinge::sched::{water_fill, ClusterState, DelayRule, Job, Machine, Tasks, Team};
+use sorrelhinge::sched::{water_fill, ClusterState, DelayRule, Job, Machine, Tasks};
 use sorrelhinge::types::{
-    Amount, Image, JobId, JobSpec, Kind, MachineId, MachineType, Priority, Time, TypeName, Zone,
+    Amount, Image, JobId, JobSpec, Kind, MachineId, MachineType, Priority, Time, Zone,
 };
 
+use self::machine_types::machine_type;
+use self::teams::team;
+
 /// Pours water in small cups, always into the emptiest open bucket.
 fn pour(capacity: f64, minimum: &[f64], demand: &[f64]) -> Vec<f64> {
     let cup = capacity / 4000.0;
@@ -37,14 +45,8 @@
 
 fn kind() -> Rc<MachineType> {
     Rc::new(MachineType {
-        name: TypeName::from("t"),
-        total: Amount::new(8.0, 0.0, 64.0),
-        cache_gb: 8.0,
-        fetch_gb_per_s: 1.0,
-        price: 1.0,
         spot_price: 1.0,
-        boot_s: 10.0,
-        zones: vec![Zone::from("z")],
+        ..machine_type(8.0, 64.0, &["z"])
     })
 }
 
@@ -216,13 +218,9 @@
         finish in prop::collection::vec(any::<bool>(), 5),
     ) {
         let rule = DelayRule { fetches: 1.0, max_s: 9.0 };
-        let mut cluster_state = ClusterState::new((0..2).map(|t| Team {
-            name: Arc::from("t"),
-            guarantee: Amount::new(GUARANTEE[t] as f64, 0.0, 0.0),
-            limit: Amount::new(LIMIT[t] as f64, 0.0, 0.0),
-            used: Amount::default(),
-            held_back: Amount::default(),
-        }).collect());
+        let mut cluster_state = ClusterState::new(
+            (0..2).map(|t| team("t", GUARANTEE[t] as f64, LIMIT[t] as f64)).collect(),
+        );
         let (m, full) = (MachineId::from("vm-1"), MachineId::from("vm-2"));
         for (id, images, used) in [(&m, &here, 0.0), (&full, &elsewhere, 8.0)] {
             let mut machine = Machine::new(kind(), Zone::from("z"), false, Time(0.0));
--- a/tests/staging.rs
+++ b/tests/staging.rs
@@ -1,6 +1,11 @@
 //! Images that go from machine to machine, as the owner of the block decides:
 //! the core alone, with what the state service and the workers would say.
 
+#[path = "cluster_states/machine_types.rs"]
+mod machine_types;
+#[path = "cluster_states/teams.rs"]
+mod teams;
+
 mod settings;
 
 use std::collections::{BTreeMap, BTreeSet};
@@ -10,28 +15,25 @@
 use sorrelhinge::api::read_job;
 use sorrelhinge::config::Tuning;
 use sorrelhinge::control::core::{Batch, Core, Source};
-use sorrelhinge::sched::{ClusterState, DelayRule, Job, Machine, Tasks, Team};
+use sorrelhinge::sched::{ClusterState, DelayRule, Job, Machine, Tasks};
 use sorrelhinge::state::record::{image_hash, job_key, wave_key, JobRecord, GRANT};
 use sorrelhinge::state::view::View;
 use sorrelhinge::types::{
-    Amount, Image, JobId, JobSpec, Kind, MachineId, MachineType, Priority, Revision, Time,
-    TypeName, Zone,
+    Image, JobId, JobSpec, Kind, MachineId, MachineType, Priority, Revision, Time, Zone,
 };
 use sorrelhinge::worker::Sending;
 use sorrelhinge_blocks::shard::BlockId;
 
+use self::machine_types::machine_type;
+use self::teams::team;
+
 const MODEL: &str = "llm-1";
 
 fn kind() -> MachineType {
     MachineType {
-        name: TypeName::from("t"),
-        total: Amount::new(4.0, 0.0, 16.0),
         cache_gb: 100.0,
         fetch_gb_per_s: 0.5,
-        price: 1.0,
-        spot_price: 0.3,
-        boot_s: 10.0,
-        zones: vec![Zone::from("za"), Zone::from("zb")],
+        ..machine_type(4.0, 16.0, &["za", "zb"])
     }
 }
 
@@ -394,14 +396,7 @@
 }
 
 fn cluster_state(machines: usize) -> ClusterState {
-    let team = Team {
-        name: "red".into(),
-        guarantee: Amount::new(100.0, 0.0, 0.0),
-        limit: Amount::new(100.0, 0.0, 0.0),
-        used: Amount::default(),
-        held_back: Amount::default(),
-    };
-    let mut cluster_state = ClusterState::new(vec![team]);
+    let mut cluster_state = ClusterState::new(vec![team("red", 100.0, 100.0)]);
     cluster_state.staged_gb = Some(20.0);
     for n in 0..machines {
         let mut machine = Machine::new(Rc::new(kind()), Zone::from("za"), false, Time(0.0));
--- a/tests/topology_cases.rs
+++ b/tests/topology_cases.rs
@@ -1,22 +1,26 @@
 //! The hard cases of placing by failure domains and devices, one by one, on a
 //! cluster state or with the block owner's core.
 
+#[path = "cluster_states/machine_types.rs"]
+mod machine_types;
+#[path = "cluster_states/teams.rs"]
+mod teams;
+
 mod settings;
 
 use std::collections::BTreeSet;
 use std::rc::Rc;
-use std::sync::Arc;
 
 use serde_json::{json, Value};
 use sorrelhinge::control::core::{Core, Source};
 use sorrelhinge::fleet;
 use sorrelhinge::sched::{
-    Claim, ClusterState, DelayRule, Job, Launch, Machine, Moving, Progress, Sent, Tasks, Team,
+    Claim, ClusterState, DelayRule, Job, Launch, Machine, Moving, Progress, Sent, Tasks,
 };
 use sorrelhinge::state::record::{job_key, JobRecord, GRANT};
 use sorrelhinge::state::view::View;
 use sorrelhinge::types::{
-    Amount, JobId, JobSpec, MachineId, MachineType, Revision, TaskId, Time, TypeName, Zone,
+    JobId, JobSpec, MachineId, MachineType, Revision, TaskId, Time, TypeName, Zone,
 };
 use sorrelhinge_protocol::placement::PlacementRules;
 use sorrelhinge_protocol::users::read_job;
@@ -25,6 +29,9 @@
 use sorrelhinge_topology::repair::Stability;
 use sorrelhinge_topology::Topology;
 
+use self::machine_types::machine_type;
+use self::teams::team;
+
 const RULE: DelayRule = DelayRule {
     fetches: 0.0,
     max_s: 0.0,
@@ -32,14 +39,9 @@
 
 fn kind() -> Rc<MachineType> {
     Rc::new(MachineType {
-        name: TypeName::from("t"),
-        total: Amount::new(4.0, 0.0, 16.0),
         cache_gb: 20.0,
-        fetch_gb_per_s: 1.0,
-        price: 1.0,
         spot_price: 0.5,
-        boot_s: 10.0,
-        zones: ["za", "zb"].map(Zone::from).to_vec(),
+        ..machine_type(4.0, 16.0, &["za", "zb"])
     })
 }
 
@@ -78,13 +80,7 @@
 
 impl World {
     fn new(topology: &Rc<Topology>, zones: &str, switches: u32, machines: u32) -> Self {
-        let mut cluster_state = ClusterState::new(vec![Team {
-            name: Arc::from("t"),
-            guarantee: Amount::new(100.0, 0.0, 0.0),
-            limit: Amount::new(1000.0, 0.0, 0.0),
-            used: Amount::default(),
-            held_back: Amount::default(),
-        }]);
+        let mut cluster_state = ClusterState::new(vec![team("t", 100.0, 1000.0)]);
         for zone in zones.chars() {
             for s in 0..switches {
                 for n in 0..machines {
