--- a/tests/golden_formats/records.rs
+++ b/tests/golden_formats/records.rs
@@ -156,67 +156,82 @@
 #[test]
 fn records_of_controllers_are_the_golden_ones() {
     let mut golden = Golden::default();
-    let node = || NodeId::from("n-0");
+    add_leaders(&mut golden);
+    add_blocks(&mut golden);
+    add_json(&mut golden, "member", &MemberRecord { run: 9 });
+    add_machines(&mut golden);
+    golden.check("records_of_controllers.txt");
+}
+
+fn add_leaders(golden: &mut Golden) {
     let leader = LeaderRecord {
-        node: node(),
+        node: NodeId::from("n-0"),
         run: 9,
         term: Term(3),
     };
-    add_json(&mut golden, "leader", &leader);
-    for (name, owner) in [("grant", Some(node())), ("grant to nobody", None)] {
+    add_json(golden, "leader", &leader);
+    for (name, owner) in [
+        ("grant", Some(NodeId::from("n-0"))),
+        ("grant to nobody", None),
+    ] {
         let grant = GrantRecord {
             owner,
             term: Term(3),
             number: 12,
         };
-        add_json(&mut golden, name, &grant);
+        add_json(golden, name, &grant);
     }
+}
+
+fn add_blocks(golden: &mut Golden) {
     let several = Fence {
         version: 1,
         blocks: 3,
     };
-    add_json(&mut golden, "grant of several blocks", &several);
+    add_json(golden, "grant of several blocks", &several);
     let map = MapRecord {
         version: MapRecord::VERSION,
         blocks: 3,
     };
-    add_json(&mut golden, "map", &map);
+    add_json(golden, "map", &map);
     let block = BlockRecord {
         version: BlockRecord::VERSION,
-        owner: node(),
+        owner: NodeId::from("n-0"),
         run: 9,
         term: Term(3),
         number: 12,
         to: Some(NodeId::from("n-1")),
         pin: Some(NodeId::from("n-2")),
     };
-    add_json(&mut golden, "block", &block);
+    add_json(golden, "block", &block);
     let settled = BlockRecord {
         to: None,
         pin: None,
         ..block
     };
-    add_json(&mut golden, "block that stays", &settled);
+    add_json(golden, "block that stays", &settled);
     let part = Amount {
         cpu: 8000,
         gpu: 1000,
         ram: 5,
     };
     let slice = SliceRecord::new([("vision".to_owned(), part)].into_iter());
-    add_json(&mut golden, "slice", &slice);
-    add_json(&mut golden, "member", &MemberRecord { run: 9 });
+    add_json(golden, "slice", &slice);
+}
+
+fn add_machines(golden: &mut Golden) {
     let gone = GoneRecord {
         version: GoneRecord::VERSION,
         machines: vec![MachineId::from("vm-000231")],
     };
-    add_json(&mut golden, "gone machines", &gone);
+    add_json(golden, "gone machines", &gone);
     let wave = WaveRecord {
         v: sorrelhinge_staging::record::VERSION,
         image: Image::from("img-07"),
         stage: 4,
         seeds: vec![MachineId::from("vm-000231")],
     };
-    add_json(&mut golden, "wave", &wave);
+    add_json(golden, "wave", &wave);
     for (name, target, keep) in [
         ("domain", Target::Domain("za/s0".into()), false),
         ("machine", Target::Machine("vm-000231".into()), true),
@@ -229,7 +244,7 @@
             away: 2,
             keep,
         };
-        add_json(&mut golden, &format!("drain of a {name}"), &drain);
+        add_json(golden, &format!("drain of a {name}"), &drain);
     }
     let progress = Progress {
         machines: 6,
@@ -237,8 +252,7 @@
         tasks: 17,
         stopping: 4,
     };
-    add_json(&mut golden, "progress of a drain", &progress);
-    golden.check("records_of_controllers.txt");
+    add_json(golden, "progress of a drain", &progress);
 }
 
 #[test]
--- a/tests/place_model.rs
+++ b/tests/place_model.rs
@@ -250,6 +250,18 @@
 }
 
 impl Model {
+    /// Without machines and jobs.
+    fn new(shape: Amount) -> Self {
+        Self {
+            machines: BTreeMap::new(),
+            jobs: BTreeMap::new(),
+            shapes: vec![shape],
+            used: vec![Amount::default(); 2],
+            at: BTreeMap::new(),
+            sites: Sites::default(),
+        }
+    }
+
     fn pending(&self, id: &JobId) -> u32 {
         self.jobs[id].spec.tasks - self.at.get(id).map_or(0, |v| v.len() as u32)
     }
@@ -488,14 +500,8 @@
     let ids: Vec<MachineId> = (0..rng.random_range(3..14))
         .map(|n| MachineId::from(format!("vm-{n:03}").as_str()))
         .collect();
-    let mut model = Model {
-        machines: BTreeMap::new(),
-        jobs: BTreeMap::new(),
-        shapes: vec![Amount::new(f64::from(rng.random_range(2..7)), 0.0, 6.0)],
-        used: vec![Amount::default(); 2],
-        at: BTreeMap::new(),
-        sites: Sites::default(),
-    };
+    let shape = Amount::new(f64::from(rng.random_range(2..7)), 0.0, 6.0);
+    let mut model = Model::new(shape);
     let mut cluster_state = ClusterState::new(teams());
     cluster_state.shapes = model.shapes.clone();
     for id in &ids {
