--- a/src/sched/rebalance.rs
+++ b/src/sched/rebalance.rs
@@ -2,7 +2,9 @@
 //! after a domain came back. A task can't run twice, so what is made before
 //! the break is its place: room elsewhere is reserved, then it is stopped.
 
-use sorrelhinge_topology::drain::{self, Drain, Step, Tenant};
+use std::collections::HashMap;
+
+use sorrelhinge_topology::drain::{self, Drain, Step, Target, Tenant};
 use sorrelhinge_topology::policy::Reach;
 use sorrelhinge_topology::repair::Stability;
 
@@ -31,6 +33,42 @@
     pub stability: &'a Stability,
 }
 
+/// A drain, the seconds left of it, and its place among all.
+type NumberedDrain<'a> = (usize, &'a (Drain, f64));
+
+/// Drains by what they cover: each machine of a fleet may have one of its own, and is not
+/// compared with those of all the others.
+struct DrainsByTarget<'a> {
+    machines: HashMap<&'a str, Vec<NumberedDrain<'a>>>,
+    domains: Vec<NumberedDrain<'a>>,
+}
+
+impl<'a> DrainsByTarget<'a> {
+    fn new(drains: &'a [(Drain, f64)]) -> Self {
+        let mut by_target = Self {
+            machines: HashMap::new(),
+            domains: Vec::new(),
+        };
+        for numbered in drains.iter().enumerate() {
+            match &numbered.1 .0.target {
+                Target::Machine(name) => by_target
+                    .machines
+                    .entry(name.as_str())
+                    .or_default()
+                    .push(numbered),
+                Target::Domain(_) => by_target.domains.push(numbered),
+            }
+        }
+        by_target
+    }
+
+    /// Those that may cover a machine: its own, and those of domains.
+    fn candidates(&self, id: &MachineId) -> impl Iterator<Item = NumberedDrain<'a>> + '_ {
+        let own = self.machines.get(id.as_str()).into_iter().flatten();
+        own.chain(&self.domains).copied()
+    }
+}
+
 impl ClusterState {
     /// Tasks of a job that don't run where they should.
     fn away(job: &Job) -> u32 {
@@ -42,22 +80,31 @@
     }
 
     /// Which drain covers a machine: the one that ends first.
-    fn drain_of<'a>(&self, id: &MachineId, moving: &Moving<'a>) -> Option<&'a (Drain, f64)> {
+    fn drain_of<'a>(
+        &self,
+        id: &MachineId,
+        drains: &DrainsByTarget<'a>,
+    ) -> Option<&'a (Drain, f64)> {
         let topology = self.topology.as_ref()?;
         let machine = self.machines.get(id)?;
         let covers = |d: &Drain| d.target.covers(&topology.tree, machine.place, id.as_str());
-        moving
-            .drains
-            .iter()
-            .filter(|(d, _)| covers(d))
-            .min_by(|a, b| a.1.total_cmp(&b.1))
+        let covering = drains.candidates(id).filter(|(_, (d, _))| covers(d));
+        let first = covering.min_by(|(n, a), (m, b)| a.1.total_cmp(&b.1).then(n.cmp(m)));
+        first.map(|(_, drain)| drain)
     }
 
     /// The machines that drains cover now.
     pub fn drained<'a>(&'a self, drain: &'a Drain) -> impl Iterator<Item = &'a MachineId> + 'a {
         let topology = self.topology.as_deref();
-        self.machines
-            .iter()
+        let (own, of_domain) = match &drain.target {
+            Target::Machine(name) => {
+                let own = self.machines.get_key_value(&MachineId::from(name.as_str()));
+                (own, None)
+            }
+            Target::Domain(_) => (None, Some(self.machines.iter())),
+        };
+        own.into_iter()
+            .chain(of_domain.into_iter().flatten())
             .filter(move |(id, m)| {
                 topology.is_some_and(|t| drain.target.covers(&t.tree, m.place, id.as_str()))
             })
@@ -73,9 +120,10 @@
             .filter(|(_, m)| m.draining && !m.claims.is_empty())
             .map(|(id, _)| id.clone())
             .collect();
+        let drains = DrainsByTarget::new(moving.drains);
         let mut moves = Vec::new();
         for m_id in draining {
-            let Some((drain, left_s)) = self.drain_of(&m_id, moving) else {
+            let Some((drain, left_s)) = self.drain_of(&m_id, &drains) else {
                 continue;
             };
             for task in self.claims_on(&m_id) {
