--- a/tests/fleet_limits.rs
+++ b/tests/fleet_limits.rs
@@ -190,7 +190,10 @@
 impl Heard for Slow {
     fn hint(&self, _: Revision, _: &NodeId, _: Standing, _: u16) {}
     fn homed(&self, text: &[u8]) -> Answered {
-        (200, text.to_vec())
+        Answered {
+            status: 200,
+            text: text.to_vec(),
+        }
     }
     fn heard(&self, _: &[HeardOf]) {}
     fn share(&self, _: Kind, _: &[u8]) {}
@@ -201,7 +204,7 @@
             if !self.answers.get() {
                 released.await;
             }
-            (200, text)
+            Answered { status: 200, text }
         })
     }
 }
@@ -225,7 +228,7 @@
         let (peers, other, text) = (peers.clone(), other.clone(), n.to_string().into_bytes());
         spawn_local(async move {
             let answer = peers.pass_on_within(&other, kind, text.clone(), PATIENCE);
-            answer.await == Some((200, text))
+            answer.await == Some(Answered { status: 200, text })
         })
     });
     let passed: Vec<_> = passed.collect();
