--- a/src/control/core/calendar_needs.rs
+++ b/src/control/core/calendar_needs.rs
@@ -11,7 +11,6 @@
 use sorrelhinge_calendar::shown::{rows, WindowShown};
 
 use super::calendar::spec_of;
-use super::renting::is_drained;
 use super::Core;
 use crate::fleet;
 use crate::sched::HoldSeen;
@@ -148,9 +147,9 @@
     ) -> Option<Option<TypeName>> {
         let fits = |t: &MachineType| {
             window.each().fits(t.total)
-                && t.zones
-                    .iter()
-                    .any(|z| zone.is_none_or(|own| own == z) && self.is_open(&t.name, z, now))
+                && t.zones.iter().any(|z| {
+                    zone.is_none_or(|own| own == z) && self.may_request(&t.name, z, false, now)
+                })
         };
         if window.types.is_empty() {
             return self.types.values().any(|t| fits(t)).then_some(None);
@@ -185,16 +184,11 @@
                 return true;
             }
             any = true;
-            !self.is_open(&t.name, z, now)
+            !self.may_request(&t.name, z, false, now)
         });
         (any && closed).then_some(Refused::Capacity)
     }
 
-    fn is_open(&self, kind: &TypeName, zone: &Zone, now: Time) -> bool {
-        let refused = self.refused.get(&(kind.clone(), zone.clone(), false));
-        refused.is_none_or(|until| now >= *until) && !is_drained(&self.drains, zone)
-    }
-
     /// How many tasks' room of a window fits into its team's limit, beside the
     /// team's other work and windows that come first.
     pub(super) fn fits(
--- /dev/null
+++ b/src/control/core/demand.rs
@@ -0,0 +1,100 @@
+//! Room that is kept for work to come: what arrived of late, and what that lets
+//! expect while a new machine boots.
+
+use std::collections::HashMap;
+use std::sync::Arc;
+
+use super::aims::Arrivals;
+use super::Core;
+use crate::fleet;
+use crate::types::{Amount, Kind, Priority, Time};
+
+/// For how long an arrival counts, in seconds.
+const ARRIVAL_WINDOW_S: f64 = 180.0;
+/// Arrivals are taken to have come within no less than this, in seconds.
+const MIN_ARRIVAL_SPAN_S: f64 = 30.0;
+/// Of a larger job only so many tasks count.
+const MAX_COUNTED_TASKS: u32 = 1000;
+/// Room is kept for what comes in so many usual boots.
+const BOOTS_COVERED: f64 = 1.5;
+/// More room for replicas: the more there is, the more likely some of it has
+/// the image, and a fetch takes longer than their users wait.
+const SERVICE_ROOM: f64 = 1.7;
+/// Tasks of arrays and gangs end and make room: only this share of a burst is kept for.
+const BURST_SHARE: f64 = 0.6;
+/// At most one such part of a team's limit is held back.
+const HELD_BACK_DIVISOR: i64 = 10;
+
+impl Core {
+    /// Room to keep for each class that came of late: a typical job of it.
+    pub(super) fn expected(&mut self, now: Time) -> Vec<fleet::Expected> {
+        self.forget_old_arrivals(now);
+        self.cluster_state.shapes = self.arrivals.values().map(|a| a.spec.each).collect();
+        self.hold_back();
+        let headroom = self.cfg.tuning.headroom;
+        let firsts = self.arrivals.values().filter_map(|a| a.recent.front());
+        let first = Time(firsts.map(|(t, _)| t.0).fold(now.0, f64::min));
+        let span_s = now.since(first).clamp(MIN_ARRIVAL_SPAN_S, ARRIVAL_WINDOW_S);
+        self.arrivals
+            .values()
+            // Work of idle priority takes what is left.
+            .filter(|a| a.spec.priority > Priority::Idle)
+            .map(|a| fleet::Expected {
+                spec: a.spec.clone(),
+                tasks: (headroom * self.tasks_while_booting(a, span_s)).ceil() as u32,
+            })
+            .collect()
+    }
+
+    /// Drops arrivals that are too old to count, and classes of which none is left.
+    fn forget_old_arrivals(&mut self, now: Time) {
+        for arrivals in self.arrivals.values_mut() {
+            arrivals
+                .recent
+                .retain(|(t, _)| now.since(*t) < ARRIVAL_WINDOW_S);
+        }
+        self.arrivals.retain(|_, a| !a.recent.is_empty());
+    }
+
+    /// Tasks of a class that come while a machine boots, and how much that varies
+    /// when they come in jobs. All classes' arrivals came within `span_s` seconds.
+    fn tasks_while_booting(&self, arrivals: &Arrivals, span_s: f64) -> f64 {
+        let sizes = arrivals.recent.iter().map(|(_, tasks)| *tasks);
+        let sum: u32 = sizes.map(|tasks| tasks.min(MAX_COUNTED_TASKS)).sum();
+        let mean = f64::from(sum) / arrivals.recent.len() as f64;
+        let boot_s = BOOTS_COVERED * self.boot_s();
+        let come = f64::from(sum) / span_s * boot_s;
+        let burst = (come * mean).sqrt();
+        match arrivals.spec.kind {
+            // Replicas stay: none makes room for the next.
+            Kind::Service => SERVICE_ROOM * (come + burst),
+            Kind::Array | Kind::Gang => BURST_SHARE * burst * self.haste(&arrivals.spec),
+        }
+    }
+
+    /// Within each team's limit, room for a job of the classes whose users
+    /// wait for its start: other work of the team must not take the last.
+    pub(super) fn hold_back(&mut self) {
+        let mut most: HashMap<Arc<str>, Amount> = HashMap::new();
+        for a in self.arrivals.values() {
+            if self.starts_within(&a.spec.class).is_some() {
+                let largest = a.recent.iter().map(|(_, n)| *n).max().unwrap_or(0);
+                let job = a.spec.each.times(i64::from(largest.min(MAX_COUNTED_TASKS)));
+                let held = most.entry(a.spec.team.clone()).or_default();
+                if held.cpu < job.cpu {
+                    *held = job;
+                }
+            }
+        }
+        for (i, team) in self.cfg.teams.iter().enumerate() {
+            let held = most.get(&team.name).copied().unwrap_or_default();
+            // A small part of the limit only.
+            let held = if held.cpu * HELD_BACK_DIVISOR <= self.cluster_state.teams()[i].limit.cpu {
+                held
+            } else {
+                Amount::default()
+            };
+            self.cluster_state.hold_back(i, held);
+        }
+    }
+}
--- /dev/null
+++ b/src/control/core/fleet_log.rs
@@ -0,0 +1,85 @@
+//! What is used and free on all machines, for the log.
+
+use super::Core;
+use crate::types::Time;
+
+/// How often that is logged, in seconds.
+const FLEET_LOG_INTERVAL_S: f64 = 10.0;
+
+/// Amounts of CPU are counted in thousandths.
+const CPU: i64 = 1000;
+
+/// Machines of one sort, ordinary or spot, and whole CPUs on them.
+#[derive(Default)]
+struct MachineTotals {
+    machines: i64,
+    cpus: i64,
+    used: i64,
+}
+
+impl Core {
+    /// Logs the totals if that is due.
+    pub(super) fn log_fleet_if_due(&mut self, now: Time) {
+        if now.since(self.last_fleet) >= FLEET_LOG_INTERVAL_S {
+            self.last_fleet = now;
+            self.log_fleet();
+        }
+    }
+
+    fn log_fleet(&self) {
+        let ordinary = self.machine_totals(false);
+        let spot = self.machine_totals(true);
+        let wanting = self.cluster_state.wanting();
+        let pending: u32 = wanting.map(|(_, j)| j.tasks.pending()).sum();
+        let machines = self.cluster_state.machines().values();
+        let retiring = machines.filter(|m| m.retiring).count();
+        tracing::info!(
+            ordinary = ordinary.machines,
+            cpus = ordinary.cpus,
+            used = ordinary.used,
+            spot = spot.machines,
+            spot_cpus = spot.cpus,
+            spot_used = spot.used,
+            coming = self.coming.len(),
+            retiring,
+            pending,
+            teams = self.team_usage(),
+            kinds = self.use_by_type(),
+            "fleet"
+        );
+    }
+
+    fn machine_totals(&self, spot: bool) -> MachineTotals {
+        let mut totals = MachineTotals::default();
+        let machines = self.cluster_state.machines().values();
+        for machine in machines.filter(|m| m.spot == spot) {
+            totals.machines += 1;
+            totals.cpus += machine.kind.total.cpu / CPU;
+            totals.used += machine.used.cpu / CPU;
+        }
+        totals
+    }
+
+    /// Each team with the whole CPUs that it uses.
+    fn team_usage(&self) -> String {
+        let teams = self.cluster_state.teams().iter();
+        let usage: Vec<String> = teams
+            .map(|t| format!("{}:{}", t.name, t.used.cpu / CPU))
+            .collect();
+        usage.join(",")
+    }
+
+    /// Each machine type with its machines, and whole CPUs there, used and needed.
+    fn use_by_type(&self) -> String {
+        let usage: Vec<String> = self
+            .cluster_state
+            .use_of_kinds()
+            .iter()
+            .map(|(kind, sum)| {
+                let [machines, cpus, used, needed] = sum;
+                format!("{kind}:{machines}/{cpus}/{used}/{needed}")
+            })
+            .collect();
+        usage.join(",")
+    }
+}
--- /dev/null
+++ b/src/control/core/scale_in.rs
@@ -0,0 +1,217 @@
+//! Scale-in: machines to delete because they are lost, and those to empty and give
+//! back because no plan has use for them.
+
+use std::collections::BTreeSet;
+
+use super::link::Link;
+use super::{Coming, Core};
+use crate::fleet;
+use crate::sched::Machine;
+use crate::types::{MachineId, Time};
+use crate::worker::TaskPhase;
+
+/// A machine was heard of late if that is less than so many report intervals ago.
+const HEARD_REPORTS: f64 = 2.5;
+/// A machine that was asked directly so often in vain hangs.
+const HANGS: u32 = 2;
+/// So does one that was asked once and is silent for so many report intervals.
+const HANGS_REPORTS: f64 = 2.2;
+/// A machine never comes if it takes longer than so many usual boots and a margin.
+const STUCK_BOOTS: f64 = 2.5;
+/// The margin, in seconds: a usual boot may be short.
+const STUCK_MARGIN_S: f64 = 10.0;
+/// The boot of a machine of an unknown type, in seconds.
+const DEFAULT_BOOT_S: f64 = 30.0;
+/// Nor does a machine come that so many of the cloud's machine lists lack.
+const MISSING_LISTS: u32 = 2;
+/// A machine may go once plans had no use for it for this share of the time.
+const UNUSED_SHARE: f64 = 0.6;
+/// An empty machine is given back only after so many seconds.
+const EMPTY_S: f64 = 2.0;
+/// Once nothing has run for so many seconds, and nothing waits, machines go.
+const IDLE_S: f64 = 20.0;
+
+/// How long plans had no use for a machine.
+struct Disuse {
+    machine: MachineId,
+    /// The present plan has none.
+    now: bool,
+    /// The share of the time, 0 to 1, the last plans counting most.
+    share: f64,
+}
+
+impl Core {
+    /// Whether a machine's silence tells anything. If most are silent it is this
+    /// controller that can't hear. Nor does silence tell anything where requests
+    /// wait too long to be read: giving machines back then, and renting others, is
+    /// how a fleet that is too large for its controllers would be kept so.
+    pub(super) fn trusts_silence(&self, now: Time) -> bool {
+        let limit_s = HEARD_REPORTS * self.cfg.report_s;
+        let links = self.links.values();
+        let heard = links.filter(|l| now.since(l.last_heard) < limit_s).count();
+        heard * 2 > self.links.len()
+            && now.since(self.started) > self.cfg.silent_s()
+            && now >= self.deaf_until
+    }
+
+    /// Gives back machines that report and hear nothing.
+    pub(super) fn give_back_deaf(&mut self, now: Time) {
+        for id in self.deaf(now) {
+            tracing::info!(machine = %id, "it reports and hears nothing: given back");
+            self.give_back(&id);
+        }
+    }
+
+    /// Machines to delete now: those that were chosen to go and are empty, those that
+    /// are lost, and those that never came.
+    pub(super) fn machines_to_delete(&mut self, trusts_silence: bool, now: Time) -> Vec<MachineId> {
+        let mut to_delete = Vec::new();
+        for (id, link) in &mut self.links {
+            if link.leaving && is_empty(link, self.cluster_state.machines().get(id)) {
+                link.deleting = true;
+            }
+            let quiet_s = now.since(link.last_heard);
+            let hangs = hangs(link, quiet_s, self.cfg.report_s);
+            if trusts_silence && (quiet_s > self.cfg.silent_s() || hangs) {
+                if hangs && !link.deleting {
+                    tracing::info!(machine = %id, quiet_s, "it hangs: given back");
+                }
+                link.deleting = true;
+            }
+            if link.deleting {
+                to_delete.push(id.clone());
+            }
+        }
+        let never_came = self.coming.iter();
+        let never_came = never_came.filter(|(id, coming)| self.never_comes(id, coming, now));
+        to_delete.extend(never_came.map(|(id, _)| id.clone()));
+        to_delete
+    }
+
+    /// Whether a machine that was rented is not to be waited for any longer.
+    fn never_comes(&self, id: &MachineId, coming: &Coming, now: Time) -> bool {
+        let boot_s = self.types.get(&coming.kind).map(|t| t.boot_s);
+        let limit_s = STUCK_BOOTS * boot_s.unwrap_or(DEFAULT_BOOT_S) + STUCK_MARGIN_S;
+        let missing = self.missing.get(id).is_some_and(|n| *n >= MISSING_LISTS);
+        now.since(coming.since) > limit_s || missing
+    }
+
+    /// Whether nothing is to be done and nothing was asked for: the next job finds a
+    /// new machine, rather than its like all being paid for until it comes.
+    pub(super) fn is_idle(&self, now: Time) -> bool {
+        let mut machines = self.cluster_state.machines().values();
+        !self.cluster_state.has_work()
+            && machines.all(|m| m.claims.is_empty() && now.since(m.idle_since) > IDLE_S)
+    }
+
+    /// Chooses the machines to go, by the plan, and gives back those that are empty.
+    pub(super) fn scale_in(&mut self, plan: &fleet::Plan, idle: bool, now: Time) {
+        let disuse = self.measure_disuse(plan, now);
+        let candidates = self.scale_in_candidates(&disuse, idle);
+        let retiring = self.above_guarantees(candidates, idle);
+        for id in self.mark_machines(plan, disuse, &retiring, now) {
+            if let Some(link) = self.links.get_mut(&id) {
+                link.leaving = true;
+            }
+            self.refresh_machine(&id, now);
+        }
+    }
+
+    /// Only what had no use for long falls idle on purpose: a machine with a warm
+    /// cache is worth more than a new one.
+    fn measure_disuse(&mut self, plan: &fleet::Plan, now: Time) -> Vec<Disuse> {
+        let passed_s = now.since(self.last_plan);
+        let weight = 1.0 - (-passed_s / self.cfg.tuning.idle_s.max(1.0)).exp();
+        self.last_plan = now;
+        let machines = self.cluster_state.machines().iter();
+        machines
+            .map(|(id, machine)| {
+                let unused = plan.unused.contains(id);
+                let value = f64::from(u8::from(unused));
+                Disuse {
+                    machine: id.clone(),
+                    now: unused,
+                    share: machine.unused + (value - machine.unused) * weight,
+                }
+            })
+            .collect()
+    }
+
+    /// Machines without use, the dearest first.
+    fn scale_in_candidates(&self, disuse: &[Disuse], idle: bool) -> Vec<MachineId> {
+        // What can't be served goes as soon as it has no use.
+        let max = self.most_machines;
+        let excess = max.is_some_and(|max| self.machines() > max);
+        let mut candidates: Vec<(f64, &MachineId)> = disuse
+            .iter()
+            .filter(|d| d.now && (d.share > UNUSED_SHARE || idle || excess))
+            .filter_map(|d| {
+                let machine = self.cluster_state.machines().get(&d.machine)?;
+                Some((machine.price_per_cpu(), &d.machine))
+            })
+            .collect();
+        candidates.sort_by(|(price, id), (other_price, other_id)| {
+            other_price.total_cmp(price).then(other_id.cmp(id))
+        });
+        candidates.into_iter().map(|(_, id)| id.clone()).collect()
+    }
+
+    /// Of the candidates, in their order, those without which the teams' guarantees
+    /// still have their machines: what is guaranteed stays there, the cheapest part
+    /// of it.
+    fn above_guarantees(&self, candidates: Vec<MachineId>, idle: bool) -> BTreeSet<MachineId> {
+        let mut left = self.cluster_state.capacity().cpu;
+        let floor = match idle {
+            true => 0.0,
+            false => self.cluster_state.guaranteed().cpu as f64 * self.cfg.tuning.floor,
+        };
+        let mut retiring = BTreeSet::new();
+        for id in candidates {
+            let Some(machine) = self.cluster_state.machines().get(&id) else {
+                continue;
+            };
+            if (left - machine.kind.total.cpu) as f64 >= floor {
+                left -= machine.kind.total.cpu;
+                retiring.insert(id);
+            }
+        }
+        retiring
+    }
+
+    /// Notes on each machine what the plan says of it; those to give back now.
+    fn mark_machines(
+        &mut self,
+        plan: &fleet::Plan,
+        disuse: Vec<Disuse>,
+        retiring: &BTreeSet<MachineId>,
+        now: Time,
+    ) -> Vec<MachineId> {
+        let mut give_back = Vec::new();
+        for Disuse { machine, share, .. } in disuse {
+            let kept = plan.kept.get(&machine).copied().unwrap_or_default();
+            let retires = retiring.contains(&machine);
+            self.cluster_state.edit_machine(&machine, |m| {
+                m.unused = share;
+                m.kept = kept;
+                m.retiring = retires;
+                if retires && m.claims.is_empty() && now.since(m.idle_since) > EMPTY_S {
+                    give_back.push(machine.clone());
+                }
+            });
+        }
+        give_back
+    }
+}
+
+/// Whether nothing is claimed on a machine, and nothing runs that it told of.
+fn is_empty(link: &Link, machine: Option<&Machine>) -> bool {
+    machine.is_none_or(|m| m.claims.is_empty())
+        && link.tasks.values().all(|(p, _)| *p == TaskPhase::Ended)
+}
+
+/// Whether a machine takes connections and doesn't answer. It was last heard
+/// `quiet_s` seconds ago.
+fn hangs(link: &Link, quiet_s: f64, report_s: f64) -> bool {
+    let long = link.hangs == 1 && quiet_s > HANGS_REPORTS * report_s;
+    link.suspect && (link.hangs >= HANGS || long)
+}
