--- a/src/control/core/mod.rs
+++ b/src/control/core/mod.rs
@@ -47,6 +47,7 @@
 pub use self::calendar::WindowStep;
 use self::deleted_machines::DeletedMachines;
 use self::link::Link;
+pub use self::renting::ScalingDecision;
 pub use self::sharing::Places;
 use super::pending::{ChunkId, Pending};
 use crate::config::Config;
--- a/src/control/core/renting.rs
+++ b/src/control/core/renting.rs
@@ -27,6 +27,15 @@
     drains.iter().any(whole)
 }
 
+/// What is to be done about the fleet now.
+#[derive(Debug, Default)]
+pub struct ScalingDecision {
+    /// Machines to delete.
+    pub to_delete: Vec<MachineId>,
+    /// Requests to send to the cloud.
+    pub scale_out: Vec<Rental>,
+}
+
 impl Core {
     /// How many machines there are, up and on their way.
     pub fn machines(&self) -> usize {
@@ -57,10 +66,12 @@
         self.most_machines = most;
     }
 
-    /// Machines to delete now, and machines to rent.
-    pub fn fleet(&mut self, now: Time) -> (Vec<MachineId>, Vec<Rental>) {
+    /// Looks at the whole fleet: machines to delete now, and requests to send. Each
+    /// request is under way until its outcome is told to [`Core::rented`]. Nothing is
+    /// decided while the shard is handed on.
+    pub fn fleet(&mut self, now: Time) -> ScalingDecision {
         if self.is_frozen() {
-            return (Vec::new(), Vec::new());
+            return ScalingDecision::default();
         }
         self.log_fleet_if_due(now);
         let trusts_silence = self.trusts_silence(now);
@@ -70,15 +81,20 @@
         let to_delete = self.machines_to_delete(trusts_silence, now);
         let settled = now.since(self.started) > SETTLED_REPORTS * self.cfg.report_s;
         if !settled || self.renting > 0 {
-            return (to_delete, Vec::new());
+            return ScalingDecision {
+                to_delete,
+                scale_out: Vec::new(),
+            };
         }
         let idle = self.is_idle(now);
         let expected = if idle { Vec::new() } else { self.expected(now) };
         let plan = self.plan_fleet(&expected, &to_delete, now);
         self.windows.set_coming(&plan.coming);
         self.scale_in(&plan, idle, now);
-        let rentals = self.scale_out(plan.rent, now);
-        (to_delete, rentals)
+        ScalingDecision {
+            to_delete,
+            scale_out: self.scale_out(plan.rent, now),
+        }
     }
 
     /// Packs what runs, waits and is expected into the machines that there are and
--- a/src/control/owning.rs
+++ b/src/control/owning.rs
@@ -324,8 +324,8 @@
             let mut rentals = Vec::new();
             for (block, c) in self.cores.borrow_mut().iter_mut() {
                 let plan = self.timed("fleet", &self.paces.fleet, || c.fleet(now));
-                to_delete.extend(plan.0);
-                rentals.extend(plan.1.into_iter().map(|r| (*block, c.grant, r)));
+                to_delete.extend(plan.to_delete);
+                rentals.extend(plan.scale_out.into_iter().map(|r| (*block, c.grant, r)));
             }
             for machines in to_delete.chunks(100) {
                 match self.cloud.delete(machines).await {
--- a/tests/rules/silence.rs
+++ b/tests/rules/silence.rs
@@ -63,7 +63,7 @@
             core.report(&w.report(), Source::Beat, now);
         }
         regular(core, now);
-        if core.fleet(now).0.contains(&silent) {
+        if core.fleet(now).to_delete.contains(&silent) {
             gone_at.get_or_insert(now.0);
         }
     }
@@ -81,7 +81,7 @@
         }
         core.listed(&[], now);
     }
-    assert!(core.fleet(Time(58.0)).0.contains(&silent));
+    assert!(core.fleet(Time(58.0)).to_delete.contains(&silent));
 }
 
 /// A machine that takes the connection and does not answer hangs, and its tasks
@@ -124,7 +124,7 @@
                 };
                 core.dispatched(&send.machine, sent, now);
             }
-            let gone = core.fleet(now).0;
+            let gone = core.fleet(now).to_delete;
             if gone.contains(&silent) {
                 gone_at.get_or_insert(now.0);
             }
@@ -187,7 +187,7 @@
                 let outcome = Sending::Executed(Box::new(w.report()));
                 o.core.dispatched(&send.machine, outcome, now);
             }
-            for id in o.core.fleet(now).0 {
+            for id in o.core.fleet(now).to_delete {
                 o.core.deleted(std::slice::from_ref(&id), now);
                 gone.insert(id);
             }
@@ -229,7 +229,7 @@
         o.core.report(last, Source::Homed, now);
         o.core.heard(&dead, last.shift, Seq(last.tick.0 + 1), now);
         regular(&mut o.core, now);
-        if o.core.fleet(now).0.contains(&dead) {
+        if o.core.fleet(now).to_delete.contains(&dead) {
             gone_at.get_or_insert(now.0);
         }
     }
--- a/tests/rules/world.rs
+++ b/tests/rules/world.rs
@@ -569,11 +569,11 @@
             })
             .collect();
         self.owners[owner].core.listed(&list, now);
-        let (gone, rentals) = self.owners[owner].core.fleet(now);
-        for rental in rentals {
+        let decision = self.owners[owner].core.fleet(now);
+        for rental in decision.scale_out {
             self.owners[owner].core.rented(&rental, Err(true), now);
         }
-        for id in gone {
+        for id in decision.to_delete {
             self.rented += 1;
             if let Some(w) = self.workers.iter_mut().find(|w| w.id == id.as_str()) {
                 w.id = format!("vm-{:06}", 100 + self.rented);
--- a/tests/staging.rs
+++ b/tests/staging.rs
@@ -294,7 +294,7 @@
     // A fetch of 80 s: nobody is given back, and nothing is started again.
     world.steps(120);
     assert_eq!(world.starts.len(), 72);
-    let (gone, _) = world.core.fleet(Time(world.now));
+    let gone = world.core.fleet(Time(world.now)).to_delete;
     assert_eq!(gone, [], "machines that fetch are kept");
     // Once all run, and nothing wants it any more, no record is left.
     for (_, phase) in world.tasks.values_mut() {
