--- a/src/control/core/aims.rs
+++ b/src/control/core/aims.rs
@@ -37,10 +37,14 @@
             .min_by_key(|t| t.total.cpu)
             .map(|t| t.name.clone());
         let class = (Rc::from(&*spec.class), smallest);
-        let arrivals = self.arrivals.entry(class).or_insert_with(|| Arrivals {
-            spec: spec.clone(),
-            recent: VecDeque::new(),
-        });
+        let arrivals = self
+            .scaling
+            .arrivals
+            .entry(class)
+            .or_insert_with(|| Arrivals {
+                spec: spec.clone(),
+                recent: VecDeque::new(),
+            });
         arrivals.spec = spec.clone();
         arrivals.recent.push_back((at, spec.tasks));
         if arrivals.recent.len() > MOST_ARRIVALS {
--- a/src/control/core/demand.rs
+++ b/src/control/core/demand.rs
@@ -29,13 +29,23 @@
     /// Room to keep for each class that came of late: a typical job of it.
     pub(super) fn expected(&mut self, now: Time) -> Vec<fleet::Expected> {
         self.forget_old_arrivals(now);
-        self.cluster_state.shapes = self.arrivals.values().map(|a| a.spec.each).collect();
+        self.cluster_state.shapes = self
+            .scaling
+            .arrivals
+            .values()
+            .map(|a| a.spec.each)
+            .collect();
         self.hold_back();
         let headroom = self.cfg.tuning.headroom;
-        let firsts = self.arrivals.values().filter_map(|a| a.recent.front());
+        let firsts = self
+            .scaling
+            .arrivals
+            .values()
+            .filter_map(|a| a.recent.front());
         let first = Time(firsts.map(|(t, _)| t.0).fold(now.0, f64::min));
         let span_s = now.since(first).clamp(MIN_ARRIVAL_SPAN_S, ARRIVAL_WINDOW_S);
-        self.arrivals
+        self.scaling
+            .arrivals
             .values()
             // Work of idle priority takes what is left.
             .filter(|a| a.spec.priority > Priority::Idle)
@@ -48,12 +58,12 @@
 
     /// Drops arrivals that are too old to count, and classes of which none is left.
     fn forget_old_arrivals(&mut self, now: Time) {
-        for arrivals in self.arrivals.values_mut() {
+        for arrivals in self.scaling.arrivals.values_mut() {
             arrivals
                 .recent
                 .retain(|(t, _)| now.since(*t) < ARRIVAL_WINDOW_S);
         }
-        self.arrivals.retain(|_, a| !a.recent.is_empty());
+        self.scaling.arrivals.retain(|_, a| !a.recent.is_empty());
     }
 
     /// Tasks of a class that come while a machine boots, and how much that varies
@@ -76,7 +86,7 @@
     /// wait for its start: other work of the team must not take the last.
     pub(super) fn hold_back(&mut self) {
         let mut most: HashMap<Arc<str>, Amount> = HashMap::new();
-        for a in self.arrivals.values() {
+        for a in self.scaling.arrivals.values() {
             if self.starts_within(&a.spec.class).is_some() {
                 let largest = a.recent.iter().map(|(_, n)| *n).max().unwrap_or(0);
                 let job = a.spec.each.times(i64::from(largest.min(MAX_COUNTED_TASKS)));
--- a/src/control/core/fleet_log.rs
+++ b/src/control/core/fleet_log.rs
@@ -20,8 +20,8 @@
 impl Core {
     /// Logs the totals if that is due.
     pub(super) fn log_fleet_if_due(&mut self, now: Time) {
-        if now.since(self.last_fleet) >= FLEET_LOG_INTERVAL_S {
-            self.last_fleet = now;
+        if now.since(self.scaling.last_log) >= FLEET_LOG_INTERVAL_S {
+            self.scaling.last_log = now;
             self.log_fleet();
         }
     }
--- a/src/control/core/links.rs
+++ b/src/control/core/links.rs
@@ -58,7 +58,8 @@
             if self.cluster_state.topology().is_some() {
                 self.cluster_state.locate(id, Some(addr.ip()));
                 let place = self.cluster_state.machines().get(id).map(|m| m.place);
-                self.memory.came(sort, place.unwrap_or_default(), now);
+                self.topology_history
+                    .came_up(sort, place.unwrap_or_default(), now);
             }
             let link = Link {
                 addr,
@@ -177,7 +178,7 @@
             self.touched.insert(id.clone());
             let place = self.cluster_state.machines().get(id).map(|m| m.place);
             if let (true, Some(t), Some(place)) = (silent, self.cluster_state.topology(), place) {
-                self.stability.lost(&t.tree, place, now);
+                self.topology_history.lost(&t.tree, place, now);
             }
         }
         if !leaving && !doubted && !draining {
--- a/src/control/core/load.rs
+++ b/src/control/core/load.rs
@@ -7,13 +7,12 @@
 use sorrelhinge_blocks::largest_jobs::Largest;
 use sorrelhinge_blocks::served::Served;
 use sorrelhinge_blocks::shard::Shard;
-use sorrelhinge_overload::fleet_limit::ClaimRate;
-use sorrelhinge_topology::renting::Memory;
-use sorrelhinge_topology::repair::Stability;
 use sorrelhinge_topology::Topology;
 
 use super::deleted_machines::DeletedMachines;
+use super::scaling_state::ScalingState;
 use super::sharing::{self, Places};
+use super::topology_history::TopologyHistory;
 use super::{calendar, staging, Core};
 use crate::config::Config;
 use crate::control::pending::Pending;
@@ -96,18 +95,12 @@
             walked: MachineId::from(""),
             pass: None,
             flying: 0,
-            refused: HashMap::new(),
-            rentals: 0,
-            renting: 0,
-            most_machines: None,
-            claim_rate: ClaimRate::default(),
-            claimed_cpu: 0,
+            scaling: ScalingState::new(now),
             deaf_until: now,
             starts_until: Time(f64::INFINITY),
             starts_withheld: BTreeSet::new(),
             missing: BTreeMap::new(),
             listed: false,
-            arrivals: BTreeMap::new(),
             deleted: BTreeMap::new(),
             deleted_machines: DeletedMachines::load(view, shard),
             gone_before: view
@@ -120,8 +113,7 @@
             windows: calendar::Windows::default(),
             drains: Vec::new(),
             staging,
-            stability: Stability::default(),
-            memory: Memory::default(),
+            topology_history: TopologyHistory::default(),
             gangs: BTreeSet::new(),
             last_repair: None,
             told: BTreeMap::new(),
@@ -129,8 +121,6 @@
             alone_until: now,
             rejected: BTreeMap::new(),
             walk_all: true,
-            last_fleet: now,
-            last_plan: now,
             last_look: now,
         };
         let others = core.cfg.others.iter().map(|o| o.zone.clone());
--- a/src/control/core/mod.rs
+++ b/src/control/core/mod.rs
@@ -25,9 +25,11 @@
 mod renting;
 mod reports;
 mod scale_in;
+mod scaling_state;
 mod served;
 mod sharing;
 mod staging;
+mod topology_history;
 mod unlinked;
 mod waves;
 
@@ -38,12 +40,8 @@
 use sorrelhinge_blocks::largest_jobs::Largest;
 use sorrelhinge_blocks::served::{Served, Sort};
 use sorrelhinge_blocks::shard::Shard;
-use sorrelhinge_overload::fleet_limit::ClaimRate;
 use sorrelhinge_topology::drain::Drain;
-use sorrelhinge_topology::renting::Memory;
-use sorrelhinge_topology::repair::Stability;
 
-use self::aims::Arrivals;
 pub use self::calendar::WindowStep;
 use self::deleted_machines::DeletedMachines;
 use self::link::Link;
@@ -144,14 +142,8 @@
     /// What walks share, and since when.
     pass: Option<(Time, Pass)>,
     flying: usize,
-    refused: HashMap<(TypeName, Zone, bool), Time>,
-    rentals: u64,
-    renting: u32,
-    /// How many machines can be served, if that was found to be a bound.
-    most_machines: Option<usize>,
-    /// What is claimed a second, and since that was last looked at.
-    claim_rate: ClaimRate,
-    claimed_cpu: i64,
+    /// What came of late, and what was asked of the cloud.
+    scaling: scaling_state::ScalingState,
     /// Until then silence tells nothing.
     deaf_until: Time,
     /// No task is started after this; no bound until one is told.
@@ -161,9 +153,6 @@
     missing: BTreeMap<MachineId, u32>,
     /// A machine list was read under this grant.
     listed: bool,
-    /// By class, and by the smallest machine type that a task fits: their
-    /// room is not the same.
-    arrivals: BTreeMap<(Rc<str>, Option<TypeName>), Arrivals>,
     /// Deleted machines that a late list, or a late copy of a report, may still
     /// show.
     deleted: BTreeMap<MachineId, Time>,
@@ -179,10 +168,8 @@
     drains: Vec<Drain>,
     /// Images that go from machine to machine.
     staging: staging::Staging,
-    /// Domains that lost machines of late.
-    stability: Stability,
-    /// Where machines came up of late.
-    memory: Memory,
+    /// Where machines were lost and came up of late.
+    topology_history: topology_history::TopologyHistory,
     /// Jobs that lost a claim: a gang among them may have to start anew.
     gangs: BTreeSet<JobId>,
     last_repair: Option<Time>,
@@ -196,8 +183,6 @@
     rejected: BTreeMap<ChunkId, Time>,
     /// Work arrived or room appeared: walk all machines.
     pub walk_all: bool,
-    last_fleet: Time,
-    last_plan: Time,
     last_look: Time,
 }
 
--- a/src/control/core/moving.rs
+++ b/src/control/core/moving.rs
@@ -88,7 +88,7 @@
             .collect();
         let moving = Moving {
             drains: &drains,
-            stability: &self.stability,
+            stability: self.topology_history.losses(),
         };
         let mut moves = if drains.is_empty() {
             Vec::new()
@@ -99,8 +99,7 @@
         if repair::due(self.last_repair, repair_settings.every_s, now) {
             self.last_repair = Some(now);
             moves.extend(self.cluster_state.repair(&moving, now));
-            self.stability.tidy(repair_settings.settle_s, now);
-            self.memory.tidy(topology.settings.renting.remember_s, now);
+            self.topology_history.tidy(&topology.settings, now);
         }
         for m in moves {
             let to = m.to.as_ref().map_or("-", |id| id.as_str());
--- a/src/control/core/placing.rs
+++ b/src/control/core/placing.rs
@@ -36,7 +36,9 @@
                     .edit_job(&launch.task.job, |j| j.started = true);
             }
             let job = self.cluster_state.job(&launch.task.job);
-            self.claimed_cpu += job.map_or(0, |j| j.spec.each.cpu);
+            self.scaling
+                .requests
+                .claimed(job.map_or(0, |j| j.spec.each.cpu));
             let Some(sort) = job.map(Job::sort) else {
                 continue;
             };
--- a/src/control/core/renting.rs
+++ b/src/control/core/renting.rs
@@ -7,6 +7,7 @@
 
 use sorrelhinge_topology::drain::{Drain, Target};
 
+use super::scaling_state::MachineOffer;
 use super::{Coming, Core};
 use crate::cloud::Rental;
 use crate::fleet;
@@ -63,7 +64,7 @@
 
     /// How many machines can be served; none: no bound is known.
     pub fn set_most_machines(&mut self, most: Option<usize>) {
-        self.most_machines = most;
+        self.scaling.requests.set_max_machines(most);
     }
 
     /// Looks at the whole fleet: machines to delete now, and requests to send. Each
@@ -80,7 +81,7 @@
         }
         let to_delete = self.machines_to_delete(trusts_silence, now);
         let settled = now.since(self.started) > SETTLED_REPORTS * self.cfg.report_s;
-        if !settled || self.renting > 0 {
+        if !settled || self.scaling.requests.any_in_flight() {
             return ScalingDecision {
                 to_delete,
                 scale_out: Vec::new(),
@@ -117,7 +118,7 @@
             open: &|kind: &TypeName, zone: &Zone, spot: bool| {
                 self.may_request(kind, zone, spot, now)
             },
-            memory: &self.memory,
+            memory: self.topology_history.placements(),
         };
         fleet::plan(&input, now)
     }
@@ -147,8 +148,12 @@
     /// Whether a machine may be asked for: the cloud has not just refused such a one,
     /// and its zone is not drained.
     pub(super) fn may_request(&self, kind: &TypeName, zone: &Zone, spot: bool, now: Time) -> bool {
-        let refused = self.refused.get(&(kind.clone(), zone.clone(), spot));
-        refused.is_none_or(|until| now >= *until) && !is_drained(&self.drains, zone)
+        let offer = MachineOffer {
+            kind: kind.clone(),
+            zone: zone.clone(),
+            spot,
+        };
+        !self.scaling.requests.is_refused(&offer, now) && !is_drained(&self.drains, zone)
     }
 
     /// The requests to send, as far as the machines can be served and used.
@@ -161,10 +166,9 @@
                 continue;
             }
             left -= want.count as usize;
-            self.rentals += 1;
-            self.renting += 1;
+            let number = self.scaling.requests.begin();
             rentals.push(Rental {
-                hire: self.request_id(),
+                hire: self.request_id(number),
                 build: want.kind,
                 rack: want.zone,
                 loaners: want.spot,
@@ -177,49 +181,51 @@
     /// How many machines may be added: no more than can be served, and none for work
     /// that can't be claimed meanwhile.
     fn machines_to_add(&mut self, now: Time) -> usize {
-        self.claim_rate
-            .take(std::mem::take(&mut self.claimed_cpu), now);
         let teams = self.cluster_state.teams().iter();
         let used = teams.map(|t| t.used.cpu).sum::<i64>();
         let free = self.cluster_state.capacity().cpu - used;
-        if self.cluster_state.claims_bind() && self.claim_rate.lasts(free, self.boot_s()) {
+        let boot_s = self.boot_s();
+        let claim_rate = self.scaling.requests.claim_rate(now);
+        let lasts = claim_rate.lasts(free, boot_s);
+        if self.cluster_state.claims_bind() && lasts {
             return 0;
         }
-        self.most_machines
+        self.scaling
+            .requests
+            .max_machines()
             .map_or(usize::MAX, |max| max.saturating_sub(self.machines()))
     }
 
-    /// The latest request's name. Unique: the grant's number was written before, and
+    /// A request's name. Unique: the grant's number was written before, and
     /// this owner counts its own requests. Two blocks' grants may have the same number.
-    fn request_id(&self) -> String {
+    fn request_id(&self, number: u64) -> String {
         match self.shard.is_part() {
-            true => format!("r-{}-{}-{}", self.grant, self.shard.block, self.rentals),
-            false => format!("r-{}-{}", self.grant, self.rentals),
+            true => format!("r-{}-{}-{number}", self.grant, self.shard.block),
+            false => format!("r-{}-{number}", self.grant),
         }
     }
 
-    /// A rental's outcome: the machines, or none if there is no capacity or
+    /// A rental's outcome: the machines, or whether that is for want of capacity; else
     /// the call failed.
     pub fn rented(&mut self, rental: &Rental, machines: Result<Vec<MachineId>, bool>, now: Time) {
-        self.renting = self.renting.saturating_sub(1);
-        let key = (rental.build.clone(), rental.rack.clone(), rental.loaners);
-        let short = |got: usize| got < rental.number as usize;
+        self.scaling.requests.end();
+        let offer = MachineOffer::from(rental);
         match machines {
             Ok(machines) => {
-                if short(machines.len()) {
-                    self.refused.insert(key, now.after(NO_CAPACITY_S));
+                if machines.len() < rental.number as usize {
+                    self.scaling
+                        .requests
+                        .refuse(offer, now.after(NO_CAPACITY_S));
                 }
+                let coming = Coming {
+                    kind: rental.build.clone(),
+                    zone: rental.rack.clone(),
+                    spot: rental.loaners,
+                    since: now,
+                };
                 for id in machines.into_iter().filter(|m| self.shard.covers(m)) {
                     if !self.links.contains_key(&id) {
-                        self.coming.insert(
-                            id,
-                            Coming {
-                                kind: rental.build.clone(),
-                                zone: rental.rack.clone(),
-                                spot: rental.loaners,
-                                since: now,
-                            },
-                        );
+                        self.coming.insert(id, coming.clone());
                     }
                 }
             }
@@ -227,10 +233,8 @@
                 if !no_capacity {
                     self.windows.failed(now.after(FAILED_S));
                 }
-                self.refused.insert(
-                    key,
-                    now.after(if no_capacity { NO_CAPACITY_S } else { FAILED_S }),
-                );
+                let pause_s = if no_capacity { NO_CAPACITY_S } else { FAILED_S };
+                self.scaling.requests.refuse(offer, now.after(pause_s));
             }
         }
     }
--- a/src/control/core/scale_in.rs
+++ b/src/control/core/scale_in.rs
@@ -120,9 +120,9 @@
     /// Only what had no use for long falls idle on purpose: a machine with a warm
     /// cache is worth more than a new one.
     fn measure_disuse(&mut self, plan: &fleet::Plan, now: Time) -> Vec<Disuse> {
-        let passed_s = now.since(self.last_plan);
+        let passed_s = now.since(self.scaling.last_plan);
         let weight = 1.0 - (-passed_s / self.cfg.tuning.idle_s.max(1.0)).exp();
-        self.last_plan = now;
+        self.scaling.last_plan = now;
         let machines = self.cluster_state.machines().iter();
         machines
             .map(|(id, machine)| {
@@ -140,7 +140,7 @@
     /// Machines without use, the dearest first.
     fn scale_in_candidates(&self, disuse: &[Disuse], idle: bool) -> Vec<MachineId> {
         // What can't be served goes as soon as it has no use.
-        let max = self.most_machines;
+        let max = self.scaling.requests.max_machines();
         let excess = max.is_some_and(|max| self.machines() > max);
         let mut candidates: Vec<(f64, &MachineId)> = disuse
             .iter()
