--- a/src/control/core/calendar_needs.rs
+++ b/src/control/core/calendar_needs.rs
@@ -1,25 +1,34 @@
 //! What windows of the release calendar lack: what is rented for them, left to them
 //! and said of them.
 
-use std::collections::BTreeMap;
 use std::rc::Rc;
+use std::sync::Arc;
 
 use sorrelhinge_blocks::delegation::{Delegated, Waiting};
 use sorrelhinge_blocks::shard::BlockId;
-use sorrelhinge_calendar::plan::{arbitrate, divide, Refused, TeamRoom, Want};
+use sorrelhinge_calendar::plan::divide;
 use sorrelhinge_calendar::settings::Window;
 use sorrelhinge_calendar::shown::{rows, WindowShown};
 
-use super::calendar::spec_of;
+use super::calendar::LoggedShortage;
+use super::reservation_supply::TypeChoice;
 use super::Core;
 use crate::fleet;
-use crate::sched::HoldSeen;
-use crate::types::{Amount, MachineType, Time, TypeName, Zone};
+use crate::types::{Image, JobSpec, Kind, Priority, Time, Zone};
 
 /// The same shortage is said again in the log after so many seconds.
 const SHORT_AGAIN_S: f64 = 30.0;
-/// How many machines of a type and zone are asked for at a time.
-pub(super) const RENTED_AT_ONCE: f64 = 50.0;
+/// One whose cause reads otherwise is, after so many: a number that changes is not said
+/// each second.
+const SHORT_CHANGED_S: f64 = 5.0;
+
+/// What a window lacks in one zone.
+struct ZoneLack {
+    /// The zone; none: any.
+    zone: Option<Zone>,
+    tasks: u32,
+    kind: TypeChoice,
+}
 
 impl Core {
     /// Of several blocks each holds its part, and a job is homed in one: what waits
@@ -55,23 +64,26 @@
 
     /// Says in the log what windows lack, when that changes and now and then.
     pub(super) fn say_what_lacks(&mut self, now: Time) {
-        if self.shard.block.0 != 0 {
+        if !self.keeps_calendar() {
             return;
         }
         for (name, watch) in &mut self.windows.watched {
             let short = watch.whole.each.iter().find(|(_, n)| n.short.is_some());
             let Some((start_ms, next)) = short else {
-                watch.said = None;
+                watch.logged = None;
                 continue;
             };
-            let again = watch.said.as_ref().is_none_or(|(why, at)| {
-                // A number that changes is not said each second.
-                now.since(*at) >= SHORT_AGAIN_S || *why != next.why && now.since(*at) >= 5.0
+            let again = watch.logged.as_ref().is_none_or(|logged| {
+                let passed_s = now.since(logged.at);
+                passed_s >= SHORT_AGAIN_S || logged.why != next.why && passed_s >= SHORT_CHANGED_S
             });
             if !again {
                 continue;
             }
-            watch.said = Some((next.why.clone(), now));
+            watch.logged = Some(LoggedShortage {
+                why: next.why.clone(),
+                at: now,
+            });
             let asked = watch.seen.as_ref().map_or(0, |s| s.asked);
             let ready = watch.seen.as_ref().map_or(0, |s| s.ready);
             tracing::info!(window = %name, start_ms, hold = next.hold, asked, ready, why = %next.why, "calendar");
@@ -83,11 +95,7 @@
         let mut shown = Vec::new();
         for (name, watch) in &self.windows.watched {
             let Some(seen) = &watch.seen else { continue };
-            let records = watch
-                .records
-                .iter()
-                .map(|(start, r)| (*start, r.value.clone()))
-                .collect();
+            let records = watch.record_values();
             shown.extend(rows(
                 name,
                 watch.entry.as_ref(),
@@ -100,124 +108,73 @@
         shown
     }
 
-    /// What windows lack that is to be rented. Not before it is known which
-    /// machines there are: what a former owner rented would be rented again.
+    /// What windows lack that is to be rented.
     pub(super) fn lacks(&self, now: Time) -> Vec<fleet::Lack> {
-        // A list is late by twice its usual lag at most (PROTOCOL).
-        let listed = now.since(self.started) > 2.0 * self.cfg.list_lag_s + 2.0;
-        let quiet = now.since(self.started) <= self.cfg.silent_s();
-        let unheard = quiet && self.links.values().any(|l| !l.fenced() && !l.deleting);
-        if self.windows.watched.is_empty() || !listed || unheard {
+        if self.windows.watched.is_empty() || !self.knows_machines(now) {
             return Vec::new();
         }
-        let mut lacks = Vec::new();
-        for watch in self.windows.watched.values() {
-            let Some(window) = watch.entry.as_ref().map(|e| &e.window) else {
-                continue;
-            };
-            let by_zone = self.cluster_state.lacking(&window.name);
-            let mut spare = 0;
-            let mut open = Vec::new();
-            for (zone, tasks) in by_zone {
-                match self.type_for(window, zone.as_ref(), now) {
-                    Some(kind) => open.push((zone, tasks, kind)),
-                    // Nothing is to be had there: other zones have it meanwhile.
-                    None => spare += tasks,
-                }
-            }
-            let more = divide(spare, open.len() as u32);
-            for ((zone, tasks, kind), more) in open.into_iter().zip(more) {
-                lacks.push(fleet::Lack {
-                    window: window.name.clone(),
-                    spec: spec_of(window, zone, kind),
-                    tasks: tasks + more,
-                });
-            }
-        }
-        lacks
+        let entries = self.windows.watched.values().map(|w| w.entry.as_ref());
+        let windows = entries.flatten().map(|entry| &entry.window);
+        windows.flat_map(|w| self.lacks_of(w, now)).collect()
     }
 
-    /// The type to ask for in a zone: of those named the first that is to be had,
-    /// else any. None: there is none that may be had now.
-    fn type_for(
-        &self,
-        window: &Window,
-        zone: Option<&Zone>,
-        now: Time,
-    ) -> Option<Option<TypeName>> {
-        let fits = |t: &MachineType| {
-            window.each().fits(t.total)
-                && t.zones.iter().any(|z| {
-                    zone.is_none_or(|own| own == z) && self.may_request(&t.name, z, false, now)
-                })
-        };
-        if window.types.is_empty() {
-            return self.types.values().any(|t| fits(t)).then_some(None);
-        }
-        let mut named = window.types.iter().map(|n| TypeName::from(n.as_str()));
-        named
-            .find(|n| self.types.get(n).is_some_and(|t| fits(t)))
-            .map(Some)
+    /// Whether it is known which machines there are: what a former owner rented would be
+    /// rented again before.
+    fn knows_machines(&self, now: Time) -> bool {
+        // A list is late by twice its usual lag at most (PROTOCOL).
+        let listed = now.since(self.started) > 2.0 * self.cfg.list_lag_s + 2.0;
+        let quiet = now.since(self.started) <= self.cfg.silent_s();
+        let unheard = quiet && self.links.values().any(|l| !l.fenced() && !l.deleting);
+        listed && !unheard
     }
 
-    /// Why a window's room is not rented, if it isn't.
-    pub(super) fn refused_for(
-        &self,
-        window: &Window,
-        here: &HoldSeen,
-        coming: u32,
-        now: Time,
-    ) -> Option<Refused> {
-        if here.set_aside.saturating_add(coming) >= here.open {
-            return None;
-        }
-        if self.windows.failing_until.is_some_and(|until| now < until) {
-            return Some(Refused::Changes);
-        }
-        let mut sorts = self
-            .types
-            .values()
-            .flat_map(|t| t.zones.iter().map(move |z| (t, z)));
-        let mut any = false;
-        let closed = sorts.all(|(t, z)| {
-            if !window.allows(t.name.as_str(), z.as_str()) || !window.each().fits(t.total) {
-                return true;
+    /// What a window lacks, by zone. Where nothing is to be had, other zones have it
+    /// meanwhile.
+    fn lacks_of(&self, window: &Window, now: Time) -> Vec<fleet::Lack> {
+        let mut spare = 0;
+        let mut open = Vec::new();
+        for (zone, tasks) in self.cluster_state.lacking(&window.name) {
+            match self.type_for(window, zone.as_ref(), now) {
+                Some(kind) => open.push(ZoneLack { zone, tasks, kind }),
+                None => spare += tasks,
             }
-            any = true;
-            !self.may_request(&t.name, z, false, now)
-        });
-        (any && closed).then_some(Refused::Capacity)
+        }
+        let more = divide(spare, open.len() as u32);
+        let open = open.into_iter().zip(more);
+        open.map(|(lack, more)| fleet::Lack {
+            window: window.name.clone(),
+            tasks: lack.tasks + more,
+            spec: spec_of(window, lack.zone, lack.kind),
+        })
+        .collect()
     }
+}
 
-    /// How many tasks' room of a window fits into its team's limit, beside the
-    /// team's other work and windows that come first.
-    pub(super) fn fits(
-        &self,
-        window: &Rc<Window>,
-        active: &[(Rc<Window>, bool)],
-        outside: &BTreeMap<String, Amount>,
-    ) -> (u32, Option<String>) {
-        let among = active
-            .iter()
-            .filter(|(w, holds)| *holds || w.name == window.name);
-        let wants: Vec<Want> = among
-            .map(|(w, _)| Want {
-                name: w.name.clone(),
-                team: w.team.clone(),
-                each: w.each(),
-                tasks: w.tasks,
-            })
-            .collect();
-        let teams = self.cfg.teams.iter().map(|t| {
-            let used = outside.get(&*t.name).copied().unwrap_or_default();
-            let room = TeamRoom {
-                guarantee: t.guarantee - used,
-                limit: t.limit - used,
-            };
-            (t.name.to_string(), room)
-        });
-        let got = arbitrate(&wants, &teams.collect(), None);
-        let got = got.into_iter().find(|g| g.name == window.name);
-        got.map_or((0, None), |g| (g.tasks, g.gives_way_to))
-    }
+/// What a window's task takes, for the plan of the fleet.
+fn spec_of(window: &Window, zone: Option<Zone>, kind: TypeChoice) -> Rc<JobSpec> {
+    Rc::new(JobSpec {
+        class: Arc::from(window.classes.first().map_or("", |c| c.as_str())),
+        team: Arc::from(window.team.as_str()),
+        kind: Kind::Array,
+        priority: Priority::Normal,
+        tasks: window.tasks,
+        each: window.each(),
+        image: Image::from(window.images.first().map_or("", |i| i.as_str())),
+        image_gb: 0.0,
+        types: match kind {
+            TypeChoice::Any => None,
+            TypeChoice::Named(kind) => Some(vec![kind]),
+        },
+        zone,
+        one_zone: false,
+        spread: false,
+        // Held room is on machines that stay.
+        spot: false,
+        estimate_s: f64::from(window.lasts_s),
+        checkpoint_s: 0.0,
+        save_s: 0.0,
+        deadline_s: None,
+        placement: None,
+        seal: None,
+    })
 }
--- /dev/null
+++ b/src/control/core/reservation_refresh.rs
@@ -0,0 +1,199 @@
+//! Brings windows of the release calendar up to date: their entries and records, what is
+//! seen of them, and what this owner holds for them.
+
+use std::collections::{BTreeMap, BTreeSet};
+use std::rc::Rc;
+
+use sorrelhinge_calendar::plan::{divide, steps, Clock, Seen};
+use sorrelhinge_calendar::record::CalendarRecord;
+use sorrelhinge_calendar::settings::Window;
+
+use super::calendar::Watch;
+use super::reservation_supply::LimitRoom;
+use super::reservation_usage::ReservationUsage;
+use super::Core;
+use crate::sched::{Hold, Lending};
+use crate::state::view::View;
+use crate::types::{Amount, Time};
+
+/// A machine that takes this many usual boots is slow, and one that takes longer
+/// is given up.
+const SLOW_BOOTS: f64 = 2.5;
+/// A task that is to stop is told within two reports at the worst.
+const STOP_REPORTS: f64 = 2.0;
+/// How many machines of a type and zone are asked for a second.
+const REQUESTED_AT_ONCE: f64 = 50.0;
+/// A machine that fetches more slowly, in GB a second, is taken to fetch at this rate.
+const MIN_FETCH_GB_PER_S: f64 = 1e-3;
+/// Milliseconds in a second.
+const MS_PER_S: i64 = 1000;
+
+impl Core {
+    /// Looks at all windows: their records, what is there, what is to be held.
+    /// Without a calendar, and while its record is of a later version, nothing
+    /// differs. A new owner does this before its first decision, so it gives back
+    /// no warm machine and lends no held room.
+    pub fn look_at_windows(&mut self, view: &View, wall_ms: i64, now: Time) {
+        if self.cfg.calendar.is_none() {
+            return;
+        }
+        let Some(calendar) = view.calendar.value.as_ref().filter(|c| c.known()) else {
+            return;
+        };
+        update_watches(&mut self.windows.watched, calendar, view, now);
+        let clock = Clock {
+            now_ms: wall_ms,
+            off_ms: self.cfg.clock_off_ms as i64,
+        };
+        self.hold_windows(view, clock, now);
+        self.say_what_lacks(now);
+    }
+
+    /// Sees what there is for each window, and holds what is to be held here.
+    fn hold_windows(&mut self, view: &View, clock: Clock, now: Time) {
+        let mut watched = std::mem::take(&mut self.windows.watched);
+        let usage = self.reservation_usage(watched.values(), view);
+        let mut holds = Vec::new();
+        for (name, watch) in &mut watched {
+            let window = usage.window(name);
+            let seen = self.see(watch, window, &usage, now);
+            let records = watch.record_values();
+            watch.whole = steps(window.map(|w| &**w), &records, &seen, clock);
+            let hold = self.hold_here(watch, window, clock, now);
+            watch.seen = Some(seen);
+            holds.extend(hold);
+        }
+        self.windows.watched = watched;
+        self.cluster_state.set_holds(holds, now);
+    }
+
+    /// What there is for a window now; none: it was taken out of the calendar.
+    fn see(
+        &self,
+        watch: &mut Watch,
+        window: Option<&Rc<Window>>,
+        usage: &ReservationUsage,
+        now: Time,
+    ) -> Seen {
+        let each = window.map_or(Amount::default(), |w| w.each());
+        let work = window.and_then(|w| usage.of_window(w));
+        let used = work.map_or(0, |w| tasks_of(w.used, each));
+        let waiting = work.map_or(0, |w| w.waiting);
+        if used > 0 || waiting > 0 {
+            watch.busy_at = now;
+        }
+        let name = window.map_or("", |w| &w.name);
+        let here = self.cluster_state.hold_of(name).unwrap_or_default();
+        // Of several blocks each has about the same.
+        let blocks = self.shard.of.max(1);
+        let in_all_blocks = |tasks: u32| tasks.saturating_mul(blocks);
+        let limit = window.map_or_else(LimitRoom::default, |w| self.limit_room(w, usage));
+        let supply = self.supply(window, each);
+        let gb: f64 = window.map_or(0.0, |w| w.images.iter().map(|i| self.image_gb(i)).sum());
+        Seen {
+            asked: used + in_all_blocks(here.set_aside) + in_all_blocks(watch.coming),
+            ready: used + in_all_blocks(here.free),
+            used,
+            waiting,
+            fits: limit.tasks,
+            gives_way_to: limit.gives_way_to,
+            idle_s: now.since(watch.busy_at),
+            boot_s: supply.boot_s,
+            slow_boot_s: SLOW_BOOTS * supply.slowest_boot_s,
+            fetch_s: gb / supply.fetch_gb_per_s.max(MIN_FETCH_GB_PER_S),
+            rent_per_s: f64::from(supply.tasks_per_machine) * REQUESTED_AT_ONCE,
+            refused: window.and_then(|w| self.refused_for(w, &here, watch.coming, now)),
+        }
+    }
+
+    /// What of a window is to be held by this block.
+    fn hold_here(
+        &self,
+        watch: &Watch,
+        window: Option<&Rc<Window>>,
+        clock: Clock,
+        now: Time,
+    ) -> Option<Hold> {
+        let window = window.filter(|_| watch.whole.hold > 0)?;
+        let mut teams = self.cfg.teams.iter();
+        let team = teams.position(|t| *t.name == *window.team)?;
+        let start_ms = watch.first_held_ms()?;
+        Some(Hold {
+            window: window.clone(),
+            team,
+            tasks: self.tasks_held_here(window, team, watch.whole.hold),
+            lending: self.lending(window, start_ms, clock, now),
+        })
+    }
+
+    /// This block's part of the tasks whose room is held, never beyond its part of the
+    /// team's limit.
+    fn tasks_held_here(&self, window: &Window, team: usize, tasks: u32) -> u32 {
+        if !self.shard.is_part() {
+            return tasks;
+        }
+        let parts = divide(tasks, self.shard.of);
+        let part = parts.get(self.shard.block.0 as usize).copied();
+        let team = &self.cluster_state.teams()[team];
+        let hold = self.cluster_state.hold_of(&window.name);
+        let mine = hold.map_or(0, |h| h.used);
+        let left = Amount {
+            ram: i64::MAX,
+            ..team.limit - team.used
+        };
+        let most = mine.saturating_add(window.each().how_many(left));
+        part.unwrap_or(0).min(most)
+    }
+
+    /// What held room may be lent to until the window begins.
+    fn lending(&self, window: &Window, start_ms: i64, clock: Clock, now: Time) -> Lending {
+        let early_ms = i64::from(window.early_s) * MS_PER_S;
+        let left_s = (start_ms - early_ms - clock.latest_ms()) as f64 / MS_PER_S as f64;
+        let classes = window.classes.iter();
+        let aims = classes.map(|c| self.cfg.start_aims.get(c.as_str()).copied());
+        // A class without an aim may not wait at all.
+        let wait_s = aims.map(|a| a.unwrap_or(0.0)).fold(f64::INFINITY, f64::min);
+        Lending {
+            until: now.after(left_s),
+            stop_s: STOP_REPORTS * self.cfg.report_s,
+            wait_s: if wait_s.is_finite() { wait_s } else { 0.0 },
+        }
+    }
+}
+
+/// Takes in the calendar's entries and the recorded occurrences; a window of which
+/// neither is left is forgotten.
+fn update_watches(
+    watched: &mut BTreeMap<String, Watch>,
+    calendar: &CalendarRecord,
+    view: &View,
+    now: Time,
+) {
+    let listed = calendar.entries.iter().map(|e| &e.window.name);
+    let recorded = view.windows.keys().map(|(name, _)| name);
+    let names: BTreeSet<&String> = listed.chain(recorded).collect();
+    watched.retain(|name, _| names.contains(name));
+    for name in names {
+        let watch = watched
+            .entry(name.clone())
+            .or_insert_with(|| Watch::new(now));
+        let mut entries = calendar.entries.iter();
+        watch.entry = entries.find(|e| e.window.name == *name).cloned();
+        let from = (name.clone(), i64::MIN);
+        let records = view.windows.range(from..);
+        let records = records.take_while(|((n, _), _)| n == name);
+        watch.records = records.map(|((_, start), r)| (*start, r.clone())).collect();
+    }
+}
+
+/// How many tasks that take `each` use so much, rounded up.
+fn tasks_of(used: Amount, each: Amount) -> u32 {
+    let of = |used: i64, each: i64| match each {
+        0 => 0,
+        each => (used.max(0) + each - 1) / each,
+    };
+    let most = of(used.cpu, each.cpu)
+        .max(of(used.gpu, each.gpu))
+        .max(of(used.ram, each.ram));
+    u32::try_from(most).unwrap_or(u32::MAX)
+}
--- /dev/null
+++ b/src/control/core/reservation_supply.rs
@@ -0,0 +1,160 @@
+//! What can be had for a window of the release calendar: machine types, room in its
+//! team's limit, and whether the cloud refuses more.
+
+use std::rc::Rc;
+
+use sorrelhinge_calendar::plan::{arbitrate, Refused, TeamRoom, Want};
+use sorrelhinge_calendar::settings::Window;
+
+use super::reservation_usage::ReservationUsage;
+use super::Core;
+use crate::sched::HoldSeen;
+use crate::types::{Amount, MachineType, Time, TypeName, Zone};
+
+/// A machine type to ask for.
+pub(super) enum TypeChoice {
+    /// Any that fits: the window names none.
+    Any,
+    /// This one.
+    Named(TypeName),
+}
+
+/// What machines that a window's tasks may run on have in common.
+pub(super) struct Supply {
+    /// The shortest usual boot, in seconds; 0: there is no such machine type.
+    pub(super) boot_s: f64,
+    /// The longest usual boot, in seconds.
+    pub(super) slowest_boot_s: f64,
+    /// The lowest rate at which one fetches images; infinite: there is no such type.
+    pub(super) fetch_gb_per_s: f64,
+    /// How many tasks fit on the largest.
+    pub(super) tasks_per_machine: u32,
+}
+
+/// Room for a window in its team's limit.
+#[derive(Default)]
+pub(super) struct LimitRoom {
+    /// How many tasks fit.
+    pub(super) tasks: u32,
+    /// The window that has what is missing.
+    pub(super) gives_way_to: Option<String>,
+}
+
+impl Core {
+    /// What the machine types that a window allows offer for tasks that take `each`.
+    pub(super) fn supply(&self, window: Option<&Rc<Window>>, each: Amount) -> Supply {
+        let may_use = |t: &MachineType, window: &Window| {
+            let mut zones = t.zones.iter();
+            zones.any(|z| window.allows(t.name.as_str(), z.as_str()))
+        };
+        let allowed: Vec<&Rc<MachineType>> = self
+            .types
+            .values()
+            .filter(|t| each.fits(t.total))
+            .filter(|t| window.is_none_or(|w| may_use(t, w)))
+            .collect();
+        let boots = allowed.iter().map(|t| t.boot_s);
+        let shortest = boots.clone().fold(f64::INFINITY, f64::min);
+        let rates = allowed.iter().map(|t| t.fetch_gb_per_s);
+        let tasks = allowed.iter().map(|t| each.how_many(t.total));
+        Supply {
+            boot_s: if shortest.is_finite() { shortest } else { 0.0 },
+            slowest_boot_s: boots.fold(0.0, f64::max),
+            fetch_gb_per_s: rates.fold(f64::INFINITY, f64::min),
+            tasks_per_machine: tasks.max().unwrap_or(1),
+        }
+    }
+
+    /// The size of an image in GB, as jobs of late say.
+    pub(super) fn image_gb(&self, image: &str) -> f64 {
+        let jobs = self.cluster_state.jobs().values().map(|j| &j.spec);
+        let late = self.scaling.arrivals.values().map(|a| &a.spec);
+        let found = jobs.chain(late).find(|s| s.image.as_str() == image);
+        found.map_or(0.0, |s| s.image_gb)
+    }
+
+    /// The type to ask for in a zone: of those named the first that is to be had,
+    /// else any. None: there is none that may be had now.
+    pub(super) fn type_for(
+        &self,
+        window: &Window,
+        zone: Option<&Zone>,
+        now: Time,
+    ) -> Option<TypeChoice> {
+        let fits = |t: &MachineType| {
+            window.each().fits(t.total)
+                && t.zones.iter().any(|z| {
+                    zone.is_none_or(|own| own == z) && self.may_request(&t.name, z, false, now)
+                })
+        };
+        if window.types.is_empty() {
+            return self
+                .types
+                .values()
+                .any(|t| fits(t))
+                .then_some(TypeChoice::Any);
+        }
+        let mut named = window.types.iter().map(|n| TypeName::from(n.as_str()));
+        named
+            .find(|n| self.types.get(n).is_some_and(|t| fits(t)))
+            .map(TypeChoice::Named)
+    }
+
+    /// Why a window's room is not rented, if it isn't.
+    pub(super) fn refused_for(
+        &self,
+        window: &Window,
+        here: &HoldSeen,
+        coming: u32,
+        now: Time,
+    ) -> Option<Refused> {
+        if here.set_aside.saturating_add(coming) >= here.open {
+            return None;
+        }
+        if self.windows.failing_until.is_some_and(|until| now < until) {
+            return Some(Refused::Changes);
+        }
+        let mut sorts = self
+            .types
+            .values()
+            .flat_map(|t| t.zones.iter().map(move |z| (t, z)));
+        let mut any = false;
+        let closed = sorts.all(|(t, z)| {
+            if !window.allows(t.name.as_str(), z.as_str()) || !window.each().fits(t.total) {
+                return true;
+            }
+            any = true;
+            !self.may_request(&t.name, z, false, now)
+        });
+        (any && closed).then_some(Refused::Capacity)
+    }
+
+    /// How many tasks' room of a window fits into its team's limit, beside the
+    /// team's other work and windows that come first.
+    pub(super) fn limit_room(&self, window: &Window, usage: &ReservationUsage) -> LimitRoom {
+        let among = usage.active.iter();
+        let among = among.filter(|a| a.holds || a.window.name == window.name);
+        let wants: Vec<Want> = among
+            .map(|a| Want {
+                name: a.window.name.clone(),
+                team: a.window.team.clone(),
+                each: a.window.each(),
+                tasks: a.window.tasks,
+            })
+            .collect();
+        let teams = self.cfg.teams.iter().map(|t| {
+            let used = usage.outside(&t.name);
+            let room = TeamRoom {
+                guarantee: t.guarantee - used,
+                limit: t.limit - used,
+            };
+            (t.name.to_string(), room)
+        });
+        let got = arbitrate(&wants, &teams.collect(), None);
+        let got = got.into_iter().find(|g| g.name == window.name);
+        got.map_or_else(LimitRoom::default, |g| LimitRoom {
+            tasks: g.tasks,
+            gives_way_to: g.gives_way_to,
+        })
+    }
+}
