--- a/src/control/block_owners.rs
+++ b/src/control/block_owners.rs
@@ -6,7 +6,7 @@
 use sorrelhinge_blocks::shard::{of_machine, BlockId, Shard};
 use tokio::time::Instant;
 
-use super::core::Core;
+use super::core::{Core, RecoveryInput, ShardGrant};
 use super::{wall_ms, Node};
 use crate::state::record::{block_key, member_key, BlockRecord, MemberRecord};
 use crate::state::view::View;
@@ -97,15 +97,22 @@
                 continue;
             }
             tracing::info!(%block, term = %record.term, grant = record.number, "owning");
-            let shard = Shard { block: *block, of };
-            let core = Core::load_block(
-                self.cfg.clone(),
-                &self.types.borrow(),
-                view,
-                (shard, (record.number, held.stamp), self.places.clone()),
-                None,
-                self.now(),
-                wall_ms(),
+            let grant = ShardGrant {
+                shard: Shard { block: *block, of },
+                number: record.number,
+                revision: held.stamp,
+            };
+            let core = Core::load(
+                &RecoveryInput {
+                    cfg: self.cfg.clone(),
+                    types: &self.types.borrow(),
+                    view,
+                    topology: None,
+                    now: self.now(),
+                    wall_ms: wall_ms(),
+                },
+                grant,
+                self.places.clone(),
             );
             if cores.is_empty() {
                 *self.reach.borrow_mut() = Reach::default();
--- a/src/control/core/load.rs
+++ b/src/control/core/load.rs
@@ -20,59 +20,72 @@
 use crate::state::view::{JobEntry, View};
 use crate::types::{Amount, JobId, MachineId, MachineType, Revision, Time, Token};
 
-impl Core {
-    /// Takes up the grant of all machines.
-    pub fn load(
-        cfg: Rc<Config>,
-        types: &[MachineType],
-        view: &View,
-        grant: (u64, Revision),
-        topology: Option<Rc<Topology>>,
-        now: Time,
-        wall_ms: u64,
-    ) -> Self {
-        Self::load_block(
-            cfg,
-            types,
-            view,
-            (Shard::WHOLE, grant, Places::default()),
-            topology,
-            now,
-            wall_ms,
-        )
+/// What an owner starts from, besides its grant.
+pub struct RecoveryInput<'a> {
+    /// Settings.
+    pub cfg: Rc<Config>,
+    /// The cloud's machine types; none are known: the owner waits for them.
+    pub types: &'a [MachineType],
+    /// What is recorded, at least up to the grant.
+    pub view: &'a View,
+    /// The operators' topology file.
+    pub topology: Option<Rc<Topology>>,
+    /// Now, on this process's clock.
+    pub now: Time,
+    /// The time of day, in milliseconds.
+    pub wall_ms: u64,
+}
+
+/// A grant as it is recorded.
+#[derive(Clone, Copy, Debug)]
+pub struct ShardGrant {
+    /// The machines and jobs that it is for.
+    pub shard: Shard,
+    /// Its number, which the fencing tokens of its commands begin with.
+    pub number: u64,
+    /// The revision that wrote it.
+    pub revision: Revision,
+}
+
+impl ShardGrant {
+    /// The grant of all machines.
+    pub fn whole(number: u64, revision: Revision) -> Self {
+        Self {
+            shard: Shard::WHOLE,
+            number,
+            revision,
+        }
     }
+}
 
-    /// Takes up the grant of a block: everything recorded of it is on the cluster state,
+impl Core {
+    /// Takes up a grant: everything recorded of its shard is on the cluster state,
     /// and every claim counts until a report that carries the new token says
-    /// otherwise.
-    pub fn load_block(
-        cfg: Rc<Config>,
-        types: &[MachineType],
-        view: &View,
-        (shard, (grant, grant_stamp), places): (Shard, (u64, Revision), Places),
-        topology: Option<Rc<Topology>>,
-        now: Time,
-        wall_ms: u64,
-    ) -> Self {
-        let teams = cfg
-            .teams
-            .iter()
-            .map(|t| Team {
-                name: t.name.clone(),
-                guarantee: t.guarantee,
-                // Of one block that holds all machines; of several each has
-                // its part, see `look_at_limits`.
-                limit: t.limit,
-                used: Amount::default(),
-                held_back: Amount::default(),
-            })
-            .collect();
-        let staging = staging::Staging::load(&cfg, shard, view);
-        let mut core = Self {
-            cfg,
-            cluster_state: ClusterState::new(teams),
-            grant,
-            grant_stamp,
+    /// otherwise. `places` is where machines of all shards are; of the grant of all
+    /// machines it is empty.
+    pub fn load(input: &RecoveryInput, grant: ShardGrant, places: Places) -> Self {
+        let (view, now, wall_ms) = (input.view, input.now, input.wall_ms);
+        let mut core = Self::without_records(input, grant, places);
+        core.set_up_cluster(input);
+        core.recover_arrivals(view, now, wall_ms);
+        core.recover_jobs(view, now, wall_ms);
+        core.look_at_windows(view, wall_ms as i64, now);
+        // Else nobody would go ahead after a takeover until the first look, and the
+        // order would be that of the acceptors' clocks.
+        core.cluster_state
+            .look_at_lanes(&core.cfg.lanes, now, wall_ms);
+        core
+    }
+
+    /// An owner that knows no job and no machine yet.
+    fn without_records(input: &RecoveryInput, grant: ShardGrant, places: Places) -> Self {
+        let (view, now, shard) = (input.view, input.now, grant.shard);
+        let staging = staging::Staging::load(&input.cfg, shard, view);
+        Self {
+            cfg: input.cfg.clone(),
+            cluster_state: ClusterState::new(teams(&input.cfg)),
+            grant: grant.number,
+            grant_stamp: grant.revision,
             shard,
             frozen_since: None,
             sharing: sharing::Sharing::default(),
@@ -109,7 +122,7 @@
                 .flat_map(|held| held.value.machines.iter().cloned())
                 .collect(),
             started: now,
-            started_ms: wall_ms,
+            started_ms: input.wall_ms,
             windows: calendar::Windows::default(),
             drains: Vec::new(),
             staging,
@@ -122,32 +135,40 @@
             rejected: BTreeMap::new(),
             walk_all: true,
             last_look: now,
-        };
-        let others = core.cfg.others.iter().map(|o| o.zone.clone());
-        core.cluster_state.staged_gb = core.cfg.tuning.staging_least_gb;
-        core.cluster_state.served = others.chain([core.cfg.zone.clone()]).collect();
-        core.set_types(types);
-        core.cluster_state.set_topology(topology, |_| None);
-        core.set_drains(view, now);
-        core.look_at_limits(view);
-        // Of several blocks each places an equal part of what comes.
-        let part = view.history.arrivals().enumerate();
-        let part = part.filter(|(n, _)| *n as u32 % shard.of == shard.block.0);
+        }
+    }
+
+    /// Machine types, zones, topology, drains and limits.
+    fn set_up_cluster(&mut self, input: &RecoveryInput) {
+        let others = self.cfg.others.iter().map(|o| o.zone.clone());
+        self.cluster_state.staged_gb = self.cfg.tuning.staging_least_gb;
+        self.cluster_state.served = others.chain([self.cfg.zone.clone()]).collect();
+        self.set_types(input.types);
+        self.cluster_state
+            .set_topology(input.topology.clone(), |_| None);
+        self.set_drains(input.view, input.now);
+        self.look_at_limits(input.view);
+    }
+
+    /// Jobs that arrived of late. Of several blocks each places an equal part of what
+    /// comes.
+    fn recover_arrivals(&mut self, view: &View, now: Time, wall_ms: u64) {
+        let Shard { block, of } = self.shard;
+        let all = view.history.arrivals().enumerate();
+        let part = all.filter(|(n, _)| *n as u32 % of == block.0);
         for (_, (accepted_ms, spec)) in part {
-            let age = wall_ms.saturating_sub(*accepted_ms) as f64 / 1000.0;
-            core.arrived(spec, Time(now.0 - age));
+            let age_s = wall_ms.saturating_sub(*accepted_ms) as f64 / 1000.0;
+            self.arrived(spec, Time(now.0 - age_s));
         }
+    }
+
+    /// Jobs that this shard homes or has claims of, by their names.
+    fn recover_jobs(&mut self, view: &View, now: Time, wall_ms: u64) {
         let mut jobs: Vec<&JobId> = view.jobs().map(|(id, _)| id).collect();
         jobs.sort();
         for id in jobs {
-            core.add_job(view, id, now, wall_ms);
+            self.add_job(view, id, now, wall_ms);
         }
-        core.look_at_windows(view, wall_ms as i64, now);
-        // Else nobody would go ahead after a takeover until the first look, and the
-        // order would be that of the acceptors' clocks.
-        core.cluster_state
-            .look_at_lanes(&core.cfg.lanes, now, wall_ms);
-        core
     }
 
     /// The grant's lowest token.
@@ -162,3 +183,18 @@
         }
     }
 }
+
+/// The teams with their whole limits. Of several blocks each has its part of them, see
+/// `look_at_limits`.
+fn teams(cfg: &Config) -> Vec<Team> {
+    cfg.teams
+        .iter()
+        .map(|t| Team {
+            name: t.name.clone(),
+            guarantee: t.guarantee,
+            limit: t.limit,
+            used: Amount::default(),
+            held_back: Amount::default(),
+        })
+        .collect()
+}
--- a/src/control/core/mod.rs
+++ b/src/control/core/mod.rs
@@ -48,6 +48,7 @@
 pub use self::calendar::WindowStep;
 use self::deleted_machines::DeletedMachines;
 use self::link::Link;
+pub use self::load::{RecoveryInput, ShardGrant};
 pub use self::renting::ScalingDecision;
 pub use self::sharing::Places;
 use super::pending::{ChunkId, Pending};
--- a/src/control/dividing.rs
+++ b/src/control/dividing.rs
@@ -4,7 +4,7 @@
 use sorrelhinge_blocks::shard::{BlockId, Shard};
 use sorrelhinge_blocks::slices::divide;
 
-use super::core::Core;
+use super::core::{Core, RecoveryInput, ShardGrant};
 use super::{wall_ms, Node};
 use crate::state::record::{
     block_key, member_key, slice_key, BlockRecord, Fence, GrantRecord, MapRecord, MemberRecord,
@@ -74,12 +74,22 @@
         });
         let (slices, stamp, term) = {
             let view = self.view.borrow();
+            let input = RecoveryInput {
+                cfg: self.cfg.clone(),
+                types: &self.types.borrow(),
+                view: &view,
+                topology: None,
+                now,
+                wall_ms: wall,
+            };
             let used: Vec<Vec<Amount>> = shards
                 .map(|shard| {
-                    let grant = (shard, (grant, Revision(0)), self.places.clone());
-                    let types = self.types.borrow();
-                    let core =
-                        Core::load_block(self.cfg.clone(), &types, &view, grant, None, now, wall);
+                    let grant = ShardGrant {
+                        shard,
+                        number: grant,
+                        revision: Revision(0),
+                    };
+                    let core = Core::load(&input, grant, self.places.clone());
                     core.needs().iter().map(|n| n.used).collect()
                 })
                 .collect();
--- a/src/control/leading.rs
+++ b/src/control/leading.rs
@@ -7,7 +7,7 @@
 use sorrelhinge_blocks::shard::BlockId;
 use tokio::time::{sleep, timeout, Instant};
 
-use super::core::Core;
+use super::core::{Core, Places, RecoveryInput, ShardGrant};
 use super::{wall_ms, Node, LEADER_CHANGES, LEADER_REQUESTS, UNFIT, UNFIT_WAIT};
 use crate::state::record::{GrantRecord, LeaderRecord, GRANT, LEADER};
 use crate::state::view::Versioned;
@@ -138,14 +138,18 @@
             return;
         }
         tracing::info!(term = %grant.term, grant = grant.number, "leading");
+        let grant = ShardGrant::whole(grant.number, revision);
         let core = Core::load(
-            self.cfg.clone(),
-            &self.types.borrow(),
-            &self.view.borrow(),
-            (grant.number, revision),
-            self.topology.borrow().clone(),
-            self.now(),
-            wall_ms(),
+            &RecoveryInput {
+                cfg: self.cfg.clone(),
+                types: &self.types.borrow(),
+                view: &self.view.borrow(),
+                topology: self.topology.borrow().clone(),
+                now: self.now(),
+                wall_ms: wall_ms(),
+            },
+            grant,
+            Places::default(),
         );
         // It gave up at once, by what it had seen as the owner before.
         *self.reach.borrow_mut() = Reach::default();
--- a/tests/lanes.rs
+++ b/tests/lanes.rs
@@ -12,7 +12,7 @@
 use serde_json::{json, Value};
 use sorrelhinge::api::read_job;
 use sorrelhinge::config::Config;
-use sorrelhinge::control::core::Core;
+use sorrelhinge::control::core::{Core, Places, RecoveryInput, ShardGrant};
 use sorrelhinge::sched::{ClusterState, Job, Laned, Tasks};
 use sorrelhinge::state::record::{job_key, JobRecord};
 use sorrelhinge::state::view::View;
@@ -447,9 +447,17 @@
             serde_json::from_str(&item.to_string()).expect("an item")
         });
         view.replace(Revision(90), items.collect());
-        let grant = (1, Revision(1));
+        let grant = ShardGrant::whole(1, Revision(1));
         let now = Time(50.0);
-        let mut core = Core::load(config.clone(), &[], &view, grant, None, now, 50_000);
+        let input = RecoveryInput {
+            cfg: config.clone(),
+            types: &[],
+            view: &view,
+            topology: None,
+            now,
+            wall_ms: 50_000,
+        };
+        let mut core = Core::load(&input, grant, Places::default());
         core.tick(now);
         let waiting = core.show_lanes(now).lanes.remove(0).waiting;
         let order = waiting.into_iter().map(|w| (w.job, w.place));
--- a/tests/rules/commands.rs
+++ b/tests/rules/commands.rs
@@ -2,7 +2,7 @@
 
 use serde_json::{json, Value};
 use sorrelhinge::api::read_job;
-use sorrelhinge::control::core::{Core, Source};
+use sorrelhinge::control::core::{Core, Places, RecoveryInput, ShardGrant, Source};
 use sorrelhinge::sched::Sent;
 use sorrelhinge::state::record::{job_key, JobRecord};
 use sorrelhinge::state::Outcome;
@@ -85,8 +85,16 @@
     assert!(running, "{piece} is reported");
     let now = Time(world.now);
     let view = &world.owners.last().expect("an owner").view;
-    let grant = (world.grants, view.grant.stamp);
-    let mut core = Core::load(world.config(), &[], view, grant, None, now, 0);
+    let grant = ShardGrant::whole(world.grants, view.grant.stamp);
+    let input = RecoveryInput {
+        cfg: world.config(),
+        types: &[],
+        view,
+        topology: None,
+        now,
+        wall_ms: 0,
+    };
+    let mut core = Core::load(&input, grant, Places::default());
     assert!(core.report(&report, Source::Beat, now));
     let reply = core.answer(&report, view, now);
     assert_eq!(verbs_for(&reply.orders, &piece), ["kill"]);
--- a/tests/rules/pipelines.rs
+++ b/tests/rules/pipelines.rs
@@ -8,7 +8,7 @@
 use rand::Rng;
 use serde_json::json;
 use sorrelhinge::config::Config;
-use sorrelhinge::control::core::Core;
+use sorrelhinge::control::core::{Core, Places, RecoveryInput, ShardGrant};
 use sorrelhinge::state::record::{job_key, JobRecord, Phase};
 use sorrelhinge::state::view::View;
 use sorrelhinge::types::{JobId, Revision, Time};
@@ -241,8 +241,16 @@
 }
 
 fn core_of(view: &View, config: &Rc<Config>, now: Time, wall_ms: u64) -> Core {
-    let grant = (1, view.grant.stamp);
-    Core::load(config.clone(), &kinds(), view, grant, None, now, wall_ms)
+    let grant = ShardGrant::whole(1, view.grant.stamp);
+    let input = RecoveryInput {
+        cfg: config.clone(),
+        types: &kinds(),
+        view,
+        topology: None,
+        now,
+        wall_ms,
+    };
+    Core::load(&input, grant, Places::default())
 }
 
 fn accept(store: &mut Store, uid: &str, more: serde_json::Value, needs: &[&str], at_ms: u64) {
--- a/tests/rules/recording.rs
+++ b/tests/rules/recording.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 
 use serde_json::json;
-use sorrelhinge::control::core::Core;
+use sorrelhinge::control::core::{Core, Places, RecoveryInput, ShardGrant};
 use sorrelhinge::control::pending::{Due, Haste, Pending};
 use sorrelhinge::shares::LeftTo;
 use sorrelhinge::state::record::chunk_key;
@@ -26,9 +26,16 @@
         let lane = format!("lane.a.classes={class}");
         config.lanes = sorrelhinge::config::lanes(lane.as_bytes()).expect("a lane");
         let o = &mut world.owners[0];
-        let grant = (o.view.grant.value.number, o.view.grant.stamp);
-        let config = Rc::new(config);
-        o.core = Core::load(config, &kinds(), &o.view, grant, None, Time(0.0), 0);
+        let grant = ShardGrant::whole(o.view.grant.value.number, o.view.grant.stamp);
+        let input = RecoveryInput {
+            cfg: Rc::new(config),
+            types: &kinds(),
+            view: &o.view,
+            topology: None,
+            now: Time(0.0),
+            wall_ms: 0,
+        };
+        o.core = Core::load(&input, grant, Places::default());
         let (id, _) = one_job(&mut world);
         let World { store, owners, .. } = &mut world;
         let Owner { core, view, .. } = &mut owners[0];
--- a/tests/rules/world.rs
+++ b/tests/rules/world.rs
@@ -9,7 +9,9 @@
 use sorrelhinge::api::read_job;
 use sorrelhinge::cloud::{Listed, MachinePhase};
 use sorrelhinge::config::Config;
-use sorrelhinge::control::core::{Batch, Core, Dispatch, Places, Source};
+use sorrelhinge::control::core::{
+    Batch, Core, Dispatch, Places, RecoveryInput, ShardGrant, Source,
+};
 use sorrelhinge::state::record::{
     chunk_key, job_key, BlockRecord, GrantRecord, JobRecord, NewJob, GRANT,
 };
@@ -188,16 +190,20 @@
         let view = self.whole_view();
         let block = BlockId(block);
         let shard = Shard { block, of: self.of };
-        let grant = (self.grants, view.blocks[&block].stamp);
-        let core = Core::load_block(
-            self.config(),
-            &kinds(),
-            &view,
-            (shard, grant, self.places.clone()),
-            None,
-            Time(self.now),
-            0,
-        );
+        let grant = ShardGrant {
+            shard,
+            number: self.grants,
+            revision: view.blocks[&block].stamp,
+        };
+        let input = RecoveryInput {
+            cfg: self.config(),
+            types: &kinds(),
+            view: &view,
+            topology: None,
+            now: Time(self.now),
+            wall_ms: 0,
+        };
+        let core = Core::load(&input, grant, self.places.clone());
         self.add_owner(core, view);
         let same = self.owners.iter().filter(|o| o.core.shard == shard);
         if same.count() > 2 {
@@ -244,15 +250,16 @@
         self.store
             .write(GRANT, serde_json::to_value(&grant).expect("record"));
         let view = self.whole_view();
-        let core = Core::load(
-            self.config(),
-            &kinds(),
-            &view,
-            (self.grants, view.grant.stamp),
-            self.topology.clone(),
-            Time(self.now),
-            0,
-        );
+        let grant = ShardGrant::whole(self.grants, view.grant.stamp);
+        let input = RecoveryInput {
+            cfg: self.config(),
+            types: &kinds(),
+            view: &view,
+            topology: self.topology.clone(),
+            now: Time(self.now),
+            wall_ms: 0,
+        };
+        let core = Core::load(&input, grant, Places::default());
         self.add_owner(core, view);
         if self.owners.len() > 2 {
             self.owners.remove(0);
--- a/tests/staging.rs
+++ b/tests/staging.rs
@@ -9,7 +9,7 @@
 use serde_json::{json, Value};
 use sorrelhinge::api::read_job;
 use sorrelhinge::config::Tuning;
-use sorrelhinge::control::core::{Batch, Core, Source};
+use sorrelhinge::control::core::{Batch, Core, Places, RecoveryInput, ShardGrant, Source};
 use sorrelhinge::sched::{ClusterState, DelayRule, Job, Machine, Tasks, Team};
 use sorrelhinge::state::record::{image_hash, job_key, wave_key, JobRecord, GRANT};
 use sorrelhinge::state::view::View;
@@ -244,8 +244,16 @@
 fn core(properties: &str, view: &View, grant: u64, now: f64) -> Core {
     let mut config = (*settings::config(100.0)).clone();
     config.tuning = Tuning::parse(properties.as_bytes()).expect("properties");
-    let grant = (grant, view.grant.stamp);
-    Core::load(Rc::new(config), &[kind()], view, grant, None, Time(now), 0)
+    let grant = ShardGrant::whole(grant, view.grant.stamp);
+    let input = RecoveryInput {
+        cfg: Rc::new(config),
+        types: &[kind()],
+        view,
+        topology: None,
+        now: Time(now),
+        wall_ms: 0,
+    };
+    Core::load(&input, grant, Places::default())
 }
 
 const ON: &str = "staging.least.gb=20";
--- a/tests/topology_cases.rs
+++ b/tests/topology_cases.rs
@@ -8,7 +8,7 @@
 use std::sync::Arc;
 
 use serde_json::{json, Value};
-use sorrelhinge::control::core::{Core, Source};
+use sorrelhinge::control::core::{Core, Places, RecoveryInput, ShardGrant, Source};
 use sorrelhinge::fleet;
 use sorrelhinge::sched::{
     Claim, ClusterState, DelayRule, Job, Launch, Machine, Moving, Progress, Sent, Tasks, Team,
@@ -628,17 +628,16 @@
             {"write": job_key(&JobId::from("run-1")), "value": record, "stamp": 2}]});
         view.apply(Revision(0), serde_json::from_value(events).expect("events"));
         let types = [(*kind()).clone()];
-        let grant = (1, view.grant.stamp);
-        let topology = Some(topology.clone());
-        let core = Core::load(
-            settings::config(100.0),
-            &types,
-            &view,
-            grant,
-            topology,
-            Time(0.0),
-            0,
-        );
+        let grant = ShardGrant::whole(1, view.grant.stamp);
+        let input = RecoveryInput {
+            cfg: settings::config(100.0),
+            types: &types,
+            view: &view,
+            topology: Some(topology.clone()),
+            now: Time(0.0),
+            wall_ms: 0,
+        };
+        let core = Core::load(&input, grant, Places::default());
         Self {
             core,
             view,
