--- a/src/control/core/batch.rs
+++ b/src/control/core/batch.rs
@@ -139,10 +139,10 @@
         let mut draft = Draft::new(self.grant_key(), self.grant_stamp);
         let alone = now < self.alone_until;
         // First: starts wait for it.
-        if let Some((when, change, step)) = self.staging.next(now) {
-            draft.batch.txn.when.push(when);
-            draft.batch.txn.apply.push(change);
-            draft.batch.wave = Some(step);
+        if let Some(due) = self.staging.next(now) {
+            draft.batch.txn.when.push(due.when);
+            draft.batch.txn.apply.push(due.change);
+            draft.batch.wave = Some(due.step);
         }
         let mut again = Vec::new();
         while draft.len() < most_ops && draft.bytes <= TXN_BYTES && !(alone && draft.len() > 0) {
--- a/src/control/core/mod.rs
+++ b/src/control/core/mod.rs
@@ -27,6 +27,7 @@
 mod reservation_refresh;
 mod reservation_supply;
 mod reservation_usage;
+mod rollout_refresh;
 mod scale_in;
 mod scaling_state;
 mod served;
--- /dev/null
+++ b/src/control/core/rollout_refresh.rs
@@ -0,0 +1,274 @@
+//! Compares the images that many machines want with the claims and the machines that
+//! there are: who came, who is gone, whose image left the cache. Also goes on with what
+//! a former owner recorded.
+
+use std::collections::BTreeMap;
+
+use sorrelhinge_staging::patience;
+use sorrelhinge_staging::plan::{Has, Ran, Uploads, Wave};
+
+use super::staging::{does, Does, Kept, Member, Staging, OVER_S};
+use super::Core;
+use crate::sched::{Machine, Sent};
+use crate::types::{Image, MachineId, Time};
+
+/// A successor waits for what its predecessor started for so many reports: a machine
+/// that is silent doesn't hold up all others.
+const SETTLE_REPORTS: f64 = 3.0;
+/// And for so many seconds more.
+const SETTLE_S: f64 = 2.0;
+
+/// What is done with an image, by the claims.
+struct ImageUse {
+    /// By the machines on which it is.
+    machines: BTreeMap<MachineId, Does>,
+    /// Of each claim that was found it is known whether its start was sent.
+    settled: bool,
+    /// The image's size.
+    gb: f64,
+}
+
+impl ImageUse {
+    fn of_size(gb: f64) -> Self {
+        Self {
+            machines: BTreeMap::new(),
+            settled: true,
+            gb,
+        }
+    }
+}
+
+/// A machine that has an image, or a part of it.
+struct Found {
+    machine: MachineId,
+    /// Its failure domains, its zone first.
+    path: Vec<String>,
+    has: Has,
+}
+
+/// A wave whose members are compared with the claims.
+struct WaveUpdate<'a> {
+    image: &'a Image,
+    gb: f64,
+    wave: &'a mut Wave,
+    uploads: &'a mut Uploads,
+    now: Time,
+}
+
+impl WaveUpdate<'_> {
+    /// Notes what a machine does with the image, if there still is such a machine; whether
+    /// it stays in the wave.
+    fn keeps(
+        &mut self,
+        id: &MachineId,
+        member: &mut Member,
+        machine: Option<&Machine>,
+        does: Option<Does>,
+    ) -> bool {
+        let Some(machine) = machine else {
+            self.wave.lost(id, self.uploads);
+            return false;
+        };
+        match does {
+            Some(Does::Runs) => {
+                self.wave.arrived(id, self.uploads);
+                member.whole = true;
+            }
+            Some(Does::Fetches) if !member.whole => {
+                // It may go on; but who takes from it waits with it.
+                let rate = machine.kind.fetch_gb_per_s;
+                let allowed_s = patience::fetch_allowance_s(self.gb, rate);
+                if self.now.since(member.since) > allowed_s {
+                    self.wave.slow(id, self.uploads);
+                }
+            }
+            Some(_) => {}
+            None if member.whole && machine.cache.has(self.image) => {}
+            None => {
+                self.wave.evicted(id, self.uploads);
+                return false;
+            }
+        }
+        true
+    }
+
+    /// Joins a machine that was started by a predecessor that kept no wave, or found
+    /// late: from whom it takes the image is not known, so it is planned as if it began
+    /// now.
+    fn join(&mut self, id: &MachineId, path: &[String], whole: bool) -> Member {
+        self.wave.join(id.clone(), path, whole);
+        if !whole {
+            self.wave.assign(id, self.uploads, self.now.0);
+        }
+        Member {
+            whole,
+            since: self.now,
+        }
+    }
+}
+
+impl Kept {
+    /// Notes since when nobody wants or fetches the image; whether that is long enough
+    /// for the wave to go, with nothing of it recorded.
+    fn is_over(&mut self, now: Time) -> bool {
+        let Some(wave) = &self.wave else {
+            return false;
+        };
+        match (wave.over(), self.over_since) {
+            (true, None) => self.over_since = Some(now),
+            (false, _) => self.over_since = None,
+            _ => {}
+        }
+        self.over_since.is_some_and(|t| now.since(t) >= OVER_S) && wave.record().is_none()
+    }
+}
+
+impl Core {
+    /// Compares all waves with the claims and the machines that there are.
+    pub(super) fn look_at_waves(&mut self, now: Time) {
+        if self.staging.least_gb.is_none() {
+            return;
+        }
+        let in_use = self.images_in_use();
+        let settle_s = SETTLE_REPORTS * self.cfg.report_s + SETTLE_S;
+        let waited = now.since(self.started) >= settle_s;
+        for (image, image_use) in &in_use {
+            if image_use.machines.values().any(|d| *d == Does::Fetches) {
+                self.keep_wave(image);
+            }
+        }
+        let images: Vec<Image> = self.staging.waves.keys().cloned().collect();
+        let unused = ImageUse::of_size(0.0);
+        for image in images {
+            let image_use = in_use.get(&image).unwrap_or(&unused);
+            if let Some(kept) = self.staging.waves.get_mut(&image) {
+                kept.gb = image_use.gb;
+            }
+            if self.staging.wave_mut(&image).is_some() {
+                self.look_at_wave(&image, &image_use.machines, now);
+            } else if waited || image_use.settled {
+                self.resume_wave(&image, &image_use.machines, now);
+            }
+        }
+    }
+
+    /// What the claims do with each image that goes by a wave.
+    fn images_in_use(&self) -> BTreeMap<Image, ImageUse> {
+        let mut in_use: BTreeMap<Image, ImageUse> = BTreeMap::new();
+        let jobs = self.cluster_state.jobs().values();
+        for job in jobs.filter(|j| self.staging.stages(&j.spec)) {
+            for claim in job.tasks.claims().values() {
+                let image_use = in_use
+                    .entry(job.spec.image.clone())
+                    .or_insert_with(|| ImageUse::of_size(job.spec.image_gb));
+                image_use.settled &= claim.sent != Sent::Found;
+                if !self.cluster_state.machines().contains_key(&claim.machine) {
+                    continue;
+                }
+                let furthest = image_use
+                    .machines
+                    .entry(claim.machine.clone())
+                    .or_insert(Does::Wants);
+                *furthest = does(claim).max(*furthest);
+            }
+        }
+        in_use
+    }
+
+    /// Compares an image's wave with what machines do with it; a wave that is over goes.
+    fn look_at_wave(&mut self, image: &Image, on: &BTreeMap<MachineId, Does>, now: Time) {
+        let joining = self.paths_of_new(image, on);
+        let Staging { waves, uploads, .. } = &mut self.staging;
+        let Some(kept) = waves.get_mut(image) else {
+            return;
+        };
+        let Some(wave) = &mut kept.wave else { return };
+        let mut update = WaveUpdate {
+            image,
+            gb: kept.gb,
+            wave,
+            uploads,
+            now,
+        };
+        let machines = self.cluster_state.machines();
+        kept.members
+            .retain(|id, member| update.keeps(id, member, machines.get(id), on.get(id).copied()));
+        for (id, path) in joining {
+            let whole = on.get(&id) == Some(&Does::Runs);
+            let member = update.join(&id, &path, whole);
+            kept.members.insert(id, member);
+        }
+        kept.waiting.retain(|id| on.contains_key(id));
+        if kept.is_over(now) {
+            self.staging.waves.remove(image);
+        }
+    }
+
+    /// Machines that fetch or run an image and are not in its wave, with their failure
+    /// domains.
+    fn paths_of_new(
+        &self,
+        image: &Image,
+        on: &BTreeMap<MachineId, Does>,
+    ) -> BTreeMap<MachineId, Vec<String>> {
+        let kept = self.staging.waves.get(image);
+        let known = |id: &MachineId| kept.is_some_and(|k| k.members.contains_key(id));
+        let new = on.iter().filter(|(id, d)| **d > Does::Wants && !known(id));
+        new.map(|(id, _)| (id.clone(), self.path_of(id))).collect()
+    }
+
+    /// Goes on with a predecessor's wave: who fetches goes on, and its seeds
+    /// count, so the origin is not asked for their copies again.
+    fn resume_wave(&mut self, image: &Image, on: &BTreeMap<MachineId, Does>, now: Time) {
+        let found = self.machines_with(image, on);
+        let key = self.staging.key(image);
+        let record = self.staging.held.get(&key).and_then(|h| h.value.as_ref());
+        let (limits, uploads) = (self.staging.limits, &mut self.staging.uploads);
+        let ran = found.iter().map(|f| Ran {
+            machine: f.machine.clone(),
+            path: &f.path,
+            has: f.has,
+        });
+        let wave = record.and_then(|r| Wave::resume(r, limits, ran, uploads, now.0));
+        let wave = wave.unwrap_or_else(|| Wave::new(image.clone(), limits));
+        let (wants, fetches, whole) = wave.counts();
+        tracing::info!(%image, stage = wave.stage(), wants, fetches, whole, "wave goes on");
+        if let Some(kept) = self.staging.waves.get_mut(image) {
+            let member = |has: Has| Member {
+                whole: matches!(has, Has::Whole),
+                since: now,
+            };
+            let members = found.into_iter().map(|f| (f.machine, member(f.has)));
+            kept.members = members.collect();
+            kept.wave = Some(wave);
+        }
+    }
+
+    /// Machines that have an image or fetch it.
+    fn machines_with(&self, image: &Image, on: &BTreeMap<MachineId, Does>) -> Vec<Found> {
+        let mut found = Vec::new();
+        for (id, machine) in self.cluster_state.machines() {
+            let has = match on.get(id) {
+                Some(Does::Runs) => Has::Whole,
+                Some(Does::Fetches) => Has::Part(self.part_of(id, image)),
+                // Its start waits here, and is joined then.
+                Some(Does::Wants) => continue,
+                None if machine.cache.has(image) => Has::Whole,
+                None => continue,
+            };
+            found.push(Found {
+                machine: id.clone(),
+                path: self.path_of(id),
+                has,
+            });
+        }
+        found
+    }
+
+    /// How much of an image a machine says that it has, 0 to 1: a hint.
+    fn part_of(&self, id: &MachineId, image: &Image) -> f64 {
+        let said = self.links.get(id).map_or(&[][..], |l| &l.images);
+        let of = said.iter().find(|i| i.image == image.as_str());
+        of.map_or(0.0, |i| i.parts as f64 / i.of.max(1) as f64)
+    }
+}
--- a/src/control/core/staging.rs
+++ b/src/control/core/staging.rs
@@ -12,6 +12,7 @@
 use sorrelhinge_staging::record::WaveRecord;
 
 use crate::config::Config;
+use crate::sched::{Claim, Progress, Sent};
 use crate::state::record::{image_hash, wave_key};
 use crate::state::view::{Versioned, View};
 use crate::state::{Change, When};
@@ -21,6 +22,26 @@
 /// one after the other, and each would cost two changes.
 pub(super) const OVER_S: f64 = 5.0;
 
+/// What a machine does with an image, by the claims there.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub(super) enum Does {
+    /// Its start was not sent.
+    Wants,
+    /// It was, and the task doesn't run yet.
+    Fetches,
+    /// A task runs on it.
+    Runs,
+}
+
+/// What a claim's task does with its image.
+pub(super) fn does(claim: &Claim) -> Does {
+    match (claim.progress, claim.sent) {
+        (Progress::Running(_) | Progress::Saving, _) => Does::Runs,
+        (_, Sent::No) => Does::Wants,
+        _ => Does::Fetches,
+    }
+}
+
 /// A machine in a wave.
 pub(super) struct Member {
     /// It has all of the image.
@@ -66,6 +87,13 @@
     of: Option<(WaveRecord, WaveRecord)>,
 }
 
+/// A step as a change, and the condition that it is made on.
+pub(super) struct DueStep {
+    pub(super) when: When,
+    pub(super) change: Change,
+    pub(super) step: Step,
+}
+
 /// All waves of a block.
 pub(super) struct Staging {
     /// Images of at least so many GB go by waves; none: no image.
@@ -103,14 +131,15 @@
         if least_gb.is_none() {
             return staging;
         }
-        for (key, held) in &view.waves {
-            if key.0 == shard.block {
-                staging.held.insert(*key, held.clone());
+        for (&key, held) in &view.waves {
+            let (block, _) = key;
+            if block == shard.block {
+                staging.held.insert(key, held.clone());
                 if let Some(record) = held.value.as_ref().filter(|r| r.known()) {
                     staging.waves.insert(record.image.clone(), Kept::of(None));
                 }
-            } else if key.0 .0 >= shard.of && shard.block.0 == 0 && held.value.is_some() {
-                staging.useless.insert(*key, held.stamp);
+            } else if block.0 >= shard.of && shard.block == BlockId(0) && held.value.is_some() {
+                staging.useless.insert(key, held.stamp);
             }
         }
         staging
@@ -140,87 +169,79 @@
     }
 
     /// The next change that is due.
-    pub(super) fn next(&self, now: Time) -> Option<(When, Change, Step)> {
+    pub(super) fn next(&self, now: Time) -> Option<DueStep> {
         if let Some((key, stamp)) = self.useless.first_key_value() {
             return Some(deletion(*key, *stamp));
         }
-        for (image, kept) in &self.waves {
-            let Some(wave) = &kept.wave else { continue };
-            let key = self.key(image);
-            let held = self.held.get(&key);
-            if held.is_some_and(|h| h.value.is_none()) {
-                continue;
-            }
-            let stamp = held.map_or(Revision(0), |h| h.stamp);
-            if wave.over() {
-                let long = kept.over_since.is_some_and(|t| now.since(t) >= OVER_S);
-                if long && stamp != Revision(0) {
-                    return Some(deletion(key, stamp));
-                }
-                continue;
-            }
-            let Some(record) = wave.next(now.0) else {
-                continue;
-            };
-            let Some(written) = self.fitting(&record) else {
-                continue;
-            };
-            let name = wave_key(key.0, key.1);
-            let when = When {
-                key: name.clone(),
-                stamp,
-            };
-            let change = Change::write(name, &written, None);
-            let of = Some((record, written));
-            return Some((when, change, Step { key, of }));
+        let mut waves = self.waves.iter();
+        waves.find_map(|(image, kept)| self.next_of(image, kept, now))
+    }
+
+    /// What is due of a wave: its next record, or its deletion once it is over.
+    fn next_of(&self, image: &Image, kept: &Kept, now: Time) -> Option<DueStep> {
+        let wave = kept.wave.as_ref()?;
+        let key = self.key(image);
+        let held = self.held.get(&key);
+        if held.is_some_and(|h| h.value.is_none()) {
+            return None;
+        }
+        let stamp = held.map_or(Revision(0), |h| h.stamp);
+        if wave.over() {
+            let long = kept.over_since.is_some_and(|t| now.since(t) >= OVER_S);
+            return (long && stamp != Revision(0)).then(|| deletion(key, stamp));
         }
-        None
+        let record = wave.next(now.0)?;
+        let written = self.fitting(&record)?;
+        let name = record_name(key);
+        Some(DueStep {
+            change: Change::write(name.clone(), &written, None),
+            when: When { key: name, stamp },
+            step: Step {
+                key,
+                of: Some((record, written)),
+            },
+        })
     }
 
     /// A change is in the state service. Machines whose start may be sent now.
     pub(super) fn done(&mut self, step: Step, stamp: Revision, now: Time) -> BTreeSet<MachineId> {
         self.useless.remove(&step.key);
         let Some((record, written)) = step.of else {
-            self.held.remove(&step.key);
-            // One that came meanwhile begins another wave.
-            let mut woken = BTreeSet::new();
-            self.waves.retain(|image, kept| {
-                let ends = (self.block, image_hash(image)) == step.key;
-                if ends {
-                    for machine in kept.members.keys() {
-                        if let Some(wave) = &mut kept.wave {
-                            wave.lost(machine, &mut self.uploads);
-                        }
-                    }
-                    woken.append(&mut kept.waiting);
-                }
-                !ends
-            });
-            return woken;
+            return self.ended(step.key);
         };
         let value = Some(written);
         self.held.insert(step.key, Versioned { stamp, value });
         if let Some(wave) = self.wave_mut(&record.image) {
-            let (wants, fetches, whole) = wave.counts();
-            tracing::info!(
-                image = %record.image,
-                stage = record.stage,
-                seeds = record.seeds.len(),
-                wants,
-                fetches,
-                whole,
-                copies = wave.copies(),
-                crossings = wave.crossings(),
-                "wave"
-            );
+            log_wave(wave, &record);
             wave.written(record, now.0);
         }
         BTreeSet::new()
     }
 
+    /// A wave's record is deleted. Machines that came meanwhile, which begin another
+    /// wave.
+    fn ended(&mut self, key: (BlockId, u64)) -> BTreeSet<MachineId> {
+        self.held.remove(&key);
+        let mut woken = BTreeSet::new();
+        self.waves.retain(|image, kept| {
+            let ends = (self.block, image_hash(image)) == key;
+            if ends {
+                for machine in kept.members.keys() {
+                    if let Some(wave) = &mut kept.wave {
+                        wave.lost(machine, &mut self.uploads);
+                    }
+                }
+                woken.append(&mut kept.waiting);
+            }
+            !ends
+        });
+        woken
+    }
+
     /// A change was not carried out, or had been before: what the state service
     /// has now tells.
     pub(super) fn undone(&mut self, step: Step, view: &View, now: Time) {
+        let (block, _) = step.key;
         let held = view.waves.get(&step.key);
         let recorded = held.and_then(|h| h.value.as_ref());
         let same = recorded == step.of.as_ref().map(|(_, written)| written);
@@ -229,7 +250,7 @@
                 let stamp = held.map_or(Revision(0), |h| h.stamp);
                 self.done(step, stamp, now);
             }
-            Some(held) if step.key.0 == self.block => {
+            Some(held) if block == self.block => {
                 self.held.insert(step.key, held.clone());
             }
             Some(held) => {
@@ -246,12 +267,33 @@
     }
 }
 
-fn deletion(key: (BlockId, u64), stamp: Revision) -> (When, Change, Step) {
-    let name = wave_key(key.0, key.1);
-    let when = When {
-        key: name.clone(),
-        stamp,
-    };
-    let change = Change::Delete { delete: name };
-    (when, change, Step { key, of: None })
+/// The key of a wave's record.
+fn record_name((block, image_hash): (BlockId, u64)) -> String {
+    wave_key(block, image_hash)
+}
+
+fn deletion(key: (BlockId, u64), stamp: Revision) -> DueStep {
+    let name = record_name(key);
+    DueStep {
+        change: Change::Delete {
+            delete: name.clone(),
+        },
+        when: When { key: name, stamp },
+        step: Step { key, of: None },
+    }
+}
+
+fn log_wave(wave: &Wave, record: &WaveRecord) {
+    let (wants, fetches, whole) = wave.counts();
+    tracing::info!(
+        image = %record.image,
+        stage = record.stage,
+        seeds = record.seeds.len(),
+        wants,
+        fetches,
+        whole,
+        copies = wave.copies(),
+        crossings = wave.crossings(),
+        "wave"
+    );
 }
--- a/src/control/core/waves.rs
+++ b/src/control/core/waves.rs
@@ -1,40 +1,22 @@
 //! Images that many machines want: which starts wait for their stage, and whom the
 //! others take their image from. What is known and recorded of it is in
-//! [`super::staging`].
+//! [`super::staging`]; it is compared with the claims in [`super::rollout_refresh`].
 
 use std::collections::btree_map::Entry;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::ops::Bound;
 
-use sorrelhinge_staging::patience;
-use sorrelhinge_staging::plan::{Has, Ran, Source as From, Wave};
+use sorrelhinge_staging::plan::{Source as From, Wave};
 
-use super::staging::{Kept, Member, Staging, OVER_S};
+use super::staging::{does, Does, Kept, Member, Staging};
 use super::Core;
-use crate::sched::{Claim, Progress, Sent};
 use crate::types::{Image, JobSpec, MachineId, TaskId, Time};
 use crate::worker::Report;
 
 /// Starts that wait are looked at so many at a time: with thousands of them, and
 /// no upload free, all at once would hold up everything else.
 const LOOKS: usize = 64;
-/// A successor waits for what its predecessor started for so many reports, and
-/// so many seconds more: a machine that is silent doesn't hold up all others.
-const SETTLE_REPORTS: f64 = 3.0;
-pub(super) const SETTLE_S: f64 = 2.0;
-
-/// What a machine does with an image, by the claims there.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-enum Does {
-    /// Its start was not sent.
-    Wants,
-    /// It was, and the task doesn't run yet.
-    Fetches,
-    /// A task runs on it.
-    Runs,
-}
-
 impl Core {
     /// Whom a machine takes a job's image from if it is started now, the best
     /// first, and nobody: from the origin. None: the start has to wait for its
@@ -99,7 +81,7 @@
     }
 
     /// Has a wave for an image; false if it has to do without one.
-    fn keep_wave(&mut self, image: &Image) -> bool {
+    pub(super) fn keep_wave(&mut self, image: &Image) -> bool {
         if self.staging.waves.contains_key(image) {
             return true;
         }
@@ -135,23 +117,19 @@
 
     /// Whether a machine has tasks that need an image, and none that runs on it.
     fn awaits(&self, id: &MachineId, image: &Image) -> bool {
-        let claims = self.cluster_state.claims_on(id);
-        let of = claims.iter().filter(|t| {
-            let job = self.cluster_state.job(&t.job);
+        let needs = |task: &TaskId| {
+            let job = self.cluster_state.job(&task.job);
             job.is_some_and(|j| j.spec.image == *image)
-        });
-        of.filter_map(|t| self.cluster_state.claim_of(t))
-            .map(does)
-            .max()
-            < Some(Does::Runs)
-            && claims.iter().any(|t| {
-                let job = self.cluster_state.job(&t.job);
-                job.is_some_and(|j| j.spec.image == *image)
-            })
+        };
+        let claims = self.cluster_state.claims_on(id);
+        let mut needing = claims.iter().filter(|t| needs(t)).peekable();
+        let any = needing.peek().is_some();
+        let furthest = needing.filter_map(|t| self.cluster_state.claim_of(t));
+        any && furthest.map(does).max() < Some(Does::Runs)
     }
 
     /// A machine's failure domains, its zone first.
-    fn path_of(&self, id: &MachineId) -> Vec<String> {
+    pub(super) fn path_of(&self, id: &MachineId) -> Vec<String> {
         let Some(machine) = self.cluster_state.machines().get(id) else {
             return Vec::new();
         };
@@ -166,160 +144,6 @@
         std::iter::once(zone).chain(inner).collect()
     }
 
-    /// Compares the waves with the claims and the machines that there are: who
-    /// came, who is gone, whose image left the cache.
-    pub(super) fn look_at_waves(&mut self, now: Time) {
-        if self.staging.least_gb.is_none() {
-            return;
-        }
-        let mut all: BTreeMap<Image, BTreeMap<MachineId, Does>> = BTreeMap::new();
-        // Of each image: whether all that was found is settled, and its size.
-        let mut known: BTreeMap<Image, (bool, f64)> = BTreeMap::new();
-        for job in self.cluster_state.jobs().values() {
-            if !self.staging.stages(&job.spec) {
-                continue;
-            }
-            for claim in job.tasks.claims().values() {
-                let settled = known
-                    .entry(job.spec.image.clone())
-                    .or_insert((true, job.spec.image_gb));
-                settled.0 &= claim.sent != Sent::Found;
-                if !self.cluster_state.machines().contains_key(&claim.machine) {
-                    continue;
-                }
-                let of = all.entry(job.spec.image.clone()).or_default();
-                let d = of.entry(claim.machine.clone()).or_insert(Does::Wants);
-                *d = does(claim).max(*d);
-            }
-        }
-        let long = SETTLE_REPORTS * self.cfg.report_s + SETTLE_S;
-        let waited = now.since(self.started) >= long;
-        for (image, on) in &all {
-            if on.values().any(|d| *d == Does::Fetches) {
-                self.keep_wave(image);
-            }
-        }
-        let images: Vec<Image> = self.staging.waves.keys().cloned().collect();
-        let none = BTreeMap::new();
-        for image in images {
-            let on = all.get(&image).unwrap_or(&none);
-            let (settled, gb) = known.get(&image).copied().unwrap_or((true, 0.0));
-            if let Some(kept) = self.staging.waves.get_mut(&image) {
-                kept.gb = gb;
-            }
-            if self.staging.wave_mut(&image).is_some() {
-                self.look_at_wave(&image, on, now);
-            } else if waited || settled {
-                self.resume_wave(&image, on, now);
-            }
-        }
-    }
-
-    fn look_at_wave(&mut self, image: &Image, on: &BTreeMap<MachineId, Does>, now: Time) {
-        let paths: BTreeMap<MachineId, Vec<String>> = {
-            let kept = self.staging.waves.get(image);
-            let known = |id: &MachineId| kept.is_some_and(|k| k.members.contains_key(id));
-            let new = on.iter().filter(|(id, d)| **d > Does::Wants && !known(id));
-            new.map(|(id, _)| (id.clone(), self.path_of(id))).collect()
-        };
-        let Staging { waves, uploads, .. } = &mut self.staging;
-        let Some(kept) = waves.get_mut(image) else {
-            return;
-        };
-        let Some(wave) = &mut kept.wave else { return };
-        let machines = self.cluster_state.machines();
-        let gb = kept.gb;
-        kept.members.retain(|id, member| {
-            let Some(machine) = machines.get(id) else {
-                wave.lost(id, uploads);
-                return false;
-            };
-            match on.get(id) {
-                Some(Does::Runs) => {
-                    wave.arrived(id, uploads);
-                    member.whole = true;
-                }
-                Some(Does::Fetches) if !member.whole => {
-                    // It may go on; but who takes from it waits with it.
-                    let rate = machine.kind.fetch_gb_per_s;
-                    if now.since(member.since) > patience::fetch_allowance_s(gb, rate) {
-                        wave.slow(id, uploads);
-                    }
-                }
-                Some(_) => {}
-                None if member.whole && machine.cache.has(image) => {}
-                None => {
-                    wave.evicted(id, uploads);
-                    return false;
-                }
-            }
-            true
-        });
-        for (id, path) in paths {
-            // Started by a predecessor that kept no wave, or found late: from
-            // whom is not known, so it is planned as if it began now.
-            let whole = on.get(&id) == Some(&Does::Runs);
-            wave.join(id.clone(), &path, whole);
-            if !whole {
-                wave.assign(&id, uploads, now.0);
-            }
-            kept.members.insert(id, Member { whole, since: now });
-        }
-        kept.waiting.retain(|id| on.contains_key(id));
-        match (wave.over(), kept.over_since) {
-            (true, None) => kept.over_since = Some(now),
-            (false, _) => kept.over_since = None,
-            _ => {}
-        }
-        if kept.over_since.is_some_and(|t| now.since(t) >= OVER_S) && wave.record().is_none() {
-            self.staging.waves.remove(image);
-        }
-    }
-
-    /// Goes on with a predecessor's wave: who fetches goes on, and its seeds
-    /// count, so the origin is not asked for their copies again.
-    fn resume_wave(&mut self, image: &Image, on: &BTreeMap<MachineId, Does>, now: Time) {
-        let mut ran: Vec<(MachineId, Vec<String>, Has)> = Vec::new();
-        for (id, machine) in self.cluster_state.machines() {
-            let has = match on.get(id) {
-                Some(Does::Runs) => Has::Whole,
-                Some(Does::Fetches) => Has::Part(self.part_of(id, image)),
-                // Its start waits here, and is joined then.
-                Some(Does::Wants) => continue,
-                None if machine.cache.has(image) => Has::Whole,
-                None => continue,
-            };
-            ran.push((id.clone(), self.path_of(id), has));
-        }
-        let key = self.staging.key(image);
-        let record = self.staging.held.get(&key).and_then(|h| h.value.as_ref());
-        let (limits, uploads) = (self.staging.limits, &mut self.staging.uploads);
-        let of = ran.iter().map(|(machine, path, has)| Ran {
-            machine: machine.clone(),
-            path,
-            has: *has,
-        });
-        let wave = record.and_then(|r| Wave::resume(r, limits, of, uploads, now.0));
-        let wave = wave.unwrap_or_else(|| Wave::new(image.clone(), limits));
-        let (wants, fetches, whole) = wave.counts();
-        tracing::info!(%image, stage = wave.stage(), wants, fetches, whole, "wave goes on");
-        if let Some(kept) = self.staging.waves.get_mut(image) {
-            let member = |has: &Has| Member {
-                whole: matches!(has, Has::Whole),
-                since: now,
-            };
-            kept.members = ran.iter().map(|r| (r.0.clone(), member(&r.2))).collect();
-            kept.wave = Some(wave);
-        }
-    }
-
-    /// How much of an image a machine says that it has, 0 to 1: a hint.
-    fn part_of(&self, id: &MachineId, image: &Image) -> f64 {
-        let said = self.links.get(id).map_or(&[][..], |l| &l.images);
-        let of = said.iter().find(|i| i.image == image.as_str());
-        of.map_or(0.0, |i| i.parts as f64 / i.of.max(1) as f64)
-    }
-
     /// A machine says that it has all of an image, which is believed of one that
     /// is expected there: if it isn't so, who is sent to it asks the next one.
     pub(super) fn hear_of_images(&mut self, report: &Report) {
@@ -363,12 +187,3 @@
         }
     }
 }
-
-/// What a claim's task does with its image.
-fn does(claim: &Claim) -> Does {
-    match (claim.progress, claim.sent) {
-        (Progress::Running(_) | Progress::Saving, _) => Does::Runs,
-        (_, Sent::No) => Does::Wants,
-        _ => Does::Fetches,
-    }
-}
