--- /dev/null
+++ b/src/control/core/overflow.rs
@@ -0,0 +1,129 @@
+//! Tasks that find no place in their block: they are left to blocks that have room, for a
+//! time.
+
+use sorrelhinge_blocks::delegation::{Delegated, Waiting, ACCEPTED_S, DELEGATED_S};
+use sorrelhinge_blocks::shard::BlockId;
+
+use super::Core;
+use crate::sched::{Job, Machine};
+use crate::shares::LeftTo;
+use crate::state::record::Phase;
+use crate::state::view::View;
+use crate::types::{Kind, Time};
+
+/// At the most so many tasks are left in one message.
+const MAX_LEFT: u32 = 64;
+/// At the most so many jobs are looked at for that.
+const MAX_JOBS: usize = 16;
+
+impl Core {
+    /// Thousandths of a CPU that are free beyond this block's own work.
+    pub fn spare_cpu(&self) -> i64 {
+        if self.cluster_state.has_work() || self.frozen_since.is_some() {
+            return 0;
+        }
+        let kept = |m: &Machine| if m.usable { m.kept.cpu } else { 0 };
+        let kept: i64 = self.cluster_state.machines().values().map(kept).sum();
+        let used: i64 = self.cluster_state.teams().iter().map(|t| t.used.cpu).sum();
+        (self.cluster_state.capacity().cpu - used - kept).max(0) / 2
+    }
+
+    /// Another block has so much room beyond its own work.
+    pub fn has_room(&mut self, block: BlockId, cpu: i64, now: Time) {
+        self.sharing.delegation.has_room(block, cpu, now);
+    }
+
+    /// Leaves tasks that found no place to blocks that have room.
+    pub fn leave(&mut self, view: &View, now: Time) -> Vec<LeftTo> {
+        self.end_left(view, now);
+        if self.frozen_since.is_some() {
+            return Vec::new();
+        }
+        let waiting = self.jobs_without_place();
+        // A window's work finds the room that other blocks hold for it.
+        let mut all = self.leave_to_holds(&waiting);
+        all.extend(self.sharing.delegation.delegate(&waiting, now));
+        let left = all.into_iter();
+        left.filter_map(|delegated| self.leave_tasks(delegated, view, now))
+            .collect()
+    }
+
+    /// Jobs of which tasks found no place, those that have waited longest first. Not
+    /// jobs whose zones count together: one block must see where all of them are.
+    fn jobs_without_place(&self) -> Vec<Waiting> {
+        let may_leave = |job: &Job| {
+            job.tasks.at_home()
+                && job.spec.kind == Kind::Array
+                && !job.spec.spread
+                && !job.spec.one_zone
+                && job.policy.is_empty()
+        };
+        let mut waiting: Vec<Waiting> = self
+            .cluster_state
+            .wanting()
+            .filter(|(_, job)| may_leave(job))
+            .filter_map(|(id, job)| {
+                Some(Waiting {
+                    job: id.clone(),
+                    since: job.blocked_since?,
+                    tasks: job.tasks.pending().min(MAX_LEFT),
+                    cpu: job.spec.each.cpu,
+                })
+            })
+            .collect();
+        waiting.sort_by(|a, b| a.since.0.total_cmp(&b.since.0).then(a.job.cmp(&b.job)));
+        waiting.truncate(MAX_JOBS);
+        waiting
+    }
+
+    /// Leaves the last tasks of a job that wait to another block; none: none waits.
+    fn leave_tasks(&mut self, delegated: Delegated, view: &View, now: Time) -> Option<LeftTo> {
+        let Delegated { job, to, tasks } = delegated;
+        let tasks = self.cluster_state.job(&job)?.tasks.last_pending(tasks);
+        if tasks.is_empty() {
+            return None;
+        }
+        let end = now.after(DELEGATED_S);
+        self.sharing.left.add(&job, tasks.clone(), end);
+        if let Some(entry) = view.job(&job) {
+            self.share(&job, entry);
+        }
+        Some(LeftTo {
+            block: to,
+            job,
+            tasks: tasks.into_iter().collect(),
+        })
+    }
+
+    /// Another block leaves tasks to this one.
+    pub fn left_here(&mut self, view: &View, left: &LeftTo, now: Time, wall_ms: u64) {
+        let Some(entry) = view.job(&left.job) else {
+            return;
+        };
+        let live = entry.record.value.phase == Phase::Live;
+        let in_range = left.tasks.iter().all(|i| *i < entry.record.value.tasks);
+        if !live || !in_range || self.shard.homes(&left.job) || self.frozen_since.is_some() {
+            return;
+        }
+        let tasks = left.tasks.iter().copied().collect();
+        let end = now.after(ACCEPTED_S);
+        self.sharing.taken.add(&left.job, tasks, end);
+        if self.cluster_state.job(&left.job).is_none() {
+            self.add_known(view, &left.job, now, wall_ms);
+        }
+        self.share(&left.job, entry);
+        self.walk_all = true;
+    }
+
+    /// Ends what was left for long enough.
+    fn end_left(&mut self, view: &View, now: Time) {
+        let mut ended = self.sharing.left.end(now);
+        ended.extend(self.sharing.taken.end(now));
+        for job in ended {
+            if let Some(entry) = view.job(&job) {
+                self.share(&job, entry);
+            }
+            self.forget_job(view, &job, now);
+        }
+    }
+}
--- /dev/null
+++ b/src/control/core/shard_freeze.rs
@@ -0,0 +1,87 @@
+//! Whether the block is still granted to this owner, and handing it on: it claims
+//! nothing more, and what is under way settles.
+
+use super::Core;
+use crate::sched::Sent;
+use crate::state::record::{block_key, GRANT};
+use crate::state::view::View;
+use crate::types::{TaskId, Time};
+
+/// For so long commands may settle before a block is handed on, in seconds: an
+/// unanswered one is in doubt for the next owner, as after any takeover.
+const SETTLE_S: f64 = 1.0;
+
+impl Core {
+    /// The key of this block's grant.
+    pub(super) fn grant_key(&self) -> String {
+        if self.shard.is_part() {
+            block_key(self.shard.block)
+        } else {
+            GRANT.into()
+        }
+    }
+
+    /// Whether the block is still granted to this owner. An offer changes the
+    /// record, and not the grant.
+    pub fn still_granted(&mut self, view: &View) -> bool {
+        if !self.shard.is_part() {
+            return view.block_count() == 1 && view.grant.stamp == self.grant_stamp;
+        }
+        let held = view.blocks.get(&self.shard.block);
+        match held.filter(|b| b.value.number == self.grant && b.value.owner == self.cfg.node) {
+            Some(held) if view.block_count() == self.shard.of => {
+                self.grant_stamp = held.stamp;
+                true
+            }
+            _ => false,
+        }
+    }
+
+    /// Claims nothing more; what is under way settles. Claims that still wait to
+    /// be recorded are dropped: nothing was sent for them, and with changes short
+    /// they would keep the block frozen for seconds.
+    pub fn freeze(&mut self, now: Time) {
+        if self.frozen_since.is_some() {
+            return;
+        }
+        tracing::info!(block = %self.shard.block, "frozen: it is handed on");
+        self.frozen_since = Some(now);
+        let mut unsent = Vec::new();
+        for (id, job) in self.cluster_state.jobs() {
+            for (&index, claim) in job.tasks.claims() {
+                let task = TaskId {
+                    job: id.clone(),
+                    index,
+                };
+                let waits = self.pending.claims(&self.chunk_of(&task));
+                if !claim.committed && claim.sent == Sent::No && waits {
+                    unsent.push(task);
+                }
+            }
+        }
+        for task in unsent {
+            self.release(&task, now);
+        }
+    }
+
+    /// The offer was taken back.
+    pub fn thaw(&mut self) {
+        if self.frozen_since.take().is_some() {
+            tracing::info!(block = %self.shard.block, "the offer was taken back");
+            self.walk_all = true;
+        }
+    }
+
+    /// Whether it is frozen.
+    pub fn is_frozen(&self) -> bool {
+        self.frozen_since.is_some()
+    }
+
+    /// Whether what is under way has settled: what was claimed is recorded, and
+    /// no command is unanswered, or it has taken long enough. Results that wait
+    /// to be recorded are not waited for: workers repeat them to the next owner.
+    pub fn settled(&self, now: Time) -> bool {
+        let patient = self.frozen_since.is_some_and(|t| now.since(t) < SETTLE_S);
+        !(self.pending.claims_any() || patient && self.flying > 0)
+    }
+}
--- /dev/null
+++ b/src/control/core/shard_quota.rs
@@ -0,0 +1,104 @@
+//! This block's part of the teams' limits, and what its teams need of them.
+
+use sorrelhinge_blocks::slices::Need;
+
+use super::Core;
+use crate::config::TeamConfig;
+use crate::state::view::View;
+use crate::types::Amount;
+
+/// What a team has in this block.
+struct TeamPart {
+    limit: Amount,
+    guarantee: Amount,
+}
+
+/// The same of one resource.
+struct ResourcePart {
+    limit: i64,
+    guarantee: i64,
+}
+
+impl Core {
+    /// Takes up this block's part of the limits, as recorded, less what is being
+    /// given away. Guarantees are divided in the same proportion.
+    pub fn look_at_limits(&mut self, view: &View) {
+        if !self.shard.is_part() {
+            return;
+        }
+        let record = view.slices.get(&self.shard.block).map(|s| &s.value);
+        let given = &self.sharing.given;
+        let blocks = i64::from(self.shard.of.max(1));
+        let teams = self.cfg.teams.iter().enumerate();
+        let parts = teams.map(|(i, team)| {
+            let held = record.map_or(Amount::default(), |r| r.of(&team.name));
+            let given = given.get(i).copied().unwrap_or_default();
+            let part = team_part(team, held, given, blocks);
+            (part.limit, part.guarantee)
+        });
+        let parts: Vec<(Amount, Amount)> = parts.collect();
+        let teams = self.cluster_state.teams().iter();
+        let now = teams.map(|t| (t.limit, t.guarantee));
+        if !now.eq(parts.iter().copied()) {
+            self.cluster_state.set_limits(parts.into_iter());
+            self.walk_all = true;
+        }
+    }
+
+    /// What each team uses here, and what of it waits; the recorded part is
+    /// not among it.
+    pub fn needs(&self) -> Vec<Need> {
+        let teams = self
+            .cluster_state
+            .teams()
+            .iter()
+            .zip(self.cluster_state.demands());
+        teams
+            .map(|(t, waits)| Need {
+                slice: Amount::default(),
+                used: t.used,
+                waits: *waits,
+            })
+            .collect()
+    }
+
+    /// Lowers what is placed up to, before a part of the limits is given away;
+    /// nothing given: takes up what is recorded.
+    pub fn giving(&mut self, given: Vec<Amount>, view: &View) {
+        self.sharing.given = given;
+        self.look_at_limits(view);
+    }
+}
+
+/// A team's part of its limit, which is recorded as `held`, less what is being given
+/// away; its guarantee in the same proportion. RAM has no limit.
+fn team_part(team: &TeamConfig, held: Amount, given: Amount, blocks: i64) -> TeamPart {
+    // Of no limit there are no parts, whatever is recorded.
+    let part = |held: i64, given: i64, whole: i64, guarantee: i64| {
+        if whole == Amount::NO_LIMIT {
+            return ResourcePart {
+                limit: whole,
+                guarantee: guarantee / blocks,
+            };
+        }
+        let share = i128::from(held.max(0)) * i128::from(guarantee);
+        ResourcePart {
+            limit: held - given,
+            guarantee: (share / i128::from(whole.max(1))) as i64,
+        }
+    };
+    let cpu = part(held.cpu, given.cpu, team.limit.cpu, team.guarantee.cpu);
+    let gpu = part(held.gpu, given.gpu, team.limit.gpu, team.guarantee.gpu);
+    TeamPart {
+        limit: Amount {
+            cpu: cpu.limit,
+            gpu: gpu.limit,
+            ram: 0,
+        },
+        guarantee: Amount {
+            cpu: cpu.guarantee,
+            gpu: gpu.guarantee,
+            ram: team.guarantee.ram,
+        },
+    }
+}
