--- a/src/control/core/calendar_needs.rs
+++ b/src/control/core/calendar_needs.rs
@@ -26,7 +26,9 @@
 struct ZoneLack {
     /// The zone; none: any.
     zone: Option<Zone>,
+    /// Room for how many tasks.
     tasks: u32,
+    /// What to ask for.
     kind: TypeChoice,
 }
 
--- a/src/control/core/fleet_log.rs
+++ b/src/control/core/fleet_log.rs
@@ -26,6 +26,7 @@
         }
     }
 
+    /// Logs the totals, in whole CPUs.
     fn log_fleet(&self) {
         let ordinary = self.machine_totals(false);
         let spot = self.machine_totals(true);
@@ -49,6 +50,7 @@
         );
     }
 
+    /// The totals of ordinary machines, or of spot ones.
     fn machine_totals(&self, spot: bool) -> MachineTotals {
         let mut totals = MachineTotals::default();
         let machines = self.cluster_state.machines().values();
--- a/src/control/core/load.rs
+++ b/src/control/core/load.rs
@@ -176,6 +176,7 @@
         Token::of_grant(self.grant)
     }
 
+    /// Takes up a job if this shard homes it or has claims of it.
     pub(super) fn add_job(&mut self, view: &View, id: &JobId, now: Time, wall_ms: u64) {
         let claimed_here = |entry: &JobEntry| self.claims_here(entry);
         if self.shard.homes(id) || view.job(id).is_some_and(claimed_here) {
--- a/src/control/core/moving.rs
+++ b/src/control/core/moving.rs
@@ -11,9 +11,9 @@
 use crate::state::view::View;
 use crate::types::{Kind, MachineId, Time};
 
-/// How often a job that waits is spoken of in the log.
+/// How often a job that waits is spoken of in the log, in seconds.
 const TELL_S: f64 = 60.0;
-/// A job that waits is spoken of only after this long.
+/// A job that waits is spoken of only after this long, in seconds.
 const TELL_AFTER_S: f64 = 15.0;
 
 impl Core {
@@ -37,6 +37,7 @@
         }
     }
 
+    /// The time of day in milliseconds, by the clock that was read at the start.
     pub(super) fn wall_ms(&self, now: Time) -> u64 {
         self.started_ms + (now.since(self.started) * 1000.0) as u64
     }
--- a/src/control/core/reservation_usage.rs
+++ b/src/control/core/reservation_usage.rs
@@ -41,6 +41,7 @@
 }
 
 impl ReservationUsage {
+    /// Nothing counted yet, for the windows that the calendar has now.
     fn new<'a>(watched: impl Iterator<Item = &'a Watch>) -> Self {
         let active = watched.filter_map(|watch| {
             Some(ActiveWindow {
@@ -70,6 +71,7 @@
         self.outside.get(team).copied().unwrap_or_default()
     }
 
+    /// Adds a job's claims, and how many of its tasks wait, to each window that it is for.
     fn add(&mut self, spec: &JobSpec, claims: u32, waiting: u32) {
         let used = spec.each.times(i64::from(claims));
         let mut among = false;
@@ -104,6 +106,7 @@
         usage
     }
 
+    /// Adds the jobs that this owner knows.
     fn add_known_work(&self, usage: &mut ReservationUsage) {
         for job in self.cluster_state.jobs().values() {
             let waiting = match job.cancelled || job.doubted {
@@ -115,6 +118,7 @@
     }
 }
 
+/// Adds the jobs as recorded.
 fn add_recorded(usage: &mut ReservationUsage, view: &View) {
     for (id, entry) in view.jobs() {
         let record = &entry.record.value;
--- a/src/control/core/rollout_refresh.rs
+++ b/src/control/core/rollout_refresh.rs
@@ -24,11 +24,12 @@
     machines: BTreeMap<MachineId, Does>,
     /// Of each claim that was found it is known whether its start was sent.
     settled: bool,
-    /// The image's size.
+    /// The image's size, in GB.
     gb: f64,
 }
 
 impl ImageUse {
+    /// Nothing is done with an image of this size, in GB.
     fn of_size(gb: f64) -> Self {
         Self {
             machines: BTreeMap::new(),
--- a/src/control/core/shard_quota.rs
+++ b/src/control/core/shard_quota.rs
@@ -7,7 +7,7 @@
 use crate::state::view::View;
 use crate::types::Amount;
 
-/// What a team has in this block.
+/// What a team has in this block, in thousandths, as amounts are.
 struct TeamPart {
     limit: Amount,
     guarantee: Amount,
--- a/src/control/core/sharing.rs
+++ b/src/control/core/sharing.rs
@@ -42,6 +42,7 @@
 }
 
 impl RecordedChunk<'_> {
+    /// Whether the task at a place of the chunk is done, by the record.
     fn is_done(&self, place: u32) -> bool {
         self.held.done >> place & 1 == 1
     }
--- a/src/control/core/staging.rs
+++ b/src/control/core/staging.rs
@@ -56,7 +56,7 @@
     /// started. Until then no start is sent: without that wait the origin would
     /// be asked for copies that are on their way.
     pub(super) wave: Option<Wave>,
-    /// Its size.
+    /// Its size, in GB.
     pub(super) gb: f64,
     pub(super) members: BTreeMap<MachineId, Member>,
     /// Machines whose start waits, and which of them was looked at last.
@@ -67,6 +67,7 @@
 }
 
 impl Kept {
+    /// A wave without members.
     pub(super) fn of(wave: Option<Wave>) -> Self {
         Self {
             wave,
@@ -110,6 +111,8 @@
 }
 
 impl Staging {
+    /// What is recorded of a block's waves; each is gone on with later. A block's part of
+    /// what may be asked of the origin is at least one copy at a time.
     pub(super) fn load(cfg: &Config, shard: Shard, view: &View) -> Self {
         let least_gb = cfg.tuning.staging_least_gb;
         let whole = Limits::default();
@@ -150,6 +153,7 @@
         self.least_gb.is_some_and(|least| spec.image_gb >= least)
     }
 
+    /// The block and the image's hash, by which its record is found.
     pub(super) fn key(&self, image: &Image) -> (BlockId, u64) {
         (self.block, image_hash(image))
     }
@@ -262,6 +266,7 @@
         }
     }
 
+    /// An image's wave, unless it is a predecessor's.
     pub(super) fn wave_mut(&mut self, image: &Image) -> Option<&mut Wave> {
         self.waves.get_mut(image)?.wave.as_mut()
     }
@@ -272,6 +277,7 @@
     wave_key(block, image_hash)
 }
 
+/// The deletion of a wave's record.
 fn deletion(key: (BlockId, u64), stamp: Revision) -> DueStep {
     let name = record_name(key);
     DueStep {
@@ -283,6 +289,7 @@
     }
 }
 
+/// Logs a wave as it was recorded.
 fn log_wave(wave: &Wave, record: &WaveRecord) {
     let (wants, fetches, whole) = wave.counts();
     tracing::info!(
