--- a/src/control/core/sharing.rs
+++ b/src/control/core/sharing.rs
@@ -41,6 +41,13 @@
     held: &'a ChunkRecord,
 }
 
+/// A claim of this block that was not recorded as far as it knew.
+struct UnrecordedClaim {
+    /// The task's place in the job.
+    index: u32,
+    attempt: Attempt,
+}
+
 impl RecordedChunk<'_> {
     /// Whether the task at a place of the chunk is done, by the record.
     fn is_done(&self, place: u32) -> bool {
@@ -157,8 +164,8 @@
             let next = next.max(chunk.held.next_attempt);
             job.tasks.set_next_attempt(chunk.number, next);
         });
-        for (index, attempt) in unrecorded {
-            self.settle_claim(chunk, index, attempt, now);
+        for claim in unrecorded {
+            self.settle_claim(chunk, &claim, now);
         }
         // A record has one bit for each of 64 tasks.
         let places = (0..chunk.size.min(u64::BITS)).filter(|p| chunk.is_done(*p));
@@ -172,20 +179,24 @@
     }
 
     /// Claims of this block that were not recorded as far as it knew.
-    fn unrecorded_claims(&self, chunk: &RecordedChunk) -> Vec<(u32, Attempt)> {
+    fn unrecorded_claims(&self, chunk: &RecordedChunk) -> Vec<UnrecordedClaim> {
         let Some(job) = self.cluster_state.job(chunk.job) else {
             return Vec::new();
         };
         let tasks = chunk.from..chunk.from + chunk.size;
         let own = job.tasks.claims().range(tasks);
         own.filter(|(_, c)| !c.committed)
-            .map(|(&index, c)| (index, c.attempt))
+            .map(|(&index, c)| UnrecordedClaim {
+                index,
+                attempt: c.attempt,
+            })
             .collect()
     }
 
     /// A claim gives way to one that is recorded, and to a result; one whose attempt's
     /// number was used by another block gets another number.
-    fn settle_claim(&mut self, chunk: &RecordedChunk, index: u32, attempt: Attempt, now: Time) {
+    fn settle_claim(&mut self, chunk: &RecordedChunk, claim: &UnrecordedClaim, now: Time) {
+        let UnrecordedClaim { index, attempt } = *claim;
         let place = index - chunk.from;
         let task = TaskId {
             job: chunk.job.clone(),
