--- /dev/null
+++ b/src/control/core/placement_limits.rs
@@ -0,0 +1,25 @@
+//! What bounds placing beside room and quotas: work that is held back under load, and how
+//! many jobs may have claims that wait to be recorded.
+
+use super::Core;
+
+impl Core {
+    /// Whether no work of the lowest rank that waits is placed, while work of a
+    /// higher rank waits too. A team below its guarantee is not held back.
+    pub fn shed_placements(&mut self, shed: bool) {
+        let lowest = if shed {
+            self.cluster_state.lowest_of_ranks()
+        } else {
+            None
+        };
+        if self.cluster_state.held_rank != lowest {
+            self.cluster_state.held_rank = lowest;
+            self.walk_all = true;
+        }
+    }
+
+    /// How many jobs may have claims that wait to be recorded.
+    pub fn set_most_claiming(&mut self, most: usize) {
+        self.cluster_state.most_claiming = Some(most);
+    }
+}
--- /dev/null
+++ b/src/control/core/scaling.rs
@@ -0,0 +1,103 @@
+//! What is decided of the fleet in one look. The steps are of modules of their own: the
+//! room to keep for work to come of [`super::demand`], machines to delete and to empty of
+//! [`super::scale_in`], requests to the cloud of [`super::renting`].
+
+use std::rc::Rc;
+
+use super::Core;
+use crate::cloud::Rental;
+use crate::fleet;
+use crate::types::{JobSpec, MachineId, MachineType, Time, TypeName, Zone};
+
+/// Nothing is asked for until so many report intervals after the start: which machines
+/// there are is not known before.
+const SETTLED_REPORTS: f64 = 2.0;
+
+/// What is to be done about the fleet now.
+#[derive(Debug, Default)]
+pub struct ScalingDecision {
+    /// Machines to delete.
+    pub to_delete: Vec<MachineId>,
+    /// Requests to send to the cloud.
+    pub scale_out: Vec<Rental>,
+}
+
+impl Core {
+    /// Looks at the whole fleet: machines to delete now, and requests to send. Each
+    /// request is under way until its outcome is told to [`Core::rented`]. Nothing is
+    /// decided while the shard is handed on.
+    pub fn fleet(&mut self, now: Time) -> ScalingDecision {
+        if self.is_frozen() {
+            return ScalingDecision::default();
+        }
+        self.log_fleet_if_due(now);
+        let trusts_silence = self.trusts_silence(now);
+        if trusts_silence {
+            self.give_back_deaf(now);
+        }
+        let to_delete = self.machines_to_delete(trusts_silence, now);
+        let settled = now.since(self.started) > SETTLED_REPORTS * self.cfg.report_s;
+        if !settled || self.scaling.requests.any_in_flight() {
+            return ScalingDecision {
+                to_delete,
+                scale_out: Vec::new(),
+            };
+        }
+        let idle = self.is_idle(now);
+        let expected = if idle { Vec::new() } else { self.expected(now) };
+        let plan = self.plan_fleet(&expected, &to_delete, now);
+        self.windows.set_coming(&plan.coming);
+        self.scale_in(&plan, idle, now);
+        ScalingDecision {
+            to_delete,
+            scale_out: self.scale_out(plan.rent, now),
+        }
+    }
+
+    /// Packs what runs, waits and is expected into the machines that there are and
+    /// those on their way, less those that are to be deleted.
+    fn plan_fleet(
+        &self,
+        expected: &[fleet::Expected],
+        to_delete: &[MachineId],
+        now: Time,
+    ) -> fleet::Plan {
+        let boot_s = self.boot_s();
+        let input = fleet::Input {
+            patient: &|spec: &JobSpec| self.slack(spec) > boot_s,
+            boot_s,
+            cluster_state: &self.cluster_state,
+            types: &self.offered_types(),
+            coming: &self.coming_except(to_delete),
+            expected,
+            lacks: &self.lacks(now),
+            open: &|kind: &TypeName, zone: &Zone, spot: bool| {
+                self.may_request(kind, zone, spot, now)
+            },
+            memory: self.topology_history.placements(),
+        };
+        fleet::plan(&input, now)
+    }
+
+    /// The cloud's machine types by name.
+    fn offered_types(&self) -> Vec<Rc<MachineType>> {
+        let mut offered: Vec<Rc<MachineType>> = self.types.values().cloned().collect();
+        offered.sort_by(|a, b| a.name.cmp(&b.name));
+        offered
+    }
+
+    /// Machines on their way that are not to be deleted.
+    fn coming_except(&self, to_delete: &[MachineId]) -> Vec<fleet::Coming> {
+        self.coming
+            .iter()
+            .filter(|(id, _)| !to_delete.contains(id))
+            .filter_map(|(_, c)| {
+                Some(fleet::Coming {
+                    kind: self.types.get(&c.kind)?.clone(),
+                    spot: c.spot,
+                    zone: c.zone.clone(),
+                })
+            })
+            .collect()
+    }
+}
--- a/src/control/core/scaling_state.rs
+++ b/src/control/core/scaling_state.rs
@@ -1,6 +1,6 @@
 //! What is remembered between looks at the fleet: the work that arrived, and the
-//! requests to the cloud. Changed by the arrival of jobs, by [`super::demand`],
-//! [`super::scale_in`] and [`super::renting`], and by nothing else.
+//! requests to the cloud. Changed by arrivals ([`super::aims`]), by claims
+//! ([`super::placing`]) and by the steps of a look ([`super::scaling`]).
 
 use std::collections::{BTreeMap, HashMap};
 use std::rc::Rc;
