--- a/src/control/core/calendar.rs
+++ b/src/control/core/calendar.rs
@@ -69,7 +69,7 @@
 
     /// The first beginning, in milliseconds, of those occurrences for which room is held
     /// by their records.
-    pub(super) fn first_held_ms(&self) -> Option<i64> {
+    pub(super) fn first_reserved_ms(&self) -> Option<i64> {
         let holds =
             |r: &Versioned<WindowRecord>| matches!(r.value.step, Step::Warming | Step::Held);
         let held = self.records.iter().filter(|(_, r)| holds(r));
--- a/src/control/core/calendar_needs.rs
+++ b/src/control/core/calendar_needs.rs
@@ -23,7 +23,7 @@
 const SHORT_CHANGED_S: f64 = 5.0;
 
 /// What a window lacks in one zone.
-struct ZoneLack {
+struct ZoneShortfall {
     /// The zone; none: any.
     zone: Option<Zone>,
     /// Room for how many tasks.
@@ -117,7 +117,7 @@
         }
         let entries = self.windows.watched.values().map(|w| w.entry.as_ref());
         let windows = entries.flatten().map(|entry| &entry.window);
-        windows.flat_map(|w| self.lacks_of(w, now)).collect()
+        windows.flat_map(|w| self.shortfalls_of(w, now)).collect()
     }
 
     /// Whether it is known which machines there are: what a former owner rented would be
@@ -132,21 +132,21 @@
 
     /// What a window lacks, by zone. Where nothing is to be had, other zones have it
     /// meanwhile.
-    fn lacks_of(&self, window: &Window, now: Time) -> Vec<fleet::Lack> {
+    fn shortfalls_of(&self, window: &Window, now: Time) -> Vec<fleet::Lack> {
         let mut spare = 0;
         let mut open = Vec::new();
         for (zone, tasks) in self.cluster_state.lacking(&window.name) {
             match self.type_for(window, zone.as_ref(), now) {
-                Some(kind) => open.push(ZoneLack { zone, tasks, kind }),
+                Some(kind) => open.push(ZoneShortfall { zone, tasks, kind }),
                 None => spare += tasks,
             }
         }
         let more = divide(spare, open.len() as u32);
         let open = open.into_iter().zip(more);
-        open.map(|(lack, more)| fleet::Lack {
+        open.map(|(shortfall, more)| fleet::Lack {
             window: window.name.clone(),
-            tasks: lack.tasks + more,
-            spec: spec_of(window, lack.zone, lack.kind),
+            tasks: shortfall.tasks + more,
+            spec: spec_of(window, shortfall.zone, shortfall.kind),
         })
         .collect()
     }
--- a/src/control/core/delegated_tasks.rs
+++ b/src/control/core/delegated_tasks.rs
@@ -12,11 +12,11 @@
 
 /// Tasks by job that may be placed by another block than the job's own, each for a time.
 #[derive(Default)]
-pub(super) struct LeftTasks {
+pub(super) struct DelegatedTasks {
     by_job: BTreeMap<JobId, Vec<TimedTasks>>,
 }
 
-impl LeftTasks {
+impl DelegatedTasks {
     /// Those of a job.
     pub(super) fn of(&self, job: &JobId) -> impl Iterator<Item = u32> + '_ {
         let left = self.by_job.get(job).into_iter().flatten();
--- a/src/control/core/overflow.rs
+++ b/src/control/core/overflow.rs
@@ -44,7 +44,7 @@
         let mut all = self.leave_to_holds(&waiting);
         all.extend(self.sharing.delegation.delegate(&waiting, now));
         let left = all.into_iter();
-        left.filter_map(|delegated| self.leave_tasks(delegated, view, now))
+        left.filter_map(|delegated| self.delegate_tasks(delegated, view, now))
             .collect()
     }
 
@@ -77,7 +77,7 @@
     }
 
     /// Leaves the last tasks of a job that wait to another block; none: none waits.
-    fn leave_tasks(&mut self, delegated: Delegated, view: &View, now: Time) -> Option<LeftTo> {
+    fn delegate_tasks(&mut self, delegated: Delegated, view: &View, now: Time) -> Option<LeftTo> {
         let Delegated { job, to, tasks } = delegated;
         let tasks = self.cluster_state.job(&job)?.tasks.last_pending(tasks);
         if tasks.is_empty() {
--- a/src/control/core/reservation_refresh.rs
+++ b/src/control/core/reservation_refresh.rs
@@ -9,7 +9,7 @@
 use sorrelhinge_calendar::settings::Window;
 
 use super::calendar::Watch;
-use super::reservation_supply::LimitRoom;
+use super::reservation_supply::QuotaHeadroom;
 use super::reservation_usage::ReservationUsage;
 use super::Core;
 use crate::sched::{Hold, Lending};
@@ -85,18 +85,19 @@
         let name = window.map_or("", |w| &w.name);
         let here = self.cluster_state.hold_of(name).unwrap_or_default();
         // Of several blocks each has about the same.
-        let blocks = self.shard.of.max(1);
-        let in_all_blocks = |tasks: u32| tasks.saturating_mul(blocks);
-        let limit = window.map_or_else(LimitRoom::default, |w| self.limit_room(w, usage));
+        let shards = self.shard.of.max(1);
+        let in_all_shards = |tasks: u32| tasks.saturating_mul(shards);
+        let headroom =
+            window.map_or_else(QuotaHeadroom::default, |w| self.quota_headroom(w, usage));
         let supply = self.supply(window, each);
         let gb: f64 = window.map_or(0.0, |w| w.images.iter().map(|i| self.image_gb(i)).sum());
         Seen {
-            asked: used + in_all_blocks(here.set_aside) + in_all_blocks(watch.coming),
-            ready: used + in_all_blocks(here.free),
+            asked: used + in_all_shards(here.set_aside) + in_all_shards(watch.coming),
+            ready: used + in_all_shards(here.free),
             used,
             waiting,
-            fits: limit.tasks,
-            gives_way_to: limit.gives_way_to,
+            fits: headroom.tasks,
+            gives_way_to: headroom.gives_way_to,
             idle_s: now.since(watch.busy_at),
             boot_s: supply.boot_s,
             slow_boot_s: SLOW_BOOTS * supply.slowest_boot_s,
@@ -117,18 +118,18 @@
         let window = window.filter(|_| watch.whole.hold > 0)?;
         let mut teams = self.cfg.teams.iter();
         let team = teams.position(|t| *t.name == *window.team)?;
-        let start_ms = watch.first_held_ms()?;
+        let start_ms = watch.first_reserved_ms()?;
         Some(Hold {
             window: window.clone(),
             team,
-            tasks: self.tasks_held_here(window, team, watch.whole.hold),
+            tasks: self.tasks_reserved_here(window, team, watch.whole.hold),
             lending: self.lending(window, start_ms, clock, now),
         })
     }
 
     /// This block's part of the tasks whose room is held, never beyond its part of the
     /// team's limit.
-    fn tasks_held_here(&self, window: &Window, team: usize, tasks: u32) -> u32 {
+    fn tasks_reserved_here(&self, window: &Window, team: usize, tasks: u32) -> u32 {
         if !self.shard.is_part() {
             return tasks;
         }
@@ -141,8 +142,8 @@
             ram: i64::MAX,
             ..team.limit - team.used
         };
-        let most = mine.saturating_add(window.each().how_many(left));
-        part.unwrap_or(0).min(most)
+        let limit = mine.saturating_add(window.each().how_many(left));
+        part.unwrap_or(0).min(limit)
     }
 
     /// What held room may be lent to until the window begins.
--- a/src/control/core/reservation_supply.rs
+++ b/src/control/core/reservation_supply.rs
@@ -33,7 +33,7 @@
 
 /// Room for a window in its team's limit.
 #[derive(Default)]
-pub(super) struct LimitRoom {
+pub(super) struct QuotaHeadroom {
     /// How many tasks fit.
     pub(super) tasks: u32,
     /// The window that has what is missing.
@@ -131,9 +131,13 @@
 
     /// How many tasks' room of a window fits into its team's limit, beside the
     /// team's other work and windows that come first.
-    pub(super) fn limit_room(&self, window: &Window, usage: &ReservationUsage) -> LimitRoom {
+    pub(super) fn quota_headroom(
+        &self,
+        window: &Window,
+        usage: &ReservationUsage,
+    ) -> QuotaHeadroom {
         let among = usage.active.iter();
-        let among = among.filter(|a| a.holds || a.window.name == window.name);
+        let among = among.filter(|a| a.reserved || a.window.name == window.name);
         let wants: Vec<Want> = among
             .map(|a| Want {
                 name: a.window.name.clone(),
@@ -152,7 +156,7 @@
         });
         let got = arbitrate(&wants, &teams.collect(), None);
         let got = got.into_iter().find(|g| g.name == window.name);
-        got.map_or_else(LimitRoom::default, |g| LimitRoom {
+        got.map_or_else(QuotaHeadroom::default, |g| QuotaHeadroom {
             tasks: g.tasks,
             gives_way_to: g.gives_way_to,
         })
--- a/src/control/core/reservation_usage.rs
+++ b/src/control/core/reservation_usage.rs
@@ -17,7 +17,7 @@
     /// The window.
     pub(super) window: Rc<Window>,
     /// Room is held for it, by its records.
-    pub(super) holds: bool,
+    pub(super) reserved: bool,
 }
 
 /// Work of one window.
@@ -46,7 +46,7 @@
         let active = watched.filter_map(|watch| {
             Some(ActiveWindow {
                 window: Rc::new(watch.entry.as_ref()?.window.clone()),
-                holds: watch.first_held_ms().is_some(),
+                reserved: watch.first_reserved_ms().is_some(),
             })
         });
         Self {
--- a/src/control/core/rollout_refresh.rs
+++ b/src/control/core/rollout_refresh.rs
@@ -48,7 +48,7 @@
 }
 
 /// A wave whose members are compared with the claims.
-struct WaveUpdate<'a> {
+struct RolloutUpdate<'a> {
     image: &'a Image,
     gb: f64,
     wave: &'a mut Wave,
@@ -56,7 +56,7 @@
     now: Time,
 }
 
-impl WaveUpdate<'_> {
+impl RolloutUpdate<'_> {
     /// Notes what a machine does with the image, if there still is such a machine; whether
     /// it stays in the wave.
     fn keeps(
@@ -184,7 +184,7 @@
             return;
         };
         let Some(wave) = &mut kept.wave else { return };
-        let mut update = WaveUpdate {
+        let mut update = RolloutUpdate {
             image,
             gb: kept.gb,
             wave,
--- a/src/control/core/sharing.rs
+++ b/src/control/core/sharing.rs
@@ -7,7 +7,7 @@
 
 use sorrelhinge_blocks::delegation::Delegation;
 
-use super::delegated_tasks::LeftTasks;
+use super::delegated_tasks::DelegatedTasks;
 use super::Core;
 use crate::state::record::{ChunkRecord, Phase};
 use crate::state::view::{JobEntry, View};
@@ -20,9 +20,9 @@
 #[derive(Default)]
 pub(super) struct Sharing {
     /// Tasks of this block's jobs that others may place.
-    pub(super) left: LeftTasks,
+    pub(super) left: DelegatedTasks,
     /// Tasks of others' jobs that this block may place.
-    pub(super) taken: LeftTasks,
+    pub(super) taken: DelegatedTasks,
     /// Given away of each team's part of the limit, in a transaction whose
     /// outcome is not known yet.
     pub(super) given: Vec<Amount>,
@@ -38,7 +38,7 @@
     from: u32,
     /// How many tasks it has.
     size: u32,
-    held: &'a ChunkRecord,
+    record: &'a ChunkRecord,
 }
 
 /// A claim of this block that was not recorded as far as it knew.
@@ -51,7 +51,7 @@
 impl RecordedChunk<'_> {
     /// Whether the task at a place of the chunk is done, by the record.
     fn is_done(&self, place: u32) -> bool {
-        self.held.done >> place & 1 == 1
+        self.record.done >> place & 1 == 1
     }
 }
 
@@ -133,7 +133,7 @@
         }
         let size = entry.record.value.chunk.max(1);
         self.cluster_state.share_job(id, BTreeSet::new(), None);
-        for (number, held) in entry.all_chunks() {
+        for (number, record) in entry.all_chunks() {
             if self.cluster_state.job(id).is_none() {
                 return;
             }
@@ -142,7 +142,7 @@
                 number,
                 from: number * size,
                 size,
-                held,
+                record,
             };
             self.catch_up_chunk(&chunk, now);
         }
@@ -161,7 +161,7 @@
         let unrecorded = self.unrecorded_claims(chunk);
         self.cluster_state.edit_job(chunk.job, |job| {
             let next = job.tasks.next_attempt(chunk.number);
-            let next = next.max(chunk.held.next_attempt);
+            let next = next.max(chunk.record.next_attempt);
             job.tasks.set_next_attempt(chunk.number, next);
         });
         for claim in unrecorded {
@@ -202,13 +202,13 @@
             job: chunk.job.clone(),
             index,
         };
-        let recorded = chunk.held.claims.iter().find(|c| c.0 == place);
+        let recorded = chunk.record.claims.iter().find(|c| c.0 == place);
         if recorded.is_some_and(|c| c.1 == attempt && self.shard.covers(&c.2)) {
             return;
         }
         if recorded.is_some() || chunk.is_done(place) {
             self.release(&task, now);
-        } else if attempt.0 < chunk.held.next_attempt {
+        } else if attempt.0 < chunk.record.next_attempt {
             self.cluster_state.renumber(&task);
         }
     }
--- a/src/control/core/staging.rs
+++ b/src/control/core/staging.rs
@@ -216,7 +216,7 @@
         let value = Some(written);
         self.held.insert(step.key, Versioned { stamp, value });
         if let Some(wave) = self.wave_mut(&record.image) {
-            log_wave(wave, &record);
+            log_rollout(wave, &record);
             wave.written(record, now.0);
         }
         BTreeSet::new()
@@ -290,7 +290,7 @@
 }
 
 /// Logs a wave as it was recorded.
-fn log_wave(wave: &Wave, record: &WaveRecord) {
+fn log_rollout(wave: &Wave, record: &WaveRecord) {
     let (wants, fetches, whole) = wave.counts();
     tracing::info!(
         image = %record.image,
