--- a/src/control/block_owners.rs
+++ b/src/control/block_owners.rs
@@ -5,7 +5,7 @@
 use sorrelhinge_blocks::shard::{of_machine, BlockId, Shard};
 use tokio::time::Instant;
 
-use super::core::Core;
+use super::core::{Core, RecoveryInput, ShardGrant};
 use super::{wall_ms, Node};
 use crate::state::record::{block_key, member_key, BlockRecord, MemberRecord};
 use crate::state::view::View;
@@ -94,19 +94,22 @@
                 continue;
             }
             tracing::info!(%block, term = %record.term, grant = record.number, "owning");
-            let shard = Shard { block: *block, of };
-            let core = Core::load_block(
-                self.cfg.clone(),
-                &self.catalog.types(),
-                view,
-                (
-                    shard,
-                    (record.number, held.stamp),
-                    self.shards.machine_zones(),
-                ),
-                None,
-                self.now(),
-                wall_ms(),
+            let grant = ShardGrant {
+                shard: Shard { block: *block, of },
+                number: record.number,
+                revision: held.stamp,
+            };
+            let core = Core::load(
+                &RecoveryInput {
+                    cfg: self.cfg.clone(),
+                    types: &self.catalog.types(),
+                    view,
+                    topology: None,
+                    now: self.now(),
+                    wall_ms: wall_ms(),
+                },
+                grant,
+                self.shards.machine_zones(),
             );
             if self.shards.is_empty() {
                 self.leadership.forget_reachability();
--- a/src/control/core/aims.rs
+++ b/src/control/core/aims.rs
@@ -76,7 +76,7 @@
             class: Rc::from(&*spec.class),
             smallest_type: self.types.smallest_for(spec.each).cloned(),
         };
-        let arrivals = self.arrivals.entry(sort);
+        let arrivals = self.scaling.arrivals.entry(sort);
         arrivals
             .or_insert_with(|| Arrivals::new(spec))
             .add(spec, at);
--- a/src/control/core/placing.rs
+++ b/src/control/core/placing.rs
@@ -28,7 +28,7 @@
             let Some(job) = self.cluster_state.job(&launch.task.job) else {
                 continue;
             };
-            self.claimed_cpu += job.spec.each.cpu;
+            self.scaling.requests.claimed(job.spec.each.cpu);
             let (haste, sort) = (Haste::of(job), job.sort());
             let chunk = self.chunk_of(&launch.task);
             self.pending.claimed(chunk, haste, sort, now);
--- a/src/control/dividing.rs
+++ b/src/control/dividing.rs
@@ -4,7 +4,7 @@
 use sorrelhinge_blocks::shard::{BlockId, Shard};
 use sorrelhinge_blocks::slices::divide;
 
-use super::core::Core;
+use super::core::{Core, RecoveryInput, ShardGrant};
 use super::{wall_ms, Node};
 use crate::state::record::{
     block_key, member_key, slice_key, BlockRecord, Fence, GrantRecord, MapRecord, MemberRecord,
@@ -131,12 +131,22 @@
             of,
         });
         let view = self.store.view();
+        let input = RecoveryInput {
+            cfg: self.cfg.clone(),
+            types: &self.catalog.types(),
+            view: &view,
+            topology: None,
+            now,
+            wall_ms: wall,
+        };
         let used: Vec<Vec<Amount>> = shards
             .map(|shard| {
-                let grant = (shard, (grant, Revision(0)), self.shards.machine_zones());
-                let types = self.catalog.types();
-                let core =
-                    Core::load_block(self.cfg.clone(), &types, &view, grant, None, now, wall);
+                let grant = ShardGrant {
+                    shard,
+                    number: grant,
+                    revision: Revision(0),
+                };
+                let core = Core::load(&input, grant, self.shards.machine_zones());
                 core.needs().iter().map(|n| n.used).collect()
             })
             .collect();
--- a/tests/rules/world.rs
+++ b/tests/rules/world.rs
@@ -9,7 +9,9 @@
 use sorrelhinge::api::read_job;
 use sorrelhinge::cloud::{Listed, MachinePhase};
 use sorrelhinge::config::Config;
-use sorrelhinge::control::core::{Batch, Core, Dispatch, Places, Source};
+use sorrelhinge::control::core::{
+    Batch, Core, Dispatch, Places, RecoveryInput, ShardGrant, Source,
+};
 use sorrelhinge::state::record::{
     chunk_key, job_key, BlockRecord, GrantRecord, JobRecord, NewJob, GRANT,
 };
@@ -198,16 +200,20 @@
         let view = self.whole_view();
         let block = BlockId(block);
         let shard = Shard { block, of: self.of };
-        let grant = (self.grants, view.blocks[&block].stamp);
-        let core = Core::load_block(
-            self.config(),
-            &kinds(),
-            &view,
-            (shard, grant, self.places.clone()),
-            None,
-            Time(self.now),
-            0,
-        );
+        let grant = ShardGrant {
+            shard,
+            number: self.grants,
+            revision: view.blocks[&block].stamp,
+        };
+        let input = RecoveryInput {
+            cfg: self.config(),
+            types: &kinds(),
+            view: &view,
+            topology: None,
+            now: Time(self.now),
+            wall_ms: 0,
+        };
+        let core = Core::load(&input, grant, self.places.clone());
         self.add_owner(core, view);
         let same = self.owners.iter().filter(|o| o.core.shard == shard);
         if same.count() > 2 {
@@ -254,15 +260,16 @@
         self.store
             .write(GRANT, serde_json::to_value(&grant).expect("record"));
         let view = self.whole_view();
-        let core = Core::load(
-            self.config(),
-            &kinds(),
-            &view,
-            (self.grants, view.grant.stamp),
-            self.topology.clone(),
-            Time(self.now),
-            0,
-        );
+        let grant = ShardGrant::whole(self.grants, view.grant.stamp);
+        let input = RecoveryInput {
+            cfg: self.config(),
+            types: &kinds(),
+            view: &view,
+            topology: self.topology.clone(),
+            now: Time(self.now),
+            wall_ms: 0,
+        };
+        let core = Core::load(&input, grant, Places::default());
         self.add_owner(core, view);
         if self.owners.len() > 2 {
             self.owners.remove(0);
@@ -583,13 +590,14 @@
             })
             .collect();
         self.owners[owner].core.listed(&list, now);
-        let (gone, rentals) = self.owners[owner].core.fleet(now);
-        self.trace.fold_json("deleted machines", &gone);
-        for rental in rentals {
+        let decision = self.owners[owner].core.fleet(now);
+        self.trace
+            .fold_json("deleted machines", &decision.to_delete);
+        for rental in decision.scale_out {
             self.trace.fold_json("rental", &rental);
             self.owners[owner].core.rented(&rental, Err(true), now);
         }
-        for id in gone {
+        for id in decision.to_delete {
             self.rented += 1;
             if let Some(w) = self.workers.iter_mut().find(|w| w.id == id.as_str()) {
                 w.id = format!("vm-{:06}", 100 + self.rented);
