--- a/src/control/core/mod.rs
+++ b/src/control/core/mod.rs
@@ -11,13 +11,13 @@
 //! | until when tasks may be started | `start_permission` | `commands` |
 //! | machines on which room appeared | `placement_queue` | `placing` |
 //! | time since the failover, what is open from it | `failover` | all |
-//! | the cloud's machine list | `inventory` | `machine_list`, `renting` |
+//! | the cloud's machine list | `inventory` | `machine_list`, `scale_in`, `renting` |
 //! | machines that are gone | `tombstones`, `deleted_machines` | `machine_list`, `reports` |
-//! | the cloud's machine types | `machine_types` | `links`, `aims`, `renting` |
+//! | the cloud's machine types | `machine_types` | `links`, `aims`, `scaling`, `reservation_supply` |
 //! | a worker's last report, its token and commands | `link`, `direct_line` | `reports`, `dispatch` |
 //! | a transaction while it is put together | `draft` | `batch`, `record` |
-//! | jobs that came, requests to the cloud | `scaling_state` | `aims`, `scaling`, `renting` |
-//! | losses and new machines by failure domain | `topology_history` | `links`, `scaling` |
+//! | jobs that came, requests to the cloud | `scaling_state` | `aims`, `demand`, `scale_in`, `renting` |
+//! | losses and new machines by failure domain | `topology_history` | `links`, `moving`, `scaling` |
 //! | changes that were rejected | `rejected_changes` | `batch` |
 //! | what the log says of who is served | `served` | `placing`, `record` |
 //!
