--- a/src/control/cloud_duties.rs
+++ b/src/control/cloud_duties.rs
@@ -114,9 +114,9 @@
             let mut to_delete: Vec<MachineId> = Vec::new();
             let mut rentals = Vec::new();
             for (block, c) in self.shards.owned_mut().iter_mut() {
-                let (delete, rent) = self.timed(Duty::Fleet, || c.fleet(now));
-                to_delete.extend(delete);
-                rentals.extend(rent.into_iter().map(|rental| ShardRental {
+                let decision = self.timed(Duty::Fleet, || c.fleet(now));
+                to_delete.extend(decision.to_delete);
+                rentals.extend(decision.scale_out.into_iter().map(|rental| ShardRental {
                     shard: *block,
                     grant: c.grant,
                     rental,
--- a/src/control/core/batch.rs
+++ b/src/control/core/batch.rs
@@ -28,8 +28,8 @@
         };
         let mut draft = Draft::new(self.grant_key(), self.grant_stamp, bounds);
         // First: starts wait for it.
-        if let Some((when, change, step)) = self.staging.next(now) {
-            draft.add_wave(when, change, step);
+        if let Some(due) = self.staging.next(now) {
+            draft.add_wave(due);
         }
         self.add_pending(&mut draft, view, spare, now);
         if draft.takes_change() {
--- a/src/control/core/draft.rs
+++ b/src/control/core/draft.rs
@@ -6,7 +6,7 @@
 
 use std::collections::BTreeSet;
 
-use super::staging::Step;
+use super::staging::{DueStep, Step};
 use crate::control::pending::ChunkId;
 use crate::state::record::{chunk_key, job_key, ChunkRecord, JobRecord};
 use crate::state::view::JobEntry;
@@ -159,10 +159,10 @@
     }
 
     /// Adds a step of an image's wave.
-    pub(super) fn add_wave(&mut self, when: When, change: Change, step: Step) {
-        self.batch.txn.when.push(when);
-        self.batch.txn.apply.push(change);
-        self.batch.wave = Some(step);
+    pub(super) fn add_wave(&mut self, due: DueStep) {
+        self.batch.txn.when.push(due.when);
+        self.batch.txn.apply.push(due.change);
+        self.batch.wave = Some(due.step);
     }
 
     /// Adds a change that has no condition of its own.
--- a/src/control/core/links.rs
+++ b/src/control/core/links.rs
@@ -78,7 +78,8 @@
         if self.cluster_state.topology().is_some() {
             self.cluster_state.locate(id, Some(seen.addr.ip()));
             let place = self.cluster_state.machines().get(id).map(|m| m.place);
-            self.memory.came(sort, place.unwrap_or_default(), now);
+            self.topology_history
+                .came_up(sort, place.unwrap_or_default(), now);
         }
     }
 
@@ -192,7 +193,7 @@
         let place = self.cluster_state.machines().get(id).map(|m| m.place);
         let topology = self.cluster_state.topology();
         if let (true, Some(t), Some(place)) = (status.silent, topology, place) {
-            self.stability.lost(&t.tree, place, now);
+            self.topology_history.lost(&t.tree, place, now);
         }
     }
 
--- a/src/control/core/mod.rs
+++ b/src/control/core/mod.rs
@@ -11,11 +11,13 @@
 //! | until when tasks may be started | `start_permission` | `commands` |
 //! | machines on which room appeared | `placement_queue` | `placing` |
 //! | time since the failover, what is open from it | `failover` | all |
-//! | the cloud's machine list | `inventory` | `machine_list`, `renting` |
+//! | the cloud's machine list | `inventory` | `machine_list`, `scale_in`, `renting` |
 //! | machines that are gone | `tombstones`, `deleted_machines` | `machine_list`, `reports` |
-//! | the cloud's machine types | `machine_types` | `links`, `aims`, `renting` |
+//! | the cloud's machine types | `machine_types` | `links`, `aims`, `scaling`, `reservation_supply` |
 //! | a worker's last report, its token and commands | `link`, `direct_line` | `reports`, `dispatch` |
 //! | a transaction while it is put together | `draft` | `batch`, `record` |
+//! | jobs that came, requests to the cloud | `scaling_state` | `aims`, `demand`, `scale_in`, `renting` |
+//! | losses and new machines by failure domain | `topology_history` | `links`, `moving`, `scaling` |
 //! | changes that were rejected | `rejected_changes` | `batch` |
 //! | what the log says of who is served | `served` | `placing`, `record` |
 //!
@@ -29,13 +31,16 @@
 mod calendar_needs;
 mod command_queue;
 mod commands;
+mod delegated_tasks;
 mod deleted_machines;
+mod demand;
 mod direct_line;
 mod dispatch;
 mod draft;
 mod failed_jobs;
 mod failover;
 mod failures;
+mod fleet_log;
 mod inventory;
 mod job_changes;
 mod lanes;
@@ -47,6 +52,8 @@
 mod machine_list;
 mod machine_types;
 mod moving;
+mod overflow;
+mod placement_limits;
 mod placement_queue;
 mod placing;
 mod record;
@@ -54,26 +61,32 @@
 mod rejected_changes;
 mod renting;
 mod reports;
+mod reservation_refresh;
+mod reservation_supply;
+mod reservation_usage;
+mod rollout_refresh;
+mod scale_in;
+mod scaling;
+mod scaling_state;
 mod served;
+mod shard_freeze;
+mod shard_quota;
 mod sharing;
 mod staging;
 mod start_permission;
 mod tombstones;
+mod topology_history;
 mod unlinked;
 mod waves;
 
-use std::collections::{BTreeMap, BTreeSet, HashMap};
+use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 use std::rc::Rc;
 
 use sorrelhinge_blocks::largest_jobs::Largest;
 use sorrelhinge_blocks::shard::Shard;
-use sorrelhinge_overload::fleet_limit::ClaimRate;
 use sorrelhinge_topology::drain::Drain;
-use sorrelhinge_topology::renting::Memory;
-use sorrelhinge_topology::repair::Stability;
 
-use self::aims::{ArrivalSort, Arrivals};
 pub use self::calendar::WindowStep;
 use self::command_queue::CommandQueue;
 pub use self::command_queue::MOST_FLYING;
@@ -81,9 +94,11 @@
 use self::failover::Failover;
 use self::inventory::CloudInventory;
 use self::link::Link;
+pub use self::load::{RecoveryInput, ShardGrant};
 use self::machine_types::MachineTypes;
 use self::placement_queue::PlacementQueue;
 use self::rejected_changes::RejectedChanges;
+pub use self::scaling::ScalingDecision;
 use self::served::ServedLog;
 pub use self::sharing::Places;
 use self::start_permission::StartPermission;
@@ -91,7 +106,7 @@
 use super::pending::Pending;
 use crate::config::Config;
 use crate::sched::ClusterState;
-use crate::types::{JobId, MachineId, Revision, Time, TypeName, Zone};
+use crate::types::{JobId, MachineId, Revision, Time};
 use crate::worker::Orders;
 
 /// Where a report came from.
@@ -153,20 +168,12 @@
     command_queue: CommandQueue,
     /// Machines where tasks may find a place now.
     placement_queue: PlacementQueue,
-    refused: HashMap<(TypeName, Zone, bool), Time>,
-    rentals: u64,
-    renting: u32,
-    /// How many machines can be served, if that was found to be a bound.
-    most_machines: Option<usize>,
-    /// What is claimed a second, and since that was last looked at.
-    claim_rate: ClaimRate,
-    claimed_cpu: i64,
+    /// What came of late, and what was asked of the cloud.
+    scaling: scaling_state::ScalingState,
     /// Until then silence tells nothing: requests waited too long to be read.
     deaf_until: Time,
     /// Until when tasks may be started.
     start_permission: StartPermission,
-    /// Jobs that came of late.
-    arrivals: BTreeMap<ArrivalSort, Arrivals>,
     /// Machines that are gone, which late lists and reports may still show.
     tombstones: MachineTombstones,
     /// Windows of the release calendar.
@@ -175,10 +182,8 @@
     drains: Vec<Drain>,
     /// Images that go from machine to machine.
     staging: staging::Staging,
-    /// Domains that lost machines of late.
-    stability: Stability,
-    /// Where machines came up of late.
-    memory: Memory,
+    /// Where machines were lost and came up of late.
+    topology_history: topology_history::TopologyHistory,
     /// Jobs that lost a claim: a gang among them may have to start anew.
     gangs: BTreeSet<JobId>,
     last_repair: Option<Time>,
@@ -188,8 +193,6 @@
     rejected_changes: RejectedChanges,
     /// Work arrived or room appeared: walk all machines.
     pub walk_all: bool,
-    last_fleet: Time,
-    last_plan: Time,
     /// When all machines were last looked at.
     last_look: Time,
 }
--- a/src/control/core/moving.rs
+++ b/src/control/core/moving.rs
@@ -11,9 +11,9 @@
 use crate::state::view::View;
 use crate::types::{Kind, MachineId, Time};
 
-/// How often a job that waits is spoken of in the log.
+/// How often a job that waits is spoken of in the log, in seconds.
 const TELL_S: f64 = 60.0;
-/// A job that waits is spoken of only after this long.
+/// A job that waits is spoken of only after this long, in seconds.
 const TELL_AFTER_S: f64 = 15.0;
 
 impl Core {
@@ -37,6 +37,7 @@
         }
     }
 
+    /// The time of day in milliseconds, by the clock that was read at the start.
     pub(super) fn wall_ms(&self, now: Time) -> u64 {
         self.failover.wall_ms(now)
     }
@@ -88,7 +89,7 @@
             .collect();
         let moving = Moving {
             drains: &drains,
-            stability: &self.stability,
+            stability: self.topology_history.losses(),
         };
         let mut moves = if drains.is_empty() {
             Vec::new()
@@ -99,8 +100,7 @@
         if repair::due(self.last_repair, repair_settings.every_s, now) {
             self.last_repair = Some(now);
             moves.extend(self.cluster_state.repair(&moving, now));
-            self.stability.tidy(repair_settings.settle_s, now);
-            self.memory.tidy(topology.settings.renting.remember_s, now);
+            self.topology_history.tidy(&topology.settings, now);
         }
         for m in moves {
             let to = m.to.as_ref().map_or("-", |id| id.as_str());
--- a/src/control/leading.rs
+++ b/src/control/leading.rs
@@ -6,7 +6,7 @@
 use sorrelhinge_blocks::shard::BlockId;
 use tokio::time::{sleep, Instant};
 
-use super::core::Core;
+use super::core::{Core, Places, RecoveryInput, ShardGrant};
 use super::{wall_ms, Node};
 use crate::state::record::{GrantRecord, LeaderRecord, GRANT, LEADER};
 use crate::state::view::Versioned;
@@ -192,14 +192,18 @@
             return;
         }
         tracing::info!(term = %grant.term, grant = grant.number, "leading");
+        let grant = ShardGrant::whole(grant.number, revision);
         let core = Core::load(
-            self.cfg.clone(),
-            &self.catalog.types(),
-            &self.store.view(),
-            (grant.number, revision),
-            self.catalog.topology(),
-            self.now(),
-            wall_ms(),
+            &RecoveryInput {
+                cfg: self.cfg.clone(),
+                types: &self.catalog.types(),
+                view: &self.store.view(),
+                topology: self.catalog.topology(),
+                now: self.now(),
+                wall_ms: wall_ms(),
+            },
+            grant,
+            Places::default(),
         );
         // It gave up at once, by what it had seen as the owner before.
         self.leadership.forget_reachability();
--- a/tests/fleet_limits.rs
+++ b/tests/fleet_limits.rs
@@ -14,7 +14,7 @@
 use hyper::Method;
 use serde_json::{json, Value};
 use sorrelhinge::config::Config;
-use sorrelhinge::control::core::Core;
+use sorrelhinge::control::core::{Core, Places, RecoveryInput, ShardGrant};
 use sorrelhinge::peer::{listen, Answered, Heard, HeardOf, Kind, Peers, Standing};
 use sorrelhinge::state::history::History;
 use sorrelhinge::state::record::{drain_key, Key, GONE_SLOTS};
@@ -102,7 +102,15 @@
             "value": {"owner": "n-0", "term": 1, "number": 1}});
         assert!(view.apply(Revision(0), events(1, &json!([grant]))));
         let stamp = view.grant.stamp;
-        let core = Core::load(Rc::new(config), &[], &view, (1, stamp), None, Time(0.0), 0);
+        let input = RecoveryInput {
+            cfg: Rc::new(config),
+            types: &[],
+            view: &view,
+            topology: None,
+            now: Time(0.0),
+            wall_ms: 0,
+        };
+        let core = Core::load(&input, ShardGrant::whole(1, stamp), Places::default());
         Self {
             core,
             view,
