--- a/tests/switch_loss.rs
+++ b/tests/switch_loss.rs
@@ -4,8 +4,9 @@
 //! no task ever starts on a device that is missing, broken or taken; without it
 //! the same run fails that check. What was measured is printed.
 
+mod loopback;
+
 use std::cell::RefCell;
-use std::path::Path;
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
@@ -38,8 +39,8 @@
     by_cut: Vec<f64>,
 }
 
-/// Cuts each switch in turn. What happened, and what the starts' check found.
-async fn each_switch_in_turn(mode: Mode, net: u8) -> (Watch, Vec<String>) {
+/// A world whose services ask to be apart in this way, and their ids.
+async fn begin(mode: Mode, net: u8) -> (World, Vec<String>) {
     let more = "[[device]]\nkind = \"encoder\"\nnetworks = [\"127.NET.1.0/24\"]\n\
         units = [\"enc0\", \"enc1\", \"enc2\"]\nbroken = [\"enc1\"]\n\
         [[policy]]\nclass = \"live\"\n[[policy.wishes.spread]]\nlevel = \"switch\"\nmost = 1\n\
@@ -47,19 +48,11 @@
     let more = more.replace("NET", &net.to_string());
     let topology = (mode == Mode::Switch).then(|| file(net, SWITCHES, &more));
     let plan = Plan {
-        net,
         switches: SWITCHES,
-        machines: 2,
         topology,
-        controllers: 3,
-        lines: false,
-        sockets: None,
-        state_next: "",
-        properties: "",
-        program: env!("CARGO_BIN_EXE_sorrelhinge").into(),
-        folder: Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("switch_loss_{mode:?}")),
+        ..loopback::plan(&format!("switch_loss_{mode:?}"), net, 2)
     };
-    let mut world = World::start(plan).await;
+    let world = World::start(plan).await;
     let encoders = vec![
         ("enc0".to_owned(), true),
         ("enc1".to_owned(), false),
@@ -72,27 +65,34 @@
             "pieces": REPLICAS, "cpus": 1.0, "spread": mode == Mode::Zone});
         assert_eq!(world.submit(uid, job).await.0, 201);
     }
-    let all_run = |w: &World| {
-        let nodes = w.nodes.borrow();
-        services.iter().all(|s| nodes.copies(s) == REPLICAS)
-    };
-    world.until("all replicas run", 40, all_run).await;
-    if mode == Mode::Switch {
-        for n in 0..12 {
-            let job = json!({"pieces": 4, "guess_s": 0.6,
-                "topology": {"devices": [{"kind": "encoder", "count": 1}]}});
-            let (status, told) = world.submit(&format!("run-bake-{n}"), job).await;
-            assert_eq!(status, 201, "{told}");
-        }
-        let missing = json!({"topology": {"devices": [{"kind": "encoder", "count": 4}]}});
-        let (status, told) = world.submit("run-never", missing).await;
-        assert_eq!(status, 422, "{told}");
+    (world, services)
+}
+
+fn all_run(world: &World, services: &[String]) -> bool {
+    let nodes = world.nodes.borrow();
+    services.iter().all(|s| nodes.copies(s) == REPLICAS)
+}
+
+/// Jobs that need an encoder, and one that needs more than any machine has.
+async fn bake(world: &World) {
+    for n in 0..12 {
+        let job = json!({"pieces": 4, "guess_s": 0.6,
+            "topology": {"devices": [{"kind": "encoder", "count": 1}]}});
+        let (status, told) = world.submit(&format!("run-bake-{n}"), job).await;
+        assert_eq!(status, 201, "{told}");
     }
+    let missing = json!({"topology": {"devices": [{"kind": "encoder", "count": 4}]}});
+    let (status, told) = world.submit("run-never", missing).await;
+    assert_eq!(status, 422, "{told}");
+}
+
+/// Counts the services' copies all the time from now on.
+fn watch_copies(world: &World, services: &[String]) -> Rc<RefCell<Watch>> {
     let watch = Rc::new(RefCell::new(Watch {
         fewest: REPLICAS,
         ..Watch::default()
     }));
-    let (seen, nodes, watched) = (watch.clone(), world.nodes.clone(), services.clone());
+    let (seen, nodes, watched) = (watch.clone(), world.nodes.clone(), services.to_vec());
     spawn_local(async move {
         let mut last = Instant::now();
         loop {
@@ -108,28 +108,48 @@
             }
         }
     });
+    watch
+}
+
+/// Cuts a switch until all replicas run elsewhere, every other one during a takeover.
+async fn cut_switch(world: &mut World, cut: u8, services: &[String], watch: &RefCell<Watch>) {
+    let switch = (cut / SWITCHES, cut % SWITCHES);
+    let during_takeover = cut % 2 == 1;
+    if during_takeover {
+        let leader = world.leader();
+        if let Some(leader) = leader {
+            world.kill_controller(leader);
+            world.start_controller(leader);
+        }
+    }
+    watch.borrow_mut().lost = 0.0;
+    world.nodes.borrow_mut().cut.insert(switch);
+    sleep(Duration::from_millis(500)).await;
+    let elsewhere = |w: &World| all_run(w, services);
+    world
+        .until("all replicas run elsewhere", 60, elsewhere)
+        .await;
+    let lost = watch.borrow().lost;
+    watch.borrow_mut().by_cut.push(lost);
+    world.nodes.borrow_mut().cut.remove(&switch);
+    sleep(Duration::from_millis(300)).await;
+}
+
+/// Cuts each switch in turn. What happened, and what the starts' check found.
+async fn each_switch_in_turn(mode: Mode, net: u8) -> (Watch, Vec<String>) {
+    let (mut world, services) = begin(mode, net).await;
+    let run = |w: &World| all_run(w, &services);
+    world.until("all replicas run", 40, run).await;
+    if mode == Mode::Switch {
+        bake(&world).await;
+    }
+    let watch = watch_copies(&world, &services);
     for cut in 0..3 * SWITCHES {
-        let switch = (cut / SWITCHES, cut % SWITCHES);
         if mode != Mode::Switch && watch.borrow().fewest == 0 {
             // The check has failed; nothing more is to be seen.
             break;
         }
-        let during_takeover = cut % 2 == 1;
-        if during_takeover {
-            let leader = world.leader();
-            if let Some(leader) = leader {
-                world.kill_controller(leader);
-                world.start_controller(leader);
-            }
-        }
-        watch.borrow_mut().lost = 0.0;
-        world.nodes.borrow_mut().cut.insert(switch);
-        sleep(Duration::from_millis(500)).await;
-        world.until("all replicas run elsewhere", 60, all_run).await;
-        let lost = watch.borrow().lost;
-        watch.borrow_mut().by_cut.push(lost);
-        world.nodes.borrow_mut().cut.remove(&switch);
-        sleep(Duration::from_millis(300)).await;
+        cut_switch(&mut world, cut, &services, &watch).await;
     }
     if mode == Mode::Switch {
         let baked = |w: &World| w.nodes.borrow().done.len() >= 48;
