--- a/tests/answers.rs
+++ b/tests/answers.rs
@@ -2,6 +2,10 @@
 //! after a job was accepted, has ended, or was confirmed as cancelled: whatever else
 //! happens, no controller answers something older than any controller has said.
 
+#[path = "loopback/leader.rs"]
+mod leader;
+mod loopback;
+
 use std::cell::Cell;
 use std::rc::Rc;
 use std::time::{Duration, Instant};
@@ -14,17 +18,13 @@
 use tokio::task::{spawn_local, JoinHandle};
 use tokio::time::sleep;
 
-/// The program, and a folder for files and logs.
-const AT: (&str, &str) = (
-    env!("CARGO_BIN_EXE_sorrelhinge"),
-    env!("CARGO_TARGET_TMPDIR"),
-);
+use self::leader::start_led;
 
 fn plan(name: &str, net: u8, controllers: usize) -> Plan {
     Plan {
         lines: true,
         controllers,
-        ..Plan::plain(&format!("answers_{name}"), net, 4, AT)
+        ..loopback::plan(&format!("answers_{name}"), net, 4)
     }
 }
 
@@ -117,8 +117,7 @@
 }
 
 async fn world(plan: Plan) -> World {
-    let world = World::start(plan).await;
-    world.until("a leader", 20, |w| w.leader().is_some()).await;
+    let world = start_led(plan).await;
     world
 }
 
--- a/tests/bad_requests.rs
+++ b/tests/bad_requests.rs
@@ -3,6 +3,10 @@
 //! process or costs another job its answer. Each case is asked of a controller that
 //! is served and of one that the state service refuses, which passes it on.
 
+#[path = "loopback/leader.rs"]
+mod leader;
+mod loopback;
+
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
@@ -11,14 +15,10 @@
 use serde_json::{json, Value};
 use sorrelhinge_standins::lines::Cut;
 use sorrelhinge_standins::users::{send_body, send_bytes};
-use sorrelhinge_standins::{ask, run, Plan, Told, World};
+use sorrelhinge_standins::{ask, run, Plan, Told};
 use tokio::time::sleep;
 
-/// The program, and a folder for files and logs.
-const AT: (&str, &str) = (
-    env!("CARGO_BIN_EXE_sorrelhinge"),
-    env!("CARGO_TARGET_TMPDIR"),
-);
+use self::leader::start_led;
 
 /// PROTOCOL: a request body may be at most 64 KiB.
 const MOST_BODY: usize = 64 << 10;
@@ -362,8 +362,7 @@
 #[test]
 fn a_body_that_is_too_large_is_answered_at_the_first_try() {
     run(async {
-        let world = World::start(Plan::plain("too_large", 68, 1, AT)).await;
-        world.until("a leader", 20, |w| w.leader().is_some()).await;
+        let world = start_led(loopback::plan("too_large", 68, 1)).await;
         for size in TOO_LARGE {
             for nth in 0..TRIES {
                 let body = Bytes::from(vec![b'x'; size]);
@@ -378,13 +377,12 @@
 #[test]
 fn odd_requests_are_refused_and_cost_nobody_an_answer() {
     run(async {
-        let plan = Plan::plain("bad_requests", 200, 2, AT);
-        let mut world = World::start(Plan {
+        let plan = loopback::plan("bad_requests", 200, 2);
+        let mut world = start_led(Plan {
             lines: true,
             ..plan
         })
         .await;
-        world.until("a leader", 20, |w| w.leader().is_some()).await;
         world.submit("run-runs", json!({"shape": "standing"})).await;
         world.submit("run-done", json!({"guess_s": 0.1})).await;
         world.submit("run-over", json!({"shape": "standing"})).await;
--- a/tests/blocks.rs
+++ b/tests/blocks.rs
@@ -2,24 +2,23 @@
 //! time, owners and the leader killed. Every task ends once, limits hold at every
 //! moment, and the other blocks go on.
 
+#[path = "loopback/cancellation.rs"]
+mod cancellation;
+mod loopback;
+
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
 
-use hyper::Method;
 use serde_json::{json, Value};
 use sorrelhinge_standins::{run, Plan, World, CANCEL_S};
 use tokio::time::sleep;
 
-/// The program, and a folder for files and logs.
-const AT: (&str, &str) = (
-    env!("CARGO_BIN_EXE_sorrelhinge"),
-    env!("CARGO_TARGET_TMPDIR"),
-);
+use self::cancellation::cancel;
 
 fn plan(name: &str, net: u8, machines: u8, properties: &'static str) -> Plan {
     Plan {
         properties,
-        ..Plan::plain(&format!("blocks_{name}"), net, machines, AT)
+        ..loopback::plan(&format!("blocks_{name}"), net, machines)
     }
 }
 
@@ -109,9 +108,7 @@
         );
         let started = world.nodes.borrow().starts - starts;
         assert_eq!(started, 5 * uids.len(), "each task started once");
-        let path = "/v1/jobs/run-000001/withdraw";
-        let (status, told) = world.ask(Method::POST, path, &Value::Null).await;
-        assert_eq!((status, &told["phase"]), (200, &json!("cancelled")));
+        cancel(&world, "run-000001").await;
         world
             .until("a cancelled job's tasks are gone", CANCEL_S as u64, |w| {
                 w.nodes.borrow().places("run-000001").is_empty()
--- a/tests/comeback.rs
+++ b/tests/comeback.rs
@@ -1,21 +1,24 @@
 //! Too much load, or nobody in charge, costs what is new, never what runs: real
 //! controllers on loopback, whose workers' leases would end meanwhile.
 
+#[path = "loopback/cancellation.rs"]
+mod cancellation;
+#[path = "loopback/leader.rs"]
+mod leader;
+mod loopback;
+
 use std::time::{Duration, Instant};
 
 use hyper::Method;
-use serde_json::{json, Value};
+use serde_json::json;
 use sorrelhinge_standins::{run, Plan, World, CANCEL_S, LEASE_S};
 use tokio::time::sleep;
 
-/// The program, and a folder for files and logs.
-const AT: (&str, &str) = (
-    env!("CARGO_BIN_EXE_sorrelhinge"),
-    env!("CARGO_TARGET_TMPDIR"),
-);
+use self::cancellation::cancel;
+use self::leader::start_led;
 
 fn plan(name: &str, net: u8, machines: u8) -> Plan {
-    Plan::plain(&format!("comeback_{name}"), net, machines, AT)
+    loopback::plan(&format!("comeback_{name}"), net, machines)
 }
 
 /// The owner dies as an outage of the state service begins, which outlasts the
@@ -24,8 +27,7 @@
 #[test]
 fn an_owner_that_dies_in_an_outage_takes_no_task_with_it() {
     run(async {
-        let mut world = World::start(plan("outage", 82, 4)).await;
-        world.until("a leader", 20, |w| w.leader().is_some()).await;
+        let mut world = start_led(plan("outage", 82, 4)).await;
         world
             .submit("run-000001", json!({"shape": "standing", "pieces": 6}))
             .await;
@@ -44,9 +46,7 @@
         // The owner hears of all starts, and records nothing more.
         sleep(Duration::from_secs(1)).await;
         let starts = world.nodes.borrow().starts;
-        let path = "/v1/jobs/run-000003/withdraw";
-        let (status, told) = world.ask(Method::POST, path, &Value::Null).await;
-        assert_eq!((status, &told["phase"]), (200, &json!("cancelled")));
+        cancel(&world, "run-000003").await;
         let owner = world.leader().expect("a leader");
         world.kill_controller(owner);
         world.store.borrow_mut().set_down(true);
@@ -75,8 +75,7 @@
 #[test]
 fn an_overload_that_ends_leases_is_over_soon_after_its_cause() {
     run(async {
-        let world = World::start(plan("starved", 106, 16)).await;
-        world.until("a leader", 20, |w| w.leader().is_some()).await;
+        let world = start_led(plan("starved", 106, 16)).await;
         let services = ["run-000001", "run-000002"];
         for uid in services {
             world
--- a/tests/drains.rs
+++ b/tests/drains.rs
@@ -1,7 +1,8 @@
 //! Drains, reloads and gangs with real controllers on loopback, by the
 //! program's own commands.
 
-use std::path::Path;
+mod loopback;
+
 use std::time::Duration;
 
 use hyper::Method;
@@ -14,17 +15,9 @@
 
 async fn world(net: u8, name: &str, more: &str) -> World {
     let plan = Plan {
-        net,
         switches: SWITCHES,
-        machines: 2,
         topology: Some(file(net, SWITCHES, more)),
-        controllers: 3,
-        lines: false,
-        sockets: None,
-        state_next: "",
-        properties: "",
-        program: env!("CARGO_BIN_EXE_sorrelhinge").into(),
-        folder: Path::new(env!("CARGO_TARGET_TMPDIR")).join(name),
+        ..loopback::plan(name, net, 2)
     };
     World::start(plan).await
 }
--- a/tests/job_ends.rs
+++ b/tests/job_ends.rs
@@ -1,18 +1,19 @@
 //! One-task jobs of very short run time, each called off, asked for and submitted again
 //! at the moment of its task's end, with no other trouble: a job ends one way only.
 
+#[path = "loopback/leader.rs"]
+mod leader;
+mod loopback;
+
 use std::time::Duration;
 
+use sorrelhinge_standins::run;
 use sorrelhinge_standins::users::{one_task, Question, Users};
-use sorrelhinge_standins::{run, Plan, World};
 use tokio::task::spawn_local;
 use tokio::time::sleep;
 
-/// The program, and a folder for files and logs.
-const AT: (&str, &str) = (
-    env!("CARGO_BIN_EXE_sorrelhinge"),
-    env!("CARGO_TARGET_TMPDIR"),
-);
+use self::leader::start_led;
+
 const JOBS: usize = 60;
 
 async fn user(users: Users, uid: String, nth: usize) {
@@ -34,8 +35,7 @@
 #[test]
 fn a_job_that_is_called_off_as_it_ends_ends_one_way() {
     run(async {
-        let world = World::start(Plan::plain("job_ends", 224, 6, AT)).await;
-        world.until("a leader", 20, |w| w.leader().is_some()).await;
+        let world = start_led(loopback::plan("job_ends", 224, 6)).await;
         let users = Users::new(&world, 3);
         let uids: Vec<String> = (0..JOBS).map(|n| format!("run-{n:06}")).collect();
         let mut lives = Vec::new();
--- a/tests/joined.rs
+++ b/tests/joined.rs
@@ -2,6 +2,8 @@
 //! stages, urgent jobs in a flood of a lane, and the owner ended in the middle of all
 //! three, then all controllers, back after 0.3 s.
 
+mod loopback;
+
 use std::time::Duration;
 
 use serde_json::json;
@@ -34,13 +36,9 @@
              classes = [\"table\"]\nwhen = {{ once = \"{moment}\" }}\nlasts_s = 600\n\
              tasks = {TABLES}\ncpus = 4.0\nram_gb = 4.0\nearly_s = 1\n"
         );
-        let at = (
-            env!("CARGO_BIN_EXE_sorrelhinge"),
-            env!("CARGO_TARGET_TMPDIR"),
-        );
         let plan = Plan {
             properties: PROPERTIES,
-            ..Plan::plain("joined", 140, 4, at)
+            ..loopback::plan("joined", 140, 4)
         };
         let mut world = World::start_with(plan, Some(&window)).await;
         world.ask_for_all();
--- /dev/null
+++ b/tests/loopback/service.rs
@@ -0,0 +1,15 @@
+//! A service that runs while troubles come.
+
+use serde_json::json;
+use sorrelhinge_standins::World;
+
+/// The service's id.
+pub const SERVICE: &str = "run-000001";
+
+/// Submits the service, and waits until all its replicas run.
+pub async fn run_service(world: &World, replicas: usize, within_s: u64) {
+    let service = json!({"shape": "standing", "pieces": replicas, "rank": "critical"});
+    assert_eq!(world.submit(SERVICE, service).await.0, 201);
+    let up = |w: &World| w.nodes.borrow().copies(SERVICE) == replicas;
+    world.until("replicas run", within_s, up).await;
+}
--- a/tests/overload.rs
+++ b/tests/overload.rs
@@ -3,13 +3,18 @@
 //! the leader stays, and once the crowd is gone service is back within a report
 //! round. The sockets are bounded by the operating system.
 
+#[path = "loopback/cancellation.rs"]
+mod cancellation;
+#[path = "loopback/leader.rs"]
+mod leader;
+mod loopback;
+
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-use hyper::Method;
 use serde_json::{json, Value};
 use sorrelhinge_standins::{run, Plan, World, CANCEL_S, LEASE_S, REPORT_S};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -17,19 +22,16 @@
 use tokio::task::{spawn_local, JoinHandle};
 use tokio::time::{sleep, timeout};
 
+use self::cancellation::cancel;
+use self::leader::start_led;
+
 /// The least that a controller takes.
 const SOCKETS: usize = 100;
 
-/// The program, and a folder for files and logs.
-const AT: (&str, &str) = (
-    env!("CARGO_BIN_EXE_sorrelhinge"),
-    env!("CARGO_TARGET_TMPDIR"),
-);
-
 fn plan(name: &str, net: u8, machines: u8) -> Plan {
     Plan {
         sockets: Some(SOCKETS),
-        ..Plan::plain(&format!("overload_{name}"), net, machines, AT)
+        ..loopback::plan(&format!("overload_{name}"), net, machines)
     }
 }
 
@@ -128,10 +130,8 @@
 }
 
 /// Cancels a job and waits until its tasks are gone.
-async fn cancel(world: &World, uid: &str) {
-    let path = format!("/v1/jobs/{uid}/withdraw");
-    let (status, told) = world.ask(Method::POST, &path, &Value::Null).await;
-    assert_eq!((status, &told["phase"]), (200, &json!("cancelled")));
+async fn cancel_until_gone(world: &World, uid: &str) {
+    cancel(world, uid).await;
     world
         .until("a cancelled job's tasks are gone", CANCEL_S as u64, |w| {
             w.nodes.borrow().places(uid).is_empty()
@@ -142,8 +142,7 @@
 #[test]
 fn more_workers_users_and_slow_clients_than_sockets() {
     run(async {
-        let world = World::start(plan("crowd", 70, 40)).await;
-        world.until("a leader", 20, |w| w.leader().is_some()).await;
+        let world = start_led(plan("crowd", 70, 40)).await;
         let (status, _) = world
             .submit("run-000001", json!({"shape": "standing", "pieces": 3}))
             .await;
@@ -175,7 +174,7 @@
             world.until("a job's tasks", 20, |w| w.done(&uid, 6)).await;
             n += 1;
         }
-        cancel(&world, "run-000002").await;
+        cancel_until_gone(&world, "run-000002").await;
         assert_eq!(
             leader(&world),
             led,
@@ -196,7 +195,7 @@
         // The cancellation in the last instant before the crowd's like: the
         // answer stands whatever comes after it.
         crowd.slow(world.address(world.leader().unwrap_or(0)), 200);
-        cancel(&world, "run-000003").await;
+        cancel_until_gone(&world, "run-000003").await;
         drop(crowd);
 
         let ended = Instant::now();
@@ -223,8 +222,7 @@
 #[test]
 fn polls_flood_a_takeover_and_overload_ends_in_an_outage() {
     run(async {
-        let mut world = World::start(plan("takeover", 74, 50)).await;
-        world.until("a leader", 20, |w| w.leader().is_some()).await;
+        let mut world = start_led(plan("takeover", 74, 50)).await;
         world
             .submit("run-000001", json!({"shape": "standing", "pieces": 3}))
             .await;
@@ -249,7 +247,7 @@
                 w.leader().is_some_and(|l| l != first)
             })
             .await;
-        cancel(&world, "run-000001").await;
+        cancel_until_gone(&world, "run-000001").await;
         world
             .until("the array ends", 30, |w| w.done("run-000002", 30))
             .await;
@@ -274,8 +272,7 @@
 #[test]
 fn a_worker_that_all_turn_away_until_its_lease_nearly_ends_keeps_its_task() {
     run(async {
-        let world = World::start(plan("turned_away", 78, 3)).await;
-        world.until("a leader", 20, |w| w.leader().is_some()).await;
+        let world = start_led(plan("turned_away", 78, 3)).await;
         world.submit("run-000001", json!({"guess_s": 6.0})).await;
         let runs = |w: &World| w.nodes.borrow().copies("run-000001") == 1;
         world.until("the task runs", 20, runs).await;
--- a/tests/pipelines_loopback.rs
+++ b/tests/pipelines_loopback.rs
@@ -1,6 +1,10 @@
 //! Jobs that wait for others, with real controllers: order, cancellation with others,
 //! refusals, and the fall of the state service's limits.
 
+#[path = "loopback/leader.rs"]
+mod leader;
+mod loopback;
+
 use std::time::Duration;
 
 use hyper::Method;
@@ -9,16 +13,11 @@
 use sorrelhinge_standins::{run, Plan, World, CANCEL_S};
 use tokio::time::{sleep, Instant};
 
-/// The program, and a folder for files and logs.
-const AT: (&str, &str) = (
-    env!("CARGO_BIN_EXE_sorrelhinge"),
-    env!("CARGO_TARGET_TMPDIR"),
-);
+use self::leader::start_led;
 
 async fn begin(name: &str, net: u8) -> World {
-    let plan = Plan::plain(&format!("pipelines_{name}"), net, 4, AT);
-    let world = World::start(plan).await;
-    world.until("a leader", 20, |w| w.leader().is_some()).await;
+    let plan = loopback::plan(&format!("pipelines_{name}"), net, 4);
+    let world = start_led(plan).await;
     world
 }
 
@@ -283,10 +282,9 @@
     run(async {
         let plan = Plan {
             state_next: "value_kb = 2.0\ntxn_ops = 4\nwrite_rps = 100.0",
-            ..Plan::plain("pipelines_limits", 164, 8, AT)
+            ..loopback::plan("pipelines_limits", 164, 8)
         };
-        let mut world = World::start(plan).await;
-        world.until("a leader", 20, |w| w.leader().is_some()).await;
+        let mut world = start_led(plan).await;
         for n in 0..6 {
             let job = json!({"pieces": 60, "guess_s": 1.0, "cpus": 0.25, "ram_gb": 0.1});
             world.submit(&format!("run-w{n}"), job).await;
--- a/tests/polls.rs
+++ b/tests/polls.rs
@@ -1,6 +1,10 @@
 //! Real controllers on loopback: no job is without an answer for long, whatever
 //! else is asked for and whoever is refused by the state service.
 
+#[path = "loopback/leader.rs"]
+mod leader;
+mod loopback;
+
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
 
@@ -11,11 +15,7 @@
 use tokio::task::spawn_local;
 use tokio::time::sleep;
 
-/// The program, and a folder for files and logs.
-const AT: (&str, &str) = (
-    env!("CARGO_BIN_EXE_sorrelhinge"),
-    env!("CARGO_TARGET_TMPDIR"),
-);
+use self::leader::start_led;
 
 /// Controllers that stand still most of the time shed polls; each job's user asks
 /// whenever they run. When it was drawn which poll is shed, some were refused
@@ -24,8 +24,7 @@
 fn no_job_is_refused_twice_in_a_row() {
     const JOBS: usize = 24;
     run(async {
-        let world = World::start(Plan::plain("polls_shed", 190, 4, AT)).await;
-        world.until("a leader", 20, |w| w.leader().is_some()).await;
+        let world = start_led(loopback::plan("polls_shed", 190, 4)).await;
         let jobs: Vec<String> = (1..=JOBS).map(|n| format!("run-{n:06}")).collect();
         for uid in &jobs {
             let (status, _) = world.submit(uid, json!({"guess_s": 600.0})).await;
@@ -74,13 +73,12 @@
 #[test]
 fn a_poll_that_can_t_be_confirmed_is_answered_by_way_of_another() {
     run(async {
-        let plan = Plan::plain("polls_cut", 194, 3, AT);
-        let world = World::start(Plan {
+        let plan = loopback::plan("polls_cut", 194, 3);
+        let world = start_led(Plan {
             lines: true,
             ..plan
         })
         .await;
-        world.until("a leader", 20, |w| w.leader().is_some()).await;
         let leader = world.leader().expect("a leader");
         let cut = (leader + 1) % 3;
         world
--- a/tests/quiet_times.rs
+++ b/tests/quiet_times.rs
@@ -1,19 +1,17 @@
 //! Nothing happens but reports: no user asks, and no record changes. Real controllers
 //! on loopback.
 
+mod loopback;
+#[path = "loopback/service.rs"]
+mod service;
+
 use std::time::Duration;
 
-use serde_json::json;
-use sorrelhinge_standins::{run, Plan, World};
+use sorrelhinge_standins::{run, World};
 use tokio::time::sleep;
 
-/// The program, and a folder for files and logs.
-const AT: (&str, &str) = (
-    env!("CARGO_BIN_EXE_sorrelhinge"),
-    env!("CARGO_TARGET_TMPDIR"),
-);
+use self::service::run_service;
 
-const SERVICE: &str = "run-000001";
 const REPLICAS: usize = 6;
 /// Several of the watches of the state service that the first version made, of 4 s.
 const QUIET: Duration = Duration::from_secs(14);
@@ -25,11 +23,8 @@
 #[test]
 fn workers_are_answered_while_nothing_happens() {
     run(async {
-        let world = World::start(Plan::plain("quiet", 54, 4, AT)).await;
-        let service = json!({"shape": "standing", "pieces": REPLICAS, "rank": "critical"});
-        assert_eq!(world.submit(SERVICE, service).await.0, 201);
-        let up = |w: &World| w.nodes.borrow().copies(SERVICE) == REPLICAS;
-        world.until("replicas run", 40, up).await;
+        let world = World::start(loopback::plan("quiet", 54, 4)).await;
+        run_service(&world, REPLICAS, 40).await;
         sleep(Duration::from_secs(1)).await;
         let (refused, starts) = {
             let nodes = world.nodes.borrow();
--- a/tests/restarts.rs
+++ b/tests/restarts.rs
@@ -2,6 +2,12 @@
 //! their clocks run on, or are cut off from the workers alone; guests, and an
 //! array of thousands of tasks. Real controllers on loopback.
 
+#[path = "loopback/cancellation.rs"]
+mod cancellation;
+#[path = "loopback/leader.rs"]
+mod leader;
+mod loopback;
+
 use std::time::{Duration, Instant};
 
 use hyper::Method;
@@ -9,19 +15,15 @@
 use sorrelhinge_standins::{run, Plan, World, CANCEL_S};
 use tokio::time::sleep;
 
-/// The program, and a folder for files and logs.
-const AT: (&str, &str) = (
-    env!("CARGO_BIN_EXE_sorrelhinge"),
-    env!("CARGO_TARGET_TMPDIR"),
-);
+use self::cancellation::cancel;
+use self::leader::start_led;
 
 fn plan(name: &str, net: u8, machines: u8) -> Plan {
-    Plan::plain(&format!("restarts_{name}"), net, machines, AT)
+    loopback::plan(&format!("restarts_{name}"), net, machines)
 }
 
 async fn begin(plan: Plan) -> World {
-    let world = World::start(plan).await;
-    world.until("a leader", 20, |w| w.leader().is_some()).await;
+    let world = start_led(plan).await;
     world
         .submit(
             "run-000001",
@@ -100,9 +102,7 @@
             (tasks..=tasks + tasks / 20).contains(&started),
             "{started} starts of {tasks} tasks"
         );
-        let path = "/v1/jobs/run-000001/withdraw";
-        let (status, told) = world.ask(Method::POST, path, &Value::Null).await;
-        assert_eq!((status, &told["phase"]), (200, &json!("cancelled")));
+        cancel(&world, "run-000001").await;
         let none_left = |w: &World| w.nodes.borrow().all.values().all(|n| n.gone);
         world
             .until("nothing stays rented and unused", 60, none_left)
