--- a/src/sched/job_changes.rs
+++ b/src/sched/job_changes.rs
@@ -23,9 +23,10 @@
         let result = change(job);
         self.demand[job.team] -= demand;
         self.demand[job.team] += job.demand();
-        if was_queued != job.is_queued() {
+        let queued = job.is_queued();
+        if was_queued != queued {
             let place = job.place(id);
-            if job.is_queued() {
+            if queued {
                 self.queues[job.team].insert(place);
             } else {
                 job.blocked_since = None;
