--- a/tests/addition.rs
+++ b/tests/addition.rs
@@ -3,22 +3,23 @@
 //! its workers, and controllers that end in the middle of an election. Real
 //! controllers on loopback, three and five.
 
+#[path = "loopback/cancellation.rs"]
+mod cancellation;
+mod loopback;
+#[path = "loopback/service.rs"]
+mod service;
+
 use std::time::{Duration, Instant};
 
-use hyper::Method;
-use serde_json::{json, Value};
+use serde_json::json;
 use sorrelhinge_standins::lines::Cut;
 use sorrelhinge_standins::nodes::Deaf;
 use sorrelhinge_standins::{run, Plan, World, LEASE_S};
 use tokio::time::sleep;
 
-/// The program, and a folder for files and logs.
-const AT: (&str, &str) = (
-    env!("CARGO_BIN_EXE_sorrelhinge"),
-    env!("CARGO_TARGET_TMPDIR"),
-);
+use self::cancellation::cancel;
+use self::service::{run_service, SERVICE};
 
-const SERVICE: &str = "run-000001";
 const REPLICAS: usize = 6;
 /// No accepted job may go unanswered for so long; here troubles are short.
 const UNANSWERED: Duration = Duration::from_secs(40);
@@ -27,7 +28,7 @@
     Plan {
         controllers,
         lines: true,
-        ..Plan::plain(&format!("addition_{name}"), net, 4, AT)
+        ..loopback::plan(&format!("addition_{name}"), net, 4)
     }
 }
 
@@ -38,9 +39,7 @@
 /// A world with a service that runs, and users that ask for all jobs.
 async fn begin(plan: Plan) -> World {
     let world = World::start(plan).await;
-    let service = json!({"shape": "standing", "pieces": REPLICAS, "rank": "critical"});
-    assert_eq!(world.submit(SERVICE, service).await.0, 201);
-    world.until("replicas run", 40, up).await;
+    run_service(&world, REPLICAS, 40).await;
     world.ask_for_all();
     world
 }
@@ -355,9 +354,7 @@
             world.nodes.borrow_mut().deaf.clear();
         }
         ends_well(&world, &uids).await;
-        let path = format!("/v1/jobs/{SERVICE}/withdraw");
-        let (status, told) = world.ask(Method::POST, &path, &Value::Null).await;
-        assert_eq!((status, &told["phase"]), (200, &json!("cancelled")));
+        cancel(&world, SERVICE).await;
         let ended = |w: &World| w.nodes.borrow().places(SERVICE).is_empty();
         world.until("the cancelled service ends", 12, ended).await;
     });
--- a/tests/calendar.rs
+++ b/tests/calendar.rs
@@ -1,6 +1,8 @@
 //! The release calendar with real controllers on loopback: capacity is there when
 //! a window begins, whoever ends before.
 
+mod loopback;
+
 use std::path::Path;
 use std::time::Duration;
 
@@ -12,9 +14,10 @@
 use sorrelhinge_standins::{run, Plan, World};
 use tokio::time::sleep;
 
+use self::loopback::AT;
+
 fn plan(name: &str, net: u8) -> Plan {
-    let folder = env!("CARGO_TARGET_TMPDIR");
-    Plan::plain(name, net, 1, (env!("CARGO_BIN_EXE_sorrelhinge"), folder))
+    loopback::plan(name, net, 1)
 }
 
 /// A window of tasks that take a whole machine each, from a moment on.
@@ -208,7 +211,7 @@
 fn pins_and_versions_in_one_fleet() {
     run(async {
         let mut world = World::start_with(plan("calendar-pins", 128), Some(&file(5, ""))).await;
-        let folder = Path::new(env!("CARGO_TARGET_TMPDIR")).join("calendar-pins");
+        let folder = Path::new(AT.1).join("calendar-pins");
         let path = folder.join("pin.toml").to_string_lossy().into_owned();
         let pin = ["calendar", "pin", &path];
         let write = |window: &str| std::fs::write(&path, file(1, window)).expect("written");
--- a/tests/meetings_loopback.rs
+++ b/tests/meetings_loopback.rs
@@ -3,6 +3,10 @@
 //! one controller is refused, commands and reports are kept for the next leader. The
 //! verdict is the history's: no rule is broken.
 
+mod loopback;
+#[path = "loopback/service.rs"]
+mod service;
+
 use std::time::Duration;
 
 use hyper::Method;
@@ -14,13 +18,8 @@
 use tokio::task::{spawn_local, JoinHandle};
 use tokio::time::sleep;
 
-/// The program, and a folder for files and logs.
-const AT: (&str, &str) = (
-    env!("CARGO_BIN_EXE_sorrelhinge"),
-    env!("CARGO_TARGET_TMPDIR"),
-);
+use self::service::{run_service, SERVICE};
 
-const SERVICE: &str = "run-000001";
 const REPLICAS: usize = 4;
 /// Key prefix of the jobs' records.
 const JOBS: &str = "h/job/";
@@ -38,17 +37,14 @@
 const STEADY_LEASE: &str = "leader.lease.s=4\n";
 
 async fn begin(name: &str, net: u8, controllers: usize, properties: &'static str) -> World {
-    let plan = Plan::plain(&format!("meetings_{name}_{controllers}"), net, 3, AT);
+    let plan = loopback::plan(&format!("meetings_{name}_{controllers}"), net, 3);
     let world = World::start(Plan {
         controllers,
         properties,
         ..plan
     })
     .await;
-    let service = json!({"shape": "standing", "pieces": REPLICAS, "rank": "critical"});
-    assert_eq!(world.submit(SERVICE, service).await.0, 201);
-    let up = |w: &World| w.nodes.borrow().copies(SERVICE) == REPLICAS;
-    world.until("replicas run", PATIENCE_S, up).await;
+    run_service(&world, REPLICAS, PATIENCE_S).await;
     world
 }
 
@@ -419,22 +415,38 @@
     });
 }
 
+/// Commands that start tasks are held back on their way from now on.
+fn hold_starts(world: &World) {
+    world.nodes.borrow_mut().faults.hold = Some(Hold {
+        starts: true,
+        ..Hold::default()
+    });
+}
+
+async fn until_held(world: &World) {
+    let held = |w: &World| w.nodes.borrow().held_commands() > 0;
+    world.until("commands are held", PATIENCE_S, held).await;
+}
+
+/// The commands that were held back arrive, and no machine takes one.
+fn held_ones_start_nothing(world: &World) {
+    let released: Released = world.nodes.borrow_mut().release_commands();
+    assert_eq!(released.carried_out, 0, "{released:?}");
+    assert!(released.dropped > 0, "{released:?}");
+}
+
 /// Direct commands of a leader are held back, and it is killed. The next one places
 /// the same tasks, also elsewhere; then the commands arrive.
 async fn held_commands(net: u8, controllers: usize) {
     let mut world = begin("held_commands", net, controllers, STEADY_LEASE).await;
     let old = leader(&world);
-    world.nodes.borrow_mut().faults.hold = Some(Hold {
-        starts: true,
-        ..Hold::default()
-    });
+    hold_starts(&world);
     for n in 2..6 {
         let job = json!({"pieces": 3, "guess_s": 1.0});
         let uid = format!("run-{n:06}");
         assert_eq!(world.submit(&uid, job).await.0, 201);
     }
-    let held = |w: &World| w.nodes.borrow().held_commands() > 0;
-    world.until("commands are held", PATIENCE_S, held).await;
+    until_held(&world).await;
     world.kill_controller(old);
     next_leader(&world, old).await;
     world.nodes.borrow_mut().faults.hold = None;
@@ -442,9 +454,7 @@
     for n in 2..6 {
         ends(&world, &format!("run-{n:06}"), 3).await;
     }
-    let released: Released = world.nodes.borrow_mut().release_commands();
-    assert_eq!(released.carried_out, 0, "{released:?}");
-    assert!(released.dropped > 0, "{released:?}");
+    held_ones_start_nothing(&world);
     all_is_well(&world, controllers, 0).await;
 }
 
@@ -460,20 +470,14 @@
 /// raises the token before it gives the tasks to others.
 async fn held_by_the_same(net: u8, controllers: usize) {
     let world = begin("held_by_the_same", net, controllers, LONG_LEASE).await;
-    world.nodes.borrow_mut().faults.hold = Some(Hold {
-        starts: true,
-        ..Hold::default()
-    });
+    hold_starts(&world);
     let job = json!({"pieces": 4, "guess_s": 1.0});
     assert_eq!(world.submit("run-000002", job).await.0, 201);
-    let held = |w: &World| w.nodes.borrow().held_commands() > 0;
-    world.until("commands are held", PATIENCE_S, held).await;
+    until_held(&world).await;
     world.nodes.borrow_mut().faults.hold = None;
     ends(&world, "run-000002", 4).await;
     // The job is over, so every machine that had a command has taken a higher token.
-    let released: Released = world.nodes.borrow_mut().release_commands();
-    assert_eq!(released.carried_out, 0, "{released:?}");
-    assert!(released.dropped > 0, "{released:?}");
+    held_ones_start_nothing(&world);
     all_is_well(&world, controllers, 0).await;
 }
 
