--- a/tests/hand_on.rs
+++ b/tests/hand_on.rs
@@ -8,6 +8,8 @@
 //! time to pass; the origin holds back what comes next until all is as it should
 //! be.
 
+mod loopback;
+
 use std::cell::Cell;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -26,18 +28,15 @@
 use sorrelhinge_agent::sums::{sha256, Sums};
 use sorrelhinge_agent::supervise;
 use sorrelhinge_blocks::shard::BlockId;
-use sorrelhinge_standins::{ask, run, Plan, World, LEASE_S, REPORT_S, ZONES};
+use sorrelhinge_standins::{ask, run, World, LEASE_S, REPORT_S, ZONES};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::oneshot;
 use tokio::task::spawn_local;
 use tokio::time::sleep;
 
-/// The program, and a folder for files and logs.
-const AT: (&str, &str) = (
-    env!("CARGO_BIN_EXE_sorrelhinge"),
-    env!("CARGO_TARGET_TMPDIR"),
-);
+use self::loopback::AT;
+
 const NAME: &str = "the_origin_gives_few_copies_whoever_ends";
 const WEIGHTS: &str = "llm-1";
 const BYTES: usize = 3_000_000;
@@ -307,7 +306,7 @@
     let tar = archive(&weights);
     let sum = sha256(&tar);
     let origin = Origin::start(tar).await;
-    let mut plan = Plan::plain("hand_on", 120, 0, AT);
+    let mut plan = loopback::plan("hand_on", 120, 0);
     plan.properties = "staging.least.gb=5\n";
     let mut world = World::start(plan).await;
     // There are these machines and no others.
--- a/tests/lanes.rs
+++ b/tests/lanes.rs
@@ -2,6 +2,7 @@
 //! the rest keeps its part (`docs/lanes.md`).
 
 mod cluster_states;
+mod loopback;
 mod settings;
 
 use std::rc::Rc;
@@ -21,11 +22,6 @@
 use sorrelhinge_standins::{run, Plan, World};
 use tokio::time::sleep;
 
-/// The program, and a folder for files and logs.
-const AT: (&str, &str) = (
-    env!("CARGO_BIN_EXE_sorrelhinge"),
-    env!("CARGO_TARGET_TMPDIR"),
-);
 const LANE: &str = "lane.urgent.classes=fix\nlane.urgent.part=0.5\n";
 /// Machines of the small cluster, each with room for one lane job.
 const MACHINES: usize = 6;
@@ -36,7 +32,7 @@
     let world = World::start(Plan {
         controllers,
         properties,
-        ..Plan::plain(&format!("lanes_{name}"), net, MACHINES as u8 / 3, AT)
+        ..loopback::plan(&format!("lanes_{name}"), net, MACHINES as u8 / 3)
     })
     .await;
     // Nothing more is to be had: else nobody would wait.
--- a/tests/single_tasks.rs
+++ b/tests/single_tasks.rs
@@ -2,6 +2,8 @@
 //! are back at once. Real controllers on loopback, three with one block and five with
 //! three blocks.
 
+mod loopback;
+
 use std::time::{Duration, Instant};
 
 use sorrelhinge_standins::users::{one_task, Question, Users};
@@ -9,11 +11,6 @@
 use tokio::task::{spawn_local, JoinHandle};
 use tokio::time::sleep;
 
-/// The program, and a folder for files and logs.
-const AT: (&str, &str) = (
-    env!("CARGO_BIN_EXE_sorrelhinge"),
-    env!("CARGO_TARGET_TMPDIR"),
-);
 const JOBS: usize = 80;
 /// Four a second.
 const BETWEEN: Duration = Duration::from_millis(250);
@@ -86,7 +83,7 @@
 
 #[test]
 fn jobs_of_one_task_while_leaders_end_one_block() {
-    run(day(Plan::plain("single_tasks_one", 60, 4, AT)));
+    run(day(loopback::plan("single_tasks_one", 60, 4)));
 }
 
 #[test]
@@ -94,6 +91,6 @@
     run(day(Plan {
         controllers: 5,
         properties: "blocks.least=3\n",
-        ..Plan::plain("single_tasks_blocks", 64, 4, AT)
+        ..loopback::plan("single_tasks_blocks", 64, 4)
     }));
 }
