--- a/src/api/for_peers.rs
+++ b/src/api/for_peers.rs
@@ -1,7 +1,5 @@
 //! What other controllers ask this one to answer or to take note of.
 
-use std::future::Future;
-use std::pin::Pin;
 use std::rc::Rc;
 
 use http_body_util::BodyExt;
@@ -11,7 +9,7 @@
 use crate::control::core::Source;
 use crate::control::load::count;
 use crate::control::{Beat, Node};
-use crate::peer::{self, Answered, Heard};
+use crate::peer::{self, Answered, Answering, Heard};
 use crate::types::{NodeId, Revision};
 use crate::worker::Report;
 
@@ -37,16 +35,16 @@
                 count(&self.0.load().counts.homed);
                 self.0.own_beat(&report, Source::Homed)
             }
-            Err(_) => return (400, Vec::new()),
+            Err(_) => return Answered::empty(400),
         };
         match reply {
             Beat::Reply(answer) => match serde_json::to_vec(&answer) {
-                Ok(text) => (200, text),
-                Err(_) => (503, Vec::new()),
+                Ok(text) => Answered { status: 200, text },
+                Err(_) => Answered::empty(503),
             },
             Beat::Passed(answered) => answered,
-            Beat::Elsewhere(_) => (421, Vec::new()),
-            Beat::Unavailable => (503, Vec::new()),
+            Beat::Elsewhere(_) => Answered::empty(421),
+            Beat::Unavailable => Answered::empty(503),
         }
     }
 
@@ -58,11 +56,7 @@
         self.0.heard_of(machines);
     }
 
-    fn answer(
-        self: Rc<Self>,
-        kind: peer::Kind,
-        text: Vec<u8>,
-    ) -> Pin<Box<dyn Future<Output = Answered>>> {
+    fn answer(self: Rc<Self>, kind: peer::Kind, text: Vec<u8>) -> Answering {
         Box::pin(async move { answered(self.answer_here(kind, &text).await).await })
     }
 }
@@ -100,5 +94,5 @@
         Ok(body) => body.to_bytes().to_vec(),
         Err(never) => match never {},
     };
-    (status, text)
+    Answered { status, text }
 }
--- a/src/control/core/sharing.rs
+++ b/src/control/core/sharing.rs
@@ -73,8 +73,11 @@
         let size = entry.record.value.chunk.max(1);
         let mut foreign: BTreeSet<u32> = self.sharing.left.of(id).collect();
         for (chunk, held) in entry.all_chunks() {
-            let theirs = held.claims.iter().filter(|c| !self.shard.covers(&c.2));
-            foreign.extend(theirs.map(|c| chunk * size + c.0));
+            let theirs = held
+                .claims
+                .iter()
+                .filter(|c| !self.shard.covers(&c.machine));
+            foreign.extend(theirs.map(|c| chunk * size + c.place));
         }
         foreign.retain(|i| !job.tasks.is_done(*i) && !job.tasks.claims().contains_key(i));
         let zones = self.zones_elsewhere(&job.spec, entry);
@@ -93,8 +96,8 @@
         }
         let known = self.places.borrow();
         for claim in entry.all_chunks().flat_map(|(_, c)| &c.claims) {
-            if !self.shard.covers(&claim.2) {
-                let zone = known.get(&claim.2)?.clone();
+            if !self.shard.covers(&claim.machine) {
+                let zone = known.get(&claim.machine)?.clone();
                 *zones.entry(zone).or_insert(0) += 1;
             }
         }
@@ -202,8 +205,8 @@
             job: chunk.job.clone(),
             index,
         };
-        let recorded = chunk.record.claims.iter().find(|c| c.0 == place);
-        if recorded.is_some_and(|c| c.1 == attempt && self.shard.covers(&c.2)) {
+        let recorded = chunk.record.claims.iter().find(|c| c.place == place);
+        if recorded.is_some_and(|c| c.attempt == attempt && self.shard.covers(&c.machine)) {
             return;
         }
         if recorded.is_some() || chunk.is_done(place) {
