--- a/crates/agent/examples/measure.rs
+++ b/crates/agent/examples/measure.rs
@@ -13,9 +13,9 @@
 
 use serde_json::{json, Value};
 use sorrelhinge_agent::core::{Core, Ending, Key, Known, Machine, Recovered};
+use sorrelhinge_emulators::{ask, run, serve};
 use sorrelhinge_protocol::types::{Amount, Attempt, MachineId, Time, TypeName, Zone};
 use sorrelhinge_protocol::worker::Why;
-use sorrelhinge_standins::{ask, run, serve};
 use tokio::net::TcpListener;
 use tokio::sync::mpsc::{unbounded_channel, UnboundedReceiver};
 use tokio::time::sleep;
--- a/crates/agent/tests/hand_on.rs
+++ b/crates/agent/tests/hand_on.rs
@@ -17,7 +17,7 @@
 use sorrelhinge_agent::agent::Agent;
 use sorrelhinge_agent::settings::Settings;
 use sorrelhinge_agent::sums::{sha256, Sums};
-use sorrelhinge_standins::{ask, run, serve};
+use sorrelhinge_emulators::{ask, run, serve};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpSocket, TcpStream};
 use tokio::sync::oneshot;
--- a/crates/agent/tests/stopped_agent.rs
+++ b/crates/agent/tests/stopped_agent.rs
@@ -12,8 +12,8 @@
 use rustix::process::{kill_process, Pid, Signal};
 use serde_json::{json, Value};
 use sorrelhinge_agent::attempt::Process;
-use sorrelhinge_standins::place::Place;
-use sorrelhinge_standins::{ask, run, serve};
+use sorrelhinge_emulators::place::Place;
+use sorrelhinge_emulators::{ask, run, serve};
 use tokio::net::TcpListener;
 use tokio::time::sleep;
 
--- a/crates/standins/tests/history.rs
+++ b/crates/emulators/tests/history.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use serde_json::{json, Value};
-use sorrelhinge_standins::history::{
+use sorrelhinge_emulators::history::{
     check, Amounts, Answer, AttemptId, Entry, Event, History, JobPhase, Limits, Machine,
     MachineType, Reason, Request, RequestId, Site, TaskName, Team,
 };
--- a/crates/standins/tests/place.rs
+++ b/crates/emulators/tests/place.rs
@@ -2,7 +2,7 @@
 
 use std::net::{IpAddr, TcpListener};
 
-use sorrelhinge_standins::place::Place;
+use sorrelhinge_emulators::place::Place;
 
 /// Two that live at the same time never share an address, and what was let go
 /// can be claimed again.
--- a/crates/staging/examples/wave.rs
+++ b/crates/image-distribution/examples/wave.rs
@@ -12,8 +12,8 @@
 
 use clap::Parser;
 use hdrhistogram::Histogram;
+use sorrelhinge_image_distribution::plan::{Has, Limits, Ran, Source, Uploads, Wave};
 use sorrelhinge_protocol::types::{Image, MachineId};
-use sorrelhinge_staging::plan::{Has, Limits, Ran, Source, Uploads, Wave};
 
 /// Weights for many machines, in virtual time.
 #[derive(Parser)]
--- a/crates/staging/tests/model.rs
+++ b/crates/image-distribution/tests/model.rs
@@ -5,12 +5,12 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use proptest::prelude::*;
-use sorrelhinge_protocol::types::{Image, MachineId};
-use sorrelhinge_staging::patience::{
+use sorrelhinge_image_distribution::patience::{
     evictable, fetch_allowance_s, give_up_cost, threshold_s, Cached,
 };
-use sorrelhinge_staging::plan::{Has, Limits, Ran, Source, Uploads, Wave};
-use sorrelhinge_staging::record::WaveRecord;
+use sorrelhinge_image_distribution::plan::{Has, Limits, Ran, Source, Uploads, Wave};
+use sorrelhinge_image_distribution::record::WaveRecord;
+use sorrelhinge_protocol::types::{Image, MachineId};
 
 const PARTS: usize = 6;
 const ZONES: usize = 3;
--- a/crates/lanes/tests/model.rs
+++ b/crates/priority-lanes/tests/model.rs
@@ -4,10 +4,10 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use proptest::prelude::*;
-use sorrelhinge_lanes::order::{arrange, may_wait_ms, Key, Waits, AGED_S, PRESSING_S};
-use sorrelhinge_lanes::part::{Bound, Held, Turn};
-use sorrelhinge_lanes::shown::{LaneShown, LanesShown, WaitShown};
-use sorrelhinge_lanes::{place, LaneId, Lanes};
+use sorrelhinge_priority_lanes::order::{arrange, may_wait_ms, Key, Waits, AGED_S, PRESSING_S};
+use sorrelhinge_priority_lanes::part::{Bound, Held, Turn};
+use sorrelhinge_priority_lanes::shown::{LaneShown, LanesShown, WaitShown};
+use sorrelhinge_priority_lanes::{place, LaneId, Lanes};
 use sorrelhinge_protocol::types::{JobId, Priority, Revision};
 
 // ---- places and order -----------------------------------------------------
--- a/crates/calendar/tests/model.rs
+++ b/crates/reservations/tests/model.rs
@@ -10,14 +10,14 @@
 use proptest::strategy::ValueTree;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
 use serde_json::json;
-use sorrelhinge_calendar::lend::{may_lend, Borrower, Lend};
-use sorrelhinge_calendar::plan::{
+use sorrelhinge_protocol::types::Amount;
+use sorrelhinge_reservations::lend::{may_lend, Borrower, Lend};
+use sorrelhinge_reservations::plan::{
     arbitrate, divide, lead_s, steps, Change, Clock, Refused, Seen, Short, TeamRoom, Want, Whole,
 };
-use sorrelhinge_calendar::record::{Step, WindowRecord, VERSION};
-use sorrelhinge_calendar::settings::Window;
-use sorrelhinge_calendar::when::{Every, When};
-use sorrelhinge_protocol::types::Amount;
+use sorrelhinge_reservations::record::{Step, WindowRecord, VERSION};
+use sorrelhinge_reservations::settings::Window;
+use sorrelhinge_reservations::when::{Every, When};
 
 /// The window's beginning, in milliseconds of the true time.
 const START_MS: i64 = 1_796_083_200_000;
--- a/crates/calendar/tests/settings.rs
+++ b/crates/reservations/tests/settings.rs
@@ -4,13 +4,13 @@
 
 use std::collections::BTreeMap;
 
-use sorrelhinge_calendar::plan::{steps, Clock, Refused, Seen};
-use sorrelhinge_calendar::record::{
+use sorrelhinge_protocol::types::{Amount, MachineType};
+use sorrelhinge_reservations::plan::{steps, Clock, Refused, Seen};
+use sorrelhinge_reservations::record::{
     key, parse_key, CalendarRecord, Entry, Step, Taken, WindowRecord,
 };
-use sorrelhinge_calendar::settings::{check, past, read, schema, Calendar, Known};
-use sorrelhinge_calendar::shown::{render, rows, CalendarShown};
-use sorrelhinge_protocol::types::{Amount, MachineType};
+use sorrelhinge_reservations::settings::{check, past, read, schema, Calendar, Known};
+use sorrelhinge_reservations::shown::{render, rows, CalendarShown};
 
 const EXAMPLE: &str = include_str!("../../../deploy/calendar.toml");
 
--- a/crates/calendar/tests/when.rs
+++ b/crates/reservations/tests/when.rs
@@ -5,8 +5,8 @@
 use jiff::tz::TimeZone;
 use jiff::{SignedDuration, Timestamp};
 use proptest::prelude::*;
-use sorrelhinge_calendar::when::Day::{Fri, Mon, Sat, Sun, Thu, Tue, Wed};
-use sorrelhinge_calendar::when::{current_or_next, next, Every, Rule, When};
+use sorrelhinge_reservations::when::Day::{Fri, Mon, Sat, Sun, Thu, Tue, Wed};
+use sorrelhinge_reservations::when::{current_or_next, next, Every, Rule, When};
 
 fn ms(text: &str) -> i64 {
     text.parse::<Timestamp>().expect(text).as_millisecond()
--- a/crates/blocks/tests/model.rs
+++ b/crates/sharding/tests/model.rs
@@ -6,21 +6,21 @@
 use std::sync::Arc;
 
 use proptest::prelude::*;
-use sorrelhinge_blocks::delegation::{Delegation, Waiting};
-use sorrelhinge_blocks::fair::Turns;
-use sorrelhinge_blocks::isolation::{
+use sorrelhinge_protocol::types::{Amount, JobId, MachineId, NodeId, Time};
+use sorrelhinge_sharding::delegation::{Delegation, Waiting};
+use sorrelhinge_sharding::fair::Turns;
+use sorrelhinge_sharding::isolation::{
     DismissedWorkers, PeerContact, ISOLATED_AFTER_S, PROBE_AFTER_S,
 };
-use sorrelhinge_blocks::largest_jobs::{tenth, Largest, WINDOW_JOBS};
-use sorrelhinge_blocks::owners::{how_many, Held, Member, Owners, Step, Wish};
-use sorrelhinge_blocks::reach::{
+use sorrelhinge_sharding::largest_jobs::{tenth, Largest, WINDOW_JOBS};
+use sorrelhinge_sharding::owners::{how_many, Held, Member, Owners, Step, Wish};
+use sorrelhinge_sharding::reach::{
     Reach, CUT_OFF_AFTER_S, CUT_OFF_MIN_COUNT, FAILED_AFTER_S, FAILED_MIN_MACHINES,
 };
-use sorrelhinge_blocks::served::{Served, Sort, Waits};
-use sorrelhinge_blocks::shard::{of_job, of_machine, BlockId, Shard, MAX_BLOCKS};
-use sorrelhinge_blocks::slices::{divide, next_transfer, LimitTransfer, Need};
-use sorrelhinge_blocks::tally::Tally;
-use sorrelhinge_protocol::types::{Amount, JobId, MachineId, NodeId, Time};
+use sorrelhinge_sharding::served::{Served, Sort, Waits};
+use sorrelhinge_sharding::shard::{of_job, of_machine, BlockId, Shard, MAX_BLOCKS};
+use sorrelhinge_sharding::slices::{divide, next_transfer, LimitTransfer, Need};
+use sorrelhinge_sharding::tally::Tally;
 
 fn cpu(cpu: i64) -> Amount {
     Amount {
--- a/examples/mixed_versions.rs
+++ b/examples/mixed_versions.rs
@@ -11,8 +11,8 @@
 
 use hyper::Method;
 use serde_json::{json, Value};
-use sorrelhinge_standins::store::Limits;
-use sorrelhinge_standins::{run, Plan, World};
+use sorrelhinge_emulators::store::Limits;
+use sorrelhinge_emulators::{run, Plan, World};
 use tokio::time::sleep;
 
 /// Orders in which three controllers are upgraded.
--- a/examples/served.rs
+++ b/examples/served.rs
@@ -13,7 +13,7 @@
 use std::collections::BTreeMap;
 use std::process::ExitCode;
 
-use sorrelhinge_blocks::tally::{Part, Tally};
+use sorrelhinge_sharding::tally::{Part, Tally};
 
 /// Less than this part is not served.
 const LEAST: f64 = 0.5;
--- a/src/cli/calendar.rs
+++ b/src/cli/calendar.rs
@@ -5,8 +5,8 @@
 
 use clap::Subcommand;
 use serde_json::Value;
-use sorrelhinge_calendar::settings;
-use sorrelhinge_calendar::shown::{render, CalendarShown, PinWindow, UnpinWindow};
+use sorrelhinge_reservations::settings;
+use sorrelhinge_reservations::shown::{render, CalendarShown, PinWindow, UnpinWindow};
 
 use super::ask::Controllers;
 use super::error::CliError;
--- a/src/cli/lanes.rs
+++ b/src/cli/lanes.rs
@@ -1,7 +1,7 @@
 //! `sorrelhinge lanes`: priority lanes and who waits in them.
 
 use clap::Subcommand;
-use sorrelhinge_lanes::shown::LanesShown;
+use sorrelhinge_priority_lanes::shown::LanesShown;
 
 use super::ask::Controllers;
 use super::error::CliError;
--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -12,8 +12,8 @@
 use std::path::{Path, PathBuf};
 use std::sync::Arc;
 
-use sorrelhinge_calendar::settings::{Calendar, Known};
-use sorrelhinge_lanes::Lanes;
+use sorrelhinge_priority_lanes::Lanes;
+use sorrelhinge_reservations::settings::{Calendar, Known};
 
 pub use platform::WrongLine;
 pub use properties::{lanes, Tuning};
@@ -234,8 +234,8 @@
     }
 
     fn checked_calendar(&self, text: &str, now_ms: i64) -> Result<Calendar, OperatorFileCause> {
-        let calendar = sorrelhinge_calendar::settings::read(text)?;
-        sorrelhinge_calendar::settings::check(&calendar, &self.calendar_known(now_ms))?;
+        let calendar = sorrelhinge_reservations::settings::read(text)?;
+        sorrelhinge_reservations::settings::check(&calendar, &self.calendar_known(now_ms))?;
         Ok(calendar)
     }
 }
--- a/src/config/platform.rs
+++ b/src/config/platform.rs
@@ -6,8 +6,8 @@
 use std::sync::Arc;
 
 use serde::Deserialize;
-use sorrelhinge_lanes::Lanes;
 use sorrelhinge_overload::freshness::horizon_s;
+use sorrelhinge_priority_lanes::Lanes;
 use sorrelhinge_protocol::invalid::MalformedToml;
 
 use super::{field, in_range, Config, ConfigError, Other, StateLimits, TeamConfig, Tuning};
--- a/src/config/properties.rs
+++ b/src/config/properties.rs
@@ -1,7 +1,7 @@
 //! The operators' own settings: Java properties.
 
-use sorrelhinge_blocks::shard::MAX_BLOCKS;
-use sorrelhinge_lanes::Lanes;
+use sorrelhinge_priority_lanes::Lanes;
+use sorrelhinge_sharding::shard::MAX_BLOCKS;
 
 use super::{field, in_range, ConfigError};
 
@@ -71,7 +71,7 @@
         let mut tuning = Self::default();
         for (key, value) in &pairs {
             // Read by `lanes`, which refuses those that it doesn't know.
-            if !key.starts_with(sorrelhinge_lanes::PREFIX) {
+            if !key.starts_with(sorrelhinge_priority_lanes::PREFIX) {
                 tuning.set(key, value)?;
             }
         }
--- a/src/control/admission.rs
+++ b/src/control/admission.rs
@@ -5,9 +5,9 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use sorrelhinge_lanes::part::Turn as LaneTurn;
-use sorrelhinge_lanes::{LaneId, Lanes};
 use sorrelhinge_overload::asked::{Asked, Poll, Verdict};
+use sorrelhinge_priority_lanes::part::Turn as LaneTurn;
+use sorrelhinge_priority_lanes::{LaneId, Lanes};
 use tokio::time::Instant;
 
 use crate::types::{JobId, Time};
--- a/src/control/block_grants.rs
+++ b/src/control/block_grants.rs
@@ -1,10 +1,10 @@
 //! The leader's part with several blocks: granting and moving them. Which step is due
-//! is decided in [`sorrelhinge_blocks::owners`].
+//! is decided in [`sorrelhinge_sharding::owners`].
 
 use std::rc::Rc;
 use std::time::Duration;
 
-use sorrelhinge_blocks::owners::{Held, Member, Step, Wish};
+use sorrelhinge_sharding::owners::{Held, Member, Step, Wish};
 use tokio::time::sleep;
 
 use super::leading::STAND_RETRY_PAUSE;
--- a/src/control/block_owners.rs
+++ b/src/control/block_owners.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use sorrelhinge_blocks::shard::{of_machine, BlockId, Shard};
+use sorrelhinge_sharding::shard::{of_machine, BlockId, Shard};
 use tokio::time::Instant;
 
 use super::core::{Core, RecoveryInput, ShardGrant};
--- a/src/control/blocks_shown.rs
+++ b/src/control/blocks_shown.rs
@@ -2,8 +2,8 @@
 
 use std::time::Duration;
 
-use sorrelhinge_blocks::shard::BlockId;
 use sorrelhinge_protocol::operators::{BlockShown, BlocksShown, PinAsked, TeamShown};
+use sorrelhinge_sharding::shard::BlockId;
 
 use super::drains::Refused;
 use super::Node;
--- a/src/control/calendar.rs
+++ b/src/control/calendar.rs
@@ -3,10 +3,10 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use sorrelhinge_blocks::shard::BlockId;
-use sorrelhinge_calendar::record::{CalendarRecord, RecordError, Taken, CALENDAR_KEY};
-use sorrelhinge_calendar::settings::{check_windows, Calendar, Known, WindowError};
-use sorrelhinge_calendar::shown::{CalendarShown, PinWindow, UnpinWindow};
+use sorrelhinge_reservations::record::{CalendarRecord, RecordError, Taken, CALENDAR_KEY};
+use sorrelhinge_reservations::settings::{check_windows, Calendar, Known, WindowError};
+use sorrelhinge_reservations::shown::{CalendarShown, PinWindow, UnpinWindow};
+use sorrelhinge_sharding::shard::BlockId;
 use tokio::time::sleep;
 
 use super::drains::Refused;
--- a/src/control/core/calendar.rs
+++ b/src/control/core/calendar.rs
@@ -1,13 +1,13 @@
 //! Windows of the release calendar: what the owner knows of each, and which steps are
-//! due. Steps and their records are of [`sorrelhinge_calendar::plan`]; where room is
+//! due. Steps and their records are of [`sorrelhinge_reservations::plan`]; where room is
 //! held, of [`crate::sched::Hold`]. What is seen of windows and held for them is brought
 //! up to date by [`super::reservation_refresh`].
 
 use std::collections::BTreeMap;
 
-use sorrelhinge_blocks::shard::BlockId;
-use sorrelhinge_calendar::plan::{Change as Due, Seen, Whole};
-use sorrelhinge_calendar::record::{key, Entry, Step, WindowRecord};
+use sorrelhinge_reservations::plan::{Change as Due, Seen, Whole};
+use sorrelhinge_reservations::record::{key, Entry, Step, WindowRecord};
+use sorrelhinge_sharding::shard::BlockId;
 
 use super::Core;
 use crate::state::view::Versioned;
--- a/src/control/core/calendar_needs.rs
+++ b/src/control/core/calendar_needs.rs
@@ -4,11 +4,11 @@
 use std::rc::Rc;
 use std::sync::Arc;
 
-use sorrelhinge_blocks::delegation::{Delegated, Waiting};
-use sorrelhinge_blocks::shard::BlockId;
-use sorrelhinge_calendar::plan::divide;
-use sorrelhinge_calendar::settings::Window;
-use sorrelhinge_calendar::shown::{rows, WindowShown};
+use sorrelhinge_reservations::plan::divide;
+use sorrelhinge_reservations::settings::Window;
+use sorrelhinge_reservations::shown::{rows, WindowShown};
+use sorrelhinge_sharding::delegation::{Delegated, Waiting};
+use sorrelhinge_sharding::shard::BlockId;
 
 use super::calendar::LoggedShortage;
 use super::reservation_supply::TypeChoice;
--- a/src/control/core/deleted_machines.rs
+++ b/src/control/core/deleted_machines.rs
@@ -4,7 +4,7 @@
 //! that were given back long ago. A new owner would count them against limits
 //! until the machine list and the cloud have told it what this owner knew.
 
-use sorrelhinge_blocks::shard::Shard;
+use sorrelhinge_sharding::shard::Shard;
 
 use crate::state::record::{gone_key, GoneRecord, GONE_SLOTS};
 use crate::state::view::View;
--- a/src/control/core/lanes.rs
+++ b/src/control/core/lanes.rs
@@ -1,7 +1,7 @@
 //! The lanes as their owner sees them: for operators and the log.
 
-use sorrelhinge_lanes::order::may_wait_ms;
-use sorrelhinge_lanes::shown::{LaneShown, LanesShown, WaitShown};
+use sorrelhinge_priority_lanes::order::may_wait_ms;
+use sorrelhinge_priority_lanes::shown::{LaneShown, LanesShown, WaitShown};
 
 use super::log_format::tenths;
 use super::Core;
--- a/src/control/core/largest_jobs.rs
+++ b/src/control/core/largest_jobs.rs
@@ -1,9 +1,9 @@
 //! What the log tells of the largest jobs of each class; which they are is
-//! decided in [`sorrelhinge_blocks::largest`].
+//! decided in [`sorrelhinge_sharding::largest`].
 
 use std::fmt;
 
-use sorrelhinge_blocks::largest_jobs::BEGIN_WITHIN_S;
+use sorrelhinge_sharding::largest_jobs::BEGIN_WITHIN_S;
 
 use super::log_format::tenths;
 use super::Core;
--- a/src/control/core/load.rs
+++ b/src/control/core/load.rs
@@ -4,8 +4,8 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
 
-use sorrelhinge_blocks::largest_jobs::Largest;
-use sorrelhinge_blocks::shard::Shard;
+use sorrelhinge_sharding::largest_jobs::Largest;
+use sorrelhinge_sharding::shard::Shard;
 use sorrelhinge_topology::Topology;
 
 use super::command_queue::CommandQueue;
--- a/src/control/core/mod.rs
+++ b/src/control/core/mod.rs
@@ -83,8 +83,8 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-use sorrelhinge_blocks::largest_jobs::Largest;
-use sorrelhinge_blocks::shard::Shard;
+use sorrelhinge_sharding::largest_jobs::Largest;
+use sorrelhinge_sharding::shard::Shard;
 use sorrelhinge_topology::drain::Drain;
 
 pub use self::calendar::WindowStep;
--- a/src/control/core/overflow.rs
+++ b/src/control/core/overflow.rs
@@ -1,8 +1,8 @@
 //! Tasks that find no place in their block: they are left to blocks that have room, for a
 //! time.
 
-use sorrelhinge_blocks::delegation::{Delegated, Waiting, ACCEPTED_S, DELEGATED_S};
-use sorrelhinge_blocks::shard::BlockId;
+use sorrelhinge_sharding::delegation::{Delegated, Waiting, ACCEPTED_S, DELEGATED_S};
+use sorrelhinge_sharding::shard::BlockId;
 
 use super::Core;
 use crate::sched::{Job, Machine};
--- a/src/control/core/reservation_refresh.rs
+++ b/src/control/core/reservation_refresh.rs
@@ -4,9 +4,9 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
 
-use sorrelhinge_calendar::plan::{divide, steps, Clock, Seen};
-use sorrelhinge_calendar::record::CalendarRecord;
-use sorrelhinge_calendar::settings::Window;
+use sorrelhinge_reservations::plan::{divide, steps, Clock, Seen};
+use sorrelhinge_reservations::record::CalendarRecord;
+use sorrelhinge_reservations::settings::Window;
 
 use super::calendar::Watch;
 use super::reservation_supply::QuotaHeadroom;
--- a/src/control/core/reservation_supply.rs
+++ b/src/control/core/reservation_supply.rs
@@ -3,8 +3,8 @@
 
 use std::rc::Rc;
 
-use sorrelhinge_calendar::plan::{arbitrate, Refused, TeamRoom, Want};
-use sorrelhinge_calendar::settings::Window;
+use sorrelhinge_reservations::plan::{arbitrate, Refused, TeamRoom, Want};
+use sorrelhinge_reservations::settings::Window;
 
 use super::reservation_usage::ReservationUsage;
 use super::Core;
--- a/src/control/core/reservation_usage.rs
+++ b/src/control/core/reservation_usage.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-use sorrelhinge_calendar::settings::Window;
+use sorrelhinge_reservations::settings::Window;
 
 use super::calendar::Watch;
 use super::Core;
--- a/src/control/core/rollout_refresh.rs
+++ b/src/control/core/rollout_refresh.rs
@@ -4,8 +4,8 @@
 
 use std::collections::BTreeMap;
 
-use sorrelhinge_staging::patience;
-use sorrelhinge_staging::plan::{Has, Ran, Uploads, Wave};
+use sorrelhinge_image_distribution::patience;
+use sorrelhinge_image_distribution::plan::{Has, Ran, Uploads, Wave};
 
 use super::staging::{does, Does, Kept, Member, Staging, OVER_S};
 use super::Core;
--- a/src/control/core/served.rs
+++ b/src/control/core/served.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use sorrelhinge_blocks::served::{Line, Served, Sort, Waits};
+use sorrelhinge_sharding::served::{Line, Served, Sort, Waits};
 
 use super::log_format::tenths;
 use super::Core;
--- a/src/control/core/shard_quota.rs
+++ b/src/control/core/shard_quota.rs
@@ -1,6 +1,6 @@
 //! This block's part of the teams' limits, and what its teams need of them.
 
-use sorrelhinge_blocks::slices::Need;
+use sorrelhinge_sharding::slices::Need;
 
 use super::Core;
 use crate::config::TeamConfig;
--- a/src/control/core/sharing.rs
+++ b/src/control/core/sharing.rs
@@ -5,7 +5,7 @@
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::rc::Rc;
 
-use sorrelhinge_blocks::delegation::Delegation;
+use sorrelhinge_sharding::delegation::Delegation;
 
 use super::delegated_tasks::DelegatedTasks;
 use super::Core;
--- a/src/control/core/staging.rs
+++ b/src/control/core/staging.rs
@@ -7,9 +7,9 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use sorrelhinge_blocks::shard::{BlockId, Shard};
-use sorrelhinge_staging::plan::{Limits, Uploads, Wave};
-use sorrelhinge_staging::record::WaveRecord;
+use sorrelhinge_image_distribution::plan::{Limits, Uploads, Wave};
+use sorrelhinge_image_distribution::record::WaveRecord;
+use sorrelhinge_sharding::shard::{BlockId, Shard};
 
 use crate::config::Config;
 use crate::sched::{Claim, Progress, Sent};
--- a/src/control/core/tombstones.rs
+++ b/src/control/core/tombstones.rs
@@ -3,7 +3,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use sorrelhinge_blocks::shard::Shard;
+use sorrelhinge_sharding::shard::Shard;
 
 use super::deleted_machines::DeletedMachines;
 use crate::config::Config;
--- a/src/control/core/waves.rs
+++ b/src/control/core/waves.rs
@@ -7,7 +7,7 @@
 use std::net::SocketAddr;
 use std::ops::Bound;
 
-use sorrelhinge_staging::plan::{Source as From, Wave};
+use sorrelhinge_image_distribution::plan::{Source as From, Wave};
 
 use super::staging::{does, Does, Kept, Member, Staging};
 use super::Core;
--- a/src/control/dividing.rs
+++ b/src/control/dividing.rs
@@ -1,8 +1,8 @@
 //! From one block to several, and back.
 
-use sorrelhinge_blocks::owners::how_many;
-use sorrelhinge_blocks::shard::{BlockId, Shard};
-use sorrelhinge_blocks::slices::divide;
+use sorrelhinge_sharding::owners::how_many;
+use sorrelhinge_sharding::shard::{BlockId, Shard};
+use sorrelhinge_sharding::slices::divide;
 
 use super::core::{Core, RecoveryInput, ShardGrant};
 use super::{wall_ms, Node};
--- a/src/control/heartbeat_routing.rs
+++ b/src/control/heartbeat_routing.rs
@@ -6,9 +6,9 @@
 use std::collections::HashMap;
 use std::time::Duration;
 
-use sorrelhinge_blocks::isolation::DismissedWorkers;
 use sorrelhinge_overload::order::Order;
 use sorrelhinge_overload::renewal::{Content, Renewals, Route};
+use sorrelhinge_sharding::isolation::DismissedWorkers;
 use tokio::time::Instant;
 
 use crate::peer::HeardOf;
--- a/src/control/leadership.rs
+++ b/src/control/leadership.rs
@@ -5,7 +5,7 @@
 use std::cell::{Cell, RefCell};
 use std::time::Duration;
 
-use sorrelhinge_blocks::reach::Reach;
+use sorrelhinge_sharding::reach::Reach;
 use tokio::sync::Notify;
 use tokio::time::{timeout, Instant};
 
--- a/src/control/leading.rs
+++ b/src/control/leading.rs
@@ -3,7 +3,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use sorrelhinge_blocks::shard::BlockId;
+use sorrelhinge_sharding::shard::BlockId;
 use tokio::time::{sleep, Instant};
 
 use super::core::{Core, Places, RecoveryInput, ShardGrant};
--- a/src/control/limit_transfers.rs
+++ b/src/control/limit_transfers.rs
@@ -1,10 +1,10 @@
 //! Parts of team limits, given to a block that lacks them. Which and how much is
-//! decided in [`sorrelhinge_blocks::slices`].
+//! decided in [`sorrelhinge_sharding::slices`].
 
 use std::time::Duration;
 
-use sorrelhinge_blocks::shard::BlockId;
-use sorrelhinge_blocks::slices::{next_transfer, LimitTransfer, Need};
+use sorrelhinge_sharding::shard::BlockId;
+use sorrelhinge_sharding::slices::{next_transfer, LimitTransfer, Need};
 use tokio::time::sleep;
 
 use super::core::Core;
--- a/src/control/owning.rs
+++ b/src/control/owning.rs
@@ -3,7 +3,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use sorrelhinge_blocks::shard::BlockId;
+use sorrelhinge_sharding::shard::BlockId;
 use tokio::task::spawn_local;
 use tokio::time::Instant;
 
--- a/src/control/pending.rs
+++ b/src/control/pending.rs
@@ -7,8 +7,8 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use sorrelhinge_blocks::fair::{Turns, SERVED_PER_DONE_JOB, SERVED_PER_TURN, TURN_AFTER_S};
-use sorrelhinge_blocks::served::Sort;
+use sorrelhinge_sharding::fair::{Turns, SERVED_PER_DONE_JOB, SERVED_PER_TURN, TURN_AFTER_S};
+use sorrelhinge_sharding::served::Sort;
 
 use crate::sched::Job;
 use crate::types::{JobId, Priority, Time};
--- a/src/control/shard_ownership.rs
+++ b/src/control/shard_ownership.rs
@@ -10,8 +10,8 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use sorrelhinge_blocks::owners::{Held, Member, Owners, Step, Wish};
-use sorrelhinge_blocks::shard::BlockId;
+use sorrelhinge_sharding::owners::{Held, Member, Owners, Step, Wish};
+use sorrelhinge_sharding::shard::BlockId;
 use tokio::time::Instant;
 
 use super::core::{Core, Places};
--- a/src/control/users.rs
+++ b/src/control/users.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use sorrelhinge_lanes::shown::LanesShown;
+use sorrelhinge_priority_lanes::shown::LanesShown;
 use sorrelhinge_protocol::users::{read_job, PipelineStatus};
 
 use super::drains::Refused;
--- a/src/control/workers.rs
+++ b/src/control/workers.rs
@@ -3,7 +3,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use sorrelhinge_blocks::isolation::PeerContact;
+use sorrelhinge_sharding::isolation::PeerContact;
 
 use super::core::{Core, Source};
 use super::heartbeat_routing::Redirect;
--- a/src/operator_file.rs
+++ b/src/operator_file.rs
@@ -3,7 +3,7 @@
 
 use std::path::{Path, PathBuf};
 
-use sorrelhinge_calendar::settings::{Calendar, FileError, WindowError};
+use sorrelhinge_reservations::settings::{Calendar, FileError, WindowError};
 use sorrelhinge_topology::settings::SettingsError;
 use sorrelhinge_topology::Topology;
 
@@ -59,7 +59,7 @@
 pub(crate) fn read_calendar(path: &Path) -> Result<Calendar, OperatorFileError> {
     let read = || -> Result<Calendar, OperatorFileCause> {
         let text = std::fs::read_to_string(path)?;
-        Ok(sorrelhinge_calendar::settings::read(&text)?)
+        Ok(sorrelhinge_reservations::settings::read(&text)?)
     };
     read().map_err(|cause| cause.of(path))
 }
--- a/src/sched/cluster_state.rs
+++ b/src/sched/cluster_state.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::rc::Rc;
 
-use sorrelhinge_blocks::served::Sort;
+use sorrelhinge_sharding::served::Sort;
 use sorrelhinge_topology::gang::Turn;
 use sorrelhinge_topology::Topology;
 
--- a/src/sched/delay.rs
+++ b/src/sched/delay.rs
@@ -1,7 +1,7 @@
 //! Delay scheduling (section 4.2): a job waits for a machine that has its image, up to
 //! the time that the fetch is worth (section 4.3.1).
 
-use sorrelhinge_staging::patience;
+use sorrelhinge_image_distribution::patience;
 
 use super::capacity_index::CapacityIndex;
 use super::machine::{fetch_rate, fetch_s};
--- a/src/sched/holds/lending.rs
+++ b/src/sched/holds/lending.rs
@@ -1,6 +1,6 @@
 //! Lending of held room to work that leaves it in time, see [`may_lend`].
 
-use sorrelhinge_calendar::lend::{may_lend, Borrower, Lend};
+use sorrelhinge_reservations::lend::{may_lend, Borrower, Lend};
 
 use super::Held;
 use crate::sched::machine::fetch_s;
--- a/src/sched/holds/mod.rs
+++ b/src/sched/holds/mod.rs
@@ -1,7 +1,7 @@
 //! Room held for windows of the release calendar, on machines that are there.
 //!
 //! Held room is taken by nobody but the window's own work, unless it is lent
-//! ([`sorrelhinge_calendar::lend`]); it counts in its team's limit. Where it is,
+//! ([`sorrelhinge_reservations::lend`]); it counts in its team's limit. Where it is,
 //! no record says: each owner chooses anew, from what it hears of its machines.
 
 mod lending;
@@ -11,7 +11,7 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-use sorrelhinge_calendar::settings::Window;
+use sorrelhinge_reservations::settings::Window;
 
 pub use self::shown::HoldSeen;
 use crate::types::{Amount, JobSpec, MachineId, Time};
--- a/src/sched/holds/shown.rs
+++ b/src/sched/holds/shown.rs
@@ -3,8 +3,8 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-use sorrelhinge_calendar::plan::divide;
-use sorrelhinge_calendar::settings::Window;
+use sorrelhinge_reservations::plan::divide;
+use sorrelhinge_reservations::settings::Window;
 
 use crate::sched::{ClusterState, Job, Machine};
 use crate::types::{Amount, MachineId, Zone};
--- a/src/sched/job.rs
+++ b/src/sched/job.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-use sorrelhinge_blocks::served::Sort;
+use sorrelhinge_sharding::served::Sort;
 use sorrelhinge_topology::policy::Policy;
 
 use super::delay::Delay;
--- a/src/sched/lanes.rs
+++ b/src/sched/lanes.rs
@@ -4,9 +4,9 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-use sorrelhinge_lanes::order::{arrange, may_wait_ms, Key, Waits};
-use sorrelhinge_lanes::part::{Bound, Held};
-use sorrelhinge_lanes::{LaneId, Lanes};
+use sorrelhinge_priority_lanes::order::{arrange, may_wait_ms, Key, Waits};
+use sorrelhinge_priority_lanes::part::{Bound, Held};
+use sorrelhinge_priority_lanes::{LaneId, Lanes};
 
 use super::placement_pass::PassContext;
 use super::queue::{Group, QueueTurn};
--- a/src/sched/machine.rs
+++ b/src/sched/machine.rs
@@ -3,8 +3,8 @@
 use std::collections::BTreeSet;
 use std::rc::Rc;
 
+use sorrelhinge_image_distribution::patience;
 use sorrelhinge_protocol::placement::Device;
-use sorrelhinge_staging::patience;
 use sorrelhinge_topology::devices::{Held, Stock};
 use sorrelhinge_topology::tree::{Domain, ROOT};
 
--- a/src/sched/preempt/victims.rs
+++ b/src/sched/preempt/victims.rs
@@ -1,6 +1,6 @@
 //! Room for one task on one machine: which tasks to stop for it, and what that wastes.
 
-use sorrelhinge_staging::patience;
+use sorrelhinge_image_distribution::patience;
 
 use super::Stopping;
 use crate::sched::machine::fetch_s;
--- a/src/sched/queue.rs
+++ b/src/sched/queue.rs
@@ -21,7 +21,7 @@
     submitted_ms: i64,
 }
 
-/// A job's standing in its lane, see [`sorrelhinge_lanes::order::Key`].
+/// A job's standing in its lane, see [`sorrelhinge_priority_lanes::order::Key`].
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct LaneStanding {
     behind: bool,
--- a/src/sched/write_limit.rs
+++ b/src/sched/write_limit.rs
@@ -3,7 +3,7 @@
 
 use std::collections::BTreeSet;
 
-use sorrelhinge_blocks::fair;
+use sorrelhinge_sharding::fair;
 
 use super::{ClusterState, Job};
 use crate::types::{JobId, Priority, TaskId};
--- a/src/shares.rs
+++ b/src/shares.rs
@@ -3,8 +3,8 @@
 //! nothing is proved by them. They go only between controllers of which one has
 //! read that there are several blocks.
 
-use sorrelhinge_blocks::shard::BlockId;
-use sorrelhinge_blocks::slices::Need;
+use sorrelhinge_sharding::shard::BlockId;
+use sorrelhinge_sharding::slices::Need;
 use zerocopy::little_endian::{I64, U32};
 use zerocopy::{FromBytes, Immutable, IntoBytes, KnownLayout, Unaligned};
 
--- a/src/state/job_entry.rs
+++ b/src/state/job_entry.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use sorrelhinge_lanes::place;
+use sorrelhinge_priority_lanes::place;
 
 use super::record::{encoded_bytes, ChunkRecord, JobRecord, Phase};
 use super::versioned::Versioned;
--- a/src/state/record/keys.rs
+++ b/src/state/record/keys.rs
@@ -1,8 +1,8 @@
 //! Keys of the records: how each is made, and read back. Their texts are stored, so they
 //! never change.
 
-use sorrelhinge_blocks::shard::{BlockId, MAX_BLOCKS};
-use sorrelhinge_calendar::record::{parse_key, CALENDAR_KEY};
+use sorrelhinge_reservations::record::{parse_key, CALENDAR_KEY};
+use sorrelhinge_sharding::shard::{BlockId, MAX_BLOCKS};
 
 use super::deleted_machines::GONE_SLOTS;
 use crate::types::{Image, JobId, NodeId};
--- a/src/state/record/shards.rs
+++ b/src/state/record/shards.rs
@@ -6,7 +6,7 @@
 use crate::types::{Amount, NodeId, Term};
 
 /// How many blocks there are. Which one a machine belongs to follows from its
-/// name ([`sorrelhinge_blocks::shard`]).
+/// name ([`sorrelhinge_sharding::shard`]).
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct MapRecord {
     /// Of the format.
--- a/src/state/view/apply.rs
+++ b/src/state/view/apply.rs
@@ -5,9 +5,9 @@
 
 use serde::de::DeserializeOwned;
 use serde_json::value::RawValue;
-use sorrelhinge_blocks::shard::BlockId;
-use sorrelhinge_calendar::record::{CalendarRecord, WindowRecord};
-use sorrelhinge_staging::record::WaveRecord;
+use sorrelhinge_image_distribution::record::WaveRecord;
+use sorrelhinge_reservations::record::{CalendarRecord, WindowRecord};
+use sorrelhinge_sharding::shard::BlockId;
 use sorrelhinge_topology::drain::Drain;
 
 use super::super::record::{ChunkRecord, Fence, GoneRecord, JobRecord, Key, MapRecord};
--- a/src/state/view/jobs.rs
+++ b/src/state/view/jobs.rs
@@ -1,7 +1,7 @@
 //! Jobs' records and chunks as they come in, and what follows from them: which jobs
 //! changed, which wait for others, what the history notes.
 
-use sorrelhinge_lanes::place;
+use sorrelhinge_priority_lanes::place;
 
 use super::super::history::History;
 use super::super::record::{ChunkRecord, JobRecord, Phase};
--- a/src/state/view/mod.rs
+++ b/src/state/view/mod.rs
@@ -13,10 +13,10 @@
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
-use sorrelhinge_calendar::record::{CalendarRecord, WindowRecord};
+use sorrelhinge_image_distribution::record::WaveRecord;
 use sorrelhinge_pipelines::graph::Graph;
 use sorrelhinge_protocol::users::PipelineStatus;
-use sorrelhinge_staging::record::WaveRecord;
+use sorrelhinge_reservations::record::{CalendarRecord, WindowRecord};
 use sorrelhinge_topology::drain::Drain;
 
 use super::history::History;
@@ -27,7 +27,7 @@
 };
 pub use super::versioned::Versioned;
 use crate::types::{JobId, MachineId, NodeId, Revision};
-use sorrelhinge_blocks::shard::BlockId;
+use sorrelhinge_sharding::shard::BlockId;
 
 /// The copy.
 #[derive(Default)]
--- a/tests/addition.rs
+++ b/tests/addition.rs
@@ -12,9 +12,9 @@
 use std::time::{Duration, Instant};
 
 use serde_json::json;
-use sorrelhinge_standins::lines::Cut;
-use sorrelhinge_standins::nodes::Deaf;
-use sorrelhinge_standins::{run, Plan, World, LEASE_S};
+use sorrelhinge_emulators::lines::Cut;
+use sorrelhinge_emulators::nodes::Deaf;
+use sorrelhinge_emulators::{run, Plan, World, LEASE_S};
 use tokio::time::sleep;
 
 use self::cancellation::cancel;
@@ -193,7 +193,7 @@
         // A machine with a replica dies; copies of what it said last go on coming.
         let dead = {
             let mut nodes = world.nodes.borrow_mut();
-            let with = |n: &&mut sorrelhinge_standins::nodes::Node| {
+            let with = |n: &&mut sorrelhinge_emulators::nodes::Node| {
                 !n.gone && n.tasks.keys().any(|(piece, _)| piece.starts_with(SERVICE))
             };
             let node = nodes.all.values_mut().find(with).expect("a machine");
--- a/tests/answers.rs
+++ b/tests/answers.rs
@@ -12,9 +12,9 @@
 
 use hyper::Method;
 use serde_json::{json, Value};
-use sorrelhinge_standins::lines::Cut;
-use sorrelhinge_standins::users::{one_task, Answers, Question, Users};
-use sorrelhinge_standins::{run, Plan, World, CANCEL_S};
+use sorrelhinge_emulators::lines::Cut;
+use sorrelhinge_emulators::users::{one_task, Answers, Question, Users};
+use sorrelhinge_emulators::{run, Plan, World, CANCEL_S};
 use tokio::task::{spawn_local, JoinHandle};
 use tokio::time::sleep;
 
--- a/tests/bad_requests.rs
+++ b/tests/bad_requests.rs
@@ -13,9 +13,9 @@
 use bytes::Bytes;
 use hyper::Method;
 use serde_json::{json, Value};
-use sorrelhinge_standins::lines::Cut;
-use sorrelhinge_standins::users::{send_body, send_bytes};
-use sorrelhinge_standins::{ask, run, Plan, Told};
+use sorrelhinge_emulators::lines::Cut;
+use sorrelhinge_emulators::users::{send_body, send_bytes};
+use sorrelhinge_emulators::{ask, run, Plan, Told};
 use tokio::time::sleep;
 
 use self::leader::start_led;
--- a/tests/blocks.rs
+++ b/tests/blocks.rs
@@ -10,7 +10,7 @@
 use std::time::{Duration, Instant};
 
 use serde_json::{json, Value};
-use sorrelhinge_standins::{run, Plan, World, CANCEL_S};
+use sorrelhinge_emulators::{run, Plan, World, CANCEL_S};
 use tokio::time::sleep;
 
 use self::cancellation::cancel;
--- a/tests/calendar.rs
+++ b/tests/calendar.rs
@@ -9,9 +9,9 @@
 use serde_json::{json, Value};
 use sorrelhinge::control::day_ms;
 use sorrelhinge::types::MachineId;
-use sorrelhinge_blocks::shard::of_machine;
-use sorrelhinge_calendar::shown::{CalendarShown, WindowShown};
-use sorrelhinge_standins::{run, Plan, World};
+use sorrelhinge_emulators::{run, Plan, World};
+use sorrelhinge_reservations::shown::{CalendarShown, WindowShown};
+use sorrelhinge_sharding::shard::of_machine;
 use tokio::time::sleep;
 
 use self::loopback::AT;
@@ -269,7 +269,7 @@
         let start = now_s() + 3;
         let text = file(1, &window("drop", start, 6));
         let plan = Plan {
-            topology: Some(sorrelhinge_standins::file(136, 1, "")),
+            topology: Some(sorrelhinge_emulators::file(136, 1, "")),
             ..plan("calendar-zones", 136)
         };
         let world = World::start_with(plan, Some(&text)).await;
--- a/tests/comeback.rs
+++ b/tests/comeback.rs
@@ -11,7 +11,7 @@
 
 use hyper::Method;
 use serde_json::json;
-use sorrelhinge_standins::{run, Plan, World, CANCEL_S, LEASE_S};
+use sorrelhinge_emulators::{run, Plan, World, CANCEL_S, LEASE_S};
 use tokio::time::sleep;
 
 use self::cancellation::cancel;
--- a/tests/drains.rs
+++ b/tests/drains.rs
@@ -7,8 +7,8 @@
 
 use hyper::Method;
 use serde_json::{json, Value};
+use sorrelhinge_emulators::{file, run, Plan, World};
 use sorrelhinge_protocol::operators::TopologyShown;
-use sorrelhinge_standins::{file, run, Plan, World};
 use tokio::time::sleep;
 
 const SWITCHES: u8 = 2;
--- a/tests/edges.rs
+++ b/tests/edges.rs
@@ -19,8 +19,8 @@
 use sorrelhinge::types::{
     self, Amount, Attempt, JobId, JobSpec, MachineId, NodeId, Revision, Seq, Session, TaskId, Token,
 };
-use sorrelhinge_blocks::shard::BlockId;
-use sorrelhinge_blocks::slices::Need;
+use sorrelhinge_sharding::shard::BlockId;
+use sorrelhinge_sharding::slices::Need;
 use tokio::net::TcpListener;
 use tokio::task::spawn_local;
 use zerocopy::IntoBytes;
--- a/tests/golden_formats/calendar.rs
+++ b/tests/golden_formats/calendar.rs
@@ -1,10 +1,10 @@
 //! The release calendar: its windows, records and what operators are shown.
 
-use sorrelhinge_calendar::plan::{Refused, Short};
-use sorrelhinge_calendar::record::{key, CalendarRecord, Entry, Step, WindowRecord};
-use sorrelhinge_calendar::settings::{Calendar, Window};
-use sorrelhinge_calendar::shown::{CalendarShown, PinWindow, UnpinWindow, WindowShown};
-use sorrelhinge_calendar::when::{Day, Every, Rule, When};
+use sorrelhinge_reservations::plan::{Refused, Short};
+use sorrelhinge_reservations::record::{key, CalendarRecord, Entry, Step, WindowRecord};
+use sorrelhinge_reservations::settings::{Calendar, Window};
+use sorrelhinge_reservations::shown::{CalendarShown, PinWindow, UnpinWindow, WindowShown};
+use sorrelhinge_reservations::when::{Day, Every, Rule, When};
 
 use crate::add_json;
 use crate::golden_files::Golden;
--- a/tests/golden_formats/operators.rs
+++ b/tests/golden_formats/operators.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use sorrelhinge::types::MachineId;
-use sorrelhinge_lanes::shown::{LaneShown, LanesShown, WaitShown};
+use sorrelhinge_priority_lanes::shown::{LaneShown, LanesShown, WaitShown};
 use sorrelhinge_protocol::operators::{
     BlockShown, BlocksShown, DeviceShown, DomainShown, DrainAsked, DrainShown, PinAsked, Target,
     TeamShown, TopologyShown, UndrainAsked,
--- a/tests/golden_formats/peers.rs
+++ b/tests/golden_formats/peers.rs
@@ -3,8 +3,8 @@
 use sorrelhinge::peer::{HeardOf, Kind, Message, Standing, BLOCKS, LIMITS_FELL, POLLS};
 use sorrelhinge::shares::{encode_left, parse_left, LeftTo, Needs, Rented};
 use sorrelhinge::types::{Amount, JobId, MachineId, Seq, Session, TypeName, Zone};
-use sorrelhinge_blocks::shard::BlockId;
-use sorrelhinge_blocks::slices::Need;
+use sorrelhinge_sharding::shard::BlockId;
+use sorrelhinge_sharding::slices::Need;
 use zerocopy::IntoBytes;
 
 use crate::golden_files::Golden;
--- a/tests/golden_formats/records.rs
+++ b/tests/golden_formats/records.rs
@@ -11,9 +11,9 @@
 use sorrelhinge::types::{
     Amount, Attempt, Image, JobId, JobSpec, MachineId, NodeId, Revision, Seal, Term, TypeName,
 };
-use sorrelhinge_blocks::shard::BlockId;
-use sorrelhinge_calendar::record::CALENDAR_KEY;
-use sorrelhinge_staging::record::WaveRecord;
+use sorrelhinge_image_distribution::record::WaveRecord;
+use sorrelhinge_reservations::record::CALENDAR_KEY;
+use sorrelhinge_sharding::shard::BlockId;
 use sorrelhinge_topology::devices::Unit;
 use sorrelhinge_topology::drain::{Drain, Progress, Target};
 
@@ -226,7 +226,7 @@
     };
     add_json(golden, "gone machines", &gone);
     let wave = WaveRecord {
-        v: sorrelhinge_staging::record::VERSION,
+        v: sorrelhinge_image_distribution::record::VERSION,
         image: Image::from("img-07"),
         stage: 4,
         seeds: vec![MachineId::from("vm-000231")],
@@ -279,7 +279,7 @@
         ("wave", wave_key(block, image), Key::Wave(block, image)),
         (
             "occurrence",
-            sorrelhinge_calendar::record::key("finale", 1_764_936_000_000),
+            sorrelhinge_reservations::record::key("finale", 1_764_936_000_000),
             Key::Window("finale".into(), 1_764_936_000_000),
         ),
     ];
--- a/tests/holds.rs
+++ b/tests/holds.rs
@@ -13,7 +13,7 @@
 use sorrelhinge::fleet::{plan, Coming, Input, Lack, Plan};
 use sorrelhinge::sched::{ClusterState, DelayRule, Hold, Job, Lending, Machine, Tasks};
 use sorrelhinge::types::{Amount, JobId, JobSpec, MachineId, MachineType, Time, Zone};
-use sorrelhinge_calendar::settings::Window;
+use sorrelhinge_reservations::settings::Window;
 use sorrelhinge_topology::renting::Memory;
 
 use self::machine_types::machine_type;
--- a/tests/job_ends.rs
+++ b/tests/job_ends.rs
@@ -7,8 +7,8 @@
 
 use std::time::Duration;
 
-use sorrelhinge_standins::run;
-use sorrelhinge_standins::users::{one_task, Question, Users};
+use sorrelhinge_emulators::run;
+use sorrelhinge_emulators::users::{one_task, Question, Users};
 use tokio::task::spawn_local;
 use tokio::time::sleep;
 
--- a/tests/joined.rs
+++ b/tests/joined.rs
@@ -8,7 +8,7 @@
 
 use serde_json::json;
 use sorrelhinge::control::day_ms;
-use sorrelhinge_standins::{run, Plan, World};
+use sorrelhinge_emulators::{run, Plan, World};
 use tokio::time::sleep;
 
 const PROPERTIES: &str = "lane.urgent.classes=fix\nlane.urgent.part=0.4\nstaging.least.gb=0.5\n";
--- a/tests/lanes.rs
+++ b/tests/lanes.rs
@@ -18,8 +18,8 @@
 use sorrelhinge::state::record::{job_key, JobRecord};
 use sorrelhinge::state::view::View;
 use sorrelhinge::types::{Amount, JobId, JobSpec, Revision, TaskId, Time};
-use sorrelhinge_lanes::{LaneId, Lanes};
-use sorrelhinge_standins::{run, Plan, World};
+use sorrelhinge_emulators::{run, Plan, World};
+use sorrelhinge_priority_lanes::{LaneId, Lanes};
 use tokio::time::sleep;
 
 const LANE: &str = "lane.urgent.classes=fix\nlane.urgent.part=0.5\n";
--- a/tests/loopback/cancellation.rs
+++ b/tests/loopback/cancellation.rs
@@ -2,7 +2,7 @@
 
 use hyper::Method;
 use serde_json::{json, Value};
-use sorrelhinge_standins::World;
+use sorrelhinge_emulators::World;
 
 /// Cancels a job, which is answered with its new phase.
 pub async fn cancel(world: &World, uid: &str) {
--- a/tests/loopback/leader.rs
+++ b/tests/loopback/leader.rs
@@ -1,6 +1,6 @@
 //! Worlds that have a leader.
 
-use sorrelhinge_standins::{Plan, World};
+use sorrelhinge_emulators::{Plan, World};
 
 /// The first election takes about a second.
 const ELECTED_WITHIN_S: u64 = 20;
--- a/tests/loopback/mod.rs
+++ b/tests/loopback/mod.rs
@@ -1,6 +1,6 @@
 //! Worlds of real controllers on loopback, which many tests begin with.
 
-use sorrelhinge_standins::Plan;
+use sorrelhinge_emulators::Plan;
 
 /// The program, and a folder for files and logs.
 pub const AT: (&str, &str) = (
--- a/tests/loopback/service.rs
+++ b/tests/loopback/service.rs
@@ -1,7 +1,7 @@
 //! A service that runs while troubles come.
 
 use serde_json::json;
-use sorrelhinge_standins::World;
+use sorrelhinge_emulators::World;
 
 /// The service's id.
 pub const SERVICE: &str = "run-000001";
--- a/tests/meetings_loopback.rs
+++ b/tests/meetings_loopback.rs
@@ -11,10 +11,10 @@
 
 use hyper::Method;
 use serde_json::{json, Value};
-use sorrelhinge_standins::history::Event;
-use sorrelhinge_standins::nodes::{machines_of, Hold, Released};
-use sorrelhinge_standins::store::{Fate, TxnFault};
-use sorrelhinge_standins::{run, Plan, Told, World, CANCEL_S};
+use sorrelhinge_emulators::history::Event;
+use sorrelhinge_emulators::nodes::{machines_of, Hold, Released};
+use sorrelhinge_emulators::store::{Fate, TxnFault};
+use sorrelhinge_emulators::{run, Plan, Told, World, CANCEL_S};
 use tokio::task::{spawn_local, JoinHandle};
 use tokio::time::sleep;
 
--- a/tests/overload.rs
+++ b/tests/overload.rs
@@ -16,7 +16,7 @@
 use std::time::{Duration, Instant};
 
 use serde_json::{json, Value};
-use sorrelhinge_standins::{run, Plan, World, CANCEL_S, LEASE_S, REPORT_S};
+use sorrelhinge_emulators::{run, Plan, World, CANCEL_S, LEASE_S, REPORT_S};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 use tokio::task::{spawn_local, JoinHandle};
@@ -278,7 +278,7 @@
         world.until("the task runs", 20, runs).await;
         let on = {
             let nodes = world.nodes.borrow();
-            let has = |n: &&sorrelhinge_standins::nodes::Node| !n.tasks.is_empty();
+            let has = |n: &&sorrelhinge_emulators::nodes::Node| !n.tasks.is_empty();
             nodes
                 .all
                 .values()
--- a/tests/pipelines_loopback.rs
+++ b/tests/pipelines_loopback.rs
@@ -9,8 +9,8 @@
 
 use hyper::Method;
 use serde_json::{json, Value};
-use sorrelhinge_standins::store::{Fate, Limits, TxnFault};
-use sorrelhinge_standins::{run, Plan, World, CANCEL_S};
+use sorrelhinge_emulators::store::{Fate, Limits, TxnFault};
+use sorrelhinge_emulators::{run, Plan, World, CANCEL_S};
 use tokio::time::{sleep, Instant};
 
 use self::leader::start_led;
--- a/tests/polls.rs
+++ b/tests/polls.rs
@@ -10,8 +10,8 @@
 
 use hyper::Method;
 use serde_json::{json, Value};
-use sorrelhinge_standins::lines::Cut;
-use sorrelhinge_standins::{ask, run, Plan, World};
+use sorrelhinge_emulators::lines::Cut;
+use sorrelhinge_emulators::{ask, run, Plan, World};
 use tokio::task::spawn_local;
 use tokio::time::sleep;
 
--- a/tests/quiet_times.rs
+++ b/tests/quiet_times.rs
@@ -7,7 +7,7 @@
 
 use std::time::Duration;
 
-use sorrelhinge_standins::{run, World};
+use sorrelhinge_emulators::{run, World};
 use tokio::time::sleep;
 
 use self::service::run_service;
--- a/tests/restarts.rs
+++ b/tests/restarts.rs
@@ -12,7 +12,7 @@
 
 use hyper::Method;
 use serde_json::{json, Value};
-use sorrelhinge_standins::{run, Plan, World, CANCEL_S};
+use sorrelhinge_emulators::{run, Plan, World, CANCEL_S};
 use tokio::time::sleep;
 
 use self::cancellation::cancel;
--- a/tests/rules/blocks.rs
+++ b/tests/rules/blocks.rs
@@ -4,7 +4,7 @@
 use serde_json::json;
 use sorrelhinge::state::record::SliceRecord;
 use sorrelhinge::types::{Amount, Time, Zone};
-use sorrelhinge_blocks::shard::BlockId;
+use sorrelhinge_sharding::shard::BlockId;
 
 use crate::*;
 
--- a/tests/rules/meetings/completion.rs
+++ b/tests/rules/meetings/completion.rs
@@ -4,7 +4,7 @@
 use sorrelhinge::control::core::Batch;
 use sorrelhinge::state::Outcome;
 use sorrelhinge::types::Time;
-use sorrelhinge_blocks::shard::BlockId;
+use sorrelhinge_sharding::shard::BlockId;
 
 use super::day::Day;
 use crate::*;
--- a/tests/rules/recording.rs
+++ b/tests/rules/recording.rs
@@ -11,8 +11,8 @@
 use sorrelhinge::state::record::chunk_key;
 use sorrelhinge::state::Txn;
 use sorrelhinge::types::{JobId, MachineId, Time};
-use sorrelhinge_blocks::served::Sort;
-use sorrelhinge_blocks::shard::{of_job, of_machine, BlockId};
+use sorrelhinge_sharding::served::Sort;
+use sorrelhinge_sharding::shard::{of_job, of_machine, BlockId};
 
 use crate::*;
 
--- a/tests/rules/world.rs
+++ b/tests/rules/world.rs
@@ -19,9 +19,9 @@
 use sorrelhinge::state::{Outcome, Txn};
 use sorrelhinge::types::{JobId, MachineId, Revision, Term, Time};
 use sorrelhinge::worker::{Report, Sending};
-use sorrelhinge_blocks::shard::{BlockId, Shard};
 use sorrelhinge_overload::freshness::Freshness;
 use sorrelhinge_protocol::placement::PlacementRules;
+use sorrelhinge_sharding::shard::{BlockId, Shard};
 use sorrelhinge_topology::Topology;
 
 use crate::*;
--- a/tests/single_tasks.rs
+++ b/tests/single_tasks.rs
@@ -6,8 +6,8 @@
 
 use std::time::{Duration, Instant};
 
-use sorrelhinge_standins::users::{one_task, Question, Users};
-use sorrelhinge_standins::{run, Plan, World, CANCEL_S};
+use sorrelhinge_emulators::users::{one_task, Question, Users};
+use sorrelhinge_emulators::{run, Plan, World, CANCEL_S};
 use tokio::task::{spawn_local, JoinHandle};
 use tokio::time::sleep;
 
--- a/tests/staging.rs
+++ b/tests/staging.rs
@@ -22,7 +22,7 @@
     Image, JobId, JobSpec, Kind, MachineId, MachineType, Priority, Revision, Time, Zone,
 };
 use sorrelhinge::worker::Sending;
-use sorrelhinge_blocks::shard::BlockId;
+use sorrelhinge_sharding::shard::BlockId;
 
 use self::machine_types::machine_type;
 use self::teams::team;
--- a/tests/switch_loss.rs
+++ b/tests/switch_loss.rs
@@ -11,7 +11,7 @@
 use std::time::{Duration, Instant};
 
 use serde_json::json;
-use sorrelhinge_standins::{file, run, Plan, World};
+use sorrelhinge_emulators::{file, run, Plan, World};
 use tokio::task::spawn_local;
 use tokio::time::sleep;
 
