--- a/crates/agent/examples/measure.rs
+++ b/crates/agent/examples/measure.rs
@@ -15,7 +15,7 @@
 use sorrelhinge_agent::core::{Core, Ending, Key, Known, Machine, Recovered};
 use sorrelhinge_emulators::{ask, run, serve};
 use sorrelhinge_protocol::types::{Amount, Attempt, MachineId, Time, TypeName, Zone};
-use sorrelhinge_protocol::worker::Why;
+use sorrelhinge_protocol::worker::ExitReason;
 use tokio::net::TcpListener;
 use tokio::sync::mpsc::{unbounded_channel, UnboundedReceiver};
 use tokio::time::sleep;
@@ -42,7 +42,7 @@
     };
     let known = |n: u64| {
         let done = Ending {
-            why: Why::Done,
+            why: ExitReason::Done,
             kept: false,
         };
         Known {
@@ -51,7 +51,7 @@
         }
     };
     let key = |n: u64| Key {
-        piece: format!("run-{:06}/{}", n / 10, n % 10),
+        task_name: format!("run-{:06}/{}", n / 10, n % 10),
         attempt: Attempt(n),
     };
     let found = Recovered {
@@ -169,10 +169,10 @@
 
     /// Sends a command for each task of a job.
     async fn order(&self, job: &str, verb: &str) {
-        let orders: Vec<Value> = (0..STARTS)
+        let commands: Vec<Value> = (0..STARTS)
             .map(|i| json!({"verb": verb, "piece": format!("{job}/{i}"), "try": 1, "mercy_s": 0.0}))
             .collect();
-        let body = json!({"baton": 1, "shift": 1, "orders": orders});
+        let body = json!({"baton": 1, "shift": 1, "orders": commands});
         ask(self.listen, hyper::Method::POST, "/orders", &body).await;
     }
 
--- a/crates/agent/src/agent.rs
+++ b/crates/agent/src/agent.rs
@@ -259,7 +259,7 @@
     /// Removes an attempt's folder.
     fn clean(&self, key: &Key) {
         if let Err(error) = Folder::of(&self.settings.folder, key).remove() {
-            tracing::error!(task = %key.piece, %error, "the attempt's folder stays");
+            tracing::error!(task = %key.task_name, %error, "the attempt's folder stays");
         }
     }
 
@@ -267,7 +267,7 @@
     fn describe(self: &Rc<Self>, key: Key) {
         let agent = self.clone();
         spawn_local(async move {
-            let found = agent.source.find(&key.piece).await;
+            let found = agent.source.find(&key.task_name).await;
             let needs = found.map(|description| {
                 let needs = description.needs();
                 agent
--- a/crates/agent/src/agent/images.rs
+++ b/crates/agent/src/agent/images.rs
@@ -35,7 +35,7 @@
             .get(key)
             .and_then(|d| d.image.clone());
         let (Some(image), Some(source)) = (image, self.settings.image_source()) else {
-            tracing::error!(task = %key.piece, "agent.images: not set, and the job needs one");
+            tracing::error!(task = %key.task_name, "agent.images: not set, and the job needs one");
             self.imaged(vec![key.clone()], false);
             return;
         };
--- a/crates/agent/src/agent/recovery.rs
+++ b/crates/agent/src/agent/recovery.rs
@@ -6,7 +6,7 @@
 use std::rc::Rc;
 
 use sorrelhinge_protocol::types::Time;
-use sorrelhinge_protocol::worker::Why;
+use sorrelhinge_protocol::worker::ExitReason;
 
 use super::tasks::Watched;
 use super::PARTS_FOLDER;
@@ -34,8 +34,8 @@
     let mut running: Vec<Key> = found.dying.iter().cloned().collect();
     for (key, known) in &found.tasks {
         match known.ended.map(|ending| ending.why) {
-            Some(Why::Done) => {
-                found.results.insert(key.piece.clone());
+            Some(ExitReason::Done) => {
+                found.results.insert(key.task_name.clone());
             }
             Some(_) => {}
             None => running.push(key.clone()),
--- a/crates/agent/src/agent/server.rs
+++ b/crates/agent/src/agent/server.rs
@@ -11,7 +11,7 @@
 use hyper::service::service_fn;
 use hyper::{Method, Request};
 use hyper_util::rt::{TokioIo, TokioTimer};
-use sorrelhinge_protocol::worker::Orders;
+use sorrelhinge_protocol::worker::DirectCommands;
 use tokio::net::TcpListener;
 use tokio::task::spawn_local;
 use tokio::time::{sleep, timeout};
@@ -71,11 +71,11 @@
                     Ok(Ok(body)) => body.to_bytes(),
                     _ => return error(400, "incomplete body"),
                 };
-                let orders: Orders = match serde_json::from_slice(&body) {
-                    Ok(orders) => orders,
+                let commands: DirectCommands = match serde_json::from_slice(&body) {
+                    Ok(commands) => commands,
                     Err(why) => return error(400, &why.to_string()),
                 };
-                let (told, actions) = self.core.borrow_mut().orders(&orders, clock::now());
+                let (told, actions) = self.core.borrow_mut().commands(&commands, clock::now());
                 self.told(told, actions)
             }
             _ => error(404, "no such path"),
--- a/crates/agent/src/agent/status.rs
+++ b/crates/agent/src/agent/status.rs
@@ -91,17 +91,19 @@
     let mut text = format!(
         "{} ({}, {}): session {}, token {}, {} tasks\n",
         report.machine,
-        report.build,
-        report.rack,
-        report.shift,
-        report.baton,
-        report.pieces.len()
+        report.machine_type,
+        report.zone,
+        report.incarnation,
+        report.fencing_token,
+        report.tasks.len()
     );
-    for task in &report.pieces {
-        let why = task.cause.map_or(String::new(), |c| format!(" {c:?}"));
+    for task in &report.tasks {
+        let why = task
+            .exit_reason
+            .map_or(String::new(), |c| format!(" {c:?}"));
         text += &format!(
             "{:<32} {:>4} {:?}{why}\n",
-            task.piece, task.attempt, task.phase
+            task.task_name, task.attempt, task.phase
         );
     }
     text
--- a/crates/agent/src/agent/tasks.rs
+++ b/crates/agent/src/agent/tasks.rs
@@ -48,7 +48,7 @@
         }
         for (key, exit) in gone {
             self.watched.borrow_mut().remove(&key);
-            tracing::info!(task = %key.piece, attempt = %key.attempt, ?exit, "ended");
+            tracing::info!(task = %key.task_name, attempt = %key.attempt, ?exit, "ended");
             let actions = self.core.borrow_mut().gone(&key, exit, now);
             self.do_all(actions);
         }
@@ -56,7 +56,7 @@
 
     /// Tells a supervisor to end its task, and to save first if `save`.
     pub(super) fn stop(&self, key: &Key, save: bool) {
-        tracing::info!(task = %key.piece, attempt = %key.attempt, save, "stopping");
+        tracing::info!(task = %key.task_name, attempt = %key.attempt, save, "stopping");
         // Also of one that has not shown itself yet: it finds the word there.
         let folder = Folder::of(&self.settings.folder, key);
         let told = folder.stop(save);
@@ -64,7 +64,7 @@
         let watched = watched.get_mut(key);
         if let Err(error) = &told {
             // A full disk must not keep a task alive.
-            tracing::error!(task = %key.piece, %error, "the supervisor can't be told");
+            tracing::error!(task = %key.task_name, %error, "the supervisor can't be told");
             folder.kill_hard();
         }
         if let Some(watched) = watched.filter(|_| !save || told.is_err()) {
@@ -80,7 +80,7 @@
         let begun = self.spawn_supervisor(&key, units, description, &folder);
         match begun {
             Ok(mut child) => {
-                tracing::info!(task = %key.piece, attempt = %key.attempt, "started");
+                tracing::info!(task = %key.task_name, attempt = %key.attempt, "started");
                 let (agent, done) = (self.clone(), key.clone());
                 spawn_local(async move {
                     let _ = child.wait().await;
@@ -89,7 +89,7 @@
                 });
             }
             Err(error) => {
-                tracing::error!(task = %key.piece, %error, "not started");
+                tracing::error!(task = %key.task_name, %error, "not started");
                 self.watch(key, folder);
                 return;
             }
--- a/crates/agent/src/attempt.rs
+++ b/crates/agent/src/attempt.rs
@@ -117,7 +117,7 @@
     /// The folder of an attempt under `root`. Names of tasks are checked before
     /// any attempt comes this far.
     pub fn of(root: &Path, key: &Key) -> Self {
-        let name = key.piece.replace('/', "+");
+        let name = key.task_name.replace('/', "+");
         Self(
             root.join("attempts")
                 .join(format!("{name}+{}", key.attempt)),
--- a/crates/agent/src/core.rs
+++ b/crates/agent/src/core.rs
@@ -14,7 +14,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use sorrelhinge_protocol::types::{Amount, Session, Time, Token};
-use sorrelhinge_protocol::worker::{ReportedImage, TaskPhase, Why};
+use sorrelhinge_protocol::worker::{ExitReason, ReportedImage, TaskPhase};
 
 use self::attempts::{has_process, Held};
 pub use self::messages::{
@@ -35,8 +35,8 @@
     machine: Machine,
     token: Token,
     session: Session,
-    tick: u64,
-    ticks_noted: u64,
+    sequence: u64,
+    sequences_noted: u64,
     tasks: BTreeMap<Key, Held>,
     /// Killed with their session, not gone yet: nothing is reported until
     /// they are, since a report without them would prove that they are.
@@ -63,8 +63,8 @@
         let mut core = Self {
             token: found.token,
             session: Session(found.session.0.max(1)),
-            tick: found.tick,
-            ticks_noted: found.tick,
+            sequence: found.sequence,
+            sequences_noted: found.sequence,
             tasks: BTreeMap::new(),
             dying: BTreeMap::new(),
             results: found.results,
@@ -98,8 +98,8 @@
     }
 
     /// The tasks, for those who look at the machine.
-    pub fn tasks(&self) -> impl Iterator<Item = (&Key, TaskPhase, Option<Why>)> {
-        self.tasks.iter().map(|(k, h)| (k, h.phase, h.cause))
+    pub fn tasks(&self) -> impl Iterator<Item = (&Key, TaskPhase, Option<ExitReason>)> {
+        self.tasks.iter().map(|(k, h)| (k, h.phase, h.exit_reason))
     }
 
     /// Whether an attempt was killed with its session and is not gone yet.
--- a/crates/agent/src/core/attempts.rs
+++ b/crates/agent/src/core/attempts.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 
 use sorrelhinge_protocol::types::{Amount, Time};
-use sorrelhinge_protocol::worker::{TaskPhase, Why};
+use sorrelhinge_protocol::worker::{ExitReason, TaskPhase};
 
 use super::{Action, Core, Exit, Key, Known, Needs, Note};
 
@@ -14,7 +14,7 @@
 #[derive(Clone, Debug)]
 pub(super) struct Held {
     pub(super) phase: TaskPhase,
-    pub(super) cause: Option<Why>,
+    pub(super) exit_reason: Option<ExitReason>,
     pub(super) needs: Option<Needs>,
     pub(super) units: Vec<(String, String)>,
     /// Other agents that may have its image.
@@ -34,7 +34,7 @@
         };
         Self {
             phase,
-            cause: known.ended.map(|ending| ending.why),
+            exit_reason: known.ended.map(|ending| ending.why),
             needs,
             units: known.units,
             from: Vec::new(),
@@ -58,26 +58,37 @@
     }
 
     /// An attempt has ended; `kept`: its progress was saved.
-    pub(super) fn end(&mut self, key: &Key, why: Why, kept: bool, actions: &mut Vec<Action>) {
+    pub(super) fn end(
+        &mut self,
+        key: &Key,
+        why: ExitReason,
+        kept: bool,
+        actions: &mut Vec<Action>,
+    ) {
         let Some(held) = self.tasks.get_mut(key) else {
             return;
         };
         held.phase = TaskPhase::Ended;
-        held.cause = Some(why);
+        held.exit_reason = Some(why);
         held.save_until = None;
         self.changed = true;
         actions.push(Action::Note(Note::Ended(key.clone(), why, kept)));
         actions.push(Action::Release(key.clone()));
-        if why == Why::Done {
+        if why == ExitReason::Done {
             if self.results.len() >= MAX_RESULTS {
                 self.results.pop_first();
             }
-            self.results.insert(key.piece.clone());
+            self.results.insert(key.task_name.clone());
         }
     }
 
     /// A task's description was found, or why it can't be run.
-    pub fn described(&mut self, key: &Key, needs: Result<Needs, Why>, now: Time) -> Vec<Action> {
+    pub fn described(
+        &mut self,
+        key: &Key,
+        needs: Result<Needs, ExitReason>,
+        now: Time,
+    ) -> Vec<Action> {
         let mut actions = Vec::new();
         self.check_lease(now, &mut actions);
         let waits = |h: &Held| h.phase == TaskPhase::Fetching && h.needs.is_none();
@@ -87,7 +98,9 @@
         let free = self.machine.total - self.used();
         match needs {
             Err(why) => self.end(key, why, false, &mut actions),
-            Ok(needs) if !needs.each.fits(free) => self.end(key, Why::Full, false, &mut actions),
+            Ok(needs) if !needs.each.fits(free) => {
+                self.end(key, ExitReason::Full, false, &mut actions)
+            }
             Ok(needs) => {
                 let mut from = Vec::new();
                 if let Some(held) = self.tasks.get_mut(key) {
@@ -122,7 +135,7 @@
         if self.tasks.get(key).is_some_and(waits) {
             match there {
                 true => self.begin(key, &mut actions),
-                false => self.end(key, Why::Error, false, &mut actions),
+                false => self.end(key, ExitReason::Error, false, &mut actions),
             }
         }
         actions
@@ -143,12 +156,12 @@
         };
         // A result that was reached is a result, whatever came meanwhile.
         let (why, kept) = match exit {
-            Exit::Done => (Why::Done, false),
-            Exit::Saved => (Why::Stopped, true),
-            _ if held.stopping => (Why::Stopped, false),
+            Exit::Done => (ExitReason::Done, false),
+            Exit::Saved => (ExitReason::Stopped, true),
+            _ if held.stopping => (ExitReason::Stopped, false),
             // Nothing speaks against the machine, or the job.
-            Exit::Never => (Why::Stopped, false),
-            Exit::Failed | Exit::Killed => (Why::Error, false),
+            Exit::Never => (ExitReason::Stopped, false),
+            Exit::Failed | Exit::Killed => (ExitReason::Error, false),
         };
         self.end(key, why, kept, &mut actions);
         actions
--- a/crates/agent/src/core/commands.rs
+++ b/crates/agent/src/core/commands.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 
 use sorrelhinge_protocol::types::Time;
-use sorrelhinge_protocol::worker::{Command, Orders, TaskPhase, Why};
+use sorrelhinge_protocol::worker::{Command, DirectCommands, ExitReason, TaskPhase};
 
 use super::attempts::{has_process, Held};
 use super::{Action, Core, Key, Note, Told};
@@ -23,16 +23,16 @@
 
 impl Core {
     /// Direct commands.
-    pub fn orders(&mut self, orders: &Orders, now: Time) -> (Told, Vec<Action>) {
+    pub fn commands(&mut self, commands: &DirectCommands, now: Time) -> (Told, Vec<Action>) {
         let mut actions = Vec::new();
         self.check_lease(now, &mut actions);
         if !self.dying.is_empty() {
             return (Told::NotNow, actions);
         }
-        let taken = orders.baton >= self.token && orders.shift == self.session;
+        let taken = commands.fencing_token >= self.token && commands.incarnation == self.session;
         if taken {
-            self.learn(orders.baton, now, &mut actions);
-            self.execute(&orders.orders, now, &mut actions);
+            self.learn(commands.fencing_token, now, &mut actions);
+            self.execute(&commands.commands, now, &mut actions);
         }
         let report = self.report(&mut actions);
         (Told::Report(taken, Box::new(report)), actions)
@@ -50,29 +50,29 @@
     }
 
     /// Carries out commands in their order.
-    pub(super) fn execute(&mut self, orders: &[Command], now: Time, actions: &mut Vec<Action>) {
-        for order in orders {
+    pub(super) fn execute(&mut self, commands: &[Command], now: Time, actions: &mut Vec<Action>) {
+        for order in commands {
             match order {
                 Command::Start {
-                    piece,
+                    task_name,
                     attempt,
                     units,
                     from,
                 } => {
-                    let key = Key::of(piece, *attempt);
+                    let key = Key::of(task_name, *attempt);
                     let sources = from.iter().take(MAX_SOURCES).copied().collect();
                     self.start(key, units.clone(), sources, actions);
                 }
                 Command::Kill {
-                    piece,
+                    task_name,
                     attempt,
-                    mercy_s,
+                    grace_s,
                 } => {
-                    let key = Key::of(piece, *attempt);
-                    self.kill(&key, *mercy_s, now, actions);
+                    let key = Key::of(task_name, *attempt);
+                    self.kill(&key, *grace_s, now, actions);
                 }
-                Command::Forget { piece, attempt } => {
-                    let key = Key::of(piece, *attempt);
+                Command::Forget { task_name, attempt } => {
+                    let key = Key::of(task_name, *attempt);
                     self.forget(key, actions);
                 }
             }
@@ -90,7 +90,11 @@
         if self.tasks.contains_key(&key) {
             return;
         }
-        let said: usize = self.tasks.keys().map(|k| k.piece.len() + TASK_BYTES).sum();
+        let said: usize = self
+            .tasks
+            .keys()
+            .map(|k| k.task_name.len() + TASK_BYTES)
+            .sum();
         if said >= MAX_TASKS_BYTES {
             // It is repeated once others are forgotten.
             return;
@@ -99,7 +103,7 @@
         actions.push(Action::Note(Note::Took(key.clone(), units.clone())));
         let held = Held {
             phase: TaskPhase::Fetching,
-            cause: None,
+            exit_reason: None,
             needs: None,
             units,
             from,
@@ -115,19 +119,20 @@
     }
 
     /// Why a start is refused, if it is; tasks take `said` bytes of a report.
-    fn refusal(&self, key: &Key, units: &[(String, String)], said: usize) -> Option<Why> {
-        let other = |(k, h): (&Key, &Held)| k.piece == key.piece && h.phase != TaskPhase::Ended;
+    fn refusal(&self, key: &Key, units: &[(String, String)], said: usize) -> Option<ExitReason> {
+        let other =
+            |(k, h): (&Key, &Held)| k.task_name == key.task_name && h.phase != TaskPhase::Ended;
         let in_use = self.tasks.iter().any(other);
         let taken = |h: &Held| {
             h.phase != TaskPhase::Ended && h.units.iter().any(|unit| units.contains(unit))
         };
         if in_use {
-            Some(Why::InUse)
+            Some(ExitReason::InUse)
         } else if self.closed || said >= FULL_REPORT_BYTES || self.tasks.values().any(taken) {
-            Some(Why::Full)
-        } else if self.results.contains(&key.piece) {
+            Some(ExitReason::Full)
+        } else if self.results.contains(&key.task_name) {
             // Its result is here.
-            Some(Why::Done)
+            Some(ExitReason::Done)
         } else {
             None
         }
@@ -135,21 +140,21 @@
 
     /// `kill`: a task that can save does if there is time enough, any other is
     /// ended at once. It is reported as running until it is proven gone.
-    fn kill(&mut self, key: &Key, mercy_s: f64, now: Time, actions: &mut Vec<Action>) {
+    fn kill(&mut self, key: &Key, grace_s: f64, now: Time, actions: &mut Vec<Action>) {
         let Some(held) = self.tasks.get_mut(key) else {
             return;
         };
         match held.phase {
             TaskPhase::Ended => {}
-            _ if !has_process(held) => self.end(key, Why::Stopped, false, actions),
-            TaskPhase::Saving if mercy_s > 0.0 => {}
+            _ if !has_process(held) => self.end(key, ExitReason::Stopped, false, actions),
+            TaskPhase::Saving if grace_s > 0.0 => {}
             _ => {
                 let saves = held.needs.and_then(|n| n.save_s);
                 let first = !held.stopping;
                 held.stopping = true;
-                if first && saves.is_some_and(|s| mercy_s >= s) {
+                if first && saves.is_some_and(|s| grace_s >= s) {
                     held.phase = TaskPhase::Saving;
-                    held.save_until = Some(now.after(mercy_s));
+                    held.save_until = Some(now.after(grace_s));
                     self.changed = true;
                     actions.push(Action::Save(key.clone()));
                 } else {
--- a/crates/agent/src/core/messages.rs
+++ b/crates/agent/src/core/messages.rs
@@ -8,21 +8,22 @@
 use sorrelhinge_protocol::types::{
     Amount, Attempt, MachineId, Session, Time, Token, TypeName, Zone,
 };
-use sorrelhinge_protocol::worker::{Reply, Report, Why};
+use sorrelhinge_protocol::worker::{ExitReason, Reply, Report};
 
 /// A task's attempt: `run-000412/3` and its number.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Key {
     /// The task.
-    pub piece: String,
+    #[serde(rename = "piece")]
+    pub task_name: String,
     /// The attempt.
     pub attempt: Attempt,
 }
 
 impl Key {
-    pub(super) fn of(piece: &str, attempt: Attempt) -> Self {
+    pub(super) fn of(task_name: &str, attempt: Attempt) -> Self {
         Self {
-            piece: piece.to_owned(),
+            task_name: task_name.to_owned(),
             attempt,
         }
     }
@@ -91,7 +92,7 @@
     /// An attempt was taken on: it may run from now on.
     Took(Key, Vec<(String, String)>),
     /// How an attempt ended.
-    Ended(Key, Why, bool),
+    Ended(Key, ExitReason, bool),
     /// An attempt is not known any more.
     Forgot(Key),
 }
@@ -134,7 +135,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Ending {
     /// Why.
-    pub why: Why,
+    pub why: ExitReason,
     /// Whether its progress was kept.
     pub kept: bool,
 }
@@ -147,7 +148,7 @@
     /// The last session.
     pub session: Session,
     /// Ticks below this may have been used.
-    pub tick: u64,
+    pub sequence: u64,
     /// Attempts that were taken on and not forgotten.
     pub tasks: BTreeMap<Key, Known>,
     /// Attempts of an ended session that are not known to be gone.
--- a/crates/agent/src/core/reports.rs
+++ b/crates/agent/src/core/reports.rs
@@ -1,7 +1,7 @@
 //! Reports and their answers (PROTOCOL, "Workers -> controller nodes"): when one
 //! is sent, to whom, what it says, and what its answer changes.
 
-use sorrelhinge_protocol::types::{Seq, Time, Token};
+use sorrelhinge_protocol::types::{SequenceNumber, Time, Token};
 use sorrelhinge_protocol::worker::{Report, ReportedImage, ReportedTask};
 
 use super::{Action, Answer, Core, Key, Note, SentReport};
@@ -95,29 +95,29 @@
 
     /// What is here now.
     pub(super) fn report(&mut self, actions: &mut Vec<Action>) -> Report {
-        self.tick += 1;
-        if self.tick >= self.ticks_noted {
-            self.ticks_noted = self.tick + TICKS_RESERVED;
-            actions.push(Action::Note(Note::Tick(self.ticks_noted)));
+        self.sequence += 1;
+        if self.sequence >= self.sequences_noted {
+            self.sequences_noted = self.sequence + TICKS_RESERVED;
+            actions.push(Action::Note(Note::Tick(self.sequences_noted)));
         }
         Report {
             machine: self.machine.name.clone(),
             addr: self.machine.addr,
-            build: self.machine.kind.clone(),
-            rack: self.machine.zone.clone(),
-            loaners: self.machine.spot,
-            shift: self.session,
-            tick: Seq(self.tick),
-            baton: self.token,
-            warning_s: None,
-            pieces: self
+            machine_type: self.machine.kind.clone(),
+            zone: self.machine.zone.clone(),
+            spot: self.machine.spot,
+            incarnation: self.session,
+            sequence: SequenceNumber(self.sequence),
+            fencing_token: self.token,
+            preemption_notice_s: None,
+            tasks: self
                 .tasks
                 .iter()
                 .map(|(key, held)| ReportedTask {
-                    piece: key.piece.clone(),
+                    task_name: key.task_name.clone(),
                     attempt: key.attempt,
                     phase: held.phase,
-                    cause: held.cause,
+                    exit_reason: held.exit_reason,
                 })
                 .collect(),
             images: self.images.clone(),
@@ -143,14 +143,14 @@
         match answer {
             Answer::Reply(reply) => {
                 self.flying = None;
-                if report.session != self.session || reply.baton < self.token {
+                if report.session != self.session || reply.fencing_token < self.token {
                     // It stays here while its lease runs out.
                     return actions;
                 }
                 self.answered = sent;
                 actions.push(Action::Lease(sent));
-                self.learn(reply.baton, now, &mut actions);
-                self.execute(&reply.orders, now, &mut actions);
+                self.learn(reply.fencing_token, now, &mut actions);
+                self.execute(&reply.commands, now, &mut actions);
             }
             Answer::Elsewhere(named) => self.redirect(named, now),
             Answer::None => self.no_answer(now),
--- a/crates/agent/src/describe.rs
+++ b/crates/agent/src/describe.rs
@@ -13,7 +13,7 @@
 use sorrelhinge_protocol::invalid::InvalidField;
 use sorrelhinge_protocol::types::Amount;
 use sorrelhinge_protocol::users::job_id;
-use sorrelhinge_protocol::worker::Why;
+use sorrelhinge_protocol::worker::ExitReason;
 use tokio::time::timeout;
 
 use crate::client::{self, ServerError};
@@ -226,14 +226,14 @@
     ///
     /// # Errors
     /// Why the task ends: there is no such job, or its description is of no use.
-    pub async fn find(&self, piece: &str) -> Result<Description, Why> {
-        let job = piece.rsplit_once('/').and_then(|(job, index)| {
+    pub async fn find(&self, task_name: &str) -> Result<Description, ExitReason> {
+        let job = task_name.rsplit_once('/').and_then(|(job, index)| {
             index.parse::<u32>().ok()?;
             job_id(job)
         });
         let Some(job) = job else {
-            tracing::error!(task = piece, "not the name of a task");
-            return Err(Why::NoSuch);
+            tracing::error!(task = task_name, "not the name of a task");
+            return Err(ExitReason::NoSuch);
         };
         let bytes = match self {
             Self::Folder(folder) => read_file(&folder.join(format!("{job}.json"))),
@@ -244,16 +244,24 @@
             }
         };
         let bytes = bytes.map_err(|error| {
-            tracing::error!(task = piece, error = error.to_string(), "job description");
-            Why::Error
+            tracing::error!(
+                task = task_name,
+                error = error.to_string(),
+                "job description"
+            );
+            ExitReason::Error
         })?;
         let Some(bytes) = bytes else {
-            tracing::info!(task = piece, "no job description");
-            return Err(Why::NoSuch);
+            tracing::info!(task = task_name, "no job description");
+            return Err(ExitReason::NoSuch);
         };
         Description::read(&bytes).map_err(|error| {
-            tracing::error!(task = piece, error = error.to_string(), "job description");
-            Why::Error
+            tracing::error!(
+                task = task_name,
+                error = error.to_string(),
+                "job description"
+            );
+            ExitReason::Error
         })
     }
 }
--- a/crates/agent/src/download.rs
+++ b/crates/agent/src/download.rs
@@ -18,13 +18,13 @@
 
 /// Why an image's archive did not come.
 #[derive(Debug, thiserror::Error)]
-#[error("{image}: {cause}")]
+#[error("{image}: {exit_reason}")]
 pub struct Unfetched {
     /// The image's name.
     pub image: String,
     /// What is wrong.
     #[source]
-    pub cause: ArchiveError,
+    pub exit_reason: ArchiveError,
     /// It may come another time: nothing is wrong with it, or with the disk.
     pub again: bool,
 }
@@ -82,10 +82,10 @@
             download_archive(*server, &path, to, most).await
         }
     };
-    fetched.map_err(|cause| Unfetched {
+    fetched.map_err(|exit_reason| Unfetched {
         image: image.name.clone(),
-        again: cause.may_pass(),
-        cause,
+        again: exit_reason.may_pass(),
+        exit_reason,
     })
 }
 
--- a/crates/agent/src/hand_on.rs
+++ b/crates/agent/src/hand_on.rs
@@ -203,8 +203,8 @@
         };
         let text = part.text();
         let length = text.len() as u64;
-        let pieces = self.send(Bytewise::Memory(text), length, slot);
-        Response::new(Either::Right(pieces))
+        let tasks = self.send(Bytewise::Memory(text), length, slot);
+        Response::new(Either::Right(tasks))
     }
 
     /// The archive, or a range of it.
@@ -226,8 +226,8 @@
             file: Arc::new(file),
             from: wanted.start,
         };
-        let pieces = self.send(source, wanted.end - wanted.start, slot);
-        let mut response = Response::new(Either::Right(pieces));
+        let tasks = self.send(source, wanted.end - wanted.start, slot);
+        let mut response = Response::new(Either::Right(tasks));
         if range.is_some() {
             *response.status_mut() = StatusCode::PARTIAL_CONTENT;
             let of = format!("bytes {}-{}/{bytes}", wanted.start, wanted.end - 1);
--- a/crates/agent/src/journal.rs
+++ b/crates/agent/src/journal.rs
@@ -98,7 +98,7 @@
     /// The session.
     pub session: Session,
     /// Ticks below this may have been used.
-    pub tick: u64,
+    pub sequence: u64,
     /// Attempts that were taken on and not forgotten.
     pub tasks: BTreeMap<Key, Known>,
     /// Attempts of an ended session that are not known to be gone.
@@ -117,7 +117,7 @@
                 self.dying.extend(tasks.into_keys());
             }
             Note::Session(_) => {}
-            Note::Tick(tick) => self.tick = self.tick.max(*tick),
+            Note::Tick(sequence) => self.sequence = self.sequence.max(*sequence),
             Note::Took(key, units) => {
                 let units = units.clone();
                 let known = Known { units, ended: None };
@@ -139,7 +139,7 @@
     /// The fewest entries that come to this: what a journal that is written anew
     /// holds.
     pub fn notes(&self) -> Vec<Note> {
-        let mut notes = vec![Note::Token(self.token), Note::Tick(self.tick)];
+        let mut notes = vec![Note::Token(self.token), Note::Tick(self.sequence)];
         let dying = self.dying.iter().cloned();
         notes.extend(dying.map(|key| Note::Took(key, Vec::new())));
         // It ends the session of those before it.
@@ -158,7 +158,7 @@
         Recovered {
             token: self.token,
             session: self.session,
-            tick: self.tick,
+            sequence: self.sequence,
             tasks: self.tasks.clone(),
             dying: self.dying.clone(),
             ..Recovered::default()
--- a/crates/agent/src/supervise.rs
+++ b/crates/agent/src/supervise.rs
@@ -333,7 +333,7 @@
 /// A task's program with its arguments, environment and working directory.
 fn task_command(folder: &Folder, task: &Task) -> Command {
     let description = &task.description;
-    let index = task.key.piece.rsplit_once('/').map_or("", |(_, i)| i);
+    let index = task.key.task_name.rsplit_once('/').map_or("", |(_, i)| i);
     let units: Vec<String> = task
         .units
         .iter()
@@ -349,7 +349,7 @@
         .env_clear()
         .env("PATH", std::env::var_os("PATH").unwrap_or_default())
         .envs(&description.env)
-        .env("TASK", &task.key.piece)
+        .env("TASK", &task.key.task_name)
         .env("TASK_INDEX", index)
         .env("TASK_ATTEMPT", task.key.attempt.to_string())
         .env("TASK_UNITS", units.join(","))
--- a/crates/agent/src/upload.rs
+++ b/crates/agent/src/upload.rs
@@ -43,16 +43,18 @@
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>>>> {
-        self.from.poll_recv(context).map(|piece| match piece {
-            Some(Ok(bytes)) => {
-                self.left = self.left.saturating_sub(bytes.len() as u64);
-                Some(Ok(Frame::data(bytes)))
-            }
-            Some(Err(error)) => Some(Err(error)),
-            // Half a body must not look like a whole one.
-            None if self.left > 0 => Some(Err(Error::other("cut short"))),
-            None => None,
-        })
+        self.from
+            .poll_recv(context)
+            .map(|task_name| match task_name {
+                Some(Ok(bytes)) => {
+                    self.left = self.left.saturating_sub(bytes.len() as u64);
+                    Some(Ok(Frame::data(bytes)))
+                }
+                Some(Err(error)) => Some(Err(error)),
+                // Half a body must not look like a whole one.
+                None if self.left > 0 => Some(Err(Error::other("cut short"))),
+                None => None,
+            })
     }
 
     fn is_end_stream(&self) -> bool {
@@ -163,12 +165,12 @@
             if wait > MIN_WAIT_S {
                 sleep(Duration::from_secs_f64(wait)).await;
             }
-            let piece = self.bytes.read(sent, size).await;
-            let failed = piece.is_err();
+            let task_name = self.bytes.read(sent, size).await;
+            let failed = task_name.is_err();
             // Who doesn't take what is sent must not keep the slot.
             let left = self.patience.saturating_sub(blocked);
             let before = Instant::now();
-            match timeout(left, to.send(piece)).await {
+            match timeout(left, to.send(task_name)).await {
                 Ok(Ok(())) if !failed => {}
                 _ => return,
             }
--- a/crates/agent/tests/hand_on.rs
+++ b/crates/agent/tests/hand_on.rs
@@ -162,15 +162,15 @@
         body: &[u8],
         counts: bool,
     ) -> std::io::Result<()> {
-        for (n, piece) in body.chunks(8 << 10).enumerate() {
-            let end = (from + n * (8 << 10) + piece.len()) as u64;
+        for (n, task_name) in body.chunks(8 << 10).enumerate() {
+            let end = (from + n * (8 << 10) + task_name.len()) as u64;
             while counts && end > self.hold.get() {
                 sleep(Duration::from_millis(5)).await;
             }
-            stream.write_all(piece).await?;
+            stream.write_all(task_name).await?;
             if counts {
-                self.sent.set(self.sent.get() + piece.len() as u64);
-                sleep(Duration::from_secs_f64(piece.len() as f64 / self.rate)).await;
+                self.sent.set(self.sent.get() + task_name.len() as u64);
+                sleep(Duration::from_secs_f64(task_name.len() as f64 / self.rate)).await;
             }
         }
         Ok(())
@@ -335,9 +335,9 @@
     }
 
     async fn begin(&self, task: &str, attempt: u32, from: &[SocketAddr]) {
-        let orders = json!({"baton": 1, "shift": 1, "orders": [
+        let commands = json!({"baton": 1, "shift": 1, "orders": [
             {"verb": "start", "piece": task, "try": attempt, "from": from}]});
-        let told = ask(self.addr, Method::POST, "/orders", &orders).await;
+        let told = ask(self.addr, Method::POST, "/orders", &commands).await;
         assert_eq!(told.expect("an answer").0, 200);
     }
 
@@ -351,9 +351,9 @@
         let mut why = None;
         until(&format!("{task} on {} ends", self.addr), async || {
             let report = self.report().await;
-            let mut pieces = report["pieces"].as_array().into_iter().flatten();
-            let piece = pieces.find(|p| p["piece"] == task && p["try"] == attempt);
-            why = piece.and_then(|p| p["cause"].as_str().map(str::to_owned));
+            let mut tasks = report["pieces"].as_array().into_iter().flatten();
+            let task_name = tasks.find(|p| p["piece"] == task && p["try"] == attempt);
+            why = task_name.and_then(|p| p["cause"].as_str().map(str::to_owned));
             why.is_some()
         })
         .await;
--- a/crates/agent/tests/images.rs
+++ b/crates/agent/tests/images.rs
@@ -7,7 +7,7 @@
 
 fn key(n: u64) -> Key {
     Key {
-        piece: format!("run-1/{n}"),
+        task_name: format!("run-1/{n}"),
         attempt: Attempt(1),
     }
 }
--- a/crates/agent/tests/journal.rs
+++ b/crates/agent/tests/journal.rs
@@ -3,18 +3,18 @@
 use sorrelhinge_agent::core::{Key, Note};
 use sorrelhinge_agent::journal::{read, Entries, Journal, State};
 use sorrelhinge_protocol::types::{Attempt, Session, Token};
-use sorrelhinge_protocol::worker::Why;
+use sorrelhinge_protocol::worker::ExitReason;
 
 fn notes() -> Vec<Note> {
     let key = |n: u64| Key {
-        piece: format!("run-1/{n}"),
+        task_name: format!("run-1/{n}"),
         attempt: Attempt(n),
     };
     vec![
         Note::Token(Token(7)),
         Note::Took(key(1), vec![("enc".into(), "a".into())]),
         Note::Took(key(2), Vec::new()),
-        Note::Ended(key(1), Why::Done, false),
+        Note::Ended(key(1), ExitReason::Done, false),
         Note::Forgot(key(1)),
         Note::Session(Session(3)),
         Note::Took(key(3), Vec::new()),
@@ -51,7 +51,7 @@
         assert_eq!(journal.state(), &states[at], "cut at {cut}");
         journal.note(&[Note::Tick(9)]).expect("noted");
         let again = Journal::open(&folder).expect("readable");
-        assert_eq!(again.state().tick, 9);
+        assert_eq!(again.state().sequence, 9);
     }
     // A changed bit ends it there, and a later version is refused whole.
     let mut changed = whole.clone();
--- a/crates/agent/tests/stopped_agent.rs
+++ b/crates/agent/tests/stopped_agent.rs
@@ -91,9 +91,9 @@
     }
 
     async fn order(&self, verb: &str, n: u32) -> (u16, Value) {
-        let orders = json!({"baton": 1, "shift": 1, "orders": [
+        let commands = json!({"baton": 1, "shift": 1, "orders": [
             {"verb": verb, "piece": format!("run-1/{n}"), "try": 1, "mercy_s": 0.0}]});
-        let told = ask(self.listen, Method::POST, "/orders", &orders).await;
+        let told = ask(self.listen, Method::POST, "/orders", &commands).await;
         told.expect("an answer")
     }
 
@@ -168,12 +168,12 @@
 fn commands_repeated_and_after_forget() {
     run(async {
         let agent = Agent::start("repeat").await;
-        let pieces = |told: &(u16, Value)| told.1["pieces"].as_array().cloned().unwrap_or_default();
-        assert_eq!(pieces(&agent.order("start", 0).await).len(), 1);
+        let tasks = |told: &(u16, Value)| told.1["pieces"].as_array().cloned().unwrap_or_default();
+        assert_eq!(tasks(&agent.order("start", 0).await).len(), 1);
         let task = agent.process(0).await;
-        assert_eq!(pieces(&agent.order("start", 0).await).len(), 1);
+        assert_eq!(tasks(&agent.order("start", 0).await).len(), 1);
         // Not ended: it is not forgotten.
-        assert_eq!(pieces(&agent.order("forget", 0).await).len(), 1);
+        assert_eq!(tasks(&agent.order("forget", 0).await).len(), 1);
         assert!(task.lives());
         agent.order("kill", 0).await;
         agent.order("kill", 0).await;
@@ -185,10 +185,10 @@
                 .is_some_and(|r| r["pieces"][0]["cause"] == "stopped")
         };
         agent.until("its end is reported", ended).await;
-        assert_eq!(pieces(&agent.order("start", 0).await)[0]["phase"], "ended");
-        assert_eq!(pieces(&agent.order("forget", 0).await).len(), 0);
+        assert_eq!(tasks(&agent.order("start", 0).await)[0]["phase"], "ended");
+        assert_eq!(tasks(&agent.order("forget", 0).await).len(), 0);
         assert_eq!(
-            pieces(&agent.order("start", 0).await)[0]["phase"],
+            tasks(&agent.order("start", 0).await)[0]["phase"],
             "fetching"
         );
         let again = agent.process(0).await;
--- a/crates/agent/tests/supervisor.rs
+++ b/crates/agent/tests/supervisor.rs
@@ -30,7 +30,7 @@
 fn prepare(name: &str, script: &str, more: serde_json::Value, lease_s: f64) -> Folder {
     let root = root(name);
     let key = Key {
-        piece: "run-1/0".into(),
+        task_name: "run-1/0".into(),
         attempt: Attempt(1),
     };
     let mut body = json!({"version": 1, "command": ["/bin/sh", "-c", script],
--- a/crates/agent/tests/worker_model.rs
+++ b/crates/agent/tests/worker_model.rs
@@ -13,7 +13,7 @@
 use sorrelhinge_protocol::types::{
     Amount, Attempt, MachineId, Session, Time, Token, TypeName, Zone,
 };
-use sorrelhinge_protocol::worker::{Command, Orders, Reply, Report, TaskPhase, Why};
+use sorrelhinge_protocol::worker::{Command, DirectCommands, ExitReason, Reply, Report, TaskPhase};
 
 const LEASE_S: f64 = 10.0;
 
@@ -70,18 +70,18 @@
 }
 
 /// `0`: kill without mercy, `1`: with, `2`: forget, else start.
-fn command((what, piece, attempt): &(u8, u8, u8)) -> Command {
-    let piece = format!("run-1/{piece}");
+fn command((what, task_name, attempt): &(u8, u8, u8)) -> Command {
+    let task_name = format!("run-1/{task_name}");
     let attempt = Attempt(u64::from(*attempt));
     match what {
         0 => Command::Kill {
-            piece,
+            task_name,
             attempt,
-            mercy_s: if attempt.0 == 1 { 5.0 } else { 0.0 },
+            grace_s: if attempt.0 == 1 { 5.0 } else { 0.0 },
         },
-        1 => Command::Forget { piece, attempt },
+        1 => Command::Forget { task_name, attempt },
         _ => Command::Start {
-            piece,
+            task_name,
             attempt,
             units: Vec::new(),
             from: Vec::new(),
@@ -90,21 +90,21 @@
 }
 
 /// What a task needs: most can save, and one needs an image.
-fn needs_of(piece: &str) -> Needs {
+fn needs_of(task_name: &str) -> Needs {
     Needs {
         each: Amount::new(1.0, 0.0, 1.0),
-        save_s: (piece != "run-1/0").then_some(2.0),
-        image: piece == "run-1/3",
+        save_s: (task_name != "run-1/0").then_some(2.0),
+        image: task_name == "run-1/3",
     }
 }
 
 fn id_of(key: &Key) -> (String, u64) {
-    (key.piece.clone(), key.attempt.0)
+    (key.task_name.clone(), key.attempt.0)
 }
 
 fn key_of(id: &(String, u64)) -> Key {
     Key {
-        piece: id.0.clone(),
+        task_name: id.0.clone(),
         attempt: Attempt(id.1),
     }
 }
@@ -115,7 +115,7 @@
     Fetching,
     Running,
     Saving,
-    Ended(Why),
+    Ended(ExitReason),
 }
 
 /// The plain worker.
@@ -157,14 +157,16 @@
     fn execute(&mut self, commands: &[Command]) {
         for command in commands {
             match command {
-                Command::Start { piece, attempt, .. } => self.start((piece.clone(), attempt.0)),
+                Command::Start {
+                    task_name, attempt, ..
+                } => self.start((task_name.clone(), attempt.0)),
                 Command::Kill {
-                    piece,
+                    task_name,
                     attempt,
-                    mercy_s,
-                } => self.kill((piece.clone(), attempt.0), *mercy_s),
-                Command::Forget { piece, attempt } => {
-                    let key = (piece.clone(), attempt.0);
+                    grace_s,
+                } => self.kill((task_name.clone(), attempt.0), *grace_s),
+                Command::Forget { task_name, attempt } => {
+                    let key = (task_name.clone(), attempt.0);
                     if matches!(self.tasks.get(&key), Some(Plain::Ended(_))) {
                         self.tasks.remove(&key);
                     }
@@ -177,28 +179,31 @@
         if self.tasks.contains_key(&key) {
             return;
         }
-        let mut others = self.tasks.iter().filter(|((piece, _), _)| *piece == key.0);
+        let mut others = self
+            .tasks
+            .iter()
+            .filter(|((task_name, _), _)| *task_name == key.0);
         let in_use = others.any(|(_, phase)| !matches!(phase, Plain::Ended(_)));
         let phase = if in_use {
-            Plain::Ended(Why::InUse)
+            Plain::Ended(ExitReason::InUse)
         } else if self.results.contains(&key.0) {
-            Plain::Ended(Why::Done)
+            Plain::Ended(ExitReason::Done)
         } else {
             Plain::Fetching
         };
         self.tasks.insert(key, phase);
     }
 
-    fn kill(&mut self, key: (String, u64), mercy_s: f64) {
+    fn kill(&mut self, key: (String, u64), grace_s: f64) {
         match self.tasks.get_mut(&key) {
             Some(phase) if *phase == Plain::Fetching => {
-                *phase = Plain::Ended(Why::Stopped);
+                *phase = Plain::Ended(ExitReason::Stopped);
                 self.imaging.remove(&key);
             }
             Some(phase) if *phase == Plain::Running => {
                 let first = !self.processes.get(&key).copied().unwrap_or(false);
                 let saves = needs_of(&key.0).save_s;
-                if saves.is_some_and(|s| mercy_s >= s) && first {
+                if saves.is_some_and(|s| grace_s >= s) && first {
                     *phase = Plain::Saving;
                 }
                 self.processes.insert(key, true);
@@ -212,8 +217,8 @@
         let image = needs_of(&id.0).image;
         if let Some(phase) = self.tasks.get_mut(&id) {
             *phase = match found {
-                false => Plain::Ended(Why::NoSuch),
-                true if busy >= 3 => Plain::Ended(Why::Full),
+                false => Plain::Ended(ExitReason::NoSuch),
+                true if busy >= 3 => Plain::Ended(ExitReason::Full),
                 true if image => {
                     self.imaging.insert(id);
                     Plain::Fetching
@@ -227,13 +232,13 @@
     fn exited(&mut self, id: &(String, u64), exit: Exit, stopped: bool) {
         if let Some(phase) = self.tasks.get_mut(id) {
             let why = match exit {
-                Exit::Done => Why::Done,
-                Exit::Saved => Why::Stopped,
-                _ if stopped => Why::Stopped,
-                _ => Why::Error,
+                Exit::Done => ExitReason::Done,
+                Exit::Saved => ExitReason::Stopped,
+                _ if stopped => ExitReason::Stopped,
+                _ => ExitReason::Error,
             };
             *phase = Plain::Ended(why);
-            if why == Why::Done {
+            if why == ExitReason::Done {
                 self.results.push(id.0.clone());
             }
         }
@@ -264,19 +269,19 @@
     /// A report says what the model holds, nothing else.
     fn agrees(&self, report: &Report) -> Result<(), TestCaseError> {
         prop_assert!(!self.dying(), "a report while tasks are not gone");
-        prop_assert_eq!(report.shift.0, self.session);
-        prop_assert_eq!(report.baton.0, self.token);
+        prop_assert_eq!(report.incarnation.0, self.session);
+        prop_assert_eq!(report.fencing_token.0, self.token);
         let said: BTreeMap<(String, u64), Plain> = report
-            .pieces
+            .tasks
             .iter()
             .map(|p| {
                 let phase = match p.phase {
                     TaskPhase::Fetching => Plain::Fetching,
                     TaskPhase::Running => Plain::Running,
                     TaskPhase::Saving => Plain::Saving,
-                    _ => Plain::Ended(p.cause.expect("a cause")),
+                    _ => Plain::Ended(p.exit_reason.expect("a cause")),
                 };
-                ((p.piece.clone(), p.attempt.0), phase)
+                ((p.task_name.clone(), p.attempt.0), phase)
             })
             .collect();
         prop_assert_eq!(&said, &self.tasks);
@@ -307,7 +312,7 @@
                 Action::Run(key, _) => self.run(&key)?,
                 Action::Report(_, report) => {
                     self.said(&report)?;
-                    self.flying = Some((self.core.sent().expect("sent"), report.shift));
+                    self.flying = Some((self.core.sent().expect("sent"), report.incarnation));
                 }
                 Action::Describe(_)
                 | Action::Image(..)
@@ -338,7 +343,7 @@
         );
         let mut same = self.model.processes.keys();
         prop_assert!(
-            !same.any(|(piece, _)| *piece == key.piece),
+            !same.any(|(task_name, _)| *task_name == key.task_name),
             "{:?} begins beside another process of its task",
             key
         );
@@ -348,8 +353,8 @@
     }
 
     fn said(&mut self, report: &Report) -> Result<(), TestCaseError> {
-        prop_assert!(report.tick.0 > self.last_tick, "a tick twice");
-        self.last_tick = report.tick.0;
+        prop_assert!(report.sequence.0 > self.last_tick, "a tick twice");
+        self.last_tick = report.sequence.0;
         self.model.agrees(report)
     }
 
@@ -388,13 +393,13 @@
         let token = u64::from(token);
         let session = self.model.session + u64::from(!matches);
         let commands: Vec<Command> = list.iter().map(command).collect();
-        let orders = Orders {
-            baton: Token(token),
-            shift: Session(session),
-            orders: commands.clone(),
+        let direct = DirectCommands {
+            fencing_token: Token(token),
+            incarnation: Session(session),
+            commands: commands.clone(),
         };
         self.model.lease(self.now);
-        let (told, actions) = self.core.orders(&orders, Time(self.now));
+        let (told, actions) = self.core.commands(&direct, Time(self.now));
         let taken = matches && token >= self.model.token && !self.model.dying();
         if taken && session == self.model.session {
             self.model.token = token;
@@ -426,8 +431,8 @@
             self.model.execute(&commands);
         }
         let reply = Reply {
-            baton: Token(token),
-            orders: commands,
+            fencing_token: Token(token),
+            commands,
         };
         let answer = Answer::Reply(reply);
         let actions = self.core.answered(sent, answer, Time(self.now));
@@ -459,8 +464,8 @@
         let busy = self.model.processes.len() + self.model.imaging.len();
         self.model.describe(id, found, busy);
         let needs = match found {
-            true => Ok(needs_of(&key.piece)),
-            false => Err(Why::NoSuch),
+            true => Ok(needs_of(&key.task_name)),
+            false => Err(ExitReason::NoSuch),
         };
         let actions = self.core.described(&key, needs, Time(self.now));
         self.act(actions)
@@ -475,7 +480,7 @@
         if self.model.imaging.remove(&id) {
             let phase = match there {
                 true => Plain::Running,
-                false => Plain::Ended(Why::Error),
+                false => Plain::Ended(ExitReason::Error),
             };
             self.model.tasks.insert(id, phase);
         }
@@ -524,7 +529,7 @@
         for key in unborn {
             let id = id_of(&key);
             if let Some(phase) = self.model.tasks.get_mut(&id) {
-                *phase = Plain::Ended(Why::Stopped);
+                *phase = Plain::Ended(ExitReason::Stopped);
             }
             if before.contains(&id) {
                 self.model.processes.remove(&id);
@@ -541,12 +546,12 @@
         found.answered = self.lease;
         for (key, known) in &found.tasks {
             match known.ended.map(|ending| ending.why) {
-                Some(Why::Done) => {
-                    found.results.insert(key.piece.clone());
+                Some(ExitReason::Done) => {
+                    found.results.insert(key.task_name.clone());
                 }
                 Some(_) => {}
                 None => {
-                    found.needs.insert(key.clone(), needs_of(&key.piece));
+                    found.needs.insert(key.clone(), needs_of(&key.task_name));
                 }
             }
         }
--- a/crates/emulators/src/history/job.rs
+++ b/crates/emulators/src/history/job.rs
@@ -176,7 +176,7 @@
     }
 }
 
-/// At most so many tasks (PROTOCOL, `pieces`).
+/// At most so many tasks (PROTOCOL, `tasks`).
 const MOST_TASKS: u64 = 100_000;
 
 impl Job {
--- a/crates/emulators/src/nodes.rs
+++ b/crates/emulators/src/nodes.rs
@@ -9,7 +9,7 @@
 use std::time::{Duration, Instant};
 
 use serde_json::{json, Value};
-use sorrelhinge_protocol::worker::{Command, Orders};
+use sorrelhinge_protocol::worker::{Command, DirectCommands};
 
 use crate::history::{AttemptId, Event, Reason, Recorder, TaskName};
 use crate::{LEASE_S, ZONES};
@@ -21,7 +21,7 @@
     /// Its phase, as reports have it.
     pub phase: String,
     /// Why it ended, as reports have it.
-    cause: Option<&'static str>,
+    exit_reason: Option<&'static str>,
     /// When it was started.
     since: Instant,
     /// How long it runs; for ever if it is a service's.
@@ -49,7 +49,7 @@
     pub(crate) born: Instant,
     /// The worker's session; a lease that ends begins the next one.
     session: u64,
-    tick: u64,
+    sequence: u64,
     /// The highest token seen.
     token: u64,
     /// When the last answered report was sent: the lease runs from then.
@@ -139,7 +139,7 @@
         };
         Self {
             phase: if full { "ended" } else { "fetching" }.into(),
-            cause: full.then_some("full"),
+            exit_reason: full.then_some("full"),
             since: Instant::now(),
             run_s,
             cpus,
@@ -232,8 +232,8 @@
             .filter(|n| !n.gone && !self.cut.contains(&(n.zone, n.switch)));
         let tasks = reached.flat_map(|n| n.tasks.iter());
         tasks
-            .filter(|((piece, _), t)| {
-                t.phase == "running" && piece.rsplit_once('/').is_some_and(|(j, _)| j == uid)
+            .filter(|((task_name, _), t)| {
+                t.phase == "running" && task_name.rsplit_once('/').is_some_and(|(j, _)| j == uid)
             })
             .count()
     }
@@ -242,8 +242,8 @@
     pub fn places(&self, uid: &str) -> Vec<(u8, u8)> {
         let mut places = Vec::new();
         for node in self.all.values().filter(|n| !n.gone) {
-            for ((piece, _), task) in &node.tasks {
-                let of = piece.rsplit_once('/').is_some_and(|(j, _)| j == uid);
+            for ((task_name, _), task) in &node.tasks {
+                let of = task_name.rsplit_once('/').is_some_and(|(j, _)| j == uid);
                 if of && task.phase != "ended" {
                     places.push((node.zone, node.switch));
                 }
@@ -255,60 +255,62 @@
     /// A machine's next report.
     fn report(&mut self, id: &str) -> Value {
         let node = self.all.get_mut(id).expect("it is there");
-        node.tick += 1;
-        let pieces: Vec<Value> = node
+        node.sequence += 1;
+        let tasks: Vec<Value> = node
             .tasks
             .iter()
-            .map(|((piece, attempt), t)| {
-                json!({"piece": piece, "try": attempt, "phase": t.phase, "cause": t.cause})
+            .map(|((task_name, attempt), t)| {
+                json!({"piece": task_name, "try": attempt, "phase": t.phase, "cause": t.exit_reason})
             })
             .collect();
         json!({"box": id, "addr": node.addr, "build": TYPE, "rack": ZONES[node.zone as usize],
-            "loaners": false, "shift": node.session, "tick": node.tick, "baton": node.token,
-            "warning_s": null, "pieces": pieces})
+            "loaners": false, "shift": node.session, "tick": node.sequence, "baton": node.token,
+            "warning_s": null, "pieces": tasks})
     }
 
     /// Carries out commands in their order.
-    fn execute(&mut self, id: &str, orders: &[Command]) {
-        for order in orders {
+    fn execute(&mut self, id: &str, commands: &[Command]) {
+        for order in commands {
             match order {
                 Command::Start {
-                    piece,
+                    task_name,
                     attempt,
                     units,
                     ..
-                } => self.begin(id, piece, attempt.0, units),
-                Command::Kill { piece, attempt, .. } => {
+                } => self.begin(id, task_name, attempt.0, units),
+                Command::Kill {
+                    task_name, attempt, ..
+                } => {
                     let node = self.all.get_mut(id).expect("it is there");
-                    let key = (piece.clone(), attempt.0);
+                    let key = (task_name.clone(), attempt.0);
                     let task = node.tasks.get_mut(&key);
                     if let Some(task) = task.filter(|t| t.phase != "ended") {
                         task.phase = "ended".into();
-                        task.cause = Some("stopped");
+                        task.exit_reason = Some("stopped");
                         node.dirty = true;
                         self.note_left(id, &key, Instant::now(), Reason::Ended);
                     }
                 }
-                Command::Forget { piece, attempt } => {
+                Command::Forget { task_name, attempt } => {
                     let node = self.all.get_mut(id).expect("it is there");
-                    node.tasks.remove(&(piece.clone(), attempt.0));
+                    node.tasks.remove(&(task_name.clone(), attempt.0));
                 }
             }
         }
     }
 
     /// A start, with all that must hold at this moment.
-    fn begin(&mut self, id: &str, piece: &str, attempt: u64, units: &[(String, String)]) {
-        let key = (piece.to_owned(), attempt);
+    fn begin(&mut self, id: &str, task_name: &str, attempt: u64, units: &[(String, String)]) {
+        let key = (task_name.to_owned(), attempt);
         if self.all[id].tasks.contains_key(&key) {
             return;
         }
-        let uid = piece.rsplit_once('/').expect("a piece").0;
+        let uid = task_name.rsplit_once('/').expect("a piece").0;
         let job = self.jobs.get(uid).cloned().unwrap_or(Value::Null);
-        self.check_runs_once(id, piece);
-        self.check_unit_count(id, piece, &job, units.len());
+        self.check_runs_once(id, task_name);
+        self.check_unit_count(id, task_name, &job, units.len());
         for unit in units {
-            self.check_unit(id, piece, unit);
+            self.check_unit(id, task_name, unit);
         }
         self.starts += 1;
         let node = self.all.get_mut(id).expect("it is there");
@@ -316,36 +318,36 @@
         let full = node.used_cpus() + cpus > CPUS;
         node.tasks.insert(key, Task::begin(&job, cpus, full, units));
         node.dirty = true;
-        if let Some(attempt) = attempt_id(id, piece, attempt).filter(|_| !full) {
+        if let Some(attempt) = attempt_id(id, task_name, attempt).filter(|_| !full) {
             self.recorder.note(Event::Started(attempt));
         }
     }
 
     /// No machine that is there has the task already.
-    fn check_runs_once(&mut self, id: &str, piece: &str) {
+    fn check_runs_once(&mut self, id: &str, task_name: &str) {
         let has = |node: &Node| {
             let mut tasks = node.tasks.iter();
-            tasks.any(|((name, _), task)| name == piece && task.phase != "ended")
+            tasks.any(|((name, _), task)| name == task_name && task.phase != "ended")
         };
         if self.all.values().any(|node| !node.gone && has(node)) {
             self.wrong
-                .push(format!("ran_twice: {piece} starts on {id}"));
+                .push(format!("ran_twice: {task_name} starts on {id}"));
         }
     }
 
     /// The start names as many devices as the job needs.
-    fn check_unit_count(&mut self, id: &str, piece: &str, job: &Value, count: usize) {
+    fn check_unit_count(&mut self, id: &str, task_name: &str, job: &Value, count: usize) {
         let device = &job["topology"]["devices"][0];
         let asked = device["count"].as_u64().unwrap_or(1) as usize;
         let needs = if device.is_null() { 0 } else { asked };
         if count != needs {
             self.wrong
-                .push(format!("{piece} on {id}: {count} of {needs} units"));
+                .push(format!("{task_name} on {id}: {count} of {needs} units"));
         }
     }
 
     /// A device that a start names is there, works, and is no other task's.
-    fn check_unit(&mut self, id: &str, piece: &str, unit: &(String, String)) {
+    fn check_unit(&mut self, id: &str, task_name: &str, unit: &(String, String)) {
         let node = &self.all[id];
         let there = self.encoders.get(&(node.zone, node.switch));
         let works = there.and_then(|list| list.iter().find(|(name, _)| *name == unit.1));
@@ -360,18 +362,18 @@
         };
         for wrong in wrong.into_iter().chain(taken.then_some("taken")) {
             self.wrong
-                .push(format!("{piece} on {id}: {unit:?} is {wrong}"));
+                .push(format!("{task_name} on {id}: {unit:?} is {wrong}"));
         }
     }
 
     /// Carries out direct commands if token and session match.
-    fn obey(&mut self, id: &str, orders: &Orders) -> bool {
+    fn obey(&mut self, id: &str, commands: &DirectCommands) -> bool {
         let node = self.all.get_mut(id).expect("it is there");
-        if orders.baton.0 < node.token || orders.shift.0 != node.session {
+        if commands.fencing_token.0 < node.token || commands.incarnation.0 != node.session {
             return false;
         }
-        node.token = orders.baton.0;
-        self.execute(id, &orders.orders);
+        node.token = commands.fencing_token.0;
+        self.execute(id, &commands.commands);
         true
     }
 
@@ -404,7 +406,7 @@
                 node.dirty = true;
             } else if task.phase == "running" && ran >= 0.1 + task.run_s {
                 task.phase = "ended".into();
-                task.cause = Some("done");
+                task.exit_reason = Some("done");
                 completed.push(key.clone());
                 node.dirty = true;
             }
@@ -417,9 +419,9 @@
 }
 
 /// An attempt as the history names it; none if its task has no such name.
-fn attempt_id(machine: &str, piece: &str, attempt: u64) -> Option<AttemptId> {
+fn attempt_id(machine: &str, task_name: &str, attempt: u64) -> Option<AttemptId> {
     Some(AttemptId {
-        task: TaskName::parse(piece)?,
+        task: TaskName::parse(task_name)?,
         attempt,
         machine: machine.into(),
     })
--- a/crates/emulators/src/nodes/faults.rs
+++ b/crates/emulators/src/nodes/faults.rs
@@ -6,7 +6,7 @@
 use std::rc::Rc;
 use std::time::Instant;
 
-use sorrelhinge_protocol::worker::Orders;
+use sorrelhinge_protocol::worker::DirectCommands;
 
 use super::Nodes;
 use crate::history::Event;
@@ -24,11 +24,12 @@
 
 impl Hold {
     /// Whether these commands to a machine are held back.
-    fn concerns(&self, machine: &str, orders: &Orders) -> bool {
+    fn concerns(&self, machine: &str, commands: &DirectCommands) -> bool {
         let start = |o: &_| matches!(o, sorrelhinge_protocol::worker::Command::Start { .. });
-        self.grant.is_none_or(|g| orders.baton.grant() == g)
+        self.grant
+            .is_none_or(|g| commands.fencing_token.grant() == g)
             && self.machine.as_ref().is_none_or(|m| m == machine)
-            && (!self.starts || orders.orders.iter().any(start))
+            && (!self.starts || commands.commands.iter().any(start))
     }
 }
 
@@ -49,7 +50,7 @@
     /// Direct commands that are held back from now on.
     pub hold: Option<Hold>,
     /// Those that are held back, by machine.
-    held: Vec<(String, Orders)>,
+    held: Vec<(String, DirectCommands)>,
 }
 
 impl Nodes {
@@ -59,11 +60,11 @@
     }
 
     /// Holds a direct command back if the faults say so.
-    pub(super) fn holds(&mut self, id: &str, orders: &Orders) -> bool {
+    pub(super) fn holds(&mut self, id: &str, commands: &DirectCommands) -> bool {
         let hold = self.faults.hold.as_ref();
-        let held = hold.is_some_and(|h| h.concerns(id, orders)) || self.is_hung(id);
+        let held = hold.is_some_and(|h| h.concerns(id, commands)) || self.is_hung(id);
         if held {
-            self.faults.held.push((id.to_owned(), orders.clone()));
+            self.faults.held.push((id.to_owned(), commands.clone()));
         }
         held
     }
@@ -105,12 +106,12 @@
     /// Carries out what was held back for these machines.
     fn release(&mut self, of: impl Fn(&str) -> bool) -> Released {
         let mut released = Released::default();
-        for (id, orders) in std::mem::take(&mut self.faults.held) {
+        for (id, commands) in std::mem::take(&mut self.faults.held) {
             if !of(&id) || self.is_hung(&id) {
-                self.faults.held.push((id, orders));
+                self.faults.held.push((id, commands));
                 continue;
             }
-            match !self.all[&id].gone && self.obey(&id, &orders) {
+            match !self.all[&id].gone && self.obey(&id, &commands) {
                 true => released.carried_out += 1,
                 false => released.dropped += 1,
             }
@@ -125,8 +126,8 @@
     let with = nodes.all.values().filter(|n| {
         let mut tasks = n.tasks.iter();
         !n.gone
-            && tasks.any(|((piece, _), t)| {
-                t.phase != "ended" && piece.rsplit_once('/').is_some_and(|(j, _)| j == uid)
+            && tasks.any(|((task_name, _), t)| {
+                t.phase != "ended" && task_name.rsplit_once('/').is_some_and(|(j, _)| j == uid)
             })
     });
     with.map(|n| n.id.clone()).collect()
--- a/crates/emulators/src/nodes/worker.rs
+++ b/crates/emulators/src/nodes/worker.rs
@@ -9,7 +9,7 @@
 use hyper::Method;
 use serde_json::Value;
 use sorrelhinge::http::Pool;
-use sorrelhinge_protocol::worker::{Orders, Reply};
+use sorrelhinge_protocol::worker::{DirectCommands, Reply};
 use tokio::net::TcpListener;
 use tokio::task::spawn_local;
 use tokio::time::sleep;
@@ -57,7 +57,7 @@
     let (served, me) = (nodes.clone(), id.clone());
     serve(listener, move |_, path, body| {
         let (nodes, id) = (served.clone(), me.clone());
-        Box::pin(async move { orders(nodes, id, path, &body).await })
+        Box::pin(async move { commands(nodes, id, path, &body).await })
     });
     work(nodes, id).await;
 }
@@ -82,7 +82,7 @@
             up_at: now + boot,
             born: now,
             session: 1,
-            tick: 0,
+            sequence: 0,
             token: 0,
             answered: now + boot,
             reported: now,
@@ -125,15 +125,15 @@
 }
 
 /// The answer to direct commands, unless a fault keeps them from getting through.
-async fn orders(nodes: Rc<RefCell<Nodes>>, id: String, path: String, body: &[u8]) -> Told {
-    let orders = serde_json::from_slice::<Orders>(body);
-    if nodes.borrow().is_unreached(&id, orders.as_ref().ok()) {
+async fn commands(nodes: Rc<RefCell<Nodes>>, id: String, path: String, body: &[u8]) -> Told {
+    let commands = serde_json::from_slice::<DirectCommands>(body);
+    if nodes.borrow().is_unreached(&id, commands.as_ref().ok()) {
         // No answer: the client gives up by itself.
         sleep(NO_ANSWER).await;
         return (503, Value::Null);
     }
-    let held = match &orders {
-        Ok(orders) => nodes.borrow_mut().holds(&id, orders),
+    let held = match &commands {
+        Ok(commands) => nodes.borrow_mut().holds(&id, commands),
         Err(_) => nodes.borrow().is_hung(&id),
     };
     if held {
@@ -144,10 +144,10 @@
     if path == "/status" {
         return (200, nodes.report(&id));
     }
-    let Ok(orders) = orders else {
+    let Ok(commands) = commands else {
         return (400, Value::Null);
     };
-    match nodes.obey(&id, &orders) {
+    match nodes.obey(&id, &commands) {
         true => (200, nodes.report(&id)),
         false => (409, nodes.report(&id)),
     }
@@ -228,8 +228,8 @@
 impl Nodes {
     /// Whether a request does not get through to a machine: it is gone, behind a
     /// switch that is cut, or cut off from who commands.
-    fn is_unreached(&self, id: &str, orders: Option<&Orders>) -> bool {
-        let grant = orders.map(|orders| orders.baton.grant());
+    fn is_unreached(&self, id: &str, commands: Option<&DirectCommands>) -> bool {
+        let grant = commands.map(|commands| commands.fencing_token.grant());
         let commands = |(_, g): (usize, u64)| grant == Some(g);
         self.all[id].gone
             || self.is_cut(id)
@@ -299,10 +299,10 @@
             return;
         };
         let node = self.all.get_mut(id).expect("it is there");
-        if reply.baton.0 >= node.token && report.session == node.session {
-            node.token = reply.baton.0;
+        if reply.fencing_token.0 >= node.token && report.session == node.session {
+            node.token = reply.fencing_token.0;
             node.answered = report.sent;
-            self.execute(id, &reply.orders);
+            self.execute(id, &reply.commands);
         }
     }
 
--- a/crates/emulators/src/store.rs
+++ b/crates/emulators/src/store.rs
@@ -17,10 +17,10 @@
 
 use crate::history::{Event, JobPhase, Recorder};
 use crate::{serve, Told};
-pub use faults::{Fate, Faults, TxnFault};
+pub use faults::{Fate, Faults, TransactionFault};
 
 struct Held {
-    stamp: u64,
+    mod_revision: u64,
     value: Value,
     lease: Option<u64>,
 }
@@ -137,7 +137,7 @@
     }
 
     /// Has a fault meet transactions from now on.
-    pub fn inject(&mut self, fault: TxnFault) {
+    pub fn inject(&mut self, fault: TransactionFault) {
         self.faults.arm(fault);
     }
 
@@ -250,20 +250,23 @@
     fn failed_conditions<'a>(&self, when: &'a [Value]) -> Vec<&'a str> {
         let failed = when.iter().filter_map(|condition| {
             let key = condition["key"].as_str()?;
-            let stamp = self.keys.get(key).map_or(0, |held| held.stamp);
-            (condition["stamp"] != json!(stamp)).then_some(key)
+            let mod_revision = self.keys.get(key).map_or(0, |held| held.mod_revision);
+            (condition["stamp"] != json!(mod_revision)).then_some(key)
         });
         failed.collect()
     }
 
     /// Writes a key at the present revision.
     fn write(&mut self, key: &str, change: &Value) {
-        let stamp = self.revision;
+        let mod_revision = self.revision;
         let value = change["value"].clone();
         self.note_final(key, &value);
-        self.record(key, json!({"write": key, "value": value, "stamp": stamp}));
+        self.record(
+            key,
+            json!({"write": key, "value": value, "stamp": mod_revision}),
+        );
         let held = Held {
-            stamp,
+            mod_revision,
             value,
             lease: change["ticket"].as_u64(),
         };
@@ -319,7 +322,7 @@
             .keys
             .iter()
             .filter(|(k, _)| k.starts_with(&under) && **k > since)
-            .map(|(k, h)| json!({"key": k, "value": h.value, "stamp": h.stamp}))
+            .map(|(k, h)| json!({"key": k, "value": h.value, "stamp": h.mod_revision}))
             .collect();
         (
             200,
@@ -369,8 +372,8 @@
         let events = store.borrow().news(since, &under);
         let left = end.saturating_duration_since(Instant::now());
         if !events.is_empty() || left.is_zero() {
-            let ledger = store.borrow().revision;
-            return (200, json!({"ledger": ledger, "events": events}));
+            let store_revision = store.borrow().revision;
+            return (200, json!({"ledger": store_revision, "events": events}));
         }
         let _ = timeout(left, wait).await;
     }
--- a/crates/emulators/src/store/faults.rs
+++ b/crates/emulators/src/store/faults.rs
@@ -15,7 +15,7 @@
 }
 
 /// A fault that meets some transactions.
-pub struct TxnFault {
+pub struct TransactionFault {
     /// What becomes of them.
     pub fate: Fate,
     /// Only those of this controller; none: of any.
@@ -30,7 +30,7 @@
     pub most: usize,
 }
 
-impl TxnFault {
+impl TransactionFault {
     /// Meets the next transaction that writes a key beginning so.
     pub fn next(fate: Fate, key: &'static str) -> Self {
         Self {
@@ -55,7 +55,7 @@
 }
 
 struct Armed {
-    fault: TxnFault,
+    fault: TransactionFault,
     concerned: usize,
     met: usize,
 }
@@ -74,7 +74,7 @@
 
 impl Faults {
     /// Has a fault meet transactions from now on.
-    pub(super) fn arm(&mut self, fault: TxnFault) {
+    pub(super) fn arm(&mut self, fault: TransactionFault) {
         let (concerned, met) = (0, 0);
         self.armed.push(Armed {
             fault,
--- a/crates/emulators/tests/history.rs
+++ b/crates/emulators/tests/history.rs
@@ -47,9 +47,9 @@
     job
 }
 
-fn attempt(piece: &str, attempt: u64, machine: &str) -> AttemptId {
+fn attempt(task_name: &str, attempt: u64, machine: &str) -> AttemptId {
     AttemptId {
-        task: TaskName::parse(piece).expect("a task"),
+        task: TaskName::parse(task_name).expect("a task"),
         attempt,
         machine: machine.into(),
     }
@@ -134,12 +134,12 @@
         self.exchange(at_s, at_s + 0.1, 0, Request::Cancel { uid }, answer);
     }
 
-    fn start(&mut self, at_s: f64, piece: &str, number: u64, machine: &str) {
-        self.at(at_s, Event::Started(attempt(piece, number, machine)));
+    fn start(&mut self, at_s: f64, task_name: &str, number: u64, machine: &str) {
+        self.at(at_s, Event::Started(attempt(task_name, number, machine)));
     }
 
-    fn left(&mut self, at_s: f64, piece: &str, number: u64, machine: &str, reason: Reason) {
-        let attempt = attempt(piece, number, machine);
+    fn left(&mut self, at_s: f64, task_name: &str, number: u64, machine: &str, reason: Reason) {
+        let attempt = attempt(task_name, number, machine);
         self.at(at_s, Event::Left(attempt, reason));
     }
 
@@ -283,9 +283,9 @@
     h.submit(10.0, "run-2", json!({"pieces": 2}));
     h.cancel(20.0, "run-2", CANCELLED);
     for (index, at_s) in [21.0, 22.0].into_iter().enumerate() {
-        let piece = format!("run-2/{index}");
-        h.start(at_s, &piece, 1, "a-1");
-        h.left(at_s + 1.0, &piece, 1, "a-1", Reason::Ended);
+        let task_name = format!("run-2/{index}");
+        h.start(at_s, &task_name, 1, "a-1");
+        h.left(at_s + 1.0, &task_name, 1, "a-1", Reason::Ended);
     }
     assert_eq!(h.broken(), ["started_cancelled"]);
     let limits = Limits::new(Duration::from_secs_f64(CANCEL_S));
@@ -442,8 +442,8 @@
         h.start(15.0, "run-3/0", 1, "a-1");
         h.start(15.0, "run-3/1", 1, "a-2");
         for (index, machine) in ["a-1", "a-2"].into_iter().enumerate() {
-            let piece = format!("run-3/{index}");
-            h.left(busy_until_s, &piece, 1, machine, Reason::Done);
+            let task_name = format!("run-3/{index}");
+            h.left(busy_until_s, &task_name, 1, machine, Reason::Done);
         }
         h.broken()
     };
--- a/crates/overload/src/order.rs
+++ b/crates/overload/src/order.rs
@@ -8,7 +8,7 @@
 
 use std::collections::HashMap;
 
-use sorrelhinge_protocol::types::{MachineId, Seq, Session, Time};
+use sorrelhinge_protocol::types::{MachineId, SequenceNumber, Session, Time};
 
 /// A machine that did not report for so long is forgotten, in seconds: well over
 /// a lease, and longer than packets are held.
@@ -20,7 +20,7 @@
 /// The newest report of a machine, and when it came.
 struct Newest {
     session: Session,
-    seq: Seq,
+    sequence: SequenceNumber,
     at: Time,
 }
 
@@ -33,15 +33,21 @@
 
 impl Order {
     /// Takes note of a report. False if it is a copy.
-    pub fn is_new(&mut self, machine: &MachineId, session: Session, seq: Seq, now: Time) -> bool {
+    pub fn is_new(
+        &mut self,
+        machine: &MachineId,
+        session: Session,
+        sequence: SequenceNumber,
+        now: Time,
+    ) -> bool {
         self.tidy(now);
         let report = Newest {
             session,
-            seq,
+            sequence,
             at: now,
         };
         if let Some(known) = self.newest.get_mut(machine) {
-            if (session, seq) <= (known.session, known.seq) {
+            if (session, sequence) <= (known.session, known.sequence) {
                 return false;
             }
             *known = report;
--- a/crates/overload/src/renewal.rs
+++ b/crates/overload/src/renewal.rs
@@ -21,10 +21,10 @@
     /// Of a report.
     pub fn of(report: &Report) -> Self {
         let mut hasher = DefaultHasher::new();
-        (report.shift, report.baton, report.addr).hash(&mut hasher);
-        report.warning_s.is_some().hash(&mut hasher);
-        for p in &report.pieces {
-            (&p.piece, p.attempt, p.phase, p.cause).hash(&mut hasher);
+        (report.incarnation, report.fencing_token, report.addr).hash(&mut hasher);
+        report.preemption_notice_s.is_some().hash(&mut hasher);
+        for p in &report.tasks {
+            (&p.task_name, p.attempt, p.phase, p.exit_reason).hash(&mut hasher);
         }
         Self(hasher.finish())
     }
--- a/crates/overload/tests/model.rs
+++ b/crates/overload/tests/model.rs
@@ -11,7 +11,7 @@
 use sorrelhinge_overload::renewal::{Content, Relief, Renewals, Route};
 use sorrelhinge_overload::report_offload::{ReportLoad, ReportOffload};
 use sorrelhinge_overload::sockets::{ConnId, Limits, Opened, Sockets};
-use sorrelhinge_protocol::types::{JobId, MachineId, NodeId, Seq, Session, Time};
+use sorrelhinge_protocol::types::{JobId, MachineId, NodeId, SequenceNumber, Session, Time};
 use sorrelhinge_protocol::worker::Report;
 
 /// A connection as the model keeps it: all of them in one list.
@@ -415,13 +415,13 @@
 }
 
 /// A report as a worker makes it; `what` stands for all that its tasks tell.
-fn report(machine: u8, tick: u64, baton: u64, what: u8) -> Report {
+fn report(machine: u8, tick: u64, fencing_token: u64, what: u8) -> Report {
     let phase = ["fetching", "running", "ended"][usize::from(what % 3)];
-    let cause = if phase == "ended" { "\"done\"" } else { "null" };
+    let exit_reason = if phase == "ended" { "\"done\"" } else { "null" };
     let text = format!(
         "{{\"box\":\"vm-{machine}\",\"addr\":\"127.0.0.1:9\",\"build\":\"t\",\"rack\":\"za\",\
-         \"shift\":1,\"tick\":{tick},\"baton\":{baton},\"warning_s\":null,\"pieces\":[\
-         {{\"piece\":\"run-000001/{}\",\"try\":1,\"phase\":\"{phase}\",\"cause\":{cause}}}]}}",
+         \"shift\":1,\"tick\":{tick},\"baton\":{fencing_token},\"warning_s\":null,\"pieces\":[\
+         {{\"piece\":\"run-000001/{}\",\"try\":1,\"phase\":\"{phase}\",\"cause\":{exit_reason}}}]}}",
         what / 3
     );
     serde_json::from_str(&text).expect("a report")
@@ -439,10 +439,10 @@
         // The model keeps whole reports: what the owner last answered, and when.
         let mut told: std::collections::BTreeMap<u8, (String, f64)> = Default::default();
         let mut now = 0.0;
-        for (tick, (machine, what, baton, relief, passed, answers)) in reports.into_iter().enumerate() {
+        for (tick, (machine, what, fencing_token, relief, passed, answers)) in reports.into_iter().enumerate() {
             now += passed / 4.0;
-            let sent = report(machine, tick as u64 + 1, baton, what);
-            let same = Report { tick: Default::default(), ..sent.clone() };
+            let sent = report(machine, tick as u64 + 1, fencing_token, what);
+            let same = Report { sequence: Default::default(), ..sent.clone() };
             let same = serde_json::to_string(&same).expect("text");
             let content = Content::of(&sent);
             let route = renewals.route(&sent.machine, content, relief, report_s, Time(now));
@@ -613,7 +613,7 @@
         let mut newest = std::collections::BTreeMap::new();
         for (machine, session, tick) in reports {
             let id = MachineId::from(&*format!("vm-{machine}"));
-            let new = order.is_new(&id, Session(session), Seq(tick), Time(1.0));
+            let new = order.is_new(&id, Session(session), SequenceNumber(tick), Time(1.0));
             let at = newest.entry(machine).or_default();
             prop_assert_eq!(new, *at < (session, tick));
             *at = (session, tick).max(*at);
@@ -630,18 +630,18 @@
     let stays = id(9_999_999);
     for n in 0..3 * MAX_MACHINES {
         let now = Time(n as f64 * 0.001);
-        assert!(order.is_new(&id(n), Session(1), Seq(1), now));
+        assert!(order.is_new(&id(n), Session(1), SequenceNumber(1), now));
         if n % 100 == 0 {
-            assert!(order.is_new(&stays, Session(1), Seq(n as u64 + 1), now));
+            assert!(order.is_new(&stays, Session(1), SequenceNumber(n as u64 + 1), now));
         }
         assert!(order.len() <= MAX_MACHINES + 1);
     }
-    let again = order.is_new(&stays, Session(1), Seq(1), Time(61.0));
+    let again = order.is_new(&stays, Session(1), SequenceNumber(1), Time(61.0));
     assert!(!again, "it is known");
     order.is_new(
         &stays,
         Session(2),
-        Seq(1),
+        SequenceNumber(1),
         Time(61.0 + 2.0 * MACHINE_MEMORY_S),
     );
     assert_eq!(order.len(), 1);
--- a/crates/priority-lanes/src/place.rs
+++ b/crates/priority-lanes/src/place.rs
@@ -11,16 +11,20 @@
 /// or its stamp. A record that was rewritten by a version that drops the copy
 /// says its present stamp: all who know no better agree on it, and it is later
 /// than the true place, so the job never overtakes one whose place is known.
-pub fn of_record(copied: Option<Revision>, stamp: Revision) -> Revision {
+pub fn of_record(copied: Option<Revision>, mod_revision: Revision) -> Revision {
     // No first write comes after this one, whatever the record says.
-    copied.map_or(stamp, |place| place.min(stamp))
+    copied.map_or(mod_revision, |place| place.min(mod_revision))
 }
 
 /// What a controller knows once it has seen one more version of the record, in
 /// whatever order they come: the least, as none says a place too early. So one
 /// that was up remembers what another version dropped.
-pub fn known(before: Option<Revision>, copied: Option<Revision>, stamp: Revision) -> Revision {
-    let says = of_record(copied, stamp);
+pub fn known(
+    before: Option<Revision>,
+    copied: Option<Revision>,
+    mod_revision: Revision,
+) -> Revision {
+    let says = of_record(copied, mod_revision);
     before.map_or(says, |place| place.min(says))
 }
 
--- a/crates/priority-lanes/tests/model.rs
+++ b/crates/priority-lanes/tests/model.rs
@@ -20,7 +20,7 @@
 /// the model knows.
 #[derive(Clone)]
 struct Record {
-    stamp: Revision,
+    mod_revision: Revision,
     copied: Option<Revision>,
     accepted_ms: u64,
     may_wait_ms: Option<u64>,
@@ -92,10 +92,10 @@
     /// Writes a record, which every controller sees.
     fn write(&mut self, id: &JobId, mut record: Record) {
         self.writes += 1;
-        record.stamp = Revision(self.writes);
+        record.mod_revision = Revision(self.writes);
         for memory in &mut self.memories {
             let before = memory.get(id).copied();
-            let now = (self.code.known)(before, record.copied, record.stamp);
+            let now = (self.code.known)(before, record.copied, record.mod_revision);
             memory.insert(id.clone(), now);
         }
         self.records.insert(id.clone(), record);
@@ -165,7 +165,7 @@
                 // Names fall, so that none is first by its name alone.
                 let id = JobId::from(&*format!("j{:04}", 9999 - self.writes));
                 let record = Record {
-                    stamp: Revision(0),
+                    mod_revision: Revision(0),
                     copied: None,
                     accepted_ms: self.clock(at),
                     may_wait_ms: [None, Some(15_000), Some(600_000)][due],
@@ -184,10 +184,10 @@
                 }
             }
             Op::Crash(who) => {
-                let of = |r: &Record| (self.code.known)(None, r.copied, r.stamp);
+                let of = |r: &Record| (self.code.known)(None, r.copied, r.mod_revision);
                 let all = self.records.iter();
                 self.memories[who] = all.clone().map(|(id, r)| (id.clone(), of(r))).collect();
-                let lost = all.filter(|(_, r)| r.copied.unwrap_or(r.stamp) != r.first.0);
+                let lost = all.filter(|(_, r)| r.copied.unwrap_or(r.mod_revision) != r.first.0);
                 self.unsure[who] = lost.map(|(id, _)| id.clone()).collect();
             }
             Op::TakeOver(who) => self.owner = who,
@@ -241,8 +241,8 @@
     let then = |more: &[Op]| [&two, more].concat();
     let by_clock = arranged(|w, now| sorted_by(w, now, |w| w.accepted_ms));
     let by_deadline = |w, now| sorted_by(w, now, |w| w.may_wait_ms.unwrap_or(u64::MAX));
-    let last_write = knowing(|_, _, stamp| stamp);
-    let without_memory = knowing(|_, copied, stamp| copied.unwrap_or(stamp));
+    let last_write = knowing(|_, _, mod_revision| mod_revision);
+    let without_memory = knowing(|_, copied, mod_revision| copied.unwrap_or(mod_revision));
     let none_is_first = knowing(|before, copied, _| before.or(copied).unwrap_or_default());
     for (code, ops) in [
         (by_clock, two.clone()),
--- a/crates/protocol/src/cloud.rs
+++ b/crates/protocol/src/cloud.rs
@@ -56,9 +56,10 @@
 
 /// The answer of `GET /machine_types`.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct WireTypes {
+pub struct MachineTypeList {
     /// Types.
-    pub builds: Vec<WireType>,
+    #[serde(rename = "builds")]
+    pub types: Vec<WireType>,
 }
 
 /// A listed machine's phase.
@@ -78,30 +79,36 @@
 
 /// A machine in the list.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Listed {
+pub struct ListedMachine {
     /// Name.
-    pub uid: MachineId,
+    #[serde(rename = "uid")]
+    pub id: MachineId,
     /// Its worker's address.
     pub addr: Option<SocketAddr>,
     /// Type.
-    pub build: TypeName,
+    #[serde(rename = "build")]
+    pub machine_type: TypeName,
     /// Zone.
-    pub rack: Zone,
+    #[serde(rename = "rack")]
+    pub zone: Zone,
     /// Spot machine.
     #[serde(default)]
-    pub loaners: bool,
+    #[serde(rename = "loaners")]
+    pub spot: bool,
     /// Phase.
     pub phase: MachinePhase,
     /// Age since its rental.
     #[serde(default)]
-    pub held_s: f64,
+    #[serde(rename = "held_s")]
+    pub age_s: f64,
 }
 
 /// The answer of `GET /rentals`.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct WireList {
+pub struct MachineListPage {
     /// Machines in the order of their names.
-    pub boxes: Vec<Listed>,
+    #[serde(rename = "boxes")]
+    pub machines: Vec<ListedMachine>,
     /// Whether there are more.
     #[serde(default)]
     pub truncated: bool,
@@ -109,22 +116,28 @@
 
 /// The answer of `POST /rentals`, and the request of `POST /rentals/delete`.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct WireBoxes {
+pub struct MachineNames {
     /// Machines.
-    pub boxes: Vec<MachineId>,
+    #[serde(rename = "boxes")]
+    pub machines: Vec<MachineId>,
 }
 
 /// A request for machines.
 #[derive(Clone, Debug, Serialize, Deserialize, PartialEq, Eq)]
 pub struct Rental {
     /// Unique name, never used twice.
-    pub hire: String,
+    #[serde(rename = "hire")]
+    pub request_id: String,
     /// Type.
-    pub build: TypeName,
+    #[serde(rename = "build")]
+    pub machine_type: TypeName,
     /// Zone.
-    pub rack: Zone,
+    #[serde(rename = "rack")]
+    pub zone: Zone,
     /// Spot machines.
-    pub loaners: bool,
+    #[serde(rename = "loaners")]
+    pub spot: bool,
     /// How many, at most 50.
-    pub number: u32,
+    #[serde(rename = "number")]
+    pub count: u32,
 }
--- a/crates/protocol/src/state.rs
+++ b/crates/protocol/src/state.rs
@@ -17,7 +17,8 @@
         value: Box<RawValue>,
         /// The lease that it goes away with.
         #[serde(default, skip_serializing_if = "Option::is_none")]
-        ticket: Option<LeaseId>,
+        #[serde(rename = "ticket")]
+        lease: Option<LeaseId>,
     },
     /// Deletes a key.
     Delete {
@@ -28,36 +29,39 @@
 
 impl Change {
     /// Writes `value` at `key`.
-    pub fn write<T: Serialize>(key: String, value: &T, ticket: Option<LeaseId>) -> Self {
+    pub fn write<T: Serialize>(key: String, value: &T, lease: Option<LeaseId>) -> Self {
         // Our records have string keys and finite numbers: they always serialize.
         let value =
             serde_json::value::to_raw_value(value).unwrap_or_else(|_| RawValue::NULL.to_owned());
         Self::Write {
             write: key,
             value,
-            ticket,
+            lease,
         }
     }
 }
 
 /// A condition: the key has this version (0: it does not exist).
 #[derive(Clone, Debug, Serialize, Deserialize, PartialEq, Eq)]
-pub struct When {
+pub struct Condition {
     /// Key.
     pub key: String,
     /// Version.
-    pub stamp: Revision,
+    #[serde(rename = "stamp")]
+    pub mod_revision: Revision,
 }
 
 /// A transaction.
 #[derive(Clone, Debug, Serialize, Deserialize, Default)]
-pub struct Txn {
+pub struct Transaction {
     /// Conditions.
     #[serde(default)]
-    pub when: Vec<When>,
+    #[serde(rename = "when")]
+    pub conditions: Vec<Condition>,
     /// Changes.
     #[serde(default)]
-    pub apply: Vec<Change>,
+    #[serde(rename = "apply")]
+    pub changes: Vec<Change>,
 }
 
 /// One change seen by following.
@@ -73,14 +77,16 @@
     #[serde(skip_serializing_if = "Option::is_none")]
     pub value: Option<Box<RawValue>>,
     /// The revision.
-    pub stamp: Revision,
+    #[serde(rename = "stamp")]
+    pub mod_revision: Revision,
 }
 
 /// All changes up to a revision.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Events {
     /// The revision.
-    pub ledger: Revision,
+    #[serde(rename = "ledger")]
+    pub store_revision: Revision,
     /// The changes.
     #[serde(default)]
     pub events: Vec<Event>,
@@ -94,7 +100,8 @@
     /// Value.
     pub value: Box<RawValue>,
     /// Version.
-    pub stamp: Revision,
+    #[serde(rename = "stamp")]
+    pub mod_revision: Revision,
 }
 
 /// Keys in order.
@@ -106,19 +113,22 @@
     #[serde(default)]
     pub truncated: bool,
     /// The revision.
-    pub ledger: Revision,
+    #[serde(rename = "ledger")]
+    pub store_revision: Revision,
 }
 
 /// The answer of a transaction that was carried out.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct LedgerBody {
+pub struct RevisionBody {
     /// The revision.
-    pub ledger: Revision,
+    #[serde(rename = "ledger")]
+    pub store_revision: Revision,
 }
 
 /// The answer of a new lease.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct LeaseBody {
+pub struct LeaseCreated {
     /// The lease.
-    pub ticket: LeaseId,
+    #[serde(rename = "ticket")]
+    pub lease: LeaseId,
 }
--- a/crates/protocol/src/types.rs
+++ b/crates/protocol/src/types.rs
@@ -88,7 +88,7 @@
 );
 counter!(
     /// Order of a worker's messages within a session.
-    Seq
+    SequenceNumber
 );
 counter!(
     /// Counts all changes in the state service.
--- a/crates/protocol/src/users.rs
+++ b/crates/protocol/src/users.rs
@@ -14,9 +14,10 @@
 
 /// What users are told of a job.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct WireStatus {
+pub struct JobStatus {
     /// Id.
-    pub uid: JobId,
+    #[serde(rename = "uid")]
+    pub id: JobId,
     /// `pending`, `running`, `done` or `cancelled`.
     pub phase: String,
     /// Done tasks.
@@ -78,7 +79,8 @@
     /// At most half of the tasks in one zone.
     pub spread: bool,
     /// May use spot machines.
-    pub loaners: bool,
+    #[serde(rename = "loaners")]
+    pub spot: bool,
     /// Estimated run time.
     pub guess_s: f64,
     /// Interval of checkpoints.
@@ -183,7 +185,7 @@
         zone: wire.rack.map(|z| Zone::from(z.as_str())),
         one_zone: wire.together,
         spread: wire.spread,
-        spot: wire.loaners,
+        spot: wire.spot,
         estimate_s: wire.guess_s,
         checkpoint_s: wire.mark_s,
         save_s: wire.stash_s,
--- a/crates/protocol/src/worker.rs
+++ b/crates/protocol/src/worker.rs
@@ -5,7 +5,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::types::{Attempt, MachineId, Seq, Session, TaskId, Token, TypeName, Zone};
+use crate::types::{Attempt, MachineId, SequenceNumber, Session, TaskId, Token, TypeName, Zone};
 
 /// A task's state on its machine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
@@ -19,7 +19,7 @@
     Waiting,
     /// Told to stop, saving.
     Saving,
-    /// Ended, see [`Why`].
+    /// Ended, see [`ExitReason`].
     Ended,
     /// On the machine in a way this version does not know.
     #[serde(other)]
@@ -29,7 +29,7 @@
 /// Why a task ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Why {
+pub enum ExitReason {
     /// Completed.
     Done,
     /// Stopped by command.
@@ -55,7 +55,8 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ReportedTask {
     /// `run-000412/3`.
-    pub piece: String,
+    #[serde(rename = "piece")]
+    pub task_name: String,
     /// Attempt.
     #[serde(rename = "try")]
     pub attempt: Attempt,
@@ -63,13 +64,14 @@
     pub phase: TaskPhase,
     /// Why it ended.
     #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub cause: Option<Why>,
+    #[serde(rename = "cause")]
+    pub exit_reason: Option<ExitReason>,
 }
 
 impl ReportedTask {
     /// The task, if its name can be read.
     pub fn id(&self) -> Option<TaskId> {
-        TaskId::parse(&self.piece)
+        TaskId::parse(&self.task_name)
     }
 }
 
@@ -93,24 +95,32 @@
     /// The worker's own address.
     pub addr: SocketAddr,
     /// Type.
-    pub build: TypeName,
+    #[serde(rename = "build")]
+    pub machine_type: TypeName,
     /// Zone.
-    pub rack: Zone,
+    #[serde(rename = "rack")]
+    pub zone: Zone,
     /// Spot machine.
     #[serde(default)]
-    pub loaners: bool,
+    #[serde(rename = "loaners")]
+    pub spot: bool,
     /// Session.
-    pub shift: Session,
+    #[serde(rename = "shift")]
+    pub incarnation: Session,
     /// Order within the session.
-    pub tick: Seq,
+    #[serde(rename = "tick")]
+    pub sequence: SequenceNumber,
     /// Highest token seen.
     #[serde(default)]
-    pub baton: Token,
+    #[serde(rename = "baton")]
+    pub fencing_token: Token,
     /// Seconds until the cloud takes the machine.
-    pub warning_s: Option<f64>,
+    #[serde(rename = "warning_s")]
+    pub preemption_notice_s: Option<f64>,
     /// All tasks there.
     #[serde(default)]
-    pub pieces: Vec<ReportedTask>,
+    #[serde(rename = "pieces")]
+    pub tasks: Vec<ReportedTask>,
     /// Images that the machine hands on, whole or in part. Not part of
     /// PROTOCOL, and a hint: ignored by controllers that don't know the field,
     /// and absent where a worker hands nothing on.
@@ -125,7 +135,8 @@
     /// Starts a task.
     Start {
         /// Task.
-        piece: String,
+        #[serde(rename = "piece")]
+        task_name: String,
         /// Attempt.
         #[serde(rename = "try")]
         attempt: Attempt,
@@ -143,17 +154,20 @@
     /// Stops a task.
     Kill {
         /// Task.
-        piece: String,
+        #[serde(rename = "piece")]
+        task_name: String,
         /// Attempt.
         #[serde(rename = "try")]
         attempt: Attempt,
         /// Time to save.
-        mercy_s: f64,
+        #[serde(rename = "mercy_s")]
+        grace_s: f64,
     },
     /// Drops an ended task from the reports.
     Forget {
         /// Task.
-        piece: String,
+        #[serde(rename = "piece")]
+        task_name: String,
         /// Attempt.
         #[serde(rename = "try")]
         attempt: Attempt,
@@ -164,18 +178,23 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Reply {
     /// Token.
-    pub baton: Token,
+    #[serde(rename = "baton")]
+    pub fencing_token: Token,
     /// Commands.
-    pub orders: Vec<Command>,
+    #[serde(rename = "orders")]
+    pub commands: Vec<Command>,
 }
 
 /// Commands sent directly.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Orders {
+pub struct DirectCommands {
     /// Token.
-    pub baton: Token,
+    #[serde(rename = "baton")]
+    pub fencing_token: Token,
     /// Session they are meant for.
-    pub shift: Session,
+    #[serde(rename = "shift")]
+    pub incarnation: Session,
     /// Commands.
-    pub orders: Vec<Command>,
+    #[serde(rename = "orders")]
+    pub commands: Vec<Command>,
 }
--- a/crates/sharding/tests/model.rs
+++ b/crates/sharding/tests/model.rs
@@ -85,13 +85,13 @@
     /// What each process believes to own, by the number it was granted.
     believes: BTreeMap<(NodeId, u64), BTreeMap<BlockId, u64>>,
     late: Vec<(BlockId, u64, Held)>,
-    stamp: u64,
+    mod_revision: u64,
 }
 
 /// A block that is offered, by its record's stamp.
 struct Offer {
     block: BlockId,
-    stamp: u64,
+    mod_revision: u64,
     to: NodeId,
 }
 
@@ -125,11 +125,14 @@
             .collect()
     }
     /// A conditional write: carried out only if nobody wrote since.
-    fn write(&mut self, block: BlockId, stamp: u64, held: Held) -> bool {
-        let fits = self.blocks.get(&block).is_some_and(|(_, s)| *s == stamp);
+    fn write(&mut self, block: BlockId, mod_revision: u64, held: Held) -> bool {
+        let fits = self
+            .blocks
+            .get(&block)
+            .is_some_and(|(_, s)| *s == mod_revision);
         if fits {
-            self.stamp += 1;
-            self.blocks.insert(block, (held, self.stamp));
+            self.mod_revision += 1;
+            self.blocks.insert(block, (held, self.mod_revision));
         }
         fits
     }
@@ -139,11 +142,11 @@
             Step::Offer(block, to) => (*block, self.offered(*block, Some(to.clone()))),
             Step::TakeBack(block) => (*block, self.offered(*block, None)),
         };
-        let stamp = self.blocks[&block].1;
+        let mod_revision = self.blocks[&block].1;
         if late {
-            self.late.push((block, stamp, held));
+            self.late.push((block, mod_revision, held));
         } else {
-            self.write(block, stamp, held);
+            self.write(block, mod_revision, held);
         }
     }
     /// A block's record with another offer, or none.
@@ -155,19 +158,22 @@
     }
     /// All offers that stand.
     fn offers(&self) -> Vec<Offer> {
-        let offers = self.blocks.iter().filter_map(|(block, (held, stamp))| {
-            Some(Offer {
-                block: *block,
-                stamp: *stamp,
-                to: held.to.clone()?,
-            })
-        });
+        let offers = self
+            .blocks
+            .iter()
+            .filter_map(|(block, (held, mod_revision))| {
+                Some(Offer {
+                    block: *block,
+                    mod_revision: *mod_revision,
+                    to: held.to.clone()?,
+                })
+            });
         offers.collect()
     }
     /// A giver hands on what is offered, if the taker lives.
     fn hand_over(&mut self, offer: Offer) {
         if let Some(run) = self.alive.get(&offer.to).map(|m| m.run) {
-            self.write(offer.block, offer.stamp, owned_by(&offer.to, run));
+            self.write(offer.block, offer.mod_revision, owned_by(&offer.to, run));
         }
     }
     /// The leader's next step, with what it must never do.
@@ -222,9 +228,12 @@
     /// Owners read the records: who is not named any more stops.
     fn read(&mut self) {
         self.believes.clear();
-        for (block, (held, stamp)) in &self.blocks {
+        for (block, (held, mod_revision)) in &self.blocks {
             let key = (held.owner.clone(), held.run);
-            self.believes.entry(key).or_default().insert(*block, *stamp);
+            self.believes
+                .entry(key)
+                .or_default()
+                .insert(*block, *mod_revision);
         }
     }
     /// The checker: no block has two owners, each that is owned by somebody who
@@ -379,8 +388,8 @@
                     world.alive.insert(node(who), Member { run: runs });
                 }
                 2 if !world.late.is_empty() => {
-                    let (block, stamp, held) = world.late.remove(0);
-                    world.write(block, stamp, held);
+                    let (block, mod_revision, held) = world.late.remove(0);
+                    world.write(block, mod_revision, held);
                 }
                 3 => world.offers().into_iter().take(1).for_each(|offer| world.hand_over(offer)),
                 _ => {
@@ -573,8 +582,8 @@
     };
     world.carry_out(&step, false);
     let granted = world.blocks[&BlockId(0)].clone();
-    let (block, stamp, late) = world.late.remove(0);
-    assert!(!world.write(block, stamp, late));
+    let (block, mod_revision, late) = world.late.remove(0);
+    assert!(!world.write(block, mod_revision, late));
     assert_eq!(world.blocks[&BlockId(0)], granted);
 }
 
--- a/examples/mixed_versions.rs
+++ b/examples/mixed_versions.rs
@@ -57,8 +57,8 @@
 
 /// Jobs of all sizes; the last of them is cancelled at once.
 async fn submit(world: &World, wave: usize) {
-    for (n, pieces) in [(0, 1), (1, 30), (2, 90), (3, 60)] {
-        let job = json!({"pieces": pieces, "cpus": 0.25, "ram_gb": 0.1, "guess_s": 1.0});
+    for (n, tasks) in [(0, 1), (1, 30), (2, 90), (3, 60)] {
+        let job = json!({"pieces": tasks, "cpus": 0.25, "ram_gb": 0.1, "guess_s": 1.0});
         world.submit(&format!("run-{wave}-{n}"), job).await;
     }
     let path = format!("/v1/jobs/run-{wave}-3/withdraw");
--- a/src/api/agent.rs
+++ b/src/api/agent.rs
@@ -31,7 +31,7 @@
             return refuse(400, "malformed report");
         }
     };
-    let busy = report.pieces.iter().any(|p| p.phase != TaskPhase::Ended);
+    let busy = report.tasks.iter().any(|p| p.phase != TaskPhase::Ended);
     conn.asked(if busy { Class::Busy } else { Class::Idle });
     count(&node.load().counts.reports);
     beat_reply(node.beat(&report, body).await)
--- a/src/cli/pipeline.rs
+++ b/src/cli/pipeline.rs
@@ -4,7 +4,7 @@
 use std::fmt::Write;
 
 use clap::Subcommand;
-use sorrelhinge_protocol::users::WireStatus;
+use sorrelhinge_protocol::users::JobStatus;
 
 use super::ask::Controllers;
 use super::error::CliError;
@@ -33,13 +33,13 @@
         json,
         controllers,
     } = command;
-    let status: WireStatus = controllers.get(&format!("/v1/jobs/{job}")).await?;
+    let status: JobStatus = controllers.get(&format!("/v1/jobs/{job}")).await?;
     json_or(json, &status, render)
 }
 
 /// How a job stands in its pipeline.
-fn render(status: &WireStatus) -> String {
-    let (uid, phase) = (&status.uid, &status.phase);
+fn render(status: &JobStatus) -> String {
+    let (uid, phase) = (&status.id, &status.phase);
     let Some(pipeline) = &status.pipeline else {
         return format!("{uid}: {phase}, waits for no other job\n");
     };
--- a/src/cloud.rs
+++ b/src/cloud.rs
@@ -15,8 +15,8 @@
 use crate::http::{CallError, Limits, Pool};
 use crate::state::Budget;
 use crate::types::{MachineId, MachineType};
-pub use sorrelhinge_protocol::cloud::{Listed, MachinePhase, Rental};
-use sorrelhinge_protocol::cloud::{WireBoxes, WireList, WireTypes};
+pub use sorrelhinge_protocol::cloud::{ListedMachine, MachinePhase, Rental};
+use sorrelhinge_protocol::cloud::{MachineListPage, MachineNames, MachineTypeList};
 
 /// Why the cloud gave no answer of use.
 #[derive(Debug, thiserror::Error)]
@@ -135,22 +135,22 @@
         let body = self
             .call(Method::GET, "/machine_types", Bytes::new())
             .await?;
-        let types: WireTypes = Self::read(&body)?;
-        Ok(types.builds.into_iter().map(MachineType::from).collect())
+        let types: MachineTypeList = Self::read(&body)?;
+        Ok(types.types.into_iter().map(MachineType::from).collect())
     }
 
     /// All machines, as of some seconds ago.
-    pub async fn list(&self) -> Result<Vec<Listed>, CloudError> {
-        let mut all: Vec<Listed> = Vec::new();
+    pub async fn list(&self) -> Result<Vec<ListedMachine>, CloudError> {
+        let mut all: Vec<ListedMachine> = Vec::new();
         loop {
             let since = all
                 .last()
-                .map_or(String::new(), |m| format!("since={}&", m.uid));
+                .map_or(String::new(), |m| format!("since={}&", m.id));
             let path = format!("/rentals?{since}most=500");
             let body = self.call(Method::GET, &path, Bytes::new()).await?;
-            let page: WireList = Self::read(&body)?;
-            let more = page.truncated && !page.boxes.is_empty();
-            all.extend(page.boxes);
+            let page: MachineListPage = Self::read(&body)?;
+            let more = page.truncated && !page.machines.is_empty();
+            all.extend(page.machines);
             if !more {
                 return Ok(all);
             }
@@ -160,14 +160,14 @@
     /// Rents machines; returns the names of those that it got, which may be fewer.
     pub async fn rent(&self, rental: &Rental) -> Result<Vec<MachineId>, CloudError> {
         let body = self.post("/rentals", rental).await?;
-        Ok(Self::read::<WireBoxes>(&body)?.boxes)
+        Ok(Self::read::<MachineNames>(&body)?.machines)
     }
 
     /// Gives machines back; once this succeeds, they and their tasks are gone.
     pub async fn delete(&self, machines: &[MachineId]) -> Result<(), CloudError> {
-        let boxes = WireBoxes {
-            boxes: machines.to_vec(),
+        let machines = MachineNames {
+            machines: machines.to_vec(),
         };
-        self.post("/rentals/delete", &boxes).await.map(|_| ())
+        self.post("/rentals/delete", &machines).await.map(|_| ())
     }
 }
--- a/src/control/block_grants.rs
+++ b/src/control/block_grants.rs
@@ -10,7 +10,7 @@
 use super::leading::STAND_RETRY_PAUSE;
 use super::Node;
 use crate::state::record::{block_key, BlockRecord, LeaderRecord, LEADER};
-use crate::state::{Change, Outcome, Txn, Urgency, When};
+use crate::state::{Change, Condition, Outcome, Transaction, Urgency};
 use crate::types::{Revision, Term};
 
 /// How often the leader looks at who owns what.
@@ -66,15 +66,15 @@
             run: self.run,
             term: Term(term.0 + 1),
         };
-        let txn = Txn {
+        let transaction = Transaction {
             // The last leader's key went with its lease.
-            when: vec![When {
+            conditions: vec![Condition {
                 key: LEADER.into(),
-                stamp: Revision(0),
+                mod_revision: Revision(0),
             }],
-            apply: vec![Change::write(LEADER.into(), &leader, Some(lease))],
+            changes: vec![Change::write(LEADER.into(), &leader, Some(lease))],
         };
-        match self.state.txn(&txn, Urgency::First).await {
+        match self.state.transact(&transaction, Urgency::First).await {
             Ok(Outcome::Done(_)) => {
                 tracing::info!(term = %leader.term, "leading");
                 self.shards.forget_assignments();
@@ -93,11 +93,11 @@
     /// Takes the next step of who owns what, if one is due.
     async fn share_out_once(&self) {
         let Some(step) = self.next_step() else { return };
-        let Some(txn) = self.step_txn(&step) else {
+        let Some(transaction) = self.step_txn(&step) else {
             return;
         };
         tracing::info!(?step, "blocks");
-        match self.state.txn(&txn, Urgency::First).await {
+        match self.state.transact(&transaction, Urgency::First).await {
             Ok(Outcome::Done(revision)) => self.peers.announce(revision),
             Ok(Outcome::Failed(_)) => {}
             Err(error) => tracing::info!(%error, "blocks"),
@@ -131,7 +131,7 @@
 
     /// The change that takes a step. Also on the leader's record: a step of one that
     /// was deposed meanwhile, and is late, fails.
-    fn step_txn(&self, step: &Step) -> Option<Txn> {
+    fn step_txn(&self, step: &Step) -> Option<Transaction> {
         let view = self.store.view();
         let (Step::Grant(block, _) | Step::Offer(block, _) | Step::TakeBack(block)) = step;
         let held = view.blocks.get(block)?;
@@ -154,18 +154,18 @@
                 ..held.value.clone()
             },
         };
-        Some(Txn {
-            when: vec![
-                When {
+        Some(Transaction {
+            conditions: vec![
+                Condition {
                     key: block_key(*block),
-                    stamp: held.stamp,
+                    mod_revision: held.mod_revision,
                 },
-                When {
+                Condition {
                     key: LEADER.into(),
-                    stamp: view.leader.stamp,
+                    mod_revision: view.leader.mod_revision,
                 },
             ],
-            apply: vec![Change::write(block_key(*block), &record, None)],
+            changes: vec![Change::write(block_key(*block), &record, None)],
         })
     }
 }
--- a/src/control/block_needs.rs
+++ b/src/control/block_needs.rs
@@ -149,9 +149,9 @@
             return;
         }
         let rented = Rented {
-            kind: rental.build.clone(),
-            zone: rental.rack.clone(),
-            spot: rental.loaners,
+            kind: rental.machine_type.clone(),
+            zone: rental.zone.clone(),
+            spot: rental.spot,
             machines: machines.to_vec(),
         };
         let Some(text) = rented.encode() else { return };
--- a/src/control/block_owners.rs
+++ b/src/control/block_owners.rs
@@ -9,7 +9,7 @@
 use super::{wall_ms, Node};
 use crate::state::record::{block_key, member_key, BlockRecord, MemberRecord};
 use crate::state::view::View;
-use crate::state::{Change, Outcome, Txn, Urgency, When};
+use crate::state::{Change, Condition, Outcome, Transaction, Urgency};
 use crate::types::{MachineId, NodeId};
 
 impl Node {
@@ -60,15 +60,15 @@
             return;
         };
         let key = member_key(&self.cfg.node);
-        let txn = Txn {
-            when: Vec::new(),
-            apply: vec![Change::write(
+        let transaction = Transaction {
+            conditions: Vec::new(),
+            changes: vec![Change::write(
                 key,
                 &MemberRecord { run: self.run },
                 Some(lease),
             )],
         };
-        match self.state.txn(&txn, Urgency::First).await {
+        match self.state.transact(&transaction, Urgency::First).await {
             Ok(_) => {
                 self.leadership.acquired(lease, asked, life);
                 self.store.request_refresh();
@@ -97,7 +97,7 @@
             let grant = ShardGrant {
                 shard: Shard { block: *block, of },
                 number: record.number,
-                revision: held.stamp,
+                revision: held.mod_revision,
             };
             let core = Core::load(
                 &RecoveryInput {
@@ -147,7 +147,11 @@
         }
         for handover in self.due_handovers() {
             let block = handover.block;
-            match self.state.txn(&handover.txn, Urgency::First).await {
+            match self
+                .state
+                .transact(&handover.transaction, Urgency::First)
+                .await
+            {
                 Ok(Outcome::Done(revision)) => {
                     tracing::info!(%block, "handed on");
                     self.peers.announce(revision);
@@ -176,7 +180,7 @@
 /// A block that goes to the controller that it was offered to.
 struct Handover {
     block: BlockId,
-    txn: Txn,
+    transaction: Transaction,
 }
 
 /// The change that hands a block on, if it is still held by that grant and is offered
@@ -194,12 +198,12 @@
         to: None,
         pin: held.value.pin.clone(),
     };
-    let txn = Txn {
-        when: vec![When {
+    let transaction = Transaction {
+        conditions: vec![Condition {
             key: block_key(block),
-            stamp: held.stamp,
+            mod_revision: held.mod_revision,
         }],
-        apply: vec![Change::write(block_key(block), &record, None)],
+        changes: vec![Change::write(block_key(block), &record, None)],
     };
-    Some(Handover { block, txn })
+    Some(Handover { block, transaction })
 }
--- a/src/control/blocks_shown.rs
+++ b/src/control/blocks_shown.rs
@@ -109,7 +109,9 @@
             };
             let key = block_key(block);
             let change = Change::write(key.clone(), &record, None);
-            let written = self.state.change(key, held.stamp, change, CHANGE_PATIENCE);
+            let written = self
+                .state
+                .change(key, held.mod_revision, change, CHANGE_PATIENCE);
             match written.await {
                 Ok(Outcome::Done(revision)) => {
                     self.peers.announce(revision);
--- a/src/control/calendar.rs
+++ b/src/control/calendar.rs
@@ -37,7 +37,7 @@
 /// The file's windows as they are to be recorded.
 struct NewerCalendar {
     /// The held record's revision.
-    stamp: Revision,
+    mod_revision: Revision,
     record: CalendarRecord,
 }
 
@@ -118,7 +118,7 @@
             });
             return;
         }
-        match self.write_calendar(newer.stamp, &newer.record).await {
+        match self.write_calendar(newer.mod_revision, &newer.record).await {
             Ok(Outcome::Done(revision)) => {
                 tracing::info!(
                     number = newer.record.number,
@@ -141,12 +141,12 @@
         let view = self.store.view();
         let held = &view.calendar;
         // A record that can't be read at all is not written over.
-        if held.stamp > Revision(0) && held.value.is_none() {
+        if held.mod_revision > Revision(0) && held.value.is_none() {
             return None;
         }
         match CalendarRecord::take(held.value.as_ref(), file) {
             Taken::Newer(record) => Some(NewerCalendar {
-                stamp: held.stamp,
+                mod_revision: held.mod_revision,
                 record,
             }),
             Taken::Differs => {
@@ -179,21 +179,25 @@
         Ok(())
     }
 
-    /// Writes the calendar's record, if it is still as of `stamp`.
+    /// Writes the calendar's record, if it is still as of `mod_revision`.
     async fn write_calendar(
         &self,
-        stamp: Revision,
+        mod_revision: Revision,
         record: &CalendarRecord,
     ) -> Result<Outcome, StateError> {
         let change = Change::write(CALENDAR_KEY.into(), record, None);
         self.state
-            .change(CALENDAR_KEY.into(), stamp, change, PATIENCE)
+            .change(CALENDAR_KEY.into(), mod_revision, change, PATIENCE)
             .await
     }
 
     /// Records a step, if nobody else has.
     async fn take_step(&self, step: core::WindowStep) {
-        match self.state.txn(&step.txn, Urgency::Within(PATIENCE)).await {
+        match self
+            .state
+            .transact(&step.transaction, Urgency::Within(PATIENCE))
+            .await
+        {
             Ok(Outcome::Done(revision)) => {
                 let name = step.step.map_or("forgotten".into(), |s| s.to_string());
                 tracing::info!(
@@ -250,7 +254,7 @@
             let Some(record) = self.changed_calendar(&held, asked)? else {
                 return Ok(());
             };
-            match self.write_calendar(held.stamp, &record).await {
+            match self.write_calendar(held.mod_revision, &record).await {
                 Ok(Outcome::Done(revision)) => {
                     tracing::info!(windows = record.entries.len(), "calendar");
                     self.peers.announce(revision);
@@ -273,7 +277,7 @@
         held: &Versioned<Option<CalendarRecord>>,
         asked: &CalendarAsked,
     ) -> Result<Option<CalendarRecord>, Refused> {
-        if held.stamp > Revision(0) && held.value.is_none() {
+        if held.mod_revision > Revision(0) && held.value.is_none() {
             return Err(Refused::Wrong("the calendar's record can't be read".into()));
         }
         match asked {
--- a/src/control/cloud_duties.rs
+++ b/src/control/cloud_duties.rs
@@ -9,7 +9,7 @@
 
 use super::paces::Duty;
 use super::Node;
-use crate::cloud::{CloudError, Listed, Rental};
+use crate::cloud::{CloudError, ListedMachine, Rental};
 use crate::types::MachineId;
 
 /// How often the fleet is planned.
@@ -80,17 +80,17 @@
     }
 
     /// Tells each owned shard which of its machines are listed.
-    fn machines_listed(&self, list: &[Listed]) {
+    fn machines_listed(&self, list: &[ListedMachine]) {
         let now = self.now();
         if self.view_blocks() > 1 {
-            let zones = list.iter().map(|m| (m.uid.clone(), m.rack.clone()));
+            let zones = list.iter().map(|m| (m.id.clone(), m.zone.clone()));
             self.shards.learn_listed_zones(list.len(), zones);
         }
         for c in self.shards.owned_mut().values_mut() {
             c.look_elsewhere(&self.store.view());
             let shard = c.shard;
             if shard.is_part() {
-                let own = list.iter().filter(|m| shard.covers(&m.uid));
+                let own = list.iter().filter(|m| shard.covers(&m.id));
                 c.listed(&own.cloned().collect::<Vec<_>>(), now);
             } else {
                 c.listed(list, now);
@@ -153,12 +153,12 @@
         let rental = &order.rental;
         let result = match self.cloud.rent(rental).await {
             Ok(machines) => {
-                tracing::info!(hire = rental.hire, kind = %rental.build, zone = %rental.rack, spot = rental.loaners, asked = rental.number, got = machines.len(), "rented");
+                tracing::info!(request_id = rental.request_id, kind = %rental.machine_type, zone = %rental.zone, spot = rental.spot, asked = rental.count, got = machines.len(), "rented");
                 self.tell_rented(rental, &machines);
                 Ok(machines)
             }
             Err(error) => {
-                tracing::info!(hire = rental.hire, kind = %rental.build, zone = %rental.rack, spot = rental.loaners, %error, "not rented");
+                tracing::info!(request_id = rental.request_id, kind = %rental.machine_type, zone = %rental.zone, spot = rental.spot, %error, "not rented");
                 Err(matches!(error, CloudError::NoCapacity))
             }
         };
--- a/src/control/core/batch.rs
+++ b/src/control/core/batch.rs
@@ -26,7 +26,7 @@
             most_ops,
             alone: self.rejected_changes.tries_alone(now),
         };
-        let mut draft = Draft::new(self.grant_key(), self.grant_stamp, bounds);
+        let mut draft = Draft::new(self.grant_key(), self.grant_revision, bounds);
         // First: starts wait for it.
         if let Some(due) = self.staging.next(now) {
             draft.add_wave(due);
--- a/src/control/core/calendar.rs
+++ b/src/control/core/calendar.rs
@@ -11,7 +11,7 @@
 
 use super::Core;
 use crate::state::view::Versioned;
-use crate::state::{Change, Txn, When};
+use crate::state::{Change, Condition, Transaction};
 use crate::types::{Revision, Time};
 
 /// A window, or what is left of one.
@@ -114,7 +114,7 @@
     /// The step; none: the record goes.
     pub step: Option<Step>,
     /// The change, on the conditions that the grant and the record are the same.
-    pub txn: Txn,
+    pub transaction: Transaction,
 }
 
 impl Core {
@@ -132,8 +132,11 @@
         let mut due = Vec::new();
         for (name, watch) in &self.windows.watched {
             for (start_ms, next) in &watch.whole.each {
-                let stamp = watch.records.get(start_ms).map_or(Revision(0), |r| r.stamp);
-                due.extend(self.window_step(name, *start_ms, stamp, &next.change));
+                let mod_revision = watch
+                    .records
+                    .get(start_ms)
+                    .map_or(Revision(0), |r| r.mod_revision);
+                due.extend(self.window_step(name, *start_ms, mod_revision, &next.change));
             }
         }
         due
@@ -145,7 +148,7 @@
         &self,
         window: &str,
         start_ms: i64,
-        stamp: Revision,
+        mod_revision: Revision,
         due: &Due,
     ) -> Option<WindowStep> {
         let key = key(window, start_ms);
@@ -157,17 +160,17 @@
                 (None, Change::Delete { delete })
             }
         };
-        let granted = When {
+        let granted = Condition {
             key: self.grant_key(),
-            stamp: self.grant_stamp,
+            mod_revision: self.grant_revision,
         };
         Some(WindowStep {
             window: window.to_owned(),
             start_ms,
             step,
-            txn: Txn {
-                when: vec![granted, When { key, stamp }],
-                apply: vec![change],
+            transaction: Transaction {
+                conditions: vec![granted, Condition { key, mod_revision }],
+                changes: vec![change],
             },
         })
     }
--- a/src/control/core/commands.rs
+++ b/src/control/core/commands.rs
@@ -16,8 +16,8 @@
         let link = self.links.get(id);
         let starts = link.filter(|l| l.takes_starts_in_replies(now));
         let starts = starts.map(|_| Sent::InReply);
-        let orders = self.commands(id, view, starts, now);
-        let starts = orders.iter().any(|o| matches!(o, Command::Start { .. }));
+        let commands = self.commands(id, view, starts, now);
+        let starts = commands.iter().any(|o| matches!(o, Command::Start { .. }));
         let lease_s = self.cfg.lease_s;
         if let Some(link) = self.links.get_mut(id) {
             link.reachability.answered(lease_s, now);
@@ -28,8 +28,8 @@
         }
         let token = self.links.get(id).map_or(self.base_token(), |l| l.token);
         Reply {
-            baton: token,
-            orders,
+            fencing_token: token,
+            commands,
         }
     }
 
@@ -54,11 +54,11 @@
             return Vec::new();
         };
         let may_start = machine.usable && link.fenced();
-        let mut orders = self.stops_and_forgets(id, view, starts != Some(Sent::Flying), now);
+        let mut commands = self.stops_and_forgets(id, view, starts != Some(Sent::Flying), now);
         if let Some(sent) = starts.filter(|_| may_start) {
-            orders.extend(self.start_commands(id, sent, now));
+            commands.extend(self.start_commands(id, sent, now));
         }
-        orders
+        commands
     }
 
     /// What the machine's reported tasks are told: those that must not run, and those that
@@ -70,9 +70,9 @@
         in_reply: bool,
         now: Time,
     ) -> Vec<Command> {
-        let mut orders = Vec::new();
+        let mut commands = Vec::new();
         let Some(link) = self.links.get_mut(id) else {
-            return orders;
+            return commands;
         };
         let fenced = link.fenced();
         link.sent_kills.keep_reported(&link.tasks);
@@ -80,7 +80,7 @@
             let claim = self.cluster_state.claim_on(id, &key.task, key.attempt);
             if status.phase == TaskPhase::Ended {
                 if fenced && is_settled(claim, key, view) {
-                    orders.push(forget(key));
+                    commands.push(forget(key));
                 }
                 continue;
             }
@@ -95,10 +95,10 @@
             let renews = in_reply && grace_s == 0.0;
             if !saving && (renews || link.sent_kills.is_due(key, now)) {
                 link.sent_kills.sent(key, now);
-                orders.push(kill(key, grace_s));
+                commands.push(kill(key, grace_s));
             }
         }
-        orders
+        commands
     }
 
     /// Whether a task is claimed on its machine, recorded, and not started yet.
@@ -140,7 +140,7 @@
         claim.sent = sent;
         let units = claim.units.iter();
         Some(Command::Start {
-            piece: task.to_string(),
+            task_name: task.to_string(),
             attempt: claim.attempt,
             units: units.map(|u| (u.0.clone(), u.1.clone())).collect(),
             from,
@@ -179,7 +179,7 @@
 /// The command to forget a task that ended.
 fn forget(ended: &TaskAttempt) -> Command {
     Command::Forget {
-        piece: ended.task.to_string(),
+        task_name: ended.task.to_string(),
         attempt: ended.attempt,
     }
 }
@@ -187,9 +187,9 @@
 /// The command to stop a task, with time to save its state, in seconds.
 fn kill(running: &TaskAttempt, grace_s: f64) -> Command {
     Command::Kill {
-        piece: running.task.to_string(),
+        task_name: running.task.to_string(),
         attempt: running.attempt,
-        mercy_s: grace_s,
+        grace_s,
     }
 }
 
--- a/src/control/core/deleted_machines.rs
+++ b/src/control/core/deleted_machines.rs
@@ -31,7 +31,7 @@
     pub(super) fn load(view: &View, shard: Shard) -> Self {
         let own = |slot: &u32| slot % shard.of == shard.block.0;
         let last = view.gone.iter().filter(|(slot, _)| own(slot));
-        let last = last.max_by_key(|(_, held)| held.stamp);
+        let last = last.max_by_key(|(_, held)| held.mod_revision);
         Self {
             step: shard.of,
             slot: last.map_or(shard.block.0, |(slot, _)| *slot),
--- a/src/control/core/dispatch.rs
+++ b/src/control/core/dispatch.rs
@@ -49,9 +49,9 @@
     /// The commands for a machine that may be contacted; none if there is nothing that
     /// does not wait for its next report.
     fn dispatch_to(&mut self, id: MachineId, view: &View, now: Time) -> Option<Dispatch> {
-        let orders = self.commands(&id, view, Some(Sent::Flying), now);
+        let commands = self.commands(&id, view, Some(Sent::Flying), now);
         let link = self.links.get_mut(&id)?;
-        let forgets_only = orders.iter().all(|o| matches!(o, Command::Forget { .. }));
+        let forgets_only = commands.iter().all(|o| matches!(o, Command::Forget { .. }));
         // Forgetting waits for the next report; a worker that does not
         // know our token is told at once, and one that a command did not
         // reach is tried again.
@@ -67,7 +67,7 @@
         Some(Dispatch {
             machine: id,
             addr: link.addr,
-            orders: link.orders(orders),
+            commands: link.commands(commands),
         })
     }
 
--- a/src/control/core/draft.rs
+++ b/src/control/core/draft.rs
@@ -10,7 +10,7 @@
 use crate::control::pending::ChunkId;
 use crate::state::record::{chunk_key, job_key, ChunkRecord, JobRecord};
 use crate::state::view::JobEntry;
-use crate::state::{Change, Txn, When};
+use crate::state::{Change, Condition, Transaction};
 use crate::types::{JobId, Revision};
 
 /// Bytes of a transaction's values, about.
@@ -56,7 +56,7 @@
 #[derive(Debug)]
 pub struct Batch {
     /// The transaction.
-    pub txn: Txn,
+    pub transaction: Transaction,
     /// Chunks under keys of their own.
     pub(super) chunks: Vec<ChunkWrite>,
     /// Jobs' own records: completed ones, and those that hold their claims.
@@ -111,16 +111,16 @@
 
 impl Draft {
     /// An empty one, on the condition of the grant.
-    pub(super) fn new(grant_key: String, grant_stamp: Revision, bounds: DraftBounds) -> Self {
-        let guard = When {
+    pub(super) fn new(grant_key: String, grant_revision: Revision, bounds: DraftBounds) -> Self {
+        let guard = Condition {
             key: grant_key,
-            stamp: grant_stamp,
+            mod_revision: grant_revision,
         };
         Self {
             batch: Batch {
-                txn: Txn {
-                    when: vec![guard],
-                    apply: Vec::new(),
+                transaction: Transaction {
+                    conditions: vec![guard],
+                    changes: Vec::new(),
                 },
                 chunks: Vec::new(),
                 jobs: Vec::new(),
@@ -135,7 +135,7 @@
 
     /// How many changes it has.
     fn len(&self) -> usize {
-        self.batch.txn.apply.len()
+        self.batch.transaction.changes.len()
     }
 
     /// Whether one more change may go into it.
@@ -160,14 +160,14 @@
 
     /// Adds a step of an image's wave.
     pub(super) fn add_wave(&mut self, due: DueStep) {
-        self.batch.txn.when.push(due.when);
-        self.batch.txn.apply.push(due.change);
+        self.batch.transaction.conditions.push(due.conditions);
+        self.batch.transaction.changes.push(due.change);
         self.batch.wave = Some(due.step);
     }
 
     /// Adds a change that has no condition of its own.
     pub(super) fn add_change(&mut self, change: Change) {
-        self.batch.txn.apply.push(change);
+        self.batch.transaction.changes.push(change);
     }
 
     /// The transaction; none: nothing is to be recorded.
@@ -187,9 +187,9 @@
             }
         }
         if self.guarded.insert(id.clone()) {
-            self.batch.txn.when.push(When {
+            self.batch.transaction.conditions.push(Condition {
                 key: job_key(id),
-                stamp: entry.record.stamp,
+                mod_revision: entry.record.mod_revision,
             });
         }
     }
@@ -199,7 +199,7 @@
         let claims = record.inline.as_ref().map_or(0, ChunkRecord::weight);
         self.bytes += JOB_CHANGE_BYTES + claims;
         let change = Change::write(job_key(id), &record, None);
-        self.batch.txn.apply.push(change);
+        self.batch.transaction.changes.push(change);
         self.written.insert(id.clone());
         let job = id.clone();
         self.batch.jobs.push(JobWrite { job, record });
@@ -209,15 +209,21 @@
     fn add_chunk(&mut self, id: &JobId, entry: &JobEntry, chunk: u32, keep: Option<ChunkRecord>) {
         self.bytes += CHUNK_CHANGE_BYTES + keep.as_ref().map_or(0, ChunkRecord::weight);
         let key = chunk_key(id, chunk);
-        let stamp = entry.chunks.get(&chunk).map_or(Revision(0), |c| c.stamp);
+        let mod_revision = entry
+            .chunks
+            .get(&chunk)
+            .map_or(Revision(0), |c| c.mod_revision);
         let change = match &keep {
             Some(record) => Change::write(key.clone(), record, None),
             None => Change::Delete {
                 delete: key.clone(),
             },
         };
-        self.batch.txn.when.push(When { key, stamp });
-        self.batch.txn.apply.push(change);
+        self.batch
+            .transaction
+            .conditions
+            .push(Condition { key, mod_revision });
+        self.batch.transaction.changes.push(change);
         self.batch.chunks.push(ChunkWrite {
             chunk: (id.clone(), chunk),
             record: keep,
--- a/src/control/core/failures.rs
+++ b/src/control/core/failures.rs
@@ -4,7 +4,7 @@
 use super::Core;
 use crate::sched::Job;
 use crate::types::{JobId, JobSpec, Kind, MachineId, TaskId, Time};
-use crate::worker::Why;
+use crate::worker::ExitReason;
 
 /// A machine that refused a task is avoided for so many report intervals.
 const REFUSED_REPORTS: f64 = 2.0;
@@ -38,7 +38,7 @@
         id: &MachineId,
         task: &TaskId,
         spec: &JobSpec,
-        why: Why,
+        why: ExitReason,
         now: Time,
     ) {
         self.release(task, now);
@@ -47,15 +47,19 @@
             return;
         }
         match why {
-            Why::Done if spec.kind != Kind::Service => self.succeeded(id, task, now),
-            Why::Error => self.failed(id, task, now),
-            Why::Full | Why::InUse => self.avoid_for_now(id, &task.job, now),
-            Why::NoSuch => self.hold_unknown(&task.job, now),
-            Why::Done | Why::Stopped | Why::Peers | Why::Incomplete | Why::Other => {}
+            ExitReason::Done if spec.kind != Kind::Service => self.succeeded(id, task, now),
+            ExitReason::Error => self.failed(id, task, now),
+            ExitReason::Full | ExitReason::InUse => self.avoid_for_now(id, &task.job, now),
+            ExitReason::NoSuch => self.hold_unknown(&task.job, now),
+            ExitReason::Done
+            | ExitReason::Stopped
+            | ExitReason::Peers
+            | ExitReason::Incomplete
+            | ExitReason::Other => {}
         }
         // Its task may have a place elsewhere.
-        self.walk_all |= why != Why::Done;
-        if why != Why::Done {
+        self.walk_all |= why != ExitReason::Done;
+        if why != ExitReason::Done {
             tracing::info!(task = %task, machine = %id, ?why, "task ended");
         }
     }
--- a/src/control/core/link.rs
+++ b/src/control/core/link.rs
@@ -8,9 +8,13 @@
 use super::direct_line::DirectLine;
 use super::failed_jobs::FailedJobs;
 use super::Source;
-use crate::cloud::Listed;
-use crate::types::{Attempt, MachineId, Seq, Session, TaskId, Time, Token, TypeName, Zone};
-use crate::worker::{Command, Orders, Report, ReportedImage, ReportedTask, TaskPhase, Why};
+use crate::cloud::ListedMachine;
+use crate::types::{
+    Attempt, MachineId, SequenceNumber, Session, TaskId, Time, Token, TypeName, Zone,
+};
+use crate::worker::{
+    Command, DirectCommands, ExitReason, Report, ReportedImage, ReportedTask, TaskPhase,
+};
 
 /// After so long without effect a worker is told again to stop a task, in seconds.
 pub(super) const KILL_AGAIN_S: f64 = 2.0;
@@ -27,7 +31,7 @@
 pub(super) struct TaskStatus {
     pub(super) phase: TaskPhase,
     /// Why it ended, if it did.
-    pub(super) why: Option<Why>,
+    pub(super) why: Option<ExitReason>,
 }
 
 /// Tasks that a worker was told to stop, and when that was last.
@@ -68,13 +72,13 @@
 
 impl<'a> SeenMachine<'a> {
     /// By the cloud's list, at the address that this names.
-    pub(super) fn by_list(listed: &'a Listed, addr: SocketAddr) -> Self {
+    pub(super) fn by_list(listed: &'a ListedMachine, addr: SocketAddr) -> Self {
         Self {
-            id: &listed.uid,
+            id: &listed.id,
             addr,
-            kind: &listed.build,
-            zone: &listed.rack,
-            spot: listed.loaners,
+            kind: &listed.machine_type,
+            zone: &listed.zone,
+            spot: listed.spot,
         }
     }
 
@@ -83,9 +87,9 @@
         Self {
             id: &report.machine,
             addr: report.addr,
-            kind: &report.build,
-            zone: &report.rack,
-            spot: report.loaners,
+            kind: &report.machine_type,
+            zone: &report.zone,
+            spot: report.spot,
         }
     }
 }
@@ -105,7 +109,7 @@
     pub(super) addr: SocketAddr,
     /// The session, and the number in it, of its last report.
     session: Session,
-    seq: Seq,
+    sequence: SequenceNumber,
     /// The token that commands to this machine carry now.
     pub(super) token: Token,
     /// The highest token that the worker has reported.
@@ -113,7 +117,7 @@
     /// When it was last heard, by this controller or, as a hint, by another one.
     pub(super) last_heard: Time,
     /// The newest report that another controller spoke of.
-    told_of: Seq,
+    told_of: SequenceNumber,
     /// Whether anything that is sent there has an effect.
     pub(super) reachability: Reachability,
     /// What its last report said of its tasks.
@@ -142,11 +146,11 @@
         Self {
             addr,
             session: Session(1),
-            seq: Seq(0),
+            sequence: SequenceNumber(0),
             token,
             seen: Token(0),
             last_heard: now,
-            told_of: Seq(0),
+            told_of: SequenceNumber(0),
             reachability: Reachability::default(),
             tasks: BTreeMap::new(),
             direct: DirectLine::new(now),
@@ -169,7 +173,7 @@
             };
             let status = TaskStatus {
                 phase: reported.phase,
-                why: reported.cause,
+                why: reported.exit_reason,
             };
             Some((key, status))
         });
@@ -179,16 +183,17 @@
     /// Takes in a report that is newer than the last one.
     pub(super) fn take_in(&mut self, report: &Report, source: Source, now: Time) -> ReportNews {
         let news = ReportNews {
-            session_ended: report.shift > self.session && self.seq > Seq(0),
+            session_ended: report.incarnation > self.session && self.sequence > SequenceNumber(0),
             moved: self.addr != report.addr,
         };
         self.addr = report.addr;
-        self.session = report.shift;
-        self.seq = report.tick;
-        let took_up = report.baton > self.seen && report.baton.grant() == self.token.grant();
-        self.seen = self.seen.max(report.baton);
+        self.session = report.incarnation;
+        self.sequence = report.sequence;
+        let took_up =
+            report.fencing_token > self.seen && report.fencing_token.grant() == self.token.grant();
+        self.seen = self.seen.max(report.fencing_token);
         self.last_heard = now;
-        self.told_of = Seq(0);
+        self.told_of = SequenceNumber(0);
         self.direct.heard();
         self.passed = source == Source::Passed;
         // Only what comes from the worker itself shows that there is a way. Reports
@@ -197,10 +202,10 @@
         if source == Source::Beat {
             self.direct.reported(now);
         }
-        if report.warning_s.is_some() {
+        if report.preemption_notice_s.is_some() {
             self.leaving = true;
         }
-        self.set_tasks(&report.pieces);
+        self.set_tasks(&report.tasks);
         self.images.clone_from(&report.images);
         // That it reports is no sign that it hears: each report made a machine
         // usable again that no command reached.
@@ -213,14 +218,19 @@
 
     /// Whether a report is not newer than the last one.
     pub(super) fn is_copy(&self, report: &Report) -> bool {
-        (report.shift, report.tick) <= (self.session, self.seq)
+        (report.incarnation, report.sequence) <= (self.session, self.sequence)
     }
 
     /// Another controller heard it. Each report counts once: told of again and again, a
     /// copy kept a dead machine alive.
-    pub(super) fn heard_elsewhere(&mut self, session: Session, seq: Seq, now: Time) {
-        if self.session == session && seq > self.seq.max(self.told_of) {
-            self.told_of = seq;
+    pub(super) fn heard_elsewhere(
+        &mut self,
+        session: Session,
+        sequence: SequenceNumber,
+        now: Time,
+    ) {
+        if self.session == session && sequence > self.sequence.max(self.told_of) {
+            self.told_of = sequence;
             self.last_heard = now;
             self.direct.heard();
         }
@@ -234,11 +244,11 @@
     }
 
     /// Direct commands for the session that was heard last, under the present token.
-    pub(super) fn orders(&self, commands: Vec<Command>) -> Orders {
-        Orders {
-            baton: self.token,
-            shift: self.session,
-            orders: commands,
+    pub(super) fn commands(&self, commands: Vec<Command>) -> DirectCommands {
+        DirectCommands {
+            fencing_token: self.token,
+            incarnation: self.session,
+            commands,
         }
     }
 
--- a/src/control/core/load.rs
+++ b/src/control/core/load.rs
@@ -92,7 +92,7 @@
             cfg: input.cfg.clone(),
             cluster_state: ClusterState::new(teams(&input.cfg)),
             grant: grant.number,
-            grant_stamp: grant.revision,
+            grant_revision: grant.revision,
             shard,
             frozen_since: None,
             sharing: sharing::Sharing::default(),
--- a/src/control/core/machine_list.rs
+++ b/src/control/core/machine_list.rs
@@ -7,7 +7,7 @@
 use super::link::Link;
 use super::link::SeenMachine;
 use super::Core;
-use crate::cloud::{Listed, MachinePhase};
+use crate::cloud::{ListedMachine, MachinePhase};
 use crate::types::{MachineId, Time};
 
 /// Clocks drift apart by 0.05% (PROTOCOL).
@@ -27,14 +27,14 @@
 
 impl Core {
     /// The machine list arrived: learn of machines, and of those that are gone.
-    pub fn listed(&mut self, list: &[Listed], now: Time) {
-        let names: BTreeSet<&MachineId> = list.iter().map(|m| &m.uid).collect();
+    pub fn listed(&mut self, list: &[ListedMachine], now: Time) {
+        let names: BTreeSet<&MachineId> = list.iter().map(|m| &m.id).collect();
         self.inventory.list_read();
         self.tombstones.expire(&self.cfg, now);
         for machine in list {
             // The list is late: a machine that is gone must not come back as
             // one to be asked, or waited for.
-            if !self.tombstones.contains(&machine.uid) {
+            if !self.tombstones.contains(&machine.id) {
                 self.machine_listed(machine, now);
             }
         }
@@ -48,8 +48,8 @@
     }
 
     /// The list shows a machine that is not known to be gone.
-    fn machine_listed(&mut self, machine: &Listed, now: Time) {
-        let id = &machine.uid;
+    fn machine_listed(&mut self, machine: &ListedMachine, now: Time) {
+        let id = &machine.id;
         self.inventory.seen(id);
         if self.links.contains_key(id) {
             if machine.phase == MachinePhase::Failed {
@@ -67,10 +67,10 @@
             }
         }
         self.inventory.expect(id, || Coming {
-            kind: machine.build.clone(),
-            zone: machine.rack.clone(),
-            spot: machine.loaners,
-            since: Time(now.0 - machine.held_s),
+            kind: machine.machine_type.clone(),
+            zone: machine.zone.clone(),
+            spot: machine.spot,
+            since: Time(now.0 - machine.age_s),
         });
         if machine.phase == MachinePhase::Failed {
             self.give_back(id);
--- a/src/control/core/mod.rs
+++ b/src/control/core/mod.rs
@@ -107,7 +107,7 @@
 use crate::config::Config;
 use crate::sched::ClusterState;
 use crate::types::{JobId, MachineId, Revision, Time};
-use crate::worker::Orders;
+use crate::worker::DirectCommands;
 
 /// Where a report came from.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -130,7 +130,7 @@
     /// Where it is.
     pub addr: SocketAddr,
     /// What to send.
-    pub orders: Orders,
+    pub commands: DirectCommands,
 }
 
 /// The block owner's knowledge.
@@ -141,7 +141,7 @@
     pub cluster_state: ClusterState,
     /// The grant's number and the revision that wrote it.
     pub grant: u64,
-    grant_stamp: Revision,
+    grant_revision: Revision,
     /// Which block it is.
     pub shard: Shard,
     /// It is handed on: nothing more is claimed, and what is under way settles.
--- a/src/control/core/record.rs
+++ b/src/control/core/record.rs
@@ -80,19 +80,38 @@
     }
 
     /// A chunk is recorded, or deleted, under its own key.
-    fn chunk_committed(&mut self, write: ChunkWrite, stamp: Revision, view: &mut View, now: Time) {
+    fn chunk_committed(
+        &mut self,
+        write: ChunkWrite,
+        mod_revision: Revision,
+        view: &mut View,
+        now: Time,
+    ) {
         let (id, chunk) = write.chunk;
         match write.record {
             Some(value) => {
                 self.confirm(&id, chunk, &value, now);
-                view.put_chunk(&id, chunk, Versioned { stamp, value });
+                view.put_chunk(
+                    &id,
+                    chunk,
+                    Versioned {
+                        mod_revision,
+                        value,
+                    },
+                );
             }
-            None => view.drop_chunk(&id, chunk, stamp),
+            None => view.drop_chunk(&id, chunk, mod_revision),
         }
     }
 
     /// A job's own record is written.
-    fn job_committed(&mut self, write: JobWrite, stamp: Revision, view: &mut View, now: Time) {
+    fn job_committed(
+        &mut self,
+        write: JobWrite,
+        mod_revision: Revision,
+        view: &mut View,
+        now: Time,
+    ) {
         let (id, value) = (write.job, write.record);
         if value.phase == Phase::Done {
             if let Some(sort) = self.cluster_state.job(&id).map(Job::sort) {
@@ -104,7 +123,13 @@
         if let Some(inline) = &value.inline {
             self.confirm(&id, 0, inline, now);
         }
-        view.put_job(&id, Versioned { stamp, value });
+        view.put_job(
+            &id,
+            Versioned {
+                mod_revision,
+                value,
+            },
+        );
         self.forget_job(view, &id, now);
     }
 
--- a/src/control/core/renting.rs
+++ b/src/control/core/renting.rs
@@ -56,11 +56,11 @@
             left -= want.count as usize;
             let number = self.scaling.requests.begin();
             rentals.push(Rental {
-                hire: self.request_id(number),
-                build: want.kind,
-                rack: want.zone,
-                loaners: want.spot,
-                number: want.count,
+                request_id: self.request_id(number),
+                machine_type: want.kind,
+                zone: want.zone,
+                spot: want.spot,
+                count: want.count,
             });
         }
         rentals
@@ -100,15 +100,15 @@
         let offer = MachineOffer::from(rental);
         match machines {
             Ok(machines) => {
-                if machines.len() < rental.number as usize {
+                if machines.len() < rental.count as usize {
                     self.scaling
                         .requests
                         .refuse(offer, now.after(NO_CAPACITY_S));
                 }
                 let coming = Coming {
-                    kind: rental.build.clone(),
-                    zone: rental.rack.clone(),
-                    spot: rental.loaners,
+                    kind: rental.machine_type.clone(),
+                    zone: rental.zone.clone(),
+                    spot: rental.spot,
                     since: now,
                 };
                 for id in machines.into_iter().filter(|m| self.shard.covers(m)) {
--- a/src/control/core/reports.rs
+++ b/src/control/core/reports.rs
@@ -4,8 +4,8 @@
 use super::link::{SeenMachine, TaskAttempt, TaskStatus};
 use super::{Core, Source};
 use crate::sched::{Progress, Sent};
-use crate::types::{MachineId, Seq, Session, TaskId, Time};
-use crate::worker::{Report, TaskPhase, Why};
+use crate::types::{MachineId, SequenceNumber, Session, TaskId, Time};
+use crate::worker::{ExitReason, Report, TaskPhase};
 
 impl Core {
     /// Whether a report is a copy that came late: not newer than what is known, or
@@ -22,7 +22,7 @@
     /// the worker: that is so however late the report is, since only who has
     /// the newer grant sends its tokens.
     pub fn report(&mut self, report: &Report, source: Source, now: Time) -> bool {
-        if report.baton.grant() > self.grant {
+        if report.fencing_token.grant() > self.grant {
             return false;
         }
         if self.counts(report) {
@@ -41,7 +41,7 @@
         // list tells what machines there are it makes none. The answer has the
         // token, and the next report shows it.
         let id = &report.machine;
-        let shown = report.baton >= self.base_token() || self.inventory.is_coming(id);
+        let shown = report.fencing_token >= self.base_token() || self.inventory.is_coming(id);
         !self.inventory.was_listed() || shown || self.links.contains_key(id)
     }
 
@@ -59,7 +59,7 @@
         if news.session_ended && link.reachability.session_ended(lease_s, now) && !hears_badly {
             link.leaving = true;
         }
-        let fenced = report.baton >= link.token;
+        let fenced = report.fencing_token >= link.token;
         self.hear_of_images(report);
         if news.moved {
             self.cluster_state.locate(id, Some(report.addr.ip()));
@@ -133,9 +133,9 @@
 
     /// Another controller heard a machine, and there was nothing new. A hint:
     /// it only spares the question whether the machine still answers.
-    pub fn heard(&mut self, id: &MachineId, session: Session, seq: Seq, now: Time) {
+    pub fn heard(&mut self, id: &MachineId, session: Session, sequence: SequenceNumber, now: Time) {
         if let Some(link) = self.links.get_mut(id) {
-            link.heard_elsewhere(session, seq, now);
+            link.heard_elsewhere(session, sequence, now);
         }
     }
 
@@ -167,7 +167,7 @@
                 why,
             }) => {
                 let spec = job.spec.clone();
-                self.ended(id, task, &spec, why.unwrap_or(Why::Other), now);
+                self.ended(id, task, &spec, why.unwrap_or(ExitReason::Other), now);
             }
             Some(TaskStatus { phase, .. }) => self.claim_runs(task, phase, now),
             None => self.claim_not_reported(id, task, source, now),
--- a/src/control/core/scaling_state.rs
+++ b/src/control/core/scaling_state.rs
@@ -24,9 +24,9 @@
 impl From<&Rental> for MachineOffer {
     fn from(rental: &Rental) -> Self {
         Self {
-            kind: rental.build.clone(),
-            zone: rental.rack.clone(),
-            spot: rental.loaners,
+            kind: rental.machine_type.clone(),
+            zone: rental.zone.clone(),
+            spot: rental.spot,
         }
     }
 }
--- a/src/control/core/shard_freeze.rs
+++ b/src/control/core/shard_freeze.rs
@@ -25,12 +25,12 @@
     /// record, and not the grant.
     pub fn still_granted(&mut self, view: &View) -> bool {
         if !self.shard.is_part() {
-            return view.block_count() == 1 && view.grant.stamp == self.grant_stamp;
+            return view.block_count() == 1 && view.grant.mod_revision == self.grant_revision;
         }
         let held = view.blocks.get(&self.shard.block);
         match held.filter(|b| b.value.number == self.grant && b.value.owner == self.cfg.node) {
             Some(held) if view.block_count() == self.shard.of => {
-                self.grant_stamp = held.stamp;
+                self.grant_revision = held.mod_revision;
                 true
             }
             _ => false,
--- a/src/control/core/staging.rs
+++ b/src/control/core/staging.rs
@@ -15,7 +15,7 @@
 use crate::sched::{Claim, Progress, Sent};
 use crate::state::record::{image_hash, wave_key};
 use crate::state::view::{Versioned, View};
-use crate::state::{Change, When};
+use crate::state::{Change, Condition};
 use crate::types::{Image, JobSpec, MachineId, Revision, Time};
 
 /// A wave's record stays so long after its last fetch, in seconds: replicas come
@@ -90,7 +90,7 @@
 
 /// A step as a change, and the condition that it is made on.
 pub(super) struct DueStep {
-    pub(super) when: When,
+    pub(super) conditions: Condition,
     pub(super) change: Change,
     pub(super) step: Step,
 }
@@ -142,7 +142,7 @@
                     staging.waves.insert(record.image.clone(), Kept::of(None));
                 }
             } else if block.0 >= shard.of && shard.block == BlockId(0) && held.value.is_some() {
-                staging.useless.insert(key, held.stamp);
+                staging.useless.insert(key, held.mod_revision);
             }
         }
         staging
@@ -174,8 +174,8 @@
 
     /// The next change that is due.
     pub(super) fn next(&self, now: Time) -> Option<DueStep> {
-        if let Some((key, stamp)) = self.useless.first_key_value() {
-            return Some(deletion(*key, *stamp));
+        if let Some((key, mod_revision)) = self.useless.first_key_value() {
+            return Some(deletion(*key, *mod_revision));
         }
         let mut waves = self.waves.iter();
         waves.find_map(|(image, kept)| self.next_of(image, kept, now))
@@ -189,17 +189,20 @@
         if held.is_some_and(|h| h.value.is_none()) {
             return None;
         }
-        let stamp = held.map_or(Revision(0), |h| h.stamp);
+        let mod_revision = held.map_or(Revision(0), |h| h.mod_revision);
         if wave.over() {
             let long = kept.over_since.is_some_and(|t| now.since(t) >= OVER_S);
-            return (long && stamp != Revision(0)).then(|| deletion(key, stamp));
+            return (long && mod_revision != Revision(0)).then(|| deletion(key, mod_revision));
         }
         let record = wave.next(now.0)?;
         let written = self.fitting(&record)?;
         let name = record_name(key);
         Some(DueStep {
             change: Change::write(name.clone(), &written, None),
-            when: When { key: name, stamp },
+            conditions: Condition {
+                key: name,
+                mod_revision,
+            },
             step: Step {
                 key,
                 of: Some((record, written)),
@@ -208,13 +211,24 @@
     }
 
     /// A change is in the state service. Machines whose start may be sent now.
-    pub(super) fn done(&mut self, step: Step, stamp: Revision, now: Time) -> BTreeSet<MachineId> {
+    pub(super) fn done(
+        &mut self,
+        step: Step,
+        mod_revision: Revision,
+        now: Time,
+    ) -> BTreeSet<MachineId> {
         self.useless.remove(&step.key);
         let Some((record, written)) = step.of else {
             return self.ended(step.key);
         };
         let value = Some(written);
-        self.held.insert(step.key, Versioned { stamp, value });
+        self.held.insert(
+            step.key,
+            Versioned {
+                mod_revision,
+                value,
+            },
+        );
         if let Some(wave) = self.wave_mut(&record.image) {
             log_rollout(wave, &record);
             wave.written(record, now.0);
@@ -251,14 +265,14 @@
         let same = recorded == step.of.as_ref().map(|(_, written)| written);
         match held {
             _ if same => {
-                let stamp = held.map_or(Revision(0), |h| h.stamp);
-                self.done(step, stamp, now);
+                let mod_revision = held.map_or(Revision(0), |h| h.mod_revision);
+                self.done(step, mod_revision, now);
             }
             Some(held) if block == self.block => {
                 self.held.insert(step.key, held.clone());
             }
             Some(held) => {
-                self.useless.insert(step.key, held.stamp);
+                self.useless.insert(step.key, held.mod_revision);
             }
             None => {
                 self.held.remove(&step.key);
@@ -278,13 +292,16 @@
 }
 
 /// The deletion of a wave's record.
-fn deletion(key: (BlockId, u64), stamp: Revision) -> DueStep {
+fn deletion(key: (BlockId, u64), mod_revision: Revision) -> DueStep {
     let name = record_name(key);
     DueStep {
         change: Change::Delete {
             delete: name.clone(),
         },
-        when: When { key: name, stamp },
+        conditions: Condition {
+            key: name,
+            mod_revision,
+        },
         step: Step { key, of: None },
     }
 }
--- a/src/control/core/unlinked.rs
+++ b/src/control/core/unlinked.rs
@@ -17,12 +17,12 @@
         if self.links.contains_key(&report.machine) {
             return self.reply(&report.machine, view, now);
         }
-        let running = report.pieces.iter();
+        let running = report.tasks.iter();
         let running = running.filter(|task| task.phase != TaskPhase::Ended);
         let stopped = running.filter(|task| !self.may_run_on(&report.machine, task));
         Reply {
-            baton: self.base_token(),
-            orders: stopped.map(kill_at_once).collect(),
+            fencing_token: self.base_token(),
+            commands: stopped.map(kill_at_once).collect(),
         }
     }
 
@@ -42,8 +42,8 @@
 /// The command that ends a task without time to save.
 fn kill_at_once(task: &ReportedTask) -> Command {
     Command::Kill {
-        piece: task.piece.clone(),
+        task_name: task.task_name.clone(),
         attempt: task.attempt,
-        mercy_s: 0.0,
+        grace_s: 0.0,
     }
 }
--- a/src/control/dividing.rs
+++ b/src/control/dividing.rs
@@ -11,7 +11,7 @@
     SliceRecord, GRANT, LEADER, MAP,
 };
 use crate::state::view::View;
-use crate::state::{Change, Outcome, StateError, Txn, Urgency, When};
+use crate::state::{Change, Condition, Outcome, StateError, Transaction, Urgency};
 use crate::types::{Amount, LeaseId, Revision, Term, Time};
 
 /// The machines are divided only by a leader that has led for so long, in seconds.
@@ -48,7 +48,7 @@
     /// Each shard's part of each team's limit.
     quotas: Vec<Vec<Amount>>,
     /// Nothing is written if the grant is another by then.
-    guard: When,
+    guard: Condition,
     /// The term of the grant.
     term: Term,
 }
@@ -110,8 +110,8 @@
         let quotas_at = self.record_quotas(&division).await?;
         let lease = self.leadership.lease();
         let lease = lease.ok_or(DivideError::LeaseExpired)?;
-        let txn = self.division_txn(&division, quotas_at, lease);
-        match self.state.txn(&txn, Urgency::First).await {
+        let transaction = self.division_txn(&division, quotas_at, lease);
+        match self.state.transact(&transaction, Urgency::First).await {
             Ok(Outcome::Done(revision)) => {
                 tracing::info!(blocks = of, "the machines are divided");
                 self.peers.announce(revision);
@@ -156,9 +156,9 @@
             of,
             grant,
             quotas,
-            guard: When {
+            guard: Condition {
                 key: GRANT.into(),
-                stamp: view.grant.stamp,
+                mod_revision: view.grant.mod_revision,
             },
             term: view.grant.value.term,
         })
@@ -171,11 +171,11 @@
             let record = SliceRecord::new(names().zip(part.iter().copied()));
             Change::write(slice_key(BlockId(b as u32)), &record, None)
         });
-        let txn = Txn {
-            when: vec![division.guard.clone()],
-            apply: parts.collect(),
+        let transaction = Transaction {
+            conditions: vec![division.guard.clone()],
+            changes: parts.collect(),
         };
-        match self.state.txn(&txn, Urgency::First).await {
+        match self.state.transact(&transaction, Urgency::First).await {
             Ok(Outcome::Done(revision)) => Ok(revision),
             other => Err(DivideError::Quotas(other)),
         }
@@ -183,9 +183,14 @@
 
     /// The map, the fence in the grant's place, this controller as a member, and a
     /// record for each shard; only if the quotas are as written at `quotas_at`.
-    fn division_txn(&self, division: &Division, quotas_at: Revision, lease: LeaseId) -> Txn {
+    fn division_txn(
+        &self,
+        division: &Division,
+        quotas_at: Revision,
+        lease: LeaseId,
+    ) -> Transaction {
         let of = division.of;
-        let mut when = vec![division.guard.clone()];
+        let mut conditions = vec![division.guard.clone()];
         let map = MapRecord {
             version: MapRecord::VERSION,
             blocks: of,
@@ -195,15 +200,15 @@
             blocks: of,
         };
         let member = MemberRecord { run: self.run };
-        let mut apply = vec![
+        let mut changes = vec![
             Change::write(MAP.into(), &map, None),
             Change::write(GRANT.into(), &fence, None),
             Change::write(member_key(&self.cfg.node), &member, Some(lease)),
         ];
         for block in (0..of).map(BlockId) {
-            when.push(When {
+            conditions.push(Condition {
                 key: slice_key(block),
-                stamp: quotas_at,
+                mod_revision: quotas_at,
             });
             let record = BlockRecord {
                 version: BlockRecord::VERSION,
@@ -214,9 +219,12 @@
                 to: None,
                 pin: None,
             };
-            apply.push(Change::write(block_key(block), &record, None));
+            changes.push(Change::write(block_key(block), &record, None));
+        }
+        Transaction {
+            conditions,
+            changes,
         }
-        Txn { when, apply }
     }
 
     /// From several blocks to one, once this controller owns all of them and
@@ -225,12 +233,12 @@
         if !self.settle_all(of) {
             return;
         }
-        let (txn, grant) = {
+        let (transaction, grant) = {
             let view = self.store.view();
             let grant = self.united_grant(&view);
             (united_txn(&view, &grant), grant)
         };
-        match self.state.txn(&txn, Urgency::First).await {
+        match self.state.transact(&transaction, Urgency::First).await {
             Ok(Outcome::Done(revision)) => {
                 tracing::info!("the machines are one block again");
                 self.peers.announce(revision);
@@ -286,27 +294,30 @@
 
 /// The map and the grant of one shard in place of all shards' records; only if this
 /// controller still leads and none of them changed.
-fn united_txn(view: &View, grant: &GrantRecord) -> Txn {
+fn united_txn(view: &View, grant: &GrantRecord) -> Transaction {
     let map = MapRecord {
         version: MapRecord::VERSION,
         blocks: 1,
     };
-    let mut when = vec![When {
+    let mut conditions = vec![Condition {
         key: LEADER.into(),
-        stamp: view.leader.stamp,
+        mod_revision: view.leader.mod_revision,
     }];
-    let mut apply = vec![
+    let mut changes = vec![
         Change::write(MAP.into(), &map, None),
         Change::write(GRANT.into(), grant, None),
     ];
     for (block, held) in &view.blocks {
-        when.push(When {
+        conditions.push(Condition {
             key: block_key(*block),
-            stamp: held.stamp,
+            mod_revision: held.mod_revision,
         });
-        apply.push(Change::Delete {
+        changes.push(Change::Delete {
             delete: block_key(*block),
         });
     }
-    Txn { when, apply }
+    Transaction {
+        conditions,
+        changes,
+    }
 }
--- a/src/control/drains.rs
+++ b/src/control/drains.rs
@@ -45,7 +45,7 @@
 struct DrainWrite {
     number: u64,
     /// The revision of the record in its place; 0: there is none.
-    stamp: Revision,
+    mod_revision: Revision,
     value: Drain,
 }
 
@@ -98,12 +98,12 @@
             }
             let DrainWrite {
                 number,
-                stamp,
+                mod_revision,
                 value,
             } = self.drain_write(&drain)?;
             let key = drain_key(number);
             let change = Change::write(key.clone(), &value, None);
-            if self.change_drain(key, stamp, change).await? {
+            if self.change_drain(key, mod_revision, change).await? {
                 tracing::info!(number, target = %value.target, "draining");
                 return Ok(number);
             }
@@ -119,7 +119,7 @@
         if let Some((number, held)) = drains.find(|(_, d)| d.value.target == drain.target) {
             return Ok(DrainWrite {
                 number: *number,
-                stamp: held.stamp,
+                mod_revision: held.mod_revision,
                 value: Drain {
                     started_ms: held.value.started_ms,
                     ..drain.clone()
@@ -132,7 +132,7 @@
         let last = view.drains.keys().next_back();
         Ok(DrainWrite {
             number: last.map_or(1, |n| n + 1),
-            stamp: Revision(0),
+            mod_revision: Revision(0),
             value: drain.clone(),
         })
     }
@@ -153,16 +153,16 @@
                     Target::Number(number) => *n == number,
                     Target::Text(text) => d.value.target.to_string() == *text,
                 });
-                found.map(|(n, d)| (*n, d.stamp))
+                found.map(|(n, d)| (*n, d.mod_revision))
             };
-            let Some((number, stamp)) = found else {
+            let Some((number, mod_revision)) = found else {
                 return Err(Refused::NoSuch);
             };
             let key = drain_key(number);
             let delete = Change::Delete {
                 delete: key.clone(),
             };
-            if self.change_drain(key, stamp, delete).await? {
+            if self.change_drain(key, mod_revision, delete).await? {
                 tracing::info!(number, "drain ended");
                 return Ok(());
             }
@@ -174,10 +174,10 @@
     async fn change_drain(
         &self,
         key: String,
-        stamp: Revision,
+        mod_revision: Revision,
         change: Change,
     ) -> Result<bool, Refused> {
-        match self.state.change(key, stamp, change, PATIENCE).await {
+        match self.state.change(key, mod_revision, change, PATIENCE).await {
             Ok(Outcome::Done(revision)) => {
                 self.peers.announce(revision);
                 // The next look at the view has it.
--- a/src/control/following.rs
+++ b/src/control/following.rs
@@ -65,7 +65,7 @@
 
     /// Reads until the view shows a revision, with a pause after each read that failed.
     pub(super) async fn catch_up(&self, revision: Revision, retry_pause: Duration) {
-        while self.store.view().ledger < revision {
+        while self.store.view().store_revision < revision {
             if !self.fresh().await {
                 sleep(retry_pause).await;
             }
@@ -110,7 +110,7 @@
         if !self.store.view().loaded {
             return self.read_all().await;
         }
-        let since = self.store.view().ledger;
+        let since = self.store.view().store_revision;
         match self
             .state
             .follow(since, wait, Urgency::Within(READ_PATIENCE))
@@ -132,9 +132,9 @@
     pub(super) async fn read_all(&self) -> bool {
         let asked = self.now();
         match self.state.read_all().await {
-            Ok((ledger, items)) => {
-                tracing::info!(%ledger, keys = items.len(), "read everything");
-                self.store.replace(ledger, items, asked);
+            Ok((store_revision, items)) => {
+                tracing::info!(%store_revision, keys = items.len(), "read everything");
+                self.store.replace(store_revision, items, asked);
                 self.view_changed();
                 true
             }
--- a/src/control/heartbeat_routing.rs
+++ b/src/control/heartbeat_routing.rs
@@ -68,7 +68,7 @@
     /// Whether a report is newer than all others of its machine; it is the newest then.
     pub(super) fn is_new(&self, report: &Report, now: Time) -> bool {
         let mut newest = self.newest.borrow_mut();
-        newest.is_new(&report.machine, report.shift, report.tick, now)
+        newest.is_new(&report.machine, report.incarnation, report.sequence, now)
     }
 
     /// Whether a worker is refused so that it looks for another controller; not again
--- a/src/control/leading.rs
+++ b/src/control/leading.rs
@@ -10,7 +10,7 @@
 use super::{wall_ms, Node};
 use crate::state::record::{GrantRecord, LeaderRecord, GRANT, LEADER};
 use crate::state::view::Versioned;
-use crate::state::{Change, Outcome, StateError, Txn, Urgency, When};
+use crate::state::{Change, Condition, Outcome, StateError, Transaction, Urgency};
 use crate::types::{LeaseId, Revision, Term};
 
 /// The leader's part of the requests that the state service takes.
@@ -108,7 +108,7 @@
         // controller wrote it: that run is over.
         let leader_stamp = match &leader.value {
             None => Revision(0),
-            Some(l) if l.node == self.cfg.node && l.run != self.run => leader.stamp,
+            Some(l) if l.node == self.cfg.node && l.run != self.run => leader.mod_revision,
             Some(_) => return Candidacy::None,
         };
         Candidacy::Leader(Vacancy {
@@ -131,8 +131,8 @@
             term: Term(grant.term.0 + u64::from(!kept)),
             number: grant.number + 1,
         };
-        let txn = self.election_txn(&vacancy, &next, kept, lease);
-        match self.state.txn(&txn, Urgency::First).await {
+        let transaction = self.election_txn(&vacancy, &next, kept, lease);
+        match self.state.transact(&transaction, Urgency::First).await {
             Ok(Outcome::Done(revision)) => {
                 self.leadership.acquired(lease, asked, life);
                 if !kept {
@@ -158,29 +158,31 @@
         next: &GrantRecord,
         kept: bool,
         lease: LeaseId,
-    ) -> Txn {
+    ) -> Transaction {
         let leader = LeaderRecord {
             node: self.cfg.node.clone(),
             run: self.run,
             term: next.term,
         };
-        let mut txn = Txn {
-            when: vec![
-                When {
+        let mut transaction = Transaction {
+            conditions: vec![
+                Condition {
                     key: LEADER.into(),
-                    stamp: vacancy.leader_stamp,
+                    mod_revision: vacancy.leader_stamp,
                 },
-                When {
+                Condition {
                     key: GRANT.into(),
-                    stamp: vacancy.grant.stamp,
+                    mod_revision: vacancy.grant.mod_revision,
                 },
             ],
-            apply: vec![Change::write(LEADER.into(), &leader, Some(lease))],
+            changes: vec![Change::write(LEADER.into(), &leader, Some(lease))],
         };
         if !kept {
-            txn.apply.push(Change::write(GRANT.into(), next, None));
+            transaction
+                .changes
+                .push(Change::write(GRANT.into(), next, None));
         }
-        txn
+        transaction
     }
 
     /// Recovers the one block's state from the records, and owns it from then on.
--- a/src/control/limit_transfers.rs
+++ b/src/control/limit_transfers.rs
@@ -10,7 +10,7 @@
 use super::core::Core;
 use super::Node;
 use crate::state::record::{block_key, slice_key, SliceRecord};
-use crate::state::{Change, Outcome, Txn, Urgency, When};
+use crate::state::{Change, Condition, Outcome, Transaction, Urgency};
 use crate::types::Revision;
 
 /// A block gives part of its limits away so often at the most.
@@ -52,10 +52,10 @@
             let Some(transfer) = next_transfer(block, &needs) else {
                 continue;
             };
-            let Some(txn) = self.reserve_transfer(block, &transfer) else {
+            let Some(transaction) = self.reserve_transfer(block, &transfer) else {
                 continue;
             };
-            let Some(revision) = self.send_transfer(block, &txn).await else {
+            let Some(revision) = self.send_transfer(block, &transaction).await else {
                 return;
             };
             self.settle_transfer(block, revision).await;
@@ -64,7 +64,7 @@
 
     /// Lowers the block's own limits by what it gives, and returns the change to send;
     /// none if it can't give that.
-    fn reserve_transfer(&self, block: BlockId, transfer: &LimitTransfer) -> Option<Txn> {
+    fn reserve_transfer(&self, block: BlockId, transfer: &LimitTransfer) -> Option<Transaction> {
         let view = self.store.view();
         let mut cores = self.shards.owned_mut();
         let core = cores.get_mut(block).filter(|c| !c.is_frozen())?;
@@ -79,22 +79,22 @@
         core.giving(transfer.amounts.clone(), &view);
         let given = self.with_part(&mine.value, transfer, -1);
         let taken = self.with_part(&theirs.value, transfer, 1);
-        Some(Txn {
-            when: vec![
-                When {
+        Some(Transaction {
+            conditions: vec![
+                Condition {
                     key: block_key(block),
-                    stamp: grant.stamp,
+                    mod_revision: grant.mod_revision,
                 },
-                When {
+                Condition {
                     key: slice_key(block),
-                    stamp: mine.stamp,
+                    mod_revision: mine.mod_revision,
                 },
-                When {
+                Condition {
                     key: slice_key(transfer.to),
-                    stamp: theirs.stamp,
+                    mod_revision: theirs.mod_revision,
                 },
             ],
-            apply: vec![
+            changes: vec![
                 Change::write(slice_key(block), &given, None),
                 Change::write(slice_key(transfer.to), &taken, None),
             ],
@@ -123,11 +123,11 @@
 
     /// Sends a transfer until its outcome is known; returns the revision that tells it,
     /// or none if the block is not owned here any more.
-    async fn send_transfer(&self, block: BlockId, txn: &Txn) -> Option<Revision> {
+    async fn send_transfer(&self, block: BlockId, transaction: &Transaction) -> Option<Revision> {
         loop {
             match self
                 .state
-                .txn(txn, Urgency::Within(TRANSFER_PATIENCE))
+                .transact(transaction, Urgency::Within(TRANSFER_PATIENCE))
                 .await
             {
                 Ok(Outcome::Done(revision) | Outcome::Failed(revision)) => return Some(revision),
--- a/src/control/owning.rs
+++ b/src/control/owning.rs
@@ -11,7 +11,7 @@
 use super::paces::Duty;
 use super::Node;
 use crate::types::Time;
-use crate::worker::{send_orders, Sending};
+use crate::worker::{send_commands, Sending};
 
 /// How often what is not urgent is looked at.
 pub(super) const TICK: Duration = Duration::from_millis(200);
@@ -53,7 +53,7 @@
 
     /// Sends commands to a machine, and takes what came of them.
     async fn command(self: Rc<Self>, block: BlockId, send: Dispatch) {
-        let outcome = match send_orders(send.addr, &send.orders).await {
+        let outcome = match send_commands(send.addr, &send.commands).await {
             // The address now belongs to another machine.
             Sending::Executed(r) | Sending::Refused(r) if r.machine != send.machine => {
                 Sending::NotSent
@@ -66,7 +66,7 @@
             .shards
             .owned_mut()
             .get_mut(block)
-            .filter(|c| c.grant == send.orders.baton.grant())
+            .filter(|c| c.grant == send.commands.fencing_token.grant())
             .map(|c| c.dispatched(&send.machine, outcome, now));
         // What fails for an owner that is none any more says nothing of
         // the next time that it is one.
--- a/src/control/recording.rs
+++ b/src/control/recording.rs
@@ -66,7 +66,7 @@
     async fn record_batch(&self, next: ShardBatch) {
         loop {
             let urgency = Urgency::Within(RECORD_PATIENCE);
-            let result = self.state.txn(&next.batch.txn, urgency).await;
+            let result = self.state.transact(&next.batch.transaction, urgency).await;
             if !self.shards.owns_by_grant(next.shard, next.grant) {
                 return;
             }
@@ -76,7 +76,7 @@
                     return self.batch_conflicted(next, revision).await;
                 }
                 Err(StateError::Rejected(why)) => {
-                    let changes = next.batch.txn.apply.len();
+                    let changes = next.batch.transaction.changes.len();
                     tracing::error!(%why, changes, "a transaction was rejected");
                     return self.batch_rejected(next);
                 }
@@ -102,7 +102,7 @@
     /// A condition of the transaction failed: the records at `revision` tell why.
     async fn batch_conflicted(&self, failed: ShardBatch, revision: Revision) {
         let (shard, grant) = (failed.shard, failed.grant);
-        while self.store.view().ledger < revision {
+        while self.store.view().store_revision < revision {
             if !self.fresh().await {
                 sleep(CATCH_UP_PAUSE).await;
             }
--- a/src/control/renewing.rs
+++ b/src/control/renewing.rs
@@ -46,8 +46,8 @@
         self.vouched(report).then(|| {
             load::count(&self.load.counts.renewed);
             Beat::Reply(Reply {
-                baton: report.baton,
-                orders: Vec::new(),
+                fencing_token: report.fencing_token,
+                commands: Vec::new(),
             })
         })
     }
@@ -67,7 +67,7 @@
             self.now(),
         );
         if route == Route::Renew {
-            let heard = HeardOf::new(&report.machine, report.shift, report.tick);
+            let heard = HeardOf::new(&report.machine, report.incarnation, report.sequence);
             if let Some((heard, answer)) = heard.and_then(|h| Some((h, self.renewed(report)?))) {
                 routing.answered_for(owner, heard);
                 return answer;
@@ -101,9 +101,9 @@
     pub fn heard_of(&self, machines: &[HeardOf]) {
         let now = self.now();
         let mut cores = self.shards.owned_mut();
-        for (machine, session, seq) in machines.iter().filter_map(HeardOf::read) {
+        for (machine, session, sequence) in machines.iter().filter_map(HeardOf::read) {
             if let Some(c) = cores.get_mut(self.block_of(&machine)) {
-                c.heard(&machine, session, seq, now);
+                c.heard(&machine, session, sequence, now);
             }
         }
     }
--- a/src/control/store_view.rs
+++ b/src/control/store_view.rs
@@ -92,8 +92,8 @@
 
     /// Takes up all records, which were asked for at `asked_at`. One that was sent
     /// earlier may be answered last: the copy is newer then.
-    pub(super) fn replace(&self, ledger: Revision, items: Vec<Item>, asked_at: Time) {
-        self.view.borrow_mut().replace(ledger, items);
+    pub(super) fn replace(&self, store_revision: Revision, items: Vec<Item>, asked_at: Time) {
+        self.view.borrow_mut().replace(store_revision, items);
         self.read_sent_at(asked_at);
     }
 
@@ -105,7 +105,7 @@
     /// the announced revision.
     pub(super) fn take_changed(&self) -> Vec<JobId> {
         let mut view = self.view.borrow_mut();
-        if view.ledger >= self.newest_hint.get() {
+        if view.store_revision >= self.newest_hint.get() {
             self.behind_since.set(None);
         }
         view.take_changed()
@@ -113,7 +113,7 @@
 
     /// Another controller announced a revision.
     pub(super) fn hinted(&self, revision: Revision) {
-        if revision > self.view.borrow().ledger {
+        if revision > self.view.borrow().store_revision {
             if self.behind_since.get().is_none() {
                 self.behind_since.set(Some(Instant::now()));
             }
--- a/src/control/users.rs
+++ b/src/control/users.rs
@@ -11,7 +11,7 @@
 use crate::sched::ClusterState;
 use crate::state::record::{chunk_key, job_key, JobRecord, NewJob, Phase};
 use crate::state::view::{Cancellation, Summary, Versioned};
-use crate::state::{Change, Outcome, StateError, Txn, Urgency, When};
+use crate::state::{Change, Condition, Outcome, StateError, Transaction, Urgency};
 use crate::types::{JobId, JobSpec, Kind, Revision};
 
 /// A user's write waits so long for its turn.
@@ -265,7 +265,7 @@
     /// A job's record was written by this controller: it and the others see it.
     pub(super) fn recorded(&self, id: &JobId, revision: Revision, record: JobRecord) {
         let record = Versioned {
-            stamp: revision,
+            mod_revision: revision,
             value: record,
         };
         self.store.put_job(id, record);
@@ -276,42 +276,44 @@
     async fn write_job(
         &self,
         id: &JobId,
-        stamp: Revision,
+        mod_revision: Revision,
         record: &JobRecord,
     ) -> Result<Outcome, StateError> {
         let change = Change::write(job_key(id), record, None);
         self.state
-            .change(job_key(id), stamp, change, WRITE_PATIENCE)
+            .change(job_key(id), mod_revision, change, WRITE_PATIENCE)
             .await
     }
 
     async fn write_cancelled(
         &self,
         id: &JobId,
-        stamp: Revision,
+        mod_revision: Revision,
         cancellation: &Cancellation,
     ) -> Result<Outcome, StateError> {
         let Some(claims) = &cancellation.claims else {
-            return self.write_job(id, stamp, &cancellation.record).await;
+            return self.write_job(id, mod_revision, &cancellation.record).await;
         };
         let (job, chunk) = (job_key(id), chunk_key(id, 0));
-        let txn = Txn {
-            when: vec![
-                When {
+        let transaction = Transaction {
+            conditions: vec![
+                Condition {
                     key: job.clone(),
-                    stamp,
+                    mod_revision,
                 },
-                When {
+                Condition {
                     key: chunk.clone(),
-                    stamp: Revision(0),
+                    mod_revision: Revision(0),
                 },
             ],
-            apply: vec![
+            changes: vec![
                 Change::write(job, &cancellation.record, None),
                 Change::write(chunk, claims, None),
             ],
         };
-        self.state.txn(&txn, Urgency::Within(WRITE_PATIENCE)).await
+        self.state
+            .transact(&transaction, Urgency::Within(WRITE_PATIENCE))
+            .await
     }
 
     async fn accept(&self, id: &JobId, record: JobRecord) -> Submitted {
@@ -343,19 +345,25 @@
             if summary.phase != Phase::Live {
                 return Some(Some(summary.phase));
             }
-            let (stamp, cancellation) = {
+            let (mod_revision, cancellation) = {
                 let view = self.store.view();
                 let entry = view.job(id)?;
                 let in_lane = self.cfg.in_lane(&entry.record.value);
                 let value_bytes = self.cfg.state_limits.value_bytes;
-                (entry.record.stamp, entry.cancelled(in_lane, value_bytes))
+                (
+                    entry.record.mod_revision,
+                    entry.cancelled(in_lane, value_bytes),
+                )
             };
-            match self.write_cancelled(id, stamp, &cancellation).await {
+            match self.write_cancelled(id, mod_revision, &cancellation).await {
                 Ok(Outcome::Done(revision)) => {
                     tracing::info!(job = %id, "cancelled");
                     if let Some(value) = cancellation.claims {
-                        let stamp = revision;
-                        let claims = Versioned { stamp, value };
+                        let mod_revision = revision;
+                        let claims = Versioned {
+                            mod_revision,
+                            value,
+                        };
                         self.store.put_chunk(id, 0, claims);
                     }
                     self.recorded(id, revision, cancellation.record);
--- a/src/control/vouching.rs
+++ b/src/control/vouching.rs
@@ -15,17 +15,16 @@
 /// session: so a cancelled job's claim on the machine forbids it, also while the task
 /// is not in the report. A claim stays recorded until its task is provably gone.
 pub fn vouches(view: &View, report: &Report) -> bool {
-    report.baton.0 > 0
+    report.fencing_token.0 > 0
         && !view.may_run_cancelled(&report.machine)
-        && report
-            .pieces
-            .iter()
-            .all(|piece| piece.phase == TaskPhase::Ended || is_live_claim(view, report, piece))
+        && report.tasks.iter().all(|task_name| {
+            task_name.phase == TaskPhase::Ended || is_live_claim(view, report, task_name)
+        })
 }
 
 /// Whether a reported task is claimed for this machine, for a job that is not over.
-fn is_live_claim(view: &View, report: &Report, piece: &ReportedTask) -> bool {
-    let Some(task): Option<TaskId> = piece.id() else {
+fn is_live_claim(view: &View, report: &Report, task_name: &ReportedTask) -> bool {
+    let Some(task): Option<TaskId> = task_name.id() else {
         return false;
     };
     let Some(entry) = view.job(&task.job) else {
@@ -39,7 +38,7 @@
     record.phase == Phase::Live
         && chunk.claims.iter().any(|claim| {
             claim.place == task.index % size
-                && claim.attempt == piece.attempt
+                && claim.attempt == task_name.attempt
                 && claim.machine == report.machine
         })
 }
--- a/src/control/workers.rs
+++ b/src/control/workers.rs
@@ -196,7 +196,7 @@
         let now = self.now();
         // Before it can depose, and without an answer, which would have commands
         // that nobody takes count as sent.
-        if core.is_copy(report) && report.baton.grant() <= core.grant {
+        if core.is_copy(report) && report.fencing_token.grant() <= core.grant {
             return ReportOutcome::Copy;
         }
         // A report of one that hears nothing shows no way to the workers: while
--- a/src/peer/message.rs
+++ b/src/peer/message.rs
@@ -6,7 +6,7 @@
 use zerocopy::{FromBytes, Immutable, IntoBytes, KnownLayout, Unaligned};
 
 use super::Answered;
-use crate::types::{MachineId, Seq, Session};
+use crate::types::{MachineId, SequenceNumber, Session};
 
 /// How a header begins: "hnge" in the order of its bytes.
 const MAGIC: u32 = 0x6567_6e68;
@@ -130,7 +130,7 @@
 #[repr(C)]
 pub struct HeardOf {
     session: U64,
-    seq: U64,
+    sequence: U64,
     name: [u8; HEARD_NAME],
 }
 
@@ -141,23 +141,27 @@
 
 impl HeardOf {
     /// Of a machine's report; none if its name is too long.
-    pub fn new(machine: &MachineId, session: Session, seq: Seq) -> Option<Self> {
+    pub fn new(machine: &MachineId, session: Session, sequence: SequenceNumber) -> Option<Self> {
         let bytes = machine.as_str().as_bytes();
         let mut name = [0; HEARD_NAME];
         name.get_mut(..bytes.len())?.copy_from_slice(bytes);
         Some(Self {
             session: U64::new(session.0),
-            seq: U64::new(seq.0),
+            sequence: U64::new(sequence.0),
             name,
         })
     }
 
     /// Which machine, session and report.
-    pub fn read(&self) -> Option<(MachineId, Session, Seq)> {
+    pub fn read(&self) -> Option<(MachineId, Session, SequenceNumber)> {
         let end = self.name.iter().position(|b| *b == 0);
         let name = &self.name[..end.unwrap_or(HEARD_NAME)];
         let machine = MachineId::from(std::str::from_utf8(name).ok()?);
-        Some((machine, Session(self.session.get()), Seq(self.seq.get())))
+        Some((
+            machine,
+            Session(self.session.get()),
+            SequenceNumber(self.sequence.get()),
+        ))
     }
 
     /// The entries of a message; none if its length is no multiple of one's.
--- a/src/state/client.rs
+++ b/src/state/client.rs
@@ -11,7 +11,9 @@
 use hyper::Method;
 use serde::de::DeserializeOwned;
 use sorrelhinge_overload::state_limits::ChangeRate;
-use sorrelhinge_protocol::state::{Change, Events, Item, LeaseBody, LedgerBody, Page, Txn, When};
+use sorrelhinge_protocol::state::{
+    Change, Condition, Events, Item, LeaseCreated, Page, RevisionBody, Transaction,
+};
 use tokio::time::Instant;
 
 use super::budget::{Budget, Urgency};
@@ -83,8 +85,8 @@
 
     /// The revision in the answer to a transaction.
     fn revision(&self) -> Result<Revision, StateError> {
-        serde_json::from_slice::<LedgerBody>(&self.body)
-            .map(|l| l.ledger)
+        serde_json::from_slice::<RevisionBody>(&self.body)
+            .map(|l| l.store_revision)
             .map_err(|error| StateError::Unknown(UnknownCause::Malformed(error)))
     }
 
@@ -131,13 +133,17 @@
 
     /// Carries out a transaction. If all controllers together ask too much of
     /// the service, it is tried again as long as `urgency` allows.
-    pub async fn txn(&self, txn: &Txn, urgency: Urgency) -> Result<Outcome, StateError> {
-        let reply = self.send_txn(txn, urgency).await?;
+    pub async fn transact(
+        &self,
+        transaction: &Transaction,
+        urgency: Urgency,
+    ) -> Result<Outcome, StateError> {
+        let reply = self.send_txn(transaction, urgency).await?;
         match reply.status {
             200 => Ok(Outcome::Done(reply.revision()?)),
             409 => Ok(Outcome::Failed(reply.revision()?)),
             400 if reply.names_no_lease() => Err(StateError::LeaseEnded),
-            400 => Err(self.rejected(txn, &reply)),
+            400 => Err(self.rejected(transaction, &reply)),
             status => Err(StateError::Refused(RefusedCause::Reply(ErrorReply::new(
                 status,
                 &reply.body,
@@ -147,9 +153,13 @@
 
     /// Sends a transaction until the service does not refuse it for its rate of changes any
     /// more, or the time is over.
-    async fn send_txn(&self, txn: &Txn, urgency: Urgency) -> Result<StateReply, StateError> {
-        let cost = txn.apply.len() as f64;
-        let body = serde_json::to_vec(txn)
+    async fn send_txn(
+        &self,
+        transaction: &Transaction,
+        urgency: Urgency,
+    ) -> Result<StateReply, StateError> {
+        let cost = transaction.changes.len() as f64;
+        let body = serde_json::to_vec(transaction)
             .map_err(|error| StateError::Refused(RefusedCause::Encode(error)))?;
         let body = Bytes::from(body);
         let end = match urgency {
@@ -207,13 +217,14 @@
 
     /// The service rejected a transaction. If only the larger limits allow it, that shows
     /// that they are over.
-    fn rejected(&self, txn: &Txn, reply: &StateReply) -> StateError {
+    fn rejected(&self, transaction: &Transaction, reply: &StateReply) -> StateError {
         let size = |change: &Change| match change {
             Change::Write { value, .. } => value.get().len(),
             Change::Delete { .. } => 0,
         };
-        let largest = txn.apply.iter().map(size).max().unwrap_or(0);
-        let beyond = largest > self.limits.value_bytes || txn.apply.len() > self.limits.txn_ops;
+        let largest = transaction.changes.iter().map(size).max().unwrap_or(0);
+        let beyond =
+            largest > self.limits.value_bytes || transaction.changes.len() > self.limits.txn_ops;
         if beyond && self.change_rate.borrow_mut().lower() {
             tracing::info!(largest, "the state service takes smaller values");
         }
@@ -224,15 +235,15 @@
     pub async fn change(
         &self,
         key: String,
-        stamp: Revision,
+        mod_revision: Revision,
         change: Change,
         patience: Duration,
     ) -> Result<Outcome, StateError> {
-        let txn = Txn {
-            when: vec![When { key, stamp }],
-            apply: vec![change],
+        let transaction = Transaction {
+            conditions: vec![Condition { key, mod_revision }],
+            changes: vec![change],
         };
-        self.txn(&txn, Urgency::Within(patience)).await
+        self.transact(&transaction, Urgency::Within(patience)).await
     }
 
     /// Changes under [`record::ROOT`] after `since`, waiting up to `wait` for one.
@@ -270,11 +281,11 @@
             let page = self.read_page(all.last()).await?;
             // Pages are of different moments: changes after the first one are
             // followed again, which does no harm.
-            let ledger = *first.get_or_insert(page.ledger);
+            let store_revision = *first.get_or_insert(page.store_revision);
             let more = page.truncated && !page.items.is_empty();
             all.extend(page.items);
             if !more {
-                return Ok((ledger, all));
+                return Ok((store_revision, all));
             }
         }
     }
@@ -302,8 +313,8 @@
             urgency: Urgency::First,
             timeout: LEASE_TIMEOUT,
         };
-        let lease: LeaseBody = self.call(request).await?.read()?;
-        Ok(lease.ticket)
+        let lease: LeaseCreated = self.call(request).await?.read()?;
+        Ok(lease.lease)
     }
 
     /// Ends a lease, and what is attached to it, at once.
@@ -387,8 +398,8 @@
 impl From<CallError> for StateError {
     fn from(error: CallError) -> Self {
         match error {
-            CallError::NotSent(cause) => Self::Refused(RefusedCause::NotSent(cause)),
-            CallError::Unknown(cause) => Self::Unknown(UnknownCause::NoAnswer(cause)),
+            CallError::NotSent(exit_reason) => Self::Refused(RefusedCause::NotSent(exit_reason)),
+            CallError::Unknown(exit_reason) => Self::Unknown(UnknownCause::NoAnswer(exit_reason)),
         }
     }
 }
--- a/src/state/mod.rs
+++ b/src/state/mod.rs
@@ -28,4 +28,4 @@
 pub use budget::{Budget, Urgency};
 pub use client::StateClient;
 pub use error::{Outcome, StateError};
-pub use sorrelhinge_protocol::state::{Change, Event, Events, Item, Txn, When};
+pub use sorrelhinge_protocol::state::{Change, Condition, Event, Events, Item, Transaction};
--- a/src/state/versioned.rs
+++ b/src/state/versioned.rs
@@ -6,14 +6,17 @@
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Versioned<T> {
     /// Version: the revision of the last write; 0: the key does not exist.
-    pub stamp: Revision,
+    pub mod_revision: Revision,
     /// Value.
     pub value: T,
 }
 
 impl<T> Versioned<T> {
-    /// A value as `stamp` wrote it.
-    pub fn new(stamp: Revision, value: T) -> Self {
-        Self { stamp, value }
+    /// A value as `mod_revision` wrote it.
+    pub fn new(mod_revision: Revision, value: T) -> Self {
+        Self {
+            mod_revision,
+            value,
+        }
     }
 }
