--- a/src/state/view/apply.rs
+++ b/src/state/view/apply.rs
@@ -21,7 +21,7 @@
     key: &'a str,
     value: &'a RawValue,
     /// The revision that wrote it.
-    stamp: Revision,
+    mod_revision: Revision,
 }
 
 impl RecordWrite<'_> {
@@ -34,7 +34,7 @@
     }
 
     fn versioned<T>(&self, value: T) -> Versioned<T> {
-        Versioned::new(self.stamp, value)
+        Versioned::new(self.mod_revision, value)
     }
 }
 
@@ -42,19 +42,25 @@
 fn put<K: Ord, T>(
     held: &mut BTreeMap<K, Versioned<T>>,
     key: K,
-    stamp: Revision,
+    mod_revision: Revision,
     read: impl FnOnce() -> Option<T>,
 ) {
-    if held.get(&key).is_none_or(|h| stamp > h.stamp) {
+    if held.get(&key).is_none_or(|h| mod_revision > h.mod_revision) {
         if let Some(value) = read() {
-            held.insert(key, Versioned { stamp, value });
+            held.insert(
+                key,
+                Versioned {
+                    mod_revision,
+                    value,
+                },
+            );
         }
     }
 }
 
-/// Drops a key that was deleted as `stamp`, unless it was written again since.
-fn remove<K: Ord, T>(held: &mut BTreeMap<K, Versioned<T>>, key: &K, stamp: Revision) {
-    if held.get(key).is_some_and(|h| h.stamp < stamp) {
+/// Drops a key that was deleted as `mod_revision`, unless it was written again since.
+fn remove<K: Ord, T>(held: &mut BTreeMap<K, Versioned<T>>, key: &K, mod_revision: Revision) {
+    if held.get(key).is_some_and(|h| h.mod_revision < mod_revision) {
         held.remove(key);
     }
 }
@@ -65,20 +71,20 @@
     /// Two readings can be on their way at once, and the older one can be answered
     /// last. It hid jobs whose acceptance users had been told of, and changes that
     /// were read after the newer one no longer followed on what was here.
-    pub fn replace(&mut self, ledger: Revision, items: Vec<Item>) {
-        if self.loaded && ledger <= self.ledger {
+    pub fn replace(&mut self, store_revision: Revision, items: Vec<Item>) {
+        if self.loaded && store_revision <= self.store_revision {
             return;
         }
         let known: Vec<JobId> = self.jobs.keys().cloned().collect();
         let places: Vec<Revision> = self.jobs.values().map(|e| e.place).collect();
         *self = Self {
-            ledger,
+            store_revision,
             loaded: true,
             history: std::mem::take(&mut self.history),
             ..Self::default()
         };
         for item in items {
-            self.write(&item.key, &item.value, item.stamp);
+            self.write(&item.key, &item.value, item.mod_revision);
         }
         // Writes that were missed may have dropped what this controller knew.
         for (id, place) in known.iter().zip(places) {
@@ -94,39 +100,43 @@
     /// here is now at least as new as the answer: it is not if the answer does not
     /// follow on what is here.
     pub fn apply(&mut self, since: Revision, events: Events) -> bool {
-        if events.ledger <= self.ledger {
+        if events.store_revision <= self.store_revision {
             return true;
         }
-        if since > self.ledger {
+        if since > self.store_revision {
             return false;
         }
         for event in &events.events {
-            if event.stamp <= self.ledger {
+            if event.mod_revision <= self.store_revision {
                 continue;
             }
             match (&event.write, &event.delete, &event.value) {
-                (Some(key), _, Some(value)) => self.write(key, value, event.stamp),
-                (_, Some(key), _) => self.delete(key, event.stamp),
-                _ => tracing::error!(stamp = %event.stamp, "malformed event"),
+                (Some(key), _, Some(value)) => self.write(key, value, event.mod_revision),
+                (_, Some(key), _) => self.delete(key, event.mod_revision),
+                _ => tracing::error!(mod_revision = %event.mod_revision, "malformed event"),
             }
         }
-        self.ledger = events.ledger;
+        self.store_revision = events.store_revision;
         true
     }
 
     /// A key was written.
-    fn write(&mut self, key: &str, value: &RawValue, stamp: Revision) {
+    fn write(&mut self, key: &str, value: &RawValue, mod_revision: Revision) {
         let Some(parsed) = Key::parse(key) else {
             return;
         };
-        let write = RecordWrite { key, value, stamp };
+        let write = RecordWrite {
+            key,
+            value,
+            mod_revision,
+        };
         match parsed {
             Key::Leader => self.write_leader(write),
             Key::Grant => self.write_grant(write),
             Key::Map => self.write_map(write),
-            Key::Block(block) => put(&mut self.blocks, block, stamp, || write.parse()),
-            Key::Slice(block) => put(&mut self.slices, block, stamp, || write.parse()),
-            Key::Member(node) => put(&mut self.members, node, stamp, || write.parse()),
+            Key::Block(block) => put(&mut self.blocks, block, mod_revision, || write.parse()),
+            Key::Slice(block) => put(&mut self.slices, block, mod_revision, || write.parse()),
+            Key::Member(node) => put(&mut self.members, node, mod_revision, || write.parse()),
             Key::Calendar => self.write_calendar(write),
             Key::Window(name, start_ms) => self.write_window((name, start_ms), write),
             Key::Wave(block, image) => self.write_wave((block, image), write),
@@ -138,7 +148,7 @@
     }
 
     fn write_leader(&mut self, write: RecordWrite) {
-        if write.stamp > self.leader.stamp {
+        if write.mod_revision > self.leader.mod_revision {
             self.leader = write.versioned(write.parse());
         }
     }
@@ -146,18 +156,18 @@
     /// While there are several blocks the grant's key only keeps out versions that know
     /// one; the grant's number is that of the last grant of all.
     fn write_grant(&mut self, write: RecordWrite) {
-        if write.stamp <= self.grant.stamp {
+        if write.mod_revision <= self.grant.mod_revision {
             return;
         }
         if serde_json::from_str::<Fence>(write.value.get()).is_ok() {
-            self.grant.stamp = write.stamp;
+            self.grant.mod_revision = write.mod_revision;
         } else if let Some(grant) = write.parse() {
             self.grant = write.versioned(grant);
         }
     }
 
     fn write_map(&mut self, write: RecordWrite) {
-        if write.stamp <= self.map.stamp {
+        if write.mod_revision <= self.map.mod_revision {
             return;
         }
         if let Some(map) = write.parse::<MapRecord>() {
@@ -166,7 +176,7 @@
     }
 
     fn write_calendar(&mut self, write: RecordWrite) {
-        if write.stamp <= self.calendar.stamp {
+        if write.mod_revision <= self.calendar.mod_revision {
             return;
         }
         let calendar = CalendarRecord::read(write.value.get());
@@ -177,7 +187,7 @@
     }
 
     fn write_window(&mut self, occurrence: (String, i64), write: RecordWrite) {
-        put(&mut self.windows, occurrence, write.stamp, || {
+        put(&mut self.windows, occurrence, write.mod_revision, || {
             WindowRecord::read(write.value.get())
         });
     }
@@ -185,7 +195,7 @@
     /// A wave that can't be read is there all the same: a write that takes it for absent
     /// would fail again and again, and all claims of its transaction with it.
     fn write_wave(&mut self, wave: (BlockId, u64), write: RecordWrite) {
-        put(&mut self.waves, wave, write.stamp, || {
+        put(&mut self.waves, wave, write.mod_revision, || {
             Some(write.parse::<WaveRecord>().filter(WaveRecord::known))
         });
     }
@@ -214,7 +224,7 @@
             );
             return;
         }
-        let newer = |held: &Versioned<Drain>| held.stamp > write.stamp;
+        let newer = |held: &Versioned<Drain>| held.mod_revision > write.mod_revision;
         if !self.drains.get(&number).is_some_and(newer) {
             self.drains.insert(number, write.versioned(drain));
         }
@@ -224,25 +234,28 @@
     fn write_deleted_machines(&mut self, slot: u32, write: RecordWrite) {
         let record = write.parse::<GoneRecord>();
         let known = record.filter(|r| r.version <= GoneRecord::VERSION);
-        put(&mut self.gone, slot, write.stamp, || known);
+        put(&mut self.gone, slot, write.mod_revision, || known);
     }
 
     /// A key was deleted. Jobs, the grant, the number of blocks and the calendar never are,
     /// and lists of deleted machines are overwritten.
-    fn delete(&mut self, key: &str, stamp: Revision) {
+    fn delete(&mut self, key: &str, mod_revision: Revision) {
         match Key::parse(key) {
-            Some(Key::Leader) if stamp > self.leader.stamp => {
-                self.leader = Versioned { stamp, value: None };
+            Some(Key::Leader) if mod_revision > self.leader.mod_revision => {
+                self.leader = Versioned {
+                    mod_revision,
+                    value: None,
+                };
             }
-            Some(Key::Chunk(id, chunk)) => self.drop_chunk(&id, chunk, stamp),
+            Some(Key::Chunk(id, chunk)) => self.drop_chunk(&id, chunk, mod_revision),
             Some(Key::Window(name, start_ms)) => {
-                remove(&mut self.windows, &(name, start_ms), stamp);
+                remove(&mut self.windows, &(name, start_ms), mod_revision);
             }
-            Some(Key::Drain(number)) => remove(&mut self.drains, &number, stamp),
-            Some(Key::Member(node)) => remove(&mut self.members, &node, stamp),
-            Some(Key::Block(block)) => remove(&mut self.blocks, &block, stamp),
-            Some(Key::Wave(block, image)) => remove(&mut self.waves, &(block, image), stamp),
-            Some(Key::Slice(block)) => remove(&mut self.slices, &block, stamp),
+            Some(Key::Drain(number)) => remove(&mut self.drains, &number, mod_revision),
+            Some(Key::Member(node)) => remove(&mut self.members, &node, mod_revision),
+            Some(Key::Block(block)) => remove(&mut self.blocks, &block, mod_revision),
+            Some(Key::Wave(block, image)) => remove(&mut self.waves, &(block, image), mod_revision),
+            Some(Key::Slice(block)) => remove(&mut self.slices, &block, mod_revision),
             _ => {}
         }
     }
--- a/src/state/view/jobs.rs
+++ b/src/state/view/jobs.rs
@@ -13,9 +13,9 @@
     pub fn put_job(&mut self, id: &JobId, record: Versioned<JobRecord>) {
         let value = &record.value;
         match self.jobs.get_mut(id) {
-            Some(entry) if entry.record.stamp >= record.stamp => {
+            Some(entry) if entry.record.mod_revision >= record.mod_revision => {
                 // One that comes late tells its place all the same.
-                let place = place::known(Some(entry.place), value.place, record.stamp);
+                let place = place::known(Some(entry.place), value.place, record.mod_revision);
                 if place >= entry.place {
                     return;
                 }
@@ -24,7 +24,7 @@
             Some(entry) => {
                 let before = entry.record.value.inline.as_ref();
                 note_claims(&mut self.history, value, before, value.inline.as_ref());
-                entry.place = place::known(Some(entry.place), value.place, record.stamp);
+                entry.place = place::known(Some(entry.place), value.place, record.mod_revision);
                 entry.record = record;
             }
             None => self.insert_job(id, record),
@@ -44,7 +44,7 @@
         for chunk in chunks.values() {
             note_claims(&mut self.history, value, None, Some(&chunk.value));
         }
-        let place = place::known(None, value.place, record.stamp);
+        let place = place::known(None, value.place, record.mod_revision);
         let entry = JobEntry {
             record,
             chunks,
@@ -61,7 +61,7 @@
             None => (self.orphans.entry(id.clone()).or_default(), None),
         };
         let held = chunks.entry(chunk).or_default();
-        if record.stamp > held.stamp {
+        if record.mod_revision > held.mod_revision {
             if let Some(job) = job {
                 let before = Some(&held.value);
                 note_claims(&mut self.history, job, before, Some(&record.value));
@@ -72,9 +72,13 @@
     }
 
     /// A chunk was deleted.
-    pub fn drop_chunk(&mut self, id: &JobId, chunk: u32, stamp: Revision) {
+    pub fn drop_chunk(&mut self, id: &JobId, chunk: u32, mod_revision: Revision) {
         if let Some(entry) = self.jobs.get_mut(id) {
-            if entry.chunks.get(&chunk).is_some_and(|c| c.stamp < stamp) {
+            if entry
+                .chunks
+                .get(&chunk)
+                .is_some_and(|c| c.mod_revision < mod_revision)
+            {
                 entry.chunks.remove(&chunk);
                 self.note_changed(id);
             }
--- a/src/state/view/mod.rs
+++ b/src/state/view/mod.rs
@@ -1,6 +1,6 @@
 //! This controller's copy of what the state service holds.
 //!
-//! It is as the service was at one revision ([`View::ledger`]), or newer in single keys:
+//! It is as the service was at one revision ([`View::store_revision`]), or newer in single keys:
 //! what this controller wrote itself is here before the watch brings it. Of each key the
 //! newest version that was seen is kept, so whatever comes late or twice changes nothing.
 //!
@@ -33,7 +33,7 @@
 #[derive(Default)]
 pub struct View {
     /// Everything up to this revision is here.
-    pub ledger: Revision,
+    pub store_revision: Revision,
     /// Whether everything was read once.
     pub loaded: bool,
     /// The leader.
--- a/src/worker.rs
+++ b/src/worker.rs
@@ -7,7 +7,7 @@
 use bytes::Bytes;
 use hyper::Method;
 pub use sorrelhinge_protocol::worker::{
-    Command, Orders, Reply, Report, ReportedImage, ReportedTask, TaskPhase, Why,
+    Command, DirectCommands, ExitReason, Reply, Report, ReportedImage, ReportedTask, TaskPhase,
 };
 
 /// For commands that are sent directly.
@@ -31,8 +31,8 @@
 
 /// Sends commands directly, over a connection of their own: while none can be
 /// made nothing is sent, so a cut leaves fewer commands that may arrive late.
-pub async fn send_orders(address: SocketAddr, orders: &Orders) -> Sending {
-    let Ok(body) = serde_json::to_vec(orders) else {
+pub async fn send_commands(address: SocketAddr, commands: &DirectCommands) -> Sending {
+    let Ok(body) = serde_json::to_vec(commands) else {
         return Sending::NotSent;
     };
     match call_once(address, Method::POST, "/orders", Bytes::from(body), LIMITS).await {
--- a/tests/addition.rs
+++ b/tests/addition.rs
@@ -194,7 +194,10 @@
         let dead = {
             let mut nodes = world.nodes.borrow_mut();
             let with = |n: &&mut sorrelhinge_emulators::nodes::Node| {
-                !n.gone && n.tasks.keys().any(|(piece, _)| piece.starts_with(SERVICE))
+                !n.gone
+                    && n.tasks
+                        .keys()
+                        .any(|(task_name, _)| task_name.starts_with(SERVICE))
             };
             let node = nodes.all.values_mut().find(with).expect("a machine");
             node.gone = true;
--- a/tests/drains.rs
+++ b/tests/drains.rs
@@ -126,8 +126,8 @@
             .borrow_mut()
             .encoders
             .insert((0, 0), encoders(true));
-        let bake = |guess: f64, pieces: u32| {
-            json!({"pieces": pieces, "guess_s": guess, "cpus": 1.0,
+        let bake = |guess: f64, tasks: u32| {
+            json!({"pieces": tasks, "guess_s": guess, "cpus": 1.0,
                 "topology": {"devices": [{"kind": "encoder"}]}})
         };
         // Two machines have one encoder each: both are taken for a while.
--- a/tests/edges.rs
+++ b/tests/edges.rs
@@ -17,7 +17,8 @@
 };
 use sorrelhinge::state::view::{Versioned, View};
 use sorrelhinge::types::{
-    self, Amount, Attempt, JobId, JobSpec, MachineId, NodeId, Revision, Seq, Session, TaskId, Token,
+    self, Amount, Attempt, JobId, JobSpec, MachineId, NodeId, Revision, SequenceNumber, Session,
+    TaskId, Token,
 };
 use sorrelhinge_sharding::shard::BlockId;
 use sorrelhinge_sharding::slices::Need;
@@ -221,8 +222,7 @@
     });
     let fence = fence.expect("JSON");
     assert!(serde_json::from_str::<GrantRecord>(&fence).is_err());
-    let write =
-        |key: &str, value: Value, stamp: u64| json!({"write": key, "value": value, "stamp": stamp});
+    let write = |key: &str, value: Value, mod_revision: u64| json!({"write": key, "value": value, "stamp": mod_revision});
     let grant = |number: u64| json!({"owner": "n-0", "term": 1, "number": number});
     let owned = json!({"v": 1, "owner": "n-1", "run": 7, "term": 1, "number": 5});
     let mut view = View::default();
@@ -236,7 +236,7 @@
     ];
     view.apply(Revision(0), events(json!({"ledger": 3, "events": divided})));
     assert_eq!((view.block_count(), view.newest_grant()), (3, 5));
-    assert_eq!(view.grant.stamp, Revision(2));
+    assert_eq!(view.grant.mod_revision, Revision(2));
     assert_eq!(view.members.len(), 1);
     let united = [
         json!({"delete": "h/node/n-1", "stamp": 4}),
@@ -315,7 +315,7 @@
 #[test]
 fn the_view_never_goes_back() {
     let record = |phase: &str| json!({"p": phase, "n": 1, "k": 8, "t": 0});
-    let event = |phase: &str, stamp: u64| json!({"write": "h/job/run-1", "value": record(phase), "stamp": stamp});
+    let event = |phase: &str, mod_revision: u64| json!({"write": "h/job/run-1", "value": record(phase), "stamp": mod_revision});
     let id = JobId::from("run-1");
     let phase = |view: &View| view.summary(&id).map(|s| s.phase);
     let mut view = View::default();
@@ -330,12 +330,12 @@
         events(json!({"ledger": 4, "events": [event("l", 3)]})),
     );
     assert_eq!(
-        (phase(&view), view.ledger),
+        (phase(&view), view.store_revision),
         (Some(Phase::Done), Revision(9))
     );
     // One that starts after what is known would leave a gap.
     view.apply(Revision(20), events(json!({"ledger": 30, "events": []})));
-    assert_eq!(view.ledger, Revision(9));
+    assert_eq!(view.store_revision, Revision(9));
     view.apply(
         Revision(9),
         events(
@@ -409,7 +409,7 @@
             .collect();
         let told: Vec<HeardOf> = names
             .iter()
-            .filter_map(|m| HeardOf::new(m, Session(2), Seq(7)))
+            .filter_map(|m| HeardOf::new(m, Session(2), SequenceNumber(7)))
             .collect();
         assert_eq!(
             HeardOf::parse(told.as_bytes()).map(<[HeardOf]>::len),
@@ -420,9 +420,15 @@
             None,
             "of another length"
         );
-        assert_eq!(told[0].read(), Some((names[0].clone(), Session(2), Seq(7))));
+        assert_eq!(
+            told[0].read(),
+            Some((names[0].clone(), Session(2), SequenceNumber(7)))
+        );
         let long_name = MachineId::from(&*"x".repeat(33));
-        assert_eq!(HeardOf::new(&long_name, Session(1), Seq(1)), None);
+        assert_eq!(
+            HeardOf::new(&long_name, Session(1), SequenceNumber(1)),
+            None
+        );
         peers.heard(&other, &told);
         while heard.borrow().len() < names.len() {
             tokio::time::sleep(Duration::from_millis(5)).await;
@@ -478,18 +484,24 @@
     .expect("a job");
     let id = JobId::from("run-1");
     let first = JobRecord::accepted(spec.clone(), 5, 1024);
-    let item = |record: &JobRecord, stamp: u64| {
+    let item = |record: &JobRecord, mod_revision: u64| {
         let value = serde_json::to_value(record).expect("record");
-        let item = json!({"key": job_key(&id), "value": value, "stamp": stamp});
+        let item = json!({"key": job_key(&id), "value": value, "stamp": mod_revision});
         vec![serde_json::from_str(&item.to_string()).expect("an item")]
     };
-    let put = |view: &mut View, stamp: u64, value: &JobRecord| {
-        let (stamp, value) = (Revision(stamp), value.clone());
-        view.put_job(&id, Versioned { stamp, value });
+    let put = |view: &mut View, mod_revision: u64, value: &JobRecord| {
+        let (mod_revision, value) = (Revision(mod_revision), value.clone());
+        view.put_job(
+            &id,
+            Versioned {
+                mod_revision,
+                value,
+            },
+        );
     };
-    let read = |record: &JobRecord, stamp: u64| {
+    let read = |record: &JobRecord, mod_revision: u64| {
         let mut view = View::default();
-        view.replace(Revision(stamp), item(record, stamp));
+        view.replace(Revision(mod_revision), item(record, mod_revision));
         view
     };
     let place = |view: &View| view.job(&id).expect("the job").place.0;
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -19,17 +19,17 @@
 use self::machine_types::machine_type;
 use self::teams::team;
 
-fn spec(uid: &str, pieces: u32) -> JobSpec {
+fn spec(uid: &str, tasks: u32) -> JobSpec {
     let value = json!({"uid": uid, "jobclass": "batch", "crew": "red", "shape": "sweep",
-        "rank": "normal", "pieces": pieces, "cpus": 4.0, "cards": 0.0, "ram_gb": 1.0,
+        "rank": "normal", "pieces": tasks, "cpus": 4.0, "cards": 0.0, "ram_gb": 1.0,
         "bundle": "img-1", "pull_gb": 1.0, "builds": null, "rack": null, "together": false,
         "spread": false, "loaners": true, "guess_s": 5.0, "mark_s": 0.0, "stash_s": 0.0,
         "due_s": null});
     read_job(value).expect("a valid job")
 }
 
-fn job(uid: &str, pieces: u32, blocked_since: Option<Time>) -> Job {
-    let spec = spec(uid, pieces);
+fn job(uid: &str, tasks: u32, blocked_since: Option<Time>) -> Job {
+    let spec = spec(uid, tasks);
     let tasks = Tasks::new(spec.tasks, 64);
     Job {
         late_s: 100.0,
@@ -85,12 +85,12 @@
     let mut record = JobRecord::accepted(spec("run-1", 2), 77, 4096);
     let mut view = View::default();
     view.replace(Revision(0), Vec::new());
-    let mut change = |record: &JobRecord, stamp: u64| {
+    let mut change = |record: &JobRecord, mod_revision: u64| {
         let value = serde_json::to_value(record).expect("record");
-        let events = json!({"ledger": stamp, "events": [
-            {"write": job_key(&id), "value": value, "stamp": stamp}]});
+        let events = json!({"ledger": mod_revision, "events": [
+            {"write": job_key(&id), "value": value, "stamp": mod_revision}]});
         let events = serde_json::from_str(&events.to_string()).expect("events");
-        view.apply(view.ledger, events);
+        view.apply(view.store_revision, events);
     };
     change(&record, 1);
     let machine = MachineId::from("vm-9");
--- a/tests/fleet_limits.rs
+++ b/tests/fleet_limits.rs
@@ -86,8 +86,8 @@
     revision: u64,
 }
 
-fn events(ledger: u64, events: &Value) -> Events {
-    let text = json!({"ledger": ledger, "events": events}).to_string();
+fn events(store_revision: u64, events: &Value) -> Events {
+    let text = json!({"ledger": store_revision, "events": events}).to_string();
     serde_json::from_str(&text).expect("events")
 }
 
@@ -101,7 +101,7 @@
         let grant = json!({"write": "h/grant", "stamp": 1,
             "value": {"owner": "n-0", "term": 1, "number": 1}});
         assert!(view.apply(Revision(0), events(1, &json!([grant]))));
-        let stamp = view.grant.stamp;
+        let mod_revision = view.grant.mod_revision;
         let input = RecoveryInput {
             cfg: Rc::new(config),
             types: &[],
@@ -110,7 +110,11 @@
             now: Time(0.0),
             wall_ms: 0,
         };
-        let core = Core::load(&input, ShardGrant::whole(1, stamp), Places::default());
+        let core = Core::load(
+            &input,
+            ShardGrant::whole(1, mod_revision),
+            Places::default(),
+        );
         Self {
             core,
             view,
@@ -121,8 +125,8 @@
     /// Writes all that is due.
     fn record(&mut self, now: Time) {
         while let Some(batch) = self.core.next_batch(&self.view, TXN_OPS, true, now) {
-            let txn = serde_json::to_value(&batch.txn).expect("a transaction");
-            let changes = txn["apply"].as_array().expect("changes");
+            let transaction = serde_json::to_value(&batch.transaction).expect("a transaction");
+            let changes = transaction["apply"].as_array().expect("changes");
             assert!(changes.len() <= TXN_OPS);
             self.revision += 1;
             let written = changes.iter().map(|change| {
@@ -131,7 +135,7 @@
                 json!({"write": change["write"], "value": change["value"], "stamp": self.revision})
             });
             let written: Vec<Value> = written.collect();
-            let since = self.view.ledger;
+            let since = self.view.store_revision;
             let changes = events(self.revision, &json!(written));
             assert!(self.view.apply(since, changes));
             let revision = Revision(self.revision);
@@ -306,8 +310,8 @@
         json!({"write": drain_key(n as u64),
             "value": {"v": 1, "what": what, "t": 0, "end": 1, "away": 1}})
     };
-    let txn = json!({"when": [], "apply": (1..=drains).map(write).collect::<Vec<_>>()});
-    let told = ask(place.state(), Method::POST, "/txn", &txn).await;
+    let transaction = json!({"when": [], "apply": (1..=drains).map(write).collect::<Vec<_>>()});
+    let told = ask(place.state(), Method::POST, "/txn", &transaction).await;
     assert_eq!(told.map(|(status, _)| status), Some(200));
     held.borrow_mut().set_limits(Limits {
         value_bytes: VALUE_BYTES,
--- a/tests/golden_formats/agent.rs
+++ b/tests/golden_formats/agent.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use sorrelhinge::types::{Attempt, Session, Token};
-use sorrelhinge::worker::Why;
+use sorrelhinge::worker::ExitReason;
 use sorrelhinge_agent::attempt::{Pid, Process, Task};
 use sorrelhinge_agent::core::{Exit, Key, Note};
 use sorrelhinge_agent::describe::{Description, Limits, Save};
@@ -13,7 +13,7 @@
 
 fn key() -> Key {
     Key {
-        piece: "run-000412/3".into(),
+        task_name: "run-000412/3".into(),
         attempt: Attempt(5),
     }
 }
@@ -53,7 +53,7 @@
             "attempt taken on",
             Note::Took(key(), vec![("encoder".into(), "enc0".into())]),
         ),
-        ("attempt ended", Note::Ended(key(), Why::Done, true)),
+        ("attempt ended", Note::Ended(key(), ExitReason::Done, true)),
         ("attempt forgotten", Note::Forgot(key())),
     ] {
         add_json(&mut golden, &format!("note of {name}"), &note);
--- a/tests/golden_formats/cloud.rs
+++ b/tests/golden_formats/cloud.rs
@@ -1,8 +1,8 @@
 //! Messages between controllers and the cloud.
 
-use sorrelhinge::cloud::{Listed, MachinePhase, Rental};
+use sorrelhinge::cloud::{ListedMachine, MachinePhase, Rental};
 use sorrelhinge::types::{MachineId, TypeName, Zone};
-use sorrelhinge_protocol::cloud::{WireBoxes, WireList, WireType, WireTypes};
+use sorrelhinge_protocol::cloud::{MachineListPage, MachineNames, MachineTypeList, WireType};
 
 use crate::add_json;
 use crate::golden_files::Golden;
@@ -22,23 +22,23 @@
     }
 }
 
-fn listed(phase: MachinePhase) -> Listed {
-    Listed {
-        uid: MachineId::from("vm-000231"),
+fn listed(phase: MachinePhase) -> ListedMachine {
+    ListedMachine {
+        id: MachineId::from("vm-000231"),
         addr: Some("10.1.0.3:9000".parse().expect("an address")),
-        build: TypeName::from("g8"),
-        rack: Zone::from("za"),
-        loaners: true,
+        machine_type: TypeName::from("g8"),
+        zone: Zone::from("za"),
+        spot: true,
         phase,
-        held_s: 61.5,
+        age_s: 61.5,
     }
 }
 
 #[test]
 fn messages_of_the_cloud_are_the_golden_ones() {
     let mut golden = Golden::default();
-    let types = WireTypes {
-        builds: vec![machine_type(Some(4.0)), machine_type(None)],
+    let types = MachineTypeList {
+        types: vec![machine_type(Some(4.0)), machine_type(None)],
     };
     add_json(&mut golden, "machine types", &types);
     for (name, phase) in [
@@ -49,24 +49,24 @@
     ] {
         add_json(&mut golden, &format!("machine {name}"), &listed(phase));
     }
-    let list = WireList {
-        boxes: vec![Listed {
+    let list = MachineListPage {
+        machines: vec![ListedMachine {
             addr: None,
             ..listed(MachinePhase::Booting)
         }],
         truncated: true,
     };
     add_json(&mut golden, "machines", &list);
-    let names = WireBoxes {
-        boxes: vec![MachineId::from("vm-000231"), MachineId::from("vm-000232")],
+    let names = MachineNames {
+        machines: vec![MachineId::from("vm-000231"), MachineId::from("vm-000232")],
     };
     add_json(&mut golden, "machines by name", &names);
     let rental = Rental {
-        hire: "n-0-3-17".into(),
-        build: TypeName::from("g8"),
-        rack: Zone::from("za"),
-        loaners: true,
-        number: 50,
+        request_id: "n-0-3-17".into(),
+        machine_type: TypeName::from("g8"),
+        zone: Zone::from("za"),
+        spot: true,
+        count: 50,
     };
     add_json(&mut golden, "rental", &rental);
     golden.check("messages_of_the_cloud.txt");
--- a/tests/golden_formats/peers.rs
+++ b/tests/golden_formats/peers.rs
@@ -2,7 +2,7 @@
 
 use sorrelhinge::peer::{HeardOf, Kind, Message, Standing, BLOCKS, LIMITS_FELL, POLLS};
 use sorrelhinge::shares::{encode_left, parse_left, LeftTo, Needs, Rented};
-use sorrelhinge::types::{Amount, JobId, MachineId, Seq, Session, TypeName, Zone};
+use sorrelhinge::types::{Amount, JobId, MachineId, SequenceNumber, Session, TypeName, Zone};
 use sorrelhinge_sharding::shard::BlockId;
 use sorrelhinge_sharding::slices::Need;
 use zerocopy::IntoBytes;
@@ -86,11 +86,14 @@
 fn layouts_between_controllers_are_the_golden_ones() {
     let mut golden = Golden::default();
     let machine = MachineId::from("vm-000231");
-    let heard = HeardOf::new(&machine, Session(7), Seq(41)).expect("a short name");
+    let heard = HeardOf::new(&machine, Session(7), SequenceNumber(41)).expect("a short name");
     let bytes = heard.as_bytes();
     let read = HeardOf::parse(bytes).expect("one entry");
     assert_eq!(read, &[heard][..]);
-    assert_eq!(read[0].read(), Some((machine.clone(), Session(7), Seq(41))));
+    assert_eq!(
+        read[0].read(),
+        Some((machine.clone(), Session(7), SequenceNumber(41)))
+    );
     golden.add("machine that was heard", &hex(bytes));
 
     let amount = |cpu, gpu| Amount { cpu, gpu, ram: 0 };
--- a/tests/golden_formats/records.rs
+++ b/tests/golden_formats/records.rs
@@ -98,7 +98,7 @@
             add_json(&mut golden, &name("done"), &record.done(1_700_000_000_900));
             let entry = JobEntry {
                 record: Versioned {
-                    stamp: Revision(78),
+                    mod_revision: Revision(78),
                     value: record,
                 },
                 chunks: Default::default(),
--- a/tests/golden_formats/state_service.rs
+++ b/tests/golden_formats/state_service.rs
@@ -2,9 +2,9 @@
 
 use serde_json::value::RawValue;
 use sorrelhinge::state::record::{MemberRecord, LEADER};
-use sorrelhinge::state::{Change, Event, Events, Item, Txn, When};
+use sorrelhinge::state::{Change, Condition, Event, Events, Item, Transaction};
 use sorrelhinge::types::{LeaseId, Revision};
-use sorrelhinge_protocol::state::{LeaseBody, LedgerBody, Page};
+use sorrelhinge_protocol::state::{LeaseCreated, Page, RevisionBody};
 
 use crate::add_json;
 use crate::golden_files::Golden;
@@ -18,13 +18,13 @@
         write: Some("h/node/n-0".into()),
         delete: None,
         value: Some(value()),
-        stamp: Revision(12),
+        mod_revision: Revision(12),
     };
     let deleted = Event {
         write: None,
         delete: Some("h/node/n-1".into()),
         value: None,
-        stamp: Revision(13),
+        mod_revision: Revision(13),
     };
     vec![written, deleted]
 }
@@ -33,18 +33,18 @@
 fn messages_of_the_state_service_are_the_golden_ones() {
     let mut golden = Golden::default();
     let record = MemberRecord { run: 9 };
-    let txn = Txn {
-        when: vec![
-            When {
+    let transaction = Transaction {
+        conditions: vec![
+            Condition {
                 key: LEADER.into(),
-                stamp: Revision(0),
+                mod_revision: Revision(0),
             },
-            When {
+            Condition {
                 key: "h/grant".into(),
-                stamp: Revision(77),
+                mod_revision: Revision(77),
             },
         ],
-        apply: vec![
+        changes: vec![
             Change::write("h/node/n-0".into(), &record, Some(LeaseId(5))),
             Change::write("h/node/n-0".into(), &record, None),
             Change::Delete {
@@ -53,10 +53,13 @@
         ],
     };
     // Only written: what reads it takes it apart as plain JSON.
-    golden.add("transaction", &serde_json::to_string(&txn).expect("JSON"));
-    add_json(&mut golden, "empty transaction", &Txn::default());
+    golden.add(
+        "transaction",
+        &serde_json::to_string(&transaction).expect("JSON"),
+    );
+    add_json(&mut golden, "empty transaction", &Transaction::default());
     let changes = Events {
-        ledger: Revision(13),
+        store_revision: Revision(13),
         events: events(),
     };
     add_json(&mut golden, "events", &changes);
@@ -64,17 +67,17 @@
         items: vec![Item {
             key: "h/node/n-0".into(),
             value: value(),
-            stamp: Revision(12),
+            mod_revision: Revision(12),
         }],
         truncated: true,
-        ledger: Revision(13),
+        store_revision: Revision(13),
     };
     add_json(&mut golden, "page", &page);
-    let done = LedgerBody {
-        ledger: Revision(14),
+    let done = RevisionBody {
+        store_revision: Revision(14),
     };
     add_json(&mut golden, "transaction carried out", &done);
-    let lease = LeaseBody { ticket: LeaseId(5) };
+    let lease = LeaseCreated { lease: LeaseId(5) };
     add_json(&mut golden, "lease", &lease);
     golden.check("messages_of_the_state_service.txt");
 }
--- a/tests/golden_formats/users.rs
+++ b/tests/golden_formats/users.rs
@@ -3,7 +3,7 @@
 use serde_json::json;
 use sorrelhinge::types::{JobId, JobSpec, Priority};
 use sorrelhinge_protocol::placement::{Device, Fewest, PlacementRules, Spread, Together};
-use sorrelhinge_protocol::users::{read_job, read_needs, PipelineStatus, WireJob, WireStatus};
+use sorrelhinge_protocol::users::{read_job, read_needs, JobStatus, PipelineStatus, WireJob};
 
 use crate::add_json;
 use crate::golden_files::Golden;
@@ -25,7 +25,7 @@
         rack: Some("za".into()),
         together: true,
         spread: false,
-        loaners: true,
+        spot: true,
         guess_s: 240.0,
         mark_s: 30.0,
         stash_s: 4.0,
@@ -86,8 +86,8 @@
         ..submission()
     };
     add_json(&mut golden, "submission without what may be null", &least);
-    let status = WireStatus {
-        uid: JobId::from("run-000412"),
+    let status = JobStatus {
+        id: JobId::from("run-000412"),
         phase: "running".into(),
         done: 3,
         running: 5,
@@ -95,7 +95,7 @@
         pipeline: None,
     };
     add_json(&mut golden, "status", &status);
-    let waits = WireStatus {
+    let waits = JobStatus {
         waits: Some("no machine has room".into()),
         pipeline: Some(PipelineStatus {
             waits_for: vec![JobId::from("run-000410"), JobId::from("run-000411")],
@@ -105,7 +105,7 @@
         ..status.clone()
     };
     add_json(&mut golden, "status of a job that waits", &waits);
-    let ready = WireStatus {
+    let ready = JobStatus {
         pipeline: Some(PipelineStatus {
             waits_for: Vec::new(),
             priority: Priority::Idle,
@@ -155,7 +155,7 @@
         job.builds = Some(Vec::new())
     });
     read(&mut golden, "others", |job| {
-        (job.together, job.spread, job.loaners) = (false, true, false);
+        (job.together, job.spread, job.spot) = (false, true, false);
         (job.builds, job.rack, job.due_s) = (None, None, None);
     });
     for (name, needs) in [
--- a/tests/golden_formats/workers.rs
+++ b/tests/golden_formats/workers.rs
@@ -1,8 +1,8 @@
 //! Messages between workers and controllers.
 
-use sorrelhinge::types::{Attempt, MachineId, Seq, Session, Token, TypeName, Zone};
+use sorrelhinge::types::{Attempt, MachineId, SequenceNumber, Session, Token, TypeName, Zone};
 use sorrelhinge::worker::{
-    Command, Orders, Reply, Report, ReportedImage, ReportedTask, TaskPhase, Why,
+    Command, DirectCommands, ExitReason, Reply, Report, ReportedImage, ReportedTask, TaskPhase,
 };
 
 use crate::add_json;
@@ -12,49 +12,49 @@
     Report {
         machine: MachineId::from("vm-000231"),
         addr: "10.1.0.3:9000".parse().expect("an address"),
-        build: TypeName::from("g8"),
-        rack: Zone::from("za"),
-        loaners: false,
-        shift: Session(7),
-        tick: Seq(41),
-        baton: Token(3 << 20),
-        warning_s: None,
-        pieces: Vec::new(),
+        machine_type: TypeName::from("g8"),
+        zone: Zone::from("za"),
+        spot: false,
+        incarnation: Session(7),
+        sequence: SequenceNumber(41),
+        fencing_token: Token(3 << 20),
+        preemption_notice_s: None,
+        tasks: Vec::new(),
         images: Vec::new(),
     }
 }
 
-fn reported(phase: TaskPhase, cause: Option<Why>) -> ReportedTask {
+fn reported(phase: TaskPhase, exit_reason: Option<ExitReason>) -> ReportedTask {
     ReportedTask {
-        piece: "run-000412/3".into(),
+        task_name: "run-000412/3".into(),
         attempt: Attempt(5),
         phase,
-        cause,
+        exit_reason,
     }
 }
 
 fn commands() -> Vec<Command> {
-    let piece = || "run-000412/3".to_owned();
+    let task_name = || "run-000412/3".to_owned();
     vec![
         Command::Start {
-            piece: piece(),
+            task_name: task_name(),
             attempt: Attempt(5),
             units: Vec::new(),
             from: Vec::new(),
         },
         Command::Start {
-            piece: piece(),
+            task_name: task_name(),
             attempt: Attempt(6),
             units: vec![("encoder".into(), "enc0".into())],
             from: vec!["10.1.0.4:9000".parse().expect("an address")],
         },
         Command::Kill {
-            piece: piece(),
+            task_name: task_name(),
             attempt: Attempt(7),
-            mercy_s: 4.0,
+            grace_s: 4.0,
         },
         Command::Forget {
-            piece: piece(),
+            task_name: task_name(),
             attempt: Attempt(8),
         },
     ]
@@ -65,9 +65,9 @@
     let mut golden = Golden::default();
     add_json(&mut golden, "report", &report());
     let full = Report {
-        loaners: true,
-        warning_s: Some(90.5),
-        pieces: vec![reported(TaskPhase::Running, None)],
+        spot: true,
+        preemption_notice_s: Some(90.5),
+        tasks: vec![reported(TaskPhase::Running, None)],
         images: vec![ReportedImage {
             image: "img-07".into(),
             parts: 3,
@@ -87,30 +87,30 @@
         add_json(&mut golden, &format!("task {name}"), &task);
     }
     for (name, why) in [
-        ("done", Why::Done),
-        ("stopped", Why::Stopped),
-        ("failed", Why::Error),
-        ("without room", Why::Full),
-        ("in use", Why::InUse),
-        ("not known", Why::NoSuch),
-        ("with its peers", Why::Peers),
-        ("of an incomplete gang", Why::Incomplete),
-        ("for another cause", Why::Other),
+        ("done", ExitReason::Done),
+        ("stopped", ExitReason::Stopped),
+        ("failed", ExitReason::Error),
+        ("without room", ExitReason::Full),
+        ("in use", ExitReason::InUse),
+        ("not known", ExitReason::NoSuch),
+        ("with its peers", ExitReason::Peers),
+        ("of an incomplete gang", ExitReason::Incomplete),
+        ("for another cause", ExitReason::Other),
     ] {
         let task = reported(TaskPhase::Ended, Some(why));
         add_json(&mut golden, &format!("task ended {name}"), &task);
     }
     let reply = Reply {
-        baton: Token(9),
-        orders: commands(),
+        fencing_token: Token(9),
+        commands: commands(),
     };
     add_json(&mut golden, "reply", &reply);
-    let orders = Orders {
-        baton: Token(9),
-        shift: Session(7),
-        orders: commands(),
+    let commands = DirectCommands {
+        fencing_token: Token(9),
+        incarnation: Session(7),
+        commands: commands(),
     };
-    add_json(&mut golden, "orders", &orders);
+    add_json(&mut golden, "orders", &commands);
     golden.check("messages_of_workers.txt");
 }
 
@@ -118,6 +118,6 @@
 #[test]
 fn unknown_words_of_workers_are_read() {
     let phase: TaskPhase = serde_json::from_str(r#""dreaming""#).expect("a phase");
-    let why: Why = serde_json::from_str(r#""bored""#).expect("a cause");
-    assert_eq!((phase, why), (TaskPhase::Other, Why::Other));
+    let why: ExitReason = serde_json::from_str(r#""bored""#).expect("a cause");
+    assert_eq!((phase, why), (TaskPhase::Other, ExitReason::Other));
 }
--- a/tests/hand_on.rs
+++ b/tests/hand_on.rs
@@ -153,13 +153,13 @@
     }
 
     async fn body(&self, stream: &mut TcpStream, from: usize, to: usize) -> std::io::Result<()> {
-        for (n, piece) in self.tar[from..to].chunks(Self::PIECE).enumerate() {
-            let end = from + n * Self::PIECE + piece.len();
+        for (n, task_name) in self.tar[from..to].chunks(Self::PIECE).enumerate() {
+            let end = from + n * Self::PIECE + task_name.len();
             while end as u64 > self.hold.get() {
                 sleep(Duration::from_millis(5)).await;
             }
-            stream.write_all(piece).await?;
-            self.sent.set(self.sent.get() + piece.len() as u64);
+            stream.write_all(task_name).await?;
+            self.sent.set(self.sent.get() + task_name.len() as u64);
         }
         Ok(())
     }
@@ -242,8 +242,8 @@
         }
         let told = ask(self.addr, Method::GET, "/status", &Value::Null).await;
         let (_, report) = told.unwrap_or_default();
-        let pieces = report["pieces"].as_array().cloned().unwrap_or_default();
-        pieces.iter().filter(|p| which(p)).count()
+        let tasks = report["pieces"].as_array().cloned().unwrap_or_default();
+        tasks.iter().filter(|p| which(p)).count()
     }
 }
 
--- a/tests/lanes.rs
+++ b/tests/lanes.rs
@@ -205,8 +205,8 @@
 fn operators_see_who_waits_in_which_place_and_why() {
     run(async {
         let world = begin("shown", 122, 3, LANE).await;
-        for (uid, pieces) in [("run-000002", MACHINES), ("run-000001", 1)] {
-            let lane = json!({"jobclass": "fix", "cpus": 4.0, "guess_s": 60.0, "pieces": pieces});
+        for (uid, tasks) in [("run-000002", MACHINES), ("run-000001", 1)] {
+            let lane = json!({"jobclass": "fix", "cpus": 4.0, "guess_s": 60.0, "pieces": tasks});
             assert_eq!(world.submit(uid, lane).await.0, 201);
         }
         let owner = world.leader().expect("a leader");
@@ -438,8 +438,8 @@
         .collect();
     let serve = |records: &[(JobId, JobRecord, u64)]| {
         let mut view = View::default();
-        let items = records.iter().map(|(id, record, stamp)| {
-            let item = json!({"key": job_key(id), "value": record, "stamp": stamp});
+        let items = records.iter().map(|(id, record, mod_revision)| {
+            let item = json!({"key": job_key(id), "value": record, "stamp": mod_revision});
             serde_json::from_str(&item.to_string()).expect("an item")
         });
         view.replace(Revision(90), items.collect());
@@ -462,9 +462,9 @@
     let (view, first) = serve(&records);
     let want = (0..8).map(|n| (format!("run-{}", 9 - n), n + 1));
     assert_eq!(first, want.collect::<Vec<_>>());
-    for (n, (id, record, stamp)) in records.iter_mut().enumerate().step_by(3) {
+    for (n, (id, record, mod_revision)) in records.iter_mut().enumerate().step_by(3) {
         *record = view.job(id).expect("the job").rewritten(true);
-        *stamp = 50 - n as u64;
+        *mod_revision = 50 - n as u64;
     }
     assert_eq!(serve(&records).1, first);
 }
--- a/tests/late_reads.rs
+++ b/tests/late_reads.rs
@@ -41,8 +41,8 @@
     json!({"write": key, "value": record(), "stamp": ACCEPTED})
 }
 
-fn events(ledger: u64, events: Value) -> Events {
-    let text = json!({"ledger": ledger, "events": events}).to_string();
+fn events(store_revision: u64, events: Value) -> Events {
+    let text = json!({"ledger": store_revision, "events": events}).to_string();
     serde_json::from_str(&text).expect("events")
 }
 
@@ -54,7 +54,7 @@
     view.replace(Revision(NEWER), Vec::new());
     assert!(view.apply(Revision(NEWER), events(ACCEPTED, json!([accepted_event()]))));
     view.replace(Revision(LATE), Vec::new());
-    assert_eq!(view.ledger, Revision(ACCEPTED));
+    assert_eq!(view.store_revision, Revision(ACCEPTED));
     assert_eq!(view.summary(&id).map(|s| s.phase), Some(Phase::Live));
 }
 
@@ -66,12 +66,12 @@
     view.replace(Revision(LATE), Vec::new());
     let after_gap = events(ACCEPTED, json!([accepted_event()]));
     assert!(!view.apply(Revision(NEWER), after_gap));
-    assert_eq!(view.ledger, Revision(LATE));
+    assert_eq!(view.store_revision, Revision(LATE));
     // One that brings nothing new leaves it as new as it was.
     assert!(view.apply(Revision(LATE), events(LATE, json!([]))));
     assert!(view.apply(Revision(LATE), events(ACCEPTED, json!([accepted_event()]))));
     assert!(view.apply(Revision(LATE), events(NEWER, json!([]))));
-    assert_eq!(view.ledger, Revision(ACCEPTED));
+    assert_eq!(view.store_revision, Revision(ACCEPTED));
 }
 
 /// What the scripted state service has seen and may answer.
@@ -92,8 +92,8 @@
             if nth == 0 {
                 self.release.notified().await;
             }
-            let ledger = if nth == 0 { LATE } else { NEWER };
-            let page = json!({"items": [], "truncated": false, "ledger": ledger});
+            let store_revision = if nth == 0 { LATE } else { NEWER };
+            let page = json!({"items": [], "truncated": false, "ledger": store_revision});
             return (200, page);
         }
         if !path.starts_with("/follow?") {
--- a/tests/meetings_loopback.rs
+++ b/tests/meetings_loopback.rs
@@ -13,7 +13,7 @@
 use serde_json::{json, Value};
 use sorrelhinge_emulators::history::Event;
 use sorrelhinge_emulators::nodes::{machines_of, Hold, Released};
-use sorrelhinge_emulators::store::{Fate, TxnFault};
+use sorrelhinge_emulators::store::{Fate, TransactionFault};
 use sorrelhinge_emulators::{run, Plan, Told, World, CANCEL_S};
 use tokio::task::{spawn_local, JoinHandle};
 use tokio::time::sleep;
@@ -244,10 +244,10 @@
 fn lose_answer(world: &World, controller: usize, value: fn(&Value) -> bool) {
     let mut store = world.store.borrow_mut();
     store.end_faults();
-    store.inject(TxnFault {
+    store.inject(TransactionFault {
         controller: Some(controller),
         value,
-        ..TxnFault::next(Fate::AnswerLost, JOBS)
+        ..TransactionFault::next(Fate::AnswerLost, JOBS)
     });
 }
 
@@ -291,10 +291,10 @@
     let user_at = (old + 1) % controllers;
     let elsewhere = (old + 2) % controllers;
     let hold = |world: &World, controller, value: fn(&Value) -> bool| {
-        world.store.borrow_mut().inject(TxnFault {
+        world.store.borrow_mut().inject(TransactionFault {
             controller: Some(controller),
             value,
-            ..TxnFault::next(Fate::Late, JOBS)
+            ..TransactionFault::next(Fate::Late, JOBS)
         });
     };
     let held = |n: usize| move |w: &World| w.store.borrow().late() == n;
--- a/tests/rules/blocks.rs
+++ b/tests/rules/blocks.rs
@@ -67,9 +67,9 @@
                 serde_json::to_value(s).expect("record")
             };
             let block = format!("h/block/{}", me.0);
-            let grant = o.view.blocks[&me].stamp;
-            let txn = json!({"when": [{"key": block, "stamp": grant},
-                    {"key": key(me), "stamp": mine.stamp}, {"key": key(to), "stamp": theirs.stamp}],
+            let grant = o.view.blocks[&me].mod_revision;
+            let transaction = json!({"when": [{"key": block, "stamp": grant},
+                    {"key": key(me), "stamp": mine.mod_revision}, {"key": key(to), "stamp": theirs.mod_revision}],
                 "apply": [{"write": key(me), "value": changed(&mine.value, -give)},
                     {"write": key(to), "value": changed(&theirs.value, give)}]});
             let amount = |cpu| Amount {
@@ -78,21 +78,21 @@
                 ram: 0,
             };
             o.core.giving(vec![amount(give), amount(0)], &o.view);
-            self.trace.fold_json("part of a limit", &txn);
-            o.gift = Some((txn, give));
+            self.trace.fold_json("part of a limit", &transaction);
+            o.gift = Some((transaction, give));
         }
         let o = &mut self.owners[at];
-        let Some((txn, _)) = o.gift.clone() else {
+        let Some((transaction, _)) = o.gift.clone() else {
             return;
         };
         match self.rng.random_range(0..4) {
             0 => {}
             1 => {
-                self.store.txn(&txn);
+                self.store.transact(&transaction);
             }
             _ => {
                 // Carried out now, or before, or never: the view tells.
-                self.store.txn(&txn);
+                self.store.transact(&transaction);
                 self.store.follow(&mut o.view);
                 let changed = o.view.take_changed();
                 o.core.jobs_changed(&o.view, &changed, Time(self.now), 0);
--- a/tests/rules/commands.rs
+++ b/tests/rules/commands.rs
@@ -17,7 +17,7 @@
 #[test]
 fn whoever_renews_the_lease_of_a_cancelled_task_kills_it() {
     let mut world = World::new(7);
-    let (at, piece) = cancelled_task(&mut world);
+    let (at, task_name) = cancelled_task(&mut world);
     for _ in 0..5 {
         world.take_over();
         let report = world.workers[at].report();
@@ -25,49 +25,49 @@
         assert!(core.report(&report, Source::Beat, Time(world.now)));
         let reply = core.reply(&report.machine, view, Time(world.now));
         let reply = serde_json::to_value(&reply).expect("reply");
-        assert!(report.baton.0 < reply["baton"].as_u64().expect("a token"));
-        let orders = reply["orders"].as_array().expect("orders");
-        let verbs: Vec<&Value> = orders
+        assert!(report.fencing_token.0 < reply["baton"].as_u64().expect("a token"));
+        let commands = reply["orders"].as_array().expect("orders");
+        let verbs: Vec<&Value> = commands
             .iter()
-            .filter(|o| o["piece"] == json!(piece))
+            .filter(|o| o["piece"] == json!(task_name))
             .map(|o| &o["verb"])
             .collect();
-        assert_eq!(verbs, ["kill"], "{orders:?}");
+        assert_eq!(verbs, ["kill"], "{commands:?}");
         assert!(
-            orders.iter().all(|o| o["verb"] == "kill"),
-            "nothing else follows from an old token: {orders:?}"
+            commands.iter().all(|o| o["verb"] == "kill"),
+            "nothing else follows from an old token: {commands:?}"
         );
     }
 }
 
 /// A job that runs is cancelled in the record; where one of its tasks is, and the job.
 fn cancelled_task(world: &mut World) -> (usize, String) {
-    let (at, piece) = loop {
+    let (at, task_name) = loop {
         world.step(true);
         assert!(world.now < 600.0, "nothing ever ran");
-        let runs = world.on_machines().find(|(_, piece)| {
-            let id = job_of(piece);
+        let runs = world.on_machines().find(|(_, task_name)| {
+            let id = job_of(task_name);
             world.store.keys[&job_key(&JobId::from(id.as_str()))].1["p"] == "l"
         });
-        let Some((worker, piece)) = runs else {
+        let Some((worker, task_name)) = runs else {
             continue;
         };
         let at = world.workers.iter().position(|w| w.id == worker.id);
-        break (at.expect("the worker"), piece.clone());
+        break (at.expect("the worker"), task_name.clone());
     };
-    let key = job_key(&JobId::from(job_of(&piece).as_str()));
+    let key = job_key(&JobId::from(job_of(&task_name).as_str()));
     let mut record = world.store.keys[&key].1.clone();
     record["p"] = json!("c");
     world.store.write(&key, record);
-    (at, piece)
+    (at, task_name)
 }
 
 /// What commands tell a worker to do with a task.
-fn verbs_for(orders: &[Command], piece: &str) -> Vec<Value> {
-    let orders = serde_json::to_value(orders).expect("orders");
-    let orders = orders.as_array().expect("a list").iter();
-    let orders = orders.filter(|o| o["piece"] == json!(piece));
-    orders.map(|o| o["verb"].clone()).collect()
+fn verbs_for(commands: &[Command], task_name: &str) -> Vec<Value> {
+    let commands = serde_json::to_value(commands).expect("orders");
+    let commands = commands.as_array().expect("a list").iter();
+    let commands = commands.filter(|o| o["piece"] == json!(task_name));
+    commands.map(|o| o["verb"].clone()).collect()
 }
 
 /// The cloud's machine types are not known yet, as the cloud is away and the
@@ -77,14 +77,14 @@
 #[test]
 fn an_owner_that_knows_no_machine_types_kills_cancelled_tasks_all_the_same() {
     let mut world = World::new(7);
-    let (at, piece) = cancelled_task(&mut world);
+    let (at, task_name) = cancelled_task(&mut world);
     world.take_over();
     let report = world.workers[at].report();
-    let running = report.pieces.iter().any(|p| p.piece == piece);
-    assert!(running, "{piece} is reported");
+    let running = report.tasks.iter().any(|p| p.task_name == task_name);
+    assert!(running, "{task_name} is reported");
     let now = Time(world.now);
     let view = &world.owners.last().expect("an owner").view;
-    let grant = ShardGrant::whole(world.grants, view.grant.stamp);
+    let grant = ShardGrant::whole(world.grants, view.grant.mod_revision);
     let input = RecoveryInput {
         cfg: world.config(),
         types: &[],
@@ -96,11 +96,11 @@
     let mut core = Core::load(&input, grant, Places::default());
     assert!(core.report(&report, Source::Beat, now));
     let reply = core.answer(&report, view, now);
-    assert_eq!(verbs_for(&reply.orders, &piece), ["kill"]);
-    for other in report.pieces.iter().filter(|p| p.piece != piece) {
-        let key = job_key(&JobId::from(job_of(&other.piece).as_str()));
+    assert_eq!(verbs_for(&reply.commands, &task_name), ["kill"]);
+    for other in report.tasks.iter().filter(|p| p.task_name != task_name) {
+        let key = job_key(&JobId::from(job_of(&other.task_name).as_str()));
         let live = world.store.keys[&key].1["p"] == "l";
-        let kept = verbs_for(&reply.orders, &other.piece).is_empty();
+        let kept = verbs_for(&reply.commands, &other.task_name).is_empty();
         assert_eq!(kept, live, "{other:?}");
     }
 }
@@ -110,7 +110,7 @@
 #[test]
 fn an_answer_has_the_kill_though_a_direct_command_had_it_a_moment_ago() {
     let mut world = World::new(7);
-    let (at, piece) = cancelled_task(&mut world);
+    let (at, task_name) = cancelled_task(&mut world);
     world.take_over();
     let report = world.workers[at].report();
     let now = Time(world.now);
@@ -118,15 +118,15 @@
     assert!(core.report(&report, Source::Beat, now));
     let sends = core.dispatch(view, now);
     let send = sends.iter().find(|s| s.machine == report.machine);
-    let direct = &send.expect("a direct command").orders.orders;
-    assert_eq!(verbs_for(direct, &piece), ["kill"]);
+    let direct = &send.expect("a direct command").commands.commands;
+    assert_eq!(verbs_for(direct, &task_name), ["kill"]);
     core.dispatched(&report.machine, Sending::Unknown, now);
     let later = Time(now.0 + 0.5);
     let report = world.workers[at].report();
     let Owner { core, view, .. } = world.owners.last_mut().expect("an owner");
     assert!(core.report(&report, Source::Beat, later));
     let reply = core.answer(&report, view, later);
-    assert_eq!(verbs_for(&reply.orders, &piece), ["kill"]);
+    assert_eq!(verbs_for(&reply.commands, &task_name), ["kill"]);
 }
 
 /// A job of one task, claimed and recorded at 2 s, its start not yet sent.
@@ -160,7 +160,7 @@
         core.report(&w.report(), Source::Beat, Time(1.0));
         w.token = core
             .reply(&MachineId::from(w.id.as_str()), view, Time(1.0))
-            .baton
+            .fencing_token
             .0;
         core.report(&w.report(), Source::Beat, Time(1.5));
     }
@@ -190,9 +190,9 @@
     assert!(core.dispatch(view, Time(60.0)).is_empty());
     core.may_start_until(Time(66.0), Time(60.0));
     let sends = core.dispatch(view, Time(60.0));
-    let orders = sends.iter().flat_map(|s| &s.orders.orders);
+    let commands = sends.iter().flat_map(|s| &s.commands.commands);
     assert_eq!(
-        orders
+        commands
             .filter(|o| matches!(o, Command::Start { .. }))
             .count(),
         1
@@ -234,8 +234,8 @@
         .dispatch(view, Time(9.0))
         .pop()
         .expect("the raised token goes out");
-    assert!(fence.orders.baton.0 > w.token && fence.orders.orders.is_empty());
-    w.token = fence.orders.baton.0;
+    assert!(fence.commands.fencing_token.0 > w.token && fence.commands.commands.is_empty());
+    w.token = fence.commands.fencing_token.0;
     core.dispatched(&id, Sending::NotSent, Time(9.0));
     core.report(&w.report(), Source::Beat, Time(10.0));
     assert_eq!(
@@ -247,18 +247,18 @@
     // Its result is forgotten at the worker only once it is recorded.
     let sends = core.dispatch(view, Time(20.0));
     assert_eq!(sends.len(), 1, "the same attempt is sent again");
-    let (phase, cause) = ("ended", Some("done"));
+    let (phase, exit_reason) = ("ended", Some("done"));
     let ended = Running {
         units: Vec::new(),
         attempt: 1,
         phase,
-        cause,
+        exit_reason,
         left: 0.0,
     };
     w.tasks.insert("run-000000/0".into(), ended);
     core.dispatched(&id, Sending::Executed(Box::new(w.report())), Time(20.0));
     assert!(
-        core.reply(&id, view, Time(20.0)).orders.is_empty(),
+        core.reply(&id, view, Time(20.0)).commands.is_empty(),
         "not recorded yet"
     );
     let batch = core
@@ -266,7 +266,7 @@
         .expect("a result to record");
     commit(store, core, view, batch, Time(20.0));
     assert_eq!(
-        core.reply(&id, view, Time(20.0)).orders.len(),
+        core.reply(&id, view, Time(20.0)).commands.len(),
         1,
         "recorded: forget it"
     );
@@ -296,7 +296,7 @@
     for w in workers.iter_mut() {
         let id = MachineId::from(w.id.as_str());
         core.report(&w.report(), Source::Passed, Time(3.0));
-        starts += core.reply(&id, view, Time(3.0)).orders.len();
+        starts += core.reply(&id, view, Time(3.0)).commands.len();
     }
     assert_eq!(starts, 1);
 }
--- a/tests/rules/orders.rs
+++ b/tests/rules/direct_commands.rs
@@ -8,76 +8,76 @@
 
 impl World {
     /// Carries out direct commands at a worker; none if it refuses them.
-    pub(crate) fn carry_out(&mut self, id: &str, orders: &Value) -> Option<Option<Report>> {
+    pub(crate) fn carry_out(&mut self, id: &str, commands: &Value) -> Option<Option<Report>> {
         let at = self.workers.iter().position(|w| w.id == id)?;
         let w = &self.workers[at];
-        if orders["baton"].as_u64()? < w.token || orders["shift"].as_u64()? != w.session {
+        if commands["baton"].as_u64()? < w.token || commands["shift"].as_u64()? != w.session {
             return Some(None);
         }
-        self.workers[at].token = orders["baton"].as_u64()?;
-        self.commands(at, &orders["orders"]);
+        self.workers[at].token = commands["baton"].as_u64()?;
+        self.commands(at, &commands["orders"]);
         Some(Some(self.workers[at].report()))
     }
 
-    pub(crate) fn commands(&mut self, at: usize, orders: &Value) {
-        for order in orders.as_array().expect("orders") {
-            let piece = order["piece"].as_str().expect("piece").to_owned();
+    pub(crate) fn commands(&mut self, at: usize, commands: &Value) {
+        for order in commands.as_array().expect("orders") {
+            let task_name = order["piece"].as_str().expect("piece").to_owned();
             let attempt = order["try"].as_u64().expect("try");
             match order["verb"].as_str().expect("verb") {
                 "start" => {
-                    if self.workers[at].tasks.contains_key(&piece) {
+                    if self.workers[at].tasks.contains_key(&task_name) {
                         continue;
                     }
-                    self.check_start(at, &piece);
-                    self.check_claimed(at, &piece, attempt);
-                    if let Some(cancelled) = self.cancelled.get(&job_of(&piece)) {
+                    self.check_start(at, &task_name);
+                    self.check_claimed(at, &task_name, attempt);
+                    if let Some(cancelled) = self.cancelled.get(&job_of(&task_name)) {
                         let late_s = self.now - cancelled;
                         self.faults.last_start_s = self.faults.last_start_s.max(late_s);
                     }
-                    let units = self.check_units(at, &piece, &order["units"]);
-                    let left = if piece_job(&self.jobs, &piece)["shape"] == "standing"
-                        || piece_job(&self.jobs, &piece)["jobclass"] == ENDLESS
+                    let units = self.check_units(at, &task_name, &order["units"]);
+                    let left = if piece_job(&self.jobs, &task_name)["shape"] == "standing"
+                        || piece_job(&self.jobs, &task_name)["jobclass"] == ENDLESS
                     {
                         f64::INFINITY
                     } else {
                         self.rng.random_range(0.0..8.0)
                     };
-                    let mistaken = piece_job(&self.jobs, &piece)["jobclass"] == MISTAKEN;
+                    let mistaken = piece_job(&self.jobs, &task_name)["jobclass"] == MISTAKEN;
                     let faulty = self.faulty.as_ref() == Some(&self.workers[at].id);
                     let fails = mistaken || faulty || self.luck(0.02);
-                    *self.starts_of.entry(job_of(&piece)).or_insert(0) += 1;
-                    let (phase, cause) = if fails {
+                    *self.starts_of.entry(job_of(&task_name)).or_insert(0) += 1;
+                    let (phase, exit_reason) = if fails {
                         ("ended", Some("error"))
                     } else {
                         ("running", None)
                     };
                     self.workers[at].tasks.insert(
-                        piece,
+                        task_name,
                         Running {
                             units,
                             attempt,
                             phase,
-                            cause,
+                            exit_reason,
                             left,
                         },
                     );
                     self.started += 1;
                 }
                 "kill" => {
-                    if let Some(r) = self.workers[at].tasks.get_mut(&piece) {
+                    if let Some(r) = self.workers[at].tasks.get_mut(&task_name) {
                         if r.attempt == attempt && r.phase != "ended" {
                             r.phase = "ended";
-                            r.cause = Some("stopped");
+                            r.exit_reason = Some("stopped");
                         }
                     }
                 }
                 _ => {
                     let w = &mut self.workers[at];
                     if w.tasks
-                        .get(&piece)
+                        .get(&task_name)
                         .is_some_and(|r| r.attempt == attempt && r.phase == "ended")
                     {
-                        w.tasks.remove(&piece);
+                        w.tasks.remove(&task_name);
                     }
                 }
             }
--- a/tests/rules/faults.rs
+++ b/tests/rules/faults.rs
@@ -18,7 +18,7 @@
 /// A transaction that is carried out late, its sender long without an answer.
 pub(crate) struct LateTxn {
     due: f64,
-    txn: Value,
+    transaction: Value,
 }
 
 /// A controller that owns nothing, and is served while the state service is up.
@@ -144,15 +144,15 @@
     }
 
     /// Keeps a transaction for later, if that is its lot.
-    pub(crate) fn delays(&mut self, txn: &Value) -> bool {
+    pub(crate) fn delays(&mut self, transaction: &Value) -> bool {
         let part = self.faults.late_part;
         if part == 0.0 || !self.rng.random_bool(part) {
             return false;
         }
         let due = self.now + self.rng.random_range(2.0..12.0);
         self.note(&format!("a transaction unanswered, due at {due:.1}"));
-        let txn = txn.clone();
-        self.faults.late_txns.push(LateTxn { due, txn });
+        let transaction = transaction.clone();
+        self.faults.late_txns.push(LateTxn { due, transaction });
         true
     }
 
@@ -167,7 +167,7 @@
             .partition(|late| late.due <= now);
         self.faults.late_txns = later;
         for late in due {
-            let done = self.store.txn(&late.txn);
+            let done = self.store.transact(&late.transaction);
             let applied = matches!(done, sorrelhinge::state::Outcome::Done(_));
             self.faults.late_applied += usize::from(applied);
         }
--- a/tests/rules/invariants.rs
+++ b/tests/rules/invariants.rs
@@ -21,31 +21,31 @@
     }
 
     /// No task starts on a unit that is missing, broken or taken.
-    pub(crate) fn check_units(&self, at: usize, piece: &str, units: &Value) -> Vec<String> {
+    pub(crate) fn check_units(&self, at: usize, task_name: &str, units: &Value) -> Vec<String> {
         let w = &self.workers[at];
         let names = units.as_array().into_iter().flatten();
         let names: Vec<String> = names
             .map(|u| u[1].as_str().expect("a name").to_owned())
             .collect();
-        let job = piece_job(&self.jobs, piece);
+        let job = piece_job(&self.jobs, task_name);
         let device = &job["topology"]["devices"][0];
         let most = usize::from(!device.is_null());
         let least = usize::from(device["must"] == true);
         assert!(
             (least..=most).contains(&names.len()),
-            "{piece} on {}: {names:?} of {device}",
+            "{task_name} on {}: {names:?} of {device}",
             w.id
         );
         for name in &names {
             assert!(
                 encoders(w).contains(&name.as_str()),
-                "{piece} on {}: {name} is missing or broken",
+                "{task_name} on {}: {name} is missing or broken",
                 w.id
             );
             let mut others = w.tasks.values().filter(|r| r.phase != "ended");
             assert!(
                 others.all(|r| !r.units.contains(name)),
-                "{piece} on {}: {name} is taken",
+                "{task_name} on {}: {name} is taken",
                 w.id
             );
         }
@@ -53,37 +53,41 @@
     }
 
     /// The rules that a start can break.
-    pub(crate) fn check_start(&self, at: usize, piece: &str) {
+    pub(crate) fn check_start(&self, at: usize, task_name: &str) {
         let w = &self.workers[at];
         for (other, p) in self.on_machines() {
             assert!(
-                p != piece,
-                "ran_twice: {piece} on {} starts on {}",
+                p != task_name,
+                "ran_twice: {task_name} on {} starts on {}",
                 other.id,
                 w.id
             );
         }
-        let id = piece.rsplit_once('/').expect("piece").0;
-        let job = piece_job(&self.jobs, piece);
+        let id = task_name.rsplit_once('/').expect("piece").0;
+        let job = piece_job(&self.jobs, task_name);
         assert!(
             job["loaners"] == true || !w.spot,
-            "wrong_place: {piece} on spot"
+            "wrong_place: {task_name} on spot"
         );
         assert!(
             job["rack"].is_null() || job["rack"] == w.zone,
-            "wrong_place: {piece} in {}",
+            "wrong_place: {task_name} in {}",
             w.zone
         );
         let rule = &job["topology"]["spread"][0];
         if rule["must"] == true && job["pieces"].as_u64() > rule["most"].as_u64() {
             let (_, number) = switch(w);
-            assert!(number < 10, "{piece}: the switch of {} is not known", w.id);
+            assert!(
+                number < 10,
+                "{task_name}: the switch of {} is not known",
+                w.id
+            );
             let there = self.on_machines().filter(|(other, p)| {
                 p.rsplit_once('/').expect("piece").0 == id && switch(other) == switch(w)
             });
             assert!(
                 (there.count() as u64) < rule["most"].as_u64().expect("most"),
-                "{piece} on {}: {rule}",
+                "{task_name} on {}: {rule}",
                 w.id
             );
         }
@@ -94,25 +98,28 @@
         {
             assert!(
                 job["together"] == false || other.zone == w.zone,
-                "wrong_place: {piece} and {p}"
+                "wrong_place: {task_name} and {p}"
             );
             here += u64::from(other.zone == w.zone);
         }
         let most = job["pieces"].as_u64().expect("pieces").div_ceil(2);
         assert!(
             job["spread"] == false || here < most,
-            "wrong_place: {piece} not spread"
+            "wrong_place: {task_name} not spread"
         );
         if let Some(at) = self.cancelled.get(id) {
-            assert!(self.now - at <= CANCEL_S, "ran_cancelled: {piece} starts");
+            assert!(
+                self.now - at <= CANCEL_S,
+                "ran_cancelled: {task_name} starts"
+            );
         }
-        self.check_not_too_early(piece, id);
+        self.check_not_too_early(task_name, id);
     }
 
     /// A start is sent only once its claim is recorded, and is carried out only while
     /// the claim is: else the next owner would not count it.
-    pub(crate) fn check_claimed(&self, at: usize, piece: &str, attempt: u64) {
-        let (id, number) = piece.rsplit_once('/').expect("piece");
+    pub(crate) fn check_claimed(&self, at: usize, task_name: &str, attempt: u64) {
+        let (id, number) = task_name.rsplit_once('/').expect("piece");
         let number: u64 = number.parse().expect("a number");
         let (_, job) = &self.store.keys[&job_key(&JobId::from(id))];
         let size = job["k"].as_u64().expect("a chunk's size").max(1);
@@ -127,22 +134,22 @@
             .filter_map(|h| h["c"].as_array());
         assert!(
             claims.any(|c| c.contains(&claim)),
-            "unrecorded: {piece}, attempt {attempt}, starts on {machine}"
+            "unrecorded: {task_name}, attempt {attempt}, starts on {machine}"
         );
     }
 
     /// The rules that hold at any time.
     pub(crate) fn check(&self) {
         let mut used: BTreeMap<&str, f64> = BTreeMap::new();
-        for (w, piece) in self.on_machines() {
-            let job = piece_job(&self.jobs, piece);
+        for (w, task_name) in self.on_machines() {
+            let job = piece_job(&self.jobs, task_name);
             *used.entry(job["crew"].as_str().expect("crew")).or_default() +=
                 job["cpus"].as_f64().expect("cpus");
-            let id = piece.rsplit_once('/').expect("piece").0;
+            let id = task_name.rsplit_once('/').expect("piece").0;
             if let Some(at) = self.cancelled.get(id) {
                 assert!(
                     self.now - at <= CANCEL_S,
-                    "ran_cancelled: {piece} on {}",
+                    "ran_cancelled: {task_name} on {}",
                     w.id
                 );
             }
@@ -164,12 +171,12 @@
     }
 }
 
-pub(crate) fn job_of(piece: &str) -> String {
-    piece.rsplit_once('/').expect("piece").0.into()
+pub(crate) fn job_of(task_name: &str) -> String {
+    task_name.rsplit_once('/').expect("piece").0.into()
 }
 
-pub(crate) fn piece_job<'a>(jobs: &'a BTreeMap<String, Value>, piece: &str) -> &'a Value {
-    &jobs[piece.rsplit_once('/').expect("piece").0]
+pub(crate) fn piece_job<'a>(jobs: &'a BTreeMap<String, Value>, task_name: &str) -> &'a Value {
+    &jobs[task_name.rsplit_once('/').expect("piece").0]
 }
 
 /// What the version before does to a record that it writes again.
--- a/tests/rules/main.rs
+++ b/tests/rules/main.rs
@@ -5,6 +5,7 @@
 mod blocks;
 mod commands;
 mod decision_trace;
+mod direct_commands;
 mod faults;
 #[path = "../golden_files/mod.rs"]
 mod golden_files;
@@ -13,7 +14,6 @@
 mod machine_types;
 mod meetings;
 mod mistaken;
-mod orders;
 mod pipelines;
 mod random;
 mod recording;
--- a/tests/rules/meetings/capacity.rs
+++ b/tests/rules/meetings/capacity.rs
@@ -142,8 +142,8 @@
             let now = Time(day.world.now);
             let o = &mut day.world.owners[at];
             while let Some(batch) = o.core.next_batch(&o.view, 4, false, now) {
-                let txn = serde_json::to_value(&batch.txn).expect("txn");
-                day.world.store.txn(&txn);
+                let transaction = serde_json::to_value(&batch.transaction).expect("txn");
+                day.world.store.transact(&transaction);
             }
         }
         assert_eq!(day.world.started, before, "seed {seed}: without an answer");
--- a/tests/rules/meetings/completion.rs
+++ b/tests/rules/meetings/completion.rs
@@ -94,9 +94,9 @@
             }
         }
         day.settle(60.0);
-        for (id, pieces) in &jobs {
+        for (id, tasks) in &jobs {
             let starts = day.world.starts_of[id];
-            assert_eq!(starts, *pieces, "seed {seed}: {id} ran tasks again");
+            assert_eq!(starts, *tasks, "seed {seed}: {id} ran tasks again");
             assert_eq!(day.phase(id), "d");
         }
     }
@@ -124,11 +124,11 @@
         let Some(batch) = o.core.next_batch(&o.view, 4, false, now) else {
             continue;
         };
-        let txn = serde_json::to_value(&batch.txn).expect("txn");
-        if txn.to_string().contains(r#""p":"d""#) {
+        let transaction = serde_json::to_value(&batch.transaction).expect("txn");
+        if transaction.to_string().contains(r#""p":"d""#) {
             return (day, id, batch);
         }
-        if let Outcome::Done(revision) = day.world.store.txn(&txn) {
+        if let Outcome::Done(revision) = day.world.store.transact(&transaction) {
             o.core.committed(batch, revision, &mut o.view, now);
         }
     }
@@ -141,8 +141,11 @@
     for seed in 61..66 {
         let (mut day, id, batch) = about_to_end(seed);
         day.cancel(&id);
-        let txn = serde_json::to_value(&batch.txn).expect("txn");
-        assert!(matches!(day.world.store.txn(&txn), Outcome::Failed(_)));
+        let transaction = serde_json::to_value(&batch.transaction).expect("txn");
+        assert!(matches!(
+            day.world.store.transact(&transaction),
+            Outcome::Failed(_)
+        ));
         day.world.owners[0].pending = Some(batch);
         day.writes = 3;
         day.run(10.0);
@@ -162,13 +165,16 @@
     for seed in 71..76 {
         let (mut day, id, batch) = about_to_end(seed);
         let key = format!("h/job/{id}");
-        let (stamp, mut record) = day.world.store.keys[&key].clone();
-        let txn = serde_json::to_value(&batch.txn).expect("txn");
-        assert!(matches!(day.world.store.txn(&txn), Outcome::Done(_)));
+        let (mod_revision, mut record) = day.world.store.keys[&key].clone();
+        let transaction = serde_json::to_value(&batch.transaction).expect("txn");
+        assert!(matches!(
+            day.world.store.transact(&transaction),
+            Outcome::Done(_)
+        ));
         record["p"] = json!("c");
-        let on = |stamp: u64| json!({"when": [{"key": key, "stamp": stamp}], "apply": [{"write": key, "value": record}]});
-        for stale in [stamp, 0] {
-            let outcome = day.world.store.txn(&on(stale));
+        let on = |mod_revision: u64| json!({"when": [{"key": key, "stamp": mod_revision}], "apply": [{"write": key, "value": record}]});
+        for stale in [mod_revision, 0] {
+            let outcome = day.world.store.transact(&on(stale));
             assert!(matches!(outcome, Outcome::Failed(_)), "seed {seed}");
         }
         // Its answer was lost: it is tried again.
--- a/tests/rules/meetings/day.rs
+++ b/tests/rules/meetings/day.rs
@@ -73,11 +73,11 @@
     }
 
     /// An array of the blue team that may run anywhere, but for `fields`.
-    pub(crate) fn submit(&mut self, pieces: u32, fields: Value) -> String {
+    pub(crate) fn submit(&mut self, tasks: u32, fields: Value) -> String {
         let number = u32::try_from(self.world.jobs.len()).expect("few jobs");
         let mut job = job_json(number, &mut self.world.rng);
         let plain = json!({"shape": "sweep", "jobclass": "batch", "rank": "normal",
-            "crew": "blue", "pieces": pieces, "cpus": 1.0, "ram_gb": 1.0, "spread": false,
+            "crew": "blue", "pieces": tasks, "cpus": 1.0, "ram_gb": 1.0, "spread": false,
             "together": false, "loaners": true});
         for changes in [plain, fields] {
             let changes = changes.as_object().cloned().expect("an object");
@@ -162,16 +162,16 @@
     fn deliver(&mut self) {
         let now = self.world.now;
         let late = std::mem::take(&mut self.world.late);
-        for (at, id, orders) in late {
+        for (at, id, commands) in late {
             match at <= now {
-                true => self.held.push((id, orders)),
-                false => self.world.late.push((at, id, orders)),
+                true => self.held.push((id, commands)),
+                false => self.world.late.push((at, id, commands)),
             }
         }
-        for (id, orders) in std::mem::take(&mut self.held) {
+        for (id, commands) in std::mem::take(&mut self.held) {
             match self.is_hung(&id) {
-                true => self.held.push((id, orders)),
-                false => drop(self.world.carry_out(&id, &orders)),
+                true => self.held.push((id, commands)),
+                false => drop(self.world.carry_out(&id, &commands)),
             }
         }
     }
@@ -180,20 +180,20 @@
         if self.is_hung(&self.world.workers[at].id) {
             return;
         }
-        for (piece, running) in &mut self.world.workers[at].tasks {
-            let (job, number) = piece.rsplit_once('/').expect("piece");
+        for (task_name, running) in &mut self.world.workers[at].tasks {
+            let (job, number) = task_name.rsplit_once('/').expect("piece");
             let number: usize = number.parse().expect("a number");
             let lasts = self.lasting.get(job).and_then(|all| all.get(number));
             if let Some(lasts) = lasts {
-                if self.timed.insert((piece.clone(), running.attempt)) {
+                if self.timed.insert((task_name.clone(), running.attempt)) {
                     running.left = *lasts;
                 }
             }
             running.left -= STEP_S;
             if running.phase == "running" && running.left <= 0.0 {
                 running.phase = "ended";
-                running.cause = Some("done");
-                self.world.done_tasks.insert(piece.clone());
+                running.exit_reason = Some("done");
+                self.world.done_tasks.insert(task_name.clone());
             }
         }
     }
@@ -229,13 +229,13 @@
         }
         o.core.walk(&machine, now);
         let reply = serde_json::to_value(o.core.reply(&machine, &o.view, now)).expect("reply");
-        let baton = reply["baton"].as_u64().expect("baton");
+        let fencing_token = reply["baton"].as_u64().expect("baton");
         let lost = self.world.rng.random_bool(self.lost_answers);
         let w = &mut self.world.workers[at];
-        if lost || w.deaf_until > now.0 || baton < w.token {
+        if lost || w.deaf_until > now.0 || fencing_token < w.token {
             return;
         }
-        (w.token, w.renewed) = (baton, now.0);
+        (w.token, w.renewed) = (fencing_token, now.0);
         self.world.commands(at, &reply["orders"]);
     }
 
@@ -295,27 +295,27 @@
 
     fn send(&mut self, owner: usize, alone: bool, send: Dispatch) {
         let id = send.machine.as_str().to_owned();
-        let orders = serde_json::to_value(&send.orders).expect("orders");
+        let commands = serde_json::to_value(&send.commands).expect("orders");
         let outcome = match self.way(&id, alone) {
             Way::Closed => Sending::NotSent,
             Way::Held(seconds) => {
                 let at = self.world.now + seconds;
-                self.world.late.push((at, id, orders));
+                self.world.late.push((at, id, commands));
                 Sending::Unknown
             }
             Way::Open if self.is_hung(&id) => {
-                self.held.push((id, orders));
+                self.held.push((id, commands));
                 Sending::Unknown
             }
-            Way::Open => self.carry_out(&id, &orders),
+            Way::Open => self.carry_out(&id, &commands),
         };
         let now = Time(self.world.now);
         let core = &mut self.world.owners[owner].core;
         core.dispatched(&send.machine, outcome, now);
     }
 
-    fn carry_out(&mut self, id: &str, orders: &Value) -> Sending {
-        let Some(taken) = self.world.carry_out(id, orders) else {
+    fn carry_out(&mut self, id: &str, commands: &Value) -> Sending {
+        let Some(taken) = self.world.carry_out(id, commands) else {
             return Sending::NotSent;
         };
         let lost = self.world.rng.random_bool(self.lost_answers);
--- a/tests/rules/pipelines.rs
+++ b/tests/rules/pipelines.rs
@@ -49,12 +49,12 @@
 
     /// `too_early`: a task starts only once the records of all jobs that its job needs
     /// say done.
-    pub(crate) fn check_not_too_early(&self, piece: &str, id: &str) {
+    pub(crate) fn check_not_too_early(&self, task_name: &str, id: &str) {
         for need in self.needs_of(id) {
             let phase = self.recorded(need);
             assert_eq!(
                 phase, "d",
-                "too_early: {piece} starts before {need} is done"
+                "too_early: {task_name} starts before {need} is done"
             );
         }
     }
@@ -241,7 +241,7 @@
 }
 
 fn core_of(view: &View, config: &Rc<Config>, now: Time, wall_ms: u64) -> Core {
-    let grant = ShardGrant::whole(1, view.grant.stamp);
+    let grant = ShardGrant::whole(1, view.grant.mod_revision);
     let input = RecoveryInput {
         cfg: config.clone(),
         types: &kinds(),
--- a/tests/rules/recording.rs
+++ b/tests/rules/recording.rs
@@ -9,7 +9,7 @@
 use sorrelhinge::control::pending::{Due, Haste, Pending};
 use sorrelhinge::shares::LeftTo;
 use sorrelhinge::state::record::chunk_key;
-use sorrelhinge::state::Txn;
+use sorrelhinge::state::Transaction;
 use sorrelhinge::types::{JobId, MachineId, Time};
 use sorrelhinge_sharding::served::Sort;
 use sorrelhinge_sharding::shard::{of_job, of_machine, BlockId};
@@ -26,7 +26,7 @@
         let lane = format!("lane.a.classes={class}");
         config.lanes = sorrelhinge::config::lanes(lane.as_bytes()).expect("a lane");
         let o = &mut world.owners[0];
-        let grant = ShardGrant::whole(o.view.grant.value.number, o.view.grant.stamp);
+        let grant = ShardGrant::whole(o.view.grant.value.number, o.view.grant.mod_revision);
         let input = RecoveryInput {
             cfg: Rc::new(config),
             types: &kinds(),
@@ -39,14 +39,14 @@
         let (id, _) = one_job(&mut world);
         let World { store, owners, .. } = &mut world;
         let Owner { core, view, .. } = &mut owners[0];
-        let first = view.job(&id).expect("the job").record.stamp;
+        let first = view.job(&id).expect("the job").record.mod_revision;
         regular(core, Time(2.0));
         let batch = core.next_batch(view, 4, false, Time(2.0)).expect("a claim");
-        let txn = serde_json::to_value(&batch.txn).expect("txn");
-        assert_eq!(txn["apply"].as_array().map(Vec::len), Some(1));
+        let transaction = serde_json::to_value(&batch.transaction).expect("txn");
+        assert_eq!(transaction["apply"].as_array().map(Vec::len), Some(1));
         commit(store, core, view, batch, Time(2.0));
         let entry = view.job(&id).expect("the job");
-        assert!(entry.record.stamp > first && entry.place == first);
+        assert!(entry.record.mod_revision > first && entry.place == first);
         assert_eq!(entry.record.value.place, has.then_some(first));
     }
 }
@@ -219,8 +219,9 @@
     for _ in 0..20 {
         let o = &mut world.owners[b];
         if let Some(batch) = o.core.next_batch(&o.view, 4, true, Time(now.0 + 60.0)) {
-            let txn = serde_json::to_value::<&Txn>(&batch.txn).expect("txn");
-            world.store.txn(&txn);
+            let transaction =
+                serde_json::to_value::<&Transaction>(&batch.transaction).expect("txn");
+            world.store.transact(&transaction);
         }
     }
     assert_eq!(world.store.keys.get(&key).map(|(_, v)| v), Some(&claim));
--- a/tests/rules/scenes.rs
+++ b/tests/rules/scenes.rs
@@ -43,14 +43,14 @@
     world
 }
 
-pub(crate) fn array(world: &mut World, id: u32, class: &str, pieces: u32) -> String {
+pub(crate) fn array(world: &mut World, id: u32, class: &str, tasks: u32) -> String {
     let mut value = job_json(id, &mut world.rng);
     for (field, to) in [
         ("shape", json!("sweep")),
         ("jobclass", json!(class)),
         ("rank", json!("normal")),
         ("crew", json!("red")),
-        ("pieces", json!(pieces)),
+        ("pieces", json!(tasks)),
         ("cpus", json!(1.0)),
         ("spread", json!(false)),
         ("together", json!(false)),
@@ -90,8 +90,8 @@
 pub(crate) fn record_claims(o: &mut Owner, store: &mut Store, now: Time) -> usize {
     let mut claims = 0;
     while let Some(batch) = o.core.next_batch(&o.view, 4, false, now) {
-        let txn = serde_json::to_value(&batch.txn).expect("txn");
-        claims += usize::from(txn.to_string().contains("[[0,"));
+        let transaction = serde_json::to_value(&batch.transaction).expect("txn");
+        claims += usize::from(transaction.to_string().contains("[[0,"));
         commit(store, &mut o.core, &mut o.view, batch, now);
     }
     claims
@@ -99,9 +99,9 @@
 
 /// Carries out what an owner records, which the state service must not refuse.
 pub(crate) fn commit(store: &mut Store, core: &mut Core, view: &mut View, batch: Batch, now: Time) {
-    let txn = serde_json::to_value(&batch.txn).expect("txn");
-    let Outcome::Done(revision) = store.txn(&txn) else {
-        panic!("refused: {txn}");
+    let transaction = serde_json::to_value(&batch.transaction).expect("txn");
+    let Outcome::Done(revision) = store.transact(&transaction) else {
+        panic!("refused: {transaction}");
     };
     core.committed(batch, revision, view, now);
 }
--- a/tests/rules/service.rs
+++ b/tests/rules/service.rs
@@ -50,23 +50,25 @@
     let (_, record) = &world.store.keys[&job_key(&JobId::from(id))];
     record["p"] == "l"
         && job["jobclass"] != MISTAKEN
-        && !world.on_machines().any(|(_, piece)| job_of(piece) == id)
+        && !world
+            .on_machines()
+            .any(|(_, task_name)| job_of(task_name) == id)
         && !all_done(world, id, job)
 }
 
 fn all_done(world: &World, id: &str, job: &Value) -> bool {
-    let pieces = job["pieces"].as_u64().expect("pieces");
-    (0..pieces).all(|n| world.done_tasks.contains(&format!("{id}/{n}")))
+    let tasks = job["pieces"].as_u64().expect("pieces");
+    (0..tasks).all(|n| world.done_tasks.contains(&format!("{id}/{n}")))
 }
 
 /// Whether one task of the job, of which none runs, fits a machine and its team's limit.
 fn has_room(world: &World, job: &Value) -> bool {
-    let cpus = |piece: &str| {
-        let job = piece_job(&world.jobs, piece);
+    let cpus = |task_name: &str| {
+        let job = piece_job(&world.jobs, task_name);
         job["cpus"].as_f64().expect("cpus")
     };
     let each = job["cpus"].as_f64().expect("cpus");
-    let team = |piece: &&String| piece_job(&world.jobs, piece)["crew"] == job["crew"];
+    let team = |task_name: &&String| piece_job(&world.jobs, task_name)["crew"] == job["crew"];
     let used = world.on_machines().map(|(_, p)| p).filter(team);
     let used: f64 = used.map(|p| cpus(p)).sum();
     if job["crew"] == "red" && used + each > RED_MOST {
--- a/tests/rules/silence.rs
+++ b/tests/rules/silence.rs
@@ -4,7 +4,7 @@
 
 use sorrelhinge::control::core::Source;
 use sorrelhinge::state::view::View;
-use sorrelhinge::types::{JobId, MachineId, Seq, Time};
+use sorrelhinge::types::{JobId, MachineId, SequenceNumber, Time};
 use sorrelhinge::worker::{Report, Sending};
 
 use crate::*;
@@ -154,7 +154,7 @@
                 o.core.report(&w.report(), Source::Beat, now);
                 let reply = o.core.reply(&id, &o.view, now);
                 if !is_deaf(&w.id) {
-                    w.token = reply.baton.0;
+                    w.token = reply.fencing_token.0;
                 }
             }
             regular(&mut o.core, now);
@@ -166,19 +166,19 @@
                     o.core.dispatched(&send.machine, Sending::NotSent, now);
                     continue;
                 }
-                let orders = serde_json::to_value(&send.orders.orders).expect("orders");
-                for order in orders.as_array().into_iter().flatten() {
-                    let piece = order["piece"].as_str().expect("piece").to_owned();
+                let commands = serde_json::to_value(&send.commands.commands).expect("orders");
+                for order in commands.as_array().into_iter().flatten() {
+                    let task_name = order["piece"].as_str().expect("piece").to_owned();
                     let running = Running {
                         units: Vec::new(),
                         attempt: order["try"].as_u64().expect("try"),
                         phase: "running",
-                        cause: None,
+                        exit_reason: None,
                         left: f64::INFINITY,
                     };
-                    w.tasks.insert(piece, running);
+                    w.tasks.insert(task_name, running);
                 }
-                w.token = send.orders.baton.0;
+                w.token = send.commands.fencing_token.0;
                 let outcome = Sending::Executed(Box::new(w.report()));
                 o.core.dispatched(&send.machine, outcome, now);
             }
@@ -222,7 +222,12 @@
         }
         let last = copies.last().expect("one");
         o.core.report(last, Source::Homed, now);
-        o.core.heard(&dead, last.shift, Seq(last.tick.0 + 1), now);
+        o.core.heard(
+            &dead,
+            last.incarnation,
+            SequenceNumber(last.sequence.0 + 1),
+            now,
+        );
         regular(&mut o.core, now);
         if o.core.fleet(now).to_delete.contains(&dead) {
             gone_at.get_or_insert(now.0);
@@ -251,7 +256,10 @@
     let w = &mut world.workers[1];
     core.report(&w.report(), Source::Beat, Time(300.0));
     let id = MachineId::from(w.id.as_str());
-    w.token = core.reply(&id, &View::default(), Time(300.0)).baton.0;
+    w.token = core
+        .reply(&id, &View::default(), Time(300.0))
+        .fencing_token
+        .0;
     core.report(&w.report(), Source::Beat, Time(301.0));
     assert_eq!(core.machines(), 1);
 }
--- a/tests/rules/store.rs
+++ b/tests/rules/store.rs
@@ -34,24 +34,27 @@
 
 impl Store {
     /// Whether a transaction gets 400, as something of it is too large.
-    pub(crate) fn rejects(&self, txn: &Value) -> bool {
-        let changes = txn["apply"].as_array().expect("changes");
+    pub(crate) fn rejects(&self, transaction: &Value) -> bool {
+        let changes = transaction["apply"].as_array().expect("changes");
         let bytes = |c: &Value| c["value"].to_string().len();
         changes.len() > self.limits.changes
             || changes.iter().any(|c| bytes(c) > self.limits.value_bytes)
     }
 
-    pub(crate) fn txn(&mut self, txn: &Value) -> Outcome {
-        let stamp = |k: &str| self.keys.get(k).map_or(0, |(s, _)| *s);
-        let met =
-            txn["when"].as_array().expect("conditions").iter().all(|w| {
-                stamp(w["key"].as_str().expect("key")) == w["stamp"].as_u64().expect("stamp")
+    pub(crate) fn transact(&mut self, transaction: &Value) -> Outcome {
+        let mod_revision = |k: &str| self.keys.get(k).map_or(0, |(s, _)| *s);
+        let met = transaction["when"]
+            .as_array()
+            .expect("conditions")
+            .iter()
+            .all(|w| {
+                mod_revision(w["key"].as_str().expect("key")) == w["stamp"].as_u64().expect("stamp")
             });
         if !met {
             return Outcome::Failed(Revision(self.revision));
         }
         self.revision += 1;
-        let changes = txn["apply"].as_array().expect("changes");
+        let changes = transaction["apply"].as_array().expect("changes");
         assert!(
             changes.len() <= self.limits.changes,
             "more changes than the settings allow"
@@ -76,13 +79,13 @@
     }
 
     pub(crate) fn write(&mut self, key: &str, value: Value) {
-        let stamp = self.keys.get(key).map_or(0, |(s, _)| *s);
-        let txn = json!({"when": [{"key": key, "stamp": stamp}], "apply": [{"write": key, "value": value}]});
-        assert!(matches!(self.txn(&txn), Outcome::Done(_)));
+        let mod_revision = self.keys.get(key).map_or(0, |(s, _)| *s);
+        let transaction = json!({"when": [{"key": key, "stamp": mod_revision}], "apply": [{"write": key, "value": value}]});
+        assert!(matches!(self.transact(&transaction), Outcome::Done(_)));
     }
 
     pub(crate) fn follow(&self, view: &mut View) -> bool {
-        let since = view.ledger;
+        let since = view.store_revision;
         let events: Vec<&Value> = self
             .log
             .iter()
--- a/tests/rules/takeover.rs
+++ b/tests/rules/takeover.rs
@@ -40,10 +40,13 @@
     let now = Time(world.now + 4.0);
     let batch = o.core.next_batch(&o.view, 4, false, now);
     let batch = batch.expect("their names, before any result");
-    let txn = serde_json::to_value(&batch.txn).expect("txn");
-    assert_eq!(txn["apply"].as_array().map(Vec::len), Some(1));
-    assert_eq!(txn["apply"][0]["write"], "h/gone/0");
-    assert!(matches!(world.store.txn(&txn), Outcome::Done(_)));
+    let transaction = serde_json::to_value(&batch.transaction).expect("txn");
+    assert_eq!(transaction["apply"].as_array().map(Vec::len), Some(1));
+    assert_eq!(transaction["apply"][0]["write"], "h/gone/0");
+    assert!(matches!(
+        world.store.transact(&transaction),
+        Outcome::Done(_)
+    ));
     world.take_over();
     let o = world.owners.last().expect("an owner");
     assert_eq!(claimed(o), 0);
@@ -68,9 +71,9 @@
         .core
         .next_batch(&owner.view, 4, true, Time(0.0))
         .expect("a chunk to delete");
-    let txn = serde_json::to_value(&batch.txn).expect("txn");
+    let transaction = serde_json::to_value(&batch.transaction).expect("txn");
     assert_eq!(
-        txn["apply"],
+        transaction["apply"],
         json!([{"delete": "h/task/run-000000/000000"}])
     );
 }
--- a/tests/rules/views.rs
+++ b/tests/rules/views.rs
@@ -10,16 +10,16 @@
 /// nothing of it is taken in.
 #[test]
 fn an_answer_that_leaves_a_gap_shows_nothing() {
-    let answer = |ledger: u64| {
-        let events = json!({"ledger": ledger, "events": []});
+    let answer = |store_revision: u64| {
+        let events = json!({"ledger": store_revision, "events": []});
         serde_json::from_value(events).expect("events")
     };
     let mut view = View::default();
     view.replace(Revision(5), Vec::new());
     assert!(!view.apply(Revision(9), answer(10)), "6 to 9 are missing");
-    assert_eq!(view.ledger, Revision(5));
+    assert_eq!(view.store_revision, Revision(5));
     assert!(view.apply(Revision(5), answer(10)));
-    assert_eq!(view.ledger, Revision(10));
+    assert_eq!(view.store_revision, Revision(10));
     assert!(view.apply(Revision(4), answer(7)), "older, and all known");
-    assert_eq!(view.ledger, Revision(10));
+    assert_eq!(view.store_revision, Revision(10));
 }
--- a/tests/rules/worker.rs
+++ b/tests/rules/worker.rs
@@ -9,7 +9,7 @@
     pub(crate) units: Vec<String>,
     pub(crate) attempt: u64,
     pub(crate) phase: &'static str,
-    pub(crate) cause: Option<&'static str>,
+    pub(crate) exit_reason: Option<&'static str>,
     pub(crate) left: f64,
 }
 
@@ -19,7 +19,7 @@
     pub(crate) zone: &'static str,
     pub(crate) spot: bool,
     pub(crate) session: u64,
-    pub(crate) tick: u64,
+    pub(crate) sequence: u64,
     pub(crate) token: u64,
     pub(crate) renewed: f64,
     pub(crate) silent_until: f64,
@@ -41,7 +41,7 @@
             zone: if i % 2 == 0 { "za" } else { "zb" },
             spot: i >= 4,
             session: 1,
-            tick: 0,
+            sequence: 0,
             token: 0,
             renewed: 0.0,
             silent_until: 0.0,
@@ -54,15 +54,15 @@
     }
 
     pub(crate) fn report(&mut self) -> Report {
-        self.tick += 1;
-        let pieces: Vec<Value> = self
+        self.sequence += 1;
+        let tasks: Vec<Value> = self
             .tasks
             .iter()
-            .map(|(piece, r)| json!({"piece": piece, "try": r.attempt, "phase": r.phase, "cause": r.cause}))
+            .map(|(task_name, r)| json!({"piece": task_name, "try": r.attempt, "phase": r.phase, "cause": r.exit_reason}))
             .collect();
         let report = json!({"box": self.id, "addr": "127.0.0.1:9", "build": "t", "rack": self.zone,
-            "loaners": self.spot, "shift": self.session, "tick": self.tick, "baton": self.token,
-            "warning_s": self.warned.then_some(9.0), "pieces": pieces});
+            "loaners": self.spot, "shift": self.session, "tick": self.sequence, "baton": self.token,
+            "warning_s": self.warned.then_some(9.0), "pieces": tasks});
         serde_json::from_value(report).expect("report")
     }
 }
--- a/tests/rules/workload.rs
+++ b/tests/rules/workload.rs
@@ -72,7 +72,7 @@
 pub(crate) fn job_json(id: u32, rng: &mut StdRng) -> Value {
     let service = rng.random_bool(0.2);
     let huge = !service && rng.random_bool(0.04);
-    let pieces = if service {
+    let tasks = if service {
         rng.random_range(1..3)
     } else if huge {
         rng.random_range(150..400)
@@ -96,9 +96,9 @@
     };
     json!({"uid": format!("run-{id:06}"), "jobclass": class,
         "crew": if rng.random_bool(0.5) {"red"} else {"blue"},
-        "shape": if service {"standing"} else if pieces < 4 {"ensemble"} else {"sweep"},
+        "shape": if service {"standing"} else if tasks < 4 {"ensemble"} else {"sweep"},
         "rank": rank,
-        "pieces": pieces, "cpus": cpus, "cards": 0.0, "ram_gb": if huge {0.2} else {1.0},
+        "pieces": tasks, "cpus": cpus, "cards": 0.0, "ram_gb": if huge {0.2} else {1.0},
         "bundle": format!("img-{}", rng.random_range(0..4)), "pull_gb": 1.0, "builds": null,
         "rack": null, "together": !service && rng.random_bool(0.2), "spread": service,
         "loaners": !service && rng.random_bool(0.7), "guess_s": 5.0, "mark_s": 0.0, "stash_s": 0.0,
--- a/tests/rules/world.rs
+++ b/tests/rules/world.rs
@@ -7,7 +7,7 @@
 use rand::{Rng, SeedableRng};
 use serde_json::{json, Value};
 use sorrelhinge::api::read_job;
-use sorrelhinge::cloud::{Listed, MachinePhase};
+use sorrelhinge::cloud::{ListedMachine, MachinePhase};
 use sorrelhinge::config::Config;
 use sorrelhinge::control::core::{
     Batch, Core, Dispatch, Places, RecoveryInput, ShardGrant, Source,
@@ -16,7 +16,7 @@
     chunk_key, job_key, BlockRecord, GrantRecord, JobRecord, NewJob, GRANT,
 };
 use sorrelhinge::state::view::View;
-use sorrelhinge::state::{Outcome, Txn};
+use sorrelhinge::state::{Outcome, Transaction};
 use sorrelhinge::types::{JobId, MachineId, Revision, Term, Time};
 use sorrelhinge::worker::{Report, Sending};
 use sorrelhinge_overload::freshness::Freshness;
@@ -190,7 +190,7 @@
         let grant = ShardGrant {
             shard,
             number: self.grants,
-            revision: view.blocks[&block].stamp,
+            revision: view.blocks[&block].mod_revision,
         };
         let input = RecoveryInput {
             cfg: self.config(),
@@ -247,7 +247,7 @@
         self.store
             .write(GRANT, serde_json::to_value(&grant).expect("record"));
         let view = self.whole_view();
-        let grant = ShardGrant::whole(self.grants, view.grant.stamp);
+        let grant = ShardGrant::whole(self.grants, view.grant.mod_revision);
         let input = RecoveryInput {
             cfg: self.config(),
             types: &kinds(),
@@ -320,9 +320,13 @@
     /// An operator drains a switch or a machine for a while, or ends a drain.
     pub(crate) fn drain(&mut self) {
         let key = format!("h/drain/{}", self.rng.random_range(1..3));
-        if let Some((stamp, _)) = self.store.keys.get(&key) {
-            let txn = json!({"when": [{"key": key, "stamp": stamp}], "apply": [{"delete": key}]});
-            assert!(matches!(self.store.txn(&txn), Outcome::Done(_)));
+        if let Some((mod_revision, _)) = self.store.keys.get(&key) {
+            let transaction =
+                json!({"when": [{"key": key, "stamp": mod_revision}], "apply": [{"delete": key}]});
+            assert!(matches!(
+                self.store.transact(&transaction),
+                Outcome::Done(_)
+            ));
             return;
         }
         let at = self.rng.random_range(0..self.workers.len());
@@ -363,43 +367,52 @@
         let entry = view.job(&id).expect("an accepted job");
         let cancelled = entry.cancelled(false, self.store.limits.value_bytes);
         let (job, chunk) = (job_key(&id), chunk_key(&id, 0));
-        let mut txn = json!({
-            "when": [{"key": job, "stamp": entry.record.stamp}],
+        let mut transaction = json!({
+            "when": [{"key": job, "stamp": entry.record.mod_revision}],
             "apply": [{"write": job, "value": cancelled.record}],
         });
         if let Some(claims) = &cancelled.claims {
             let when = json!({"key": chunk, "stamp": 0});
-            txn["when"].as_array_mut().expect("conditions").push(when);
+            transaction["when"]
+                .as_array_mut()
+                .expect("conditions")
+                .push(when);
             let apply = json!({"write": chunk, "value": claims});
-            txn["apply"].as_array_mut().expect("changes").push(apply);
-        }
-        assert!(matches!(self.store.txn(&txn), Outcome::Done(_)));
+            transaction["apply"]
+                .as_array_mut()
+                .expect("changes")
+                .push(apply);
+        }
+        assert!(matches!(
+            self.store.transact(&transaction),
+            Outcome::Done(_)
+        ));
     }
 
     pub(crate) fn send(&mut self, owner: usize, send: Dispatch) {
         let id = send.machine.as_str().to_owned();
-        self.trace.fold_json(&id, &send.orders);
-        let orders = serde_json::to_value(&send.orders).expect("orders");
+        self.trace.fold_json(&id, &send.commands);
+        let commands = serde_json::to_value(&send.commands).expect("orders");
         let apart = self.owners[owner].apart_until > self.now;
         let reachable = !apart
             && self
                 .workers
                 .iter()
                 .any(|w| w.id == id && w.silent_until.max(w.deaf_until) <= self.now);
-        let held_s = self.held_back_s(owner, &id);
+        let age_s = self.held_back_s(owner, &id);
         let luck = if self.calm {
             99
         } else {
             self.rng.random_range(0..100)
         };
-        let outcome = if let Some(held_s) = held_s {
-            self.late.push((self.now + held_s, id.clone(), orders));
+        let outcome = if let Some(age_s) = age_s {
+            self.late.push((self.now + age_s, id.clone(), commands));
             Sending::Unknown
         } else if !reachable {
             // A cut may hold the commands back, and deliver them much later.
             if luck < 30 {
                 self.late
-                    .push((self.now + f64::from(luck), id.clone(), orders));
+                    .push((self.now + f64::from(luck), id.clone(), commands));
                 Sending::Unknown
             } else {
                 Sending::NotSent
@@ -408,10 +421,10 @@
             Sending::NotSent
         } else if luck < 12 {
             self.late
-                .push((self.now + f64::from(luck * 2), id.clone(), orders));
+                .push((self.now + f64::from(luck * 2), id.clone(), commands));
             Sending::Unknown
         } else {
-            match self.carry_out(&id, &orders) {
+            match self.carry_out(&id, &commands) {
                 None => Sending::NotSent,
                 Some(_) if luck < 18 => Sending::Unknown,
                 Some(Some(report)) => Sending::Executed(Box::new(report)),
@@ -445,15 +458,15 @@
         else {
             return;
         };
-        self.trace.fold_json("transaction", &batch.txn);
-        let txn = serde_json::to_value::<&Txn>(&batch.txn).expect("txn");
-        if self.store.rejects(&txn) {
+        self.trace.fold_json("transaction", &batch.transaction);
+        let transaction = serde_json::to_value::<&Transaction>(&batch.transaction).expect("txn");
+        if self.store.rejects(&transaction) {
             self.faults.rejected += 1;
             let o = &mut self.owners[owner];
             o.core.rejected(batch, true, &o.view, now);
             return;
         }
-        if self.delays(&txn) {
+        if self.delays(&transaction) {
             self.owners[owner].pending = Some(batch);
             return;
         }
@@ -466,10 +479,10 @@
             // Not carried out, or carried out with the answer lost.
             0 => o.pending = Some(batch),
             1 => {
-                self.store.txn(&txn);
+                self.store.transact(&transaction);
                 o.pending = Some(batch);
             }
-            _ => match self.store.txn(&txn) {
+            _ => match self.store.transact(&transaction) {
                 Outcome::Done(revision) => o.core.committed(batch, revision, &mut o.view, now),
                 Outcome::Failed(_) => {
                     self.store.follow(&mut o.view);
@@ -524,15 +537,15 @@
         let reply = o.core.reply(&report.machine, &o.view, Time(self.now));
         self.trace.fold_json(report.machine.as_str(), &reply);
         let reply = serde_json::to_value(&reply).expect("reply");
-        let baton = reply["baton"].as_u64().expect("baton");
+        let fencing_token = reply["baton"].as_u64().expect("baton");
         if self.luck(0.2) {
             self.copies.push(report);
         }
         let deaf = self.workers[at].deaf_until > self.now;
-        if deaf || self.luck(0.05) || baton < self.workers[at].token {
+        if deaf || self.luck(0.05) || fencing_token < self.workers[at].token {
             return;
         }
-        self.workers[at].token = baton;
+        self.workers[at].token = fencing_token;
         self.workers[at].renewed = sent;
         self.commands(at, &reply["orders"]);
     }
@@ -562,18 +575,18 @@
         // Only a list shows that a machine which a record claims is gone: its
         // deletion may have gone unrecorded.
         let shard = self.owners[owner].core.shard;
-        let list: Vec<Listed> = self
+        let list: Vec<ListedMachine> = self
             .workers
             .iter()
             .filter(|w| shard.covers(&w.id.as_str().into()))
-            .map(|w| Listed {
-                uid: MachineId::from(w.id.as_str()),
+            .map(|w| ListedMachine {
+                id: MachineId::from(w.id.as_str()),
                 addr: "127.0.0.1:9".parse().ok(),
-                build: "t".into(),
-                rack: w.zone.into(),
-                loaners: w.spot,
+                machine_type: "t".into(),
+                zone: w.zone.into(),
+                spot: w.spot,
                 phase: MachinePhase::Running,
-                held_s: 100.0,
+                age_s: 100.0,
             })
             .collect();
         self.owners[owner].core.listed(&list, now);
@@ -590,7 +603,7 @@
                 w.id = format!("vm-{:06}", 100 + self.rented);
                 w.tasks.clear();
                 w.session = 1;
-                w.tick = 0;
+                w.sequence = 0;
                 w.token = 0;
                 w.renewed = self.now;
                 w.deaf_until = 0.0;
@@ -687,8 +700,8 @@
             .cloned()
             .collect();
         self.late.retain(|(t, ..)| *t > self.now);
-        for (_, id, orders) in due {
-            self.carry_out(&id, &orders);
+        for (_, id, commands) in due {
+            self.carry_out(&id, &commands);
         }
     }
 
@@ -696,12 +709,12 @@
     fn step_worker(&mut self, at: usize) {
         let w = &mut self.workers[at];
         let hangs = w.hangs_until > self.now;
-        for (piece, r) in w.tasks.iter_mut().filter(|_| !hangs) {
+        for (task_name, r) in w.tasks.iter_mut().filter(|_| !hangs) {
             r.left -= STEP_S;
             if r.phase == "running" && r.left <= 0.0 {
                 r.phase = "ended";
-                r.cause = Some("done");
-                self.done_tasks.insert(piece.clone());
+                r.exit_reason = Some("done");
+                self.done_tasks.insert(task_name.clone());
             }
         }
         self.end_lease(at);
--- a/tests/staging.rs
+++ b/tests/staging.rs
@@ -105,7 +105,7 @@
     }
 
     fn apply(&mut self, text: &str) {
-        let since = self.view.ledger;
+        let since = self.view.store_revision;
         let events = serde_json::from_str(text).expect("events");
         self.view.apply(since, events);
     }
@@ -135,15 +135,15 @@
     /// A report of a machine.
     fn report(&mut self, id: &str) -> Value {
         self.ticks += 1;
-        let pieces: Vec<Value> = self
+        let tasks: Vec<Value> = self
             .tasks
             .iter()
             .filter(|((m, _), _)| m == id)
-            .map(|((_, piece), (attempt, phase))| json!({"piece": piece, "try": attempt, "phase": phase}))
+            .map(|((_, task_name), (attempt, phase))| json!({"piece": task_name, "try": attempt, "phase": phase}))
             .collect();
         let (zone, token) = self.workers[id];
         json!({"box": id, "addr": addr(id), "build": "t", "rack": zone, "loaners": false,
-            "shift": 1, "tick": self.ticks, "baton": token, "warning_s": null, "pieces": pieces})
+            "shift": 1, "tick": self.ticks, "baton": token, "warning_s": null, "pieces": tasks})
     }
 
     fn beat(&mut self, id: &str) {
@@ -156,12 +156,12 @@
         self.carry_out(id.as_str(), &reply);
     }
 
-    fn carry_out(&mut self, id: &str, orders: &Value) {
-        let token = orders["baton"].as_u64().expect("a token");
+    fn carry_out(&mut self, id: &str, commands: &Value) {
+        let token = commands["baton"].as_u64().expect("a token");
         self.workers.get_mut(id).expect("it is there").1 = token;
-        for order in orders["orders"].as_array().expect("orders") {
-            let piece = order["piece"].as_str().expect("a piece").to_owned();
-            let key = (id.to_owned(), piece.clone());
+        for order in commands["orders"].as_array().expect("orders") {
+            let task_name = order["piece"].as_str().expect("a piece").to_owned();
+            let key = (id.to_owned(), task_name.clone());
             if order["verb"] != "start" {
                 self.tasks.remove(&key);
                 continue;
@@ -170,13 +170,13 @@
             self.tasks.insert(key, (attempt, "fetching"));
             let from = order["from"].as_array().into_iter().flatten();
             let from = from.map(|f| f.as_str().expect("one").to_owned());
-            self.starts.insert(piece, from.collect());
+            self.starts.insert(task_name, from.collect());
         }
     }
 
     fn record(&mut self, batch: Batch) {
-        let txn = serde_json::to_value(&batch.txn).expect("a transaction");
-        let changes = txn["apply"].as_array().cloned().expect("changes");
+        let transaction = serde_json::to_value(&batch.transaction).expect("a transaction");
+        let changes = transaction["apply"].as_array().cloned().expect("changes");
         let text = self.next_revision(changes);
         let revision = Revision(self.revision);
         self.core
@@ -205,8 +205,8 @@
                 self.core.dispatched(&send.machine, Sending::NotSent, now);
                 continue;
             }
-            let orders = serde_json::to_value(&send.orders).expect("orders");
-            self.carry_out(&id, &orders);
+            let commands = serde_json::to_value(&send.commands).expect("orders");
+            self.carry_out(&id, &commands);
             let report = serde_json::from_value(self.report(&id)).expect("a report");
             let outcome = Sending::Executed(Box::new(report));
             self.core.dispatched(&send.machine, outcome, now);
@@ -246,7 +246,7 @@
 fn core(properties: &str, view: &View, grant: u64, now: f64) -> Core {
     let mut config = (*settings::config(100.0)).clone();
     config.tuning = Tuning::parse(properties.as_bytes()).expect("properties");
-    let grant = ShardGrant::whole(grant, view.grant.stamp);
+    let grant = ShardGrant::whole(grant, view.grant.mod_revision);
     let input = RecoveryInput {
         cfg: Rc::new(config),
         types: &[kind()],
@@ -366,7 +366,7 @@
     let mut world = World::new(ON, 10);
     world.submit("run-1", service("run-1", 6, MODEL, 40.0, 3.0));
     world.until_started(6);
-    let head = |(_, piece): &&(String, String)| world.starts[piece].is_empty();
+    let head = |(_, task_name): &&(String, String)| world.starts[task_name].is_empty();
     let (lost, _) = world.tasks.keys().find(head).cloned().expect("one");
     world.workers.remove(&lost);
     world.tasks.retain(|(m, _), _| *m != lost);
@@ -377,9 +377,9 @@
     world.steps(12);
     // Three new ones, and the lost one again.
     assert_eq!(world.starts.len(), 4);
-    for (piece, from) in &world.starts {
-        assert!(!from.contains(&addr(&lost)), "{piece} from {from:?}");
-        assert!(!from.is_empty(), "{piece}: others have it");
+    for (task_name, from) in &world.starts {
+        assert!(!from.contains(&addr(&lost)), "{task_name} from {from:?}");
+        assert!(!from.is_empty(), "{task_name}: others have it");
     }
 }
 
--- a/tests/topology_cases.rs
+++ b/tests/topology_cases.rs
@@ -624,7 +624,7 @@
             {"write": job_key(&JobId::from("run-1")), "value": record, "stamp": 2}]});
         view.apply(Revision(0), serde_json::from_value(events).expect("events"));
         let types = [(*kind()).clone()];
-        let grant = ShardGrant::whole(1, view.grant.stamp);
+        let grant = ShardGrant::whole(1, view.grant.mod_revision);
         let input = RecoveryInput {
             cfg: settings::config(100.0),
             types: &types,
@@ -643,12 +643,12 @@
     }
 
     /// A machine reports, with these tasks.
-    fn beat(&mut self, machine: &str, token: u64, pieces: Value, now: f64) -> Value {
+    fn beat(&mut self, machine: &str, token: u64, tasks: Value, now: f64) -> Value {
         self.ticks += 1;
         let zone = format!("z{}", &machine[3..4]);
         let report = json!({"box": machine, "addr": "127.0.0.1:9", "build": "t", "rack": zone,
             "loaners": false, "shift": 1, "tick": self.ticks, "baton": token, "warning_s": null,
-            "pieces": pieces});
+            "pieces": tasks});
         let report = serde_json::from_value(report).expect("a report");
         self.core.report(&report, Source::Beat, Time(now));
         let id = MachineId::from(machine);
@@ -684,8 +684,8 @@
     fn starts(&mut self, now: f64) -> Vec<String> {
         let sends = self.core.dispatch(&self.view, Time(now));
         let all = sends.iter().flat_map(|s| {
-            let orders = serde_json::to_value(&s.orders).expect("orders");
-            let list = orders["orders"].as_array().cloned().unwrap_or_default();
+            let commands = serde_json::to_value(&s.commands).expect("orders");
+            let list = commands["orders"].as_array().cloned().unwrap_or_default();
             list.into_iter()
         });
         all.filter(|o| o["verb"] == "start")
@@ -756,7 +756,7 @@
     let starts = o.starts(0.3);
     assert_eq!(starts.len(), 2);
     let token = 1_u64 << 20;
-    let piece = "run-1/0";
+    let task_name = "run-1/0";
     let machine = o.claimed()[0].clone();
     let other = o.claimed()[1].clone();
     o.core.dispatched(
@@ -764,7 +764,7 @@
         sorrelhinge::worker::Sending::Executed(Box::new(
             serde_json::from_value(json!({"box": machine, "addr": "127.0.0.1:9", "build": "t",
                 "rack": "za", "loaners": false, "shift": 1, "tick": 500, "baton": token,
-                "warning_s": null, "pieces": [{"piece": piece, "try": 1, "phase": "running"}]}))
+                "warning_s": null, "pieces": [{"piece": task_name, "try": 1, "phase": "running"}]}))
             .expect("a report"),
         )),
         Time(0.4),
@@ -777,7 +777,7 @@
     let drain = json!({"v": 1, "what": {"domain": "za/s0"}, "t": 0, "end": 60_000, "away": 4});
     let events = json!({"ledger": 50, "events": [
         {"write": "h/drain/1", "value": drain, "stamp": 50}]});
-    let since = o.view.ledger;
+    let since = o.view.store_revision;
     o.view
         .apply(since, serde_json::from_value(events).expect("events"));
     o.revision = 50;
@@ -788,7 +788,7 @@
         "what was not sent is dropped"
     );
     let claim = |o: &Owner| {
-        let task = TaskId::parse(piece).expect("a task");
+        let task = TaskId::parse(task_name).expect("a task");
         o.core
             .cluster_state
             .claim_of(&task)
