--- a/crates/agent/examples/measure.rs
+++ b/crates/agent/examples/measure.rs
@@ -1,7 +1,7 @@
 //! What an agent costs: task starts a second, memory with 200 tasks, bytes and
-//! processor time of a report at 10, 100 and 1,000 tasks, and the time from a
-//! kill to the first report with all tasks accounted for. The controller is a
-//! stand-in on loopback that answers every report.
+//! processor time of a heartbeat at 10, 100 and 1,000 tasks, and the time from a
+//! kill to the first heartbeat with all tasks accounted for. The controller is a
+//! stand-in on loopback that answers every heartbeat.
 //!
 //!     cargo build --release --locked --workspace
 //!     cargo run --release --locked -p sorrelhinge-agent --example measure
@@ -20,8 +20,8 @@
 use tokio::sync::mpsc::{unbounded_channel, UnboundedReceiver};
 use tokio::time::sleep;
 
-/// Reports that are made for one figure.
-const REPORTS: u32 = 1000;
+/// Heartbeats that are made for one figure.
+const HEARTBEATS: u32 = 1000;
 /// Tasks that are started at once.
 const STARTS: usize = 200;
 /// How often an agent is killed and started again.
@@ -61,18 +61,18 @@
     Core::new(machine, found, Time(0.0)).0
 }
 
-/// How large a report is, and how long one takes.
-fn report_cost(tasks: u64) {
+/// How large a heartbeat is, and how long one takes.
+fn heartbeat_cost(tasks: u64) {
     let mut core = core_with(tasks);
     let mut bytes = 0;
     let begun = Instant::now();
-    for _ in 0..REPORTS {
+    for _ in 0..HEARTBEATS {
         let (told, _) = core.status(Time(1.0));
-        if let sorrelhinge_agent::core::Told::Report(_, report) = told {
-            bytes = serde_json::to_vec(&report).expect("JSON").len();
+        if let sorrelhinge_agent::core::Told::Heartbeat(_, heartbeat) = told {
+            bytes = serde_json::to_vec(&heartbeat).expect("JSON").len();
         }
     }
-    let micros = begun.elapsed().as_secs_f64() * 1e6 / f64::from(REPORTS);
+    let micros = begun.elapsed().as_secs_f64() * 1e6 / f64::from(HEARTBEATS);
     println!("a report of {tasks} tasks: {bytes} bytes, {micros:.0} us");
 }
 
@@ -93,8 +93,8 @@
         .expect("the agent starts: build the workspace first")
 }
 
-fn pieces(report: &Value, phase: &str) -> usize {
-    let all = report["pieces"].as_array().into_iter().flatten();
+fn pieces(heartbeat: &Value, phase: &str) -> usize {
+    let all = heartbeat["pieces"].as_array().into_iter().flatten();
     all.filter(|p| p["phase"] == phase).count()
 }
 
@@ -102,14 +102,14 @@
 async fn all_ended(listen: SocketAddr, tasks: usize) {
     loop {
         let told = ask(listen, hyper::Method::GET, "/status", &Value::Null).await;
-        if told.is_some_and(|(_, report)| pieces(&report, "ended") == tasks) {
+        if told.is_some_and(|(_, heartbeat)| pieces(&heartbeat, "ended") == tasks) {
             return;
         }
         sleep(Duration::from_millis(20)).await;
     }
 }
 
-/// A controller that answers each report with no command; the reports.
+/// A controller that answers each heartbeat with no command; the heartbeats.
 async fn controller() -> (SocketAddr, UnboundedReceiver<Value>) {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let address = listener.local_addr().expect("its address");
@@ -131,7 +131,7 @@
     config: PathBuf,
     listen: SocketAddr,
     process: Child,
-    reports: UnboundedReceiver<Value>,
+    heartbeats: UnboundedReceiver<Value>,
 }
 
 impl Live {
@@ -145,7 +145,7 @@
                 "ram_gb": 1.0});
             std::fs::write(jobs.join(format!("{name}.json")), text.to_string()).expect("written");
         }
-        let (controller, mut reports) = controller().await;
+        let (controller, mut heartbeats) = controller().await;
         let listen: SocketAddr = "127.0.0.1:28999".parse().expect("an address");
         let config = root.join("agent.toml");
         let text = format!(
@@ -156,14 +156,14 @@
         );
         std::fs::write(&config, text).expect("written");
         let process = agent(&program, &config);
-        let _ = reports.recv().await;
+        let _ = heartbeats.recv().await;
         Self {
             program,
             root,
             config,
             listen,
             process,
-            reports,
+            heartbeats,
         }
     }
 
@@ -196,17 +196,17 @@
         );
     }
 
-    /// How long until a killed agent that is started again reports all that runs.
+    /// How long until a killed agent that is started again heartbeats all that runs.
     async fn measure_restarts(&mut self) {
         let mut most = 0.0_f64;
         for _ in 0..RESTARTS {
             self.process.kill().expect("killed");
             self.process.wait().expect("gone");
-            while self.reports.try_recv().is_ok() {}
+            while self.heartbeats.try_recv().is_ok() {}
             let begun = Instant::now();
             self.process = agent(&self.program, &self.config);
-            while let Some(report) = self.reports.recv().await {
-                if pieces(&report, "running") == STARTS {
+            while let Some(heartbeat) = self.heartbeats.recv().await {
+                if pieces(&heartbeat, "running") == STARTS {
                     break;
                 }
             }
@@ -235,7 +235,7 @@
 
 fn main() {
     for tasks in [10, 100, 1000] {
-        report_cost(tasks);
+        heartbeat_cost(tasks);
     }
     let own = std::env::current_exe().expect("a path");
     let folder = own
--- a/crates/agent/src/agent.rs
+++ b/crates/agent/src/agent.rs
@@ -1,13 +1,13 @@
 //! The agent's routines: it carries out what [`Core`] decides, serves direct
-//! commands, sends reports, and looks after what became of its tasks.
+//! commands, sends heartbeats, and looks after what became of its tasks.
 //!
 //! In parts: what an earlier agent left (`recovery`), supervisors (`tasks`), images
-//! and their fetches (`images`), reports (`reports`), and what it is asked
+//! and their fetches (`images`), heartbeats (`heartbeats`), and what it is asked
 //! (`server`).
 
+mod heartbeats;
 mod images;
 mod recovery;
-mod reports;
 mod server;
 mod status;
 mod tasks;
@@ -27,9 +27,9 @@
 use tokio::task::spawn_local;
 use tokio::time::sleep;
 
+use self::heartbeats::Line;
 use self::images::Fetching;
 use self::recovery::{cache_found, recover, Leftover};
-use self::reports::Line;
 pub use self::status::{status, StatusError};
 use self::tasks::Watched;
 use crate::attempt::Folder;
@@ -127,7 +127,7 @@
         let cache = cache_found(&root, settings.cache_bytes(), hands.as_deref(), &watched)
             .map_err(failed)?;
         let now = clock::now();
-        tracing::info!(tasks = found.tasks.len(), running = watched.len(), session = %found.session, token = %found.token, "found");
+        tracing::info!(tasks = found.tasks.len(), running = watched.len(), incarnation = %found.incarnation, fencing_token = %found.fencing_token, "found");
         let (core, actions) = Core::new(settings.machine(), found, now);
         let agent = Rc::new(Self {
             source: settings.source(),
@@ -150,7 +150,7 @@
         Ok(agent)
     }
 
-    /// Serves, reports and looks after tasks until `stop` resolves. Tasks go on
+    /// Serves, heartbeats and looks after tasks until `stop` resolves. Tasks go on
     /// under their supervisors; the next agent finds them.
     ///
     /// # Errors
@@ -241,9 +241,9 @@
             Action::Release(key) => self.release(&key),
             Action::Run(key, units) => self.begin(key, units),
             Action::Clean(key) => self.clean(&key),
-            Action::Report(target, report) => {
+            Action::Heartbeat(target, heartbeat) => {
                 let agent = self.clone();
-                spawn_local(async move { agent.send(target, *report).await });
+                spawn_local(async move { agent.send(target, *heartbeat).await });
             }
         }
     }
--- a/crates/agent/src/agent/reports.rs
+++ b/crates/agent/src/agent/heartbeats.rs
@@ -1,4 +1,4 @@
-//! Reports and their answers on the line (PROTOCOL, "Workers -> controller nodes").
+//! Heartbeats and their answers on the line (PROTOCOL, "Workers -> controller nodes").
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -10,7 +10,7 @@
 use hyper::Request;
 use hyper_util::rt::TokioIo;
 use serde::Deserialize;
-use sorrelhinge_protocol::worker::Report;
+use sorrelhinge_protocol::worker::Heartbeat;
 use tokio::net::TcpStream;
 use tokio::task::spawn_local;
 use tokio::time::timeout;
@@ -31,10 +31,10 @@
 }
 
 impl Agent {
-    /// Sends a report to a controller, and has the core act on the outcome.
-    pub(super) async fn send(self: Rc<Self>, target: usize, report: Report) {
+    /// Sends a heartbeat to a controller, and has the core act on the outcome.
+    pub(super) async fn send(self: Rc<Self>, target: usize, heartbeat: Heartbeat) {
         let sent = self.core.borrow().sent();
-        let answered = self.exchange(target, &report);
+        let answered = self.exchange(target, &heartbeat);
         let answer = timeout(Duration::from_secs_f64(ANSWER_TIMEOUT_S), answered).await;
         let answer = answer.unwrap_or_else(|_| {
             self.lines.borrow_mut().remove(&target);
@@ -45,15 +45,15 @@
         self.do_all(actions);
     }
 
-    /// Sends a report over the open connection, or a new one, and reads the answer.
-    async fn exchange(&self, target: usize, report: &Report) -> Answer {
+    /// Sends a heartbeat over the open connection, or a new one, and reads the answer.
+    async fn exchange(&self, target: usize, heartbeat: &Heartbeat) -> Answer {
         let Some(controller) = self.settings.controllers.get(target) else {
             return Answer::None;
         };
         let Some(mut line) = self.line_to(target, controller).await else {
             return Answer::None;
         };
-        let Ok(body) = serde_json::to_vec(report) else {
+        let Ok(body) = serde_json::to_vec(heartbeat) else {
             return Answer::None;
         };
         let request = Request::post("/agent/beat")
@@ -100,7 +100,7 @@
     match status {
         200 => match serde_json::from_slice(body) {
             Ok(reply) => Answer::Reply(reply),
-            // Without a token it is dropped.
+            // Without a fencing token it is dropped.
             Err(error) => {
                 tracing::error!(controller = %controller.node, %error, "malformed answer");
                 Answer::None
--- a/crates/agent/src/agent/server.rs
+++ b/crates/agent/src/agent/server.rs
@@ -34,11 +34,11 @@
         // What is answered is on disk before it is said.
         self.do_all(actions);
         match told {
-            Told::Report(taken, report) if !*self.failed.borrow() => {
-                let body = serde_json::to_vec(&report).unwrap_or_default();
+            Told::Heartbeat(taken, heartbeat) if !*self.failed.borrow() => {
+                let body = serde_json::to_vec(&heartbeat).unwrap_or_default();
                 hand_on::plain(if taken { 200 } else { 409 }, body)
             }
-            Told::Report(..) => error(503, "the disk fails"),
+            Told::Heartbeat(..) => error(503, "the disk fails"),
             Told::NotNow => error(503, "tasks are being killed"),
         }
     }
--- a/crates/agent/src/agent/status.rs
+++ b/crates/agent/src/agent/status.rs
@@ -6,10 +6,10 @@
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full, Limited};
 use hyper::{Request, Response, StatusCode};
-use sorrelhinge_protocol::worker::Report;
+use sorrelhinge_protocol::worker::Heartbeat;
 use tokio::time::timeout;
 
-use super::reports::connect;
+use super::heartbeats::connect;
 use super::MAX_BODY_BYTES;
 use crate::client::RequestError;
 
@@ -37,7 +37,7 @@
         /// The answer's body.
         body: String,
     },
-    /// What it answered is no report.
+    /// What it answered is no heartbeat.
     #[error("{listen}: {source}")]
     Malformed {
         /// Where the agent takes commands.
@@ -56,7 +56,7 @@
 /// What an agent says of its machine, as a table.
 ///
 /// # Errors
-/// The agent does not answer, or not with a report.
+/// The agent does not answer, or not with a heartbeat.
 pub async fn status(listen: SocketAddr) -> Result<String, StatusError> {
     let asked = timeout(STATUS_TIMEOUT, ask(listen)).await;
     let answer = asked
@@ -69,9 +69,9 @@
             body: String::from_utf8_lossy(answer.body()).into_owned(),
         });
     }
-    let report = serde_json::from_slice(answer.body())
+    let heartbeat = serde_json::from_slice(answer.body())
         .map_err(|source| StatusError::Malformed { listen, source })?;
-    Ok(table(&report))
+    Ok(table(&heartbeat))
 }
 
 /// The agent's answer, whatever its status.
@@ -86,18 +86,18 @@
     Ok(Response::from_parts(head, body.to_bytes()))
 }
 
-/// A report as a table, one line a task.
-fn table(report: &Report) -> String {
+/// A heartbeat as a table, one line a task.
+fn table(heartbeat: &Heartbeat) -> String {
     let mut text = format!(
         "{} ({}, {}): session {}, token {}, {} tasks\n",
-        report.machine,
-        report.machine_type,
-        report.zone,
-        report.incarnation,
-        report.fencing_token,
-        report.tasks.len()
+        heartbeat.machine,
+        heartbeat.machine_type,
+        heartbeat.zone,
+        heartbeat.incarnation,
+        heartbeat.fencing_fencing_token,
+        heartbeat.tasks.len()
     );
-    for task in &report.tasks {
+    for task in &heartbeat.tasks {
         let why = task
             .exit_reason
             .map_or(String::new(), |c| format!(" {c:?}"));
--- a/crates/agent/src/core.rs
+++ b/crates/agent/src/core.rs
@@ -3,56 +3,56 @@
 //! order. An action that must outlive the process is a [`Action::Note`]; whatever
 //! follows it happens only once it is on disk.
 //!
-//! [`Core`] holds the state and its lease; what it does is in parts: reports and
+//! [`Core`] holds the state and its lease; what it does is in parts: heartbeats and
 //! their answers, commands, and what becomes of attempts.
 
 mod attempts;
 mod commands;
+mod heartbeats;
 mod messages;
-mod reports;
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use sorrelhinge_protocol::types::{Amount, Session, Time, Token};
+use sorrelhinge_protocol::types::{Amount, FencingToken, Incarnation, Time};
 use sorrelhinge_protocol::worker::{ExitReason, ReportedImage, TaskPhase};
 
 use self::attempts::{has_process, Held};
+pub use self::heartbeats::ANSWER_TIMEOUT_S;
 pub use self::messages::{
     Action, Answer, Ending, Exit, Key, Known, Machine, Needs, Note, Recovered, Told,
 };
-pub use self::reports::ANSWER_TIMEOUT_S;
 
 /// A report that was sent and not answered yet.
 #[derive(Clone, Copy, Debug)]
-struct SentReport {
+struct SentHeartbeat {
     sent: Time,
-    session: Session,
+    incarnation: Incarnation,
 }
 
 /// The worker.
 #[derive(Clone, Debug)]
 pub struct Core {
     machine: Machine,
-    token: Token,
-    session: Session,
+    fencing_token: FencingToken,
+    incarnation: Incarnation,
     sequence: u64,
     sequences_noted: u64,
     tasks: BTreeMap<Key, Held>,
-    /// Killed with their session, not gone yet: nothing is reported until
-    /// they are, since a report without them would prove that they are.
+    /// Killed with their incarnation, not gone yet: nothing is reported until
+    /// they are, since a heartbeat without them would prove that they are.
     dying: BTreeMap<Key, Amount>,
     results: BTreeSet<String>,
     answered: Time,
     target: usize,
-    /// The report under way.
-    flying: Option<SentReport>,
+    /// The heartbeat under way.
+    flying: Option<SentHeartbeat>,
     reported: Time,
     next: Time,
     changed: bool,
-    token_told: Time,
+    fencing_token_told: Time,
     /// Nothing new is taken on: the disk fails, or the agent is to end.
     closed: bool,
-    /// Images that are handed on, as many as a report has room for.
+    /// Images that are handed on, as many as a heartbeat has room for.
     images: Vec<ReportedImage>,
 }
 
@@ -61,8 +61,8 @@
     /// in the meantime, its tasks are killed before anything else is done.
     pub fn new(machine: Machine, found: Recovered, now: Time) -> (Self, Vec<Action>) {
         let mut core = Self {
-            token: found.token,
-            session: Session(found.session.0.max(1)),
+            fencing_token: found.fencing_token,
+            incarnation: Incarnation(found.incarnation.0.max(1)),
             sequence: found.sequence,
             sequences_noted: found.sequence,
             tasks: BTreeMap::new(),
@@ -74,7 +74,7 @@
             reported: Time(f64::NEG_INFINITY),
             next: now,
             changed: true,
-            token_told: Time(f64::NEG_INFINITY),
+            fencing_token_told: Time(f64::NEG_INFINITY),
             closed: false,
             images: Vec::new(),
             machine,
@@ -83,7 +83,7 @@
             let held = Held::recovered(known, found.needs.get(&key).copied());
             core.tasks.insert(key, held);
         }
-        let mut actions = vec![Action::Note(Note::Session(core.session))];
+        let mut actions = vec![Action::Note(Note::Incarnation(core.incarnation))];
         for key in found.dying {
             let each = found.needs.get(&key).map_or(Amount::default(), |n| n.each);
             actions.push(Action::Kill(key.clone()));
@@ -102,7 +102,7 @@
         self.tasks.iter().map(|(k, h)| (k, h.phase, h.exit_reason))
     }
 
-    /// Whether an attempt was killed with its session and is not gone yet.
+    /// Whether an attempt was killed with its incarnation and is not gone yet.
     pub fn is_dying(&self, key: &Key) -> bool {
         self.dying.contains_key(key)
     }
@@ -112,8 +112,8 @@
         self.closed = closed;
     }
 
-    /// If the last answered report was sent more than a lease ago, all tasks
-    /// are killed and forgotten, and the next session begins (PROTOCOL, Leases).
+    /// If the last answered heartbeat was sent more than a lease ago, all tasks
+    /// are killed and forgotten, and the next incarnation begins (PROTOCOL, Leases).
     fn check_lease(&mut self, now: Time, actions: &mut Vec<Action>) {
         if now.since(self.answered) <= self.machine.lease_s {
             return;
@@ -129,10 +129,10 @@
                 self.dying.insert(key, each);
             }
         }
-        self.session = Session(self.session.0 + 1);
+        self.incarnation = Incarnation(self.incarnation.0 + 1);
         self.answered = now;
         self.changed = true;
-        actions.push(Action::Note(Note::Session(self.session)));
+        actions.push(Action::Note(Note::Incarnation(self.incarnation)));
         actions.push(Action::Lease(now));
     }
 }
--- a/crates/agent/src/core/commands.rs
+++ b/crates/agent/src/core/commands.rs
@@ -1,5 +1,5 @@
 //! Commands (PROTOCOL, "Workers -> controller nodes" and "Controller nodes ->
-//! workers"): those of a report's answer and direct ones, in their order.
+//! workers"): those of a heartbeat's answer and direct ones, in their order.
 
 use std::net::SocketAddr;
 
@@ -9,13 +9,13 @@
 use super::attempts::{has_process, Held};
 use super::{Action, Core, Key, Note, Told};
 
-/// Bytes of a report from which on nothing more is taken on.
-const FULL_REPORT_BYTES: usize = 48 << 10;
+/// Bytes of a heartbeat from which on nothing more is taken on.
+const FULL_HEARTBEAT_BYTES: usize = 48 << 10;
 
 /// Bytes from which on a start is not even refused: PROTOCOL allows a body of 64 KiB.
 const MAX_TASKS_BYTES: usize = 58 << 10;
 
-/// Bytes of a task in a report, beside its name.
+/// Bytes of a task in a heartbeat, beside its name.
 const TASK_BYTES: usize = 64;
 
 /// Sources of a start that are looked at.
@@ -29,13 +29,14 @@
         if !self.dying.is_empty() {
             return (Told::NotNow, actions);
         }
-        let taken = commands.fencing_token >= self.token && commands.incarnation == self.session;
+        let taken = commands.fencing_fencing_token >= self.fencing_token
+            && commands.incarnation == self.incarnation;
         if taken {
-            self.learn(commands.fencing_token, now, &mut actions);
+            self.learn(commands.fencing_fencing_token, now, &mut actions);
             self.execute(&commands.commands, now, &mut actions);
         }
-        let report = self.report(&mut actions);
-        (Told::Report(taken, Box::new(report)), actions)
+        let heartbeat = self.heartbeat(&mut actions);
+        (Told::Heartbeat(taken, Box::new(heartbeat)), actions)
     }
 
     /// `GET /status`.
@@ -45,8 +46,8 @@
         if !self.dying.is_empty() {
             return (Told::NotNow, actions);
         }
-        let report = self.report(&mut actions);
-        (Told::Report(true, Box::new(report)), actions)
+        let heartbeat = self.heartbeat(&mut actions);
+        (Told::Heartbeat(true, Box::new(heartbeat)), actions)
     }
 
     /// Carries out commands in their order.
@@ -118,7 +119,7 @@
         }
     }
 
-    /// Why a start is refused, if it is; tasks take `said` bytes of a report.
+    /// Why a start is refused, if it is; tasks take `said` bytes of a heartbeat.
     fn refusal(&self, key: &Key, units: &[(String, String)], said: usize) -> Option<ExitReason> {
         let other =
             |(k, h): (&Key, &Held)| k.task_name == key.task_name && h.phase != TaskPhase::Ended;
@@ -128,7 +129,7 @@
         };
         if in_use {
             Some(ExitReason::InUse)
-        } else if self.closed || said >= FULL_REPORT_BYTES || self.tasks.values().any(taken) {
+        } else if self.closed || said >= FULL_HEARTBEAT_BYTES || self.tasks.values().any(taken) {
             Some(ExitReason::Full)
         } else if self.results.contains(&key.task_name) {
             // Its result is here.
--- a/crates/agent/src/core/reports.rs
+++ b/crates/agent/src/core/heartbeats.rs
@@ -1,21 +1,21 @@
-//! Reports and their answers (PROTOCOL, "Workers -> controller nodes"): when one
+//! Heartbeats and their answers (PROTOCOL, "Workers -> controller nodes"): when one
 //! is sent, to whom, what it says, and what its answer changes.
 
-use sorrelhinge_protocol::types::{SequenceNumber, Time, Token};
-use sorrelhinge_protocol::worker::{Report, ReportedImage, ReportedTask};
+use sorrelhinge_protocol::types::{FencingToken, SequenceNumber, Time};
+use sorrelhinge_protocol::worker::{Heartbeat, ReportedImage, ReportedTask};
 
-use super::{Action, Answer, Core, Key, Note, SentReport};
+use super::{Action, Answer, Core, Key, Note, SentHeartbeat};
 
 /// Ticks reserved on disk at a time.
 const TICKS_RESERVED: u64 = 1000;
 
-/// The least time between two reports.
-const MIN_REPORT_INTERVAL_S: f64 = 0.5;
+/// The least time between two heartbeats.
+const MIN_HEARTBEAT_INTERVAL_S: f64 = 0.5;
 
 /// A controller that gave no answer is left for the next after this.
 const RETRY_DELAY_S: f64 = 1.0;
 
-/// The wait before a report goes to the controller that another named.
+/// The wait before a heartbeat goes to the controller that another named.
 const REDIRECT_DELAY_S: f64 = 0.2;
 
 /// An answer that takes longer does not come.
@@ -25,17 +25,17 @@
 /// keep it below 64 KiB.
 const MAX_IMAGES_BYTES: usize = 3 << 10;
 
-/// Bytes of an image in a report, beside its name.
+/// Bytes of an image in a heartbeat, beside its name.
 const IMAGE_BYTES: usize = 64;
 
 impl Core {
-    /// When the report under way was sent.
+    /// When the heartbeat under way was sent.
     pub fn sent(&self) -> Option<Time> {
-        self.flying.map(|report| report.sent)
+        self.flying.map(|heartbeat| heartbeat.sent)
     }
 
     /// Images that are handed on now, the most wanted first. No change that is
-    /// worth a report of its own: it is a hint, and goes along with the next.
+    /// worth a heartbeat of its own: it is a hint, and goes along with the next.
     pub fn hands_on(&mut self, images: impl Iterator<Item = ReportedImage>) {
         let mut left = MAX_IMAGES_BYTES;
         let fits = |image: &ReportedImage| {
@@ -47,12 +47,12 @@
     }
 
     /// Time has passed. `jitter`: from -0.25 to 0.25, how much sooner or later
-    /// than usual the next report goes out.
+    /// than usual the next heartbeat goes out.
     pub fn tick(&mut self, jitter: f64, now: Time) -> Vec<Action> {
         let mut actions = Vec::new();
         self.check_lease(now, &mut actions);
         self.end_late_saves(now, &mut actions);
-        if let Some(SentReport { sent, .. }) = self.flying {
+        if let Some(SentHeartbeat { sent, .. }) = self.flying {
             if now.since(sent) > ANSWER_TIMEOUT_S {
                 self.no_answer(now);
             }
@@ -60,19 +60,19 @@
         let due = now >= self.next && (now.since(self.reported) >= self.machine.report_s)
             || self.changed
                 && now >= self.next
-                && now.since(self.reported) >= MIN_REPORT_INTERVAL_S;
+                && now.since(self.reported) >= MIN_HEARTBEAT_INTERVAL_S;
         if due && self.flying.is_none() && self.dying.is_empty() {
             self.reported = now;
             self.next = now;
             self.changed = false;
-            self.flying = Some(SentReport {
+            self.flying = Some(SentHeartbeat {
                 sent: now,
-                session: self.session,
+                incarnation: self.incarnation,
             });
             // The wait until the next is measured from this one.
             self.reported = now.after(jitter * self.machine.report_s);
-            let report = self.report(&mut actions);
-            actions.push(Action::Report(self.target, Box::new(report)));
+            let heartbeat = self.heartbeat(&mut actions);
+            actions.push(Action::Heartbeat(self.target, Box::new(heartbeat)));
         }
         actions
     }
@@ -94,21 +94,21 @@
     }
 
     /// What is here now.
-    pub(super) fn report(&mut self, actions: &mut Vec<Action>) -> Report {
+    pub(super) fn heartbeat(&mut self, actions: &mut Vec<Action>) -> Heartbeat {
         self.sequence += 1;
         if self.sequence >= self.sequences_noted {
             self.sequences_noted = self.sequence + TICKS_RESERVED;
             actions.push(Action::Note(Note::Tick(self.sequences_noted)));
         }
-        Report {
+        Heartbeat {
             machine: self.machine.name.clone(),
             addr: self.machine.addr,
             machine_type: self.machine.kind.clone(),
             zone: self.machine.zone.clone(),
             spot: self.machine.spot,
-            incarnation: self.session,
+            incarnation: self.incarnation,
             sequence: SequenceNumber(self.sequence),
-            fencing_token: self.token,
+            fencing_fencing_token: self.fencing_token,
             preemption_notice_s: None,
             tasks: self
                 .tasks
@@ -132,24 +132,26 @@
         self.changed = true;
     }
 
-    /// A report's outcome. One that comes after it was given up on, or of an
-    /// earlier session, changes nothing.
+    /// A heartbeat's outcome. One that comes after it was given up on, or of an
+    /// earlier incarnation, changes nothing.
     pub fn answered(&mut self, sent: Time, answer: Answer, now: Time) -> Vec<Action> {
         let mut actions = Vec::new();
         self.check_lease(now, &mut actions);
-        let Some(report) = self.flying.filter(|report| report.sent == sent) else {
+        let Some(heartbeat) = self.flying.filter(|heartbeat| heartbeat.sent == sent) else {
             return actions;
         };
         match answer {
             Answer::Reply(reply) => {
                 self.flying = None;
-                if report.session != self.session || reply.fencing_token < self.token {
+                if heartbeat.incarnation != self.incarnation
+                    || reply.fencing_fencing_token < self.fencing_token
+                {
                     // It stays here while its lease runs out.
                     return actions;
                 }
                 self.answered = sent;
                 actions.push(Action::Lease(sent));
-                self.learn(reply.fencing_token, now, &mut actions);
+                self.learn(reply.fencing_fencing_token, now, &mut actions);
                 self.execute(&reply.commands, now, &mut actions);
             }
             Answer::Elsewhere(named) => self.redirect(named, now),
@@ -158,7 +160,7 @@
         actions
     }
 
-    /// A controller named another: the report goes there, if it is one of ours.
+    /// A controller named another: the heartbeat goes there, if it is one of ours.
     fn redirect(&mut self, named: Option<String>, now: Time) {
         let at = named.and_then(|n| {
             let mut names = self.machine.controllers.iter();
@@ -178,14 +180,19 @@
         }
     }
 
-    /// Notes a token, if it is higher than any before.
-    pub(super) fn learn(&mut self, token: Token, now: Time, actions: &mut Vec<Action>) {
-        if token > self.token {
-            self.token = token;
-            actions.push(Action::Note(Note::Token(token)));
-            // A higher token counts as a change at most once in half a lease.
-            if now.since(self.token_told) >= self.machine.lease_s / 2.0 {
-                self.token_told = now;
+    /// Notes a fencing token, if it is higher than any before.
+    pub(super) fn learn(
+        &mut self,
+        fencing_token: FencingToken,
+        now: Time,
+        actions: &mut Vec<Action>,
+    ) {
+        if fencing_token > self.fencing_token {
+            self.fencing_token = fencing_token;
+            actions.push(Action::Note(Note::FencingToken(fencing_token)));
+            // A higher fencing token counts as a change at most once in half a lease.
+            if now.since(self.fencing_token_told) >= self.machine.lease_s / 2.0 {
+                self.fencing_token_told = now;
                 self.changed = true;
             }
         }
--- a/crates/agent/src/core/messages.rs
+++ b/crates/agent/src/core/messages.rs
@@ -6,9 +6,9 @@
 
 use serde::{Deserialize, Serialize};
 use sorrelhinge_protocol::types::{
-    Amount, Attempt, MachineId, Session, Time, Token, TypeName, Zone,
+    Amount, Attempt, FencingToken, Incarnation, MachineId, Time, TypeName, Zone,
 };
-use sorrelhinge_protocol::worker::{ExitReason, Reply, Report};
+use sorrelhinge_protocol::worker::{ExitReason, Heartbeat, Reply};
 
 /// A task's attempt: `run-000412/3` and its number.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
@@ -44,7 +44,7 @@
     pub spot: bool,
     /// What it offers.
     pub total: Amount,
-    /// Seconds between reports.
+    /// Seconds between heartbeats.
     pub report_s: f64,
     /// Seconds that a lease lasts.
     pub lease_s: f64,
@@ -83,10 +83,12 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Note {
-    /// The highest token seen.
-    Token(Token),
-    /// The session.
-    Session(Session),
+    /// The highest fencing token seen.
+    #[serde(rename = "token")]
+    FencingToken(FencingToken),
+    /// The incarnation.
+    #[serde(rename = "session")]
+    Incarnation(Incarnation),
     /// Ticks below this may have been used.
     Tick(u64),
     /// An attempt was taken on: it may run from now on.
@@ -118,8 +120,8 @@
     Kill(Key),
     /// Nothing of an attempt is needed any more.
     Clean(Key),
-    /// Send a report to this controller.
-    Report(usize, Box<Report>),
+    /// Send a heartbeat to this controller.
+    Heartbeat(usize, Box<Heartbeat>),
 }
 
 /// What is on disk of an attempt.
@@ -143,26 +145,26 @@
 /// What was found after a start of the agent.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Recovered {
-    /// The highest token seen.
-    pub token: Token,
-    /// The last session.
-    pub session: Session,
+    /// The highest fencing token seen.
+    pub fencing_token: FencingToken,
+    /// The last incarnation.
+    pub incarnation: Incarnation,
     /// Ticks below this may have been used.
     pub sequence: u64,
     /// Attempts that were taken on and not forgotten.
     pub tasks: BTreeMap<Key, Known>,
-    /// Attempts of an ended session that are not known to be gone.
+    /// Attempts of an ended incarnation that are not known to be gone.
     pub dying: BTreeSet<Key>,
     /// Needs of those that still run.
     pub needs: BTreeMap<Key, Needs>,
     /// Tasks whose result was reached on this machine.
     pub results: BTreeSet<String>,
-    /// When the last answered report was sent; none: not since the machine
+    /// When the last answered heartbeat was sent; none: not since the machine
     /// started.
     pub answered: Option<Time>,
 }
 
-/// The outcome of a report.
+/// The outcome of a heartbeat.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Answer {
     /// 200.
@@ -176,9 +178,9 @@
 /// What a direct command is answered.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Told {
-    /// Carried out, or refused with 409: the report.
-    Report(bool, Box<Report>),
-    /// Tasks of an ended session are still being killed: nothing may be said
+    /// Carried out, or refused with 409: the heartbeat.
+    Heartbeat(bool, Box<Heartbeat>),
+    /// Tasks of an ended incarnation are still being killed: nothing may be said
     /// of what is here.
     NotNow,
 }
--- a/crates/agent/src/hand_on.rs
+++ b/crates/agent/src/hand_on.rs
@@ -2,7 +2,7 @@
 //! `GET /images/NAME` with `Range`, both with `?sha256=SUM` to say which of two
 //! images of one name. Only chunks that were checked go out, to the networks of
 //! the settings, over so many connections and at such a rate at the most. Own
-//! starts, commands and reports never wait for it.
+//! starts, commands and heartbeats never wait for it.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -158,7 +158,7 @@
         }
     }
 
-    /// What a report tells of images, those on their way first.
+    /// What a heartbeat tells of images, those on their way first.
     pub fn told(&self) -> Vec<ReportedImage> {
         let parts = self.parts.borrow();
         let mut all: Vec<&Rc<Part>> = parts
--- a/crates/agent/src/journal.rs
+++ b/crates/agent/src/journal.rs
@@ -20,7 +20,7 @@
 use std::io::{Read, Write};
 use std::path::{Path, PathBuf};
 
-use sorrelhinge_protocol::types::{Session, Token};
+use sorrelhinge_protocol::types::{FencingToken, Incarnation};
 
 use crate::core::{Ending, Key, Known, Note, Recovered};
 
@@ -93,15 +93,15 @@
 /// What all entries together come to.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct State {
-    /// The highest token.
-    pub token: Token,
-    /// The session.
-    pub session: Session,
+    /// The highest fencing token.
+    pub fencing_token: FencingToken,
+    /// The incarnation.
+    pub incarnation: Incarnation,
     /// Ticks below this may have been used.
     pub sequence: u64,
     /// Attempts that were taken on and not forgotten.
     pub tasks: BTreeMap<Key, Known>,
-    /// Attempts of an ended session that are not known to be gone.
+    /// Attempts of an ended incarnation that are not known to be gone.
     pub dying: BTreeSet<Key>,
 }
 
@@ -109,14 +109,16 @@
     /// Takes in an entry.
     pub fn apply(&mut self, note: &Note) {
         match note {
-            Note::Token(token) => self.token = self.token.max(*token),
-            Note::Session(session) if *session > self.session => {
-                // A session takes its tasks along.
-                self.session = *session;
+            Note::FencingToken(fencing_token) => {
+                self.fencing_token = self.fencing_token.max(*fencing_token)
+            }
+            Note::Incarnation(incarnation) if *incarnation > self.incarnation => {
+                // A incarnation takes its tasks along.
+                self.incarnation = *incarnation;
                 let tasks = std::mem::take(&mut self.tasks);
                 self.dying.extend(tasks.into_keys());
             }
-            Note::Session(_) => {}
+            Note::Incarnation(_) => {}
             Note::Tick(sequence) => self.sequence = self.sequence.max(*sequence),
             Note::Took(key, units) => {
                 let units = units.clone();
@@ -139,11 +141,14 @@
     /// The fewest entries that come to this: what a journal that is written anew
     /// holds.
     pub fn notes(&self) -> Vec<Note> {
-        let mut notes = vec![Note::Token(self.token), Note::Tick(self.sequence)];
+        let mut notes = vec![
+            Note::FencingToken(self.fencing_token),
+            Note::Tick(self.sequence),
+        ];
         let dying = self.dying.iter().cloned();
         notes.extend(dying.map(|key| Note::Took(key, Vec::new())));
-        // It ends the session of those before it.
-        notes.push(Note::Session(self.session));
+        // It ends the incarnation of those before it.
+        notes.push(Note::Incarnation(self.incarnation));
         for (key, known) in &self.tasks {
             notes.push(Note::Took(key.clone(), known.units.clone()));
             if let Some(Ending { why, kept }) = known.ended {
@@ -156,8 +161,8 @@
     /// What a worker starts with.
     pub fn recovered(&self) -> Recovered {
         Recovered {
-            token: self.token,
-            session: self.session,
+            fencing_token: self.fencing_token,
+            incarnation: self.incarnation,
             sequence: self.sequence,
             tasks: self.tasks.clone(),
             dying: self.dying.clone(),
--- a/crates/agent/tests/cut_sockets.rs
+++ b/crates/agent/tests/cut_sockets.rs
@@ -36,7 +36,7 @@
 const AGENTS: usize = 8;
 const JOBS: usize = 40;
 const TASKS: usize = 8;
-const REPORT_S: f64 = 0.5;
+const HEARTBEAT_S: f64 = 0.5;
 /// Longer than the storm: a lease that ends, as it did where the processes of other tests
 /// took the processors, has its machine forget its results or be given back, and tasks run
 /// again by right.
@@ -60,7 +60,7 @@
             let Ok((near, _)) = listener.accept().await else {
                 continue;
             };
-            // In every phase of a report or a command: from the first byte of
+            // In every phase of a heartbeat or a command: from the first byte of
             // the request to the last of the answer.
             let calm = *calm.borrow();
             let most = rng.borrow_mut().random_range(1..6000);
@@ -418,7 +418,7 @@
             "node = \"c-{i}\"\narea = \"za\"\nbind = \"{}\"\npeer_bind = \"{}\"\n{others}\
              [outside]\ncloud = \"{cloud}\"\nstate = \"{}\"\n\
              [params]\nzones = [\"za\"]\n[[params.teams]]\nname = \"t\"\ncpus = 100.0\n\
-             cpus_max = 100.0\n[params.workers]\nreport_s = {REPORT_S:?}\n\
+             cpus_max = 100.0\n[params.workers]\nreport_s = {HEARTBEAT_S:?}\n\
              lease_s = {LEASE_S:?}\ncancel_s = 30.0\n[params.state]\nrps = 500.0\n\
              write_rps = 300.0\nvalue_kb = 8.0\ntxn_ops = 16\n[params.cloud]\nrps = 50.0\n\
              list_lag_s = 0.2\n",
@@ -437,7 +437,7 @@
         let text = format!(
             "version = 1\nname = \"{name}\"\nkind = \"t\"\nzone = \"za\"\nlisten = \"{listen}\"\n\
              advertise = \"{advertise}\"\nfolder = {folder:?}\ncpus = 4.0\nram_gb = 16.0\n\
-             report_s = {REPORT_S:?}\nlease_s = {LEASE_S:?}\ncache_gb = 0.001\n{near}\
+             report_s = {HEARTBEAT_S:?}\nlease_s = {LEASE_S:?}\ncache_gb = 0.001\n{near}\
              [jobs]\nfolder = {:?}\n[images]\nfolder = {:?}\n",
             self.jobs,
             self.root.join("images")
@@ -459,10 +459,10 @@
     /// is one line. Every second job has an image, without which it does not even
     /// begin.
     fn describe_job(&self, n: usize, sums: &[String]) {
-        let beats = self.rng.borrow_mut().random_range(2..12);
+        let heartbeats = self.rng.borrow_mut().random_range(2..12);
         let script = format!(
             "f={}/$(echo $TASK | tr / _)+$TASK_ATTEMPT; echo start $(date +%s%N) >> $f; i=0; \
-             while [ $i -lt {beats} ]; do sleep 0.04; echo beat $(date +%s%N) >> $f; \
+             while [ $i -lt {heartbeats} ]; do sleep 0.04; echo beat $(date +%s%N) >> $f; \
              i=$((i+1)); done; echo end $(date +%s%N) >> $f",
             self.evidence.display()
         );
--- a/crates/agent/tests/hand_on.rs
+++ b/crates/agent/tests/hand_on.rs
@@ -233,7 +233,7 @@
     /// Where images come from, as in the settings.
     images: String,
     controller: SocketAddr,
-    reports: Rc<RefCell<Vec<Value>>>,
+    heartbeats: Rc<RefCell<Vec<Value>>>,
 }
 
 impl World {
@@ -243,18 +243,18 @@
         std::fs::create_dir_all(root.join("jobs")).expect("a folder");
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
         let controller = listener.local_addr().expect("its address");
-        let reports: Rc<RefCell<Vec<Value>>> = Rc::default();
-        let heard = reports.clone();
+        let heartbeats: Rc<RefCell<Vec<Value>>> = Rc::default();
+        let heard = heartbeats.clone();
         serve(listener, move |_, _, body| {
-            let report = serde_json::from_slice(&body).unwrap_or(Value::Null);
-            heard.borrow_mut().push(report);
+            let heartbeat = serde_json::from_slice(&body).unwrap_or(Value::Null);
+            heard.borrow_mut().push(heartbeat);
             Box::pin(async { (200, json!({"baton": 1, "orders": []})) })
         });
         Self {
             root,
             images: format!("server = \"{}\"\nprefix = \"/i\"", origin.addr),
             controller,
-            reports,
+            heartbeats,
         }
     }
 
@@ -341,17 +341,17 @@
         assert_eq!(told.expect("an answer").0, 200);
     }
 
-    async fn report(&self) -> Value {
+    async fn heartbeat(&self) -> Value {
         let told = ask(self.addr, Method::GET, "/status", &Value::Null).await;
-        told.map_or(Value::Null, |(_, report)| report)
+        told.map_or(Value::Null, |(_, heartbeat)| heartbeat)
     }
 
     /// Why a task ended, once it has.
     async fn ended(&self, task: &str, attempt: u32) -> String {
         let mut why = None;
         until(&format!("{task} on {} ends", self.addr), async || {
-            let report = self.report().await;
-            let mut tasks = report["pieces"].as_array().into_iter().flatten();
+            let heartbeat = self.heartbeat().await;
+            let mut tasks = heartbeat["pieces"].as_array().into_iter().flatten();
             let task_name = tasks.find(|p| p["piece"] == task && p["try"] == attempt);
             why = task_name.and_then(|p| p["cause"].as_str().map(str::to_owned));
             why.is_some()
@@ -377,7 +377,7 @@
     /// Waits until so many chunks came, by what the agent tells.
     async fn has_chunks(&self, least: u64) {
         until("it has a part", async || {
-            self.report().await["images"][0]["parts"].as_u64() >= Some(least)
+            self.heartbeat().await["images"][0]["parts"].as_u64() >= Some(least)
         })
         .await;
     }
@@ -484,9 +484,9 @@
         assert!(copies < 4.0, "{copies} copies from the origin");
         // Controllers are told of it.
         until("it is reported", async || {
-            let reports = world.reports.borrow();
+            let heartbeats = world.heartbeats.borrow();
             let all = json!([{"image": "weights", "parts": 37, "of": 37}]);
-            reports.iter().any(|r| r["images"] == all)
+            heartbeats.iter().any(|r| r["images"] == all)
         })
         .await;
     });
--- a/crates/agent/tests/journal.rs
+++ b/crates/agent/tests/journal.rs
@@ -2,7 +2,7 @@
 
 use sorrelhinge_agent::core::{Key, Note};
 use sorrelhinge_agent::journal::{read, Entries, Journal, State};
-use sorrelhinge_protocol::types::{Attempt, Session, Token};
+use sorrelhinge_protocol::types::{Attempt, FencingToken, Incarnation};
 use sorrelhinge_protocol::worker::ExitReason;
 
 fn notes() -> Vec<Note> {
@@ -11,15 +11,15 @@
         attempt: Attempt(n),
     };
     vec![
-        Note::Token(Token(7)),
+        Note::FencingToken(FencingToken(7)),
         Note::Took(key(1), vec![("enc".into(), "a".into())]),
         Note::Took(key(2), Vec::new()),
         Note::Ended(key(1), ExitReason::Done, false),
         Note::Forgot(key(1)),
-        Note::Session(Session(3)),
+        Note::Incarnation(Incarnation(3)),
         Note::Took(key(3), Vec::new()),
         Note::Forgot(key(2)),
-        Note::Token(Token(5)),
+        Note::FencingToken(FencingToken(5)),
     ]
 }
 
@@ -39,7 +39,11 @@
         states.push(journal.state().clone());
         lengths.push(std::fs::metadata(&path).expect("there").len() as usize);
     }
-    assert_eq!(journal.state().token, Token(7), "a token never goes back");
+    assert_eq!(
+        journal.state().fencing_token,
+        FencingToken(7),
+        "a token never goes back"
+    );
     let mut anew = State::default();
     journal.state().notes().iter().for_each(|n| anew.apply(n));
     assert_eq!(&anew, journal.state(), "written anew it is the same");
--- a/crates/agent/tests/stopped_agent.rs
+++ b/crates/agent/tests/stopped_agent.rs
@@ -18,15 +18,15 @@
 use tokio::time::sleep;
 
 /// All reports that came.
-type Reports = Rc<RefCell<Vec<Value>>>;
+type Heartbeats = Rc<RefCell<Vec<Value>>>;
 
-/// A controller that keeps each report and answers it with no command.
-async fn controller(reports: Reports) -> SocketAddr {
+/// A controller that keeps each heartbeat and answers it with no command.
+async fn controller(heartbeats: Heartbeats) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let address = listener.local_addr().expect("its address");
     serve(listener, move |_, _, body| {
-        let report = serde_json::from_slice(&body).unwrap_or(Value::Null);
-        reports.borrow_mut().push(report);
+        let heartbeat = serde_json::from_slice(&body).unwrap_or(Value::Null);
+        heartbeats.borrow_mut().push(heartbeat);
         Box::pin(async { (200, json!({"baton": 1, "orders": []})) })
     });
     address
@@ -36,7 +36,7 @@
     process: Child,
     listen: SocketAddr,
     folder: PathBuf,
-    reports: Reports,
+    heartbeats: Heartbeats,
     /// Its address, let go last.
     _place: Place,
 }
@@ -51,8 +51,8 @@
         let job = json!({"version": 1, "cpus": 1.0, "ram_gb": 1.0,
             "command": ["/bin/sh", "-c", "echo 1 > pid; exec sleep 300"]});
         std::fs::write(jobs.join("run-1.json"), job.to_string()).expect("written");
-        let reports: Reports = Rc::default();
-        let controller = controller(reports.clone()).await;
+        let heartbeats: Heartbeats = Rc::default();
+        let controller = controller(heartbeats.clone()).await;
         let place = Place::claim(0);
         let listen = place.more(0);
         let config = root.join("agent.toml");
@@ -73,11 +73,11 @@
             process,
             listen,
             folder,
-            reports,
+            heartbeats,
             _place: place,
         };
         agent
-            .until("it reports", |a| !a.reports.borrow().is_empty())
+            .until("it reports", |a| !a.heartbeats.borrow().is_empty())
             .await;
         agent
     }
@@ -123,7 +123,7 @@
 }
 
 /// While the agent is stopped its task ends with the lease, and when it goes on
-/// the first thing that it says is of the next session, without the task.
+/// the first thing that it says is of the next incarnation, without the task.
 #[test]
 fn an_agent_stopped_past_its_lease_begins_anew() {
     run(async {
@@ -131,8 +131,8 @@
         assert_eq!(agent.order("start", 0).await.0, 200);
         let task = agent.process(0).await;
         let running = |a: &Agent| {
-            let reports = a.reports.borrow();
-            reports
+            let heartbeats = a.heartbeats.borrow();
+            heartbeats
                 .last()
                 .is_some_and(|r| r["pieces"][0]["phase"] == "running")
         };
@@ -142,22 +142,22 @@
             .until("the lease ends the task", |_| !task.lives())
             .await;
         sleep(Duration::from_secs(1)).await;
-        let before = agent.reports.borrow().len();
+        let before = agent.heartbeats.borrow().len();
         agent.signal(Signal::CONT);
-        let goes_on = |a: &Agent| a.reports.borrow().len() > before;
+        let goes_on = |a: &Agent| a.heartbeats.borrow().len() > before;
         agent.until("it goes on", goes_on).await;
-        let reports = agent.reports.borrow().clone();
+        let heartbeats = agent.heartbeats.borrow().clone();
         // At most the report that was on its way when it was stopped is old.
-        let new = reports.iter().skip(before).find(|r| r["shift"] != 1);
-        if let Some(report) = new {
+        let new = heartbeats.iter().skip(before).find(|r| r["shift"] != 1);
+        if let Some(heartbeat) = new {
             assert_eq!(
-                (&report["shift"], &report["pieces"]),
+                (&heartbeat["shift"], &heartbeat["pieces"]),
                 (&json!(2), &json!([]))
             );
         }
-        let old = reports.iter().skip(before).filter(|r| r["shift"] == 1);
+        let old = heartbeats.iter().skip(before).filter(|r| r["shift"] == 1);
         assert_eq!(old.count(), 0, "nothing is said of the old session");
-        // Commands of the old session are refused.
+        // Commands of the old incarnation are refused.
         assert_eq!(agent.order("start", 1).await.0, 409);
     });
 }
@@ -179,8 +179,8 @@
         agent.order("kill", 0).await;
         agent.until("it is gone", |_| !task.lives()).await;
         let ended = |a: &Agent| {
-            let reports = a.reports.borrow();
-            reports
+            let heartbeats = a.heartbeats.borrow();
+            heartbeats
                 .last()
                 .is_some_and(|r| r["pieces"][0]["cause"] == "stopped")
         };
--- a/crates/agent/tests/supervisor.rs
+++ b/crates/agent/tests/supervisor.rs
@@ -168,7 +168,7 @@
     assert_eq!(run.end(), Exit::Killed);
 }
 
-/// Whoever leaves the group, and the session, ends with the task.
+/// Whoever leaves the group, and the incarnation, ends with the task.
 #[test]
 fn a_task_that_forks_away_leaves_nothing() {
     let script = "setsid sh -c 'echo $$ > away; exec sleep 300' & \
--- a/crates/agent/tests/worker_model.rs
+++ b/crates/agent/tests/worker_model.rs
@@ -1,6 +1,6 @@
 //! The pure core against a slow plain model of PROTOCOL's worker, over
 //! generated orders of messages, ends of processes and time: commands repeated,
-//! late, after `forget`; lower tokens; lost and late answers; leases that end.
+//! late, after `forget`; lower fencing tokens; lost and late answers; leases that end.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -11,9 +11,11 @@
 };
 use sorrelhinge_agent::journal::State;
 use sorrelhinge_protocol::types::{
-    Amount, Attempt, MachineId, Session, Time, Token, TypeName, Zone,
+    Amount, Attempt, FencingToken, Incarnation, MachineId, Time, TypeName, Zone,
+};
+use sorrelhinge_protocol::worker::{
+    Command, DirectCommands, ExitReason, Heartbeat, Reply, TaskPhase,
 };
-use sorrelhinge_protocol::worker::{Command, DirectCommands, ExitReason, Reply, Report, TaskPhase};
 
 const LEASE_S: f64 = 10.0;
 
@@ -35,9 +37,9 @@
 enum Step {
     /// Time passes.
     Wait(u8),
-    /// Direct commands with this token, and a session that matches or not.
+    /// Direct commands with this fencing token, and a incarnation that matches or not.
     Direct(u8, bool, Vec<(u8, u8, u8)>),
-    /// The report under way is answered, with this token.
+    /// The heartbeat under way is answered, with this fencing token.
     Answer(u8, Vec<(u8, u8, u8)>),
     /// It is sent on, or gets no answer.
     Elsewhere(bool),
@@ -121,10 +123,10 @@
 /// The plain worker.
 #[derive(Default)]
 struct Model {
-    token: u64,
-    session: u64,
+    fencing_token: u64,
+    incarnation: u64,
     tasks: BTreeMap<(String, u64), Plain>,
-    /// Processes that may run, of any session.
+    /// Processes that may run, of any incarnation.
     processes: BTreeMap<(String, u64), bool>,
     /// Described, and waiting for their image; their room is taken.
     imaging: BTreeSet<(String, u64)>,
@@ -142,12 +144,12 @@
                 }
             }
             self.imaging.clear();
-            self.session += 1;
+            self.incarnation += 1;
             self.renewed = now;
         }
     }
 
-    /// Tasks of an ended session that are not gone.
+    /// Tasks of an ended incarnation that are not gone.
     fn dying(&self) -> bool {
         self.processes
             .iter()
@@ -266,12 +268,12 @@
         self.imaging.clear();
     }
 
-    /// A report says what the model holds, nothing else.
-    fn agrees(&self, report: &Report) -> Result<(), TestCaseError> {
+    /// A heartbeat says what the model holds, nothing else.
+    fn agrees(&self, heartbeat: &Heartbeat) -> Result<(), TestCaseError> {
         prop_assert!(!self.dying(), "a report while tasks are not gone");
-        prop_assert_eq!(report.incarnation.0, self.session);
-        prop_assert_eq!(report.fencing_token.0, self.token);
-        let said: BTreeMap<(String, u64), Plain> = report
+        prop_assert_eq!(heartbeat.incarnation.0, self.incarnation);
+        prop_assert_eq!(heartbeat.fencing_fencing_token.0, self.fencing_token);
+        let said: BTreeMap<(String, u64), Plain> = heartbeat
             .tasks
             .iter()
             .map(|p| {
@@ -294,10 +296,10 @@
     core: Core,
     model: Model,
     journal: State,
-    /// When the last answered report was sent, as the file says.
+    /// When the last answered heartbeat was sent, as the file says.
     lease: Option<Time>,
     now: f64,
-    flying: Option<(Time, Session)>,
+    flying: Option<(Time, Incarnation)>,
     last_tick: u64,
     highest: u64,
 }
@@ -310,9 +312,9 @@
                 Action::Note(note) => self.note(&note)?,
                 Action::Lease(since) => self.lease = Some(since),
                 Action::Run(key, _) => self.run(&key)?,
-                Action::Report(_, report) => {
-                    self.said(&report)?;
-                    self.flying = Some((self.core.sent().expect("sent"), report.incarnation));
+                Action::Heartbeat(_, heartbeat) => {
+                    self.said(&heartbeat)?;
+                    self.flying = Some((self.core.sent().expect("sent"), heartbeat.incarnation));
                 }
                 Action::Describe(_)
                 | Action::Image(..)
@@ -327,9 +329,9 @@
 
     fn note(&mut self, note: &Note) -> Result<(), TestCaseError> {
         self.journal.apply(note);
-        if let Note::Token(token) = note {
-            prop_assert!(token.0 > self.highest, "a token goes back");
-            self.highest = token.0;
+        if let Note::FencingToken(fencing_token) = note {
+            prop_assert!(fencing_token.0 > self.highest, "a token goes back");
+            self.highest = fencing_token.0;
         }
         Ok(())
     }
@@ -352,10 +354,10 @@
         Ok(())
     }
 
-    fn said(&mut self, report: &Report) -> Result<(), TestCaseError> {
-        prop_assert!(report.sequence.0 > self.last_tick, "a tick twice");
-        self.last_tick = report.sequence.0;
-        self.model.agrees(report)
+    fn said(&mut self, heartbeat: &Heartbeat) -> Result<(), TestCaseError> {
+        prop_assert!(heartbeat.sequence.0 > self.last_tick, "a tick twice");
+        self.last_tick = heartbeat.sequence.0;
+        self.model.agrees(heartbeat)
     }
 
     fn nth(&self, n: u8) -> Option<(Key, Plain)> {
@@ -367,8 +369,10 @@
     fn step(&mut self, step: Step) -> Result<(), TestCaseError> {
         match step {
             Step::Wait(tenths) => self.wait(tenths),
-            Step::Direct(token, matches, list) => self.direct(token, matches, &list),
-            Step::Answer(token, list) => self.answer(token, &list),
+            Step::Direct(fencing_token, matches, list) => {
+                self.direct(fencing_token, matches, &list)
+            }
+            Step::Answer(fencing_token, list) => self.answer(fencing_token, &list),
             Step::Elsewhere(named) => self.elsewhere(named),
             Step::Describe(n, found) => self.describe(n, found),
             Step::Imaged(n, there) => self.imaged(n, there),
@@ -386,52 +390,55 @@
 
     fn direct(
         &mut self,
-        token: u8,
+        fencing_token: u8,
         matches: bool,
         list: &[(u8, u8, u8)],
     ) -> Result<(), TestCaseError> {
-        let token = u64::from(token);
-        let session = self.model.session + u64::from(!matches);
+        let fencing_token = u64::from(fencing_token);
+        let incarnation = self.model.incarnation + u64::from(!matches);
         let commands: Vec<Command> = list.iter().map(command).collect();
         let direct = DirectCommands {
-            fencing_token: Token(token),
-            incarnation: Session(session),
+            fencing_fencing_token: FencingToken(fencing_token),
+            incarnation: Incarnation(incarnation),
             commands: commands.clone(),
         };
         self.model.lease(self.now);
         let (told, actions) = self.core.commands(&direct, Time(self.now));
-        let taken = matches && token >= self.model.token && !self.model.dying();
-        if taken && session == self.model.session {
-            self.model.token = token;
+        let taken = matches && fencing_token >= self.model.fencing_token && !self.model.dying();
+        if taken && incarnation == self.model.incarnation {
+            self.model.fencing_token = fencing_token;
             self.model.execute(&commands);
         }
         self.act(actions)?;
         match told {
             Told::NotNow => prop_assert!(self.model.dying()),
-            Told::Report(did, report) => {
+            Told::Heartbeat(did, heartbeat) => {
                 prop_assert_eq!(did, taken);
-                self.said(&report)?;
+                self.said(&heartbeat)?;
             }
         }
         Ok(())
     }
 
-    fn answer(&mut self, token: u8, list: &[(u8, u8, u8)]) -> Result<(), TestCaseError> {
-        let Some((sent, session)) = self.flying.take() else {
+    fn answer(&mut self, fencing_token: u8, list: &[(u8, u8, u8)]) -> Result<(), TestCaseError> {
+        let Some((sent, incarnation)) = self.flying.take() else {
             return Ok(());
         };
         self.model.lease(self.now);
         let commands: Vec<Command> = list.iter().map(command).collect();
-        let token = u64::from(token);
+        let fencing_token = u64::from(fencing_token);
         // After 4 s the worker has given it up.
         let late = self.core.sent() != Some(sent);
-        if !late && session.0 == self.model.session && token >= self.model.token {
-            self.model.token = token;
+        if !late
+            && incarnation.0 == self.model.incarnation
+            && fencing_token >= self.model.fencing_token
+        {
+            self.model.fencing_token = fencing_token;
             self.model.renewed = sent.0;
             self.model.execute(&commands);
         }
         let reply = Reply {
-            fencing_token: Token(token),
+            fencing_fencing_token: FencingToken(fencing_token),
             commands,
         };
         let answer = Answer::Reply(reply);
@@ -573,7 +580,7 @@
         let (core, actions) = Core::new(machine(), Recovered::default(), Time(0.0));
         let mut world = World {
             core,
-            model: Model { session: 1, ..Model::default() },
+            model: Model { incarnation: 1, ..Model::default() },
             journal: State::default(),
             lease: None,
             now: 0.0,
--- a/crates/emulators/src/asking.rs
+++ b/crates/emulators/src/asking.rs
@@ -122,22 +122,22 @@
     /// Delivers copies of reports that are older than so many seconds, a few of
     /// each machine, to all controllers.
     pub async fn replay(&self, age_s: f64, most: usize) -> usize {
-        let copies = self.nodes.borrow().old_reports(age_s, most);
-        for report in &copies {
+        let copies = self.nodes.borrow().old_heartbeats(age_s, most);
+        for heartbeat in &copies {
             for c in &self.controllers {
-                let _ = ask(c.users, Method::POST, "/agent/beat", report).await;
+                let _ = ask(c.users, Method::POST, "/agent/beat", heartbeat).await;
             }
         }
         copies.len()
     }
 
-    /// Delivers copies of reports to one controller alone: how many, and how many of
+    /// Delivers copies of heartbeats to one controller alone: how many, and how many of
     /// them it answered with 200.
     pub async fn replay_to(&self, i: usize, age_s: f64, most: usize) -> (usize, usize) {
-        let copies = self.nodes.borrow().old_reports(age_s, most);
+        let copies = self.nodes.borrow().old_heartbeats(age_s, most);
         let mut taken = 0;
-        for report in &copies {
-            let told = ask(self.address(i), Method::POST, "/agent/beat", report).await;
+        for heartbeat in &copies {
+            let told = ask(self.address(i), Method::POST, "/agent/beat", heartbeat).await;
             taken += usize::from(told.is_some_and(|(status, _)| status == 200));
         }
         (copies.len(), taken)
--- a/crates/emulators/src/controllers.rs
+++ b/crates/emulators/src/controllers.rs
@@ -11,7 +11,7 @@
 use crate::place::Place;
 use crate::plan::Plan;
 use crate::site::CREW_CPUS;
-use crate::{CANCEL_S, LEASE_S, REPORT_S, ZONES};
+use crate::{CANCEL_S, HEARTBEAT_S, LEASE_S, ZONES};
 
 /// Files that a controller has open besides its sockets: its own, and the
 /// runtime's.
@@ -165,7 +165,7 @@
          [params]\nzones = [\"za\", \"zb\", \"zc\"]\n\
          [[params.teams]]\nname = \"crew\"\ncpus = 200.0\ncpus_max = {CREW_CPUS:?}\n\
          [[params.teams]]\nname = \"guest\"\ncpus = 0.0\ncpus_max = 0.0\n\
-         [params.workers]\nreport_s = {REPORT_S:?}\nlease_s = {LEASE_S:?}\ncancel_s = {CANCEL_S:?}\n\
+         [params.workers]\nreport_s = {HEARTBEAT_S:?}\nlease_s = {LEASE_S:?}\ncancel_s = {CANCEL_S:?}\n\
          [params.state]\nrps = 500.0\nwrite_rps = 300.0\nvalue_kb = 8.0\ntxn_ops = 16\n{state_next}\
          [params.cloud]\nrps = 50.0\nlist_lag_s = 0.2\n{sockets}",
         zone_of(number),
--- a/crates/emulators/src/lib.rs
+++ b/crates/emulators/src/lib.rs
@@ -47,8 +47,8 @@
 pub use plan::{file, Plan};
 use store::Store;
 
-/// Between two reports of a worker of the small world, in seconds.
-pub const REPORT_S: f64 = 0.5;
+/// Between two heartbeats of a worker of the small world, in seconds.
+pub const HEARTBEAT_S: f64 = 0.5;
 /// How long a worker's lease lasts there, in seconds.
 pub const LEASE_S: f64 = 3.0;
 /// How long a cancellation may take there, in seconds.
--- a/crates/emulators/src/nodes.rs
+++ b/crates/emulators/src/nodes.rs
@@ -18,9 +18,9 @@
 
 /// A task on a machine.
 pub struct Task {
-    /// Its phase, as reports have it.
+    /// Its phase, as heartbeats have it.
     pub phase: String,
-    /// Why it ended, as reports have it.
+    /// Why it ended, as heartbeats have it.
     exit_reason: Option<&'static str>,
     /// When it was started.
     since: Instant,
@@ -47,17 +47,17 @@
     pub(crate) up_at: Instant,
     /// When it was rented.
     pub(crate) born: Instant,
-    /// The worker's session; a lease that ends begins the next one.
-    session: u64,
+    /// The worker's incarnation; a lease that ends begins the next one.
+    incarnation: u64,
     sequence: u64,
-    /// The highest token seen.
-    token: u64,
-    /// When the last answered report was sent: the lease runs from then.
+    /// The highest fencing token seen.
+    fencing_token: u64,
+    /// When the last answered heartbeat was sent: the lease runs from then.
     answered: Instant,
     reported: Instant,
-    /// Something changed since the last report.
+    /// Something changed since the last heartbeat.
     dirty: bool,
-    /// The controller that reports go to, by its number.
+    /// The controller that heartbeats go to, by its number.
     target: usize,
     /// Since when it hangs, if it does.
     hung_since: Option<Instant>,
@@ -79,28 +79,28 @@
     pub wrong: Vec<String>,
     /// Starts that were carried out.
     pub starts: usize,
-    /// Reports that a controller answered with 503.
-    pub refused_reports: usize,
+    /// Heartbeats that a controller answered with 503.
+    pub refused_heartbeats: usize,
     /// Machines with workers of their own, as the cloud lists them.
     pub others: BTreeMap<String, Value>,
     /// Tasks that ended `done`.
     pub done: BTreeSet<String>,
-    /// Machines whose reports every controller turns away.
+    /// Machines whose heartbeats every controller turns away.
     pub turned_away: BTreeSet<String>,
     /// The cloud has nothing to rent.
     pub full: bool,
-    /// One-way lines: reports get through, answers and commands don't.
+    /// One-way lines: heartbeats get through, answers and commands don't.
     pub deaf: Vec<Deaf>,
-    /// Reports of late, if copies are to come.
+    /// Heartbeats of late, if copies are to come.
     pub sent: Option<VecDeque<(Instant, String, Value)>>,
     /// A controller that is cut off from all workers, and its grant: neither
-    /// reports nor commands get through.
+    /// heartbeats nor commands get through.
     pub apart: Option<(usize, u64)>,
     /// More that goes wrong by a test's word.
     pub faults: Faults,
     /// Takes notes of what happens on the machines.
     pub recorder: Recorder,
-    /// Where each controller takes reports.
+    /// Where each controller takes heartbeats.
     controllers: Vec<SocketAddr>,
     /// How many machines there have ever been.
     count: u32,
@@ -112,9 +112,9 @@
 pub(crate) const CPUS: f64 = 4.0;
 /// Memory of a machine, gigabytes.
 pub(crate) const RAM_GB: f64 = 16.0;
-/// A worker waits so long for an answer to its report (PROTOCOL).
+/// A worker waits so long for an answer to its heartbeat (PROTOCOL).
 const PATIENCE: Duration = Duration::from_secs(4);
-/// Reports kept to be copied.
+/// Heartbeats kept to be copied.
 const MOST_SENT: usize = 6000;
 
 /// Machines that hear nothing: one, those of a zone, or all; of one controller with
@@ -160,7 +160,7 @@
 }
 
 impl Nodes {
-    /// None yet, for controllers that take reports at these addresses.
+    /// None yet, for controllers that take heartbeats at these addresses.
     pub fn new(controllers: Vec<SocketAddr>, recorder: Recorder) -> Self {
         Self {
             all: BTreeMap::new(),
@@ -169,7 +169,7 @@
             encoders: BTreeMap::new(),
             wrong: Vec::new(),
             starts: 0,
-            refused_reports: 0,
+            refused_heartbeats: 0,
             others: BTreeMap::new(),
             done: BTreeSet::new(),
             turned_away: BTreeSet::new(),
@@ -208,9 +208,9 @@
         })
     }
 
-    /// Reports that are older than so many seconds, the newest of those, a few of
+    /// Heartbeats that are older than so many seconds, the newest of those, a few of
     /// each machine, gone ones too.
-    pub fn old_reports(&self, age_s: f64, most: usize) -> Vec<Value> {
+    pub fn old_heartbeats(&self, age_s: f64, most: usize) -> Vec<Value> {
         let mut taken: BTreeMap<&str, usize> = BTreeMap::new();
         let sent = self.sent.iter().flatten().rev();
         let old = sent.filter(|(at, ..)| at.elapsed().as_secs_f64() >= age_s);
@@ -219,7 +219,7 @@
             *count += 1;
             *count <= most
         });
-        let mut some: Vec<Value> = some.map(|(.., report)| report.clone()).collect();
+        let mut some: Vec<Value> = some.map(|(.., heartbeat)| heartbeat.clone()).collect();
         some.reverse();
         some
     }
@@ -252,8 +252,8 @@
         places
     }
 
-    /// A machine's next report.
-    fn report(&mut self, id: &str) -> Value {
+    /// A machine's next heartbeat.
+    fn heartbeat(&mut self, id: &str) -> Value {
         let node = self.all.get_mut(id).expect("it is there");
         node.sequence += 1;
         let tasks: Vec<Value> = node
@@ -264,7 +264,7 @@
             })
             .collect();
         json!({"box": id, "addr": node.addr, "build": TYPE, "rack": ZONES[node.zone as usize],
-            "loaners": false, "shift": node.session, "tick": node.sequence, "baton": node.token,
+            "loaners": false, "shift": node.incarnation, "tick": node.sequence, "baton": node.fencing_token,
             "warning_s": null, "pieces": tasks})
     }
 
@@ -366,13 +366,15 @@
         }
     }
 
-    /// Carries out direct commands if token and session match.
+    /// Carries out direct commands if fencing token and incarnation match.
     fn obey(&mut self, id: &str, commands: &DirectCommands) -> bool {
         let node = self.all.get_mut(id).expect("it is there");
-        if commands.fencing_token.0 < node.token || commands.incarnation.0 != node.session {
+        if commands.fencing_fencing_token.0 < node.fencing_token
+            || commands.incarnation.0 != node.incarnation
+        {
             return false;
         }
-        node.token = commands.fencing_token.0;
+        node.fencing_token = commands.fencing_fencing_token.0;
         self.execute(id, &commands.commands);
         true
     }
@@ -384,7 +386,7 @@
         let now = Instant::now();
         let lease_end = node.answered + Duration::from_secs_f64(LEASE_S);
         if now > lease_end {
-            node.session += 1;
+            node.incarnation += 1;
             node.answered = now;
             node.dirty = true;
             for (key, task) in std::mem::take(&mut node.tasks) {
--- a/crates/emulators/src/nodes/faults.rs
+++ b/crates/emulators/src/nodes/faults.rs
@@ -14,7 +14,7 @@
 /// Which direct commands are held back.
 #[derive(Clone, Debug, Default)]
 pub struct Hold {
-    /// Those of a grant, by its number in the token; none: any.
+    /// Those of a grant, by its number in the fencing token; none: any.
     pub grant: Option<u64>,
     /// Those to a machine; none: any.
     pub machine: Option<String>,
@@ -27,7 +27,7 @@
     fn concerns(&self, machine: &str, commands: &DirectCommands) -> bool {
         let start = |o: &_| matches!(o, sorrelhinge_protocol::worker::Command::Start { .. });
         self.grant
-            .is_none_or(|g| commands.fencing_token.grant() == g)
+            .is_none_or(|g| commands.fencing_fencing_token.grant() == g)
             && self.machine.as_ref().is_none_or(|m| m == machine)
             && (!self.starts || commands.commands.iter().any(start))
     }
@@ -36,7 +36,7 @@
 /// What became of commands that were held back.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Released {
-    /// Carried out: token and session still matched.
+    /// Carried out: fencing token and incarnation still matched.
     pub carried_out: usize,
     /// Dropped by their machines.
     pub dropped: usize,
--- a/crates/emulators/src/nodes/worker.rs
+++ b/crates/emulators/src/nodes/worker.rs
@@ -1,4 +1,4 @@
-//! A machine's worker on loopback: it takes direct commands and sends reports.
+//! A machine's worker on loopback: it takes direct commands and sends heartbeats.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -16,9 +16,9 @@
 
 use super::{Node, Nodes, CPUS, MOST_SENT, PATIENCE, RAM_GB, TYPE};
 use crate::history::{Amounts, Event, Machine};
-use crate::{ask_over, serve, Told, REPORT_S, ZONES};
+use crate::{ask_over, serve, Told, HEARTBEAT_S, ZONES};
 
-/// How often a worker looks at its tasks, and whether a report is due.
+/// How often a worker looks at its tasks, and whether a heartbeat is due.
 const POLL_INTERVAL: Duration = Duration::from_millis(25);
 
 /// How long a request that gets no answer is kept: longer than any client waits.
@@ -63,7 +63,7 @@
 }
 
 impl Node {
-    /// A machine that is up after `boot` and reports to the controller `target`
+    /// A machine that is up after `boot` and heartbeats to the controller `target`
     /// first.
     fn new(
         id: &str,
@@ -81,9 +81,9 @@
             gone: false,
             up_at: now + boot,
             born: now,
-            session: 1,
+            incarnation: 1,
             sequence: 0,
-            token: 0,
+            fencing_token: 0,
             answered: now + boot,
             reported: now,
             dirty: true,
@@ -142,14 +142,14 @@
     }
     let mut nodes = nodes.borrow_mut();
     if path == "/status" {
-        return (200, nodes.report(&id));
+        return (200, nodes.heartbeat(&id));
     }
     let Ok(commands) = commands else {
         return (400, Value::Null);
     };
     match nodes.obey(&id, &commands) {
-        true => (200, nodes.report(&id)),
-        false => (409, nodes.report(&id)),
+        true => (200, nodes.heartbeat(&id)),
+        false => (409, nodes.heartbeat(&id)),
     }
 }
 
@@ -167,21 +167,21 @@
     End,
     /// It waits.
     Wait,
-    /// A report goes out.
-    Report(DueReport),
+    /// A heartbeat goes out.
+    Heartbeat(DueHeartbeat),
 }
 
 /// A report that is to go out.
-struct DueReport {
+struct DueHeartbeat {
     /// The controller that it goes to, by its number.
     target: usize,
-    /// The session that it was made in.
-    session: u64,
+    /// The incarnation that it was made in.
+    incarnation: u64,
     sent: Instant,
     body: Value,
 }
 
-/// The worker's own routine: time passes, and reports go out.
+/// The worker's own routine: time passes, and heartbeats go out.
 async fn work(nodes: Rc<RefCell<Nodes>>, id: String) {
     // Connections stay open as PROTOCOL has it, unless a controller ends them.
     let pools: Vec<Pool> = nodes
@@ -193,35 +193,35 @@
     loop {
         sleep(POLL_INTERVAL).await;
         let due = nodes.borrow_mut().due(&id);
-        let report = match due {
+        let heartbeat = match due {
             Due::End => return,
             Due::Wait => continue,
-            Due::Report(report) => report,
+            Due::Heartbeat(heartbeat) => heartbeat,
         };
-        let told = send(&nodes, &id, &pools[report.target], &report).await;
+        let told = send(&nodes, &id, &pools[heartbeat.target], &heartbeat).await;
         while_hung(&nodes, &id).await;
-        let told = told.filter(|_| report.sent.elapsed() <= PATIENCE);
-        nodes.borrow_mut().answered(&id, &report, told);
+        let told = told.filter(|_| heartbeat.sent.elapsed() <= PATIENCE);
+        nodes.borrow_mut().answered(&id, &heartbeat, told);
     }
 }
 
-/// Sends a report, unless a fault keeps it from getting through.
+/// Sends a heartbeat, unless a fault keeps it from getting through.
 async fn send(
     nodes: &Rc<RefCell<Nodes>>,
     id: &str,
     pool: &Pool,
-    report: &DueReport,
+    heartbeat: &DueHeartbeat,
 ) -> Option<Told> {
     let (away, lost) = {
         let nodes = nodes.borrow();
-        let apart = nodes.apart.is_some_and(|(at, _)| at == report.target);
+        let apart = nodes.apart.is_some_and(|(at, _)| at == heartbeat.target);
         let mute = nodes.faults.mute.contains(id);
         (nodes.turned_away.contains(id), apart || mute)
     };
     match (away, lost) {
         (true, _) => Some((503, Value::Null)),
         (_, true) => None,
-        (false, false) => ask_over(pool, Method::POST, "/agent/beat", &report.body).await,
+        (false, false) => ask_over(pool, Method::POST, "/agent/beat", &heartbeat.body).await,
     }
 }
 
@@ -229,14 +229,14 @@
     /// Whether a request does not get through to a machine: it is gone, behind a
     /// switch that is cut, or cut off from who commands.
     fn is_unreached(&self, id: &str, commands: Option<&DirectCommands>) -> bool {
-        let grant = commands.map(|commands| commands.fencing_token.grant());
+        let grant = commands.map(|commands| commands.fencing_fencing_token.grant());
         let commands = |(_, g): (usize, u64)| grant == Some(g);
         self.all[id].gone
             || self.is_cut(id)
             || grant.is_some() && (self.apart.is_some_and(commands) || self.is_deaf(id, commands))
     }
 
-    /// Lets time pass on a machine, and makes its report once it is due.
+    /// Lets time pass on a machine, and makes its heartbeat once it is due.
     fn due(&mut self, id: &str) -> Due {
         if self.all[id].gone {
             return Due::End;
@@ -248,42 +248,42 @@
         let cut = self.is_cut(id);
         let node = self.all.get_mut(id).expect("it is there");
         let age = node.reported.elapsed().as_secs_f64();
-        if cut || !(age >= REPORT_S || node.dirty && age >= REPORT_S / 2.0) {
+        if cut || !(age >= HEARTBEAT_S || node.dirty && age >= HEARTBEAT_S / 2.0) {
             return Due::Wait;
         }
         node.reported = Instant::now();
         node.dirty = false;
-        let (target, session) = (node.target, node.session);
-        let body = self.report(id);
+        let (target, incarnation) = (node.target, node.incarnation);
+        let body = self.heartbeat(id);
         self.keep_copy(id, &body);
-        Due::Report(DueReport {
+        Due::Heartbeat(DueHeartbeat {
             target,
-            session,
+            incarnation,
             sent: Instant::now(),
             body,
         })
     }
 
-    /// Keeps a report, if copies are to come.
-    fn keep_copy(&mut self, id: &str, report: &Value) {
+    /// Keeps a heartbeat, if copies are to come.
+    fn keep_copy(&mut self, id: &str, heartbeat: &Value) {
         if let Some(sent) = &mut self.sent {
-            sent.push_back((Instant::now(), id.to_owned(), report.clone()));
+            sent.push_back((Instant::now(), id.to_owned(), heartbeat.clone()));
             if sent.len() > MOST_SENT {
                 sent.pop_front();
             }
         }
     }
 
-    /// What a worker makes of the answer to its report, or of none.
-    fn answered(&mut self, id: &str, report: &DueReport, told: Option<Told>) {
+    /// What a worker makes of the answer to its heartbeat, or of none.
+    fn answered(&mut self, id: &str, heartbeat: &DueHeartbeat, told: Option<Told>) {
         if self.all[id].gone || self.is_cut(id) {
             return;
         }
-        let told = told.filter(|_| !self.is_deaf(id, |(c, _)| c == report.target));
+        let told = told.filter(|_| !self.is_deaf(id, |(c, _)| c == heartbeat.target));
         let refused = told.as_ref().is_some_and(|(status, _)| *status == 503);
-        self.refused_reports += usize::from(refused);
+        self.refused_heartbeats += usize::from(refused);
         match told {
-            Some((200, body)) => self.replied(id, report, body),
+            Some((200, body)) => self.replied(id, heartbeat, body),
             Some((421, body)) => {
                 let named = body["foreman"].as_str().and_then(|f| f.strip_prefix("c-"));
                 self.turn_to(id, named.and_then(|f| f.parse().ok()));
@@ -292,21 +292,23 @@
         }
     }
 
-    /// A controller answered with commands: they count in the session that was
-    /// reported, and with no older token.
-    fn replied(&mut self, id: &str, report: &DueReport, body: Value) {
+    /// A controller answered with commands: they count in the incarnation that was
+    /// reported, and with no older fencing token.
+    fn replied(&mut self, id: &str, heartbeat: &DueHeartbeat, body: Value) {
         let Ok(reply) = serde_json::from_value::<Reply>(body) else {
             return;
         };
         let node = self.all.get_mut(id).expect("it is there");
-        if reply.fencing_token.0 >= node.token && report.session == node.session {
-            node.token = reply.fencing_token.0;
-            node.answered = report.sent;
+        if reply.fencing_fencing_token.0 >= node.fencing_token
+            && heartbeat.incarnation == node.incarnation
+        {
+            node.fencing_token = reply.fencing_fencing_token.0;
+            node.answered = heartbeat.sent;
             self.execute(id, &reply.commands);
         }
     }
 
-    /// The next report goes to the controller that was named, else to the next one,
+    /// The next heartbeat goes to the controller that was named, else to the next one,
     /// and soon.
     fn turn_to(&mut self, id: &str, named: Option<usize>) {
         let controllers = self.controllers.len();
--- a/crates/overload/src/freshness.rs
+++ b/crates/overload/src/freshness.rs
@@ -1,6 +1,6 @@
 //! How old a view of the records may be while workers are answered by it.
 //!
-//! An answer to a report renews the worker's lease, and with it the life of every
+//! An answer to a heartbeat renews the worker's lease, and with it the life of every
 //! task on the machine. A controller that the state service does not serve cannot
 //! see that a job was cancelled through another one. So it answers only for as long
 //! as a lease renewed by the answer ends within `cancel_s` (PROTOCOL, "Rules":
@@ -9,14 +9,14 @@
 //! # Why the bound is enough
 //!
 //! Let the read behind the view be sent at `r`, the cancellation be confirmed at `c`,
-//! a report be sent at `s`, and the check of [`Freshness::may_answer_workers`] be made
+//! a heartbeat be sent at `s`, and the check of [`Freshness::may_answer_workers`] be made
 //! at `a`, all of one ideal clock.
 //!
 //! 1. The read is linearizable and a cancellation is confirmed only once it is
 //!    recorded, so a cancellation that the view misses has `c > r`.
 //! 2. The check is made for a report that has arrived: `s < a`, however long the
-//!    report was on its way and by whom it was passed on.
-//! 3. The worker counts its lease from the *sending* of the report (PROTOCOL,
+//!    heartbeat was on its way and by whom it was passed on.
+//! 3. The worker counts its lease from the *sending* of the heartbeat (PROTOCOL,
 //!    "Leases"), so it ends by `s + lease_s < a + lease_s` of the worker's clock. An
 //!    answer that is sent late, by a process that stood still after the check,
 //!    renews no longer; commands in it are dropped 4 s after `s`.
@@ -79,9 +79,9 @@
 
     /// Until when tasks may be started by the view.
     ///
-    /// A session begins with a full lease, whether or not any report is answered, so
+    /// A incarnation begins with a full lease, whether or not any heartbeat is answered, so
     /// what is started in it ends only with that: at the latest `lease_s` after the
-    /// command was sent, as the session had begun by then. While the state service
+    /// command was sent, as the incarnation had begun by then. While the state service
     /// refused the owner alone and was then out for all, it went on to start what was
     /// claimed before on machines that were back, also tasks of jobs whose cancellation
     /// had been confirmed elsewhere longer ago than `cancel_s`.
@@ -111,7 +111,7 @@
 /// For how long a watch of the state service may wait for changes, in seconds.
 ///
 /// It waited for 4 s, whatever the bounds were. In quiet times the view was then more
-/// than 8 s old again and again: reports were turned away where `cancel_s` is less than
+/// than 8 s old again and again: heartbeats were turned away where `cancel_s` is less than
 /// a lease and 11 s, until leases ended, and no task was started for 2 s of every 4.
 pub fn watch_s(lease_s: f64, cancel_s: f64) -> f64 {
     let bound_s = START_VIEW_S.min(horizon_s(lease_s, cancel_s));
--- a/crates/overload/src/report_offload.rs
+++ b/crates/overload/src/heartbeat_offload.rs
@@ -1,9 +1,9 @@
-//! How many of the workers report to other controllers, which hand the reports
+//! How many of the workers heartbeat to other controllers, which hand the heartbeats
 //! on in batches.
 //!
-//! Most of what a report costs is its own connection and packets, and there
+//! Most of what a heartbeat costs is its own connection and packets, and there
 //! are only so many sockets. So when the owner of the machines runs short of
-//! either, a part of the workers reports to the controllers that idle; who
+//! either, a part of the workers heartbeats to the controllers that idle; who
 //! decides does not change.
 
 use std::hash::{DefaultHasher, Hash, Hasher};
@@ -21,27 +21,27 @@
 const STEP_INTERVAL_S: f64 = 2.0;
 const RETURN_INTERVAL_S: f64 = 15.0;
 
-/// The part of the workers that reports elsewhere.
+/// The part of the workers that heartbeats elsewhere.
 #[derive(Clone, Debug, Default)]
-pub struct ReportOffload {
+pub struct HeartbeatOffload {
     share: f64,
     since: Option<Time>,
 }
 
 /// What it is decided from.
 #[derive(Clone, Copy, Debug)]
-pub struct ReportLoad {
+pub struct HeartbeatLoad {
     /// Machines there are.
     pub machines: usize,
     /// Connections that workers may hold here.
     pub room: usize,
     /// How long requests wait to be read, in seconds.
     pub wait_s: f64,
-    /// Controllers that can take reports for this one.
+    /// Controllers that can take heartbeats for this one.
     pub helpers: usize,
 }
 
-impl ReportOffload {
+impl HeartbeatOffload {
     /// Starts with the part that an earlier owner had.
     pub fn from_share(share: f64) -> Self {
         Self {
@@ -51,11 +51,11 @@
     }
 
     /// Takes in how things stand.
-    pub fn take(&mut self, report_load: ReportLoad, now: Time) {
-        let room = report_load.room.max(1) as f64;
-        let machines = report_load.machines as f64;
+    pub fn take(&mut self, heartbeat_load: HeartbeatLoad, now: Time) {
+        let room = heartbeat_load.room.max(1) as f64;
+        let machines = heartbeat_load.machines as f64;
         let quiet_s = self.since.map_or(f64::INFINITY, |t| now.since(t));
-        if report_load.helpers == 0 {
+        if heartbeat_load.helpers == 0 {
             self.share = 0.0;
             return;
         }
@@ -64,7 +64,7 @@
         if needed > self.share {
             self.share = needed;
             self.since = Some(now);
-        } else if report_load.wait_s > LONG_WAIT_S {
+        } else if heartbeat_load.wait_s > LONG_WAIT_S {
             if quiet_s >= STEP_INTERVAL_S {
                 self.share = (self.share + STEP_SHARE).min(1.0);
                 self.since = Some(now);
@@ -81,7 +81,7 @@
         self.share
     }
 
-    /// To which of `helpers` a machine's worker should report, if not here.
+    /// To which of `helpers` a machine's worker should heartbeat, if not here.
     /// Always the same ones are sent first, and each to the same helper while
     /// that is there.
     pub fn home<'a>(
--- a/crates/overload/src/order.rs
+++ b/crates/overload/src/order.rs
@@ -1,30 +1,30 @@
-//! Which report is a copy, wherever it comes.
+//! Which heartbeat is a copy, wherever it comes.
 //!
-//! Copies of reports come late, from seconds to well over a lease. One that came
-//! to a controller that takes reports for others kept a dead machine alive, and
-//! sent a live one to another controller. Session and tick order a worker's
+//! Copies of heartbeats come late, from seconds to well over a lease. One that came
+//! to a controller that takes heartbeats for others kept a dead machine alive, and
+//! sent a live one to another controller. Incarnation and tick order a worker's
 //! messages (PROTOCOL), so what is not newer than what came before is a copy, and
 //! nobody waits for its answer.
 
 use std::collections::HashMap;
 
-use sorrelhinge_protocol::types::{MachineId, SequenceNumber, Session, Time};
+use sorrelhinge_protocol::types::{Incarnation, MachineId, SequenceNumber, Time};
 
-/// A machine that did not report for so long is forgotten, in seconds: well over
+/// A machine that did not heartbeat for so long is forgotten, in seconds: well over
 /// a lease, and longer than packets are held.
 pub const MACHINE_MEMORY_S: f64 = 600.0;
 /// So many machines are known at the most. Beyond, those that were quiet for
 /// longest are forgotten first.
 pub const MAX_MACHINES: usize = 20_000;
 
-/// The newest report of a machine, and when it came.
+/// The newest heartbeat of a machine, and when it came.
 struct Newest {
-    session: Session,
+    incarnation: Incarnation,
     sequence: SequenceNumber,
     at: Time,
 }
 
-/// The newest report of each machine that came here.
+/// The newest heartbeat of each machine that came here.
 #[derive(Default)]
 pub struct Order {
     newest: HashMap<MachineId, Newest>,
@@ -32,27 +32,27 @@
 }
 
 impl Order {
-    /// Takes note of a report. False if it is a copy.
+    /// Takes note of a heartbeat. False if it is a copy.
     pub fn is_new(
         &mut self,
         machine: &MachineId,
-        session: Session,
+        incarnation: Incarnation,
         sequence: SequenceNumber,
         now: Time,
     ) -> bool {
         self.tidy(now);
-        let report = Newest {
-            session,
+        let heartbeat = Newest {
+            incarnation,
             sequence,
             at: now,
         };
         if let Some(known) = self.newest.get_mut(machine) {
-            if (session, sequence) <= (known.session, known.sequence) {
+            if (incarnation, sequence) <= (known.incarnation, known.sequence) {
                 return false;
             }
-            *known = report;
+            *known = heartbeat;
         } else {
-            self.newest.insert(machine.clone(), report);
+            self.newest.insert(machine.clone(), heartbeat);
         }
         true
     }
@@ -79,14 +79,14 @@
         self.tidied = Some(now);
         let mut keep_s = MACHINE_MEMORY_S;
         self.newest
-            .retain(|_, report| now.since(report.at) <= keep_s);
+            .retain(|_, heartbeat| now.since(heartbeat.at) <= keep_s);
         while self.newest.len() >= MAX_MACHINES {
             keep_s /= 2.0;
             if keep_s < 1.0 {
                 self.newest.clear();
             }
             self.newest
-                .retain(|_, report| now.since(report.at) <= keep_s);
+                .retain(|_, heartbeat| now.since(heartbeat.at) <= keep_s);
         }
     }
 }
--- a/crates/overload/src/pace.rs
+++ b/crates/overload/src/pace.rs
@@ -4,7 +4,7 @@
 
 /// When a duty is due again: after its usual pause, or later if that would
 /// take more than its part of the time. A fleet ten times as large is then
-/// looked at less often, not at the expense of its reports.
+/// looked at less often, not at the expense of its heartbeats.
 #[derive(Clone, Copy, Debug)]
 pub struct Pace {
     least_s: f64,
--- a/crates/overload/src/reachability.rs
+++ b/crates/overload/src/reachability.rs
@@ -1,29 +1,29 @@
-//! Whether a machine can be reached: that it reports shows nothing of what it is told.
+//! Whether a machine can be reached: that it heartbeats shows nothing of what it is told.
 //!
-//! A machine whose reports arrived and which no command reached was usable again
-//! at each report: one task was claimed there 279 times in 280 s, a change each
+//! A machine whose heartbeats arrived and which no command reached was usable again
+//! at each heartbeat: one task was claimed there 279 times in 280 s, a change each
 //! time, and the machine was kept. So only an effect counts: a command carried
-//! out or refused, a token taken up, a task that we started in a report.
+//! out or refused, a fencing token taken up, a task that we started in a heartbeat.
 
 use sorrelhinge_protocol::types::Time;
 
 /// So many reports that show no effect make a machine one that may be unreachable: the
 /// first may have been on its way already, the second been made before the answer.
-pub const DOUBT_AFTER_REPORTS: u32 = 3;
+pub const DOUBT_AFTER_HEARTBEATS: u32 = 3;
 /// After an effect was seen, one command that fails proves nothing for so many
-/// report intervals.
-const CONFIRMED_REPORT_INTERVALS: f64 = 3.0;
+/// heartbeat intervals.
+const CONFIRMED_HEARTBEAT_INTERVALS: f64 = 3.0;
 /// A machine that could not be reached for a while gets nothing new after its first effect, longer each
 /// time, in seconds. One that hears now and then cost claims at each time.
 const FIRST_QUARANTINE_S: f64 = 4.0;
 const MAX_QUARANTINE_S: f64 = 128.0;
 /// What it did before that, in seconds, is forgotten.
 const SPELL_MEMORY_S: f64 = 600.0;
-/// So many sessions in a row that ended though reports were answered: some may be
+/// So many incarnations in a row that ended though heartbeats were answered: some may be
 /// bad luck, where connections break.
-const MAX_LOST_SESSIONS: u32 = 3;
-/// A session that lasted for more leases had an answer.
-const ANSWERED_SESSION_LEASES: f64 = 1.5;
+const MAX_LOST_INCARNATIONS: u32 = 3;
+/// A incarnation that lasted for more leases had an answer.
+const ANSWERED_INCARNATION_LEASES: f64 = 1.5;
 /// Whose lease ends while it is silent for this part of it hung, or was cut off.
 const SILENT_GAP_LEASES: f64 = 0.9;
 
@@ -34,39 +34,39 @@
     proved: Option<Time>,
     /// Since when it is asked for one.
     asked: Option<Time>,
-    /// Reports since then.
-    reports: u32,
+    /// Heartbeats since then.
+    heartbeats: u32,
     /// How often it could not be reached, and until when it is quarantined.
     spells: u32,
     last_spell: Option<Time>,
     quarantined_until: Option<Time>,
-    /// Its reports have been answered all the time since, and last.
+    /// Its heartbeats have been answered all the time since, and last.
     answered_since: Option<Time>,
     answered: Option<Time>,
-    /// The last report was not answered.
+    /// The last heartbeat was not answered.
     unanswered: bool,
-    lost_sessions: u32,
+    lost_incarnations: u32,
     last_lost: Option<Time>,
 }
 
 impl Reachability {
-    /// Something was sent whose effect its reports have to show.
+    /// Something was sent whose effect its heartbeats have to show.
     pub fn asked(&mut self, now: Time) {
         if self.asked.is_none() {
             self.asked = Some(now);
-            self.reports = 0;
+            self.heartbeats = 0;
         }
     }
 
-    /// A report came that is no copy.
+    /// A heartbeat came that is no copy.
     ///
     /// If the one before was not answered, though others were, it was told nothing,
     /// as in an outage of the state service: its time begins anew.
     pub fn reported(&mut self, now: Time) {
         if self.asked.is_some() {
-            self.reports = self.reports.saturating_add(1);
+            self.heartbeats = self.heartbeats.saturating_add(1);
             if self.unanswered && self.answered.is_some() {
-                (self.asked, self.reports) = (Some(now), 0);
+                (self.asked, self.heartbeats) = (Some(now), 0);
             }
         }
         self.unanswered = true;
@@ -79,7 +79,7 @@
 
     /// An effect was seen: one bit of it ends all doubt.
     pub fn proved(&mut self, now: Time) {
-        if self.asked.is_some() && self.reports > DOUBT_AFTER_REPORTS {
+        if self.asked.is_some() && self.heartbeats > DOUBT_AFTER_HEARTBEATS {
             let old = self
                 .last_spell
                 .is_none_or(|t| now.since(t) > SPELL_MEMORY_S);
@@ -90,18 +90,18 @@
         }
         self.proved = Some(now);
         self.asked = None;
-        self.reports = 0;
+        self.heartbeats = 0;
     }
 
     /// Whether an effect was seen a moment ago.
-    pub fn is_confirmed(&self, report_s: f64, now: Time) -> bool {
+    pub fn is_confirmed(&self, heartbeat_s: f64, now: Time) -> bool {
         self.proved
-            .is_some_and(|t| now.since(t) < CONFIRMED_REPORT_INTERVALS * report_s)
+            .is_some_and(|t| now.since(t) < CONFIRMED_HEARTBEAT_INTERVALS * heartbeat_s)
     }
 
     /// Whether it may be unreachable: nothing new is to count on it.
     pub fn in_doubt(&self) -> bool {
-        self.asked.is_some() && self.reports > DOUBT_AFTER_REPORTS
+        self.asked.is_some() && self.heartbeats > DOUBT_AFTER_HEARTBEATS
     }
 
     /// Whether it is quarantined after it could not be reached.
@@ -109,12 +109,12 @@
         self.quarantined_until.is_some_and(|t| now < t)
     }
 
-    /// Whether it could not be reached for `patience_s` while its reports came and were answered.
+    /// Whether it could not be reached for `patience_s` while its heartbeats came and were answered.
     pub fn is_unreachable(&self, patience_s: f64, now: Time) -> bool {
         self.in_doubt() && self.asked.is_some_and(|t| now.since(t) >= patience_s)
     }
 
-    /// A report was answered, with what renews a lease of `lease_s`.
+    /// A heartbeat was answered, with what renews a lease of `lease_s`.
     pub fn answered(&mut self, lease_s: f64, now: Time) {
         self.unanswered = false;
         // One that hangs until its lease ends is silent for as long.
@@ -125,10 +125,10 @@
         self.answered = Some(now);
     }
 
-    /// Its session ended. Whether answers don't reach it though commands may:
-    /// its reports were answered all the time, and its leases ended all the same,
+    /// Its incarnation ended. Whether answers don't reach it though commands may:
+    /// its heartbeats were answered all the time, and its leases ended all the same,
     /// one after the other. What is started there ends with the next lease.
-    pub fn session_ended(&mut self, lease_s: f64, now: Time) -> bool {
+    pub fn incarnation_ended(&mut self, lease_s: f64, now: Time) -> bool {
         let most = SILENT_GAP_LEASES * lease_s;
         let lately = self.answered.is_some_and(|t| now.since(t) <= most);
         let long = self.answered_since.is_some_and(|t| now.since(t) >= most);
@@ -137,9 +137,9 @@
             return false;
         }
         let row = self.last_lost;
-        let row = row.is_some_and(|t| now.since(t) <= ANSWERED_SESSION_LEASES * lease_s);
-        self.lost_sessions = if row { self.lost_sessions + 1 } else { 1 };
+        let row = row.is_some_and(|t| now.since(t) <= ANSWERED_INCARNATION_LEASES * lease_s);
+        self.lost_incarnations = if row { self.lost_incarnations + 1 } else { 1 };
         self.last_lost = Some(now);
-        self.lost_sessions >= MAX_LOST_SESSIONS
+        self.lost_incarnations >= MAX_LOST_INCARNATIONS
     }
 }
--- a/crates/overload/src/renewal.rs
+++ b/crates/overload/src/renewal.rs
@@ -10,20 +10,25 @@
 use std::hash::{DefaultHasher, Hash, Hasher};
 
 use sorrelhinge_protocol::types::{MachineId, Time};
-use sorrelhinge_protocol::worker::Report;
+use sorrelhinge_protocol::worker::Heartbeat;
 
-/// What a report tells, but for when it was made: two with the same tell the
+/// What a heartbeat tells, but for when it was made: two with the same tell the
 /// owner nothing new.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Content(u64);
 
 impl Content {
-    /// Of a report.
-    pub fn of(report: &Report) -> Self {
+    /// Of a heartbeat.
+    pub fn of(heartbeat: &Heartbeat) -> Self {
         let mut hasher = DefaultHasher::new();
-        (report.incarnation, report.fencing_token, report.addr).hash(&mut hasher);
-        report.preemption_notice_s.is_some().hash(&mut hasher);
-        for p in &report.tasks {
+        (
+            heartbeat.incarnation,
+            heartbeat.fencing_fencing_token,
+            heartbeat.addr,
+        )
+            .hash(&mut hasher);
+        heartbeat.preemption_notice_s.is_some().hash(&mut hasher);
+        for p in &heartbeat.tasks {
             (&p.task_name, p.attempt, p.phase, p.exit_reason).hash(&mut hasher);
         }
         Self(hasher.finish())
@@ -45,37 +50,37 @@
     seen: Time,
 }
 
-/// The machines whose reports come here, and what the owner last answered.
+/// The machines whose heartbeats come here, and what the owner last answered.
 #[derive(Default)]
 pub struct Renewals {
     asked: HashMap<MachineId, Asked>,
     tidied: Option<Time>,
 }
 
-/// At the most one machine's reports in so many seconds are kept from the
+/// At the most one machine's heartbeats in so many seconds are kept from the
 /// owner, as a multiple of the usual time between two. The owner's commands wait
 /// for no longer.
-const MAX_WITHHELD_REPORT_INTERVALS: f64 = 2.5;
-/// Machines that did not report for so many of them are forgotten.
-const FORGOTTEN_REPORT_INTERVALS: f64 = 12.0;
+const MAX_WITHHELD_HEARTBEAT_INTERVALS: f64 = 2.5;
+/// Machines that did not heartbeat for so many of them are forgotten.
+const FORGOTTEN_HEARTBEAT_INTERVALS: f64 = 12.0;
 
 impl Renewals {
-    /// What to do with a report. `relief`: the owner asks to be spared those
-    /// that tell nothing new. `report_s`: the usual time between two.
+    /// What to do with a heartbeat. `relief`: the owner asks to be spared those
+    /// that tell nothing new. `heartbeat_s`: the usual time between two.
     pub fn route(
         &mut self,
         machine: &MachineId,
         content: Content,
         relief: bool,
-        report_s: f64,
+        heartbeat_s: f64,
         now: Time,
     ) -> Route {
-        self.tidy(report_s, now);
+        self.tidy(heartbeat_s, now);
         let Some(asked) = self.asked.get_mut(machine) else {
             return Route::Ask;
         };
         asked.seen = now;
-        let lately = now.since(asked.at) < MAX_WITHHELD_REPORT_INTERVALS * report_s;
+        let lately = now.since(asked.at) < MAX_WITHHELD_HEARTBEAT_INTERVALS * heartbeat_s;
         if relief && lately && asked.content == content {
             Route::Renew
         } else {
@@ -83,7 +88,7 @@
         }
     }
 
-    /// The owner answered a report.
+    /// The owner answered a heartbeat.
     pub fn answered(&mut self, machine: &MachineId, content: Content, now: Time) {
         let asked = Asked {
             content,
@@ -104,8 +109,8 @@
     }
 
     /// Forgets machines that have not reported for long.
-    fn tidy(&mut self, report_s: f64, now: Time) {
-        let keep_s = FORGOTTEN_REPORT_INTERVALS * report_s;
+    fn tidy(&mut self, heartbeat_s: f64, now: Time) {
+        let keep_s = FORGOTTEN_HEARTBEAT_INTERVALS * heartbeat_s;
         if self.tidied.is_none_or(|t| now.since(t) > keep_s / 2.0) {
             self.tidied = Some(now);
             self.asked.retain(|_, a| now.since(a.seen) <= keep_s);
@@ -114,8 +119,8 @@
 }
 
 /// Whether the owner asks to be spared reports that tell nothing new: not before
-/// all workers report elsewhere, and until there was room for a while, as with
-/// the reports back at once it would be short again.
+/// all workers heartbeat elsewhere, and until there was room for a while, as with
+/// the heartbeats back at once it would be short again.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Relief {
     on: bool,
@@ -132,7 +137,7 @@
 
 impl Relief {
     /// Takes in how long requests wait, in seconds, and whether all workers
-    /// report elsewhere already.
+    /// heartbeat elsewhere already.
     pub fn take(&mut self, spread: bool, wait_s: f64, now: Time) {
         if wait_s > CALM_WAIT_S {
             self.calm_since = None;
--- a/crates/overload/src/sockets.rs
+++ b/crates/overload/src/sockets.rs
@@ -3,7 +3,7 @@
 //! A controller may have so many sockets and no more, and what it opens itself
 //! (to the state service, the cloud, the other controllers and the workers)
 //! comes out of the same number. So room for those is set aside, and those who
-//! connect share the rest. Nobody is refused in silence: a worker that reports
+//! connect share the rest. Nobody is refused in silence: a worker that heartbeats
 //! seldom is asked to connect anew each time, the longest idle connection gives
 //! way to a new one, and where there is none, the new one is told to come back.
 
--- a/crates/overload/tests/model.rs
+++ b/crates/overload/tests/model.rs
@@ -4,15 +4,15 @@
 use sorrelhinge_overload::admission::{AdmissionQueue, Class, CLASSES};
 use sorrelhinge_overload::asked::{Asked, Poll, Verdict, ASKED_MEMORY_S, STALE_ANSWER_S};
 use sorrelhinge_overload::fleet_limit::{ClaimRate, FleetLimit};
+use sorrelhinge_overload::heartbeat_offload::{HeartbeatLoad, HeartbeatOffload};
 use sorrelhinge_overload::order::{Order, MACHINE_MEMORY_S, MAX_MACHINES};
 use sorrelhinge_overload::pace::Pace;
 use sorrelhinge_overload::pressure::{Level, Pressure, Resource, Sample};
-use sorrelhinge_overload::reachability::{Reachability, DOUBT_AFTER_REPORTS};
+use sorrelhinge_overload::reachability::{Reachability, DOUBT_AFTER_HEARTBEATS};
 use sorrelhinge_overload::renewal::{Content, Relief, Renewals, Route};
-use sorrelhinge_overload::report_offload::{ReportLoad, ReportOffload};
 use sorrelhinge_overload::sockets::{ConnId, Limits, Opened, Sockets};
-use sorrelhinge_protocol::types::{JobId, MachineId, NodeId, SequenceNumber, Session, Time};
-use sorrelhinge_protocol::worker::Report;
+use sorrelhinge_protocol::types::{Incarnation, JobId, MachineId, NodeId, SequenceNumber, Time};
+use sorrelhinge_protocol::worker::Heartbeat;
 
 /// A connection as the model keeps it: all of them in one list.
 #[derive(Clone, Debug)]
@@ -367,7 +367,7 @@
 /// ones first, evenly over the helpers, and come back once there is room.
 #[test]
 fn workers_are_spread_before_the_sockets_are_full() {
-    let report_load = |machines: usize, wait_s: f64, helpers: usize| ReportLoad {
+    let heartbeat_load = |machines: usize, wait_s: f64, helpers: usize| HeartbeatLoad {
         machines,
         room: 2000,
         wait_s,
@@ -377,17 +377,17 @@
     let machines: Vec<MachineId> = (0..6000)
         .map(|n| MachineId::from(format!("vm-{n:06}").as_str()))
         .collect();
-    let homes = |offload: &ReportOffload, helpers: &[NodeId]| -> Vec<Option<NodeId>> {
+    let homes = |offload: &HeartbeatOffload, helpers: &[NodeId]| -> Vec<Option<NodeId>> {
         let home = |m| offload.home(m, helpers.iter()).cloned();
         machines.iter().map(home).collect()
     };
-    let mut offload = ReportOffload::default();
-    offload.take(report_load(1500, 0.0, 3), Time(0.0));
+    let mut offload = HeartbeatOffload::default();
+    offload.take(heartbeat_load(1500, 0.0, 3), Time(0.0));
     assert_eq!(offload.share(), 0.0, "one controller is enough");
     assert!(homes(&offload, &helpers).iter().all(Option::is_none));
-    offload.take(report_load(6000, 0.0, 0), Time(1.0));
+    offload.take(heartbeat_load(6000, 0.0, 0), Time(1.0));
     assert_eq!(offload.share(), 0.0, "nobody helps");
-    offload.take(report_load(6000, 0.0, 3), Time(2.0));
+    offload.take(heartbeat_load(6000, 0.0, 3), Time(2.0));
     let first = homes(&offload, &helpers);
     let here = first.iter().filter(|h| h.is_none()).count();
     assert!(here <= 1700, "{here} stay, of room for 2,000");
@@ -396,7 +396,7 @@
         assert!((1200..1800).contains(&there), "{there} at {helper}");
     }
     for second in 3..10 {
-        offload.take(report_load(6000, 0.5, 3), Time(f64::from(second)));
+        offload.take(heartbeat_load(6000, 0.5, 3), Time(f64::from(second)));
     }
     let more = homes(&offload, &helpers);
     for (before, after) in first.iter().zip(&more) {
@@ -409,18 +409,18 @@
         assert!(lost || before == after);
     }
     for second in 10..600 {
-        offload.take(report_load(800, 0.0, 3), Time(f64::from(second)));
+        offload.take(heartbeat_load(800, 0.0, 3), Time(f64::from(second)));
     }
     assert_eq!(offload.share(), 0.0, "all are back");
 }
 
-/// A report as a worker makes it; `what` stands for all that its tasks tell.
-fn report(machine: u8, tick: u64, fencing_token: u64, what: u8) -> Report {
+/// A heartbeat as a worker makes it; `what` stands for all that its tasks tell.
+fn heartbeat(machine: u8, tick: u64, fencing_fencing_token: u64, what: u8) -> Heartbeat {
     let phase = ["fetching", "running", "ended"][usize::from(what % 3)];
     let exit_reason = if phase == "ended" { "\"done\"" } else { "null" };
     let text = format!(
         "{{\"box\":\"vm-{machine}\",\"addr\":\"127.0.0.1:9\",\"build\":\"t\",\"rack\":\"za\",\
-         \"shift\":1,\"tick\":{tick},\"baton\":{fencing_token},\"warning_s\":null,\"pieces\":[\
+         \"shift\":1,\"tick\":{tick},\"baton\":{fencing_fencing_token},\"warning_s\":null,\"pieces\":[\
          {{\"piece\":\"run-000001/{}\",\"try\":1,\"phase\":\"{phase}\",\"cause\":{exit_reason}}}]}}",
         what / 3
     );
@@ -429,25 +429,25 @@
 
 proptest! {
     /// The owner hears everything new at once, and of every machine that
-    /// reports within a few rounds; with no relief asked for it hears all.
+    /// heartbeats within a few rounds; with no relief asked for it hears all.
     #[test]
     fn the_owner_misses_nothing_new(
-        reports in prop::collection::vec((0..4_u8, 0..5_u8, 0..3_u64, any::<bool>(), 0.5..9.0_f64, any::<bool>()), 1..300),
+        heartbeats in prop::collection::vec((0..4_u8, 0..5_u8, 0..3_u64, any::<bool>(), 0.5..9.0_f64, any::<bool>()), 1..300),
     ) {
-        let report_s = 6.0;
+        let heartbeat_s = 6.0;
         let mut renewals = Renewals::default();
-        // The model keeps whole reports: what the owner last answered, and when.
+        // The model keeps whole heartbeats: what the owner last answered, and when.
         let mut told: std::collections::BTreeMap<u8, (String, f64)> = Default::default();
         let mut now = 0.0;
-        for (tick, (machine, what, fencing_token, relief, passed, answers)) in reports.into_iter().enumerate() {
+        for (tick, (machine, what, fencing_fencing_token, relief, passed, answers)) in heartbeats.into_iter().enumerate() {
             now += passed / 4.0;
-            let sent = report(machine, tick as u64 + 1, fencing_token, what);
-            let same = Report { sequence: Default::default(), ..sent.clone() };
+            let sent = heartbeat(machine, tick as u64 + 1, fencing_fencing_token, what);
+            let same = Heartbeat { sequence: Default::default(), ..sent.clone() };
             let same = serde_json::to_string(&same).expect("text");
             let content = Content::of(&sent);
-            let route = renewals.route(&sent.machine, content, relief, report_s, Time(now));
+            let route = renewals.route(&sent.machine, content, relief, heartbeat_s, Time(now));
             let known = told.get(&machine).is_some_and(|(text, _)| *text == same);
-            let lately = told.get(&machine).is_some_and(|(_, at)| now - at < 2.5 * report_s);
+            let lately = told.get(&machine).is_some_and(|(_, at)| now - at < 2.5 * heartbeat_s);
             let spared = relief && known && lately;
             prop_assert_eq!(route, if spared { Route::Renew } else { Route::Ask });
             if route == Route::Ask && answers {
@@ -458,7 +458,7 @@
         prop_assert!(renewals.len() <= 4);
     }
 
-    /// Relief is asked for only once all workers report elsewhere, and ends
+    /// Relief is asked for only once all workers heartbeat elsewhere, and ends
     /// only after a while without any wait.
     #[test]
     fn relief_ends_late(waits in prop::collection::vec((0.0..0.6_f64, any::<bool>()), 1..200)) {
@@ -600,47 +600,47 @@
     }
 }
 
-// ---- which report is a copy -------------------------------------------------
+// ---- which heartbeat is a copy -------------------------------------------------
 
 proptest! {
     /// Against the whole history: what is not newer than all that came before of the
     /// same machine is a copy, in whatever order it comes.
     #[test]
-    fn copies_are_told_by_session_and_tick(
-        reports in prop::collection::vec((0..4_u8, 1..4_u64, 0..30_u64), 1..200),
+    fn copies_are_told_by_incarnation_and_tick(
+        heartbeats in prop::collection::vec((0..4_u8, 1..4_u64, 0..30_u64), 1..200),
     ) {
         let mut order = Order::default();
         let mut newest = std::collections::BTreeMap::new();
-        for (machine, session, tick) in reports {
+        for (machine, incarnation, tick) in heartbeats {
             let id = MachineId::from(&*format!("vm-{machine}"));
-            let new = order.is_new(&id, Session(session), SequenceNumber(tick), Time(1.0));
+            let new = order.is_new(&id, Incarnation(incarnation), SequenceNumber(tick), Time(1.0));
             let at = newest.entry(machine).or_default();
-            prop_assert_eq!(new, *at < (session, tick));
-            *at = (session, tick).max(*at);
+            prop_assert_eq!(new, *at < (incarnation, tick));
+            *at = (incarnation, tick).max(*at);
         }
     }
 }
 
-/// However many machines come and go: memory is bounded, and those that report are
+/// However many machines come and go: memory is bounded, and those that heartbeat are
 /// the ones that are known.
 #[test]
-fn the_order_of_reports_takes_little_memory() {
+fn the_order_of_heartbeats_takes_little_memory() {
     let mut order = Order::default();
     let id = |n: usize| MachineId::from(&*format!("vm-{n:07}"));
     let stays = id(9_999_999);
     for n in 0..3 * MAX_MACHINES {
         let now = Time(n as f64 * 0.001);
-        assert!(order.is_new(&id(n), Session(1), SequenceNumber(1), now));
+        assert!(order.is_new(&id(n), Incarnation(1), SequenceNumber(1), now));
         if n % 100 == 0 {
-            assert!(order.is_new(&stays, Session(1), SequenceNumber(n as u64 + 1), now));
+            assert!(order.is_new(&stays, Incarnation(1), SequenceNumber(n as u64 + 1), now));
         }
         assert!(order.len() <= MAX_MACHINES + 1);
     }
-    let again = order.is_new(&stays, Session(1), SequenceNumber(1), Time(61.0));
+    let again = order.is_new(&stays, Incarnation(1), SequenceNumber(1), Time(61.0));
     assert!(!again, "it is known");
     order.is_new(
         &stays,
-        Session(2),
+        Incarnation(2),
         SequenceNumber(1),
         Time(61.0 + 2.0 * MACHINE_MEMORY_S),
     );
@@ -652,7 +652,7 @@
 #[derive(Clone, Copy, Debug)]
 enum Told {
     Asked,
-    Report(bool),
+    Heartbeat(bool),
     Proved,
     Pause(u8),
 }
@@ -660,7 +660,7 @@
 fn told() -> impl Strategy<Value = Told> {
     prop_oneof![
         4 => Just(Told::Asked),
-        16 => prop::bool::weighted(0.9).prop_map(Told::Report),
+        16 => prop::bool::weighted(0.9).prop_map(Told::Heartbeat),
         1 => Just(Told::Proved),
         12 => (0_u8..20).prop_map(Told::Pause),
     ]
@@ -677,7 +677,7 @@
         for what in history {
             match what {
                 Told::Asked => reachability.asked(Time(now)),
-                Told::Report(answered) => {
+                Told::Heartbeat(answered) => {
                     reachability.reported(Time(now));
                     if answered {
                         reachability.answered(lease, Time(now));
@@ -695,12 +695,12 @@
             let asked = since.iter().find(|(_, w)| matches!(w, Told::Asked));
             let asked = asked.map(|(at, _)| *at).expect("asked for an effect");
             prop_assert!(now - asked >= patience);
-            let reports = since.iter().filter(|(at, w)| *at >= asked && matches!(w, Told::Report(_)));
-            prop_assert!(reports.count() > DOUBT_AFTER_REPORTS as usize);
+            let heartbeats = since.iter().filter(|(at, w)| *at >= asked && matches!(w, Told::Heartbeat(_)));
+            prop_assert!(heartbeats.count() > DOUBT_AFTER_HEARTBEATS as usize);
         }
     }
 
-    /// Who is asked, reports, is answered and shows nothing is found out, after the
+    /// Who is asked, heartbeats, is answered and shows nothing is found out, after the
     /// patience and no sooner; one effect ends it, and then it is quarantined.
     #[test]
     fn who_shows_nothing_is_found_out(every in 0.2..2.0_f64, patience in 4.0..30.0_f64) {
@@ -717,7 +717,7 @@
             }
         }
         let found = found.expect("found out");
-        let most = patience.max(every * f64::from(DOUBT_AFTER_REPORTS + 1)) + every;
+        let most = patience.max(every * f64::from(DOUBT_AFTER_HEARTBEATS + 1)) + every;
         prop_assert!((patience..=most + 1e-9).contains(&found), "{} of {}", found, most);
         reachability.proved(Time(now));
         prop_assert!(!reachability.in_doubt() && reachability.is_quarantined(Time(now + 1.0)));
@@ -725,9 +725,9 @@
     }
 }
 
-/// In an outage no report is answered, so there is nothing to hear: once it is over
+/// In an outage no heartbeat is answered, so there is nothing to hear: once it is over
 /// nobody is given back for what was before. And one that hung until its lease ended
-/// lost its session by itself, while one whose answers were lost did not.
+/// lost its incarnation by itself, while one whose answers were lost did not.
 #[test]
 fn what_was_not_answered_is_no_deafness() {
     let mut reachability = Reachability::default();
@@ -745,13 +745,13 @@
             unheard.reported(Time(begun + f64::from(s)));
             unheard.answered(20.0, Time(begun + f64::from(s)));
         }
-        assert!(!hung.session_ended(20.0, Time(begun + 29.0)));
-        let lost = unheard.session_ended(20.0, Time(begun + 29.0));
+        assert!(!hung.incarnation_ended(20.0, Time(begun + 29.0)));
+        let lost = unheard.incarnation_ended(20.0, Time(begun + 29.0));
         assert_eq!(lost, lease > 1, "the third in a row is no bad luck");
     }
     // Long after, it is bad luck again.
     for s in [300.0, 315.0, 320.0] {
         unheard.answered(20.0, Time(s));
     }
-    assert!(!unheard.session_ended(20.0, Time(321.0)));
+    assert!(!unheard.incarnation_ended(20.0, Time(321.0)));
 }
--- a/crates/protocol/src/cloud.rs
+++ b/crates/protocol/src/cloud.rs
@@ -31,7 +31,7 @@
     pub rate: f64,
     /// Price an hour of a spot machine; none are to be had if absent.
     pub market_price: Option<f64>,
-    /// Usual time until its worker reports.
+    /// Usual time until its worker heartbeats.
     #[serde(default)]
     pub startup_s: f64,
     /// Zones.
--- a/crates/protocol/src/invalid.rs
+++ b/crates/protocol/src/invalid.rs
@@ -56,7 +56,7 @@
         }
     }
 
-    /// The first complaint of a report, with the path to the wrong field below `at`.
+    /// The first complaint of a heartbeat, with the path to the wrong field below `at`.
     pub fn first(report: &garde::Report, at: &str) -> Self {
         let first = report.iter().next();
         let reason = first.map_or_else(String::new, |(_, error)| error.to_string());
--- a/crates/protocol/src/types.rs
+++ b/crates/protocol/src/types.rs
@@ -83,11 +83,11 @@
     Attempt
 );
 counter!(
-    /// A worker's session.
-    Session
+    /// A worker's incarnation.
+    Incarnation
 );
 counter!(
-    /// Order of a worker's messages within a session.
+    /// Order of a worker's messages within a incarnation.
     SequenceNumber
 );
 counter!(
@@ -106,21 +106,21 @@
     /// Who may command a worker: the number of a block grant in the upper
     /// bits, and in the lower bits how often that grant's owner raised it for
     /// one machine. Any later grant is above every raise of an earlier one.
-    Token
+    FencingToken
 );
 
 const RAISE_BITS: u32 = 20;
 
-impl Token {
-    /// The first token of grant number `grant`.
+impl FencingToken {
+    /// The first fencing token of grant number `grant`.
     pub fn of_grant(grant: u64) -> Self {
         Self(grant << RAISE_BITS)
     }
-    /// The grant that this token belongs to.
+    /// The grant that this fencing token belongs to.
     pub fn grant(self) -> u64 {
         self.0 >> RAISE_BITS
     }
-    /// The next token within the same grant.
+    /// The next fencing token within the same grant.
     pub fn raised(self) -> Self {
         Self(self.0 + 1)
     }
@@ -428,7 +428,7 @@
     pub price: f64,
     /// Price an hour of a spot machine.
     pub spot_price: f64,
-    /// Usual time until its worker reports.
+    /// Usual time until its worker heartbeats.
     pub boot_s: f64,
     /// Where it exists.
     pub zones: Vec<Zone>,
--- a/crates/protocol/src/worker.rs
+++ b/crates/protocol/src/worker.rs
@@ -1,11 +1,13 @@
 //! The workers' interface (PROTOCOL, "Workers -> controller nodes" and
-//! "Controller nodes -> workers"): reports and commands.
+//! "Controller nodes -> workers"): heartbeats and commands.
 
 use std::net::SocketAddr;
 
 use serde::{Deserialize, Serialize};
 
-use crate::types::{Attempt, MachineId, SequenceNumber, Session, TaskId, Token, TypeName, Zone};
+use crate::types::{
+    Attempt, FencingToken, Incarnation, MachineId, SequenceNumber, TaskId, TypeName, Zone,
+};
 
 /// A task's state on its machine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
@@ -51,7 +53,7 @@
     Other,
 }
 
-/// A task in a report.
+/// A task in a heartbeat.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ReportedTask {
     /// `run-000412/3`.
@@ -86,9 +88,9 @@
     pub of: u64,
 }
 
-/// A worker's report.
+/// A worker's heartbeat.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Report {
+pub struct Heartbeat {
     /// The machine.
     #[serde(rename = "box")]
     pub machine: MachineId,
@@ -104,16 +106,16 @@
     #[serde(default)]
     #[serde(rename = "loaners")]
     pub spot: bool,
-    /// Session.
+    /// Incarnation.
     #[serde(rename = "shift")]
-    pub incarnation: Session,
-    /// Order within the session.
+    pub incarnation: Incarnation,
+    /// Order within the incarnation.
     #[serde(rename = "tick")]
     pub sequence: SequenceNumber,
-    /// Highest token seen.
+    /// Highest fencing token seen.
     #[serde(default)]
     #[serde(rename = "baton")]
-    pub fencing_token: Token,
+    pub fencing_fencing_token: FencingToken,
     /// Seconds until the cloud takes the machine.
     #[serde(rename = "warning_s")]
     pub preemption_notice_s: Option<f64>,
@@ -163,7 +165,7 @@
         #[serde(rename = "mercy_s")]
         grace_s: f64,
     },
-    /// Drops an ended task from the reports.
+    /// Drops an ended task from the heartbeats.
     Forget {
         /// Task.
         #[serde(rename = "piece")]
@@ -174,12 +176,12 @@
     },
 }
 
-/// The answer to a report.
+/// The answer to a heartbeat.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Reply {
     /// Token.
     #[serde(rename = "baton")]
-    pub fencing_token: Token,
+    pub fencing_fencing_token: FencingToken,
     /// Commands.
     #[serde(rename = "orders")]
     pub commands: Vec<Command>,
@@ -190,10 +192,10 @@
 pub struct DirectCommands {
     /// Token.
     #[serde(rename = "baton")]
-    pub fencing_token: Token,
-    /// Session they are meant for.
+    pub fencing_fencing_token: FencingToken,
+    /// Incarnation they are meant for.
     #[serde(rename = "shift")]
-    pub incarnation: Session,
+    pub incarnation: Incarnation,
     /// Commands.
     #[serde(rename = "orders")]
     pub commands: Vec<Command>,
--- a/crates/sharding/src/isolation.rs
+++ b/crates/sharding/src/isolation.rs
@@ -52,7 +52,7 @@
 }
 
 impl DismissedWorkers {
-    /// Whether a worker that reports is refused now; `lease_s` after that again.
+    /// Whether a worker that heartbeats is refused now; `lease_s` after that again.
     pub fn refuses(&mut self, machine: &MachineId, lease_s: f64, now: Time) -> bool {
         let back = |at: &Time| now.since(*at) < lease_s;
         if self.told.get(machine).is_some_and(back) {
--- a/crates/sharding/src/owners.rs
+++ b/crates/sharding/src/owners.rs
@@ -7,7 +7,7 @@
 //! | offered | the leader | names the taker in the block's record |
 //! | frozen | the giver | claims nothing more there, and lets what is under way settle |
 //! | handed | the giver | writes the taker as owner, with the next number |
-//! | confirmed | the taker | its token is raised machine by machine; only then it counts on one |
+//! | confirmed | the taker | its fencing token is raised machine by machine; only then it counts on one |
 //! | taken back | the leader | clears the offer: the taker is gone, or it takes too long |
 //!
 //! Whoever leads next reads from the record which step a move is at. Nothing is
--- a/crates/sharding/src/reach.rs
+++ b/crates/sharding/src/reach.rs
@@ -4,7 +4,7 @@
 //!
 //! An owner that is cut off from the workers alone keeps its lease and its view of
 //! the records, so nothing else ends its grant. It went on by way of others for
-//! the fifty seconds of such a cut: each start waited for a report, and direct
+//! the fifty seconds of such a cut: each start waited for a heartbeat, and direct
 //! commands failed by the thousand.
 
 use std::collections::BTreeSet;
@@ -15,7 +15,7 @@
 /// seconds. Counted from what the others hear, so that a pause of this process
 /// proves nothing.
 pub const CUT_OFF_AFTER_S: f64 = 3.0;
-/// So many reports came by way of others meanwhile, and commands to so many
+/// So many heartbeats came by way of others meanwhile, and commands to so many
 /// machines failed: one machine that is away is no cut.
 pub const CUT_OFF_MIN_COUNT: usize = 5;
 /// Commands to so many machines failed, and for so long not one got through, in
@@ -40,7 +40,7 @@
         *self = Self::default();
     }
 
-    /// A report came by way of another controller.
+    /// A heartbeat came by way of another controller.
     pub fn passed(&mut self, now: Time) {
         self.passed_since.get_or_insert(now);
         self.passed += 1;
--- a/src/api/for_peers.rs
+++ b/src/api/for_peers.rs
@@ -8,10 +8,10 @@
 use super::{agent, jobs};
 use crate::control::core::Source;
 use crate::control::load::count;
-use crate::control::{Beat, Node};
+use crate::control::{HeartbeatReply, Node};
 use crate::peer::{self, Answered, Answering, Heard};
 use crate::types::{NodeId, Revision};
-use crate::worker::Report;
+use crate::worker::Heartbeat;
 
 /// What other controllers ask this one to answer.
 pub struct ForPeers(Rc<Node>);
@@ -30,21 +30,21 @@
     }
 
     fn homed(&self, text: &[u8]) -> Answered {
-        let reply = match serde_json::from_slice::<Report>(text) {
-            Ok(report) => {
+        let reply = match serde_json::from_slice::<Heartbeat>(text) {
+            Ok(heartbeat) => {
                 count(&self.0.load().counts.homed);
-                self.0.own_beat(&report, Source::Homed)
+                self.0.own_heartbeat(&heartbeat, Source::Adopted)
             }
             Err(_) => return Answered::empty(400),
         };
         match reply {
-            Beat::Reply(answer) => match serde_json::to_vec(&answer) {
+            HeartbeatReply::Reply(answer) => match serde_json::to_vec(&answer) {
                 Ok(text) => Answered { status: 200, text },
                 Err(_) => Answered::empty(503),
             },
-            Beat::Passed(answered) => answered,
-            Beat::Elsewhere(_) => Answered::empty(421),
-            Beat::Unavailable => Answered::empty(503),
+            HeartbeatReply::Passed(answered) => answered,
+            HeartbeatReply::Elsewhere(_) => Answered::empty(421),
+            HeartbeatReply::Unavailable => Answered::empty(503),
         }
     }
 
@@ -52,8 +52,8 @@
         self.0.told_of_shares(kind, text);
     }
 
-    fn heard(&self, machines: &[peer::HeardOf]) {
-        self.0.heard_of(machines);
+    fn heard(&self, machines: &[peer::ForwardedHeartbeat]) {
+        self.0.heartbeats_announced(machines);
     }
 
     fn answer(self: Rc<Self>, kind: peer::Kind, text: Vec<u8>) -> Answering {
@@ -68,17 +68,19 @@
             peer::Kind::Submit => jobs::submit(node, text).await,
             peer::Kind::Withdraw => jobs::withdraw(node, &String::from_utf8_lossy(text)).await,
             peer::Kind::Poll => jobs::poll_passed(node, &String::from_utf8_lossy(text)).await,
-            peer::Kind::Beat => match serde_json::from_slice::<Report>(text) {
-                Ok(report) => agent::beat_reply(node.own_beat(&report, Source::Passed)),
+            peer::Kind::Heartbeat => match serde_json::from_slice::<Heartbeat>(text) {
+                Ok(heartbeat) => {
+                    agent::heartbeat_response(node.own_heartbeat(&heartbeat, Source::Passed))
+                }
                 Err(_) => refuse(400, "malformed report"),
             },
-            peer::Kind::Via => match serde_json::from_slice::<Report>(text) {
-                Ok(report) => agent::beat_reply(node.passed_via(&report, text).await),
+            peer::Kind::Via => match serde_json::from_slice::<Heartbeat>(text) {
+                Ok(heartbeat) => agent::heartbeat_response(node.passed_via(&heartbeat, text).await),
                 Err(_) => refuse(400, "malformed report"),
             },
             peer::Kind::Hint
             | peer::Kind::Answer
-            | peer::Kind::Homed
+            | peer::Kind::Adopted
             | peer::Kind::Heard
             | peer::Kind::Needs
             | peer::Kind::Rented
--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -139,8 +139,8 @@
     pub finish_aims: HashMap<Arc<str>, Vec<f64>>,
     /// The multiples of its deadline that aims allow a class.
     pub deadline_aims: HashMap<Arc<str>, Vec<f64>>,
-    /// Usual time between a worker's reports.
-    pub report_s: f64,
+    /// Usual time between a worker's heartbeats.
+    pub heartbeat_s: f64,
     /// A worker's lease.
     pub lease_s: f64,
     /// From cancelling a job to its last task gone.
--- a/src/config/platform.rs
+++ b/src/config/platform.rs
@@ -53,7 +53,8 @@
 
 #[derive(Deserialize)]
 struct RawWorkers {
-    report_s: f64,
+    #[serde(rename = "report_s")]
+    heartbeat_s: f64,
     lease_s: f64,
     cancel_s: f64,
 }
@@ -228,7 +229,7 @@
     if params.zones.is_empty() {
         return Err(field("params.zones", "no zone is named"));
     }
-    // No answer to a report is safe then, so none would be given.
+    // No answer to a heartbeat is safe then, so none would be given.
     if horizon_s(params.workers.lease_s, params.workers.cancel_s) <= 0.0 {
         let why = "has to be longer than a lease, or cancelled tasks could outlast it";
         return Err(field("params.workers.cancel_s", why));
@@ -291,7 +292,7 @@
             start_aims: aims.start,
             finish_aims: aims.finish,
             deadline_aims: aims.deadline,
-            report_s: positive("params.workers.report_s", p.workers.report_s)?,
+            heartbeat_s: positive("params.workers.report_s", p.workers.heartbeat_s)?,
             lease_s: positive("params.workers.lease_s", p.workers.lease_s)?,
             cancel_s: positive("params.workers.cancel_s", p.workers.cancel_s)?,
             state_rps: in_range("params.state.rps", p.state.rps, 5.0, 1e9)?,
--- a/src/control/core/commands.rs
+++ b/src/control/core/commands.rs
@@ -10,7 +10,7 @@
 use crate::worker::{Command, Reply, TaskPhase};
 
 impl Core {
-    /// The answer to a report: token and commands that need no hurry, and the
+    /// The answer to a heartbeat: fencing token and commands that need no hurry, and the
     /// starts if they can't be sent directly.
     pub fn reply(&mut self, id: &MachineId, view: &View, now: Time) -> Reply {
         let link = self.links.get(id);
@@ -21,14 +21,17 @@
         let lease_s = self.cfg.lease_s;
         if let Some(link) = self.links.get_mut(id) {
             link.reachability.answered(lease_s, now);
-            // Its next reports have to show that.
+            // Its next heartbeats have to show that.
             if starts || !link.fenced() {
                 link.reachability.asked(now);
             }
         }
-        let token = self.links.get(id).map_or(self.base_token(), |l| l.token);
+        let fencing_token = self
+            .links
+            .get(id)
+            .map_or(self.base_fencing_token(), |l| l.fencing_token);
         Reply {
-            fencing_token: token,
+            fencing_fencing_token: fencing_token,
             commands,
         }
     }
@@ -36,12 +39,12 @@
     /// Commands for a machine. Starts are included, and marked sent, if
     /// `starts` says how.
     ///
-    /// Before a report carries the machine's present token nothing can be
+    /// Before a heartbeat carries the machine's present fencing token nothing can be
     /// concluded from its list, so nothing is started or forgotten. What must
     /// not run is killed all the same: an answer without the kill would renew
     /// the lease of a cancelled job's task, and on a machine whose direct
-    /// commands keep failing each failure raises the token again, so that no
-    /// report ever carries it (`docs/incidents/fleet-x3-cancelled.md`).
+    /// commands keep failing each failure raises the fencing token again, so that no
+    /// heartbeat ever carries it (`docs/incidents/fleet-x3-cancelled.md`).
     pub(super) fn commands(
         &mut self,
         id: &MachineId,
@@ -62,7 +65,7 @@
     }
 
     /// What the machine's reported tasks are told: those that must not run, and those that
-    /// have ended. `in_reply`: they go in the answer to a report, which renews its lease.
+    /// have ended. `in_reply`: they go in the answer to a heartbeat, which renews its lease.
     fn stops_and_forgets(
         &mut self,
         id: &MachineId,
--- a/src/control/core/direct_line.rs
+++ b/src/control/core/direct_line.rs
@@ -6,11 +6,11 @@
 /// failure in a row, so many times at the most.
 const FIRST_PAUSE_S: f64 = 0.25;
 const MOST_DOUBLINGS: u32 = 5;
-/// Within so long of a report of the worker's own the next direct command is tried, in
+/// Within so long of a heartbeat of the worker's own the next direct command is tried, in
 /// seconds, however many have failed.
-const RETRY_AFTER_REPORT_S: f64 = 1.0;
+const RETRY_AFTER_HEARTBEAT_S: f64 = 1.0;
 /// So long after a worker refused a command it is tried again, in seconds: a report that
-/// was overtaken leaves the session as it was.
+/// was overtaken leaves the incarnation as it was.
 const RETRY_AFTER_REFUSAL_S: f64 = 0.02;
 
 /// Direct commands to one worker.
@@ -75,9 +75,9 @@
         (self.suspect, self.hangs) = (false, 0);
     }
 
-    /// A report came from the worker itself: there is a way.
+    /// A heartbeat came from the worker itself: there is a way.
     pub(super) fn reported(&mut self, now: Time) {
-        self.retry_at = Time(self.retry_at.0.min(now.0 + RETRY_AFTER_REPORT_S));
+        self.retry_at = Time(self.retry_at.0.min(now.0 + RETRY_AFTER_HEARTBEAT_S));
     }
 
     /// A command is sent.
--- a/src/control/core/dispatch.rs
+++ b/src/control/core/dispatch.rs
@@ -42,18 +42,18 @@
             self.command_queue.retry_unreachable(id.clone(), now);
             return false;
         }
-        // Else the reply to its next report takes the commands there.
+        // Else the reply to its next heartbeat takes the commands there.
         !(link.passed && link.fenced())
     }
 
     /// The commands for a machine that may be contacted; none if there is nothing that
-    /// does not wait for its next report.
+    /// does not wait for its next heartbeat.
     fn dispatch_to(&mut self, id: MachineId, view: &View, now: Time) -> Option<Dispatch> {
         let commands = self.commands(&id, view, Some(Sent::Flying), now);
         let link = self.links.get_mut(&id)?;
         let forgets_only = commands.iter().all(|o| matches!(o, Command::Forget { .. }));
-        // Forgetting waits for the next report; a worker that does not
-        // know our token is told at once, and one that a command did not
+        // Forgetting waits for the next heartbeat; a worker that does not
+        // know our fencing token is told at once, and one that a command did not
         // reach is tried again.
         let to_be_asked = !link.fenced() || link.direct.is_failing() || link.direct.is_suspect();
         if forgets_only && !to_be_asked {
@@ -80,13 +80,13 @@
         link.direct.settled();
         self.command_queue.add(id.clone(), ContactOrder::First);
         match outcome {
-            Sending::Executed(report) => {
+            Sending::Executed(heartbeat) => {
                 self.command_executed(id, now);
-                self.report(&report, Source::Direct, now)
+                self.heartbeat(&heartbeat, Source::Direct, now)
             }
-            Sending::Refused(report) => {
+            Sending::Refused(heartbeat) => {
                 self.command_refused(id, now);
-                self.report(&report, Source::Direct, now)
+                self.heartbeat(&heartbeat, Source::Direct, now)
             }
             Sending::NotSent => {
                 self.command_not_sent(id, now);
@@ -109,8 +109,8 @@
         link.direct.executed(now);
         link.reachability.proved(now);
         link.passed = false;
-        // The session that took the command may end right after it;
-        // the report decides what is there.
+        // The incarnation that took the command may end right after it;
+        // the heartbeat decides what is there.
         self.mark_flying(id, Sent::Answered);
     }
 
@@ -134,25 +134,25 @@
         };
         link.direct.failed(false, now);
         // Claims found at the takeover stay in doubt until a
-        // report carries our token.
+        // heartbeat carries our fencing token.
         if !link.fenced() {
             return;
         }
-        // It may report on and hear nothing. Whether it does,
-        // the token shows, by whatever way it gets there.
-        if !link.reachability.is_confirmed(self.cfg.report_s, now) {
-            link.raise_token();
+        // It may heartbeat on and hear nothing. Whether it does,
+        // the fencing token shows, by whatever way it gets there.
+        if !link.reachability.is_confirmed(self.cfg.heartbeat_s, now) {
+            link.raise_fencing_token();
         }
         self.mark_flying(id, Sent::No);
     }
 
     /// A command may have reached the worker, and no answer came: it may be carried out
-    /// minutes late, unless a higher token gets there first. Until a report carries that,
+    /// minutes late, unless a higher fencing token gets there first. Until a heartbeat carries that,
     /// nothing on this machine is settled.
     fn command_unanswered(&mut self, id: &MachineId, now: Time) {
         if let Some(link) = self.links.get_mut(id) {
             link.direct.failed(true, now);
-            link.raise_token();
+            link.raise_fencing_token();
         }
     }
 
@@ -162,11 +162,11 @@
             return;
         };
         link.doubted = true;
-        // Its reports have to show the token.
+        // Its heartbeats have to show the fencing token.
         if !link.fenced() {
             link.reachability.asked(now);
         }
-        tracing::info!(machine = %id, token = %link.token, "direct command failed");
+        tracing::info!(machine = %id, fencing_token = %link.fencing_token, "direct command failed");
         self.refresh_machine(id, now);
     }
 
--- a/src/control/core/failures.rs
+++ b/src/control/core/failures.rs
@@ -6,8 +6,8 @@
 use crate::types::{JobId, JobSpec, Kind, MachineId, TaskId, Time};
 use crate::worker::ExitReason;
 
-/// A machine that refused a task is avoided for so many report intervals.
-const REFUSED_REPORTS: f64 = 2.0;
+/// A machine that refused a task is avoided for so many heartbeat intervals.
+const REFUSED_HEARTBEATS: f64 = 2.0;
 /// The longest pause of a job whose tasks machines do not know, in seconds.
 const MOST_UNKNOWN_PAUSE_S: f64 = 30.0;
 /// A job avoids a machine where it failed for so long, in seconds.
@@ -82,7 +82,7 @@
 
     /// A machine refused a task: it had no room, or still has another attempt of it.
     fn avoid_for_now(&mut self, id: &MachineId, job: &JobId, now: Time) {
-        let until = now.after(REFUSED_REPORTS * self.cfg.report_s);
+        let until = now.after(REFUSED_HEARTBEATS * self.cfg.heartbeat_s);
         self.cluster_state.edit_job(job, |job| {
             job.avoid.insert(id.clone(), until);
         });
--- a/src/control/core/reports.rs
+++ b/src/control/core/heartbeats.rs
@@ -1,72 +1,76 @@
-//! Workers' reports: which of them count, and what they prove about the claims on a
+//! Workers' heartbeats: which of them count, and what they prove about the claims on a
 //! machine.
 
 use super::link::{SeenMachine, TaskAttempt, TaskStatus};
 use super::{Core, Source};
 use crate::sched::{Progress, Sent};
-use crate::types::{MachineId, SequenceNumber, Session, TaskId, Time};
-use crate::worker::{ExitReason, Report, TaskPhase};
+use crate::types::{Incarnation, MachineId, SequenceNumber, TaskId, Time};
+use crate::worker::{ExitReason, Heartbeat, TaskPhase};
 
 impl Core {
-    /// Whether a report is a copy that came late: not newer than what is known, or
+    /// Whether a heartbeat is a copy that came late: not newer than what is known, or
     /// of a machine that is gone, whose name is never used again. Copies of a dead
-    /// machine's last report made a machine of it again, and kept it.
-    pub fn is_copy(&self, report: &Report) -> bool {
-        if let Some(link) = self.links.get(&report.machine) {
-            return link.is_copy(report);
+    /// machine's last heartbeat made a machine of it again, and kept it.
+    pub fn is_copy(&self, heartbeat: &Heartbeat) -> bool {
+        if let Some(link) = self.links.get(&heartbeat.machine) {
+            return link.is_copy(heartbeat);
         }
-        self.tombstones.contains(&report.machine)
+        self.tombstones.contains(&heartbeat.machine)
     }
 
-    /// Takes in a worker's report. False if a newer grant than ours commands
-    /// the worker: that is so however late the report is, since only who has
-    /// the newer grant sends its tokens.
-    pub fn report(&mut self, report: &Report, source: Source, now: Time) -> bool {
-        if report.fencing_token.grant() > self.grant {
+    /// Takes in a worker's heartbeat. False if a newer grant than ours commands
+    /// the worker: that is so however late the heartbeat is, since only who has
+    /// the newer grant sends its fencing tokens.
+    pub fn heartbeat(&mut self, heartbeat: &Heartbeat, source: Source, now: Time) -> bool {
+        if heartbeat.fencing_fencing_token.grant() > self.grant {
             return false;
         }
-        if self.counts(report) {
-            self.take_in(report, source, now);
+        if self.counts(heartbeat) {
+            self.take_in(heartbeat, source, now);
         }
         true
     }
 
-    /// Whether a report is of a machine of this block, and certainly no late copy.
-    fn counts(&self, report: &Report) -> bool {
-        if !self.shard.covers(&report.machine) || self.is_copy(report) {
+    /// Whether a heartbeat is of a machine of this block, and certainly no late copy.
+    fn counts(&self, heartbeat: &Heartbeat) -> bool {
+        if !self.shard.covers(&heartbeat.machine) || self.is_copy(heartbeat) {
             return false;
         }
-        // Only a report with our token was certainly made under this grant. Any
+        // Only a heartbeat with our fencing token was certainly made under this grant. Any
         // other may be a copy from before of a machine that is long gone: once the
         // list tells what machines there are it makes none. The answer has the
-        // token, and the next report shows it.
-        let id = &report.machine;
-        let shown = report.fencing_token >= self.base_token() || self.inventory.is_coming(id);
+        // fencing token, and the next heartbeat shows it.
+        let id = &heartbeat.machine;
+        let shown = heartbeat.fencing_fencing_token >= self.base_fencing_token()
+            || self.inventory.is_coming(id);
         !self.inventory.was_listed() || shown || self.links.contains_key(id)
     }
 
     /// What follows from a report that counts: for the line to its machine, for the tasks
     /// that it names, and for those that it does not.
-    fn take_in(&mut self, report: &Report, source: Source, now: Time) {
-        let id = &report.machine;
+    fn take_in(&mut self, heartbeat: &Heartbeat, source: Source, now: Time) {
+        let id = &heartbeat.machine;
         let (lease_s, hears_badly) = (self.cfg.lease_s, now < self.deaf_until);
-        let Some(link) = self.link(&SeenMachine::by_report(report), now) else {
+        let Some(link) = self.link(&SeenMachine::by_heartbeat(heartbeat), now) else {
             return;
         };
-        let news = link.take_in(report, source, now);
-        // Its leases end though its reports are answered: whatever runs there is
+        let news = link.take_in(heartbeat, source, now);
+        // Its leases end though its heartbeats are answered: whatever runs there is
         // lost each time. While requests wait too long, answers may be too late.
-        if news.session_ended && link.reachability.session_ended(lease_s, now) && !hears_badly {
+        if news.incarnation_ended
+            && link.reachability.incarnation_ended(lease_s, now)
+            && !hears_badly
+        {
             link.leaving = true;
         }
-        let fenced = report.fencing_token >= link.token;
-        self.hear_of_images(report);
+        let fenced = heartbeat.fencing_fencing_token >= link.fencing_token;
+        self.record_served_images(heartbeat);
         if news.moved {
-            self.cluster_state.locate(id, Some(report.addr.ip()));
+            self.cluster_state.locate(id, Some(heartbeat.addr.ip()));
         }
         self.see_starts(id, now);
-        if news.session_ended {
-            self.session_ended(id, now);
+        if news.incarnation_ended {
+            self.incarnation_ended(id, now);
         }
         if fenced {
             self.reconcile(id, source, now);
@@ -76,7 +80,7 @@
         self.refresh_machine(id, now);
     }
 
-    /// A machine that has the present token is no longer doubted, unless nothing that is
+    /// A machine that has the present fencing token is no longer doubted, unless nothing that is
     /// sent there has an effect.
     fn settle_doubt(&mut self, id: &MachineId) {
         let Some(link) = self.links.get_mut(id).filter(|l| l.fenced()) else {
@@ -84,13 +88,13 @@
         };
         link.doubted = link.reachability.in_doubt();
         if link.doubted {
-            // It has the present token and does nothing: a higher one has
+            // It has the present fencing token and does nothing: a higher one has
             // to be taken up before anything more goes there.
-            link.raise_token();
+            link.raise_fencing_token();
         }
     }
 
-    /// A task that we started is in the report: the machine hears.
+    /// A task that we started is in the heartbeat: the machine hears.
     fn see_starts(&mut self, id: &MachineId, now: Time) {
         let Some(link) = self
             .links
@@ -113,11 +117,11 @@
         }
     }
 
-    /// A machine's session ended, and its tasks with it. What this owner sent there
-    /// before was for that session, so it is gone, whatever token the worker has:
-    /// on a deaf machine no report ever carries the present one. What a former
-    /// owner started may belong to the new session, and waits for the token.
-    fn session_ended(&mut self, id: &MachineId, now: Time) {
+    /// A machine's incarnation ended, and its tasks with it. What this owner sent there
+    /// before was for that incarnation, so it is gone, whatever fencing token the worker has:
+    /// on a deaf machine no heartbeat ever carries the present one. What a former
+    /// owner started may belong to the new incarnation, and waits for the fencing token.
+    fn incarnation_ended(&mut self, id: &MachineId, now: Time) {
         for task in self.cluster_state.claims_on(id) {
             let ours = self
                 .cluster_state
@@ -133,14 +137,20 @@
 
     /// Another controller heard a machine, and there was nothing new. A hint:
     /// it only spares the question whether the machine still answers.
-    pub fn heard(&mut self, id: &MachineId, session: Session, sequence: SequenceNumber, now: Time) {
+    pub fn heard(
+        &mut self,
+        id: &MachineId,
+        incarnation: Incarnation,
+        sequence: SequenceNumber,
+        now: Time,
+    ) {
         if let Some(link) = self.links.get_mut(id) {
-            link.heard_elsewhere(session, sequence, now);
+            link.heard_elsewhere(incarnation, sequence, now);
         }
     }
 
-    /// Compares the claims on a machine with an authoritative report: one
-    /// that carries the token which fences all earlier commands.
+    /// Compares the claims on a machine with an authoritative heartbeat: one
+    /// that carries the fencing token which fences all earlier commands.
     pub(super) fn reconcile(&mut self, id: &MachineId, source: Source, now: Time) {
         if !self.cluster_state.machines().contains_key(id) {
             return;
@@ -150,7 +160,7 @@
         }
     }
 
-    /// Compares one claim with the report of its machine.
+    /// Compares one claim with the heartbeat of its machine.
     fn reconcile_claim(&mut self, id: &MachineId, task: &TaskId, source: Source, now: Time) {
         let job = self.cluster_state.job(&task.job);
         let claim = self.cluster_state.claim_of(task);
@@ -215,7 +225,7 @@
             Sent::Found => {
                 self.release(task, now);
             }
-            // Only the next report of the worker's own shows whether
+            // Only the next heartbeat of the worker's own shows whether
             // it took a reply: a direct answer may overtake it.
             Sent::InReply if source == Source::Direct => {}
             // An answer is still to come, and tells.
--- a/src/control/core/link.rs
+++ b/src/control/core/link.rs
@@ -10,10 +10,10 @@
 use super::Source;
 use crate::cloud::ListedMachine;
 use crate::types::{
-    Attempt, MachineId, SequenceNumber, Session, TaskId, Time, Token, TypeName, Zone,
+    Attempt, FencingToken, Incarnation, MachineId, SequenceNumber, TaskId, Time, TypeName, Zone,
 };
 use crate::worker::{
-    Command, DirectCommands, ExitReason, Report, ReportedImage, ReportedTask, TaskPhase,
+    Command, DirectCommands, ExitReason, Heartbeat, ReportedImage, ReportedTask, TaskPhase,
 };
 
 /// After so long without effect a worker is told again to stop a task, in seconds.
@@ -26,7 +26,7 @@
     pub(super) attempt: Attempt,
 }
 
-/// What a report says of a task.
+/// What a heartbeat says of a task.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct TaskStatus {
     pub(super) phase: TaskPhase,
@@ -39,7 +39,7 @@
 pub(super) struct SentKills(BTreeMap<TaskAttempt, Time>);
 
 impl SentKills {
-    /// Forgets those that its last report does not name.
+    /// Forgets those that its last heartbeat does not name.
     pub(super) fn keep_reported(&mut self, reported: &BTreeMap<TaskAttempt, TaskStatus>) {
         self.0.retain(|key, _| reported.contains_key(key));
     }
@@ -55,13 +55,13 @@
         self.0.insert(task.clone(), now);
     }
 
-    /// Whether it was told to stop nothing that it still reports.
+    /// Whether it was told to stop nothing that it still heartbeats.
     pub(super) fn is_empty(&self) -> bool {
         self.0.is_empty()
     }
 }
 
-/// A machine as a list or a report shows it.
+/// A machine as a list or a heartbeat shows it.
 pub(super) struct SeenMachine<'a> {
     pub(super) id: &'a MachineId,
     pub(super) addr: SocketAddr,
@@ -82,22 +82,22 @@
         }
     }
 
-    /// By its worker's report.
-    pub(super) fn by_report(report: &'a Report) -> Self {
+    /// By its worker's heartbeat.
+    pub(super) fn by_heartbeat(heartbeat: &'a Heartbeat) -> Self {
         Self {
-            id: &report.machine,
-            addr: report.addr,
-            kind: &report.machine_type,
-            zone: &report.zone,
-            spot: report.spot,
+            id: &heartbeat.machine,
+            addr: heartbeat.addr,
+            kind: &heartbeat.machine_type,
+            zone: &heartbeat.zone,
+            spot: heartbeat.spot,
         }
     }
 }
 
-/// What a report tells that the one before it did not.
-pub(super) struct ReportNews {
-    /// The worker's session ended, and all its tasks with it.
-    pub(super) session_ended: bool,
+/// What a heartbeat tells that the one before it did not.
+pub(super) struct HeartbeatNews {
+    /// The worker's incarnation ended, and all its tasks with it.
+    pub(super) incarnation_ended: bool,
     /// The worker has another address.
     pub(super) moved: bool,
 }
@@ -107,26 +107,26 @@
 pub(super) struct Link {
     /// Where its worker listens.
     pub(super) addr: SocketAddr,
-    /// The session, and the number in it, of its last report.
-    session: Session,
+    /// The incarnation, and the number in it, of its last heartbeat.
+    incarnation: Incarnation,
     sequence: SequenceNumber,
-    /// The token that commands to this machine carry now.
-    pub(super) token: Token,
-    /// The highest token that the worker has reported.
-    seen: Token,
+    /// The fencing token that commands to this machine carry now.
+    pub(super) fencing_token: FencingToken,
+    /// The highest fencing token that the worker has reported.
+    seen: FencingToken,
     /// When it was last heard, by this controller or, as a hint, by another one.
     pub(super) last_heard: Time,
     /// The newest report that another controller spoke of.
     told_of: SequenceNumber,
     /// Whether anything that is sent there has an effect.
     pub(super) reachability: Reachability,
-    /// What its last report said of its tasks.
+    /// What its last heartbeat said of its tasks.
     pub(super) tasks: BTreeMap<TaskAttempt, TaskStatus>,
     /// Whether direct commands get through.
     pub(super) direct: DirectLine,
-    /// A direct command failed: no new tasks until a report shows that it heard.
+    /// A direct command failed: no new tasks until a heartbeat shows that it heard.
     pub(super) doubted: bool,
-    /// Its last report was passed on by another controller.
+    /// Its last heartbeat was passed on by another controller.
     pub(super) passed: bool,
     /// The cloud takes it, or it was chosen to go.
     pub(super) leaving: bool,
@@ -141,14 +141,14 @@
 }
 
 impl Link {
-    /// To a machine of which nothing was heard yet. `token`: the grant's lowest one.
-    pub(super) fn new(addr: SocketAddr, token: Token, now: Time) -> Self {
+    /// To a machine of which nothing was heard yet. `fencing_token`: the grant's lowest one.
+    pub(super) fn new(addr: SocketAddr, fencing_token: FencingToken, now: Time) -> Self {
         Self {
             addr,
-            session: Session(1),
+            incarnation: Incarnation(1),
             sequence: SequenceNumber(0),
-            token,
-            seen: Token(0),
+            fencing_token,
+            seen: FencingToken(0),
             last_heard: now,
             told_of: SequenceNumber(0),
             reachability: Reachability::default(),
@@ -164,7 +164,7 @@
         }
     }
 
-    /// Takes in what a report says of its tasks; one whose name can't be read is left out.
+    /// Takes in what a heartbeat says of its tasks; one whose name can't be read is left out.
     fn set_tasks(&mut self, reported: &[ReportedTask]) {
         let tasks = reported.iter().filter_map(|reported| {
             let key = TaskAttempt {
@@ -181,33 +181,39 @@
     }
 
     /// Takes in a report that is newer than the last one.
-    pub(super) fn take_in(&mut self, report: &Report, source: Source, now: Time) -> ReportNews {
-        let news = ReportNews {
-            session_ended: report.incarnation > self.session && self.sequence > SequenceNumber(0),
-            moved: self.addr != report.addr,
+    pub(super) fn take_in(
+        &mut self,
+        heartbeat: &Heartbeat,
+        source: Source,
+        now: Time,
+    ) -> HeartbeatNews {
+        let news = HeartbeatNews {
+            incarnation_ended: heartbeat.incarnation > self.incarnation
+                && self.sequence > SequenceNumber(0),
+            moved: self.addr != heartbeat.addr,
         };
-        self.addr = report.addr;
-        self.session = report.incarnation;
-        self.sequence = report.sequence;
-        let took_up =
-            report.fencing_token > self.seen && report.fencing_token.grant() == self.token.grant();
-        self.seen = self.seen.max(report.fencing_token);
+        self.addr = heartbeat.addr;
+        self.incarnation = heartbeat.incarnation;
+        self.sequence = heartbeat.sequence;
+        let took_up = heartbeat.fencing_fencing_token > self.seen
+            && heartbeat.fencing_fencing_token.grant() == self.fencing_token.grant();
+        self.seen = self.seen.max(heartbeat.fencing_fencing_token);
         self.last_heard = now;
         self.told_of = SequenceNumber(0);
         self.direct.heard();
         self.passed = source == Source::Passed;
-        // Only what comes from the worker itself shows that there is a way. Reports
+        // Only what comes from the worker itself shows that there is a way. Heartbeats
         // that others took did too once: while the owner was cut off from all
         // workers, commands were tried directly after each of them.
-        if source == Source::Beat {
+        if source == Source::Heartbeat {
             self.direct.reported(now);
         }
-        if report.preemption_notice_s.is_some() {
+        if heartbeat.preemption_notice_s.is_some() {
             self.leaving = true;
         }
-        self.set_tasks(&report.tasks);
-        self.images.clone_from(&report.images);
-        // That it reports is no sign that it hears: each report made a machine
+        self.set_tasks(&heartbeat.tasks);
+        self.images.clone_from(&heartbeat.images);
+        // That it heartbeats is no sign that it hears: each heartbeat made a machine
         // usable again that no command reached.
         self.reachability.reported(now);
         if took_up {
@@ -216,50 +222,50 @@
         news
     }
 
-    /// Whether a report is not newer than the last one.
-    pub(super) fn is_copy(&self, report: &Report) -> bool {
-        (report.incarnation, report.sequence) <= (self.session, self.sequence)
+    /// Whether a heartbeat is not newer than the last one.
+    pub(super) fn is_copy(&self, heartbeat: &Heartbeat) -> bool {
+        (heartbeat.incarnation, heartbeat.sequence) <= (self.incarnation, self.sequence)
     }
 
-    /// Another controller heard it. Each report counts once: told of again and again, a
+    /// Another controller heard it. Each heartbeat counts once: told of again and again, a
     /// copy kept a dead machine alive.
     pub(super) fn heard_elsewhere(
         &mut self,
-        session: Session,
+        incarnation: Incarnation,
         sequence: SequenceNumber,
         now: Time,
     ) {
-        if self.session == session && sequence > self.sequence.max(self.told_of) {
+        if self.incarnation == incarnation && sequence > self.sequence.max(self.told_of) {
             self.told_of = sequence;
             self.last_heard = now;
             self.direct.heard();
         }
     }
 
-    /// Whether its starts go in the answers to its reports: direct commands don't get there
+    /// Whether its starts go in the answers to its heartbeats: direct commands don't get there
     /// for now.
     pub(super) fn takes_starts_in_replies(&self, now: Time) -> bool {
         let pauses = self.direct.is_failing() && now < self.direct.retry_at();
         !self.direct.is_in_flight() && (self.passed || pauses)
     }
 
-    /// Direct commands for the session that was heard last, under the present token.
+    /// Direct commands for the incarnation that was heard last, under the present fencing token.
     pub(super) fn commands(&self, commands: Vec<Command>) -> DirectCommands {
         DirectCommands {
-            fencing_token: self.token,
-            incarnation: self.session,
+            fencing_fencing_token: self.fencing_token,
+            incarnation: self.incarnation,
             commands,
         }
     }
 
     /// Fences all commands that were sent to it so far.
-    pub(super) fn raise_token(&mut self) {
-        self.token = self.token.raised();
+    pub(super) fn raise_fencing_token(&mut self) {
+        self.fencing_token = self.fencing_token.raised();
     }
 
-    /// Whether the last report was made after the worker had learnt the token
+    /// Whether the last heartbeat was made after the worker had learnt the fencing token
     /// that now fences every earlier command to it.
     pub(super) fn fenced(&self) -> bool {
-        self.seen >= self.token
+        self.seen >= self.fencing_token
     }
 }
--- a/src/control/core/links.rs
+++ b/src/control/core/links.rs
@@ -1,4 +1,4 @@
-//! The lines to all workers: what a machine's first report adds, and which machines
+//! The lines to all workers: what a machine's first heartbeat adds, and which machines
 //! can be used.
 
 use std::rc::Rc;
@@ -10,28 +10,28 @@
 use crate::sched::{Machine, Sent};
 use crate::types::{Kind, MachineId, MachineType, Time};
 
-/// A machine with tasks that is silent for this many report intervals is asked
+/// A machine with tasks that is silent for this many heartbeat intervals is asked
 /// directly. One that takes the connection and does not answer hangs, and its
 /// tasks with it, while one that can't be reached may only be cut off.
-const SUSPECT_REPORTS: f64 = 1.6;
+const SUSPECT_HEARTBEATS: f64 = 1.6;
 /// But not before this, in seconds: anything may stand still for a moment.
 const SUSPECT_LEAST_S: f64 = 5.0;
-/// A machine that is silent for so many report intervals, and so many seconds more, gets
+/// A machine that is silent for so many heartbeat intervals, and so many seconds more, gets
 /// no new tasks.
-const SILENT_REPORTS: f64 = 2.5;
+const SILENT_HEARTBEATS: f64 = 2.5;
 const SILENT_S: f64 = 1.0;
 
 /// What the line to a machine says of it.
 struct LinkStatus {
     /// Tasks may be placed there.
     usable: bool,
-    /// Commands go there only in replies to its reports.
+    /// Commands go there only in replies to its heartbeats.
     slow: bool,
     /// It was not heard for too long.
     silent: bool,
     /// It is given back, or the cloud takes it.
     leaving: bool,
-    /// A direct command failed, and no report shows yet what it heard.
+    /// A direct command failed, and no heartbeat shows yet what it heard.
     doubted: bool,
     /// An operator drains it.
     draining: bool,
@@ -54,7 +54,7 @@
             let kind = self.types.get(seen.kind)?.clone();
             self.inventory.came_up(seen.id);
             self.add_machine(seen, kind, now);
-            let link = Link::new(seen.addr, self.base_token(), now);
+            let link = Link::new(seen.addr, self.base_fencing_token(), now);
             self.links.insert(seen.id.clone(), link);
             self.wake(seen.id);
         }
@@ -143,7 +143,7 @@
         let Some(link) = self.links.get(id) else {
             return;
         };
-        let patience_s = (SUSPECT_REPORTS * self.cfg.report_s).max(SUSPECT_LEAST_S);
+        let patience_s = (SUSPECT_HEARTBEATS * self.cfg.heartbeat_s).max(SUSPECT_LEAST_S);
         let silent = now.since(link.last_heard) >= patience_s;
         if link.direct.is_suspect() || !silent || !self.has_tasks(id) {
             return;
@@ -159,7 +159,8 @@
         let link = self.links.get(id)?;
         let machine = self.cluster_state.machines().get(id);
         let draining = machine.is_some_and(|m| m.draining);
-        let silent = now.since(link.last_heard) >= SILENT_REPORTS * self.cfg.report_s + SILENT_S;
+        let silent =
+            now.since(link.last_heard) >= SILENT_HEARTBEATS * self.cfg.heartbeat_s + SILENT_S;
         let leaving = link.leaving || link.deleting;
         let usable = link.fenced()
             && !draining
--- a/src/control/core/load.rs
+++ b/src/control/core/load.rs
@@ -25,7 +25,7 @@
 use crate::control::pending::Pending;
 use crate::sched::{ClusterState, Team};
 use crate::state::view::{JobEntry, View};
-use crate::types::{Amount, JobId, MachineType, Revision, Time, Token};
+use crate::types::{Amount, FencingToken, JobId, MachineType, Revision, Time};
 
 /// What an owner starts from, besides its grant.
 pub struct RecoveryInput<'a> {
@@ -67,7 +67,7 @@
 
 impl Core {
     /// Takes up a grant: everything recorded of its shard is on the cluster state,
-    /// and every claim counts until a report that carries the new token says
+    /// and every claim counts until a report that carries the new fencing token says
     /// otherwise. `places` is where machines of all shards are; of the grant of all
     /// machines it is empty.
     pub fn load(input: &RecoveryInput, grant: ShardGrant, places: Places) -> Self {
@@ -156,9 +156,9 @@
         }
     }
 
-    /// The grant's lowest token.
-    pub(super) fn base_token(&self) -> Token {
-        Token::of_grant(self.grant)
+    /// The grant's lowest fencing token.
+    pub(super) fn base_fencing_token(&self) -> FencingToken {
+        FencingToken::of_grant(self.grant)
     }
 
     /// Takes up a job if this shard homes it or has claims of it.
--- a/src/control/core/machine_list.rs
+++ b/src/control/core/machine_list.rs
@@ -12,8 +12,8 @@
 
 /// Clocks drift apart by 0.05% (PROTOCOL).
 const DRIFT: f64 = 1.001;
-/// A machine that was not heard for so many report intervals may be gone.
-const UNHEARD_REPORTS: f64 = 1.5;
+/// A machine that was not heard for so many heartbeat intervals may be gone.
+const UNHEARD_HEARTBEATS: f64 = 1.5;
 /// A machine that was rented less than so many usual lags of the list, and so many seconds,
 /// ago may not be listed yet.
 const FRESH_LAGS: f64 = 3.0;
@@ -87,7 +87,8 @@
                 continue;
             }
             let heard = self.links.get(&id).map(|l| l.last_heard);
-            let silent = heard.is_none_or(|t| now.since(t) > self.cfg.report_s * UNHEARD_REPORTS);
+            let silent =
+                heard.is_none_or(|t| now.since(t) > self.cfg.heartbeat_s * UNHEARD_HEARTBEATS);
             let coming = self.inventory.coming().get(&id);
             let fresh = coming
                 .is_some_and(|c| now.since(c.since) < FRESH_LAGS * self.cfg.list_lag_s + FRESH_S);
@@ -97,7 +98,7 @@
         }
     }
 
-    /// Claims can name machines that neither list nor report shows. Until these are gone
+    /// Claims can name machines that neither list nor heartbeat shows. Until these are gone
     /// their claims count against limits.
     fn give_back_unknown(&mut self, listed: &BTreeSet<&MachineId>) {
         let unknown = self.cluster_state.unknown_machines();
@@ -108,11 +109,11 @@
         }
     }
 
-    /// Machines that report and hear nothing, to be given back. Their answers renew
+    /// Machines that heartbeat and hear nothing, to be given back. Their answers renew
     /// no lease, so what ran there has ended by then: before, a cut that heals would
     /// cost their tasks.
     pub(super) fn deaf(&self, now: Time) -> Vec<MachineId> {
-        let patience = self.cfg.lease_s * DRIFT + 2.0 * self.cfg.report_s;
+        let patience = self.cfg.lease_s * DRIFT + 2.0 * self.cfg.heartbeat_s;
         // If most hear nothing it may be this controller that can't be heard. Another
         // may then be the owner before long; if none is, they go all the same.
         let doubtful = self
@@ -137,7 +138,7 @@
         }
     }
 
-    /// Requests wait too long to be read: reports may be missing.
+    /// Requests wait too long to be read: heartbeats may be missing.
     pub fn hears_badly(&mut self, now: Time) {
         self.deaf_until = now.after(self.cfg.silent_s());
     }
--- a/src/control/core/mod.rs
+++ b/src/control/core/mod.rs
@@ -1,4 +1,4 @@
-//! What the owner of the block knows and decides, without I/O: time, reports
+//! What the owner of the block knows and decides, without I/O: time, heartbeats
 //! and outcomes come in, transactions, commands and cloud calls go out.
 //!
 //! [`Core`] composes the owners of its state. Each is a struct in a module of its own
@@ -12,9 +12,9 @@
 //! | machines on which room appeared | `placement_queue` | `placing` |
 //! | time since the failover, what is open from it | `failover` | all |
 //! | the cloud's machine list | `inventory` | `machine_list`, `scale_in`, `renting` |
-//! | machines that are gone | `tombstones`, `deleted_machines` | `machine_list`, `reports` |
+//! | machines that are gone | `tombstones`, `deleted_machines` | `machine_list`, `heartbeats` |
 //! | the cloud's machine types | `machine_types` | `links`, `aims`, `scaling`, `reservation_supply` |
-//! | a worker's last report, its token and commands | `link`, `direct_line` | `reports`, `dispatch` |
+//! | a worker's last heartbeat, its fencing token and commands | `link`, `direct_line` | `heartbeats`, `dispatch` |
 //! | a transaction while it is put together | `draft` | `batch`, `record` |
 //! | jobs that came, requests to the cloud | `scaling_state` | `aims`, `demand`, `scale_in`, `renting` |
 //! | losses and new machines by failure domain | `topology_history` | `links`, `moving`, `scaling` |
@@ -22,7 +22,7 @@
 //! | what the log says of who is served | `served` | `placing`, `record` |
 //!
 //! Invariants: no task is started before its claim is recorded; nothing is concluded
-//! about a machine's tasks before one of its reports carries the token that fences all
+//! about a machine's tasks before one of its heartbeats carries the fencing token that fences all
 //! earlier commands; the time of every step is handed in, and no clock is read.
 
 mod aims;
@@ -41,6 +41,7 @@
 mod failover;
 mod failures;
 mod fleet_log;
+mod heartbeats;
 mod inventory;
 mod job_changes;
 mod lanes;
@@ -60,7 +61,6 @@
 mod recorded_job;
 mod rejected_changes;
 mod renting;
-mod reports;
 mod reservation_refresh;
 mod reservation_supply;
 mod reservation_usage;
@@ -109,13 +109,13 @@
 use crate::types::{JobId, MachineId, Revision, Time};
 use crate::worker::DirectCommands;
 
-/// Where a report came from.
+/// Where a heartbeat came from.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Source {
     /// The worker's own reporting.
-    Beat,
+    Heartbeat,
     /// The same, taken by another controller that was asked to.
-    Homed,
+    Adopted,
     /// The same, passed on by another controller: it can't reach this one.
     Passed,
     /// The answer to a direct command.
@@ -174,7 +174,7 @@
     deaf_until: Time,
     /// Until when tasks may be started.
     start_permission: StartPermission,
-    /// Machines that are gone, which late lists and reports may still show.
+    /// Machines that are gone, which late lists and heartbeats may still show.
     tombstones: MachineTombstones,
     /// Windows of the release calendar.
     windows: calendar::Windows,
@@ -229,7 +229,7 @@
         self.look_at_waves(now);
         self.tell_served(now);
         if self.failover.awaits_heartbeats() {
-            self.look_who_is_heard(now);
+            self.check_fleet_heard(now);
         }
         let ids: Vec<MachineId> = self.links.keys().cloned().collect();
         for id in ids {
--- a/src/control/core/placing.rs
+++ b/src/control/core/placing.rs
@@ -56,13 +56,13 @@
         }
     }
 
-    /// Walks one machine, after its report.
+    /// Walks one machine, after its heartbeat.
     pub fn walk(&mut self, id: &MachineId, now: Time) {
         if self.is_frozen() {
             return;
         }
         self.placement_queue.refresh_pass(now);
-        // A new owner's first report of a machine walks it at once: others' work
+        // A new owner's first heartbeat of a machine walks it at once: others' work
         // had a part of what was held.
         if self.windows.hold() {
             self.cluster_state.top_up_holds(id, now);
--- a/src/control/core/reservation_refresh.rs
+++ b/src/control/core/reservation_refresh.rs
@@ -19,8 +19,8 @@
 /// A machine that takes this many usual boots is slow, and one that takes longer
 /// is given up.
 const SLOW_BOOTS: f64 = 2.5;
-/// A task that is to stop is told within two reports at the worst.
-const STOP_REPORTS: f64 = 2.0;
+/// A task that is to stop is told within two heartbeats at the worst.
+const STOP_HEARTBEATS: f64 = 2.0;
 /// How many machines of a type and zone are asked for a second.
 const REQUESTED_AT_ONCE: f64 = 50.0;
 /// A machine that fetches more slowly, in GB a second, is taken to fetch at this rate.
@@ -156,7 +156,7 @@
         let wait_s = aims.map(|a| a.unwrap_or(0.0)).fold(f64::INFINITY, f64::min);
         Lending {
             until: now.after(left_s),
-            stop_s: STOP_REPORTS * self.cfg.report_s,
+            stop_s: STOP_HEARTBEATS * self.cfg.heartbeat_s,
             wait_s: if wait_s.is_finite() { wait_s } else { 0.0 },
         }
     }
--- a/src/control/core/rollout_refresh.rs
+++ b/src/control/core/rollout_refresh.rs
@@ -12,9 +12,9 @@
 use crate::sched::{Machine, Sent};
 use crate::types::{Image, MachineId, Time};
 
-/// A successor waits for what its predecessor started for so many reports: a machine
+/// A successor waits for what its predecessor started for so many heartbeats: a machine
 /// that is silent doesn't hold up all others.
-const SETTLE_REPORTS: f64 = 3.0;
+const SETTLE_HEARTBEATS: f64 = 3.0;
 /// And for so many seconds more.
 const SETTLE_S: f64 = 2.0;
 
@@ -131,7 +131,7 @@
             return;
         }
         let in_use = self.images_in_use();
-        let settle_s = SETTLE_REPORTS * self.cfg.report_s + SETTLE_S;
+        let settle_s = SETTLE_HEARTBEATS * self.cfg.heartbeat_s + SETTLE_S;
         let waited = self.failover.age_s(now) >= settle_s;
         for (image, image_use) in &in_use {
             if image_use.machines.values().any(|d| *d == Does::Fetches) {
--- a/src/control/core/scale_in.rs
+++ b/src/control/core/scale_in.rs
@@ -11,12 +11,12 @@
 use crate::types::{MachineId, Time};
 use crate::worker::TaskPhase;
 
-/// A machine was heard of late if that is less than so many report intervals ago.
-const HEARD_REPORTS: f64 = 2.5;
+/// A machine was heard of late if that is less than so many heartbeat intervals ago.
+const HEARD_HEARTBEATS: f64 = 2.5;
 /// A machine that was asked directly so often in vain hangs.
 const HANGS: u32 = 2;
-/// So does one that was asked once and is silent for so many report intervals.
-const HANGS_REPORTS: f64 = 2.2;
+/// So does one that was asked once and is silent for so many heartbeat intervals.
+const HANGS_HEARTBEATS: f64 = 2.2;
 /// A machine never comes if it takes longer than so many usual boots and a margin.
 const STUCK_BOOTS: f64 = 2.5;
 /// The margin, in seconds: a usual boot may be short.
@@ -45,7 +45,7 @@
     /// wait too long to be read: giving machines back then, and renting others, is
     /// how a fleet that is too large for its controllers would be kept so.
     pub(super) fn trusts_silence(&self, now: Time) -> bool {
-        let limit_s = HEARD_REPORTS * self.cfg.report_s;
+        let limit_s = HEARD_HEARTBEATS * self.cfg.heartbeat_s;
         let links = self.links.values();
         let heard = links.filter(|l| now.since(l.last_heard) < limit_s).count();
         heard * 2 > self.links.len()
@@ -53,7 +53,7 @@
             && now >= self.deaf_until
     }
 
-    /// Gives back machines that report and hear nothing.
+    /// Gives back machines that heartbeat and hear nothing.
     pub(super) fn give_back_deaf(&mut self, now: Time) {
         for id in self.deaf(now) {
             tracing::info!(machine = %id, "it reports and hears nothing: given back");
@@ -70,7 +70,7 @@
                 link.deleting = true;
             }
             let quiet_s = now.since(link.last_heard);
-            let hangs = hangs(link, quiet_s, self.cfg.report_s);
+            let hangs = hangs(link, quiet_s, self.cfg.heartbeat_s);
             if trusts_silence && (quiet_s > self.cfg.silent_s() || hangs) {
                 if hangs && !link.deleting {
                     tracing::info!(machine = %id, quiet_s, "it hangs: given back");
@@ -209,7 +209,7 @@
 
 /// Whether a machine takes connections and doesn't answer. It was last heard
 /// `quiet_s` seconds ago.
-fn hangs(link: &Link, quiet_s: f64, report_s: f64) -> bool {
-    let long = link.direct.hangs() == 1 && quiet_s > HANGS_REPORTS * report_s;
+fn hangs(link: &Link, quiet_s: f64, heartbeat_s: f64) -> bool {
+    let long = link.direct.hangs() == 1 && quiet_s > HANGS_HEARTBEATS * heartbeat_s;
     link.direct.is_suspect() && (link.direct.hangs() >= HANGS || long)
 }
--- a/src/control/core/scaling.rs
+++ b/src/control/core/scaling.rs
@@ -9,9 +9,9 @@
 use crate::fleet;
 use crate::types::{JobSpec, MachineId, MachineType, Time, TypeName, Zone};
 
-/// Nothing is asked for until so many report intervals after the start: which machines
+/// Nothing is asked for until so many heartbeat intervals after the start: which machines
 /// there are is not known before.
-const SETTLED_REPORTS: f64 = 2.0;
+const SETTLED_HEARTBEATS: f64 = 2.0;
 
 /// What is to be done about the fleet now.
 #[derive(Debug, Default)]
@@ -36,7 +36,7 @@
             self.give_back_deaf(now);
         }
         let to_delete = self.machines_to_delete(trusts_silence, now);
-        let settled = self.failover.age_s(now) > SETTLED_REPORTS * self.cfg.report_s;
+        let settled = self.failover.age_s(now) > SETTLED_HEARTBEATS * self.cfg.heartbeat_s;
         if !settled || self.scaling.requests.any_in_flight() {
             return ScalingDecision {
                 to_delete,
--- a/src/control/core/tombstones.rs
+++ b/src/control/core/tombstones.rs
@@ -1,5 +1,5 @@
 //! Machines that are gone for good. Their names are never used again, so a late machine
-//! list, or a late copy of a report, must not bring one back.
+//! list, or a late copy of a heartbeat, must not bring one back.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -59,7 +59,7 @@
         self.to_record.add(machine, now);
     }
 
-    /// Names are kept for longer than a late list shows them: copies of their reports
+    /// Names are kept for longer than a late list shows them: copies of their heartbeats
     /// come well over a lease late. They are few enough, and beyond a bound the oldest go
     /// first.
     pub(super) fn expire(&mut self, cfg: &Config, now: Time) {
--- a/src/control/core/unlinked.rs
+++ b/src/control/core/unlinked.rs
@@ -9,19 +9,19 @@
 use super::Core;
 use crate::state::view::View;
 use crate::types::{MachineId, Time};
-use crate::worker::{Command, Reply, Report, ReportedTask, TaskPhase};
+use crate::worker::{Command, Heartbeat, Reply, ReportedTask, TaskPhase};
 
 impl Core {
-    /// The answer to a worker's report.
-    pub fn answer(&mut self, report: &Report, view: &View, now: Time) -> Reply {
-        if self.links.contains_key(&report.machine) {
-            return self.reply(&report.machine, view, now);
+    /// The answer to a worker's heartbeat.
+    pub fn answer(&mut self, heartbeat: &Heartbeat, view: &View, now: Time) -> Reply {
+        if self.links.contains_key(&heartbeat.machine) {
+            return self.reply(&heartbeat.machine, view, now);
         }
-        let running = report.tasks.iter();
+        let running = heartbeat.tasks.iter();
         let running = running.filter(|task| task.phase != TaskPhase::Ended);
-        let stopped = running.filter(|task| !self.may_run_on(&report.machine, task));
+        let stopped = running.filter(|task| !self.may_run_on(&heartbeat.machine, task));
         Reply {
-            fencing_token: self.base_token(),
+            fencing_fencing_token: self.base_fencing_token(),
             commands: stopped.map(kill_at_once).collect(),
         }
     }
--- a/src/control/core/waves.rs
+++ b/src/control/core/waves.rs
@@ -12,7 +12,7 @@
 use super::staging::{does, Does, Kept, Member, Staging};
 use super::Core;
 use crate::types::{Image, JobSpec, MachineId, TaskId, Time};
-use crate::worker::Report;
+use crate::worker::Heartbeat;
 
 /// Starts that wait are looked at so many at a time: with thousands of them, and
 /// no upload free, all at once would hold up everything else.
@@ -146,18 +146,21 @@
 
     /// A machine says that it has all of an image, which is believed of one that
     /// is expected there: if it isn't so, who is sent to it asks the next one.
-    pub(super) fn hear_of_images(&mut self, report: &Report) {
+    pub(super) fn record_served_images(&mut self, heartbeat: &Heartbeat) {
         if self.staging.least_gb.is_none() {
             return;
         }
-        let machine = self.cluster_state.machines().get(&report.machine);
+        let machine = self.cluster_state.machines().get(&heartbeat.machine);
         let news =
             |name: &Image| machine.is_some_and(|m| m.cache.expects(name) && !m.cache.has(name));
-        let whole = report.images.iter().filter(|i| i.of > 0 && i.parts >= i.of);
+        let whole = heartbeat
+            .images
+            .iter()
+            .filter(|i| i.of > 0 && i.parts >= i.of);
         let whole = whole.map(|i| Image::from(i.image.as_str()));
         for image in whole.filter(news).collect::<Vec<_>>() {
             self.cluster_state
-                .edit_machine(&report.machine, |m| m.cache.is_there(&image));
+                .edit_machine(&heartbeat.machine, |m| m.cache.is_there(&image));
         }
     }
 
--- a/src/control/heartbeat_routing.rs
+++ b/src/control/heartbeat_routing.rs
@@ -1,4 +1,4 @@
-//! Where a worker's report goes: which reports are copies, which workers report to
+//! Where a worker's heartbeat goes: which heartbeats are copies, which workers heartbeat to
 //! another controller than the one that they know, and which answers were given for an
 //! owner that has no time.
 
@@ -11,23 +11,23 @@
 use sorrelhinge_sharding::isolation::DismissedWorkers;
 use tokio::time::Instant;
 
-use crate::peer::HeardOf;
+use crate::peer::ForwardedHeartbeat;
 use crate::types::{MachineId, NodeId, Time};
-use crate::worker::Report;
+use crate::worker::Heartbeat;
 
-/// For how long a worker's reports are passed on before it is told again whom
-/// to report to.
+/// For how long a worker's heartbeats are passed on before it is told again whom
+/// to heartbeat to.
 const PASS_ON: Duration = Duration::from_secs(45);
-/// Workers remembered as told whom to report to.
+/// Workers remembered as told whom to heartbeat to.
 const MOST_SENT_ON: usize = 8192;
 /// A worker that was sent elsewhere and came back is kept for so long.
 const CAME_BACK: Duration = Duration::from_secs(30);
 
-/// A worker that was told which controller to report to.
+/// A worker that was told which controller to heartbeat to.
 struct SentOn {
     to: NodeId,
     last: Instant,
-    /// It came back, as it can't reach that one: its reports are passed on.
+    /// It came back, as it can't reach that one: its heartbeats are passed on.
     passing_since: Option<Instant>,
 }
 
@@ -44,31 +44,36 @@
 /// What is done with a report that belongs to another controller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Redirect {
-    /// Its sender is told whom to report to.
+    /// Its sender is told whom to heartbeat to.
     Tell,
-    /// It was told and came back: the report is passed on.
+    /// It was told and came back: the heartbeat is passed on.
     PassOn,
 }
 
-/// What is remembered of workers that report here, whoever owns their machines.
+/// What is remembered of workers that heartbeat here, whoever owns their machines.
 #[derive(Default)]
 pub(super) struct HeartbeatRouting {
-    /// The newest report of each machine, so that copies are known.
+    /// The newest heartbeat of each machine, so that copies are known.
     newest: RefCell<Order>,
     sent_on: RefCell<HashMap<MachineId, SentOn>>,
     /// Workers that were sent away as this controller is alone.
     dismissed_workers: RefCell<DismissedWorkers>,
-    /// What owners were told, and which reports need not be told to them.
+    /// What owners were told, and which heartbeats need not be told to them.
     renewals: RefCell<Renewals>,
     /// Machines that were answered for their owners, who don't know of it yet.
-    heard_for: RefCell<Vec<(NodeId, HeardOf)>>,
+    heartbeats_for_owners: RefCell<Vec<(NodeId, ForwardedHeartbeat)>>,
 }
 
 impl HeartbeatRouting {
-    /// Whether a report is newer than all others of its machine; it is the newest then.
-    pub(super) fn is_new(&self, report: &Report, now: Time) -> bool {
+    /// Whether a heartbeat is newer than all others of its machine; it is the newest then.
+    pub(super) fn is_new(&self, heartbeat: &Heartbeat, now: Time) -> bool {
         let mut newest = self.newest.borrow_mut();
-        newest.is_new(&report.machine, report.incarnation, report.sequence, now)
+        newest.is_new(
+            &heartbeat.machine,
+            heartbeat.incarnation,
+            heartbeat.sequence,
+            now,
+        )
     }
 
     /// Whether a worker is refused so that it looks for another controller; not again
@@ -98,7 +103,7 @@
         !came_back
     }
 
-    /// What is done with a report for `owner`. Its sender is told to go there; one that
+    /// What is done with a heartbeat for `owner`. Its sender is told to go there; one that
     /// is `back` within that time can't reach it. It is told again after `PASS_ON`, as
     /// the way may be open by then.
     pub(super) fn redirect(&self, machine: &MachineId, owner: &NodeId, back: Duration) -> Redirect {
@@ -119,35 +124,35 @@
         Redirect::Tell
     }
 
-    /// Whether a report goes to its owner or, if that asked for `relief` and the report
-    /// tells nothing new, is answered for it. `report_s`: seconds between reports.
+    /// Whether a heartbeat goes to its owner or, if that asked for `relief` and the heartbeat
+    /// tells nothing new, is answered for it. `heartbeat_s`: seconds between heartbeats.
     pub(super) fn route(
         &self,
         machine: &MachineId,
         content: Content,
         relief: bool,
-        report_s: f64,
+        heartbeat_s: f64,
         now: Time,
     ) -> Route {
         let mut renewals = self.renewals.borrow_mut();
-        renewals.route(machine, content, relief, report_s, now)
+        renewals.route(machine, content, relief, heartbeat_s, now)
     }
 
-    /// The owner answered a report.
+    /// The owner answered a heartbeat.
     pub(super) fn answered_by_owner(&self, machine: &MachineId, content: Content, now: Time) {
         let mut renewals = self.renewals.borrow_mut();
         renewals.answered(machine, content, now);
     }
 
-    /// A report was answered for its owner, who is to be told.
-    pub(super) fn answered_for(&self, owner: NodeId, heard: HeardOf) {
-        self.heard_for.borrow_mut().push((owner, heard));
+    /// A heartbeat was answered for its owner, who is to be told.
+    pub(super) fn answered_for(&self, owner: NodeId, heard: ForwardedHeartbeat) {
+        self.heartbeats_for_owners.borrow_mut().push((owner, heard));
     }
 
     /// What owners are to be told since the last call.
-    pub(super) fn take_answered_for(&self) -> HashMap<NodeId, Vec<HeardOf>> {
-        let mut by_owner: HashMap<NodeId, Vec<HeardOf>> = HashMap::new();
-        for (owner, heard) in self.heard_for.borrow_mut().drain(..) {
+    pub(super) fn take_answered_for(&self) -> HashMap<NodeId, Vec<ForwardedHeartbeat>> {
+        let mut by_owner: HashMap<NodeId, Vec<ForwardedHeartbeat>> = HashMap::new();
+        for (owner, heard) in self.heartbeats_for_owners.borrow_mut().drain(..) {
             by_owner.entry(owner).or_default().push(heard);
         }
         by_owner
--- a/src/control/leadership.rs
+++ b/src/control/leadership.rs
@@ -104,8 +104,8 @@
         self.reach.borrow_mut().direct();
     }
 
-    /// A worker's report came by way of another controller.
-    pub(super) fn report_relayed(&self, now: Time) {
+    /// A worker's heartbeat came by way of another controller.
+    pub(super) fn heartbeat_relayed(&self, now: Time) {
         self.reach.borrow_mut().passed(now);
     }
 
--- a/src/control/leading.rs
+++ b/src/control/leading.rs
@@ -269,7 +269,7 @@
         }
     }
 
-    /// A worker has seen the token of a newer grant, so there is one, whether
+    /// A worker has seen the fencing token of a newer grant, so there is one, whether
     /// or not the state service can be asked about it.
     pub(super) fn deposed(&self, block: BlockId) {
         tracing::info!(%block, "a newer grant commands: standing down");
--- a/src/control/load.rs
+++ b/src/control/load.rs
@@ -6,9 +6,9 @@
 use std::time::Duration;
 
 use sorrelhinge_overload::fleet_limit::FleetLimit;
+use sorrelhinge_overload::heartbeat_offload::{HeartbeatLoad, HeartbeatOffload};
 use sorrelhinge_overload::pressure::{Level, Pressure, Resource, Sample};
 use sorrelhinge_overload::renewal::Relief;
-use sorrelhinge_overload::report_offload::{ReportLoad, ReportOffload};
 use tokio::time::{sleep, Instant};
 
 use super::core::Core;
@@ -31,9 +31,9 @@
 /// Counts since the last line in the log.
 #[derive(Default)]
 pub struct Counts {
-    /// Workers' reports.
-    pub reports: Cell<u64>,
-    /// Reports that other controllers took for this one.
+    /// Workers' heartbeats.
+    pub heartbeats: Cell<u64>,
+    /// Heartbeats that other controllers took for this one.
     pub homed: Cell<u64>,
     /// Submissions.
     pub submissions: Cell<u64>,
@@ -73,7 +73,7 @@
     wait_s: Cell<f64>,
     pressure: RefCell<Pressure>,
     fleet_limit: RefCell<FleetLimit>,
-    report_offload: RefCell<ReportOffload>,
+    heartbeat_offload: RefCell<HeartbeatOffload>,
     relief: RefCell<Relief>,
 }
 
@@ -98,9 +98,9 @@
         self.pressure.borrow().binds(resource)
     }
 
-    /// The part of workers that report to other controllers, from 0 to 1.
+    /// The part of workers that heartbeat to other controllers, from 0 to 1.
     fn offload_share(&self) -> f64 {
-        self.report_offload.borrow().share()
+        self.heartbeat_offload.borrow().share()
     }
 
     /// Whether other controllers are asked to answer reports that tell nothing new.
@@ -110,13 +110,15 @@
 
     /// A new owner begins with the part of workers that reported elsewhere before.
     fn begin_with_share(&self, share: f64) {
-        *self.report_offload.borrow_mut() = ReportOffload::from_share(share);
+        *self.heartbeat_offload.borrow_mut() = HeartbeatOffload::from_share(share);
     }
 
-    /// The one of `helpers` that a worker is to report to, if it is among those that
-    /// report elsewhere.
+    /// The one of `helpers` that a worker is to heartbeat to, if it is among those that
+    /// heartbeat elsewhere.
     fn home<'a>(&self, machine: &MachineId, helpers: &'a [NodeId]) -> Option<&'a NodeId> {
-        self.report_offload.borrow().home(machine, helpers.iter())
+        self.heartbeat_offload
+            .borrow()
+            .home(machine, helpers.iter())
     }
 
     /// Takes a sample; true if what is shed has changed.
@@ -126,10 +128,10 @@
     }
 
     /// Takes the load of an owner of shards; returns how many machines there may be.
-    fn measured_as_owner(&self, load: ReportLoad, now: Time) -> Option<usize> {
-        let mut report_offload = self.report_offload.borrow_mut();
-        report_offload.take(load, now);
-        let all_offloaded = report_offload.share() >= 1.0;
+    fn measured_as_owner(&self, load: HeartbeatLoad, now: Time) -> Option<usize> {
+        let mut heartbeat_offload = self.heartbeat_offload.borrow_mut();
+        heartbeat_offload.take(load, now);
+        let all_offloaded = heartbeat_offload.share() >= 1.0;
         let mut relief = self.relief.borrow_mut();
         relief.take(all_offloaded, load.wait_s, now);
         // The others' help comes first.
@@ -154,7 +156,7 @@
         }
     }
 
-    /// Controllers that take reports for this one; if `room`, only those that
+    /// Controllers that take heartbeats for this one; if `room`, only those that
     /// have room for more workers. Who is crowded goes on with those it has: if
     /// they all came back here, this one would be crowded and send them again.
     fn helpers(&self, room: bool) -> Vec<NodeId> {
@@ -203,7 +205,7 @@
         self.peer_statuses.standing_of(owner).share > 0
     }
 
-    /// The controller that a worker of ours is to report to instead.
+    /// The controller that a worker of ours is to heartbeat to instead.
     pub(super) fn home_of(&self, machine: &MachineId) -> Option<NodeId> {
         if !self.owns(machine) || self.load.offload_share() == 0.0 {
             return None;
@@ -273,17 +275,17 @@
         if cores.is_empty() {
             return;
         }
-        let report_load = ReportLoad {
+        let heartbeat_load = HeartbeatLoad {
             machines: cores.values().map(Core::machines).sum(),
             room: self.connections.limits().workers,
             wait_s: sample.wait_s,
             helpers: self.helpers(false).len(),
         };
-        let most = self.load.measured_as_owner(report_load, now);
+        let most = self.load.measured_as_owner(heartbeat_load, now);
         // Nor more than all controllers together have sockets for.
         let here = cores.len();
         let blocks = cores.first().map_or(1, |c| c.shard.of as usize);
-        let sockets = report_load.room * (self.cfg.others.len() + 1) * here / blocks.max(1);
+        let sockets = heartbeat_load.room * (self.cfg.others.len() + 1) * here / blocks.max(1);
         let most = most.unwrap_or(usize::MAX).min(sockets);
         let claims = (self.state.writes.rate() * CLAIMS_S) as usize / here;
         let processor_binds = self.load.binds(Resource::Processor);
@@ -333,7 +335,7 @@
             change_wait_s = (sample.change_wait_s * 10.0).round() / 10.0,
             connections,
             workers,
-            reports = rate(&counts.reports),
+            heartbeats = rate(&counts.heartbeats),
             homed = rate(&counts.homed),
             submissions = rate(&counts.submissions),
             polls = rate(&counts.polls),
--- a/src/control/mod.rs
+++ b/src/control/mod.rs
@@ -4,7 +4,7 @@
 //! [`Node`] composes the owners of its state, a module each: `leadership` (the lease),
 //! `store_view` (the local copy of the records), `shard_ownership` (owned blocks),
 //! `catalog` (machine types, topology), `admission` (users' requests),
-//! `heartbeat_routing` (workers' reports), `peer_statuses` (the other controllers),
+//! `heartbeat_routing` (workers' heartbeats), `peer_statuses` (the other controllers),
 //! `paces` and `load` (how much it can do), `wakeups` (signals between its loops). The
 //! other modules hold its duties, and change state only through these owners.
 
@@ -82,8 +82,8 @@
     Unavailable,
 }
 
-/// What a report's sender is told.
-pub enum Beat {
+/// What a heartbeat's sender is told.
+pub enum HeartbeatReply {
     /// The block's owner answers.
     Reply(Reply),
     /// The block's owner answered, and this controller passes it on.
@@ -120,7 +120,7 @@
     leadership: Leadership,
     /// Signals between its loops.
     wakeups: Wakeups,
-    /// Where workers' reports go.
+    /// Where workers' heartbeats go.
     heartbeat_routing: HeartbeatRouting,
     /// How the other controllers stand.
     peer_statuses: PeerStatuses,
@@ -212,7 +212,7 @@
         spawn_local(self.clone().list_machines());
         spawn_local(self.clone().learn_types());
         spawn_local(self.clone().watch_load());
-        spawn_local(self.clone().tell_heard());
+        spawn_local(self.clone().announce_heartbeats());
         spawn_local(self.clone().share_out());
         spawn_local(self.clone().tell_needs());
         spawn_local(self.clone().tend_calendar());
--- a/src/control/owning.rs
+++ b/src/control/owning.rs
@@ -26,7 +26,7 @@
         let mut cores = self.shards.owned_mut();
         let walks = self.paces.due(Duty::Walk, now);
         let starts_until = self.starts_until();
-        // A lease that nobody renews ends, but the next session takes starts again:
+        // A lease that nobody renews ends, but the next incarnation takes starts again:
         // one of a job that was cancelled elsewhere, long ago by then.
         let may_command = self.knows_the_cancelled();
         let mut sends = Vec::new();
@@ -66,7 +66,7 @@
             .shards
             .owned_mut()
             .get_mut(block)
-            .filter(|c| c.grant == send.commands.fencing_token.grant())
+            .filter(|c| c.grant == send.commands.fencing_fencing_token.grant())
             .map(|c| c.dispatched(&send.machine, outcome, now));
         // What fails for an owner that is none any more says nothing of
         // the next time that it is one.
--- a/src/control/paces.rs
+++ b/src/control/paces.rs
@@ -10,7 +10,7 @@
 /// A duty that looks at the whole fleet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Duty {
-    /// Filling a machine at its report. Under load a report may do without:
+    /// Filling a machine at its heartbeat. Under load a heartbeat may do without:
     /// offering all waiting jobs the best machine comes to the same.
     Walk,
     /// Offering all waiting jobs the best machine.
--- a/src/control/peer_statuses.rs
+++ b/src/control/peer_statuses.rs
@@ -49,7 +49,7 @@
         fresh.map(|status| status.standing).unwrap_or_default()
     }
 
-    /// The largest part of reports, in thousandths, that any controller passed to others
+    /// The largest part of heartbeats, in thousandths, that any controller passed to others
     /// when it was last heard, however long ago.
     pub(super) fn greatest_share(&self) -> u16 {
         let by_node = self.by_node.borrow();
--- a/src/control/pending.rs
+++ b/src/control/pending.rs
@@ -1,7 +1,7 @@
 //! What waits to be recorded, by urgency. The state service takes few changes
 //! a second, so they go where they are missed most: claims, as no task starts
 //! before its claim is recorded; jobs that are done, as their users wait for
-//! it; results and releases of single tasks, which a worker's report proves
+//! it; results and releases of single tasks, which a worker's heartbeat proves
 //! again at any time and which therefore wait for others of their chunk; and
 //! last the deletion of what nobody needs.
 
