--- a/src/control/renewing.rs
+++ b/src/control/renewing.rs
@@ -8,11 +8,11 @@
 use tokio::time::sleep;
 
 use super::vouching::vouches;
-use super::{load, Beat, Node};
+use super::{load, HeartbeatReply, Node};
 use crate::peer;
-use crate::peer::HeardOf;
+use crate::peer::ForwardedHeartbeat;
 use crate::types::{NodeId, Time};
-use crate::worker::{Reply, Report};
+use crate::worker::{Heartbeat, Reply};
 
 /// How often an owner is told which machines were heard.
 const HEARD_NOTICE_INTERVAL: Duration = Duration::from_millis(500);
@@ -21,7 +21,7 @@
     /// Whether this controller's view of the records is new enough to answer
     /// workers without the state service: beyond this, a job may have been
     /// cancelled elsewhere, and leases must be able to end its tasks in time
-    /// (`sorrelhinge_overload::freshness`). Asked before each answer, for a report
+    /// (`sorrelhinge_overload::freshness`). Asked before each answer, for a heartbeat
     /// that has come.
     pub(super) fn knows_the_cancelled(&self) -> bool {
         let (lease_s, cancel_s) = (self.cfg.lease_s, self.cfg.cancel_s);
@@ -36,58 +36,69 @@
     }
 
     /// Whether a worker's lease may be renewed without its machine's owner. The answer
-    /// carries the token that the worker has, so it commands nothing and fences nobody.
-    fn vouched(&self, report: &Report) -> bool {
-        self.knows_the_cancelled() && vouches(&self.store.view(), report)
+    /// carries the fencing token that the worker has, so it commands nothing and fences nobody.
+    fn vouched(&self, heartbeat: &Heartbeat) -> bool {
+        self.knows_the_cancelled() && vouches(&self.store.view(), heartbeat)
     }
 
     /// The answer that only renews the lease, if that may be given.
-    pub(super) fn renewed(&self, report: &Report) -> Option<Beat> {
-        self.vouched(report).then(|| {
+    pub(super) fn renewed(&self, heartbeat: &Heartbeat) -> Option<HeartbeatReply> {
+        self.vouched(heartbeat).then(|| {
             load::count(&self.load.counts.renewed);
-            Beat::Reply(Reply {
-                fencing_token: report.fencing_token,
+            HeartbeatReply::Reply(Reply {
+                fencing_fencing_token: heartbeat.fencing_fencing_token,
                 commands: Vec::new(),
             })
         })
     }
 
-    /// Takes a report for `owner`, who asked for it: hands it on, or, if it
+    /// Takes a heartbeat for `owner`, who asked for it: hands it on, or, if it
     /// tells nothing new and the owner is short of time, answers it. An owner
     /// that does not answer in time costs no lease.
-    pub(super) async fn beat_for(&self, owner: NodeId, report: &Report, body: &[u8]) -> Beat {
-        let content = Content::of(report);
+    pub(super) async fn heartbeat_for(
+        &self,
+        owner: NodeId,
+        heartbeat: &Heartbeat,
+        body: &[u8],
+    ) -> HeartbeatReply {
+        let content = Content::of(heartbeat);
         let relief = self.peer_statuses.standing_of(&owner).relief;
         let routing = &self.heartbeat_routing;
         let route = routing.route(
-            &report.machine,
+            &heartbeat.machine,
             content,
             relief,
-            self.cfg.report_s,
+            self.cfg.heartbeat_s,
             self.now(),
         );
         if route == Route::Renew {
-            let heard = HeardOf::new(&report.machine, report.incarnation, report.sequence);
-            if let Some((heard, answer)) = heard.and_then(|h| Some((h, self.renewed(report)?))) {
+            let heard = ForwardedHeartbeat::new(
+                &heartbeat.machine,
+                heartbeat.incarnation,
+                heartbeat.sequence,
+            );
+            if let Some((heard, answer)) = heard.and_then(|h| Some((h, self.renewed(heartbeat)?))) {
                 routing.answered_for(owner, heard);
                 return answer;
             }
         }
-        let kind = peer::Kind::Homed;
+        let kind = peer::Kind::Adopted;
         let taken = self.peers.pass_on(&owner, kind, body.to_vec()).await;
         match taken.filter(|a| a.status == 200) {
             Some(answered) => {
-                routing.answered_by_owner(&report.machine, content, self.now());
-                Beat::Passed(answered)
+                routing.answered_by_owner(&heartbeat.machine, content, self.now());
+                HeartbeatReply::Passed(answered)
             }
             // Not sent to the owner, which would have all come at once; and a
             // 503 would have them go round the controllers.
-            None => self.renewed(report).unwrap_or(Beat::Unavailable),
+            None => self
+                .renewed(heartbeat)
+                .unwrap_or(HeartbeatReply::Unavailable),
         }
     }
 
     /// Tells owners which machines were heard for them.
-    pub(super) async fn tell_heard(self: Rc<Self>) {
+    pub(super) async fn announce_heartbeats(self: Rc<Self>) {
         loop {
             sleep(HEARD_NOTICE_INTERVAL).await;
             for (owner, heard) in self.heartbeat_routing.take_answered_for() {
@@ -98,12 +109,13 @@
 
     /// Another controller heard machines of this one's, and they had nothing
     /// new to tell.
-    pub fn heard_of(&self, machines: &[HeardOf]) {
+    pub fn heartbeats_announced(&self, machines: &[ForwardedHeartbeat]) {
         let now = self.now();
         let mut cores = self.shards.owned_mut();
-        for (machine, session, sequence) in machines.iter().filter_map(HeardOf::read) {
+        for (machine, incarnation, sequence) in machines.iter().filter_map(ForwardedHeartbeat::read)
+        {
             if let Some(c) = cores.get_mut(self.block_of(&machine)) {
-                c.heard(&machine, session, sequence, now);
+                c.heard(&machine, incarnation, sequence, now);
             }
         }
     }
--- a/src/control/vouching.rs
+++ b/src/control/vouching.rs
@@ -4,26 +4,26 @@
 use crate::state::record::Phase;
 use crate::state::view::View;
 use crate::types::TaskId;
-use crate::worker::{Report, ReportedTask, TaskPhase};
+use crate::worker::{Heartbeat, ReportedTask, TaskPhase};
 
 /// Whether all that runs on a machine, or may yet start there, is claimed by the
 /// records for jobs that are neither cancelled nor done.
 ///
-/// A start that its owner sent and that was held back is carried out while token and
-/// session match (PROTOCOL, "Delayed messages"). The owner raises the token, but an
-/// answer given in its stead carries the token that the worker has, and keeps the
-/// session: so a cancelled job's claim on the machine forbids it, also while the task
-/// is not in the report. A claim stays recorded until its task is provably gone.
-pub fn vouches(view: &View, report: &Report) -> bool {
-    report.fencing_token.0 > 0
-        && !view.may_run_cancelled(&report.machine)
-        && report.tasks.iter().all(|task_name| {
-            task_name.phase == TaskPhase::Ended || is_live_claim(view, report, task_name)
+/// A start that its owner sent and that was held back is carried out while fencing token and
+/// incarnation match (PROTOCOL, "Delayed messages"). The owner raises the fencing token, but an
+/// answer given in its stead carries the fencing token that the worker has, and keeps the
+/// incarnation: so a cancelled job's claim on the machine forbids it, also while the task
+/// is not in the heartbeat. A claim stays recorded until its task is provably gone.
+pub fn vouches(view: &View, heartbeat: &Heartbeat) -> bool {
+    heartbeat.fencing_fencing_token.0 > 0
+        && !view.may_run_cancelled(&heartbeat.machine)
+        && heartbeat.tasks.iter().all(|task_name| {
+            task_name.phase == TaskPhase::Ended || is_live_claim(view, heartbeat, task_name)
         })
 }
 
 /// Whether a reported task is claimed for this machine, for a job that is not over.
-fn is_live_claim(view: &View, report: &Report, task_name: &ReportedTask) -> bool {
+fn is_live_claim(view: &View, heartbeat: &Heartbeat, task_name: &ReportedTask) -> bool {
     let Some(task): Option<TaskId> = task_name.id() else {
         return false;
     };
@@ -39,6 +39,6 @@
         && chunk.claims.iter().any(|claim| {
             claim.place == task.index % size
                 && claim.attempt == task_name.attempt
-                && claim.machine == report.machine
+                && claim.machine == heartbeat.machine
         })
 }
--- a/src/control/workers.rs
+++ b/src/control/workers.rs
@@ -1,4 +1,4 @@
-//! Workers' reports: taken as the owner, or passed on.
+//! Workers' heartbeats: taken as the owner, or passed on.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -8,16 +8,16 @@
 use super::core::{Core, Source};
 use super::heartbeat_routing::Redirect;
 use super::paces::Duty;
-use super::{Beat, Node};
+use super::{HeartbeatReply, Node};
 use crate::peer;
 use crate::types::{MachineId, NodeId};
-use crate::worker::{Reply, Report};
+use crate::worker::{Heartbeat, Reply};
 
 /// While others are served for this long, requests are passed on to them.
 const CUT_OFF: Duration = Duration::from_millis(300);
 
-/// What came of a report for an owned block.
-enum ReportOutcome {
+/// What came of a heartbeat for an owned block.
+enum HeartbeatOutcome {
     /// It is an old one: nothing was taken.
     Copy,
     /// Its worker has the fencing token of a newer grant.
@@ -27,27 +27,31 @@
 }
 
 impl Node {
-    /// Takes a worker's report, `body` as it came.
-    pub async fn beat(self: &Rc<Self>, report: &Report, body: &[u8]) -> Beat {
+    /// Takes a worker's heartbeat, `body` as it came.
+    pub async fn heartbeat(self: &Rc<Self>, heartbeat: &Heartbeat, body: &[u8]) -> HeartbeatReply {
         // A copy that came late: nobody waits for its answer, and what it says was
         // said before. It moved machines to other controllers, and was passed on as
         // a sign of life.
-        if !self.heartbeat_routing.is_new(report, self.now()) {
-            return Beat::Unavailable;
+        if !self.heartbeat_routing.is_new(heartbeat, self.now()) {
+            return HeartbeatReply::Unavailable;
         }
-        if self.lets_go(&report.machine) {
-            return Beat::Unavailable;
+        if self.lets_go(&heartbeat.machine) {
+            return HeartbeatReply::Unavailable;
         }
-        if let Some(home) = self.home_of(&report.machine) {
-            return Beat::Elsewhere(home);
+        if let Some(home) = self.home_of(&heartbeat.machine) {
+            return HeartbeatReply::Elsewhere(home);
         }
-        match self.own_beat(report, Source::Beat) {
-            Beat::Elsewhere(owner) if self.takes_for(&owner) => {
-                self.beat_for(owner, report, body).await
+        match self.own_heartbeat(heartbeat, Source::Heartbeat) {
+            HeartbeatReply::Elsewhere(owner) if self.takes_for(&owner) => {
+                self.heartbeat_for(owner, heartbeat, body).await
+            }
+            HeartbeatReply::Elsewhere(owner) => {
+                self.heartbeat_elsewhere(heartbeat, owner, body).await
             }
-            Beat::Elsewhere(owner) => self.beat_elsewhere(report, owner, body).await,
             // While nobody owns the machines, nobody's tasks are to end for it.
-            Beat::Unavailable => self.renewed(report).unwrap_or(Beat::Unavailable),
+            HeartbeatReply::Unavailable => self
+                .renewed(heartbeat)
+                .unwrap_or(HeartbeatReply::Unavailable),
             other => other,
         }
     }
@@ -75,33 +79,42 @@
         }
     }
 
-    /// A report for another controller: its sender is told so. If it comes
-    /// back soon it can't reach that one, and its report is passed on: its
+    /// A heartbeat for another controller: its sender is told so. If it comes
+    /// back soon it can't reach that one, and its heartbeat is passed on: its
     /// tasks must not end with its lease because two zones are apart. It is
     /// told again now and then, as the way may be open.
-    pub(super) async fn beat_elsewhere(&self, report: &Report, owner: NodeId, body: &[u8]) -> Beat {
+    pub(super) async fn heartbeat_elsewhere(
+        &self,
+        heartbeat: &Heartbeat,
+        owner: NodeId,
+        body: &[u8],
+    ) -> HeartbeatReply {
         let back = Duration::from_secs_f64(self.cfg.lease_s / 2.0);
         let routing = &self.heartbeat_routing;
-        if routing.redirect(&report.machine, &owner, back) == Redirect::Tell {
-            return Beat::Elsewhere(owner);
+        if routing.redirect(&heartbeat.machine, &owner, back) == Redirect::Tell {
+            return HeartbeatReply::Elsewhere(owner);
         }
-        let passed = self.pass_report_on(&owner, body, true).await;
+        let passed = self.forward_heartbeat(&owner, body, true).await;
         match passed.filter(|answered| answered.status == 200) {
-            Some(answered) => Beat::Passed(answered),
-            None => self.renewed(report).unwrap_or(Beat::Elsewhere(owner)),
+            Some(answered) => HeartbeatReply::Passed(answered),
+            None => self
+                .renewed(heartbeat)
+                .unwrap_or(HeartbeatReply::Elsewhere(owner)),
         }
     }
 
-    /// Passes a report on to the owner, or if `via`, and if that can't be
+    /// Passes a heartbeat on to the owner, or if `via`, and if that can't be
     /// reached from here either, to one that may reach it: where two of three
     /// zones are apart, the third has a way.
-    pub(super) async fn pass_report_on(
+    pub(super) async fn forward_heartbeat(
         &self,
         owner: &NodeId,
         body: &[u8],
         via: bool,
     ) -> Option<peer::Answered> {
-        let direct = self.peers.pass_on(owner, peer::Kind::Beat, body.to_vec());
+        let direct = self
+            .peers
+            .pass_on(owner, peer::Kind::Heartbeat, body.to_vec());
         if let Some(answered) = direct.await {
             return Some(answered);
         }
@@ -127,12 +140,12 @@
     }
 
     /// Takes a report that another controller could not pass on to the owner.
-    pub async fn passed_via(self: &Rc<Self>, report: &Report, body: &[u8]) -> Beat {
-        match self.own_beat(report, Source::Passed) {
-            Beat::Elsewhere(owner) => self
-                .pass_report_on(&owner, body, false)
+    pub async fn passed_via(self: &Rc<Self>, heartbeat: &Heartbeat, body: &[u8]) -> HeartbeatReply {
+        match self.own_heartbeat(heartbeat, Source::Passed) {
+            HeartbeatReply::Elsewhere(owner) => self
+                .forward_heartbeat(&owner, body, false)
                 .await
-                .map_or(Beat::Unavailable, Beat::Passed),
+                .map_or(HeartbeatReply::Unavailable, HeartbeatReply::Passed),
             other => other,
         }
     }
@@ -166,56 +179,61 @@
         None
     }
 
-    /// Takes a worker's report as the block's owner.
-    pub fn own_beat(self: &Rc<Self>, report: &Report, source: Source) -> Beat {
-        let block = self.block_of(&report.machine);
+    /// Takes a worker's heartbeat as the block's owner.
+    pub fn own_heartbeat(self: &Rc<Self>, heartbeat: &Heartbeat, source: Source) -> HeartbeatReply {
+        let block = self.block_of(&heartbeat.machine);
         let outcome = {
             let mut cores = self.shards.owned_mut();
             let core = cores.get_mut(block);
-            core.map(|core| self.take_report(core, report, source))
+            core.map(|core| self.take_heartbeat(core, heartbeat, source))
         };
         match outcome {
-            Some(ReportOutcome::Copy) => Beat::Unavailable,
-            Some(ReportOutcome::Superseded) => {
+            Some(HeartbeatOutcome::Copy) => HeartbeatReply::Unavailable,
+            Some(HeartbeatOutcome::Superseded) => {
                 self.deposed(block);
-                Beat::Unavailable
+                HeartbeatReply::Unavailable
             }
-            Some(ReportOutcome::Taken(reply)) => {
+            Some(HeartbeatOutcome::Taken(reply)) => {
                 self.drive();
-                reply.map_or(Beat::Unavailable, Beat::Reply)
+                reply.map_or(HeartbeatReply::Unavailable, HeartbeatReply::Reply)
             }
             None => match self.owner_of(block) {
-                Some(owner) if owner != self.cfg.node => Beat::Elsewhere(owner),
-                _ => Beat::Unavailable,
+                Some(owner) if owner != self.cfg.node => HeartbeatReply::Elsewhere(owner),
+                _ => HeartbeatReply::Unavailable,
             },
         }
     }
 
-    /// Takes a report for an owned block, and answers it if that is safe.
-    fn take_report(&self, core: &mut Core, report: &Report, source: Source) -> ReportOutcome {
+    /// Takes a heartbeat for an owned block, and answers it if that is safe.
+    fn take_heartbeat(
+        &self,
+        core: &mut Core,
+        heartbeat: &Heartbeat,
+        source: Source,
+    ) -> HeartbeatOutcome {
         let now = self.now();
         // Before it can depose, and without an answer, which would have commands
         // that nobody takes count as sent.
-        if core.is_copy(report) && report.fencing_token.grant() <= core.grant {
-            return ReportOutcome::Copy;
+        if core.is_copy(heartbeat) && heartbeat.fencing_fencing_token.grant() <= core.grant {
+            return HeartbeatOutcome::Copy;
         }
-        // A report of one that hears nothing shows no way to the workers: while
-        // none heard this owner, its reports kept it one.
-        let hears = core.hears(&report.machine);
+        // A heartbeat of one that hears nothing shows no way to the workers: while
+        // none heard this owner, its heartbeats kept it one.
+        let hears = core.hears(&heartbeat.machine);
         match source {
-            Source::Beat | Source::Direct if hears => self.leadership.worker_reached(),
-            Source::Beat | Source::Direct => {}
-            Source::Homed | Source::Passed => self.leadership.report_relayed(now),
+            Source::Heartbeat | Source::Direct if hears => self.leadership.worker_reached(),
+            Source::Heartbeat | Source::Direct => {}
+            Source::Adopted | Source::Passed => self.leadership.heartbeat_relayed(now),
         }
-        if !core.report(report, source, now) {
-            return ReportOutcome::Superseded;
+        if !core.heartbeat(heartbeat, source, now) {
+            return HeartbeatOutcome::Superseded;
         }
         if !self.knows_the_cancelled() {
-            return ReportOutcome::Taken(None);
+            return HeartbeatOutcome::Taken(None);
         }
         if self.paces.due(Duty::Walk, now) {
-            self.timed(Duty::Walk, || core.walk(&report.machine, now));
+            self.timed(Duty::Walk, || core.walk(&heartbeat.machine, now));
         }
-        ReportOutcome::Taken(Some(core.answer(report, &self.store.view(), now)))
+        HeartbeatOutcome::Taken(Some(core.answer(heartbeat, &self.store.view(), now)))
     }
 }
--- a/src/peer/listening.rs
+++ b/src/peer/listening.rs
@@ -12,14 +12,14 @@
 use tokio::task::{spawn_local, yield_now};
 use tokio::time::{sleep, timeout};
 
-use super::message::{HeardOf, Kind, Message, Standing};
+use super::message::{ForwardedHeartbeat, Kind, Message, Standing};
 use super::{send_together, Answered, BUFFER};
 use crate::types::{NodeId, Revision};
 
 /// Requests passed on by one controller that are being answered here: the heartbeats of
 /// a whole fleet may be. A place takes no memory until there is an answer.
 const MOST_ANSWERING: usize = 10_000;
-/// Reports that are handled without letting others have a turn.
+/// Heartbeats that are handled without letting others have a turn.
 const IN_A_TURN: usize = 12;
 /// A silent connection ends: its other end may be long gone.
 const SILENCE: Duration = Duration::from_secs(300);
@@ -36,8 +36,8 @@
     fn hint(&self, revision: Revision, from: &NodeId, standing: Standing, flags: u16);
     /// Answers a worker's report that another controller took for this one.
     fn homed(&self, text: &[u8]) -> Answered;
-    /// Machines whose reports another controller answered for this one.
-    fn heard(&self, machines: &[HeardOf]);
+    /// Machines whose heartbeats another controller answered for this one.
+    fn heard(&self, machines: &[ForwardedHeartbeat]);
     /// What another owner of a block tells.
     fn share(&self, kind: Kind, text: &[u8]);
     /// Answers a request that was passed on.
@@ -88,7 +88,7 @@
     heard: Rc<H>,
     /// Answers, to be sent back.
     out: mpsc::Sender<Message>,
-    /// Reports that were handled, modulo [`IN_A_TURN`] to give others a turn.
+    /// Heartbeats that were handled, modulo [`IN_A_TURN`] to give others a turn.
     in_a_turn: usize,
 }
 
@@ -108,14 +108,14 @@
             Kind::Hint => self.hint(&message),
             // Of another length it is not what this version knows.
             Kind::Heard => {
-                let machines = HeardOf::parse(&message.text).unwrap_or_default();
+                let machines = ForwardedHeartbeat::parse(&message.text).unwrap_or_default();
                 self.heard.heard(machines);
             }
             kind @ (Kind::Needs | Kind::Rented | Kind::Left) => {
                 self.heard.share(kind, &message.text);
             }
-            Kind::Homed => self.report(&message).await,
-            Kind::Beat | Kind::Via | Kind::Submit | Kind::Withdraw | Kind::Poll => {
+            Kind::Adopted => self.heartbeat(&message).await,
+            Kind::Heartbeat | Kind::Via | Kind::Submit | Kind::Withdraw | Kind::Poll => {
                 self.request(message);
             }
         }
@@ -130,8 +130,8 @@
             .hint(Revision(message.number), &from, standing, message.flags);
     }
 
-    /// Answers a report at once; without room for the answer it is not taken.
-    async fn report(&mut self, message: &Message) {
+    /// Answers a heartbeat at once; without room for the answer it is not taken.
+    async fn heartbeat(&mut self, message: &Message) {
         let Ok(place) = self.out.clone().try_reserve_owned() else {
             return;
         };
--- a/src/peer/message.rs
+++ b/src/peer/message.rs
@@ -6,7 +6,7 @@
 use zerocopy::{FromBytes, Immutable, IntoBytes, KnownLayout, Unaligned};
 
 use super::Answered;
-use crate::types::{MachineId, SequenceNumber, Session};
+use crate::types::{Incarnation, MachineId, SequenceNumber};
 
 /// How a header begins: "hnge" in the order of its bytes.
 const MAGIC: u32 = 0x6567_6e68;
@@ -22,9 +22,9 @@
 pub enum Kind {
     /// The state service has reached the revision `number`.
     Hint,
-    /// A worker's report, for this controller.
-    Beat,
-    /// A worker's report for a controller that the sender can't reach, to be
+    /// A worker's heartbeat, for this controller.
+    Heartbeat,
+    /// A worker's heartbeat for a controller that the sender can't reach, to be
     /// passed on once more.
     Via,
     /// A submission.
@@ -33,9 +33,9 @@
     Withdraw,
     /// The answer to the request `number`.
     Answer,
-    /// A worker's report, taken for this controller, which asked for it.
-    Homed,
-    /// Machines that were heard: [`HeardOf`] entries. No answer.
+    /// A worker's heartbeat, taken for this controller, which asked for it.
+    Adopted,
+    /// Machines that were heard: [`ForwardedHeartbeat`] entries. No answer.
     Heard,
     /// What a block uses and wants ([`crate::shares`]), as the next two are. No
     /// answer, and only while there are several blocks.
@@ -52,12 +52,12 @@
 /// All kinds; the place of one is its number on the wire, so new ones go to the end.
 const KINDS: [Kind; 12] = [
     Kind::Hint,
-    Kind::Beat,
+    Kind::Heartbeat,
     Kind::Via,
     Kind::Submit,
     Kind::Withdraw,
     Kind::Answer,
-    Kind::Homed,
+    Kind::Adopted,
     Kind::Heard,
     Kind::Needs,
     Kind::Rented,
@@ -86,7 +86,7 @@
 /// the text is its name. A version that does not know it sends 0 and no text.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Standing {
-    /// Takes reports for the owner of the machines.
+    /// Takes heartbeats for the owner of the machines.
     pub helps: bool,
     /// Has no room for more workers.
     pub crowded: bool,
@@ -122,44 +122,48 @@
     }
 }
 
-/// A machine whose report was answered for its owner: fixed layout,
+/// A machine whose heartbeat was answered for its owner: fixed layout,
 /// little-endian. A name that is shorter is filled up with zeros.
 #[derive(
     Clone, Copy, Debug, PartialEq, Eq, FromBytes, IntoBytes, KnownLayout, Immutable, Unaligned,
 )]
 #[repr(C)]
-pub struct HeardOf {
-    session: U64,
+pub struct ForwardedHeartbeat {
+    incarnation: U64,
     sequence: U64,
-    name: [u8; HEARD_NAME],
+    name: [u8; MACHINE_NAME_BYTES],
 }
 
-/// The longest name in a [`HeardOf`]; reports of others go to the owner.
-const HEARD_NAME: usize = 32;
+/// The longest name in a [`ForwardedHeartbeat`]; heartbeats of others go to the owner.
+const MACHINE_NAME_BYTES: usize = 32;
 /// How many go in one message.
-pub(super) const HEARD_TOGETHER: usize = 128;
+pub(super) const MAX_HEARTBEATS_PER_MESSAGE: usize = 128;
 
-impl HeardOf {
-    /// Of a machine's report; none if its name is too long.
-    pub fn new(machine: &MachineId, session: Session, sequence: SequenceNumber) -> Option<Self> {
+impl ForwardedHeartbeat {
+    /// Of a machine's heartbeat; none if its name is too long.
+    pub fn new(
+        machine: &MachineId,
+        incarnation: Incarnation,
+        sequence: SequenceNumber,
+    ) -> Option<Self> {
         let bytes = machine.as_str().as_bytes();
-        let mut name = [0; HEARD_NAME];
+        let mut name = [0; MACHINE_NAME_BYTES];
         name.get_mut(..bytes.len())?.copy_from_slice(bytes);
         Some(Self {
-            session: U64::new(session.0),
+            incarnation: U64::new(incarnation.0),
             sequence: U64::new(sequence.0),
             name,
         })
     }
 
-    /// Which machine, session and report.
-    pub fn read(&self) -> Option<(MachineId, Session, SequenceNumber)> {
+    /// Which machine, incarnation and heartbeat.
+    pub fn read(&self) -> Option<(MachineId, Incarnation, SequenceNumber)> {
         let end = self.name.iter().position(|b| *b == 0);
-        let name = &self.name[..end.unwrap_or(HEARD_NAME)];
+        let name = &self.name[..end.unwrap_or(MACHINE_NAME_BYTES)];
         let machine = MachineId::from(std::str::from_utf8(name).ok()?);
         Some((
             machine,
-            Session(self.session.get()),
+            Incarnation(self.incarnation.get()),
             SequenceNumber(self.sequence.get()),
         ))
     }
@@ -210,12 +214,12 @@
         }
     }
 
-    /// The answer to this request, by its kind: reports' answers wait for company.
+    /// The answer to this request, by its kind: heartbeats' answers wait for company.
     pub(super) fn answer(&self, answered: Answered) -> Self {
         Self {
             number: self.number,
             status: answered.status,
-            waits: self.kind == Kind::Homed,
+            waits: self.kind == Kind::Adopted,
             ..Self::new(Kind::Answer, answered.text)
         }
     }
--- a/src/peer/mod.rs
+++ b/src/peer/mod.rs
@@ -22,8 +22,10 @@
 use zerocopy::IntoBytes;
 
 pub use self::listening::{listen, Answering, Heard};
-pub use self::message::{Header, HeardOf, Kind, Message, Standing, BLOCKS, LIMITS_FELL, POLLS};
-use self::message::{HEARD_TOGETHER, MOST_TEXT};
+pub use self::message::{
+    ForwardedHeartbeat, Header, Kind, Message, Standing, BLOCKS, LIMITS_FELL, POLLS,
+};
+use self::message::{MAX_HEARTBEATS_PER_MESSAGE, MOST_TEXT};
 use crate::types::{NodeId, Revision};
 
 /// Messages that wait to be sent to one controller: the heartbeats of a whole fleet may
@@ -32,13 +34,13 @@
 /// How long an answer may take: a worker waits 4 s for two of them.
 const ANSWER: Duration = Duration::from_millis(1400);
 /// The same for a report that a worker was sent here with: there is one hop.
-const ANSWER_REPORT: Duration = Duration::from_millis(3000);
+const ANSWER_HEARTBEAT: Duration = Duration::from_millis(3000);
 /// For how long a line that gave no answer is not used for requests.
 const DOUBTED: Duration = Duration::from_secs(5);
-/// The same where only reports wait too long, as their owner has too many of
+/// The same where only heartbeats wait too long, as their owner has too many of
 /// them, or a poll did.
-const DOUBTED_REPORT: Duration = Duration::from_millis(700);
-/// Reports and their answers wait so long for company: one packet then takes
+const DOUBTED_HEARTBEAT: Duration = Duration::from_millis(700);
+/// Heartbeats and their answers wait so long for company: one packet then takes
 /// many, and it is the packets that cost most.
 const LINGER: Duration = Duration::from_millis(30);
 /// For a connection to another controller.
@@ -113,7 +115,7 @@
     fn doubt(&self, kind: Kind) {
         let doubted = match kind {
             // A poll may have had next to no time left.
-            Kind::Homed | Kind::Poll => DOUBTED_REPORT,
+            Kind::Adopted | Kind::Poll => DOUBTED_HEARTBEAT,
             _ => DOUBTED,
         };
         self.doubted_until.set(Some(Instant::now() + doubted));
@@ -202,12 +204,12 @@
     }
 
     /// Tells the owner of machines that they were heard. What finds no room is
-    /// lost: the next report of each goes to the owner itself, by and by.
-    pub fn heard(&self, owner: &NodeId, machines: &[HeardOf]) {
+    /// lost: the next heartbeat of each goes to the owner itself, by and by.
+    pub fn heard(&self, owner: &NodeId, machines: &[ForwardedHeartbeat]) {
         let Some(line) = self.lines.get(owner).filter(|l| l.connected()) else {
             return;
         };
-        for some in machines.chunks(HEARD_TOGETHER) {
+        for some in machines.chunks(MAX_HEARTBEATS_PER_MESSAGE) {
             let _ = line.out.try_send(Message {
                 waits: true,
                 ..Message::new(Kind::Heard, some.as_bytes().to_vec())
@@ -218,7 +220,7 @@
     /// Passes a request on; none if no answer came.
     pub async fn pass_on(&self, node: &NodeId, kind: Kind, text: Vec<u8>) -> Option<Answered> {
         let patience = match kind {
-            Kind::Homed => ANSWER_REPORT,
+            Kind::Adopted => ANSWER_HEARTBEAT,
             _ => ANSWER,
         };
         self.pass_on_within(node, kind, text, patience).await
@@ -241,7 +243,7 @@
         self.requests.set(number);
         let message = Message {
             number,
-            waits: kind == Kind::Homed,
+            waits: kind == Kind::Adopted,
             ..Message::new(kind, text)
         };
         let answered = line.ask(message, patience).await;
--- a/src/sched/machine.rs
+++ b/src/sched/machine.rs
@@ -19,7 +19,7 @@
     ready: bool,
 }
 
-/// Images on a machine, modelled: workers don't report them. Least recently
+/// Images on a machine, modelled: workers don't heartbeat them. Least recently
 /// used first.
 #[derive(Clone, Debug, Default)]
 pub struct Cache {
--- a/src/sched/placement_pass.rs
+++ b/src/sched/placement_pass.rs
@@ -75,7 +75,7 @@
 }
 
 impl ClusterState {
-    /// Fills one machine, after its report: the walk of delay scheduling,
+    /// Fills one machine, after its heartbeat: the walk of delay scheduling,
     /// until nothing more launches. Launched tasks are claimed on the cluster state.
     pub fn walk(&mut self, m_id: &MachineId, rule: DelayRule, now: Time) -> Vec<Launch> {
         self.walk_in(None, m_id, rule, now)
@@ -163,7 +163,7 @@
     }
 
     /// Offers every job that waits the best machine for it: what the walks of
-    /// all machines come to, when work arrived or waits passed that no report
+    /// all machines come to, when work arrived or waits passed that no heartbeat
     /// shows. Within a pass room only shrinks, so a job that found none is not
     /// asked again: each team's queue is gone through once, however often the
     /// teams take turns.
--- a/src/sched/tasks.rs
+++ b/src/sched/tasks.rs
@@ -17,7 +17,7 @@
     Flying,
     /// The worker has answered the command.
     Answered,
-    /// Sent in the answer to a report.
+    /// Sent in the answer to a heartbeat.
     InReply,
 }
 
--- a/src/state/budget.rs
+++ b/src/state/budget.rs
@@ -1,5 +1,5 @@
 //! This controller's share of what all controllers together may ask of a service, as a
-//! token bucket. The level can be negative: what must go first is taken all the same, and
+//! fencing token bucket. The level can be negative: what must go first is taken all the same, and
 //! the others wait until it is made up for.
 
 use std::cell::Cell;
--- a/src/state/record/leadership.rs
+++ b/src/state/record/leadership.rs
@@ -22,7 +22,7 @@
     pub owner: Option<NodeId>,
     /// By the leader of this term.
     pub term: Term,
-    /// Rises with each grant; tokens are made from it.
+    /// Rises with each grant; fencing tokens are made from it.
     pub number: u64,
 }
 
--- a/src/state/record/shards.rs
+++ b/src/state/record/shards.rs
@@ -33,7 +33,7 @@
     pub run: u64,
     /// By the leader of this term.
     pub term: Term,
-    /// Rises with each grant of any block; tokens are made from it.
+    /// Rises with each grant of any block; fencing tokens are made from it.
     pub number: u64,
     /// To whom it is offered.
     #[serde(default, skip_serializing_if = "Option::is_none")]
--- a/src/worker.rs
+++ b/src/worker.rs
@@ -7,7 +7,7 @@
 use bytes::Bytes;
 use hyper::Method;
 pub use sorrelhinge_protocol::worker::{
-    Command, DirectCommands, ExitReason, Reply, Report, ReportedImage, ReportedTask, TaskPhase,
+    Command, DirectCommands, ExitReason, Heartbeat, Reply, ReportedImage, ReportedTask, TaskPhase,
 };
 
 /// For commands that are sent directly.
@@ -19,10 +19,10 @@
 /// What became of commands sent directly.
 #[derive(Debug)]
 pub enum Sending {
-    /// Carried out; the report after them.
-    Executed(Box<Report>),
-    /// Not carried out: token or session don't match; the report says which.
-    Refused(Box<Report>),
+    /// Carried out; the heartbeat after them.
+    Executed(Box<Heartbeat>),
+    /// Not carried out: fencing token or incarnation don't match; the heartbeat says which.
+    Refused(Box<Heartbeat>),
     /// Never reached the worker.
     NotSent,
     /// May be carried out, even minutes later.
@@ -37,13 +37,13 @@
     };
     match call_once(address, Method::POST, "/orders", Bytes::from(body), LIMITS).await {
         Ok(answer) => {
-            let report = serde_json::from_slice::<Report>(&answer.body).map(Box::new);
-            match (answer.status.as_u16(), report) {
-                (200, Ok(report)) => Sending::Executed(report),
-                (409, Ok(report)) => Sending::Refused(report),
+            let heartbeat = serde_json::from_slice::<Heartbeat>(&answer.body).map(Box::new);
+            match (answer.status.as_u16(), heartbeat) {
+                (200, Ok(heartbeat)) => Sending::Executed(heartbeat),
+                (409, Ok(heartbeat)) => Sending::Refused(heartbeat),
                 (400..=499, _) => Sending::NotSent,
-                (status, report) => {
-                    tracing::error!(%address, status, malformed = report.is_err(), "orders");
+                (status, heartbeat) => {
+                    tracing::error!(%address, status, malformed = heartbeat.is_err(), "orders");
                     Sending::Unknown
                 }
             }
--- a/tests/addition.rs
+++ b/tests/addition.rs
@@ -1,4 +1,4 @@
-//! Three troubles, and processes that are back at once: machines that report and
+//! Three troubles, and processes that are back at once: machines that heartbeat and
 //! hear nothing, copies of reports that come late, a controller that is alone with
 //! its workers, and controllers that end in the middle of an election. Real
 //! controllers on loopback, three and five.
@@ -85,11 +85,11 @@
 }
 
 /// A zone's machines hear nothing, and one of another zone now and then. Before,
-/// each report made them usable again: claims went there without end, and they were
+/// each heartbeat made them usable again: claims went there without end, and they were
 /// kept for good. They are given back, what ran there runs elsewhere, and it costs
 /// few changes. On the sources before, they were all there a minute later.
 #[test]
-fn a_zone_that_reports_and_hears_nothing_is_given_back() {
+fn a_zone_that_heartbeats_and_hears_nothing_is_given_back() {
     run(async {
         let world = begin(plan("deaf", 30, 3)).await;
         let deaf = of_first_zone(&world);
@@ -125,7 +125,7 @@
 }
 
 /// Machines hear nothing from the owner alone, and others do: what others pass on
-/// reaches them. Then the owner ends, and one never takes the new token up: it was
+/// reaches them. Then the owner ends, and one never takes the new fencing token up: it was
 /// kept, with nothing to do.
 #[test]
 fn machines_that_are_deaf_to_one_controller_are_served_by_way_of_others() {
@@ -157,12 +157,12 @@
     });
 }
 
-/// Copies of reports, up to three leases late, at all controllers, while owners end:
+/// Copies of heartbeats, up to three leases late, at all controllers, while owners end:
 /// nothing is started for them, no owner is deposed, and a machine that died and
-/// whose last reports go on coming is replaced. (What failed before without processes
+/// whose last heartbeats go on coming is replaced. (What failed before without processes
 /// is in `tests/rules.rs`; this held.)
 #[test]
-fn copies_of_reports_prove_nothing() {
+fn copies_of_heartbeats_prove_nothing() {
     run(async {
         let mut world = begin(plan("copies", 38, 5)).await;
         world.nodes.borrow_mut().sent = Some(Default::default());
--- a/tests/edges.rs
+++ b/tests/edges.rs
@@ -9,7 +9,9 @@
 use serde_json::{json, Value};
 use sorrelhinge::api::read_job;
 use sorrelhinge::config::{lanes, Config, Tuning};
-use sorrelhinge::peer::{listen, Answered, Heard, HeardOf, Kind, Message, Peers, Standing};
+use sorrelhinge::peer::{
+    listen, Answered, ForwardedHeartbeat, Heard, Kind, Message, Peers, Standing,
+};
 use sorrelhinge::shares::{encode_left, parse_left, LeftTo, Needs, Rented};
 use sorrelhinge::state::record::{
     block_key, chunk_key, chunk_size, job_key, member_key, slice_key, wave_key, ChunkRecord, Fence,
@@ -17,8 +19,8 @@
 };
 use sorrelhinge::state::view::{Versioned, View};
 use sorrelhinge::types::{
-    self, Amount, Attempt, JobId, JobSpec, MachineId, NodeId, Revision, SequenceNumber, Session,
-    TaskId, Token,
+    self, Amount, Attempt, FencingToken, Incarnation, JobId, JobSpec, MachineId, NodeId, Revision,
+    SequenceNumber, TaskId,
 };
 use sorrelhinge_sharding::shard::BlockId;
 use sorrelhinge_sharding::slices::Need;
@@ -270,12 +272,12 @@
 
 #[test]
 fn any_later_grant_is_above_all_raises_of_an_earlier_one() {
-    let mut token = Token::of_grant(3);
+    let mut fencing_token = FencingToken::of_grant(3);
     for _ in 0..1000 {
-        token = token.raised();
+        fencing_token = fencing_token.raised();
     }
-    assert!(token < Token::of_grant(4));
-    assert_eq!(token.grant(), 3);
+    assert!(fencing_token < FencingToken::of_grant(4));
+    assert_eq!(fencing_token.grant(), 3);
 }
 
 #[test]
@@ -360,8 +362,8 @@
         Answered { status: 200, text }
     }
     fn share(&self, _: Kind, _: &[u8]) {}
-    fn heard(&self, machines: &[HeardOf]) {
-        let read = machines.iter().filter_map(HeardOf::read);
+    fn heard(&self, machines: &[ForwardedHeartbeat]) {
+        let read = machines.iter().filter_map(ForwardedHeartbeat::read);
         self.0
             .borrow_mut()
             .extend(read.map(|(machine, ..)| machine));
@@ -389,14 +391,14 @@
             tokio::time::sleep(Duration::from_millis(5)).await;
         }
         for text in [b"one".to_vec(), vec![7; 60_000]] {
-            let answered = peers.pass_on(&other, Kind::Beat, text.clone()).await;
+            let answered = peers.pass_on(&other, Kind::Heartbeat, text.clone()).await;
             assert_eq!(answered, Some(Answered { status: 200, text }));
         }
-        // Reports taken for the owner go in batches, each with its answer.
+        // Heartbeats taken for the owner go in batches, each with its answer.
         let many = (0..200_u32).map(|n| {
             let (peers, other, text) = (peers.clone(), other.clone(), n.to_string().into_bytes());
             spawn_local(async move {
-                let answered = peers.pass_on(&other, Kind::Homed, text.clone()).await;
+                let answered = peers.pass_on(&other, Kind::Adopted, text.clone()).await;
                 assert_eq!(answered, Some(Answered { status: 200, text }));
             })
         });
@@ -407,26 +409,26 @@
         let names: Vec<MachineId> = (0..300)
             .map(|n| MachineId::from(&*format!("vm-{n:06}")))
             .collect();
-        let told: Vec<HeardOf> = names
+        let told: Vec<ForwardedHeartbeat> = names
             .iter()
-            .filter_map(|m| HeardOf::new(m, Session(2), SequenceNumber(7)))
+            .filter_map(|m| ForwardedHeartbeat::new(m, Incarnation(2), SequenceNumber(7)))
             .collect();
         assert_eq!(
-            HeardOf::parse(told.as_bytes()).map(<[HeardOf]>::len),
+            ForwardedHeartbeat::parse(told.as_bytes()).map(<[ForwardedHeartbeat]>::len),
             Some(300)
         );
         assert_eq!(
-            HeardOf::parse(&told.as_bytes()[1..]),
+            ForwardedHeartbeat::parse(&told.as_bytes()[1..]),
             None,
             "of another length"
         );
         assert_eq!(
             told[0].read(),
-            Some((names[0].clone(), Session(2), SequenceNumber(7)))
+            Some((names[0].clone(), Incarnation(2), SequenceNumber(7)))
         );
         let long_name = MachineId::from(&*"x".repeat(33));
         assert_eq!(
-            HeardOf::new(&long_name, Session(1), SequenceNumber(1)),
+            ForwardedHeartbeat::new(&long_name, Incarnation(1), SequenceNumber(1)),
             None
         );
         peers.heard(&other, &told);
@@ -435,9 +437,12 @@
         }
         assert_eq!(*heard.borrow(), names);
         let nobody = NodeId::from("n-2");
-        assert_eq!(peers.pass_on(&nobody, Kind::Beat, Vec::new()).await, None);
+        assert_eq!(
+            peers.pass_on(&nobody, Kind::Heartbeat, Vec::new()).await,
+            None
+        );
         let long = vec![0; 1 << 20];
-        assert_eq!(peers.pass_on(&other, Kind::Beat, long).await, None);
+        assert_eq!(peers.pass_on(&other, Kind::Heartbeat, long).await, None);
         listening.abort();
     });
 }
--- a/tests/fleet_limits.rs
+++ b/tests/fleet_limits.rs
@@ -15,7 +15,7 @@
 use serde_json::{json, Value};
 use sorrelhinge::config::Config;
 use sorrelhinge::control::core::{Core, Places, RecoveryInput, ShardGrant};
-use sorrelhinge::peer::{listen, Answered, Heard, HeardOf, Kind, Peers, Standing};
+use sorrelhinge::peer::{listen, Answered, ForwardedHeartbeat, Heard, Kind, Peers, Standing};
 use sorrelhinge::state::history::History;
 use sorrelhinge::state::record::{drain_key, Key, GONE_SLOTS};
 use sorrelhinge::state::view::View;
@@ -207,7 +207,7 @@
             text: text.to_vec(),
         }
     }
-    fn heard(&self, _: &[HeardOf]) {}
+    fn heard(&self, _: &[ForwardedHeartbeat]) {}
     fn share(&self, _: Kind, _: &[u8]) {}
     fn answer(self: Rc<Self>, _: Kind, text: Vec<u8>) -> Pin<Box<dyn Future<Output = Answered>>> {
         self.asked.set(self.asked.get() + 1);
@@ -225,7 +225,7 @@
 const PATIENCE: Duration = Duration::from_secs(60);
 
 /// Passes so many requests on at the same moment; how many were answered, each with its
-/// own text. Requests of `Kind::Beat` are answered only once all of them have come.
+/// own text. Requests of `Kind::Heartbeat` are answered only once all of them have come.
 async fn pass_on_at_once(kind: Kind, requests: usize) -> usize {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let address = listener.local_addr().expect("an address");
@@ -244,7 +244,7 @@
         })
     });
     let passed: Vec<_> = passed.collect();
-    if kind == Kind::Beat {
+    if kind == Kind::Heartbeat {
         let end = Instant::now() + PATIENCE / 2;
         while slow.asked.get() < requests && Instant::now() < end {
             sleep(Duration::from_millis(5)).await;
@@ -265,7 +265,7 @@
 #[test]
 fn one_heartbeat_more_than_the_earlier_limit_is_passed_on() {
     run(async {
-        for kind in [Kind::Homed, Kind::Beat] {
+        for kind in [Kind::Adopted, Kind::Heartbeat] {
             assert_eq!(pass_on_at_once(kind, 513).await, 513, "{kind:?}");
         }
     });
@@ -274,7 +274,7 @@
 #[test]
 fn the_heartbeats_of_a_whole_fleet_are_passed_on_at_once() {
     run(async {
-        for kind in [Kind::Homed, Kind::Beat] {
+        for kind in [Kind::Adopted, Kind::Heartbeat] {
             assert_eq!(pass_on_at_once(kind, FLEET).await, FLEET, "{kind:?}");
         }
     });
--- a/tests/golden_formats/agent.rs
+++ b/tests/golden_formats/agent.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use sorrelhinge::types::{Attempt, Session, Token};
+use sorrelhinge::types::{Attempt, FencingToken, Incarnation};
 use sorrelhinge::worker::ExitReason;
 use sorrelhinge_agent::attempt::{Pid, Process, Task};
 use sorrelhinge_agent::core::{Exit, Key, Note};
@@ -46,8 +46,8 @@
 fn records_of_agents_are_the_golden_ones() {
     let mut golden = Golden::default();
     for (name, note) in [
-        ("token", Note::Token(Token(9))),
-        ("session", Note::Session(Session(7))),
+        ("token", Note::FencingToken(FencingToken(9))),
+        ("session", Note::Incarnation(Incarnation(7))),
         ("tick", Note::Tick(41)),
         (
             "attempt taken on",
--- a/tests/golden_formats/peers.rs
+++ b/tests/golden_formats/peers.rs
@@ -1,8 +1,8 @@
 //! Layouts of what controllers send each other, in hexadecimal digits.
 
-use sorrelhinge::peer::{HeardOf, Kind, Message, Standing, BLOCKS, LIMITS_FELL, POLLS};
+use sorrelhinge::peer::{ForwardedHeartbeat, Kind, Message, Standing, BLOCKS, LIMITS_FELL, POLLS};
 use sorrelhinge::shares::{encode_left, parse_left, LeftTo, Needs, Rented};
-use sorrelhinge::types::{Amount, JobId, MachineId, SequenceNumber, Session, TypeName, Zone};
+use sorrelhinge::types::{Amount, Incarnation, JobId, MachineId, SequenceNumber, TypeName, Zone};
 use sorrelhinge_sharding::shard::BlockId;
 use sorrelhinge_sharding::slices::Need;
 use zerocopy::IntoBytes;
@@ -12,12 +12,12 @@
 
 const KINDS: [(&str, Kind); 12] = [
     ("revision", Kind::Hint),
-    ("report for its reader", Kind::Beat),
+    ("report for its reader", Kind::Heartbeat),
     ("report to be passed on", Kind::Via),
     ("submission", Kind::Submit),
     ("cancellation", Kind::Withdraw),
     ("answer", Kind::Answer),
-    ("report taken for its reader", Kind::Homed),
+    ("report taken for its reader", Kind::Adopted),
     ("machines that were heard", Kind::Heard),
     ("needs", Kind::Needs),
     ("rented machines", Kind::Rented),
@@ -86,13 +86,14 @@
 fn layouts_between_controllers_are_the_golden_ones() {
     let mut golden = Golden::default();
     let machine = MachineId::from("vm-000231");
-    let heard = HeardOf::new(&machine, Session(7), SequenceNumber(41)).expect("a short name");
+    let heard = ForwardedHeartbeat::new(&machine, Incarnation(7), SequenceNumber(41))
+        .expect("a short name");
     let bytes = heard.as_bytes();
-    let read = HeardOf::parse(bytes).expect("one entry");
+    let read = ForwardedHeartbeat::parse(bytes).expect("one entry");
     assert_eq!(read, &[heard][..]);
     assert_eq!(
         read[0].read(),
-        Some((machine.clone(), Session(7), SequenceNumber(41)))
+        Some((machine.clone(), Incarnation(7), SequenceNumber(41)))
     );
     golden.add("machine that was heard", &hex(bytes));
 
--- a/tests/golden_formats/settings.rs
+++ b/tests/golden_formats/settings.rs
@@ -85,7 +85,7 @@
         ("teams.name", team.name.to_string()),
         ("teams.cpus, gpus", amount(team.guarantee)),
         ("teams.cpus_max, gpus_max", amount(team.limit)),
-        ("workers.report_s", config.report_s.to_string()),
+        ("workers.report_s", config.heartbeat_s.to_string()),
         ("workers.lease_s", config.lease_s.to_string()),
         ("workers.cancel_s", config.cancel_s.to_string()),
         ("state.rps", config.state_rps.to_string()),
--- a/tests/golden_formats/workers.rs
+++ b/tests/golden_formats/workers.rs
@@ -1,23 +1,25 @@
 //! Messages between workers and controllers.
 
-use sorrelhinge::types::{Attempt, MachineId, SequenceNumber, Session, Token, TypeName, Zone};
+use sorrelhinge::types::{
+    Attempt, FencingToken, Incarnation, MachineId, SequenceNumber, TypeName, Zone,
+};
 use sorrelhinge::worker::{
-    Command, DirectCommands, ExitReason, Reply, Report, ReportedImage, ReportedTask, TaskPhase,
+    Command, DirectCommands, ExitReason, Heartbeat, Reply, ReportedImage, ReportedTask, TaskPhase,
 };
 
 use crate::add_json;
 use crate::golden_files::Golden;
 
-fn report() -> Report {
-    Report {
+fn heartbeat() -> Heartbeat {
+    Heartbeat {
         machine: MachineId::from("vm-000231"),
         addr: "10.1.0.3:9000".parse().expect("an address"),
         machine_type: TypeName::from("g8"),
         zone: Zone::from("za"),
         spot: false,
-        incarnation: Session(7),
+        incarnation: Incarnation(7),
         sequence: SequenceNumber(41),
-        fencing_token: Token(3 << 20),
+        fencing_fencing_token: FencingToken(3 << 20),
         preemption_notice_s: None,
         tasks: Vec::new(),
         images: Vec::new(),
@@ -63,8 +65,8 @@
 #[test]
 fn messages_of_workers_are_the_golden_ones() {
     let mut golden = Golden::default();
-    add_json(&mut golden, "report", &report());
-    let full = Report {
+    add_json(&mut golden, "report", &heartbeat());
+    let full = Heartbeat {
         spot: true,
         preemption_notice_s: Some(90.5),
         tasks: vec![reported(TaskPhase::Running, None)],
@@ -73,7 +75,7 @@
             parts: 3,
             of: 8,
         }],
-        ..report()
+        ..heartbeat()
     };
     add_json(&mut golden, "report with everything", &full);
     for (name, phase) in [
@@ -101,13 +103,13 @@
         add_json(&mut golden, &format!("task ended {name}"), &task);
     }
     let reply = Reply {
-        fencing_token: Token(9),
+        fencing_fencing_token: FencingToken(9),
         commands: commands(),
     };
     add_json(&mut golden, "reply", &reply);
     let commands = DirectCommands {
-        fencing_token: Token(9),
-        incarnation: Session(7),
+        fencing_fencing_token: FencingToken(9),
+        incarnation: Incarnation(7),
         commands: commands(),
     };
     add_json(&mut golden, "orders", &commands);
--- a/tests/hand_on.rs
+++ b/tests/hand_on.rs
@@ -27,7 +27,7 @@
 use sorrelhinge_agent::settings::Settings;
 use sorrelhinge_agent::sums::{sha256, Sums};
 use sorrelhinge_agent::supervise;
-use sorrelhinge_emulators::{ask, run, World, LEASE_S, REPORT_S, ZONES};
+use sorrelhinge_emulators::{ask, run, World, HEARTBEAT_S, LEASE_S, ZONES};
 use sorrelhinge_sharding::shard::BlockId;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
@@ -193,7 +193,7 @@
             .collect();
         let text = format!(
             "version = 1\nname = \"{id}\"\nkind = \"t\"\nzone = \"{zone}\"\nlisten = \"{addr}\"\n\
-             folder = {folder:?}\ncpus = 4.0\nram_gb = 16.0\nreport_s = {REPORT_S:?}\n\
+             folder = {folder:?}\ncpus = 4.0\nram_gb = 16.0\nreport_s = {HEARTBEAT_S:?}\n\
              lease_s = {LEASE_S:?}\ncache_gb = 1.0\n{controllers}[jobs]\nfolder = {:?}\n\
              [images]\nserver = \"{}\"\nprefix = \"/i\"\n\
              [hand_on]\nnetworks = [\"127.0.0.0/8\"]\nstall_s = 5.0\norigin_after_s = 20.0\n",
@@ -241,8 +241,8 @@
             return 0;
         }
         let told = ask(self.addr, Method::GET, "/status", &Value::Null).await;
-        let (_, report) = told.unwrap_or_default();
-        let tasks = report["pieces"].as_array().cloned().unwrap_or_default();
+        let (_, heartbeat) = told.unwrap_or_default();
+        let tasks = heartbeat["pieces"].as_array().cloned().unwrap_or_default();
         tasks.iter().filter(|p| which(p)).count()
     }
 }
--- a/tests/meetings_loopback.rs
+++ b/tests/meetings_loopback.rs
@@ -1,6 +1,6 @@
 //! Two troubles at once, with real controllers on loopback, three and five of them.
 //! Faults are injected at named steps: a write is held back or its answer is lost,
-//! one controller is refused, commands and reports are kept for the next leader. The
+//! one controller is refused, commands and heartbeats are kept for the next leader. The
 //! verdict is the history's: no rule is broken.
 
 mod loopback;
@@ -360,10 +360,10 @@
     });
 }
 
-/// Copies of reports, and reports that no controller got, are kept for the next leader:
+/// Copies of heartbeats, and reports that no controller got, are kept for the next leader:
 /// it has them as it begins, and again after it has acted. One job's tasks ended
 /// meanwhile, another one was cancelled and another one started.
-async fn kept_reports(net: u8, controllers: usize) {
+async fn kept_heartbeats(net: u8, controllers: usize) {
     let mut world = begin("kept_reports", net, controllers, "").await;
     world.nodes.borrow_mut().sent = Some(Default::default());
     assert_eq!(
@@ -408,10 +408,10 @@
 }
 
 #[test]
-fn reports_kept_for_the_next_leader_prove_nothing() {
+fn heartbeats_kept_for_the_next_leader_prove_nothing() {
     run(async {
-        kept_reports(170, 3).await;
-        kept_reports(174, 5).await;
+        kept_heartbeats(170, 3).await;
+        kept_heartbeats(174, 5).await;
     });
 }
 
@@ -467,7 +467,7 @@
 }
 
 /// Commands that a machine did not answer are held back while their sender goes on: it
-/// raises the token before it gives the tasks to others.
+/// raises the fencing token before it gives the tasks to others.
 async fn held_by_the_same(net: u8, controllers: usize) {
     let world = begin("held_by_the_same", net, controllers, LONG_LEASE).await;
     hold_starts(&world);
@@ -476,7 +476,7 @@
     until_held(&world).await;
     world.nodes.borrow_mut().faults.hold = None;
     ends(&world, "run-000002", 4).await;
-    // The job is over, so every machine that had a command has taken a higher token.
+    // The job is over, so every machine that had a command has taken a higher fencing token.
     held_ones_start_nothing(&world);
     all_is_well(&world, controllers, 0).await;
 }
--- a/tests/overload.rs
+++ b/tests/overload.rs
@@ -1,6 +1,6 @@
 //! Real controllers on loopback with few sockets, against more workers, users
 //! and slow clients than there are: nothing is lost, cancellations are kept,
-//! the leader stays, and once the crowd is gone service is back within a report
+//! the leader stays, and once the crowd is gone service is back within a heartbeat
 //! round. The sockets are bounded by the operating system.
 
 #[path = "loopback/cancellation.rs"]
@@ -16,7 +16,7 @@
 use std::time::{Duration, Instant};
 
 use serde_json::{json, Value};
-use sorrelhinge_emulators::{run, Plan, World, CANCEL_S, LEASE_S, REPORT_S};
+use sorrelhinge_emulators::{run, Plan, World, CANCEL_S, HEARTBEAT_S, LEASE_S};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 use tokio::task::{spawn_local, JoinHandle};
@@ -207,7 +207,7 @@
             .until("service is back", 10, |w| w.done("run-000900", 12))
             .await;
         println!(
-            "back {:.2} s after the crowd, a report round is {REPORT_S} s",
+            "back {:.2} s after the crowd, a report round is {HEARTBEAT_S} s",
             ended.elapsed().as_secs_f64()
         );
         sleep(Duration::from_secs(1)).await;
@@ -289,7 +289,7 @@
         };
         let starts = world.nodes.borrow().starts;
         world.nodes.borrow_mut().turned_away.insert(on.clone());
-        sleep(Duration::from_secs_f64(LEASE_S - 2.0 * REPORT_S)).await;
+        sleep(Duration::from_secs_f64(LEASE_S - 2.0 * HEARTBEAT_S)).await;
         world.nodes.borrow_mut().turned_away.clear();
         world
             .until("the task is done", 20, |w| w.done("run-000001", 1))
--- a/tests/place_model.rs
+++ b/tests/place_model.rs
@@ -564,7 +564,7 @@
     launches
 }
 
-/// Tasks run, as their machines report, and are recorded.
+/// Tasks run, as their machines heartbeat, and are recorded.
 fn run_all(cluster_state: &mut ClusterState, launches: &[Launch], now: f64) {
     for launch in launches {
         cluster_state.ran(&launch.task);
@@ -674,7 +674,7 @@
         let count = |cluster_state: &ClusterState| cluster_state.capacity_index.steps.get();
         let before = count(&cluster_state);
         assert!(cluster_state.walk(&id, RULE, Time(2.0)).is_empty());
-        let report = count(&cluster_state) - before;
+        let heartbeat = count(&cluster_state) - before;
         // Room appears on one machine: its walk fills it.
         cluster_state.edit_machine(&id, |m| m.used = Amount::default());
         let before = count(&cluster_state);
@@ -689,7 +689,7 @@
         cluster_state.release(&task, Time(10.0));
         let before = count(&cluster_state);
         assert!(!cluster_state.place(RULE, Time(10.0)).is_empty());
-        (report, freed, count(&cluster_state) - before)
+        (heartbeat, freed, count(&cluster_state) - before)
     };
     let (small, large) = (steps(200), steps(2000));
     assert_eq!(
--- a/tests/reservations.rs
+++ b/tests/reservations.rs
@@ -60,7 +60,7 @@
     assert_eq!(run_placed(&mut cluster_state, 2.0 * BOUND_S), 1);
 }
 
-/// The walk of one machine, at its report, decides the same.
+/// The walk of one machine, at its heartbeat, decides the same.
 #[test]
 fn the_walk_of_a_machine_gives_way_too() {
     let mut cluster_state = cluster_state(1, false);
--- a/tests/rules/commands.rs
+++ b/tests/rules/commands.rs
@@ -10,7 +10,7 @@
 
 use crate::*;
 
-/// Owners that change faster than workers report: every report carries a token
+/// Owners that change faster than workers heartbeat: every heartbeat carries a fencing token
 /// that the present owner has not raised, so it proves nothing. Each answer
 /// renews the lease all the same, so each must take the kill along
 /// (`docs/incidents/fleet-x3-cancelled.md`).
@@ -20,12 +20,12 @@
     let (at, task_name) = cancelled_task(&mut world);
     for _ in 0..5 {
         world.take_over();
-        let report = world.workers[at].report();
+        let heartbeat = world.workers[at].heartbeat();
         let Owner { core, view, .. } = world.owners.last_mut().expect("an owner");
-        assert!(core.report(&report, Source::Beat, Time(world.now)));
-        let reply = core.reply(&report.machine, view, Time(world.now));
+        assert!(core.heartbeat(&heartbeat, Source::Heartbeat, Time(world.now)));
+        let reply = core.reply(&heartbeat.machine, view, Time(world.now));
         let reply = serde_json::to_value(&reply).expect("reply");
-        assert!(report.fencing_token.0 < reply["baton"].as_u64().expect("a token"));
+        assert!(heartbeat.fencing_fencing_token.0 < reply["baton"].as_u64().expect("a token"));
         let commands = reply["orders"].as_array().expect("orders");
         let verbs: Vec<&Value> = commands
             .iter()
@@ -72,15 +72,15 @@
 
 /// The cloud's machine types are not known yet, as the cloud is away and the
 /// controller has just begun: the owner has no link to any machine, and answers
-/// reports all the same. Its answers renewed the leases of cancelled jobs' tasks
+/// heartbeats all the same. Its answers renewed the leases of cancelled jobs' tasks
 /// without a kill, for as long as the cloud was away.
 #[test]
 fn an_owner_that_knows_no_machine_types_kills_cancelled_tasks_all_the_same() {
     let mut world = World::new(7);
     let (at, task_name) = cancelled_task(&mut world);
     world.take_over();
-    let report = world.workers[at].report();
-    let running = report.tasks.iter().any(|p| p.task_name == task_name);
+    let heartbeat = world.workers[at].heartbeat();
+    let running = heartbeat.tasks.iter().any(|p| p.task_name == task_name);
     assert!(running, "{task_name} is reported");
     let now = Time(world.now);
     let view = &world.owners.last().expect("an owner").view;
@@ -94,10 +94,10 @@
         wall_ms: 0,
     };
     let mut core = Core::load(&input, grant, Places::default());
-    assert!(core.report(&report, Source::Beat, now));
-    let reply = core.answer(&report, view, now);
+    assert!(core.heartbeat(&heartbeat, Source::Heartbeat, now));
+    let reply = core.answer(&heartbeat, view, now);
     assert_eq!(verbs_for(&reply.commands, &task_name), ["kill"]);
-    for other in report.tasks.iter().filter(|p| p.task_name != task_name) {
+    for other in heartbeat.tasks.iter().filter(|p| p.task_name != task_name) {
         let key = job_key(&JobId::from(job_of(&other.task_name).as_str()));
         let live = world.store.keys[&key].1["p"] == "l";
         let kept = verbs_for(&reply.commands, &other.task_name).is_empty();
@@ -105,27 +105,27 @@
     }
 }
 
-/// A kill that was sent directly may be lost, and the answer to the next report
+/// A kill that was sent directly may be lost, and the answer to the next heartbeat
 /// renews the lease: it has the kill however lately it was sent before.
 #[test]
 fn an_answer_has_the_kill_though_a_direct_command_had_it_a_moment_ago() {
     let mut world = World::new(7);
     let (at, task_name) = cancelled_task(&mut world);
     world.take_over();
-    let report = world.workers[at].report();
+    let heartbeat = world.workers[at].heartbeat();
     let now = Time(world.now);
     let Owner { core, view, .. } = world.owners.last_mut().expect("an owner");
-    assert!(core.report(&report, Source::Beat, now));
+    assert!(core.heartbeat(&heartbeat, Source::Heartbeat, now));
     let sends = core.dispatch(view, now);
-    let send = sends.iter().find(|s| s.machine == report.machine);
+    let send = sends.iter().find(|s| s.machine == heartbeat.machine);
     let direct = &send.expect("a direct command").commands.commands;
     assert_eq!(verbs_for(direct, &task_name), ["kill"]);
-    core.dispatched(&report.machine, Sending::Unknown, now);
+    core.dispatched(&heartbeat.machine, Sending::Unknown, now);
     let later = Time(now.0 + 0.5);
-    let report = world.workers[at].report();
+    let heartbeat = world.workers[at].heartbeat();
     let Owner { core, view, .. } = world.owners.last_mut().expect("an owner");
-    assert!(core.report(&report, Source::Beat, later));
-    let reply = core.answer(&report, view, later);
+    assert!(core.heartbeat(&heartbeat, Source::Heartbeat, later));
+    let reply = core.answer(&heartbeat, view, later);
     assert_eq!(verbs_for(&reply.commands, &task_name), ["kill"]);
 }
 
@@ -157,12 +157,12 @@
     let changed = view.take_changed();
     core.jobs_changed(view, &changed, Time(1.0), 0);
     for w in workers.iter_mut() {
-        core.report(&w.report(), Source::Beat, Time(1.0));
-        w.token = core
+        core.heartbeat(&w.heartbeat(), Source::Heartbeat, Time(1.0));
+        w.fencing_token = core
             .reply(&MachineId::from(w.id.as_str()), view, Time(1.0))
-            .fencing_token
+            .fencing_fencing_token
             .0;
-        core.report(&w.report(), Source::Beat, Time(1.5));
+        core.heartbeat(&w.heartbeat(), Source::Heartbeat, Time(1.5));
     }
     core.dispatch(view, Time(1.5));
     regular(core, Time(2.0));
@@ -177,7 +177,7 @@
 }
 
 /// A view that was not renewed for long may lack a cancellation that another
-/// controller confirmed. A session begins with a full lease although no report is
+/// controller confirmed. A incarnation begins with a full lease although no heartbeat is
 /// answered, so what is started then is on its machine for long after `cancel_s`:
 /// nothing is started until the view is renewed, and then at once.
 #[test]
@@ -200,9 +200,9 @@
 }
 
 /// A start that was not answered may be carried out minutes later. Until a
-/// report carries the raised token, its absence proves nothing.
+/// heartbeat carries the raised fencing token, its absence proves nothing.
 #[test]
-fn an_unanswered_start_is_settled_only_under_the_raised_token() {
+fn an_unanswered_start_is_settled_only_under_the_raised_fencing_token() {
     let mut world = World::new(1);
     claim_recorded(&mut world);
     let World {
@@ -224,7 +224,7 @@
         .iter_mut()
         .find(|w| w.id == id.as_str())
         .expect("the worker");
-    core.report(&w.report(), Source::Beat, Time(5.0));
+    core.heartbeat(&w.heartbeat(), Source::Heartbeat, Time(5.0));
     assert_eq!(
         sent(core),
         Some(Sent::Flying),
@@ -234,10 +234,13 @@
         .dispatch(view, Time(9.0))
         .pop()
         .expect("the raised token goes out");
-    assert!(fence.commands.fencing_token.0 > w.token && fence.commands.commands.is_empty());
-    w.token = fence.commands.fencing_token.0;
+    assert!(
+        fence.commands.fencing_fencing_token.0 > w.fencing_token
+            && fence.commands.commands.is_empty()
+    );
+    w.fencing_token = fence.commands.fencing_fencing_token.0;
     core.dispatched(&id, Sending::NotSent, Time(9.0));
-    core.report(&w.report(), Source::Beat, Time(10.0));
+    core.heartbeat(&w.heartbeat(), Source::Heartbeat, Time(10.0));
     assert_eq!(
         sent(core),
         Some(Sent::No),
@@ -256,7 +259,7 @@
         left: 0.0,
     };
     w.tasks.insert("run-000000/0".into(), ended);
-    core.dispatched(&id, Sending::Executed(Box::new(w.report())), Time(20.0));
+    core.dispatched(&id, Sending::Executed(Box::new(w.heartbeat())), Time(20.0));
     assert!(
         core.reply(&id, view, Time(20.0)).commands.is_empty(),
         "not recorded yet"
@@ -272,10 +275,10 @@
     );
 }
 
-/// While two zones are apart, reports come over another controller, and the
+/// While two zones are apart, heartbeats come over another controller, and the
 /// commands go back the same way: none is sent directly, to hang.
 #[test]
-fn commands_go_in_the_answers_to_reports_that_were_passed_on() {
+fn commands_go_in_the_answers_to_heartbeats_that_were_passed_on() {
     let mut world = World::new(1);
     one_job(&mut world);
     let World {
@@ -286,7 +289,7 @@
     } = &mut world;
     let Owner { core, view, .. } = &mut owners[0];
     for w in workers.iter_mut() {
-        core.report(&w.report(), Source::Passed, Time(2.0));
+        core.heartbeat(&w.heartbeat(), Source::Passed, Time(2.0));
     }
     regular(core, Time(2.0));
     let batch = core.next_batch(view, 4, false, Time(2.0)).expect("a claim");
@@ -295,7 +298,7 @@
     let mut starts = 0;
     for w in workers.iter_mut() {
         let id = MachineId::from(w.id.as_str());
-        core.report(&w.report(), Source::Passed, Time(3.0));
+        core.heartbeat(&w.heartbeat(), Source::Passed, Time(3.0));
         starts += core.reply(&id, view, Time(3.0)).commands.len();
     }
     assert_eq!(starts, 1);
--- a/tests/rules/direct_commands.rs
+++ b/tests/rules/direct_commands.rs
@@ -2,21 +2,23 @@
 
 use rand::Rng;
 use serde_json::Value;
-use sorrelhinge::worker::Report;
+use sorrelhinge::worker::Heartbeat;
 
 use crate::*;
 
 impl World {
     /// Carries out direct commands at a worker; none if it refuses them.
-    pub(crate) fn carry_out(&mut self, id: &str, commands: &Value) -> Option<Option<Report>> {
+    pub(crate) fn carry_out(&mut self, id: &str, commands: &Value) -> Option<Option<Heartbeat>> {
         let at = self.workers.iter().position(|w| w.id == id)?;
         let w = &self.workers[at];
-        if commands["baton"].as_u64()? < w.token || commands["shift"].as_u64()? != w.session {
+        if commands["baton"].as_u64()? < w.fencing_token
+            || commands["shift"].as_u64()? != w.incarnation
+        {
             return Some(None);
         }
-        self.workers[at].token = commands["baton"].as_u64()?;
+        self.workers[at].fencing_token = commands["baton"].as_u64()?;
         self.commands(at, &commands["orders"]);
-        Some(Some(self.workers[at].report()))
+        Some(Some(self.workers[at].heartbeat()))
     }
 
     pub(crate) fn commands(&mut self, at: usize, commands: &Value) {
--- a/tests/rules/faults.rs
+++ b/tests/rules/faults.rs
@@ -10,7 +10,7 @@
 use sorrelhinge::state::record::job_key;
 use sorrelhinge::state::view::View;
 use sorrelhinge::types::{JobId, Time};
-use sorrelhinge::worker::Report;
+use sorrelhinge::worker::Heartbeat;
 use sorrelhinge_overload::freshness::Freshness;
 
 use crate::*;
@@ -40,11 +40,11 @@
     pub(crate) held_part: f64,
     /// Late transactions whose conditions still held.
     pub(crate) late_applied: usize,
-    /// Every report is kept, for later.
+    /// Every heartbeat is kept, for later.
     pub(crate) keeps: bool,
-    /// Reports that each new owner gets before anything else.
-    pub(crate) kept: Vec<Report>,
-    /// Workers report to the first owner that is left, though it is deposed.
+    /// Heartbeats that each new owner gets before anything else.
+    pub(crate) kept: Vec<Heartbeat>,
+    /// Workers heartbeat to the first owner that is left, though it is deposed.
     pub(crate) to_first: bool,
     pub(crate) helper: Helper,
     /// Owners stand still for so long after their transactions, before they command
@@ -179,37 +179,39 @@
     }
 
     /// A report that reaches no owner reaches the helper.
-    pub(crate) fn renew_in_stead(&mut self, at: usize, report: &Report) {
+    pub(crate) fn renew_in_stead(&mut self, at: usize, heartbeat: &Heartbeat) {
         let helper = &self.faults.helper;
         let may = helper
             .freshness
             .may_answer_workers(Time(self.now), LEASE_S, CANCEL_S);
-        if may && vouches(&helper.view, report) && self.workers[at].deaf_until <= self.now {
+        if may && vouches(&helper.view, heartbeat) && self.workers[at].deaf_until <= self.now {
             self.workers[at].renewed = self.now;
             self.faults.renewed += 1;
         }
     }
 
     /// A report that comes late, to every owner; nobody takes the answers.
-    pub(crate) fn deliver_late(&mut self, report: &Report) {
+    pub(crate) fn deliver_late(&mut self, heartbeat: &Heartbeat) {
         let now = Time(self.now);
         for o in &mut self.owners {
-            if o.core.shard.covers(&report.machine) && o.core.report(report, Source::Beat, now) {
-                o.core.walk(&report.machine, now);
-                let reply = o.core.reply(&report.machine, &o.view, now);
-                self.trace.fold_json(report.machine.as_str(), &reply);
+            if o.core.shard.covers(&heartbeat.machine)
+                && o.core.heartbeat(heartbeat, Source::Heartbeat, now)
+            {
+                o.core.walk(&heartbeat.machine, now);
+                let reply = o.core.reply(&heartbeat.machine, &o.view, now);
+                self.trace.fold_json(heartbeat.machine.as_str(), &reply);
             }
         }
     }
 
     /// The new owners get what was kept for them.
     pub(crate) fn deliver_kept(&mut self) {
-        for report in std::mem::take(&mut self.faults.kept) {
-            self.deliver_late(&report);
+        for heartbeat in std::mem::take(&mut self.faults.kept) {
+            self.deliver_late(&heartbeat);
         }
     }
 
-    /// A machine hangs: it reports, hears and does nothing, and its lease runs on.
+    /// A machine hangs: it heartbeats, hears and does nothing, and its lease runs on.
     pub(crate) fn hang(&mut self, at: usize, for_s: f64) {
         let id = self.workers[at].id.clone();
         self.note(&format!("{id} hangs for {for_s:.1} s"));
@@ -250,14 +252,14 @@
             4 => self.cancel_in_gap(),
             5 => self.faults.late_part = 0.3,
             6 => self.faults.late_part = 0.0,
-            7 => self.keep_reports(),
+            7 => self.keep_heartbeats(),
             9 => self.faults.held_part = 0.2 - self.faults.held_part,
             8 => self.separate_owners(for_s),
             _ => self.faults.to_first = !self.faults.to_first,
         }
     }
 
-    /// Reports of a machine are lost, while direct commands reach it.
+    /// Heartbeats of a machine are lost, while direct commands reach it.
     pub(crate) fn mute(&mut self, at: usize, for_s: f64) {
         let id = self.workers[at].id.clone();
         self.note(&format!("{id} is mute for {for_s:.1} s"));
@@ -274,18 +276,18 @@
         }
     }
 
-    /// The present reports are kept for the next owner.
-    pub(crate) fn keep_reports(&mut self) {
+    /// The present heartbeats are kept for the next owner.
+    pub(crate) fn keep_heartbeats(&mut self) {
         self.note("reports are kept for the next owner");
         let now = self.now;
         let workers = self.workers.iter_mut();
         let heard = workers.filter(|w| w.silent_until.max(w.mute_until) <= now);
-        let reports: Vec<Report> = heard.map(Worker::report).collect();
-        self.faults.kept.extend(reports);
+        let heartbeats: Vec<Heartbeat> = heard.map(Worker::heartbeat).collect();
+        self.faults.kept.extend(heartbeats);
     }
 
     /// Workers and present owners can't reach each other: commands are held back,
-    /// reports come to the helper.
+    /// heartbeats come to the helper.
     pub(crate) fn separate_owners(&mut self, for_s: f64) {
         self.note(&format!("owners apart from the workers for {for_s:.1} s"));
         let until = self.now + for_s;
--- a/tests/rules/meetings/cancellation.rs
+++ b/tests/rules/meetings/cancellation.rs
@@ -38,7 +38,7 @@
 }
 
 /// The same, and the owner's process stands still from the recording of claims until
-/// long after `cancel_s`: then it finds the workers in a new session, with the token
+/// long after `cancel_s`: then it finds the workers in a new incarnation, with the fencing token
 /// that it gave them, and knows of no cancellation.
 #[test]
 fn gap_while_the_owner_stands_still_before_it_sends_starts() {
--- a/tests/rules/meetings/cancellation_apart.rs
+++ b/tests/rules/meetings/cancellation_apart.rs
@@ -27,7 +27,7 @@
 }
 
 /// The decision alone: a cancelled job's claim on a machine forbids to renew its
-/// lease, also while no report shows the task; once the claim is gone it may be.
+/// lease, also while no heartbeat shows the task; once the claim is gone it may be.
 #[test]
 fn a_cancelled_claim_that_may_yet_start_is_not_vouched_for() {
     let mut world = calm(1);
@@ -36,21 +36,21 @@
     let mut record = world.store.keys[&key].1.clone();
     record["i"] = json!({"a": 2, "d": 0, "c": [[0, 1, "vm-000000"]]});
     world.store.write(&key, record.clone());
-    world.workers[0].token = 1 << 20;
-    let report = world.workers[0].report();
+    world.workers[0].fencing_token = 1 << 20;
+    let heartbeat = world.workers[0].heartbeat();
     let mut view = View::default();
     view.replace(Revision(0), Vec::new());
     assert!(world.store.follow(&mut view));
     assert!(view.job(&JobId::from(&*uid)).is_some());
-    assert!(vouches(&view, &report), "a live job's start may arrive");
+    assert!(vouches(&view, &heartbeat), "a live job's start may arrive");
     record["p"] = json!("c");
     world.store.write(&key, record.clone());
     assert!(world.store.follow(&mut view));
-    assert!(!vouches(&view, &report), "it may arrive late");
+    assert!(!vouches(&view, &heartbeat), "it may arrive late");
     record["i"] = json!({"a": 2, "d": 0, "c": []});
     world.store.write(&key, record);
     assert!(world.store.follow(&mut view));
-    assert!(vouches(&view, &report), "provably gone");
+    assert!(vouches(&view, &heartbeat), "provably gone");
 }
 
 /// Every team is at its limit; jobs are cancelled whose machines are cut off or hang;
--- a/tests/rules/meetings/capacity.rs
+++ b/tests/rules/meetings/capacity.rs
@@ -114,7 +114,7 @@
     }
 }
 
-/// Machines come up and report at once while nothing is recorded, work is placed on
+/// Machines come up and heartbeat at once while nothing is recorded, work is placed on
 /// them, and the leader ends with its claims unrecorded or recorded without an answer:
 /// nothing starts before its claim is in the record, and the next owner counts it.
 #[test]
--- a/tests/rules/meetings/day.rs
+++ b/tests/rules/meetings/day.rs
@@ -29,11 +29,11 @@
     pub(crate) writes: usize,
     /// This part of all direct commands is held up for 2 to 16 s.
     pub(crate) late_commands: f64,
-    /// This part of the answers to direct commands and to reports is lost.
+    /// This part of the answers to direct commands and to heartbeats is lost.
     pub(crate) lost_answers: f64,
     /// Machines that execute nothing until then, and go on.
     pub(crate) hung: BTreeMap<String, f64>,
-    /// Machines whose reports reach nobody until then, while commands reach them.
+    /// Machines whose heartbeats reach nobody until then, while commands reach them.
     pub(crate) mute: BTreeMap<String, f64>,
     /// A zone that is apart from the others; the former owner is in it.
     pub(crate) apart: Option<&'static str>,
@@ -146,7 +146,7 @@
             self.run_tasks(at);
             self.world.end_lease(at);
             if self.world.rng.random_bool(0.5) {
-                self.report(at);
+                self.heartbeat(at);
             }
         }
         if self.world.of > 1 {
@@ -208,7 +208,7 @@
         }
     }
 
-    fn report(&mut self, at: usize) {
+    fn heartbeat(&mut self, at: usize) {
         let (id, zone) = (&self.world.workers[at].id, self.world.workers[at].zone);
         let muted = self.mute.get(id).is_some_and(|t| *t > self.world.now);
         let machine = MachineId::from(id.as_str());
@@ -222,20 +222,20 @@
         if self.world.owners[owner].paused_until > now.0 {
             return;
         }
-        let report = self.world.workers[at].report();
+        let heartbeat = self.world.workers[at].heartbeat();
         let o = &mut self.world.owners[owner];
-        if !o.core.report(&report, Source::Beat, now) {
+        if !o.core.heartbeat(&heartbeat, Source::Heartbeat, now) {
             return;
         }
         o.core.walk(&machine, now);
         let reply = serde_json::to_value(o.core.reply(&machine, &o.view, now)).expect("reply");
-        let fencing_token = reply["baton"].as_u64().expect("baton");
+        let fencing_fencing_token = reply["baton"].as_u64().expect("baton");
         let lost = self.world.rng.random_bool(self.lost_answers);
         let w = &mut self.world.workers[at];
-        if lost || w.deaf_until > now.0 || fencing_token < w.token {
+        if lost || w.deaf_until > now.0 || fencing_fencing_token < w.fencing_token {
             return;
         }
-        (w.token, w.renewed) = (fencing_token, now.0);
+        (w.fencing_token, w.renewed) = (fencing_fencing_token, now.0);
         self.world.commands(at, &reply["orders"]);
     }
 
@@ -322,8 +322,8 @@
         let w = self.world.workers.iter_mut().find(|w| w.id == id);
         match taken {
             _ if lost => Sending::Unknown,
-            Some(report) => Sending::Executed(Box::new(report)),
-            None => Sending::Refused(Box::new(w.expect("the worker").report())),
+            Some(heartbeat) => Sending::Executed(Box::new(heartbeat)),
+            None => Sending::Refused(Box::new(w.expect("the worker").heartbeat())),
         }
     }
 }
--- a/tests/rules/meetings/leadership.rs
+++ b/tests/rules/meetings/leadership.rs
@@ -19,7 +19,7 @@
                 world.take_over();
             }
             world.run_for(1.0);
-            world.keep_reports();
+            world.keep_heartbeats();
             world.take_over();
             world.run_for(2.0);
             world.owners.clear();
--- a/tests/rules/meetings/leadership_late.rs
+++ b/tests/rules/meetings/leadership_late.rs
@@ -1,4 +1,4 @@
-//! Reports, transactions and commands that come late, to the next leader or after it.
+//! Heartbeats, transactions and commands that come late, to the next leader or after it.
 
 use super::meet;
 use crate::*;
@@ -7,16 +7,16 @@
     /// All copies kept so far come again, the oldest first.
     fn deliver_copies(&mut self) {
         let copies: Vec<_> = self.copies.iter().rev().take(300).rev().cloned().collect();
-        for report in copies {
-            self.deliver_late(&report);
+        for heartbeat in copies {
+            self.deliver_late(&heartbeat);
         }
     }
 }
 
-/// Old reports arrive after newer ones: of the same attempt, of an earlier one, and
-/// of an earlier session.
+/// Old heartbeats arrive after newer ones: of the same attempt, of an earlier one, and
+/// of an earlier incarnation.
 #[test]
-fn old_reports_arrive_after_newer_ones() {
+fn old_heartbeats_arrive_after_newer_ones() {
     meet(|world| {
         world.faults.keeps = true;
         world.short_jobs(4);
@@ -34,15 +34,15 @@
     });
 }
 
-/// Reports are held back until a new leader has acted, and arrive there; and copies
+/// Heartbeats are held back until a new leader has acted, and arrive there; and copies
 /// reach every controller just as a new leader begins.
 #[test]
-fn held_reports_reach_the_next_leader() {
+fn held_heartbeats_reach_the_next_leader() {
     meet(|world| {
         world.faults.keeps = true;
         world.short_jobs(4);
         world.run_for(1.0);
-        world.keep_reports();
+        world.keep_heartbeats();
         world.fill_red();
         let held = std::mem::take(&mut world.faults.kept);
         world.faults.kept = held.clone();
@@ -51,8 +51,8 @@
             world.deliver_copies();
         }
         world.run_for(3.0);
-        for report in &held {
-            world.deliver_late(report);
+        for heartbeat in &held {
+            world.deliver_late(heartbeat);
         }
         world.run_for(1.0);
         world.deliver_copies();
--- a/tests/rules/meetings/partition.rs
+++ b/tests/rules/meetings/partition.rs
@@ -1,4 +1,4 @@
-//! Zones apart, machines that don't hear, hang or report to nobody, no controllers.
+//! Zones apart, machines that don't hear, hang or heartbeat to nobody, no controllers.
 
 use rand::Rng;
 use serde_json::json;
@@ -209,9 +209,9 @@
     }
 }
 
-/// Starts are held up on their way while reports arrive whose answers are lost, and
-/// their jobs are cancelled: a report without the task proves nothing before it carries
-/// the token that fences the start, so its room goes to nobody.
+/// Starts are held up on their way while heartbeats arrive whose answers are lost, and
+/// their jobs are cancelled: a heartbeat without the task proves nothing before it carries
+/// the fencing token that fences the start, so its room goes to nobody.
 #[test]
 fn starts_are_held_up_while_their_jobs_are_cancelled() {
     for (seed, blocks) in [(141, 1), (142, 1), (143, 1), (144, 2), (145, 2)] {
--- a/tests/rules/random.rs
+++ b/tests/rules/random.rs
@@ -80,7 +80,7 @@
 }
 
 /// All meetings as events: refusals of owners alone, outages, cancellations inside
-/// them, late transactions and commands, kept reports, machines that hang or are mute,
+/// them, late transactions and commands, kept heartbeats, machines that hang or are mute,
 /// owners apart from the workers. A failing seed prints its schedule.
 #[test]
 fn rules_hold_while_all_faults_meet() {
--- a/tests/rules/recording.rs
+++ b/tests/rules/recording.rs
@@ -159,7 +159,7 @@
     for _ in 0..3 {
         for at in 0..world.workers.len() {
             world.now += 0.1;
-            world.beat(at);
+            world.heartbeat(at);
         }
     }
     let (home, other) = (BlockId(0), BlockId(1));
--- a/tests/rules/scenes.rs
+++ b/tests/rules/scenes.rs
@@ -80,8 +80,9 @@
     let changed = o.view.take_changed();
     o.core.jobs_changed(&o.view, &changed, Time(1.0), 0);
     for w in &mut world.workers {
-        w.token = 1 << 20;
-        o.core.report(&w.report(), Source::Beat, Time(1.0));
+        w.fencing_token = 1 << 20;
+        o.core
+            .heartbeat(&w.heartbeat(), Source::Heartbeat, Time(1.0));
     }
     (JobId::from("run-000000"), Time(1.0))
 }
--- a/tests/rules/silence.rs
+++ b/tests/rules/silence.rs
@@ -5,7 +5,7 @@
 use sorrelhinge::control::core::Source;
 use sorrelhinge::state::view::View;
 use sorrelhinge::types::{JobId, MachineId, SequenceNumber, Time};
-use sorrelhinge::worker::{Report, Sending};
+use sorrelhinge::worker::{Heartbeat, Sending};
 
 use crate::*;
 
@@ -59,7 +59,7 @@
     for step in 4..100 {
         let now = Time(f64::from(step) / 2.0);
         for w in &mut workers[1..] {
-            core.report(&w.report(), Source::Beat, now);
+            core.heartbeat(&w.heartbeat(), Source::Heartbeat, now);
         }
         regular(core, now);
         if core.fleet(now).to_delete.contains(&silent) {
@@ -76,7 +76,7 @@
     for step in 0..8 {
         let now = Time(50.0 + f64::from(step));
         for w in &mut workers[2..] {
-            core.report(&w.report(), Source::Beat, now);
+            core.heartbeat(&w.heartbeat(), Source::Heartbeat, now);
         }
         core.listed(&[], now);
     }
@@ -109,7 +109,7 @@
         for step in 6..100 {
             let now = Time(f64::from(step) / 2.0);
             for w in workers.iter_mut().filter(|w| w.id != silent.as_str()) {
-                core.report(&w.report(), Source::Beat, now);
+                core.heartbeat(&w.heartbeat(), Source::Heartbeat, now);
             }
             regular(core, now);
             for send in core.dispatch(view, now) {
@@ -131,11 +131,11 @@
     }
 }
 
-/// Machines report with the present token, and no direct command reaches them:
-/// each report made them usable again, so that one task was claimed 279 times in
+/// Machines heartbeat with the present fencing token, and no direct command reaches them:
+/// each heartbeat made them usable again, so that one task was claimed 279 times in
 /// 280 s, and they were never given back. One alone, one of a zone, and all.
 #[test]
-fn machines_that_report_and_hear_nothing_cost_few_claims_and_are_given_back() {
+fn machines_that_heartbeat_and_hear_nothing_cost_few_claims_and_are_given_back() {
     for deaf in [1_usize, 4, 8] {
         let mut world = World::new(1);
         one_job(&mut world);
@@ -151,10 +151,10 @@
                 if gone.contains(&id) {
                     continue;
                 }
-                o.core.report(&w.report(), Source::Beat, now);
+                o.core.heartbeat(&w.heartbeat(), Source::Heartbeat, now);
                 let reply = o.core.reply(&id, &o.view, now);
                 if !is_deaf(&w.id) {
-                    w.token = reply.fencing_token.0;
+                    w.fencing_token = reply.fencing_fencing_token.0;
                 }
             }
             regular(&mut o.core, now);
@@ -178,8 +178,8 @@
                     };
                     w.tasks.insert(task_name, running);
                 }
-                w.token = send.commands.fencing_token.0;
-                let outcome = Sending::Executed(Box::new(w.report()));
+                w.fencing_token = send.commands.fencing_fencing_token.0;
+                let outcome = Sending::Executed(Box::new(w.heartbeat()));
                 o.core.dispatched(&send.machine, outcome, now);
             }
             for id in o.core.fleet(now).to_delete {
@@ -190,7 +190,7 @@
         let runs = workers.iter().filter(|w| !w.tasks.is_empty()).count();
         assert_eq!(runs, usize::from(deaf < 8), "it runs where it is heard");
         // Two at each that is deaf, as the first failure proves nothing right after it
-        // took a token up, and the one that is carried out.
+        // took a fencing token up, and the one that is carried out.
         assert!(claims <= 2 * deaf + 1, "{claims} claims with {deaf} deaf");
         for n in 0..deaf {
             let id = MachineId::from(&*format!("vm-{n:06}"));
@@ -199,29 +199,29 @@
     }
 }
 
-/// Copies of reports, from seconds to several leases late: they keep no dead
+/// Copies of heartbeats, from seconds to several leases late: they keep no dead
 /// machine, make none of one that was given back, and prove nothing at the next
 /// owner, whose list does not know the machine.
 #[test]
-fn copies_of_reports_bring_no_machine_back_and_keep_none() {
+fn copies_of_heartbeats_bring_no_machine_back_and_keep_none() {
     let mut world = World::new(1);
     one_job(&mut world);
     let dead = MachineId::from("vm-000000");
-    let copies: Vec<Report> = (0..6).map(|_| world.workers[0].report()).collect();
+    let copies: Vec<Heartbeat> = (0..6).map(|_| world.workers[0].heartbeat()).collect();
     let o = &mut world.owners[0];
     for copy in &copies {
-        o.core.report(copy, Source::Beat, Time(2.0));
+        o.core.heartbeat(copy, Source::Heartbeat, Time(2.0));
     }
-    // It died then; its last report comes every few seconds, and another controller
+    // It died then; its last heartbeat comes every few seconds, and another controller
     // tells of it.
     let mut gone_at = None;
     for step in 0..120 {
         let now = Time(3.0 + f64::from(step) / 2.0);
         for w in &mut world.workers[1..] {
-            o.core.report(&w.report(), Source::Beat, now);
+            o.core.heartbeat(&w.heartbeat(), Source::Heartbeat, now);
         }
         let last = copies.last().expect("one");
-        o.core.report(last, Source::Homed, now);
+        o.core.heartbeat(last, Source::Adopted, now);
         o.core.heard(
             &dead,
             last.incarnation,
@@ -240,7 +240,7 @@
     for late in [1.0, 60.0, 200.0] {
         o.core.listed(&[], Time(70.0 + late));
         for copy in &copies {
-            o.core.report(copy, Source::Beat, Time(70.0 + late));
+            o.core.heartbeat(copy, Source::Heartbeat, Time(70.0 + late));
             assert_eq!(o.core.machines(), machines, "{late} s after");
         }
     }
@@ -249,17 +249,20 @@
     let core = &mut world.owners[1].core;
     core.listed(&[], Time(300.0));
     for copy in &copies {
-        assert!(core.report(copy, Source::Beat, Time(300.0)), "deposed");
+        assert!(
+            core.heartbeat(copy, Source::Heartbeat, Time(300.0)),
+            "deposed"
+        );
         assert_eq!(core.machines(), 0, "a copy from before the takeover");
     }
-    // A machine that is there learns the token by its answer, and is known then.
+    // A machine that is there learns the fencing token by its answer, and is known then.
     let w = &mut world.workers[1];
-    core.report(&w.report(), Source::Beat, Time(300.0));
+    core.heartbeat(&w.heartbeat(), Source::Heartbeat, Time(300.0));
     let id = MachineId::from(w.id.as_str());
-    w.token = core
+    w.fencing_token = core
         .reply(&id, &View::default(), Time(300.0))
-        .fencing_token
+        .fencing_fencing_token
         .0;
-    core.report(&w.report(), Source::Beat, Time(301.0));
+    core.heartbeat(&w.heartbeat(), Source::Heartbeat, Time(301.0));
     assert_eq!(core.machines(), 1);
 }
--- a/tests/rules/takeover.rs
+++ b/tests/rules/takeover.rs
@@ -1,4 +1,4 @@
-//! What a new owner makes of the records and of old reports.
+//! What a new owner makes of the records and of old heartbeats.
 
 use serde_json::json;
 use sorrelhinge::control::core::Source;
@@ -81,15 +81,15 @@
 /// A controller that hears of a newer grant from a worker is told so: it may
 /// not take the silence of machines that left it for their end.
 #[test]
-fn a_report_with_a_newer_token_deposes() {
+fn a_heartbeat_with_a_newer_fencing_token_deposes() {
     let mut world = World::new(1);
     one_job(&mut world);
     let w = &mut world.workers[0];
-    w.token = 2 << 20;
-    let report = w.report();
+    w.fencing_token = 2 << 20;
+    let heartbeat = w.heartbeat();
     let core = &mut world.owners[0].core;
-    assert!(!core.report(&report, Source::Beat, Time(2.0)));
-    let refused = Sending::Refused(Box::new(report));
+    assert!(!core.heartbeat(&heartbeat, Source::Heartbeat, Time(2.0)));
+    let refused = Sending::Refused(Box::new(heartbeat));
     let id = MachineId::from("vm-000000");
     assert!(!core.dispatched(&id, refused, Time(2.0)));
 }
--- a/tests/rules/worker.rs
+++ b/tests/rules/worker.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use serde_json::{json, Value};
-use sorrelhinge::worker::Report;
+use sorrelhinge::worker::Heartbeat;
 
 pub(crate) struct Running {
     pub(crate) units: Vec<String>,
@@ -18,14 +18,14 @@
     pub(crate) id: String,
     pub(crate) zone: &'static str,
     pub(crate) spot: bool,
-    pub(crate) session: u64,
+    pub(crate) incarnation: u64,
     pub(crate) sequence: u64,
-    pub(crate) token: u64,
+    pub(crate) fencing_token: u64,
     pub(crate) renewed: f64,
     pub(crate) silent_until: f64,
-    /// Until then it reports and hears nothing.
+    /// Until then it heartbeats and hears nothing.
     pub(crate) deaf_until: f64,
-    /// Until then its reports are lost; direct commands arrive.
+    /// Until then its heartbeats are lost; direct commands arrive.
     pub(crate) mute_until: f64,
     /// Until then it stands still, while its lease runs on.
     pub(crate) hangs_until: f64,
@@ -40,9 +40,9 @@
             id: format!("vm-{i:06}"),
             zone: if i % 2 == 0 { "za" } else { "zb" },
             spot: i >= 4,
-            session: 1,
+            incarnation: 1,
             sequence: 0,
-            token: 0,
+            fencing_token: 0,
             renewed: 0.0,
             silent_until: 0.0,
             deaf_until: 0.0,
@@ -53,16 +53,16 @@
         }
     }
 
-    pub(crate) fn report(&mut self) -> Report {
+    pub(crate) fn heartbeat(&mut self) -> Heartbeat {
         self.sequence += 1;
         let tasks: Vec<Value> = self
             .tasks
             .iter()
             .map(|(task_name, r)| json!({"piece": task_name, "try": r.attempt, "phase": r.phase, "cause": r.exit_reason}))
             .collect();
-        let report = json!({"box": self.id, "addr": "127.0.0.1:9", "build": "t", "rack": self.zone,
-            "loaners": self.spot, "shift": self.session, "tick": self.sequence, "baton": self.token,
+        let heartbeat = json!({"box": self.id, "addr": "127.0.0.1:9", "build": "t", "rack": self.zone,
+            "loaners": self.spot, "shift": self.incarnation, "tick": self.sequence, "baton": self.fencing_token,
             "warning_s": self.warned.then_some(9.0), "pieces": tasks});
-        serde_json::from_value(report).expect("report")
+        serde_json::from_value(heartbeat).expect("report")
     }
 }
--- a/tests/rules/world.rs
+++ b/tests/rules/world.rs
@@ -18,7 +18,7 @@
 use sorrelhinge::state::view::View;
 use sorrelhinge::state::{Outcome, Transaction};
 use sorrelhinge::types::{JobId, MachineId, Revision, Term, Time};
-use sorrelhinge::worker::{Report, Sending};
+use sorrelhinge::worker::{Heartbeat, Sending};
 use sorrelhinge_overload::freshness::Freshness;
 use sorrelhinge_protocol::placement::PlacementRules;
 use sorrelhinge_sharding::shard::{BlockId, Shard};
@@ -61,8 +61,8 @@
     pub(crate) grants: u64,
     pub(crate) started: usize,
     pub(crate) starts_of: BTreeMap<String, usize>,
-    /// Reports that were delivered, of which copies come late.
-    pub(crate) copies: Vec<Report>,
+    /// Heartbeats that were delivered, of which copies come late.
+    pub(crate) copies: Vec<Heartbeat>,
     /// Nothing goes wrong by chance.
     pub(crate) calm: bool,
     /// A machine on which every task fails.
@@ -87,7 +87,7 @@
 
 impl Owner {
     /// Whether its view is new enough to command workers and to renew leases, as
-    /// `Node::own_beat` and `Node::drive` ask.
+    /// `Node::own_heartbeat` and `Node::drive` ask.
     pub(crate) fn may_command(&self, now: f64) -> bool {
         self.freshness
             .may_answer_workers(Time(now), LEASE_S, CANCEL_S)
@@ -427,14 +427,14 @@
             match self.carry_out(&id, &commands) {
                 None => Sending::NotSent,
                 Some(_) if luck < 18 => Sending::Unknown,
-                Some(Some(report)) => Sending::Executed(Box::new(report)),
+                Some(Some(heartbeat)) => Sending::Executed(Box::new(heartbeat)),
                 Some(None) => {
                     let w = self
                         .workers
                         .iter_mut()
                         .find(|w| w.id == id)
                         .expect("worker");
-                    Sending::Refused(Box::new(w.report()))
+                    Sending::Refused(Box::new(w.heartbeat()))
                 }
             }
         };
@@ -496,12 +496,12 @@
         }
     }
 
-    pub(crate) fn beat(&mut self, at: usize) {
+    pub(crate) fn heartbeat(&mut self, at: usize) {
         let w = &self.workers[at];
         if w.silent_until.max(w.mute_until) > self.now || self.owners.is_empty() {
             return;
         }
-        // Now and then a report still goes to an owner that was deposed.
+        // Now and then a heartbeat still goes to an owner that was deposed.
         let machine = MachineId::from(self.workers[at].id.as_str());
         let covers = |o: &Owner| o.core.shard.covers(&machine);
         let owner = if self.faults.to_first || self.luck(0.15) {
@@ -513,57 +513,60 @@
         if self.owners[owner].paused_until > self.now {
             return;
         }
-        let report = self.workers[at].report();
+        let heartbeat = self.workers[at].heartbeat();
         let sent = self.now;
         if self.faults.keeps {
-            self.copies.push(report.clone());
+            self.copies.push(heartbeat.clone());
         }
         if self.owners[owner].apart_until > self.now {
-            return self.renew_in_stead(at, &report);
+            return self.renew_in_stead(at, &heartbeat);
         }
         let source = if self.luck(0.15) {
             Source::Passed
         } else {
-            Source::Beat
+            Source::Heartbeat
         };
         let o = &mut self.owners[owner];
-        if !o.core.report(&report, source, Time(self.now)) {
+        if !o.core.heartbeat(&heartbeat, source, Time(self.now)) {
             return;
         }
         if !o.may_command(self.now) {
             return;
         }
-        o.core.walk(&report.machine, Time(self.now));
-        let reply = o.core.reply(&report.machine, &o.view, Time(self.now));
-        self.trace.fold_json(report.machine.as_str(), &reply);
+        o.core.walk(&heartbeat.machine, Time(self.now));
+        let reply = o.core.reply(&heartbeat.machine, &o.view, Time(self.now));
+        self.trace.fold_json(heartbeat.machine.as_str(), &reply);
         let reply = serde_json::to_value(&reply).expect("reply");
-        let fencing_token = reply["baton"].as_u64().expect("baton");
+        let fencing_fencing_token = reply["baton"].as_u64().expect("baton");
         if self.luck(0.2) {
-            self.copies.push(report);
+            self.copies.push(heartbeat);
         }
         let deaf = self.workers[at].deaf_until > self.now;
-        if deaf || self.luck(0.05) || fencing_token < self.workers[at].token {
+        if deaf || self.luck(0.05) || fencing_fencing_token < self.workers[at].fencing_token {
             return;
         }
-        self.workers[at].token = fencing_token;
+        self.workers[at].fencing_token = fencing_fencing_token;
         self.workers[at].renewed = sent;
         self.commands(at, &reply["orders"]);
     }
 
-    /// A copy of a report comes late, seconds or several takeovers after it, perhaps
+    /// A copy of a heartbeat comes late, seconds or several takeovers after it, perhaps
     /// of a machine that is gone, to an owner or a former one.
     pub(crate) fn copy(&mut self) {
         if self.copies.is_empty() {
             return;
         }
-        let report = &self.copies[self.rng.random_range(0..self.copies.len())];
-        let covers = |o: &&mut Owner| o.core.shard.covers(&report.machine);
+        let heartbeat = &self.copies[self.rng.random_range(0..self.copies.len())];
+        let covers = |o: &&mut Owner| o.core.shard.covers(&heartbeat.machine);
         for o in self.owners.iter_mut().filter(covers) {
             // Nobody takes the answer.
-            if !o.core.is_copy(report) && o.core.report(report, Source::Beat, Time(self.now)) {
-                o.core.walk(&report.machine, Time(self.now));
-                let reply = o.core.reply(&report.machine, &o.view, Time(self.now));
-                self.trace.fold_json(report.machine.as_str(), &reply);
+            if !o.core.is_copy(heartbeat)
+                && o.core
+                    .heartbeat(heartbeat, Source::Heartbeat, Time(self.now))
+            {
+                o.core.walk(&heartbeat.machine, Time(self.now));
+                let reply = o.core.reply(&heartbeat.machine, &o.view, Time(self.now));
+                self.trace.fold_json(heartbeat.machine.as_str(), &reply);
             }
         }
     }
@@ -602,9 +605,9 @@
             if let Some(w) = self.workers.iter_mut().find(|w| w.id == id.as_str()) {
                 w.id = format!("vm-{:06}", 100 + self.rented);
                 w.tasks.clear();
-                w.session = 1;
+                w.incarnation = 1;
                 w.sequence = 0;
-                w.token = 0;
+                w.fencing_token = 0;
                 w.renewed = self.now;
                 w.deaf_until = 0.0;
                 w.mute_until = 0.0;
@@ -616,12 +619,12 @@
         }
     }
 
-    /// A worker whose lease is over ends all its tasks and begins a new session.
+    /// A worker whose lease is over ends all its tasks and begins a new incarnation.
     pub(crate) fn end_lease(&mut self, at: usize) {
         let w = &mut self.workers[at];
         if self.now - w.renewed > LEASE_S {
             w.tasks.clear();
-            w.session += 1;
+            w.incarnation += 1;
             w.renewed = self.now;
         }
     }
@@ -705,7 +708,7 @@
         }
     }
 
-    /// A worker's tasks go on, its troubles begin, and it reports.
+    /// A worker's tasks go on, its troubles begin, and it heartbeats.
     fn step_worker(&mut self, at: usize) {
         let w = &mut self.workers[at];
         let hangs = w.hangs_until > self.now;
@@ -728,7 +731,7 @@
             self.workers[at].warned = true;
         }
         if self.rng.random_bool(0.5) {
-            self.beat(at);
+            self.heartbeat(at);
         }
     }
 
--- a/tests/sched_model.rs
+++ b/tests/sched_model.rs
@@ -102,7 +102,7 @@
 }
 
 /// Algorithm 1 with the changes of the design, written down plainly: one
-/// machine that reports, and another, full, that holds images `elsewhere`.
+/// machine that heartbeats, and another, full, that holds images `elsewhere`.
 struct Model {
     jobs: Vec<Plain>,
     used: [i64; 2],
@@ -249,7 +249,7 @@
             }).collect();
             prop_assert_eq!(&real_jobs, &plain);
             on.extend(real_jobs.into_iter().zip(real.into_iter().map(|l| l.task)));
-            // Some tasks run and finish before the next report.
+            // Some tasks run and finish before the next heartbeat.
             if finish[round] {
                 for (i, task) in on.drain(..) {
                     cluster_state.ran(&task);
--- a/tests/staging.rs
+++ b/tests/staging.rs
@@ -57,7 +57,7 @@
     now: f64,
     ticks: u64,
     grant: u64,
-    /// Machines with their zones and the token that they know; tasks with their
+    /// Machines with their zones and the fencing token that they know; tasks with their
     /// phases; and what each start named.
     workers: BTreeMap<String, (&'static str, u64)>,
     tasks: BTreeMap<(String, String), (u64, &'static str)>,
@@ -132,8 +132,8 @@
             .jobs_changed(&self.view, &changed, Time(self.now), 0);
     }
 
-    /// A report of a machine.
-    fn report(&mut self, id: &str) -> Value {
+    /// A heartbeat of a machine.
+    fn heartbeat(&mut self, id: &str) -> Value {
         self.ticks += 1;
         let tasks: Vec<Value> = self
             .tasks
@@ -141,15 +141,16 @@
             .filter(|((m, _), _)| m == id)
             .map(|((_, task_name), (attempt, phase))| json!({"piece": task_name, "try": attempt, "phase": phase}))
             .collect();
-        let (zone, token) = self.workers[id];
+        let (zone, fencing_token) = self.workers[id];
         json!({"box": id, "addr": addr(id), "build": "t", "rack": zone, "loaners": false,
-            "shift": 1, "tick": self.ticks, "baton": token, "warning_s": null, "pieces": tasks})
+            "shift": 1, "tick": self.ticks, "baton": fencing_token, "warning_s": null, "pieces": tasks})
     }
 
-    fn beat(&mut self, id: &str) {
-        let report = self.report(id);
-        let report = serde_json::from_value(report).expect("a report");
-        self.core.report(&report, Source::Beat, Time(self.now));
+    fn exchange_heartbeat(&mut self, id: &str) {
+        let heartbeat = self.heartbeat(id);
+        let heartbeat = serde_json::from_value(heartbeat).expect("a report");
+        self.core
+            .heartbeat(&heartbeat, Source::Heartbeat, Time(self.now));
         let id = MachineId::from(id);
         let reply = self.core.reply(&id, &self.view, Time(self.now));
         let reply = serde_json::to_value(reply).expect("a reply");
@@ -157,8 +158,8 @@
     }
 
     fn carry_out(&mut self, id: &str, commands: &Value) {
-        let token = commands["baton"].as_u64().expect("a token");
-        self.workers.get_mut(id).expect("it is there").1 = token;
+        let fencing_token = commands["baton"].as_u64().expect("a token");
+        self.workers.get_mut(id).expect("it is there").1 = fencing_token;
         for order in commands["orders"].as_array().expect("orders") {
             let task_name = order["piece"].as_str().expect("a piece").to_owned();
             let key = (id.to_owned(), task_name.clone());
@@ -185,12 +186,12 @@
         self.view.take_changed();
     }
 
-    /// Half a second of an owner's work. `heard`: machines that report.
+    /// Half a second of an owner's work. `heard`: machines that heartbeat.
     fn step(&mut self, heard: &[String]) {
         self.now += 0.5;
         for id in heard {
             if self.workers.contains_key(id) {
-                self.beat(id);
+                self.exchange_heartbeat(id);
             }
         }
         let now = Time(self.now);
@@ -207,8 +208,8 @@
             }
             let commands = serde_json::to_value(&send.commands).expect("orders");
             self.carry_out(&id, &commands);
-            let report = serde_json::from_value(self.report(&id)).expect("a report");
-            let outcome = Sending::Executed(Box::new(report));
+            let heartbeat = serde_json::from_value(self.heartbeat(&id)).expect("a report");
+            let outcome = Sending::Executed(Box::new(heartbeat));
             self.core.dispatched(&send.machine, outcome, now);
         }
     }
--- a/tests/topology_cases.rs
+++ b/tests/topology_cases.rs
@@ -606,7 +606,7 @@
 
 // ---- with the owner's core ----------------------------------------------
 
-/// An owner with a job in its record, and what its machines report.
+/// An owner with a job in its record, and what its machines heartbeat.
 struct Owner {
     core: Core,
     view: View,
@@ -642,26 +642,27 @@
         }
     }
 
-    /// A machine reports, with these tasks.
-    fn beat(&mut self, machine: &str, token: u64, tasks: Value, now: f64) -> Value {
+    /// A machine heartbeats, with these tasks.
+    fn heartbeat(&mut self, machine: &str, fencing_token: u64, tasks: Value, now: f64) -> Value {
         self.ticks += 1;
         let zone = format!("z{}", &machine[3..4]);
-        let report = json!({"box": machine, "addr": "127.0.0.1:9", "build": "t", "rack": zone,
-            "loaners": false, "shift": 1, "tick": self.ticks, "baton": token, "warning_s": null,
+        let heartbeat = json!({"box": machine, "addr": "127.0.0.1:9", "build": "t", "rack": zone,
+            "loaners": false, "shift": 1, "tick": self.ticks, "baton": fencing_token, "warning_s": null,
             "pieces": tasks});
-        let report = serde_json::from_value(report).expect("a report");
-        self.core.report(&report, Source::Beat, Time(now));
+        let heartbeat = serde_json::from_value(heartbeat).expect("a report");
+        self.core
+            .heartbeat(&heartbeat, Source::Heartbeat, Time(now));
         let id = MachineId::from(machine);
         let reply = self.core.reply(&id, &self.view, Time(now));
         serde_json::to_value(reply).expect("a reply")
     }
 
-    /// All machines learn the token, so that they may be used.
+    /// All machines learn the fencing token, so that they may be used.
     fn all_up(&mut self, machines: &[&str], now: f64) {
         for m in machines {
-            let reply = self.beat(m, 0, json!([]), now);
-            let token = reply["baton"].as_u64().expect("a token");
-            self.beat(m, token, json!([]), now);
+            let reply = self.heartbeat(m, 0, json!([]), now);
+            let fencing_token = reply["baton"].as_u64().expect("a token");
+            self.heartbeat(m, fencing_token, json!([]), now);
         }
     }
 
@@ -717,12 +718,12 @@
     assert_eq!(o.starts(0.2), [] as [&str; 0], "no claim is recorded yet");
     // A machine is to be taken: its claim is dropped, so the gang is broken.
     let lost = first[0].clone();
-    o.core.report(
+    o.core.heartbeat(
         &serde_json::from_value(json!({"box": lost, "addr": "127.0.0.1:9", "build": "t",
             "rack": format!("z{}", &lost[3..4]), "loaners": false, "shift": 1, "tick": 999,
             "baton": u64::from(1_u32 << 20), "warning_s": 5.0, "pieces": []}))
         .expect("a report"),
-        Source::Beat,
+        Source::Heartbeat,
         Time(0.3),
     );
     while o.record(0.4) {}
@@ -755,7 +756,7 @@
     // One is started and runs, the other's start has not gone out.
     let starts = o.starts(0.3);
     assert_eq!(starts.len(), 2);
-    let token = 1_u64 << 20;
+    let fencing_token = 1_u64 << 20;
     let task_name = "run-1/0";
     let machine = o.claimed()[0].clone();
     let other = o.claimed()[1].clone();
@@ -763,7 +764,7 @@
         &MachineId::from(machine.as_str()),
         sorrelhinge::worker::Sending::Executed(Box::new(
             serde_json::from_value(json!({"box": machine, "addr": "127.0.0.1:9", "build": "t",
-                "rack": "za", "loaners": false, "shift": 1, "tick": 500, "baton": token,
+                "rack": "za", "loaners": false, "shift": 1, "tick": 500, "baton": fencing_token,
                 "warning_s": null, "pieces": [{"piece": task_name, "try": 1, "phase": "running"}]}))
             .expect("a report"),
         )),
