--- a/crates/emulators/src/store.rs
+++ b/crates/emulators/src/store.rs
@@ -358,9 +358,9 @@
 /// Changes of keys since a revision, once there are some or the time is up.
 async fn follow(store: Rc<RefCell<Store>>, from: Option<usize>, path: String) -> Told {
     let number = |name: &str| query(&path, name).and_then(|n| n.parse().ok()).unwrap_or(0);
-    let (since, block) = (number("since"), number("block_ms"));
+    let (since, shard) = (number("since"), number("block_ms"));
     let under = query(&path, "under").unwrap_or_default();
-    let end = Instant::now() + Duration::from_millis(block);
+    let end = Instant::now() + Duration::from_millis(shard);
     loop {
         let changed = store.borrow().changed.clone();
         let wait = changed.notified();
--- a/crates/protocol/src/operators.rs
+++ b/crates/protocol/src/operators.rs
@@ -136,24 +136,25 @@
     pub drains: Vec<DrainShown>,
 }
 
-/// One team in one block.
+/// One team in one shard.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct TeamShown {
     /// Its name.
     pub team: String,
-    /// CPUs of its limit that are this block's part.
+    /// CPUs of its limit that are this shard's part.
     pub part_cpus: f64,
-    /// CPUs used; none: the block's owner has not told of late.
+    /// CPUs used; none: the shard's owner has not told of late.
     pub used_cpus: Option<f64>,
     /// CPUs that wait to be placed; likewise.
     pub waiting_cpus: Option<f64>,
 }
 
-/// One block.
+/// One shard.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct BlockShown {
+pub struct ShardShown {
     /// Its number.
-    pub block: u32,
+    #[serde(rename = "block")]
+    pub shard: u32,
     /// Its owner, as recorded.
     pub owner: Option<String>,
     /// Whether that lives.
@@ -174,20 +175,23 @@
 
 /// The answer of `GET /v1/blocks`.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct BlocksShown {
+pub struct ShardsShown {
     /// Who leads.
     pub leader: Option<String>,
-    /// All blocks.
-    pub blocks: Vec<BlockShown>,
+    /// All shards.
+    #[serde(rename = "blocks")]
+    pub shards: Vec<ShardShown>,
 }
 
-/// The body of `POST /v1/blocks`: pins a block, or takes its pin off.
+/// The body of `POST /v1/blocks`: pins a shard, or takes its pin off.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize, Validate)]
 #[serde(deny_unknown_fields)]
 pub struct PinAsked {
     /// Which.
     #[garde(range(max = 1_000))]
-    pub block: u32,
+    #[serde(rename = "block")]
+    #[garde(rename("block"))]
+    pub shard: u32,
     /// To which controller; none: to none.
     #[serde(default)]
     #[garde(inner(length(bytes, min = 1, max = 200)))]
--- a/crates/protocol/src/types.rs
+++ b/crates/protocol/src/types.rs
@@ -103,7 +103,7 @@
     Term
 );
 counter!(
-    /// Who may command a worker: the number of a block grant in the upper
+    /// Who may command a worker: the number of a shard grant in the upper
     /// bits, and in the lower bits how often that grant's owner raised it for
     /// one machine. Any later grant is above every raise of an earlier one.
     FencingToken
--- a/crates/reservations/src/plan.rs
+++ b/crates/reservations/src/plan.rs
@@ -169,13 +169,13 @@
     Whole { each, hold }
 }
 
-/// Parts of a hold for `blocks` blocks: they add up to it, differ by one at
+/// Parts of a hold for `shards` shards: they add up to it, differ by one at
 /// most, and none shrinks when it grows.
-pub fn divide(tasks: u32, blocks: u32) -> Vec<u32> {
-    (0..blocks)
-        .map(|block| {
-            let before = u64::from(blocks - 1 - block);
-            ((u64::from(tasks) + before) / u64::from(blocks)) as u32
+pub fn divide(tasks: u32, shards: u32) -> Vec<u32> {
+    (0..shards)
+        .map(|shard| {
+            let before = u64::from(shards - 1 - shard);
+            ((u64::from(tasks) + before) / u64::from(shards)) as u32
         })
         .collect()
 }
--- a/crates/reservations/src/plan/room.rs
+++ b/crates/reservations/src/plan/room.rs
@@ -91,7 +91,7 @@
     part(tasks, SHRINK_PARTS.saturating_sub(gone), SHRINK_PARTS)
 }
 
-/// How many tasks' room to hold by a record as it is. For other blocks' owners
+/// How many tasks' room to hold by a record as it is. For other shards' owners
 /// as well, which don't write it and hold their part, see [`super::divide`].
 pub fn hold(
     window: Option<&Window>,
--- a/crates/reservations/src/plan/seen.rs
+++ b/crates/reservations/src/plan/seen.rs
@@ -26,7 +26,7 @@
 }
 
 /// What the owner sees of a window. Room is counted in the window's tasks, over
-/// all blocks and all occurrences of the window.
+/// all shards and all occurrences of the window.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Seen {
     /// Room set aside, used by its work, or rented for it and on its way.
--- a/crates/reservations/tests/model.rs
+++ b/crates/reservations/tests/model.rs
@@ -328,14 +328,14 @@
         prop_assert!(outcome.is_ok(), "{:?}", outcome.err());
     }
 
-    /// Parts add up, are even, and none shrinks when the whole grows: a block's
+    /// Parts add up, are even, and none shrinks when the whole grows: a shard's
     /// owner never returns room because more is held.
     #[test]
-    fn parts_of_blocks_add_up(tasks in 0u32..100_000, blocks in 1u32..6) {
-        let parts = divide(tasks, blocks);
+    fn parts_of_shards_add_up(tasks in 0u32..100_000, shards in 1u32..6) {
+        let parts = divide(tasks, shards);
         prop_assert_eq!(parts.iter().sum::<u32>(), tasks);
         prop_assert!(parts.iter().max().unwrap_or(&0) - parts.iter().min().unwrap_or(&0) <= 1);
-        let more = divide(tasks + 1, blocks);
+        let more = divide(tasks + 1, shards);
         prop_assert!(parts.iter().zip(&more).all(|(a, b)| a <= b));
     }
 
--- a/crates/sharding/src/delegation.rs
+++ b/crates/sharding/src/delegation.rs
@@ -1,7 +1,7 @@
-//! Tasks that one block leaves to another that has room.
+//! Tasks that one shard leaves to another that has room.
 //!
-//! Jobs are placed by one block each, and machines come and go: one block's
-//! queue waits while another's machines idle. So a block says how much room it
+//! Jobs are placed by one shard each, and machines come and go: one shard's
+//! queue waits while another's machines idle. So a shard says how much room it
 //! has beyond its own work, and others leave it tasks that found no place. That
 //! is a hint on both sides, with an end: whoever claims a task first in the
 //! job's record has it, and the other's claim fails there.
@@ -10,9 +10,9 @@
 
 use sorrelhinge_protocol::types::{JobId, Time};
 
-use crate::shard::BlockId;
+use crate::shard::ShardId;
 
-/// A task is left to another for so long, in seconds; after that its own block
+/// A task is left to another for so long, in seconds; after that its own shard
 /// places it again.
 pub const DELEGATED_S: f64 = 6.0;
 /// The other drops what it could not claim a little earlier.
@@ -35,29 +35,29 @@
     pub cpu: i64,
 }
 
-/// So many tasks of a job are left to a block.
+/// So many tasks of a job are left to a shard.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Delegated {
     /// Of which job.
     pub job: JobId,
-    /// To which block.
-    pub to: BlockId,
+    /// To which shard.
+    pub to: ShardId,
     /// How many.
     pub tasks: u32,
 }
 
-/// What is known of the other blocks' room.
+/// What is known of the other shards' room.
 #[derive(Debug, Default)]
 pub struct Delegation {
     /// Thousandths of a CPU that are free there, less what was left there since.
-    room: BTreeMap<BlockId, (i64, Time)>,
+    room: BTreeMap<ShardId, (i64, Time)>,
 }
 
 impl Delegation {
-    /// A block said how much room it has beyond its own work, in thousandths of
+    /// A shard said how much room it has beyond its own work, in thousandths of
     /// a CPU.
-    pub fn has_room(&mut self, block: BlockId, cpu: i64, now: Time) {
-        self.room.insert(block, (cpu.max(0), now));
+    pub fn has_room(&mut self, shard: ShardId, cpu: i64, now: Time) {
+        self.room.insert(shard, (cpu.max(0), now));
     }
 
     /// Which tasks to leave to others, the first of `waiting` first.
--- a/crates/sharding/src/lib.rs
+++ b/crates/sharding/src/lib.rs
@@ -2,16 +2,16 @@
 //!
 //! - [`served`]: what each class and team gets, and who starves;
 //! - [`largest_jobs`]: the largest jobs of each class, told of one by one;
-//! - [`shard`]: which block a machine or a job belongs to;
-//! - [`delegation`]: tasks that one block leaves to another that has room;
+//! - [`scope`]: which shard a machine or a job belongs to;
+//! - [`delegation`]: tasks that one shard leaves to another that has room;
 //! - [`fair`]: who is next when what all want is short;
 //! - [`isolation`]: whether a controller is left with nothing but its workers;
-//! - [`owners`]: who is granted which block, and which one moves next;
+//! - [`owners`]: who is granted which shard, and which one moves next;
 //! - [`reach`]: whether an owner still reaches the workers;
-//! - [`slices`]: each block's part of the teams' limits;
+//! - [`slices`]: each shard's part of the teams' limits;
 //! - [`tally`]: who was served over a run, from the log.
 //!
-//! See `docs/blocks.md`.
+//! See `docs/shards.md`.
 
 pub mod delegation;
 pub mod fair;
--- a/crates/sharding/src/owners.rs
+++ b/crates/sharding/src/owners.rs
@@ -1,10 +1,10 @@
-//! Who owns which block, and which one moves next.
+//! Who owns which shard, and which one moves next.
 //!
 //! A move has named steps, each one conditional write or none:
 //!
 //! | step | who | what |
 //! | --- | --- | --- |
-//! | offered | the leader | names the taker in the block's record |
+//! | offered | the leader | names the taker in the shard's record |
 //! | frozen | the giver | claims nothing more there, and lets what is under way settle |
 //! | handed | the giver | writes the taker as owner, with the next number |
 //! | confirmed | the taker | its fencing token is raised machine by machine; only then it counts on one |
@@ -12,13 +12,13 @@
 //!
 //! Whoever leads next reads from the record which step a move is at. Nothing is
 //! proved by who is alive: a grant that was wrong costs time only, as claims are
-//! guarded by the block's record and commands by its number.
+//! guarded by the shard's record and commands by its number.
 
 use std::collections::BTreeMap;
 
 use sorrelhinge_protocol::types::{NodeId, Time};
 
-use crate::shard::BlockId;
+use crate::shard::ShardId;
 
 /// A controller that lives, as the state service has it.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -27,7 +27,7 @@
     pub run: u64,
 }
 
-/// A block, as recorded.
+/// A shard, as recorded.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Held {
     /// Its owner, and the process that was granted it.
@@ -43,18 +43,18 @@
 /// What the leader does next.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Step {
-    /// Grants a block whose owner is gone.
-    Grant(BlockId, NodeId),
-    /// Offers a block to another controller.
-    Offer(BlockId, NodeId),
+    /// Grants a shard whose owner is gone.
+    Grant(ShardId, NodeId),
+    /// Offers a shard to another controller.
+    Offer(ShardId, NodeId),
     /// Clears an offer.
-    TakeBack(BlockId),
+    TakeBack(ShardId),
 }
 
 /// How long an offer may stand, in seconds: the giver lets what is under way
 /// settle for less than that.
 const OFFER_TIMEOUT_S: f64 = 8.0;
-/// A controller is offered blocks once it has lived for so long, in seconds.
+/// A controller is offered shards once it has lived for so long, in seconds.
 const MEMBERSHIP_SETTLED_S: f64 = 3.0;
 /// Between two moves that only balance, in seconds.
 const BALANCE_INTERVAL_S: f64 = 1.0;
@@ -80,38 +80,38 @@
     /// Each controller that lives, by the process that it is.
     seen: BTreeMap<NodeId, Seen>,
     /// Each offer that stands.
-    offers: BTreeMap<BlockId, SeenOffer>,
-    /// When a block was last moved for balance, or because moves are forced.
+    offers: BTreeMap<ShardId, SeenOffer>,
+    /// When a shard was last moved for balance, or because moves are forced.
     moved: Option<Time>,
 }
 
-/// What the operators want of the blocks, beside that all are owned.
+/// What the operators want of the shards, beside that all are owned.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Wish {
-    /// All blocks are to go to this controller, as there is to be one again.
+    /// All shards are to go to this controller, as there is to be one again.
     pub gather: Option<NodeId>,
-    /// A block moves so often, in seconds, even if nothing asks for it, so that
+    /// A shard moves so often, in seconds, even if nothing asks for it, so that
     /// moves are tried all the time.
     pub move_every_s: Option<f64>,
 }
 
 /// What one decision looks at.
 struct Situation<'a> {
-    blocks: &'a BTreeMap<BlockId, Held>,
+    shards: &'a BTreeMap<ShardId, Held>,
     alive: &'a BTreeMap<NodeId, Member>,
-    /// How many blocks each controller has, and will have once what is offered
+    /// How many shards each controller has, and will have once what is offered
     /// has moved.
     counts: BTreeMap<&'a NodeId, usize>,
     now: Time,
 }
 
-/// A controller, and how many blocks it has.
+/// A controller, and how many shards it has.
 struct Load {
     node: NodeId,
-    blocks: usize,
+    shards: usize,
 }
 
-/// From whom and to whom a block moves.
+/// From whom and to whom a shard moves.
 struct Pair {
     giver: NodeId,
     taker: NodeId,
@@ -121,19 +121,19 @@
     /// The next step, if any is due.
     pub fn next(
         &mut self,
-        blocks: &BTreeMap<BlockId, Held>,
+        shards: &BTreeMap<ShardId, Held>,
         alive: &BTreeMap<NodeId, Member>,
         wish: &Wish,
         now: Time,
     ) -> Option<Step> {
         self.record_members(alive, now);
-        self.record_offers(blocks, now);
-        let situation = Situation::new(blocks, alive, now);
-        if let Some(block) = situation.unowned() {
-            return Some(Step::Grant(block, situation.new_owner(block)?));
+        self.record_offers(shards, now);
+        let situation = Situation::new(shards, alive, now);
+        if let Some(shard) = situation.unowned() {
+            return Some(Step::Grant(shard, situation.new_owner(shard)?));
         }
-        if let Some(block) = self.expired_offer(&situation) {
-            return Some(Step::TakeBack(block));
+        if let Some(shard) = self.expired_offer(&situation) {
+            return Some(Step::TakeBack(shard));
         }
         if !self.offers.is_empty() {
             return None;
@@ -159,22 +159,22 @@
     }
 
     /// Notes which offers stand, and since when.
-    fn record_offers(&mut self, blocks: &BTreeMap<BlockId, Held>, now: Time) {
-        self.offers.retain(|block, offer| {
-            blocks
-                .get(block)
+    fn record_offers(&mut self, shards: &BTreeMap<ShardId, Held>, now: Time) {
+        self.offers.retain(|shard, offer| {
+            shards
+                .get(shard)
                 .is_some_and(|held| held.to.as_ref() == Some(&offer.to))
         });
-        for (block, held) in blocks {
+        for (shard, held) in shards {
             if let Some(to) = held.to.clone() {
                 let offer = SeenOffer { to, since: now };
-                self.offers.entry(*block).or_insert(offer);
+                self.offers.entry(*shard).or_insert(offer);
             }
         }
     }
 
     /// The first offer whose taker is gone, or that has stood for too long.
-    fn expired_offer(&self, situation: &Situation<'_>) -> Option<BlockId> {
+    fn expired_offer(&self, situation: &Situation<'_>) -> Option<ShardId> {
         let expired = |offer: &SeenOffer| {
             !situation.alive.contains_key(&offer.to)
                 || situation.now.since(offer.since) > OFFER_TIMEOUT_S
@@ -182,10 +182,10 @@
         let mut offers = self.offers.iter();
         offers
             .find(|(_, offer)| expired(offer))
-            .map(|(block, _)| *block)
+            .map(|(shard, _)| *shard)
     }
 
-    /// Whether a controller has lived long enough to be offered blocks.
+    /// Whether a controller has lived long enough to be offered shards.
     fn is_settled(&self, node: &NodeId, now: Time) -> bool {
         let seen = self.seen.get(node);
         seen.is_some_and(|seen| now.since(seen.since) >= MEMBERSHIP_SETTLED_S)
@@ -200,21 +200,21 @@
         }
         let least = situation.fewest(|node| self.is_settled(node, now))?;
         let Pair { giver, taker } = match situation.most() {
-            Some(most) if most.blocks >= least.blocks + 2 => Pair {
+            Some(most) if most.shards >= least.shards + 2 => Pair {
                 giver: most.node,
                 taker: least.node,
             },
             _ => self.forced_pair(situation, wish.move_every_s, quiet_s)?,
         };
-        let block = self.block_in_turn(situation, &giver)?;
+        let shard = self.shard_in_turn(situation, &giver)?;
         if giver == taker {
             return None;
         }
         self.moved = Some(now);
-        Some(Step::Offer(block, taker))
+        Some(Step::Offer(shard, taker))
     }
 
-    /// Where nothing is to balance: the owner of one block in turn gives, if moves
+    /// Where nothing is to balance: the owner of one shard in turn gives, if moves
     /// are forced and the last is long enough ago.
     fn forced_pair(
         &self,
@@ -222,11 +222,11 @@
         every_s: Option<f64>,
         quiet_s: f64,
     ) -> Option<Pair> {
-        let (blocks, now) = (situation.blocks, situation.now);
+        let (shards, now) = (situation.shards, situation.now);
         let forced = every_s.is_some_and(|s| quiet_s >= s && situation.alive.len() > 1);
         let turn = (now.0 / every_s.unwrap_or(1.0).max(1.0)) as usize;
-        let block = blocks.keys().nth(turn % blocks.len().max(1));
-        let giver = &blocks.get(block.filter(|_| forced)?)?.owner;
+        let shard = shards.keys().nth(turn % shards.len().max(1));
+        let giver = &shards.get(shard.filter(|_| forced)?)?.owner;
         let taker = situation.fewest(|node| node != giver && self.is_settled(node, now))?;
         Some(Pair {
             giver: giver.clone(),
@@ -234,14 +234,14 @@
         })
     }
 
-    /// The block that its owner gives: one in turn of those not pinned to it.
-    fn block_in_turn(&self, situation: &Situation<'_>, giver: &NodeId) -> Option<BlockId> {
+    /// The shard that its owner gives: one in turn of those not pinned to it.
+    fn shard_in_turn(&self, situation: &Situation<'_>, giver: &NodeId) -> Option<ShardId> {
         let turn = self.moved.map_or(0, |moved| moved.0 as usize);
-        let own: Vec<BlockId> = situation
-            .blocks
+        let own: Vec<ShardId> = situation
+            .shards
             .iter()
             .filter(|(_, held)| held.owner == *giver && held.pin.as_ref() != Some(giver))
-            .map(|(block, _)| *block)
+            .map(|(shard, _)| *shard)
             .collect();
         own.get(turn % own.len().max(1)).copied()
     }
@@ -249,18 +249,18 @@
 
 impl<'a> Situation<'a> {
     fn new(
-        blocks: &'a BTreeMap<BlockId, Held>,
+        shards: &'a BTreeMap<ShardId, Held>,
         alive: &'a BTreeMap<NodeId, Member>,
         now: Time,
     ) -> Self {
         let counts = alive.keys().map(|node| (node, 0)).collect();
         let mut situation = Self {
-            blocks,
+            shards,
             alive,
             counts,
             now,
         };
-        for held in blocks.values() {
+        for held in shards.values() {
             let owner = situation.living_taker(held).unwrap_or(&held.owner);
             let counted = situation.is_owned(held) || held.to.is_some();
             if let Some(count) = situation.counts.get_mut(owner) {
@@ -270,80 +270,80 @@
         situation
     }
 
-    /// Whether the process that was granted a block lives.
+    /// Whether the process that was granted a shard lives.
     fn is_owned(&self, held: &Held) -> bool {
         let member = self.alive.get(&held.owner);
         member.is_some_and(|member| member.run == held.run)
     }
 
-    /// To whom a block is offered, if that controller lives.
+    /// To whom a shard is offered, if that controller lives.
     fn living_taker(&self, held: &'a Held) -> Option<&'a NodeId> {
         held.to.as_ref().filter(|to| self.alive.contains_key(*to))
     }
 
-    /// The first block whose owner is gone.
-    fn unowned(&self) -> Option<BlockId> {
-        let mut blocks = self.blocks.iter();
-        blocks
+    /// The first shard whose owner is gone.
+    fn unowned(&self) -> Option<ShardId> {
+        let mut shards = self.shards.iter();
+        shards
             .find(|(_, held)| !self.is_owned(held))
-            .map(|(block, _)| *block)
+            .map(|(shard, _)| *shard)
     }
 
-    /// Who is granted a block whose owner is gone: the one it was offered to, if
+    /// Who is granted a shard whose owner is gone: the one it was offered to, if
     /// that lives, as it may know more; else whoever has the fewest.
-    fn new_owner(&self, block: BlockId) -> Option<NodeId> {
-        let taker = self.living_taker(self.blocks.get(&block)?).cloned();
+    fn new_owner(&self, shard: ShardId) -> Option<NodeId> {
+        let taker = self.living_taker(self.shards.get(&shard)?).cloned();
         taker.or_else(|| Some(self.fewest(|_| true)?.node))
     }
 
     /// The controller with the fewest blocks of those that may be chosen.
     fn fewest(&self, may: impl Fn(&NodeId) -> bool) -> Option<Load> {
         let chosen = self.counts.iter().filter(|(node, _)| may(node));
-        let least = chosen.min_by_key(|(node, blocks)| (**blocks, **node));
+        let least = chosen.min_by_key(|(node, shards)| (**shards, **node));
         least.map(Load::of)
     }
 
-    /// The controller with the most blocks.
+    /// The controller with the most shards.
     fn most(&self) -> Option<Load> {
         let most = self
             .counts
             .iter()
-            .max_by_key(|(node, blocks)| (**blocks, **node));
+            .max_by_key(|(node, shards)| (**shards, **node));
         most.map(Load::of)
     }
 
-    /// The next block that is not yet there where all are to go.
+    /// The next shard that is not yet there where all are to go.
     fn gather_to(&self, gather: &NodeId) -> Option<Step> {
-        let mut blocks = self.blocks.iter();
-        let away = blocks.find(|(_, held)| held.owner != *gather);
-        away.map(|(block, _)| Step::Offer(*block, gather.clone()))
+        let mut shards = self.shards.iter();
+        let away = shards.find(|(_, held)| held.owner != *gather);
+        away.map(|(shard, _)| Step::Offer(*shard, gather.clone()))
     }
 
-    /// The next block that is not where an operator wants it, if that lives.
+    /// The next shard that is not where an operator wants it, if that lives.
     fn move_to_pin(&self) -> Option<Step> {
-        self.blocks.iter().find_map(|(block, held)| {
+        self.shards.iter().find_map(|(shard, held)| {
             let there = held
                 .pin
                 .as_ref()
                 .filter(|pin| self.alive.contains_key(*pin));
             let pin = there.filter(|pin| **pin != held.owner)?;
-            Some(Step::Offer(*block, pin.clone()))
+            Some(Step::Offer(*shard, pin.clone()))
         })
     }
 }
 
 impl Load {
-    fn of((node, blocks): (&&NodeId, &usize)) -> Self {
+    fn of((node, shards): (&&NodeId, &usize)) -> Self {
         Self {
             node: (*node).clone(),
-            blocks: *blocks,
+            shards: *shards,
         }
     }
 }
 
-/// How many blocks there should be: never more than controllers that live, and
+/// How many shards there should be: never more than controllers that live, and
 /// that all can be told apart in the records.
 pub fn how_many(least: u32, controllers: usize) -> u32 {
     let most = u32::try_from(controllers).unwrap_or(1);
-    least.clamp(1, most.clamp(1, crate::shard::MAX_BLOCKS))
+    least.clamp(1, most.clamp(1, crate::shard::MAX_SHARDS))
 }
--- a/crates/sharding/src/slices.rs
+++ b/crates/sharding/src/slices.rs
@@ -1,18 +1,18 @@
-//! Each block's part of the teams' limits.
+//! Each shard's part of the teams' limits.
 //!
 //! The parts are recorded and add up to the limit, at every revision: they are
 //! made so, and only ever change by a transaction that takes from one what it
 //! adds to another. It is the giver who sends it, after it has lowered what it
 //! places up to; so a transaction that is late, lost or sent twice can't make the
-//! sum of what is used pass the limit. Whoever owns a block next finds that what
+//! sum of what is used pass the limit. Whoever owns a shard next finds that what
 //! is claimed there fits its part, as each claim was guarded by the grant under
 //! which it was checked.
 
 use sorrelhinge_protocol::types::Amount;
 
-use crate::shard::BlockId;
+use crate::shard::ShardId;
 
-/// What a block has and wants of one team's limit. Memory is not limited.
+/// What a shard has and wants of one team's limit. Memory is not limited.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Need {
     /// Its part.
@@ -36,35 +36,35 @@
     Amount { cpu, gpu, ram: 0 }
 }
 
-/// The first division: to each block what it uses, and an equal part of the
-/// rest. Outer index: block; inner: team. None if more seems to be used than a
+/// The first division: to each shard what it uses, and an equal part of the
+/// rest. Outer index: shard; inner: team. None if more seems to be used than a
 /// limit allows, as when releases wait to be recorded: parts that add up to the
 /// limit would then be less than what is used somewhere, and what is claimed
 /// elsewhere meanwhile would be too much.
 pub fn divide(limits: &[Amount], used: &[Vec<Amount>]) -> Option<Vec<Vec<Amount>>> {
-    let blocks = used.len().max(1) as i64;
+    let shards = used.len().max(1) as i64;
     for (team, limit) in limits.iter().enumerate() {
         let all = used.iter().fold(Amount::default(), |sum, u| sum + u[team]);
         if !all.fits_team(*limit) {
             return None;
         }
     }
-    let part = |block: usize, team: usize| {
+    let part = |shard: usize, team: usize| {
         let limit = pair(limits[team]);
-        let mine = pair(used[block][team]);
+        let mine = pair(used[shard][team]);
         let mut part = [0; 2];
         for i in 0..2 {
             let all: i64 = used.iter().map(|u| pair(u[team])[i]).sum();
             let rest = limit[i] - all;
-            part[i] = mine[i] + rest / blocks + i64::from((block as i64) < rest % blocks);
+            part[i] = mine[i] + rest / shards + i64::from((shard as i64) < rest % shards);
         }
         amount(part)
     };
-    let parts = |block| (0..limits.len()).map(|team| part(block, team)).collect();
+    let parts = |shard| (0..limits.len()).map(|team| part(shard, team)).collect();
     Some((0..used.len()).map(parts).collect())
 }
 
-/// The part that a block should have of what all have together: what it uses,
+/// The part that a shard should have of what all have together: what it uses,
 /// and of the rest what it wants; beyond that an equal part.
 fn target(needs: &[Need], of: usize, i: usize) -> i64 {
     let sum = |f: &dyn Fn(&Need) -> i64| needs.iter().map(f).sum::<i64>();
@@ -85,18 +85,18 @@
 /// move costs two changes.
 const MIN_TRANSFER_DIVISOR: i64 = 40;
 
-/// What a block gives to another: to which, and how much of each team's limit.
+/// What a shard gives to another: to which, and how much of each team's limit.
 #[derive(Clone, Debug, PartialEq)]
 pub struct LimitTransfer {
     /// To whom.
-    pub to: BlockId,
+    pub to: ShardId,
     /// Of each team's limit, in the order of the teams.
     pub amounts: Vec<Amount>,
 }
 
-/// What the block `me` should give away now. `needs`: of every block, by number
+/// What the shard `me` should give away now. `needs`: of every shard, by number
 /// and team. Only what it does not use can go.
-pub fn next_transfer(me: BlockId, needs: &[Vec<Need>]) -> Option<LimitTransfer> {
+pub fn next_transfer(me: ShardId, needs: &[Vec<Need>]) -> Option<LimitTransfer> {
     let teams = needs.first()?.len();
     let mine = needs.get(me.0 as usize)?;
     let mut best: Option<(f64, LimitTransfer)> = None;
@@ -122,7 +122,7 @@
         }
         let better = best.as_ref().is_none_or(|(w, _)| weight > *w);
         if weight > 0.0 && better {
-            let to = BlockId(to as u32);
+            let to = ShardId(to as u32);
             best = Some((weight, LimitTransfer { to, amounts }));
         }
     }
--- a/crates/sharding/src/tally.rs
+++ b/crates/sharding/src/tally.rs
@@ -1,5 +1,5 @@
 //! Who was served over a whole run, read from the `served` and `largest` lines of
-//! all owners' logs (`docs/blocks.md`).
+//! all owners' logs (`docs/shards.md`).
 //!
 //! Each owner counts anew from what it found in the records, so counts of several
 //! can't be added up as they are: a job that was accepted under one owner is
@@ -52,8 +52,8 @@
     began_s: Option<f64>,
     late: bool,
     cancelled: bool,
-    /// The block, and the period, of whoever spoke of it last.
-    block: String,
+    /// The shard, and the period, of whoever spoke of it last.
+    shard: String,
     period: usize,
 }
 
@@ -98,10 +98,10 @@
     }
 }
 
-/// What was told while one controller owned a block.
+/// What was told while one controller owned a shard.
 #[derive(Debug)]
 struct Period {
-    block: String,
+    shard: String,
     counts: BTreeMap<Name, Count>,
 }
 
@@ -110,9 +110,9 @@
 pub struct Tally {
     /// The largest jobs, by id.
     large: HashMap<String, Large>,
-    /// Each controller's period as an owner of a block, as it speaks.
+    /// Each controller's period as an owner of a shard, as it speaks.
     periods: Vec<Period>,
-    /// The period that each controller and block is in.
+    /// The period that each controller and shard is in.
     present: BTreeMap<String, usize>,
 }
 
@@ -144,9 +144,9 @@
                 large.begun = true;
             }
         } else if begins.into_iter().any(message) {
-            let block = field(line, "block");
+            let shard = field(line, "block");
             let ends = |key: &String| {
-                block.map_or_else(
+                shard.map_or_else(
                     || key.starts_with(&format!("{speaker} ")),
                     |b| *key == format!("{speaker} {b}"),
                 )
@@ -172,13 +172,13 @@
         self.periods[at].counts.insert((class, team), count);
     }
 
-    /// The place of the period that a controller and block are in; a new one if none
+    /// The place of the period that a controller and shard are in; a new one if none
     /// is.
-    fn period(&mut self, speaker: &str, block: &str) -> usize {
-        let present = self.present.entry(format!("{speaker} {block}"));
+    fn period(&mut self, speaker: &str, shard: &str) -> usize {
+        let present = self.present.entry(format!("{speaker} {shard}"));
         *present.or_insert_with(|| {
             self.periods.push(Period {
-                block: block.to_owned(),
+                shard: shard.to_owned(),
                 counts: BTreeMap::new(),
             });
             self.periods.len() - 1
@@ -191,11 +191,11 @@
         let Some((job, class)) = field(line, "job").zip(field(line, "class")) else {
             return;
         };
-        let block = field(line, "block").unwrap_or("0");
-        let period = self.period(speaker, block);
+        let shard = field(line, "block").unwrap_or("0");
+        let period = self.period(speaker, shard);
         let large = self.large.entry(job.to_owned()).or_default();
         large.class = class.to_owned();
-        large.block = block.to_owned();
+        large.shard = shard.to_owned();
         large.period = period;
         large.cpus = number("cpus").unwrap_or(large.cpus);
         match field(line, "state") {
@@ -219,13 +219,13 @@
         }
         let mut last: BTreeMap<&str, usize> = BTreeMap::new();
         for (at, period) in self.periods.iter().enumerate() {
-            last.insert(&period.block, at);
+            last.insert(&period.shard, at);
         }
         let mut classes: BTreeMap<&str, Vec<Candidate>> = BTreeMap::new();
         let mut parts: BTreeMap<String, LargestPart> = BTreeMap::new();
         for (job, large) in self.large.iter().filter(|(_, l)| !l.cancelled) {
             let part = parts.entry(large.class.clone()).or_default();
-            let gone = last.get(large.block.as_str()) != Some(&large.period);
+            let gone = last.get(large.shard.as_str()) != Some(&large.period);
             // If it was late before, a later owner makes it no earlier.
             if !large.begun && !large.late && gone {
                 part.unknown += 1;
@@ -250,11 +250,11 @@
     }
 
     /// For each class and team what came of its jobs: all that is done, and of the
-    /// last owner of each block what is not.
+    /// last owner of each shard what is not.
     pub fn parts(&self) -> BTreeMap<Name, Part> {
         let mut parts: BTreeMap<Name, Part> = BTreeMap::new();
         let mut last: BTreeMap<(&str, &Name), &Count> = BTreeMap::new();
-        for Period { block, counts } in &self.periods {
+        for Period { shard, counts } in &self.periods {
             for (name, count) in counts {
                 let part = parts.entry(name.clone()).or_insert(Part {
                     done: 0,
@@ -262,7 +262,7 @@
                     waiting: 0,
                 });
                 part.done += count.done;
-                last.insert((block.as_str(), name), count);
+                last.insert((shard.as_str(), name), count);
             }
         }
         for ((_, name), count) in last {
--- a/crates/sharding/tests/model.rs
+++ b/crates/sharding/tests/model.rs
@@ -18,7 +18,7 @@
     Reach, CUT_OFF_AFTER_S, CUT_OFF_MIN_COUNT, FAILED_AFTER_S, FAILED_MIN_MACHINES,
 };
 use sorrelhinge_sharding::served::{Served, Sort, Waits};
-use sorrelhinge_sharding::shard::{of_job, of_machine, BlockId, Shard, MAX_BLOCKS};
+use sorrelhinge_sharding::shard::{of_job, of_machine, ShardId, ShardScope, MAX_SHARDS};
 use sorrelhinge_sharding::slices::{divide, next_transfer, LimitTransfer, Need};
 use sorrelhinge_sharding::tally::Tally;
 
@@ -32,7 +32,7 @@
 
 // ---- shards ---------------------------------------------------------------
 
-/// Every name belongs to exactly one block, evenly; with one block more, names
+/// Every name belongs to exactly one shard, evenly; with one shard more, names
 /// only move to that one. Some are written down: another version must draw the
 /// same, or two owners would command one machine.
 #[test]
@@ -40,14 +40,14 @@
     let machines: Vec<MachineId> = (0..6000)
         .map(|n| MachineId::from(&*format!("vm-{n:06}")))
         .collect();
-    for of in 1..=MAX_BLOCKS {
+    for of in 1..=MAX_SHARDS {
         let mut count = vec![0; of as usize];
         for m in &machines {
-            let block = of_machine(m, of);
-            count[block.0 as usize] += 1;
+            let shard = of_machine(m, of);
+            count[shard.0 as usize] += 1;
             let covering = (0..of).filter(|b| {
-                Shard {
-                    block: BlockId(*b),
+                ShardScope {
+                    shard: ShardId(*b),
                     of,
                 }
                 .covers(m)
@@ -56,7 +56,7 @@
             if of > 1 {
                 let before = of_machine(m, of - 1);
                 assert!(
-                    block == before || block.0 == of - 1,
+                    shard == before || shard.0 == of - 1,
                     "moved to an old block"
                 );
             }
@@ -69,7 +69,7 @@
     }
     let drawn: Vec<u32> = machines[..12].iter().map(|m| of_machine(m, 3).0).collect();
     assert_eq!(drawn, DRAWN, "as every version draws");
-    assert_eq!(of_job(&JobId::from("run-000412"), 3), BlockId(DRAWN_JOB));
+    assert_eq!(of_job(&JobId::from("run-000412"), 3), ShardId(DRAWN_JOB));
 }
 
 const DRAWN: [u32; 12] = [0, 1, 0, 1, 0, 0, 0, 0, 2, 1, 1, 0];
@@ -80,22 +80,22 @@
 /// What the state service holds, with transactions that may be late.
 #[derive(Clone, Debug, Default)]
 struct World {
-    blocks: BTreeMap<BlockId, (Held, u64)>,
+    shards: BTreeMap<ShardId, (Held, u64)>,
     alive: BTreeMap<NodeId, Member>,
     /// What each process believes to own, by the number it was granted.
-    believes: BTreeMap<(NodeId, u64), BTreeMap<BlockId, u64>>,
-    late: Vec<(BlockId, u64, Held)>,
+    believes: BTreeMap<(NodeId, u64), BTreeMap<ShardId, u64>>,
+    late: Vec<(ShardId, u64, Held)>,
     mod_revision: u64,
 }
 
-/// A block that is offered, by its record's stamp.
+/// A shard that is offered, by its record's stamp.
 struct Offer {
-    block: BlockId,
+    shard: ShardId,
     mod_revision: u64,
     to: NodeId,
 }
 
-/// A block's record with this owner and nothing else.
+/// A shard's record with this owner and nothing else.
 fn owned_by(owner: &NodeId, run: u64) -> Held {
     Held {
         owner: owner.clone(),
@@ -106,64 +106,64 @@
 }
 
 impl World {
-    /// All blocks are owned by the first of so many controllers.
-    fn new(controllers: u8, blocks: u32) -> Self {
+    /// All shards are owned by the first of so many controllers.
+    fn new(controllers: u8, shards: u32) -> Self {
         let mut world = Self::default();
         for n in 0..controllers {
             world.alive.insert(node(n), Member { run: 1 });
         }
-        for block in 0..blocks {
+        for shard in 0..shards {
             let first = owned_by(&node(0), 1);
-            world.blocks.insert(BlockId(block), (first, 0));
+            world.shards.insert(ShardId(shard), (first, 0));
         }
         world
     }
-    fn held(&self) -> BTreeMap<BlockId, Held> {
-        self.blocks
+    fn held(&self) -> BTreeMap<ShardId, Held> {
+        self.shards
             .iter()
             .map(|(b, (h, _))| (*b, h.clone()))
             .collect()
     }
     /// A conditional write: carried out only if nobody wrote since.
-    fn write(&mut self, block: BlockId, mod_revision: u64, held: Held) -> bool {
+    fn write(&mut self, shard: ShardId, mod_revision: u64, held: Held) -> bool {
         let fits = self
-            .blocks
-            .get(&block)
+            .shards
+            .get(&shard)
             .is_some_and(|(_, s)| *s == mod_revision);
         if fits {
             self.mod_revision += 1;
-            self.blocks.insert(block, (held, self.mod_revision));
+            self.shards.insert(shard, (held, self.mod_revision));
         }
         fits
     }
     fn carry_out(&mut self, step: &Step, late: bool) {
-        let (block, held) = match step {
-            Step::Grant(block, to) => (*block, owned_by(to, self.alive[to].run)),
-            Step::Offer(block, to) => (*block, self.offered(*block, Some(to.clone()))),
-            Step::TakeBack(block) => (*block, self.offered(*block, None)),
+        let (shard, held) = match step {
+            Step::Grant(shard, to) => (*shard, owned_by(to, self.alive[to].run)),
+            Step::Offer(shard, to) => (*shard, self.offered(*shard, Some(to.clone()))),
+            Step::TakeBack(shard) => (*shard, self.offered(*shard, None)),
         };
-        let mod_revision = self.blocks[&block].1;
+        let mod_revision = self.shards[&shard].1;
         if late {
-            self.late.push((block, mod_revision, held));
+            self.late.push((shard, mod_revision, held));
         } else {
-            self.write(block, mod_revision, held);
+            self.write(shard, mod_revision, held);
         }
     }
-    /// A block's record with another offer, or none.
-    fn offered(&self, block: BlockId, to: Option<NodeId>) -> Held {
+    /// A shard's record with another offer, or none.
+    fn offered(&self, shard: ShardId, to: Option<NodeId>) -> Held {
         Held {
             to,
-            ..self.blocks[&block].0.clone()
+            ..self.shards[&shard].0.clone()
         }
     }
     /// All offers that stand.
     fn offers(&self) -> Vec<Offer> {
         let offers = self
-            .blocks
+            .shards
             .iter()
-            .filter_map(|(block, (held, mod_revision))| {
+            .filter_map(|(shard, (held, mod_revision))| {
                 Some(Offer {
-                    block: *block,
+                    shard: *shard,
                     mod_revision: *mod_revision,
                     to: held.to.clone()?,
                 })
@@ -173,7 +173,7 @@
     /// A giver hands on what is offered, if the taker lives.
     fn hand_over(&mut self, offer: Offer) {
         if let Some(run) = self.alive.get(&offer.to).map(|m| m.run) {
-            self.write(offer.block, offer.mod_revision, owned_by(&offer.to, run));
+            self.write(offer.shard, offer.mod_revision, owned_by(&offer.to, run));
         }
     }
     /// The leader's next step, with what it must never do.
@@ -187,8 +187,8 @@
         let Some(step) = leader.next(&self.held(), &self.alive, wish, Time(now)) else {
             return Ok(());
         };
-        if let Step::Grant(block, _) = &step {
-            let held = &self.blocks[block].0;
+        if let Step::Grant(shard, _) = &step {
+            let held = &self.shards[shard].0;
             let lives = self
                 .alive
                 .get(&held.owner)
@@ -215,11 +215,11 @@
             }
         }
     }
-    /// How many blocks each that lives owns; all are owned by who lives.
+    /// How many shards each that lives owns; all are owned by who lives.
     fn counts(&self) -> Result<BTreeMap<NodeId, usize>, TestCaseError> {
         let mut counts: BTreeMap<NodeId, usize> =
             self.alive.keys().map(|n| (n.clone(), 0)).collect();
-        for (held, _) in self.blocks.values() {
+        for (held, _) in self.shards.values() {
             prop_assert_eq!(self.alive.get(&held.owner).map(|m| m.run), Some(held.run));
             *counts.get_mut(&held.owner).expect("alive") += 1;
         }
@@ -228,22 +228,22 @@
     /// Owners read the records: who is not named any more stops.
     fn read(&mut self) {
         self.believes.clear();
-        for (block, (held, mod_revision)) in &self.blocks {
+        for (shard, (held, mod_revision)) in &self.shards {
             let key = (held.owner.clone(), held.run);
             self.believes
                 .entry(key)
                 .or_default()
-                .insert(*block, *mod_revision);
+                .insert(*shard, *mod_revision);
         }
     }
-    /// The checker: no block has two owners, each that is owned by somebody who
+    /// The checker: no shard has two owners, each that is owned by somebody who
     /// lives is owned by one process.
     fn check(&self) -> Result<(), String> {
         let mut seen = BTreeSet::new();
-        for blocks in self.believes.values() {
-            for block in blocks.keys() {
-                if !seen.insert(*block) {
-                    return Err(format!("block {block} is owned twice"));
+        for shards in self.believes.values() {
+            for shard in shards.keys() {
+                if !seen.insert(*shard) {
+                    return Err(format!("block {shard} is owned twice"));
                 }
             }
         }
@@ -273,26 +273,26 @@
 }
 
 impl Shares {
-    fn new(limits: [Amount; 1], blocks: usize) -> Self {
-        let none = vec![vec![Amount::default()]; blocks];
+    fn new(limits: [Amount; 1], shards: usize) -> Self {
+        let none = vec![vec![Amount::default()]; shards];
         let parts = divide(&limits, &none).expect("nothing is used");
         let slices: Vec<Amount> = parts.iter().map(|p| p[0]).collect();
         Self {
             bound: slices.clone(),
             slices,
-            used: vec![0; blocks],
-            wants: vec![0; blocks],
+            used: vec![0; shards],
+            wants: vec![0; shards],
             under_way: None,
         }
     }
     /// Uses what there is room for.
-    fn claim(&mut self, block: usize, wanted: i64) {
-        self.wants[block] = wanted;
-        let room = self.bound[block].cpu - self.used[block];
-        self.used[block] += wanted.min(room).max(0);
+    fn claim(&mut self, shard: usize, wanted: i64) {
+        self.wants[shard] = wanted;
+        let room = self.bound[shard].cpu - self.used[shard];
+        self.used[shard] += wanted.min(room).max(0);
     }
     /// Sends a transfer, if one is worth it: never of what is used.
-    fn send(&mut self, block: usize) -> Result<(), TestCaseError> {
+    fn send(&mut self, shard: usize) -> Result<(), TestCaseError> {
         let needs: Vec<Vec<Need>> = (0..self.slices.len())
             .map(|i| {
                 vec![Need {
@@ -302,13 +302,13 @@
                 }]
             })
             .collect();
-        if let Some(given) = next_transfer(BlockId(block as u32), &needs) {
-            let left = self.slices[block] - given.amounts[0];
-            prop_assert!(cpu(self.used[block]).fits_team(left), "gave what is used");
-            prop_assert!(given.to.0 as usize != block);
-            self.bound[block] = left;
+        if let Some(given) = next_transfer(ShardId(shard as u32), &needs) {
+            let left = self.slices[shard] - given.amounts[0];
+            prop_assert!(cpu(self.used[shard]).fits_team(left), "gave what is used");
+            prop_assert!(given.to.0 as usize != shard);
+            self.bound[shard] = left;
             self.under_way = Some(Transfer {
-                from: block,
+                from: shard,
                 given,
                 seen: self.slices.clone(),
             });
@@ -321,7 +321,7 @@
             return;
         };
         let (from, to) = (transfer.from, transfer.given.to.0 as usize);
-        let as_seen = |block: usize| transfer.seen[block] == self.slices[block];
+        let as_seen = |shard: usize| transfer.seen[shard] == self.slices[shard];
         let fits = as_seen(from) && as_seen(to);
         match fate {
             // Lost: the giver learns that, and takes up its part.
@@ -366,16 +366,16 @@
     }
 
     /// Controllers die, come back, and steps are late or carried out by two
-    /// leaders: no block is ever owned twice, and once nothing fails any more
+    /// leaders: no shard is ever owned twice, and once nothing fails any more
     /// all are owned by those who live, as evenly as can be.
     #[test]
-    fn blocks_have_one_owner_and_settle(
-        blocks in 1..=MAX_BLOCKS,
+    fn shards_have_one_owner_and_settle(
+        shards in 1..=MAX_SHARDS,
         events in prop::collection::vec((0..5_u8, 0..5_u8, any::<bool>()), 0..120),
         forced in any::<bool>(),
         gather in any::<bool>(),
     ) {
-        let mut world = World::new(5, blocks);
+        let mut world = World::new(5, shards);
         let mut leaders = [Owners::default(), Owners::default()];
         let mut runs = 1;
         let mut now = 0.0;
@@ -388,8 +388,8 @@
                     world.alive.insert(node(who), Member { run: runs });
                 }
                 2 if !world.late.is_empty() => {
-                    let (block, mod_revision, held) = world.late.remove(0);
-                    world.write(block, mod_revision, held);
+                    let (shard, mod_revision, held) = world.late.remove(0);
+                    world.write(shard, mod_revision, held);
                 }
                 3 => world.offers().into_iter().take(1).for_each(|offer| world.hand_over(offer)),
                 _ => {
@@ -406,7 +406,7 @@
         world.settle(&Wish { gather: one.clone(), move_every_s: None }, now);
         let count = world.counts()?;
         if let Some(one) = one {
-            prop_assert_eq!(count[&one], blocks as usize, "{:?}", count);
+            prop_assert_eq!(count[&one], shards as usize, "{:?}", count);
             return Ok(());
         }
         let (most, least) = (count.values().max(), count.values().min());
@@ -415,23 +415,23 @@
 
     // ---- slices -----------------------------------------------------------
 
-    /// Parts of limits move between blocks while claims come and go, gifts are
+    /// Parts of limits move between shards while claims come and go, gifts are
     /// late, lost or carried out after the giver was told nothing: the parts
     /// always add up to the limit, and what is used never passes it.
     #[test]
     fn what_is_used_never_passes_the_limit(
-        blocks in 2..=5_usize,
+        shards in 2..=5_usize,
         limit in 10..2000_i64,
         events in prop::collection::vec((0..4_u8, 0..5_usize, 1..400_i64, 0..3_u8), 1..200),
     ) {
         let limits = [cpu(limit * 8)];
-        let mut shares = Shares::new(limits, blocks);
-        for (what, block, n, fate) in events {
-            let block = block % blocks;
+        let mut shares = Shares::new(limits, shards);
+        for (what, shard, n, fate) in events {
+            let shard = shard % shards;
             match what {
-                0 => shares.claim(block, n),
-                1 => shares.used[block] -= n.min(shares.used[block]),
-                2 if shares.under_way.is_none() => shares.send(block)?,
+                0 => shares.claim(shard, n),
+                1 => shares.used[shard] -= n.min(shares.used[shard]),
+                2 if shares.under_way.is_none() => shares.send(shard)?,
                 _ => shares.arrive(fate),
             }
             let sum = shares.slices.iter().fold(Amount::default(), |s, a| s + *a);
@@ -441,29 +441,29 @@
         }
     }
 
-    /// Parts follow demand: what one block needs alone it gets, but for what is
+    /// Parts follow demand: what one shard needs alone it gets, but for what is
     /// not worth a change.
     #[test]
-    fn parts_go_where_work_waits(blocks in 2..=5_usize, hungry in 0..5_usize, limit in 100..5000_i64) {
-        let hungry = hungry % blocks;
+    fn parts_go_where_work_waits(shards in 2..=5_usize, hungry in 0..5_usize, limit in 100..5000_i64) {
+        let hungry = hungry % shards;
         let limits = [cpu(limit * 40)];
-        let none = vec![vec![Amount::default()]; blocks];
+        let none = vec![vec![Amount::default()]; shards];
         let mut slices: Vec<Amount> = divide(&limits, &none).expect("nothing is used")
             .into_iter().map(|p| p[0]).collect();
         for _ in 0..12 {
-            for b in 0..blocks {
-                let needs: Vec<Vec<Need>> = (0..blocks).map(|i| vec![Need {
+            for b in 0..shards {
+                let needs: Vec<Vec<Need>> = (0..shards).map(|i| vec![Need {
                     slice: slices[i],
                     used: Amount::default(),
                     waits: if i == hungry { limits[0] } else { Amount::default() },
                 }]).collect();
-                if let Some(given) = next_transfer(BlockId(b as u32), &needs) {
+                if let Some(given) = next_transfer(ShardId(b as u32), &needs) {
                     slices[b] -= given.amounts[0];
                     slices[given.to.0 as usize] += given.amounts[0];
                 }
             }
         }
-        let others = (blocks - 1) as i64;
+        let others = (shards - 1) as i64;
         let least = limits[0].cpu - others * (limits[0].cpu / 40 + 1);
         prop_assert!(slices[hungry].cpu >= least, "{:?}", slices);
     }
@@ -500,7 +500,7 @@
 
     // ---- delegation -----------------------------------------------------------
 
-    /// No more is left to a block than it has room for, nor more of a job than
+    /// No more is left to a shard than it has room for, nor more of a job than
     /// waits; old news of room is not used.
     #[test]
     fn tasks_are_left_only_where_there_is_room(
@@ -512,9 +512,9 @@
         let mut room: BTreeMap<u32, i64> = BTreeMap::new();
         let mut in_order = rooms.clone();
         in_order.sort_by(|a, b| a.2.total_cmp(&b.2));
-        for (block, free, at) in in_order {
-            delegation.has_room(BlockId(block), free, Time(at));
-            room.insert(block, if now - at <= 2.5 { free } else { 0 });
+        for (shard, free, at) in in_order {
+            delegation.has_room(ShardId(shard), free, Time(at));
+            room.insert(shard, if now - at <= 2.5 { free } else { 0 });
         }
         let waiting: Vec<Waiting> = jobs.iter().enumerate().map(|(i, (tasks, cpus, age))| Waiting {
             job: JobId::from(&*format!("run-{i:06}")),
@@ -540,7 +540,7 @@
     }
 }
 
-/// The checkers find what they are for: a planner that grants a block while its
+/// The checkers find what they are for: a planner that grants a shard while its
 /// owner still believes in it, and a transfer of what is used.
 #[test]
 fn the_checkers_reject_what_is_handed_out_twice() {
@@ -550,12 +550,12 @@
         .believes
         .entry((node(0), 1))
         .or_default()
-        .insert(BlockId(0), 1);
+        .insert(ShardId(0), 1);
     world
         .believes
         .entry((node(1), 1))
         .or_default()
-        .insert(BlockId(0), 2);
+        .insert(ShardId(0), 2);
     assert!(world.check().is_err());
     assert_eq!(divide(&[cpu(800)], &[vec![cpu(500)], vec![cpu(400)]]), None);
 }
@@ -573,26 +573,26 @@
         to: None,
         pin: None,
     };
-    world.blocks.insert(BlockId(0), (held, 0));
-    world.carry_out(&Step::Offer(BlockId(0), node(1)), true);
+    world.shards.insert(ShardId(0), (held, 0));
+    world.carry_out(&Step::Offer(ShardId(0), node(1)), true);
     world.alive.remove(&node(0));
     let step = Owners::default().next(&world.held(), &world.alive, &Wish::default(), Time(9.0));
     let Some(step @ Step::Grant(..)) = step else {
         panic!("{step:?}");
     };
     world.carry_out(&step, false);
-    let granted = world.blocks[&BlockId(0)].clone();
-    let (block, mod_revision, late) = world.late.remove(0);
-    assert!(!world.write(block, mod_revision, late));
-    assert_eq!(world.blocks[&BlockId(0)], granted);
+    let granted = world.shards[&ShardId(0)].clone();
+    let (shard, mod_revision, late) = world.late.remove(0);
+    assert!(!world.write(shard, mod_revision, late));
+    assert_eq!(world.shards[&ShardId(0)], granted);
 }
 
 #[test]
-fn there_are_no_more_blocks_than_controllers() {
+fn there_are_no_more_shards_than_controllers() {
     assert_eq!(how_many(1, 5), 1);
     assert_eq!(how_many(3, 5), 3);
     assert_eq!(how_many(5, 3), 3);
-    assert_eq!(how_many(9, 9), MAX_BLOCKS);
+    assert_eq!(how_many(9, 9), MAX_SHARDS);
     assert_eq!(how_many(0, 0), 1);
 }
 
--- a/src/api/operators.rs
+++ b/src/api/operators.rs
@@ -14,8 +14,8 @@
     Topology,
     /// Priority lanes.
     Lanes,
-    /// The machines' blocks.
-    Blocks,
+    /// The machines' shards.
+    Shards,
     /// Windows for which capacity is held.
     Calendar,
     /// Drains, to begin one.
@@ -30,7 +30,7 @@
         match path {
             "/v1/topology" => Some(Self::Topology),
             "/v1/lanes" => Some(Self::Lanes),
-            "/v1/blocks" => Some(Self::Blocks),
+            "/v1/blocks" => Some(Self::Shards),
             "/v1/calendar" => Some(Self::Calendar),
             "/v1/drains" => Some(Self::Drains),
             "/v1/undrains" => Some(Self::Undrains),
@@ -41,7 +41,7 @@
     /// Whether it is shown (GET).
     pub(super) fn is_shown(self) -> bool {
         match self {
-            Self::Topology | Self::Lanes | Self::Blocks | Self::Calendar => true,
+            Self::Topology | Self::Lanes | Self::Shards | Self::Calendar => true,
             Self::Drains | Self::Undrains => false,
         }
     }
@@ -49,7 +49,7 @@
     /// Whether it is changed (POST).
     pub(super) fn is_changed(self) -> bool {
         match self {
-            Self::Blocks | Self::Calendar | Self::Drains | Self::Undrains => true,
+            Self::Shards | Self::Calendar | Self::Drains | Self::Undrains => true,
             Self::Topology | Self::Lanes => false,
         }
     }
@@ -72,7 +72,7 @@
     match resource {
         Resource::Topology => node.show().map(|shown| json!(shown)),
         Resource::Lanes => node.show_lanes().map(|shown| json!(shown)),
-        Resource::Blocks => Ok(json!(node.show_blocks())),
+        Resource::Shards => Ok(json!(node.show_shards())),
         Resource::Calendar => node.show_calendar().map(|shown| json!(shown)),
         Resource::Drains | Resource::Undrains => Err(Refused::NoSuch),
     }
@@ -80,7 +80,7 @@
 
 async fn change(node: &Node, resource: Resource, body: &[u8]) -> Result<Value, Refused> {
     match resource {
-        Resource::Blocks => node.pin(&read("blocks", body)?).await.map(|()| json!({})),
+        Resource::Shards => node.pin(&read("blocks", body)?).await.map(|()| json!({})),
         Resource::Calendar => {
             let asked = read("calendar", body)?;
             node.change_calendar(&asked).await.map(|()| json!({}))
--- a/src/cli.rs
+++ b/src/cli.rs
@@ -2,24 +2,24 @@
 //! checks a file. One module a command; [`error`] has what each can fail with.
 
 mod ask;
-mod blocks;
 mod calendar;
 mod drain;
 pub mod error;
 mod lanes;
 mod pipeline;
+mod shards;
 mod topology;
 
 use clap::Subcommand;
 use serde::Serialize;
 
 pub use self::ask::Controllers;
-pub use self::blocks::BlocksCommand;
 pub use self::calendar::CalendarCommand;
 pub use self::drain::{DrainArgs, UndrainArgs};
 pub use self::error::CliError;
 pub use self::lanes::LanesCommand;
 pub use self::pipeline::PipelineCommand;
+pub use self::shards::ShardsCommand;
 pub use self::topology::TopologyCommand;
 
 /// What an operator can ask.
@@ -33,8 +33,8 @@
     #[command(subcommand)]
     Topology(TopologyCommand),
     /// The machines' blocks and who owns them.
-    #[command(subcommand)]
-    Blocks(BlocksCommand),
+    #[command(subcommand, name = "blocks")]
+    Shards(ShardsCommand),
     /// Priority lanes.
     #[command(subcommand)]
     Lanes(LanesCommand),
@@ -52,7 +52,7 @@
         Command::Drain(args) => drain::drain(args).await,
         Command::Undrain(args) => drain::undrain(args).await,
         Command::Topology(command) => topology::run(command).await,
-        Command::Blocks(command) => blocks::run(command).await,
+        Command::Shards(command) => shards::run(command).await,
         Command::Lanes(command) => lanes::run(command).await,
         Command::Calendar(command) => calendar::run(command).await,
         Command::Pipeline(command) => pipeline::run(command).await,
--- a/src/cli/blocks.rs
+++ b/src/cli/shards.rs
@@ -4,7 +4,7 @@
 
 use clap::Subcommand;
 use serde_json::Value;
-use sorrelhinge_protocol::operators::{BlocksShown, PinAsked};
+use sorrelhinge_protocol::operators::{PinAsked, ShardsShown};
 
 use super::ask::Controllers;
 use super::error::CliError;
@@ -14,7 +14,7 @@
 
 /// The machines' blocks and who owns them.
 #[derive(Subcommand, Debug)]
-pub enum BlocksCommand {
+pub enum ShardsCommand {
     /// Show blocks, owners, machines, parts of limits, moves under way, and why
     /// each is where it is.
     Show {
@@ -28,7 +28,8 @@
     /// Move a block to a controller, and keep it there while that lives.
     Move {
         /// The block's number.
-        block: u32,
+        #[arg(value_name = "BLOCK")]
+        shard: u32,
         /// The controller's name.
         #[arg(long, value_name = "NODE")]
         to: String,
@@ -39,7 +40,8 @@
     /// Let a block go wherever balance takes it.
     Free {
         /// The block's number.
-        block: u32,
+        #[arg(value_name = "BLOCK")]
+        shard: u32,
         /// Whom to ask.
         #[command(flatten)]
         controllers: Controllers,
@@ -47,45 +49,45 @@
 }
 
 /// Carries out a command; returns what goes to standard output.
-pub(super) async fn run(command: BlocksCommand) -> Result<String, CliError> {
+pub(super) async fn run(command: ShardsCommand) -> Result<String, CliError> {
     match command {
-        BlocksCommand::Show { json, controllers } => {
-            let shown: BlocksShown = controllers.get(PATH).await?;
-            json_or(json, &shown, blocks_table)
+        ShardsCommand::Show { json, controllers } => {
+            let shown: ShardsShown = controllers.get(PATH).await?;
+            json_or(json, &shown, shards_table)
         }
-        BlocksCommand::Move {
-            block,
+        ShardsCommand::Move {
+            shard,
             to,
             controllers,
         } => {
-            let told = format!("block {block} goes to {to}, and stays there\n");
-            pin(&controllers, block, Some(to)).await.map(|()| told)
+            let told = format!("block {shard} goes to {to}, and stays there\n");
+            pin(&controllers, shard, Some(to)).await.map(|()| told)
         }
-        BlocksCommand::Free { block, controllers } => {
-            let told = format!("block {block} goes wherever balance takes it\n");
-            pin(&controllers, block, None).await.map(|()| told)
+        ShardsCommand::Free { shard, controllers } => {
+            let told = format!("block {shard} goes wherever balance takes it\n");
+            pin(&controllers, shard, None).await.map(|()| told)
         }
     }
 }
 
-async fn pin(controllers: &Controllers, block: u32, to: Option<String>) -> Result<(), CliError> {
-    let asked = PinAsked { block, to };
+async fn pin(controllers: &Controllers, shard: u32, to: Option<String>) -> Result<(), CliError> {
+    let asked = PinAsked { shard, to };
     asked.check()?;
     let _: Value = controllers.post(PATH, &asked).await?;
     Ok(())
 }
 
-fn blocks_table(shown: &BlocksShown) -> String {
+fn shards_table(shown: &ShardsShown) -> String {
     let mut out = String::new();
     let told = |n: Option<f64>| n.map_or("?".into(), |n| format!("{n:.1}"));
     // Writing to a string does not fail.
     let _ = writeln!(out, "leader: {}", shown.leader.as_deref().unwrap_or("none"));
-    for b in &shown.blocks {
+    for b in &shown.shards {
         let machines = b.machines.map_or("?".into(), |n| n.to_string());
         let _ = writeln!(
             out,
             "block {}: {}{}, grant {}, {machines} machines; {}",
-            b.block,
+            b.shard,
             b.owner.as_deref().unwrap_or("nobody"),
             if b.alive { "" } else { " (gone)" },
             b.grant,
--- a/src/config/properties.rs
+++ b/src/config/properties.rs
@@ -1,7 +1,7 @@
 //! The operators' own settings: Java properties.
 
 use sorrelhinge_priority_lanes::Lanes;
-use sorrelhinge_sharding::shard::MAX_BLOCKS;
+use sorrelhinge_sharding::shard::MAX_SHARDS;
 
 use super::{field, in_range, ConfigError};
 
@@ -26,9 +26,9 @@
     pub floor: f64,
     /// Whether lower priorities and borrowers are stopped for others.
     pub preempt: bool,
-    /// The machines are divided into at least so many blocks.
-    pub blocks_least: u32,
-    /// A block moves to another controller so often, in seconds, even if nothing
+    /// The machines are divided into at least so many shards.
+    pub shards_least: u32,
+    /// A shard moves to another controller so often, in seconds, even if nothing
     /// asks for it; none: only if something does.
     pub move_every_s: Option<f64>,
     /// Images of at least so many GB go from machine to machine; none: all come
@@ -47,7 +47,7 @@
             headroom: 0.5,
             floor: 0.35,
             preempt: true,
-            blocks_least: 1,
+            shards_least: 1,
             move_every_s: None,
             staging_least_gb: None,
         }
@@ -88,7 +88,7 @@
             "fleet.idle.s" => self.idle_s = number(key, value, 0.0, 86_400.0)?,
             "fleet.headroom" => self.headroom = number(key, value, 0.0, 10.0)?,
             "fleet.floor" => self.floor = number(key, value, 0.0, 10.0)?,
-            "blocks.least" => self.blocks_least = block_count(key, value)?,
+            "blocks.least" => self.shards_least = shard_count(key, value)?,
             "blocks.move.every.s" => {
                 self.move_every_s = Some(number(key, value, 2.0, 86_400.0)?);
             }
@@ -102,9 +102,9 @@
     }
 }
 
-/// A number of blocks.
-fn block_count(key: &str, text: &str) -> Result<u32, ConfigError> {
-    let count = number(key, text, 1.0, f64::from(MAX_BLOCKS))?;
+/// A number of shards.
+fn shard_count(key: &str, text: &str) -> Result<u32, ConfigError> {
+    let count = number(key, text, 1.0, f64::from(MAX_SHARDS))?;
     if count.fract() != 0.0 {
         return Err(field(key, format!("{count} is not a whole number")));
     }
--- a/src/control/calendar.rs
+++ b/src/control/calendar.rs
@@ -6,7 +6,7 @@
 use sorrelhinge_reservations::record::{CalendarRecord, RecordError, Taken, CALENDAR_KEY};
 use sorrelhinge_reservations::settings::{check_windows, Calendar, Known, WindowError};
 use sorrelhinge_reservations::shown::{CalendarShown, PinWindow, UnpinWindow};
-use sorrelhinge_sharding::shard::BlockId;
+use sorrelhinge_sharding::shard::ShardId;
 use tokio::time::sleep;
 
 use super::drains::Refused;
@@ -215,17 +215,17 @@
         self.fresh().await;
     }
 
-    /// What operators are shown; only the owner of block 0 knows all of it.
+    /// What operators are shown; only the owner of shard 0 knows all of it.
     pub fn show_calendar(&self) -> Result<CalendarShown, Refused> {
         if self.cfg.calendar.is_none() {
             return Err(Refused::NoCalendar);
         }
         let view = self.store.view();
         let cores = self.shards.owned();
-        let Some(core) = cores.get(BlockId(0)) else {
-            let owner = match view.block_count() {
+        let Some(core) = cores.get(ShardId(0)) else {
+            let owner = match view.shard_count() {
                 1 => view.leader.value.as_ref().map(|l| l.node.clone()),
-                _ => view.blocks.get(&BlockId(0)).map(|b| b.value.owner.clone()),
+                _ => view.shards.get(&ShardId(0)).map(|b| b.value.owner.clone()),
             };
             let other = owner.filter(|o| *o != self.cfg.node);
             return Err(other.map_or(Refused::Unavailable, Refused::Elsewhere));
--- a/src/control/cloud_duties.rs
+++ b/src/control/cloud_duties.rs
@@ -3,7 +3,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use sorrelhinge_sharding::shard::BlockId;
+use sorrelhinge_sharding::shard::ShardId;
 use tokio::task::spawn_local;
 use tokio::time::sleep;
 
@@ -69,7 +69,7 @@
             match self.cloud.list().await {
                 Ok(list) => {
                     // Of several owners each reads it, so each less often.
-                    let owners = self.owners_of_blocks() as f64;
+                    let owners = self.owners_of_shards() as f64;
                     pause = least.max(list.len() as f64 / LISTED_A_SECOND) * owners.sqrt();
                     self.machines_listed(&list);
                     self.drive();
@@ -79,18 +79,18 @@
         }
     }
 
-    /// Tells each owned shard which of its machines are listed.
+    /// Tells each owned scope which of its machines are listed.
     fn machines_listed(&self, list: &[ListedMachine]) {
         let now = self.now();
-        if self.view_blocks() > 1 {
+        if self.view_shards() > 1 {
             let zones = list.iter().map(|m| (m.id.clone(), m.zone.clone()));
             self.shards.learn_listed_zones(list.len(), zones);
         }
         for c in self.shards.owned_mut().values_mut() {
             c.look_elsewhere(&self.store.view());
-            let shard = c.shard;
-            if shard.is_part() {
-                let own = list.iter().filter(|m| shard.covers(&m.id));
+            let scope = c.scope;
+            if scope.is_part() {
+                let own = list.iter().filter(|m| scope.covers(&m.id));
                 c.listed(&own.cloned().collect::<Vec<_>>(), now);
             } else {
                 c.listed(list, now);
@@ -102,7 +102,7 @@
     pub(super) async fn tend_cloud(self: Rc<Self>) {
         loop {
             sleep(FLEET_EVERY).await;
-            // Without the lease another controller may own the block: its
+            // Without the lease another controller may own the shard: its
             // machines would look silent here, and must not be given back.
             if !self.leadership.is_exclusive() {
                 continue;
@@ -113,11 +113,11 @@
             }
             let mut to_delete: Vec<MachineId> = Vec::new();
             let mut rentals = Vec::new();
-            for (block, c) in self.shards.owned_mut().iter_mut() {
+            for (shard, c) in self.shards.owned_mut().iter_mut() {
                 let decision = self.timed(Duty::Fleet, || c.fleet(now));
                 to_delete.extend(decision.to_delete);
                 rentals.extend(decision.scale_out.into_iter().map(|rental| ShardRental {
-                    shard: *block,
+                    scope: *shard,
                     grant: c.grant,
                     rental,
                 }));
@@ -137,7 +137,7 @@
                     tracing::info!(?machines, "deleted");
                     let now = self.now();
                     for c in self.shards.owned_mut().values_mut() {
-                        let own = machines.iter().filter(|m| c.shard.covers(m));
+                        let own = machines.iter().filter(|m| c.scope.covers(m));
                         c.deleted(&own.cloned().collect::<Vec<_>>(), now);
                     }
                     self.drive();
@@ -147,7 +147,7 @@
         }
     }
 
-    /// Rents machines, and tells all who may own them. The shard that asked learns the
+    /// Rents machines, and tells all who may own them. The scope that asked learns the
     /// outcome if it is still owned by the same grant.
     async fn rent(self: Rc<Self>, order: ShardRental) {
         let rental = &order.rental;
@@ -164,16 +164,16 @@
         };
         let now = self.now();
         let mut cores = self.shards.owned_mut();
-        let core = cores.get_mut(order.shard);
+        let core = cores.get_mut(order.scope);
         if let Some(c) = core.filter(|c| c.grant == order.grant) {
             c.rented(rental, result, now);
         }
     }
 }
 
-/// Machines that an owned shard asks for.
+/// Machines that an owned scope asks for.
 struct ShardRental {
-    shard: BlockId,
+    scope: ShardId,
     /// The grant that it asked under.
     grant: u64,
     rental: Rental,
--- a/src/control/core/batch.rs
+++ b/src/control/core/batch.rs
@@ -139,8 +139,8 @@
         let over = entry.record.value.phase != Phase::Live;
         let cancelled = entry.record.value.phase == Phase::Cancelled;
         let held = entry.chunks.get(&chunk);
-        let homed = self.shard.homes(id);
-        // Another block takes what it claimed out of the record, and the job's own block
+        let homed = self.scope.homes(id);
+        // Another shard takes what it claimed out of the record, and the job's own shard
         // then deletes that.
         let kept_for_owner = !homed && held.is_some_and(|h| self.claims_in(&h.value, true));
         let keep = self
@@ -156,13 +156,13 @@
                 },
             };
         }
-        // Only once the job is over, and by the block that places it. Another one, that
+        // Only once the job is over, and by the shard that places it. Another one, that
         // had no task of it left, deleted what others still claimed in the chunk, and
         // they were started twice (hunt, day `apart`).
         if held.is_none() || !over || !homed {
             return Written::Nothing;
         }
-        // Nor while another block's tasks of a cancelled job are not provably gone: its
+        // Nor while another shard's tasks of a cancelled job are not provably gone: its
         // next owner would not count them.
         match cancelled && held.is_some_and(|h| self.claims_in(&h.value, false)) {
             true => Written::Nothing,
--- a/src/control/core/calendar.rs
+++ b/src/control/core/calendar.rs
@@ -7,7 +7,7 @@
 
 use sorrelhinge_reservations::plan::{Change as Due, Seen, Whole};
 use sorrelhinge_reservations::record::{key, Entry, Step, WindowRecord};
-use sorrelhinge_sharding::shard::BlockId;
+use sorrelhinge_sharding::shard::ShardId;
 
 use super::Core;
 use crate::state::view::Versioned;
@@ -119,9 +119,9 @@
 
 impl Core {
     /// Whether this owner takes the windows' steps, and speaks of them in the log: only
-    /// that of block 0 does.
+    /// that of shard 0 does.
     pub(super) fn keeps_calendar(&self) -> bool {
-        self.shard.block == BlockId(0)
+        self.scope.shard == ShardId(0)
     }
 
     /// Steps that are due, each with its change, if this owner takes them.
--- a/src/control/core/calendar_needs.rs
+++ b/src/control/core/calendar_needs.rs
@@ -8,7 +8,7 @@
 use sorrelhinge_reservations::settings::Window;
 use sorrelhinge_reservations::shown::{rows, WindowShown};
 use sorrelhinge_sharding::delegation::{Delegated, Waiting};
-use sorrelhinge_sharding::shard::BlockId;
+use sorrelhinge_sharding::shard::ShardId;
 
 use super::calendar::LoggedShortage;
 use super::reservation_supply::TypeChoice;
@@ -33,7 +33,7 @@
 }
 
 impl Core {
-    /// Of several blocks each holds its part, and a job is homed in one: what waits
+    /// Of several shards each holds its part, and a job is homed in one: what waits
     /// of a window's work is left to the others, to each as much as it holds.
     pub(super) fn leave_to_holds(&self, waiting: &[Waiting]) -> Vec<Delegated> {
         let mut leaves = Vec::new();
@@ -46,12 +46,12 @@
                 w.whole.hold > 0
                     && window.is_some_and(|w| w.is_for(&job.spec.team, &job.spec.class))
             });
-            let parts = held.map_or(Vec::new(), |w| divide(w.whole.hold, self.shard.of));
+            let parts = held.map_or(Vec::new(), |w| divide(w.whole.hold, self.scope.of));
             let mut left = waits.tasks;
-            for (block, part) in parts.into_iter().enumerate() {
-                let to = BlockId(block as u32);
+            for (shard, part) in parts.into_iter().enumerate() {
+                let to = ShardId(shard as u32);
                 let tasks = part.min(left);
-                if to != self.shard.block && tasks > 0 {
+                if to != self.scope.shard && tasks > 0 {
                     left -= tasks;
                     leaves.push(Delegated {
                         job: waits.job.clone(),
--- a/src/control/core/delegated_tasks.rs
+++ b/src/control/core/delegated_tasks.rs
@@ -1,4 +1,4 @@
-//! Tasks that one block leaves to another, each for a time.
+//! Tasks that one shard leaves to another, each for a time.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -10,7 +10,7 @@
     end: Time,
 }
 
-/// Tasks by job that may be placed by another block than the job's own, each for a time.
+/// Tasks by job that may be placed by another shard than the job's own, each for a time.
 #[derive(Default)]
 pub(super) struct DelegatedTasks {
     by_job: BTreeMap<JobId, Vec<TimedTasks>>,
--- a/src/control/core/deleted_machines.rs
+++ b/src/control/core/deleted_machines.rs
@@ -4,7 +4,7 @@
 //! that were given back long ago. A new owner would count them against limits
 //! until the machine list and the cloud have told it what this owner knew.
 
-use sorrelhinge_sharding::shard::Shard;
+use sorrelhinge_sharding::shard::ShardScope;
 
 use crate::state::record::{gone_key, GoneRecord, GONE_SLOTS};
 use crate::state::view::View;
@@ -28,13 +28,13 @@
 impl DeletedMachines {
     /// Goes on where the last owner was: in the list that was written last.
     /// Each of several owners has slots of its own.
-    pub(super) fn load(view: &View, shard: Shard) -> Self {
-        let own = |slot: &u32| slot % shard.of == shard.block.0;
+    pub(super) fn load(view: &View, scope: ShardScope) -> Self {
+        let own = |slot: &u32| slot % scope.of == scope.shard.0;
         let last = view.gone.iter().filter(|(slot, _)| own(slot));
         let last = last.max_by_key(|(_, held)| held.mod_revision);
         Self {
-            step: shard.of,
-            slot: last.map_or(shard.block.0, |(slot, _)| *slot),
+            step: scope.of,
+            slot: last.map_or(scope.shard.0, |(slot, _)| *slot),
             written: last.map_or(
                 GoneRecord {
                     version: GoneRecord::VERSION,
--- a/src/control/core/failures.rs
+++ b/src/control/core/failures.rs
@@ -71,8 +71,8 @@
             (job.failures, job.doubted) = (0, false);
             job.tasks.all_done()
         });
-        // Another block's jobs are done when that has read so.
-        if all_done == Some(true) && self.shard.homes(&task.job) {
+        // Another shard's jobs are done when that has read so.
+        if all_done == Some(true) && self.scope.homes(&task.job) {
             self.finished(task.job.clone(), now);
         }
         if let Some(link) = self.links.get_mut(id) {
--- a/src/control/core/heartbeats.rs
+++ b/src/control/core/heartbeats.rs
@@ -31,9 +31,9 @@
         true
     }
 
-    /// Whether a heartbeat is of a machine of this block, and certainly no late copy.
+    /// Whether a heartbeat is of a machine of this shard, and certainly no late copy.
     fn counts(&self, heartbeat: &Heartbeat) -> bool {
-        if !self.shard.covers(&heartbeat.machine) || self.is_copy(heartbeat) {
+        if !self.scope.covers(&heartbeat.machine) || self.is_copy(heartbeat) {
             return false;
         }
         // Only a heartbeat with our fencing token was certainly made under this grant. Any
--- a/src/control/core/job_changes.rs
+++ b/src/control/core/job_changes.rs
@@ -18,7 +18,7 @@
             let Some(entry) = view.job(id) else { continue };
             if self.cluster_state.job(id).is_some() {
                 self.job_changed(view, id, now, wall_ms);
-            } else if entry.record.value.phase == Phase::Live && self.shard.homes(id) {
+            } else if entry.record.value.phase == Phase::Live && self.scope.homes(id) {
                 self.job_came(view, id, now, wall_ms);
             }
             self.forget_job(view, id, now);
@@ -92,8 +92,8 @@
         let Some(entry) = view.job(id) else { return };
         let over = entry.record.value.phase != Phase::Live;
         let Some(job) = self.cluster_state.job(id) else {
-            // Other blocks may have taken out the last that kept its chunks.
-            if over && self.shard.is_part() && self.shard.homes(id) {
+            // Other shards may have taken out the last that kept its chunks.
+            if over && self.scope.is_part() && self.scope.homes(id) {
                 self.drop_chunks(id, entry, now);
             }
             return;
--- a/src/control/core/lanes.rs
+++ b/src/control/core/lanes.rs
@@ -65,7 +65,7 @@
             }
             let (used, all) = self.cluster_state.lane_holds(id);
             tracing::info!(
-                block = %self.shard.block,
+                shard = %self.scope.shard,
                 lane = lane.name,
                 waiting,
                 next = %first.id,
--- a/src/control/core/largest_jobs.rs
+++ b/src/control/core/largest_jobs.rs
@@ -92,7 +92,7 @@
         let cpu = job.spec.each.times(i64::from(job.spec.tasks)).cpu;
         let (class, team) = job.sort();
         tracing::info!(
-            block = %self.shard.block,
+            shard = %self.scope.shard,
             %class,
             %team,
             job = %id,
--- a/src/control/core/load.rs
+++ b/src/control/core/load.rs
@@ -1,11 +1,11 @@
-//! Taking up a grant: everything that is recorded of the block goes into the
+//! Taking up a grant: everything that is recorded of the shard goes into the
 //! cluster state.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
 
 use sorrelhinge_sharding::largest_jobs::Largest;
-use sorrelhinge_sharding::shard::Shard;
+use sorrelhinge_sharding::shard::ShardScope;
 use sorrelhinge_topology::Topology;
 
 use super::command_queue::CommandQueue;
@@ -47,7 +47,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct ShardGrant {
     /// The machines and jobs that it is for.
-    pub shard: Shard,
+    pub scope: ShardScope,
     /// Its number, which the fencing tokens of its commands begin with.
     pub number: u64,
     /// The revision that wrote it.
@@ -58,7 +58,7 @@
     /// The grant of all machines.
     pub fn whole(number: u64, revision: Revision) -> Self {
         Self {
-            shard: Shard::WHOLE,
+            scope: ShardScope::WHOLE,
             number,
             revision,
         }
@@ -66,7 +66,7 @@
 }
 
 impl Core {
-    /// Takes up a grant: everything recorded of its shard is on the cluster state,
+    /// Takes up a grant: everything recorded of its scope is on the cluster state,
     /// and every claim counts until a report that carries the new fencing token says
     /// otherwise. `places` is where machines of all shards are; of the grant of all
     /// machines it is empty.
@@ -86,14 +86,14 @@
 
     /// An owner that knows no job and no machine yet.
     fn without_records(input: &RecoveryInput, grant: ShardGrant, places: Places) -> Self {
-        let (view, now, shard) = (input.view, input.now, grant.shard);
-        let staging = staging::Staging::load(&input.cfg, shard, view);
+        let (view, now, scope) = (input.view, input.now, grant.scope);
+        let staging = staging::Staging::load(&input.cfg, scope, view);
         Self {
             cfg: input.cfg.clone(),
             cluster_state: ClusterState::new(teams(&input.cfg)),
             grant: grant.number,
             grant_revision: grant.revision,
-            shard,
+            scope,
             frozen_since: None,
             sharing: sharing::Sharing::default(),
             places,
@@ -109,7 +109,7 @@
             scaling: ScalingState::new(now),
             deaf_until: now,
             start_permission: StartPermission::unbounded(),
-            tombstones: MachineTombstones::load(view, shard),
+            tombstones: MachineTombstones::load(view, scope),
             windows: calendar::Windows::default(),
             drains: Vec::new(),
             staging,
@@ -135,19 +135,19 @@
         self.look_at_limits(input.view);
     }
 
-    /// Jobs that arrived of late. Of several blocks each places an equal part of what
+    /// Jobs that arrived of late. Of several shards each places an equal part of what
     /// comes.
     fn recover_arrivals(&mut self, view: &View, now: Time, wall_ms: u64) {
-        let Shard { block, of } = self.shard;
+        let ShardScope { shard, of } = self.scope;
         let all = view.history.arrivals().enumerate();
-        let part = all.filter(|(n, _)| *n as u32 % of == block.0);
+        let part = all.filter(|(n, _)| *n as u32 % of == shard.0);
         for (_, (accepted_ms, spec)) in part {
             let age_s = wall_ms.saturating_sub(*accepted_ms) as f64 / 1000.0;
             self.arrived(spec, Time(now.0 - age_s));
         }
     }
 
-    /// Jobs that this shard homes or has claims of, by their names.
+    /// Jobs that this scope homes or has claims of, by their names.
     fn recover_jobs(&mut self, view: &View, now: Time, wall_ms: u64) {
         let mut jobs: Vec<&JobId> = view.jobs().map(|(id, _)| id).collect();
         jobs.sort();
@@ -161,16 +161,16 @@
         FencingToken::of_grant(self.grant)
     }
 
-    /// Takes up a job if this shard homes it or has claims of it.
+    /// Takes up a job if this scope homes it or has claims of it.
     pub(super) fn add_job(&mut self, view: &View, id: &JobId, now: Time, wall_ms: u64) {
         let claimed_here = |entry: &JobEntry| self.claims_here(entry);
-        if self.shard.homes(id) || view.job(id).is_some_and(claimed_here) {
+        if self.scope.homes(id) || view.job(id).is_some_and(claimed_here) {
             self.add_known(view, id, now, wall_ms);
         }
     }
 }
 
-/// The teams with their whole limits. Of several blocks each has its part of them, see
+/// The teams with their whole limits. Of several shards each has its part of them, see
 /// `look_at_limits`.
 fn teams(cfg: &Config) -> Vec<Team> {
     cfg.teams
--- a/src/control/core/mod.rs
+++ b/src/control/core/mod.rs
@@ -1,4 +1,4 @@
-//! What the owner of the block knows and decides, without I/O: time, heartbeats
+//! What the owner of the shard knows and decides, without I/O: time, heartbeats
 //! and outcomes come in, transactions, commands and cloud calls go out.
 //!
 //! [`Core`] composes the owners of its state. Each is a struct in a module of its own
@@ -84,7 +84,7 @@
 use std::rc::Rc;
 
 use sorrelhinge_sharding::largest_jobs::Largest;
-use sorrelhinge_sharding::shard::Shard;
+use sorrelhinge_sharding::shard::ShardScope;
 use sorrelhinge_topology::drain::Drain;
 
 pub use self::calendar::WindowStep;
@@ -133,7 +133,7 @@
     pub commands: DirectCommands,
 }
 
-/// The block owner's knowledge.
+/// The shard owner's knowledge.
 pub struct Core {
     /// Settings; they don't change while the grant is held.
     cfg: Rc<Config>,
@@ -142,13 +142,13 @@
     /// The grant's number and the revision that wrote it.
     pub grant: u64,
     grant_revision: Revision,
-    /// Which block it is.
-    pub shard: Shard,
+    /// Which shard it is.
+    pub scope: ShardScope,
     /// It is handed on: nothing more is claimed, and what is under way settles.
     frozen_since: Option<Time>,
     /// Room that others' tasks may take, and what was left to others.
     sharing: sharing::Sharing,
-    /// Zones of all blocks' machines.
+    /// Zones of all shards' machines.
     places: Places,
     /// What classes and teams got, for the log.
     served_log: ServedLog,
--- a/src/control/core/overflow.rs
+++ b/src/control/core/overflow.rs
@@ -1,8 +1,8 @@
-//! Tasks that find no place in their block: they are left to blocks that have room, for a
+//! Tasks that find no place in their shard: they are left to shards that have room, for a
 //! time.
 
 use sorrelhinge_sharding::delegation::{Delegated, Waiting, ACCEPTED_S, DELEGATED_S};
-use sorrelhinge_sharding::shard::BlockId;
+use sorrelhinge_sharding::shard::ShardId;
 
 use super::Core;
 use crate::sched::{Job, Machine};
@@ -17,7 +17,7 @@
 const MAX_JOBS: usize = 16;
 
 impl Core {
-    /// Thousandths of a CPU that are free beyond this block's own work.
+    /// Thousandths of a CPU that are free beyond this shard's own work.
     pub fn spare_cpu(&self) -> i64 {
         if self.cluster_state.has_work() || self.frozen_since.is_some() {
             return 0;
@@ -28,19 +28,19 @@
         (self.cluster_state.capacity().cpu - used - kept).max(0) / 2
     }
 
-    /// Another block has so much room beyond its own work.
-    pub fn has_room(&mut self, block: BlockId, cpu: i64, now: Time) {
-        self.sharing.delegation.has_room(block, cpu, now);
+    /// Another shard has so much room beyond its own work.
+    pub fn has_room(&mut self, shard: ShardId, cpu: i64, now: Time) {
+        self.sharing.delegation.has_room(shard, cpu, now);
     }
 
-    /// Leaves tasks that found no place to blocks that have room.
+    /// Leaves tasks that found no place to shards that have room.
     pub fn leave(&mut self, view: &View, now: Time) -> Vec<LeftTo> {
         self.end_left(view, now);
         if self.frozen_since.is_some() {
             return Vec::new();
         }
         let waiting = self.jobs_without_place();
-        // A window's work finds the room that other blocks hold for it.
+        // A window's work finds the room that other shards hold for it.
         let mut all = self.leave_to_holds(&waiting);
         all.extend(self.sharing.delegation.delegate(&waiting, now));
         let left = all.into_iter();
@@ -49,7 +49,7 @@
     }
 
     /// Jobs of which tasks found no place, those that have waited longest first. Not
-    /// jobs whose zones count together: one block must see where all of them are.
+    /// jobs whose zones count together: one shard must see where all of them are.
     fn jobs_without_place(&self) -> Vec<Waiting> {
         let may_leave = |job: &Job| {
             job.tasks.at_home()
@@ -76,7 +76,7 @@
         waiting
     }
 
-    /// Leaves the last tasks of a job that wait to another block; none: none waits.
+    /// Leaves the last tasks of a job that wait to another shard; none: none waits.
     fn delegate_tasks(&mut self, delegated: Delegated, view: &View, now: Time) -> Option<LeftTo> {
         let Delegated { job, to, tasks } = delegated;
         let tasks = self.cluster_state.job(&job)?.tasks.last_pending(tasks);
@@ -89,20 +89,20 @@
             self.share(&job, entry);
         }
         Some(LeftTo {
-            block: to,
+            shard: to,
             job,
             tasks: tasks.into_iter().collect(),
         })
     }
 
-    /// Another block leaves tasks to this one.
+    /// Another shard leaves tasks to this one.
     pub fn left_here(&mut self, view: &View, left: &LeftTo, now: Time, wall_ms: u64) {
         let Some(entry) = view.job(&left.job) else {
             return;
         };
         let live = entry.record.value.phase == Phase::Live;
         let in_range = left.tasks.iter().all(|i| *i < entry.record.value.tasks);
-        if !live || !in_range || self.shard.homes(&left.job) || self.frozen_since.is_some() {
+        if !live || !in_range || self.scope.homes(&left.job) || self.frozen_since.is_some() {
             return;
         }
         let tasks = left.tasks.iter().copied().collect();
--- a/src/control/core/placing.rs
+++ b/src/control/core/placing.rs
@@ -35,7 +35,7 @@
         }
     }
 
-    /// A task of a job was placed. If it is the first one, that is counted, by the block
+    /// A task of a job was placed. If it is the first one, that is counted, by the shard
     /// that places the job.
     fn job_began(&mut self, id: &JobId, now: Time) {
         let job = self.cluster_state.job(id);
--- a/src/control/core/record.rs
+++ b/src/control/core/record.rs
@@ -26,7 +26,7 @@
         self.pending.claims_wait(now)
     }
 
-    /// A chunk as it should be recorded: what other blocks hold of it, as in
+    /// A chunk as it should be recorded: what other shards hold of it, as in
     /// `held`, stays as it is.
     pub(super) fn snapshot(
         &self,
@@ -35,16 +35,16 @@
         held: Option<&ChunkRecord>,
     ) -> Option<ChunkRecord> {
         let mut record = chunk_record(self.cluster_state.job(id)?, chunk);
-        if let Some(held) = held.filter(|_| self.shard.is_part()) {
+        if let Some(held) = held.filter(|_| self.scope.is_part()) {
             self.keep_others_part(&mut record, held);
         }
         Some(record)
     }
 
-    /// Leaves in a chunk's record what other blocks wrote into it.
+    /// Leaves in a chunk's record what other shards wrote into it.
     fn keep_others_part(&self, record: &mut ChunkRecord, held: &ChunkRecord) {
         let theirs = held.claims.iter();
-        let theirs = theirs.filter(|claim| !self.shard.covers(&claim.machine));
+        let theirs = theirs.filter(|claim| !self.scope.covers(&claim.machine));
         let theirs: Vec<_> = theirs.cloned().collect();
         let of = |place: u32| theirs.iter().any(|claim| claim.place == place);
         let units = held.units.iter().filter(|units| of(units.place));
@@ -56,11 +56,11 @@
         record.done |= held.done;
     }
 
-    /// Whether a chunk's record claims tasks on machines of this block, or, if not
-    /// `here`, of other blocks.
+    /// Whether a chunk's record claims tasks on machines of this shard, or, if not
+    /// `here`, of other shards.
     pub(super) fn claims_in(&self, chunk: &ChunkRecord, here: bool) -> bool {
         let mut claims = chunk.claims.iter();
-        claims.any(|c| self.shard.covers(&c.machine) == here)
+        claims.any(|c| self.scope.covers(&c.machine) == here)
     }
 
     /// A transaction was carried out.
@@ -214,7 +214,7 @@
     }
 }
 
-/// A chunk of a job as this block holds it.
+/// A chunk of a job as this shard holds it.
 fn chunk_record(job: &Job, chunk: u32) -> ChunkRecord {
     let size = job.tasks.chunk_size();
     let from = chunk * size;
--- a/src/control/core/recorded_job.rs
+++ b/src/control/core/recorded_job.rs
@@ -1,5 +1,5 @@
 //! Jobs as they are recorded, taken into the cluster state: at a takeover, when they come,
-//! when they become ready, and when another block leaves tasks of them to this one.
+//! when they become ready, and when another shard leaves tasks of them to this one.
 
 use std::rc::Rc;
 
@@ -69,7 +69,7 @@
 /// A job's tasks, as its records have them.
 struct FoundTasks {
     tasks: Tasks,
-    /// Claims on this block's machines.
+    /// Claims on this shard's machines.
     claims: Vec<FoundClaim>,
     /// Attempts that came to nothing.
     wasted: u64,
@@ -104,7 +104,7 @@
         // A done job's tasks have all ended, whatever a chunk that was not
         // deleted yet still claims.
         if record.phase == Phase::Done || over && !self.claims_here(entry) {
-            if self.shard.homes(id) {
+            if self.scope.homes(id) {
                 self.drop_chunks(id, entry, now);
             }
             return;
@@ -115,7 +115,7 @@
         let Some((job, claims)) = self.recorded_job(view, id, found, &times) else {
             return;
         };
-        let placed_here = !over && self.shard.homes(id);
+        let placed_here = !over && self.scope.homes(id);
         self.put_job(id, job, placed_here, now);
         self.put_claims(id, claims, now);
         self.share(id, entry);
@@ -127,7 +127,7 @@
         self.walk_all = true;
     }
 
-    /// A job goes into the cluster state. `placed_here`: this block places it, and it is
+    /// A job goes into the cluster state. `placed_here`: this shard places it, and it is
     /// not over.
     fn put_job(&mut self, id: &JobId, job: Job, placed_here: bool, now: Time) {
         if placed_here {
@@ -177,7 +177,7 @@
             for bit in (0..found.tasks.chunk_size()).filter(|bit| held.done >> bit & 1 == 1) {
                 found.tasks.set_done(chunk * record.chunk + bit);
             }
-            let here = held.claims.iter().filter(|c| self.shard.covers(&c.machine));
+            let here = held.claims.iter().filter(|c| self.scope.covers(&c.machine));
             for RecordedClaim {
                 place,
                 attempt,
--- a/src/control/core/renting.rs
+++ b/src/control/core/renting.rs
@@ -85,10 +85,10 @@
     }
 
     /// A request's name. Unique: the grant's number was written before, and
-    /// this owner counts its own requests. Two blocks' grants may have the same number.
+    /// this owner counts its own requests. Two shards' grants may have the same number.
     fn request_id(&self, number: u64) -> String {
-        match self.shard.is_part() {
-            true => format!("r-{}-{}-{number}", self.grant, self.shard.block),
+        match self.scope.is_part() {
+            true => format!("r-{}-{}-{number}", self.grant, self.scope.shard),
             false => format!("r-{}-{number}", self.grant),
         }
     }
@@ -111,7 +111,7 @@
                     spot: rental.spot,
                     since: now,
                 };
-                for id in machines.into_iter().filter(|m| self.shard.covers(m)) {
+                for id in machines.into_iter().filter(|m| self.scope.covers(m)) {
                     if !self.links.contains_key(&id) {
                         self.inventory.rented(id, coming.clone());
                     }
@@ -127,10 +127,10 @@
         }
     }
 
-    /// Another owner rented machines, some of which belong to this block.
+    /// Another owner rented machines, some of which belong to this shard.
     pub fn rented_for(&mut self, sort: (&TypeName, &Zone, bool), machine: &MachineId, now: Time) {
         let known = self.links.contains_key(machine) || self.tombstones.is_recent(machine);
-        if self.shard.covers(machine) && !known {
+        if self.scope.covers(machine) && !known {
             let (kind, zone, spot) = sort;
             let coming = || Coming {
                 kind: kind.clone(),
--- a/src/control/core/reservation_refresh.rs
+++ b/src/control/core/reservation_refresh.rs
@@ -84,8 +84,8 @@
         }
         let name = window.map_or("", |w| &w.name);
         let here = self.cluster_state.hold_of(name).unwrap_or_default();
-        // Of several blocks each has about the same.
-        let shards = self.shard.of.max(1);
+        // Of several shards each has about the same.
+        let shards = self.scope.of.max(1);
         let in_all_shards = |tasks: u32| tasks.saturating_mul(shards);
         let headroom =
             window.map_or_else(QuotaHeadroom::default, |w| self.quota_headroom(w, usage));
@@ -107,7 +107,7 @@
         }
     }
 
-    /// What of a window is to be held by this block.
+    /// What of a window is to be held by this shard.
     fn hold_here(
         &self,
         watch: &Watch,
@@ -127,14 +127,14 @@
         })
     }
 
-    /// This block's part of the tasks whose room is held, never beyond its part of the
+    /// This shard's part of the tasks whose room is held, never beyond its part of the
     /// team's limit.
     fn tasks_reserved_here(&self, window: &Window, team: usize, tasks: u32) -> u32 {
-        if !self.shard.is_part() {
+        if !self.scope.is_part() {
             return tasks;
         }
-        let parts = divide(tasks, self.shard.of);
-        let part = parts.get(self.shard.block.0 as usize).copied();
+        let parts = divide(tasks, self.scope.of);
+        let part = parts.get(self.scope.shard.0 as usize).copied();
         let team = &self.cluster_state.teams()[team];
         let hold = self.cluster_state.hold_of(&window.name);
         let mine = hold.map_or(0, |h| h.used);
--- a/src/control/core/reservation_usage.rs
+++ b/src/control/core/reservation_usage.rs
@@ -29,7 +29,7 @@
     pub(super) waiting: u32,
 }
 
-/// Work by the window that it is for, in all blocks.
+/// Work by the window that it is for, in all shards.
 #[derive(Default)]
 pub(super) struct ReservationUsage {
     /// The windows by which it was counted.
@@ -90,7 +90,7 @@
 
 impl Core {
     /// Counts what each window's work takes and how much of it waits, and what each
-    /// team's other work uses. Of several blocks by the records, as one owner sees its
+    /// team's other work uses. Of several shards by the records, as one owner sees its
     /// own claims only.
     pub(super) fn reservation_usage<'a>(
         &self,
@@ -98,7 +98,7 @@
         view: &View,
     ) -> ReservationUsage {
         let mut usage = ReservationUsage::new(watched);
-        if self.shard.is_part() {
+        if self.scope.is_part() {
             add_recorded(&mut usage, view);
         } else {
             self.add_known_work(&mut usage);
--- a/src/control/core/scaling.rs
+++ b/src/control/core/scaling.rs
@@ -25,7 +25,7 @@
 impl Core {
     /// Looks at the whole fleet: machines to delete now, and requests to send. Each
     /// request is under way until its outcome is told to [`Core::rented`]. Nothing is
-    /// decided while the shard is handed on.
+    /// decided while the scope is handed on.
     pub fn fleet(&mut self, now: Time) -> ScalingDecision {
         if self.is_frozen() {
             return ScalingDecision::default();
--- a/src/control/core/served.rs
+++ b/src/control/core/served.rs
@@ -94,7 +94,7 @@
         self.tell_lanes(now);
         for l in lines {
             tracing::info!(
-                block = %self.shard.block,
+                shard = %self.scope.shard,
                 class = %l.sort.0,
                 team = %l.sort.1,
                 accepted = l.accepted,
--- a/src/control/core/shard_freeze.rs
+++ b/src/control/core/shard_freeze.rs
@@ -1,35 +1,35 @@
-//! Whether the block is still granted to this owner, and handing it on: it claims
+//! Whether the shard is still granted to this owner, and handing it on: it claims
 //! nothing more, and what is under way settles.
 
 use super::Core;
 use crate::sched::Sent;
-use crate::state::record::{block_key, GRANT};
+use crate::state::record::{shard_key, GRANT};
 use crate::state::view::View;
 use crate::types::{TaskId, Time};
 
-/// For so long commands may settle before a block is handed on, in seconds: an
+/// For so long commands may settle before a shard is handed on, in seconds: an
 /// unanswered one is in doubt for the next owner, as after any takeover.
 const SETTLE_S: f64 = 1.0;
 
 impl Core {
-    /// The key of this block's grant.
+    /// The key of this shard's grant.
     pub(super) fn grant_key(&self) -> String {
-        if self.shard.is_part() {
-            block_key(self.shard.block)
+        if self.scope.is_part() {
+            shard_key(self.scope.shard)
         } else {
             GRANT.into()
         }
     }
 
-    /// Whether the block is still granted to this owner. An offer changes the
+    /// Whether the shard is still granted to this owner. An offer changes the
     /// record, and not the grant.
     pub fn still_granted(&mut self, view: &View) -> bool {
-        if !self.shard.is_part() {
-            return view.block_count() == 1 && view.grant.mod_revision == self.grant_revision;
+        if !self.scope.is_part() {
+            return view.shard_count() == 1 && view.grant.mod_revision == self.grant_revision;
         }
-        let held = view.blocks.get(&self.shard.block);
+        let held = view.shards.get(&self.scope.shard);
         match held.filter(|b| b.value.number == self.grant && b.value.owner == self.cfg.node) {
-            Some(held) if view.block_count() == self.shard.of => {
+            Some(held) if view.shard_count() == self.scope.of => {
                 self.grant_revision = held.mod_revision;
                 true
             }
@@ -39,12 +39,12 @@
 
     /// Claims nothing more; what is under way settles. Claims that still wait to
     /// be recorded are dropped: nothing was sent for them, and with changes short
-    /// they would keep the block frozen for seconds.
+    /// they would keep the shard frozen for seconds.
     pub fn freeze(&mut self, now: Time) {
         if self.frozen_since.is_some() {
             return;
         }
-        tracing::info!(block = %self.shard.block, "frozen: it is handed on");
+        tracing::info!(shard = %self.scope.shard, "frozen: it is handed on");
         self.frozen_since = Some(now);
         let mut unsent = Vec::new();
         for (id, job) in self.cluster_state.jobs() {
@@ -67,7 +67,7 @@
     /// The offer was taken back.
     pub fn thaw(&mut self) {
         if self.frozen_since.take().is_some() {
-            tracing::info!(block = %self.shard.block, "the offer was taken back");
+            tracing::info!(shard = %self.scope.shard, "the offer was taken back");
             self.walk_all = true;
         }
     }
--- a/src/control/core/shard_quota.rs
+++ b/src/control/core/shard_quota.rs
@@ -1,4 +1,4 @@
-//! This block's part of the teams' limits, and what its teams need of them.
+//! This shard's part of the teams' limits, and what its teams need of them.
 
 use sorrelhinge_sharding::slices::Need;
 
@@ -7,7 +7,7 @@
 use crate::state::view::View;
 use crate::types::Amount;
 
-/// What a team has in this block, in thousandths, as amounts are.
+/// What a team has in this shard, in thousandths, as amounts are.
 struct TeamPart {
     limit: Amount,
     guarantee: Amount,
@@ -20,20 +20,20 @@
 }
 
 impl Core {
-    /// Takes up this block's part of the limits, as recorded, less what is being
+    /// Takes up this shard's part of the limits, as recorded, less what is being
     /// given away. Guarantees are divided in the same proportion.
     pub fn look_at_limits(&mut self, view: &View) {
-        if !self.shard.is_part() {
+        if !self.scope.is_part() {
             return;
         }
-        let record = view.slices.get(&self.shard.block).map(|s| &s.value);
+        let record = view.slices.get(&self.scope.shard).map(|s| &s.value);
         let given = &self.sharing.given;
-        let blocks = i64::from(self.shard.of.max(1));
+        let shards = i64::from(self.scope.of.max(1));
         let teams = self.cfg.teams.iter().enumerate();
         let parts = teams.map(|(i, team)| {
             let held = record.map_or(Amount::default(), |r| r.of(&team.name));
             let given = given.get(i).copied().unwrap_or_default();
-            let part = team_part(team, held, given, blocks);
+            let part = team_part(team, held, given, shards);
             (part.limit, part.guarantee)
         });
         let parts: Vec<(Amount, Amount)> = parts.collect();
@@ -72,13 +72,13 @@
 
 /// A team's part of its limit, which is recorded as `held`, less what is being given
 /// away; its guarantee in the same proportion. RAM has no limit.
-fn team_part(team: &TeamConfig, held: Amount, given: Amount, blocks: i64) -> TeamPart {
+fn team_part(team: &TeamConfig, held: Amount, given: Amount, shards: i64) -> TeamPart {
     // Of no limit there are no parts, whatever is recorded.
     let part = |held: i64, given: i64, whole: i64, guarantee: i64| {
         if whole == Amount::NO_LIMIT {
             return ResourcePart {
                 limit: whole,
-                guarantee: guarantee / blocks,
+                guarantee: guarantee / shards,
             };
         }
         let share = i128::from(held.max(0)) * i128::from(guarantee);
--- a/src/control/core/sharing.rs
+++ b/src/control/core/sharing.rs
@@ -1,5 +1,5 @@
-//! Several blocks: what of a job others hold, by its record, and what of that is taken
-//! up. What is left to other blocks is of [`super::overflow`], the block's part of the
+//! Several shards: what of a job others hold, by its record, and what of that is taken
+//! up. What is left to other shards is of [`super::overflow`], the shard's part of the
 //! limits of [`super::shard_quota`], and handing it on of [`super::shard_freeze`].
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
@@ -13,20 +13,20 @@
 use crate::state::view::{JobEntry, View};
 use crate::types::{Amount, Attempt, JobId, JobSpec, Kind, MachineId, TaskId, Time, Zone};
 
-/// In which zone machines of all blocks are, as far as it was heard.
+/// In which zone machines of all shards are, as far as it was heard.
 pub type Places = Rc<std::cell::RefCell<HashMap<MachineId, Zone>>>;
 
-/// What goes between this block and others.
+/// What goes between this shard and others.
 #[derive(Default)]
 pub(super) struct Sharing {
-    /// Tasks of this block's jobs that others may place.
+    /// Tasks of this shard's jobs that others may place.
     pub(super) left: DelegatedTasks,
-    /// Tasks of others' jobs that this block may place.
+    /// Tasks of others' jobs that this shard may place.
     pub(super) taken: DelegatedTasks,
     /// Given away of each team's part of the limit, in a transaction whose
     /// outcome is not known yet.
     pub(super) given: Vec<Amount>,
-    /// Which block gets which tasks.
+    /// Which shard gets which tasks.
     pub(super) delegation: Delegation,
 }
 
@@ -41,7 +41,7 @@
     record: &'a ChunkRecord,
 }
 
-/// A claim of this block that was not recorded as far as it knew.
+/// A claim of this shard that was not recorded as far as it knew.
 struct UnrecordedClaim {
     /// The task's place in the job.
     index: u32,
@@ -56,7 +56,7 @@
 }
 
 impl Core {
-    /// Whether a record claims tasks on this block's machines.
+    /// Whether a record claims tasks on this shard's machines.
     pub(super) fn claims_here(&self, entry: &JobEntry) -> bool {
         let mut chunks = entry.all_chunks();
         chunks.any(|(_, chunk)| self.claims_in(chunk, true))
@@ -64,7 +64,7 @@
 
     /// What others hold of a job, by its record, and what is left to whom.
     pub(super) fn share(&mut self, id: &JobId, entry: &JobEntry) {
-        if !self.shard.is_part() {
+        if !self.scope.is_part() {
             return;
         }
         let Some(job) = self.cluster_state.job(id) else {
@@ -76,18 +76,18 @@
             let theirs = held
                 .claims
                 .iter()
-                .filter(|c| !self.shard.covers(&c.machine));
+                .filter(|c| !self.scope.covers(&c.machine));
             foreign.extend(theirs.map(|c| chunk * size + c.place));
         }
         foreign.retain(|i| !job.tasks.is_done(*i) && !job.tasks.claims().contains_key(i));
         let zones = self.zones_elsewhere(&job.spec, entry);
         let taken = self.sharing.taken.of(id).collect();
-        let left_here = (!self.shard.homes(id)).then_some(taken);
+        let left_here = (!self.scope.homes(id)).then_some(taken);
         self.cluster_state.share_job(id, foreign, left_here);
         self.cluster_state.set_elsewhere(id, zones);
     }
 
-    /// In which zones other blocks have claims of a job whose zones count together; none:
+    /// In which zones other shards have claims of a job whose zones count together; none:
     /// that is not known of all.
     fn zones_elsewhere(&self, spec: &JobSpec, entry: &JobEntry) -> Option<BTreeMap<Zone, u32>> {
         let mut zones = BTreeMap::new();
@@ -96,7 +96,7 @@
         }
         let known = self.places.borrow();
         for claim in entry.all_chunks().flat_map(|(_, c)| &c.claims) {
-            if !self.shard.covers(&claim.machine) {
+            if !self.scope.covers(&claim.machine) {
                 let zone = known.get(&claim.machine)?.clone();
                 *zones.entry(zone).or_insert(0) += 1;
             }
@@ -104,7 +104,7 @@
         Some(zones)
     }
 
-    /// More is known of where other blocks' machines are.
+    /// More is known of where other shards' machines are.
     pub fn look_elsewhere(&mut self, view: &View) {
         let jobs: Vec<JobId> = self.cluster_state.unknown_elsewhere().cloned().collect();
         for id in jobs {
@@ -127,11 +127,11 @@
         machines.map(|(id, m)| (id, &m.zone))
     }
 
-    /// A job's record changed: another block may have claimed or done some of
+    /// A job's record changed: another shard may have claimed or done some of
     /// its tasks. What is claimed here and not recorded gives way; whoever wrote
     /// first has the task, as each write is on the condition of the one before.
     pub(super) fn catch_up(&mut self, id: &JobId, entry: &JobEntry, now: Time) {
-        if !self.shard.is_part() {
+        if !self.scope.is_part() {
             return;
         }
         let size = entry.record.value.chunk.max(1);
@@ -153,7 +153,7 @@
         let live = entry.record.value.phase == Phase::Live;
         let job = self.cluster_state.job(id);
         let all_done = job.is_some_and(|j| j.tasks.all_done());
-        if live && all_done && self.shard.homes(id) {
+        if live && all_done && self.scope.homes(id) {
             self.finished(id.clone(), now);
         }
         self.walk_all = true;
@@ -181,7 +181,7 @@
         });
     }
 
-    /// Claims of this block that were not recorded as far as it knew.
+    /// Claims of this shard that were not recorded as far as it knew.
     fn unrecorded_claims(&self, chunk: &RecordedChunk) -> Vec<UnrecordedClaim> {
         let Some(job) = self.cluster_state.job(chunk.job) else {
             return Vec::new();
@@ -197,7 +197,7 @@
     }
 
     /// A claim gives way to one that is recorded, and to a result; one whose attempt's
-    /// number was used by another block gets another number.
+    /// number was used by another shard gets another number.
     fn settle_claim(&mut self, chunk: &RecordedChunk, claim: &UnrecordedClaim, now: Time) {
         let UnrecordedClaim { index, attempt } = *claim;
         let place = index - chunk.from;
@@ -206,7 +206,7 @@
             index,
         };
         let recorded = chunk.record.claims.iter().find(|c| c.place == place);
-        if recorded.is_some_and(|c| c.attempt == attempt && self.shard.covers(&c.machine)) {
+        if recorded.is_some_and(|c| c.attempt == attempt && self.scope.covers(&c.machine)) {
             return;
         }
         if recorded.is_some() || chunk.is_done(place) {
--- a/src/control/core/staging.rs
+++ b/src/control/core/staging.rs
@@ -2,14 +2,14 @@
 //! their stage, whom the others take their image from, and what of that is
 //! recorded. Off unless the operators' settings say from which size on.
 //!
-//! Each owner plans for the machines of its block, so nothing is agreed on
+//! Each owner plans for the machines of its shard, so nothing is agreed on
 //! between owners; of several each has its part of what is asked of the origin.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use sorrelhinge_image_distribution::plan::{Limits, Uploads, Wave};
 use sorrelhinge_image_distribution::record::WaveRecord;
-use sorrelhinge_sharding::shard::{BlockId, Shard};
+use sorrelhinge_sharding::shard::{ShardId, ShardScope};
 
 use crate::config::Config;
 use crate::sched::{Claim, Progress, Sent};
@@ -84,7 +84,7 @@
 /// it is deleted.
 #[derive(Debug)]
 pub(super) struct Step {
-    key: (BlockId, u64),
+    key: (ShardId, u64),
     of: Option<(WaveRecord, WaveRecord)>,
 }
 
@@ -95,31 +95,31 @@
     pub(super) step: Step,
 }
 
-/// All waves of a block.
+/// All waves of a shard.
 pub(super) struct Staging {
     /// Images of at least so many GB go by waves; none: no image.
     pub(super) least_gb: Option<f64>,
-    block: BlockId,
+    shard: ShardId,
     value_bytes: usize,
     pub(super) limits: Limits,
     pub(super) uploads: Uploads,
     pub(super) waves: BTreeMap<Image, Kept>,
     /// What the state service has; none: of a later version, which is left alone.
-    pub(super) held: BTreeMap<(BlockId, u64), Versioned<Option<WaveRecord>>>,
-    /// Of blocks that there are no more.
-    useless: BTreeMap<(BlockId, u64), Revision>,
+    pub(super) held: BTreeMap<(ShardId, u64), Versioned<Option<WaveRecord>>>,
+    /// Of shards that there are no more.
+    useless: BTreeMap<(ShardId, u64), Revision>,
 }
 
 impl Staging {
-    /// What is recorded of a block's waves; each is gone on with later. A block's part of
+    /// What is recorded of a shard's waves; each is gone on with later. A shard's part of
     /// what may be asked of the origin is at least one copy at a time.
-    pub(super) fn load(cfg: &Config, shard: Shard, view: &View) -> Self {
+    pub(super) fn load(cfg: &Config, scope: ShardScope, view: &View) -> Self {
         let least_gb = cfg.tuning.staging_least_gb;
         let whole = Limits::default();
-        let part = |all: u32| (all / shard.of.max(1)).max(1);
+        let part = |all: u32| (all / scope.of.max(1)).max(1);
         let mut staging = Self {
             least_gb,
-            block: shard.block,
+            shard: scope.shard,
             value_bytes: cfg.state_limits.value_bytes,
             limits: Limits {
                 per_zone: part(whole.per_zone),
@@ -135,13 +135,13 @@
             return staging;
         }
         for (&key, held) in &view.waves {
-            let (block, _) = key;
-            if block == shard.block {
+            let (shard, _) = key;
+            if shard == scope.shard {
                 staging.held.insert(key, held.clone());
                 if let Some(record) = held.value.as_ref().filter(|r| r.known()) {
                     staging.waves.insert(record.image.clone(), Kept::of(None));
                 }
-            } else if block.0 >= shard.of && shard.block == BlockId(0) && held.value.is_some() {
+            } else if shard.0 >= scope.of && scope.shard == ShardId(0) && held.value.is_some() {
                 staging.useless.insert(key, held.mod_revision);
             }
         }
@@ -153,9 +153,9 @@
         self.least_gb.is_some_and(|least| spec.image_gb >= least)
     }
 
-    /// The block and the image's hash, by which its record is found.
-    pub(super) fn key(&self, image: &Image) -> (BlockId, u64) {
-        (self.block, image_hash(image))
+    /// The shard and the image's hash, by which its record is found.
+    pub(super) fn key(&self, image: &Image) -> (ShardId, u64) {
+        (self.shard, image_hash(image))
     }
 
     /// The record as it fits into a value: seeds that are left out cost a copy
@@ -238,11 +238,11 @@
 
     /// A wave's record is deleted. Machines that came meanwhile, which begin another
     /// wave.
-    fn ended(&mut self, key: (BlockId, u64)) -> BTreeSet<MachineId> {
+    fn ended(&mut self, key: (ShardId, u64)) -> BTreeSet<MachineId> {
         self.held.remove(&key);
         let mut woken = BTreeSet::new();
         self.waves.retain(|image, kept| {
-            let ends = (self.block, image_hash(image)) == key;
+            let ends = (self.shard, image_hash(image)) == key;
             if ends {
                 for machine in kept.members.keys() {
                     if let Some(wave) = &mut kept.wave {
@@ -259,7 +259,7 @@
     /// A change was not carried out, or had been before: what the state service
     /// has now tells.
     pub(super) fn undone(&mut self, step: Step, view: &View, now: Time) {
-        let (block, _) = step.key;
+        let (shard, _) = step.key;
         let held = view.waves.get(&step.key);
         let recorded = held.and_then(|h| h.value.as_ref());
         let same = recorded == step.of.as_ref().map(|(_, written)| written);
@@ -268,7 +268,7 @@
                 let mod_revision = held.map_or(Revision(0), |h| h.mod_revision);
                 self.done(step, mod_revision, now);
             }
-            Some(held) if block == self.block => {
+            Some(held) if shard == self.shard => {
                 self.held.insert(step.key, held.clone());
             }
             Some(held) => {
@@ -287,12 +287,12 @@
 }
 
 /// The key of a wave's record.
-fn record_name((block, image_hash): (BlockId, u64)) -> String {
-    wave_key(block, image_hash)
+fn record_name((shard, image_hash): (ShardId, u64)) -> String {
+    wave_key(shard, image_hash)
 }
 
 /// The deletion of a wave's record.
-fn deletion(key: (BlockId, u64), mod_revision: Revision) -> DueStep {
+fn deletion(key: (ShardId, u64), mod_revision: Revision) -> DueStep {
     let name = record_name(key);
     DueStep {
         change: Change::Delete {
--- a/src/control/core/tombstones.rs
+++ b/src/control/core/tombstones.rs
@@ -3,7 +3,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use sorrelhinge_sharding::shard::Shard;
+use sorrelhinge_sharding::shard::ShardScope;
 
 use super::deleted_machines::DeletedMachines;
 use crate::config::Config;
@@ -27,11 +27,11 @@
 
 impl MachineTombstones {
     /// What earlier owners noted.
-    pub(super) fn load(view: &View, shard: Shard) -> Self {
+    pub(super) fn load(view: &View, scope: ShardScope) -> Self {
         let recorded = view.gone.values();
         Self {
             deleted: BTreeMap::new(),
-            to_record: DeletedMachines::load(view, shard),
+            to_record: DeletedMachines::load(view, scope),
             inherited: recorded
                 .flat_map(|held| held.value.machines.iter().cloned())
                 .collect(),
--- a/src/control/dividing.rs
+++ b/src/control/dividing.rs
@@ -1,13 +1,13 @@
-//! From one block to several, and back.
+//! From one shard to several, and back.
 
 use sorrelhinge_sharding::owners::how_many;
-use sorrelhinge_sharding::shard::{BlockId, Shard};
+use sorrelhinge_sharding::shard::{ShardId, ShardScope};
 use sorrelhinge_sharding::slices::divide;
 
 use super::core::{Core, RecoveryInput, ShardGrant};
 use super::{wall_ms, Node};
 use crate::state::record::{
-    block_key, member_key, slice_key, BlockRecord, Fence, GrantRecord, MapRecord, MemberRecord,
+    member_key, shard_key, slice_key, Fence, GrantRecord, MapRecord, MemberRecord, ShardRecord,
     SliceRecord, GRANT, LEADER, MAP,
 };
 use crate::state::view::View;
@@ -45,7 +45,7 @@
     of: u32,
     /// The number of the one grant that they replace.
     grant: u64,
-    /// Each shard's part of each team's limit.
+    /// Each scope's part of each team's limit.
     quotas: Vec<Vec<Amount>>,
     /// Nothing is written if the grant is another by then.
     guard: Condition,
@@ -54,19 +54,19 @@
 }
 
 impl Node {
-    /// The other controllers all know that there may be several blocks.
-    fn all_know_blocks(&self) -> bool {
+    /// The other controllers all know that there may be several shards.
+    fn all_know_shards(&self) -> bool {
         self.others_known().len() == self.cfg.others.len()
     }
 
-    /// From one block to several: this controller owns all of them at first. Its
-    /// core is frozen until nothing is under way; then each block's part of the
+    /// From one shard to several: this controller owns all of them at first. Its
+    /// core is frozen until nothing is under way; then each shard's part of the
     /// limits is what it uses, and an equal part of the rest.
     pub(super) async fn divide_machines(&self, again: &mut Option<Time>) {
-        let of = how_many(self.cfg.tuning.blocks_least, self.cfg.others.len() + 1);
+        let of = how_many(self.cfg.tuning.shards_least, self.cfg.others.len() + 1);
         let now = self.now();
         // With a topology one core must see all places.
-        if of < 2 || self.topology().is_some() || !self.all_know_blocks() {
+        if of < 2 || self.topology().is_some() || !self.all_know_shards() {
             // Also if that has changed since it was frozen.
             if let Some(core) = self.shards.owned_mut().first_mut() {
                 core.thaw();
@@ -113,7 +113,7 @@
         let transaction = self.division_txn(&division, quotas_at, lease);
         match self.state.transact(&transaction, Urgency::First).await {
             Ok(Outcome::Done(revision)) => {
-                tracing::info!(blocks = of, "the machines are divided");
+                tracing::info!(shards = of, "the machines are divided");
                 self.peers.announce(revision);
                 self.fresh().await;
                 Ok(())
@@ -123,11 +123,11 @@
         }
     }
 
-    /// What each shard would use, and its part of the limits by that.
+    /// What each scope would use, and its part of the limits by that.
     fn plan_division(&self, of: u32, grant: u64) -> Result<Division, DivideError> {
         let (now, wall) = (self.now(), wall_ms());
-        let shards = (0..of).map(|b| Shard {
-            block: BlockId(b),
+        let shards = (0..of).map(|b| ShardScope {
+            shard: ShardId(b),
             of,
         });
         let view = self.store.view();
@@ -140,9 +140,9 @@
             wall_ms: wall,
         };
         let used: Vec<Vec<Amount>> = shards
-            .map(|shard| {
+            .map(|scope| {
                 let grant = ShardGrant {
-                    shard,
+                    scope,
                     number: grant,
                     revision: Revision(0),
                 };
@@ -164,12 +164,12 @@
         })
     }
 
-    /// Writes each shard's part of the limits; returns the revision that has them.
+    /// Writes each scope's part of the limits; returns the revision that has them.
     async fn record_quotas(&self, division: &Division) -> Result<Revision, DivideError> {
         let names = || self.cfg.teams.iter().map(|t| t.name.to_string());
         let parts = division.quotas.iter().enumerate().map(|(b, part)| {
             let record = SliceRecord::new(names().zip(part.iter().copied()));
-            Change::write(slice_key(BlockId(b as u32)), &record, None)
+            Change::write(slice_key(ShardId(b as u32)), &record, None)
         });
         let transaction = Transaction {
             conditions: vec![division.guard.clone()],
@@ -182,7 +182,7 @@
     }
 
     /// The map, the fence in the grant's place, this controller as a member, and a
-    /// record for each shard; only if the quotas are as written at `quotas_at`.
+    /// record for each scope; only if the quotas are as written at `quotas_at`.
     fn division_txn(
         &self,
         division: &Division,
@@ -193,11 +193,11 @@
         let mut conditions = vec![division.guard.clone()];
         let map = MapRecord {
             version: MapRecord::VERSION,
-            blocks: of,
+            shards: of,
         };
         let fence = Fence {
             version: 2,
-            blocks: of,
+            shards: of,
         };
         let member = MemberRecord { run: self.run };
         let mut changes = vec![
@@ -205,21 +205,21 @@
             Change::write(GRANT.into(), &fence, None),
             Change::write(member_key(&self.cfg.node), &member, Some(lease)),
         ];
-        for block in (0..of).map(BlockId) {
+        for shard in (0..of).map(ShardId) {
             conditions.push(Condition {
-                key: slice_key(block),
+                key: slice_key(shard),
                 mod_revision: quotas_at,
             });
-            let record = BlockRecord {
-                version: BlockRecord::VERSION,
+            let record = ShardRecord {
+                version: ShardRecord::VERSION,
                 owner: self.cfg.node.clone(),
                 run: self.run,
                 term: division.term,
-                number: division.grant + 1 + u64::from(block.0),
+                number: division.grant + 1 + u64::from(shard.0),
                 to: None,
                 pin: None,
             };
-            changes.push(Change::write(block_key(block), &record, None));
+            changes.push(Change::write(shard_key(shard), &record, None));
         }
         Transaction {
             conditions,
@@ -227,7 +227,7 @@
         }
     }
 
-    /// From several blocks to one, once this controller owns all of them and
+    /// From several shards to one, once this controller owns all of them and
     /// nothing is under way: its grant is above all of theirs.
     pub(super) async fn unite_machines(&self, of: u32) {
         if !self.settle_all(of) {
@@ -244,7 +244,7 @@
                 self.peers.announce(revision);
                 self.take_over(grant, revision).await;
             }
-            // If it was carried out after all, nobody owns the block: the lease
+            // If it was carried out after all, nobody owns the shard: the lease
             // ends, and whoever leads next takes it.
             Err(StateError::Unknown(_)) => {
                 self.leadership.release();
@@ -266,8 +266,8 @@
         let view = self.store.view();
         let mut cores = self.shards.owned_mut();
         let whole = (0..of).all(|b| {
-            let held = view.blocks.get(&BlockId(b));
-            let core = cores.get(BlockId(b));
+            let held = view.shards.get(&ShardId(b));
+            let core = cores.get(ShardId(b));
             let held = held.filter(|h| h.value.to.is_none());
             held.zip(core)
                 .is_some_and(|(h, c)| h.value.number == c.grant)
@@ -282,7 +282,7 @@
         settled
     }
 
-    /// The grant of the one shard that is to be.
+    /// The grant of the one scope that is to be.
     fn united_grant(&self, view: &View) -> GrantRecord {
         GrantRecord {
             owner: Some(self.cfg.node.clone()),
@@ -292,12 +292,12 @@
     }
 }
 
-/// The map and the grant of one shard in place of all shards' records; only if this
+/// The map and the grant of one scope in place of all shards' records; only if this
 /// controller still leads and none of them changed.
 fn united_txn(view: &View, grant: &GrantRecord) -> Transaction {
     let map = MapRecord {
         version: MapRecord::VERSION,
-        blocks: 1,
+        shards: 1,
     };
     let mut conditions = vec![Condition {
         key: LEADER.into(),
@@ -307,13 +307,13 @@
         Change::write(MAP.into(), &map, None),
         Change::write(GRANT.into(), grant, None),
     ];
-    for (block, held) in &view.blocks {
+    for (shard, held) in &view.shards {
         conditions.push(Condition {
-            key: block_key(*block),
+            key: shard_key(*shard),
             mod_revision: held.mod_revision,
         });
         changes.push(Change::Delete {
-            delete: block_key(*block),
+            delete: shard_key(*shard),
         });
     }
     Transaction {
--- a/src/control/drains.rs
+++ b/src/control/drains.rs
@@ -196,7 +196,7 @@
     pub fn show(&self) -> Result<TopologyShown, Refused> {
         let topology = self.topology().ok_or(Refused::Off)?;
         let cores = self.shards.owned();
-        // With a topology all machines are one block.
+        // With a topology all machines are one shard.
         let Some(core) = cores.first() else {
             return Err(self.elsewhere());
         };
--- a/src/control/following.rs
+++ b/src/control/following.rs
@@ -23,7 +23,7 @@
 const SYNC_GAP_MOST: Duration = Duration::from_millis(300);
 /// The pause after a watch that failed.
 const WATCH_RETRY_PAUSE: Duration = Duration::from_millis(250);
-/// The pause after a watch of a controller that owns a shard.
+/// The pause after a watch of a controller that owns a scope.
 const OWNER_WATCH_PAUSE: Duration = Duration::from_millis(50);
 /// The pause after a watch of one that owns none.
 const FOLLOWER_WATCH_PAUSE: Duration = Duration::from_millis(200);
@@ -149,8 +149,8 @@
         let changed = self.store.take_changed();
         let view = self.store.view();
         let mut shares = self.shards.retain_granted(&view);
-        if shares && view.block_count() == 1 {
-            // Without a block it does not lead either.
+        if shares && view.shard_count() == 1 {
+            // Without a shard it does not lead either.
             self.leadership.release();
         }
         let mut cores = self.shards.owned_mut();
--- a/src/control/leading.rs
+++ b/src/control/leading.rs
@@ -3,7 +3,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use sorrelhinge_sharding::shard::BlockId;
+use sorrelhinge_sharding::shard::ShardId;
 use tokio::time::{sleep, Instant};
 
 use super::core::{Core, Places, RecoveryInput, ShardGrant};
@@ -41,9 +41,9 @@
 enum Candidacy {
     /// Nothing now.
     None,
-    /// A member that may own some of several blocks.
+    /// A member that may own some of several shards.
     Member,
-    /// The leader, and owner of the only block.
+    /// The leader, and owner of the only shard.
     Leader(Vacancy),
 }
 
@@ -51,7 +51,7 @@
 struct Vacancy {
     /// The revision of the leader's record; 0: there is none.
     leader_stamp: Revision,
-    /// The last grant of the block.
+    /// The last grant of the shard.
     grant: Versioned<GrantRecord>,
 }
 
@@ -101,7 +101,7 @@
         if !view.loaded || defers && leader.value.is_some() {
             return Candidacy::None;
         }
-        if view.block_count() > 1 {
+        if view.shard_count() > 1 {
             return Candidacy::Member;
         }
         // The key goes with its lease, unless an earlier run of this very
@@ -117,7 +117,7 @@
         })
     }
 
-    /// Tries to become leader; if the block is still ours, keeps the grant.
+    /// Tries to become leader; if the shard is still ours, keeps the grant.
     async fn stand(&self, vacancy: Vacancy, life: Duration) {
         let asked = Instant::now();
         let Ok(lease) = self.state.lease(life).await else {
@@ -185,7 +185,7 @@
         transaction
     }
 
-    /// Recovers the one block's state from the records, and owns it from then on.
+    /// Recovers the one shard's state from the records, and owns it from then on.
     pub(super) async fn take_over(&self, grant: GrantRecord, revision: Revision) {
         // Everything that earlier owners recorded is older than the grant.
         self.catch_up(revision, CATCH_UP_PAUSE).await;
@@ -209,7 +209,7 @@
         );
         // It gave up at once, by what it had seen as the owner before.
         self.leadership.forget_reachability();
-        self.shards.adopt(BlockId(0), core);
+        self.shards.adopt(ShardId(0), core);
         self.set_share();
         self.inherit_spread();
         self.wakeups.wake_owner();
@@ -220,18 +220,18 @@
     /// at a time, so they may ask for some at once. Where that comes to too
     /// much together, the service says so, and who asked waits.
     ///
-    /// Of several blocks, each owner has the leader's part of it for its block,
+    /// Of several shards, each owner has the leader's part of it for its shard,
     /// and each controller an equal part of what is left.
     pub(super) fn set_share(&self) {
         let others = self.cfg.others.len() as f64;
         let cores = self.shards.owned();
-        let blocks = cores.first().map_or(1, |c| c.shard.of);
-        let blocks = f64::from(blocks.max(self.view_blocks()));
+        let shards = cores.first().map_or(1, |c| c.scope.of);
+        let shards = f64::from(shards.max(self.view_shards()));
         let here = cores.len() as f64;
         drop(cores);
         let part = |leader: f64| match (here > 0.0, others > 0.0) {
             (_, false) => 1.0,
-            _ if blocks > 1.0 => leader * here / blocks + (1.0 - leader) / (others + 1.0),
+            _ if shards > 1.0 => leader * here / shards + (1.0 - leader) / (others + 1.0),
             (true, true) => leader,
             (false, true) => (1.0 - leader) / others,
         };
@@ -252,14 +252,14 @@
     /// What it sent before is fenced as after any other end.
     pub async fn resign(&self, why: &'static str) {
         let lease = self.leadership.release();
-        let blocks: Vec<BlockId> = self.shards.ids();
-        if blocks.is_empty() && lease.is_none() {
+        let shards: Vec<ShardId> = self.shards.ids();
+        if shards.is_empty() && lease.is_none() {
             return;
         }
         tracing::info!(why, "giving up what is owned here");
         self.leadership.defer_to_others();
-        for block in blocks {
-            self.stand_down(block);
+        for shard in shards {
+            self.stand_down(shard);
         }
         if let Some(lease) = lease {
             // If that gets lost, it ends by itself.
@@ -271,16 +271,16 @@
 
     /// A worker has seen the fencing token of a newer grant, so there is one, whether
     /// or not the state service can be asked about it.
-    pub(super) fn deposed(&self, block: BlockId) {
-        tracing::info!(%block, "a newer grant commands: standing down");
-        self.stand_down(block);
+    pub(super) fn deposed(&self, shard: ShardId) {
+        tracing::info!(%shard, "a newer grant commands: standing down");
+        self.stand_down(shard);
         self.store.request_refresh();
     }
 
-    /// Stops to act for a block.
-    pub(super) fn stand_down(&self, block: BlockId) {
-        let core = self.shards.give_up(block);
-        if core.is_some_and(|c| !c.shard.is_part()) {
+    /// Stops to act for a shard.
+    pub(super) fn stand_down(&self, shard: ShardId) {
+        let core = self.shards.give_up(shard);
+        if core.is_some_and(|c| !c.scope.is_part()) {
             self.leadership.release();
         }
         self.set_share();
--- a/src/control/limit_transfers.rs
+++ b/src/control/limit_transfers.rs
@@ -1,19 +1,19 @@
-//! Parts of team limits, given to a block that lacks them. Which and how much is
+//! Parts of team limits, given to a shard that lacks them. Which and how much is
 //! decided in [`sorrelhinge_sharding::slices`].
 
 use std::time::Duration;
 
-use sorrelhinge_sharding::shard::BlockId;
+use sorrelhinge_sharding::shard::ShardId;
 use sorrelhinge_sharding::slices::{next_transfer, LimitTransfer, Need};
 use tokio::time::sleep;
 
 use super::core::Core;
 use super::Node;
-use crate::state::record::{block_key, slice_key, SliceRecord};
+use crate::state::record::{shard_key, slice_key, SliceRecord};
 use crate::state::{Change, Condition, Outcome, Transaction, Urgency};
 use crate::types::Revision;
 
-/// A block gives part of its limits away so often at the most.
+/// A shard gives part of its limits away so often at the most.
 pub(super) const GIVE_EVERY: Duration = Duration::from_millis(1500);
 /// A transfer waits for its turn at the state service so long.
 const TRANSFER_PATIENCE: Duration = Duration::from_millis(1500);
@@ -23,14 +23,14 @@
 const CATCH_UP_PAUSE: Duration = Duration::from_millis(100);
 
 impl Node {
-    /// What each block has and wants of each team's limit, as far as known.
+    /// What each shard has and wants of each team's limit, as far as known.
     fn all_needs(&self) -> Option<Vec<Vec<Need>>> {
         let view = self.store.view();
-        (0..view.block_count())
+        (0..view.shard_count())
             .map(|b| {
-                let block = BlockId(b);
-                let slices = &view.slices.get(&block)?.value;
-                let needs = self.shards.needs_of(block)?;
+                let shard = ShardId(b);
+                let slices = &view.slices.get(&shard)?.value;
+                let needs = self.shards.needs_of(shard)?;
                 let team = |t: &crate::config::TeamConfig| {
                     let need = needs.teams.iter().find(|(name, _)| **name == *t.name);
                     Need {
@@ -43,33 +43,33 @@
             .collect()
     }
 
-    /// Gives parts of limits that are not used here to a block that lacks them.
+    /// Gives parts of limits that are not used here to a shard that lacks them.
     pub(super) async fn give_parts(&self) {
         let Some(needs) = self.all_needs() else {
             return;
         };
-        for block in self.shards.ids() {
-            let Some(transfer) = next_transfer(block, &needs) else {
+        for shard in self.shards.ids() {
+            let Some(transfer) = next_transfer(shard, &needs) else {
                 continue;
             };
-            let Some(transaction) = self.reserve_transfer(block, &transfer) else {
+            let Some(transaction) = self.reserve_transfer(shard, &transfer) else {
                 continue;
             };
-            let Some(revision) = self.send_transfer(block, &transaction).await else {
+            let Some(revision) = self.send_transfer(shard, &transaction).await else {
                 return;
             };
-            self.settle_transfer(block, revision).await;
+            self.settle_transfer(shard, revision).await;
         }
     }
 
-    /// Lowers the block's own limits by what it gives, and returns the change to send;
+    /// Lowers the shard's own limits by what it gives, and returns the change to send;
     /// none if it can't give that.
-    fn reserve_transfer(&self, block: BlockId, transfer: &LimitTransfer) -> Option<Transaction> {
+    fn reserve_transfer(&self, shard: ShardId, transfer: &LimitTransfer) -> Option<Transaction> {
         let view = self.store.view();
         let mut cores = self.shards.owned_mut();
-        let core = cores.get_mut(block).filter(|c| !c.is_frozen())?;
-        let grant = view.blocks.get(&block)?;
-        let mine = view.slices.get(&block)?;
+        let core = cores.get_mut(shard).filter(|c| !c.is_frozen())?;
+        let grant = view.shards.get(&shard)?;
+        let mine = view.slices.get(&shard)?;
         let theirs = view.slices.get(&transfer.to)?;
         if grant.value.number != core.grant || !self.can_spare(core, &mine.value, transfer) {
             return None;
@@ -82,11 +82,11 @@
         Some(Transaction {
             conditions: vec![
                 Condition {
-                    key: block_key(block),
+                    key: shard_key(shard),
                     mod_revision: grant.mod_revision,
                 },
                 Condition {
-                    key: slice_key(block),
+                    key: slice_key(shard),
                     mod_revision: mine.mod_revision,
                 },
                 Condition {
@@ -95,7 +95,7 @@
                 },
             ],
             changes: vec![
-                Change::write(slice_key(block), &given, None),
+                Change::write(slice_key(shard), &given, None),
                 Change::write(slice_key(transfer.to), &taken, None),
             ],
         })
@@ -111,7 +111,7 @@
             .all(|((give, team), need)| need.used.fits_team(mine.of(&team.name) - *give))
     }
 
-    /// A block's part of the limits after a transfer; `sign`: 1 of the block that takes,
+    /// A shard's part of the limits after a transfer; `sign`: 1 of the shard that takes,
     /// -1 of the one that gives.
     fn with_part(&self, record: &SliceRecord, transfer: &LimitTransfer, sign: i64) -> SliceRecord {
         let teams = self.cfg.teams.iter().zip(&transfer.amounts);
@@ -122,8 +122,8 @@
     }
 
     /// Sends a transfer until its outcome is known; returns the revision that tells it,
-    /// or none if the block is not owned here any more.
-    async fn send_transfer(&self, block: BlockId, transaction: &Transaction) -> Option<Revision> {
+    /// or none if the shard is not owned here any more.
+    async fn send_transfer(&self, shard: ShardId, transaction: &Transaction) -> Option<Revision> {
         loop {
             match self
                 .state
@@ -138,18 +138,18 @@
                     sleep(TRANSFER_RETRY_PAUSE).await;
                 }
             }
-            if !self.shards.owns(block) {
+            if !self.shards.owns(shard) {
                 return None;
             }
         }
     }
 
     /// Waits for the records to show the outcome, and lives by them again.
-    async fn settle_transfer(&self, block: BlockId, revision: Revision) {
+    async fn settle_transfer(&self, shard: ShardId, revision: Revision) {
         self.peers.announce(revision);
         self.catch_up(revision, CATCH_UP_PAUSE).await;
         let view = self.store.view();
-        if let Some(core) = self.shards.owned_mut().get_mut(block) {
+        if let Some(core) = self.shards.owned_mut().get_mut(shard) {
             core.giving(Vec::new(), &view);
         }
     }
--- a/src/control/load.rs
+++ b/src/control/load.rs
@@ -284,8 +284,8 @@
         let most = self.load.measured_as_owner(heartbeat_load, now);
         // Nor more than all controllers together have sockets for.
         let here = cores.len();
-        let blocks = cores.first().map_or(1, |c| c.shard.of as usize);
-        let sockets = heartbeat_load.room * (self.cfg.others.len() + 1) * here / blocks.max(1);
+        let shards = cores.first().map_or(1, |c| c.scope.of as usize);
+        let sockets = heartbeat_load.room * (self.cfg.others.len() + 1) * here / shards.max(1);
         let most = most.unwrap_or(usize::MAX).min(sockets);
         let claims = (self.state.writes.rate() * CLAIMS_S) as usize / here;
         let processor_binds = self.load.binds(Resource::Processor);
--- a/src/control/mod.rs
+++ b/src/control/mod.rs
@@ -1,18 +1,14 @@
-//! The controller: leadership, owned blocks, claims and recovery. Only it writes the
+//! The controller: leadership, owned shards, claims and recovery. Only it writes the
 //! records.
 //!
 //! [`Node`] composes the owners of its state, a module each: `leadership` (the lease),
-//! `store_view` (the local copy of the records), `shard_ownership` (owned blocks),
+//! `store_view` (the local copy of the records), `shard_ownership` (owned shards),
 //! `catalog` (machine types, topology), `admission` (users' requests),
 //! `heartbeat_routing` (workers' heartbeats), `peer_statuses` (the other controllers),
 //! `paces` and `load` (how much it can do), `wakeups` (signals between its loops). The
 //! other modules hold its duties, and change state only through these owners.
 
 mod admission;
-mod block_grants;
-mod block_needs;
-mod block_owners;
-mod blocks_shown;
 mod calendar;
 mod catalog;
 mod cloud_duties;
@@ -32,7 +28,11 @@
 mod polls;
 mod recording;
 mod renewing;
+mod shard_grants;
+mod shard_needs;
+mod shard_owners;
 mod shard_ownership;
+mod shards_shown;
 mod store_view;
 mod users;
 pub mod vouching;
@@ -84,11 +84,11 @@
 
 /// What a heartbeat's sender is told.
 pub enum HeartbeatReply {
-    /// The block's owner answers.
+    /// The shard's owner answers.
     Reply(Reply),
-    /// The block's owner answered, and this controller passes it on.
+    /// The shard's owner answered, and this controller passes it on.
     Passed(peer::Answered),
-    /// Another controller owns the block.
+    /// Another controller owns the shard.
     Elsewhere(NodeId),
     /// Nobody is known to.
     Unavailable,
--- a/src/control/owning.rs
+++ b/src/control/owning.rs
@@ -1,9 +1,9 @@
-//! The block owner's duties: the loops that drive the core.
+//! The shard owner's duties: the loops that drive the core.
 
 use std::rc::Rc;
 use std::time::Duration;
 
-use sorrelhinge_sharding::shard::BlockId;
+use sorrelhinge_sharding::shard::ShardId;
 use tokio::task::spawn_local;
 use tokio::time::Instant;
 
@@ -30,7 +30,7 @@
         // one of a job that was cancelled elsewhere, long ago by then.
         let may_command = self.knows_the_cancelled();
         let mut sends = Vec::new();
-        for (block, c) in cores.iter_mut() {
+        for (shard, c) in cores.iter_mut() {
             c.may_start_until(starts_until, now);
             if walks {
                 self.timed(Duty::Walk, || c.place(now));
@@ -43,16 +43,16 @@
                 continue;
             }
             let some = c.dispatch(&self.store.view(), now);
-            sends.extend(some.into_iter().map(|send| (*block, send)));
+            sends.extend(some.into_iter().map(|send| (*shard, send)));
         }
         drop(cores);
-        for (block, send) in sends {
-            spawn_local(self.clone().command(block, send));
+        for (shard, send) in sends {
+            spawn_local(self.clone().command(shard, send));
         }
     }
 
     /// Sends commands to a machine, and takes what came of them.
-    async fn command(self: Rc<Self>, block: BlockId, send: Dispatch) {
+    async fn command(self: Rc<Self>, shard: ShardId, send: Dispatch) {
         let outcome = match send_commands(send.addr, &send.commands).await {
             // The address now belongs to another machine.
             Sending::Executed(r) | Sending::Refused(r) if r.machine != send.machine => {
@@ -65,7 +65,7 @@
         let mine = self
             .shards
             .owned_mut()
-            .get_mut(block)
+            .get_mut(shard)
             .filter(|c| c.grant == send.commands.fencing_fencing_token.grant())
             .map(|c| c.dispatched(&send.machine, outcome, now));
         // What fails for an owner that is none any more says nothing of
@@ -76,7 +76,7 @@
             (false, None) => {}
         }
         if mine == Some(false) {
-            self.deposed(block);
+            self.deposed(shard);
         }
         self.drive();
     }
--- a/src/control/peer_statuses.rs
+++ b/src/control/peer_statuses.rs
@@ -7,7 +7,7 @@
 
 use tokio::time::Instant;
 
-use crate::peer::{Standing, BLOCKS, POLLS};
+use crate::peer::{Standing, POLLS, SHARDS};
 use crate::types::NodeId;
 
 /// What is known of another controller's standing is of use for so long.
@@ -67,7 +67,7 @@
     pub(super) fn knows_shards(&self, node: &NodeId) -> bool {
         let by_node = self.by_node.borrow();
         let status = by_node.get(node);
-        status.is_some_and(|status| status.capabilities & BLOCKS != 0)
+        status.is_some_and(|status| status.capabilities & SHARDS != 0)
     }
 
     /// Whether a controller said lately that it answers polls for others.
--- a/src/control/recording.rs
+++ b/src/control/recording.rs
@@ -3,7 +3,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use sorrelhinge_sharding::shard::BlockId;
+use sorrelhinge_sharding::shard::ShardId;
 use tokio::time::sleep;
 
 use super::core::Batch;
@@ -19,9 +19,9 @@
 /// The pause after a read that failed, while a conflict is looked for.
 const CATCH_UP_PAUSE: Duration = Duration::from_millis(100);
 
-/// What a shard has to record.
+/// What a scope has to record.
 struct ShardBatch {
-    shard: BlockId,
+    scope: ShardId,
     /// The grant that it was claimed under.
     grant: u64,
     batch: Batch,
@@ -30,12 +30,12 @@
 impl Node {
     /// Records claims and results, one transaction at a time.
     pub(super) async fn pump(self: Rc<Self>) {
-        let mut last = BlockId(0);
+        let mut last = ShardId(0);
         loop {
             // Also now and then for what is not urgent.
             self.wakeups.recording_woken(TICK).await;
             while let Some(next) = self.next_shard_batch(last) {
-                last = next.shard;
+                last = next.scope;
                 self.record_batch(next).await;
                 self.drive();
             }
@@ -44,30 +44,30 @@
     }
 
     /// What is recorded next: the shards take turns, and `last` was the last one's.
-    fn next_shard_batch(&self, last: BlockId) -> Option<ShardBatch> {
+    fn next_shard_batch(&self, last: ShardId) -> Option<ShardBatch> {
         let mut cores = self.shards.owned_mut();
         let view = self.store.view();
         let spare = self.state.writes.spare();
         let now = self.now();
         let (before, after): (Vec<_>, Vec<_>) =
-            cores.iter_mut().partition(|(block, _)| **block <= last);
+            cores.iter_mut().partition(|(shard, _)| **shard <= last);
         let mut turns = after.into_iter().chain(before);
-        turns.find_map(|(block, c)| {
+        turns.find_map(|(shard, c)| {
             let batch = c.next_batch(&view, self.cfg.state_limits.txn_ops, spare, now)?;
             Some(ShardBatch {
-                shard: *block,
+                scope: *shard,
                 grant: c.grant,
                 batch,
             })
         })
     }
 
-    /// Sends a transaction until its outcome is known, or the shard is not owned any more.
+    /// Sends a transaction until its outcome is known, or the scope is not owned any more.
     async fn record_batch(&self, next: ShardBatch) {
         loop {
             let urgency = Urgency::Within(RECORD_PATIENCE);
             let result = self.state.transact(&next.batch.transaction, urgency).await;
-            if !self.shards.owns_by_grant(next.shard, next.grant) {
+            if !self.shards.owns_by_grant(next.scope, next.grant) {
                 return;
             }
             match result {
@@ -92,7 +92,7 @@
 
     /// The transaction was carried out.
     fn batch_committed(&self, done: ShardBatch, revision: Revision) {
-        if let Some(c) = self.shards.owned_mut().get_mut(done.shard) {
+        if let Some(c) = self.shards.owned_mut().get_mut(done.scope) {
             let mut view = self.store.view_for_commit();
             c.committed(done.batch, revision, &mut view, self.now());
         }
@@ -101,29 +101,29 @@
 
     /// A condition of the transaction failed: the records at `revision` tell why.
     async fn batch_conflicted(&self, failed: ShardBatch, revision: Revision) {
-        let (shard, grant) = (failed.shard, failed.grant);
+        let (scope, grant) = (failed.scope, failed.grant);
         while self.store.view().store_revision < revision {
             if !self.fresh().await {
                 sleep(CATCH_UP_PAUSE).await;
             }
-            if !self.shards.owns_by_grant(shard, grant) {
+            if !self.shards.owns_by_grant(scope, grant) {
                 return;
             }
         }
         let kept = self
             .shards
             .owned_mut()
-            .get_mut(shard)
+            .get_mut(scope)
             .is_none_or(|c| c.conflicted(failed.batch, &self.store.view(), self.now()));
         if !kept {
-            tracing::info!(block = %shard, "the grant is not ours any more");
-            self.stand_down(shard);
+            tracing::info!(shard = %scope, "the grant is not ours any more");
+            self.stand_down(scope);
         }
     }
 
     /// The state service refuses the transaction as it is.
     fn batch_rejected(&self, refused: ShardBatch) {
-        if let Some(c) = self.shards.owned_mut().get_mut(refused.shard) {
+        if let Some(c) = self.shards.owned_mut().get_mut(refused.scope) {
             let limits_fell = self.state.limits_fell();
             c.rejected(refused.batch, limits_fell, &self.store.view(), self.now());
         }
--- a/src/control/renewing.rs
+++ b/src/control/renewing.rs
@@ -114,7 +114,7 @@
         let mut cores = self.shards.owned_mut();
         for (machine, incarnation, sequence) in machines.iter().filter_map(ForwardedHeartbeat::read)
         {
-            if let Some(c) = cores.get_mut(self.block_of(&machine)) {
+            if let Some(c) = cores.get_mut(self.shard_of(&machine)) {
                 c.heard(&machine, incarnation, sequence, now);
             }
         }
--- a/src/control/block_grants.rs
+++ b/src/control/shard_grants.rs
@@ -1,4 +1,4 @@
-//! The leader's part with several blocks: granting and moving them. Which step is due
+//! The leader's part with several shards: granting and moving them. Which step is due
 //! is decided in [`sorrelhinge_sharding::owners`].
 
 use std::rc::Rc;
@@ -9,7 +9,7 @@
 
 use super::leading::STAND_RETRY_PAUSE;
 use super::Node;
-use crate::state::record::{block_key, BlockRecord, LeaderRecord, LEADER};
+use crate::state::record::{shard_key, LeaderRecord, ShardRecord, LEADER};
 use crate::state::{Change, Condition, Outcome, Transaction, Urgency};
 use crate::types::{Revision, Term};
 
@@ -25,25 +25,25 @@
             && leader.is_some_and(|l| l.node == self.cfg.node && l.run == self.run)
     }
 
-    /// As leader: divides the machines, grants blocks and moves them.
+    /// As leader: divides the machines, grants shards and moves them.
     pub(super) async fn share_out(self: Rc<Self>) {
         let mut divide_at = None;
         loop {
             self.wakeups.assignments_woken(GRANT_CHECK_INTERVAL).await;
-            let (loaded, blocks, leaderless) = {
+            let (loaded, shards, leaderless) = {
                 let view = self.store.view();
                 let leaderless = view.leader.value.is_none();
-                (view.loaded, view.block_count(), leaderless)
+                (view.loaded, view.shard_count(), leaderless)
             };
             if !loaded || self.leadership.lease().is_none() {
                 continue;
             }
-            if blocks > 1 && leaderless {
+            if shards > 1 && leaderless {
                 self.stand_among().await;
-            } else if blocks > 1 && self.leads() {
+            } else if shards > 1 && self.leads() {
                 self.share_out_once().await;
-                if self.cfg.tuning.blocks_least == 1 {
-                    self.unite_machines(blocks).await;
+                if self.cfg.tuning.shards_least == 1 {
+                    self.unite_machines(shards).await;
                 }
             } else if self.leads() {
                 self.divide_machines(&mut divide_at).await;
@@ -51,14 +51,14 @@
         }
     }
 
-    /// Becomes leader while there are several blocks. That grants nothing.
+    /// Becomes leader while there are several shards. That grants nothing.
     async fn stand_among(&self) {
         let Some(lease) = self.leadership.lease() else {
             return;
         };
         let term = {
             let view = self.store.view();
-            let terms = view.blocks.values().map(|b| b.value.term);
+            let terms = view.shards.values().map(|b| b.value.term);
             terms.max().unwrap_or_default()
         };
         let leader = LeaderRecord {
@@ -109,35 +109,35 @@
     /// The step that is due by the records.
     fn next_step(&self) -> Option<Step> {
         let wish = Wish {
-            gather: (self.cfg.tuning.blocks_least == 1).then(|| self.cfg.node.clone()),
+            gather: (self.cfg.tuning.shards_least == 1).then(|| self.cfg.node.clone()),
             move_every_s: self.cfg.tuning.move_every_s,
         };
         let now = self.now();
         let view = self.store.view();
-        let blocks = view.blocks.iter().map(|(block, b)| {
+        let shards = view.shards.iter().map(|(shard, b)| {
             let held = Held {
                 owner: b.value.owner.clone(),
                 run: b.value.run,
                 to: b.value.to.clone(),
                 pin: b.value.pin.clone(),
             };
-            (*block, held)
+            (*shard, held)
         });
         let members = view.members.iter();
         let alive = members.map(|(node, m)| (node.clone(), Member { run: m.value.run }));
         self.shards
-            .next_assignment(&blocks.collect(), &alive.collect(), &wish, now)
+            .next_assignment(&shards.collect(), &alive.collect(), &wish, now)
     }
 
     /// The change that takes a step. Also on the leader's record: a step of one that
     /// was deposed meanwhile, and is late, fails.
     fn step_txn(&self, step: &Step) -> Option<Transaction> {
         let view = self.store.view();
-        let (Step::Grant(block, _) | Step::Offer(block, _) | Step::TakeBack(block)) = step;
-        let held = view.blocks.get(block)?;
+        let (Step::Grant(shard, _) | Step::Offer(shard, _) | Step::TakeBack(shard)) = step;
+        let held = view.shards.get(shard)?;
         let record = match step {
-            Step::Grant(_, to) => BlockRecord {
-                version: BlockRecord::VERSION,
+            Step::Grant(_, to) => ShardRecord {
+                version: ShardRecord::VERSION,
                 owner: to.clone(),
                 run: view.members.get(to)?.value.run,
                 term: view.leader.value.as_ref().map_or(Term(0), |l| l.term),
@@ -145,11 +145,11 @@
                 to: None,
                 pin: held.value.pin.clone(),
             },
-            Step::Offer(_, to) => BlockRecord {
+            Step::Offer(_, to) => ShardRecord {
                 to: Some(to.clone()),
                 ..held.value.clone()
             },
-            Step::TakeBack(_) => BlockRecord {
+            Step::TakeBack(_) => ShardRecord {
                 to: None,
                 ..held.value.clone()
             },
@@ -157,7 +157,7 @@
         Some(Transaction {
             conditions: vec![
                 Condition {
-                    key: block_key(*block),
+                    key: shard_key(*shard),
                     mod_revision: held.mod_revision,
                 },
                 Condition {
@@ -165,7 +165,7 @@
                     mod_revision: view.leader.mod_revision,
                 },
             ],
-            changes: vec![Change::write(block_key(*block), &record, None)],
+            changes: vec![Change::write(shard_key(*shard), &record, None)],
         })
     }
 }
--- a/src/control/block_needs.rs
+++ b/src/control/shard_needs.rs
@@ -1,5 +1,5 @@
-//! What the owners of blocks tell each other: what each uses and wants, tasks left to
-//! another block, and machines that were rented. All of it is a hint.
+//! What the owners of shards tell each other: what each uses and wants, tasks left to
+//! another shard, and machines that were rented. All of it is a hint.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -16,20 +16,20 @@
 const NEEDS_INTERVAL: Duration = Duration::from_millis(700);
 
 impl Node {
-    /// The other controllers whose versions know several blocks.
+    /// The other controllers whose versions know several shards.
     pub(super) fn others_known(&self) -> Vec<NodeId> {
         let others = self.cfg.others.iter().map(|other| &other.node);
         let knowing = others.filter(|node| self.peer_statuses.knows_shards(node));
         knowing.cloned().collect()
     }
 
-    /// Tells the others what this controller's blocks use and want, leaves tasks
-    /// to blocks that have room, and gives away parts of limits.
+    /// Tells the others what this controller's shards use and want, leaves tasks
+    /// to shards that have room, and gives away parts of limits.
     pub(super) async fn tell_needs(self: Rc<Self>) {
         let mut gave = Instant::now();
         loop {
             sleep(NEEDS_INTERVAL).await;
-            if self.view_blocks() == 1 || self.shards.is_empty() {
+            if self.view_shards() == 1 || self.shards.is_empty() {
                 continue;
             }
             self.tell_own_needs();
@@ -41,7 +41,7 @@
         }
     }
 
-    /// Tells the others what this controller's blocks use and want.
+    /// Tells the others what this controller's shards use and want.
     fn tell_own_needs(&self) {
         let others = self.others_known();
         for needs in self.own_needs() {
@@ -52,13 +52,13 @@
         }
     }
 
-    /// What each owned block uses and wants.
+    /// What each owned shard uses and wants.
     fn own_needs(&self) -> Vec<Needs> {
         let cores = self.shards.owned();
-        let needs = cores.iter().map(|(block, c)| {
+        let needs = cores.iter().map(|(shard, c)| {
             let teams = self.cfg.teams.iter().map(|t| t.name.to_string());
             Needs {
-                block: *block,
+                shard: *shard,
                 machines: c.machines() as u32,
                 spare_cpu: c.spare_cpu(),
                 teams: teams.zip(c.needs()).collect(),
@@ -67,7 +67,7 @@
         needs.collect()
     }
 
-    /// Leaves tasks to blocks that have room.
+    /// Leaves tasks to shards that have room.
     fn leave_tasks(&self) {
         let now = self.now();
         let mut left = Vec::new();
@@ -75,7 +75,7 @@
             left.extend(c.leave(&self.store.view(), now));
         }
         for some in left {
-            match self.owner_of(some.block) {
+            match self.owner_of(some.shard) {
                 Some(owner) if owner == self.cfg.node => self.take_left(&some),
                 Some(owner) => {
                     if let Some(text) = encode_left(&some) {
@@ -87,21 +87,21 @@
         }
     }
 
-    /// Takes up what a block uses and wants.
+    /// Takes up what a shard uses and wants.
     fn take_needs(&self, needs: Needs) {
         let now = self.now();
-        for (block, c) in self.shards.owned_mut().iter_mut() {
-            if *block != needs.block {
-                c.has_room(needs.block, needs.spare_cpu, now);
+        for (shard, c) in self.shards.owned_mut().iter_mut() {
+            if *shard != needs.shard {
+                c.has_room(needs.shard, needs.spare_cpu, now);
             }
         }
         self.shards.record_needs(needs);
     }
 
-    /// Takes up tasks that another block leaves to an owned one.
+    /// Takes up tasks that another shard leaves to an owned one.
     fn take_left(&self, left: &LeftTo) {
         let now = self.now();
-        if let Some(c) = self.shards.owned_mut().get_mut(left.block) {
+        if let Some(c) = self.shards.owned_mut().get_mut(left.shard) {
             c.left_here(&self.store.view(), left, now, wall_ms());
         }
         self.wakeups.wake_owner();
@@ -129,7 +129,7 @@
         }
     }
 
-    /// Takes up machines that were rented: their zones, and that those of owned blocks come.
+    /// Takes up machines that were rented: their zones, and that those of owned shards come.
     fn take_rented(&self, rented: &Rented) {
         let now = self.now();
         let sort = (&rented.kind, &rented.zone, rented.spot);
@@ -145,7 +145,7 @@
 
     /// Tells the owners of the other blocks of machines that were rented.
     pub(super) fn tell_rented(&self, rental: &crate::cloud::Rental, machines: &[MachineId]) {
-        if self.view_blocks() == 1 {
+        if self.view_shards() == 1 {
             return;
         }
         let rented = Rented {
--- a/src/control/block_owners.rs
+++ b/src/control/shard_owners.rs
@@ -1,59 +1,59 @@
-//! Several blocks: who owns which, taking up one that is granted, and handing one on.
+//! Several shards: who owns which, taking up one that is granted, and handing one on.
 
 use std::time::Duration;
 
-use sorrelhinge_sharding::shard::{of_machine, BlockId, Shard};
+use sorrelhinge_sharding::shard::{of_machine, ShardId, ShardScope};
 use tokio::time::Instant;
 
 use super::core::{Core, RecoveryInput, ShardGrant};
 use super::{wall_ms, Node};
-use crate::state::record::{block_key, member_key, BlockRecord, MemberRecord};
+use crate::state::record::{member_key, shard_key, MemberRecord, ShardRecord};
 use crate::state::view::View;
 use crate::state::{Change, Condition, Outcome, Transaction, Urgency};
 use crate::types::{MachineId, NodeId};
 
 impl Node {
-    /// How many blocks there are, by the view.
-    pub(super) fn view_blocks(&self) -> u32 {
-        self.store.try_view().map_or(1, |v| v.block_count())
+    /// How many shards there are, by the view.
+    pub(super) fn view_shards(&self) -> u32 {
+        self.store.try_view().map_or(1, |v| v.shard_count())
     }
 
     /// The block of a machine.
-    pub(super) fn block_of(&self, machine: &MachineId) -> BlockId {
-        of_machine(machine, self.store.view().block_count())
+    pub(super) fn shard_of(&self, machine: &MachineId) -> ShardId {
+        of_machine(machine, self.store.view().shard_count())
     }
 
     /// Whether a machine belongs to a block of this controller.
     pub(super) fn owns(&self, machine: &MachineId) -> bool {
-        let block = self.block_of(machine);
-        self.shards.owns(block)
+        let shard = self.shard_of(machine);
+        self.shards.owns(shard)
     }
 
-    /// Who owns a block, as recorded.
-    pub(super) fn owner_of(&self, block: BlockId) -> Option<NodeId> {
+    /// Who owns a shard, as recorded.
+    pub(super) fn owner_of(&self, shard: ShardId) -> Option<NodeId> {
         let view = self.store.view();
-        if view.block_count() == 1 {
+        if view.shard_count() == 1 {
             return view.leader.value.as_ref().map(|l| l.node.clone());
         }
-        let held = view.blocks.get(&block)?;
+        let held = view.shards.get(&shard)?;
         let member = view.members.get(&held.value.owner);
         let lives = member.is_some_and(|m| m.value.run == held.value.run);
         lives.then(|| held.value.owner.clone())
     }
 
-    /// How many controllers own blocks.
-    pub(super) fn owners_of_blocks(&self) -> usize {
+    /// How many controllers own shards.
+    pub(super) fn owners_of_shards(&self) -> usize {
         let view = self.store.view();
         let owners: std::collections::BTreeSet<&NodeId> =
-            view.blocks.values().map(|b| &b.value.owner).collect();
-        match view.block_count() {
+            view.shards.values().map(|b| &b.value.owner).collect();
+        match view.shard_count() {
             1 => 1,
             _ => owners.len().max(1),
         }
     }
 
     /// Says in the records that this controller lives, while there are several
-    /// blocks; its lease is what its blocks hang on.
+    /// shards; its lease is what its shards hang on.
     pub(super) async fn enlist(&self, life: Duration) {
         let asked = Instant::now();
         let Ok(lease) = self.state.lease(life).await else {
@@ -77,25 +77,25 @@
         }
     }
 
-    /// Takes up the blocks that are granted to this controller. True if there
+    /// Takes up the shards that are granted to this controller. True if there
     /// are any new ones.
     pub(super) fn take_up(&self, view: &View) -> bool {
-        let of = view.block_count();
+        let of = view.shard_count();
         if of == 1 {
             return false;
         }
         let mut new = false;
-        for (block, held) in &view.blocks {
+        for (shard, held) in &view.shards {
             let record = &held.value;
             let mine = record.owner == self.cfg.node
                 && record.run == self.run
-                && record.version <= BlockRecord::VERSION;
-            if !mine || block.0 >= of || self.shards.owns(*block) {
+                && record.version <= ShardRecord::VERSION;
+            if !mine || shard.0 >= of || self.shards.owns(*shard) {
                 continue;
             }
-            tracing::info!(%block, term = %record.term, grant = record.number, "owning");
+            tracing::info!(%shard, term = %record.term, grant = record.number, "owning");
             let grant = ShardGrant {
-                shard: Shard { block: *block, of },
+                scope: ShardScope { shard: *shard, of },
                 number: record.number,
                 revision: held.mod_revision,
             };
@@ -114,7 +114,7 @@
             if self.shards.is_empty() {
                 self.leadership.forget_reachability();
             }
-            self.shards.adopt(*block, core);
+            self.shards.adopt(*shard, core);
             new = true;
         }
         if new {
@@ -123,15 +123,15 @@
         new
     }
 
-    /// A block that is offered to another is frozen; one whose offer was taken
+    /// A shard that is offered to another is frozen; one whose offer was taken
     /// back goes on.
     pub(super) fn heed_offers(&self, view: &View) {
-        if view.block_count() == 1 {
+        if view.shard_count() == 1 {
             return;
         }
         let now = self.now();
-        for (block, c) in self.shards.owned_mut().iter_mut() {
-            let offered = view.blocks.get(block).and_then(|b| b.value.to.as_ref());
+        for (shard, c) in self.shards.owned_mut().iter_mut() {
+            let offered = view.shards.get(shard).and_then(|b| b.value.to.as_ref());
             match offered {
                 Some(to) if view.members.contains_key(to) => c.freeze(now),
                 _ => c.thaw(),
@@ -142,28 +142,28 @@
     /// Hands on what is offered to others and has settled, each with one
     /// conditional write. Called between two transactions: none is under way.
     pub(super) async fn hand_on(&self) {
-        if self.view_blocks() == 1 {
+        if self.view_shards() == 1 {
             return;
         }
         for handover in self.due_handovers() {
-            let block = handover.block;
+            let shard = handover.shard;
             match self
                 .state
                 .transact(&handover.transaction, Urgency::First)
                 .await
             {
                 Ok(Outcome::Done(revision)) => {
-                    tracing::info!(%block, "handed on");
+                    tracing::info!(%shard, "handed on");
                     self.peers.announce(revision);
                 }
                 Ok(Outcome::Failed(_)) => {}
-                Err(error) => tracing::info!(%block, %error, "handing on"),
+                Err(error) => tracing::info!(%shard, %error, "handing on"),
             }
             self.fresh().await;
         }
     }
 
-    /// Owned blocks that are offered to others and have settled.
+    /// Owned shards that are offered to others and have settled.
     fn due_handovers(&self) -> Vec<Handover> {
         let now = self.now();
         let view = self.store.view();
@@ -172,25 +172,25 @@
             .iter()
             .filter(|(_, c)| c.is_frozen() && c.settled(now));
         settled
-            .filter_map(|(block, c)| handover(&view, *block, c.grant))
+            .filter_map(|(shard, c)| handover(&view, *shard, c.grant))
             .collect()
     }
 }
 
-/// A block that goes to the controller that it was offered to.
+/// A shard that goes to the controller that it was offered to.
 struct Handover {
-    block: BlockId,
+    shard: ShardId,
     transaction: Transaction,
 }
 
-/// The change that hands a block on, if it is still held by that grant and is offered
+/// The change that hands a shard on, if it is still held by that grant and is offered
 /// to a controller that lives.
-fn handover(view: &View, block: BlockId, grant: u64) -> Option<Handover> {
-    let held = view.blocks.get(&block);
+fn handover(view: &View, shard: ShardId, grant: u64) -> Option<Handover> {
+    let held = view.shards.get(&shard);
     let held = held.filter(|b| b.value.number == grant)?;
     let to = held.value.to.clone()?;
-    let record = BlockRecord {
-        version: BlockRecord::VERSION,
+    let record = ShardRecord {
+        version: ShardRecord::VERSION,
         run: view.members.get(&to)?.value.run,
         owner: to,
         term: held.value.term,
@@ -200,10 +200,10 @@
     };
     let transaction = Transaction {
         conditions: vec![Condition {
-            key: block_key(block),
+            key: shard_key(shard),
             mod_revision: held.mod_revision,
         }],
-        changes: vec![Change::write(block_key(block), &record, None)],
+        changes: vec![Change::write(shard_key(shard), &record, None)],
     };
-    Some(Handover { block, transaction })
+    Some(Handover { shard, transaction })
 }
--- a/src/control/shard_ownership.rs
+++ b/src/control/shard_ownership.rs
@@ -1,7 +1,7 @@
 //! Which shards this controller owns, and what it knows of the others: the machines'
 //! zones, what other owners use and want, and, as leader, when shards were assigned.
 //!
-//! A shard comes in by [`ShardOwnership::adopt`] and goes out by
+//! A scope comes in by [`ShardOwnership::adopt`] and goes out by
 //! [`ShardOwnership::give_up`] or [`ShardOwnership::retain_granted`]; everything else
 //! only works on shards that are owned. No borrow is held across an await.
 
@@ -11,7 +11,7 @@
 use std::time::Duration;
 
 use sorrelhinge_sharding::owners::{Held, Member, Owners, Step, Wish};
-use sorrelhinge_sharding::shard::BlockId;
+use sorrelhinge_sharding::shard::ShardId;
 use tokio::time::Instant;
 
 use super::core::{Core, Places};
@@ -19,16 +19,16 @@
 use crate::state::view::View;
 use crate::types::{MachineId, NodeId, Time, Zone};
 
-/// What is known of another block's needs is of use for so long.
+/// What is known of another shard's needs is of use for so long.
 const NEEDS_VALID_FOR: Duration = Duration::from_secs(3);
 /// Machines whose place is remembered beyond twice those that are listed.
 const PLACES_MORE: usize = 1000;
 
-/// The state of each shard that this controller owns, in the order of their numbers;
-/// while there is one shard, it has number 0.
+/// The state of each scope that this controller owns, in the order of their numbers;
+/// while there is one scope, it has number 0.
 #[derive(Default)]
 pub(super) struct OwnedShards {
-    cores: BTreeMap<BlockId, Core>,
+    cores: BTreeMap<ShardId, Core>,
 }
 
 impl OwnedShards {
@@ -42,22 +42,22 @@
         self.cores.len()
     }
 
-    /// Whether a shard is owned.
-    pub(super) fn contains(&self, shard: BlockId) -> bool {
-        self.cores.contains_key(&shard)
+    /// Whether a scope is owned.
+    pub(super) fn contains(&self, scope: ShardId) -> bool {
+        self.cores.contains_key(&scope)
     }
 
-    /// A shard's state; none: it is not owned.
-    pub(super) fn get(&self, shard: BlockId) -> Option<&Core> {
-        self.cores.get(&shard)
+    /// A scope's state; none: it is not owned.
+    pub(super) fn get(&self, scope: ShardId) -> Option<&Core> {
+        self.cores.get(&scope)
     }
 
     /// The same, to be changed.
-    pub(super) fn get_mut(&mut self, shard: BlockId) -> Option<&mut Core> {
-        self.cores.get_mut(&shard)
+    pub(super) fn get_mut(&mut self, scope: ShardId) -> Option<&mut Core> {
+        self.cores.get_mut(&scope)
     }
 
-    /// The one with the lowest number: the only one while there is one shard.
+    /// The one with the lowest number: the only one while there is one scope.
     pub(super) fn first(&self) -> Option<&Core> {
         self.cores.values().next()
     }
@@ -68,12 +68,12 @@
     }
 
     /// All in the order of their numbers.
-    pub(super) fn iter(&self) -> impl Iterator<Item = (&BlockId, &Core)> {
+    pub(super) fn iter(&self) -> impl Iterator<Item = (&ShardId, &Core)> {
         self.cores.iter()
     }
 
     /// The same, to be changed.
-    pub(super) fn iter_mut(&mut self) -> impl Iterator<Item = (&BlockId, &mut Core)> {
+    pub(super) fn iter_mut(&mut self) -> impl Iterator<Item = (&ShardId, &mut Core)> {
         self.cores.iter_mut()
     }
 
@@ -88,7 +88,7 @@
     }
 }
 
-/// What the owner of a shard last told of it.
+/// What the owner of a scope last told of it.
 struct ToldNeeds {
     told_at: Instant,
     needs: Rc<Needs>,
@@ -100,8 +100,8 @@
     owned: RefCell<OwnedShards>,
     /// Where machines are, of all shards; the owned ones read it too.
     places: Places,
-    /// What each shard uses and wants.
-    needs: RefCell<HashMap<BlockId, ToldNeeds>>,
+    /// What each scope uses and wants.
+    needs: RefCell<HashMap<ShardId, ToldNeeds>>,
     /// What this controller remembers as leader of who owns what.
     assignments: RefCell<Owners>,
 }
@@ -117,45 +117,45 @@
         self.owned.borrow_mut()
     }
 
-    /// Whether this controller owns no shard.
+    /// Whether this controller owns no scope.
     pub(super) fn is_empty(&self) -> bool {
         self.owned.borrow().is_empty()
     }
 
-    /// Whether this controller owns a shard.
-    pub(super) fn owns(&self, shard: BlockId) -> bool {
-        self.owned.borrow().contains(shard)
+    /// Whether this controller owns a scope.
+    pub(super) fn owns(&self, scope: ShardId) -> bool {
+        self.owned.borrow().contains(scope)
     }
 
-    /// Whether this controller owns a shard by that very grant.
-    pub(super) fn owns_by_grant(&self, shard: BlockId, grant: u64) -> bool {
+    /// Whether this controller owns a scope by that very grant.
+    pub(super) fn owns_by_grant(&self, scope: ShardId, grant: u64) -> bool {
         let owned = self.owned.borrow();
-        owned.get(shard).is_some_and(|core| core.grant == grant)
+        owned.get(scope).is_some_and(|core| core.grant == grant)
     }
 
     /// The numbers of the owned shards, in order.
-    pub(super) fn ids(&self) -> Vec<BlockId> {
+    pub(super) fn ids(&self) -> Vec<ShardId> {
         self.owned.borrow().cores.keys().copied().collect()
     }
 
-    /// Owns a shard from now on, with the state recovered from the records.
-    pub(super) fn adopt(&self, shard: BlockId, core: Core) {
-        self.owned.borrow_mut().cores.insert(shard, core);
+    /// Owns a scope from now on, with the state recovered from the records.
+    pub(super) fn adopt(&self, scope: ShardId, core: Core) {
+        self.owned.borrow_mut().cores.insert(scope, core);
     }
 
-    /// Stops to act for a shard at once.
-    pub(super) fn give_up(&self, shard: BlockId) -> Option<Core> {
-        self.owned.borrow_mut().cores.remove(&shard)
+    /// Stops to act for a scope at once.
+    pub(super) fn give_up(&self, scope: ShardId) -> Option<Core> {
+        self.owned.borrow_mut().cores.remove(&scope)
     }
 
     /// Gives up the shards that are granted anew by the records; true if any were.
     pub(super) fn retain_granted(&self, view: &View) -> bool {
         let mut owned = self.owned.borrow_mut();
         let before = owned.len();
-        owned.cores.retain(|block, core| {
+        owned.cores.retain(|shard, core| {
             let kept = is_granted(core, view);
             if !kept {
-                tracing::info!(%block, grant = core.grant, "the block was granted anew: standing down");
+                tracing::info!(%shard, grant = core.grant, "the block was granted anew: standing down");
             }
             kept
         });
@@ -186,27 +186,27 @@
         places.extend(zones);
     }
 
-    /// A shard's owner told what it uses and wants.
+    /// A scope's owner told what it uses and wants.
     pub(super) fn record_needs(&self, needs: Needs) {
-        let shard = needs.block;
+        let scope = needs.shard;
         let told = ToldNeeds {
             told_at: Instant::now(),
             needs: Rc::new(needs),
         };
-        self.needs.borrow_mut().insert(shard, told);
+        self.needs.borrow_mut().insert(scope, told);
     }
 
-    /// What a shard uses and wants; none if that was not told lately.
-    pub(super) fn needs_of(&self, shard: BlockId) -> Option<Rc<Needs>> {
+    /// What a scope uses and wants; none if that was not told lately.
+    pub(super) fn needs_of(&self, scope: ShardId) -> Option<Rc<Needs>> {
         let needs = self.needs.borrow();
-        let told = needs.get(&shard)?;
+        let told = needs.get(&scope)?;
         (told.told_at.elapsed() < NEEDS_VALID_FOR).then(|| told.needs.clone())
     }
 
     /// As leader: the next step of who owns what, if one is due.
     pub(super) fn next_assignment(
         &self,
-        shards: &BTreeMap<BlockId, Held>,
+        shards: &BTreeMap<ShardId, Held>,
         alive: &BTreeMap<NodeId, Member>,
         wish: &Wish,
         now: Time,
@@ -220,9 +220,9 @@
     }
 }
 
-/// Whether the records still grant this shard to this owner.
+/// Whether the records still grant this scope to this owner.
 fn is_granted(core: &mut Core, view: &View) -> bool {
-    match core.shard.is_part() || view.block_count() > 1 {
+    match core.scope.is_part() || view.shard_count() > 1 {
         true => core.still_granted(view),
         false => view.grant.value.number <= core.grant,
     }
--- a/src/control/blocks_shown.rs
+++ b/src/control/shards_shown.rs
@@ -1,13 +1,13 @@
-//! Blocks as operators see them, and pinning one to a controller.
+//! Shards as operators see them, and pinning one to a controller.
 
 use std::time::Duration;
 
-use sorrelhinge_protocol::operators::{BlockShown, BlocksShown, PinAsked, TeamShown};
-use sorrelhinge_sharding::shard::BlockId;
+use sorrelhinge_protocol::operators::{PinAsked, ShardShown, ShardsShown, TeamShown};
+use sorrelhinge_sharding::shard::ShardId;
 
 use super::drains::Refused;
 use super::Node;
-use crate::state::record::{block_key, BlockRecord};
+use crate::state::record::{shard_key, ShardRecord};
 use crate::state::view::{Versioned, View};
 use crate::state::{Change, Outcome};
 use crate::types::NodeId;
@@ -18,42 +18,42 @@
 const CHANGE_ATTEMPTS: usize = 4;
 
 impl Node {
-    /// Blocks, owners, machines, parts of limits and moves under way.
-    pub fn show_blocks(&self) -> BlocksShown {
+    /// Shards, owners, machines, parts of limits and moves under way.
+    pub fn show_shards(&self) -> ShardsShown {
         let view = self.store.view();
         let leader = view.leader.value.as_ref().map(|l| l.node.to_string());
-        let blocks = match view.block_count() > 1 {
+        let shards = match view.shard_count() > 1 {
             true => {
-                let blocks = view.blocks.iter();
-                blocks
-                    .map(|(block, held)| self.shown_block(&view, *block, &held.value))
+                let shards = view.shards.iter();
+                shards
+                    .map(|(shard, held)| self.shown_shard(&view, *shard, &held.value))
                     .collect()
             }
             false => Vec::new(),
         };
-        let mut shown = BlocksShown {
+        let mut shown = ShardsShown {
             leader: leader.clone(),
-            blocks,
+            shards,
         };
-        if shown.blocks.is_empty() {
-            shown.blocks.push(BlockShown {
+        if shown.shards.is_empty() {
+            shown.shards.push(ShardShown {
                 owner: leader.clone(),
                 alive: leader.is_some(),
                 grant: view.grant.value.number,
                 why: "all machines are one block, the leader's".into(),
-                ..BlockShown::default()
+                ..ShardShown::default()
             });
         }
         shown
     }
 
-    /// One of several blocks.
-    fn shown_block(&self, view: &View, block: BlockId, record: &BlockRecord) -> BlockShown {
+    /// One of several shards.
+    fn shown_shard(&self, view: &View, shard: ShardId, record: &ShardRecord) -> ShardShown {
         let member = view.members.get(&record.owner);
         let alive = member.is_some_and(|m| m.value.run == record.run);
-        let told = self.shards.needs_of(block);
+        let told = self.shards.needs_of(shard);
         let teams = self.cfg.teams.iter().map(|t| {
-            let slice = view.slices.get(&block).map(|s| s.value.of(&t.name));
+            let slice = view.slices.get(&shard).map(|s| s.value.of(&t.name));
             let needs = told.as_ref().map_or(&[][..], |told| &told.teams);
             let need = needs.iter().find(|(name, _)| **name == *t.name);
             TeamShown {
@@ -63,8 +63,8 @@
                 waiting_cpus: need.map(|(_, n)| cpus(n.waits.cpu)),
             }
         });
-        BlockShown {
-            block: block.0,
+        ShardShown {
+            shard: shard.0,
             owner: Some(record.owner.to_string()),
             alive,
             grant: record.number,
@@ -76,17 +76,17 @@
         }
     }
 
-    /// The record of one of several blocks.
-    fn held_block(&self, block: BlockId) -> Result<Versioned<BlockRecord>, Refused> {
+    /// The record of one of several shards.
+    fn held_shard(&self, shard: ShardId) -> Result<Versioned<ShardRecord>, Refused> {
         let view = self.store.view();
-        let held = view.blocks.get(&block).filter(|_| view.block_count() > 1);
+        let held = view.shards.get(&shard).filter(|_| view.shard_count() > 1);
         held.cloned().ok_or_else(|| {
-            let n = view.block_count();
-            Refused::Wrong(format!("there is no block {block}: there are {n}, from 0"))
+            let n = view.shard_count();
+            Refused::Wrong(format!("there is no block {shard}: there are {n}, from 0"))
         })
     }
 
-    /// Pins a block to a controller, or takes its pin off. The answer comes once
+    /// Pins a shard to a controller, or takes its pin off. The answer comes once
     /// it is recorded; the leader does the rest.
     pub async fn pin(&self, asked: &PinAsked) -> Result<(), Refused> {
         asked.check().map_err(|e| Refused::Wrong(e.to_string()))?;
@@ -101,13 +101,13 @@
             if !self.fresh().await {
                 return Err(Refused::Unavailable);
             }
-            let block = BlockId(asked.block);
-            let held = self.held_block(block)?;
-            let record = BlockRecord {
+            let shard = ShardId(asked.shard);
+            let held = self.held_shard(shard)?;
+            let record = ShardRecord {
                 pin: to.clone(),
                 ..held.value
             };
-            let key = block_key(block);
+            let key = shard_key(shard);
             let change = Change::write(key.clone(), &record, None);
             let written = self
                 .state
@@ -131,8 +131,8 @@
     milli as f64 / 1000.0
 }
 
-/// Why a block is where it is; `alive`: its owner lives.
-fn why_there(record: &BlockRecord, alive: bool) -> String {
+/// Why a shard is where it is; `alive`: its owner lives.
+fn why_there(record: &ShardRecord, alive: bool) -> String {
     match (&record.pin, &record.to, alive) {
         (_, Some(to), _) => format!("it moves to {to}"),
         (_, None, false) => "its owner is gone: it is granted next".into(),
--- a/src/control/users.rs
+++ b/src/control/users.rs
@@ -158,11 +158,11 @@
     /// Why a job waits, if this controller places it and knows.
     pub fn why_waits(&self, id: &JobId) -> Option<String> {
         let cores = self.shards.owned();
-        let mut here = cores.values().filter(|c| c.shard.homes(id));
+        let mut here = cores.values().filter(|c| c.scope.homes(id));
         here.find_map(|c| c.cluster_state.why_waits(id, self.now()))
     }
 
-    /// The lanes of the blocks that are owned here; none: nothing is.
+    /// The lanes of the shards that are owned here; none: nothing is.
     pub fn show_lanes(&self) -> Result<LanesShown, Refused> {
         let cores = self.shards.owned();
         let mut all: Option<LanesShown> = None;
--- a/src/control/workers.rs
+++ b/src/control/workers.rs
@@ -16,7 +16,7 @@
 /// While others are served for this long, requests are passed on to them.
 const CUT_OFF: Duration = Duration::from_millis(300);
 
-/// What came of a heartbeat for an owned block.
+/// What came of a heartbeat for an owned shard.
 enum HeartbeatOutcome {
     /// It is an old one: nothing was taken.
     Copy,
@@ -179,32 +179,32 @@
         None
     }
 
-    /// Takes a worker's heartbeat as the block's owner.
+    /// Takes a worker's heartbeat as the shard's owner.
     pub fn own_heartbeat(self: &Rc<Self>, heartbeat: &Heartbeat, source: Source) -> HeartbeatReply {
-        let block = self.block_of(&heartbeat.machine);
+        let shard = self.shard_of(&heartbeat.machine);
         let outcome = {
             let mut cores = self.shards.owned_mut();
-            let core = cores.get_mut(block);
+            let core = cores.get_mut(shard);
             core.map(|core| self.take_heartbeat(core, heartbeat, source))
         };
         match outcome {
             Some(HeartbeatOutcome::Copy) => HeartbeatReply::Unavailable,
             Some(HeartbeatOutcome::Superseded) => {
-                self.deposed(block);
+                self.deposed(shard);
                 HeartbeatReply::Unavailable
             }
             Some(HeartbeatOutcome::Taken(reply)) => {
                 self.drive();
                 reply.map_or(HeartbeatReply::Unavailable, HeartbeatReply::Reply)
             }
-            None => match self.owner_of(block) {
+            None => match self.owner_of(shard) {
                 Some(owner) if owner != self.cfg.node => HeartbeatReply::Elsewhere(owner),
                 _ => HeartbeatReply::Unavailable,
             },
         }
     }
 
-    /// Takes a heartbeat for an owned block, and answers it if that is safe.
+    /// Takes a heartbeat for an owned shard, and answers it if that is safe.
     fn take_heartbeat(
         &self,
         core: &mut Core,
--- a/src/peer/listening.rs
+++ b/src/peer/listening.rs
@@ -38,7 +38,7 @@
     fn homed(&self, text: &[u8]) -> Answered;
     /// Machines whose heartbeats another controller answered for this one.
     fn heard(&self, machines: &[ForwardedHeartbeat]);
-    /// What another owner of a block tells.
+    /// What another owner of a shard tells.
     fn share(&self, kind: Kind, text: &[u8]);
     /// Answers a request that was passed on.
     fn answer(self: Rc<Self>, kind: Kind, text: Vec<u8>) -> Answering;
--- a/src/peer/message.rs
+++ b/src/peer/message.rs
@@ -37,12 +37,12 @@
     Adopted,
     /// Machines that were heard: [`ForwardedHeartbeat`] entries. No answer.
     Heard,
-    /// What a block uses and wants ([`crate::shares`]), as the next two are. No
-    /// answer, and only while there are several blocks.
+    /// What a shard uses and wants ([`crate::shares`]), as the next two are. No
+    /// answer, and only while there are several shards.
     Needs,
     /// Machines that were rented.
     Rented,
-    /// Tasks left to a block.
+    /// Tasks left to a shard.
     Left,
     /// A poll; the text is the job's id. A version that does not know it ends
     /// the connection, so it goes only to who said that it does ([`POLLS`]).
@@ -174,10 +174,10 @@
     }
 }
 
-/// The sender knows that there may be several blocks.
-pub const BLOCKS: u16 = 1;
+/// The sender knows that there may be several shards.
+pub const SHARDS: u16 = 1;
 /// The sender answers polls that are passed on. The version before does not say
-/// so, and looks at [`BLOCKS`] alone.
+/// so, and looks at [`SHARDS`] alone.
 pub const POLLS: u16 = 2;
 /// The sender knows that the state service has its smaller limits by now (`state.next`).
 /// Versions before do not look.
@@ -192,7 +192,7 @@
     pub number: u64,
     /// An answer's HTTP status.
     pub status: u16,
-    /// Of a hint: what its sender knows ([`BLOCKS`], [`POLLS`]). Earlier versions send 0,
+    /// Of a hint: what its sender knows ([`SHARDS`], [`POLLS`]). Earlier versions send 0,
     /// and do not look.
     pub flags: u16,
     /// A body.
--- a/src/peer/mod.rs
+++ b/src/peer/mod.rs
@@ -23,7 +23,7 @@
 
 pub use self::listening::{listen, Answering, Heard};
 pub use self::message::{
-    ForwardedHeartbeat, Header, Kind, Message, Standing, BLOCKS, LIMITS_FELL, POLLS,
+    ForwardedHeartbeat, Header, Kind, Message, Standing, LIMITS_FELL, POLLS, SHARDS,
 };
 use self::message::{MAX_HEARTBEATS_PER_MESSAGE, MOST_TEXT};
 use crate::types::{NodeId, Revision};
@@ -182,7 +182,7 @@
             let _ = line.out.try_send(Message {
                 number: self.newest.get().0,
                 status: self.standing.get().encode(),
-                flags: BLOCKS | POLLS | fell,
+                flags: SHARDS | POLLS | fell,
                 ..Message::new(Kind::Hint, self.name.clone().into_bytes())
             });
         }
@@ -196,7 +196,7 @@
             .map(|(node, _)| node)
     }
 
-    /// Tells another controller something about blocks. What finds no room is lost.
+    /// Tells another controller something about shards. What finds no room is lost.
     pub fn share(&self, node: &NodeId, kind: Kind, text: Vec<u8>) {
         if let Some(line) = self.lines.get(node).filter(|l| l.connected()) {
             let _ = line.out.try_send(Message::new(kind, text));
--- a/src/sched/cluster_state.rs
+++ b/src/sched/cluster_state.rs
@@ -68,7 +68,7 @@
     pub(super) turn: Turn<JobId>,
     /// Failure domains, if the feature is on.
     pub(super) topology: Option<Rc<Topology>>,
-    /// Where other blocks hold tasks of jobs whose zones count together; none: that
+    /// Where other shards hold tasks of jobs whose zones count together; none: that
     /// is not known of all of them.
     pub(super) elsewhere: HashMap<JobId, Option<BTreeMap<Zone, u32>>>,
     /// Claims on machines that are not known yet.
--- a/src/sched/job_changes.rs
+++ b/src/sched/job_changes.rs
@@ -67,8 +67,8 @@
         }
     }
 
-    /// What other blocks claim of a job, or is left to them; and what is left to
-    /// this block, if another places it.
+    /// What other shards claim of a job, or is left to them; and what is left to
+    /// this shard, if another places it.
     pub fn share_job(&mut self, id: &JobId, foreign: BTreeSet<u32>, left: Option<BTreeSet<u32>>) {
         self.edit_job(id, |job| {
             job.tasks.set_foreign(foreign);
@@ -76,7 +76,7 @@
         });
     }
 
-    /// In which zones other blocks hold tasks of a job; none: that is not known.
+    /// In which zones other shards hold tasks of a job; none: that is not known.
     pub fn set_elsewhere(&mut self, id: &JobId, zones: Option<BTreeMap<Zone, u32>>) {
         if zones.as_ref().is_some_and(BTreeMap::is_empty) {
             self.elsewhere.remove(id);
@@ -85,7 +85,7 @@
         }
     }
 
-    /// Jobs of which it is not known where other blocks hold their tasks.
+    /// Jobs of which it is not known where other shards hold their tasks.
     pub fn unknown_elsewhere(&self) -> impl Iterator<Item = &JobId> {
         let unknown = self.elsewhere.iter().filter(|(_, zones)| zones.is_none());
         unknown.map(|(id, _)| id)
--- a/src/sched/quota.rs
+++ b/src/sched/quota.rs
@@ -32,7 +32,7 @@
         self.teams[team].held_back = amount;
     }
 
-    /// This block's part of the limits, and of the guarantees as much: by team.
+    /// This shard's part of the limits, and of the guarantees as much: by team.
     pub fn set_limits(&mut self, parts: impl Iterator<Item = (Amount, Amount)>) {
         for (team, (limit, guarantee)) in self.teams.iter_mut().zip(parts) {
             team.limit = limit;
--- a/src/sched/tasks.rs
+++ b/src/sched/tasks.rs
@@ -67,9 +67,9 @@
     claims: BTreeMap<u32, Claim>,
     next_attempt: BTreeMap<u32, u64>,
     cursor: u32,
-    /// Tasks that other blocks claim, or that are left to them.
+    /// Tasks that other shards claim, or that are left to them.
     foreign: BTreeSet<u32>,
-    /// Those that this block may place, if another places the job: what that
+    /// Those that this shard may place, if another places the job: what that
     /// one leaves to it.
     left_here: Option<BTreeSet<u32>>,
 }
@@ -128,7 +128,7 @@
     pub fn done(&self) -> u32 {
         self.done_count
     }
-    /// How many tasks are neither done nor claimed, of those that this block
+    /// How many tasks are neither done nor claimed, of those that this shard
     /// places.
     pub fn pending(&self) -> u32 {
         if let Some(left) = &self.left_here {
@@ -145,22 +145,22 @@
         let free = (0..self.count).rev().filter(|i| self.is_free(*i));
         free.take(most as usize).collect()
     }
-    /// Other blocks claim these, or they are left to them. None of them may be
+    /// Other shards claim these, or they are left to them. None of them may be
     /// claimed here, or done.
     pub(super) fn set_foreign(&mut self, foreign: BTreeSet<u32>) {
         self.foreign = foreign;
         self.cursor = 0;
     }
-    /// Tasks that other blocks claim, or that are left to them.
+    /// Tasks that other shards claim, or that are left to them.
     pub fn foreign(&self) -> &BTreeSet<u32> {
         &self.foreign
     }
-    /// Another block places the job, and leaves these to this one; none: this
-    /// block places it.
+    /// Another shard places the job, and leaves these to this one; none: this
+    /// shard places it.
     pub(super) fn set_left_here(&mut self, left: Option<BTreeSet<u32>>) {
         self.left_here = left;
     }
-    /// Whether this block places the job.
+    /// Whether this shard places the job.
     pub fn at_home(&self) -> bool {
         self.left_here.is_none()
     }
--- a/src/sched/team.rs
+++ b/src/sched/team.rs
@@ -11,7 +11,7 @@
     pub name: Arc<str>,
     /// Guaranteed amount.
     pub guarantee: Amount,
-    /// This block's slice of the team's limit.
+    /// This shard's slice of the team's limit.
     pub limit: Amount,
     /// Sum of all its claims.
     pub used: Amount,
