--- a/src/shares.rs
+++ b/src/shares.rs
@@ -1,9 +1,9 @@
-//! What owners of blocks tell each other: fixed layouts, little-endian, in the
+//! What owners of shards tell each other: fixed layouts, little-endian, in the
 //! text of a [`crate::peer::Message`]. All of it are hints: they spare waits, and
 //! nothing is proved by them. They go only between controllers of which one has
-//! read that there are several blocks.
+//! read that there are several shards.
 
-use sorrelhinge_sharding::shard::BlockId;
+use sorrelhinge_sharding::shard::ShardId;
 use sorrelhinge_sharding::slices::Need;
 use zerocopy::little_endian::{I64, U32};
 use zerocopy::{FromBytes, Immutable, IntoBytes, KnownLayout, Unaligned};
@@ -32,10 +32,10 @@
 #[repr(C)]
 struct NeedsHead {
     version: U32,
-    block: U32,
+    shard: U32,
     machines: U32,
     reserved: U32,
-    /// Thousandths of a CPU that are free beyond the block's own work.
+    /// Thousandths of a CPU that are free beyond the shard's own work.
     spare_cpu: I64,
 }
 
@@ -49,11 +49,11 @@
     waits_gpu: I64,
 }
 
-/// What a block uses and wants, by team, and what room it has for others.
+/// What a shard uses and wants, by team, and what room it has for others.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Needs {
-    /// Which block.
-    pub block: BlockId,
+    /// Which shard.
+    pub shard: ShardId,
     /// Machines, up and on their way.
     pub machines: u32,
     /// Thousandths of a CPU that are free beyond its own work.
@@ -67,7 +67,7 @@
     pub fn encode(&self) -> Vec<u8> {
         let head = NeedsHead {
             version: U32::new(VERSION),
-            block: U32::new(self.block.0),
+            shard: U32::new(self.shard.0),
             machines: U32::new(self.machines),
             reserved: U32::new(0),
             spare_cpu: I64::new(self.spare_cpu),
@@ -105,7 +105,7 @@
             Some((text(&e.team)?.to_owned(), need))
         });
         (head.version.get() == VERSION).then_some(Self {
-            block: BlockId(head.block.get()),
+            shard: ShardId(head.shard.get()),
             machines: head.machines.get(),
             spare_cpu: head.spare_cpu.get(),
             teams: teams.collect::<Option<_>>()?,
@@ -122,7 +122,7 @@
     zone: Name,
 }
 
-/// Machines that were rented, for the owners of their blocks.
+/// Machines that were rented, for the owners of their shards.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Rented {
     /// Their type.
@@ -169,27 +169,27 @@
 #[repr(C)]
 struct LeftHead {
     version: U32,
-    block: U32,
+    shard: U32,
     job: Name,
 }
 
-/// Tasks that are left to another block.
+/// Tasks that are left to another shard.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LeftTo {
     /// To which.
-    pub block: BlockId,
+    pub shard: ShardId,
     /// Of which job.
     pub job: JobId,
     /// Which tasks.
     pub tasks: Vec<u32>,
 }
 
-/// Tasks left to a block, as they go over the wire; none if the job's name is
+/// Tasks left to a shard, as they go over the wire; none if the job's name is
 /// too long.
 pub fn encode_left(left: &LeftTo) -> Option<Vec<u8>> {
     let head = LeftHead {
         version: U32::new(VERSION),
-        block: U32::new(left.block.0),
+        shard: U32::new(left.shard.0),
         job: name(left.job.as_str())?,
     };
     let mut bytes = head.as_bytes().to_vec();
@@ -199,12 +199,12 @@
     Some(bytes)
 }
 
-/// Reads tasks left to a block; none if it is of another version or length.
+/// Reads tasks left to a shard; none if it is of another version or length.
 pub fn parse_left(bytes: &[u8]) -> Option<LeftTo> {
     let (head, rest) = LeftHead::read_from_prefix(bytes).ok()?;
     let tasks = <[U32]>::ref_from_bytes(rest).ok()?;
     (head.version.get() == VERSION).then_some(LeftTo {
-        block: BlockId(head.block.get()),
+        shard: ShardId(head.shard.get()),
         job: JobId::from(text(&head.job)?),
         tasks: tasks.iter().map(|t| t.get()).collect(),
     })
--- a/src/state/record.rs
+++ b/src/state/record.rs
@@ -4,17 +4,17 @@
 //! | --- | --- | --- |
 //! | `h/leader` | [`LeaderRecord`], attached to a lease | whoever becomes leader |
 //! | `h/grant` | [`GrantRecord`] | whoever becomes leader |
-//! | `h/job/ID` | [`JobRecord`] | any controller accepts and cancels; the block's owner claims and completes |
+//! | `h/job/ID` | [`JobRecord`] | any controller accepts and cancels; the shard's owner claims and completes |
 //! | `h/calendar` | [`CalendarRecord`](sorrelhinge_calendar::record::CalendarRecord), if a calendar is given | any controller with a newer file, or for an operator |
-//! | `h/win/NAME@START` | [`WindowRecord`](sorrelhinge_calendar::record::WindowRecord), one occurrence of a window | the owner of block 0 |
+//! | `h/win/NAME@START` | [`WindowRecord`](sorrelhinge_calendar::record::WindowRecord), one occurrence of a window | the owner of shard 0 |
 //! | `h/drain/N` | [`Drain`](sorrelhinge_topology::drain::Drain), N any number | any controller, for an operator |
-//! | `h/gone/N` | [`GoneRecord`], N below [`GONE_SLOTS`], filled in turn | the block's owner |
-//! | `h/map` | [`MapRecord`]; none: all machines are one block | the leader |
-//! | `h/block/B` | [`BlockRecord`], B below the number of blocks | the leader; the owner, to hand it on |
-//! | `h/slice/B` | [`SliceRecord`] | the leader at first; then the owner of a block that gives |
-//! | `h/node/NODE` | [`MemberRecord`], attached to a lease, while there are several blocks | that controller |
-//! | `h/wave/B/HASH` | [`WaveRecord`](sorrelhinge_staging::record::WaveRecord) of an image, only if images are staged | the block's owner |
-//! | `h/task/ID/N` | [`ChunkRecord`], tasks N·chunk and on, of a job that does not keep them in its own record | the block's owner |
+//! | `h/gone/N` | [`GoneRecord`], N below [`GONE_SLOTS`], filled in turn | the shard's owner |
+//! | `h/map` | [`MapRecord`]; none: all machines are one shard | the leader |
+//! | `h/shard/B` | [`ShardRecord`], B below the number of shards | the leader; the owner, to hand it on |
+//! | `h/slice/B` | [`SliceRecord`] | the leader at first; then the owner of a shard that gives |
+//! | `h/node/NODE` | [`MemberRecord`], attached to a lease, while there are several shards | that controller |
+//! | `h/wave/B/HASH` | [`WaveRecord`](sorrelhinge_staging::record::WaveRecord) of an image, only if images are staged | the shard's owner |
+//! | `h/task/ID/N` | [`ChunkRecord`], tasks N·chunk and on, of a job that does not keep them in its own record | the shard's owner |
 //!
 //! Values are JSON. What is stored outlives the program that wrote it: a version reads what
 //! the one before it wrote and the other way round, so a field is only ever added, with a
@@ -32,11 +32,11 @@
 
 pub use self::deleted_machines::{GoneRecord, GONE_SLOTS};
 pub use self::keys::{
-    block_key, chunk_key, drain_key, gone_key, image_hash, job_key, member_key, slice_key,
+    chunk_key, drain_key, gone_key, image_hash, job_key, member_key, shard_key, slice_key,
     wave_key, Key, GRANT, LEADER, MAP, ROOT,
 };
 pub use self::leadership::{Fence, GrantRecord, LeaderRecord};
 pub use self::members::MemberRecord;
-pub use self::shards::{BlockRecord, MapRecord, SliceRecord, TeamPart};
+pub use self::shards::{MapRecord, ShardRecord, SliceRecord, TeamPart};
 pub use super::chunk_record::{chunk_size, ChunkRecord, RecordedClaim, RecordedUnits};
 pub use super::job_record::{encoded_bytes, JobRecord, NewJob, Phase, WaitsRecord};
--- a/src/state/record/keys.rs
+++ b/src/state/record/keys.rs
@@ -2,7 +2,7 @@
 //! never change.
 
 use sorrelhinge_reservations::record::{parse_key, CALENDAR_KEY};
-use sorrelhinge_sharding::shard::{BlockId, MAX_BLOCKS};
+use sorrelhinge_sharding::shard::{ShardId, MAX_SHARDS};
 
 use super::deleted_machines::GONE_SLOTS;
 use crate::types::{Image, JobId, NodeId};
@@ -11,7 +11,7 @@
 pub const ROOT: &str = "h/";
 /// Key of the leader's record.
 pub const LEADER: &str = "h/leader";
-/// Key of the block grant.
+/// Key of the shard grant.
 pub const GRANT: &str = "h/grant";
 
 /// Key of a job.
@@ -24,17 +24,17 @@
     format!("h/task/{job}/{chunk:06}")
 }
 
-/// Key of the number of blocks.
+/// Key of the number of shards.
 pub const MAP: &str = "h/map";
 
-/// Key of a block's owner.
-pub fn block_key(block: BlockId) -> String {
-    format!("h/block/{block}")
+/// Key of a shard's owner.
+pub fn shard_key(shard: ShardId) -> String {
+    format!("h/block/{shard}")
 }
 
-/// Key of a block's part of the limits.
-pub fn slice_key(block: BlockId) -> String {
-    format!("h/slice/{block}")
+/// Key of a shard's part of the limits.
+pub fn slice_key(shard: ShardId) -> String {
+    format!("h/slice/{shard}")
 }
 
 /// Key of a controller that lives.
@@ -52,9 +52,9 @@
     format!("h/drain/{number}")
 }
 
-/// Key of an image's wave among a block's machines.
-pub fn wave_key(block: BlockId, image: u64) -> String {
-    format!("h/wave/{block}/{image:016x}")
+/// Key of an image's wave among a shard's machines.
+pub fn wave_key(shard: ShardId, image: u64) -> String {
+    format!("h/wave/{shard}/{image:016x}")
 }
 
 /// What an image is called in keys: FNV-1a of its name, which may be long and
@@ -79,20 +79,20 @@
     Drain(u64),
     /// Machines that are gone.
     DeletedMachines(u32),
-    /// The number of blocks.
+    /// The number of shards.
     Map,
-    /// A block's owner.
-    Block(BlockId),
-    /// A block's part of the limits.
-    Slice(BlockId),
+    /// A shard's owner.
+    Shard(ShardId),
+    /// A shard's part of the limits.
+    Slice(ShardId),
     /// A controller that lives.
     Member(NodeId),
     /// The windows of the release calendar.
     Calendar,
     /// An occurrence of a window: its name, and its beginning in milliseconds.
     Window(String, i64),
-    /// An image's wave among a block's machines.
-    Wave(BlockId, u64),
+    /// An image's wave among a shard's machines.
+    Wave(ShardId, u64),
 }
 
 impl Key {
@@ -118,12 +118,12 @@
         match kind {
             "job" => Some(Self::Job(JobId::from(which))),
             "node" => Some(Self::Member(NodeId::from(which))),
-            "block" => parse_block(which).map(Self::Block),
-            "slice" => parse_block(which).map(Self::Slice),
+            "block" => parse_shard(which).map(Self::Shard),
+            "slice" => parse_shard(which).map(Self::Slice),
             "wave" => {
-                let (block, image) = which.split_once('/')?;
+                let (shard, image) = which.split_once('/')?;
                 let image = u64::from_str_radix(image, 16).ok()?;
-                parse_block(block).map(|block| Self::Wave(block, image))
+                parse_shard(shard).map(|shard| Self::Wave(shard, image))
             }
             "drain" => Some(Self::Drain(which.parse().ok()?)),
             "gone" => {
@@ -139,7 +139,7 @@
     }
 }
 
-fn parse_block(text: &str) -> Option<BlockId> {
-    let block = text.parse().ok().filter(|block| *block < MAX_BLOCKS);
-    block.map(BlockId)
+fn parse_shard(text: &str) -> Option<ShardId> {
+    let shard = text.parse().ok().filter(|shard| *shard < MAX_SHARDS);
+    shard.map(ShardId)
 }
--- a/src/state/record/leadership.rs
+++ b/src/state/record/leadership.rs
@@ -1,4 +1,4 @@
-//! Who leads, and to whom the leader granted the machines while they are one block.
+//! Who leads, and to whom the leader granted the machines while they are one shard.
 
 use serde::{Deserialize, Serialize};
 
@@ -26,7 +26,7 @@
     pub number: u64,
 }
 
-/// What `h/grant` holds while there are several blocks. A version that knows one
+/// What `h/grant` holds while there are several shards. A version that knows one
 /// only can't read it, so it never takes all machines for its own.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Fence {
@@ -34,5 +34,6 @@
     #[serde(rename = "v")]
     pub version: u32,
     /// See `h/map`.
-    pub blocks: u32,
+    #[serde(rename = "blocks")]
+    pub shards: u32,
 }
--- a/src/state/record/shards.rs
+++ b/src/state/record/shards.rs
@@ -1,11 +1,11 @@
-//! Into how many blocks the machines are divided, who owns each, and each one's part of
+//! Into how many shards the machines are divided, who owns each, and each one's part of
 //! the teams' limits.
 
 use serde::{Deserialize, Serialize, Serializer};
 
 use crate::types::{Amount, NodeId, Term};
 
-/// How many blocks there are. Which one a machine belongs to follows from its
+/// How many shards there are. Which one a machine belongs to follows from its
 /// name ([`sorrelhinge_sharding::shard`]).
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct MapRecord {
@@ -13,7 +13,8 @@
     #[serde(rename = "v")]
     pub version: u32,
     /// How many; 1: the one that `h/grant` grants.
-    pub blocks: u32,
+    #[serde(rename = "blocks")]
+    pub shards: u32,
 }
 
 impl MapRecord {
@@ -21,9 +22,9 @@
     pub const VERSION: u32 = 1;
 }
 
-/// Who owns a block.
+/// Who owns a shard.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct BlockRecord {
+pub struct ShardRecord {
     /// Of the format.
     #[serde(rename = "v")]
     pub version: u32,
@@ -33,7 +34,7 @@
     pub run: u64,
     /// By the leader of this term.
     pub term: Term,
-    /// Rises with each grant of any block; fencing tokens are made from it.
+    /// Rises with each grant of any shard; fencing tokens are made from it.
     pub number: u64,
     /// To whom it is offered.
     #[serde(default, skip_serializing_if = "Option::is_none")]
@@ -43,12 +44,12 @@
     pub pin: Option<NodeId>,
 }
 
-impl BlockRecord {
+impl ShardRecord {
     /// The format that this version writes.
     pub const VERSION: u32 = 1;
 }
 
-/// A block's part of the teams' limits, in thousandths of CPUs and GPUs.
+/// A shard's part of the teams' limits, in thousandths of CPUs and GPUs.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct SliceRecord {
     /// Of the format.
--- a/src/state/view/apply.rs
+++ b/src/state/view/apply.rs
@@ -7,7 +7,7 @@
 use serde_json::value::RawValue;
 use sorrelhinge_image_distribution::record::WaveRecord;
 use sorrelhinge_reservations::record::{CalendarRecord, WindowRecord};
-use sorrelhinge_sharding::shard::BlockId;
+use sorrelhinge_sharding::shard::ShardId;
 use sorrelhinge_topology::drain::Drain;
 
 use super::super::record::{ChunkRecord, Fence, GoneRecord, JobRecord, Key, MapRecord};
@@ -134,12 +134,12 @@
             Key::Leader => self.write_leader(write),
             Key::Grant => self.write_grant(write),
             Key::Map => self.write_map(write),
-            Key::Block(block) => put(&mut self.blocks, block, mod_revision, || write.parse()),
-            Key::Slice(block) => put(&mut self.slices, block, mod_revision, || write.parse()),
+            Key::Shard(shard) => put(&mut self.shards, shard, mod_revision, || write.parse()),
+            Key::Slice(shard) => put(&mut self.slices, shard, mod_revision, || write.parse()),
             Key::Member(node) => put(&mut self.members, node, mod_revision, || write.parse()),
             Key::Calendar => self.write_calendar(write),
             Key::Window(name, start_ms) => self.write_window((name, start_ms), write),
-            Key::Wave(block, image) => self.write_wave((block, image), write),
+            Key::Wave(shard, image) => self.write_wave((shard, image), write),
             Key::Job(id) => self.write_job(&id, write),
             Key::Drain(number) => self.write_drain(number, write),
             Key::DeletedMachines(slot) => self.write_deleted_machines(slot, write),
@@ -153,7 +153,7 @@
         }
     }
 
-    /// While there are several blocks the grant's key only keeps out versions that know
+    /// While there are several shards the grant's key only keeps out versions that know
     /// one; the grant's number is that of the last grant of all.
     fn write_grant(&mut self, write: RecordWrite) {
         if write.mod_revision <= self.grant.mod_revision {
@@ -194,7 +194,7 @@
 
     /// A wave that can't be read is there all the same: a write that takes it for absent
     /// would fail again and again, and all claims of its transaction with it.
-    fn write_wave(&mut self, wave: (BlockId, u64), write: RecordWrite) {
+    fn write_wave(&mut self, wave: (ShardId, u64), write: RecordWrite) {
         put(&mut self.waves, wave, write.mod_revision, || {
             Some(write.parse::<WaveRecord>().filter(WaveRecord::known))
         });
@@ -237,7 +237,7 @@
         put(&mut self.gone, slot, write.mod_revision, || known);
     }
 
-    /// A key was deleted. Jobs, the grant, the number of blocks and the calendar never are,
+    /// A key was deleted. Jobs, the grant, the number of shards and the calendar never are,
     /// and lists of deleted machines are overwritten.
     fn delete(&mut self, key: &str, mod_revision: Revision) {
         match Key::parse(key) {
@@ -253,9 +253,9 @@
             }
             Some(Key::Drain(number)) => remove(&mut self.drains, &number, mod_revision),
             Some(Key::Member(node)) => remove(&mut self.members, &node, mod_revision),
-            Some(Key::Block(block)) => remove(&mut self.blocks, &block, mod_revision),
-            Some(Key::Wave(block, image)) => remove(&mut self.waves, &(block, image), mod_revision),
-            Some(Key::Slice(block)) => remove(&mut self.slices, &block, mod_revision),
+            Some(Key::Shard(shard)) => remove(&mut self.shards, &shard, mod_revision),
+            Some(Key::Wave(shard, image)) => remove(&mut self.waves, &(shard, image), mod_revision),
+            Some(Key::Slice(shard)) => remove(&mut self.slices, &shard, mod_revision),
             _ => {}
         }
     }
--- a/src/state/view/mod.rs
+++ b/src/state/view/mod.rs
@@ -22,12 +22,12 @@
 use super::history::History;
 pub use super::job_entry::{Cancellation, JobEntry, Summary};
 use super::record::{
-    BlockRecord, ChunkRecord, GoneRecord, GrantRecord, LeaderRecord, MapRecord, MemberRecord,
-    Phase, SliceRecord,
+    ChunkRecord, GoneRecord, GrantRecord, LeaderRecord, MapRecord, MemberRecord, Phase,
+    ShardRecord, SliceRecord,
 };
 pub use super::versioned::Versioned;
 use crate::types::{JobId, MachineId, NodeId, Revision};
-use sorrelhinge_sharding::shard::BlockId;
+use sorrelhinge_sharding::shard::ShardId;
 
 /// The copy.
 #[derive(Default)]
@@ -40,13 +40,13 @@
     pub leader: Versioned<Option<LeaderRecord>>,
     /// The grant.
     pub grant: Versioned<GrantRecord>,
-    /// How many blocks there are; none: one.
+    /// How many shards there are; none: one.
     pub map: Versioned<Option<MapRecord>>,
-    /// Who owns each of several blocks.
-    pub blocks: BTreeMap<BlockId, Versioned<BlockRecord>>,
+    /// Who owns each of several shards.
+    pub shards: BTreeMap<ShardId, Versioned<ShardRecord>>,
     /// Each one's part of the limits.
-    pub slices: BTreeMap<BlockId, Versioned<SliceRecord>>,
-    /// Controllers that live, while there are several blocks.
+    pub slices: BTreeMap<ShardId, Versioned<SliceRecord>>,
+    /// Controllers that live, while there are several shards.
     pub members: BTreeMap<NodeId, Versioned<MemberRecord>>,
     /// What came and what ran of late.
     pub history: History,
@@ -59,9 +59,9 @@
     pub windows: BTreeMap<(String, i64), Versioned<WindowRecord>>,
     /// Machines that are gone.
     pub gone: BTreeMap<u32, Versioned<GoneRecord>>,
-    /// Images on their way from machine to machine, by block and the image's hash;
+    /// Images on their way from machine to machine, by shard and the image's hash;
     /// none: of a version that is not known here.
-    pub waves: BTreeMap<(BlockId, u64), Versioned<Option<WaveRecord>>>,
+    pub waves: BTreeMap<(ShardId, u64), Versioned<Option<WaveRecord>>>,
     jobs: HashMap<JobId, JobEntry>,
     /// Jobs that wait for others, by what `jobs` holds.
     pipelines: Graph,
@@ -74,14 +74,14 @@
 }
 
 impl View {
-    /// How many blocks there are.
-    pub fn block_count(&self) -> u32 {
-        self.map.value.map_or(1, |m| m.blocks.max(1))
+    /// How many shards there are.
+    pub fn shard_count(&self) -> u32 {
+        self.map.value.map_or(1, |m| m.shards.max(1))
     }
 
     /// The newest number that any grant has.
     pub fn newest_grant(&self) -> u64 {
-        let numbers = self.blocks.values().map(|b| b.value.number);
+        let numbers = self.shards.values().map(|b| b.value.number);
         numbers.fold(self.grant.value.number, u64::max)
     }
 
--- a/tests/addition.rs
+++ b/tests/addition.rs
@@ -315,7 +315,7 @@
     });
 }
 
-/// All at once, with three blocks and five controllers: a deaf machine in each zone,
+/// All at once, with three shards and five controllers: a deaf machine in each zone,
 /// copies, a controller alone, owners that end and are back.
 #[test]
 fn all_troubles_joined() {
--- a/tests/calendar.rs
+++ b/tests/calendar.rs
@@ -288,10 +288,10 @@
     });
 }
 
-/// Each of several blocks holds its part, also one that moves while it warms: the
+/// Each of several shards holds its part, also one that moves while it warms: the
 /// parts are the whole, and the window's work finds all of them.
 #[test]
-fn parts_of_blocks_are_the_whole() {
+fn parts_of_shards_are_the_whole() {
     run(async {
         let start = now_s() + 22;
         let text = file(1, &window("drop", start, 6));
@@ -300,8 +300,8 @@
             ..plan("calendar-blocks", 132)
         };
         let mut world = World::start_with(plan, Some(&text)).await;
-        let owner = |w: &World, block: u32| {
-            let record = w.store.borrow().get(&format!("h/block/{block}"));
+        let owner = |w: &World, shard: u32| {
+            let record = w.store.borrow().get(&format!("h/block/{shard}"));
             record.map_or(Value::Null, |r| r["owner"].clone())
         };
         let all = |w: &World| (0..3).all(|b| owner(w, b) != Value::Null);
--- a/tests/edges.rs
+++ b/tests/edges.rs
@@ -14,7 +14,7 @@
 };
 use sorrelhinge::shares::{encode_left, parse_left, LeftTo, Needs, Rented};
 use sorrelhinge::state::record::{
-    block_key, chunk_key, chunk_size, job_key, member_key, slice_key, wave_key, ChunkRecord, Fence,
+    chunk_key, chunk_size, job_key, member_key, shard_key, slice_key, wave_key, ChunkRecord, Fence,
     GrantRecord, JobRecord, Key, Phase,
 };
 use sorrelhinge::state::view::{Versioned, View};
@@ -22,7 +22,7 @@
     self, Amount, Attempt, FencingToken, Incarnation, JobId, JobSpec, MachineId, NodeId, Revision,
     SequenceNumber, TaskId,
 };
-use sorrelhinge_sharding::shard::BlockId;
+use sorrelhinge_sharding::shard::ShardId;
 use sorrelhinge_sharding::slices::Need;
 use tokio::net::TcpListener;
 use tokio::task::spawn_local;
@@ -127,7 +127,7 @@
     assert_eq!((read.leader_lease_s, read.preempt), (4.0, false));
     assert_eq!(Tuning::parse(b"").expect("empty"), Tuning::default());
     let deployed = include_bytes!("../deploy/blocks.properties");
-    assert_eq!(Tuning::parse(deployed).expect("valid").blocks_least, 3);
+    assert_eq!(Tuning::parse(deployed).expect("valid").shards_least, 3);
     for wrong in [
         "leader.lease = 4",
         "leader.lease.s = four",
@@ -200,12 +200,12 @@
         Key::parse(&chunk_key(&job, 12)),
         Some(Key::Chunk(job.clone(), 12))
     );
-    let (block, node) = (BlockId(3), NodeId::from("n-1"));
-    assert_eq!(Key::parse(&block_key(block)), Some(Key::Block(block)));
-    assert_eq!(Key::parse(&slice_key(block)), Some(Key::Slice(block)));
+    let (shard, node) = (ShardId(3), NodeId::from("n-1"));
+    assert_eq!(Key::parse(&shard_key(shard)), Some(Key::Shard(shard)));
+    assert_eq!(Key::parse(&slice_key(shard)), Some(Key::Slice(shard)));
     assert_eq!(Key::parse(&member_key(&node)), Some(Key::Member(node)));
-    let wave = Some(Key::Wave(block, u64::MAX - 1));
-    assert_eq!(Key::parse(&wave_key(block, u64::MAX - 1)), wave);
+    let wave = Some(Key::Wave(shard, u64::MAX - 1));
+    assert_eq!(Key::parse(&wave_key(shard, u64::MAX - 1)), wave);
     assert_eq!(Key::parse("h/block/5"), None, "there are never so many");
     assert_eq!(Key::parse("other/run-7"), None);
     assert_eq!(TaskId::parse("run-7/3"), Some(TaskId { job, index: 3 }));
@@ -213,14 +213,14 @@
     assert_eq!(TaskId::parse("run-7/x"), None);
 }
 
-/// While there are several blocks, a version that knows one can't read the grant,
+/// While there are several shards, a version that knows one can't read the grant,
 /// so it never takes all machines; this one reads who owns what, and after the
-/// blocks are united the grant again.
+/// shards are united the grant again.
 #[test]
-fn several_blocks_keep_out_who_knows_one() {
+fn several_shards_keep_out_who_knows_one() {
     let fence = serde_json::to_string(&Fence {
         version: 2,
-        blocks: 3,
+        shards: 3,
     });
     let fence = fence.expect("JSON");
     assert!(serde_json::from_str::<GrantRecord>(&fence).is_err());
@@ -237,7 +237,7 @@
         write("h/node/n-1", json!({"run": 7}), 3),
     ];
     view.apply(Revision(0), events(json!({"ledger": 3, "events": divided})));
-    assert_eq!((view.block_count(), view.newest_grant()), (3, 5));
+    assert_eq!((view.shard_count(), view.newest_grant()), (3, 5));
     assert_eq!(view.grant.mod_revision, Revision(2));
     assert_eq!(view.members.len(), 1);
     let united = [
@@ -247,8 +247,8 @@
         json!({"delete": "h/block/0", "stamp": 5}),
     ];
     view.apply(Revision(3), events(json!({"ledger": 5, "events": united})));
-    assert_eq!((view.block_count(), view.newest_grant()), (1, 6));
-    assert!(view.blocks.is_empty() && view.members.is_empty());
+    assert_eq!((view.shard_count(), view.newest_grant()), (1, 6));
+    assert!(view.shards.is_empty() && view.members.is_empty());
 }
 
 /// A chunk in which every task is claimed must stay within the value limit.
@@ -557,7 +557,7 @@
     panic!("all of them fit");
 }
 
-/// What owners of blocks tell each other reads back, and what is of another
+/// What owners of shards tell each other reads back, and what is of another
 /// version or length, or names too long a thing, is not taken.
 #[test]
 fn what_owners_tell_each_other_reads_back() {
@@ -572,7 +572,7 @@
         waits: amount(i64::MAX),
     };
     let needs = Needs {
-        block: BlockId(2),
+        shard: ShardId(2),
         machines: 41,
         spare_cpu: 8000,
         teams: vec![("red".into(), need), ("blue".into(), need)],
@@ -584,7 +584,7 @@
         machines: vec!["vm-000001".into(), "vm-000002".into()],
     };
     let left = LeftTo {
-        block: BlockId(1),
+        shard: ShardId(1),
         job: "run-000412".into(),
         tasks: vec![3, 99_999],
     };
--- a/tests/golden_formats/operators.rs
+++ b/tests/golden_formats/operators.rs
@@ -5,7 +5,7 @@
 use sorrelhinge::types::MachineId;
 use sorrelhinge_priority_lanes::shown::{LaneShown, LanesShown, WaitShown};
 use sorrelhinge_protocol::operators::{
-    BlockShown, BlocksShown, DeviceShown, DomainShown, DrainAsked, DrainShown, PinAsked, Target,
+    DeviceShown, DomainShown, DrainAsked, DrainShown, PinAsked, ShardShown, ShardsShown, Target,
     TeamShown, TopologyShown, UndrainAsked,
 };
 
@@ -48,7 +48,7 @@
     }
 }
 
-fn blocks() -> BlocksShown {
+fn shards() -> ShardsShown {
     let team = TeamShown {
         team: "vision".into(),
         part_cpus: 8.5,
@@ -60,8 +60,8 @@
         waiting_cpus: None,
         ..team.clone()
     };
-    let block = BlockShown {
-        block: 1,
+    let shard = ShardShown {
+        shard: 1,
         owner: Some("n-0".into()),
         alive: true,
         grant: 12,
@@ -71,9 +71,9 @@
         why: "balance".into(),
         teams: vec![team, silent],
     };
-    BlocksShown {
+    ShardsShown {
         leader: Some("n-0".into()),
-        blocks: vec![block, BlockShown::default()],
+        shards: vec![shard, ShardShown::default()],
     }
 }
 
@@ -128,10 +128,10 @@
     }
     for to in [Some("n-1".to_owned()), None] {
         let name = format!("block moved to {}", to.as_deref().unwrap_or("none"));
-        add_json(&mut golden, &name, &PinAsked { block: 1, to });
+        add_json(&mut golden, &name, &PinAsked { shard: 1, to });
     }
     add_json(&mut golden, "topology", &topology());
-    add_json(&mut golden, "blocks", &blocks());
+    add_json(&mut golden, "blocks", &shards());
     add_json(&mut golden, "lanes", &lanes());
     golden.check("messages_of_operators.txt");
 }
--- a/tests/golden_formats/peers.rs
+++ b/tests/golden_formats/peers.rs
@@ -1,9 +1,9 @@
 //! Layouts of what controllers send each other, in hexadecimal digits.
 
-use sorrelhinge::peer::{ForwardedHeartbeat, Kind, Message, Standing, BLOCKS, LIMITS_FELL, POLLS};
+use sorrelhinge::peer::{ForwardedHeartbeat, Kind, Message, Standing, LIMITS_FELL, POLLS, SHARDS};
 use sorrelhinge::shares::{encode_left, parse_left, LeftTo, Needs, Rented};
 use sorrelhinge::types::{Amount, Incarnation, JobId, MachineId, SequenceNumber, TypeName, Zone};
-use sorrelhinge_sharding::shard::BlockId;
+use sorrelhinge_sharding::shard::ShardId;
 use sorrelhinge_sharding::slices::Need;
 use zerocopy::IntoBytes;
 
@@ -36,7 +36,7 @@
             kind,
             number: 0x0102_0304_0506_0708,
             status: 421,
-            flags: BLOCKS | POLLS | LIMITS_FELL,
+            flags: SHARDS | POLLS | LIMITS_FELL,
             text: b"run-000412".to_vec(),
             waits: false,
         };
@@ -73,7 +73,7 @@
         }
     }
     for (name, flag) in [
-        ("knows blocks", BLOCKS),
+        ("knows blocks", SHARDS),
         ("answers polls", POLLS),
         ("knows that limits fell", LIMITS_FELL),
     ] {
@@ -104,7 +104,7 @@
         waits: amount(4000, 500),
     };
     let needs = Needs {
-        block: BlockId(1),
+        shard: ShardId(1),
         machines: 40,
         spare_cpu: -3000,
         teams: vec![("vision".into(), need)],
@@ -124,7 +124,7 @@
     golden.add("rented machines", &hex(&bytes));
 
     let left = LeftTo {
-        block: BlockId(1),
+        shard: ShardId(1),
         job: JobId::from("run-000412"),
         tasks: vec![3, 70_000],
     };
--- a/tests/golden_formats/records.rs
+++ b/tests/golden_formats/records.rs
@@ -2,10 +2,9 @@
 
 use sorrelhinge::state::job_entry::JobEntry;
 use sorrelhinge::state::record::{
-    block_key, chunk_key, drain_key, gone_key, image_hash, job_key, member_key, slice_key,
-    wave_key, BlockRecord, ChunkRecord, Fence, GoneRecord, GrantRecord, JobRecord, Key,
-    LeaderRecord, MapRecord, MemberRecord, NewJob, Phase, SliceRecord, WaitsRecord, GRANT, LEADER,
-    MAP,
+    chunk_key, drain_key, gone_key, image_hash, job_key, member_key, shard_key, slice_key,
+    wave_key, ChunkRecord, Fence, GoneRecord, GrantRecord, JobRecord, Key, LeaderRecord, MapRecord,
+    MemberRecord, NewJob, Phase, ShardRecord, SliceRecord, WaitsRecord, GRANT, LEADER, MAP,
 };
 use sorrelhinge::state::view::Versioned;
 use sorrelhinge::types::{
@@ -13,7 +12,7 @@
 };
 use sorrelhinge_image_distribution::record::WaveRecord;
 use sorrelhinge_reservations::record::CALENDAR_KEY;
-use sorrelhinge_sharding::shard::BlockId;
+use sorrelhinge_sharding::shard::ShardId;
 use sorrelhinge_topology::devices::Unit;
 use sorrelhinge_topology::drain::{Drain, Progress, Target};
 
@@ -157,7 +156,7 @@
 fn records_of_controllers_are_the_golden_ones() {
     let mut golden = Golden::default();
     add_leaders(&mut golden);
-    add_blocks(&mut golden);
+    add_shards(&mut golden);
     add_json(&mut golden, "member", &MemberRecord { run: 9 });
     add_machines(&mut golden);
     golden.check("records_of_controllers.txt");
@@ -183,19 +182,19 @@
     }
 }
 
-fn add_blocks(golden: &mut Golden) {
+fn add_shards(golden: &mut Golden) {
     let several = Fence {
         version: 1,
-        blocks: 3,
+        shards: 3,
     };
     add_json(golden, "grant of several blocks", &several);
     let map = MapRecord {
         version: MapRecord::VERSION,
-        blocks: 3,
+        shards: 3,
     };
     add_json(golden, "map", &map);
-    let block = BlockRecord {
-        version: BlockRecord::VERSION,
+    let shard = ShardRecord {
+        version: ShardRecord::VERSION,
         owner: NodeId::from("n-0"),
         run: 9,
         term: Term(3),
@@ -203,11 +202,11 @@
         to: Some(NodeId::from("n-1")),
         pin: Some(NodeId::from("n-2")),
     };
-    add_json(golden, "block", &block);
-    let settled = BlockRecord {
+    add_json(golden, "block", &shard);
+    let settled = ShardRecord {
         to: None,
         pin: None,
-        ..block
+        ..shard
     };
     add_json(golden, "block that stays", &settled);
     let part = Amount {
@@ -258,7 +257,7 @@
 #[test]
 fn keys_are_the_golden_ones() {
     let mut golden = Golden::default();
-    let (job, block) = (JobId::from("run-000412"), BlockId(1));
+    let (job, shard) = (JobId::from("run-000412"), ShardId(1));
     let image = image_hash(&Image::from("img-07"));
     let keys = [
         ("leader", LEADER.to_owned(), Key::Leader),
@@ -267,8 +266,8 @@
         ("calendar", CALENDAR_KEY.to_owned(), Key::Calendar),
         ("job", job_key(&job), Key::Job(job.clone())),
         ("chunk", chunk_key(&job, 7), Key::Chunk(job, 7)),
-        ("block", block_key(block), Key::Block(block)),
-        ("slice", slice_key(block), Key::Slice(block)),
+        ("block", shard_key(shard), Key::Shard(shard)),
+        ("slice", slice_key(shard), Key::Slice(shard)),
         (
             "member",
             member_key(&NodeId::from("n-0")),
@@ -276,7 +275,7 @@
         ),
         ("gone machines", gone_key(15), Key::DeletedMachines(15)),
         ("drain", drain_key(3), Key::Drain(3)),
-        ("wave", wave_key(block, image), Key::Wave(block, image)),
+        ("wave", wave_key(shard, image), Key::Wave(shard, image)),
         (
             "occurrence",
             sorrelhinge_reservations::record::key("finale", 1_764_936_000_000),
--- a/tests/golden_formats/settings.rs
+++ b/tests/golden_formats/settings.rs
@@ -152,7 +152,7 @@
         t.headroom,
         t.floor,
         t.preempt,
-        t.blocks_least,
+        t.shards_least,
         t.move_every_s,
         t.staging_least_gb,
     )
--- a/tests/hand_on.rs
+++ b/tests/hand_on.rs
@@ -28,7 +28,7 @@
 use sorrelhinge_agent::sums::{sha256, Sums};
 use sorrelhinge_agent::supervise;
 use sorrelhinge_emulators::{ask, run, World, HEARTBEAT_S, LEASE_S, ZONES};
-use sorrelhinge_sharding::shard::BlockId;
+use sorrelhinge_sharding::shard::ShardId;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::oneshot;
@@ -319,7 +319,7 @@
     // Half of them begin; the origin holds back two thirds of the image.
     submit(&world, &root, "run-000001", 6, &sum).await;
     until(&machines, 6, "fetching", &origin).await;
-    let key = wave_key(BlockId(0), image_hash(&Image::from(WEIGHTS)));
+    let key = wave_key(ShardId(0), image_hash(&Image::from(WEIGHTS)));
     let seeds = |w: &World| {
         let record = w.store.borrow().get(&key).unwrap_or(Value::Null);
         let seeds = record["m"].as_array().cloned().unwrap_or_default();
--- a/tests/lanes.rs
+++ b/tests/lanes.rs
@@ -138,7 +138,7 @@
     }
     world.rules_hold();
     let order = keep_their_places(world, &uids);
-    // Each block has a queue of its own.
+    // Each shard has a queue of its own.
     if world.store.borrow().get("h/block/0").is_none() {
         none_is_overtaken(&order);
     }
@@ -192,7 +192,7 @@
 }
 
 #[test]
-fn owners_of_blocks_that_end_lose_nobodys_place() {
+fn owners_of_shards_that_end_lose_nobodys_place() {
     run(async {
         let properties = "lane.urgent.classes=fix\nlane.urgent.part=0.5\nblocks.least=3\n";
         let mut world = begin("blocks", 126, 3, properties).await;
--- a/tests/meetings_loopback.rs
+++ b/tests/meetings_loopback.rs
@@ -29,8 +29,8 @@
 /// A leader keeps its lease for so long that no other takes over by itself.
 const LONG_LEASE: &str = "leader.lease.s=30\n";
 
-/// The same with several blocks.
-const LONG_LEASE_OF_BLOCKS: &str = "leader.lease.s=30\nblocks.least=3\n";
+/// The same with several shards.
+const LONG_LEASE_OF_SHARDS: &str = "leader.lease.s=30\nblocks.least=3\n";
 
 /// A leader loses its lease only by its end, however busy the machine is, and the next
 /// one need not be waited for long.
@@ -136,7 +136,7 @@
 /// it must let their leases end in time.
 async fn gap(name: &str, net: u8, controllers: usize, properties: &'static str) {
     let world = begin(name, net, controllers, properties).await;
-    if properties == LONG_LEASE_OF_BLOCKS {
+    if properties == LONG_LEASE_OF_SHARDS {
         let shared_out = |w: &World| {
             let map = w.store.borrow().get("h/map");
             map.is_some_and(|m| m["blocks"] == 3)
@@ -185,12 +185,12 @@
     });
 }
 
-/// The same where each controller owns a block: what others may answer for is bounded
+/// The same where each controller owns a shard: what others may answer for is bounded
 /// in the same way.
 #[test]
-fn a_cancellation_in_the_gap_of_several_blocks_ends_its_tasks_in_time() {
+fn a_cancellation_in_the_gap_of_several_shards_ends_its_tasks_in_time() {
     run(async {
-        gap("gap_blocks", 58, 3, LONG_LEASE_OF_BLOCKS).await;
+        gap("gap_blocks", 58, 3, LONG_LEASE_OF_SHARDS).await;
     });
 }
 
--- a/tests/rules/decision_trace.rs
+++ b/tests/rules/decision_trace.rs
@@ -16,16 +16,16 @@
     }
 }
 
-/// A world of this seed: plain, with failure domains, several blocks, all faults, or jobs
+/// A world of this seed: plain, with failure domains, several shards, all faults, or jobs
 /// that wait for others, in turn.
 fn world(seed: u64) -> World {
     let several = 2 + seed as u32 % 2;
     let mut world = match seed % 5 {
         0 => World::new(seed),
         1 => World::with(seed, true),
-        2 => World::of_blocks(seed, false, several),
-        3 => World::of_blocks(seed, false, 1 + seed as u32 % 3),
-        _ => World::of_blocks(seed, false, 1 + seed as u32 % 2),
+        2 => World::of_shards(seed, false, several),
+        3 => World::of_shards(seed, false, 1 + seed as u32 % 3),
+        _ => World::of_shards(seed, false, 1 + seed as u32 % 2),
     };
     world.staged = seed % 4 > 1;
     world.start_aims = seed % 2 == 1;
@@ -34,7 +34,7 @@
     // The first owners have begun without all that.
     match world.of {
         1 => world.take_over(),
-        of => (0..of).for_each(|block| world.take_over_block(block)),
+        of => (0..of).for_each(|shard| world.take_over_shard(shard)),
     }
     world
 }
--- a/tests/rules/faults.rs
+++ b/tests/rules/faults.rs
@@ -194,7 +194,7 @@
     pub(crate) fn deliver_late(&mut self, heartbeat: &Heartbeat) {
         let now = Time(self.now);
         for o in &mut self.owners {
-            if o.core.shard.covers(&heartbeat.machine)
+            if o.core.scope.covers(&heartbeat.machine)
                 && o.core.heartbeat(heartbeat, Source::Heartbeat, now)
             {
                 o.core.walk(&heartbeat.machine, now);
--- a/tests/rules/main.rs
+++ b/tests/rules/main.rs
@@ -1,8 +1,7 @@
-//! The block owner's core against stand-ins for the state service and the
+//! The shard owner's core against stand-ins for the state service and the
 //! workers, with lost replies, late commands, takeovers and owners that do not
 //! know they are deposed. Every step checks the rules of the protocol.
 
-mod blocks;
 mod commands;
 mod decision_trace;
 mod direct_commands;
@@ -21,6 +20,7 @@
 mod service;
 #[path = "../settings/mod.rs"]
 mod settings;
+mod shards;
 mod silence;
 mod store;
 mod takeover;
--- a/tests/rules/meetings/capacity.rs
+++ b/tests/rules/meetings/capacity.rs
@@ -11,8 +11,8 @@
 /// its answers are lost, and few changes are recorded.
 #[test]
 fn more_work_than_room_over_slow_links() {
-    for (seed, blocks) in [(1, 1), (2, 1), (3, 1), (4, 2), (5, 2)] {
-        let mut day = Day::new(seed, blocks);
+    for (seed, shards) in [(1, 1), (2, 1), (3, 1), (4, 2), (5, 2)] {
+        let mut day = Day::new(seed, shards);
         for n in 0..30 {
             let rank = ["critical", "high", "normal", "idle"][n % 4];
             let crew = if n % 3 == 0 { "red" } else { "blue" };
@@ -39,8 +39,8 @@
 /// machines die or hang until their leases are over.
 #[test]
 fn jobs_bound_to_a_zone_lose_machines() {
-    for (seed, blocks) in [(11, 1), (12, 1), (13, 1), (14, 2), (15, 2)] {
-        let mut day = Day::new(seed, blocks);
+    for (seed, shards) in [(11, 1), (12, 1), (13, 1), (14, 2), (15, 2)] {
+        let mut day = Day::new(seed, shards);
         for n in 0..12 {
             let place = match n % 4 {
                 0 => json!({"rack": "za"}),
@@ -79,8 +79,8 @@
 /// within the next seconds, over two changes of the leader.
 #[test]
 fn four_jobs_a_second_and_a_quarter_cancelled() {
-    for (seed, blocks) in [(21, 1), (22, 1), (23, 2)] {
-        let mut day = Day::new(seed, blocks);
+    for (seed, shards) in [(21, 1), (22, 1), (23, 2)] {
+        let mut day = Day::new(seed, shards);
         let mut to_cancel = Vec::new();
         for n in 0..240 {
             for k in 0..2 {
@@ -119,8 +119,8 @@
 /// nothing starts before its claim is in the record, and the next owner counts it.
 #[test]
 fn new_machines_get_work_while_writes_lag_and_the_leader_ends() {
-    for (seed, blocks) in [(31, 1), (32, 1), (33, 1), (34, 2)] {
-        let mut day = Day::new(seed, blocks);
+    for (seed, shards) in [(31, 1), (32, 1), (33, 1), (34, 2)] {
+        let mut day = Day::new(seed, shards);
         let spare: Vec<Worker> = day.world.workers.drain(2..).collect();
         day.run(3.0);
         for n in 0..10 {
@@ -148,10 +148,10 @@
         }
         assert_eq!(day.world.started, before, "seed {seed}: without an answer");
         day.world.owners.clear();
-        for block in 0..blocks {
-            match blocks {
+        for shard in 0..shards {
+            match shards {
                 1 => day.world.take_over(),
-                _ => day.world.take_over_block(block),
+                _ => day.world.take_over_shard(shard),
             }
         }
         day.writes = 3;
--- a/tests/rules/meetings/completion.rs
+++ b/tests/rules/meetings/completion.rs
@@ -4,17 +4,17 @@
 use sorrelhinge::control::core::Batch;
 use sorrelhinge::state::Outcome;
 use sorrelhinge::types::Time;
-use sorrelhinge_sharding::shard::BlockId;
+use sorrelhinge_sharding::shard::ShardId;
 
 use super::day::Day;
 use crate::*;
 
-/// Jobs are cancelled before a block is frozen, while it is, once it is confirmed as
+/// Jobs are cancelled before a shard is frozen, while it is, once it is confirmed as
 /// settled, and right after the new grant; its last owner hears of nothing for a while.
 #[test]
-fn jobs_are_cancelled_while_a_block_changes_hands() {
-    for (seed, blocks) in [(41, 2), (42, 2), (43, 3), (44, 3)] {
-        let mut day = Day::new(seed, blocks);
+fn jobs_are_cancelled_while_a_shard_changes_hands() {
+    for (seed, shards) in [(41, 2), (42, 2), (43, 3), (44, 3)] {
+        let mut day = Day::new(seed, shards);
         day.late_commands = 0.2;
         let mut next = 0;
         let cancel = |day: &mut Day, next: &mut usize| {
@@ -27,8 +27,8 @@
         }
         day.run(4.0);
         for turn in 0..6 {
-            let block = BlockId(turn % blocks);
-            let of = |o: &Owner| o.core.shard.block == block;
+            let shard = ShardId(turn % shards);
+            let of = |o: &Owner| o.core.scope.shard == shard;
             cancel(&mut day, &mut next);
             let now = Time(day.world.now);
             let at = day.world.owners.iter().rposition(of).expect("its owner");
@@ -49,7 +49,7 @@
             // Its process stands still through the grant, and goes on.
             let at = day.world.owners.iter().rposition(of).expect("its owner");
             day.world.owners[at].paused_until = day.world.now + 1.0;
-            day.world.take_over_block(block.0);
+            day.world.take_over_shard(shard.0);
             cancel(&mut day, &mut next);
             day.run(3.0);
         }
@@ -62,8 +62,8 @@
 /// results that were not recorded: none is run again, and the job is done with the last.
 #[test]
 fn tasks_that_end_far_apart_over_changes_of_the_leader() {
-    for (seed, blocks) in [(51, 1), (52, 1), (53, 1), (54, 2)] {
-        let mut day = Day::new(seed, blocks);
+    for (seed, shards) in [(51, 1), (52, 1), (53, 1), (54, 2)] {
+        let mut day = Day::new(seed, shards);
         let mut jobs = Vec::new();
         for n in 0..6 {
             let last = 62.0 + f64::from(n) * 2.0;
@@ -80,10 +80,10 @@
             day.writes = if n % 24 >= 20 { 0 } else { 3 };
             if n % 24 == 23 {
                 day.world.owners.clear();
-                for block in 0..blocks {
-                    match blocks {
+                for shard in 0..shards {
+                    match shards {
                         1 => day.world.take_over(),
-                        _ => day.world.take_over_block(block),
+                        _ => day.world.take_over_shard(shard),
                     }
                 }
             }
--- a/tests/rules/meetings/day.rs
+++ b/tests/rules/meetings/day.rs
@@ -46,8 +46,8 @@
 }
 
 impl Day {
-    pub(crate) fn new(seed: u64, blocks: u32) -> Self {
-        let mut world = World::of_blocks(seed, false, blocks);
+    pub(crate) fn new(seed: u64, shards: u32) -> Self {
+        let mut world = World::of_shards(seed, false, shards);
         world.calm = true;
         Self {
             world,
@@ -150,7 +150,7 @@
             }
         }
         if self.world.of > 1 {
-            self.world.between_blocks();
+            self.world.between_shards();
         }
         for owner in (0..self.world.owners.len()).rev() {
             self.act(owner);
@@ -198,10 +198,10 @@
         }
     }
 
-    /// Whom a machine of the zone reaches: the last owner of its block, or the former
+    /// Whom a machine of the zone reaches: the last owner of its shard, or the former
     /// one while both are apart from the rest.
     fn owner_of(&self, machine: &MachineId, zone: &str) -> Option<usize> {
-        let covers = |o: &Owner| o.core.shard.covers(machine);
+        let covers = |o: &Owner| o.core.scope.covers(machine);
         match self.apart == Some(zone) {
             true => self.world.owners.iter().position(covers),
             false => self.world.owners.iter().rposition(covers),
@@ -246,8 +246,8 @@
         if self.world.owners[owner].paused_until > now.0 {
             return;
         }
-        let shard = self.world.owners[owner].core.shard;
-        let same = |o: &Owner| o.core.shard == shard;
+        let scope = self.world.owners[owner].core.scope;
+        let same = |o: &Owner| o.core.scope == scope;
         let last = self.world.owners.iter().rposition(same) == Some(owner);
         let alone = self.apart.is_some() && !last;
         if !alone && (last || self.world.rng.random_bool(0.1)) {
@@ -255,7 +255,7 @@
             self.world.store.follow(&mut o.view);
             let changed = o.view.take_changed();
             o.core.jobs_changed(&o.view, &changed, now, 0);
-            if shard.is_part() {
+            if scope.is_part() {
                 o.core.look_at_limits(&o.view);
                 o.core.still_granted(&o.view);
             }
--- a/tests/rules/meetings/mod.rs
+++ b/tests/rules/meetings/mod.rs
@@ -1,5 +1,5 @@
 //! Meetings of decisions: two troubles at once, each by a script of its own, in
-//! worlds of several seeds and of one block and three.
+//! worlds of several seeds and of one shard and three.
 
 mod cancellation;
 mod cancellation_apart;
@@ -20,12 +20,12 @@
 /// it, then until all is long over. Every step checks the rules.
 pub(crate) fn meet(script: impl Fn(&mut World)) {
     for seed in SEEDS {
-        for blocks in [1, 3] {
+        for shards in [1, 3] {
             for beside in [false, true] {
-                let mut world = World::of_blocks(seed, false, blocks);
+                let mut world = World::of_shards(seed, false, shards);
                 world.calm = true;
                 world.faults.drawn = beside;
-                world.note(&format!("seed {seed}, {blocks} blocks, others {beside}"));
+                world.note(&format!("seed {seed}, {shards} blocks, others {beside}"));
                 script(&mut world);
                 world.run_for(60.0);
                 assert!(world.started > 0, "nothing_ran");
--- a/tests/rules/meetings/partition.rs
+++ b/tests/rules/meetings/partition.rs
@@ -19,13 +19,13 @@
 }
 
 /// All controllers end; none is back for so long.
-fn away(day: &mut Day, blocks: u32, seconds: f64) {
+fn away(day: &mut Day, shards: u32, seconds: f64) {
     day.world.owners.clear();
     day.run(seconds);
-    for block in 0..blocks {
-        match blocks {
+    for shard in 0..shards {
+        match shards {
             1 => day.world.take_over(),
-            _ => day.world.take_over_block(block),
+            _ => day.world.take_over_shard(shard),
         }
     }
 }
@@ -37,16 +37,16 @@
 fn a_zone_with_workers_and_the_owner_is_cut_off() {
     // As long as a view may be out of date while workers are answered by it.
     let answers_s = CANCEL_S - LEASE_S - 3.0;
-    for (seed, blocks) in [(81, 1), (82, 1), (83, 1), (84, 2)] {
-        let mut day = Day::new(seed, blocks);
+    for (seed, shards) in [(81, 1), (82, 1), (83, 1), (84, 2)] {
+        let mut day = Day::new(seed, shards);
         fill(&mut day, 25.0);
         day.apart = Some("zb");
         let former = day.world.owners.len();
         day.run(2.0);
-        for block in 0..blocks {
-            match blocks {
+        for shard in 0..shards {
+            match shards {
                 1 => day.world.take_over(),
-                _ => day.world.take_over_block(block),
+                _ => day.world.take_over_shard(shard),
             }
         }
         day.cancel("run-000000");
@@ -64,8 +64,8 @@
 /// reach them, for less and for more than a lease.
 #[test]
 fn machines_that_reach_no_controller_still_take_commands() {
-    for (seed, blocks, seconds) in [(91, 1, 8.0), (92, 1, 45.0), (93, 1, 90.0), (94, 2, 45.0)] {
-        let mut day = Day::new(seed, blocks);
+    for (seed, shards, seconds) in [(91, 1, 8.0), (92, 1, 45.0), (93, 1, 90.0), (94, 2, 45.0)] {
+        let mut day = Day::new(seed, shards);
         fill(&mut day, 15.0);
         let until = day.world.now + seconds;
         for w in day.world.workers.iter().step_by(2) {
@@ -89,13 +89,13 @@
 /// everything is, and nothing twice at a time.
 #[test]
 fn all_controllers_are_away_for_longer_than_a_lease() {
-    for (seed, blocks) in [(101, 1), (102, 1), (103, 2)] {
+    for (seed, shards) in [(101, 1), (102, 1), (103, 2)] {
         for (seconds, again) in [(10.0, false), (25.0, true), (60.0, true)] {
-            let mut day = Day::new(seed, blocks);
+            let mut day = Day::new(seed, shards);
             fill(&mut day, 40.0);
             day.cancel("run-000002");
             let before = day.world.started;
-            away(&mut day, blocks, seconds);
+            away(&mut day, shards, seconds);
             day.cancel("run-000004");
             day.run(4.0);
             let started = day.world.started - before;
@@ -110,13 +110,13 @@
 /// until it is proved that the tasks are gone.
 #[test]
 fn a_team_at_its_limit_and_a_cancellation_while_machines_cannot_be_asked() {
-    for (seed, blocks) in [(111, 1), (112, 1), (113, 1), (114, 2), (115, 2)] {
-        let mut day = Day::new(seed, blocks);
+    for (seed, shards) in [(111, 1), (112, 1), (113, 1), (114, 2), (115, 2)] {
+        let mut day = Day::new(seed, shards);
         let first = day.submit(10, json!({"crew": "red"}));
         day.lasting.insert(first.clone(), vec![500.0; 10]);
         day.run(6.0);
         let held = day.machines_of(&first);
-        let part = 10 / blocks as usize;
+        let part = 10 / shards as usize;
         assert!(held.len() + 2 >= part, "seed {seed}: {held:?}");
         let until = day.world.now + 30.0;
         for (n, id) in held.iter().enumerate() {
@@ -132,10 +132,10 @@
         day.run(0.5);
         day.cancel(&first);
         day.world.owners.clear();
-        for block in 0..blocks {
-            match blocks {
+        for shard in 0..shards {
+            match shards {
                 1 => day.world.take_over(),
-                _ => day.world.take_over_block(block),
+                _ => day.world.take_over_shard(shard),
             }
         }
         day.run(15.0);
@@ -150,9 +150,9 @@
 /// and for longer.
 #[test]
 fn a_leader_ends_while_machines_with_long_tasks_do_not_hear() {
-    for (seed, blocks) in [(121, 1), (122, 1), (123, 2)] {
+    for (seed, shards) in [(121, 1), (122, 1), (123, 2)] {
         for seconds in [6.0, 35.0] {
-            let mut day = Day::new(seed, blocks);
+            let mut day = Day::new(seed, shards);
             let long = day.submit(12, json!({}));
             day.lasting.insert(long.clone(), vec![100.0; 12]);
             day.run(6.0);
@@ -165,7 +165,7 @@
                     _ => drop(day.hung.insert(id, until)),
                 }
             }
-            away(&mut day, blocks, 1.0);
+            away(&mut day, shards, 1.0);
             for _ in 0..6 {
                 day.submit(4, json!({}));
                 day.run(2.0);
@@ -181,8 +181,8 @@
 /// go on: within their leases, and after.
 #[test]
 fn a_command_is_held_up_and_the_machine_goes_on() {
-    for (seed, blocks) in [(131, 1), (132, 1), (133, 1), (134, 2), (135, 2)] {
-        let mut day = Day::new(seed, blocks);
+    for (seed, shards) in [(131, 1), (132, 1), (133, 1), (134, 2), (135, 2)] {
+        let mut day = Day::new(seed, shards);
         (day.late_commands, day.lost_answers) = (0.3, 0.2);
         for n in 0..160 {
             if n % 4 == 0 {
@@ -214,8 +214,8 @@
 /// the fencing token that fences the start, so its room goes to nobody.
 #[test]
 fn starts_are_held_up_while_their_jobs_are_cancelled() {
-    for (seed, blocks) in [(141, 1), (142, 1), (143, 1), (144, 2), (145, 2)] {
-        let mut day = Day::new(seed, blocks);
+    for (seed, shards) in [(141, 1), (142, 1), (143, 1), (144, 2), (145, 2)] {
+        let mut day = Day::new(seed, shards);
         day.run(4.0);
         (day.late_commands, day.lost_answers) = (1.0, 1.0);
         let first = day.submit(10, json!({"crew": "red"}));
--- a/tests/rules/pipelines.rs
+++ b/tests/rules/pipelines.rs
@@ -117,7 +117,7 @@
 fn pipelines_keep_the_rules_while_all_faults_meet() {
     let (mut with_needs, mut ended_with_needs, mut cancelled_with_others) = (0, 0, 0);
     for seed in 500..508 {
-        let mut world = World::of_blocks(seed, false, 1 + seed as u32 % 3);
+        let mut world = World::of_shards(seed, false, 1 + seed as u32 % 3);
         world.pipelines = true;
         world.faults.drawn = true;
         world.note(&format!("seed {seed}"));
@@ -146,7 +146,7 @@
 #[test]
 fn pipelines_end_once_the_troubles_are_over() {
     for seed in 520..523 {
-        let mut world = World::of_blocks(seed, false, 1 + seed as u32 % 2);
+        let mut world = World::of_shards(seed, false, 1 + seed as u32 % 2);
         world.pipelines = true;
         for _ in 0..200 {
             world.step(true);
@@ -165,7 +165,7 @@
 fn records_of_larger_limits_are_served_under_smaller_ones() {
     let mut rejected = 0;
     for seed in 540..544 {
-        let mut world = World::of_blocks(seed, false, 1 + seed as u32 % 2);
+        let mut world = World::of_shards(seed, false, 1 + seed as u32 % 2);
         world.pipelines = seed % 4 > 1;
         world.accepted_bytes = 8192;
         world.store.limits.value_bytes = 8192;
--- a/tests/rules/random.rs
+++ b/tests/rules/random.rs
@@ -32,13 +32,13 @@
     }
 }
 
-/// The same with several blocks: tasks are left to other blocks, parts of limits
-/// move, and each block is granted anew now and then, while its last owner goes
-/// on. Two blocks' writes to one job meet all the time.
+/// The same with several shards: tasks are left to other shards, parts of limits
+/// move, and each shard is granted anew now and then, while its last owner goes
+/// on. Two shards' writes to one job meet all the time.
 #[test]
-fn rules_hold_over_several_blocks() {
+fn rules_hold_over_several_shards() {
     for seed in 300..312 {
-        let mut world = World::of_blocks(seed, false, 2 + seed as u32 % 2);
+        let mut world = World::of_shards(seed, false, 2 + seed as u32 % 2);
         world.staged = seed % 4 > 1;
         for _ in 0..500 {
             world.step(true);
@@ -59,7 +59,7 @@
 #[test]
 fn all_accepted_arrays_finish_once_the_troubles_allow() {
     for seed in 100..106 {
-        let mut world = World::of_blocks(seed, false, 1 + seed as u32 % 3);
+        let mut world = World::of_shards(seed, false, 1 + seed as u32 % 3);
         world.staged = seed % 4 > 1;
         for _ in 0..200 {
             world.step(true);
@@ -85,7 +85,7 @@
 #[test]
 fn rules_hold_while_all_faults_meet() {
     for seed in 400..412 {
-        let mut world = World::of_blocks(seed, false, 1 + seed as u32 % 3);
+        let mut world = World::of_shards(seed, false, 1 + seed as u32 % 3);
         world.faults.drawn = true;
         world.note(&format!("seed {seed}"));
         for _ in 0..500 {
--- a/tests/rules/recording.rs
+++ b/tests/rules/recording.rs
@@ -12,7 +12,7 @@
 use sorrelhinge::state::Transaction;
 use sorrelhinge::types::{JobId, MachineId, Time};
 use sorrelhinge_sharding::served::Sort;
-use sorrelhinge_sharding::shard::{of_job, of_machine, BlockId};
+use sorrelhinge_sharding::shard::{of_job, of_machine, ShardId};
 
 use crate::*;
 
@@ -150,19 +150,19 @@
     assert_eq!(pending.take(false, Time(30.0)), Some(Due::Chunk(chunk(6))));
 }
 
-/// A block to which a task was left, and which another block's claim forestalled,
+/// A shard to which a task was left, and which another shard's claim forestalled,
 /// leaves the record alone: it once deleted the whole chunk, with what others
 /// claimed in it, and their tasks were started a second time.
 #[test]
-fn a_block_that_was_forestalled_deletes_nothing_of_the_job() {
-    let mut world = World::of_blocks(5, false, 2);
+fn a_shard_that_was_forestalled_deletes_nothing_of_the_job() {
+    let mut world = World::of_shards(5, false, 2);
     for _ in 0..3 {
         for at in 0..world.workers.len() {
             world.now += 0.1;
             world.heartbeat(at);
         }
     }
-    let (home, other) = (BlockId(0), BlockId(1));
+    let (home, other) = (ShardId(0), ShardId(1));
     let mut id = 0;
     let homed = |n: u32| of_job(&JobId::from(&*format!("run-{n:06}")), 2) == home;
     while !homed(id) {
@@ -177,7 +177,7 @@
     world.accept(job);
     let id = JobId::from(&*format!("run-{id:06}"));
     let at = |world: &World, b| {
-        let has = |o: &Owner| o.core.shard.block == b;
+        let has = |o: &Owner| o.core.scope.shard == b;
         world.owners.iter().position(has).expect("an owner")
     };
     let mut theirs = world.workers.iter().map(|w| MachineId::from(w.id.as_str()));
@@ -193,7 +193,7 @@
     };
     follow(&mut world);
     let left = LeftTo {
-        block: other,
+        shard: other,
         job: id.clone(),
         tasks: vec![0],
     };
--- a/tests/rules/blocks.rs
+++ b/tests/rules/shards.rs
@@ -1,17 +1,17 @@
-//! Blocks leave tasks to each other, and parts of a limit move.
+//! Shards leave tasks to each other, and parts of a limit move.
 
 use rand::Rng;
 use serde_json::json;
 use sorrelhinge::state::record::SliceRecord;
 use sorrelhinge::types::{Amount, Time, Zone};
-use sorrelhinge_sharding::shard::BlockId;
+use sorrelhinge_sharding::shard::ShardId;
 
 use crate::*;
 
 impl World {
-    /// Blocks leave tasks to each other, and parts of a limit move. Messages are
+    /// Shards leave tasks to each other, and parts of a limit move. Messages are
     /// lost; an answer may be, though the transaction was carried out.
-    pub(crate) fn between_blocks(&mut self) {
+    pub(crate) fn between_shards(&mut self) {
         for w in &self.workers {
             if self.rng.random_bool(0.3) {
                 let zone = Zone::from(w.zone);
@@ -22,7 +22,7 @@
             let now = Time(self.now);
             for other in 0..self.of {
                 let room = self.rng.random_range(0..9) * 1000;
-                self.owners[at].core.has_room(BlockId(other), room, now);
+                self.owners[at].core.has_room(ShardId(other), room, now);
             }
             let o = &mut self.owners[at];
             o.core.look_elsewhere(&o.view);
@@ -32,7 +32,7 @@
                 let taker = self
                     .owners
                     .iter()
-                    .rposition(|t| t.core.shard.block == left.block);
+                    .rposition(|t| t.core.scope.shard == left.shard);
                 if let Some(taker) = taker.filter(|t| *t != at && self.rng.random_bool(0.8)) {
                     let t = &mut self.owners[taker];
                     t.core.left_here(&t.view, &left, now, 0);
@@ -44,10 +44,10 @@
 
     pub(crate) fn give(&mut self, at: usize) {
         let o = &mut self.owners[at];
-        let me = o.core.shard.block;
-        let key = |b: BlockId| format!("h/slice/{}", b.0);
+        let me = o.core.scope.shard;
+        let key = |b: ShardId| format!("h/slice/{}", b.0);
         if o.gift.is_none() && self.rng.random_bool(0.1) {
-            let to = BlockId(self.rng.random_range(0..self.of));
+            let to = ShardId(self.rng.random_range(0..self.of));
             let (Some(mine), Some(theirs)) = (o.view.slices.get(&me), o.view.slices.get(&to))
             else {
                 return;
@@ -56,7 +56,7 @@
             let used = o.core.needs()[0].used.cpu;
             let most = part(&mine.value) - used;
             // One that knows it is deposed gives nothing.
-            let granted = o.view.blocks[&me].value.number == o.core.grant;
+            let granted = o.view.shards[&me].value.number == o.core.grant;
             if to == me || most < 1000 || !granted {
                 return;
             }
@@ -66,9 +66,9 @@
                 s.teams[0].cpu += by;
                 serde_json::to_value(s).expect("record")
             };
-            let block = format!("h/block/{}", me.0);
-            let grant = o.view.blocks[&me].mod_revision;
-            let transaction = json!({"when": [{"key": block, "stamp": grant},
+            let shard = format!("h/block/{}", me.0);
+            let grant = o.view.shards[&me].mod_revision;
+            let transaction = json!({"when": [{"key": shard, "stamp": grant},
                     {"key": key(me), "stamp": mine.mod_revision}, {"key": key(to), "stamp": theirs.mod_revision}],
                 "apply": [{"write": key(me), "value": changed(&mine.value, -give)},
                     {"write": key(to), "value": changed(&theirs.value, give)}]});
--- a/tests/rules/world.rs
+++ b/tests/rules/world.rs
@@ -13,7 +13,7 @@
     Batch, Core, Dispatch, Places, RecoveryInput, ShardGrant, Source,
 };
 use sorrelhinge::state::record::{
-    chunk_key, job_key, BlockRecord, GrantRecord, JobRecord, NewJob, GRANT,
+    chunk_key, job_key, GrantRecord, JobRecord, NewJob, ShardRecord, GRANT,
 };
 use sorrelhinge::state::view::View;
 use sorrelhinge::state::{Outcome, Transaction};
@@ -21,17 +21,17 @@
 use sorrelhinge::worker::{Heartbeat, Sending};
 use sorrelhinge_overload::freshness::Freshness;
 use sorrelhinge_protocol::placement::PlacementRules;
-use sorrelhinge_sharding::shard::{BlockId, Shard};
+use sorrelhinge_sharding::shard::{ShardId, ShardScope};
 use sorrelhinge_topology::Topology;
 
 use crate::*;
 
-/// An owner of the block, perhaps a former one.
+/// An owner of the shard, perhaps a former one.
 pub(crate) struct Owner {
     pub(crate) core: Core,
     pub(crate) view: View,
     pub(crate) pending: Option<Batch>,
-    /// Part of the red team's limit that is on its way to another block: the
+    /// Part of the red team's limit that is on its way to another shard: the
     /// transaction, and how many thousandths of a CPU.
     pub(crate) gift: Option<(Value, i64)>,
     /// Its process stands still until then, while clocks run on.
@@ -45,7 +45,7 @@
 }
 
 pub(crate) struct World {
-    /// Blocks: each owner has one of so many.
+    /// Shards: each owner has one of so many.
     pub(crate) of: u32,
     pub(crate) places: Places,
     pub(crate) topology: Option<Rc<Topology>>,
@@ -100,10 +100,10 @@
     }
 
     pub(crate) fn with(seed: u64, with_topology: bool) -> Self {
-        Self::of_blocks(seed, with_topology, 1)
+        Self::of_shards(seed, with_topology, 1)
     }
 
-    pub(crate) fn of_blocks(seed: u64, with_topology: bool, of: u32) -> Self {
+    pub(crate) fn of_shards(seed: u64, with_topology: bool, of: u32) -> Self {
         let mut world = Self {
             of,
             places: Places::default(),
@@ -142,17 +142,17 @@
         world
     }
 
-    /// The blocks, their parts of the limits, and an owner for each.
+    /// The shards, their parts of the limits, and an owner for each.
     fn divide(&mut self) {
         let of = self.of;
         self.store.write("h/map", json!({"v": 1, "blocks": of}));
-        for block in 0..of {
-            let part = 10_000 / i64::from(of) + i64::from(block == 0) * (10_000 % i64::from(of));
+        for shard in 0..of {
+            let part = 10_000 / i64::from(of) + i64::from(shard == 0) * (10_000 % i64::from(of));
             let slice = json!({"v": 1, "t": [["red", part, 0], ["blue", 1_000_000, 0]]});
-            self.store.write(&format!("h/slice/{block}"), slice);
+            self.store.write(&format!("h/slice/{shard}"), slice);
         }
-        for block in 0..of {
-            self.take_over_block(block);
+        for shard in 0..of {
+            self.take_over_shard(shard);
         }
     }
 
@@ -169,10 +169,10 @@
         config
     }
 
-    /// A block is granted anew; its last owner may not have heard of that.
-    pub(crate) fn take_over_block(&mut self, block: u32) {
+    /// A shard is granted anew; its last owner may not have heard of that.
+    pub(crate) fn take_over_shard(&mut self, shard: u32) {
         self.grants += 1;
-        let record = BlockRecord {
+        let record = ShardRecord {
             version: 1,
             owner: settings::config(1.0).node.clone(),
             run: 0,
@@ -181,16 +181,16 @@
             to: None,
             pin: None,
         };
-        let key = format!("h/block/{block}");
+        let key = format!("h/block/{shard}");
         self.store
             .write(&key, serde_json::to_value(&record).expect("record"));
         let view = self.whole_view();
-        let block = BlockId(block);
-        let shard = Shard { block, of: self.of };
+        let shard = ShardId(shard);
+        let scope = ShardScope { shard, of: self.of };
         let grant = ShardGrant {
-            shard,
+            scope,
             number: self.grants,
-            revision: view.blocks[&block].mod_revision,
+            revision: view.shards[&shard].mod_revision,
         };
         let input = RecoveryInput {
             cfg: self.config(),
@@ -202,9 +202,9 @@
         };
         let core = Core::load(&input, grant, self.places.clone());
         self.add_owner(core, view);
-        let same = self.owners.iter().filter(|o| o.core.shard == shard);
+        let same = self.owners.iter().filter(|o| o.core.scope == scope);
         if same.count() > 2 {
-            let first = self.owners.iter().position(|o| o.core.shard == shard);
+            let first = self.owners.iter().position(|o| o.core.scope == scope);
             self.owners.remove(first.expect("one of them"));
         }
         self.deliver_kept();
@@ -235,8 +235,8 @@
 
     pub(crate) fn take_over(&mut self) {
         if self.of > 1 {
-            let block = self.rng.random_range(0..self.of);
-            return self.take_over_block(block);
+            let shard = self.rng.random_range(0..self.of);
+            return self.take_over_shard(shard);
         }
         self.grants += 1;
         let grant = GrantRecord {
@@ -503,7 +503,7 @@
         }
         // Now and then a heartbeat still goes to an owner that was deposed.
         let machine = MachineId::from(self.workers[at].id.as_str());
-        let covers = |o: &Owner| o.core.shard.covers(&machine);
+        let covers = |o: &Owner| o.core.scope.covers(&machine);
         let owner = if self.faults.to_first || self.luck(0.15) {
             self.owners.iter().position(covers)
         } else {
@@ -557,7 +557,7 @@
             return;
         }
         let heartbeat = &self.copies[self.rng.random_range(0..self.copies.len())];
-        let covers = |o: &&mut Owner| o.core.shard.covers(&heartbeat.machine);
+        let covers = |o: &&mut Owner| o.core.scope.covers(&heartbeat.machine);
         for o in self.owners.iter_mut().filter(covers) {
             // Nobody takes the answer.
             if !o.core.is_copy(heartbeat)
@@ -577,11 +577,11 @@
         let now = Time(self.now);
         // Only a list shows that a machine which a record claims is gone: its
         // deletion may have gone unrecorded.
-        let shard = self.owners[owner].core.shard;
+        let scope = self.owners[owner].core.scope;
         let list: Vec<ListedMachine> = self
             .workers
             .iter()
-            .filter(|w| shard.covers(&w.id.as_str().into()))
+            .filter(|w| scope.covers(&w.id.as_str().into()))
             .map(|w| ListedMachine {
                 id: MachineId::from(w.id.as_str()),
                 addr: "127.0.0.1:9".parse().ok(),
@@ -641,7 +641,7 @@
         }
         self.change_owners();
         if self.of > 1 && !self.in_outage() {
-            self.between_blocks();
+            self.between_shards();
         }
         self.operate();
         self.carry_out_late();
@@ -658,16 +658,16 @@
         self.check_not_orphaned();
     }
 
-    /// Blocks that nobody owns are granted, others are granted anew now and then, and
+    /// Shards that nobody owns are granted, others are granted anew now and then, and
     /// owners stand still.
     fn change_owners(&mut self) {
-        let owned = |b: u32| self.owners.iter().any(|o| o.core.shard.block.0 == b);
+        let owned = |b: u32| self.owners.iter().any(|o| o.core.scope.shard.0 == b);
         if self.in_outage() {
             // No grant is written.
-        } else if let Some(block) = (0..self.of).find(|b| !owned(*b)) {
+        } else if let Some(shard) = (0..self.of).find(|b| !owned(*b)) {
             match self.of {
                 1 => self.take_over(),
-                _ => self.take_over_block(block),
+                _ => self.take_over_shard(shard),
             }
         } else if self.luck(0.01) {
             self.take_over();
@@ -767,8 +767,8 @@
     /// An owner hears of changes; a deposed one may not have heard of anything for long.
     fn follow(&mut self, owner: usize) {
         let now = Time(self.now);
-        let shard = self.owners[owner].core.shard;
-        let last = self.owners.iter().rposition(|o| o.core.shard == shard);
+        let scope = self.owners[owner].core.scope;
+        let last = self.owners.iter().rposition(|o| o.core.scope == scope);
         let hears = last == Some(owner) || self.rng.random_bool(0.1);
         if !hears || !self.is_served(owner) {
             return;
@@ -780,7 +780,7 @@
         let changed = o.view.take_changed();
         o.core.jobs_changed(&o.view, &changed, now, 0);
         o.core.set_drains(&o.view, now);
-        if shard.is_part() {
+        if scope.is_part() {
             o.core.look_at_limits(&o.view);
             o.core.still_granted(&o.view);
         }
--- a/tests/blocks.rs
+++ b/tests/shards.rs
@@ -1,6 +1,6 @@
-//! Several blocks with an owner each: real controllers on loopback, moves all the
+//! Several shards with an owner each: real controllers on loopback, moves all the
 //! time, owners and the leader killed. Every task ends once, limits hold at every
-//! moment, and the other blocks go on.
+//! moment, and the other shards go on.
 
 #[path = "loopback/cancellation.rs"]
 mod cancellation;
@@ -22,7 +22,7 @@
     }
 }
 
-/// Who owns each block, as recorded.
+/// Who owns each shard, as recorded.
 fn owners(world: &World) -> BTreeMap<u32, String> {
     let store = world.store.borrow();
     (0..5)
@@ -74,7 +74,7 @@
 }
 
 #[test]
-fn blocks_move_all_the_time_while_jobs_run() {
+fn shards_move_all_the_time_while_jobs_run() {
     run(async {
         let world = World::start(plan(
             "moves",
@@ -121,10 +121,10 @@
     });
 }
 
-/// An operator's commands: what is wrong is refused with a reason, a block goes
+/// An operator's commands: what is wrong is refused with a reason, a shard goes
 /// where it is pinned and stays, and comes back once it is free.
 #[test]
-fn an_operator_moves_a_block() {
+fn an_operator_moves_a_shard() {
     run(async {
         let world = World::start(plan("pinned", 94, 3, "blocks.least=3\n")).await;
         world.until("each owns a block", 30, each_owns_one).await;
@@ -161,7 +161,7 @@
 }
 
 /// Every owner ends and is back at once, alone and all together, before its former
-/// process's lease has ended: none takes the former one's blocks for its own, and
+/// process's lease has ended: none takes the former one's shards for its own, and
 /// every task ends once.
 #[test]
 fn owners_that_are_back_at_once_own_what_they_were_granted() {
@@ -199,7 +199,7 @@
     held.map_or(Value::Null, |h| h["run"].clone())
 }
 
-/// Each block's owner is listed, as the process that the block was granted.
+/// Each shard's owner is listed, as the process that the shard was granted.
 fn owns_as_itself(world: &World) -> bool {
     let store = world.store.borrow();
     (0..3).all(|b| {
@@ -244,10 +244,10 @@
     });
 }
 
-/// All controllers are restarted one after the other with one block, and then
+/// All controllers are restarted one after the other with one shard, and then
 /// with three again: what runs goes on, and work is taken all the time.
 #[test]
-fn from_three_blocks_to_one_and_back_by_rolling_restarts() {
+fn from_three_shards_to_one_and_back_by_rolling_restarts() {
     run(async {
         let mut world = World::start(plan("rolled", 98, 4, "blocks.least=3\n")).await;
         world.until("each owns a block", 30, each_owns_one).await;
@@ -272,8 +272,8 @@
             }
             let so = |w: &World| match round {
                 0 => {
-                    let blocks = w.store.borrow().get("h/map").map(|m| m["blocks"].clone());
-                    blocks == Some(json!(1)) && owners(w).is_empty()
+                    let shards = w.store.borrow().get("h/map").map(|m| m["blocks"].clone());
+                    shards == Some(json!(1)) && owners(w).is_empty()
                 }
                 _ => each_owns_one(w),
             };
@@ -295,10 +295,10 @@
 }
 
 /// Owners stand still for longer than their lease, one after the other, while
-/// blocks move, and the state service is away in the midst of it: whoever wakes
+/// shards move, and the state service is away in the midst of it: whoever wakes
 /// up later acts no more, and nothing is lost.
 #[test]
-fn owners_stand_still_and_the_state_service_is_away_while_blocks_move() {
+fn owners_stand_still_and_the_state_service_is_away_while_shards_move() {
     run(async {
         let moves = "blocks.least=3\nblocks.move.every.s=2\n";
         let world = World::start(plan("frozen", 102, 5, moves)).await;
--- a/tests/single_tasks.rs
+++ b/tests/single_tasks.rs
@@ -1,6 +1,6 @@
 //! One-task jobs come four a second, a quarter of them cancelled, while leaders end and
-//! are back at once. Real controllers on loopback, three with one block and five with
-//! three blocks.
+//! are back at once. Real controllers on loopback, three with one shard and five with
+//! three shards.
 
 mod loopback;
 
@@ -82,12 +82,12 @@
 }
 
 #[test]
-fn jobs_of_one_task_while_leaders_end_one_block() {
+fn jobs_of_one_task_while_leaders_end_one_shard() {
     run(day(loopback::plan("single_tasks_one", 60, 4)));
 }
 
 #[test]
-fn jobs_of_one_task_while_leaders_end_three_blocks_and_five_controllers() {
+fn jobs_of_one_task_while_leaders_end_three_shards_and_five_controllers() {
     run(day(Plan {
         controllers: 5,
         properties: "blocks.least=3\n",
--- a/tests/staging.rs
+++ b/tests/staging.rs
@@ -1,4 +1,4 @@
-//! Images that go from machine to machine, as the owner of the block decides:
+//! Images that go from machine to machine, as the owner of the shard decides:
 //! the core alone, with what the state service and the workers would say.
 
 #[path = "cluster_states/machine_types.rs"]
@@ -22,7 +22,7 @@
     Image, JobId, JobSpec, Kind, MachineId, MachineType, Priority, Revision, Time, Zone,
 };
 use sorrelhinge::worker::Sending;
-use sorrelhinge_sharding::shard::BlockId;
+use sorrelhinge_sharding::shard::ShardId;
 
 use self::machine_types::machine_type;
 use self::teams::team;
@@ -46,7 +46,7 @@
     read_job(job).expect("a job")
 }
 
-/// The state service, the workers, and the owner of the block.
+/// The state service, the workers, and the owner of the shard.
 struct World {
     properties: &'static str,
     core: Core,
@@ -313,7 +313,7 @@
     }
     world.steps(20);
     let last = world.wave_changes().pop().cloned().expect("a change");
-    let key = wave_key(BlockId(0), image_hash(&Image::from(MODEL)));
+    let key = wave_key(ShardId(0), image_hash(&Image::from(MODEL)));
     assert_eq!(last["delete"], key);
     let changes = world.wave_changes();
     assert!(changes.len() <= 5, "{changes:?}");
@@ -385,23 +385,23 @@
 }
 
 /// A record that a later version wrote is left alone: its image is fetched as
-/// before, and no claim waits for a write that can't succeed. One of a block that
+/// before, and no claim waits for a write that can't succeed. One of a shard that
 /// there is no more is deleted.
 #[test]
-fn records_of_a_later_version_and_of_no_block() {
+fn records_of_a_later_version_and_of_no_shard() {
     let mut world = World::new(ON, 4);
     let hash = image_hash(&Image::from(MODEL));
     let later = json!({"v": 9, "i": MODEL, "s": {"more": 1}});
-    world.put(json!({"write": wave_key(BlockId(0), hash), "value": later}));
+    world.put(json!({"write": wave_key(ShardId(0), hash), "value": later}));
     let old = json!({"v": 1, "i": MODEL, "s": 2, "m": ["m0"]});
-    world.put(json!({"write": wave_key(BlockId(1), hash), "value": old}));
+    world.put(json!({"write": wave_key(ShardId(1), hash), "value": old}));
     world.take_over();
     world.submit("run-1", service("run-1", 4, MODEL, 40.0, 3.0));
     world.steps(8);
     assert_eq!(world.counts(), (4, 4));
     let changes = world.wave_changes();
     assert_eq!(changes.len(), 3, "{changes:?}");
-    assert_eq!(changes[2]["delete"], wave_key(BlockId(1), hash));
+    assert_eq!(changes[2]["delete"], wave_key(ShardId(1), hash));
 }
 
 fn cluster_state(machines: usize) -> ClusterState {
--- a/tests/topology_cases.rs
+++ b/tests/topology_cases.rs
@@ -1,5 +1,5 @@
 //! The hard cases of placing by failure domains and devices, one by one, on a
-//! cluster state or with the block owner's core.
+//! cluster state or with the shard owner's core.
 
 #[path = "cluster_states/machine_types.rs"]
 mod machine_types;
