--- a/crates/agent/src/agent.rs
+++ b/crates/agent/src/agent.rs
@@ -36,9 +36,9 @@
 use crate::clock;
 use crate::core::{Action, Core, Key, Note};
 use crate::describe::{Description, Source};
-use crate::hand_on::Hands;
 use crate::images::Cache;
 use crate::journal::{Journal, JournalError};
+use crate::peer_transfer::ImageServer;
 use crate::settings::Settings;
 use crate::supervise::write_lease;
 
@@ -66,7 +66,7 @@
     images: RefCell<Cache>,
     fetches: RefCell<BTreeMap<String, Fetching>>,
     /// Handing on, if the settings say so.
-    hands: Option<Rc<Hands>>,
+    hands: Option<Rc<ImageServer>>,
     unpacking: Arc<Mutex<()>>,
     /// The disk failed: nothing is taken on, and nothing is said any more,
     /// since what is said could not be kept.
@@ -123,7 +123,10 @@
         })?;
         let journal = Journal::open(&root)?;
         let Leftover { found, watched } = recover(&root, &journal);
-        let hands = settings.hand_on.clone().map(|s| Rc::new(Hands::new(s)));
+        let hands = settings
+            .hand_on
+            .clone()
+            .map(|s| Rc::new(ImageServer::new(s)));
         let cache = cache_found(&root, settings.cache_bytes(), hands.as_deref(), &watched)
             .map_err(failed)?;
         let now = clock::now();
@@ -192,7 +195,9 @@
             // else before its tasks are killed.
             let jitter = rand::rng().random_range(-0.25..0.25);
             if let Some(hands) = &self.hands {
-                self.core.borrow_mut().hands_on(hands.told().into_iter());
+                self.core
+                    .borrow_mut()
+                    .serves_images(hands.told().into_iter());
             }
             let actions = self.core.borrow_mut().tick(jitter, clock::now());
             self.do_all(actions);
--- a/crates/agent/src/agent/images.rs
+++ b/crates/agent/src/agent/images.rs
@@ -14,9 +14,9 @@
 use crate::describe::Source;
 use crate::download;
 use crate::fetch::{Failed, Fetch, FetchFailure};
-use crate::hand_on::Hands;
 use crate::images::{self, Image, Step};
 use crate::part;
+use crate::peer_transfer::ImageServer;
 use crate::sources::Sources;
 
 /// An image's fetch: what ends it, and whom it may take from.
@@ -90,14 +90,14 @@
     }
 
     /// Nobody waits for an image any more: its fetch ends. The chunks that have
-    /// come stay for the next one that wants it, as long as there is room.
+    /// come stay for the next one that wants it, as long as there is free capacity.
     pub(super) fn give_up(&self, sum: &str) {
         if let Some(fetch) = self.fetches.borrow_mut().remove(sum) {
             fetch.abort.abort();
         }
         let Some(hands) = &self.hands else { return };
         match hands.part(sum) {
-            Some(part) => self.images.borrow_mut().leave(sum, part.sums().bytes),
+            Some(part) => self.images.borrow_mut().leave(sum, part.checksums().bytes),
             None => self.remove_part(sum),
         }
     }
@@ -112,7 +112,7 @@
     }
 
     /// Keeps the cache's bound.
-    fn make_room(&self) {
+    fn plan_preemption(&self) {
         let out = self.images.borrow_mut().evict();
         for sum in out {
             tracing::info!(image = sum, "removed from the cache");
@@ -139,7 +139,7 @@
         if let Err(failed) = fetched {
             self.fetch_failed(&image, &failed);
         }
-        self.make_room();
+        self.plan_preemption();
         self.imaged(waiting, bytes.is_some());
     }
 
@@ -149,7 +149,7 @@
         source: Source,
         image: &Image,
         sources: Rc<RefCell<Sources>>,
-        hands: Rc<Hands>,
+        hands: Rc<ImageServer>,
     ) -> Result<u64, Failed> {
         let agent = Rc::downgrade(self);
         let sum = image.sha256.clone();
@@ -162,10 +162,10 @@
             parts: self.settings.folder.join(PARTS_FOLDER),
             most: self.settings.cache_bytes(),
             unpacking: self.unpacking.clone(),
-            room: Box::new(move |bytes| {
+            free_capacity: Box::new(move |bytes| {
                 if let Some(agent) = agent.upgrade() {
                     agent.images.borrow_mut().comes(&sum, bytes);
-                    agent.make_room();
+                    agent.plan_preemption();
                 }
             }),
         };
@@ -179,7 +179,7 @@
         let part = self.hands.as_ref().and_then(|h| h.part(&image.sha256));
         match part.filter(|_| failed.keep) {
             Some(part) => {
-                let bytes = part.sums().bytes;
+                let bytes = part.checksums().bytes;
                 self.images.borrow_mut().leave(&image.sha256, bytes);
             }
             None => self.remove_part(&image.sha256),
--- a/crates/agent/src/agent/recovery.rs
+++ b/crates/agent/src/agent/recovery.rs
@@ -12,10 +12,10 @@
 use super::PARTS_FOLDER;
 use crate::attempt::Folder;
 use crate::core::{Key, Recovered};
-use crate::hand_on::Hands;
 use crate::images::{self, Cache, CachedImage};
 use crate::journal::Journal;
 use crate::part::{self, Part};
+use crate::peer_transfer::ImageServer;
 use crate::supervise::read_lease;
 
 /// What an earlier agent left.
@@ -57,12 +57,12 @@
     Leftover { found, watched }
 }
 
-/// The images that are there, with the room that archives take, wanted by the
+/// The images that are there, with the free capacity that archives take, wanted by the
 /// attempts that run.
 pub(super) fn cache_found(
     root: &Path,
     most_bytes: u64,
-    hands: Option<&Hands>,
+    hands: Option<&ImageServer>,
     watched: &BTreeMap<Key, Watched>,
 ) -> std::io::Result<Cache> {
     let there = images::there(&root.join("images"))?;
@@ -82,7 +82,7 @@
 /// is of no use is removed.
 fn find_parts(
     root: &Path,
-    hands: Option<&Hands>,
+    hands: Option<&ImageServer>,
     there: &[CachedImage],
     cache: &mut Cache,
 ) -> std::io::Result<()> {
@@ -98,10 +98,10 @@
         let sum = entry?.file_name().to_string_lossy().into_owned();
         let is_there = there.iter().any(|image| image.sha256 == sum);
         match Part::found(&folder, &sum) {
-            // Without the image beside it, its room is not counted otherwise.
+            // Without the image beside it, its free capacity is not counted otherwise.
             Ok(part) if part.is_whole() || !is_there => {
                 if !is_there {
-                    cache.leave(&sum, part.sums().bytes);
+                    cache.leave(&sum, part.checksums().bytes);
                 }
                 hands.keep(Rc::new(part));
             }
--- a/crates/agent/src/agent/server.rs
+++ b/crates/agent/src/agent/server.rs
@@ -19,7 +19,7 @@
 use super::{Agent, MAX_BODY_BYTES};
 use crate::clock;
 use crate::core::{Action, Told};
-use crate::hand_on;
+use crate::peer_transfer;
 
 /// How long the body of a command may take.
 const BODY_TIMEOUT: Duration = Duration::from_secs(10);
@@ -30,13 +30,13 @@
 
 impl Agent {
     /// Carries out what a command came to, and answers it.
-    fn told(self: &Rc<Self>, told: Told, actions: Vec<Action>) -> hand_on::Answer {
+    fn told(self: &Rc<Self>, told: Told, actions: Vec<Action>) -> peer_transfer::Answer {
         // What is answered is on disk before it is said.
         self.do_all(actions);
         match told {
             Told::Heartbeat(taken, heartbeat) if !*self.failed.borrow() => {
                 let body = serde_json::to_vec(&heartbeat).unwrap_or_default();
-                hand_on::plain(if taken { 200 } else { 409 }, body)
+                peer_transfer::plain(if taken { 200 } else { 409 }, body)
             }
             Told::Heartbeat(..) => error(503, "the disk fails"),
             Told::NotNow => error(503, "tasks are being killed"),
@@ -44,7 +44,11 @@
     }
 
     /// The answer to any request: parts of images are handed on, all else is a command.
-    async fn answer(self: &Rc<Self>, from: IpAddr, request: Request<Incoming>) -> hand_on::Answer {
+    async fn answer(
+        self: &Rc<Self>,
+        from: IpAddr,
+        request: Request<Incoming>,
+    ) -> peer_transfer::Answer {
         if let Some(hands) = &self.hands {
             if request.uri().path().starts_with("/images/") {
                 let range = request.headers().get("range");
@@ -58,7 +62,7 @@
     }
 
     /// The answer to a request of a controller, or of whoever looks at the machine.
-    async fn command(self: &Rc<Self>, request: Request<Incoming>) -> hand_on::Answer {
+    async fn command(self: &Rc<Self>, request: Request<Incoming>) -> peer_transfer::Answer {
         let (method, path) = (request.method().clone(), request.uri().path().to_owned());
         match (method, path.as_str()) {
             (Method::GET, "/status") => {
@@ -84,9 +88,9 @@
 }
 
 /// An answer that tells what is wrong.
-fn error(status: u16, why: &str) -> hand_on::Answer {
+fn error(status: u16, why: &str) -> peer_transfer::Answer {
     let body = serde_json::json!({ "error": why });
-    hand_on::plain(status, body.to_string())
+    peer_transfer::plain(status, body.to_string())
 }
 
 /// Takes connections, and answers what comes over them, for ever.
--- a/crates/agent/src/sums.rs
+++ b/crates/agent/src/checksums.rs
@@ -5,7 +5,7 @@
 //! {"version":1,"sha256":"9f86...","bytes":20000000,"chunk":8388608,"sums":["60303a...","fd61...","a3b5..."]}
 //! ```
 //!
-//! `sha256` and `bytes` are the whole archive's; `sums` has the SHA-256 of each
+//! `sha256` and `bytes` are the whole archive's; `checksums` has the SHA-256 of each
 //! chunk of `chunk` bytes, of which the last may be shorter. It is passed on
 //! byte by byte as it came, so that it may itself be known by its sum.
 
@@ -27,7 +27,7 @@
 
 /// Why a file of sums can't be used.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum SumsError {
+pub enum ChecksumsError {
     /// It is not JSON, or not of the format.
     #[error("sums: {0}")]
     Malformed(String),
@@ -38,10 +38,10 @@
     #[error("sums: chunks of {0} bytes")]
     Chunk(u64),
     /// The number of sums, of bytes and of a chunk's bytes don't go together.
-    #[error("sums: {sums} of them for {bytes} bytes in chunks of {chunk}")]
+    #[error("sums: {checksums} of them for {bytes} bytes in chunks of {chunk}")]
     Count {
         /// How many sums there are.
-        sums: usize,
+        checksums: usize,
         /// The archive's bytes.
         bytes: u64,
         /// A chunk's bytes.
@@ -61,39 +61,42 @@
 
 /// The sums of an image.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Sums {
+pub struct Checksums {
     version: u32,
     /// SHA-256 of the whole archive.
     pub sha256: String,
     /// Bytes of the whole archive.
     pub bytes: u64,
     chunk: u64,
-    sums: Vec<String>,
+    #[serde(rename = "sums")]
+    checksums: Vec<String>,
 }
 
-impl Sums {
+impl Checksums {
     /// Reads a file of sums. Unknown fields are ignored.
     ///
     /// # Errors
     /// What is wrong with it: malformed, of a later version, or its numbers
     /// don't go together.
-    pub fn read(text: &[u8]) -> Result<Self, SumsError> {
-        let sums: Self =
-            serde_json::from_slice(text).map_err(|e| SumsError::Malformed(e.to_string()))?;
-        if sums.version != VERSION {
-            return Err(SumsError::Version(sums.version));
+    pub fn read(text: &[u8]) -> Result<Self, ChecksumsError> {
+        let checksums: Self =
+            serde_json::from_slice(text).map_err(|e| ChecksumsError::Malformed(e.to_string()))?;
+        if checksums.version != VERSION {
+            return Err(ChecksumsError::Version(checksums.version));
         }
-        if !ALLOWED_CHUNK_BYTES.contains(&sums.chunk) {
-            return Err(SumsError::Chunk(sums.chunk));
+        if !ALLOWED_CHUNK_BYTES.contains(&checksums.chunk) {
+            return Err(ChecksumsError::Chunk(checksums.chunk));
         }
-        if sums.bytes == 0 || sums.bytes.div_ceil(sums.chunk) != sums.sums.len() as u64 {
-            return Err(SumsError::Count {
-                sums: sums.sums.len(),
-                bytes: sums.bytes,
-                chunk: sums.chunk,
+        if checksums.bytes == 0
+            || checksums.bytes.div_ceil(checksums.chunk) != checksums.checksums.len() as u64
+        {
+            return Err(ChecksumsError::Count {
+                checksums: checksums.checksums.len(),
+                bytes: checksums.bytes,
+                chunk: checksums.chunk,
             });
         }
-        Ok(sums)
+        Ok(checksums)
     }
 
     /// Sums up an archive.
@@ -106,7 +109,7 @@
             return other(format!("chunks of {chunk} bytes"));
         }
         let mut whole = Sha256::new();
-        let (mut sums, mut bytes, mut buffer) = (Vec::new(), 0, Vec::new());
+        let (mut checksums, mut bytes, mut buffer) = (Vec::new(), 0, Vec::new());
         loop {
             buffer.clear();
             archive.by_ref().take(chunk).read_to_end(&mut buffer)?;
@@ -115,7 +118,7 @@
             }
             whole.update(&buffer);
             bytes += buffer.len() as u64;
-            sums.push(sha256(&buffer));
+            checksums.push(sha256(&buffer));
         }
         if bytes == 0 {
             return other("an empty archive".into());
@@ -125,7 +128,7 @@
             sha256: hexadecimal(whole.finalize().as_slice()),
             bytes,
             chunk,
-            sums,
+            checksums,
         })
     }
 
@@ -136,7 +139,7 @@
 
     /// How many chunks there are.
     pub fn chunks(&self) -> usize {
-        self.sums.len()
+        self.checksums.len()
     }
 
     /// The bytes that a chunk has of the archive.
@@ -153,7 +156,7 @@
 
     /// Whether these are the chunk's bytes.
     pub fn right(&self, chunk: usize, bytes: &[u8]) -> bool {
-        self.sums
+        self.checksums
             .get(chunk)
             .is_some_and(|sum| *sum == sha256(bytes))
     }
--- a/crates/agent/src/core.rs
+++ b/crates/agent/src/core.rs
@@ -52,7 +52,7 @@
     fencing_token_told: Time,
     /// Nothing new is taken on: the disk fails, or the agent is to end.
     closed: bool,
-    /// Images that are handed on, as many as a heartbeat has room for.
+    /// Images that are handed on, as many as a heartbeat has free capacity for.
     images: Vec<ReportedImage>,
 }
 
--- a/crates/agent/src/core/heartbeats.rs
+++ b/crates/agent/src/core/heartbeats.rs
@@ -36,12 +36,12 @@
 
     /// Images that are handed on now, the most wanted first. No change that is
     /// worth a heartbeat of its own: it is a hint, and goes along with the next.
-    pub fn hands_on(&mut self, images: impl Iterator<Item = ReportedImage>) {
+    pub fn serves_images(&mut self, images: impl Iterator<Item = ReportedImage>) {
         let mut left = MAX_IMAGES_BYTES;
         let fits = |image: &ReportedImage| {
-            let room = left.checked_sub(image.image.len() + IMAGE_BYTES);
-            left = room.unwrap_or(0);
-            room.is_some()
+            let free_capacity = left.checked_sub(image.image.len() + IMAGE_BYTES);
+            left = free_capacity.unwrap_or(0);
+            free_capacity.is_some()
         };
         self.images = images.take_while(fits).collect();
     }
--- a/crates/agent/src/download.rs
+++ b/crates/agent/src/download.rs
@@ -50,7 +50,7 @@
     /// Nothing came for too long.
     #[error(transparent)]
     Stalled(#[from] tokio::time::error::Elapsed),
-    /// It has more bytes than there is room for.
+    /// It has more bytes than there is free capacity for.
     #[error("larger than the cache")]
     TooLarge,
 }
--- a/crates/agent/src/fetch.rs
+++ b/crates/agent/src/fetch.rs
@@ -19,14 +19,14 @@
 use tokio::task::{spawn_blocking, JoinError, JoinSet};
 use tokio::time::sleep;
 
+use crate::checksums::{self, Checksums, ChecksumsError};
 use crate::clock;
 use crate::describe::Source;
 use crate::download::{self, Unfetched};
-use crate::hand_on::Hands;
 use crate::images::{self, Image};
 use crate::part::{self, Part};
+use crate::peer_transfer::ImageServer;
 use crate::sources::{GiveUpReason, Outcome, Sources, Whom};
-use crate::sums::{self, Sums, SumsError};
 
 use find::Found;
 use lanes::Lanes;
@@ -52,7 +52,7 @@
 /// What is wrong with a fetch.
 #[derive(Debug, thiserror::Error)]
 pub enum FetchFailure {
-    /// The image has more bytes than there is room for.
+    /// The image has more bytes than there is free capacity for.
     #[error("larger than the cache: {bytes} bytes of {most}")]
     TooLarge {
         /// The archive's bytes.
@@ -71,7 +71,7 @@
     Step(#[from] JoinError),
     /// The sums can't be used.
     #[error(transparent)]
-    Sums(#[from] SumsError),
+    Checksums(#[from] ChecksumsError),
     /// The sums are of another image.
     #[error("another image of this name: its sum is {sha256}")]
     OtherImage {
@@ -139,7 +139,7 @@
     /// The agents of the starts that need it.
     pub sources: Rc<RefCell<Sources>>,
     /// What is handed on.
-    pub hands: Rc<Hands>,
+    pub hands: Rc<ImageServer>,
     /// The folder of images.
     pub images: PathBuf,
     /// The folder of parts.
@@ -150,7 +150,7 @@
     /// anew must not unpack into the folder that the first still writes to.
     pub unpacking: Arc<Mutex<()>>,
     /// Told how large the image is, before anything of it is written.
-    pub room: Box<dyn Fn(u64)>,
+    pub free_capacity: Box<dyn Fn(u64)>,
 }
 
 impl Fetch {
@@ -183,7 +183,7 @@
     async fn complete(self: &Rc<Self>, part: &Rc<Part>) -> Result<u64, CompleteError> {
         if !part.is_whole() {
             self.chunks(part).await.map_err(|failed| {
-                if part.hands_on() || !failed.keep {
+                if part.serves_images() || !failed.keep {
                     CompleteError::Final(failed)
                 } else {
                     CompleteError::SumsInDoubt(failed.why)
@@ -194,7 +194,7 @@
         let bytes = unpacked.map_err(|error| {
             let full = error.kind() == ErrorKind::StorageFull;
             let why = FetchFailure::Unpack(error);
-            if full || part.hands_on() {
+            if full || part.serves_images() {
                 CompleteError::Final(lost(why))
             } else {
                 CompleteError::SumsInDoubt(why)
@@ -228,21 +228,21 @@
     async fn part(&self) -> Result<Option<Begun>, Failed> {
         let sha256 = &self.image.sha256;
         let there = self.hands.part(sha256);
-        if let Some(part) = there.clone().filter(|p| p.hands_on()) {
-            (self.room)(part.sums().bytes);
+        if let Some(part) = there.clone().filter(|p| p.serves_images()) {
+            (self.free_capacity)(part.checksums().bytes);
             self.look(&part).await?;
             return Ok(Some(Begun { part, giver: None }));
         }
-        let Some(found) = self.find_sums().await? else {
+        let Some(found) = self.find_checksums().await? else {
             return Ok(None);
         };
         let Found { known, giver } = found;
-        let bytes = known.sums.bytes;
+        let bytes = known.checksums.bytes;
         if bytes > self.most {
             let most = self.most;
             return Err(lost(FetchFailure::TooLarge { bytes, most }));
         }
-        (self.room)(bytes);
+        (self.free_capacity)(bytes);
         if let Some(part) = there.filter(|p| p.text() == known.text && !known.trusted) {
             self.look(&part).await?;
             return Ok(Some(Begun { part, giver }));
@@ -258,14 +258,14 @@
         if part.is_whole() || part.is_looked_at() {
             return Ok(());
         }
-        let (archive, sums) = (part.archive(), part.sums().clone());
-        let looked = spawn_blocking(move || Part::look(&archive, &sums)).await;
+        let (archive, checksums) = (part.archive(), part.checksums().clone());
+        let looked = spawn_blocking(move || Part::look(&archive, &checksums)).await;
         let have = looked.map_err(lost)?;
         part.resume(have.map_err(disk)?);
         tracing::info!(
             image = self.image.name,
             chunks = part.count(),
-            of = part.sums().chunks(),
+            of = part.checksums().chunks(),
             "goes on"
         );
         Ok(())
@@ -310,7 +310,7 @@
     /// the origin has others.
     async fn confirm(&self, part: &Part) -> Failed {
         let mut wait = 1.0;
-        while !part.hands_on() {
+        while !part.serves_images() {
             match self.ask_origin_for_sums().await {
                 Ok(text) if text == part.text() => {
                     if let Err(error) = part.trust() {
@@ -344,10 +344,13 @@
         self.download(&archive).await?;
         let bytes = self.unpack(archive.clone()).await;
         let bytes = bytes.map_err(|e| lost(FetchFailure::Unpack(e)))?;
-        let summed =
-            spawn_blocking(move || Sums::of(File::open(archive)?, sums::DEFAULT_CHUNK_BYTES)).await;
-        let sums = summed.map_err(lost)?;
-        let part = sums.and_then(|sums| Part::of_whole(&self.parts, &self.image, sums));
+        let summed = spawn_blocking(move || {
+            Checksums::of(File::open(archive)?, checksums::DEFAULT_CHUNK_BYTES)
+        })
+        .await;
+        let checksums = summed.map_err(lost)?;
+        let part =
+            checksums.and_then(|checksums| Part::of_whole(&self.parts, &self.image, checksums));
         match part {
             Ok(part) => self.hands.keep(Rc::new(part)),
             // It is there, and is only not handed on.
--- a/crates/agent/src/fetch/find.rs
+++ b/crates/agent/src/fetch/find.rs
@@ -11,12 +11,12 @@
 
 use super::http::whole_body;
 use super::{jitter, keep, lost, Failed, Fetch, FetchFailure, MAX_WHOLE_TRIES};
+use crate::checksums::{self, Checksums};
 use crate::client;
 use crate::clock;
 use crate::describe::Source;
 use crate::part::KnownSums;
 use crate::sources::{Outcome, Whom};
-use crate::sums::{self, Sums};
 
 /// How long other agents are asked for sums that the job knows the sum of,
 /// before the origin is, in seconds: their own starts may be on their way.
@@ -43,7 +43,7 @@
 impl Fetch {
     /// Sums of the image: those that the job names, else the origin's, else an
     /// agent's word; none if nobody has any.
-    pub(super) async fn find_sums(&self) -> Result<Option<Found>, Failed> {
+    pub(super) async fn find_checksums(&self) -> Result<Option<Found>, Failed> {
         let begun = clock::now();
         if let Some(known) = &self.image.sums_sha256 {
             if let Some(found) = self.named_sums_of_agents(known, begun).await? {
@@ -72,7 +72,7 @@
         loop {
             for agent in self.agents() {
                 if let Ok(text) = self.sums_of_agent(agent).await {
-                    if sums::sha256(&text) == known {
+                    if checksums::sha256(&text) == known {
                         return self.found(text, true, None).map(Some);
                     }
                     tracing::error!(image = self.image.name, %agent, "other sums than the job names");
@@ -101,7 +101,7 @@
             }
         };
         let known = self.image.sums_sha256.as_ref();
-        let as_named = known.is_none_or(|known| *known == sums::sha256(&text));
+        let as_named = known.is_none_or(|known| *known == checksums::sha256(&text));
         match self.found(text, true, None) {
             Ok(found) if as_named => Ok(Some(found)),
             Ok(_) => {
@@ -161,15 +161,15 @@
         trusted: bool,
         giver: Option<SocketAddr>,
     ) -> Result<Found, Failed> {
-        let sums = Sums::read(&text).map_err(lost)?;
-        if sums.sha256 != self.image.sha256 {
+        let checksums = Checksums::read(&text).map_err(lost)?;
+        if checksums.sha256 != self.image.sha256 {
             return Err(keep(FetchFailure::OtherImage {
-                sha256: sums.sha256,
+                sha256: checksums.sha256,
             }));
         }
         let known = KnownSums {
             text,
-            sums,
+            checksums,
             trusted,
         };
         Ok(Found { known, giver })
@@ -223,7 +223,9 @@
             Source::Folder(folder) => {
                 let path = folder.join(name);
                 let read = spawn_blocking(move || match std::fs::metadata(&path) {
-                    Ok(meta) if meta.len() > sums::MAX_FILE_BYTES as u64 => Err(Outcome::Wrong),
+                    Ok(meta) if meta.len() > checksums::MAX_FILE_BYTES as u64 => {
+                        Err(Outcome::Wrong)
+                    }
                     Err(e) if e.kind() == ErrorKind::NotFound => Err(Outcome::Nothing),
                     _ => std::fs::read(path).map_err(|_| Outcome::Failed),
                 });
--- a/crates/agent/src/fetch/http.rs
+++ b/crates/agent/src/fetch/http.rs
@@ -5,8 +5,8 @@
 use hyper::body::Incoming;
 use hyper::Response;
 
+use crate::checksums;
 use crate::sources::Outcome;
-use crate::sums;
 
 /// A body of so many bytes at the most.
 pub(super) async fn body_of(response: Response<Incoming>, most: usize) -> Result<Bytes, Outcome> {
@@ -20,7 +20,7 @@
     let after = response.headers().get("retry-after");
     let after = after.and_then(|a| a.to_str().ok()?.parse::<u32>().ok());
     match response.status().as_u16() {
-        200 => body_of(response, sums::MAX_FILE_BYTES).await,
+        200 => body_of(response, checksums::MAX_FILE_BYTES).await,
         404 => Err(Outcome::Nothing),
         403 | 409 | 416 => Err(Outcome::Wrong),
         429 | 503 => Err(Outcome::NotYet(f64::from(after.unwrap_or(1)))),
--- a/crates/agent/src/fetch/lanes.rs
+++ b/crates/agent/src/fetch/lanes.rs
@@ -143,7 +143,7 @@
             }
             Source::Folder(folder) => {
                 let path = folder.join(format!("{}.tar", image.name));
-                let span = self.part.sums().span(chunk);
+                let span = self.part.checksums().span(chunk);
                 let read = spawn_blocking(move || {
                     let mut bytes = vec![0; (span.end - span.start) as usize];
                     File::open(path)?.read_exact_at(&mut bytes, span.start)?;
@@ -162,7 +162,7 @@
 
     /// A chunk's range of a path, over the connection that is open or a new one.
     async fn over_http(&self, at: SocketAddr, path: &str, chunk: usize) -> Taken {
-        let span = self.part.sums().span(chunk);
+        let span = self.part.checksums().span(chunk);
         let length = span.end - span.start;
         let stall = Duration::from_secs_f64(self.fetch.hands.settings().stall_s);
         // One that drips must not hold a chunk for ever either.
@@ -199,8 +199,8 @@
         let stall = Duration::from_secs_f64(self.fetch.hands.settings().stall_s);
         let mut body = response.into_body();
         let mut buffer = BytesMut::new();
-        for chunk in 0..self.part.sums().chunks() {
-            let span = self.part.sums().span(chunk);
+        for chunk in 0..self.part.checksums().chunks() {
+            let span = self.part.checksums().span(chunk);
             let length = (span.end - span.start) as usize;
             while buffer.len() < length {
                 let Ok(Some(Ok(frame))) = timeout(stall, body.frame()).await else {
@@ -220,8 +220,9 @@
 
     /// A chunk came: into its place, if it is right.
     async fn write(&self, chunk: usize, bytes: Bytes) -> Result<Outcome, Failed> {
-        let (archive, sums) = (self.part.archive(), self.part.sums().clone());
-        let written = spawn_blocking(move || part::check_and_write(&archive, &sums, chunk, &bytes));
+        let (archive, checksums) = (self.part.archive(), self.part.checksums().clone());
+        let written =
+            spawn_blocking(move || part::check_and_write(&archive, &checksums, chunk, &bytes));
         match written.await.map_err(lost)? {
             Ok(true) => {
                 self.part.got(chunk);
--- a/crates/agent/src/images.rs
+++ b/crates/agent/src/images.rs
@@ -13,8 +13,8 @@
 use serde::{Deserialize, Serialize};
 use sha2::{Digest, Sha256};
 
+use crate::checksums;
 use crate::core::Key;
-use crate::sums;
 
 /// The image that a job's tasks need: a tar archive, by its name where archives
 /// are, and by the sum of its bytes, which is what it is known by here.
@@ -188,7 +188,7 @@
 
     /// Images to remove so that the cache keeps its bound: parts that nobody
     /// waits for, then the least recently used of those that nobody uses. One
-    /// on its way has its room already.
+    /// on its way has its free capacity already.
     pub fn evict(&mut self) -> Vec<String> {
         let of = |e: &Entry| e.bytes.unwrap_or(e.coming);
         let mut total: u64 = self.entries.values().map(of).sum();
@@ -297,7 +297,7 @@
     // The sum is of all bytes, also those behind the archive's end.
     std::io::copy(&mut reader, &mut std::io::sink())?;
     let bytes = most_bytes - reader.left;
-    let sum = sums::hexadecimal(reader.sum.finalize().as_slice());
+    let sum = checksums::hexadecimal(reader.sum.finalize().as_slice());
     if sum != image.sha256 {
         return Err(std::io::Error::other(format!("its sum is {sum}")));
     }
--- a/crates/agent/src/lib.rs
+++ b/crates/agent/src/lib.rs
@@ -8,18 +8,18 @@
 
 pub mod agent;
 pub mod attempt;
+pub mod checksums;
 pub mod client;
 pub mod clock;
 pub mod core;
 pub mod describe;
 pub mod download;
 pub mod fetch;
-pub mod hand_on;
 pub mod images;
 pub mod journal;
 pub mod part;
+pub mod peer_transfer;
 pub mod settings;
 pub mod sources;
-pub mod sums;
 pub mod supervise;
 pub mod upload;
--- a/crates/agent/src/main.rs
+++ b/crates/agent/src/main.rs
@@ -6,9 +6,9 @@
 
 use clap::{Parser, Subcommand};
 use sorrelhinge_agent::agent::Agent;
+use sorrelhinge_agent::checksums::Checksums;
 use sorrelhinge_agent::describe::{Description, DescriptionError};
 use sorrelhinge_agent::settings::Settings;
-use sorrelhinge_agent::sums::Sums;
 use sorrelhinge_agent::supervise;
 use tracing::level_filters::LevelFilter;
 
@@ -48,11 +48,11 @@
     Schema,
     /// Print the sums of an image's chunks: the file NAME.sums that is put
     /// beside the archive, so that agents hand it on while it comes.
-    Sums {
+    Checksums {
         /// The archive.
         file: PathBuf,
         /// Bytes of a chunk.
-        #[arg(long, default_value_t = sorrelhinge_agent::sums::DEFAULT_CHUNK_BYTES)]
+        #[arg(long, default_value_t = sorrelhinge_agent::checksums::DEFAULT_CHUNK_BYTES)]
         chunk: u64,
     },
     /// Run one attempt to its end. The agent starts this.
@@ -156,9 +156,9 @@
 
 /// Prints the sums of an archive's chunks, each of so many bytes.
 fn print_sums(file: &Path, chunk: u64) -> ExitCode {
-    match File::open(file).and_then(|archive| Sums::of(archive, chunk)) {
-        Ok(sums) => {
-            println!("{}", sums.text());
+    match File::open(file).and_then(|archive| Checksums::of(archive, chunk)) {
+        Ok(checksums) => {
+            println!("{}", checksums.text());
             ExitCode::SUCCESS
         }
         Err(why) => fail(format!("{}: {why}", file.display()), 1),
@@ -208,7 +208,7 @@
             print!("{}", Description::schema());
             ExitCode::SUCCESS
         }
-        (Some(Command::Sums { file, chunk }), _) => print_sums(&file, chunk),
+        (Some(Command::Checksums { file, chunk }), _) => print_sums(&file, chunk),
         (Some(Command::Describe { file }), _) => describe(&file),
         (Some(Command::Status { config }), _) => print_status(&config),
         (None, Some(config)) => serve(&config, args.check),
--- a/crates/agent/src/part.rs
+++ b/crates/agent/src/part.rs
@@ -4,7 +4,7 @@
 //! | file in `hand_on/SUM/` | content |
 //! | --- | --- |
 //! | `about` | [`About`], version 1 |
-//! | `sums` | the file of sums, as it came |
+//! | `checksums` | the file of sums, as it came |
 //! | `archive` | the archive; until it is whole, holes where chunks miss |
 //! | `whole` | there once the archive's own sum was found right |
 //!
@@ -23,8 +23,8 @@
 use serde::{Deserialize, Serialize};
 
 use crate::attempt::write_whole;
+use crate::checksums::Checksums;
 use crate::images::Image;
-use crate::sums::Sums;
 
 /// Which image it is.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -44,7 +44,7 @@
     /// The file of sums.
     pub text: Bytes,
     /// What it says.
-    pub sums: Sums,
+    pub checksums: Checksums,
     /// Whether they come from whom they may come, see [`About`].
     pub trusted: bool,
 }
@@ -56,7 +56,7 @@
     about: About,
     trusted: Cell<bool>,
     text: Bytes,
-    sums: Arc<Sums>,
+    checksums: Arc<Checksums>,
     have: RefCell<Vec<bool>>,
     whole: Cell<bool>,
     /// Whether it is known which chunks are there.
@@ -88,8 +88,8 @@
         remove(root, &image.sha256)?;
         let folder = folder_of(root, &image.sha256);
         std::fs::create_dir_all(&folder)?;
-        File::create(folder.join("archive"))?.set_len(known.sums.bytes)?;
-        let have = vec![false; known.sums.chunks()];
+        File::create(folder.join("archive"))?.set_len(known.checksums.bytes)?;
+        let have = vec![false; known.checksums.chunks()];
         let part = Self::new(folder, image, known, have);
         part.write_about()?;
         Ok(part)
@@ -99,7 +99,7 @@
     fn new(folder: PathBuf, image: &Image, known: KnownSums, have: Vec<bool>) -> Self {
         let KnownSums {
             text,
-            sums,
+            checksums,
             trusted,
         } = known;
         let about = About {
@@ -112,7 +112,7 @@
             about,
             trusted: Cell::new(trusted),
             text,
-            sums: Arc::new(sums),
+            checksums: Arc::new(checksums),
             have: RefCell::new(have),
             whole: Cell::new(false),
             looked_at: Cell::new(true),
@@ -139,17 +139,17 @@
         let folder = folder_of(root, sha256);
         let about: About = serde_json::from_slice(&std::fs::read(folder.join("about"))?)?;
         let text = Bytes::from(std::fs::read(folder.join("sums"))?);
-        let sums = Sums::read(&text).map_err(Error::other)?;
+        let checksums = Checksums::read(&text).map_err(Error::other)?;
         let length = std::fs::metadata(folder.join("archive"))?.len();
-        if about.version != 1 || about.image.sha256 != sha256 || length != sums.bytes {
+        if about.version != 1 || about.image.sha256 != sha256 || length != checksums.bytes {
             return Err(Error::other("it does not go together"));
         }
         let whole = folder.join("whole").exists();
-        let have = vec![whole; sums.chunks()];
+        let have = vec![whole; checksums.chunks()];
         let trusted = about.trusted;
         let known = KnownSums {
             text,
-            sums,
+            checksums,
             trusted,
         };
         let part = Self::new(folder, &about.image, known, have);
@@ -163,11 +163,11 @@
     ///
     /// # Errors
     /// The disk's.
-    pub fn of_whole(root: &Path, image: &Image, sums: Sums) -> Result<Self> {
-        let have = vec![true; sums.chunks()];
+    pub fn of_whole(root: &Path, image: &Image, checksums: Checksums) -> Result<Self> {
+        let have = vec![true; checksums.chunks()];
         let known = KnownSums {
-            text: Bytes::from(sums.text()),
-            sums,
+            text: Bytes::from(checksums.text()),
+            checksums,
             trusted: false,
         };
         let part = Self::new(folder_of(root, &image.sha256), image, known, have);
@@ -185,8 +185,8 @@
         &self.about
     }
     /// Its sums.
-    pub fn sums(&self) -> &Arc<Sums> {
-        &self.sums
+    pub fn checksums(&self) -> &Arc<Checksums> {
+        &self.checksums
     }
     /// The file of sums.
     pub fn text(&self) -> Bytes {
@@ -208,7 +208,7 @@
         Ok(())
     }
     /// Whether its sums, and the chunks that they prove, may be handed on.
-    pub fn hands_on(&self) -> bool {
+    pub fn serves_images(&self) -> bool {
         self.trusted.get() || self.whole.get()
     }
     /// The sums were found to be the origin's.
@@ -245,15 +245,15 @@
     ///
     /// # Errors
     /// The disk's.
-    pub fn look(archive: &Path, sums: &Sums) -> Result<Vec<bool>> {
+    pub fn look(archive: &Path, checksums: &Checksums) -> Result<Vec<bool>> {
         let file = File::open(archive)?;
         let look = |chunk| {
-            let span = sums.span(chunk);
+            let span = checksums.span(chunk);
             let mut bytes = vec![0; (span.end - span.start) as usize];
             file.read_exact_at(&mut bytes, span.start)?;
-            Ok(sums.right(chunk, &bytes))
+            Ok(checksums.right(chunk, &bytes))
         };
-        (0..sums.chunks()).map(look).collect()
+        (0..checksums.chunks()).map(look).collect()
     }
     /// Whether it is known which chunks are there.
     pub fn is_looked_at(&self) -> bool {
@@ -262,7 +262,7 @@
     /// Goes on with the chunks that were found right.
     pub fn resume(&self, have: Vec<bool>) {
         self.looked_at.set(true);
-        if have.len() == self.sums.chunks() {
+        if have.len() == self.checksums.chunks() {
             *self.have.borrow_mut() = have;
         }
     }
@@ -273,11 +273,16 @@
 ///
 /// # Errors
 /// The disk's: it is full, or fails.
-pub fn check_and_write(archive: &Path, sums: &Sums, chunk: usize, bytes: &[u8]) -> Result<bool> {
-    if !sums.right(chunk, bytes) {
+pub fn check_and_write(
+    archive: &Path,
+    checksums: &Checksums,
+    chunk: usize,
+    bytes: &[u8],
+) -> Result<bool> {
+    if !checksums.right(chunk, bytes) {
         return Ok(false);
     }
     let file = OpenOptions::new().write(true).open(archive)?;
-    file.write_all_at(bytes, sums.span(chunk).start)?;
+    file.write_all_at(bytes, checksums.span(chunk).start)?;
     Ok(true)
 }
--- a/crates/agent/src/hand_on.rs
+++ b/crates/agent/src/peer_transfer.rs
@@ -20,8 +20,8 @@
 use tokio::time::sleep;
 
 use crate::part::Part;
-use crate::settings::HandOn;
-use crate::upload::{span, Bytewise, Pieces, Rate, Slot, Upload, MIN_RATE_BYTES_PER_S};
+use crate::settings::PeerTransferSettings;
+use crate::upload::{span, ByteBody, Pieces, Rate, Slot, Upload, MIN_RATE_BYTES_PER_S};
 
 /// How long a request waits for a chunk that is on its way here: it saves the
 /// asker a pause in each step of a chain.
@@ -78,7 +78,7 @@
     name: &'a str,
     sha256: Option<&'a str>,
     /// The file of sums, not the archive.
-    sums: bool,
+    checksums: bool,
 }
 
 impl<'a> ImageRequest<'a> {
@@ -88,14 +88,14 @@
         Self {
             name: sums_of.unwrap_or(rest),
             sha256: uri.query().and_then(|q| q.strip_prefix("sha256=")),
-            sums: sums_of.is_some(),
+            checksums: sums_of.is_some(),
         }
     }
 }
 
 /// What is handed on, and to whom.
-pub struct Hands {
-    settings: HandOn,
+pub struct ImageServer {
+    settings: PeerTransferSettings,
     /// By the image's sum: whole, or on its way in chunks.
     parts: RefCell<BTreeMap<String, Rc<Part>>>,
     /// Being fetched: the name, by the sum.
@@ -105,9 +105,9 @@
     rate: Rc<RefCell<Rate>>,
 }
 
-impl Hands {
+impl ImageServer {
     /// With nothing to hand on yet.
-    pub fn new(settings: HandOn) -> Self {
+    pub fn new(settings: PeerTransferSettings) -> Self {
         let uploads = settings.uploads as usize;
         let rate = Rate::new(settings.upload_mb_per_s * 1e6);
         Self {
@@ -121,7 +121,7 @@
     }
 
     /// The settings.
-    pub fn settings(&self) -> &HandOn {
+    pub fn settings(&self) -> &PeerTransferSettings {
         &self.settings
     }
 
@@ -163,13 +163,13 @@
         let parts = self.parts.borrow();
         let mut all: Vec<&Rc<Part>> = parts
             .values()
-            .filter(|p| p.hands_on() && p.count() > 0)
+            .filter(|p| p.serves_images() && p.count() > 0)
             .collect();
         all.sort_by_key(|p| p.is_whole());
         let told = all.into_iter().map(|p| ReportedImage {
             image: p.about().image.name.clone(),
             parts: p.count() as u64,
-            of: p.sums().chunks() as u64,
+            of: p.checksums().chunks() as u64,
         });
         told.collect()
     }
@@ -190,7 +190,7 @@
         }
         let wanted = ImageRequest::of(uri);
         match self.find(wanted.name, wanted.sha256) {
-            Ok(part) if wanted.sums => self.answer_sums(&part),
+            Ok(part) if wanted.checksums => self.answer_sums(&part),
             Ok(part) => self.answer_archive(&part, range).await,
             Err(refused) => *refused,
         }
@@ -203,13 +203,13 @@
         };
         let text = part.text();
         let length = text.len() as u64;
-        let tasks = self.send(Bytewise::Memory(text), length, slot);
+        let tasks = self.send(ByteBody::Memory(text), length, slot);
         Response::new(Either::Right(tasks))
     }
 
     /// The archive, or a range of it.
     async fn answer_archive(&self, part: &Part, range: Option<&str>) -> Answer {
-        let bytes = part.sums().bytes;
+        let bytes = part.checksums().bytes;
         let Some(wanted) = range.map_or(Some(0..bytes), |range| span(range, bytes)) else {
             return no_such_range(bytes);
         };
@@ -222,7 +222,7 @@
         let Ok(file) = File::open(part.archive()) else {
             return refuse(404, "no such image any more", None);
         };
-        let source = Bytewise::File {
+        let source = ByteBody::File {
             file: Arc::new(file),
             from: wanted.start,
         };
@@ -256,7 +256,7 @@
         let coming = self.coming.borrow();
         let comes = coming.iter().any(|(sum, n)| n == name && asked(sum));
         match part {
-            Some(part) if part.hands_on() => Ok(part),
+            Some(part) if part.serves_images() => Ok(part),
             // Whoever waits for sums waits for those that are on their way only:
             // two that had a part each would wait for each other for ever.
             _ if comes => Err(no(503, "not checked yet", Some(RETRY_LATER_S))),
@@ -267,7 +267,7 @@
     /// Whether all chunks of a span are there; for those on their way it waits
     /// a little.
     async fn there(&self, part: &Part, wanted: &Range<u64>) -> bool {
-        let chunks = part.sums().within(wanted.start, wanted.end);
+        let chunks = part.checksums().within(wanted.start, wanted.end);
         let all = || chunks.clone().all(|chunk| part.has(chunk));
         if all() {
             return true;
@@ -286,7 +286,7 @@
     }
 
     /// Sends so many bytes, and holds the slot meanwhile.
-    fn send(&self, bytes: Bytewise, length: u64, slot: Slot) -> Pieces {
+    fn send(&self, bytes: ByteBody, length: u64, slot: Slot) -> Pieces {
         let upload = Upload {
             bytes,
             length,
@@ -302,7 +302,7 @@
 
 /// An image is on its way, as long as this is there.
 pub struct Coming {
-    hands: Rc<Hands>,
+    hands: Rc<ImageServer>,
     sha256: String,
 }
 
--- a/crates/agent/src/settings.rs
+++ b/crates/agent/src/settings.rs
@@ -74,7 +74,7 @@
 /// Handing images on to other agents, and taking them from them.
 #[derive(Clone, Debug, Deserialize, JsonSchema, Validate)]
 #[serde(deny_unknown_fields)]
-pub struct HandOn {
+pub struct PeerTransferSettings {
     /// Networks that images go to and are taken from.
     #[garde(length(min = 1, max = 256))]
     #[schemars(with = "Vec<String>")]
@@ -190,7 +190,7 @@
     /// is handed on.
     #[serde(default)]
     #[garde(dive)]
-    pub hand_on: Option<HandOn>,
+    pub hand_on: Option<PeerTransferSettings>,
     /// Room for images that are kept, in GB of their archives.
     #[serde(default = "cache_gb")]
     #[garde(range(min = 0.001, max = 1e6))]
--- a/crates/agent/src/upload.rs
+++ b/crates/agent/src/upload.rs
@@ -108,14 +108,14 @@
 }
 
 /// Where the bytes of an answer are.
-pub(crate) enum Bytewise {
+pub(crate) enum ByteBody {
     /// All of these.
     Memory(Bytes),
     /// Those of a file, from this one on.
     File { file: Arc<File>, from: u64 },
 }
 
-impl Bytewise {
+impl ByteBody {
     /// So many bytes, `offset` behind the first of the answer.
     async fn read(&self, offset: u64, size: u64) -> Result<Bytes> {
         match self {
@@ -135,7 +135,7 @@
 
 /// An answer that goes out piece by piece.
 pub(crate) struct Upload {
-    pub(crate) bytes: Bytewise,
+    pub(crate) bytes: ByteBody,
     /// How many bytes it has.
     pub(crate) length: u64,
     /// What all uploads share.
--- a/crates/agent/tests/cut_sockets.rs
+++ b/crates/agent/tests/cut_sockets.rs
@@ -343,7 +343,7 @@
 async fn storm(seed: u64, broken: bool) -> Outcome {
     println!("seed {seed}");
     let storm = Storm::new(seed, &format!("storm-{broken}"));
-    let sums = images(&storm.root.join("images"));
+    let checksums = images(&storm.root.join("images"));
     store::start(&storm.place.state()).await;
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let cloud_addr = listener.local_addr().expect("its address");
@@ -353,7 +353,7 @@
         storm.start_agent(n, &near, broken).await;
     }
     for n in 0..JOBS {
-        storm.describe_job(n, &sums);
+        storm.describe_job(n, &checksums);
         storm.submit_job(n).await;
     }
     // The storm, and then calm, in which everything has to come to its end.
@@ -458,7 +458,7 @@
     /// Writes what a job's tasks run. They live as long as they write; each write
     /// is one line. Every second job has an image, without which it does not even
     /// begin.
-    fn describe_job(&self, n: usize, sums: &[String]) {
+    fn describe_job(&self, n: usize, checksums: &[String]) {
         let heartbeats = self.rng.borrow_mut().random_range(2..12);
         let script = format!(
             "f={}/$(echo $TASK | tr / _)+$TASK_ATTEMPT; echo start $(date +%s%N) >> $f; i=0; \
@@ -470,7 +470,7 @@
         let (script, image) = match n % 2 {
             0 => (
                 format!("test -f $TASK_IMAGE/tile || exit 9; {script}"),
-                json!({"name": format!("img-{image}"), "sha256": sums[image]}),
+                json!({"name": format!("img-{image}"), "sha256": checksums[image]}),
             ),
             _ => (script, Value::Null),
         };
--- a/crates/agent/tests/images.rs
+++ b/crates/agent/tests/images.rs
@@ -46,7 +46,7 @@
 /// fill the disk together; and a part that somebody waits for again must
 /// not be taken for one that nobody does.
 #[test]
-fn room_is_made_before_an_image_comes_parts_first() {
+fn free_capacity_is_made_before_an_image_comes_parts_first() {
     let mut cache = Cache::new(100, [cached("old", 40)]);
     cache.leave("part", 30);
     cache.leave("wanted", 30);
--- a/crates/agent/tests/hand_on.rs
+++ b/crates/agent/tests/peer_transfer.rs
@@ -15,8 +15,8 @@
 use rand::{RngCore, SeedableRng};
 use serde_json::{json, Value};
 use sorrelhinge_agent::agent::Agent;
+use sorrelhinge_agent::checksums::{sha256, Checksums};
 use sorrelhinge_agent::settings::Settings;
-use sorrelhinge_agent::sums::{sha256, Sums};
 use sorrelhinge_emulators::{ask, run, serve};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpSocket, TcpStream};
@@ -43,7 +43,7 @@
 struct Made {
     weights: Vec<u8>,
     tar: Vec<u8>,
-    sums: Vec<u8>,
+    checksums: Vec<u8>,
 }
 
 fn made(seed: u64) -> Made {
@@ -56,10 +56,10 @@
     let added = tar.append_data(&mut header, "weights", &weights[..]);
     added.expect("added");
     let tar = tar.into_inner().expect("an archive");
-    let sums = Sums::of(&tar[..], CHUNK).expect("sums").text();
+    let checksums = Checksums::of(&tar[..], CHUNK).expect("sums").text();
     Made {
         weights,
-        sums: sums.into_bytes(),
+        checksums: checksums.into_bytes(),
         tar,
     }
 }
@@ -117,7 +117,7 @@
     fn image(&self, name: &str, made: &Made, with_sums: bool) {
         self.put(&format!("/i/{name}"), &made.tar);
         if with_sums {
-            self.put(&format!("/i/{name}.sums"), &made.sums);
+            self.put(&format!("/i/{name}.sums"), &made.checksums);
         }
     }
 
@@ -545,11 +545,11 @@
         world.images = format!("folder = {folder:?}");
         std::fs::create_dir_all(&folder).expect("a folder");
         std::fs::write(folder.join("weights.tar"), &made.tar).expect("written");
-        std::fs::write(folder.join("weights.sums"), &made.sums).expect("written");
+        std::fs::write(folder.join("weights.sums"), &made.checksums).expect("written");
         let first = world.agent(0);
         first.gets("run-1/0", &[], &made).await;
-        let sums = get(HERE, first.addr, "/images/weights/sums", None).await;
-        assert_eq!(sums, (200, made.sums.clone()), "as they came");
+        let checksums = get(HERE, first.addr, "/images/weights/sums", None).await;
+        assert_eq!(checksums, (200, made.checksums.clone()), "as they came");
         std::fs::remove_dir_all(&folder).expect("removed");
         let second = world.agent(1);
         second.gets("run-1/0", &[first.addr], &made).await;
@@ -601,9 +601,9 @@
         second.gets("run-1/0", &[first.addr], &made).await;
         assert_eq!(origin.sent.get(), made.tar.len() as u64, "one copy");
         let liar = Server::start(9, 1e9).await;
-        let sums = String::from_utf8(other.sums.clone()).expect("text");
-        let sums = sums.replace(&sha256(&other.tar), &sha256(&made.tar));
-        liar.put("/images/weights/sums", sums.as_bytes());
+        let checksums = String::from_utf8(other.checksums.clone()).expect("text");
+        let checksums = checksums.replace(&sha256(&other.tar), &sha256(&made.tar));
+        liar.put("/images/weights/sums", checksums.as_bytes());
         liar.put("/images/weights", &other.tar);
         liar.hold.set(other.tar.len() as u64 - 1);
         let third = world.agent(2);
@@ -632,7 +632,7 @@
         let ([made], origin, world) = set("confirm", [("weights", 9, true)]).await;
         origin.no_sums.set(true);
         let peer = Server::start(9, 1e9).await;
-        peer.put("/images/weights/sums", &made.sums);
+        peer.put("/images/weights/sums", &made.checksums);
         peer.put("/images/weights", &made.tar);
         for server in [&peer, &origin] {
             server.hold.set(20 * CHUNK);
@@ -640,12 +640,12 @@
         let agent = world.agent(0);
         agent.begin("run-1/0", 1, &[peer.addr]).await;
         until("20 chunks", async || peer.sent.get() >= 20 * CHUNK).await;
-        let (sums, path) = ("/images/weights/sums", "/images/weights");
-        assert_eq!(get(HERE, agent.addr, sums, None).await.0, 503);
+        let (checksums, path) = ("/images/weights/sums", "/images/weights");
+        assert_eq!(get(HERE, agent.addr, checksums, None).await.0, 503);
         assert_eq!(get(HERE, agent.addr, path, Some("0-9")).await.0, 503);
         origin.no_sums.set(false);
         until("they are confirmed", async || {
-            get(HERE, agent.addr, sums, None).await == (200, made.sums.clone())
+            get(HERE, agent.addr, checksums, None).await == (200, made.checksums.clone())
         })
         .await;
         let got = get(HERE, agent.addr, path, Some("0-9")).await;
@@ -666,8 +666,8 @@
 fn sums_that_the_job_names_come_from_any_agent() {
     run(async {
         let ([made], origin, world) = set("named", [("weights", 5, true)]).await;
-        let (sha, sums) = (sha256(&made.tar), sha256(&made.sums));
-        let image = json!({"name": "weights", "sha256": sha, "sums_sha256": sums});
+        let (sha, checksums) = (sha256(&made.tar), sha256(&made.checksums));
+        let image = json!({"name": "weights", "sha256": sha, "sums_sha256": checksums});
         world.job("run-1", image);
         let first = world.agent(0);
         first.gets("run-1/0", &[], &made).await;
@@ -743,8 +743,8 @@
         assert_eq!(get(HERE, agent.addr, "/images/one/sums", None).await.0, 403);
         let got = get(near, agent.addr, path, Some("600-609")).await;
         assert_eq!(got, (206, one.tar[600..610].to_vec()));
-        let sums = get(near, agent.addr, "/images/one/sums", None).await;
-        assert_eq!(sums, (200, one.sums.clone()));
+        let checksums = get(near, agent.addr, "/images/one/sums", None).await;
+        assert_eq!(checksums, (200, one.checksums.clone()));
         let past = format!("{}-", one.tar.len());
         assert_eq!(get(near, agent.addr, path, Some(&past)).await.0, 416);
         for none in ["none", "../journal", "%2e%2e/journal", "/etc/passwd"] {
--- a/crates/agent/tests/worker_model.rs
+++ b/crates/agent/tests/worker_model.rs
@@ -128,7 +128,7 @@
     tasks: BTreeMap<(String, u64), Plain>,
     /// Processes that may run, of any incarnation.
     processes: BTreeMap<(String, u64), bool>,
-    /// Described, and waiting for their image; their room is taken.
+    /// Described, and waiting for their image; their free capacity is taken.
     imaging: BTreeSet<(String, u64)>,
     renewed: f64,
     results: Vec<String>,
--- a/crates/emulators/src/history/check/waiting.rs
+++ b/crates/emulators/src/history/check/waiting.rs
@@ -1,5 +1,5 @@
 //! `left_waiting`: once troubles are over, a job waits although a machine that fits
-//! has room and its team is under its limit.
+//! has free capacity and its team is under its limit.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::ops::Range;
@@ -94,7 +94,7 @@
         let mut usable = usable.filter(|m| !self.out.contains(m.id.as_str()));
         usable.any(|machine| {
             let used = self.occupancy.used_on(&machine.id, jobs);
-            used.plus(job.each).fits(machine.room)
+            used.plus(job.each).fits(machine.free_capacity)
                 && self.occupancy.misplaced(&task, job, machine).is_none()
         })
     }
--- a/crates/emulators/src/history/event.rs
+++ b/crates/emulators/src/history/event.rs
@@ -144,8 +144,8 @@
     pub zone: String,
     /// Whether it is a spot machine.
     pub spot: bool,
-    /// What it has room for.
-    pub room: Amounts,
+    /// What it has free capacity for.
+    pub free_capacity: Amounts,
 }
 
 /// Why a task is no longer on its machine.
--- a/crates/emulators/src/history/job.rs
+++ b/crates/emulators/src/history/job.rs
@@ -37,11 +37,11 @@
         }
     }
 
-    /// Whether this fits into `room`.
-    pub fn fits(self, room: Self) -> bool {
-        self.cpus <= room.cpus + ROUNDING
-            && self.cards <= room.cards + ROUNDING
-            && self.ram_gb <= room.ram_gb + ROUNDING
+    /// Whether this fits into `free_capacity`.
+    pub fn fits(self, free_capacity: Self) -> bool {
+        self.cpus <= free_capacity.cpus + ROUNDING
+            && self.cards <= free_capacity.cards + ROUNDING
+            && self.ram_gb <= free_capacity.ram_gb + ROUNDING
     }
 }
 
@@ -69,8 +69,8 @@
 pub struct MachineType {
     /// Its name.
     pub name: String,
-    /// What a machine has room for.
-    pub room: Amounts,
+    /// What a machine has free capacity for.
+    pub free_capacity: Amounts,
     /// Where it is offered.
     pub zones: Vec<String>,
 }
@@ -234,7 +234,7 @@
         }
         let fits = site.types.iter().any(|t| {
             job.allows_type(&t.name)
-                && job.each.fits(t.room)
+                && job.each.fits(t.free_capacity)
                 && job.zone.as_ref().is_none_or(|z| t.zones.contains(z))
         });
         fits.then_some(job).ok_or(Unfit::FitsNoMachine)
--- a/crates/emulators/src/nodes/worker.rs
+++ b/crates/emulators/src/nodes/worker.rs
@@ -97,7 +97,7 @@
 /// Notes in the history that a machine is up.
 fn note_up(nodes: &Nodes, id: &str) {
     let node = &nodes.all[id];
-    let room = Amounts {
+    let free_capacity = Amounts {
         cpus: CPUS,
         cards: 0.0,
         ram_gb: RAM_GB,
@@ -107,7 +107,7 @@
         build: TYPE.into(),
         zone: ZONES[node.zone as usize].into(),
         spot: false,
-        room,
+        free_capacity,
     }));
 }
 
--- a/crates/emulators/src/site.rs
+++ b/crates/emulators/src/site.rs
@@ -19,7 +19,7 @@
         teams: vec![team("crew", Some(CREW_CPUS)), team("guest", None)],
         types: vec![MachineType {
             name: TYPE.into(),
-            room: Amounts {
+            free_capacity: Amounts {
                 cpus: CPUS,
                 cards: 0.0,
                 ram_gb: RAM_GB,
--- a/crates/emulators/tests/history.rs
+++ b/crates/emulators/tests/history.rs
@@ -30,7 +30,7 @@
         teams: vec![team("red", Some(8.0)), team("guest", None)],
         types: vec![MachineType {
             name: "t".into(),
-            room: amounts(4.0),
+            free_capacity: amounts(4.0),
             zones: vec!["za".into(), "zb".into()],
         }],
     }
@@ -86,7 +86,7 @@
                     build: "t".into(),
                     zone: zone.into(),
                     spot,
-                    room: amounts(4.0),
+                    free_capacity: amounts(4.0),
                 }),
             );
         }
@@ -429,7 +429,7 @@
 }
 
 #[test]
-fn a_job_that_waits_beside_free_room_is_rejected() {
+fn a_job_that_waits_beside_free_capacity_is_rejected() {
     let waiting = |more: Value, out: &[&str], busy_until_s: f64| {
         let mut h = Writer::begin();
         h.submit(10.0, "run-2", more);
--- a/crates/image-distribution/examples/wave.rs
+++ b/crates/image-distribution/examples/rollout.rs
@@ -1,6 +1,6 @@
 //! How long until the last of many machines has 140 GB, in virtual time: the
 //! plans `flat` (all from the origin), `tree` (whole images are handed on) and
-//! `ours` (parts are handed on while they arrive, [`plan::Wave`] decides).
+//! `ours` (parts are handed on while they arrive, [`plan::Rollout`] decides).
 //!
 //! All links are alike, one each way a machine, ten at the origin. The limit is
 //! one fetch at full rate. Decision times are of this process; all else is
@@ -12,7 +12,7 @@
 
 use clap::Parser;
 use hdrhistogram::Histogram;
-use sorrelhinge_image_distribution::plan::{Has, Limits, Ran, Source, Uploads, Wave};
+use sorrelhinge_image_distribution::plan::{Has, Limits, Ran, Rollout, Source, Uploads};
 use sorrelhinge_protocol::types::{Image, MachineId};
 
 /// Weights for many machines, in virtual time.
@@ -71,21 +71,21 @@
 }
 
 /// What is wrong with a plan, or keeps it from being weighed.
-enum WaveError {
+enum RolloutError {
     /// A machine that is never lost has no image at the end.
     WithoutImage(usize),
     /// A source gives to more machines than it has links; none: the origin.
     TooManyAtOnce { source: Option<usize>, most: usize },
-    /// The wave has written nothing.
+    /// The rollout has written nothing.
     NoRecord,
-    /// The wave's record is not read by this version.
+    /// The rollout's record is not read by this version.
     OtherVersion,
     /// Times can't be kept.
     Histogram(hdrhistogram::CreationError),
 }
 
 /// As `main` shows it.
-impl std::fmt::Debug for WaveError {
+impl std::fmt::Debug for RolloutError {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
             Self::WithoutImage(machine) => write!(f, "vm-{machine:05} stays without the image"),
@@ -99,7 +99,7 @@
     }
 }
 
-impl From<hdrhistogram::CreationError> for WaveError {
+impl From<hdrhistogram::CreationError> for RolloutError {
     fn from(error: hdrhistogram::CreationError) -> Self {
         Self::Histogram(error)
     }
@@ -173,11 +173,11 @@
     from: Vec<Source>,
 }
 
-/// The controller's side: starts in the order and at the times that the wave says.
+/// The controller's side: starts in the order and at the times that the rollout says.
 struct Starts<'a> {
     lost: &'a [f64],
     times: &'a mut Histogram<u64>,
-    wave: Wave,
+    rollout: Rollout,
     uploads: Uploads,
     /// Who is lost and when, the earliest last.
     leaves: Vec<Leave>,
@@ -194,9 +194,9 @@
 
 impl<'a> Starts<'a> {
     fn new(lost: &'a [f64], times: &'a mut Histogram<u64>, limits: Limits) -> Self {
-        let mut wave = Wave::new(Image::from("weights"), limits);
+        let mut rollout = Rollout::new(Image::from("weights"), limits);
         for m in 0..lost.len() {
-            wave.join(id(m), &path(m), false);
+            rollout.join(id(m), &path(m), false);
         }
         let leaves = lost.iter().enumerate();
         let mut leaves: Vec<Leave> = leaves
@@ -206,7 +206,7 @@
         Self {
             lost,
             times,
-            wave,
+            rollout,
             uploads: Uploads::default(),
             leaves,
             pending: (0..lost.len()).collect(),
@@ -219,9 +219,9 @@
         let mut now = 0.0;
         while !self.pending.is_empty() {
             self.lose(now);
-            if let Some(record) = timed(self.times, || self.wave.next(now)) {
+            if let Some(record) = timed(self.times, || self.rollout.next(now)) {
                 now += WRITE_S;
-                self.wave.written(record, now);
+                self.rollout.written(record, now);
             }
             self.start(now);
             now += TICK_S;
@@ -230,24 +230,26 @@
         self.lose(f64::MAX);
     }
 
-    /// Tells the wave who is lost up to a time.
+    /// Tells the rollout who is lost up to a time.
     fn lose(&mut self, until: f64) {
         while let Some(leave) = next_lost(&mut self.leaves, until) {
             let machine = id(leave.machine);
-            timed(self.times, || self.wave.lost(&machine, &mut self.uploads));
+            timed(self.times, || {
+                self.rollout.lost(&machine, &mut self.uploads)
+            });
         }
     }
 
-    /// Starts machines in their order, as far as the wave lets them.
+    /// Starts machines in their order, as far as the rollout lets them.
     fn start(&mut self, now: f64) {
         while let Some(machine) = self.pending.front().copied() {
             if self.lost[machine] > now {
                 let name = id(machine);
-                let (wave, uploads) = (&mut self.wave, &mut self.uploads);
-                if !timed(self.times, || wave.may_start(&name, uploads, now)) {
+                let (rollout, uploads) = (&mut self.rollout, &mut self.uploads);
+                if !timed(self.times, || rollout.may_start(&name, uploads, now)) {
                     return;
                 }
-                let from = timed(self.times, || wave.assign(&name, uploads, now));
+                let from = timed(self.times, || rollout.assign(&name, uploads, now));
                 self.started.push(Started {
                     machine,
                     at: now,
@@ -321,7 +323,7 @@
         }
     }
 
-    fn run(mut self) -> Result<Outcome, WaveError> {
+    fn run(mut self) -> Result<Outcome, RolloutError> {
         let drop_at = self.last_uses();
         for (i, of_no_use) in drop_at.iter().enumerate() {
             let arrived = self.fetch(&self.started[i])?;
@@ -352,7 +354,7 @@
     }
 
     /// A machine's fetch: when it had each part.
-    fn fetch(&mut self, start: &Started) -> Result<Vec<f64>, WaveError> {
+    fn fetch(&mut self, start: &Started) -> Result<Vec<f64>, RolloutError> {
         let mine = self.lost[start.machine];
         let mut link = start.at;
         let mut arrived = Vec::with_capacity(self.parts);
@@ -384,7 +386,7 @@
             self.outcome.last_s = self.outcome.last_s.max(link);
             self.outcome.done.push(link);
         } else if mine.is_infinite() {
-            return Err(WaveError::WithoutImage(start.machine));
+            return Err(RolloutError::WithoutImage(start.machine));
         }
         Ok(arrived)
     }
@@ -406,25 +408,27 @@
     }
 
     /// Full rate was assumed: nobody may have given to two at once.
-    fn check_rates(&self) -> Result<(), WaveError> {
+    fn check_rates(&self) -> Result<(), RolloutError> {
         for (source, uses) in &self.busy {
             let most = if source.is_some() { 1 } else { ORIGIN_LINKS };
             if at_once(uses) > most {
                 let source = *source;
-                return Err(WaveError::TooManyAtOnce { source, most });
+                return Err(RolloutError::TooManyAtOnce { source, most });
             }
         }
         Ok(())
     }
 }
 
-/// The plan of [`Wave`], and how long its decisions take.
-fn ours(lost: &[f64], args: &Args, times: &mut Decisions) -> Result<Outcome, WaveError> {
+/// The plan of [`Rollout`], and how long its decisions take.
+fn ours(lost: &[f64], args: &Args, times: &mut Decisions) -> Result<Outcome, RolloutError> {
     let mut starts = Starts::new(lost, &mut times.each, Limits::default());
     starts.run();
-    let Starts { wave, started, .. } = starts;
+    let Starts {
+        rollout, started, ..
+    } = starts;
     let outcome = Transfers::new(args, lost, &started).run()?;
-    times.resume_ns = resumed(&started, &wave, lost)?;
+    times.resume_ns = resumed(&started, &rollout, lost)?;
     Ok(outcome)
 }
 
@@ -450,10 +454,12 @@
     sums.max().unwrap_or(0) as usize
 }
 
-/// How long a successor takes to go on with the wave, in ns.
-fn resumed(started: &[Started], wave: &Wave, lost: &[f64]) -> Result<u64, WaveError> {
-    let mut record = wave.next(f64::INFINITY).or_else(|| wave.record().cloned());
-    let record = record.take().ok_or(WaveError::NoRecord)?;
+/// How long a successor takes to go on with the rollout, in ns.
+fn resumed(started: &[Started], rollout: &Rollout, lost: &[f64]) -> Result<u64, RolloutError> {
+    let mut record = rollout
+        .next(f64::INFINITY)
+        .or_else(|| rollout.record().cloned());
+    let record = record.take().ok_or(RolloutError::NoRecord)?;
     // As the controller keeps its machines: by name.
     let stay = started.iter().filter(|s| lost[s.machine].is_infinite());
     let stay: BTreeMap<_, _> = stay.map(|s| (id(s.machine), path(s.machine))).collect();
@@ -466,7 +472,7 @@
         })
         .collect();
     let begin = Instant::now();
-    let next = Wave::resume(
+    let next = Rollout::resume(
         &record,
         Limits::default(),
         ran,
@@ -474,7 +480,7 @@
         0.0,
     );
     let ns = begin.elapsed().as_nanos() as u64;
-    next.map(|_| ns).ok_or(WaveError::OtherVersion)
+    next.map(|_| ns).ok_or(RolloutError::OtherVersion)
 }
 
 /// A line of the table.
@@ -488,7 +494,7 @@
 }
 
 impl Row<'_> {
-    fn print(&self, json: bool) -> Result<(), WaveError> {
+    fn print(&self, json: bool) -> Result<(), RolloutError> {
         let (plan, n, part) = (self.plan, self.machines, self.lost);
         let of_limit = self.outcome.last_s / self.fetch_s;
         let copies = (self.outcome.copies * 100.0).round() / 100.0;
@@ -529,7 +535,7 @@
 }
 
 /// Weighs the three plans for so many machines, of which a part is lost.
-fn compare(args: &Args, machines: usize, part: f64) -> Result<(), WaveError> {
+fn compare(args: &Args, machines: usize, part: f64) -> Result<(), RolloutError> {
     let fetch_s = args.gb / args.rate;
     let lost = losses(machines, part, fetch_s);
     let each = Histogram::new_with_max(10_000_000_000, 3)?;
@@ -555,7 +561,7 @@
     Ok(())
 }
 
-fn main() -> Result<(), WaveError> {
+fn main() -> Result<(), RolloutError> {
     let args = Args::parse();
     for part in [0.0, 0.1] {
         for machines in [10, 100, 1_000, 10_000] {
--- a/crates/image-distribution/src/patience.rs
+++ b/crates/image-distribution/src/fetch_timeout.rs
@@ -3,18 +3,18 @@
 
 use sorrelhinge_protocol::types::Image;
 
-/// Fetches of at least so long go by a wave; shorter ones are over before a stage
+/// Fetches of at least so long go by a rollout; shorter ones are over before a stage
 /// would be, and go to the origin as before.
 pub const MIN_STAGED_FETCH_S: f64 = 20.0;
 /// T1+T2 as a part of the fetch's time, as measured for images of seconds.
 const WAIT_SHARE: f64 = 0.05;
-/// At most so long for fetches up to `SHORT_FETCH_S`, as measured: start aims are 2 to 5 s.
+/// At most so long for fetches up to `SHORT_FETCH_S`, as measured: start objectives are 2 to 5 s.
 const MAX_SHORT_WAIT_S: f64 = 5.0;
-/// Images of longer fetches can't meet an aim of seconds in any case.
+/// Images of longer fetches can't meet an objective of seconds in any case.
 const SHORT_FETCH_S: f64 = 100.0;
 /// At most so long for any: a job has to begin within minutes.
 const MAX_WAIT_S: f64 = 30.0;
-/// A fetch may take so many times its time at full rate: 1.4 times in a wave,
+/// A fetch may take so many times its time at full rate: 1.4 times in a rollout,
 /// twice with a source that two share, and a source that is replaced on the way.
 const ALLOWED_FACTOR: f64 = 3.0;
 /// And so many seconds more, for the stages and for sources that don't answer.
@@ -27,7 +27,7 @@
     gb.max(0.0) / gb_per_s.max(1e-3)
 }
 
-/// Whether an image of this fetch time goes by a wave.
+/// Whether an image of this fetch time goes by a rollout.
 pub fn staged(fetch_s: f64) -> bool {
     fetch_s >= MIN_STAGED_FETCH_S
 }
@@ -76,12 +76,12 @@
     pub moves: bool,
 }
 
-/// What leaves a cache of `room_gb` so that an image of `gb` fits, the least
+/// What leaves a cache of `free_capacity_gb` so that an image of `gb` fits, the least
 /// recently used first (`held` in that order); none if it can't fit. What serves,
 /// is fetched or handed on stays: an upgrade that evicts the version that serves
 /// leaves no way back, and a lost replica with a fetch of minutes.
-pub fn evictable(held: &[Cached], gb: f64, room_gb: f64) -> Option<Vec<Image>> {
-    let mut over = held.iter().map(|c| c.gb).sum::<f64>() + gb - room_gb;
+pub fn evictable(held: &[Cached], gb: f64, free_capacity_gb: f64) -> Option<Vec<Image>> {
+    let mut over = held.iter().map(|c| c.gb).sum::<f64>() + gb - free_capacity_gb;
     let mut leave = Vec::new();
     for c in held.iter().filter(|c| !c.serves && !c.moves) {
         if over <= 0.0 {
--- a/crates/image-distribution/src/lib.rs
+++ b/crates/image-distribution/src/lib.rs
@@ -2,7 +2,7 @@
 //!
 //! - [`plan`]: who fetches an image from the origin, and who gets it from whom;
 //! - [`record`]: what of that is in shared state, so that a successor goes on;
-//! - [`patience`]: how long to wait for fetches of minutes, what giving one up
+//! - [`fetch_timeout`]: how long to wait for fetches of minutes, what giving one up
 //!   costs, and what may leave a cache for a new image.
 //!
 //! A machine hands parts on while its own fetch is under way, so the machines of
@@ -11,7 +11,7 @@
 //! origin gives a few copies a zone however many machines there are. See
 //! `docs/staging.md`.
 
-mod near;
-pub mod patience;
+pub mod fetch_timeout;
+mod locality;
 pub mod plan;
 pub mod record;
--- a/crates/image-distribution/src/near.rs
+++ b/crates/image-distribution/src/locality.rs
@@ -3,7 +3,7 @@
 
 use std::collections::{BTreeSet, HashMap};
 
-/// A machine's stay in a wave. One that left and came back is another seat: what
+/// A machine's stay in a rollout. One that left and came back is another seat: what
 /// was planned with the first must not be taken for the second.
 pub(crate) type Seat = u64;
 /// A domain: all machines, a zone, a rack, a switch.
@@ -39,11 +39,11 @@
 }
 
 #[derive(Clone, Debug)]
-pub(crate) struct Near {
+pub(crate) struct Locality {
     parts: Vec<Part>,
 }
 
-impl Default for Near {
+impl Default for Locality {
     fn default() -> Self {
         Self {
             parts: vec![Part::of(ALL)],
@@ -51,7 +51,7 @@
     }
 }
 
-impl Near {
+impl Locality {
     /// The innermost domain of a path, the zone first.
     pub fn domain(&mut self, path: &[String]) -> Domain {
         let mut at = ALL;
--- a/crates/image-distribution/src/plan.rs
+++ b/crates/image-distribution/src/plan.rs
@@ -9,8 +9,8 @@
 //!
 //! Every call looks at a bounded number of sources, whatever the fleet's size.
 //!
-//! In parts: what bounds a wave and the uploads under way (`uploads`), a machine of
-//! it (`node`), the choice of a source (`choice`), the chains (`chains`), and a wave
+//! In parts: what bounds a rollout and the uploads under way (`uploads`), a machine of
+//! it (`node`), the choice of a source (`choice`), the chains (`chains`), and a rollout
 //! gone on with by a new owner (`takeover`).
 
 mod chains;
@@ -26,11 +26,11 @@
 use self::node::{Node, State, Up};
 pub use self::takeover::{Has, Ran};
 pub use self::uploads::{Limits, Source, Uploads};
-use crate::near::{Domain, Near, Seat};
-use crate::record::{WaveRecord, VERSION};
+use crate::locality::{Domain, Locality, Seat};
+use crate::record::{RolloutRecord, VERSION};
 
 /// A stage is open for at least so long, and seeds are written no more often: a
-/// wave of 10,000 machines is six changes.
+/// rollout of 10,000 machines is six changes.
 pub const MIN_STAGE_S: f64 = 1.0;
 
 /// No stage beyond: more machines than there can be.
@@ -38,18 +38,18 @@
 
 /// An image that many machines want: who has it, fetches it, wants it.
 #[derive(Clone, Debug)]
-pub struct Wave {
+pub struct Rollout {
     image: Image,
     limits: Limits,
     stage: u32,
     /// Seconds at which a record was last written.
     since: f64,
-    written: Option<WaveRecord>,
+    written: Option<RolloutRecord>,
     refused_until: f64,
     nodes: BTreeMap<Seat, Node>,
     seats: BTreeMap<MachineId, Seat>,
     next_seat: Seat,
-    near: Near,
+    locality: Locality,
     /// Machines that took a copy from outside their zone, and their zones.
     seeds: BTreeMap<MachineId, Domain>,
     heads: BTreeMap<Domain, u32>,
@@ -61,9 +61,9 @@
     crossings: u64,
 }
 
-impl Wave {
-    /// A wave that nobody has begun. Nothing starts before its first record is
-    /// written ([`Wave::next`]).
+impl Rollout {
+    /// A rollout that nobody has begun. Nothing starts before its first record is
+    /// written ([`Rollout::next`]).
     pub fn new(image: Image, limits: Limits) -> Self {
         Self {
             image,
@@ -75,7 +75,7 @@
             nodes: BTreeMap::new(),
             seats: BTreeMap::new(),
             next_seat: 0,
-            near: Near::default(),
+            locality: Locality::default(),
             seeds: BTreeMap::new(),
             heads: BTreeMap::new(),
             wants: 0,
@@ -98,7 +98,7 @@
     }
 
     /// The record as last written.
-    pub fn record(&self) -> Option<&WaveRecord> {
+    pub fn record(&self) -> Option<&RolloutRecord> {
         self.written.as_ref()
     }
 
@@ -134,7 +134,7 @@
     }
 
     /// A machine that wants the image, or has it (`whole`). Its path: zone, rack,
-    /// switch as far as known. One that is in the wave already stays as it is.
+    /// switch as far as known. One that is in the rollout already stays as it is.
     pub fn join(&mut self, machine: MachineId, path: &[String], whole: bool) {
         if self.seats.contains_key(&machine) {
             return;
@@ -151,10 +151,10 @@
         }
     }
 
-    /// The record to write, if a step is due at `now` seconds: the wave's first,
-    /// the next stage's, or one with other seeds. [`Wave::written`] once it is.
-    pub fn next(&self, now: f64) -> Option<WaveRecord> {
-        let record = |stage| WaveRecord {
+    /// The record to write, if a step is due at `now` seconds: the rollout's first,
+    /// the next stage's, or one with other seeds. [`Rollout::written`] once it is.
+    pub fn next(&self, now: f64) -> Option<RolloutRecord> {
+        let record = |stage| RolloutRecord {
             v: VERSION,
             image: self.image.clone(),
             stage,
@@ -166,7 +166,7 @@
         if now - self.since < MIN_STAGE_S {
             return None;
         }
-        // A wave widens only while somebody has the image to hand on: if all
+        // A rollout widens only while somebody has the image to hand on: if all
         // seeds were refused, each stage more would ask the origin for more.
         let flows = self.whole > 0 || (self.fetches > 0 && !self.refused(now));
         let full = self.wants > 0 && self.fetches >= self.allowed();
@@ -179,7 +179,7 @@
     }
 
     /// A record is in shared state since `now` seconds: its stage is open.
-    pub fn written(&mut self, record: WaveRecord, now: f64) {
+    pub fn written(&mut self, record: RolloutRecord, now: f64) {
         self.stage = self.stage.max(record.stage);
         self.since = now;
         self.written = Some(record);
@@ -275,7 +275,7 @@
         }
     }
 
-    /// A machine's image left its cache. It may [`Wave::join`] again.
+    /// A machine's image left its cache. It may [`Rollout::join`] again.
     pub fn evicted(&mut self, machine: &MachineId, uploads: &mut Uploads) {
         self.lost(machine, uploads);
     }
@@ -306,10 +306,10 @@
 
     /// A machine that wants the image.
     fn node_of(&mut self, id: MachineId, path: &[String]) -> Node {
-        let domain = self.near.domain(path);
+        let domain = self.locality.domain(path);
         Node {
             domain,
-            zone: self.near.zone(domain),
+            zone: self.locality.zone(domain),
             state: State::Wants,
             up: Up::None,
             children: BTreeSet::new(),
@@ -321,7 +321,7 @@
         }
     }
 
-    /// A machine of the wave.
+    /// A machine of the rollout.
     fn node(&self, machine: &MachineId) -> Option<&Node> {
         self.nodes.get(self.seats.get(machine)?)
     }
--- a/crates/image-distribution/src/plan/chains.rs
+++ b/crates/image-distribution/src/plan/chains.rs
@@ -4,23 +4,23 @@
 use sorrelhinge_protocol::types::MachineId;
 
 use super::node::{Node, Up};
-use super::{Uploads, Wave};
-use crate::near::{Domain, Seat};
+use super::{Rollout, Uploads};
+use crate::locality::{Domain, Seat};
 
-impl Wave {
+impl Rollout {
     /// Changes a machine, and its place among the sources with it.
     pub(super) fn change(&mut self, seat: Seat, change: impl FnOnce(&mut Node)) {
         let Some(node) = self.nodes.get_mut(&seat) else {
             return;
         };
         if node.gives(self.limits.slots) {
-            self.near.remove(node.domain, node.rank(seat));
+            self.locality.remove(node.domain, node.rank(seat));
         }
         let before = u32::from(node.hands_on());
         change(node);
         self.hand_on = self.hand_on + u32::from(node.hands_on()) - before;
         if node.gives(self.limits.slots) {
-            self.near.insert(node.domain, node.rank(seat));
+            self.locality.insert(node.domain, node.rank(seat));
         }
     }
 
--- a/crates/image-distribution/src/plan/choice.rs
+++ b/crates/image-distribution/src/plan/choice.rs
@@ -2,8 +2,8 @@
 //! others to fall back to.
 
 use super::node::{Node, State, Up};
-use super::{Source, Uploads, Wave, LAST_STAGE};
-use crate::near::{Domain, Rank, Seat, ALL};
+use super::{Rollout, Source, Uploads, LAST_STAGE};
+use crate::locality::{Domain, Rank, Seat, ALL};
 
 /// Machines of the first stage.
 const FIRST_STAGE_MACHINES: u32 = 12;
@@ -21,7 +21,7 @@
 /// Other whole machines that are named as alternatives.
 const MAX_OTHER_SOURCES: usize = 2;
 
-impl Wave {
+impl Rollout {
     /// Whether the origin refused lately.
     pub(super) fn refused(&self, now: f64) -> bool {
         now < self.refused_until
@@ -57,11 +57,11 @@
             if head && best.depth >= self.limits.deep {
                 return Some(Up::Origin);
             }
-            let inner = self.near.around(node.domain).filter(|d| *d != zone);
-            let near = inner
+            let inner = self.locality.around(node.domain).filter(|d| *d != zone);
+            let locality = inner
                 .filter_map(|d| self.free(d, 0, uploads))
                 .find(|r| r.depth <= best.depth + MAX_EXTRA_DEPTH);
-            return Some(Up::From(near.unwrap_or(best).seat));
+            return Some(Up::From(locality.unwrap_or(best).seat));
         }
         if head {
             return Some(Up::Origin);
@@ -83,7 +83,7 @@
     /// The best source of a domain with at most `most` uploads, those of other
     /// images counted.
     fn free(&self, domain: Domain, most: u32, uploads: &Uploads) -> Option<Rank> {
-        let few = self.near.of(domain).take(MAX_SOURCES_LOOKED_AT);
+        let few = self.locality.of(domain).take(MAX_SOURCES_LOOKED_AT);
         few.take_while(|r| r.load <= most).find(|r| {
             let all = self.nodes.get(&r.seat).map(|n| uploads.of(&n.id));
             all.is_some_and(|all| all <= most)
@@ -102,7 +102,7 @@
         from.truncate(self.limits.sources);
         if node.up != Up::Origin && from.len() < self.limits.sources {
             let whole = self
-                .near
+                .locality
                 .of(zone)
                 .take(MAX_SOURCES_LOOKED_AT)
                 .map(|r| r.seat);
--- a/crates/image-distribution/src/plan/node.rs
+++ b/crates/image-distribution/src/plan/node.rs
@@ -1,10 +1,10 @@
-//! A machine of a wave: what it has of the image, and its place in a chain.
+//! A machine of a rollout: what it has of the image, and its place in a chain.
 
 use std::collections::BTreeSet;
 
 use sorrelhinge_protocol::types::MachineId;
 
-use crate::near::{Domain, Rank, Seat};
+use crate::locality::{Domain, Rank, Seat};
 
 /// What a machine has of the image.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
--- a/crates/image-distribution/src/plan/takeover.rs
+++ b/crates/image-distribution/src/plan/takeover.rs
@@ -1,13 +1,13 @@
-//! A predecessor's wave, gone on with after a change of owner.
+//! A predecessor's rollout, gone on with after a change of owner.
 
 use std::collections::BTreeSet;
 
 use sorrelhinge_protocol::types::MachineId;
 
 use super::node::{Node, State, Up};
-use super::{Limits, Uploads, Wave, LAST_STAGE};
-use crate::near::Seat;
-use crate::record::WaveRecord;
+use super::{Limits, Rollout, Uploads, LAST_STAGE};
+use crate::locality::Seat;
+use crate::record::RolloutRecord;
 
 /// What is known of a machine's image at a takeover.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -29,15 +29,15 @@
     pub has: Has,
 }
 
-impl Wave {
-    /// A predecessor's wave, with the machines on which the image ran or whose
+impl Rollout {
+    /// A predecessor's rollout, with the machines on which the image ran or whose
     /// fetch was begun; none if the record is of a later version. `now` in
     /// seconds. Seeds that are there still count, so the origin isn't asked for
     /// their copies again. Who takes from whom isn't known: new machines take
     /// from those that have least, which are the ends of the chains, and after
     /// that from each other.
     pub fn resume<'a>(
-        record: &WaveRecord,
+        record: &RolloutRecord,
         limits: Limits,
         ran: impl IntoIterator<Item = Ran<'a>>,
         uploads: &mut Uploads,
@@ -46,10 +46,10 @@
         if !record.known() {
             return None;
         }
-        let mut wave = Self::new(record.image.clone(), limits);
-        wave.stage = record.stage.min(LAST_STAGE);
-        wave.since = now;
-        wave.written = Some(record.clone());
+        let mut rollout = Self::new(record.image.clone(), limits);
+        rollout.stage = record.stage.min(LAST_STAGE);
+        rollout.since = now;
+        rollout.written = Some(record.clone());
         let seeds: BTreeSet<&MachineId> = record.seeds.iter().collect();
         // In order of names, whatever order they come in: all draw the same.
         let mut ran: Vec<Ran> = ran.into_iter().collect();
@@ -59,18 +59,18 @@
         let mut seats = Vec::with_capacity(ran.len());
         let mut nodes = Vec::with_capacity(ran.len());
         for r in ran {
-            let (seat, node) = wave.adopt(&r, &seeds, record.stage, uploads);
-            wave.hand_on += 1;
+            let (seat, node) = rollout.adopt(&r, &seeds, record.stage, uploads);
+            rollout.hand_on += 1;
             if node.gives(limits.slots) {
                 ranks.push((node.domain, node.rank(seat)));
             }
             nodes.push((seat, node));
             seats.push((r.machine, seat));
         }
-        wave.nodes = nodes.into_iter().collect();
-        wave.seats = seats.into_iter().collect();
-        wave.near.fill(&ranks);
-        Some(wave)
+        rollout.nodes = nodes.into_iter().collect();
+        rollout.seats = seats.into_iter().collect();
+        rollout.locality.fill(&ranks);
+        Some(rollout)
     }
 
     /// A machine as it was found: it counts as one that has the image or fetches
--- a/crates/image-distribution/src/plan/uploads.rs
+++ b/crates/image-distribution/src/plan/uploads.rs
@@ -1,10 +1,10 @@
-//! What bounds a wave, where an image comes from, and the uploads under way.
+//! What bounds a rollout, where an image comes from, and the uploads under way.
 
 use std::collections::BTreeMap;
 
 use sorrelhinge_protocol::types::MachineId;
 
-/// What bounds a wave.
+/// What bounds a rollout.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Limits {
     /// Uploads at once of a machine, all images together. One of them is for a
@@ -43,7 +43,7 @@
     Machine(MachineId),
 }
 
-/// Uploads under way of all waves: a machine has several images, and its link is
+/// Uploads under way of all rollouts: a machine has several images, and its link is
 /// one.
 #[derive(Clone, Debug, Default)]
 pub struct Uploads {
--- a/crates/image-distribution/src/record.rs
+++ b/crates/image-distribution/src/record.rs
@@ -1,4 +1,4 @@
-//! The shared record of an image under way (`h/wave/HASH`).
+//! The shared record of an image under way (`h/rollout/HASH`).
 
 use serde::{Deserialize, Serialize};
 use sorrelhinge_protocol::types::{Image, MachineId};
@@ -6,10 +6,10 @@
 /// The version this code writes and understands.
 pub const VERSION: u32 = 1;
 
-/// An image under way: how far its wave is, and who took it from the origin. One
+/// An image under way: how far its rollout is, and who took it from the origin. One
 /// small record whatever the number of machines, and a change a stage.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct WaveRecord {
+pub struct RolloutRecord {
     /// Version of the record; one of a later version is left alone.
     pub v: u32,
     /// The image.
@@ -24,7 +24,7 @@
     pub seeds: Vec<MachineId>,
 }
 
-impl WaveRecord {
+impl RolloutRecord {
     /// Whether this code may read on and change it.
     pub fn known(&self) -> bool {
         self.v == VERSION
--- a/crates/image-distribution/tests/model.rs
+++ b/crates/image-distribution/tests/model.rs
@@ -5,11 +5,11 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use proptest::prelude::*;
-use sorrelhinge_image_distribution::patience::{
+use sorrelhinge_image_distribution::fetch_timeout::{
     evictable, fetch_allowance_s, give_up_cost, threshold_s, Cached,
 };
-use sorrelhinge_image_distribution::plan::{Has, Limits, Ran, Source, Uploads, Wave};
-use sorrelhinge_image_distribution::record::WaveRecord;
+use sorrelhinge_image_distribution::plan::{Has, Limits, Ran, Rollout, Source, Uploads};
+use sorrelhinge_image_distribution::record::RolloutRecord;
 use sorrelhinge_protocol::types::{Image, MachineId};
 
 const PARTS: usize = 6;
@@ -122,12 +122,12 @@
 
 struct World {
     agents: BTreeMap<MachineId, Agent>,
-    wave: Wave,
+    rollout: Rollout,
     uploads: Uploads,
     limits: Limits,
     born: usize,
     /// Machines that were told to ask the origin and are there: the truth that
-    /// the wave's seeds are compared with.
+    /// the rollout's seeds are compared with.
     seeds: BTreeSet<MachineId>,
     /// Machines that left and came back: who was started before may not go to
     /// them, as they may take from it by now.
@@ -144,7 +144,7 @@
     fn new(machines: usize, limits: Limits) -> Self {
         let mut world = Self {
             agents: BTreeMap::new(),
-            wave: Wave::new(Image::from("weights"), limits),
+            rollout: Rollout::new(Image::from("weights"), limits),
             uploads: Uploads::default(),
             limits,
             born: 0,
@@ -161,7 +161,7 @@
     fn join(&mut self, machines: usize) {
         for n in self.born..self.born + machines {
             self.agents.insert(id(n), Agent::default());
-            self.wave.join(id(n), &path(&id(n)), false);
+            self.rollout.join(id(n), &path(&id(n)), false);
         }
         self.born += machines;
     }
@@ -170,7 +170,7 @@
         self.agents.keys().nth(n % len).cloned()
     }
     fn sources(&self) -> BTreeMap<MachineId, Source> {
-        let of = |m: &MachineId| Some((m.clone(), self.wave.source(m)?));
+        let of = |m: &MachineId| Some((m.clone(), self.rollout.source(m)?));
         self.agents.keys().filter_map(of).collect()
     }
     /// Whoever goes to the origin when another leaves has no source left that
@@ -211,36 +211,36 @@
                 if let Some(m) = self.pick(n) {
                     self.agents.remove(&m);
                     self.seeds.remove(&m);
-                    self.wave.lost(&m, &mut self.uploads);
+                    self.rollout.lost(&m, &mut self.uploads);
                 }
             }
             Event::Evict(n) => {
                 if let Some(m) = self.pick(n) {
                     self.seeds.remove(&m);
                     self.back.insert(m.clone());
-                    self.wave.evicted(&m, &mut self.uploads);
-                    self.wave.join(m.clone(), &path(&m), false);
+                    self.rollout.evicted(&m, &mut self.uploads);
+                    self.rollout.join(m.clone(), &path(&m), false);
                     self.agents.insert(m, Agent::default());
                 }
             }
             Event::Slow(n) => {
                 if let Some(m) = self.pick(n) {
-                    self.wave.slow(&m, &mut self.uploads);
+                    self.rollout.slow(&m, &mut self.uploads);
                     self.agents.get_mut(&m).unwrap().slow = true;
                 }
             }
-            Event::Refuse => self.wave.origin_refused(now + 5.0),
+            Event::Refuse => self.rollout.origin_refused(now + 5.0),
             Event::Takeover => return self.take_over(now),
         }
         self.moved(&before)
     }
     /// A new owner: it has the record, and what each machine has.
     fn take_over(&mut self, now: f64) -> Result<(), TestCaseError> {
-        let Some(record) = self.wave.record().cloned() else {
+        let Some(record) = self.rollout.record().cloned() else {
             return Ok(());
         };
         let text = serde_json::to_string(&record).unwrap();
-        let record: WaveRecord = serde_json::from_str(&text).unwrap();
+        let record: RolloutRecord = serde_json::from_str(&text).unwrap();
         if record.stage > 0 {
             let named: BTreeSet<&MachineId> = record.seeds.iter().collect();
             self.unknown += self.seeds.iter().filter(|m| !named.contains(m)).count();
@@ -257,29 +257,29 @@
             },
         });
         self.uploads = Uploads::default();
-        self.wave = Wave::resume(&record, self.limits, ran, &mut self.uploads, now).unwrap();
+        self.rollout = Rollout::resume(&record, self.limits, ran, &mut self.uploads, now).unwrap();
         for (m, a) in &self.agents {
             if a.from.is_none() {
-                self.wave.join(m.clone(), &paths[m], false);
+                self.rollout.join(m.clone(), &paths[m], false);
             }
         }
         Ok(())
     }
     fn decide(&mut self, now: f64) -> Result<(), TestCaseError> {
-        if let Some(record) = self.wave.next(now) {
-            prop_assert!(record.stage <= self.wave.stage() + 1);
+        if let Some(record) = self.rollout.next(now) {
+            prop_assert!(record.stage <= self.rollout.stage() + 1);
             let there = record.seeds.iter().all(|m| self.agents.contains_key(m));
             prop_assert!(there, "{:?} are not all there", record.seeds);
-            self.wave.written(record, now);
+            self.rollout.written(record, now);
         }
         let all: Vec<MachineId> = self.agents.keys().cloned().collect();
         for m in all {
-            if self.agents[&m].from.is_some() || !self.wave.may_start(&m, &self.uploads, now) {
+            if self.agents[&m].from.is_some() || !self.rollout.may_start(&m, &self.uploads, now) {
                 continue;
             }
-            let from = self.wave.assign(&m, &mut self.uploads, now);
+            let from = self.rollout.assign(&m, &mut self.uploads, now);
             prop_assert!(!from.is_empty() && from.len() <= self.limits.sources);
-            prop_assert_eq!(&from, &self.wave.assign(&m, &mut self.uploads, now));
+            prop_assert_eq!(&from, &self.rollout.assign(&m, &mut self.uploads, now));
             if from == [Source::Origin] {
                 let of_zone = self.seeds.iter().filter(|s| zone(s) == zone(&m)).count();
                 let all_slow = self.agents.values().any(|a| a.slow);
@@ -337,11 +337,15 @@
             }
         }
         for m in whole {
-            self.wave.arrived(&m, &mut self.uploads);
+            self.rollout.arrived(&m, &mut self.uploads);
         }
     }
     fn step(&mut self, step: &mut u32) -> Result<(), TestCaseError> {
-        prop_assert!(*step < 2_000, "{:?} after 2,000 steps", self.wave.counts());
+        prop_assert!(
+            *step < 2_000,
+            "{:?} after 2,000 steps",
+            self.rollout.counts()
+        );
         self.decide(f64::from(*step))?;
         self.transfer(*step);
         *step += 1;
@@ -377,7 +381,7 @@
             }
             world.step(&mut step)?;
         }
-        prop_assert!(world.wave.over());
+        prop_assert!(world.rollout.over());
         if world.quiet {
             prop_assert!(world.origin_parts <= PARTS * world.planned_copies);
             prop_assert!(world.planned_copies <= per_zone as usize * ZONES);
@@ -391,12 +395,12 @@
     fn a_successor_asks_for_no_more(machines in 1..250_usize, stage in 0..4_u32) {
         let mut world = World::new(machines, Limits { deep: 4, ..Limits::default() });
         let mut step = 0;
-        while step == 0 || (world.wave.stage() < stage && step < 30) {
+        while step == 0 || (world.rollout.stage() < stage && step < 30) {
             world.step(&mut step)?;
         }
-        prop_assert!(machines <= 12 || stage == 0 || world.wave.stage() > 0, "no next stage");
-        if let Some(record) = world.wave.next(f64::from(step)).filter(|_| stage > 0) {
-            world.wave.written(record, f64::from(step));
+        prop_assert!(machines <= 12 || stage == 0 || world.rollout.stage() > 0, "no next stage");
+        if let Some(record) = world.rollout.next(f64::from(step)).filter(|_| stage > 0) {
+            world.rollout.written(record, f64::from(step));
         }
         world.take_over(f64::from(step))?;
         prop_assert_eq!(world.unknown, 0);
@@ -413,26 +417,32 @@
 fn near_sources_first_and_links_are_shared() {
     let place = |z: &str, r: &str| vec![z.to_string(), r.to_string()];
     let mut uploads = Uploads::default();
-    let mut waves = ["a", "b"].map(|i| Wave::new(Image::from(i), Limits::default()));
-    for wave in &mut waves {
-        wave.join(id(1), &place("z1", "r1"), true);
-        wave.join(id(2), &place("z1", "r2"), true);
-        wave.join(id(3), &place("z1", "r2"), false);
-        wave.join(id(4), &place("z2", "r1"), false);
-        let record = wave.next(0.0).unwrap();
-        assert!(!wave.may_start(&id(3), &uploads, 0.0), "before its record");
-        wave.written(record, 0.0);
+    let mut rollouts = ["a", "b"].map(|i| Rollout::new(Image::from(i), Limits::default()));
+    for rollout in &mut rollouts {
+        rollout.join(id(1), &place("z1", "r1"), true);
+        rollout.join(id(2), &place("z1", "r2"), true);
+        rollout.join(id(3), &place("z1", "r2"), false);
+        rollout.join(id(4), &place("z2", "r1"), false);
+        let record = rollout.next(0.0).unwrap();
+        assert!(
+            !rollout.may_start(&id(3), &uploads, 0.0),
+            "before its record"
+        );
+        rollout.written(record, 0.0);
     }
-    let first = waves[0].assign(&id(3), &mut uploads, 0.0);
+    let first = rollouts[0].assign(&id(3), &mut uploads, 0.0);
     assert_eq!(first, [id(2), id(1)].map(Source::Machine));
     // The other image's nearest source gives already.
-    let second = waves[1].assign(&id(3), &mut uploads, 0.0);
+    let second = rollouts[1].assign(&id(3), &mut uploads, 0.0);
     assert_eq!(second[0], Source::Machine(id(1)));
-    assert_eq!(waves[0].assign(&id(4), &mut uploads, 0.0), [Source::Origin]);
-    waves[1].origin_refused(9.0);
-    let crossing = waves[1].assign(&id(4), &mut uploads, 0.0);
+    assert_eq!(
+        rollouts[0].assign(&id(4), &mut uploads, 0.0),
+        [Source::Origin]
+    );
+    rollouts[1].origin_refused(9.0);
+    let crossing = rollouts[1].assign(&id(4), &mut uploads, 0.0);
     assert!(matches!(crossing[0], Source::Machine(_)), "{crossing:?}");
-    assert_eq!((waves[1].copies(), waves[1].crossings()), (0, 1));
+    assert_eq!((rollouts[1].copies(), rollouts[1].crossings()), (0, 1));
 }
 
 /// A chain heals from within, a zone without a seed asks again, and where all are
@@ -444,40 +454,40 @@
         per_zone: 1,
         ..Limits::default()
     };
-    let mut wave = Wave::new(Image::from("a"), limits);
+    let mut rollout = Rollout::new(Image::from("a"), limits);
     let zone = ["z1".to_string()];
     for n in 0..6 {
-        wave.join(id(n), &zone, false);
+        rollout.join(id(n), &zone, false);
     }
-    wave.written(wave.next(0.0).unwrap(), 0.0);
+    rollout.written(rollout.next(0.0).unwrap(), 0.0);
     for n in 0..5 {
-        assert!(wave.may_start(&id(n), &uploads, 0.0));
-        wave.assign(&id(n), &mut uploads, 0.0);
+        assert!(rollout.may_start(&id(n), &uploads, 0.0));
+        rollout.assign(&id(n), &mut uploads, 0.0);
     }
-    wave.lost(&id(2), &mut uploads);
-    assert_eq!(wave.source(&id(3)), Some(Source::Machine(id(1))));
-    assert_eq!((wave.copies(), uploads.of(&id(1))), (1, 1));
-    wave.lost(&id(0), &mut uploads);
-    assert_eq!(wave.source(&id(1)), Some(Source::Origin));
-    assert_eq!((wave.copies(), uploads.origin()), (2, 1));
+    rollout.lost(&id(2), &mut uploads);
+    assert_eq!(rollout.source(&id(3)), Some(Source::Machine(id(1))));
+    assert_eq!((rollout.copies(), uploads.of(&id(1))), (1, 1));
+    rollout.lost(&id(0), &mut uploads);
+    assert_eq!(rollout.source(&id(1)), Some(Source::Origin));
+    assert_eq!((rollout.copies(), uploads.origin()), (2, 1));
     for n in [1, 3, 4] {
-        wave.slow(&id(n), &mut uploads);
+        rollout.slow(&id(n), &mut uploads);
     }
     // Who has no other source stays with a slow one: the origin isn't asked again.
-    assert_eq!(wave.source(&id(3)), Some(Source::Machine(id(1))));
-    assert_eq!(wave.copies(), 2);
-    assert!(wave.may_start(&id(5), &uploads, 0.0));
-    assert_eq!(wave.assign(&id(5), &mut uploads, 0.0), [Source::Origin]);
+    assert_eq!(rollout.source(&id(3)), Some(Source::Machine(id(1))));
+    assert_eq!(rollout.copies(), 2);
+    assert!(rollout.may_start(&id(5), &uploads, 0.0));
+    assert_eq!(rollout.assign(&id(5), &mut uploads, 0.0), [Source::Origin]);
 }
 
 /// A later version's record is left alone, and this one's form stays.
 #[test]
 fn records_keep_their_form() {
     let text = r#"{"v":1,"i":"img-07","s":2,"m":["vm-1"]}"#;
-    let mut record: WaveRecord = serde_json::from_str(text).unwrap();
+    let mut record: RolloutRecord = serde_json::from_str(text).unwrap();
     assert_eq!(serde_json::to_string(&record).unwrap(), text);
     record.v = 2;
-    let resumed = Wave::resume(&record, Limits::default(), [], &mut Uploads::default(), 0.0);
+    let resumed = Rollout::resume(&record, Limits::default(), [], &mut Uploads::default(), 0.0);
     assert!(resumed.is_none());
 }
 
@@ -487,7 +497,7 @@
     for (fetch_s, most_s) in [(20.0, 1.0), (100.0, 5.0), (280.0, 14.0), (4_000.0, 30.0)] {
         assert_eq!(threshold_s(fetch_s), most_s);
     }
-    // The slowest fetch that was measured in a wave is within its allowance.
+    // The slowest fetch that was measured in a rollout is within its allowance.
     assert!(fetch_allowance_s(140.0, 0.5) > 2.0 * 280.0);
     assert_eq!(give_up_cost(0.0, 280.0), 0.0);
     assert!(give_up_cost(0.9, 280.0) > 8.0 * give_up_cost(0.5, 280.0));
--- a/crates/overload/src/fleet_limit.rs
+++ b/crates/overload/src/fleet_limit.rs
@@ -4,7 +4,7 @@
 //! for its controllers though each machine is wanted. What they can carry is
 //! not computed from constants, which would be those of one installation, but
 //! found: while requests wait too long for the processor the bound falls, and
-//! with room to spare it rises again.
+//! with free capacity to spare it rises again.
 
 use sorrelhinge_protocol::types::Time;
 
--- a/crates/overload/src/freshness.rs
+++ b/crates/overload/src/freshness.rs
@@ -37,7 +37,7 @@
 /// Kept between the end of the last lease and `cancel_s`, in seconds: the worker has
 /// to notice that the lease has ended, and to end its tasks.
 const MARGIN_S: f64 = 3.0;
-/// While `cancel_s` leaves no room for the whole margin, workers are answered for this
+/// While `cancel_s` leaves no free capacity for the whole margin, workers are answered for this
 /// long if that is safe, in seconds: usually a read is not older.
 const LEAST_S: f64 = 1.0;
 
--- a/crates/overload/src/heartbeat_offload.rs
+++ b/crates/overload/src/heartbeat_offload.rs
@@ -34,7 +34,7 @@
     /// Machines there are.
     pub machines: usize,
     /// Connections that workers may hold here.
-    pub room: usize,
+    pub free_capacity: usize,
     /// How long requests wait to be read, in seconds.
     pub wait_s: f64,
     /// Controllers that can take heartbeats for this one.
@@ -52,7 +52,7 @@
 
     /// Takes in how things stand.
     pub fn take(&mut self, heartbeat_load: HeartbeatLoad, now: Time) {
-        let room = heartbeat_load.room.max(1) as f64;
+        let free_capacity = heartbeat_load.free_capacity.max(1) as f64;
         let machines = heartbeat_load.machines as f64;
         let quiet_s = self.since.map_or(f64::INFINITY, |t| now.since(t));
         if heartbeat_load.helpers == 0 {
@@ -60,7 +60,7 @@
             return;
         }
         // Sockets can be counted ahead: no step has to show first.
-        let needed = (1.0 - OFFLOAD_ABOVE_SHARE * room / machines.max(1.0)).max(0.0);
+        let needed = (1.0 - OFFLOAD_ABOVE_SHARE * free_capacity / machines.max(1.0)).max(0.0);
         if needed > self.share {
             self.share = needed;
             self.since = Some(now);
@@ -70,7 +70,7 @@
                 self.since = Some(now);
             }
         } else if quiet_s >= RETURN_INTERVAL_S {
-            let fits = (1.0 - RETURN_BELOW_SHARE * room / machines.max(1.0)).max(0.0);
+            let fits = (1.0 - RETURN_BELOW_SHARE * free_capacity / machines.max(1.0)).max(0.0);
             self.share = (self.share - STEP_SHARE / 2.0).max(fits).min(self.share);
             self.since = Some(now);
         }
--- a/crates/overload/tests/model.rs
+++ b/crates/overload/tests/model.rs
@@ -225,7 +225,7 @@
 
 /// Room is set aside for the service's own connections whatever the bound is.
 #[test]
-fn room_is_set_aside_for_the_services_own_connections() {
+fn free_capacity_is_set_aside_for_the_services_own_connections() {
     for sockets in [100, 500, 2514, 2867, 100_000] {
         let limits = Limits::of(sockets, 4, 48);
         assert!(limits.most < sockets && limits.most >= sockets * 2 / 3);
@@ -330,7 +330,7 @@
 }
 
 /// The bound on machines falls while requests wait, a step at a time, rises
-/// with room to spare, and is forgotten once the fleet is far below it.
+/// with free capacity to spare, and is forgotten once the fleet is far below it.
 #[test]
 fn the_bound_on_machines_is_found_and_forgotten() {
     let mut fleet_limit = FleetLimit::default();
@@ -364,12 +364,12 @@
 }
 
 /// Workers are sent elsewhere before the sockets are full, always the same
-/// ones first, evenly over the helpers, and come back once there is room.
+/// ones first, evenly over the helpers, and come back once there is free capacity.
 #[test]
 fn workers_are_spread_before_the_sockets_are_full() {
     let heartbeat_load = |machines: usize, wait_s: f64, helpers: usize| HeartbeatLoad {
         machines,
-        room: 2000,
+        free_capacity: 2000,
         wait_s,
         helpers,
     };
@@ -492,7 +492,7 @@
 }
 
 proptest! {
-    /// Against the whole history, with room for all: a poll is refused only if
+    /// Against the whole history, with free capacity for all: a poll is refused only if
     /// the last one was answered, and lately. The first six jobs are recorded,
     /// the others are not, and their second poll is the first to be answered.
     #[test]
@@ -527,8 +527,8 @@
         }
     }
 
-    /// With little room, and a flood of ids that nobody submitted: never more is
-    /// kept than there is room for, nobody is refused twice in a row, and the
+    /// With little free capacity, and a flood of ids that nobody submitted: never more is
+    /// kept than there is free capacity for, nobody is refused twice in a row, and the
     /// flood changes nothing for recorded jobs.
     #[test]
     fn a_flood_pushes_nobody_out(polls in polls(12), flood in 0_usize..40) {
@@ -587,7 +587,7 @@
         (2, 1.0, answer),
         (2, 3.0, answer),
         (0, 3.0, refuse),
-        // After job 1 is over there is room.
+        // After job 1 is over there is free capacity.
         (2, 4.0, answer),
         (2, 5.0, refuse),
         (7, later, answer),
--- a/crates/protocol/src/types.rs
+++ b/crates/protocol/src/types.rs
@@ -192,23 +192,25 @@
             ram: milli(ram_gb),
         }
     }
-    /// Whether this fits into `room`.
-    pub fn fits(self, room: Amount) -> bool {
-        self.cpu <= room.cpu && self.gpu <= room.gpu && self.ram <= room.ram
+    /// Whether this fits into `free_capacity`.
+    pub fn fits(self, free_capacity: Amount) -> bool {
+        self.cpu <= free_capacity.cpu
+            && self.gpu <= free_capacity.gpu
+            && self.ram <= free_capacity.ram
     }
-    /// Whether CPUs and GPUs fit into `room`; teams are not limited in memory.
-    pub fn fits_team(self, room: Amount) -> bool {
-        self.cpu <= room.cpu && self.gpu <= room.gpu
+    /// Whether CPUs and GPUs fit into `free_capacity`; teams are not limited in memory.
+    pub fn fits_team(self, free_capacity: Amount) -> bool {
+        self.cpu <= free_capacity.cpu && self.gpu <= free_capacity.gpu
     }
-    /// How many times this fits into `room`.
-    pub fn how_many(self, room: Amount) -> u32 {
+    /// How many times this fits into `free_capacity`.
+    pub fn how_many(self, free_capacity: Amount) -> u32 {
         let part = |need: i64, has: i64| match need {
             0 => i64::from(u32::MAX),
             need => (has / need).clamp(0, i64::from(u32::MAX)),
         };
-        part(self.cpu, room.cpu)
-            .min(part(self.gpu, room.gpu))
-            .min(part(self.ram, room.ram)) as u32
+        part(self.cpu, free_capacity.cpu)
+            .min(part(self.gpu, free_capacity.gpu))
+            .min(part(self.ram, free_capacity.ram)) as u32
     }
     /// This amount `n` times.
     pub fn times(self, n: i64) -> Self {
--- a/crates/protocol/src/worker.rs
+++ b/crates/protocol/src/worker.rs
@@ -38,7 +38,7 @@
     Stopped,
     /// Failed.
     Error,
-    /// Refused: not enough room.
+    /// Refused: not enough free capacity.
     Full,
     /// Refused: the task is there with another attempt.
     InUse,
--- a/crates/reservations/src/lend.rs
+++ b/crates/reservations/src/lend.rs
@@ -33,8 +33,8 @@
 /// Whether held room is lent to some work. `left_s`: seconds until the window
 /// begins, by the latest that the clock may be, and less its `early_s`;
 /// negative once it has begun. `stop_s`: seconds from the decision to stop a
-/// task until its machine is told and the room free, without saving. `wait_s`:
-/// how long the window's work may wait for room after it has come.
+/// task until its machine is told and the free capacity free, without saving. `wait_s`:
+/// how long the window's work may wait for free capacity after it has come.
 pub fn may_lend(work: &Borrower, left_s: f64, stop_s: f64, wait_s: f64) -> Lend {
     // An estimate of 0 is a service's, which never ends.
     if work
--- a/crates/reservations/src/lib.rs
+++ b/crates/reservations/src/lib.rs
@@ -2,8 +2,8 @@
 //!
 //! - [`settings`]: the operator's file, and what is wrong with it;
 //! - [`when`]: when a window's occurrences begin and end, by time zones;
-//! - [`record`]: what the state service holds of windows and occurrences;
-//! - [`plan`]: one occurrence's steps, how much room is held, and who gives way;
+//! - [`record`]: what the state service reservations of windows and occurrences;
+//! - [`plan`]: one occurrence's steps, how much free capacity is held, and who gives way;
 //! - [`lend`]: who may use held room before its window begins;
 //! - [`shown`]: what operators are shown.
 //!
--- a/crates/reservations/src/plan.rs
+++ b/crates/reservations/src/plan.rs
@@ -1,4 +1,4 @@
-//! One occurrence's steps, and how much room is held now.
+//! One occurrence's steps, and how much free capacity is held now.
 //!
 //! What is held follows the *recorded* step, never the one that is due: a new
 //! owner finds in the record all that its predecessor acted by. Clocks decide
@@ -6,21 +6,21 @@
 //! early, and ended as late, as any clock within the bound may say. A recorded
 //! step is not undone by a clock, wherever that jumps.
 //!
-//! In parts: what it is made from (`seen`), how much room is held (`room`), what a
+//! In parts: what it is made from (`seen`), how much free capacity is held (`free_capacity`), what a
 //! record is to become (`change`), and who gives way (`arbitration`).
 
 mod arbitration;
 mod change;
-mod room;
+mod free_capacity;
 mod seen;
 
 use std::collections::BTreeMap;
 
-pub use self::arbitration::{arbitrate, Got, TeamRoom, Want};
+pub use self::arbitration::{arbitrate, Got, TeamFreeCapacity, Want};
 use self::change::change;
 pub use self::change::Change;
-use self::room::ms;
-pub use self::room::{hold, lead_s};
+use self::free_capacity::ms;
+pub use self::free_capacity::{hold, lead_s};
 pub use self::seen::{Clock, Refused, Seen, Short};
 use crate::record::{span, Step, WindowRecord};
 use crate::settings::Window;
--- a/crates/reservations/src/plan/arbitration.rs
+++ b/crates/reservations/src/plan/arbitration.rs
@@ -19,7 +19,7 @@
 
 /// What a team's windows may have.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct TeamRoom {
+pub struct TeamFreeCapacity {
     /// Its guarantee, less what its work outside of windows uses.
     pub guarantee: Amount,
     /// Its limit, less the same.
@@ -43,7 +43,7 @@
 /// memory counts there, not in limits.
 pub fn arbitrate(
     wants: &[Want],
-    teams: &BTreeMap<String, TeamRoom>,
+    teams: &BTreeMap<String, TeamFreeCapacity>,
     pool: Option<Amount>,
 ) -> Vec<Got> {
     let mut by_name: Vec<usize> = (0..wants.len()).collect();
@@ -63,13 +63,13 @@
     for guaranteed in [true, false] {
         for &i in &by_name {
             let want = &wants[i];
-            let room = teams.entry(want.team.clone()).or_default();
-            let fit = fits(want, room, guaranteed, pool);
+            let free_capacity = teams.entry(want.team.clone()).or_default();
+            let fit = fits(want, free_capacity, guaranteed, pool);
             let takes = fit.all.min(want.tasks - got[i].tasks);
             if takes > 0 {
                 let amount = want.each.times(i64::from(takes));
-                room.guarantee -= amount;
-                room.limit -= amount;
+                free_capacity.guarantee -= amount;
+                free_capacity.limit -= amount;
                 pool = pool.map(|pool| pool - amount);
                 got[i].tasks += takes;
                 taken.push(i);
@@ -92,15 +92,20 @@
 }
 
 /// How many tasks of a window fit. `guaranteed`: within its team's guarantee.
-fn fits(want: &Want, room: &TeamRoom, guaranteed: bool, pool: Option<Amount>) -> Fit {
+fn fits(
+    want: &Want,
+    free_capacity: &TeamFreeCapacity,
+    guaranteed: bool,
+    pool: Option<Amount>,
+) -> Fit {
     // Memory is in no team's limit.
     let of_team = |amount: Amount| Amount {
         ram: i64::MAX,
         ..amount
     };
-    let mut by_team = want.each.how_many(of_team(room.limit));
+    let mut by_team = want.each.how_many(of_team(free_capacity.limit));
     if guaranteed {
-        by_team = by_team.min(want.each.how_many(of_team(room.guarantee)));
+        by_team = by_team.min(want.each.how_many(of_team(free_capacity.guarantee)));
     }
     let all = match pool {
         Some(pool) => by_team.min(want.each.how_many(pool)),
--- a/crates/reservations/src/plan/change.rs
+++ b/crates/reservations/src/plan/change.rs
@@ -1,7 +1,7 @@
 //! What an occurrence's record is to become: the step that is due, by the clock and
 //! what is seen, and never a step back.
 
-use super::room::{lead_s, ms, ramp, unused};
+use super::free_capacity::{lead_s, ms, ramp, unused};
 use super::seen::{Clock, Seen};
 use crate::record::{Step, WindowRecord, VERSION};
 use crate::settings::Window;
--- a/crates/reservations/src/plan/room.rs
+++ b/crates/reservations/src/plan/free_capacity.rs
@@ -1,4 +1,4 @@
-//! How much room is held now, by an occurrence's recorded step: asked for in steps
+//! How much free capacity is held now, by an occurrence's recorded step: asked for in steps
 //! before the window begins, and given back in parts while no work comes.
 
 use super::seen::{Clock, Seen};
--- a/crates/reservations/src/plan/seen.rs
+++ b/crates/reservations/src/plan/seen.rs
@@ -54,11 +54,11 @@
     pub fetch_s: f64,
     /// How many tasks' room can be rented in a second at most.
     pub rent_per_s: f64,
-    /// Why the last request for room brought less, if it did.
+    /// Why the last request for free capacity brought less, if it did.
     pub refused: Option<Refused>,
 }
 
-/// Why a request for room brought less.
+/// Why a request for free capacity brought less.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Refused {
@@ -72,7 +72,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Short {
-    /// The team's limit has room for so many tasks only.
+    /// The team's limit has free capacity for so many tasks only.
     Limit(u32),
     /// Another window comes first.
     GivesWay(String),
--- a/crates/reservations/src/shown.rs
+++ b/crates/reservations/src/shown.rs
@@ -96,14 +96,14 @@
         let next = whole.each.get(start_ms);
         // Room belongs to the window; it is shown where it is held.
         let holds = matches!(record.step, Step::Warming | Step::Held);
-        let room = |n: u32| if holds { n } else { 0 };
+        let free_capacity = |n: u32| if holds { n } else { 0 };
         WindowShown {
             step: Some(record.step),
             tasks: record.tasks,
             hold: next.map_or(0, |n| n.hold),
-            asked: room(seen.asked),
-            ready: room(seen.ready),
-            used: room(seen.used),
+            asked: free_capacity(seen.asked),
+            ready: free_capacity(seen.ready),
+            used: free_capacity(seen.used),
             short: next.and_then(|n| n.short.clone()),
             why: next.map_or_else(String::new, |n| n.why.clone()),
             ..empty_row(name, entry, Some(span))
--- a/crates/reservations/tests/model.rs
+++ b/crates/reservations/tests/model.rs
@@ -13,7 +13,8 @@
 use sorrelhinge_protocol::types::Amount;
 use sorrelhinge_reservations::lend::{may_lend, Borrower, Lend};
 use sorrelhinge_reservations::plan::{
-    arbitrate, divide, lead_s, steps, Change, Clock, Refused, Seen, Short, TeamRoom, Want, Whole,
+    arbitrate, divide, lead_s, steps, Change, Clock, Refused, Seen, Short, TeamFreeCapacity, Want,
+    Whole,
 };
 use sorrelhinge_reservations::record::{Step, WindowRecord, VERSION};
 use sorrelhinge_reservations::settings::Window;
@@ -75,7 +76,7 @@
     Fits(u32),
     /// The cloud has no more than this.
     Capacity(u32),
-    /// So much of the room is lost at once.
+    /// So much of the free capacity is lost at once.
     Lost(u32),
     /// An operator pins the window with so many tasks, or takes it out.
     Pin(Option<u32>),
@@ -344,7 +345,7 @@
     #[test]
     fn what_windows_get_fits(
         wants in proptest::collection::vec((0usize..3, 1i64..5, 1u32..20), 1..6),
-        rooms in proptest::collection::vec((0i64..40, 0i64..60), 3),
+        free_capacities in proptest::collection::vec((0i64..40, 0i64..60), 3),
         pool in proptest::option::of(0i64..120),
     ) {
         let teams = ["a", "b", "c"];
@@ -355,30 +356,30 @@
             each: cpus(*cpu),
             tasks: *tasks,
         }).collect();
-        let room: BTreeMap<String, TeamRoom> = teams.iter().zip(&rooms).map(|(team, (guarantee, limit))| {
-            let room = TeamRoom { guarantee: cpus(*guarantee.min(limit)), limit: cpus(*limit) };
-            (team.to_string(), room)
+        let free_capacity: BTreeMap<String, TeamFreeCapacity> = teams.iter().zip(&free_capacities).map(|(team, (guarantee, limit))| {
+            let free_capacity = TeamFreeCapacity { guarantee: cpus(*guarantee.min(limit)), limit: cpus(*limit) };
+            (team.to_string(), free_capacity)
         }).collect();
-        let got = arbitrate(&wants, &room, pool.map(cpus));
+        let got = arbitrate(&wants, &free_capacity, pool.map(cpus));
         let cpus = |of: &dyn Fn(&Want) -> bool| -> i64 {
             let of = wants.iter().zip(&got).filter(|(w, _)| of(w));
             of.map(|(w, g)| w.each.cpu * i64::from(g.tasks)).sum()
         };
         for team in teams {
             let used = cpus(&|w| w.team == team);
-            prop_assert!(used <= room[team].limit.cpu);
+            prop_assert!(used <= free_capacity[team].limit.cpu);
             // All windows of a team that fits its guarantee, where the pool
-            // has room for all guarantees, get everything.
+            // has free capacity for all guarantees, get everything.
             let asked: i64 = wants.iter().filter(|w| w.team == team).map(|w| w.each.cpu * i64::from(w.tasks)).sum();
-            let guarantees: i64 = room.values().map(|r| r.guarantee.cpu).sum();
-            if asked <= room[team].guarantee.cpu && pool.is_none_or(|p| p >= guarantees) {
+            let guarantees: i64 = free_capacity.values().map(|r| r.guarantee.cpu).sum();
+            if asked <= free_capacity[team].guarantee.cpu && pool.is_none_or(|p| p >= guarantees) {
                 prop_assert_eq!(used, asked);
             }
         }
         prop_assert!(pool.is_none_or(|p| cpus(&|_| true) <= p));
         // Nothing is left lying that a window could have had.
         for (w, g) in wants.iter().zip(&got) {
-            let left = room[&w.team].limit.cpu - cpus(&|o| o.team == w.team);
+            let left = free_capacity[&w.team].limit.cpu - cpus(&|o| o.team == w.team);
             let free = pool.map_or(left, |p| left.min(p - cpus(&|_| true)));
             prop_assert!(g.tasks == w.tasks || free < w.each.cpu);
         }
@@ -594,7 +595,7 @@
 }
 
 /// A window every two minutes that lasts as long: the next one warms while this
-/// one is held, and no room is returned or asked for twice in between.
+/// one is held, and no free capacity is returned or asked for twice in between.
 #[test]
 fn one_occurrence_goes_over_into_the_next() {
     let mut window = window(40, 120);
@@ -648,11 +649,14 @@
 #[test]
 fn windows_that_want_the_same_give_way_by_guarantee_and_name() {
     let cpus = |cpus| Amount::new(cpus, 0.0, 0.0);
-    let room = |guarantee, limit| TeamRoom {
+    let free_capacity = |guarantee, limit| TeamFreeCapacity {
         guarantee: cpus(guarantee),
         limit: cpus(limit),
     };
-    let teams = BTreeMap::from([("a".into(), room(0.0, 15.0)), ("b".into(), room(8.0, 20.0))]);
+    let teams = BTreeMap::from([
+        ("a".into(), free_capacity(0.0, 15.0)),
+        ("b".into(), free_capacity(8.0, 20.0)),
+    ]);
     // Pairs of name and team; tasks and whom it gives way to.
     let got = |wants: [(&str, &str); 2], pool| {
         let wants = wants.map(|(name, team)| Want {
@@ -676,7 +680,7 @@
 }
 
 #[test]
-fn held_room_is_lent_only_to_work_that_is_gone_in_time() {
+fn held_free_capacity_is_lent_only_to_work_that_is_gone_in_time() {
     let cases = [
         (Some(30.0), false, 0.0, 60.0, Lend::Ends),
         // Not even twice over.
--- a/crates/sharding/src/delegation.rs
+++ b/crates/sharding/src/delegation.rs
@@ -1,7 +1,7 @@
-//! Tasks that one shard leaves to another that has room.
+//! Tasks that one shard leaves to another that has free capacity.
 //!
 //! Jobs are placed by one shard each, and machines come and go: one shard's
-//! queue waits while another's machines idle. So a shard says how much room it
+//! queue waits while another's machines idle. So a shard says how much free capacity it
 //! has beyond its own work, and others leave it tasks that found no place. That
 //! is a hint on both sides, with an end: whoever claims a task first in the
 //! job's record has it, and the other's claim fails there.
@@ -20,7 +20,7 @@
 /// A job's tasks are left to others once they have waited so long, in seconds.
 const DELEGATE_AFTER_S: f64 = 0.6;
 /// What is known of another's room is of use for so long, in seconds.
-const FREE_ROOM_FRESH_S: f64 = 2.5;
+const FREE_CAPACITY_FRESH_S: f64 = 2.5;
 
 /// A job whose tasks wait.
 #[derive(Clone, Debug)]
@@ -50,20 +50,20 @@
 #[derive(Debug, Default)]
 pub struct Delegation {
     /// Thousandths of a CPU that are free there, less what was left there since.
-    room: BTreeMap<ShardId, (i64, Time)>,
+    free_capacity: BTreeMap<ShardId, (i64, Time)>,
 }
 
 impl Delegation {
-    /// A shard said how much room it has beyond its own work, in thousandths of
+    /// A shard said how much free capacity it has beyond its own work, in thousandths of
     /// a CPU.
-    pub fn has_room(&mut self, shard: ShardId, cpu: i64, now: Time) {
-        self.room.insert(shard, (cpu.max(0), now));
+    pub fn has_capacity(&mut self, shard: ShardId, cpu: i64, now: Time) {
+        self.free_capacity.insert(shard, (cpu.max(0), now));
     }
 
     /// Which tasks to leave to others, the first of `waiting` first.
     pub fn delegate(&mut self, waiting: &[Waiting], now: Time) -> Vec<Delegated> {
-        self.room
-            .retain(|_, (_, at)| now.since(*at) <= FREE_ROOM_FRESH_S);
+        self.free_capacity
+            .retain(|_, (_, at)| now.since(*at) <= FREE_CAPACITY_FRESH_S);
         let mut delegated = Vec::new();
         for w in waiting
             .iter()
@@ -73,7 +73,7 @@
             let mut tasks = w.tasks;
             while tasks > 0 {
                 let most = self
-                    .room
+                    .free_capacity
                     .iter_mut()
                     .max_by_key(|(b, (free, _))| (*free, **b));
                 let Some((to, (free, _))) = most.filter(|(_, (free, _))| *free >= cpu) else {
--- a/crates/sharding/tests/model.rs
+++ b/crates/sharding/tests/model.rs
@@ -285,11 +285,11 @@
             under_way: None,
         }
     }
-    /// Uses what there is room for.
+    /// Uses what there is free capacity for.
     fn claim(&mut self, shard: usize, wanted: i64) {
         self.wants[shard] = wanted;
-        let room = self.bound[shard].cpu - self.used[shard];
-        self.used[shard] += wanted.min(room).max(0);
+        let free_capacity = self.bound[shard].cpu - self.used[shard];
+        self.used[shard] += wanted.min(free_capacity).max(0);
     }
     /// Sends a transfer, if one is worth it: never of what is used.
     fn send(&mut self, shard: usize) -> Result<(), TestCaseError> {
@@ -500,21 +500,21 @@
 
     // ---- delegation -----------------------------------------------------------
 
-    /// No more is left to a shard than it has room for, nor more of a job than
-    /// waits; old news of room is not used.
+    /// No more is left to a shard than it has free capacity for, nor more of a job than
+    /// waits; old news of free capacity is not used.
     #[test]
-    fn tasks_are_left_only_where_there_is_room(
-        rooms in prop::collection::vec((1..5_u32, 0..20_000_i64, 0.0..5.0_f64), 0..5),
+    fn tasks_are_left_only_where_there_is_free_capacity(
+        free_capacities in prop::collection::vec((1..5_u32, 0..20_000_i64, 0.0..5.0_f64), 0..5),
         jobs in prop::collection::vec((1..40_u32, 1..8_i64, 0.0..3.0_f64), 0..10),
     ) {
         let now = 5.0;
         let mut delegation = Delegation::default();
-        let mut room: BTreeMap<u32, i64> = BTreeMap::new();
-        let mut in_order = rooms.clone();
+        let mut free_capacity: BTreeMap<u32, i64> = BTreeMap::new();
+        let mut in_order = free_capacities.clone();
         in_order.sort_by(|a, b| a.2.total_cmp(&b.2));
         for (shard, free, at) in in_order {
-            delegation.has_room(ShardId(shard), free, Time(at));
-            room.insert(shard, if now - at <= 2.5 { free } else { 0 });
+            delegation.has_capacity(ShardId(shard), free, Time(at));
+            free_capacity.insert(shard, if now - at <= 2.5 { free } else { 0 });
         }
         let waiting: Vec<Waiting> = jobs.iter().enumerate().map(|(i, (tasks, cpus, age))| Waiting {
             job: JobId::from(&*format!("run-{i:06}")),
@@ -526,15 +526,15 @@
         for delegated in delegation.delegate(&waiting, Time(now)) {
             let job = waiting.iter().find(|w| w.job == delegated.job).expect("it waits");
             prop_assert!(now - job.since.0 >= 0.6);
-            *room.entry(delegated.to.0).or_insert(0) -= job.cpu * i64::from(delegated.tasks);
+            *free_capacity.entry(delegated.to.0).or_insert(0) -= job.cpu * i64::from(delegated.tasks);
             *left.entry(delegated.job).or_insert(0) += delegated.tasks;
         }
-        prop_assert!(room.values().all(|r| *r >= 0), "{:?}", room);
+        prop_assert!(free_capacity.values().all(|r| *r >= 0), "{:?}", free_capacity);
         for w in &waiting {
             prop_assert!(left.get(&w.job).copied().unwrap_or(0) <= w.tasks);
-            // Whoever waits long enough gets what room there is.
+            // Whoever waits long enough gets what free capacity there is.
             let all = left.get(&w.job).copied().unwrap_or(0) == w.tasks;
-            let none_fits = room.values().all(|r| *r < w.cpu);
+            let none_fits = free_capacity.values().all(|r| *r < w.cpu);
             prop_assert!(all || none_fits || now - w.since.0 < 0.6);
         }
     }
--- a/crates/topology/src/devices.rs
+++ b/crates/topology/src/devices.rs
@@ -87,13 +87,13 @@
 
 /// Units that claims on a machine hold.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Held {
+pub struct AllocatedDevices {
     units: BTreeMap<Unit, u32>,
     /// Claims that may hold units whose names are not known.
     unnamed: u32,
 }
 
-impl Held {
+impl AllocatedDevices {
     /// A claim holds these.
     pub fn take(&mut self, units: &[Unit]) {
         for unit in units {
@@ -133,7 +133,7 @@
 /// Units for one more task; none if a required one is missing, broken or taken.
 /// Of a preferred kind there are as many as are free, all or none. While a
 /// claim holds units without names, none are given out.
-pub fn choose(stock: &Stock, held: &Held, needs: &[Device]) -> Option<Vec<Unit>> {
+pub fn choose(stock: &Stock, allocated: &AllocatedDevices, needs: &[Device]) -> Option<Vec<Unit>> {
     let mut chosen = Vec::new();
     for need in needs {
         // Units that others share already go first: whole ones stay whole.
@@ -141,8 +141,8 @@
             .0
             .iter()
             .filter(|(unit, state)| unit.kind() == need.kind && !state.broken)
-            .map(|(unit, state)| (state.share.saturating_sub(held.holders(unit)), unit))
-            .filter(|(left, _)| *left > 0 && held.unnamed == 0)
+            .map(|(unit, state)| (state.share.saturating_sub(allocated.holders(unit)), unit))
+            .filter(|(left, _)| *left > 0 && allocated.unnamed == 0)
             .collect();
         free.sort();
         if free.len() >= need.count as usize {
--- a/crates/topology/src/gang.rs
+++ b/crates/topology/src/gang.rs
@@ -46,14 +46,18 @@
 fn fill<'a>(
     slots: &[&'a Slot],
     tasks: u32,
-    room: impl Fn(&Slot) -> u32,
+    free_capacity: impl Fn(&Slot) -> u32,
     rules: &dyn Rules,
 ) -> Option<Vec<(&'a Slot, u32)>> {
-    let mut order: Vec<&Slot> = slots.iter().copied().filter(|s| room(s) > 0).collect();
+    let mut order: Vec<&Slot> = slots
+        .iter()
+        .copied()
+        .filter(|s| free_capacity(s) > 0)
+        .collect();
     // The largest first makes the fewest machines.
     order.sort_by(|a, b| {
-        room(b)
-            .cmp(&room(a))
+        free_capacity(b)
+            .cmp(&free_capacity(a))
             .then(a.cost.cmp(&b.cost))
             .then(a.machine.cmp(&b.machine))
     });
@@ -61,9 +65,14 @@
     let mut left = tasks;
     while left > 0 && !order.is_empty() {
         // For what is left at the end the tightest that takes it all.
-        let at = order.iter().rposition(|s| room(s) >= left).unwrap_or(0);
+        let at = order
+            .iter()
+            .rposition(|s| free_capacity(s) >= left)
+            .unwrap_or(0);
         let slot = order.remove(at);
-        let take = rules.allowed(&chosen, slot, room(slot).min(left)).min(left);
+        let take = rules
+            .allowed(&chosen, slot, free_capacity(slot).min(left))
+            .min(left);
         if take > 0 {
             chosen.push((slot, take));
             left -= take;
@@ -76,13 +85,13 @@
 struct Wanted<'a> {
     tasks: u32,
     /// How many of its tasks a slot takes.
-    room: &'a dyn Fn(&Slot) -> u32,
+    free_capacity: &'a dyn Fn(&Slot) -> u32,
     rules: &'a dyn Rules,
 }
 
 impl Wanted<'_> {
     fn fill<'s>(&self, slots: &[&'s Slot]) -> Option<Vec<(&'s Slot, u32)>> {
-        fill(slots, self.tasks, self.room, self.rules)
+        fill(slots, self.tasks, self.free_capacity, self.rules)
     }
 
     /// The plan on the fewest machines within the innermost domain that fits.
@@ -111,14 +120,17 @@
                 .iter()
                 .filter(|s| tree.covers(domain, s.place))
                 .collect();
-            let rooms = inside.iter().map(|s| (self.room)(s));
-            let room = rooms.fold(0_u32, u32::saturating_add);
-            if room < self.tasks {
+            let free_capacities = inside.iter().map(|s| (self.free_capacity)(s));
+            let free_capacity = free_capacities.fold(0_u32, u32::saturating_add);
+            if free_capacity < self.tasks {
                 continue;
             }
             if let Some(chosen) = self.fill(&inside) {
                 let machines = chosen.len();
-                let rank = Rank { machines, room };
+                let rank = Rank {
+                    machines,
+                    free_capacity,
+                };
                 if best.as_ref().is_none_or(|(known, _)| rank < *known) {
                     best = Some((rank, owned(chosen)));
                 }
@@ -133,7 +145,7 @@
 struct Rank {
     machines: usize,
     /// How many tasks its domain would take.
-    room: u32,
+    free_capacity: u32,
 }
 
 fn owned(chosen: Vec<(&Slot, u32)>) -> Plan {
@@ -144,11 +156,11 @@
 }
 
 /// Places a gang whole in what is free, if that suffices: within one domain of
-/// the innermost level that has room, on the fewest machines.
+/// the innermost level that has free capacity, on the fewest machines.
 pub fn whole(tree: Option<&Tree>, slots: &[Slot], tasks: u32, rules: &dyn Rules) -> Option<Plan> {
     let wanted = Wanted {
         tasks,
-        room: &|s| s.free,
+        free_capacity: &|s| s.free,
         rules,
     };
     wanted.within(tree, slots)
@@ -158,7 +170,7 @@
 pub fn hold(tree: Option<&Tree>, slots: &[Slot], tasks: u32, rules: &dyn Rules) -> Option<Plan> {
     let wanted = Wanted {
         tasks,
-        room: &|s| s.later,
+        free_capacity: &|s| s.later,
         rules,
     };
     wanted.within(tree, slots)
@@ -182,10 +194,10 @@
 }
 
 impl<J: Clone + PartialEq> Turn<J> {
-    /// Whether a gang that found no room may have machines held: it does, or
+    /// Whether a gang that found no free capacity may have machines held: it does, or
     /// nobody does and it has not just had its turn. A turn ends after
     /// `hold_s` seconds, and the gang then stands back for as long.
-    pub fn may_hold(&mut self, job: &J, hold_s: f64, now: Time) -> bool {
+    pub fn may_reserve(&mut self, job: &J, hold_s: f64, now: Time) -> bool {
         self.rested.retain(|(_, until)| now < *until);
         if let Some((holder, since)) = &self.holder {
             if now.since(*since) < hold_s {
--- a/crates/topology/src/lib.rs
+++ b/crates/topology/src/lib.rs
@@ -7,7 +7,7 @@
 //! - [`policy`]: what a job's placement rules allow, given where its tasks are;
 //! - [`drain`]: which task to move off next, and when there is no waiting;
 //! - [`repair`]: what piled up, and which domains can be trusted again;
-//! - [`gang`]: placing whole, and what to hold for a gang that has no room;
+//! - [`gang`]: placing whole, and what to hold for a gang that has no free capacity;
 //! - [`renting`]: which types and zones brought which domains;
 //! - [`settings`]: the operator's file.
 
--- a/crates/topology/src/policy/feasible.rs
+++ b/crates/topology/src/policy/feasible.rs
@@ -55,8 +55,8 @@
         let bounds = Bounds::of(self, tree, spec);
         let at_once = tasks_at_once(spec);
         self.lacks_devices(topology)
-            .or_else(|| self.lacks_room(tree, &bounds, at_once))
-            .or_else(|| self.lacks_room_in_few(tree, &bounds, at_once))
+            .or_else(|| self.lacks_free_capacity(tree, &bounds, at_once))
+            .or_else(|| self.lacks_free_capacity_in_few(tree, &bounds, at_once))
     }
 
     /// More units are required than any machine has.
@@ -73,41 +73,46 @@
         })
     }
 
-    /// The required rules leave too little room where all tasks have to be.
-    fn lacks_room(&self, tree: &Tree, bounds: &Bounds, at_once: u64) -> Option<String> {
+    /// The required rules leave too little free capacity where all tasks have to be.
+    fn lacks_free_capacity(&self, tree: &Tree, bounds: &Bounds, at_once: u64) -> Option<String> {
         let judged = self.spread.iter().any(|r| r.must) || self.one_domain().is_some();
         if !judged {
             return None;
         }
-        let rooms: Vec<u64> = match bounds.one {
-            Some(level) => self.rooms(tree, bounds, level),
+        let free_capacities: Vec<u64> = match bounds.one {
+            Some(level) => self.free_capacities(tree, bounds, level),
             None => bounds
                 .outer
-                .map(|o| self.room(tree, o))
+                .map(|o| self.free_capacity(tree, o))
                 .into_iter()
                 .collect(),
         };
-        let room = rooms.into_iter().max().unwrap_or(0);
-        (room < at_once).then(|| {
+        let free_capacity = free_capacities.into_iter().max().unwrap_or(0);
+        (free_capacity < at_once).then(|| {
             format!(
-                "{at_once} tasks at a time; its rules allow {room} on all the machines described"
+                "{at_once} tasks at a time; its rules allow {free_capacity} on all the machines described"
             )
         })
     }
 
-    /// The required rules leave too little room in as many domains as the tasks may use.
-    fn lacks_room_in_few(&self, tree: &Tree, bounds: &Bounds, at_once: u64) -> Option<String> {
+    /// The required rules leave too little free capacity in as many domains as the tasks may use.
+    fn lacks_free_capacity_in_few(
+        &self,
+        tree: &Tree,
+        bounds: &Bounds,
+        at_once: u64,
+    ) -> Option<String> {
         let few = self.fewest.iter().find(|r| r.must && r.most > 0);
         let rule = few.filter(|r| !tree.is_machine(r.level))?;
-        let mut rooms = self.rooms(tree, bounds, rule.level);
-        rooms.sort_unstable_by(|a, b| b.cmp(a));
-        let room = rooms
+        let mut free_capacities = self.free_capacities(tree, bounds, rule.level);
+        free_capacities.sort_unstable_by(|a, b| b.cmp(a));
+        let free_capacity = free_capacities
             .into_iter()
             .take(rule.most as usize)
             .fold(0, u64::saturating_add);
-        (room < at_once).then(|| {
+        (free_capacity < at_once).then(|| {
             format!(
-                "{at_once} tasks at a time in at most {} of each {}: its rules allow {room}",
+                "{at_once} tasks at a time in at most {} of each {}: its rules allow {free_capacity}",
                 rule.most,
                 tree.level_name(rule.level)
             )
@@ -115,16 +120,16 @@
     }
 
     /// How many tasks can be within each domain of a level at a time.
-    fn rooms(&self, tree: &Tree, bounds: &Bounds, level: Level) -> Vec<u64> {
+    fn free_capacities(&self, tree: &Tree, bounds: &Bounds, level: Level) -> Vec<u64> {
         tree.domains(level)
             .filter(|d| bounds.admit(tree, *d))
-            .map(|d| self.room(tree, d))
+            .map(|d| self.free_capacity(tree, d))
             .collect()
     }
 
     /// How many tasks of the job can be within `domain` at a time, were all
     /// its machines there and free.
-    fn room(&self, tree: &Tree, domain: Domain) -> u64 {
+    fn free_capacity(&self, tree: &Tree, domain: Domain) -> u64 {
         let own = |level: Level| {
             let rules = self.spread.iter().filter(|r| r.must && r.level == level);
             rules.map(|r| u64::from(r.most)).min()
@@ -144,7 +149,7 @@
                 let range = tree.range(domain);
                 tree.domains(next)
                     .filter(|d| range.contains(&d.0))
-                    .map(|d| self.room(tree, d))
+                    .map(|d| self.free_capacity(tree, d))
                     .fold(0, u64::saturating_add)
             }
         };
--- a/crates/topology/tests/model.rs
+++ b/crates/topology/tests/model.rs
@@ -9,7 +9,7 @@
 use sorrelhinge_protocol::placement::{Device, Fewest, PlacementRules, Spread, Together};
 use sorrelhinge_protocol::types::{JobSpec, MachineId};
 use sorrelhinge_protocol::users::read_job;
-use sorrelhinge_topology::devices::{choose, Held, Stock, Unit};
+use sorrelhinge_topology::devices::{choose, AllocatedDevices, Stock, Unit};
 use sorrelhinge_topology::gang::{self, Rules, Slot};
 use sorrelhinge_topology::policy::{Policy, Reach, Tally};
 use sorrelhinge_topology::tree::{Domain, Tree};
@@ -272,7 +272,7 @@
     fn placement_is_the_plain_models(case in case()) {
         let mut machines = case.machines.clone();
         let mut there: Vec<(String, Vec<Unit>)> = Vec::new();
-        let mut held: BTreeMap<String, Held> = BTreeMap::new();
+        let mut held: BTreeMap<String, AllocatedDevices> = BTreeMap::new();
         for (what, n, m) in case.steps {
             if machines.is_empty() {
                 break;
@@ -352,7 +352,7 @@
     }
 
     /// A gang is planned whole exactly when the plain model finds room, never
-    /// beyond what is free, and in one domain where one has room.
+    /// beyond what is free, and in one domain where one has free capacity.
     #[test]
     fn gangs_are_planned_whole_or_not_at_all(
         machines in (1..20_usize).prop_flat_map(|n| (0..n).map(machine).collect::<Vec<_>>()),
@@ -384,15 +384,15 @@
             let m = machines.iter().find(|m| m.name == name.as_str()).expect("it");
             Plain::label(m, LEVELS[depth])
         };
-        // The innermost level at which one domain has room for all.
+        // The innermost level at which one domain has free capacity for all.
         for depth in (0..3).rev() {
-            let mut room: BTreeMap<String, u32> = BTreeMap::new();
+            let mut free_capacity: BTreeMap<String, u32> = BTreeMap::new();
             for s in &slots {
                 if let Some(l) = label(&s.machine, depth) {
-                    *room.entry(l).or_insert(0) += s.free;
+                    *free_capacity.entry(l).or_insert(0) += s.free;
                 }
             }
-            if room.values().any(|n| *n >= tasks) {
+            if free_capacity.values().any(|n| *n >= tasks) {
                 let used: Vec<_> = plan.iter().map(|(m, _)| label(m, depth)).collect();
                 prop_assert!(used.iter().all(|l| l.is_some() && *l == used[0]));
                 // The largest alone would need so many machines at least.
@@ -600,14 +600,14 @@
 fn gangs_take_turns() {
     use sorrelhinge_protocol::types::Time;
     let mut turn = gang::Turn::default();
-    assert!(turn.may_hold(&"a", 10.0, Time(0.0)));
-    assert!(!turn.may_hold(&"b", 10.0, Time(1.0)));
-    assert!(turn.may_hold(&"a", 10.0, Time(9.0)));
-    assert!(!turn.may_hold(&"a", 10.0, Time(10.5)));
-    assert!(turn.may_hold(&"b", 10.0, Time(10.6)));
+    assert!(turn.may_reserve(&"a", 10.0, Time(0.0)));
+    assert!(!turn.may_reserve(&"b", 10.0, Time(1.0)));
+    assert!(turn.may_reserve(&"a", 10.0, Time(9.0)));
+    assert!(!turn.may_reserve(&"a", 10.0, Time(10.5)));
+    assert!(turn.may_reserve(&"b", 10.0, Time(10.6)));
     turn.leave(&"b");
-    assert!(!turn.may_hold(&"a", 10.0, Time(12.0)));
-    assert!(turn.may_hold(&"a", 10.0, Time(21.0)));
+    assert!(!turn.may_reserve(&"a", 10.0, Time(12.0)));
+    assert!(turn.may_reserve(&"a", 10.0, Time(21.0)));
 }
 
 /// Rules that allow only so many a machine are kept within a plan.
--- a/examples/mixed_versions.rs
+++ b/examples/mixed_versions.rs
@@ -56,12 +56,12 @@
 }
 
 /// Jobs of all sizes; the last of them is cancelled at once.
-async fn submit(world: &World, wave: usize) {
+async fn submit(world: &World, rollout: usize) {
     for (n, tasks) in [(0, 1), (1, 30), (2, 90), (3, 60)] {
         let job = json!({"pieces": tasks, "cpus": 0.25, "ram_gb": 0.1, "guess_s": 1.0});
-        world.submit(&format!("run-{wave}-{n}"), job).await;
+        world.submit(&format!("run-{rollout}-{n}"), job).await;
     }
-    let path = format!("/v1/jobs/run-{wave}-3/withdraw");
+    let path = format!("/v1/jobs/run-{rollout}-3/withdraw");
     let (status, told) = world.ask(Method::POST, &path, &Value::Null).await;
     assert_eq!(
         (status, &told["phase"]),
@@ -91,9 +91,9 @@
         }
         submit(&world, 11 + step).await;
     }
-    for wave in [0, 1, 2, 3, 11, 12, 13] {
+    for rollout in [0, 1, 2, 3, 11, 12, 13] {
         for n in 0..3 {
-            done(&world, &format!("run-{wave}-{n}")).await;
+            done(&world, &format!("run-{rollout}-{n}")).await;
         }
     }
     world.store.borrow_mut().set_limits(FALLEN);
--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -133,12 +133,12 @@
     pub zones: Vec<Zone>,
     /// All teams.
     pub teams: Vec<TeamConfig>,
-    /// The shortest time that an aim allows a class to start in.
-    pub start_aims: HashMap<Arc<str>, f64>,
-    /// The times that aims allow a class to finish in, the shortest first.
-    pub finish_aims: HashMap<Arc<str>, Vec<f64>>,
-    /// The multiples of its deadline that aims allow a class.
-    pub deadline_aims: HashMap<Arc<str>, Vec<f64>>,
+    /// The shortest time that an objective allows a class to start in.
+    pub start_objectives: HashMap<Arc<str>, f64>,
+    /// The times that objectives allow a class to finish in, the shortest first.
+    pub finish_objectives: HashMap<Arc<str>, Vec<f64>>,
+    /// The multiples of its deadline that objectives allow a class.
+    pub deadline_objectives: HashMap<Arc<str>, Vec<f64>>,
     /// Usual time between a worker's heartbeats.
     pub heartbeat_s: f64,
     /// A worker's lease.
--- a/src/config/platform.rs
+++ b/src/config/platform.rs
@@ -190,37 +190,49 @@
 
 /// What the objectives ask of each class.
 #[derive(Default)]
-struct Aims {
+struct ClassObjectives {
     start: HashMap<Arc<str>, f64>,
     finish: HashMap<Arc<str>, Vec<f64>>,
     deadline: HashMap<Arc<str>, Vec<f64>>,
 }
 
-impl Aims {
+impl ClassObjectives {
     fn of(objectives: Vec<RawObjective>) -> Self {
-        let mut aims = Self::default();
+        let mut class_objectives = Self::default();
         for objective in objectives {
             let Some(class) = objective.class.map(Arc::<str>::from) else {
                 continue;
             };
             match (objective.kind.as_str(), objective.within_s, objective.times) {
                 ("wait", Some(within), _) => {
-                    let least = aims.start.entry(class).or_insert(within);
+                    let least = class_objectives.start.entry(class).or_insert(within);
                     *least = least.min(within);
                 }
                 ("finished", Some(within), _) => {
-                    aims.finish.entry(class).or_default().push(within);
+                    class_objectives
+                        .finish
+                        .entry(class)
+                        .or_default()
+                        .push(within);
                 }
                 ("deadline", _, Some(times)) => {
-                    aims.deadline.entry(class).or_default().push(times);
+                    class_objectives
+                        .deadline
+                        .entry(class)
+                        .or_default()
+                        .push(times);
                 }
                 _ => {}
             }
         }
-        for times in aims.finish.values_mut().chain(aims.deadline.values_mut()) {
+        for times in class_objectives
+            .finish
+            .values_mut()
+            .chain(class_objectives.deadline.values_mut())
+        {
             times.sort_by(f64::total_cmp);
         }
-        aims
+        class_objectives
     }
 }
 
@@ -278,7 +290,7 @@
         check(&p)?;
         let positive = |key: &str, value: f64| in_range(key, value, 1e-3, 1e9);
         let teams = teams(p.teams)?;
-        let aims = Aims::of(p.objectives);
+        let class_objectives = ClassObjectives::of(p.objectives);
         Ok(Self {
             node: NodeId::from(raw.node.as_str()),
             zone: Zone::from(raw.area.as_str()),
@@ -289,9 +301,9 @@
             state: raw.outside.state,
             zones: p.zones.iter().map(|z| Zone::from(z.as_str())).collect(),
             teams,
-            start_aims: aims.start,
-            finish_aims: aims.finish,
-            deadline_aims: aims.deadline,
+            start_objectives: class_objectives.start,
+            finish_objectives: class_objectives.finish,
+            deadline_objectives: class_objectives.deadline,
             heartbeat_s: positive("params.workers.report_s", p.workers.heartbeat_s)?,
             lease_s: positive("params.workers.lease_s", p.workers.lease_s)?,
             cancel_s: positive("params.workers.cancel_s", p.workers.cancel_s)?,
--- a/src/connections.rs
+++ b/src/connections.rs
@@ -51,7 +51,7 @@
     ends: RefCell<HashMap<ConnId, Rc<Notify>>>,
     /// The next connection's id.
     next: Cell<u64>,
-    /// Those that are being told that there is no room.
+    /// Those that are being told that there is no free capacity.
     turned_away: Cell<usize>,
     /// Those that waited in vain so far.
     late: Cell<u64>,
@@ -88,7 +88,7 @@
         self.sockets.borrow().limits()
     }
 
-    /// Whether there is no room for more workers.
+    /// Whether there is no free capacity for more workers.
     pub fn crowded(&self) -> bool {
         let sockets = self.sockets.borrow();
         sockets.open() > sockets.limits().workers
@@ -110,7 +110,7 @@
         self.admission.borrow().longest_s(self.now())
     }
 
-    /// A connection was accepted: its books are opened. None if there is no room.
+    /// A connection was accepted: its books are opened. None if there is no free capacity.
     pub(crate) fn accepted(self: &Rc<Self>) -> Option<Accepted> {
         let id = ConnId(self.next.get());
         self.next.set(id.0 + 1);
@@ -134,17 +134,17 @@
         Some(Accepted { open, end })
     }
 
-    /// How many are being told that there is no room.
+    /// How many are being told that there is no free capacity.
     pub(crate) fn turned_away(&self) -> usize {
         self.turned_away.get()
     }
 
-    /// One more is being told that there is no room.
+    /// One more is being told that there is no free capacity.
     pub(crate) fn begin_turning_away(&self) {
         self.turned_away.set(self.turned_away.get() + 1);
     }
 
-    /// One was told that there is no room.
+    /// One was told that there is no free capacity.
     pub(crate) fn end_turning_away(&self) {
         self.turned_away.set(self.turned_away.get() - 1);
     }
--- a/src/control/admission.rs
+++ b/src/control/admission.rs
@@ -69,7 +69,7 @@
     }
 
     /// Whether one more submission may be recorded now.
-    pub(super) fn has_room_for_submission(&self) -> bool {
+    pub(super) fn has_free_capacity_for_submission(&self) -> bool {
         self.submissions.get() < MOST_SUBMISSIONS
     }
 
--- a/src/control/core/link.rs
+++ b/src/control/core/agent.rs
@@ -104,7 +104,7 @@
 
 /// The line to one worker.
 #[derive(Debug)]
-pub(super) struct Link {
+pub(super) struct AgentState {
     /// Where its worker listens.
     pub(super) addr: SocketAddr,
     /// The incarnation, and the number in it, of its last heartbeat.
@@ -140,7 +140,7 @@
     pub(super) images: Vec<ReportedImage>,
 }
 
-impl Link {
+impl AgentState {
     /// To a machine of which nothing was heard yet. `fencing_token`: the grant's lowest one.
     pub(super) fn new(addr: SocketAddr, fencing_token: FencingToken, now: Time) -> Self {
         Self {
--- a/src/control/core/links.rs
+++ b/src/control/core/agents.rs
@@ -3,8 +3,8 @@
 
 use std::rc::Rc;
 
+use super::agent::{AgentState, SeenMachine};
 use super::command_queue::ContactOrder;
-use super::link::{Link, SeenMachine};
 use super::machine_types::MachineTypes;
 use super::Core;
 use crate::sched::{Machine, Sent};
@@ -22,7 +22,7 @@
 const SILENT_S: f64 = 1.0;
 
 /// What the line to a machine says of it.
-struct LinkStatus {
+struct AgentUsability {
     /// Tasks may be placed there.
     usable: bool,
     /// Commands go there only in replies to its heartbeats.
@@ -49,16 +49,16 @@
     }
 
     /// The line to a machine, which is new if it was not known; none: its type is not.
-    pub(super) fn link(&mut self, seen: &SeenMachine<'_>, now: Time) -> Option<&mut Link> {
-        if !self.links.contains_key(seen.id) {
+    pub(super) fn agent(&mut self, seen: &SeenMachine<'_>, now: Time) -> Option<&mut AgentState> {
+        if !self.agents.contains_key(seen.id) {
             let kind = self.types.get(seen.kind)?.clone();
             self.inventory.came_up(seen.id);
             self.add_machine(seen, kind, now);
-            let link = Link::new(seen.addr, self.base_fencing_token(), now);
-            self.links.insert(seen.id.clone(), link);
+            let agent = AgentState::new(seen.addr, self.base_fencing_token(), now);
+            self.agents.insert(seen.id.clone(), agent);
             self.wake(seen.id);
         }
-        self.links.get_mut(seen.id)
+        self.agents.get_mut(seen.id)
     }
 
     /// A machine came up: it goes into the cluster state, with what it is known to have
@@ -70,7 +70,7 @@
             // That a task was placed there proves no fetch of minutes: taken
             // for one, the next start there named no source, and all that
             // had waited for their stage went to the origin after a takeover.
-            let ran = !self.cluster_state.is_staged(gb);
+            let ran = !self.cluster_state.is_distributed(gb);
             machine.cache.touch(&image, gb, machine.kind.cache_gb, ran);
         }
         let sort = (machine.kind.name.clone(), machine.zone.clone(), seen.spot);
@@ -119,7 +119,7 @@
 
     /// Whether nothing speaks against a machine hearing what it is told.
     pub fn hears(&self, id: &MachineId) -> bool {
-        self.links
+        self.agents
             .get(id)
             .is_none_or(|l| l.fenced() && !l.reachability.in_doubt())
     }
@@ -140,47 +140,47 @@
 
     /// A machine with tasks that is silent for long enough is asked directly.
     fn suspect_if_silent(&mut self, id: &MachineId, now: Time) {
-        let Some(link) = self.links.get(id) else {
+        let Some(agent) = self.agents.get(id) else {
             return;
         };
         let patience_s = (SUSPECT_HEARTBEATS * self.cfg.heartbeat_s).max(SUSPECT_LEAST_S);
-        let silent = now.since(link.last_heard) >= patience_s;
-        if link.direct.is_suspect() || !silent || !self.has_tasks(id) {
+        let silent = now.since(agent.last_heard) >= patience_s;
+        if agent.direct.is_suspect() || !silent || !self.has_tasks(id) {
             return;
         }
-        if let Some(link) = self.links.get_mut(id) {
-            link.direct.suspect();
+        if let Some(agent) = self.agents.get_mut(id) {
+            agent.direct.suspect();
         }
         self.wake(id);
     }
 
     /// What the line to a machine says of it now.
-    fn link_status(&self, id: &MachineId, now: Time) -> Option<LinkStatus> {
-        let link = self.links.get(id)?;
+    fn link_status(&self, id: &MachineId, now: Time) -> Option<AgentUsability> {
+        let agent = self.agents.get(id)?;
         let machine = self.cluster_state.machines().get(id);
         let draining = machine.is_some_and(|m| m.draining);
         let silent =
-            now.since(link.last_heard) >= SILENT_HEARTBEATS * self.cfg.heartbeat_s + SILENT_S;
-        let leaving = link.leaving || link.deleting;
-        let usable = link.fenced()
+            now.since(agent.last_heard) >= SILENT_HEARTBEATS * self.cfg.heartbeat_s + SILENT_S;
+        let leaving = agent.leaving || agent.deleting;
+        let usable = agent.fenced()
             && !draining
-            && !link.doubted
+            && !agent.doubted
             && !leaving
-            && !link.failed_jobs.is_shunned(now)
-            && !link.reachability.is_quarantined(now)
+            && !agent.failed_jobs.is_shunned(now)
+            && !agent.reachability.is_quarantined(now)
             && !silent;
-        Some(LinkStatus {
+        Some(AgentUsability {
             usable,
-            slow: link.passed || link.direct.is_failing(),
+            slow: agent.passed || agent.direct.is_failing(),
             silent,
             leaving,
-            doubted: link.doubted,
+            doubted: agent.doubted,
             draining,
         })
     }
 
     /// Tells the cluster state, if that has it otherwise.
-    fn apply_status(&mut self, id: &MachineId, status: &LinkStatus, now: Time) {
+    fn apply_status(&mut self, id: &MachineId, status: &AgentUsability, now: Time) {
         let (usable, slow) = (status.usable, status.slow);
         let known = self.cluster_state.machines().get(id);
         if known.is_none_or(|m| (m.usable, m.slow) == (usable, slow)) {
--- a/src/control/core/batch.rs
+++ b/src/control/core/batch.rs
@@ -28,8 +28,8 @@
         };
         let mut draft = Draft::new(self.grant_key(), self.grant_revision, bounds);
         // First: starts wait for it.
-        if let Some(due) = self.staging.next(now) {
-            draft.add_wave(due);
+        if let Some(due) = self.image_distribution.next(now) {
+            draft.add_rollout(due);
         }
         self.add_pending(&mut draft, view, spare, now);
         if draft.takes_change() {
@@ -41,7 +41,7 @@
         draft.finish()
     }
 
-    /// Adds what waits to be recorded, the most urgent first, as far as there is room.
+    /// Adds what waits to be recorded, the most urgent first, as far as there is free capacity.
     fn add_pending(&mut self, draft: &mut Draft, view: &View, spare: bool, now: Time) {
         let mut again = Vec::new();
         while draft.takes_more() {
@@ -59,7 +59,7 @@
                 continue;
             };
             let written = self.written(&id, entry, &due, now);
-            if !draft.has_room_for(&written) {
+            if !draft.has_free_capacity_for(&written) {
                 // It goes first into the next one.
                 if let Due::Chunk(chunk) = due {
                     self.claim_again(chunk, now);
@@ -231,9 +231,9 @@
     /// that one waits. False if the grant is no longer ours.
     pub fn rejected(&mut self, batch: Batch, limits_fell: bool, view: &View, now: Time) -> bool {
         if !self.rejected_changes.learn_limits(limits_fell) {
-            let with_wave = batch.wave.is_some();
+            let with_rollout = batch.rollout.is_some();
             let changes = batch.written_keys();
-            self.rejected_changes.set_apart(changes, with_wave, now);
+            self.rejected_changes.set_apart(changes, with_rollout, now);
         }
         self.conflicted(batch, view, now)
     }
--- a/src/control/core/calendar.rs
+++ b/src/control/core/calendar.rs
@@ -1,6 +1,6 @@
 //! Windows of the release calendar: what the owner knows of each, and which steps are
 //! due. Steps and their records are of [`sorrelhinge_reservations::plan`]; where room is
-//! held, of [`crate::sched::Hold`]. What is seen of windows and held for them is brought
+//! held, of [`crate::sched::Reservation`]. What is seen of windows and held for them is brought
 //! up to date by [`super::reservation_refresh`].
 
 use std::collections::BTreeMap;
@@ -70,9 +70,9 @@
     /// The first beginning, in milliseconds, of those occurrences for which room is held
     /// by their records.
     pub(super) fn first_reserved_ms(&self) -> Option<i64> {
-        let holds =
+        let reservations =
             |r: &Versioned<WindowRecord>| matches!(r.value.step, Step::Warming | Step::Held);
-        let held = self.records.iter().filter(|(_, r)| holds(r));
+        let held = self.records.iter().filter(|(_, r)| reservations(r));
         held.map(|(start, _)| *start).min()
     }
 }
--- a/src/control/core/commands.rs
+++ b/src/control/core/commands.rs
@@ -1,7 +1,7 @@
 //! Commands for a machine: what is started, stopped and forgotten there.
 
+use super::agent::TaskAttempt;
 use super::command_queue::ContactOrder;
-use super::link::TaskAttempt;
 use super::record::recorded_claim;
 use super::Core;
 use crate::sched::{Claim, Job, Sent};
@@ -13,21 +13,21 @@
     /// The answer to a heartbeat: fencing token and commands that need no hurry, and the
     /// starts if they can't be sent directly.
     pub fn reply(&mut self, id: &MachineId, view: &View, now: Time) -> Reply {
-        let link = self.links.get(id);
-        let starts = link.filter(|l| l.takes_starts_in_replies(now));
+        let agent = self.agents.get(id);
+        let starts = agent.filter(|l| l.takes_starts_in_replies(now));
         let starts = starts.map(|_| Sent::InReply);
         let commands = self.commands(id, view, starts, now);
         let starts = commands.iter().any(|o| matches!(o, Command::Start { .. }));
         let lease_s = self.cfg.lease_s;
-        if let Some(link) = self.links.get_mut(id) {
-            link.reachability.answered(lease_s, now);
+        if let Some(agent) = self.agents.get_mut(id) {
+            agent.reachability.answered(lease_s, now);
             // Its next heartbeats have to show that.
-            if starts || !link.fenced() {
-                link.reachability.asked(now);
+            if starts || !agent.fenced() {
+                agent.reachability.asked(now);
             }
         }
         let fencing_token = self
-            .links
+            .agents
             .get(id)
             .map_or(self.base_fencing_token(), |l| l.fencing_token);
         Reply {
@@ -53,10 +53,10 @@
         now: Time,
     ) -> Vec<Command> {
         let machine = self.cluster_state.machines().get(id);
-        let (Some(link), Some(machine)) = (self.links.get(id), machine) else {
+        let (Some(agent), Some(machine)) = (self.agents.get(id), machine) else {
             return Vec::new();
         };
-        let may_start = machine.usable && link.fenced();
+        let may_start = machine.usable && agent.fenced();
         let mut commands = self.stops_and_forgets(id, view, starts != Some(Sent::Flying), now);
         if let Some(sent) = starts.filter(|_| may_start) {
             commands.extend(self.start_commands(id, sent, now));
@@ -74,12 +74,12 @@
         now: Time,
     ) -> Vec<Command> {
         let mut commands = Vec::new();
-        let Some(link) = self.links.get_mut(id) else {
+        let Some(agent) = self.agents.get_mut(id) else {
             return commands;
         };
-        let fenced = link.fenced();
-        link.sent_kills.keep_reported(&link.tasks);
-        for (key, status) in &link.tasks {
+        let fenced = agent.fenced();
+        agent.sent_kills.keep_reported(&agent.tasks);
+        for (key, status) in &agent.tasks {
             let claim = self.cluster_state.claim_on(id, &key.task, key.attempt);
             if status.phase == TaskPhase::Ended {
                 if fenced && is_settled(claim, key, view) {
@@ -96,8 +96,8 @@
             // An answer renews the lease of a task that must not run, so it always
             // has the kill: the direct command that had it last may be lost.
             let renews = in_reply && grace_s == 0.0;
-            if !saving && (renews || link.sent_kills.is_due(key, now)) {
-                link.sent_kills.sent(key, now);
+            if !saving && (renews || agent.sent_kills.is_due(key, now)) {
+                agent.sent_kills.sent(key, now);
                 commands.push(kill(key, grace_s));
             }
         }
--- a/src/control/core/deleted_machines.rs
+++ b/src/control/core/deleted_machines.rs
@@ -63,15 +63,15 @@
             return None;
         }
         let weight = |names: &[MachineId]| names.iter().map(GoneRecord::weight).sum::<usize>();
-        let room = value_bytes * 3 / 4;
-        if weight(&self.written.machines) + weight(&self.fresh) > room {
+        let free_capacity = value_bytes * 3 / 4;
+        if weight(&self.written.machines) + weight(&self.fresh) > free_capacity {
             self.slot += self.step;
             if self.slot >= GONE_SLOTS {
                 self.slot %= self.step;
             }
             self.written.machines.clear();
         }
-        let mut left = room;
+        let mut left = free_capacity;
         let fits = |name: &&MachineId| {
             left = left.saturating_sub(GoneRecord::weight(name));
             left > 0
--- a/src/control/core/demand.rs
+++ b/src/control/core/demand.rs
@@ -4,7 +4,7 @@
 use std::collections::HashMap;
 use std::sync::Arc;
 
-use super::aims::Arrivals;
+use super::objectives::Arrivals;
 use super::Core;
 use crate::fleet;
 use crate::types::{Amount, Kind, Priority, Time};
@@ -19,8 +19,8 @@
 const BOOTS_COVERED: f64 = 1.5;
 /// More room for replicas: the more there is, the more likely some of it has
 /// the image, and a fetch takes longer than their users wait.
-const SERVICE_ROOM: f64 = 1.7;
-/// Tasks of arrays and gangs end and make room: only this share of a burst is kept for.
+const SERVICE_CAPACITY: f64 = 1.7;
+/// Tasks of arrays and gangs end and preempts work: only this share of a burst is kept for.
 const BURST_SHARE: f64 = 0.6;
 /// At most one such part of a team's limit is held back.
 const HELD_BACK_DIVISOR: i64 = 10;
@@ -76,8 +76,8 @@
         let come = f64::from(sum) / span_s * boot_s;
         let burst = (come * mean).sqrt();
         match arrivals.spec.kind {
-            // Replicas stay: none makes room for the next.
-            Kind::Service => SERVICE_ROOM * (come + burst),
+            // Replicas stay: none preempts work for the next.
+            Kind::Service => SERVICE_CAPACITY * (come + burst),
             Kind::Array | Kind::Gang => BURST_SHARE * burst * self.haste(&arrivals.spec),
         }
     }
--- a/src/control/core/dispatch.rs
+++ b/src/control/core/dispatch.rs
@@ -1,8 +1,8 @@
 //! Commands sent to workers directly, and what became of them (PROTOCOL,
 //! "Controller nodes -> workers").
 
+use super::agent::KILL_AGAIN_S;
 use super::command_queue::ContactOrder;
-use super::link::KILL_AGAIN_S;
 use super::{Core, Dispatch, Source};
 use crate::sched::Sent;
 use crate::state::view::View;
@@ -25,59 +25,59 @@
     /// Whether a machine may be sent a direct command now. If only later, it is queued
     /// for then.
     fn may_contact(&mut self, id: &MachineId, now: Time) -> bool {
-        let Some(link) = self.links.get(id) else {
+        let Some(agent) = self.agents.get(id) else {
             return false;
         };
-        if link.direct.is_in_flight() || link.deleting {
+        if agent.direct.is_in_flight() || agent.deleting {
             // The answer brings it back.
             return false;
         }
-        if now < link.direct.retry_at() {
-            let at = link.direct.retry_at();
+        if now < agent.direct.retry_at() {
+            let at = agent.direct.retry_at();
             self.command_queue.retry_at(id.clone(), at);
             return false;
         }
-        let suspect = link.direct.is_suspect();
-        if link.direct.is_failing() && !self.command_queue.may_try_unreachable(suspect) {
+        let suspect = agent.direct.is_suspect();
+        if agent.direct.is_failing() && !self.command_queue.may_try_unreachable(suspect) {
             self.command_queue.retry_unreachable(id.clone(), now);
             return false;
         }
         // Else the reply to its next heartbeat takes the commands there.
-        !(link.passed && link.fenced())
+        !(agent.passed && agent.fenced())
     }
 
     /// The commands for a machine that may be contacted; none if there is nothing that
     /// does not wait for its next heartbeat.
     fn dispatch_to(&mut self, id: MachineId, view: &View, now: Time) -> Option<Dispatch> {
         let commands = self.commands(&id, view, Some(Sent::Flying), now);
-        let link = self.links.get_mut(&id)?;
+        let agent = self.agents.get_mut(&id)?;
         let forgets_only = commands.iter().all(|o| matches!(o, Command::Forget { .. }));
         // Forgetting waits for the next heartbeat; a worker that does not
         // know our fencing token is told at once, and one that a command did not
         // reach is tried again.
-        let to_be_asked = !link.fenced() || link.direct.is_failing() || link.direct.is_suspect();
+        let to_be_asked = !agent.fenced() || agent.direct.is_failing() || agent.direct.is_suspect();
         if forgets_only && !to_be_asked {
-            if !link.sent_kills.is_empty() {
+            if !agent.sent_kills.is_empty() {
                 self.command_queue.retry_after(id, KILL_AGAIN_S, now);
             }
             return None;
         }
-        link.direct.sent();
+        agent.direct.sent();
         self.command_queue.sent();
         Some(Dispatch {
             machine: id,
-            addr: link.addr,
-            commands: link.commands(commands),
+            addr: agent.addr,
+            commands: agent.commands(commands),
         })
     }
 
     /// What became of direct commands. False if we are deposed.
     pub fn dispatched(&mut self, id: &MachineId, outcome: Sending, now: Time) -> bool {
         self.command_queue.settled();
-        let Some(link) = self.links.get_mut(id) else {
+        let Some(agent) = self.agents.get_mut(id) else {
             return true;
         };
-        link.direct.settled();
+        agent.direct.settled();
         self.command_queue.add(id.clone(), ContactOrder::First);
         match outcome {
             Sending::Executed(heartbeat) => {
@@ -103,12 +103,12 @@
 
     /// The worker carried a command out.
     fn command_executed(&mut self, id: &MachineId, now: Time) {
-        let Some(link) = self.links.get_mut(id) else {
+        let Some(agent) = self.agents.get_mut(id) else {
             return;
         };
-        link.direct.executed(now);
-        link.reachability.proved(now);
-        link.passed = false;
+        agent.direct.executed(now);
+        agent.reachability.proved(now);
+        agent.passed = false;
         // The incarnation that took the command may end right after it;
         // the heartbeat decides what is there.
         self.mark_flying(id, Sent::Answered);
@@ -116,12 +116,12 @@
 
     /// The worker answered that it did not carry a command out.
     fn command_refused(&mut self, id: &MachineId, now: Time) {
-        let Some(link) = self.links.get_mut(id) else {
+        let Some(agent) = self.agents.get_mut(id) else {
             return;
         };
-        link.direct.refused(now);
-        link.reachability.proved(now);
-        let inherited = !link.fenced();
+        agent.direct.refused(now);
+        agent.reachability.proved(now);
+        let inherited = !agent.fenced();
         if !inherited {
             self.mark_flying(id, Sent::No);
         }
@@ -129,19 +129,19 @@
 
     /// A command certainly did not reach the worker.
     fn command_not_sent(&mut self, id: &MachineId, now: Time) {
-        let Some(link) = self.links.get_mut(id) else {
+        let Some(agent) = self.agents.get_mut(id) else {
             return;
         };
-        link.direct.failed(false, now);
+        agent.direct.failed(false, now);
         // Claims found at the takeover stay in doubt until a
         // heartbeat carries our fencing token.
-        if !link.fenced() {
+        if !agent.fenced() {
             return;
         }
         // It may heartbeat on and hear nothing. Whether it does,
         // the fencing token shows, by whatever way it gets there.
-        if !link.reachability.is_confirmed(self.cfg.heartbeat_s, now) {
-            link.raise_fencing_token();
+        if !agent.reachability.is_confirmed(self.cfg.heartbeat_s, now) {
+            agent.raise_fencing_token();
         }
         self.mark_flying(id, Sent::No);
     }
@@ -150,23 +150,23 @@
     /// minutes late, unless a higher fencing token gets there first. Until a heartbeat carries that,
     /// nothing on this machine is settled.
     fn command_unanswered(&mut self, id: &MachineId, now: Time) {
-        if let Some(link) = self.links.get_mut(id) {
-            link.direct.failed(true, now);
-            link.raise_fencing_token();
+        if let Some(agent) = self.agents.get_mut(id) {
+            agent.direct.failed(true, now);
+            agent.raise_fencing_token();
         }
     }
 
     /// A command did not get through: the machine is in doubt.
     fn command_failed(&mut self, id: &MachineId, now: Time) {
-        let Some(link) = self.links.get_mut(id) else {
+        let Some(agent) = self.agents.get_mut(id) else {
             return;
         };
-        link.doubted = true;
+        agent.doubted = true;
         // Its heartbeats have to show the fencing token.
-        if !link.fenced() {
-            link.reachability.asked(now);
+        if !agent.fenced() {
+            agent.reachability.asked(now);
         }
-        tracing::info!(machine = %id, fencing_token = %link.fencing_token, "direct command failed");
+        tracing::info!(machine = %id, fencing_token = %agent.fencing_token, "direct command failed");
         self.refresh_machine(id, now);
     }
 
--- a/src/control/core/draft.rs
+++ b/src/control/core/draft.rs
@@ -6,7 +6,7 @@
 
 use std::collections::BTreeSet;
 
-use super::staging::{DueStep, Step};
+use super::image_distribution::{DueStep, Step};
 use crate::control::pending::ChunkId;
 use crate::state::record::{chunk_key, job_key, ChunkRecord, JobRecord};
 use crate::state::view::JobEntry;
@@ -61,8 +61,8 @@
     pub(super) chunks: Vec<ChunkWrite>,
     /// Jobs' own records: completed ones, and those that hold their claims.
     pub(super) jobs: Vec<JobWrite>,
-    /// An image's wave.
-    pub(super) wave: Option<Step>,
+    /// An image's rollout.
+    pub(super) rollout: Option<Step>,
 }
 
 /// A chunk that a transaction writes under its own key.
@@ -124,7 +124,7 @@
                 },
                 chunks: Vec::new(),
                 jobs: Vec::new(),
-                wave: None,
+                rollout: None,
             },
             guarded: BTreeSet::new(),
             written: BTreeSet::new(),
@@ -149,7 +149,7 @@
     }
 
     /// Whether this may go into it in whole.
-    pub(super) fn has_room_for(&self, written: &Written) -> bool {
+    pub(super) fn has_free_capacity_for(&self, written: &Written) -> bool {
         self.len() + written.changes() <= self.bounds.most_ops
     }
 
@@ -158,11 +158,11 @@
         self.written.contains(id)
     }
 
-    /// Adds a step of an image's wave.
-    pub(super) fn add_wave(&mut self, due: DueStep) {
+    /// Adds a step of an image's rollout.
+    pub(super) fn add_rollout(&mut self, due: DueStep) {
         self.batch.transaction.conditions.push(due.conditions);
         self.batch.transaction.changes.push(due.change);
-        self.batch.wave = Some(due.step);
+        self.batch.rollout = Some(due.step);
     }
 
     /// Adds a change that has no condition of its own.
--- a/src/control/core/failures.rs
+++ b/src/control/core/failures.rs
@@ -75,12 +75,12 @@
         if all_done == Some(true) && self.scope.homes(&task.job) {
             self.finished(task.job.clone(), now);
         }
-        if let Some(link) = self.links.get_mut(id) {
-            link.failed_jobs.succeeded();
+        if let Some(agent) = self.agents.get_mut(id) {
+            agent.failed_jobs.succeeded();
         }
     }
 
-    /// A machine refused a task: it had no room, or still has another attempt of it.
+    /// A machine refused a task: it had no free capacity, or still has another attempt of it.
     fn avoid_for_now(&mut self, id: &MachineId, job: &JobId, now: Time) {
         let until = now.after(REFUSED_HEARTBEATS * self.cfg.heartbeat_s);
         self.cluster_state.edit_job(job, |job| {
@@ -116,22 +116,22 @@
 
     /// A machine is not used for a while, as a job failed there.
     fn shun(&mut self, id: &MachineId, job: &JobId, now: Time) {
-        let Some(link) = self.links.get_mut(id) else {
+        let Some(agent) = self.agents.get_mut(id) else {
             return;
         };
-        link.failed_jobs.add(job, now);
+        agent.failed_jobs.add(job, now);
         // A job that is not shown to be sound proves nothing: two
         // mistaken ones that met on a machine cost the machine once.
         let cluster_state = &self.cluster_state;
         let sound = |job: &&JobId| cluster_state.job(job).is_none_or(Job::is_sound);
-        link.leaving |= link.failed_jobs.jobs().filter(sound).count() >= FAULTY_JOBS;
+        agent.leaving |= agent.failed_jobs.jobs().filter(sound).count() >= FAULTY_JOBS;
     }
 
     /// A job's failures are held against no machine any more: it is mistaken, or
     /// was withdrawn.
     pub(super) fn clear(&mut self, job: &JobId) {
-        for link in self.links.values_mut() {
-            link.failed_jobs.forgive(job);
+        for agent in self.agents.values_mut() {
+            agent.failed_jobs.forgive(job);
         }
     }
 }
--- a/src/control/core/heartbeats.rs
+++ b/src/control/core/heartbeats.rs
@@ -1,7 +1,7 @@
 //! Workers' heartbeats: which of them count, and what they prove about the claims on a
 //! machine.
 
-use super::link::{SeenMachine, TaskAttempt, TaskStatus};
+use super::agent::{SeenMachine, TaskAttempt, TaskStatus};
 use super::{Core, Source};
 use crate::sched::{Progress, Sent};
 use crate::types::{Incarnation, MachineId, SequenceNumber, TaskId, Time};
@@ -12,8 +12,8 @@
     /// of a machine that is gone, whose name is never used again. Copies of a dead
     /// machine's last heartbeat made a machine of it again, and kept it.
     pub fn is_copy(&self, heartbeat: &Heartbeat) -> bool {
-        if let Some(link) = self.links.get(&heartbeat.machine) {
-            return link.is_copy(heartbeat);
+        if let Some(agent) = self.agents.get(&heartbeat.machine) {
+            return agent.is_copy(heartbeat);
         }
         self.tombstones.contains(&heartbeat.machine)
     }
@@ -43,7 +43,7 @@
         let id = &heartbeat.machine;
         let shown = heartbeat.fencing_fencing_token >= self.base_fencing_token()
             || self.inventory.is_coming(id);
-        !self.inventory.was_listed() || shown || self.links.contains_key(id)
+        !self.inventory.was_listed() || shown || self.agents.contains_key(id)
     }
 
     /// What follows from a report that counts: for the line to its machine, for the tasks
@@ -51,19 +51,19 @@
     fn take_in(&mut self, heartbeat: &Heartbeat, source: Source, now: Time) {
         let id = &heartbeat.machine;
         let (lease_s, hears_badly) = (self.cfg.lease_s, now < self.deaf_until);
-        let Some(link) = self.link(&SeenMachine::by_heartbeat(heartbeat), now) else {
+        let Some(agent) = self.agent(&SeenMachine::by_heartbeat(heartbeat), now) else {
             return;
         };
-        let news = link.take_in(heartbeat, source, now);
+        let news = agent.take_in(heartbeat, source, now);
         // Its leases end though its heartbeats are answered: whatever runs there is
         // lost each time. While requests wait too long, answers may be too late.
         if news.incarnation_ended
-            && link.reachability.incarnation_ended(lease_s, now)
+            && agent.reachability.incarnation_ended(lease_s, now)
             && !hears_badly
         {
-            link.leaving = true;
+            agent.leaving = true;
         }
-        let fenced = heartbeat.fencing_fencing_token >= link.fencing_token;
+        let fenced = heartbeat.fencing_fencing_token >= agent.fencing_token;
         self.record_served_images(heartbeat);
         if news.moved {
             self.cluster_state.locate(id, Some(heartbeat.addr.ip()));
@@ -83,21 +83,21 @@
     /// A machine that has the present fencing token is no longer doubted, unless nothing that is
     /// sent there has an effect.
     fn settle_doubt(&mut self, id: &MachineId) {
-        let Some(link) = self.links.get_mut(id).filter(|l| l.fenced()) else {
+        let Some(agent) = self.agents.get_mut(id).filter(|l| l.fenced()) else {
             return;
         };
-        link.doubted = link.reachability.in_doubt();
-        if link.doubted {
+        agent.doubted = agent.reachability.in_doubt();
+        if agent.doubted {
             // It has the present fencing token and does nothing: a higher one has
             // to be taken up before anything more goes there.
-            link.raise_fencing_token();
+            agent.raise_fencing_token();
         }
     }
 
     /// A task that we started is in the heartbeat: the machine hears.
     fn see_starts(&mut self, id: &MachineId, now: Time) {
-        let Some(link) = self
-            .links
+        let Some(agent) = self
+            .agents
             .get_mut(id)
             .filter(|l| l.reachability.awaits_effect())
         else {
@@ -106,14 +106,14 @@
         let began = self.cluster_state.claims_on(id).into_iter().any(|task| {
             self.cluster_state.claim_of(&task).is_some_and(|c| {
                 matches!(c.sent, Sent::InReply | Sent::Flying)
-                    && link.tasks.contains_key(&TaskAttempt {
+                    && agent.tasks.contains_key(&TaskAttempt {
                         task,
                         attempt: c.attempt,
                     })
             })
         });
         if began {
-            link.reachability.proved(now);
+            agent.reachability.proved(now);
         }
     }
 
@@ -144,8 +144,8 @@
         sequence: SequenceNumber,
         now: Time,
     ) {
-        if let Some(link) = self.links.get_mut(id) {
-            link.heard_elsewhere(incarnation, sequence, now);
+        if let Some(agent) = self.agents.get_mut(id) {
+            agent.heard_elsewhere(incarnation, sequence, now);
         }
     }
 
@@ -164,14 +164,14 @@
     fn reconcile_claim(&mut self, id: &MachineId, task: &TaskId, source: Source, now: Time) {
         let job = self.cluster_state.job(&task.job);
         let claim = self.cluster_state.claim_of(task);
-        let (Some(job), Some(claim), Some(link)) = (job, claim, self.links.get(id)) else {
+        let (Some(job), Some(claim), Some(agent)) = (job, claim, self.agents.get(id)) else {
             return;
         };
         let key = TaskAttempt {
             task: task.clone(),
             attempt: claim.attempt,
         };
-        match link.tasks.get(&key).copied() {
+        match agent.tasks.get(&key).copied() {
             Some(TaskStatus {
                 phase: TaskPhase::Ended,
                 why,
@@ -210,7 +210,7 @@
     /// A claimed task is not on its machine: it never was, or it is over, or its start is
     /// still to arrive.
     fn claim_not_reported(&mut self, id: &MachineId, task: &TaskId, source: Source, now: Time) {
-        let in_flight = self.links.get(id).is_some_and(|l| l.direct.is_in_flight());
+        let in_flight = self.agents.get(id).is_some_and(|l| l.direct.is_in_flight());
         let job = self.cluster_state.job(&task.job);
         let cancelled = job.is_some_and(|j| j.cancelled);
         let Some(claim) = self.cluster_state.claim_mut(task) else {
--- a/src/control/core/staging.rs
+++ b/src/control/core/image_distribution.rs
@@ -1,4 +1,4 @@
-//! Images that many machines want, see `docs/staging.md`: which starts wait for
+//! Images that many machines want, see `docs/image_distribution.md`: which starts wait for
 //! their stage, whom the others take their image from, and what of that is
 //! recorded. Off unless the operators' settings say from which size on.
 //!
@@ -7,24 +7,24 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use sorrelhinge_image_distribution::plan::{Limits, Uploads, Wave};
-use sorrelhinge_image_distribution::record::WaveRecord;
+use sorrelhinge_image_distribution::plan::{Limits, Rollout, Uploads};
+use sorrelhinge_image_distribution::record::RolloutRecord;
 use sorrelhinge_sharding::shard::{ShardId, ShardScope};
 
 use crate::config::Config;
 use crate::sched::{Claim, Progress, Sent};
-use crate::state::record::{image_hash, wave_key};
+use crate::state::record::{image_hash, rollout_key};
 use crate::state::view::{Versioned, View};
 use crate::state::{Change, Condition};
 use crate::types::{Image, JobSpec, MachineId, Revision, Time};
 
-/// A wave's record stays so long after its last fetch, in seconds: replicas come
+/// A rollout's record stays so long after its last fetch, in seconds: replicas come
 /// one after the other, and each would cost two changes.
 pub(super) const OVER_S: f64 = 5.0;
 
 /// What a machine does with an image, by the claims there.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub(super) enum Does {
+pub(super) enum ImageState {
     /// Its start was not sent.
     Wants,
     /// It was, and the task doesn't run yet.
@@ -34,15 +34,15 @@
 }
 
 /// What a claim's task does with its image.
-pub(super) fn does(claim: &Claim) -> Does {
+pub(super) fn does(claim: &Claim) -> ImageState {
     match (claim.progress, claim.sent) {
-        (Progress::Running(_) | Progress::Saving, _) => Does::Runs,
-        (_, Sent::No) => Does::Wants,
-        _ => Does::Fetches,
+        (Progress::Running(_) | Progress::Saving, _) => ImageState::Runs,
+        (_, Sent::No) => ImageState::Wants,
+        _ => ImageState::Fetches,
     }
 }
 
-/// A machine in a wave.
+/// A machine in a rollout.
 pub(super) struct Member {
     /// It has all of the image.
     pub(super) whole: bool,
@@ -50,42 +50,42 @@
     pub(super) since: Time,
 }
 
-/// An image's wave here.
-pub(super) struct Kept {
+/// An image's rollout here.
+pub(super) struct ActiveRollout {
     /// None: a predecessor's, which is gone on with once it is known what was
     /// started. Until then no start is sent: without that wait the origin would
     /// be asked for copies that are on their way.
-    pub(super) wave: Option<Wave>,
+    pub(super) rollout: Option<Rollout>,
     /// Its size, in GB.
     pub(super) gb: f64,
     pub(super) members: BTreeMap<MachineId, Member>,
     /// Machines whose start waits, and which of them was looked at last.
     pub(super) waiting: BTreeSet<MachineId>,
-    pub(super) looked: MachineId,
+    pub(super) scanned_to: MachineId,
     /// Since when nobody wants or fetches it.
     pub(super) over_since: Option<Time>,
 }
 
-impl Kept {
-    /// A wave without members.
-    pub(super) fn of(wave: Option<Wave>) -> Self {
+impl ActiveRollout {
+    /// A rollout without members.
+    pub(super) fn of(rollout: Option<Rollout>) -> Self {
         Self {
-            wave,
+            rollout,
             gb: 0.0,
             members: BTreeMap::new(),
             waiting: BTreeSet::new(),
-            looked: MachineId::from(""),
+            scanned_to: MachineId::from(""),
             over_since: None,
         }
     }
 }
 
-/// A wave's record on its way: as the wave has it, and as it is written; none:
+/// A rollout's record on its way: as the rollout has it, and as it is written; none:
 /// it is deleted.
 #[derive(Debug)]
 pub(super) struct Step {
     key: (ShardId, u64),
-    of: Option<(WaveRecord, WaveRecord)>,
+    of: Option<(RolloutRecord, RolloutRecord)>,
 }
 
 /// A step as a change, and the condition that it is made on.
@@ -95,29 +95,29 @@
     pub(super) step: Step,
 }
 
-/// All waves of a shard.
-pub(super) struct Staging {
-    /// Images of at least so many GB go by waves; none: no image.
+/// All rollouts of a shard.
+pub(super) struct ImageDistribution {
+    /// Images of at least so many GB go by rollouts; none: no image.
     pub(super) least_gb: Option<f64>,
     shard: ShardId,
     value_bytes: usize,
     pub(super) limits: Limits,
     pub(super) uploads: Uploads,
-    pub(super) waves: BTreeMap<Image, Kept>,
+    pub(super) rollouts: BTreeMap<Image, ActiveRollout>,
     /// What the state service has; none: of a later version, which is left alone.
-    pub(super) held: BTreeMap<(ShardId, u64), Versioned<Option<WaveRecord>>>,
+    pub(super) held: BTreeMap<(ShardId, u64), Versioned<Option<RolloutRecord>>>,
     /// Of shards that there are no more.
     useless: BTreeMap<(ShardId, u64), Revision>,
 }
 
-impl Staging {
-    /// What is recorded of a shard's waves; each is gone on with later. A shard's part of
+impl ImageDistribution {
+    /// What is recorded of a shard's rollouts; each is gone on with later. A shard's part of
     /// what may be asked of the origin is at least one copy at a time.
     pub(super) fn load(cfg: &Config, scope: ShardScope, view: &View) -> Self {
         let least_gb = cfg.tuning.staging_least_gb;
         let whole = Limits::default();
         let part = |all: u32| (all / scope.of.max(1)).max(1);
-        let mut staging = Self {
+        let mut image_distribution = Self {
             least_gb,
             shard: scope.shard,
             value_bytes: cfg.state_limits.value_bytes,
@@ -127,28 +127,30 @@
                 ..whole
             },
             uploads: Uploads::default(),
-            waves: BTreeMap::new(),
+            rollouts: BTreeMap::new(),
             held: BTreeMap::new(),
             useless: BTreeMap::new(),
         };
         if least_gb.is_none() {
-            return staging;
+            return image_distribution;
         }
-        for (&key, held) in &view.waves {
+        for (&key, held) in &view.rollouts {
             let (shard, _) = key;
             if shard == scope.shard {
-                staging.held.insert(key, held.clone());
+                image_distribution.held.insert(key, held.clone());
                 if let Some(record) = held.value.as_ref().filter(|r| r.known()) {
-                    staging.waves.insert(record.image.clone(), Kept::of(None));
+                    image_distribution
+                        .rollouts
+                        .insert(record.image.clone(), ActiveRollout::of(None));
                 }
             } else if shard.0 >= scope.of && scope.shard == ShardId(0) && held.value.is_some() {
-                staging.useless.insert(key, held.mod_revision);
+                image_distribution.useless.insert(key, held.mod_revision);
             }
         }
-        staging
+        image_distribution
     }
 
-    /// Whether a job's image goes by a wave.
+    /// Whether a job's image goes by a rollout.
     pub(super) fn stages(&self, spec: &JobSpec) -> bool {
         self.least_gb.is_some_and(|least| spec.image_gb >= least)
     }
@@ -161,7 +163,7 @@
     /// The record as it fits into a value: seeds that are left out cost a copy
     /// more, and one that is too large would never be written, nor what is in
     /// its transaction.
-    pub(super) fn fitting(&self, record: &WaveRecord) -> Option<WaveRecord> {
+    pub(super) fn fitting(&self, record: &RolloutRecord) -> Option<RolloutRecord> {
         let mut record = record.clone();
         loop {
             let bytes = serde_json::to_vec(&record).ok()?.len();
@@ -177,24 +179,24 @@
         if let Some((key, mod_revision)) = self.useless.first_key_value() {
             return Some(deletion(*key, *mod_revision));
         }
-        let mut waves = self.waves.iter();
-        waves.find_map(|(image, kept)| self.next_of(image, kept, now))
+        let mut rollouts = self.rollouts.iter();
+        rollouts.find_map(|(image, kept)| self.next_of(image, kept, now))
     }
 
-    /// What is due of a wave: its next record, or its deletion once it is over.
-    fn next_of(&self, image: &Image, kept: &Kept, now: Time) -> Option<DueStep> {
-        let wave = kept.wave.as_ref()?;
+    /// What is due of a rollout: its next record, or its deletion once it is over.
+    fn next_of(&self, image: &Image, kept: &ActiveRollout, now: Time) -> Option<DueStep> {
+        let rollout = kept.rollout.as_ref()?;
         let key = self.key(image);
         let held = self.held.get(&key);
         if held.is_some_and(|h| h.value.is_none()) {
             return None;
         }
         let mod_revision = held.map_or(Revision(0), |h| h.mod_revision);
-        if wave.over() {
+        if rollout.over() {
             let long = kept.over_since.is_some_and(|t| now.since(t) >= OVER_S);
             return (long && mod_revision != Revision(0)).then(|| deletion(key, mod_revision));
         }
-        let record = wave.next(now.0)?;
+        let record = rollout.next(now.0)?;
         let written = self.fitting(&record)?;
         let name = record_name(key);
         Some(DueStep {
@@ -229,24 +231,24 @@
                 value,
             },
         );
-        if let Some(wave) = self.wave_mut(&record.image) {
-            log_rollout(wave, &record);
-            wave.written(record, now.0);
+        if let Some(rollout) = self.rollout_mut(&record.image) {
+            log_rollout(rollout, &record);
+            rollout.written(record, now.0);
         }
         BTreeSet::new()
     }
 
-    /// A wave's record is deleted. Machines that came meanwhile, which begin another
-    /// wave.
+    /// A rollout's record is deleted. Machines that came meanwhile, which begin another
+    /// rollout.
     fn ended(&mut self, key: (ShardId, u64)) -> BTreeSet<MachineId> {
         self.held.remove(&key);
         let mut woken = BTreeSet::new();
-        self.waves.retain(|image, kept| {
+        self.rollouts.retain(|image, kept| {
             let ends = (self.shard, image_hash(image)) == key;
             if ends {
                 for machine in kept.members.keys() {
-                    if let Some(wave) = &mut kept.wave {
-                        wave.lost(machine, &mut self.uploads);
+                    if let Some(rollout) = &mut kept.rollout {
+                        rollout.lost(machine, &mut self.uploads);
                     }
                 }
                 woken.append(&mut kept.waiting);
@@ -260,7 +262,7 @@
     /// has now tells.
     pub(super) fn undone(&mut self, step: Step, view: &View, now: Time) {
         let (shard, _) = step.key;
-        let held = view.waves.get(&step.key);
+        let held = view.rollouts.get(&step.key);
         let recorded = held.and_then(|h| h.value.as_ref());
         let same = recorded == step.of.as_ref().map(|(_, written)| written);
         match held {
@@ -280,18 +282,18 @@
         }
     }
 
-    /// An image's wave, unless it is a predecessor's.
-    pub(super) fn wave_mut(&mut self, image: &Image) -> Option<&mut Wave> {
-        self.waves.get_mut(image)?.wave.as_mut()
+    /// An image's rollout, unless it is a predecessor's.
+    pub(super) fn rollout_mut(&mut self, image: &Image) -> Option<&mut Rollout> {
+        self.rollouts.get_mut(image)?.rollout.as_mut()
     }
 }
 
-/// The key of a wave's record.
+/// The key of a rollout's record.
 fn record_name((shard, image_hash): (ShardId, u64)) -> String {
-    wave_key(shard, image_hash)
+    rollout_key(shard, image_hash)
 }
 
-/// The deletion of a wave's record.
+/// The deletion of a rollout's record.
 fn deletion(key: (ShardId, u64), mod_revision: Revision) -> DueStep {
     let name = record_name(key);
     DueStep {
@@ -306,9 +308,9 @@
     }
 }
 
-/// Logs a wave as it was recorded.
-fn log_rollout(wave: &Wave, record: &WaveRecord) {
-    let (wants, fetches, whole) = wave.counts();
+/// Logs a rollout as it was recorded.
+fn log_rollout(rollout: &Rollout, record: &RolloutRecord) {
+    let (wants, fetches, whole) = rollout.counts();
     tracing::info!(
         image = %record.image,
         stage = record.stage,
@@ -316,8 +318,8 @@
         wants,
         fetches,
         whole,
-        copies = wave.copies(),
-        crossings = wave.crossings(),
+        copies = rollout.copies(),
+        crossings = rollout.crossings(),
         "wave"
     );
 }
--- a/src/control/core/job_changes.rs
+++ b/src/control/core/job_changes.rs
@@ -1,8 +1,8 @@
 //! Changes of jobs: new and cancelled ones, and claims that are given up.
 
-use super::aims::JobTimes;
 use super::command_queue::ContactOrder;
 use super::largest_jobs::JobEvent;
+use super::objectives::JobTimes;
 use super::recorded_job::job_times;
 use super::Core;
 use crate::control::pending::ChunkId;
@@ -164,7 +164,7 @@
         (task.job.clone(), chunk)
     }
 
-    /// Gives up a task's claim, which is to be recorded; its room is there for others.
+    /// Gives up a task's claim, which is to be recorded; its free capacity is there for others.
     pub(super) fn release(&mut self, task: &TaskId, now: Time) -> Option<Claim> {
         let claim = self.cluster_state.release(task, now)?;
         self.gangs.insert(task.job.clone());
--- a/src/control/core/lanes.rs
+++ b/src/control/core/lanes.rs
@@ -15,7 +15,7 @@
     pub fn show_lanes(&self, now: Time) -> LanesShown {
         let cpus = |milli: i64| milli as f64 / 1000.0;
         let lanes = self.cfg.lanes.iter().map(|(id, lane)| {
-            let (used, all) = self.cluster_state.lane_holds(id);
+            let (used, all) = self.cluster_state.lane_usage(id);
             let waits = self.cluster_state.lane_waits();
             let waits = waits.filter(|(key, job)| key.lane == id && job.tasks.pending() > 0);
             let waiting = waits.take(MOST_SHOWN).map(|(key, job)| {
@@ -63,7 +63,7 @@
                 waiting += 1;
                 oldest_s = oldest_s.max(now.since(job.submitted));
             }
-            let (used, all) = self.cluster_state.lane_holds(id);
+            let (used, all) = self.cluster_state.lane_usage(id);
             tracing::info!(
                 shard = %self.scope.shard,
                 lane = lane.name,
--- a/src/control/core/load.rs
+++ b/src/control/core/load.rs
@@ -20,7 +20,7 @@
 use super::start_permission::StartPermission;
 use super::tombstones::MachineTombstones;
 use super::topology_history::TopologyHistory;
-use super::{calendar, staging, Core};
+use super::{calendar, image_distribution, Core};
 use crate::config::Config;
 use crate::control::pending::Pending;
 use crate::sched::{ClusterState, Team};
@@ -87,7 +87,8 @@
     /// An owner that knows no job and no machine yet.
     fn without_records(input: &RecoveryInput, grant: ShardGrant, places: Places) -> Self {
         let (view, now, scope) = (input.view, input.now, grant.scope);
-        let staging = staging::Staging::load(&input.cfg, scope, view);
+        let image_distribution =
+            image_distribution::ImageDistribution::load(&input.cfg, scope, view);
         Self {
             cfg: input.cfg.clone(),
             cluster_state: ClusterState::new(teams(&input.cfg)),
@@ -100,7 +101,7 @@
             served_log: ServedLog::new(now),
             largest_jobs: Largest::default(),
             types: MachineTypes::default(),
-            links: BTreeMap::new(),
+            agents: BTreeMap::new(),
             inventory: CloudInventory::default(),
             pending: Pending::default(),
             failover: Failover::begin(now, input.wall_ms, view.history.images()),
@@ -112,7 +113,7 @@
             tombstones: MachineTombstones::load(view, scope),
             windows: calendar::Windows::default(),
             drains: Vec::new(),
-            staging,
+            image_distribution,
             topology_history: TopologyHistory::default(),
             gangs: BTreeSet::new(),
             last_repair: None,
