--- a/src/control/core/machine_list.rs
+++ b/src/control/core/machine_list.rs
@@ -3,9 +3,9 @@
 
 use std::collections::BTreeSet;
 
+use super::agent::AgentState;
+use super::agent::SeenMachine;
 use super::inventory::Coming;
-use super::link::Link;
-use super::link::SeenMachine;
 use super::Core;
 use crate::cloud::{ListedMachine, MachinePhase};
 use crate::types::{MachineId, Time};
@@ -51,7 +51,7 @@
     fn machine_listed(&mut self, machine: &ListedMachine, now: Time) {
         let id = &machine.id;
         self.inventory.seen(id);
-        if self.links.contains_key(id) {
+        if self.agents.contains_key(id) {
             if machine.phase == MachinePhase::Failed {
                 // It stopped by itself. That proves nothing about its
                 // tasks; the answer to deleting it will.
@@ -62,7 +62,7 @@
         if machine.phase == MachinePhase::Running {
             if let Some(addr) = machine.addr {
                 // Up, and perhaps running tasks that a record claims: ask it.
-                self.link(&SeenMachine::by_list(machine, addr), now);
+                self.agent(&SeenMachine::by_list(machine, addr), now);
                 return;
             }
         }
@@ -80,13 +80,13 @@
     /// A machine that was heard of before and is missing from several lists in a row is
     /// probably gone; deleting it proves that.
     fn give_back_missing(&mut self, listed: &BTreeSet<&MachineId>, now: Time) {
-        let known = self.links.keys().chain(self.inventory.coming().keys());
+        let known = self.agents.keys().chain(self.inventory.coming().keys());
         let known: Vec<MachineId> = known.cloned().collect();
         for id in known {
             if listed.contains(&id) {
                 continue;
             }
-            let heard = self.links.get(&id).map(|l| l.last_heard);
+            let heard = self.agents.get(&id).map(|l| l.last_heard);
             let silent =
                 heard.is_none_or(|t| now.since(t) > self.cfg.heartbeat_s * UNHEARD_HEARTBEATS);
             let coming = self.inventory.coming().get(&id);
@@ -117,23 +117,23 @@
         // If most hear nothing it may be this controller that can't be heard. Another
         // may then be the owner before long; if none is, they go all the same.
         let doubtful = self
-            .links
+            .agents
             .values()
             .filter(|l| l.reachability.in_doubt())
             .count();
-        let patience = match doubtful * 2 <= self.links.len() {
+        let patience = match doubtful * 2 <= self.agents.len() {
             true => patience,
             false => MOST_DEAF * patience,
         };
-        let deaf = |l: &Link| !l.deleting && l.reachability.is_unreachable(patience, now);
-        let deaf = self.links.iter().filter(|(_, l)| deaf(l));
+        let deaf = |l: &AgentState| !l.deleting && l.reachability.is_unreachable(patience, now);
+        let deaf = self.agents.iter().filter(|(_, l)| deaf(l));
         deaf.map(|(id, _)| id.clone()).collect()
     }
 
     /// A machine is to be deleted, whether it ever reported or not.
     pub(super) fn give_back(&mut self, id: &MachineId) {
-        match self.links.get_mut(id) {
-            Some(link) => link.deleting = true,
+        match self.agents.get_mut(id) {
+            Some(agent) => agent.deleting = true,
             None => self.inventory.give_back(id),
         }
     }
@@ -152,7 +152,7 @@
             }
             self.walk_all = true;
             self.tombstones.add(id, now);
-            self.links.remove(id);
+            self.agents.remove(id);
             self.inventory.forget(id);
             self.cluster_state.remove_machine(id);
         }
--- a/src/control/core/mod.rs
+++ b/src/control/core/mod.rs
@@ -7,17 +7,17 @@
 //!
 //! | state | owner | main users |
 //! | --- | --- | --- |
-//! | machines that commands are due to, commands in flight | `command_queue` | `dispatch`, `links` |
+//! | machines that commands are due to, commands in flight | `command_queue` | `dispatch`, `agents` |
 //! | until when tasks may be started | `start_permission` | `commands` |
 //! | machines on which room appeared | `placement_queue` | `placing` |
 //! | time since the failover, what is open from it | `failover` | all |
 //! | the cloud's machine list | `inventory` | `machine_list`, `scale_in`, `renting` |
 //! | machines that are gone | `tombstones`, `deleted_machines` | `machine_list`, `heartbeats` |
-//! | the cloud's machine types | `machine_types` | `links`, `aims`, `scaling`, `reservation_supply` |
-//! | a worker's last heartbeat, its fencing token and commands | `link`, `direct_line` | `heartbeats`, `dispatch` |
+//! | the cloud's machine types | `machine_types` | `agents`, `objectives`, `scaling`, `reservation_supply` |
+//! | a worker's last heartbeat, its fencing token and commands | `agent`, `direct_line` | `heartbeats`, `dispatch` |
 //! | a transaction while it is put together | `draft` | `batch`, `record` |
-//! | jobs that came, requests to the cloud | `scaling_state` | `aims`, `demand`, `scale_in`, `renting` |
-//! | losses and new machines by failure domain | `topology_history` | `links`, `moving`, `scaling` |
+//! | jobs that came, requests to the cloud | `scaling_state` | `objectives`, `demand`, `scale_in`, `renting` |
+//! | losses and new machines by failure domain | `topology_history` | `agents`, `moving`, `scaling` |
 //! | changes that were rejected | `rejected_changes` | `batch` |
 //! | what the log says of who is served | `served` | `placing`, `record` |
 //!
@@ -25,10 +25,10 @@
 //! about a machine's tasks before one of its heartbeats carries the fencing token that fences all
 //! earlier commands; the time of every step is handed in, and no clock is read.
 
-mod aims;
+mod agent;
+mod agents;
 mod batch;
 mod calendar;
-mod calendar_needs;
 mod command_queue;
 mod commands;
 mod delegated_tasks;
@@ -42,17 +42,17 @@
 mod failures;
 mod fleet_log;
 mod heartbeats;
+mod image_distribution;
 mod inventory;
 mod job_changes;
 mod lanes;
 mod largest_jobs;
-mod link;
-mod links;
 mod load;
 mod log_format;
 mod machine_list;
 mod machine_types;
 mod moving;
+mod objectives;
 mod overflow;
 mod placement_limits;
 mod placement_queue;
@@ -61,10 +61,12 @@
 mod recorded_job;
 mod rejected_changes;
 mod renting;
+mod reservation_demand;
 mod reservation_refresh;
 mod reservation_supply;
 mod reservation_usage;
 mod rollout_refresh;
+mod rollouts;
 mod scale_in;
 mod scaling;
 mod scaling_state;
@@ -72,12 +74,10 @@
 mod shard_freeze;
 mod shard_quota;
 mod sharing;
-mod staging;
 mod start_permission;
 mod tombstones;
 mod topology_history;
-mod unlinked;
-mod waves;
+mod unknown_agent;
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -87,13 +87,13 @@
 use sorrelhinge_sharding::shard::ShardScope;
 use sorrelhinge_topology::drain::Drain;
 
+use self::agent::AgentState;
 pub use self::calendar::WindowStep;
 use self::command_queue::CommandQueue;
 pub use self::command_queue::MOST_FLYING;
 pub use self::draft::Batch;
 use self::failover::Failover;
 use self::inventory::CloudInventory;
-use self::link::Link;
 pub use self::load::{RecoveryInput, ShardGrant};
 use self::machine_types::MachineTypes;
 use self::placement_queue::PlacementQueue;
@@ -157,7 +157,7 @@
     /// The cloud's machine types.
     types: MachineTypes,
     /// The lines to the workers of all machines that are up.
-    links: BTreeMap<MachineId, Link>,
+    agents: BTreeMap<MachineId, AgentState>,
     /// What the cloud's machine lists tell.
     inventory: CloudInventory,
     /// What waits to be recorded.
@@ -181,7 +181,7 @@
     /// What operators drain.
     drains: Vec<Drain>,
     /// Images that go from machine to machine.
-    staging: staging::Staging,
+    image_distribution: image_distribution::ImageDistribution,
     /// Where machines were lost and came up of late.
     topology_history: topology_history::TopologyHistory,
     /// Jobs that lost a claim: a gang among them may have to start anew.
@@ -226,12 +226,12 @@
             .look_at_lanes(&self.cfg.lanes, now, wall_ms);
         self.cluster_state.look_at_idle(now);
         self.look_at_drains(now);
-        self.look_at_waves(now);
+        self.look_at_rollouts(now);
         self.tell_served(now);
         if self.failover.awaits_heartbeats() {
             self.check_fleet_heard(now);
         }
-        let ids: Vec<MachineId> = self.links.keys().cloned().collect();
+        let ids: Vec<MachineId> = self.agents.keys().cloned().collect();
         for id in ids {
             self.refresh_machine(&id, now);
         }
--- a/src/control/core/moving.rs
+++ b/src/control/core/moving.rs
@@ -20,9 +20,9 @@
     /// The operator's file changed. Running tasks stay; what they hold is held
     /// until they are gone.
     pub fn set_topology(&mut self, topology: Option<Rc<Topology>>, now: Time) {
-        let links = &self.links;
+        let agents = &self.agents;
         self.cluster_state
-            .set_topology(topology, |id| links.get(id).map(|l| l.addr.ip()));
+            .set_topology(topology, |id| agents.get(id).map(|l| l.addr.ip()));
         self.look_at_drains(now);
         self.walk_all = true;
     }
@@ -54,7 +54,7 @@
                 *covered.entry(id.clone()).or_insert(false) |= drain.keep;
             }
         }
-        let ids: Vec<MachineId> = self.links.keys().cloned().collect();
+        let ids: Vec<MachineId> = self.agents.keys().cloned().collect();
         for id in ids {
             let keep = covered.get(&id).copied();
             let draining = keep.is_some();
@@ -68,8 +68,8 @@
                 self.refresh_machine(&id, now);
             }
             if keep == Some(false) && empty {
-                if let Some(link) = self.links.get_mut(&id) {
-                    link.leaving = true;
+                if let Some(agent) = self.agents.get_mut(&id) {
+                    agent.leaving = true;
                 }
             }
         }
--- a/src/control/core/aims.rs
+++ b/src/control/core/objectives.rs
@@ -1,4 +1,4 @@
-//! What jobs need by the aims of their class (settings, `objectives`), and which
+//! What jobs need by the objectives of their class (settings, `objectives`), and which
 //! jobs came of late.
 
 use std::collections::VecDeque;
@@ -13,7 +13,7 @@
 /// Between these the haste of a class counts.
 const LEAST_HASTE: f64 = 0.2;
 const MOST_HASTE: f64 = 2.0;
-/// A job is patient for this part of the time that its aims leave, and for so many seconds
+/// A job is patient for this part of the time that its objectives leave, and for so many seconds
 /// at the least and at the most.
 const PATIENT_PART: f64 = 0.3;
 const LEAST_PATIENCE_S: f64 = 1.0;
@@ -83,7 +83,7 @@
     }
 
     /// How much a class depends on room that is there already: what a new
-    /// machine takes to boot, against the time that its aims leave.
+    /// machine takes to boot, against the time that its objectives leave.
     pub(super) fn haste(&self, spec: &JobSpec) -> f64 {
         (self.boot_s() / self.slack(spec).max(1.0)).clamp(LEAST_HASTE, MOST_HASTE)
     }
@@ -95,27 +95,28 @@
 
     /// How soon a class's jobs are to start, if that is sooner than a machine
     /// that is rented for them could be up: their users wait for the start.
-    /// Others with a start aim have time, as those with a finish aim have.
+    /// Others with a start objective have time, as those with a finish aim have.
     pub(super) fn starts_within(&self, class: &str) -> Option<f64> {
-        let within = self.cfg.start_aims.get(class).copied();
+        let within = self.cfg.start_objectives.get(class).copied();
         within.filter(|s| *s < self.boot_s())
     }
 
-    /// When a job should be done: by its class's aims, from when it was ready; by its
+    /// When a job should be done: by its class's objectives, from when it was ready; by its
     /// deadline, from its submission; and in time for the jobs that need it.
-    fn aims(&self, spec: &JobSpec, since: &JobTimes) -> Vec<Time> {
-        let within = self.cfg.finish_aims.get(&spec.class);
+    fn objectives(&self, spec: &JobSpec, since: &JobTimes) -> Vec<Time> {
+        let within = self.cfg.finish_objectives.get(&spec.class);
         let within = within.into_iter().flatten();
         let finish = within.map(|s| since.ready.after(*s));
-        let times = self.cfg.deadline_aims.get(&spec.class);
+        let times = self.cfg.deadline_objectives.get(&spec.class);
         let times = times.map_or(&[1.0][..], Vec::as_slice);
         let deadline = spec.deadline_s.into_iter();
         let deadlines = deadline.flat_map(|d| times.iter().map(move |t| d * t));
         let deadlines = deadlines.map(|s| since.accepted.after(s));
-        let mut aims: Vec<Time> = finish.chain(deadlines).chain(since.latest_finish).collect();
-        aims.sort_by(|a, b| a.0.total_cmp(&b.0));
-        aims.dedup();
-        aims
+        let mut objectives: Vec<Time> =
+            finish.chain(deadlines).chain(since.latest_finish).collect();
+        objectives.sort_by(|a, b| a.0.total_cmp(&b.0));
+        objectives.dedup();
+        objectives
     }
 
     /// How urgent a job is, by itself and for the jobs that need it.
@@ -125,18 +126,18 @@
         since: &JobTimes,
         inherited: Option<Urgency>,
     ) -> JobUrgency {
-        let aims = self.aims(spec, since);
-        let slack = match (inherited, aims.first()) {
-            (Some(_), Some(aim)) => {
-                let start = self.cfg.start_aims.get(&spec.class).copied();
-                let finish = aim.since(since.ready) - spec.estimate_s;
+        let objectives = self.objectives(spec, since);
+        let slack = match (inherited, objectives.first()) {
+            (Some(_), Some(objective)) => {
+                let start = self.cfg.start_objectives.get(&spec.class).copied();
+                let finish = objective.since(since.ready) - spec.estimate_s;
                 start.unwrap_or(f64::INFINITY).min(finish)
             }
             _ => self.slack(spec),
         };
         JobUrgency {
             priority: inherited.map_or(spec.priority, |u| u.priority),
-            aims,
+            objectives,
             patience_s: (PATIENT_PART * slack).clamp(LEAST_PATIENCE_S, MOST_PATIENCE_S),
             late_s: (slack - LATE_BOOTS * self.boot_s())
                 .max(PATIENT_PART * slack)
@@ -144,11 +145,11 @@
         }
     }
 
-    /// How long a job of this sort may wait before it misses an aim.
+    /// How long a job of this sort may wait before it misses an objective.
     pub(super) fn slack(&self, spec: &JobSpec) -> f64 {
-        let start = self.cfg.start_aims.get(&spec.class).copied();
-        let finish = self.cfg.finish_aims.get(&spec.class);
-        let finish = finish.and_then(|aims| aims.first().copied());
+        let start = self.cfg.start_objectives.get(&spec.class).copied();
+        let finish = self.cfg.finish_objectives.get(&spec.class);
+        let finish = finish.and_then(|objectives| objectives.first().copied());
         let finish = finish
             .into_iter()
             .chain(spec.deadline_s)
--- a/src/control/core/overflow.rs
+++ b/src/control/core/overflow.rs
@@ -1,4 +1,4 @@
-//! Tasks that find no place in their shard: they are left to shards that have room, for a
+//! Tasks that find no place in their shard: they are left to shards that have free capacity, for a
 //! time.
 
 use sorrelhinge_sharding::delegation::{Delegated, Waiting, ACCEPTED_S, DELEGATED_S};
@@ -28,20 +28,20 @@
         (self.cluster_state.capacity().cpu - used - kept).max(0) / 2
     }
 
-    /// Another shard has so much room beyond its own work.
-    pub fn has_room(&mut self, shard: ShardId, cpu: i64, now: Time) {
-        self.sharing.delegation.has_room(shard, cpu, now);
+    /// Another shard has so much free capacity beyond its own work.
+    pub fn has_capacity(&mut self, shard: ShardId, cpu: i64, now: Time) {
+        self.sharing.delegation.has_capacity(shard, cpu, now);
     }
 
-    /// Leaves tasks that found no place to shards that have room.
+    /// Leaves tasks that found no place to shards that have free capacity.
     pub fn leave(&mut self, view: &View, now: Time) -> Vec<LeftTo> {
         self.end_left(view, now);
         if self.frozen_since.is_some() {
             return Vec::new();
         }
         let waiting = self.jobs_without_place();
-        // A window's work finds the room that other shards hold for it.
-        let mut all = self.leave_to_holds(&waiting);
+        // A window's work finds the free capacity that other shards hold for it.
+        let mut all = self.leave_to_reservations(&waiting);
         all.extend(self.sharing.delegation.delegate(&waiting, now));
         let left = all.into_iter();
         left.filter_map(|delegated| self.delegate_tasks(delegated, view, now))
--- a/src/control/core/placing.rs
+++ b/src/control/core/placing.rs
@@ -6,7 +6,7 @@
 use crate::sched::{DelayRule, Job, Launch};
 use crate::types::{JobId, MachineId, Time};
 
-/// Part of its start aim after which room is made for a job.
+/// Part of its start objective after which room is made for a job.
 const PREEMPT_START: f64 = 0.15;
 /// The same for other jobs, as a multiple of their patience.
 const PREEMPT_SLACK: f64 = 2.0;
@@ -65,7 +65,7 @@
         // A new owner's first heartbeat of a machine walks it at once: others' work
         // had a part of what was held.
         if self.windows.hold() {
-            self.cluster_state.top_up_holds(id, now);
+            self.cluster_state.refill_reservations(id, now);
         }
         let pass = self.placement_queue.pass();
         let launches = self.cluster_state.walk_in(pass, id, self.rule(), now);
@@ -76,7 +76,7 @@
     fn top_up(&mut self, now: Time) {
         if self.windows.hold() {
             for id in self.placement_queue.iter() {
-                self.cluster_state.top_up_holds(id, now);
+                self.cluster_state.refill_reservations(id, now);
             }
         }
     }
@@ -114,7 +114,7 @@
             && !self.is_frozen()
         {
             // Stopping costs more than it brings unless the wait is long for
-            // the job's own aims: whoever is stopped waits in turn, and its
+            // the job's own objectives: whoever is stopped waits in turn, and its
             // image may have to be fetched again.
             let patience = |job: &Job| match job.start_within {
                 Some(within) => PREEMPT_START * within,
--- a/src/control/core/record.rs
+++ b/src/control/core/record.rs
@@ -68,8 +68,8 @@
         for write in batch.chunks {
             self.chunk_committed(write, revision, view, now);
         }
-        if let Some(step) = batch.wave {
-            for machine in self.staging.done(step, revision, now) {
+        if let Some(step) = batch.rollout {
+            for machine in self.image_distribution.done(step, revision, now) {
                 self.wake(&machine);
             }
             self.wake_staged(now);
@@ -169,8 +169,8 @@
     /// A transaction was not carried out, or already had been in an earlier
     /// try; the view is newer than it. False if the grant is no longer ours.
     pub fn conflicted(&mut self, batch: Batch, view: &View, now: Time) -> bool {
-        if let Some(step) = batch.wave {
-            self.staging.undone(step, view, now);
+        if let Some(step) = batch.rollout {
+            self.image_distribution.undone(step, view, now);
         }
         let mut chunks = batch.chunks;
         for write in batch.jobs {
--- a/src/control/core/recorded_job.rs
+++ b/src/control/core/recorded_job.rs
@@ -3,7 +3,7 @@
 
 use std::rc::Rc;
 
-use super::aims::JobTimes;
+use super::objectives::JobTimes;
 use super::Core;
 use crate::sched::{Claim, ClusterState, Job, Laned, Progress, Sent, Tasks};
 use crate::state::record::{JobRecord, Phase, RecordedClaim};
--- a/src/control/core/rejected_changes.rs
+++ b/src/control/core/rejected_changes.rs
@@ -53,10 +53,10 @@
         now < self.alone_until
     }
 
-    /// A transaction with these changes, and with an image's wave if `with_wave`, was
+    /// A transaction with these changes, and with an image's rollout if `with_rollout`, was
     /// rejected: its changes are tried one by one, and one that was alone waits.
-    pub(super) fn set_apart(&mut self, changes: BTreeSet<ChunkId>, with_wave: bool, now: Time) {
-        if changes.len() + usize::from(with_wave) > 1 {
+    pub(super) fn set_apart(&mut self, changes: BTreeSet<ChunkId>, with_rollout: bool, now: Time) {
+        if changes.len() + usize::from(with_rollout) > 1 {
             self.alone_until = now.after(ALONE_S);
         } else {
             let until = now.after(REJECTED_S);
--- a/src/control/core/renting.rs
+++ b/src/control/core/renting.rs
@@ -25,7 +25,7 @@
 impl Core {
     /// How many machines there are, up and on their way.
     pub fn machines(&self) -> usize {
-        self.links.len() + self.inventory.coming().len()
+        self.agents.len() + self.inventory.coming().len()
     }
 
     /// How many machines can be served; none: no bound is known.
@@ -112,7 +112,7 @@
                     since: now,
                 };
                 for id in machines.into_iter().filter(|m| self.scope.covers(m)) {
-                    if !self.links.contains_key(&id) {
+                    if !self.agents.contains_key(&id) {
                         self.inventory.rented(id, coming.clone());
                     }
                 }
@@ -129,7 +129,7 @@
 
     /// Another owner rented machines, some of which belong to this shard.
     pub fn rented_for(&mut self, sort: (&TypeName, &Zone, bool), machine: &MachineId, now: Time) {
-        let known = self.links.contains_key(machine) || self.tombstones.is_recent(machine);
+        let known = self.agents.contains_key(machine) || self.tombstones.is_recent(machine);
         if self.scope.covers(machine) && !known {
             let (kind, zone, spot) = sort;
             let coming = || Coming {
--- a/src/control/core/calendar_needs.rs
+++ b/src/control/core/reservation_demand.rs
@@ -35,7 +35,7 @@
 impl Core {
     /// Of several shards each holds its part, and a job is homed in one: what waits
     /// of a window's work is left to the others, to each as much as it holds.
-    pub(super) fn leave_to_holds(&self, waiting: &[Waiting]) -> Vec<Delegated> {
+    pub(super) fn leave_to_reservations(&self, waiting: &[Waiting]) -> Vec<Delegated> {
         let mut leaves = Vec::new();
         for waits in waiting {
             let Some(job) = self.cluster_state.job(&waits.job) else {
@@ -126,7 +126,7 @@
         // A list is late by twice its usual lag at most (PROTOCOL).
         let listed = self.failover.age_s(now) > 2.0 * self.cfg.list_lag_s + 2.0;
         let quiet = self.failover.age_s(now) <= self.cfg.silent_s();
-        let unheard = quiet && self.links.values().any(|l| !l.fenced() && !l.deleting);
+        let unheard = quiet && self.agents.values().any(|l| !l.fenced() && !l.deleting);
         listed && !unheard
     }
 
--- a/src/control/core/reservation_refresh.rs
+++ b/src/control/core/reservation_refresh.rs
@@ -12,7 +12,7 @@
 use super::reservation_supply::QuotaHeadroom;
 use super::reservation_usage::ReservationUsage;
 use super::Core;
-use crate::sched::{Hold, Lending};
+use crate::sched::{Lending, Reservation};
 use crate::state::view::View;
 use crate::types::{Amount, Time};
 
@@ -45,26 +45,26 @@
             now_ms: wall_ms,
             off_ms: self.cfg.clock_off_ms as i64,
         };
-        self.hold_windows(view, clock, now);
+        self.reserve_windows(view, clock, now);
         self.say_what_lacks(now);
     }
 
     /// Sees what there is for each window, and holds what is to be held here.
-    fn hold_windows(&mut self, view: &View, clock: Clock, now: Time) {
+    fn reserve_windows(&mut self, view: &View, clock: Clock, now: Time) {
         let mut watched = std::mem::take(&mut self.windows.watched);
         let usage = self.reservation_usage(watched.values(), view);
-        let mut holds = Vec::new();
+        let mut reservations = Vec::new();
         for (name, watch) in &mut watched {
             let window = usage.window(name);
             let seen = self.see(watch, window, &usage, now);
             let records = watch.record_values();
             watch.whole = steps(window.map(|w| &**w), &records, &seen, clock);
-            let hold = self.hold_here(watch, window, clock, now);
+            let hold = self.reserve_here(watch, window, clock, now);
             watch.seen = Some(seen);
-            holds.extend(hold);
+            reservations.extend(hold);
         }
         self.windows.watched = watched;
-        self.cluster_state.set_holds(holds, now);
+        self.cluster_state.set_reservations(reservations, now);
     }
 
     /// What there is for a window now; none: it was taken out of the calendar.
@@ -83,7 +83,7 @@
             watch.busy_at = now;
         }
         let name = window.map_or("", |w| &w.name);
-        let here = self.cluster_state.hold_of(name).unwrap_or_default();
+        let here = self.cluster_state.reservation_of(name).unwrap_or_default();
         // Of several shards each has about the same.
         let shards = self.scope.of.max(1);
         let in_all_shards = |tasks: u32| tasks.saturating_mul(shards);
@@ -92,7 +92,7 @@
         let supply = self.supply(window, each);
         let gb: f64 = window.map_or(0.0, |w| w.images.iter().map(|i| self.image_gb(i)).sum());
         Seen {
-            asked: used + in_all_shards(here.set_aside) + in_all_shards(watch.coming),
+            asked: used + in_all_shards(here.reserved_tasks) + in_all_shards(watch.coming),
             ready: used + in_all_shards(here.free),
             used,
             waiting,
@@ -108,18 +108,18 @@
     }
 
     /// What of a window is to be held by this shard.
-    fn hold_here(
+    fn reserve_here(
         &self,
         watch: &Watch,
         window: Option<&Rc<Window>>,
         clock: Clock,
         now: Time,
-    ) -> Option<Hold> {
+    ) -> Option<Reservation> {
         let window = window.filter(|_| watch.whole.hold > 0)?;
         let mut teams = self.cfg.teams.iter();
         let team = teams.position(|t| *t.name == *window.team)?;
         let start_ms = watch.first_reserved_ms()?;
-        Some(Hold {
+        Some(Reservation {
             window: window.clone(),
             team,
             tasks: self.tasks_reserved_here(window, team, watch.whole.hold),
@@ -136,7 +136,7 @@
         let parts = divide(tasks, self.scope.of);
         let part = parts.get(self.scope.shard.0 as usize).copied();
         let team = &self.cluster_state.teams()[team];
-        let hold = self.cluster_state.hold_of(&window.name);
+        let hold = self.cluster_state.reservation_of(&window.name);
         let mine = hold.map_or(0, |h| h.used);
         let left = Amount {
             ram: i64::MAX,
@@ -151,9 +151,11 @@
         let early_ms = i64::from(window.early_s) * MS_PER_S;
         let left_s = (start_ms - early_ms - clock.latest_ms()) as f64 / MS_PER_S as f64;
         let classes = window.classes.iter();
-        let aims = classes.map(|c| self.cfg.start_aims.get(c.as_str()).copied());
-        // A class without an aim may not wait at all.
-        let wait_s = aims.map(|a| a.unwrap_or(0.0)).fold(f64::INFINITY, f64::min);
+        let objectives = classes.map(|c| self.cfg.start_objectives.get(c.as_str()).copied());
+        // A class without an objective may not wait at all.
+        let wait_s = objectives
+            .map(|a| a.unwrap_or(0.0))
+            .fold(f64::INFINITY, f64::min);
         Lending {
             until: now.after(left_s),
             stop_s: STOP_HEARTBEATS * self.cfg.heartbeat_s,
--- a/src/control/core/reservation_supply.rs
+++ b/src/control/core/reservation_supply.rs
@@ -3,12 +3,12 @@
 
 use std::rc::Rc;
 
-use sorrelhinge_reservations::plan::{arbitrate, Refused, TeamRoom, Want};
+use sorrelhinge_reservations::plan::{arbitrate, Refused, TeamFreeCapacity, Want};
 use sorrelhinge_reservations::settings::Window;
 
 use super::reservation_usage::ReservationUsage;
 use super::Core;
-use crate::sched::HoldSeen;
+use crate::sched::ReservationStatus;
 use crate::types::{Amount, MachineType, Time, TypeName, Zone};
 
 /// A machine type to ask for.
@@ -104,11 +104,11 @@
     pub(super) fn refused_for(
         &self,
         window: &Window,
-        here: &HoldSeen,
+        here: &ReservationStatus,
         coming: u32,
         now: Time,
     ) -> Option<Refused> {
-        if here.set_aside.saturating_add(coming) >= here.open {
+        if here.reserved_tasks.saturating_add(coming) >= here.open {
             return None;
         }
         if self.windows.failing_until.is_some_and(|until| now < until) {
@@ -148,11 +148,11 @@
             .collect();
         let teams = self.cfg.teams.iter().map(|t| {
             let used = usage.outside(&t.name);
-            let room = TeamRoom {
+            let free_capacity = TeamFreeCapacity {
                 guarantee: t.guarantee - used,
                 limit: t.limit - used,
             };
-            (t.name.to_string(), room)
+            (t.name.to_string(), free_capacity)
         });
         let got = arbitrate(&wants, &teams.collect(), None);
         let got = got.into_iter().find(|g| g.name == window.name);
--- a/src/control/core/rollout_refresh.rs
+++ b/src/control/core/rollout_refresh.rs
@@ -4,10 +4,12 @@
 
 use std::collections::BTreeMap;
 
-use sorrelhinge_image_distribution::patience;
-use sorrelhinge_image_distribution::plan::{Has, Ran, Uploads, Wave};
+use sorrelhinge_image_distribution::fetch_timeout;
+use sorrelhinge_image_distribution::plan::{Has, Ran, Rollout, Uploads};
 
-use super::staging::{does, Does, Kept, Member, Staging, OVER_S};
+use super::image_distribution::{
+    does, ActiveRollout, ImageDistribution, ImageState, Member, OVER_S,
+};
 use super::Core;
 use crate::sched::{Machine, Sent};
 use crate::types::{Image, MachineId, Time};
@@ -21,7 +23,7 @@
 /// What is done with an image, by the claims.
 struct ImageUse {
     /// By the machines on which it is.
-    machines: BTreeMap<MachineId, Does>,
+    machines: BTreeMap<MachineId, ImageState>,
     /// Of each claim that was found it is known whether its start was sent.
     settled: bool,
     /// The image's size, in GB.
@@ -47,59 +49,59 @@
     has: Has,
 }
 
-/// A wave whose members are compared with the claims.
+/// A rollout whose members are compared with the claims.
 struct RolloutUpdate<'a> {
     image: &'a Image,
     gb: f64,
-    wave: &'a mut Wave,
+    rollout: &'a mut Rollout,
     uploads: &'a mut Uploads,
     now: Time,
 }
 
 impl RolloutUpdate<'_> {
     /// Notes what a machine does with the image, if there still is such a machine; whether
-    /// it stays in the wave.
+    /// it stays in the rollout.
     fn keeps(
         &mut self,
         id: &MachineId,
         member: &mut Member,
         machine: Option<&Machine>,
-        does: Option<Does>,
+        does: Option<ImageState>,
     ) -> bool {
         let Some(machine) = machine else {
-            self.wave.lost(id, self.uploads);
+            self.rollout.lost(id, self.uploads);
             return false;
         };
         match does {
-            Some(Does::Runs) => {
-                self.wave.arrived(id, self.uploads);
+            Some(ImageState::Runs) => {
+                self.rollout.arrived(id, self.uploads);
                 member.whole = true;
             }
-            Some(Does::Fetches) if !member.whole => {
+            Some(ImageState::Fetches) if !member.whole => {
                 // It may go on; but who takes from it waits with it.
                 let rate = machine.kind.fetch_gb_per_s;
-                let allowed_s = patience::fetch_allowance_s(self.gb, rate);
+                let allowed_s = fetch_timeout::fetch_allowance_s(self.gb, rate);
                 if self.now.since(member.since) > allowed_s {
-                    self.wave.slow(id, self.uploads);
+                    self.rollout.slow(id, self.uploads);
                 }
             }
             Some(_) => {}
             None if member.whole && machine.cache.has(self.image) => {}
             None => {
-                self.wave.evicted(id, self.uploads);
+                self.rollout.evicted(id, self.uploads);
                 return false;
             }
         }
         true
     }
 
-    /// Joins a machine that was started by a predecessor that kept no wave, or found
+    /// Joins a machine that was started by a predecessor that kept no rollout, or found
     /// late: from whom it takes the image is not known, so it is planned as if it began
     /// now.
     fn join(&mut self, id: &MachineId, path: &[String], whole: bool) -> Member {
-        self.wave.join(id.clone(), path, whole);
+        self.rollout.join(id.clone(), path, whole);
         if !whole {
-            self.wave.assign(id, self.uploads, self.now.0);
+            self.rollout.assign(id, self.uploads, self.now.0);
         }
         Member {
             whole,
@@ -108,56 +110,60 @@
     }
 }
 
-impl Kept {
+impl ActiveRollout {
     /// Notes since when nobody wants or fetches the image; whether that is long enough
-    /// for the wave to go, with nothing of it recorded.
+    /// for the rollout to go, with nothing of it recorded.
     fn is_over(&mut self, now: Time) -> bool {
-        let Some(wave) = &self.wave else {
+        let Some(rollout) = &self.rollout else {
             return false;
         };
-        match (wave.over(), self.over_since) {
+        match (rollout.over(), self.over_since) {
             (true, None) => self.over_since = Some(now),
             (false, _) => self.over_since = None,
             _ => {}
         }
-        self.over_since.is_some_and(|t| now.since(t) >= OVER_S) && wave.record().is_none()
+        self.over_since.is_some_and(|t| now.since(t) >= OVER_S) && rollout.record().is_none()
     }
 }
 
 impl Core {
-    /// Compares all waves with the claims and the machines that there are.
-    pub(super) fn look_at_waves(&mut self, now: Time) {
-        if self.staging.least_gb.is_none() {
+    /// Compares all rollouts with the claims and the machines that there are.
+    pub(super) fn look_at_rollouts(&mut self, now: Time) {
+        if self.image_distribution.least_gb.is_none() {
             return;
         }
         let in_use = self.images_in_use();
         let settle_s = SETTLE_HEARTBEATS * self.cfg.heartbeat_s + SETTLE_S;
         let waited = self.failover.age_s(now) >= settle_s;
         for (image, image_use) in &in_use {
-            if image_use.machines.values().any(|d| *d == Does::Fetches) {
-                self.keep_wave(image);
+            if image_use
+                .machines
+                .values()
+                .any(|d| *d == ImageState::Fetches)
+            {
+                self.keep_rollout(image);
             }
         }
-        let images: Vec<Image> = self.staging.waves.keys().cloned().collect();
+        let images: Vec<Image> = self.image_distribution.rollouts.keys().cloned().collect();
         let unused = ImageUse::of_size(0.0);
         for image in images {
             let image_use = in_use.get(&image).unwrap_or(&unused);
-            if let Some(kept) = self.staging.waves.get_mut(&image) {
+            if let Some(kept) = self.image_distribution.rollouts.get_mut(&image) {
                 kept.gb = image_use.gb;
             }
-            if self.staging.wave_mut(&image).is_some() {
-                self.look_at_wave(&image, &image_use.machines, now);
+            if self.image_distribution.rollout_mut(&image).is_some() {
+                self.look_at_rollout(&image, &image_use.machines, now);
             } else if waited || image_use.settled {
-                self.resume_wave(&image, &image_use.machines, now);
+                self.resume_rollout(&image, &image_use.machines, now);
             }
         }
     }
 
-    /// What the claims do with each image that goes by a wave.
+    /// What the claims do with each image that goes by a rollout.
     fn images_in_use(&self) -> BTreeMap<Image, ImageUse> {
         let mut in_use: BTreeMap<Image, ImageUse> = BTreeMap::new();
         let jobs = self.cluster_state.jobs().values();
-        for job in jobs.filter(|j| self.staging.stages(&j.spec)) {
+        for job in jobs.filter(|j| self.image_distribution.stages(&j.spec)) {
             for claim in job.tasks.claims().values() {
                 let image_use = in_use
                     .entry(job.spec.image.clone())
@@ -169,25 +175,29 @@
                 let furthest = image_use
                     .machines
                     .entry(claim.machine.clone())
-                    .or_insert(Does::Wants);
+                    .or_insert(ImageState::Wants);
                 *furthest = does(claim).max(*furthest);
             }
         }
         in_use
     }
 
-    /// Compares an image's wave with what machines do with it; a wave that is over goes.
-    fn look_at_wave(&mut self, image: &Image, on: &BTreeMap<MachineId, Does>, now: Time) {
+    /// Compares an image's rollout with what machines do with it; a rollout that is over goes.
+    fn look_at_rollout(&mut self, image: &Image, on: &BTreeMap<MachineId, ImageState>, now: Time) {
         let joining = self.paths_of_new(image, on);
-        let Staging { waves, uploads, .. } = &mut self.staging;
-        let Some(kept) = waves.get_mut(image) else {
+        let ImageDistribution {
+            rollouts, uploads, ..
+        } = &mut self.image_distribution;
+        let Some(kept) = rollouts.get_mut(image) else {
+            return;
+        };
+        let Some(rollout) = &mut kept.rollout else {
             return;
         };
-        let Some(wave) = &mut kept.wave else { return };
         let mut update = RolloutUpdate {
             image,
             gb: kept.gb,
-            wave,
+            rollout,
             uploads,
             now,
         };
@@ -195,65 +205,74 @@
         kept.members
             .retain(|id, member| update.keeps(id, member, machines.get(id), on.get(id).copied()));
         for (id, path) in joining {
-            let whole = on.get(&id) == Some(&Does::Runs);
+            let whole = on.get(&id) == Some(&ImageState::Runs);
             let member = update.join(&id, &path, whole);
             kept.members.insert(id, member);
         }
         kept.waiting.retain(|id| on.contains_key(id));
         if kept.is_over(now) {
-            self.staging.waves.remove(image);
+            self.image_distribution.rollouts.remove(image);
         }
     }
 
-    /// Machines that fetch or run an image and are not in its wave, with their failure
+    /// Machines that fetch or run an image and are not in its rollout, with their failure
     /// domains.
     fn paths_of_new(
         &self,
         image: &Image,
-        on: &BTreeMap<MachineId, Does>,
+        on: &BTreeMap<MachineId, ImageState>,
     ) -> BTreeMap<MachineId, Vec<String>> {
-        let kept = self.staging.waves.get(image);
+        let kept = self.image_distribution.rollouts.get(image);
         let known = |id: &MachineId| kept.is_some_and(|k| k.members.contains_key(id));
-        let new = on.iter().filter(|(id, d)| **d > Does::Wants && !known(id));
+        let new = on
+            .iter()
+            .filter(|(id, d)| **d > ImageState::Wants && !known(id));
         new.map(|(id, _)| (id.clone(), self.path_of(id))).collect()
     }
 
-    /// Goes on with a predecessor's wave: who fetches goes on, and its seeds
+    /// Goes on with a predecessor's rollout: who fetches goes on, and its seeds
     /// count, so the origin is not asked for their copies again.
-    fn resume_wave(&mut self, image: &Image, on: &BTreeMap<MachineId, Does>, now: Time) {
+    fn resume_rollout(&mut self, image: &Image, on: &BTreeMap<MachineId, ImageState>, now: Time) {
         let found = self.machines_with(image, on);
-        let key = self.staging.key(image);
-        let record = self.staging.held.get(&key).and_then(|h| h.value.as_ref());
-        let (limits, uploads) = (self.staging.limits, &mut self.staging.uploads);
+        let key = self.image_distribution.key(image);
+        let record = self
+            .image_distribution
+            .held
+            .get(&key)
+            .and_then(|h| h.value.as_ref());
+        let (limits, uploads) = (
+            self.image_distribution.limits,
+            &mut self.image_distribution.uploads,
+        );
         let ran = found.iter().map(|f| Ran {
             machine: f.machine.clone(),
             path: &f.path,
             has: f.has,
         });
-        let wave = record.and_then(|r| Wave::resume(r, limits, ran, uploads, now.0));
-        let wave = wave.unwrap_or_else(|| Wave::new(image.clone(), limits));
-        let (wants, fetches, whole) = wave.counts();
-        tracing::info!(%image, stage = wave.stage(), wants, fetches, whole, "wave goes on");
-        if let Some(kept) = self.staging.waves.get_mut(image) {
+        let rollout = record.and_then(|r| Rollout::resume(r, limits, ran, uploads, now.0));
+        let rollout = rollout.unwrap_or_else(|| Rollout::new(image.clone(), limits));
+        let (wants, fetches, whole) = rollout.counts();
+        tracing::info!(%image, stage = rollout.stage(), wants, fetches, whole, "wave goes on");
+        if let Some(kept) = self.image_distribution.rollouts.get_mut(image) {
             let member = |has: Has| Member {
                 whole: matches!(has, Has::Whole),
                 since: now,
             };
             let members = found.into_iter().map(|f| (f.machine, member(f.has)));
             kept.members = members.collect();
-            kept.wave = Some(wave);
+            kept.rollout = Some(rollout);
         }
     }
 
     /// Machines that have an image or fetch it.
-    fn machines_with(&self, image: &Image, on: &BTreeMap<MachineId, Does>) -> Vec<Found> {
+    fn machines_with(&self, image: &Image, on: &BTreeMap<MachineId, ImageState>) -> Vec<Found> {
         let mut found = Vec::new();
         for (id, machine) in self.cluster_state.machines() {
             let has = match on.get(id) {
-                Some(Does::Runs) => Has::Whole,
-                Some(Does::Fetches) => Has::Part(self.part_of(id, image)),
+                Some(ImageState::Runs) => Has::Whole,
+                Some(ImageState::Fetches) => Has::Part(self.part_of(id, image)),
                 // Its start waits here, and is joined then.
-                Some(Does::Wants) => continue,
+                Some(ImageState::Wants) => continue,
                 None if machine.cache.has(image) => Has::Whole,
                 None => continue,
             };
@@ -268,7 +287,7 @@
 
     /// How much of an image a machine says that it has, 0 to 1: a hint.
     fn part_of(&self, id: &MachineId, image: &Image) -> f64 {
-        let said = self.links.get(id).map_or(&[][..], |l| &l.images);
+        let said = self.agents.get(id).map_or(&[][..], |l| &l.images);
         let of = said.iter().find(|i| i.image == image.as_str());
         of.map_or(0.0, |i| i.parts as f64 / i.of.max(1) as f64)
     }
--- a/src/control/core/waves.rs
+++ b/src/control/core/rollouts.rs
@@ -1,15 +1,15 @@
 //! Images that many machines want: which starts wait for their stage, and whom the
 //! others take their image from. What is known and recorded of it is in
-//! [`super::staging`]; it is compared with the claims in [`super::rollout_refresh`].
+//! [`super::image_distribution`]; it is compared with the claims in [`super::rollout_refresh`].
 
 use std::collections::btree_map::Entry;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::ops::Bound;
 
-use sorrelhinge_image_distribution::plan::{Source as From, Wave};
+use sorrelhinge_image_distribution::plan::{Rollout, Source as From};
 
-use super::staging::{does, Does, Kept, Member, Staging};
+use super::image_distribution::{does, ActiveRollout, ImageDistribution, ImageState, Member};
 use super::Core;
 use crate::types::{Image, JobSpec, MachineId, TaskId, Time};
 use crate::worker::Heartbeat;
@@ -27,35 +27,37 @@
         spec: &JobSpec,
         now: Time,
     ) -> Option<Vec<SocketAddr>> {
-        if !self.staging.stages(spec) || !self.keep_wave(&spec.image) {
+        if !self.image_distribution.stages(spec) || !self.keep_rollout(&spec.image) {
             return Some(Vec::new());
         }
         let path = self.path_of(id);
         let machine = self.cluster_state.machines().get(id);
         let whole = machine.is_some_and(|m| m.cache.has(&spec.image));
-        let Staging { waves, uploads, .. } = &mut self.staging;
-        let kept = waves.get_mut(&spec.image)?;
-        let Some(wave) = &mut kept.wave else {
+        let ImageDistribution {
+            rollouts, uploads, ..
+        } = &mut self.image_distribution;
+        let kept = rollouts.get_mut(&spec.image)?;
+        let Some(rollout) = &mut kept.rollout else {
             kept.waiting.insert(id.clone());
             return None;
         };
         kept.over_since = None;
         if let Entry::Vacant(seat) = kept.members.entry(id.clone()) {
-            wave.join(id.clone(), &path, whole);
+            rollout.join(id.clone(), &path, whole);
             seat.insert(Member { whole, since: now });
         }
-        if !wave.may_start(id, uploads, now.0) {
+        if !rollout.may_start(id, uploads, now.0) {
             kept.waiting.insert(id.clone());
             return None;
         }
         kept.waiting.remove(id);
-        let from = wave.assign(id, uploads, now.0);
+        let from = rollout.assign(id, uploads, now.0);
         if let Some(member) = kept.members.get_mut(id) {
             member.since = now;
         }
         let addr = |source: &From| match source {
             From::Origin => None,
-            From::Machine(id) => self.links.get(id).map(|l| l.addr),
+            From::Machine(id) => self.agents.get(id).map(|l| l.addr),
         };
         Some(from.iter().filter_map(addr).collect())
     }
@@ -65,28 +67,30 @@
         let Some(spec) = self.cluster_state.job(&task.job).map(|j| j.spec.clone()) else {
             return;
         };
-        if !self.staging.stages(&spec) {
+        if !self.image_distribution.stages(&spec) {
             return;
         }
         let Some(machine) = self.cluster_state.claim_of(task).map(|c| c.machine.clone()) else {
             return;
         };
-        let Staging { waves, uploads, .. } = &mut self.staging;
-        if let Some(kept) = waves.get_mut(&spec.image) {
-            if let (Some(wave), Some(m)) = (&mut kept.wave, kept.members.get_mut(&machine)) {
-                wave.arrived(&machine, uploads);
+        let ImageDistribution {
+            rollouts, uploads, ..
+        } = &mut self.image_distribution;
+        if let Some(kept) = rollouts.get_mut(&spec.image) {
+            if let (Some(rollout), Some(m)) = (&mut kept.rollout, kept.members.get_mut(&machine)) {
+                rollout.arrived(&machine, uploads);
                 m.whole = true;
             }
         }
     }
 
-    /// Has a wave for an image; false if it has to do without one.
-    pub(super) fn keep_wave(&mut self, image: &Image) -> bool {
-        if self.staging.waves.contains_key(image) {
+    /// Has a rollout for an image; false if it has to do without one.
+    pub(super) fn keep_rollout(&mut self, image: &Image) -> bool {
+        if self.image_distribution.rollouts.contains_key(image) {
             return true;
         }
-        let key = self.staging.key(image);
-        if let Some(held) = self.staging.held.get(&key) {
+        let key = self.image_distribution.key(image);
+        if let Some(held) = self.image_distribution.held.get(&key) {
             // A later version's is left alone, and one of another image whose
             // name has the same hash too.
             let ours = held.value.as_ref().filter(|r| r.known());
@@ -94,24 +98,24 @@
                 return false;
             }
         }
-        let mut wave = Wave::new(image.clone(), self.staging.limits);
-        let first = wave.next(0.0);
-        if first.is_none_or(|record| self.staging.fitting(&record).is_none()) {
+        let mut rollout = Rollout::new(image.clone(), self.image_distribution.limits);
+        let first = rollout.next(0.0);
+        if first.is_none_or(|record| self.image_distribution.fitting(&record).is_none()) {
             return false;
         }
         let mut members = BTreeMap::new();
         for (id, machine) in self.cluster_state.machines() {
             if machine.cache.has(image) && !self.awaits(id, image) {
-                wave.join(id.clone(), &self.path_of(id), true);
+                rollout.join(id.clone(), &self.path_of(id), true);
                 let (whole, since) = (true, Time(0.0));
                 members.insert(id.clone(), Member { whole, since });
             }
         }
-        let kept = Kept {
+        let kept = ActiveRollout {
             members,
-            ..Kept::of(Some(wave))
+            ..ActiveRollout::of(Some(rollout))
         };
-        self.staging.waves.insert(image.clone(), kept);
+        self.image_distribution.rollouts.insert(image.clone(), kept);
         true
     }
 
@@ -125,7 +129,7 @@
         let mut needing = claims.iter().filter(|t| needs(t)).peekable();
         let any = needing.peek().is_some();
         let furthest = needing.filter_map(|t| self.cluster_state.claim_of(t));
-        any && furthest.map(does).max() < Some(Does::Runs)
+        any && furthest.map(does).max() < Some(ImageState::Runs)
     }
 
     /// A machine's failure domains, its zone first.
@@ -147,7 +151,7 @@
     /// A machine says that it has all of an image, which is believed of one that
     /// is expected there: if it isn't so, who is sent to it asks the next one.
     pub(super) fn record_served_images(&mut self, heartbeat: &Heartbeat) {
-        if self.staging.least_gb.is_none() {
+        if self.image_distribution.least_gb.is_none() {
             return;
         }
         let machine = self.cluster_state.machines().get(&heartbeat.machine);
@@ -167,22 +171,26 @@
     /// Wakes machines whose start waited and may be sent now, a few at a time.
     pub(super) fn wake_staged(&mut self, now: Time) {
         let mut awake = Vec::new();
-        let Staging { waves, uploads, .. } = &mut self.staging;
-        for kept in waves.values_mut() {
-            let Some(wave) = &kept.wave else { continue };
+        let ImageDistribution {
+            rollouts, uploads, ..
+        } = &mut self.image_distribution;
+        for kept in rollouts.values_mut() {
+            let Some(rollout) = &kept.rollout else {
+                continue;
+            };
             for _ in 0..LOOKS.min(kept.waiting.len()) {
-                let after = (Bound::Excluded(&kept.looked), Bound::Unbounded);
+                let after = (Bound::Excluded(&kept.scanned_to), Bound::Unbounded);
                 let next = kept.waiting.range(after).next();
                 let Some(id) = next.or_else(|| kept.waiting.first()).cloned() else {
                     break;
                 };
                 // One that is not in it yet joins with its start.
                 let joins = !kept.members.contains_key(&id);
-                if joins || wave.may_start(&id, uploads, now.0) {
+                if joins || rollout.may_start(&id, uploads, now.0) {
                     kept.waiting.remove(&id);
                     awake.push(id.clone());
                 }
-                kept.looked = id;
+                kept.scanned_to = id;
             }
         }
         for id in awake {
--- a/src/control/core/scale_in.rs
+++ b/src/control/core/scale_in.rs
@@ -3,8 +3,8 @@
 
 use std::collections::BTreeSet;
 
+use super::agent::AgentState;
 use super::inventory::Coming;
-use super::link::Link;
 use super::Core;
 use crate::fleet;
 use crate::sched::Machine;
@@ -46,9 +46,9 @@
     /// how a fleet that is too large for its controllers would be kept so.
     pub(super) fn trusts_silence(&self, now: Time) -> bool {
         let limit_s = HEARD_HEARTBEATS * self.cfg.heartbeat_s;
-        let links = self.links.values();
-        let heard = links.filter(|l| now.since(l.last_heard) < limit_s).count();
-        heard * 2 > self.links.len()
+        let agents = self.agents.values();
+        let heard = agents.filter(|l| now.since(l.last_heard) < limit_s).count();
+        heard * 2 > self.agents.len()
             && self.failover.age_s(now) > self.cfg.silent_s()
             && now >= self.deaf_until
     }
@@ -65,19 +65,19 @@
     /// are lost, and those that never came.
     pub(super) fn machines_to_delete(&mut self, trusts_silence: bool, now: Time) -> Vec<MachineId> {
         let mut to_delete = Vec::new();
-        for (id, link) in &mut self.links {
-            if link.leaving && is_empty(link, self.cluster_state.machines().get(id)) {
-                link.deleting = true;
+        for (id, agent) in &mut self.agents {
+            if agent.leaving && is_empty(agent, self.cluster_state.machines().get(id)) {
+                agent.deleting = true;
             }
-            let quiet_s = now.since(link.last_heard);
-            let hangs = hangs(link, quiet_s, self.cfg.heartbeat_s);
+            let quiet_s = now.since(agent.last_heard);
+            let hangs = hangs(agent, quiet_s, self.cfg.heartbeat_s);
             if trusts_silence && (quiet_s > self.cfg.silent_s() || hangs) {
-                if hangs && !link.deleting {
+                if hangs && !agent.deleting {
                     tracing::info!(machine = %id, quiet_s, "it hangs: given back");
                 }
-                link.deleting = true;
+                agent.deleting = true;
             }
-            if link.deleting {
+            if agent.deleting {
                 to_delete.push(id.clone());
             }
         }
@@ -108,8 +108,8 @@
         let candidates = self.scale_in_candidates(&disuse, idle);
         let retiring = self.above_guarantees(candidates, idle);
         for id in self.mark_machines(plan, disuse, &retiring, now) {
-            if let Some(link) = self.links.get_mut(&id) {
-                link.leaving = true;
+            if let Some(agent) = self.agents.get_mut(&id) {
+                agent.leaving = true;
             }
             self.refresh_machine(&id, now);
         }
@@ -202,14 +202,14 @@
 }
 
 /// Whether nothing is claimed on a machine, and nothing runs that it told of.
-fn is_empty(link: &Link, machine: Option<&Machine>) -> bool {
+fn is_empty(agent: &AgentState, machine: Option<&Machine>) -> bool {
     machine.is_none_or(|m| m.claims.is_empty())
-        && link.tasks.values().all(|t| t.phase == TaskPhase::Ended)
+        && agent.tasks.values().all(|t| t.phase == TaskPhase::Ended)
 }
 
 /// Whether a machine takes connections and doesn't answer. It was last heard
 /// `quiet_s` seconds ago.
-fn hangs(link: &Link, quiet_s: f64, heartbeat_s: f64) -> bool {
-    let long = link.direct.hangs() == 1 && quiet_s > HANGS_HEARTBEATS * heartbeat_s;
-    link.direct.is_suspect() && (link.direct.hangs() >= HANGS || long)
+fn hangs(agent: &AgentState, quiet_s: f64, heartbeat_s: f64) -> bool {
+    let long = agent.direct.hangs() == 1 && quiet_s > HANGS_HEARTBEATS * heartbeat_s;
+    agent.direct.is_suspect() && (agent.direct.hangs() >= HANGS || long)
 }
--- a/src/control/core/scaling_state.rs
+++ b/src/control/core/scaling_state.rs
@@ -1,12 +1,12 @@
 //! What is remembered between looks at the fleet: the work that arrived, and the
-//! requests to the cloud. Changed by arrivals ([`super::aims`]), by claims
+//! requests to the cloud. Changed by arrivals ([`super::objectives`]), by claims
 //! ([`super::placing`]) and by the steps of a look ([`super::scaling`]).
 
 use std::collections::{BTreeMap, HashMap};
 
 use sorrelhinge_overload::fleet_limit::ClaimRate;
 
-use super::aims::{ArrivalSort, Arrivals};
+use super::objectives::{ArrivalSort, Arrivals};
 use crate::cloud::Rental;
 use crate::types::{Time, TypeName, Zone};
 
--- a/src/control/core/served.rs
+++ b/src/control/core/served.rs
@@ -58,9 +58,9 @@
 impl Core {
     /// Tells how long it took to hear of all machines, for the log.
     pub(super) fn check_fleet_heard(&mut self, now: Time) {
-        let unheard = self.links.values().filter(|l| !l.fenced()).count();
+        let unheard = self.agents.values().filter(|l| !l.fenced()).count();
         let missing = self.cluster_state.unknown_machines().count();
-        let all = self.links.len() + missing;
+        let all = self.agents.len() + missing;
         if self.failover.awaits_heartbeats() && all > 0 && (unheard + missing) * 50 <= all {
             self.failover.heard_machines();
             let after_s = self.failover.logged_age_s(now);
--- a/src/control/core/sharing.rs
+++ b/src/control/core/sharing.rs
@@ -116,7 +116,7 @@
 
     /// Whether tasks of a gang are claimed: the machines are not divided then,
     /// as one core must see all of a gang.
-    pub fn holds_gangs(&self) -> bool {
+    pub fn reserves_for_gangs(&self) -> bool {
         let mut jobs = self.cluster_state.jobs().values();
         jobs.any(|j| j.spec.kind == Kind::Gang && !j.tasks.claims().is_empty())
     }
--- a/src/control/core/unlinked.rs
+++ b/src/control/core/unknown_agent.rs
@@ -14,7 +14,7 @@
 impl Core {
     /// The answer to a worker's heartbeat.
     pub fn answer(&mut self, heartbeat: &Heartbeat, view: &View, now: Time) -> Reply {
-        if self.links.contains_key(&heartbeat.machine) {
+        if self.agents.contains_key(&heartbeat.machine) {
             return self.reply(&heartbeat.machine, view, now);
         }
         let running = heartbeat.tasks.iter();
--- a/src/control/dividing.rs
+++ b/src/control/dividing.rs
@@ -79,7 +79,7 @@
             let Some(core) = cores.first_mut().filter(|_| now >= due) else {
                 return;
             };
-            if core.holds_gangs() {
+            if core.reserves_for_gangs() {
                 return;
             }
             core.freeze(now);
--- a/src/control/drains.rs
+++ b/src/control/drains.rs
@@ -289,6 +289,6 @@
         device.units += 1;
         device.broken += u32::from(broken);
         device.slots += if broken { 0 } else { share };
-        device.held += machine.held.holders(unit);
+        device.held += machine.allocated_devices.holders(unit);
     }
 }
--- a/src/control/heartbeat_routing.rs
+++ b/src/control/heartbeat_routing.rs
@@ -93,7 +93,7 @@
     pub(super) fn sends_home(&self, machine: &MachineId, home: &NodeId) -> bool {
         let now = Instant::now();
         let mut sent_on = self.sent_on.borrow_mut();
-        make_room(&mut sent_on, now, CAME_BACK);
+        plan_preemption(&mut sent_on, now, CAME_BACK);
         let came_back = sent_on
             .get(machine)
             .is_some_and(|s| now.duration_since(s.last) < CAME_BACK);
@@ -109,7 +109,7 @@
     pub(super) fn redirect(&self, machine: &MachineId, owner: &NodeId, back: Duration) -> Redirect {
         let now = Instant::now();
         let mut sent_on = self.sent_on.borrow_mut();
-        make_room(&mut sent_on, now, back);
+        plan_preemption(&mut sent_on, now, back);
         let known = sent_on
             .get_mut(machine)
             .filter(|s| s.to == *owner && now.duration_since(s.last) < back);
@@ -160,7 +160,7 @@
 }
 
 /// Forgets workers that were not sent anywhere for `kept`, once there are too many.
-fn make_room(sent_on: &mut HashMap<MachineId, SentOn>, now: Instant, kept: Duration) {
+fn plan_preemption(sent_on: &mut HashMap<MachineId, SentOn>, now: Instant, kept: Duration) {
     if sent_on.len() >= MOST_SENT_ON {
         sent_on.retain(|_, s| now.duration_since(s.last) < kept);
     }
--- a/src/control/load.rs
+++ b/src/control/load.rs
@@ -156,16 +156,16 @@
         }
     }
 
-    /// Controllers that take heartbeats for this one; if `room`, only those that
-    /// have room for more workers. Who is crowded goes on with those it has: if
+    /// Controllers that take heartbeats for this one; if `free_capacity`, only those that
+    /// have free capacity for more workers. Who is crowded goes on with those it has: if
     /// they all came back here, this one would be crowded and send them again.
-    fn helpers(&self, room: bool) -> Vec<NodeId> {
+    fn helpers(&self, free_capacity: bool) -> Vec<NodeId> {
         let mut helpers: Vec<NodeId> = self
             .peers
             .reachable()
             .filter(|n| {
                 let s = self.peer_statuses.standing_of(n);
-                s.helps && !(room && s.crowded)
+                s.helps && !(free_capacity && s.crowded)
             })
             .cloned()
             .collect();
@@ -277,7 +277,7 @@
         }
         let heartbeat_load = HeartbeatLoad {
             machines: cores.values().map(Core::machines).sum(),
-            room: self.connections.limits().workers,
+            free_capacity: self.connections.limits().workers,
             wait_s: sample.wait_s,
             helpers: self.helpers(false).len(),
         };
@@ -285,7 +285,8 @@
         // Nor more than all controllers together have sockets for.
         let here = cores.len();
         let shards = cores.first().map_or(1, |c| c.scope.of as usize);
-        let sockets = heartbeat_load.room * (self.cfg.others.len() + 1) * here / shards.max(1);
+        let sockets =
+            heartbeat_load.free_capacity * (self.cfg.others.len() + 1) * here / shards.max(1);
         let most = most.unwrap_or(usize::MAX).min(sockets);
         let claims = (self.state.writes.rate() * CLAIMS_S) as usize / here;
         let processor_binds = self.load.binds(Resource::Processor);
--- a/src/control/recording.rs
+++ b/src/control/recording.rs
@@ -39,7 +39,7 @@
                 self.record_batch(next).await;
                 self.drive();
             }
-            self.hand_on().await;
+            self.hand_over_shards().await;
         }
     }
 
--- a/src/control/shard_needs.rs
+++ b/src/control/shard_needs.rs
@@ -24,7 +24,7 @@
     }
 
     /// Tells the others what this controller's shards use and want, leaves tasks
-    /// to shards that have room, and gives away parts of limits.
+    /// to shards that have free capacity, and gives away parts of limits.
     pub(super) async fn tell_needs(self: Rc<Self>) {
         let mut gave = Instant::now();
         loop {
@@ -67,7 +67,7 @@
         needs.collect()
     }
 
-    /// Leaves tasks to shards that have room.
+    /// Leaves tasks to shards that have free capacity.
     fn leave_tasks(&self) {
         let now = self.now();
         let mut left = Vec::new();
@@ -92,7 +92,7 @@
         let now = self.now();
         for (shard, c) in self.shards.owned_mut().iter_mut() {
             if *shard != needs.shard {
-                c.has_room(needs.shard, needs.spare_cpu, now);
+                c.has_capacity(needs.shard, needs.spare_cpu, now);
             }
         }
         self.shards.record_needs(needs);
--- a/src/control/shard_owners.rs
+++ b/src/control/shard_owners.rs
@@ -141,7 +141,7 @@
 
     /// Hands on what is offered to others and has settled, each with one
     /// conditional write. Called between two transactions: none is under way.
-    pub(super) async fn hand_on(&self) {
+    pub(super) async fn hand_over_shards(&self) {
         if self.view_shards() == 1 {
             return;
         }
--- a/src/control/users.rs
+++ b/src/control/users.rs
@@ -253,7 +253,7 @@
         let Ok(JobCandidate { record, .. }) = candidate else {
             return Ok(Submitted::Unavailable);
         };
-        if !self.admission.has_room_for_submission() || !self.store.view().loaded {
+        if !self.admission.has_free_capacity_for_submission() || !self.store.view().loaded {
             return Ok(Submitted::Unavailable);
         }
         self.admission.begin_submission();
--- a/src/fleet/room.rs
+++ b/src/fleet/free_capacity.rs
@@ -2,14 +2,14 @@
 
 use std::rc::Rc;
 
-use sorrelhinge_topology::devices::{Held, Stock};
+use sorrelhinge_topology::devices::{AllocatedDevices, Stock};
 use sorrelhinge_topology::tree::Domain;
 
 use crate::sched::{CapacityPool, ClusterState};
 use crate::types::{Amount, JobSpec, MachineId, MachineType, TypeName, Zone};
 
 /// Room on a machine, there or rented by the plan.
-pub(super) struct Room {
+pub(super) struct FreeCapacity {
     pub(super) id: Option<MachineId>,
     pub(super) kind: Rc<MachineType>,
     pub(super) zone: Zone,
@@ -23,14 +23,14 @@
     pub(super) place: Option<Domain>,
     /// Its devices, and those that are held; what comes up has those of its type.
     pub(super) stock: Rc<Stock>,
-    pub(super) held: Held,
+    pub(super) held: AllocatedDevices,
     /// A task hopes for it: it may come up where its rules allow it.
     pub(super) hoped: bool,
     /// Something that can't be moved off, or was packed here.
     pub(super) used: bool,
 }
 
-impl Room {
+impl FreeCapacity {
     pub(super) fn new(kind: Rc<MachineType>, zone: Zone, spot: bool) -> Self {
         Self {
             id: None,
@@ -42,7 +42,7 @@
             kept: Amount::default(),
             place: None,
             stock: Rc::default(),
-            held: Held::default(),
+            held: AllocatedDevices::default(),
             hoped: false,
             used: true,
         }
--- a/src/fleet/mod.rs
+++ b/src/fleet/mod.rs
@@ -1,21 +1,21 @@
 //! Which machines to rent and which to give back, without I/O or clock.
 //!
 //! The plan packs what runs, what waits and a headroom for what may come into
-//! the machines that there are; what finds no room there is rented, the
+//! the machines that there are; what finds no free capacity there is rented, the
 //! cheapest first, and machines that nothing was packed into may go.
 
+mod free_capacity;
 mod offers;
 mod packing;
 mod placed;
-mod room;
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::rc::Rc;
 
 use sorrelhinge_topology::renting::Memory;
 
+use self::free_capacity::FreeCapacity;
 use self::packing::{Item, Packing};
-use self::room::Room;
 use crate::sched::{ClusterState, Job, Machine, Progress};
 use crate::types::{Amount, JobId, JobSpec, Kind, MachineId, MachineType, Time, TypeName, Zone};
 
@@ -108,15 +108,15 @@
 /// Room that windows hold: on each machine so much, and of each window on each machine
 /// so many tasks' room.
 #[derive(Default)]
-struct HeldRoom<'a> {
+struct ReservedFreeCapacity<'a> {
     by_machine: HashMap<&'a MachineId, Amount>,
     cover: BTreeMap<(String, MachineId), u32>,
 }
 
-impl<'a> HeldRoom<'a> {
+impl<'a> ReservedFreeCapacity<'a> {
     fn of(cluster_state: &'a ClusterState) -> Self {
         let mut held = Self::default();
-        for (window, id, tasks) in cluster_state.held_room() {
+        for (window, id, tasks) in cluster_state.reserved_capacity() {
             *held.by_machine.entry(id).or_default() += window.each().times(i64::from(tasks));
             held.cover.insert((window.name.clone(), id.clone()), tasks);
         }
@@ -128,7 +128,7 @@
 pub fn plan(input: &Input, now: Time) -> Plan {
     let mut packing = Packing::new(input);
     // Held room is used, by a window that has not begun or whose work is to come.
-    let mut held = HeldRoom::of(input.cluster_state);
+    let mut held = ReservedFreeCapacity::of(input.cluster_state);
     // Tasks that could move to spot machines are packed anew, by job.
     let mut again = Wanting::new();
     add_machines(&mut packing, input, &held.by_machine, &mut again, now);
@@ -155,7 +155,7 @@
 ) {
     let machines = input.cluster_state.machines().iter();
     for (id, machine) in machines.filter(|(_, m)| m.usable) {
-        let mut room = room_of(id, machine, held.get(id).copied());
+        let mut free_capacity = free_capacity_of(id, machine, held.get(id).copied());
         for task in &machine.claims {
             let Some(job) = input.cluster_state.job(&task.job) else {
                 continue;
@@ -163,36 +163,37 @@
             if job.spec.spot && !machine.spot {
                 *again.entry(&task.job).or_insert(0) += 1;
             } else if ends_while_booting(job, task.index, input.boot_s, now) {
-                room.soon += job.spec.each;
+                free_capacity.soon += job.spec.each;
             }
         }
-        packing.add(room);
+        packing.add(free_capacity);
     }
     for c in input.coming {
-        let room = packing.new_room(&c.kind, &c.zone, c.spot);
-        packing.add(room);
+        let free_capacity = packing.new_machine_capacity(&c.kind, &c.zone, c.spot);
+        packing.add(free_capacity);
     }
-    packing.new_from = packing.rooms.len();
+    packing.new_from = packing.free_capacities.len();
 }
 
 /// The room on a machine that is up, less what is held for windows.
-fn room_of(id: &MachineId, machine: &Machine, held: Option<Amount>) -> Room {
+fn free_capacity_of(id: &MachineId, machine: &Machine, held: Option<Amount>) -> FreeCapacity {
     let fixed = machine.used - machine.movable;
-    let mut room = Room::new(machine.kind.clone(), machine.zone.clone(), machine.spot);
-    room.id = Some(id.clone());
-    room.free -= fixed;
-    room.used = fixed != Amount::default();
+    let mut free_capacity =
+        FreeCapacity::new(machine.kind.clone(), machine.zone.clone(), machine.spot);
+    free_capacity.id = Some(id.clone());
+    free_capacity.free -= fixed;
+    free_capacity.used = fixed != Amount::default();
     if let Some(amount) = held {
-        room.free -= amount;
-        room.used = true;
+        free_capacity.free -= amount;
+        free_capacity.used = true;
     }
-    room.soon = room.free;
-    room.place = Some(machine.place);
-    room.stock = machine.stock.clone();
-    if machine.held.any() {
-        room.held = machine.held.clone();
+    free_capacity.soon = free_capacity.free;
+    free_capacity.place = Some(machine.place);
+    free_capacity.stock = machine.stock.clone();
+    if machine.allocated_devices.any() {
+        free_capacity.held = machine.allocated_devices.clone();
     }
-    room
+    free_capacity
 }
 
 /// Whether a task that runs should end before a new machine is up.
@@ -232,7 +233,7 @@
     let mut open: Vec<i64> = cluster_state
         .teams()
         .iter()
-        .zip(cluster_state.held_of_limits())
+        .zip(cluster_state.reserved_of_quotas())
         .map(|(t, held)| (t.limit - t.used - held).cpu.max(0))
         .collect();
     let mut wanting = Wanting::new();
@@ -245,8 +246,8 @@
             false => cluster_state.covered(job, cover),
         };
         let cpu = job.spec.each.cpu.max(1);
-        let room = u32::try_from(open[job.team] / cpu).unwrap_or(u32::MAX);
-        let tasks = (job.tasks.pending() - covered).min(room);
+        let free_capacity = u32::try_from(open[job.team] / cpu).unwrap_or(u32::MAX);
+        let tasks = (job.tasks.pending() - covered).min(free_capacity);
         open[job.team] -= cpu * i64::from(tasks);
         wanting.insert(id, tasks);
     }
@@ -311,13 +312,13 @@
         coming: packing.coming,
         ..Plan::default()
     };
-    for room in packing.rooms {
-        match room.id {
-            Some(id) if !room.used => {
+    for free_capacity in packing.free_capacities {
+        match free_capacity.id {
+            Some(id) if !free_capacity.used => {
                 plan.unused.insert(id);
             }
-            Some(id) if room.kept != Amount::default() => {
-                plan.kept.insert(id, room.kept);
+            Some(id) if free_capacity.kept != Amount::default() => {
+                plan.kept.insert(id, free_capacity.kept);
             }
             _ => {}
         }
--- a/src/fleet/packing.rs
+++ b/src/fleet/packing.rs
@@ -4,7 +4,7 @@
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::rc::Rc;
 
-use super::room::{Bin, Room};
+use super::free_capacity::{Bin, FreeCapacity};
 use super::Input;
 use crate::sched::CapacityPool;
 use crate::types::{JobId, JobSpec, Kind, Zone};
@@ -15,7 +15,7 @@
     pub(super) tasks: u32,
     /// Room that is only kept.
     pub(super) expected: bool,
-    /// It has waited so long already that its aims are in danger.
+    /// It has waited so long already that its objectives are in danger.
     pub(super) late: bool,
     /// It has waited for about as long as it can for tasks to end: they do,
     /// but as much work comes as they leave room for.
@@ -60,7 +60,7 @@
 /// Rooms, and what was packed into them so far.
 pub(super) struct Packing<'a> {
     pub(super) input: &'a Input<'a>,
-    pub(super) rooms: Vec<Room>,
+    pub(super) free_capacities: Vec<FreeCapacity>,
     /// Rooms by what is free now, and by what is free soon: the tightest first.
     bins: [BTreeMap<Bin, BTreeSet<(i64, usize)>>; 2],
     pub(super) crowd: HashMap<Zone, u32>,
@@ -81,7 +81,7 @@
     pub(super) fn new(input: &'a Input<'a>) -> Self {
         Self {
             input,
-            rooms: Vec::new(),
+            free_capacities: Vec::new(),
             bins: Default::default(),
             crowd: HashMap::new(),
             total_cpu: 0,
@@ -95,20 +95,20 @@
 }
 
 impl Packing<'_> {
-    pub(super) fn add(&mut self, room: Room) -> usize {
-        *self.crowd.entry(room.zone.clone()).or_insert(0) += 1;
-        self.total_cpu += room.kind.total.cpu;
-        self.rooms.push(room);
-        let at = self.rooms.len() - 1;
+    pub(super) fn add(&mut self, free_capacity: FreeCapacity) -> usize {
+        *self.crowd.entry(free_capacity.zone.clone()).or_insert(0) += 1;
+        self.total_cpu += free_capacity.kind.total.cpu;
+        self.free_capacities.push(free_capacity);
+        let at = self.free_capacities.len() - 1;
         self.file(at, true);
         at
     }
 
     pub(super) fn file(&mut self, at: usize, put: bool) {
-        let room = &self.rooms[at];
+        let free_capacity = &self.free_capacities[at];
         for (soon, bins) in self.bins.iter_mut().enumerate() {
-            let bin = bins.entry(room.bin()).or_default();
-            let key = (room.available(soon == 1).cpu, at);
+            let bin = bins.entry(free_capacity.bin()).or_default();
+            let key = (free_capacity.available(soon == 1).cpu, at);
             if put {
                 bin.insert(key);
             } else {
@@ -124,19 +124,19 @@
         spec: &JobSpec,
         soon: bool,
         barred: &dyn Fn(&Zone) -> bool,
-        pass: &dyn Fn(&Room) -> bool,
+        pass: &dyn Fn(&FreeCapacity) -> bool,
     ) -> Option<usize> {
         let mut best: Option<(Rank, usize)> = None;
-        for (bin, rooms) in &self.bins[usize::from(soon)] {
+        for (bin, free_capacities) in &self.bins[usize::from(soon)] {
             if barred(&bin.zone) {
                 continue;
             }
-            for &(cpu, at) in rooms.range((spec.each.cpu, 0)..) {
-                let room = &self.rooms[at];
-                if !room.suits(spec) {
+            for &(cpu, at) in free_capacities.range((spec.each.cpu, 0)..) {
+                let free_capacity = &self.free_capacities[at];
+                if !free_capacity.suits(spec) {
                     break;
                 }
-                if !spec.each.fits(room.available(soon)) || !pass(room) {
+                if !spec.each.fits(free_capacity.available(soon)) || !pass(free_capacity) {
                     continue;
                 }
                 let apart =
@@ -157,7 +157,7 @@
     }
 
     /// The room for a task, there or to be rented.
-    fn choose_room(
+    fn choose_machine(
         &mut self,
         item: &Item,
         soon: bool,
@@ -169,7 +169,7 @@
         // An ordinary machine that nothing else holds is dear for work
         // that may use spot machines: rather rent one of those.
         let keep = fitting
-            .map(|at| &self.rooms[at])
+            .map(|at| &self.free_capacities[at])
             .is_some_and(|r| !spec.spot || r.spot || r.used);
         if keep {
             return fitting;
@@ -177,13 +177,13 @@
         let rented = self
             .cheapest(item, left_cpu, barred)
             .filter(|r| r.spot || fitting.is_none());
-        let Some(room) = rented else {
+        let Some(free_capacity) = rented else {
             return fitting;
         };
-        Some(self.rent_room(room))
+        Some(self.rent_free_capacity(free_capacity))
     }
 
-    /// Packs an item's tasks, and rents for those that find no room.
+    /// Packs an item's tasks, and rents for those that find no free capacity.
     pub(super) fn pack(&mut self, item: &Item) {
         let spec = &item.spec;
         let mut zones: BTreeMap<Zone, u32> = BTreeMap::new();
@@ -192,22 +192,22 @@
         } else {
             item.tasks
         };
-        // What is only expected needs its room at once; what waits can take
-        // the room of tasks that end soon.
+        // What is only expected needs its free capacity at once; what waits can take
+        // the free capacity of tasks that end soon.
         let soon = !item.expected && !item.queued && (self.input.patient)(spec);
         let mut left = item.tasks;
         while left > 0 {
             let barred = |z: &Zone| zones.get(z).is_some_and(|n| *n >= most);
             let left_cpu = spec.each.cpu * i64::from(left);
-            let chosen = self.choose_room(item, soon, left_cpu, &barred);
+            let chosen = self.choose_machine(item, soon, left_cpu, &barred);
             let Some(at) = chosen else { return };
-            let room = &self.rooms[at];
-            let in_zone = zones.entry(room.zone.clone()).or_insert(0);
+            let free_capacity = &self.free_capacities[at];
+            let in_zone = zones.entry(free_capacity.zone.clone()).or_insert(0);
             // A spread job's tasks go to one room after another, as their
             // zones fill up.
             let count = spec
                 .each
-                .how_many(room.available(soon))
+                .how_many(free_capacity.available(soon))
                 .min(left)
                 .min(most - *in_zone)
                 .max(1);
@@ -221,16 +221,16 @@
     /// Takes a room for so many tasks of an item.
     fn take(&mut self, at: usize, item: &Item, count: u32) {
         self.file(at, false);
-        let room = &mut self.rooms[at];
+        let free_capacity = &mut self.free_capacities[at];
         let taken = item.spec.each.times(i64::from(count));
-        room.free -= taken;
-        room.soon -= taken;
-        room.used = true;
+        free_capacity.free -= taken;
+        free_capacity.soon -= taken;
+        free_capacity.used = true;
         match &item.window {
-            Some(window) if room.id.is_none() && at < self.new_from => {
+            Some(window) if free_capacity.id.is_none() && at < self.new_from => {
                 *self.coming.entry(window.clone()).or_insert(0) += count;
             }
-            None if item.expected && !item.spec.spot => room.kept += taken,
+            None if item.expected && !item.spec.spot => free_capacity.kept += taken,
             _ => {}
         }
         self.file(at, true);
--- a/src/fleet/placed.rs
+++ b/src/fleet/placed.rs
@@ -6,14 +6,14 @@
 use std::rc::Rc;
 
 use sorrelhinge_protocol::placement::Device;
-use sorrelhinge_topology::devices::{choose, Held, Unit};
+use sorrelhinge_topology::devices::{choose, AllocatedDevices, Unit};
 use sorrelhinge_topology::policy::{Policy, Reach, Tally};
 use sorrelhinge_topology::renting::tries;
 use sorrelhinge_topology::tree::Domain;
 use sorrelhinge_topology::Topology;
 
+use super::free_capacity::FreeCapacity;
 use super::packing::{Item, Packing};
-use super::room::Room;
 use super::Input;
 use crate::sched::Job;
 use crate::types::Zone;
@@ -84,23 +84,23 @@
     }
 
     /// Whether they allow one more task on a machine that is up.
-    fn allows(&self, room: &Room) -> bool {
-        match (room.place, &room.id) {
+    fn allows(&self, free_capacity: &FreeCapacity) -> bool {
+        match (free_capacity.place, &free_capacity.id) {
             (Some(place), Some(id)) => self.allows_at(place, id.as_str()),
             _ => false,
         }
     }
 
     /// The units that a task would hold, beside what is held; none if one is missing.
-    fn units(&self, room: &Room, held: &Held) -> Option<Vec<Unit>> {
-        choose(&room.stock, held, &self.needs)
+    fn units(&self, free_capacity: &FreeCapacity, held: &AllocatedDevices) -> Option<Vec<Unit>> {
+        choose(&free_capacity.stock, held, &self.needs)
     }
 
     /// Counts a task that is packed into a room.
-    fn count(&mut self, room: &Room) {
-        *self.zones.entry(room.zone.clone()).or_insert(0) += 1;
-        if let Some(place) = room.place {
-            let name = room.id.as_ref().map_or("", |id| id.as_str());
+    fn count(&mut self, free_capacity: &FreeCapacity) {
+        *self.zones.entry(free_capacity.zone.clone()).or_insert(0) += 1;
+        if let Some(place) = free_capacity.place {
+            let name = free_capacity.id.as_ref().map_or("", |id| id.as_str());
             let at = Some((place, name));
             self.policy.count(&self.topology.tree, &mut self.tally, at);
         }
@@ -127,8 +127,8 @@
     fn choose_for_placed(&mut self, placed: &PlacedItem, left: u32) -> Option<usize> {
         let spec = &placed.item.spec;
         let barred = |zone: &Zone| placed.bars_zone(zone);
-        let known = |r: &Room| placed.allows(r) && placed.units(r, &r.held).is_some();
-        let coming = |r: &Room| r.place.is_none() && !r.hoped;
+        let known = |r: &FreeCapacity| placed.allows(r) && placed.units(r, &r.held).is_some();
+        let coming = |r: &FreeCapacity| r.place.is_none() && !r.hoped;
         self.fitting(spec, false, &barred, &known)
             .or_else(|| self.fitting(spec, false, &barred, &coming))
             .or_else(|| self.rent_in_hope(placed, left))
@@ -137,20 +137,20 @@
     /// Takes a room for one task.
     fn take_for_placed(&mut self, at: usize, placed: &mut PlacedItem) {
         self.file(at, false);
-        let room = &mut self.rooms[at];
-        room.free -= placed.item.spec.each;
-        room.soon -= placed.item.spec.each;
-        room.used = true;
-        let units = placed.units(room, &room.held);
+        let free_capacity = &mut self.free_capacities[at];
+        free_capacity.free -= placed.item.spec.each;
+        free_capacity.soon -= placed.item.spec.each;
+        free_capacity.used = true;
+        let units = placed.units(free_capacity, &free_capacity.held);
         let sure = units.is_some() && !placed.policy.counts();
         if let Some(units) = units {
-            room.held.take(&units);
+            free_capacity.held.take(&units);
         }
-        if room.place.is_none() {
-            room.hoped = !sure;
+        if free_capacity.place.is_none() {
+            free_capacity.hoped = !sure;
             self.hoped += u32::from(!sure);
         }
-        placed.count(room);
+        placed.count(free_capacity);
         self.file(at, true);
     }
 
@@ -161,9 +161,11 @@
         let bounded = tries(wanted, self.hoped, overshoot) == 0;
         let with_devices = self.places_with_devices(placed);
         let barred = |zone: &Zone| placed.bars_zone(zone);
-        let mut best: Option<(f64, Room)> = None;
-        for room in self.rentable(&placed.item.spec, &barred) {
-            let equipped = placed.units(&room, &Held::default()).is_some();
+        let mut best: Option<(f64, FreeCapacity)> = None;
+        for free_capacity in self.rentable(&placed.item.spec, &barred) {
+            let equipped = placed
+                .units(&free_capacity, &AllocatedDevices::default())
+                .is_some();
             let certain = equipped && !placed.policy.counts();
             let may = |place: Domain| {
                 placed.allows_at(place, "") && (equipped || with_devices.contains(&place))
@@ -171,20 +173,24 @@
             let chance = match certain {
                 true => 1.0,
                 false => {
-                    let sort = (room.kind.name.clone(), room.zone.clone(), room.spot);
+                    let sort = (
+                        free_capacity.kind.name.clone(),
+                        free_capacity.zone.clone(),
+                        free_capacity.spot,
+                    );
                     self.input.memory.chance(&sort, &may)
                 }
             };
             if chance < LEAST_CHANCE || bounded && !certain {
                 continue;
             }
-            let score = room.price() / chance;
+            let score = free_capacity.price() / chance;
             if best.as_ref().is_none_or(|(s, _)| score < *s) {
-                best = Some((score, room));
+                best = Some((score, free_capacity));
             }
         }
-        let (_, room) = best?;
-        Some(self.rent_room(room))
+        let (_, free_capacity) = best?;
+        Some(self.rent_free_capacity(free_capacity))
     }
 
     /// Where machines have the devices that the tasks need: those that a type does not
@@ -193,8 +199,8 @@
         if placed.needs.is_empty() {
             return BTreeSet::new();
         }
-        let equipped = |r: &&Room| placed.units(r, &Held::default()).is_some();
-        let rooms = self.rooms.iter().filter(equipped);
-        rooms.filter_map(|r| r.place).collect()
+        let equipped = |r: &&FreeCapacity| placed.units(r, &AllocatedDevices::default()).is_some();
+        let free_capacities = self.free_capacities.iter().filter(equipped);
+        free_capacities.filter_map(|r| r.place).collect()
     }
 }
--- a/src/peer/message.rs
+++ b/src/peer/message.rs
@@ -88,7 +88,7 @@
 pub struct Standing {
     /// Takes heartbeats for the owner of the machines.
     pub helps: bool,
-    /// Has no room for more workers.
+    /// Has no free capacity for more workers.
     pub crowded: bool,
     /// As their owner, asks to be spared reports that tell nothing new.
     pub relief: bool,
--- a/src/peer/mod.rs
+++ b/src/peer/mod.rs
@@ -178,7 +178,7 @@
             false => 0,
         };
         for line in self.lines.values().filter(|l| l.connected()) {
-            // A hint that finds no room is replaced by the next one.
+            // A hint that finds no free capacity is replaced by the next one.
             let _ = line.out.try_send(Message {
                 number: self.newest.get().0,
                 status: self.standing.get().encode(),
@@ -196,14 +196,14 @@
             .map(|(node, _)| node)
     }
 
-    /// Tells another controller something about shards. What finds no room is lost.
+    /// Tells another controller something about shards. What finds no free capacity is lost.
     pub fn share(&self, node: &NodeId, kind: Kind, text: Vec<u8>) {
         if let Some(line) = self.lines.get(node).filter(|l| l.connected()) {
             let _ = line.out.try_send(Message::new(kind, text));
         }
     }
 
-    /// Tells the owner of machines that they were heard. What finds no room is
+    /// Tells the owner of machines that they were heard. What finds no free capacity is
     /// lost: the next heartbeat of each goes to the owner itself, by and by.
     pub fn heard(&self, owner: &NodeId, machines: &[ForwardedHeartbeat]) {
         let Some(line) = self.lines.get(owner).filter(|l| l.connected()) else {
--- a/src/sched/aging.rs
+++ b/src/sched/aging.rs
@@ -1,4 +1,4 @@
-//! Jobs that waited too long to begin, and jobs whose aims have passed.
+//! Jobs that waited too long to begin, and jobs whose objectives have passed.
 
 use super::queue::Place;
 use super::{ClusterState, Job};
@@ -11,7 +11,7 @@
 /// It has this part of its team's limit at most in this way.
 const AGED_PART: f64 = 0.5;
 impl ClusterState {
-    /// Jobs whose aims have passed give way to jobs that can still meet theirs
+    /// Jobs whose objectives have passed give way to jobs that can still meet theirs
     /// (the paper's section 3 leaves the order within a team open), until they
     /// have waited for so long that nothing may pass them over.
     pub fn look_at_dues(&mut self, now: Time) {
--- a/src/sched/best_machine.rs
+++ b/src/sched/best_machine.rs
@@ -9,7 +9,7 @@
 use super::ClusterState;
 
 impl ClusterState {
-    /// The best machine for one more task of a job, if any has room: one that
+    /// The best machine for one more task of a job, if any has free capacity: one that
     /// meets all its placement rules, else one that meets what is required.
     pub(super) fn best(&self, request: &PlacementRequest) -> Option<Offer> {
         if !self.limit_allows(request.job, request.now) {
--- a/src/sched/capacity_index/mod.rs
+++ b/src/sched/capacity_index/mod.rs
@@ -1,4 +1,4 @@
-//! Where there is room: usable machines by kind, zone, images and free room,
+//! Where there is free capacity: usable machines by kind, zone, images and free capacity,
 //! kept up to date, so that no decision has to look at every machine.
 
 mod shelf;
@@ -23,7 +23,7 @@
     pub retiring: bool,
     /// They take commands only now and then.
     pub slow: bool,
-    /// Some of their room is kept for work that can't use spot machines.
+    /// Some of their free capacity is kept for work that can't use spot machines.
     pub keeps: bool,
     /// Type.
     pub kind: TypeName,
@@ -51,7 +51,7 @@
 
 /// What machine is looked for in a group.
 pub struct Search<'a> {
-    /// Its free room.
+    /// Its free capacity.
     pub each: Amount,
     /// Room that is kept doesn't count.
     pub leaves_kept: bool,
@@ -87,9 +87,9 @@
 pub struct Group {
     /// Their type.
     pub kind: Rc<MachineType>,
-    /// By their free room.
+    /// By their free capacity.
     own: Shelves,
-    /// By the free room that is not kept, if any of it is kept.
+    /// By the free capacity that is not kept, if any of it is kept.
     open: Shelves,
     count: usize,
 }
@@ -140,7 +140,7 @@
     machines: usize,
 }
 
-/// Usable machines by group and free room. Kept up to date by
+/// Usable machines by group and free capacity. Kept up to date by
 /// [`CapacityIndex::file`] with every change of a machine, so that a decision looks at a
 /// few places only, however many machines there are.
 #[derive(Clone, Debug, Default)]
@@ -236,7 +236,7 @@
         self.kinds.values().map(|counted| &counted.kind)
     }
 
-    /// The tightest machine of a group with room for `each` whose image is
+    /// The tightest machine of a group with free capacity for `each` whose image is
     /// this near, and that passes.
     pub fn first(
         &self,
--- a/src/sched/capacity_index/shelf.rs
+++ b/src/sched/capacity_index/shelf.rs
@@ -1,4 +1,4 @@
-//! Machines in order of their free room.
+//! Machines in order of their free capacity.
 
 use std::cell::Cell;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
@@ -15,7 +15,7 @@
     (amount.cpu, amount.ram, amount.gpu)
 }
 
-/// Machines by their free room, the tightest first, and those of the same by
+/// Machines by their free capacity, the tightest first, and those of the same by
 /// their place, so that a domain that a rule bars is passed over at once.
 #[derive(Clone, Debug, Default)]
 struct Shelf {
@@ -105,7 +105,7 @@
         self.ready.contains_key(image)
     }
 
-    /// The tightest machine with room whose image is as near as asked, and that passes.
+    /// The tightest machine with free capacity whose image is as near as asked, and that passes.
     pub fn first(&self, search: &Search, steps: &Cell<u64>, pass: Pass<'_>) -> Option<Found> {
         let shelf = match search.near {
             Nearness::Ready => self.ready.get(search.image)?,
--- a/src/sched/claims.rs
+++ b/src/sched/claims.rs
@@ -24,9 +24,9 @@
             if spec.spot && !m.spot {
                 m.movable += spec.each;
             }
-            m.held.take(&units);
+            m.allocated_devices.take(&units);
             if unnamed {
-                m.held.take_unnamed();
+                m.allocated_devices.take_unnamed();
             }
             m.use_image(&spec, serving.as_deref(), false);
         });
@@ -92,7 +92,7 @@
         {
             self.reserved.remove(&claim.machine);
         }
-        self.holds.taken(team, &spec, &claim.machine);
+        self.reservations.taken(team, &spec, &claim.machine);
         let machine = claim.machine.clone();
         self.edit_job(&task.job, |job| job.tasks.insert_claim(task.index, claim));
         if self.machines.contains_key(&machine) {
@@ -138,7 +138,7 @@
         if let Some(laned) = job.lane {
             *self.lanes.used.entry(laned.lane).or_default() -= spec.each.cpu;
         }
-        self.holds.left(team, &spec);
+        self.reservations.left(team, &spec);
         let known = self.vacate(task, &claim, &spec, now);
         if !known {
             if let Some(tasks) = self.homeless.get_mut(&claim.machine) {
@@ -160,9 +160,9 @@
                 if spec.spot && !m.spot {
                     m.movable -= spec.each;
                 }
-                m.held.give(&claim.units);
+                m.allocated_devices.give(&claim.units);
                 if claim.unnamed {
-                    m.held.give_unnamed();
+                    m.allocated_devices.give_unnamed();
                 }
             }
             if !awaited {
--- a/src/sched/cluster_state.rs
+++ b/src/sched/cluster_state.rs
@@ -9,7 +9,7 @@
 
 use super::capacity_index::CapacityIndex;
 use super::queue::Place;
-use super::{holds, idle, lanes, Claim, Job, Machine, Team};
+use super::{idle, lanes, reservations, Claim, Job, Machine, Team};
 use crate::types::{Amount, Attempt, JobId, MachineId, Priority, TaskId, Time, TypeName, Zone};
 
 /// Room on a machine that is being made, or found, for a job's next task.
@@ -23,7 +23,7 @@
 
 /// Room on a machine that is held for a gang.
 #[derive(Clone, Debug)]
-pub(super) struct GangRoom {
+pub(super) struct GangFreeCapacity {
     /// The gang.
     pub job: JobId,
     /// So much.
@@ -59,12 +59,12 @@
     pub(super) queues: Vec<BTreeSet<Place>>,
     /// Per team, what their pending tasks want.
     pub(super) demand: Vec<Amount>,
-    /// Where there is room.
+    /// Where there is free capacity.
     pub capacity_index: CapacityIndex,
     /// Room that is being made for a job, until a time.
     pub(super) reserved: BTreeMap<MachineId, Reservation>,
     /// Room held for a gang, at each machine so much.
-    pub(super) gang_room: BTreeMap<MachineId, GangRoom>,
+    pub(super) gang_free_capacity: BTreeMap<MachineId, GangFreeCapacity>,
     pub(super) turn: Turn<JobId>,
     /// Failure domains, if the feature is on.
     pub(super) topology: Option<Rc<Topology>>,
@@ -79,7 +79,7 @@
     /// Who goes ahead of all others.
     pub(super) lanes: lanes::Queue,
     /// Room held for windows of the release calendar.
-    pub(super) holds: holds::Holds,
+    pub(super) reservations: reservations::Reservations,
 }
 
 impl ClusterState {
--- a/src/sched/delay.rs
+++ b/src/sched/delay.rs
@@ -1,7 +1,7 @@
 //! Delay scheduling (section 4.2): a job waits for a machine that has its image, up to
 //! the time that the fetch is worth (section 4.3.1).
 
-use sorrelhinge_image_distribution::patience;
+use sorrelhinge_image_distribution::fetch_timeout;
 
 use super::capacity_index::CapacityIndex;
 use super::machine::{fetch_rate, fetch_s};
@@ -38,7 +38,7 @@
 impl DelayRule {
     fn threshold(&self, spec: &JobSpec, staged: bool, kind: &MachineType) -> f64 {
         if staged {
-            return patience::threshold_s(fetch_s(spec, kind));
+            return fetch_timeout::threshold_s(fetch_s(spec, kind));
         }
         (self.fetches * spec.image_gb / fetch_rate(kind)).min(self.max_s)
     }
@@ -82,11 +82,11 @@
 
     /// Whether a job's image goes from machine to machine.
     pub(super) fn stages(&self, spec: &JobSpec) -> bool {
-        self.is_staged(spec.image_gb)
+        self.is_distributed(spec.image_gb)
     }
 
     /// Whether an image of this size does.
-    pub fn is_staged(&self, gb: f64) -> bool {
+    pub fn is_distributed(&self, gb: f64) -> bool {
         self.staged_gb.is_some_and(|least| gb >= least)
     }
 }
--- a/src/sched/filter/free_room.rs
+++ b/src/sched/filter/free_capacity.rs
@@ -6,7 +6,7 @@
 impl ClusterState {
     /// Room on a machine for a job, less what is reserved for others, and less what is
     /// kept there for work that can't use spot machines if the job `leaves_kept`.
-    pub(in crate::sched) fn room_for(
+    pub(in crate::sched) fn free_capacity_for(
         &self,
         id: &JobId,
         leaves_kept: bool,
@@ -24,7 +24,7 @@
                 }
             }
         }
-        if let Some(held) = self.gang_room.get(m_id) {
+        if let Some(held) = self.gang_free_capacity.get(m_id) {
             if held.job != *id {
                 free -= held.amount;
             }
@@ -38,7 +38,7 @@
     /// Whether room on a machine is meant for somebody.
     pub(in crate::sched) fn is_spoken_for(&self, m_id: &MachineId) -> bool {
         self.reserved.contains_key(m_id)
-            || self.gang_room.contains_key(m_id)
-            || self.has_held_room(m_id)
+            || self.gang_free_capacity.contains_key(m_id)
+            || self.has_reserved_capacity(m_id)
     }
 }
--- a/src/sched/filter/mod.rs
+++ b/src/sched/filter/mod.rs
@@ -1,13 +1,13 @@
 //! The filter step of a placement: may one more task of a job go to a machine?
 //!
-//! Each rule is a file of its own: [`machine_type`], [`zones`], [`free_room`] and
+//! Each rule is a file of its own: [`machine_type`], [`zones`], [`free_capacity`] and
 //! [`larger_types`] here, failure domains and devices in [`super::topology_rules`].
 //! [`Filters`] makes the rules of one request ready once, and asks them in a fixed order:
 //! those that judge a whole group of machines first, then those that judge one machine.
 //! A new rule is a new file, and a line in [`Filters::admits_group`] or
 //! [`Filters::admits_machine`] and in [`ClusterState::may_start_on`].
 
-mod free_room;
+mod free_capacity;
 mod larger_types;
 mod machine_type;
 mod zones;
@@ -67,7 +67,7 @@
             ask,
             zones: cluster_state.zones_of(request.id, job, ask.leave_out)?,
             site: cluster_state.site(job, reach, ask.leave_out),
-            leaves_kept: job.leaves_kept_room(request.now),
+            leaves_kept: job.leaves_reserved_capacity(request.now),
         })
     }
 
@@ -97,10 +97,12 @@
         let cluster_state = self.cluster_state;
         let fits = !job.avoids(m_id, now)
             && (!cluster_state.is_spoken_for(m_id)
-                || job
-                    .spec
-                    .each
-                    .fits(cluster_state.room_for(id, self.leaves_kept, m_id, now)));
+                || job.spec.each.fits(cluster_state.free_capacity_for(
+                    id,
+                    self.leaves_kept,
+                    m_id,
+                    now,
+                )));
         if !fits {
             return Err(place.0 + 1);
         }
@@ -121,12 +123,12 @@
         machine: &Machine,
     ) -> bool {
         let PlacementRequest { id, job, now, .. } = *request;
-        let leaves_kept = job.leaves_kept_room(now);
+        let leaves_kept = job.leaves_reserved_capacity(now);
         Self::suits(&job.spec, machine)
             && job
                 .spec
                 .each
-                .fits(self.room_for(id, leaves_kept, m_id, now))
+                .fits(self.free_capacity_for(id, leaves_kept, m_id, now))
             && !job.avoids(m_id, now)
             && self
                 .zones_of(id, job, None)
--- a/src/sched/gangs/mod.rs
+++ b/src/sched/gangs/mod.rs
@@ -13,13 +13,13 @@
 
 use self::rules::JobRules;
 use self::slots::GangRequest;
-use super::cluster_state::GangRoom;
+use super::cluster_state::GangFreeCapacity;
 use super::filter::{Needy, PlacementRequest};
 use super::topology_rules::Ask;
 use super::{ClusterState, Delay, DelayRule, Job, Launch};
 use crate::types::{JobId, MachineId, TaskId, Time};
 
-/// How long a gang that found no room waits until all machines are looked at
+/// How long a gang that found no free capacity waits until all machines are looked at
 /// for it again.
 const TRY_AGAIN_S: f64 = 0.5;
 
@@ -65,7 +65,7 @@
             Some(_) => self.skip(vec![id.clone()], now),
             None => {
                 if let Some(plan) = plans.to_hold {
-                    self.hold_for(id, &plan, now);
+                    self.reserve_for(id, &plan, now);
                 }
             }
         }
@@ -150,7 +150,7 @@
         launches
     }
 
-    fn hold_for(&mut self, id: &JobId, plan: &gang::Plan, now: Time) {
+    fn reserve_for(&mut self, id: &JobId, plan: &gang::Plan, now: Time) {
         let settings = self.gang_settings();
         let Some(each) = self.jobs.get(id).map(|j| j.spec.each) else {
             return;
@@ -160,43 +160,45 @@
         if held.cpu as f64 > settings.held * self.capacity.cpu as f64 {
             return;
         }
-        if !self.turn.may_hold(id, settings.hold_s, now) {
+        if !self.turn.may_reserve(id, settings.hold_s, now) {
             return;
         }
-        if self.gang_room.is_empty() {
+        if self.gang_free_capacity.is_empty() {
             tracing::info!(job = %id, machines = plan.len(), "holding room for a gang");
         }
-        self.gang_room = plan
+        self.gang_free_capacity = plan
             .iter()
             .map(|(m, n)| {
                 let amount = each.times(i64::from(*n));
                 let job = id.clone();
-                (m.clone(), GangRoom { job, amount })
+                (m.clone(), GangFreeCapacity { job, amount })
             })
             .collect();
     }
 
-    /// A gang needs no more room held.
+    /// A gang needs no more free capacity held.
     pub(super) fn leave_turn(&mut self, id: &JobId) {
         self.turn.leave(id);
-        self.gang_room.retain(|_, held| held.job != *id);
+        self.gang_free_capacity.retain(|_, held| held.job != *id);
     }
 
     /// Ends what is held beyond its time, or for a gang that is over.
-    pub(super) fn drop_old_holds(&mut self, now: Time) {
+    pub(super) fn drop_expired_reservations(&mut self, now: Time) {
         let Some(holder) = self.turn.holder().cloned() else {
             return;
         };
         let hold_s = self.gang_settings().hold_s;
         let wants = self.jobs.get(&holder).is_some_and(|j| j.wants(now));
-        if !wants || !self.turn.may_hold(&holder, hold_s, now) {
+        if !wants || !self.turn.may_reserve(&holder, hold_s, now) {
             self.leave_turn(&holder);
         }
     }
 
-    /// Machines with room held for a gang.
-    pub fn held_for_gangs(&self) -> impl Iterator<Item = (&MachineId, &JobId)> {
-        self.gang_room.iter().map(|(m, held)| (m, &held.job))
+    /// Machines with free capacity held for a gang.
+    pub fn reserved_for_gangs(&self) -> impl Iterator<Item = (&MachineId, &JobId)> {
+        self.gang_free_capacity
+            .iter()
+            .map(|(m, held)| (m, &held.job))
     }
 
     /// The domain, as far in as it is one, that a gang's tasks run in.
--- a/src/sched/gangs/slots.rs
+++ b/src/sched/gangs/slots.rs
@@ -1,7 +1,7 @@
 //! How many tasks of a gang each machine could take, now and later.
 
 use sorrelhinge_protocol::placement::Device;
-use sorrelhinge_topology::devices::{choose, Held, Stock};
+use sorrelhinge_topology::devices::{choose, AllocatedDevices, Stock};
 use sorrelhinge_topology::gang::Slot;
 
 use crate::sched::capacity_index::Nearness;
@@ -24,11 +24,11 @@
 #[derive(Default)]
 struct LastingUse {
     amount: Amount,
-    units: Held,
+    units: AllocatedDevices,
 }
 
 /// How many of `most` tasks find the devices that each needs, beside what is held.
-fn with_devices(stock: &Stock, held: &Held, needs: &[Device], most: u32) -> u32 {
+fn with_devices(stock: &Stock, held: &AllocatedDevices, needs: &[Device], most: u32) -> u32 {
     if needs.is_empty() {
         return most;
     }
@@ -68,10 +68,11 @@
         let GangRequest { id, job, now, .. } = *request;
         let spec = &*job.spec;
         let needs = &request.needs;
-        let room = self.room_for(id, job.leaves_kept_room(now), m_id, now);
+        let free_capacity =
+            self.free_capacity_for(id, job.leaves_reserved_capacity(now), m_id, now);
         let fit = |amount: Amount| spec.each.how_many(amount).min(spec.tasks);
         let lasting = self.lasting_use(m);
-        let free = with_devices(&m.stock, &m.held, needs, fit(room));
+        let free = with_devices(&m.stock, &m.allocated_devices, needs, fit(free_capacity));
         let later = with_devices(
             &m.stock,
             &lasting.units,
--- a/src/sched/job.rs
+++ b/src/sched/job.rs
@@ -14,7 +14,7 @@
 
 /// Part of the estimated run time that a task needs at least.
 const DUE_RUN: f64 = 0.8;
-/// A job that met none of its aims is due at this multiple of the last.
+/// A job that met none of its objectives is due at this multiple of the last.
 const OVERDUE: f64 = 3.0;
 /// A job of which nothing was placed for so long, in seconds, may take room that is
 /// reserved for work that is only expected: the users' rule is that no job waits for
@@ -22,7 +22,7 @@
 const RESERVATION_WAIT_S: f64 = 60.0;
 
 /// Aims that differ by less, in seconds, are the same.
-const SAME_AIM_S: f64 = 0.5;
+const SAME_OBJECTIVE_S: f64 = 0.5;
 
 /// A job that is not over, or whose tasks are not provably gone.
 #[derive(Clone, Debug)]
@@ -41,8 +41,8 @@
     pub tasks: Tasks,
     /// Delay scheduling.
     pub delay: Delay,
-    /// When it should be done, by its aims or its deadline, earliest first.
-    pub aims: Vec<Time>,
+    /// When it should be done, by its objectives or its deadline, earliest first.
+    pub objectives: Vec<Time>,
     /// The earliest of them that it can still meet, see [`ClusterState::look_at_dues`].
     pub due: Time,
     /// Machines that refused it or failed it, until a time.
@@ -54,18 +54,18 @@
     /// Its tasks fail wherever they run and none has ended well: the job itself
     /// is mistaken, most likely, until its user withdraws it. See [`Job::open`].
     pub doubted: bool,
-    /// How soon its users expect it to start, if an aim says so.
+    /// How soon its users expect it to start, if an objective says so.
     pub start_within: Option<f64>,
-    /// How long it may wait before that endangers its aims.
+    /// How long it may wait before that endangers its objectives.
     pub patience_s: f64,
-    /// After waiting this long it misses its aims unless a machine is rented
+    /// After waiting this long it misses its objectives unless a machine is rented
     /// for it now.
     pub late_s: f64,
     /// Since when it has had pending tasks that found no place.
     pub blocked_since: Option<Time>,
     /// What its placement rules and its class's come to.
     pub policy: Rc<Policy>,
-    /// A gang that found no room is not tried again before.
+    /// A gang that found no free capacity is not tried again before.
     pub try_at: Time,
     /// A task of it has been placed.
     pub started: bool,
@@ -78,7 +78,7 @@
 }
 
 impl Job {
-    /// A job that has just come: no aims, no placement rules, nothing placed.
+    /// A job that has just come: no objectives, no placement rules, nothing placed.
     pub fn new(spec: Rc<JobSpec>, team: usize, submitted: Time, tasks: Tasks) -> Self {
         Self {
             priority: spec.priority,
@@ -88,7 +88,7 @@
             cancelled: false,
             tasks,
             delay: Delay::default(),
-            aims: Vec::new(),
+            objectives: Vec::new(),
             due: Time(f64::INFINITY),
             avoid: BTreeMap::new(),
             hold_until: Time(0.0),
@@ -138,7 +138,7 @@
     pub(super) fn avoids(&self, machine: &MachineId, now: Time) -> bool {
         self.avoid.get(machine).is_some_and(|until| now < *until)
     }
-    /// Whether it has waited so long that its aims are in danger.
+    /// Whether it has waited so long that its objectives are in danger.
     pub fn late(&self, now: Time) -> bool {
         self.blocked_since
             .is_some_and(|t| now.since(t) > self.late_s)
@@ -151,16 +151,19 @@
     }
     /// Whether room kept on ordinary machines for work that can't use spot ones is
     /// withheld from it.
-    pub(super) fn leaves_kept_room(&self, now: Time) -> bool {
+    pub(super) fn leaves_reserved_capacity(&self, now: Time) -> bool {
         self.spec.spot && !self.outwaits_reservations(now)
     }
     /// When it should be done: the earliest aim that it can still meet. One
     /// that can meet none any more waits for those that can, yet not for ever.
     pub(super) fn due_now(&self, now: Time) -> Time {
         let soonest = now.after(DUE_RUN * self.spec.estimate_s);
-        let open = self.aims.iter().find(|aim| soonest <= **aim);
-        match (open, self.aims.last()) {
-            (Some(aim), _) => *aim,
+        let open = self
+            .objectives
+            .iter()
+            .find(|objective| soonest <= **objective);
+        match (open, self.objectives.last()) {
+            (Some(objective), _) => *objective,
             (None, Some(last)) => self.submitted.after(OVERDUE * last.since(self.submitted)),
             (None, None) => Time(f64::INFINITY),
         }
@@ -180,8 +183,8 @@
 pub struct JobUrgency {
     /// See [`Job::priority`].
     pub priority: Priority,
-    /// See [`Job::aims`].
-    pub aims: Vec<Time>,
+    /// See [`Job::objectives`].
+    pub objectives: Vec<Time>,
     /// See [`Job::patience_s`].
     pub patience_s: f64,
     /// See [`Job::late_s`].
@@ -189,19 +192,23 @@
 }
 
 impl JobUrgency {
-    /// Has a job be as urgent. It is due at the first of its aims until it is looked at.
+    /// Has a job be as urgent. It is due at the first of its objectives until it is looked at.
     pub fn apply(&self, job: &mut Job) {
         job.priority = self.priority;
-        job.aims.clone_from(&self.aims);
-        job.due = self.aims.first().copied().unwrap_or(Time(f64::INFINITY));
+        job.objectives.clone_from(&self.objectives);
+        job.due = self
+            .objectives
+            .first()
+            .copied()
+            .unwrap_or(Time(f64::INFINITY));
         job.patience_s = self.patience_s;
         job.late_s = self.late_s;
     }
     /// Whether a job is as urgent already: times may differ by what clocks wander.
     pub fn is_of(&self, job: &Job) -> bool {
-        let mut aims = self.aims.iter().zip(&job.aims);
+        let mut objectives = self.objectives.iter().zip(&job.objectives);
         job.priority == self.priority
-            && job.aims.len() == self.aims.len()
-            && aims.all(|(one, other)| (one.0 - other.0).abs() < SAME_AIM_S)
+            && job.objectives.len() == self.objectives.len()
+            && objectives.all(|(one, other)| (one.0 - other.0).abs() < SAME_OBJECTIVE_S)
     }
 }
--- a/src/sched/lanes.rs
+++ b/src/sched/lanes.rs
@@ -176,7 +176,7 @@
     }
 
     /// Thousandths of a CPU that a lane's jobs hold, and of how many its part is.
-    pub fn lane_holds(&self, lane: LaneId) -> (i64, i64) {
+    pub fn lane_usage(&self, lane: LaneId) -> (i64, i64) {
         let used = self.lanes.used.get(&lane).copied().unwrap_or(0);
         (used, self.capacity.cpu)
     }
@@ -191,7 +191,7 @@
     /// part goes: a flood in a lane would else keep everybody waiting.
     fn within_part(&self, job: &Job, others_wait: bool) -> bool {
         let Some(laned) = job.lane else { return false };
-        let (lane, total) = self.lane_holds(laned.lane);
+        let (lane, total) = self.lane_usage(laned.lane);
         let held = Held {
             total,
             lane,
--- a/src/sched/machine.rs
+++ b/src/sched/machine.rs
@@ -3,9 +3,9 @@
 use std::collections::BTreeSet;
 use std::rc::Rc;
 
-use sorrelhinge_image_distribution::patience;
+use sorrelhinge_image_distribution::fetch_timeout;
 use sorrelhinge_protocol::placement::Device;
-use sorrelhinge_topology::devices::{Held, Stock};
+use sorrelhinge_topology::devices::{AllocatedDevices, Stock};
 use sorrelhinge_topology::tree::{Domain, ROOT};
 
 use super::capacity_index::Nearness;
@@ -47,9 +47,9 @@
             Nearness::Absent
         }
     }
-    /// An image is used; the oldest ones leave if there is no room. `ran`: a
+    /// An image is used; the oldest ones leave if there is no free capacity. `ran`: a
     /// task runs on it, so it is there.
-    pub fn touch(&mut self, image: &Image, gb: f64, room: f64, ran: bool) {
+    pub fn touch(&mut self, image: &Image, gb: f64, free_capacity: f64, ran: bool) {
         let at = self.held.iter().position(|c| c.image == *image);
         let ready = ran || at.is_some_and(|i| self.held[i].ready);
         match at {
@@ -65,25 +65,32 @@
             ready,
         });
         let mut total: f64 = self.held.iter().map(|c| c.gb).sum();
-        while total > room && self.held.len() > 1 {
+        while total > free_capacity && self.held.len() > 1 {
             total -= self.held.remove(0).gb;
             self.version += 1;
         }
     }
     /// The same for an image of minutes: what tasks here need, and what is being
     /// fetched, stays. An upgrade that evicts the version that serves leaves no
-    /// way back. If there is no room beside it, the worker says so.
-    pub fn touch_beside(&mut self, spec: &JobSpec, room: f64, ran: bool, needed: &[Image]) {
+    /// way back. If there is no free capacity beside it, the worker says so.
+    pub fn touch_beside(
+        &mut self,
+        spec: &JobSpec,
+        free_capacity: f64,
+        ran: bool,
+        needed: &[Image],
+    ) {
         let others = self.held.iter().filter(|c| c.image != spec.image);
-        let others: Vec<patience::Cached> = others
-            .map(|c| patience::Cached {
+        let others: Vec<fetch_timeout::Cached> = others
+            .map(|c| fetch_timeout::Cached {
                 image: c.image.clone(),
                 gb: c.gb,
                 serves: needed.contains(&c.image),
                 moves: !c.ready,
             })
             .collect();
-        let leave = patience::evictable(&others, spec.image_gb, room).unwrap_or_default();
+        let leave =
+            fetch_timeout::evictable(&others, spec.image_gb, free_capacity).unwrap_or_default();
         self.held.retain(|c| !leave.contains(&c.image));
         self.version += leave.len() as u64;
         self.touch(&spec.image, spec.image_gb, f64::INFINITY, ran);
@@ -197,7 +204,7 @@
     /// How many units of each kind are in order: what machines are filed by.
     pub working: Rc<[(String, u32)]>,
     /// Devices that its claims hold.
-    pub held: Held,
+    pub allocated_devices: AllocatedDevices,
     /// It is being drained: no new tasks, and what runs there moves off.
     pub draining: bool,
 }
@@ -222,7 +229,7 @@
             place: ROOT,
             stock: Rc::default(),
             working: Rc::from([]),
-            held: Held::default(),
+            allocated_devices: AllocatedDevices::default(),
             draining: false,
         }
     }
@@ -234,10 +241,12 @@
     /// A task uses its image here, and `ran` on it or has yet to. `serving` are the other
     /// images that tasks here need, if the image goes from machine to machine.
     pub(super) fn use_image(&mut self, spec: &JobSpec, serving: Option<&[Image]>, ran: bool) {
-        let room = self.kind.cache_gb;
+        let free_capacity = self.kind.cache_gb;
         match serving {
-            Some(beside) => self.cache.touch_beside(spec, room, ran, beside),
-            None => self.cache.touch(&spec.image, spec.image_gb, room, ran),
+            Some(beside) => self.cache.touch_beside(spec, free_capacity, ran, beside),
+            None => self
+                .cache
+                .touch(&spec.image, spec.image_gb, free_capacity, ran),
         }
     }
     /// Whether it has enough units of all required kinds in order, taken or
--- a/src/sched/machine_changes.rs
+++ b/src/sched/machine_changes.rs
@@ -1,4 +1,4 @@
-//! Changes of machines, with the index of room and the sums that are kept of them.
+//! Changes of machines, with the index of free capacity and the sums that are kept of them.
 
 use super::{ClusterState, Machine};
 use crate::types::MachineId;
@@ -39,8 +39,8 @@
         self.edit_machine(id, |m| m.usable = false);
         self.machines.remove(id);
         self.reserved.remove(id);
-        self.gang_room.remove(id);
-        self.holds.drop_machine(id);
+        self.gang_free_capacity.remove(id);
+        self.reservations.drop_machine(id);
         self.homeless.remove(id);
     }
 }
--- a/src/sched/mod.rs
+++ b/src/sched/mod.rs
@@ -3,7 +3,7 @@
 //!
 //! The walk follows Algorithm 1 of the paper (section 4.2) with the changes
 //! that `docs/design.md` lists. No decision looks at every machine or every
-//! job: the cluster state keeps its sums, its queues and an index of room up to date.
+//! job: the cluster state keeps its sums, its queues and an index of free capacity up to date.
 //!
 //! A task is placed in these steps:
 //!
@@ -15,7 +15,7 @@
 //! 5. `bind`, `claims`: the task is claimed there.
 //!
 //! `placement_pass` takes these steps for one machine or for all jobs, `gangs` for all
-//! tasks of a gang at once. Where no room is free, `preempt` makes it and `holds` keeps
+//! tasks of a gang at once. Where no free capacity is free, `preempt` makes it and `reservations` keeps
 //! it for windows of the release calendar; `rebalance` moves what runs.
 //!
 //! Decisions are the same for the same state and time: all iteration is in order of
@@ -30,7 +30,6 @@
 mod delay;
 mod filter;
 mod gangs;
-mod holds;
 mod idle;
 mod job;
 mod job_changes;
@@ -43,6 +42,7 @@
 mod queue;
 mod quota;
 mod rebalance;
+mod reservations;
 mod score;
 mod shares;
 mod tasks;
@@ -55,7 +55,6 @@
 pub use capacity_index::{CapacityIndex, GroupKey};
 pub use cluster_state::ClusterState;
 pub use delay::{Delay, DelayRule};
-pub use holds::{Hold, HoldSeen, Lending};
 pub use job::{Job, JobUrgency};
 pub use lanes::Laned;
 pub(crate) use machine::CapacityPool;
@@ -63,6 +62,7 @@
 pub use placement_pass::Pass;
 pub use queue::QueueTurn;
 pub use rebalance::{Move, Moving};
+pub use reservations::{Lending, Reservation, ReservationStatus};
 pub use shares::{water_fill, Standing};
 pub use tasks::{Claim, Progress, Sent, Tasks};
 pub use team::Team;
--- a/src/sched/placement_pass.rs
+++ b/src/sched/placement_pass.rs
@@ -179,7 +179,7 @@
             tried: lanes.tried.into_iter().collect(),
             from: vec![Bound::Unbounded; self.teams.len()],
         };
-        self.drop_old_holds(now);
+        self.drop_expired_reservations(now);
         loop {
             let scan = self.scan_queues(&context, &mut progress);
             self.skip(scan.skipped, now);
--- a/src/sched/preempt/mod.rs
+++ b/src/sched/preempt/mod.rs
@@ -4,17 +4,17 @@
 
 use std::collections::BTreeMap;
 
-use self::victims::RoomRequest;
+use self::victims::FreeCapacityRequest;
 use super::{idle, ClusterState, Job};
 use crate::types::{Amount, JobId, Kind, MachineId, TaskId, Time};
 
 /// On how many machines room is made for one job at a time.
-const MOST_ROOMS: u32 = 16;
+const MAX_PREEMPTION_CANDIDATES: u32 = 16;
 /// For how many jobs room is made at a time, as each looks at all machines.
 const MOST_JOBS: usize = 4;
 /// For how long room stays reserved for the job that it was made for.
 const RESERVED_S: f64 = 10.0;
-/// A job that waits for room to be made, and in how many places.
+/// A job that waits for free capacity to be made, and in how many places.
 struct StarvedJob {
     id: JobId,
     places: u32,
@@ -33,7 +33,7 @@
     /// Chooses tasks to stop for jobs that found no place for `patience`
     /// seconds, in the allowed cases only: for a higher priority, or to give a
     /// team its guarantee out of what another team runs beyond its own.
-    /// Reserves the room. Live services are never chosen.
+    /// Reserves the free capacity. Live services are never chosen.
     pub fn preempt(&mut self, patience: impl Fn(&Job) -> f64, now: Time) -> Vec<TaskId> {
         self.reserved.retain(|_, reserved| now < reserved.until);
         let waiting = self.starved_jobs(patience, now);
@@ -64,7 +64,7 @@
             .filter(|(_, job)| job.spec.kind != Kind::Gang)
             .filter(|(_, job)| job.blocked_since.map_or(0.0, |t| now.since(t)) >= patience(job))
             .map(|(id, job)| {
-                let wanted = job.tasks.pending().min(MOST_ROOMS);
+                let wanted = job.tasks.pending().min(MAX_PREEMPTION_CANDIDATES);
                 let reserved = held.get(id).copied().unwrap_or(0);
                 StarvedJob {
                     id: id.clone(),
@@ -96,8 +96,8 @@
                 break;
             }
             let Some(job) = self.jobs.get(id) else { break };
-            let request = RoomRequest { id, job, made, now };
-            let Some(plan) = self.make_room(&request, &m_id, stopping) else {
+            let request = FreeCapacityRequest { id, job, made, now };
+            let Some(plan) = self.plan_preemption(&request, &m_id, stopping) else {
                 continue;
             };
             made += 1;
@@ -124,7 +124,7 @@
         stopping: &Stopping,
         now: Time,
     ) -> Vec<MachineId> {
-        let request = RoomRequest {
+        let request = FreeCapacityRequest {
             id,
             job,
             made: 0,
@@ -133,7 +133,7 @@
         let mut found: Vec<(f64, &MachineId)> = self
             .machines
             .keys()
-            .filter_map(|m_id| Some((self.make_room(&request, m_id, stopping)?.cost, m_id)))
+            .filter_map(|m_id| Some((self.plan_preemption(&request, m_id, stopping)?.cost, m_id)))
             .collect();
         found.sort_by(|(cost, id), (other_cost, other_id)| {
             cost.total_cmp(other_cost).then(id.cmp(other_id))
--- a/src/sched/preempt/victims.rs
+++ b/src/sched/preempt/victims.rs
@@ -1,6 +1,6 @@
 //! Room for one task on one machine: which tasks to stop for it, and what that wastes.
 
-use sorrelhinge_image_distribution::patience;
+use sorrelhinge_image_distribution::fetch_timeout;
 
 use super::Stopping;
 use crate::sched::machine::fetch_s;
@@ -28,7 +28,7 @@
 }
 
 /// For whom room is to be made.
-pub(super) struct RoomRequest<'a> {
+pub(super) struct FreeCapacityRequest<'a> {
     pub id: &'a JobId,
     pub job: &'a Job,
     /// Rooms made for the job elsewhere in this round.
@@ -69,7 +69,7 @@
 }
 
 impl Balance {
-    /// Whether a task of this size finds its room now.
+    /// Whether a task of this size finds its free capacity now.
     fn suffices(&self, each: Amount) -> bool {
         each.fits(self.free) && self.used.fits_team(self.limit)
     }
@@ -107,9 +107,9 @@
         // who could take another place.
         let fetched = match (claim.progress, self.machines.get(&claim.machine)) {
             (Progress::Unseen | Progress::Fetching, Some(m)) if self.stages(&job.spec) => {
-                let fetch_s = patience::fetch_s(job.spec.image_gb, m.kind.fetch_gb_per_s);
+                let fetch_s = fetch_timeout::fetch_s(job.spec.image_gb, m.kind.fetch_gb_per_s);
                 let done = now.since(claim.since) / fetch_s.max(1e-3);
-                patience::give_up_cost(done, fetch_s)
+                fetch_timeout::give_up_cost(done, fetch_s)
             }
             _ => 0.0,
         };
@@ -126,14 +126,14 @@
     }
 
     /// Whether and how room for one more task of a job can be made on a machine.
-    pub(super) fn make_room(
+    pub(super) fn plan_preemption(
         &self,
-        request: &RoomRequest,
+        request: &FreeCapacityRequest,
         m_id: &MachineId,
         stopping: &Stopping,
     ) -> Option<PreemptionPlan> {
         let machine = self.machines.get(m_id)?;
-        if !self.may_make_room(request, m_id, machine) {
+        if !self.may_preempt_on(request, m_id, machine) {
             return None;
         }
         let claimed: Vec<Claimed> = self.claimed_on(machine).collect();
@@ -149,9 +149,14 @@
         })
     }
 
-    /// Whether a machine suits a job but for its room.
-    fn may_make_room(&self, request: &RoomRequest, m_id: &MachineId, machine: &Machine) -> bool {
-        let RoomRequest { id, job, now, .. } = *request;
+    /// Whether a machine suits a job but for its free capacity.
+    fn may_preempt_on(
+        &self,
+        request: &FreeCapacityRequest,
+        m_id: &MachineId,
+        machine: &Machine,
+    ) -> bool {
+        let FreeCapacityRequest { id, job, now, .. } = *request;
         machine.usable
             && !self.reserved.contains_key(m_id)
             && Self::suits(&job.spec, machine)
@@ -174,20 +179,20 @@
     /// Room and use before anything is chosen: what is leaving already counts as gone.
     fn balance(
         &self,
-        request: &RoomRequest,
+        request: &FreeCapacityRequest,
         m_id: &MachineId,
         claimed: &[Claimed],
         stopping: &Stopping,
     ) -> Balance {
-        let RoomRequest { id, job, made, now } = *request;
+        let FreeCapacityRequest { id, job, made, now } = *request;
         let team = &self.teams[job.team];
         let more = job.spec.each.times(i64::from(made + 1));
-        // At the team's limit only the team's own work can make room. It is the
-        // limit that the walk keeps to: beyond it nobody takes the room, and
+        // At the team's limit only the team's own work can preempts work. It is the
+        // limit that the walk keeps to: beyond it nobody takes the free capacity, and
         // tasks were stopped for it again and again.
         let used = team.used - stopping.leaving[job.team] + more;
         let limit = self.limit_to_start(job);
-        let mut free = self.room_for(id, job.spec.spot, m_id, now);
+        let mut free = self.free_capacity_for(id, job.spec.spot, m_id, now);
         for leaving in claimed.iter().filter(|c| c.claim.stop.is_some()) {
             free += leaving.job.spec.each;
         }
@@ -205,7 +210,7 @@
     /// Those of a machine's claims that may be stopped, the least worth first.
     fn candidates<'a>(
         &self,
-        request: &RoomRequest,
+        request: &FreeCapacityRequest,
         claimed: &[Claimed<'a>],
         stopping: &Stopping,
     ) -> Vec<Candidate<'a>> {
@@ -246,7 +251,7 @@
     }
 }
 
-/// Chooses tasks to stop until a task of the job has its room. Returns what that
+/// Chooses tasks to stop until a task of the job has its free capacity. Returns what that
 /// wastes, in CPU-seconds, and the tasks.
 fn choose_victims(
     job: &Job,
@@ -269,7 +274,7 @@
     (wasted, victims)
 }
 
-/// What a task costs on a machine with what was wasted for its room, in CPU-seconds:
+/// What a task costs on a machine with what was wasted for its free capacity, in CPU-seconds:
 /// its image is fetched if it is not there.
 fn cost_with_fetch(wasted: f64, job: &Job, machine: &Machine) -> f64 {
     let mut cost = wasted;
--- a/src/sched/quota.rs
+++ b/src/sched/quota.rs
@@ -49,19 +49,19 @@
     /// held room is inside the limit, whether or not its machines are there.
     pub(super) fn limit_for(&self, job: &Job) -> Amount {
         let mut limit = self.teams[job.team].limit;
-        for held in self.holds.by_window.values() {
-            if held.hold.team == job.team && !held.is_for(job.team, &job.spec) {
-                limit -= held.open_amount();
+        for reserved in self.reservations.by_window.values() {
+            if reserved.reservation.team == job.team && !reserved.is_for(job.team, &job.spec) {
+                limit -= reserved.open_amount();
             }
         }
         limit
     }
 
     /// What is held of each team's limit beside what is used.
-    pub fn held_of_limits(&self) -> Vec<Amount> {
+    pub fn reserved_of_quotas(&self) -> Vec<Amount> {
         let mut sums = vec![Amount::default(); self.teams.len()];
-        for held in self.holds.by_window.values() {
-            sums[held.hold.team] += held.open_amount();
+        for reserved in self.reservations.by_window.values() {
+            sums[reserved.reservation.team] += reserved.open_amount();
         }
         sums
     }
--- a/src/sched/holds/lending.rs
+++ b/src/sched/reservations/lending.rs
@@ -2,7 +2,7 @@
 
 use sorrelhinge_reservations::lend::{may_lend, Borrower, Lend};
 
-use super::Held;
+use super::ReservedCapacity;
 use crate::sched::machine::fetch_s;
 use crate::sched::{Claim, ClusterState, Job, Machine, Progress};
 use crate::types::{Amount, JobId, Kind, MachineId, MachineType, Time};
@@ -30,7 +30,7 @@
     /// Whether a hold's room is lent to a job's task, claimed or to be.
     pub(super) fn lends(
         &self,
-        held: &Held,
+        reserved: &ReservedCapacity,
         job: &Job,
         claim: Option<&Claim>,
         m: &Machine,
@@ -41,12 +41,12 @@
             Some(_) => Amount::default(),
             None => job.spec.each,
         };
-        let own = &self.teams[held.hold.team];
-        let whole = own.used + held.open_amount();
+        let own = &self.teams[reserved.reservation.team];
+        let whole = own.used + reserved.open_amount();
         // PROTOCOL lets a borrower's work be stopped for a team's guarantee; what
         // priority the window's work will have is not known.
         let stoppable = job.spec.kind == Kind::Array
-            && job.team != held.hold.team
+            && job.team != reserved.reservation.team
             && !(team.used + more).fits_team(team.guarantee)
             && whole.fits_team(own.guarantee);
         let work = Borrower {
@@ -57,7 +57,7 @@
                 false => 0.0,
             },
         };
-        let lending = &held.hold.lending;
+        let lending = &reserved.reservation.lending;
         let left_s = lending.until.since(now);
         may_lend(&work, left_s, lending.stop_s, lending.wait_s) != Lend::No
     }
@@ -65,26 +65,26 @@
     /// What is held on a machine and not lent to a job.
     pub(in crate::sched) fn held_from(&self, id: &JobId, m_id: &MachineId, now: Time) -> Amount {
         let mut sum = Amount::default();
-        if self.holds.by_window.is_empty() {
+        if self.reservations.by_window.is_empty() {
             return sum;
         }
         let (Some(job), Some(m)) = (self.jobs.get(id), self.machines.get(m_id)) else {
             return sum;
         };
-        for held in self.holds.by_window.values() {
-            let Some(n) = held.placed.get(m_id) else {
+        for reserved in self.reservations.by_window.values() {
+            let Some(n) = reserved.placed.get(m_id) else {
                 continue;
             };
-            if !held.is_for(job.team, &job.spec) && !self.lends(held, job, None, m, now) {
-                sum += held.room_of(*n);
+            if !reserved.is_for(job.team, &job.spec) && !self.lends(reserved, job, None, m, now) {
+                sum += reserved.free_capacity_of(*n);
             }
         }
         sum
     }
 
     /// Whether room is held on a machine.
-    pub(in crate::sched) fn has_held_room(&self, m_id: &MachineId) -> bool {
-        self.holds
+    pub(in crate::sched) fn has_reserved_capacity(&self, m_id: &MachineId) -> bool {
+        self.reservations
             .by_window
             .values()
             .any(|h| h.placed.contains_key(m_id))
--- a/src/sched/holds/mod.rs
+++ b/src/sched/reservations/mod.rs
@@ -13,7 +13,7 @@
 
 use sorrelhinge_reservations::settings::Window;
 
-pub use self::shown::HoldSeen;
+pub use self::shown::ReservationStatus;
 use crate::types::{Amount, JobSpec, MachineId, Time};
 
 /// To whom held room may be lent, see [`may_lend`].
@@ -27,9 +27,9 @@
     pub wait_s: f64,
 }
 
-/// How much room a window is to have here.
+/// How much free capacity a window is to have here.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Hold {
+pub struct Reservation {
     /// The window.
     pub window: Rc<Window>,
     /// Its team's place in [`ClusterState::teams`].
@@ -40,35 +40,35 @@
     pub lending: Lending,
 }
 
-/// A hold, and where its room is.
+/// A hold, and where its free capacity is.
 #[derive(Clone, Debug)]
-pub(in crate::sched) struct Held {
-    pub(in crate::sched) hold: Hold,
+pub(in crate::sched) struct ReservedCapacity {
+    pub(in crate::sched) reservation: Reservation,
     /// What the claims of its window's work take.
     used: Amount,
     /// Tasks' room set aside, by machine.
     pub(in crate::sched) placed: BTreeMap<MachineId, u32>,
 }
 
-impl Held {
+impl ReservedCapacity {
     /// Whether a team's job is of its window's work.
     pub(in crate::sched) fn is_for(&self, team: usize, spec: &JobSpec) -> bool {
-        self.hold.team == team && self.hold.window.is_for(&spec.team, &spec.class)
+        self.reservation.team == team && self.reservation.window.is_for(&spec.team, &spec.class)
     }
 
     /// What is to be set aside beside what is used.
     pub(in crate::sched) fn open_amount(&self) -> Amount {
-        self.room_of(self.open())
+        self.free_capacity_of(self.open())
     }
 
     /// What so many of its tasks take.
-    pub(in crate::sched) fn room_of(&self, tasks: u32) -> Amount {
-        self.hold.window.each().times(i64::from(tasks))
+    pub(in crate::sched) fn free_capacity_of(&self, tasks: u32) -> Amount {
+        self.reservation.window.each().times(i64::from(tasks))
     }
 
     /// So many of its tasks take what its work uses.
     pub(in crate::sched) fn used_tasks(&self) -> u32 {
-        let each = self.hold.window.each();
+        let each = self.reservation.window.each();
         let of = |used: i64, each: i64| match each {
             0 => 0,
             each => (used.max(0) + each - 1) / each,
@@ -81,22 +81,22 @@
 
     /// What is to be set aside beside what is used.
     pub(in crate::sched) fn open(&self) -> u32 {
-        self.hold.tasks.saturating_sub(self.used_tasks())
+        self.reservation.tasks.saturating_sub(self.used_tasks())
     }
 
     /// What is still to be set aside.
     pub(in crate::sched) fn lacks(&self) -> u32 {
-        self.open().saturating_sub(self.set_aside())
+        self.open().saturating_sub(self.reserved_tasks())
     }
 
     /// How many tasks' room is set aside.
-    pub(in crate::sched) fn set_aside(&self) -> u32 {
+    pub(in crate::sched) fn reserved_tasks(&self) -> u32 {
         self.placed.values().sum()
     }
 
     /// Lets room go that is set aside beyond what is due, on `first` first.
     fn trim(&mut self, first: &MachineId) {
-        let mut over = self.set_aside().saturating_sub(self.open());
+        let mut over = self.reserved_tasks().saturating_sub(self.open());
         while over > 0 {
             let at = match self.placed.contains_key(first) {
                 true => Some(first.clone()),
@@ -117,30 +117,30 @@
 
 /// All holds, by their windows' names.
 #[derive(Clone, Debug, Default)]
-pub(in crate::sched) struct Holds {
-    pub(in crate::sched) by_window: BTreeMap<String, Held>,
+pub(in crate::sched) struct Reservations {
+    pub(in crate::sched) by_window: BTreeMap<String, ReservedCapacity>,
 }
 
-impl Holds {
+impl Reservations {
     /// Work was placed: its window's hold is smaller by as much.
     pub fn taken(&mut self, team: usize, spec: &JobSpec, machine: &MachineId) {
-        for held in self.by_window.values_mut().filter(|h| h.is_for(team, spec)) {
-            held.used += spec.each;
-            held.trim(machine);
+        for reserved in self.by_window.values_mut().filter(|h| h.is_for(team, spec)) {
+            reserved.used += spec.each;
+            reserved.trim(machine);
         }
     }
 
     /// Work has ended.
     pub fn left(&mut self, team: usize, spec: &JobSpec) {
-        for held in self.by_window.values_mut().filter(|h| h.is_for(team, spec)) {
-            held.used -= spec.each;
+        for reserved in self.by_window.values_mut().filter(|h| h.is_for(team, spec)) {
+            reserved.used -= spec.each;
         }
     }
 
     /// A machine is gone.
     pub fn drop_machine(&mut self, id: &MachineId) {
-        for held in self.by_window.values_mut() {
-            held.placed.remove(id);
+        for reserved in self.by_window.values_mut() {
+            reserved.placed.remove(id);
         }
     }
 }
--- a/src/sched/holds/placement.rs
+++ b/src/sched/reservations/placement.rs
@@ -2,11 +2,11 @@
 
 use std::collections::BTreeMap;
 
-use super::{Held, Hold};
+use super::{Reservation, ReservedCapacity};
 use crate::sched::{ClusterState, Machine};
 use crate::types::{Amount, Image, MachineId, Time, Zone};
 
-/// A machine that has room for tasks of a window. The least is taken first.
+/// A machine that has free capacity for tasks of a window. The least is taken first.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct Candidate<'a> {
     /// How many of the window's images it lacks.
@@ -16,7 +16,7 @@
     /// The place of its type among those that the window allows.
     type_place: usize,
     id: &'a MachineId,
-    /// For how many tasks it has room.
+    /// For how many tasks it has free capacity.
     tasks: u32,
 }
 
@@ -25,50 +25,50 @@
 
 impl ClusterState {
     /// What windows are to have from now on; chooses the machines.
-    pub fn set_holds(&mut self, holds: Vec<Hold>, now: Time) {
-        let mut before = std::mem::take(&mut self.holds.by_window);
-        for hold in holds {
-            let name = hold.window.name.clone();
+    pub fn set_reservations(&mut self, reservations: Vec<Reservation>, now: Time) {
+        let mut before = std::mem::take(&mut self.reservations.by_window);
+        for reservation in reservations {
+            let name = reservation.window.name.clone();
             let placed = before.remove(&name).map_or(BTreeMap::new(), |h| h.placed);
-            let mut held = Held {
-                hold,
+            let mut reserved = ReservedCapacity {
+                reservation,
                 used: Amount::default(),
                 placed,
             };
             for job in self.jobs.values() {
-                if held.is_for(job.team, &job.spec) {
-                    held.used += job.spec.each.times(job.tasks.claims().len() as i64);
+                if reserved.is_for(job.team, &job.spec) {
+                    reserved.used += job.spec.each.times(job.tasks.claims().len() as i64);
                 }
             }
-            self.holds.by_window.insert(name, held);
+            self.reservations.by_window.insert(name, reserved);
         }
-        self.settle_holds(now);
+        self.settle_reservations(now);
     }
 
     /// Chooses machines for all that is held: those with the images first, then
     /// those that were held before, spread over the window's zones.
-    fn settle_holds(&mut self, now: Time) {
+    fn settle_reservations(&mut self, now: Time) {
         // Where machines are short, what lies within a guarantee goes first.
         let mut order: Vec<(bool, String)> = self
-            .holds
+            .reservations
             .by_window
             .iter()
-            .map(|(name, held)| {
-                let all = self.teams[held.hold.team].used + held.open_amount();
-                let beyond = !all.fits_team(self.teams[held.hold.team].guarantee);
+            .map(|(name, reserved)| {
+                let all = self.teams[reserved.reservation.team].used + reserved.open_amount();
+                let beyond = !all.fits_team(self.teams[reserved.reservation.team].guarantee);
                 (beyond, name.clone())
             })
             .collect();
         order.sort();
         let mut old = BTreeMap::new();
-        for (name, held) in &mut self.holds.by_window {
-            old.insert(name.clone(), std::mem::take(&mut held.placed));
+        for (name, reserved) in &mut self.reservations.by_window {
+            old.insert(name.clone(), std::mem::take(&mut reserved.placed));
         }
         for (_, name) in order {
             let before = old.remove(&name).unwrap_or_default();
             let placed = self.choose(&name, &before, now);
-            if let Some(held) = self.holds.by_window.get_mut(&name) {
-                held.placed = placed;
+            if let Some(reserved) = self.reservations.by_window.get_mut(&name) {
+                reserved.placed = placed;
             }
         }
     }
@@ -82,14 +82,14 @@
         now: Time,
     ) -> BTreeMap<MachineId, u32> {
         let mut placed = BTreeMap::new();
-        let held = self.holds.by_window.get(name);
-        let Some(held) = held.filter(|h| h.open() > 0) else {
+        let reserved = self.reservations.by_window.get(name);
+        let Some(reserved) = reserved.filter(|h| h.open() > 0) else {
             return placed;
         };
-        let mut queues = self.hold_candidates(held, before, now);
-        let zoned = !held.hold.window.zones.is_empty();
-        let mut counts = self.used_in_zones(held, zoned);
-        for _ in 0..held.open() {
+        let mut queues = self.hold_candidates(reserved, before, now);
+        let zoned = !reserved.reservation.window.zones.is_empty();
+        let mut counts = self.used_in_zones(reserved, zoned);
+        for _ in 0..reserved.open() {
             queues.retain(|_, queue| !queue.is_empty());
             let emptiest = queues
                 .keys()
@@ -111,18 +111,20 @@
         placed
     }
 
-    /// Machines that have room for tasks of a window.
+    /// Machines that have free capacity for tasks of a window.
     fn hold_candidates(
         &self,
-        held: &Held,
+        reserved: &ReservedCapacity,
         before: &BTreeMap<MachineId, u32>,
         now: Time,
     ) -> Queues<'_> {
-        let window = &held.hold.window;
+        let window = &reserved.reservation.window;
         let zoned = !window.zones.is_empty();
         let mut queues = Queues::new();
         for (id, m) in &self.machines {
-            let tasks = window.each().how_many(self.room_to_hold(held, id, m, now));
+            let tasks = window
+                .each()
+                .how_many(self.reservable_capacity(reserved, id, m, now));
             if tasks == 0 {
                 continue;
             }
@@ -151,14 +153,17 @@
     /// How many tasks of a window's work are in each zone.
     pub(in crate::sched) fn used_in_zones(
         &self,
-        held: &Held,
+        reserved: &ReservedCapacity,
         zoned: bool,
     ) -> BTreeMap<Option<Zone>, u32> {
         let mut counts = BTreeMap::new();
         if !zoned {
             return counts;
         }
-        let work = self.jobs.values().filter(|j| held.is_for(j.team, &j.spec));
+        let work = self
+            .jobs
+            .values()
+            .filter(|j| reserved.is_for(j.team, &j.spec));
         for claim in work.flat_map(|j| j.tasks.claims().values()) {
             if let Some(m) = self.machines.get(&claim.machine) {
                 *counts.entry(Some(m.zone.clone())).or_insert(0) += 1;
@@ -169,69 +174,92 @@
 
     /// Room on a machine that a window can have: what is free, and what others'
     /// work leaves in time.
-    fn room_to_hold(&self, held: &Held, id: &MachineId, m: &Machine, now: Time) -> Amount {
-        let window = &held.hold.window;
+    fn reservable_capacity(
+        &self,
+        reserved: &ReservedCapacity,
+        id: &MachineId,
+        m: &Machine,
+        now: Time,
+    ) -> Amount {
+        let window = &reserved.reservation.window;
         // Spot machines are taken away at any time, and not all work may use them.
         if !m.usable || m.spot || !window.allows(m.kind.name.as_str(), m.zone.as_str()) {
             return Amount::default();
         }
-        let mut room = m.free();
+        let mut free_capacity = m.free();
         for task in &m.claims {
             let Some(job) = self.jobs.get(&task.job) else {
                 continue;
             };
             let claim = job.tasks.claims().get(&task.index);
-            let leaves = !held.is_for(job.team, &job.spec)
+            let leaves = !reserved.is_for(job.team, &job.spec)
                 && (claim.is_some_and(|c| c.stop.is_some())
-                    || self.lends(held, job, claim, m, now));
+                    || self.lends(reserved, job, claim, m, now));
             if leaves {
-                room += job.spec.each;
+                free_capacity += job.spec.each;
             }
         }
-        for other in self.holds.by_window.values() {
-            if other.hold.window.name != window.name {
+        for other in self.reservations.by_window.values() {
+            if other.reservation.window.name != window.name {
                 let there = other.placed.get(id).copied().unwrap_or(0);
-                room -= other.room_of(there);
+                free_capacity -= other.free_capacity_of(there);
             }
         }
-        if let Some(held) = self.gang_room.get(id) {
-            room -= held.amount;
+        if let Some(reserved) = self.gang_free_capacity.get(id) {
+            free_capacity -= reserved.amount;
         }
-        room
+        free_capacity
     }
 
     /// Room appeared on a machine: what a hold still lacks is set aside there
     /// before anybody else has it.
-    pub fn top_up_holds(&mut self, id: &MachineId, now: Time) {
-        let lacking = self.holds.by_window.iter().filter(|(_, h)| h.lacks() > 0);
+    pub fn refill_reservations(&mut self, id: &MachineId, now: Time) {
+        let lacking = self
+            .reservations
+            .by_window
+            .iter()
+            .filter(|(_, h)| h.lacks() > 0);
         let names: Vec<String> = lacking.map(|(name, _)| name.clone()).collect();
         for name in names {
-            let (Some(held), Some(m)) = (self.holds.by_window.get(&name), self.machines.get(id))
-            else {
+            let (Some(reserved), Some(m)) = (
+                self.reservations.by_window.get(&name),
+                self.machines.get(id),
+            ) else {
                 return;
             };
-            let more = self.more_to_hold(held, id, m, now);
+            let more = self.more_to_hold(reserved, id, m, now);
             if more > 0 {
-                if let Some(held) = self.holds.by_window.get_mut(&name) {
-                    *held.placed.entry(id.clone()).or_insert(0) += more;
+                if let Some(reserved) = self.reservations.by_window.get_mut(&name) {
+                    *reserved.placed.entry(id.clone()).or_insert(0) += more;
                 }
             }
         }
     }
 
     /// How many more tasks' room a machine gives a hold, within its zone's share.
-    fn more_to_hold(&self, held: &Held, id: &MachineId, m: &Machine, now: Time) -> u32 {
-        let window = &held.hold.window;
-        let here = held.placed.get(id).copied().unwrap_or(0);
-        let fit = window.each().how_many(self.room_to_hold(held, id, m, now));
-        let more = fit.saturating_sub(here).min(held.lacks());
+    fn more_to_hold(
+        &self,
+        reserved: &ReservedCapacity,
+        id: &MachineId,
+        m: &Machine,
+        now: Time,
+    ) -> u32 {
+        let window = &reserved.reservation.window;
+        let here = reserved.placed.get(id).copied().unwrap_or(0);
+        let fit = window
+            .each()
+            .how_many(self.reservable_capacity(reserved, id, m, now));
+        let more = fit.saturating_sub(here).min(reserved.lacks());
         if window.zones.is_empty() {
             return more;
         }
-        let share = held.hold.tasks.div_ceil(window.zones.len() as u32);
+        let share = reserved
+            .reservation
+            .tasks
+            .div_ceil(window.zones.len() as u32);
         let in_same_zone =
             |other: &MachineId| self.machines.get(other).is_some_and(|o| o.zone == m.zone);
-        let placed = held.placed.iter();
+        let placed = reserved.placed.iter();
         let in_zone: u32 = placed
             .filter(|(other, _)| in_same_zone(other))
             .map(|(_, n)| n)
--- a/src/sched/holds/shown.rs
+++ b/src/sched/reservations/shown.rs
@@ -11,9 +11,9 @@
 
 /// What a window has here, in tasks' room.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct HoldSeen {
+pub struct ReservationStatus {
     /// Set aside on machines.
-    pub set_aside: u32,
+    pub reserved_tasks: u32,
     /// Of it, what is free now.
     pub free: u32,
     /// What its work uses.
@@ -24,21 +24,21 @@
 
 impl ClusterState {
     /// All room set aside: the window, the machine, how many tasks' room.
-    pub fn held_room(&self) -> impl Iterator<Item = (&Rc<Window>, &MachineId, u32)> {
-        self.holds.by_window.values().flat_map(|h| {
-            let window = &h.hold.window;
+    pub fn reserved_capacity(&self) -> impl Iterator<Item = (&Rc<Window>, &MachineId, u32)> {
+        self.reservations.by_window.values().flat_map(|h| {
+            let window = &h.reservation.window;
             h.placed.iter().map(move |(id, n)| (window, id, *n))
         })
     }
 
     /// Of what is held, how many tasks of a job will find room there; notes it
-    /// in `left`, which begins as [`ClusterState::held_room`].
+    /// in `left`, which begins as [`ClusterState::reserved_capacity`].
     pub fn covered(&self, job: &Job, left: &mut BTreeMap<(String, MachineId), u32>) -> u32 {
         let mut covered = 0;
         let wanted = job.tasks.pending();
         for ((name, id), n) in left.iter_mut() {
-            let Some(held) = self
-                .holds
+            let Some(reserved) = self
+                .reservations
                 .by_window
                 .get(name)
                 .filter(|h| h.is_for(job.team, &job.spec))
@@ -53,13 +53,13 @@
             {
                 continue;
             }
-            let each = held.hold.window.each();
+            let each = reserved.reservation.window.each();
             let fits = job
                 .spec
                 .each
                 .how_many(each.times(i64::from(*n)))
                 .min(wanted - covered);
-            // So much of the room is spoken for.
+            // So much of the free capacity is spoken for.
             let takes = job.spec.each.times(i64::from(fits));
             let rest = each.how_many(each.times(i64::from(*n)) - takes);
             *n = rest.min(*n);
@@ -70,42 +70,42 @@
 
     /// What a window has: tasks' room set aside, of it what is free now, what its
     /// work uses, and how many of its tasks wait.
-    pub fn hold_of(&self, name: &str) -> Option<HoldSeen> {
-        let held = self.holds.by_window.get(name)?;
-        let each = held.hold.window.each();
-        let free = held.placed.iter().map(|(id, n)| {
+    pub fn reservation_of(&self, name: &str) -> Option<ReservationStatus> {
+        let reserved = self.reservations.by_window.get(name)?;
+        let each = reserved.reservation.window.each();
+        let free = reserved.placed.iter().map(|(id, n)| {
             let free = self
                 .machines
                 .get(id)
                 .map_or(Amount::default(), Machine::free);
             each.how_many(free).min(*n)
         });
-        Some(HoldSeen {
-            set_aside: held.set_aside(),
+        Some(ReservationStatus {
+            reserved_tasks: reserved.reserved_tasks(),
             free: free.sum(),
-            used: held.used_tasks(),
-            open: held.open(),
+            used: reserved.used_tasks(),
+            open: reserved.open(),
         })
     }
 
     /// How much of a hold each of its zones lacks; without zones, of it as a whole.
     pub fn lacking(&self, name: &str) -> Vec<(Option<Zone>, u32)> {
-        let Some(held) = self.holds.by_window.get(name) else {
+        let Some(reserved) = self.reservations.by_window.get(name) else {
             return Vec::new();
         };
-        let lacks = held.lacks();
-        let zones = &held.hold.window.zones;
+        let lacks = reserved.lacks();
+        let zones = &reserved.reservation.window.zones;
         if zones.is_empty() || lacks == 0 {
             return vec![(None, lacks)];
         }
-        let mut counts = self.used_in_zones(held, true);
-        for (id, n) in &held.placed {
+        let mut counts = self.used_in_zones(reserved, true);
+        for (id, n) in &reserved.placed {
             if let Some(m) = self.machines.get(id) {
                 *counts.entry(Some(m.zone.clone())).or_insert(0) += n;
             }
         }
         let mut left = lacks;
-        let shares = divide(held.hold.tasks, zones.len() as u32);
+        let shares = divide(reserved.reservation.tasks, zones.len() as u32);
         zones
             .iter()
             .zip(shares)
--- a/src/sched/topology_rules.rs
+++ b/src/sched/topology_rules.rs
@@ -170,7 +170,7 @@
             let Some(m) = self.machines.get(m_id) else {
                 return next;
             };
-            if choose(&m.stock, &m.held, &site.needs).is_none() {
+            if choose(&m.stock, &m.allocated_devices, &site.needs).is_none() {
                 return next;
             }
         }
@@ -216,6 +216,6 @@
             return Some(Vec::new());
         }
         let m = self.machines.get(m_id)?;
-        choose(&m.stock, &m.held, &job.policy.devices)
+        choose(&m.stock, &m.allocated_devices, &job.policy.devices)
     }
 }
--- a/src/sched/waiting_reason.rs
+++ b/src/sched/waiting_reason.rs
@@ -17,9 +17,9 @@
 struct Survey {
     /// Machines whose type, zone and kind suit it.
     suitable: u32,
-    /// Of these, those with room for a task.
-    with_room: u32,
-    /// Why those with room don't do, and how many each reason keeps off.
+    /// Of these, those with free capacity for a task.
+    with_free_capacity: u32,
+    /// Why those with free capacity don't do, and how many each reason keeps off.
     reasons: BTreeMap<String, u32>,
 }
 
@@ -42,20 +42,20 @@
             .reasons
             .iter()
             .max_by_key(|(why, n)| (**why == TAKEN, **n));
-        let with_room = survey.with_room;
+        let with_free_capacity = survey.with_free_capacity;
         Some(match telling {
-            Some((why, n)) => format!("{why} ({n} of {with_room} machines with room)"),
+            Some((why, n)) => format!("{why} ({n} of {with_free_capacity} machines with room)"),
             None if site.is_some() && self.topology.is_none() => {
                 "this controller has no topology".into()
             }
-            None if with_room == 0 => {
+            None if with_free_capacity == 0 => {
                 format!(
                     "no room on any of {} machines that suit it",
                     survey.suitable
                 )
             }
             None if gang => {
-                format!("no room for the whole gang; {with_room} machines have some")
+                format!("no room for the whole gang; {with_free_capacity} machines have some")
             }
             None => "others go first".into(),
         })
@@ -67,11 +67,12 @@
         let suits = |m: &Machine| m.usable && Self::suits(&job.spec, m);
         for (m_id, m) in self.machines.iter().filter(|(_, m)| suits(m)) {
             survey.suitable += 1;
-            let room = self.room_for(id, job.leaves_kept_room(now), m_id, now);
-            if !job.spec.each.fits(room) {
+            let free_capacity =
+                self.free_capacity_for(id, job.leaves_reserved_capacity(now), m_id, now);
+            if !job.spec.each.fits(free_capacity) {
                 continue;
             }
-            survey.with_room += 1;
+            survey.with_free_capacity += 1;
             if let Some(why) = site.and_then(|site| self.why_site_bars(site, m_id, m)) {
                 *survey.reasons.entry(why).or_insert(0) += 1;
             }
@@ -89,7 +90,7 @@
         if let Some(barred) = barred {
             return Some(barred.why);
         }
-        if choose(&m.stock, &m.held, &site.needs).is_some() {
+        if choose(&m.stock, &m.allocated_devices, &site.needs).is_some() {
             return None;
         }
         let why = match Machine::could(&m.working, &site.needs) {
--- a/src/serve.rs
+++ b/src/serve.rs
@@ -23,13 +23,13 @@
 const END: Duration = Duration::from_secs(1);
 /// An idle connection ends after this time.
 const IDLE: Duration = Duration::from_secs(60);
-/// How many at a time are told that there is no room.
+/// How many at a time are told that there is no free capacity.
 const MOST_TURNED_AWAY: usize = 32;
 /// While so many are, nobody is accepted; this is how often it is looked at.
 const TURNED_AWAY_PAUSE: Duration = Duration::from_millis(20);
 /// After a connection that could not be accepted.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
-/// Whoever is told that there is no room has so long to send, and as long to receive.
+/// Whoever is told that there is no free capacity has so long to send, and as long to receive.
 const TURN_AWAY_TIMEOUT: Duration = Duration::from_millis(300);
 /// The most that is buffered of a connection, in bytes: two of the largest bodies.
 const MAX_BUFFER: usize = 128 << 10;
@@ -97,7 +97,7 @@
     }
 }
 
-/// Tells somebody for whom there is no room to come back.
+/// Tells somebody for whom there is no free capacity to come back.
 fn turn_away(all: Rc<Connections>, mut stream: TcpStream) -> impl Future<Output = ()> {
     const WHY: &str = "{\"error\":\"no room for a connection now\"}";
     // Counted, not written down: it was two too few once, users got half a
--- a/src/shares.rs
+++ b/src/shares.rs
@@ -49,7 +49,7 @@
     waits_gpu: I64,
 }
 
-/// What a shard uses and wants, by team, and what room it has for others.
+/// What a shard uses and wants, by team, and what free capacity it has for others.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Needs {
     /// Which shard.
--- a/src/state/record.rs
+++ b/src/state/record.rs
@@ -13,7 +13,7 @@
 //! | `h/shard/B` | [`ShardRecord`], B below the number of shards | the leader; the owner, to hand it on |
 //! | `h/slice/B` | [`SliceRecord`] | the leader at first; then the owner of a shard that gives |
 //! | `h/node/NODE` | [`MemberRecord`], attached to a lease, while there are several shards | that controller |
-//! | `h/wave/B/HASH` | [`WaveRecord`](sorrelhinge_staging::record::WaveRecord) of an image, only if images are staged | the shard's owner |
+//! | `h/rollout/B/HASH` | [`RolloutRecord`](sorrelhinge_staging::record::WaveRecord) of an image, only if images are staged | the shard's owner |
 //! | `h/task/ID/N` | [`ChunkRecord`], tasks N·chunk and on, of a job that does not keep them in its own record | the shard's owner |
 //!
 //! Values are JSON. What is stored outlives the program that wrote it: a version reads what
@@ -32,8 +32,8 @@
 
 pub use self::deleted_machines::{GoneRecord, GONE_SLOTS};
 pub use self::keys::{
-    chunk_key, drain_key, gone_key, image_hash, job_key, member_key, shard_key, slice_key,
-    wave_key, Key, GRANT, LEADER, MAP, ROOT,
+    chunk_key, drain_key, gone_key, image_hash, job_key, member_key, rollout_key, shard_key,
+    slice_key, Key, GRANT, LEADER, MAP, ROOT,
 };
 pub use self::leadership::{Fence, GrantRecord, LeaderRecord};
 pub use self::members::MemberRecord;
--- a/src/state/record/keys.rs
+++ b/src/state/record/keys.rs
@@ -52,8 +52,8 @@
     format!("h/drain/{number}")
 }
 
-/// Key of an image's wave among a shard's machines.
-pub fn wave_key(shard: ShardId, image: u64) -> String {
+/// Key of an image's rollout among a shard's machines.
+pub fn rollout_key(shard: ShardId, image: u64) -> String {
     format!("h/wave/{shard}/{image:016x}")
 }
 
@@ -91,8 +91,8 @@
     Calendar,
     /// An occurrence of a window: its name, and its beginning in milliseconds.
     Window(String, i64),
-    /// An image's wave among a shard's machines.
-    Wave(ShardId, u64),
+    /// An image's rollout among a shard's machines.
+    Rollout(ShardId, u64),
 }
 
 impl Key {
@@ -123,7 +123,7 @@
             "wave" => {
                 let (shard, image) = which.split_once('/')?;
                 let image = u64::from_str_radix(image, 16).ok()?;
-                parse_shard(shard).map(|shard| Self::Wave(shard, image))
+                parse_shard(shard).map(|shard| Self::Rollout(shard, image))
             }
             "drain" => Some(Self::Drain(which.parse().ok()?)),
             "gone" => {
--- a/src/state/view/apply.rs
+++ b/src/state/view/apply.rs
@@ -5,7 +5,7 @@
 
 use serde::de::DeserializeOwned;
 use serde_json::value::RawValue;
-use sorrelhinge_image_distribution::record::WaveRecord;
+use sorrelhinge_image_distribution::record::RolloutRecord;
 use sorrelhinge_reservations::record::{CalendarRecord, WindowRecord};
 use sorrelhinge_sharding::shard::ShardId;
 use sorrelhinge_topology::drain::Drain;
@@ -139,7 +139,7 @@
             Key::Member(node) => put(&mut self.members, node, mod_revision, || write.parse()),
             Key::Calendar => self.write_calendar(write),
             Key::Window(name, start_ms) => self.write_window((name, start_ms), write),
-            Key::Wave(shard, image) => self.write_wave((shard, image), write),
+            Key::Rollout(shard, image) => self.write_rollout((shard, image), write),
             Key::Job(id) => self.write_job(&id, write),
             Key::Drain(number) => self.write_drain(number, write),
             Key::DeletedMachines(slot) => self.write_deleted_machines(slot, write),
@@ -192,11 +192,11 @@
         });
     }
 
-    /// A wave that can't be read is there all the same: a write that takes it for absent
+    /// A rollout that can't be read is there all the same: a write that takes it for absent
     /// would fail again and again, and all claims of its transaction with it.
-    fn write_wave(&mut self, wave: (ShardId, u64), write: RecordWrite) {
-        put(&mut self.waves, wave, write.mod_revision, || {
-            Some(write.parse::<WaveRecord>().filter(WaveRecord::known))
+    fn write_rollout(&mut self, rollout: (ShardId, u64), write: RecordWrite) {
+        put(&mut self.rollouts, rollout, write.mod_revision, || {
+            Some(write.parse::<RolloutRecord>().filter(RolloutRecord::known))
         });
     }
 
@@ -254,7 +254,9 @@
             Some(Key::Drain(number)) => remove(&mut self.drains, &number, mod_revision),
             Some(Key::Member(node)) => remove(&mut self.members, &node, mod_revision),
             Some(Key::Shard(shard)) => remove(&mut self.shards, &shard, mod_revision),
-            Some(Key::Wave(shard, image)) => remove(&mut self.waves, &(shard, image), mod_revision),
+            Some(Key::Rollout(shard, image)) => {
+                remove(&mut self.rollouts, &(shard, image), mod_revision)
+            }
             Some(Key::Slice(shard)) => remove(&mut self.slices, &shard, mod_revision),
             _ => {}
         }
--- a/src/state/view/mod.rs
+++ b/src/state/view/mod.rs
@@ -13,7 +13,7 @@
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
-use sorrelhinge_image_distribution::record::WaveRecord;
+use sorrelhinge_image_distribution::record::RolloutRecord;
 use sorrelhinge_pipelines::graph::Graph;
 use sorrelhinge_protocol::users::PipelineStatus;
 use sorrelhinge_reservations::record::{CalendarRecord, WindowRecord};
@@ -61,7 +61,7 @@
     pub gone: BTreeMap<u32, Versioned<GoneRecord>>,
     /// Images on their way from machine to machine, by shard and the image's hash;
     /// none: of a version that is not known here.
-    pub waves: BTreeMap<(ShardId, u64), Versioned<Option<WaveRecord>>>,
+    pub rollouts: BTreeMap<(ShardId, u64), Versioned<Option<RolloutRecord>>>,
     jobs: HashMap<JobId, JobEntry>,
     /// Jobs that wait for others, by what `jobs` holds.
     pipelines: Graph,
--- a/tests/aging.rs
+++ b/tests/aging.rs
@@ -31,7 +31,7 @@
         }
     }
 
-    fn submit(&mut self, id: &str, priority: Priority, tasks: u32, aim_s: f64) {
+    fn submit(&mut self, id: &str, priority: Priority, tasks: u32, objective_s: f64) {
         let spec = JobSpec {
             class: Arc::from(["bake", "fix"][usize::from(priority == Priority::High)]),
             team: Arc::from("t"),
@@ -53,10 +53,10 @@
             placement: None,
             seal: None,
         };
-        let aim = Time(self.now + aim_s);
+        let objective = Time(self.now + objective_s);
         let job = Job {
-            due: aim,
-            aims: vec![aim],
+            due: objective,
+            objectives: vec![objective],
             ..Job::new(Rc::new(spec), 0, Time(self.now), Tasks::new(tasks, 64))
         };
         self.cluster_state.add_job(JobId::from(id), job);
@@ -100,9 +100,9 @@
     }
 }
 
-/// Jobs of a higher rank, or that can still meet their aim, come faster than the
+/// Jobs of a higher rank, or that can still meet their objective, come faster than the
 /// limit lets them run. Before, the one of lower rank began after all of them, and
-/// so did the wide one that had missed its aim.
+/// so did the wide one that had missed its objective.
 #[test]
 fn a_job_begins_within_four_minutes_whatever_comes_after_it() {
     for later in [Priority::High, Priority::Normal] {
--- a/tests/calendar.rs
+++ b/tests/calendar.rs
@@ -262,9 +262,9 @@
     });
 }
 
-/// A zone of a hold is cut and another is drained: its room is rented elsewhere.
+/// A zone of a hold is cut and another is drained: its free capacity is rented elsewhere.
 #[test]
-fn room_that_is_lost_is_rented_elsewhere() {
+fn free_capacity_that_is_lost_is_rented_elsewhere() {
     run(async {
         let start = now_s() + 3;
         let text = file(1, &window("drop", start, 6));
--- a/tests/edges.rs
+++ b/tests/edges.rs
@@ -14,8 +14,8 @@
 };
 use sorrelhinge::shares::{encode_left, parse_left, LeftTo, Needs, Rented};
 use sorrelhinge::state::record::{
-    chunk_key, chunk_size, job_key, member_key, shard_key, slice_key, wave_key, ChunkRecord, Fence,
-    GrantRecord, JobRecord, Key, Phase,
+    chunk_key, chunk_size, job_key, member_key, rollout_key, shard_key, slice_key, ChunkRecord,
+    Fence, GrantRecord, JobRecord, Key, Phase,
 };
 use sorrelhinge::state::view::{Versioned, View};
 use sorrelhinge::types::{
@@ -64,7 +64,7 @@
 #[test]
 fn settings_ignore_unknown_fields_and_name_wrong_ones() {
     let config = Config::parse(SETTINGS).expect("valid");
-    assert_eq!(config.start_aims.get("live"), Some(&2.0));
+    assert_eq!(config.start_objectives.get("live"), Some(&2.0));
     for (from, to, named) in [
         ("rps = 100.0", "rps = -1.0", "params.state.rps"),
         ("lease_s = 20.0", "", "lease_s"),
@@ -204,8 +204,8 @@
     assert_eq!(Key::parse(&shard_key(shard)), Some(Key::Shard(shard)));
     assert_eq!(Key::parse(&slice_key(shard)), Some(Key::Slice(shard)));
     assert_eq!(Key::parse(&member_key(&node)), Some(Key::Member(node)));
-    let wave = Some(Key::Wave(shard, u64::MAX - 1));
-    assert_eq!(Key::parse(&wave_key(shard, u64::MAX - 1)), wave);
+    let rollout = Some(Key::Rollout(shard, u64::MAX - 1));
+    assert_eq!(Key::parse(&rollout_key(shard, u64::MAX - 1)), rollout);
     assert_eq!(Key::parse("h/block/5"), None, "there are never so many");
     assert_eq!(Key::parse("other/run-7"), None);
     assert_eq!(TaskId::parse("run-7/3"), Some(TaskId { job, index: 3 }));
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -38,7 +38,7 @@
     }
 }
 
-/// Work that just came takes the room of a task that is about to end. Work
+/// Work that just came takes the free capacity of a task that is about to end. Work
 /// that has waited for that in vain gets a machine: as much comes as ends.
 #[test]
 fn a_queue_that_lasts_gets_machines() {
--- a/tests/golden_formats/records.rs
+++ b/tests/golden_formats/records.rs
@@ -2,15 +2,16 @@
 
 use sorrelhinge::state::job_entry::JobEntry;
 use sorrelhinge::state::record::{
-    chunk_key, drain_key, gone_key, image_hash, job_key, member_key, shard_key, slice_key,
-    wave_key, ChunkRecord, Fence, GoneRecord, GrantRecord, JobRecord, Key, LeaderRecord, MapRecord,
-    MemberRecord, NewJob, Phase, ShardRecord, SliceRecord, WaitsRecord, GRANT, LEADER, MAP,
+    chunk_key, drain_key, gone_key, image_hash, job_key, member_key, rollout_key, shard_key,
+    slice_key, ChunkRecord, Fence, GoneRecord, GrantRecord, JobRecord, Key, LeaderRecord,
+    MapRecord, MemberRecord, NewJob, Phase, ShardRecord, SliceRecord, WaitsRecord, GRANT, LEADER,
+    MAP,
 };
 use sorrelhinge::state::view::Versioned;
 use sorrelhinge::types::{
     Amount, Attempt, Image, JobId, JobSpec, MachineId, NodeId, Revision, Seal, Term, TypeName,
 };
-use sorrelhinge_image_distribution::record::WaveRecord;
+use sorrelhinge_image_distribution::record::RolloutRecord;
 use sorrelhinge_reservations::record::CALENDAR_KEY;
 use sorrelhinge_sharding::shard::ShardId;
 use sorrelhinge_topology::devices::Unit;
@@ -224,13 +225,13 @@
         machines: vec![MachineId::from("vm-000231")],
     };
     add_json(golden, "gone machines", &gone);
-    let wave = WaveRecord {
+    let rollout = RolloutRecord {
         v: sorrelhinge_image_distribution::record::VERSION,
         image: Image::from("img-07"),
         stage: 4,
         seeds: vec![MachineId::from("vm-000231")],
     };
-    add_json(golden, "wave", &wave);
+    add_json(golden, "wave", &rollout);
     for (name, target, keep) in [
         ("domain", Target::Domain("za/s0".into()), false),
         ("machine", Target::Machine("vm-000231".into()), true),
@@ -275,7 +276,11 @@
         ),
         ("gone machines", gone_key(15), Key::DeletedMachines(15)),
         ("drain", drain_key(3), Key::Drain(3)),
-        ("wave", wave_key(shard, image), Key::Wave(shard, image)),
+        (
+            "wave",
+            rollout_key(shard, image),
+            Key::Rollout(shard, image),
+        ),
         (
             "occurrence",
             sorrelhinge_reservations::record::key("finale", 1_764_936_000_000),
--- a/tests/golden_formats/settings.rs
+++ b/tests/golden_formats/settings.rs
@@ -103,9 +103,15 @@
         ("cloud.rps", config.cloud_rps.to_string()),
         ("cloud.list_lag_s", config.list_lag_s.to_string()),
         ("machine_limits.max_sockets", config.max_sockets.to_string()),
-        ("objectives.wait", format!("{:?}", config.start_aims)),
-        ("objectives.finished", format!("{:?}", config.finish_aims)),
-        ("objectives.deadline", format!("{:?}", config.deadline_aims)),
+        ("objectives.wait", format!("{:?}", config.start_objectives)),
+        (
+            "objectives.finished",
+            format!("{:?}", config.finish_objectives),
+        ),
+        (
+            "objectives.deadline",
+            format!("{:?}", config.deadline_objectives),
+        ),
         ("silent", config.silent_s().to_string()),
     ] {
         golden.add(name, &value);
--- a/tests/held_back.rs
+++ b/tests/held_back.rs
@@ -1,5 +1,5 @@
 //! The part of a team's limit that is left to jobs whose users wait for the start:
-//! no task is stopped to make room that this part then forbids to take.
+//! no task is stopped to preempts work that this part then forbids to take.
 
 mod array_jobs;
 mod cluster_states;
@@ -51,7 +51,7 @@
     }
 
     /// Makes room, lets what is stopped go, and places: which jobs' tasks were stopped.
-    fn make_room(&mut self) -> Vec<JobId> {
+    fn plan_preemption(&mut self) -> Vec<JobId> {
         let stopped = self.cluster_state.preempt(|_| PATIENCE_S, Time(20.0));
         for task in &stopped {
             self.cluster_state.release(task, Time(20.5));
@@ -75,39 +75,43 @@
 /// The walk leaves the part to others, so room beyond it would lie there unused:
 /// the guest's tasks were stopped for it again and again.
 #[test]
-fn nothing_is_stopped_for_room_that_the_limit_leaves_to_others() {
+fn nothing_is_stopped_for_free_capacity_that_the_limit_leaves_to_others() {
     let mut case = Case::new("high");
-    assert_eq!(case.make_room(), vec![], "run-3 could not take the room");
+    assert_eq!(
+        case.plan_preemption(),
+        vec![],
+        "run-3 could not take the room"
+    );
     assert_eq!(case.used(&case.guest), 8);
 }
 
 /// The same room, once nothing is left to others: it is made, and taken.
 #[test]
-fn room_inside_the_limit_is_made_and_taken() {
+fn free_capacity_inside_the_limit_is_made_and_taken() {
     let mut case = Case::new("high");
     case.cluster_state.hold_back(HOUSE, Amount::default());
-    let stopped = case.make_room();
+    let stopped = case.plan_preemption();
     assert_eq!(stopped, vec![case.guest.clone(); 2]);
     assert_eq!(case.used(&case.waiting), 2);
 }
 
 /// A job whose users wait for its start is whom the part is left to.
 #[test]
-fn the_part_left_to_others_is_for_jobs_with_a_start_aim() {
+fn the_part_left_to_others_is_for_jobs_with_a_start_objective() {
     let mut case = Case::new("high");
     let waiting = case.waiting.clone();
     case.cluster_state
         .edit_job(&waiting, |job| job.start_within = Some(1.0));
-    let stopped = case.make_room();
+    let stopped = case.plan_preemption();
     assert_eq!(stopped, vec![case.guest.clone(); 2]);
     assert_eq!(case.used(&waiting), 2);
 }
 
-/// At what the limit allows, the team's own lower work makes room, nobody else's.
+/// At what the limit allows, the team's own lower work preempts work, nobody else's.
 #[test]
 fn beside_the_part_left_to_others_only_own_work_gives_way() {
     let mut case = Case::new("normal");
-    let stopped = case.make_room();
+    let stopped = case.plan_preemption();
     assert_eq!(stopped, vec![case.first.clone(); 2]);
     assert_eq!(case.used(&case.waiting), 2);
     assert_eq!(case.used(&case.guest), 8);
--- a/tests/idle.rs
+++ b/tests/idle.rs
@@ -52,7 +52,7 @@
 }
 
 #[test]
-fn idle_work_leaves_room_for_the_peak_of_all_other() {
+fn idle_work_leaves_free_capacity_for_the_peak_of_all_other() {
     let mut cluster_state = cluster_state();
     let house = add(&mut cluster_state, "run-1", 0, "normal", 100, 30.0);
     turn(&mut cluster_state, 1.0);
--- a/tests/lanes.rs
+++ b/tests/lanes.rs
@@ -23,7 +23,7 @@
 use tokio::time::sleep;
 
 const LANE: &str = "lane.urgent.classes=fix\nlane.urgent.part=0.5\n";
-/// Machines of the small cluster, each with room for one lane job.
+/// Machines of the small cluster, each with free capacity for one lane job.
 const MACHINES: usize = 6;
 /// Lane jobs between two ends of controllers.
 const EACH: usize = 7;
--- a/tests/overload.rs
+++ b/tests/overload.rs
@@ -239,7 +239,7 @@
             crowd.polls(world.address(i), SOCKETS);
         }
         // More workers than sockets from here on: two controllers are left,
-        // and each may believe that the other has room.
+        // and each may believe that the other has free capacity.
         let first = world.leader().expect("a leader");
         world.kill_controller(first);
         world
--- a/tests/hand_on.rs
+++ b/tests/peer_transfer.rs
@@ -1,6 +1,6 @@
 //! Weights that many machines want at once: three real controllers and a dozen
 //! real agents on loopback, and one origin with a bound, whose bytes are counted.
-//! The owner ends in the middle of the wave, and then a machine that the others
+//! The owner ends in the middle of the rollout, and then a machine that the others
 //! take from.
 //!
 //! A program of its own rather than of the test harness: an agent runs each task
@@ -21,11 +21,11 @@
 use rand::rngs::StdRng;
 use rand::{RngCore, SeedableRng};
 use serde_json::{json, Value};
-use sorrelhinge::state::record::{image_hash, wave_key};
+use sorrelhinge::state::record::{image_hash, rollout_key};
 use sorrelhinge::types::Image;
 use sorrelhinge_agent::agent::Agent;
+use sorrelhinge_agent::checksums::{sha256, Checksums};
 use sorrelhinge_agent::settings::Settings;
-use sorrelhinge_agent::sums::{sha256, Sums};
 use sorrelhinge_agent::supervise;
 use sorrelhinge_emulators::{ask, run, World, HEARTBEAT_S, LEASE_S, ZONES};
 use sorrelhinge_sharding::shard::ShardId;
@@ -81,7 +81,7 @@
 struct Origin {
     addr: SocketAddr,
     tar: Vec<u8>,
-    sums: Vec<u8>,
+    checksums: Vec<u8>,
     /// Bytes of the image that went out.
     sent: Cell<u64>,
     busy: Cell<usize>,
@@ -95,10 +95,10 @@
 
     async fn start(tar: Vec<u8>) -> Rc<Self> {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-        let sums = Sums::of(&tar[..], CHUNK).expect("sums").text();
+        let checksums = Checksums::of(&tar[..], CHUNK).expect("sums").text();
         let origin = Rc::new(Self {
             addr: listener.local_addr().expect("its address"),
-            sums: sums.into_bytes(),
+            checksums: checksums.into_bytes(),
             sent: Cell::new(0),
             busy: Cell::new(0),
             hold: Cell::new(tar.len() as u64 / 3),
@@ -125,8 +125,9 @@
             let text = String::from_utf8_lossy(&head).to_lowercase();
             let path = text.split([' ', '?']).nth(1).unwrap_or_default();
             if path.ends_with(".sums") {
-                self.head(&mut stream, "200 all", self.sums.len()).await?;
-                stream.write_all(&self.sums).await?;
+                self.head(&mut stream, "200 all", self.checksums.len())
+                    .await?;
+                stream.write_all(&self.checksums).await?;
                 continue;
             }
             if self.busy.get() >= Self::MOST {
@@ -319,7 +320,7 @@
     // Half of them begin; the origin holds back two thirds of the image.
     submit(&world, &root, "run-000001", 6, &sum).await;
     until(&machines, 6, "fetching", &origin).await;
-    let key = wave_key(ShardId(0), image_hash(&Image::from(WEIGHTS)));
+    let key = rollout_key(ShardId(0), image_hash(&Image::from(WEIGHTS)));
     let seeds = |w: &World| {
         let record = w.store.borrow().get(&key).unwrap_or(Value::Null);
         let seeds = record["m"].as_array().cloned().unwrap_or_default();
--- a/tests/place_model.rs
+++ b/tests/place_model.rs
@@ -102,7 +102,7 @@
         avoid.insert(pick(rng, machines), Time(100.0));
     }
     let submitted = Time(f64::from(n));
-    let aims: Vec<Time> = spec
+    let objectives: Vec<Time> = spec
         .deadline_s
         .iter()
         .map(|d| submitted.after(*d))
@@ -110,8 +110,8 @@
     let tasks = Tasks::new(spec.tasks, 64);
     let team = rng.random_range(0..2);
     Job {
-        due: aims.first().copied().unwrap_or(Time(f64::INFINITY)),
-        aims,
+        due: objectives.first().copied().unwrap_or(Time(f64::INFINITY)),
+        objectives,
         avoid,
         hold_until: Time(if rng.random_bool(0.1) { 30.0 } else { 0.0 }),
         start_within: rng.random_bool(0.3).then_some(3.0),
@@ -706,7 +706,7 @@
     );
 }
 
-/// A job that can't meet its aim any more gives way to one that can, but is
+/// A job that can't meet its objective any more gives way to one that can, but is
 /// due again later, so that it does not starve.
 #[test]
 fn a_job_that_is_late_anyway_gives_way() {
@@ -725,8 +725,8 @@
             j.tasks = Tasks::new(1, 64);
             (j.team, j.hold_until, j.submitted) = (0, Time(0.0), Time(submitted));
             j.avoid = BTreeMap::new();
-            j.aims = vec![j.submitted.after(70.0)];
-            j.due = j.aims[0];
+            j.objectives = vec![j.submitted.after(70.0)];
+            j.due = j.objectives[0];
             cluster_state.add_job(JobId::from(format!("run-{n}").as_str()), j);
         }
         let mut m = Machine::new(kinds[0].clone(), Zone::from("za"), false, Time(0.0));
--- a/tests/reservations.rs
+++ b/tests/reservations.rs
@@ -1,5 +1,5 @@
 //! Room reserved for work that is only expected, and a job that waits beside it: the
-//! users' rule is that no job waits for 90 s while a fitting machine has room and its
+//! users' rule is that no job waits for 90 s while a fitting machine has free capacity and its
 //! team is under its limit.
 
 mod array_jobs;
@@ -37,7 +37,7 @@
         estimate_s: 600.0,
     };
     let id = job.add(cluster_state);
-    // One whose aims are far off, as those of long jobs are.
+    // One whose objectives are far off, as those of long jobs are.
     cluster_state.edit_job(&id, |job| {
         job.late_s = 1000.0;
         job.patience_s = 1000.0;
@@ -78,7 +78,7 @@
 /// that may use spot machines, however long it waited: 12 to 16 CPUs stayed free for
 /// 150 s beside 200 jobs of 8 CPUs on a simulated day.
 #[test]
-fn a_job_that_waits_for_long_takes_room_kept_on_ordinary_machines() {
+fn a_job_that_waits_for_long_takes_free_capacity_kept_on_ordinary_machines() {
     let mut cluster_state = cluster_state(1, false);
     let kept = Amount::new(4.0, 0.0, 16.0);
     cluster_state.edit_machine(&MachineId::from("vm-0"), |m| m.kept = kept);
@@ -88,7 +88,7 @@
 }
 
 /// Of two types the larger is left to a job that fits no other; not for longer than the
-/// users' bound, though the aims of the one that waits are far off.
+/// users' bound, though the objectives of the one that waits are far off.
 #[test]
 fn a_job_that_waits_for_long_takes_a_machine_left_to_larger_work() {
     let mut cluster_state = cluster_states::cluster_state(1, 4.0, true, &[("house", 0.0, None)]);
@@ -124,7 +124,7 @@
 
 /// A gang is placed whole in such room; one that lost its place waits anew, as any job.
 #[test]
-fn a_gang_that_lost_its_place_leaves_reserved_room_alone_again() {
+fn a_gang_that_lost_its_place_leaves_reserved_free_capacity_alone_again() {
     let mut cluster_state = cluster_state(1, false);
     let kept = Amount::new(4.0, 0.0, 16.0);
     cluster_state.edit_machine(&MachineId::from("vm-0"), |m| m.kept = kept);
@@ -147,7 +147,7 @@
 /// Nothing is stopped to make such room: a task of the job would take it, and the rest
 /// would lie there reserved once more.
 #[test]
-fn nothing_is_stopped_for_room_beyond_the_part_left_to_others() {
+fn nothing_is_stopped_for_free_capacity_beyond_the_part_left_to_others() {
     let teams = [("house", 8.0, Some(8.0)), ("guest", 0.0, None)];
     let mut cluster_state = cluster_states::cluster_state(2, 4.0, true, &teams);
     cluster_state.hold_back(TEAM, Amount::new(4.0, 0.0, 0.0));
--- a/tests/holds.rs
+++ b/tests/reserved_capacity.rs
@@ -11,7 +11,7 @@
 use serde_json::json;
 use sorrelhinge::api::read_job;
 use sorrelhinge::fleet::{plan, Coming, Input, Lack, Plan};
-use sorrelhinge::sched::{ClusterState, DelayRule, Hold, Job, Lending, Machine, Tasks};
+use sorrelhinge::sched::{ClusterState, DelayRule, Job, Lending, Machine, Reservation, Tasks};
 use sorrelhinge::types::{Amount, JobId, JobSpec, MachineId, MachineType, Time, Zone};
 use sorrelhinge_reservations::settings::Window;
 use sorrelhinge_topology::renting::Memory;
@@ -75,7 +75,7 @@
 
 /// Holds room of two tasks for a window that begins after so many seconds.
 fn hold(cluster_state: &mut ClusterState, zones: &[&str], left_s: f64) {
-    let hold = Hold {
+    let hold = Reservation {
         window: window(zones),
         team: 0,
         tasks: 2,
@@ -85,16 +85,18 @@
             wait_s: 0.0,
         },
     };
-    cluster_state.set_holds(vec![hold], NOW);
+    cluster_state.set_reservations(vec![hold], NOW);
 }
 
 fn held(cluster_state: &ClusterState) -> BTreeMap<MachineId, u32> {
-    let room = cluster_state.held_room();
-    room.map(|(_, id, tasks)| (id.clone(), tasks)).collect()
+    let free_capacity = cluster_state.reserved_capacity();
+    free_capacity
+        .map(|(_, id, tasks)| (id.clone(), tasks))
+        .collect()
 }
 
 #[test]
-fn held_room_is_the_windows() {
+fn held_free_capacity_is_the_windows() {
     let mut cluster_state = cluster_state(100.0, 3);
     hold(&mut cluster_state, &[], -1.0);
     assert_eq!(held(&cluster_state).len(), 2);
--- a/tests/rules/decision_trace.rs
+++ b/tests/rules/decision_trace.rs
@@ -28,7 +28,7 @@
         _ => World::of_shards(seed, false, 1 + seed as u32 % 2),
     };
     world.staged = seed % 4 > 1;
-    world.start_aims = seed % 2 == 1;
+    world.start_objectives = seed % 2 == 1;
     world.faults.drawn = seed % 5 > 2;
     world.pipelines = seed % 5 == 4;
     // The first owners have begun without all that.
--- a/tests/rules/meetings/capacity.rs
+++ b/tests/rules/meetings/capacity.rs
@@ -10,7 +10,7 @@
 /// More work than room, urgent and not, while every other command is late, some of
 /// its answers are lost, and few changes are recorded.
 #[test]
-fn more_work_than_room_over_slow_links() {
+fn more_work_than_free_capacity_over_slow_links() {
     for (seed, shards) in [(1, 1), (2, 1), (3, 1), (4, 2), (5, 2)] {
         let mut day = Day::new(seed, shards);
         for n in 0..30 {
--- a/tests/rules/meetings/partition.rs
+++ b/tests/rules/meetings/partition.rs
@@ -106,7 +106,7 @@
 }
 
 /// The red team is at its limit, the leader changes while some of the machines with its
-/// tasks can't be asked, and its jobs there are cancelled: their room counts as used
+/// tasks can't be asked, and its jobs there are cancelled: their free capacity counts as used
 /// until it is proved that the tasks are gone.
 #[test]
 fn a_team_at_its_limit_and_a_cancellation_while_machines_cannot_be_asked() {
@@ -211,7 +211,7 @@
 
 /// Starts are held up on their way while heartbeats arrive whose answers are lost, and
 /// their jobs are cancelled: a heartbeat without the task proves nothing before it carries
-/// the fencing token that fences the start, so its room goes to nobody.
+/// the fencing token that fences the start, so its free capacity goes to nobody.
 #[test]
 fn starts_are_held_up_while_their_jobs_are_cancelled() {
     for (seed, shards) in [(141, 1), (142, 1), (143, 1), (144, 2), (145, 2)] {
--- a/tests/rules/pipelines.rs
+++ b/tests/rules/pipelines.rs
@@ -308,7 +308,7 @@
     let core = core_of(&view_of(&store), &config, Time(100.0), 40_000);
     let job = core.cluster_state.job(&b).expect("it is ready");
     assert_eq!(job.submitted, Time(90.0), "ready at 30 s");
-    assert_eq!(job.aims, [Time(165.0)], "due 100 s after 5 s");
+    assert_eq!(job.objectives, [Time(165.0)], "due 100 s after 5 s");
 }
 
 /// A done job of an earlier version does not say since when; who names it was submitted
@@ -365,11 +365,16 @@
     };
     follow(&store, &mut core);
     assert_eq!(priority(&core), sorrelhinge::types::Priority::Critical);
-    let aims = core.cluster_state.job(&a).expect("known").aims.clone();
+    let objectives = core
+        .cluster_state
+        .job(&a)
+        .expect("known")
+        .objectives
+        .clone();
     // 60 s, less the run of 10 s and what a job takes beside it.
     assert!(
-        aims.len() == 1 && (140.0..150.0).contains(&aims[0].0),
-        "{aims:?}"
+        objectives.len() == 1 && (140.0..150.0).contains(&objectives[0].0),
+        "{objectives:?}"
     );
     let key = job_key(&JobId::from("run-c"));
     let mut cancelled = store.keys[&key].1.clone();
--- a/tests/rules/service.rs
+++ b/tests/rules/service.rs
@@ -1,4 +1,4 @@
-//! What users are owed once the troubles are over: no job waits while there is room
+//! What users are owed once the troubles are over: no job waits while there is free capacity
 //! for it, and every accepted array ends (PROTOCOL's rules say nothing of either).
 
 use std::collections::{BTreeMap, BTreeSet};
@@ -9,7 +9,7 @@
 
 use crate::*;
 
-/// A job may wait so long beside a machine with room for it, in seconds.
+/// A job may wait so long beside a machine with free capacity for it, in seconds.
 const LONGEST_WAIT_S: f64 = 90.0;
 /// What the red team of the world may use at most, in CPUs; the blue one's limit is
 /// more than all machines have.
@@ -17,7 +17,7 @@
 /// CPUs of each of the world's machines.
 const MACHINE_CPUS: f64 = 4.0;
 
-/// Since when each waiting job has had a machine with room all along.
+/// Since when each waiting job has had a machine with free capacity all along.
 #[derive(Default)]
 pub(crate) struct Waiting {
     since: BTreeMap<String, f64>,
@@ -29,7 +29,7 @@
         let fits: BTreeSet<&String> = world
             .jobs
             .iter()
-            .filter(|(id, job)| waits(world, id, job) && has_room(world, job))
+            .filter(|(id, job)| waits(world, id, job) && has_capacity(world, job))
             .map(|(id, _)| id)
             .collect();
         self.since.retain(|id, _| fits.contains(id));
@@ -62,7 +62,7 @@
 }
 
 /// Whether one task of the job, of which none runs, fits a machine and its team's limit.
-fn has_room(world: &World, job: &Value) -> bool {
+fn has_capacity(world: &World, job: &Value) -> bool {
     let cpus = |task_name: &str| {
         let job = piece_job(&world.jobs, task_name);
         job["cpus"].as_f64().expect("cpus")
--- a/tests/rules/shards.rs
+++ b/tests/rules/shards.rs
@@ -21,8 +21,10 @@
         for at in 0..self.owners.len() {
             let now = Time(self.now);
             for other in 0..self.of {
-                let room = self.rng.random_range(0..9) * 1000;
-                self.owners[at].core.has_room(ShardId(other), room, now);
+                let free_capacity = self.rng.random_range(0..9) * 1000;
+                self.owners[at]
+                    .core
+                    .has_capacity(ShardId(other), free_capacity, now);
             }
             let o = &mut self.owners[at];
             o.core.look_elsewhere(&o.view);
--- a/tests/rules/world.rs
+++ b/tests/rules/world.rs
@@ -71,7 +71,7 @@
     /// Images go from machine to machine, for two of three owners.
     pub(crate) staged: bool,
     /// Users wait for services to start.
-    pub(crate) start_aims: bool,
+    pub(crate) start_objectives: bool,
     pub(crate) faults: Faults,
     /// Jobs wait for others.
     pub(crate) pipelines: bool,
@@ -126,7 +126,7 @@
             faulty: None,
             rented: 0,
             staged: false,
-            start_aims: false,
+            start_objectives: false,
             faults: Faults::default(),
             pipelines: false,
             needs: BTreeMap::new(),
@@ -162,9 +162,9 @@
         if self.staged && self.grants % 3 > 0 {
             Rc::make_mut(&mut config).tuning.staging_least_gb = Some(0.5);
         }
-        if self.start_aims {
-            let aims = &mut Rc::make_mut(&mut config).start_aims;
-            aims.insert("live".into(), 4.0);
+        if self.start_objectives {
+            let objectives = &mut Rc::make_mut(&mut config).start_objectives;
+            objectives.insert("live".into(), 4.0);
         }
         config
     }
--- a/tests/staging.rs
+++ b/tests/staging.rs
@@ -16,7 +16,7 @@
 use sorrelhinge::config::Tuning;
 use sorrelhinge::control::core::{Batch, Core, Places, RecoveryInput, ShardGrant, Source};
 use sorrelhinge::sched::{ClusterState, DelayRule, Job, Machine, Tasks};
-use sorrelhinge::state::record::{image_hash, job_key, wave_key, JobRecord, GRANT};
+use sorrelhinge::state::record::{image_hash, job_key, rollout_key, JobRecord, GRANT};
 use sorrelhinge::state::view::View;
 use sorrelhinge::types::{
     Image, JobId, JobSpec, Kind, MachineId, MachineType, Priority, Revision, Time, Zone,
@@ -221,13 +221,13 @@
         }
     }
 
-    /// Keys of waves' records that were written or deleted.
-    fn wave_changes(&self) -> Vec<&Value> {
-        let wave = |e: &&Value| {
+    /// Keys of rollouts' records that were written or deleted.
+    fn rollout_changes(&self) -> Vec<&Value> {
+        let rollout = |e: &&Value| {
             let key = e["write"].as_str().or(e["delete"].as_str());
             key.is_some_and(|k| k.starts_with("h/wave/"))
         };
-        self.log.iter().filter(wave).collect()
+        self.log.iter().filter(rollout).collect()
     }
 
     /// How many starts went out, and how many of them name no source.
@@ -271,7 +271,7 @@
         world.steps(8);
         let copies = if on { 2 } else { 6 };
         assert_eq!(world.counts(), (6, copies), "{properties} {gb}");
-        assert_eq!(!world.wave_changes().is_empty(), on, "{properties} {gb}");
+        assert_eq!(!world.rollout_changes().is_empty(), on, "{properties} {gb}");
     }
     let deployed = include_bytes!("../deploy/staging.properties");
     let deployed = Tuning::parse(deployed).expect("valid");
@@ -290,7 +290,7 @@
     let mut stage = 0;
     while wide(&world) < 36 && world.now < 60.0 {
         world.steps(1);
-        let written = world.wave_changes();
+        let written = world.rollout_changes();
         let last = written.last();
         stage = last.map_or(0, |e| e["value"]["s"].as_u64().expect("a stage"));
         let started = wide(&world);
@@ -312,22 +312,22 @@
         *phase = "running";
     }
     world.steps(20);
-    let last = world.wave_changes().pop().cloned().expect("a change");
-    let key = wave_key(ShardId(0), image_hash(&Image::from(MODEL)));
+    let last = world.rollout_changes().pop().cloned().expect("a change");
+    let key = rollout_key(ShardId(0), image_hash(&Image::from(MODEL)));
     assert_eq!(last["delete"], key);
-    let changes = world.wave_changes();
+    let changes = world.rollout_changes();
     assert!(changes.len() <= 5, "{changes:?}");
 }
 
-/// The owner ends in the middle of a stage: the next one has the wave's record
+/// The owner ends in the middle of a stage: the next one has the rollout's record
 /// before it decides anything, waits until it has heard what was started, goes on
 /// in the same stage, and asks the origin for next to nothing.
 #[test]
-fn a_successor_goes_on_where_the_wave_was() {
+fn a_successor_goes_on_where_the_rollout_was() {
     let mut world = World::new(ON, 40);
     world.submit("run-1", service("run-1", 30, MODEL, 40.0, 3.0));
     world.until_started(30);
-    let before = world.wave_changes().len();
+    let before = world.rollout_changes().len();
     world.take_over();
     world.submit("run-2", service("run-2", 8, MODEL, 40.0, 3.0));
     // A machine that has a start is not heard for a while.
@@ -343,7 +343,7 @@
     let (starts, copies) = world.counts();
     // Who has an upload free isn't known: a zone may take one copy more.
     assert!(starts == 38 && copies <= 4, "{:?}", world.starts);
-    for change in &world.wave_changes()[before..] {
+    for change in &world.rollout_changes()[before..] {
         assert_eq!(change["value"]["s"], 1, "{change}");
     }
 }
@@ -392,16 +392,16 @@
     let mut world = World::new(ON, 4);
     let hash = image_hash(&Image::from(MODEL));
     let later = json!({"v": 9, "i": MODEL, "s": {"more": 1}});
-    world.put(json!({"write": wave_key(ShardId(0), hash), "value": later}));
+    world.put(json!({"write": rollout_key(ShardId(0), hash), "value": later}));
     let old = json!({"v": 1, "i": MODEL, "s": 2, "m": ["m0"]});
-    world.put(json!({"write": wave_key(ShardId(1), hash), "value": old}));
+    world.put(json!({"write": rollout_key(ShardId(1), hash), "value": old}));
     world.take_over();
     world.submit("run-1", service("run-1", 4, MODEL, 40.0, 3.0));
     world.steps(8);
     assert_eq!(world.counts(), (4, 4));
-    let changes = world.wave_changes();
+    let changes = world.rollout_changes();
     assert_eq!(changes.len(), 3, "{changes:?}");
-    assert_eq!(changes[2]["delete"], wave_key(ShardId(1), hash));
+    assert_eq!(changes[2]["delete"], rollout_key(ShardId(1), hash));
 }
 
 fn cluster_state(machines: usize) -> ClusterState {
@@ -489,7 +489,7 @@
             cluster_state.remove_job(&JobId::from(uid));
         }
     };
-    // 100 GB of room: beside the first two the third doesn't fit.
+    // 100 GB of free capacity: beside the first two the third doesn't fit.
     run("run-1", MODEL, 60.0);
     run("run-2", "old", 30.0);
     run("run-3", "llm-2", 30.0);
--- a/tests/topology_cases.rs
+++ b/tests/topology_cases.rs
@@ -413,8 +413,11 @@
     assert_eq!(w.place().len(), 10);
     assert_eq!(w.switches(&a).len(), 10);
     assert_eq!(w.switches(&b).len(), 0, "six places are free, but not ten");
-    assert!(w.cluster_state.held_for_gangs().all(|(_, job)| *job == b));
-    assert!(w.cluster_state.held_for_gangs().count() > 0);
+    assert!(w
+        .cluster_state
+        .reserved_for_gangs()
+        .all(|(_, job)| *job == b));
+    assert!(w.cluster_state.reserved_for_gangs().count() > 0);
     // A single task must not take what is held; what is beyond it may.
     let small = w.add(
         "run-c",
@@ -446,7 +449,7 @@
         .map(|(_, c)| c.attempt.0)
         .collect();
     assert_eq!(attempts.len(), 1);
-    assert_eq!(w.cluster_state.held_for_gangs().count(), 0);
+    assert_eq!(w.cluster_state.reserved_for_gangs().count(), 0);
 }
 
 /// A gang that fits behind one switch is placed behind one.
