--- a/crates/agent/examples/measure.rs
+++ b/crates/agent/examples/measure.rs
@@ -68,7 +68,7 @@
     let begun = Instant::now();
     for _ in 0..HEARTBEATS {
         let (told, _) = core.status(Time(1.0));
-        if let sorrelhinge_agent::core::Told::Heartbeat(_, heartbeat) = told {
+        if let sorrelhinge_agent::core::CommandOutcome::Heartbeat(_, heartbeat) = told {
             bytes = serde_json::to_vec(&heartbeat).expect("JSON").len();
         }
     }
@@ -198,7 +198,7 @@
 
     /// How long until a killed agent that is started again heartbeats all that runs.
     async fn measure_restarts(&mut self) {
-        let mut most = 0.0_f64;
+        let mut max = 0.0_f64;
         for _ in 0..RESTARTS {
             self.process.kill().expect("killed");
             self.process.wait().expect("gone");
@@ -210,9 +210,9 @@
                     break;
                 }
             }
-            most = most.max(begun.elapsed().as_secs_f64());
+            max = max.max(begun.elapsed().as_secs_f64());
         }
-        println!("from the start after kill -9 to the first report with all {STARTS}: at most {most:.2} s of {RESTARTS} tries");
+        println!("from the start after kill -9 to the first report with all {STARTS}: at most {max:.2} s of {RESTARTS} tries");
     }
 
     /// Ends the tasks and the agent.
--- a/crates/agent/src/agent/images.rs
+++ b/crates/agent/src/agent/images.rs
@@ -160,7 +160,7 @@
             hands,
             images: self.settings.folder.join("images"),
             parts: self.settings.folder.join(PARTS_FOLDER),
-            most: self.settings.cache_bytes(),
+            max: self.settings.cache_bytes(),
             unpacking: self.unpacking.clone(),
             free_capacity: Box::new(move |bytes| {
                 if let Some(agent) = agent.upgrade() {
@@ -190,12 +190,12 @@
     async fn fetch_alone(&self, source: &Source, image: &Image) -> Result<u64, Failed> {
         let root = self.settings.folder.join("images");
         let archive = root.join(format!(".{}.tar", image.sha256));
-        let most = self.settings.cache_bytes();
-        let unpacked = match download::fetch(source, image, &archive, most).await {
+        let max = self.settings.cache_bytes();
+        let unpacked = match download::fetch(source, image, &archive, max).await {
             Ok(()) => {
                 let (wanted, from) = (image.clone(), archive.clone());
                 let unpacked = tokio::task::spawn_blocking(move || {
-                    images::unpack(File::open(from)?, &wanted, &root, most)
+                    images::unpack(File::open(from)?, &wanted, &root, max)
                 });
                 match unpacked.await {
                     Ok(result) => result.map_err(FetchFailure::Unpack),
--- a/crates/agent/src/agent/recovery.rs
+++ b/crates/agent/src/agent/recovery.rs
@@ -61,12 +61,12 @@
 /// attempts that run.
 pub(super) fn cache_found(
     root: &Path,
-    most_bytes: u64,
+    max_bytes: u64,
     hands: Option<&ImageServer>,
     watched: &BTreeMap<Key, Watched>,
 ) -> std::io::Result<Cache> {
     let there = images::there(&root.join("images"))?;
-    let mut cache = Cache::new(most_bytes, there.iter().cloned());
+    let mut cache = Cache::new(max_bytes, there.iter().cloned());
     find_parts(root, hands, &there, &mut cache)?;
     for (key, watched) in watched {
         let image = watched.folder.task().and_then(|t| t.description.image);
@@ -99,7 +99,7 @@
         let is_there = there.iter().any(|image| image.sha256 == sum);
         match Part::found(&folder, &sum) {
             // Without the image beside it, its free capacity is not counted otherwise.
-            Ok(part) if part.is_whole() || !is_there => {
+            Ok(part) if part.is_complete() || !is_there => {
                 if !is_there {
                     cache.leave(&sum, part.checksums().bytes);
                 }
--- a/crates/agent/src/agent/server.rs
+++ b/crates/agent/src/agent/server.rs
@@ -18,7 +18,7 @@
 
 use super::{Agent, MAX_BODY_BYTES};
 use crate::clock;
-use crate::core::{Action, Told};
+use crate::core::{Action, CommandOutcome};
 use crate::peer_transfer;
 
 /// How long the body of a command may take.
@@ -30,16 +30,20 @@
 
 impl Agent {
     /// Carries out what a command came to, and answers it.
-    fn told(self: &Rc<Self>, told: Told, actions: Vec<Action>) -> peer_transfer::Answer {
+    fn outcome(
+        self: &Rc<Self>,
+        outcome: CommandOutcome,
+        actions: Vec<Action>,
+    ) -> peer_transfer::Answer {
         // What is answered is on disk before it is said.
         self.do_all(actions);
-        match told {
-            Told::Heartbeat(taken, heartbeat) if !*self.failed.borrow() => {
+        match outcome {
+            CommandOutcome::Heartbeat(taken, heartbeat) if !*self.failed.borrow() => {
                 let body = serde_json::to_vec(&heartbeat).unwrap_or_default();
                 peer_transfer::plain(if taken { 200 } else { 409 }, body)
             }
-            Told::Heartbeat(..) => error(503, "the disk fails"),
-            Told::NotNow => error(503, "tasks are being killed"),
+            CommandOutcome::Heartbeat(..) => error(503, "the disk fails"),
+            CommandOutcome::NotNow => error(503, "tasks are being killed"),
         }
     }
 
@@ -66,8 +70,8 @@
         let (method, path) = (request.method().clone(), request.uri().path().to_owned());
         match (method, path.as_str()) {
             (Method::GET, "/status") => {
-                let (told, actions) = self.core.borrow_mut().status(clock::now());
-                self.told(told, actions)
+                let (outcome, actions) = self.core.borrow_mut().status(clock::now());
+                self.outcome(outcome, actions)
             }
             (Method::POST, "/orders") => {
                 let body = Limited::new(request.into_body(), MAX_BODY_BYTES).collect();
@@ -79,8 +83,8 @@
                     Ok(commands) => commands,
                     Err(why) => return error(400, &why.to_string()),
                 };
-                let (told, actions) = self.core.borrow_mut().commands(&commands, clock::now());
-                self.told(told, actions)
+                let (outcome, actions) = self.core.borrow_mut().commands(&commands, clock::now());
+                self.outcome(outcome, actions)
             }
             _ => error(404, "no such path"),
         }
--- a/crates/agent/src/core.rs
+++ b/crates/agent/src/core.rs
@@ -16,10 +16,10 @@
 use sorrelhinge_protocol::types::{Amount, FencingToken, Incarnation, Time};
 use sorrelhinge_protocol::worker::{ExitReason, ReportedImage, TaskPhase};
 
-use self::attempts::{has_process, Held};
+use self::attempts::{has_process, AttemptEntry};
 pub use self::heartbeats::ANSWER_TIMEOUT_S;
 pub use self::messages::{
-    Action, Answer, Ending, Exit, Key, Known, Machine, Needs, Note, Recovered, Told,
+    Action, Answer, CommandOutcome, Ending, Exit, Key, Known, Machine, Needs, Note, Recovered,
 };
 
 /// A report that was sent and not answered yet.
@@ -37,7 +37,7 @@
     incarnation: Incarnation,
     sequence: u64,
     sequences_noted: u64,
-    tasks: BTreeMap<Key, Held>,
+    tasks: BTreeMap<Key, AttemptEntry>,
     /// Killed with their incarnation, not gone yet: nothing is reported until
     /// they are, since a heartbeat without them would prove that they are.
     dying: BTreeMap<Key, Amount>,
@@ -80,8 +80,8 @@
             machine,
         };
         for (key, known) in found.tasks {
-            let held = Held::recovered(known, found.needs.get(&key).copied());
-            core.tasks.insert(key, held);
+            let attempt_entry = AttemptEntry::recovered(known, found.needs.get(&key).copied());
+            core.tasks.insert(key, attempt_entry);
         }
         let mut actions = vec![Action::Note(Note::Incarnation(core.incarnation))];
         for key in found.dying {
@@ -118,13 +118,13 @@
         if now.since(self.answered) <= self.machine.lease_s {
             return;
         }
-        for (key, held) in std::mem::take(&mut self.tasks) {
-            if held.phase == TaskPhase::Ended || !has_process(&held) {
+        for (key, attempt_entry) in std::mem::take(&mut self.tasks) {
+            if attempt_entry.phase == TaskPhase::Ended || !has_process(&attempt_entry) {
                 actions.push(Action::Release(key.clone()));
                 actions.push(Action::Note(Note::Forgot(key.clone())));
                 actions.push(Action::Clean(key));
             } else {
-                let each = held.needs.map_or(Amount::default(), |n| n.each);
+                let each = attempt_entry.needs.map_or(Amount::default(), |n| n.each);
                 actions.push(Action::Kill(key.clone()));
                 self.dying.insert(key, each);
             }
--- a/crates/agent/src/core/attempts.rs
+++ b/crates/agent/src/core/attempts.rs
@@ -12,7 +12,7 @@
 
 /// An attempt that is known here.
 #[derive(Clone, Debug)]
-pub(super) struct Held {
+pub(super) struct AttemptEntry {
     pub(super) phase: TaskPhase,
     pub(super) exit_reason: Option<ExitReason>,
     pub(super) needs: Option<Needs>,
@@ -25,7 +25,7 @@
     pub(super) save_until: Option<Time>,
 }
 
-impl Held {
+impl AttemptEntry {
     /// An attempt found after a start of the agent: it runs, or has ended.
     pub(super) fn recovered(known: Known, needs: Option<Needs>) -> Self {
         let phase = match known.ended {
@@ -48,8 +48,8 @@
     /// What all attempts that have not ended take of the machine.
     fn used(&self) -> Amount {
         let mut sum = Amount::default();
-        for held in self.tasks.values().filter(|h| h.phase != TaskPhase::Ended) {
-            sum += held.needs.map_or(Amount::default(), |n| n.each);
+        for attempt_entry in self.tasks.values().filter(|h| h.phase != TaskPhase::Ended) {
+            sum += attempt_entry.needs.map_or(Amount::default(), |n| n.each);
         }
         for each in self.dying.values() {
             sum += *each;
@@ -65,12 +65,12 @@
         kept: bool,
         actions: &mut Vec<Action>,
     ) {
-        let Some(held) = self.tasks.get_mut(key) else {
+        let Some(attempt_entry) = self.tasks.get_mut(key) else {
             return;
         };
-        held.phase = TaskPhase::Ended;
-        held.exit_reason = Some(why);
-        held.save_until = None;
+        attempt_entry.phase = TaskPhase::Ended;
+        attempt_entry.exit_reason = Some(why);
+        attempt_entry.save_until = None;
         self.changed = true;
         actions.push(Action::Note(Note::Ended(key.clone(), why, kept)));
         actions.push(Action::Release(key.clone()));
@@ -91,7 +91,7 @@
     ) -> Vec<Action> {
         let mut actions = Vec::new();
         self.check_lease(now, &mut actions);
-        let waits = |h: &Held| h.phase == TaskPhase::Fetching && h.needs.is_none();
+        let waits = |h: &AttemptEntry| h.phase == TaskPhase::Fetching && h.needs.is_none();
         if !self.tasks.get(key).is_some_and(waits) {
             return actions;
         }
@@ -103,9 +103,9 @@
             }
             Ok(needs) => {
                 let mut from = Vec::new();
-                if let Some(held) = self.tasks.get_mut(key) {
-                    held.needs = Some(needs);
-                    from = std::mem::take(&mut held.from);
+                if let Some(attempt_entry) = self.tasks.get_mut(key) {
+                    attempt_entry.needs = Some(needs);
+                    from = std::mem::take(&mut attempt_entry.from);
                 }
                 if needs.image {
                     // Its room is its own from now on.
@@ -120,10 +120,10 @@
 
     /// An attempt has all that it needs: it runs.
     fn begin(&mut self, key: &Key, actions: &mut Vec<Action>) {
-        if let Some(held) = self.tasks.get_mut(key) {
-            held.phase = TaskPhase::Running;
+        if let Some(attempt_entry) = self.tasks.get_mut(key) {
+            attempt_entry.phase = TaskPhase::Running;
             self.changed = true;
-            actions.push(Action::Run(key.clone(), held.units.clone()));
+            actions.push(Action::Run(key.clone(), attempt_entry.units.clone()));
         }
     }
 
@@ -131,7 +131,8 @@
     pub fn imaged(&mut self, key: &Key, there: bool, now: Time) -> Vec<Action> {
         let mut actions = Vec::new();
         self.check_lease(now, &mut actions);
-        let waits = |h: &Held| h.phase == TaskPhase::Fetching && h.needs.is_some_and(|n| n.image);
+        let waits =
+            |h: &AttemptEntry| h.phase == TaskPhase::Fetching && h.needs.is_some_and(|n| n.image);
         if self.tasks.get(key).is_some_and(waits) {
             match there {
                 true => self.begin(key, &mut actions),
@@ -151,14 +152,14 @@
             self.changed = true;
         }
         self.check_lease(now, &mut actions);
-        let Some(held) = self.tasks.get(key).filter(|h| has_process(h)) else {
+        let Some(attempt_entry) = self.tasks.get(key).filter(|h| has_process(h)) else {
             return actions;
         };
         // A result that was reached is a result, whatever came meanwhile.
         let (why, kept) = match exit {
             Exit::Done => (ExitReason::Done, false),
             Exit::Saved => (ExitReason::Stopped, true),
-            _ if held.stopping => (ExitReason::Stopped, false),
+            _ if attempt_entry.stopping => (ExitReason::Stopped, false),
             // Nothing speaks against the machine, or the job.
             Exit::Never => (ExitReason::Stopped, false),
             Exit::Failed | Exit::Killed => (ExitReason::Error, false),
@@ -169,6 +170,6 @@
 }
 
 /// Whether a task's process was started, or is about to be.
-pub(super) fn has_process(held: &Held) -> bool {
-    matches!(held.phase, TaskPhase::Running | TaskPhase::Saving)
+pub(super) fn has_process(attempt_entry: &AttemptEntry) -> bool {
+    matches!(attempt_entry.phase, TaskPhase::Running | TaskPhase::Saving)
 }
--- a/crates/agent/src/core/commands.rs
+++ b/crates/agent/src/core/commands.rs
@@ -6,8 +6,8 @@
 use sorrelhinge_protocol::types::Time;
 use sorrelhinge_protocol::worker::{Command, DirectCommands, ExitReason, TaskPhase};
 
-use super::attempts::{has_process, Held};
-use super::{Action, Core, Key, Note, Told};
+use super::attempts::{has_process, AttemptEntry};
+use super::{Action, CommandOutcome, Core, Key, Note};
 
 /// Bytes of a heartbeat from which on nothing more is taken on.
 const FULL_HEARTBEAT_BYTES: usize = 48 << 10;
@@ -23,11 +23,15 @@
 
 impl Core {
     /// Direct commands.
-    pub fn commands(&mut self, commands: &DirectCommands, now: Time) -> (Told, Vec<Action>) {
+    pub fn commands(
+        &mut self,
+        commands: &DirectCommands,
+        now: Time,
+    ) -> (CommandOutcome, Vec<Action>) {
         let mut actions = Vec::new();
         self.check_lease(now, &mut actions);
         if !self.dying.is_empty() {
-            return (Told::NotNow, actions);
+            return (CommandOutcome::NotNow, actions);
         }
         let taken = commands.fencing_fencing_token >= self.fencing_token
             && commands.incarnation == self.incarnation;
@@ -36,18 +40,24 @@
             self.execute(&commands.commands, now, &mut actions);
         }
         let heartbeat = self.heartbeat(&mut actions);
-        (Told::Heartbeat(taken, Box::new(heartbeat)), actions)
+        (
+            CommandOutcome::Heartbeat(taken, Box::new(heartbeat)),
+            actions,
+        )
     }
 
     /// `GET /status`.
-    pub fn status(&mut self, now: Time) -> (Told, Vec<Action>) {
+    pub fn status(&mut self, now: Time) -> (CommandOutcome, Vec<Action>) {
         let mut actions = Vec::new();
         self.check_lease(now, &mut actions);
         if !self.dying.is_empty() {
-            return (Told::NotNow, actions);
+            return (CommandOutcome::NotNow, actions);
         }
         let heartbeat = self.heartbeat(&mut actions);
-        (Told::Heartbeat(true, Box::new(heartbeat)), actions)
+        (
+            CommandOutcome::Heartbeat(true, Box::new(heartbeat)),
+            actions,
+        )
     }
 
     /// Carries out commands in their order.
@@ -102,7 +112,7 @@
         }
         let refused = self.refusal(&key, &units, said);
         actions.push(Action::Note(Note::Took(key.clone(), units.clone())));
-        let held = Held {
+        let attempt_entry = AttemptEntry {
             phase: TaskPhase::Fetching,
             exit_reason: None,
             needs: None,
@@ -111,7 +121,7 @@
             stopping: false,
             save_until: None,
         };
-        self.tasks.insert(key.clone(), held);
+        self.tasks.insert(key.clone(), attempt_entry);
         self.changed = true;
         match refused {
             Some(why) => self.end(&key, why, false, actions),
@@ -121,10 +131,11 @@
 
     /// Why a start is refused, if it is; tasks take `said` bytes of a heartbeat.
     fn refusal(&self, key: &Key, units: &[(String, String)], said: usize) -> Option<ExitReason> {
-        let other =
-            |(k, h): (&Key, &Held)| k.task_name == key.task_name && h.phase != TaskPhase::Ended;
+        let other = |(k, h): (&Key, &AttemptEntry)| {
+            k.task_name == key.task_name && h.phase != TaskPhase::Ended
+        };
         let in_use = self.tasks.iter().any(other);
-        let taken = |h: &Held| {
+        let taken = |h: &AttemptEntry| {
             h.phase != TaskPhase::Ended && h.units.iter().any(|unit| units.contains(unit))
         };
         if in_use {
@@ -142,24 +153,24 @@
     /// `kill`: a task that can save does if there is time enough, any other is
     /// ended at once. It is reported as running until it is proven gone.
     fn kill(&mut self, key: &Key, grace_s: f64, now: Time, actions: &mut Vec<Action>) {
-        let Some(held) = self.tasks.get_mut(key) else {
+        let Some(attempt_entry) = self.tasks.get_mut(key) else {
             return;
         };
-        match held.phase {
+        match attempt_entry.phase {
             TaskPhase::Ended => {}
-            _ if !has_process(held) => self.end(key, ExitReason::Stopped, false, actions),
+            _ if !has_process(attempt_entry) => self.end(key, ExitReason::Stopped, false, actions),
             TaskPhase::Saving if grace_s > 0.0 => {}
             _ => {
-                let saves = held.needs.and_then(|n| n.save_s);
-                let first = !held.stopping;
-                held.stopping = true;
+                let saves = attempt_entry.needs.and_then(|n| n.save_s);
+                let first = !attempt_entry.stopping;
+                attempt_entry.stopping = true;
                 if first && saves.is_some_and(|s| grace_s >= s) {
-                    held.phase = TaskPhase::Saving;
-                    held.save_until = Some(now.after(grace_s));
+                    attempt_entry.phase = TaskPhase::Saving;
+                    attempt_entry.save_until = Some(now.after(grace_s));
                     self.changed = true;
                     actions.push(Action::Save(key.clone()));
                 } else {
-                    held.save_until = None;
+                    attempt_entry.save_until = None;
                     actions.push(Action::Kill(key.clone()));
                 }
             }
@@ -168,7 +179,7 @@
 
     /// `forget`: removes an attempt that has ended.
     fn forget(&mut self, key: Key, actions: &mut Vec<Action>) {
-        let ended = |h: &Held| h.phase == TaskPhase::Ended;
+        let ended = |h: &AttemptEntry| h.phase == TaskPhase::Ended;
         if self.tasks.get(&key).is_some_and(ended) {
             self.tasks.remove(&key);
             self.changed = true;
--- a/crates/agent/src/core/heartbeats.rs
+++ b/crates/agent/src/core/heartbeats.rs
@@ -86,8 +86,8 @@
             .map(|(k, _)| k.clone())
             .collect();
         for key in late {
-            if let Some(held) = self.tasks.get_mut(&key) {
-                held.save_until = None;
+            if let Some(attempt_entry) = self.tasks.get_mut(&key) {
+                attempt_entry.save_until = None;
             }
             actions.push(Action::Kill(key));
         }
@@ -113,11 +113,11 @@
             tasks: self
                 .tasks
                 .iter()
-                .map(|(key, held)| ReportedTask {
+                .map(|(key, attempt_entry)| ReportedTask {
                     task_name: key.task_name.clone(),
                     attempt: key.attempt,
-                    phase: held.phase,
-                    exit_reason: held.exit_reason,
+                    phase: attempt_entry.phase,
+                    exit_reason: attempt_entry.exit_reason,
                 })
                 .collect(),
             images: self.images.clone(),
--- a/crates/agent/src/core/messages.rs
+++ b/crates/agent/src/core/messages.rs
@@ -177,7 +177,7 @@
 
 /// What a direct command is answered.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Told {
+pub enum CommandOutcome {
     /// Carried out, or refused with 409: the heartbeat.
     Heartbeat(bool, Box<Heartbeat>),
     /// Tasks of an ended incarnation are still being killed: nothing may be said
--- a/crates/agent/src/download.rs
+++ b/crates/agent/src/download.rs
@@ -19,7 +19,7 @@
 /// Why an image's archive did not come.
 #[derive(Debug, thiserror::Error)]
 #[error("{image}: {exit_reason}")]
-pub struct Unfetched {
+pub struct FetchError {
     /// The image's name.
     pub image: String,
     /// What is wrong.
@@ -70,19 +70,19 @@
     }
 }
 
-/// Fetches an image's archive into a file, `most` bytes at the most.
+/// Fetches an image's archive into a file, `max` bytes at the most.
 ///
 /// # Errors
 /// The source doesn't have it or doesn't answer, or it can't be written.
-pub async fn fetch(source: &Source, image: &Image, to: &Path, most: u64) -> Result<(), Unfetched> {
+pub async fn fetch(source: &Source, image: &Image, to: &Path, max: u64) -> Result<(), FetchError> {
     let fetched = match source {
         Source::Folder(folder) => copy_archive(folder, image, to).await,
         Source::Http { server, prefix } => {
             let path = format!("{prefix}/{}", image.name);
-            download_archive(*server, &path, to, most).await
+            download_archive(*server, &path, to, max).await
         }
     };
-    fetched.map_err(|exit_reason| Unfetched {
+    fetched.map_err(|exit_reason| FetchError {
         image: image.name.clone(),
         again: exit_reason.may_pass(),
         exit_reason,
@@ -97,12 +97,12 @@
     Ok(())
 }
 
-/// Reads an archive from a server, `most` bytes at the most.
+/// Reads an archive from a server, `max` bytes at the most.
 async fn download_archive(
     server: SocketAddr,
     path: &str,
     to: &Path,
-    most: u64,
+    max: u64,
 ) -> Result<(), ArchiveError> {
     let mut sender = client::connect(server).await?;
     let response = client::send_get(&mut sender, server, path, None).await?;
@@ -111,7 +111,7 @@
     }
     let mut file = std::fs::File::create(to)?;
     let mut body = response.into_body();
-    let mut left = most;
+    let mut left = max;
     // A server that stops in the middle must not keep tasks waiting for ever.
     while let Some(frame) = timeout(STALL_TIMEOUT, body.frame()).await? {
         if let Ok(data) = frame.map_err(RequestError::from)?.into_data() {
--- a/crates/agent/src/fetch.rs
+++ b/crates/agent/src/fetch.rs
@@ -22,7 +22,7 @@
 use crate::checksums::{self, Checksums, ChecksumsError};
 use crate::clock;
 use crate::describe::Source;
-use crate::download::{self, Unfetched};
+use crate::download::{self, FetchError};
 use crate::images::{self, Image};
 use crate::part::{self, Part};
 use crate::peer_transfer::ImageServer;
@@ -53,12 +53,12 @@
 #[derive(Debug, thiserror::Error)]
 pub enum FetchFailure {
     /// The image has more bytes than there is free capacity for.
-    #[error("larger than the cache: {bytes} bytes of {most}")]
+    #[error("larger than the cache: {bytes} bytes of {max}")]
     TooLarge {
         /// The archive's bytes.
         bytes: u64,
         /// Room for images, bytes.
-        most: u64,
+        max: u64,
     },
     /// A part can't be read or written.
     #[error("the disk: {0}")]
@@ -80,10 +80,10 @@
     },
     /// The sums that an agent gave are not the origin's.
     #[error("the origin has other sums of it")]
-    OtherSums,
+    OtherChecksums,
     /// The origin did not give the archive.
     #[error(transparent)]
-    Origin(#[from] Unfetched),
+    Origin(#[from] FetchError),
     /// Nobody is left who could give a chunk.
     #[error("{why}; last: {last}")]
     GivenUp {
@@ -106,7 +106,7 @@
     /// The fetch has failed.
     Final(Failed),
     /// The sums may be wrong: they were an agent's word only.
-    SumsInDoubt(FetchFailure),
+    ChecksumsInDoubt(FetchFailure),
 }
 
 /// A failure after which the chunks that have come are of use.
@@ -145,7 +145,7 @@
     /// The folder of parts.
     pub parts: PathBuf,
     /// Room for images, bytes.
-    pub most: u64,
+    pub max: u64,
     /// One image is unpacked at a time: a fetch that was given up and begun
     /// anew must not unpack into the folder that the first still writes to.
     pub unpacking: Arc<Mutex<()>>,
@@ -168,7 +168,7 @@
             let why = match fetch.complete(&part).await {
                 Ok(bytes) => return Ok(bytes),
                 Err(CompleteError::Final(failed)) => return Err(failed),
-                Err(CompleteError::SumsInDoubt(why)) => why.to_string(),
+                Err(CompleteError::ChecksumsInDoubt(why)) => why.to_string(),
             };
             // The sums were an agent's word, which proves nothing: it may be
             // wrong, and those who gave other bytes than it says right.
@@ -181,12 +181,12 @@
 
     /// Fetches what misses of a part and unpacks it.
     async fn complete(self: &Rc<Self>, part: &Rc<Part>) -> Result<u64, CompleteError> {
-        if !part.is_whole() {
+        if !part.is_complete() {
             self.chunks(part).await.map_err(|failed| {
                 if part.serves_images() || !failed.keep {
                     CompleteError::Final(failed)
                 } else {
-                    CompleteError::SumsInDoubt(failed.why)
+                    CompleteError::ChecksumsInDoubt(failed.why)
                 }
             })?;
         }
@@ -197,7 +197,7 @@
             if full || part.serves_images() {
                 CompleteError::Final(lost(why))
             } else {
-                CompleteError::SumsInDoubt(why)
+                CompleteError::ChecksumsInDoubt(why)
             }
         })?;
         let set = part.set_whole();
@@ -238,9 +238,9 @@
         };
         let Found { known, giver } = found;
         let bytes = known.checksums.bytes;
-        if bytes > self.most {
-            let most = self.most;
-            return Err(lost(FetchFailure::TooLarge { bytes, most }));
+        if bytes > self.max {
+            let max = self.max;
+            return Err(lost(FetchFailure::TooLarge { bytes, max }));
         }
         (self.free_capacity)(bytes);
         if let Some(part) = there.filter(|p| p.text() == known.text && !known.trusted) {
@@ -255,7 +255,7 @@
 
     /// Goes on with the chunks that an earlier run left.
     async fn look(&self, part: &Rc<Part>) -> Result<(), Failed> {
-        if part.is_whole() || part.is_looked_at() {
+        if part.is_complete() || part.is_looked_at() {
             return Ok(());
         }
         let (archive, checksums) = (part.archive(), part.checksums().clone());
@@ -311,14 +311,14 @@
     async fn confirm(&self, part: &Part) -> Failed {
         let mut wait = 1.0;
         while !part.serves_images() {
-            match self.ask_origin_for_sums().await {
+            match self.ask_origin_for_checksums().await {
                 Ok(text) if text == part.text() => {
                     if let Err(error) = part.trust() {
                         tracing::error!(image = self.image.name, %error, "not handed on");
                     }
                 }
                 Ok(text) => match self.found(text, true, None) {
-                    Ok(_) => return keep(FetchFailure::OtherSums),
+                    Ok(_) => return keep(FetchFailure::OtherChecksums),
                     // Of another image of this name: the whole will tell.
                     Err(_) => break,
                 },
@@ -364,7 +364,7 @@
         let mut tries = 0;
         loop {
             tries += 1;
-            match download::fetch(&self.origin, &self.image, archive, self.most).await {
+            match download::fetch(&self.origin, &self.image, archive, self.max).await {
                 Ok(()) => return Ok(()),
                 // A busy origin is not asked again by all at the same moment.
                 Err(failed) if tries < MAX_WHOLE_TRIES && failed.again => {
@@ -379,7 +379,7 @@
 
     /// Unpacks an archive into the cache, unless it is there; its bytes.
     async fn unpack(&self, archive: PathBuf) -> std::io::Result<u64> {
-        let (image, images, most) = (self.image.clone(), self.images.clone(), self.most);
+        let (image, images, max) = (self.image.clone(), self.images.clone(), self.max);
         let unpacking = self.unpacking.clone();
         let unpacked = spawn_blocking(move || {
             let _one = unpacking.lock();
@@ -388,7 +388,7 @@
             }
             let file = File::open(&archive)?;
             file.sync_all()?;
-            images::unpack(file, &image, &images, most)
+            images::unpack(file, &image, &images, max)
         });
         unpacked
             .await
--- a/crates/agent/src/fetch/find.rs
+++ b/crates/agent/src/fetch/find.rs
@@ -15,12 +15,12 @@
 use crate::client;
 use crate::clock;
 use crate::describe::Source;
-use crate::part::KnownSums;
+use crate::part::KnownChecksums;
 use crate::sources::{Outcome, Whom};
 
 /// How long other agents are asked for sums that the job knows the sum of,
 /// before the origin is, in seconds: their own starts may be on their way.
-const SUMS_FROM_AGENTS_S: f64 = 3.0;
+const CHECKSUMS_FROM_AGENTS_S: f64 = 3.0;
 
 /// Why the origin did not say whether it has sums.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
@@ -35,7 +35,7 @@
 
 /// Sums, and which agent gave them.
 pub(super) struct Found {
-    pub(super) known: KnownSums,
+    pub(super) known: KnownChecksums,
     /// None if they are trusted.
     pub(super) giver: Option<SocketAddr>,
 }
@@ -45,17 +45,17 @@
     /// agent's word; none if nobody has any.
     pub(super) async fn find_checksums(&self) -> Result<Option<Found>, Failed> {
         let begun = clock::now();
-        if let Some(known) = &self.image.sums_sha256 {
-            if let Some(found) = self.named_sums_of_agents(known, begun).await? {
+        if let Some(known) = &self.image.checksums_sha256 {
+            if let Some(found) = self.named_checksums_of_agents(known, begun).await? {
                 return Ok(Some(found));
             }
         }
-        let other = match self.usable_sums_of_origin().await {
+        let other = match self.usable_checksums_of_origin().await {
             Ok(Some(found)) => return Ok(Some(found)),
             Ok(None) => None,
             Err(other) => Some(other),
         };
-        if let Some(found) = self.unproven_sums_of_agents(begun).await {
+        if let Some(found) = self.unproven_checksums_of_agents(begun).await {
             return Ok(Some(found));
         }
         // What the origin calls so is another image: nothing to fetch whole.
@@ -64,14 +64,14 @@
 
     /// The sums that the job names, from whichever agent gives them: their own sum
     /// tells.
-    async fn named_sums_of_agents(
+    async fn named_checksums_of_agents(
         &self,
         known: &str,
         begun: Time,
     ) -> Result<Option<Found>, Failed> {
         loop {
             for agent in self.agents() {
-                if let Ok(text) = self.sums_of_agent(agent).await {
+                if let Ok(text) = self.checksums_of_agent(agent).await {
                     if checksums::sha256(&text) == known {
                         return self.found(text, true, None).map(Some);
                     }
@@ -79,7 +79,7 @@
                 }
             }
             let waited = clock::now().since(begun);
-            if self.agents().is_empty() || waited > SUMS_FROM_AGENTS_S * (0.5 + jitter()) {
+            if self.agents().is_empty() || waited > CHECKSUMS_FROM_AGENTS_S * (0.5 + jitter()) {
                 return Ok(None);
             }
             sleep(Duration::from_secs_f64(0.2 + 0.3 * jitter())).await;
@@ -90,8 +90,8 @@
     ///
     /// # Errors
     /// They are of another image of this name: the agents may have ours.
-    async fn usable_sums_of_origin(&self) -> Result<Option<Found>, FetchFailure> {
-        let text = match self.sums_of_origin().await {
+    async fn usable_checksums_of_origin(&self) -> Result<Option<Found>, FetchFailure> {
+        let text = match self.checksums_of_origin().await {
             Ok(Some(text)) => text,
             Ok(None) => return Ok(None),
             Err(why) => {
@@ -100,7 +100,7 @@
                 return Ok(None);
             }
         };
-        let known = self.image.sums_sha256.as_ref();
+        let known = self.image.checksums_sha256.as_ref();
         let as_named = known.is_none_or(|known| *known == checksums::sha256(&text));
         match self.found(text, true, None) {
             Ok(found) if as_named => Ok(Some(found)),
@@ -121,12 +121,12 @@
 
     /// An agent's word, until the whole has proven it. Those that have begun with
     /// the image are waited for; nobody is that has not.
-    async fn unproven_sums_of_agents(&self, begun: Time) -> Option<Found> {
+    async fn unproven_checksums_of_agents(&self, begun: Time) -> Option<Found> {
         let patience = self.hands.settings().origin_after_s * (1.0 + jitter());
         let mut heard = begun;
         loop {
             for agent in self.agents() {
-                match self.sums_of_agent(agent).await {
+                match self.checksums_of_agent(agent).await {
                     Ok(text) => match self.found(text, false, Some(agent)) {
                         Ok(found) => return Some(found),
                         Err(failed) => self.drop_agent(agent, &failed),
@@ -167,7 +167,7 @@
                 sha256: checksums.sha256,
             }));
         }
-        let known = KnownSums {
+        let known = KnownChecksums {
             text,
             checksums,
             trusted,
@@ -176,16 +176,16 @@
     }
 
     /// The file of sums from another agent, or why it gave none.
-    async fn sums_of_agent(&self, agent: SocketAddr) -> Result<Bytes, Outcome> {
+    async fn checksums_of_agent(&self, agent: SocketAddr) -> Result<Bytes, Outcome> {
         let path = format!(
             "/images/{}/sums?sha256={}",
             self.image.name, self.image.sha256
         );
-        self.file_of_sums(agent, &path).await
+        self.file_of_checksums(agent, &path).await
     }
 
     /// A file of sums from a server, within the time that a source may be silent.
-    async fn file_of_sums(&self, server: SocketAddr, path: &str) -> Result<Bytes, Outcome> {
+    async fn file_of_checksums(&self, server: SocketAddr, path: &str) -> Result<Bytes, Outcome> {
         let patience = Duration::from_secs_f64(self.hands.settings().stall_s);
         let asked = timeout(patience, async {
             let line = client::connect(server).await;
@@ -197,11 +197,11 @@
     }
 
     /// The sums that the origin has beside the image; none if it has none.
-    async fn sums_of_origin(&self) -> Result<Option<Bytes>, OriginUnavailable> {
+    async fn checksums_of_origin(&self) -> Result<Option<Bytes>, OriginUnavailable> {
         let mut tries = 0;
         loop {
             tries += 1;
-            let (why, after) = match self.ask_origin_for_sums().await {
+            let (why, after) = match self.ask_origin_for_checksums().await {
                 Ok(text) => return Ok(Some(text)),
                 // Some stores say 403 of what they don't have.
                 Err(Outcome::Nothing | Outcome::Wrong) => return Ok(None),
@@ -217,7 +217,7 @@
     }
 
     /// The file of sums from the origin, or why it gave none.
-    pub(super) async fn ask_origin_for_sums(&self) -> Result<Bytes, Outcome> {
+    pub(super) async fn ask_origin_for_checksums(&self) -> Result<Bytes, Outcome> {
         let name = format!("{}.sums", self.image.name);
         match &self.origin {
             Source::Folder(folder) => {
@@ -233,7 +233,7 @@
             }
             Source::Http { server, prefix } => {
                 let path = format!("{prefix}/{name}");
-                self.file_of_sums(*server, &path).await
+                self.file_of_checksums(*server, &path).await
             }
         }
     }
--- a/crates/agent/src/fetch/http.rs
+++ b/crates/agent/src/fetch/http.rs
@@ -9,8 +9,8 @@
 use crate::sources::Outcome;
 
 /// A body of so many bytes at the most.
-pub(super) async fn body_of(response: Response<Incoming>, most: usize) -> Result<Bytes, Outcome> {
-    let body = Limited::new(response.into_body(), most);
+pub(super) async fn body_of(response: Response<Incoming>, max: usize) -> Result<Bytes, Outcome> {
+    let body = Limited::new(response.into_body(), max);
     let body = body.collect().await.map_err(|_| Outcome::Failed)?;
     Ok(body.to_bytes())
 }
--- a/crates/agent/src/images.rs
+++ b/crates/agent/src/images.rs
@@ -33,7 +33,9 @@
     /// it the sums may come from any other agent. Optional.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     #[garde(inner(length(bytes, min = 64, max = 64), custom(hexadecimal)))]
-    pub sums_sha256: Option<String>,
+    #[serde(rename = "sums_sha256")]
+    #[garde(rename("sums_sha256"))]
+    pub checksums_sha256: Option<String>,
 }
 
 /// A name that can be part of a path.
@@ -105,15 +107,15 @@
     entries: BTreeMap<String, Entry>,
     /// Parts of images that nobody waits for.
     left: BTreeMap<String, LeftPart>,
-    most_bytes: u64,
+    max_bytes: u64,
     clock: u64,
 }
 
 impl Cache {
     /// A cache of so many bytes, with the images that are there already.
-    pub fn new(most_bytes: u64, there: impl IntoIterator<Item = CachedImage>) -> Self {
+    pub fn new(max_bytes: u64, there: impl IntoIterator<Item = CachedImage>) -> Self {
         let mut cache = Self {
-            most_bytes,
+            max_bytes,
             ..Self::default()
         };
         for CachedImage { sha256, bytes } in there {
@@ -207,7 +209,7 @@
             .collect();
         idle.sort();
         let mut out = Vec::new();
-        while total > self.most_bytes {
+        while total > self.max_bytes {
             let oldest = self.left.iter().min_by_key(|(_, part)| part.left);
             let Some(sum) = oldest.map(|(sum, _)| sum.clone()) else {
                 break;
@@ -216,7 +218,7 @@
             out.push(sum);
         }
         for Idle { sha256, bytes, .. } in idle {
-            if total <= self.most_bytes {
+            if total <= self.max_bytes {
                 break;
             }
             total -= bytes;
@@ -251,16 +253,11 @@
 ///
 /// # Errors
 /// What is wrong with the archive, or the disk; then nothing is left of it.
-pub fn unpack(
-    from: impl Read,
-    image: &Image,
-    root: &Path,
-    most_bytes: u64,
-) -> std::io::Result<u64> {
+pub fn unpack(from: impl Read, image: &Image, root: &Path, max_bytes: u64) -> std::io::Result<u64> {
     let beside = root.join(format!(".{}.new", image.sha256));
     remove_folder(&beside)?;
     std::fs::create_dir_all(&beside)?;
-    let unpacked = unpack_beside(from, image, &beside, most_bytes).and_then(|bytes| {
+    let unpacked = unpack_beside(from, image, &beside, max_bytes).and_then(|bytes| {
         std::fs::rename(&beside, root.join(&image.sha256))?;
         File::open(root)?.sync_all()?;
         Ok(bytes)
@@ -285,18 +282,18 @@
     from: impl Read,
     image: &Image,
     beside: &Path,
-    most_bytes: u64,
+    max_bytes: u64,
 ) -> std::io::Result<u64> {
     let mut reader = Summing {
         from,
         sum: Sha256::new(),
-        left: most_bytes,
+        left: max_bytes,
     };
     // No path of the archive leads out of the folder.
     tar::Archive::new(&mut reader).unpack(beside)?;
     // The sum is of all bytes, also those behind the archive's end.
     std::io::copy(&mut reader, &mut std::io::sink())?;
-    let bytes = most_bytes - reader.left;
+    let bytes = max_bytes - reader.left;
     let sum = checksums::hexadecimal(reader.sum.finalize().as_slice());
     if sum != image.sha256 {
         return Err(std::io::Error::other(format!("its sum is {sum}")));
--- a/crates/agent/src/main.rs
+++ b/crates/agent/src/main.rs
@@ -155,7 +155,7 @@
 }
 
 /// Prints the sums of an archive's chunks, each of so many bytes.
-fn print_sums(file: &Path, chunk: u64) -> ExitCode {
+fn print_checksums(file: &Path, chunk: u64) -> ExitCode {
     match File::open(file).and_then(|archive| Checksums::of(archive, chunk)) {
         Ok(checksums) => {
             println!("{}", checksums.text());
@@ -208,7 +208,7 @@
             print!("{}", Description::schema());
             ExitCode::SUCCESS
         }
-        (Some(Command::Checksums { file, chunk }), _) => print_sums(&file, chunk),
+        (Some(Command::Checksums { file, chunk }), _) => print_checksums(&file, chunk),
         (Some(Command::Describe { file }), _) => describe(&file),
         (Some(Command::Status { config }), _) => print_status(&config),
         (None, Some(config)) => serve(&config, args.check),
--- a/crates/agent/src/part.rs
+++ b/crates/agent/src/part.rs
@@ -6,7 +6,7 @@
 //! | `about` | [`About`], version 1 |
 //! | `checksums` | the file of sums, as it came |
 //! | `archive` | the archive; until it is whole, holes where chunks miss |
-//! | `whole` | there once the archive's own sum was found right |
+//! | `complete` | there once the archive's own sum was found right |
 //!
 //! Which chunks are there is written nowhere: after a restart each is read and
 //! summed again, so that a crash that lost bytes can't leave one that is said
@@ -40,7 +40,7 @@
 
 /// An image's sums, as they came.
 #[derive(Clone, Debug)]
-pub struct KnownSums {
+pub struct KnownChecksums {
     /// The file of sums.
     pub text: Bytes,
     /// What it says.
@@ -58,7 +58,7 @@
     text: Bytes,
     checksums: Arc<Checksums>,
     have: RefCell<Vec<bool>>,
-    whole: Cell<bool>,
+    complete: Cell<bool>,
     /// Whether it is known which chunks are there.
     looked_at: Cell<bool>,
 }
@@ -84,7 +84,7 @@
     ///
     /// # Errors
     /// The disk's.
-    pub fn begin(root: &Path, image: &Image, known: KnownSums) -> Result<Self> {
+    pub fn begin(root: &Path, image: &Image, known: KnownChecksums) -> Result<Self> {
         remove(root, &image.sha256)?;
         let folder = folder_of(root, &image.sha256);
         std::fs::create_dir_all(&folder)?;
@@ -96,8 +96,8 @@
     }
 
     /// A part of which these chunks are there.
-    fn new(folder: PathBuf, image: &Image, known: KnownSums, have: Vec<bool>) -> Self {
-        let KnownSums {
+    fn new(folder: PathBuf, image: &Image, known: KnownChecksums, have: Vec<bool>) -> Self {
+        let KnownChecksums {
             text,
             checksums,
             trusted,
@@ -114,7 +114,7 @@
             text,
             checksums: Arc::new(checksums),
             have: RefCell::new(have),
-            whole: Cell::new(false),
+            complete: Cell::new(false),
             looked_at: Cell::new(true),
         }
     }
@@ -144,17 +144,17 @@
         if about.version != 1 || about.image.sha256 != sha256 || length != checksums.bytes {
             return Err(Error::other("it does not go together"));
         }
-        let whole = folder.join("whole").exists();
-        let have = vec![whole; checksums.chunks()];
+        let complete = folder.join("whole").exists();
+        let have = vec![complete; checksums.chunks()];
         let trusted = about.trusted;
-        let known = KnownSums {
+        let known = KnownChecksums {
             text,
             checksums,
             trusted,
         };
         let part = Self::new(folder, &about.image, known, have);
-        part.whole.set(whole);
-        part.looked_at.set(whole);
+        part.complete.set(complete);
+        part.looked_at.set(complete);
         Ok(part)
     }
 
@@ -165,7 +165,7 @@
     /// The disk's.
     pub fn of_whole(root: &Path, image: &Image, checksums: Checksums) -> Result<Self> {
         let have = vec![true; checksums.chunks()];
-        let known = KnownSums {
+        let known = KnownChecksums {
             text: Bytes::from(checksums.text()),
             checksums,
             trusted: false,
@@ -194,8 +194,8 @@
     }
     /// The archive's own sum was found right: it is what the job names. The
     /// sums have proven themselves with it.
-    pub fn is_whole(&self) -> bool {
-        self.whole.get()
+    pub fn is_complete(&self) -> bool {
+        self.complete.get()
     }
     /// Writes down that the archive's own sum was found right; the archive is
     /// on the disk.
@@ -204,12 +204,12 @@
     /// The disk's.
     pub fn set_whole(&self) -> Result<()> {
         write_whole(&self.folder.join("whole"), b"")?;
-        self.whole.set(true);
+        self.complete.set(true);
         Ok(())
     }
     /// Whether its sums, and the chunks that they prove, may be handed on.
     pub fn serves_images(&self) -> bool {
-        self.trusted.get() || self.whole.get()
+        self.trusted.get() || self.complete.get()
     }
     /// The sums were found to be the origin's.
     ///
--- a/crates/agent/src/peer_transfer.rs
+++ b/crates/agent/src/peer_transfer.rs
@@ -84,11 +84,11 @@
 impl<'a> ImageRequest<'a> {
     fn of(uri: &'a Uri) -> Self {
         let rest = uri.path().strip_prefix("/images/").unwrap_or_default();
-        let sums_of = rest.strip_suffix("/sums");
+        let checksums_of = rest.strip_suffix("/sums");
         Self {
-            name: sums_of.unwrap_or(rest),
+            name: checksums_of.unwrap_or(rest),
             sha256: uri.query().and_then(|q| q.strip_prefix("sha256=")),
-            checksums: sums_of.is_some(),
+            checksums: checksums_of.is_some(),
         }
     }
 }
@@ -165,7 +165,7 @@
             .values()
             .filter(|p| p.serves_images() && p.count() > 0)
             .collect();
-        all.sort_by_key(|p| p.is_whole());
+        all.sort_by_key(|p| p.is_complete());
         let told = all.into_iter().map(|p| ReportedImage {
             image: p.about().image.name.clone(),
             parts: p.count() as u64,
@@ -190,14 +190,14 @@
         }
         let wanted = ImageRequest::of(uri);
         match self.find(wanted.name, wanted.sha256) {
-            Ok(part) if wanted.checksums => self.answer_sums(&part),
+            Ok(part) if wanted.checksums => self.answer_checksums(&part),
             Ok(part) => self.answer_archive(&part, range).await,
             Err(refused) => *refused,
         }
     }
 
     /// The file of sums.
-    fn answer_sums(&self, part: &Part) -> Answer {
+    fn answer_checksums(&self, part: &Part) -> Answer {
         let Some(slot) = Slot::take(&self.slots) else {
             return no_slot();
         };
--- a/crates/agent/src/supervise.rs
+++ b/crates/agent/src/supervise.rs
@@ -130,20 +130,20 @@
         .stderr(Stdio::piped())
         .process_group(0)
         .spawn()?;
-    let most = task.description.log_kb * 1024;
+    let max = task.description.log_kb * 1024;
     let mut keepers = Vec::new();
     if let Some(out) = child.stdout.take() {
-        keepers.push(keep(out, folder.0.join("out"), most));
+        keepers.push(keep(out, folder.0.join("out"), max));
     }
     if let Some(err) = child.stderr.take() {
-        keepers.push(keep(err, folder.0.join("err"), most));
+        keepers.push(keep(err, folder.0.join("err"), max));
     }
     Ok((child, keepers))
 }
 
-/// Keeps a stream's latest `most` bytes, in two files of half of them each. If
+/// Keeps a stream's latest `max` bytes, in two files of half of them each. If
 /// the disk is full the rest is read and dropped: the task must not hang on it.
-fn keep(mut from: impl Read + Send + 'static, path: PathBuf, most: u64) -> JoinHandle<()> {
+fn keep(mut from: impl Read + Send + 'static, path: PathBuf, max: u64) -> JoinHandle<()> {
     std::thread::spawn(move || {
         let create = |path: &Path| -> std::io::Result<File> {
             let mut options = OpenOptions::new();
@@ -156,7 +156,7 @@
             if n == 0 {
                 return;
             }
-            if length + n as u64 > most / 2 && length > 0 {
+            if length + n as u64 > max / 2 && length > 0 {
                 let _ = std::fs::rename(&path, path.with_extension("1"));
                 file = create(&path).ok();
                 length = 0;
@@ -313,17 +313,17 @@
 /// Sets the limits that a description names; no task leaves a core file.
 fn set_limits(limits: &Limits) -> Result<(), BecomeError> {
     let mega = |n: Option<u64>| n.map(|n| n.saturating_mul(1 << 20));
-    for (resource, most) in [
+    for (resource, max) in [
         (Resource::As, mega(limits.address_mb)),
         (Resource::Fsize, mega(limits.file_mb)),
         (Resource::Nofile, limits.open_files),
         (Resource::Cpu, limits.cpu_s),
         (Resource::Core, Some(0)),
     ] {
-        let Some(most) = most else { continue };
+        let Some(max) = max else { continue };
         let limit = Rlimit {
-            current: Some(most),
-            maximum: Some(most),
+            current: Some(max),
+            maximum: Some(max),
         };
         setrlimit(resource, limit).map_err(|source| BecomeError::Limit { resource, source })?;
     }
--- a/crates/agent/tests/checksums.rs
+++ b/crates/agent/tests/checksums.rs
@@ -3,7 +3,7 @@
 use sorrelhinge_agent::checksums::{sha256, Checksums};
 
 #[test]
-fn sums_that_do_not_go_together_are_refused() {
+fn checksums_that_do_not_go_together_are_refused() {
     let bytes: Vec<u8> = (0..10_000_u32).map(|n| n as u8).collect();
     let checksums = Checksums::of(&bytes[..], 4096).expect("sums");
     assert_eq!(
--- a/crates/agent/tests/cut_sockets.rs
+++ b/crates/agent/tests/cut_sockets.rs
@@ -63,15 +63,15 @@
             // In every phase of a heartbeat or a command: from the first byte of
             // the request to the last of the answer.
             let calm = *calm.borrow();
-            let most = rng.borrow_mut().random_range(1..6000);
-            let most = if calm { usize::MAX } else { most };
+            let max = rng.borrow_mut().random_range(1..6000);
+            let max = if calm { usize::MAX } else { max };
             spawn_local(async move {
                 let Ok(far) = TcpStream::connect(to).await else {
                     return;
                 };
                 let (near_in, near_out) = near.into_split();
                 let (far_in, far_out) = far.into_split();
-                let left = Rc::new(RefCell::new(most));
+                let left = Rc::new(RefCell::new(max));
                 tokio::select! {
                     () = pass(near_in, far_out, left.clone()) => {}
                     () = pass(far_in, near_out, left) => {}
--- a/crates/agent/tests/peer_transfer.rs
+++ b/crates/agent/tests/peer_transfer.rs
@@ -65,36 +65,36 @@
 }
 
 /// A server of files, with ranges: the origin, or one that pretends to be an
-/// agent. Over `most` requests at once it answers 503.
+/// agent. Over `max` requests at once it answers 503.
 struct Server {
     addr: SocketAddr,
     files: RefCell<BTreeMap<String, Vec<u8>>>,
     /// Bytes of bodies that went out, but for sums.
     sent: Cell<u64>,
     busy: Cell<usize>,
-    most: usize,
+    max: usize,
     /// Bytes a second on each connection.
     rate: f64,
     /// Nothing behind this byte goes out.
     hold: Cell<u64>,
     /// Sums are answered 503.
-    no_sums: Cell<bool>,
+    no_checksums: Cell<bool>,
     /// Ranges are not known: it all goes out whatever is asked.
     no_ranges: Cell<bool>,
 }
 
 impl Server {
-    async fn start(most: usize, rate: f64) -> Rc<Self> {
+    async fn start(max: usize, rate: f64) -> Rc<Self> {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
         let server = Rc::new(Self {
             addr: listener.local_addr().expect("its address"),
             files: RefCell::default(),
             sent: Cell::new(0),
             busy: Cell::new(0),
-            most,
+            max,
             rate,
             hold: Cell::new(u64::MAX),
-            no_sums: Cell::new(false),
+            no_checksums: Cell::new(false),
             no_ranges: Cell::new(false),
         });
         let own = server.clone();
@@ -114,9 +114,9 @@
         files.insert(path.to_owned(), bytes.to_vec());
     }
 
-    fn image(&self, name: &str, made: &Made, with_sums: bool) {
+    fn image(&self, name: &str, made: &Made, with_checksums: bool) {
         self.put(&format!("/i/{name}"), &made.tar);
-        if with_sums {
+        if with_checksums {
             self.put(&format!("/i/{name}.sums"), &made.checksums);
         }
     }
@@ -138,7 +138,7 @@
             let to = to.parse().ok().map(|to: usize| to + 1);
             let body = file.map(|f| f[from..to.unwrap_or(f.len())].to_vec());
             let counts = !path.ends_with("sums");
-            let busy = counts && self.busy.get() >= self.most || !counts && self.no_sums.get();
+            let busy = counts && self.busy.get() >= self.max || !counts && self.no_checksums.get();
             let (status, body) = match body {
                 None => ("404 none", Vec::new()),
                 _ if busy => ("503 busy\r\nretry-after: 1", Vec::new()),
@@ -420,9 +420,9 @@
     let origin = Server::start(2, 1e9).await;
     let world = World::new(name, &origin).await;
     let mut n = 0;
-    let all = images.map(|(image, seed, with_sums)| {
+    let all = images.map(|(image, seed, with_checksums)| {
         let made = made(seed);
-        origin.image(image, &made, with_sums);
+        origin.image(image, &made, with_checksums);
         n += 1;
         world.image_job(&format!("run-{n}"), image, &made);
         made
@@ -582,8 +582,8 @@
         agent.has(&made);
         let again = origin.sent.get() - before;
         // One that was on its way when the agent ended may still have gone out.
-        let most = made.tar.len() as u64 - 18 * CHUNK;
-        assert!(again <= most, "{again} of at most {most} bytes");
+        let max = made.tar.len() as u64 - 18 * CHUNK;
+        assert!(again <= max, "{again} of at most {max} bytes");
     });
 }
 
@@ -591,7 +591,7 @@
 /// there. An agent that gives wrong sums, and bytes that go with them, is found
 /// out by the sum that the job names, and nothing of it was handed on.
 #[test]
-fn without_sums_the_whole_proves_what_an_agent_says() {
+fn without_checksums_the_whole_proves_what_an_agent_says() {
     run(async {
         let other = made(40);
         let ([made], origin, world) = set("whole", [("weights", 4, false)]).await;
@@ -627,10 +627,10 @@
 /// While the origin doesn't answer, an agent's sums do to fetch by, but not to
 /// hand on; once it has confirmed them, what is there goes out at once.
 #[test]
-fn sums_of_an_agent_are_handed_on_once_the_origin_confirms_them() {
+fn checksums_of_an_agent_are_handed_on_once_the_origin_confirms_them() {
     run(async {
         let ([made], origin, world) = set("confirm", [("weights", 9, true)]).await;
-        origin.no_sums.set(true);
+        origin.no_checksums.set(true);
         let peer = Server::start(9, 1e9).await;
         peer.put("/images/weights/sums", &made.checksums);
         peer.put("/images/weights", &made.tar);
@@ -643,7 +643,7 @@
         let (checksums, path) = ("/images/weights/sums", "/images/weights");
         assert_eq!(get(HERE, agent.addr, checksums, None).await.0, 503);
         assert_eq!(get(HERE, agent.addr, path, Some("0-9")).await.0, 503);
-        origin.no_sums.set(false);
+        origin.no_checksums.set(false);
         until("they are confirmed", async || {
             get(HERE, agent.addr, checksums, None).await == (200, made.checksums.clone())
         })
@@ -663,7 +663,7 @@
 /// An image that the job knows the sums' sum of: the sums come from an agent,
 /// and the origin is asked nothing at all.
 #[test]
-fn sums_that_the_job_names_come_from_any_agent() {
+fn checksums_that_the_job_names_come_from_any_agent() {
     run(async {
         let ([made], origin, world) = set("named", [("weights", 5, true)]).await;
         let (sha, checksums) = (sha256(&made.tar), sha256(&made.checksums));
--- a/crates/agent/tests/worker_model.rs
+++ b/crates/agent/tests/worker_model.rs
@@ -7,7 +7,7 @@
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 use sorrelhinge_agent::core::{
-    Action, Answer, Core, Exit, Key, Machine, Needs, Note, Recovered, Told,
+    Action, Answer, CommandOutcome, Core, Exit, Key, Machine, Needs, Note, Recovered,
 };
 use sorrelhinge_agent::journal::State;
 use sorrelhinge_protocol::types::{
@@ -411,8 +411,8 @@
         }
         self.act(actions)?;
         match told {
-            Told::NotNow => prop_assert!(self.model.dying()),
-            Told::Heartbeat(did, heartbeat) => {
+            CommandOutcome::NotNow => prop_assert!(self.model.dying()),
+            CommandOutcome::Heartbeat(did, heartbeat) => {
                 prop_assert_eq!(did, taken);
                 self.said(&heartbeat)?;
             }
--- a/crates/emulators/src/asking.rs
+++ b/crates/emulators/src/asking.rs
@@ -8,22 +8,23 @@
 use tokio::task::spawn_local;
 use tokio::time::sleep;
 
-use crate::history::{check, Breach, Limits};
-use crate::{ask, Told, World, CANCEL_S};
+use crate::history::{check, InvariantViolation, Limits};
+use crate::{ask, HttpResponse, World, CANCEL_S};
 
 impl World {
     /// Asks any controller, again and again until one answers with less than
     /// 500 and not 421.
-    pub async fn ask(&self, method: Method, path: &str, body: &Value) -> Told {
+    pub async fn ask(&self, method: Method, path: &str, body: &Value) -> HttpResponse {
         let end = Instant::now() + Duration::from_secs(60);
         loop {
             for (i, c) in self.controllers.iter().enumerate() {
-                let told = self
+                let response = self
                     .recorder
                     .ask(i, c.users, method.clone(), path, body)
                     .await;
-                if let Some(told) = told.filter(|(s, _)| *s < 500 && *s != 421 && *s != 429) {
-                    return told;
+                if let Some(response) = response.filter(|(s, _)| *s < 500 && *s != 421 && *s != 429)
+                {
+                    return response;
                 }
             }
             self.all_run();
@@ -39,13 +40,13 @@
         method: Method,
         path: &str,
         body: &Value,
-    ) -> Option<Told> {
+    ) -> Option<HttpResponse> {
         let address = self.address(i);
         self.recorder.ask(i, address, method, path, body).await
     }
 
     /// Asks one controller once.
-    pub async fn ask_one(&self, i: usize, path: &str) -> Option<Told> {
+    pub async fn ask_one(&self, i: usize, path: &str) -> Option<HttpResponse> {
         self.ask_once(i, Method::GET, path, &Value::Null).await
     }
 
@@ -65,18 +66,18 @@
     }
 
     /// Submits a job; `more` overrides the usual fields.
-    pub async fn submit(&self, uid: &str, more: Value) -> Told {
+    pub async fn submit(&self, uid: &str, more: Value) -> HttpResponse {
         let job = self.job(uid, more);
-        let (status, told) = self.ask(Method::POST, "/v1/jobs", &job).await;
+        let (status, response) = self.ask(Method::POST, "/v1/jobs", &job).await;
         if [200, 201].contains(&status) {
             let now = Instant::now();
             self.answered.borrow_mut().insert(uid.to_owned(), now);
         }
-        match (status, told) {
+        match (status, response) {
             // The id is new: an earlier try of this very call was accepted, and
             // its answer came too late.
-            (200, told) => (201, told),
-            told => told,
+            (200, response) => (201, response),
+            response => response,
         }
     }
 
@@ -98,12 +99,12 @@
                 let path = format!("/v1/jobs/{uid}");
                 let node = turn % users.len();
                 let asked = recorder.ask(node, users[node], Method::GET, &path, &Value::Null);
-                let told = asked.await;
-                let gone = told.as_ref().is_some_and(|(status, _)| *status == 404);
+                let response = asked.await;
+                let gone = response.as_ref().is_some_and(|(status, _)| *status == 404);
                 if gone {
                     nodes.borrow_mut().wrong.push(format!("forgotten: {uid}"));
                 }
-                if told.is_some_and(|(status, _)| status == 200) {
+                if response.is_some_and(|(status, _)| status == 200) {
                     let last = answered.borrow_mut().insert(uid, Instant::now());
                     let waited = last.map_or(Duration::ZERO, |at| at.elapsed());
                     longest.set(longest.get().max(waited));
@@ -121,8 +122,8 @@
 
     /// Delivers copies of reports that are older than so many seconds, a few of
     /// each machine, to all controllers.
-    pub async fn replay(&self, age_s: f64, most: usize) -> usize {
-        let copies = self.nodes.borrow().old_heartbeats(age_s, most);
+    pub async fn replay(&self, age_s: f64, max: usize) -> usize {
+        let copies = self.nodes.borrow().old_heartbeats(age_s, max);
         for heartbeat in &copies {
             for c in &self.controllers {
                 let _ = ask(c.users, Method::POST, "/agent/beat", heartbeat).await;
@@ -133,18 +134,18 @@
 
     /// Delivers copies of heartbeats to one controller alone: how many, and how many of
     /// them it answered with 200.
-    pub async fn replay_to(&self, i: usize, age_s: f64, most: usize) -> (usize, usize) {
-        let copies = self.nodes.borrow().old_heartbeats(age_s, most);
+    pub async fn replay_to(&self, i: usize, age_s: f64, max: usize) -> (usize, usize) {
+        let copies = self.nodes.borrow().old_heartbeats(age_s, max);
         let mut taken = 0;
         for heartbeat in &copies {
-            let told = ask(self.address(i), Method::POST, "/agent/beat", heartbeat).await;
-            taken += usize::from(told.is_some_and(|(status, _)| status == 200));
+            let response = ask(self.address(i), Method::POST, "/agent/beat", heartbeat).await;
+            taken += usize::from(response.is_some_and(|(status, _)| status == 200));
         }
         (copies.len(), taken)
     }
 
     /// Which rules the history breaks so far; the bounds are the world's own.
-    pub fn breaches(&self, starts_after_cancel: usize) -> Vec<Breach> {
+    pub fn violations(&self, starts_after_cancel: usize) -> Vec<InvariantViolation> {
         let limits = Limits {
             starts_after_cancel,
             ..Limits::new(Duration::from_secs_f64(CANCEL_S))
@@ -155,17 +156,20 @@
     /// The history breaks no rule: with so many starts after a confirmed
     /// cancellation at the most.
     pub fn history_holds(&self, starts_after_cancel: usize) {
-        let breaches = self.breaches(starts_after_cancel);
-        let said: Vec<String> = breaches.iter().map(Breach::to_string).collect();
+        let violations = self.violations(starts_after_cancel);
+        let said: Vec<String> = violations
+            .iter()
+            .map(InvariantViolation::to_string)
+            .collect();
         assert!(said.is_empty(), "{}", said.join("\n"));
     }
 
     /// What users are told of a job.
     pub async fn phase(&self, uid: &str) -> Value {
         let path = format!("/v1/jobs/{uid}");
-        let (status, told) = self.ask(Method::GET, &path, &Value::Null).await;
-        assert_eq!(status, 200, "{told}");
-        told["phase"].clone()
+        let (status, response) = self.ask(Method::GET, &path, &Value::Null).await;
+        assert_eq!(status, 200, "{response}");
+        response["phase"].clone()
     }
 
     /// Whether no task of these jobs is on a machine any more.
--- a/crates/emulators/src/cloud.rs
+++ b/crates/emulators/src/cloud.rs
@@ -11,7 +11,7 @@
 
 use crate::history::Event;
 use crate::nodes::{add, Nodes, CPUS, RAM_GB, TYPE};
-use crate::{serve, Told, ZONES};
+use crate::{serve, HttpResponse, ZONES};
 
 /// Machines that one rental gives at the most.
 const MAX_RENTAL: u64 = 8;
@@ -55,7 +55,7 @@
     }
 
     /// The answer to a request by its path.
-    fn answer(&self, path: &str, body: &Value) -> Told {
+    fn answer(&self, path: &str, body: &Value) -> HttpResponse {
         match path {
             "/machine_types" => (200, machine_types()),
             "/rentals" if self.nodes.borrow().full => (503, json!({"error": "no capacity"})),
--- a/crates/emulators/src/controllers.rs
+++ b/crates/emulators/src/controllers.rs
@@ -95,10 +95,10 @@
     /// Sends a signal to its process, if it runs.
     pub(crate) fn signal(&self, signal: &str) {
         if let Some(process) = &*self.process.borrow() {
-            let told = Command::new("kill")
+            let response = Command::new("kill")
                 .args([signal, &process.id().to_string()])
                 .status();
-            assert!(told.expect("kill").success());
+            assert!(response.expect("kill").success());
         }
     }
 
--- a/crates/emulators/src/history/check/answers.rs
+++ b/crates/emulators/src/history/check/answers.rs
@@ -7,7 +7,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use super::exchanges::{Exchange, Exchanges};
-use super::{pipelines, Breach, Rule};
+use super::{pipelines, InvariantViolation, Rule};
 use crate::history::event::{Answer, Entry, Event, JobPhase, Moment, Reason, Request};
 
 /// How far a job has come, by an answer about it: it never goes back.
@@ -30,43 +30,43 @@
 }
 
 /// The rules of this module.
-pub fn check(entries: &[Entry], exchanges: &Exchanges) -> Vec<Breach> {
+pub fn check(entries: &[Entry], exchanges: &Exchanges) -> Vec<InvariantViolation> {
     let confirmed = exchanges.confirmed_cancelled();
-    let mut breaches = Vec::new();
+    let mut violations = Vec::new();
     for (uid, about) in exchanges.by_job() {
-        breaches.extend(invented(uid, &about));
-        breaches.extend(gone_back(uid, &about));
-        breaches.extend(changed_final(uid, &about));
+        violations.extend(invented(uid, &about));
+        violations.extend(went_back(uid, &about));
+        violations.extend(changed_final(uid, &about));
         let with_another = pipelines::ancestor_cancelled(uid, exchanges, &confirmed);
-        breaches.extend(never_cancelled(uid, &about, with_another));
+        violations.extend(never_cancelled(uid, &about, with_another));
     }
-    breaches.extend(not_done(entries, exchanges));
-    breaches.extend(records(entries));
-    breaches
+    violations.extend(not_done(entries, exchanges));
+    violations.extend(records(entries));
+    violations
 }
 
 /// A 200 for a job that nobody had submitted by then.
-fn invented(uid: &str, about: &[&Exchange]) -> Vec<Breach> {
+fn invented(uid: &str, about: &[&Exchange]) -> Vec<InvariantViolation> {
     let submitted = about.iter().find_map(|e| match e.request {
         Request::Submit { .. } => Some(e.asked),
         _ => None,
     });
     let answered = about.iter().filter(|e| e.answer.status() == Some(200));
     let before = answered.filter(|e| submitted.is_none_or(|at| e.answered < at));
-    let breach = before.map(|e| Breach {
+    let violation = before.map(|e| InvariantViolation {
         rule: Rule::Invented,
         at: e.answered,
         what: format!("{uid} by node {}", e.node),
     });
-    breach.collect()
+    violation.collect()
 }
 
 /// Answers that are older than one that had arrived before their question was sent.
-fn gone_back(uid: &str, about: &[&Exchange]) -> Vec<Breach> {
+fn went_back(uid: &str, about: &[&Exchange]) -> Vec<InvariantViolation> {
     let mut by_answer: Vec<(&Exchange, Stage)> =
         about.iter().filter_map(|e| Some((*e, stage(e)?))).collect();
     by_answer.sort_by_key(|(e, _)| e.answered);
-    let mut breaches = Vec::new();
+    let mut violations = Vec::new();
     for (later, its_stage) in &by_answer {
         let known = by_answer
             .iter()
@@ -85,23 +85,23 @@
         };
         let at = later.answered;
         let what_across = what.clone();
-        breaches.push(Breach { rule, at, what });
+        violations.push(InvariantViolation { rule, at, what });
         let said_elsewhere = by_answer
             .iter()
             .any(|(e, s)| e.answered <= later.asked && s > its_stage && e.node != later.node);
         if said_elsewhere {
-            breaches.push(Breach {
+            violations.push(InvariantViolation {
                 rule: Rule::OlderAnswer,
                 at,
                 what: what_across,
             });
         }
     }
-    breaches
+    violations
 }
 
 /// Two final phases, in whatever order.
-fn changed_final(uid: &str, about: &[&Exchange]) -> Option<Breach> {
+fn changed_final(uid: &str, about: &[&Exchange]) -> Option<InvariantViolation> {
     let mut finals: Vec<(&&Exchange, JobPhase)> = about
         .iter()
         .filter_map(|e| Some((e, e.answer.phase().filter(|p| p.is_final())?)))
@@ -109,7 +109,7 @@
     finals.sort_by_key(|(e, _)| e.answered);
     let (_, first) = *finals.first()?;
     let (exchange, other) = finals.iter().find(|(_, phase)| *phase != first)?;
-    Some(Breach {
+    Some(InvariantViolation {
         rule: Rule::WentBack,
         at: exchange.answered,
         what: format!("{uid} was {first:?} and is {other:?}"),
@@ -118,7 +118,11 @@
 
 /// Called cancelled before anybody asked for it, of it or of a job that it needs.
 /// `with_another`: when such a one was told to be cancelled.
-fn never_cancelled(uid: &str, about: &[&Exchange], with_another: Option<Moment>) -> Option<Breach> {
+fn never_cancelled(
+    uid: &str,
+    about: &[&Exchange],
+    with_another: Option<Moment>,
+) -> Option<InvariantViolation> {
     if with_another.is_some() {
         return None;
     }
@@ -126,19 +130,21 @@
         Request::Cancel { .. } => Some(e.asked),
         _ => None,
     });
-    let told = about
+    let response = about
         .iter()
         .filter(|e| e.answer.phase() == Some(JobPhase::Cancelled));
-    let first = told.min_by_key(|e| e.answered)?;
-    asked.is_none_or(|at| at > first.answered).then(|| Breach {
-        rule: Rule::WentBack,
-        at: first.answered,
-        what: format!("{uid} is called cancelled, and its user didn't cancel it"),
-    })
+    let first = response.min_by_key(|e| e.answered)?;
+    asked
+        .is_none_or(|at| at > first.answered)
+        .then(|| InvariantViolation {
+            rule: Rule::WentBack,
+            at: first.answered,
+            what: format!("{uid} is called cancelled, and its user didn't cancel it"),
+        })
 }
 
 /// Jobs called done, by an answer or a record, before all their tasks were.
-fn not_done(entries: &[Entry], exchanges: &Exchanges) -> Vec<Breach> {
+fn not_done(entries: &[Entry], exchanges: &Exchanges) -> Vec<InvariantViolation> {
     let mut called: Vec<(Moment, &str)> = exchanges
         .all
         .iter()
@@ -152,7 +158,7 @@
     called.sort();
     let mut done: BTreeMap<&str, BTreeSet<u64>> = BTreeMap::new();
     let mut next = entries.iter().peekable();
-    let mut breaches = Vec::new();
+    let mut violations = Vec::new();
     for (at, uid) in called {
         while let Some(entry) = next.next_if(|e| e.at <= at) {
             if let Event::Left(attempt, Reason::Done) = &entry.event {
@@ -166,27 +172,27 @@
         let tasks = done.get(uid).map_or(0, BTreeSet::len) as u64;
         if tasks < job.tasks {
             let of = job.tasks;
-            breaches.push(Breach {
+            violations.push(InvariantViolation {
                 rule: Rule::NotDone,
                 at,
                 what: format!("{uid} is called done with {tasks} of {of} tasks done"),
             });
         }
     }
-    breaches
+    violations
 }
 
 /// A final record never becomes another one.
-fn records(entries: &[Entry]) -> Vec<Breach> {
+fn records(entries: &[Entry]) -> Vec<InvariantViolation> {
     let mut finals: BTreeMap<&str, JobPhase> = BTreeMap::new();
-    let mut breaches = Vec::new();
+    let mut violations = Vec::new();
     for entry in entries {
         let Event::Recorded { uid, phase } = &entry.event else {
             continue;
         };
         let known = finals.get(uid.as_str()).copied();
         if let Some(known) = known.filter(|known| known != phase) {
-            breaches.push(Breach {
+            violations.push(InvariantViolation {
                 rule: Rule::WentBack,
                 at: entry.at,
                 what: format!("{uid} was recorded as {known:?} and is now {phase:?}"),
@@ -195,5 +201,5 @@
             finals.insert(uid, *phase);
         }
     }
-    breaches
+    violations
 }
--- a/crates/emulators/src/history/check/cancelled.rs
+++ b/crates/emulators/src/history/check/cancelled.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use super::exchanges::Exchanges;
-use super::{Breach, Rule};
+use super::{InvariantViolation, Rule};
 use crate::history::event::{AttemptId, Entry, Event, Limits, Moment};
 
 /// An attempt's time on its machine.
@@ -49,9 +49,9 @@
     exchanges: &Exchanges,
     limits: &Limits,
     end: Moment,
-) -> Vec<Breach> {
+) -> Vec<InvariantViolation> {
     let confirmed = exchanges.confirmed_cancelled();
-    let mut breaches = Vec::new();
+    let mut violations = Vec::new();
     let mut starts = Vec::new();
     for stay in stays(entries, end) {
         let task = &stay.attempt.task;
@@ -62,7 +62,7 @@
         let machine = &stay.attempt.machine;
         if stay.to > *confirmed + limits.cancel {
             let over = (stay.to - *confirmed).as_secs_f64();
-            breaches.push(Breach {
+            violations.push(InvariantViolation {
                 rule: Rule::RanCancelled,
                 at: stay.from.max(*confirmed + limits.cancel),
                 what: format!("{name} is on {machine} until {over:.3} s after the confirmation"),
@@ -76,11 +76,11 @@
         starts.sort();
         let (at, _) = starts[limits.starts_after_cancel];
         let all: Vec<String> = starts.into_iter().map(|(_, what)| what).collect();
-        breaches.push(Breach {
+        violations.push(InvariantViolation {
             rule: Rule::StartedCancelled,
             at,
             what: format!("{} starts: {}", all.len(), all.join(", ")),
         });
     }
-    breaches
+    violations
 }
--- a/crates/emulators/src/history/check/exchanges.rs
+++ b/crates/emulators/src/history/check/exchanges.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use crate::history::event::{Answer, Entry, Event, JobPhase, Moment, Request, RequestId};
-use crate::history::job::{Job, Site, Unfit};
+use crate::history::job::{Job, RejectReason, Site};
 
 /// A question and what came of it.
 #[derive(Clone, Debug)]
@@ -108,6 +108,6 @@
 }
 
 /// Why a body must be refused; none: it can run.
-pub fn unfit(body: &serde_json::Value, site: &Site) -> Option<Unfit> {
+pub fn reject_reason(body: &serde_json::Value, site: &Site) -> Option<RejectReason> {
     Job::read_fit(body, site).err()
 }
--- a/crates/emulators/src/history/check/mod.rs
+++ b/crates/emulators/src/history/check/mod.rs
@@ -85,7 +85,7 @@
 
 /// A broken rule.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Breach {
+pub struct InvariantViolation {
     /// Which.
     pub rule: Rule,
     /// When it was broken.
@@ -94,7 +94,7 @@
     pub what: String,
 }
 
-impl fmt::Display for Breach {
+impl fmt::Display for InvariantViolation {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let at = self.at.as_secs_f64();
         write!(f, "{} at {at:.3} s: {}", self.rule.name(), self.what)
@@ -102,22 +102,22 @@
 }
 
 /// Every broken rule of a history, in the order of time.
-pub fn check(history: &History, limits: &Limits) -> Vec<Breach> {
+pub fn check(history: &History, limits: &Limits) -> Vec<InvariantViolation> {
     let mut entries: Vec<Entry> = history.entries.clone();
     entries.sort_by_key(|e| e.at);
     let exchanges = Exchanges::read(&entries, &history.site, history.end);
-    let mut breaches = placement::check(&entries, &exchanges, &history.site);
-    breaches.extend(cancelled::check(&entries, &exchanges, limits, history.end));
-    breaches.extend(answers::check(&entries, &exchanges));
-    breaches.extend(pipelines::check(&entries, &exchanges, limits));
-    breaches.extend(silence::check(&entries, &exchanges, limits));
-    breaches.extend(waiting::check(
+    let mut violations = placement::check(&entries, &exchanges, &history.site);
+    violations.extend(cancelled::check(&entries, &exchanges, limits, history.end));
+    violations.extend(answers::check(&entries, &exchanges));
+    violations.extend(pipelines::check(&entries, &exchanges, limits));
+    violations.extend(silence::check(&entries, &exchanges, limits));
+    violations.extend(waiting::check(
         &entries,
         &exchanges,
         &history.site,
         limits,
         history.end,
     ));
-    breaches.sort_by_key(|b| b.at);
-    breaches
+    violations.sort_by_key(|b| b.at);
+    violations
 }
--- a/crates/emulators/src/history/check/pipelines.rs
+++ b/crates/emulators/src/history/check/pipelines.rs
@@ -3,20 +3,20 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use super::exchanges::Exchanges;
-use super::{Breach, Rule};
+use super::{InvariantViolation, Rule};
 use crate::history::event::{Entry, Event, JobPhase, Limits, Moment, Reason};
 
 /// The rules of this module.
-pub fn check(entries: &[Entry], exchanges: &Exchanges, limits: &Limits) -> Vec<Breach> {
-    let mut breaches = too_early(entries, exchanges);
-    breaches.extend(orphaned(exchanges, limits));
-    breaches
+pub fn check(entries: &[Entry], exchanges: &Exchanges, limits: &Limits) -> Vec<InvariantViolation> {
+    let mut violations = too_early(entries, exchanges);
+    violations.extend(orphaned(exchanges, limits));
+    violations
 }
 
 /// A task starts before all tasks of all jobs that its job needs have completed.
-fn too_early(entries: &[Entry], exchanges: &Exchanges) -> Vec<Breach> {
+fn too_early(entries: &[Entry], exchanges: &Exchanges) -> Vec<InvariantViolation> {
     let mut done: BTreeMap<&str, BTreeSet<u64>> = BTreeMap::new();
-    let mut breaches = Vec::new();
+    let mut violations = Vec::new();
     for entry in entries {
         match &entry.event {
             Event::Left(attempt, Reason::Done) => {
@@ -32,7 +32,7 @@
                     let ended = done.get(need.as_str()).map_or(0, BTreeSet::len) as u64;
                     tasks.is_none_or(|tasks| ended < tasks)
                 });
-                breaches.extend(open.map(|need| Breach {
+                violations.extend(open.map(|need| InvariantViolation {
                     rule: Rule::TooEarly,
                     at: entry.at,
                     what: format!("{}/{} starts before {need} is done", task.job, task.index),
@@ -41,7 +41,7 @@
             _ => {}
         }
     }
-    breaches
+    violations
 }
 
 /// When the first job before it, directly or through others, was told to be cancelled.
@@ -56,8 +56,8 @@
     while let Some(at) = next.pop() {
         let needs = exchanges.jobs.get(at).map_or(&[][..], |j| &j.needs);
         for need in needs.iter().filter(|n| seen.insert(n.as_str())) {
-            let told = confirmed.get(need.as_str()).copied();
-            first = first.into_iter().chain(told).min();
+            let response = confirmed.get(need.as_str()).copied();
+            first = first.into_iter().chain(response).min();
             next.push(need);
         }
     }
@@ -66,7 +66,7 @@
 
 /// A job is still called queued or running more than `cancel_s` after the user of a job
 /// before it was told that that one is cancelled.
-fn orphaned(exchanges: &Exchanges, limits: &Limits) -> Vec<Breach> {
+fn orphaned(exchanges: &Exchanges, limits: &Limits) -> Vec<InvariantViolation> {
     let confirmed = exchanges.confirmed_cancelled();
     let open = exchanges.all.iter().filter(|e| {
         let phase = e.answer.phase();
@@ -76,7 +76,7 @@
         let uid = e.request.uid();
         let cancelled = ancestor_cancelled(uid, exchanges, &confirmed)?;
         // A question that was under way may be answered as things stood before.
-        (e.asked > cancelled + limits.cancel).then(|| Breach {
+        (e.asked > cancelled + limits.cancel).then(|| InvariantViolation {
             rule: Rule::Orphaned,
             at: e.answered,
             what: format!("{uid} is called {:?} by node {}", e.answer, e.node),
--- a/crates/emulators/src/history/check/placement.rs
+++ b/crates/emulators/src/history/check/placement.rs
@@ -3,8 +3,8 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use super::exchanges::{unfit, Exchanges};
-use super::{Breach, Rule};
+use super::exchanges::{reject_reason, Exchanges};
+use super::{InvariantViolation, Rule};
 use crate::history::event::{AttemptId, Entry, Event, Machine, Moment, Request, TaskName};
 use crate::history::job::{Amounts, Job, Site};
 
@@ -73,7 +73,7 @@
             return Some("not together with the job's other tasks");
         }
         let here = others.values().filter(|zone| **zone == machine.zone);
-        if here.count() as u64 >= job.most_in_zone() {
+        if here.count() as u64 >= job.max_in_zone() {
             return Some("too many of the job's tasks in the zone");
         }
         None
@@ -81,28 +81,28 @@
 }
 
 /// The rules of this module.
-pub fn check(entries: &[Entry], exchanges: &Exchanges, site: &Site) -> Vec<Breach> {
-    let mut breaches = wrongly_accepted(exchanges, site);
+pub fn check(entries: &[Entry], exchanges: &Exchanges, site: &Site) -> Vec<InvariantViolation> {
+    let mut violations = wrongly_accepted(exchanges, site);
     let mut occupancy = Occupancy::default();
     let mut started = false;
     for entry in entries {
         if let Event::Started(attempt) = &entry.event {
             started = true;
-            breaches.extend(start(&occupancy, attempt, exchanges, entry.at));
+            violations.extend(start(&occupancy, attempt, exchanges, entry.at));
         }
         occupancy.apply(&entry.event);
         if let Event::Started(attempt) = &entry.event {
-            breaches.extend(over_limit(&occupancy, attempt, exchanges, site, entry.at));
+            violations.extend(over_limit(&occupancy, attempt, exchanges, site, entry.at));
         }
     }
     if !started {
-        breaches.push(Breach {
+        violations.push(InvariantViolation {
             rule: Rule::NothingRan,
             at: entries.last().map_or(Moment::ZERO, |e| e.at),
             what: "no task was started".into(),
         });
     }
-    breaches
+    violations
 }
 
 /// What a start breaks, given what is on the machines before it.
@@ -111,29 +111,29 @@
     attempt: &AttemptId,
     exchanges: &Exchanges,
     at: Moment,
-) -> Vec<Breach> {
+) -> Vec<InvariantViolation> {
     let AttemptId { task, machine, .. } = attempt;
     let name = format!("{}/{}", task.job, task.index);
-    let breach = |rule, what| Breach { rule, at, what };
-    let mut breaches = Vec::new();
+    let violation = |rule, what| InvariantViolation { rule, at, what };
+    let mut violations = Vec::new();
     let elsewhere = occupancy.present.iter().find(|a| a.task == *task);
     if let Some(other) = elsewhere {
         let what = format!("{name} is on {} and starts on {machine}", other.machine);
-        breaches.push(breach(Rule::RanTwice, what));
+        violations.push(violation(Rule::RanTwice, what));
     }
     let (Some(job), Some(there)) = (
         exchanges.jobs.get(&task.job),
         occupancy.machines.get(machine),
     ) else {
-        return breaches;
+        return violations;
     };
     if let Some(why) = occupancy.misplaced(task, job, there) {
-        breaches.push(breach(
+        violations.push(violation(
             Rule::WrongPlace,
             format!("{name} on {machine}: {why}"),
         ));
     }
-    breaches
+    violations
 }
 
 /// Whether a team uses more than its limit once a task has started.
@@ -143,11 +143,11 @@
     exchanges: &Exchanges,
     site: &Site,
     at: Moment,
-) -> Option<Breach> {
+) -> Option<InvariantViolation> {
     let job = exchanges.jobs.get(&attempt.task.job)?;
     let team = site.team(&job.team)?;
     let used = occupancy.used_by_team(&job.team, &exchanges.jobs);
-    (!team.allows(used)).then(|| Breach {
+    (!team.allows(used)).then(|| InvariantViolation {
         rule: Rule::Quota,
         at,
         what: format!("{} uses {used:?}", job.team),
@@ -155,13 +155,13 @@
 }
 
 /// Jobs that were accepted although no submission of them can run.
-fn wrongly_accepted(exchanges: &Exchanges, site: &Site) -> Vec<Breach> {
-    let mut breaches = Vec::new();
+fn wrongly_accepted(exchanges: &Exchanges, site: &Site) -> Vec<InvariantViolation> {
+    let mut violations = Vec::new();
     for (uid, about) in exchanges.by_job() {
         for exchange in about.iter().filter(|e| e.accepts()) {
             let fit = about.iter().any(|other| match &other.request {
                 Request::Submit { body, .. } => {
-                    other.asked <= exchange.answered && unfit(body, site).is_none()
+                    other.asked <= exchange.answered && reject_reason(body, site).is_none()
                 }
                 _ => false,
             });
@@ -169,13 +169,13 @@
                 continue;
             }
             if let Request::Submit { body, .. } = &exchange.request {
-                breaches.push(Breach {
+                violations.push(InvariantViolation {
                     rule: Rule::WronglyAccepted,
                     at: exchange.answered,
-                    what: format!("{uid}: {:?}", unfit(body, site)),
+                    what: format!("{uid}: {:?}", reject_reason(body, site)),
                 });
             }
         }
     }
-    breaches
+    violations
 }
--- a/crates/emulators/src/history/check/silence.rs
+++ b/crates/emulators/src/history/check/silence.rs
@@ -4,16 +4,16 @@
 use std::time::Duration;
 
 use super::exchanges::{Exchange, Exchanges};
-use super::{Breach, Rule};
+use super::{InvariantViolation, Rule};
 use crate::history::event::{Entry, Event, Limits, Moment, Request};
 
 /// A spell in which every poll for a job failed.
-struct Spell {
+struct SilentPeriod {
     from: Moment,
     to: Moment,
 }
 
-impl Spell {
+impl SilentPeriod {
     fn length(&self) -> Duration {
         self.to.saturating_sub(self.from)
     }
@@ -25,19 +25,19 @@
 
 /// The spells of one job's polls sent from `since` on: each from its first failed
 /// poll's question to the last one's end.
-fn spells<'a>(about: impl Iterator<Item = &'a Exchange>, since: Moment) -> Vec<Spell> {
+fn spells<'a>(about: impl Iterator<Item = &'a Exchange>, since: Moment) -> Vec<SilentPeriod> {
     let mut polls: Vec<&Exchange> = about
         .filter(|e| matches!(e.request, Request::Poll { .. }) && e.asked >= since)
         .collect();
     polls.sort_by_key(|e| e.answered);
     let mut spells = Vec::new();
-    let mut open: Option<Spell> = None;
+    let mut open: Option<SilentPeriod> = None;
     for poll in polls {
         if is_answered(poll) {
             spells.extend(open.take());
             continue;
         }
-        let spell = open.get_or_insert(Spell {
+        let spell = open.get_or_insert(SilentPeriod {
             from: poll.asked,
             to: poll.answered,
         });
@@ -48,7 +48,7 @@
 }
 
 /// Whether most polls about other jobs within a spell were answered.
-fn others_are_answered(uid: &str, spell: &Spell, exchanges: &Exchanges) -> bool {
+fn others_are_answered(uid: &str, spell: &SilentPeriod, exchanges: &Exchanges) -> bool {
     let others = exchanges.all.iter().filter(|e| {
         matches!(e.request, Request::Poll { .. })
             && e.request.uid() != uid
@@ -60,13 +60,13 @@
 }
 
 /// The rules of this module.
-pub fn check(entries: &[Entry], exchanges: &Exchanges, limits: &Limits) -> Vec<Breach> {
+pub fn check(entries: &[Entry], exchanges: &Exchanges, limits: &Limits) -> Vec<InvariantViolation> {
     let accepted = exchanges.accepted();
     let over = entries
         .iter()
         .find(|e| e.event == Event::TroublesOver)
         .map(|e| e.at);
-    let mut breaches = Vec::new();
+    let mut violations = Vec::new();
     for (uid, about) in exchanges.by_job() {
         let Some(accepted) = accepted.get(uid) else {
             continue;
@@ -75,7 +75,7 @@
         for spell in spells(polls(), *accepted) {
             let long = spell.length() >= limits.polls_fail;
             if long && others_are_answered(uid, &spell, exchanges) {
-                breaches.push(Breach {
+                violations.push(InvariantViolation {
                     rule: Rule::Forgotten,
                     at: spell.from + limits.polls_fail,
                     what: format!("{uid}: all polls failed for {:?}", spell.length()),
@@ -87,7 +87,7 @@
         };
         for spell in spells(polls(), over.max(*accepted)) {
             if spell.length() >= limits.unanswered {
-                breaches.push(Breach {
+                violations.push(InvariantViolation {
                     rule: Rule::Unanswered,
                     at: spell.from + limits.unanswered,
                     what: format!("{uid}: unanswered for {:?}", spell.length()),
@@ -95,5 +95,5 @@
             }
         }
     }
-    breaches
+    violations
 }
--- a/crates/emulators/src/history/check/waiting.rs
+++ b/crates/emulators/src/history/check/waiting.rs
@@ -6,7 +6,7 @@
 
 use super::exchanges::Exchanges;
 use super::placement::Occupancy;
-use super::{Breach, Rule};
+use super::{InvariantViolation, Rule};
 use crate::history::event::{Entry, Event, Limits, Moment, Reason, Request, TaskName};
 use crate::history::job::{Job, Site};
 
@@ -149,7 +149,7 @@
     site: &Site,
     limits: &Limits,
     end: Moment,
-) -> Vec<Breach> {
+) -> Vec<InvariantViolation> {
     let over = entries.iter().position(|e| e.event == Event::TroublesOver);
     let Some(over) = over else {
         return Vec::new();
@@ -180,11 +180,11 @@
         }
     }
     let found = found.into_iter();
-    found.map(|(uid, at)| breach(uid, at, limits)).collect()
+    found.map(|(uid, at)| violation(uid, at, limits)).collect()
 }
 
-fn breach(uid: &str, at: Moment, limits: &Limits) -> Breach {
-    Breach {
+fn violation(uid: &str, at: Moment, limits: &Limits) -> InvariantViolation {
+    InvariantViolation {
         rule: Rule::LeftWaiting,
         at,
         what: format!("{uid} waited for {:?} where it could run", limits.waiting),
--- a/crates/emulators/src/history/job.rs
+++ b/crates/emulators/src/history/job.rs
@@ -59,7 +59,7 @@
 impl Team {
     /// Whether so much is within the limit.
     pub fn allows(&self, used: Amounts) -> bool {
-        let within = |used: f64, most: Option<f64>| most.is_none_or(|m| used <= m + ROUNDING);
+        let within = |used: f64, max: Option<f64>| max.is_none_or(|m| used <= m + ROUNDING);
         within(used.cpus, self.cpus_max) && within(used.cards, self.cards_max)
     }
 }
@@ -93,7 +93,7 @@
 
 /// Why a job must be refused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Unfit {
+pub enum RejectReason {
     /// A field is missing or invalid (400).
     Malformed(&'static str),
     /// Its team is not listed (422).
@@ -131,29 +131,30 @@
     pub needs: Vec<String>,
 }
 
-fn text(body: &Value, field: &'static str) -> Result<String, Unfit> {
+fn text(body: &Value, field: &'static str) -> Result<String, RejectReason> {
     let text = body[field].as_str().filter(|t| !t.is_empty());
-    text.map(str::to_owned).ok_or(Unfit::Malformed(field))
+    text.map(str::to_owned)
+        .ok_or(RejectReason::Malformed(field))
 }
 
-fn number(body: &Value, field: &'static str) -> Result<f64, Unfit> {
+fn number(body: &Value, field: &'static str) -> Result<f64, RejectReason> {
     let number = body[field].as_f64().filter(|n| *n >= 0.0);
-    number.ok_or(Unfit::Malformed(field))
+    number.ok_or(RejectReason::Malformed(field))
 }
 
-fn flag(body: &Value, field: &'static str) -> Result<bool, Unfit> {
-    body[field].as_bool().ok_or(Unfit::Malformed(field))
+fn flag(body: &Value, field: &'static str) -> Result<bool, RejectReason> {
+    body[field].as_bool().ok_or(RejectReason::Malformed(field))
 }
 
-fn optional_text(body: &Value, field: &'static str) -> Result<Option<String>, Unfit> {
+fn optional_text(body: &Value, field: &'static str) -> Result<Option<String>, RejectReason> {
     match &body[field] {
         Value::Null => Ok(None),
         _ => text(body, field).map(Some),
     }
 }
 
-fn types(body: &Value) -> Result<Option<Vec<String>>, Unfit> {
-    let wrong = Unfit::Malformed("builds");
+fn types(body: &Value) -> Result<Option<Vec<String>>, RejectReason> {
+    let wrong = RejectReason::Malformed("builds");
     match &body["builds"] {
         Value::Null => Ok(None),
         Value::Array(list) if !list.is_empty() => {
@@ -164,8 +165,8 @@
     }
 }
 
-fn needs(body: &Value) -> Result<Vec<String>, Unfit> {
-    let wrong = Unfit::Malformed("waits_on");
+fn needs(body: &Value) -> Result<Vec<String>, RejectReason> {
+    let wrong = RejectReason::Malformed("waits_on");
     match &body["waits_on"] {
         Value::Null => Ok(Vec::new()),
         Value::Array(list) => {
@@ -177,11 +178,11 @@
 }
 
 /// At most so many tasks (PROTOCOL, `tasks`).
-const MOST_TASKS: u64 = 100_000;
+const MAX_TASKS: u64 = 100_000;
 
 impl Job {
     /// Reads a body (PROTOCOL, "POST /v1/jobs").
-    pub fn read(body: &Value) -> Result<Self, Unfit> {
+    pub fn read(body: &Value) -> Result<Self, RejectReason> {
         for field in ["uid", "jobclass", "bundle"] {
             text(body, field)?;
         }
@@ -192,15 +193,15 @@
             number(body, "due_s")?;
         }
         if !["critical", "high", "normal", "idle"].contains(&text(body, "rank")?.as_str()) {
-            return Err(Unfit::Malformed("rank"));
+            return Err(RejectReason::Malformed("rank"));
         }
         let shape = text(body, "shape")?;
         if !["sweep", "standing", "ensemble"].contains(&shape.as_str()) {
-            return Err(Unfit::Malformed("shape"));
+            return Err(RejectReason::Malformed("shape"));
         }
         let tasks = body["pieces"].as_u64().unwrap_or(0);
-        if !(1..=MOST_TASKS).contains(&tasks) {
-            return Err(Unfit::Malformed("pieces"));
+        if !(1..=MAX_TASKS).contains(&tasks) {
+            return Err(RejectReason::Malformed("pieces"));
         }
         Ok(Self {
             team: text(body, "crew")?,
@@ -222,22 +223,22 @@
     }
 
     /// Reads a body and asks whether the job can ever run at the site.
-    pub fn read_fit(body: &Value, site: &Site) -> Result<Self, Unfit> {
+    pub fn read_fit(body: &Value, site: &Site) -> Result<Self, RejectReason> {
         let job = Self::read(body)?;
-        let team = site.team(&job.team).ok_or(Unfit::UnknownTeam)?;
+        let team = site.team(&job.team).ok_or(RejectReason::UnknownTeam)?;
         let at_once = match job.service || job.gang {
             true => job.tasks,
             false => 1,
         };
         if !team.allows(job.each.times(at_once as f64)) {
-            return Err(Unfit::OverLimit);
+            return Err(RejectReason::OverLimit);
         }
         let fits = site.types.iter().any(|t| {
             job.allows_type(&t.name)
                 && job.each.fits(t.free_capacity)
                 && job.zone.as_ref().is_none_or(|z| t.zones.contains(z))
         });
-        fits.then_some(job).ok_or(Unfit::FitsNoMachine)
+        fits.then_some(job).ok_or(RejectReason::FitsNoMachine)
     }
 
     /// Whether a type is allowed.
@@ -247,7 +248,7 @@
     }
 
     /// At most so many of its tasks may be in one zone.
-    pub fn most_in_zone(&self) -> u64 {
+    pub fn max_in_zone(&self) -> u64 {
         match self.spread {
             true => self.tasks.div_ceil(2),
             false => self.tasks,
--- a/crates/emulators/src/history/mod.rs
+++ b/crates/emulators/src/history/mod.rs
@@ -10,10 +10,10 @@
 mod job;
 mod record;
 
-pub use check::{check, Breach, Rule};
+pub use check::{check, InvariantViolation, Rule};
 pub use event::{
     Answer, AttemptId, Entry, Event, History, JobPhase, Limits, Machine, Moment, Reason, Request,
     RequestId, TaskName,
 };
-pub use job::{Amounts, Job, MachineType, Site, Team, Unfit};
+pub use job::{Amounts, Job, MachineType, RejectReason, Site, Team};
 pub use record::Recorder;
--- a/crates/emulators/src/history/record.rs
+++ b/crates/emulators/src/history/record.rs
@@ -10,7 +10,7 @@
 
 use super::event::{Answer, Entry, Event, History, JobPhase, Moment, Request, RequestId};
 use super::job::Site;
-use crate::{ask, Told};
+use crate::{ask, HttpResponse};
 
 struct Notes {
     site: Site,
@@ -71,8 +71,8 @@
     }
 
     /// Notes what the user is told now.
-    pub fn answered(&self, request: RequestId, told: Option<&Told>) {
-        let answer = told.map_or(Answer::Nothing, |(status, body)| {
+    pub fn answered(&self, request: RequestId, response: Option<&HttpResponse>) {
+        let answer = response.map_or(Answer::Nothing, |(status, body)| {
             let phase = body["phase"].as_str().and_then(JobPhase::parse);
             Answer::Status(*status, phase)
         });
@@ -88,13 +88,13 @@
         method: Method,
         path: &str,
         body: &Value,
-    ) -> Option<Told> {
+    ) -> Option<HttpResponse> {
         let request = read_request(&method, path, body).map(|what| self.asked(node, what));
-        let told = ask(address, method, path, body).await;
+        let response = ask(address, method, path, body).await;
         if let Some(request) = request {
-            self.answered(request, told.as_ref());
+            self.answered(request, response.as_ref());
         }
-        told
+        response
     }
 
     /// The history so far.
--- a/crates/emulators/src/lib.rs
+++ b/crates/emulators/src/lib.rs
@@ -41,7 +41,7 @@
 use cloud::Cloud;
 use controllers::{Controller, Files};
 use history::Recorder;
-use lines::Cut;
+use lines::LinkFault;
 use nodes::Nodes;
 use place::Place;
 pub use plan::{file, Plan};
@@ -55,8 +55,8 @@
 pub const CANCEL_S: f64 = 12.0;
 
 /// An answer of a stand-in: status and body.
-pub type Told = (u16, Value);
-type Answer = Pin<Box<dyn Future<Output = Told>>>;
+pub type HttpResponse = (u16, Value);
+type Answer = Pin<Box<dyn Future<Output = HttpResponse>>>;
 
 /// Serves `answer` on a listener until dropped with its task.
 pub fn serve(listener: TcpListener, answer: impl Fn(Method, String, Bytes) -> Answer + 'static) {
@@ -75,8 +75,9 @@
                         let method = request.method().clone();
                         let path = request.uri().to_string();
                         let body = request.into_body().collect().await?.to_bytes();
-                        let (status, told) = answer(method, path, body).await;
-                        let mut response = Response::new(Full::new(Bytes::from(told.to_string())));
+                        let (status, response) = answer(method, path, body).await;
+                        let mut response =
+                            Response::new(Full::new(Bytes::from(response.to_string())));
                         *response.status_mut() =
                             hyper::StatusCode::from_u16(status).unwrap_or_default();
                         Ok::<_, hyper::Error>(response)
@@ -104,20 +105,25 @@
 }
 
 /// An answer as a status and JSON; none without one.
-fn told(answer: Result<http::Answer, CallError>) -> Option<Told> {
+fn response(answer: Result<http::Answer, CallError>) -> Option<HttpResponse> {
     let answer = answer.ok()?;
-    let told = serde_json::from_slice(&answer.body).unwrap_or(Value::Null);
-    Some((answer.status.as_u16(), told))
+    let response = serde_json::from_slice(&answer.body).unwrap_or(Value::Null);
+    Some((answer.status.as_u16(), response))
 }
 
 /// Asks over HTTP; none without an answer.
-pub async fn ask(to: SocketAddr, method: Method, path: &str, body: &Value) -> Option<Told> {
-    told(call_once(to, method, path, text(body), LIMITS).await)
+pub async fn ask(to: SocketAddr, method: Method, path: &str, body: &Value) -> Option<HttpResponse> {
+    response(call_once(to, method, path, text(body), LIMITS).await)
 }
 
 /// The same over a connection that stays open.
-pub async fn ask_over(pool: &Pool, method: Method, path: &str, body: &Value) -> Option<Told> {
-    told(pool.call(method, path, text(body), LIMITS).await)
+pub async fn ask_over(
+    pool: &Pool,
+    method: Method,
+    path: &str,
+    body: &Value,
+) -> Option<HttpResponse> {
+    response(pool.call(method, path, text(body), LIMITS).await)
 }
 
 /// Everything outside the controllers, and the controllers.
@@ -134,9 +140,9 @@
     topology: Option<PathBuf>,
     sockets: Option<usize>,
     /// Each controller's lines to the other controllers.
-    cuts: Vec<watch::Sender<Cut>>,
+    cuts: Vec<watch::Sender<LinkFault>>,
     /// Each controller's line to the state service.
-    state_cuts: Vec<watch::Sender<Cut>>,
+    state_cuts: Vec<watch::Sender<LinkFault>>,
     /// When each accepted job was last asked for with an answer.
     answered: Rc<RefCell<BTreeMap<String, Instant>>>,
     unanswered: Rc<Cell<Duration>>,
@@ -275,13 +281,13 @@
 
     /// Cuts a controller off from the state service and all other controllers, or
     /// ends the cut.
-    pub fn cut(&self, i: usize, cut: Cut) {
+    pub fn cut(&self, i: usize, cut: LinkFault) {
         self.cuts[i].send_replace(cut);
         self.cut_state(i, cut);
     }
 
     /// Cuts a controller off from the state service alone, or ends the cut.
-    pub fn cut_state(&self, i: usize, cut: Cut) {
+    pub fn cut_state(&self, i: usize, cut: LinkFault) {
         self.state_cuts[i].send_replace(cut);
     }
 
@@ -372,17 +378,17 @@
 }
 
 /// What lines are cut by, one for each controller; none is cut yet.
-fn whole_lines(controllers: usize) -> Vec<watch::Sender<Cut>> {
+fn whole_lines(controllers: usize) -> Vec<watch::Sender<LinkFault>> {
     (0..controllers)
-        .map(|_| watch::Sender::new(Cut::None))
+        .map(|_| watch::Sender::new(LinkFault::None))
         .collect()
 }
 
 /// Carries each controller's line to the state service and to each other one.
 async fn start_lines(
     place: &Place,
-    cuts: &[watch::Sender<Cut>],
-    state_cuts: &[watch::Sender<Cut>],
+    cuts: &[watch::Sender<LinkFault>],
+    state_cuts: &[watch::Sender<LinkFault>],
 ) {
     for (i, state_cut) in state_cuts.iter().enumerate() {
         let (near, far) = (place.state_line(i), place.state_of(i));
--- a/crates/emulators/src/lines.rs
+++ b/crates/emulators/src/lines.rs
@@ -11,7 +11,7 @@
 
 /// How a line is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Cut {
+pub enum LinkFault {
     /// Whole.
     None,
     /// Connections end, and new ones are ended at once.
@@ -21,7 +21,7 @@
 }
 
 /// Carries connections from `at` on to `to`, as long as the line is whole.
-pub async fn line(at: SocketAddr, to: SocketAddr, cut: watch::Receiver<Cut>) {
+pub async fn line(at: SocketAddr, to: SocketAddr, cut: watch::Receiver<LinkFault>) {
     let listener = TcpListener::bind(at).await.expect("a line's address");
     spawn_local(async move {
         loop {
@@ -30,8 +30,12 @@
             };
             let cut = cut.clone();
             spawn_local(async move {
-                if cut.clone().wait_for(|c| *c != Cut::Held).await.is_err()
-                    || *cut.borrow() == Cut::Refused
+                if cut
+                    .clone()
+                    .wait_for(|c| *c != LinkFault::Held)
+                    .await
+                    .is_err()
+                    || *cut.borrow() == LinkFault::Refused
                 {
                     return;
                 }
@@ -51,18 +55,22 @@
 }
 
 /// Carries bytes one way, as long as the line is whole.
-async fn carry(mut from: OwnedReadHalf, mut to: OwnedWriteHalf, mut cut: watch::Receiver<Cut>) {
+async fn carry(
+    mut from: OwnedReadHalf,
+    mut to: OwnedWriteHalf,
+    mut cut: watch::Receiver<LinkFault>,
+) {
     let mut buffer = vec![0; 16 << 10];
     let mut end = cut.clone();
     loop {
         let read = tokio::select! {
             read = from.read(&mut buffer) => read.unwrap_or(0),
-            _ = end.wait_for(|c| *c == Cut::Refused) => 0,
+            _ = end.wait_for(|c| *c == LinkFault::Refused) => 0,
         };
-        if read == 0 || cut.wait_for(|c| *c != Cut::Held).await.is_err() {
+        if read == 0 || cut.wait_for(|c| *c != LinkFault::Held).await.is_err() {
             return;
         }
-        let refused = *cut.borrow() == Cut::Refused;
+        let refused = *cut.borrow() == LinkFault::Refused;
         if refused || to.write_all(&buffer[..read]).await.is_err() {
             return;
         }
--- a/crates/emulators/src/nodes.rs
+++ b/crates/emulators/src/nodes.rs
@@ -86,11 +86,11 @@
     /// Tasks that ended `done`.
     pub done: BTreeSet<String>,
     /// Machines whose heartbeats every controller turns away.
-    pub turned_away: BTreeSet<String>,
+    pub rejected_connections: BTreeSet<String>,
     /// The cloud has nothing to rent.
     pub full: bool,
     /// One-way lines: heartbeats get through, answers and commands don't.
-    pub deaf: Vec<Deaf>,
+    pub deaf: Vec<OneWayFault>,
     /// Heartbeats of late, if copies are to come.
     pub sent: Option<VecDeque<(Instant, String, Value)>>,
     /// A controller that is cut off from all workers, and its grant: neither
@@ -115,12 +115,12 @@
 /// A worker waits so long for an answer to its heartbeat (PROTOCOL).
 const PATIENCE: Duration = Duration::from_secs(4);
 /// Heartbeats kept to be copied.
-const MOST_SENT: usize = 6000;
+const MAX_SENT: usize = 6000;
 
 /// Machines that hear nothing: one, those of a zone, or all; of one controller with
 /// its grant, or of any.
 #[derive(Clone, Debug, Default)]
-pub struct Deaf {
+pub struct OneWayFault {
     /// Only this machine.
     pub machine: Option<String>,
     /// Only machines of this zone.
@@ -172,7 +172,7 @@
             refused_heartbeats: 0,
             others: BTreeMap::new(),
             done: BTreeSet::new(),
-            turned_away: BTreeSet::new(),
+            rejected_connections: BTreeSet::new(),
             full: false,
             deaf: Vec::new(),
             sent: None,
@@ -210,14 +210,14 @@
 
     /// Heartbeats that are older than so many seconds, the newest of those, a few of
     /// each machine, gone ones too.
-    pub fn old_heartbeats(&self, age_s: f64, most: usize) -> Vec<Value> {
+    pub fn old_heartbeats(&self, age_s: f64, max: usize) -> Vec<Value> {
         let mut taken: BTreeMap<&str, usize> = BTreeMap::new();
         let sent = self.sent.iter().flatten().rev();
         let old = sent.filter(|(at, ..)| at.elapsed().as_secs_f64() >= age_s);
         let some = old.filter(|(_, id, _)| {
             let count = taken.entry(id).or_default();
             *count += 1;
-            *count <= most
+            *count <= max
         });
         let mut some: Vec<Value> = some.map(|(.., heartbeat)| heartbeat.clone()).collect();
         some.reverse();
--- a/crates/emulators/src/nodes/faults.rs
+++ b/crates/emulators/src/nodes/faults.rs
@@ -83,7 +83,7 @@
 
     /// A machine goes on where it was, if its lease allows, and carries out the
     /// commands that came meanwhile.
-    pub fn go_on(&mut self, id: &str) -> Released {
+    pub fn resume(&mut self, id: &str) -> Released {
         self.advance(id);
         let node = self.all.get_mut(id).expect("it is there");
         let hung = node
--- a/crates/emulators/src/nodes/worker.rs
+++ b/crates/emulators/src/nodes/worker.rs
@@ -14,9 +14,9 @@
 use tokio::task::spawn_local;
 use tokio::time::sleep;
 
-use super::{Node, Nodes, CPUS, MOST_SENT, PATIENCE, RAM_GB, TYPE};
+use super::{Node, Nodes, CPUS, MAX_SENT, PATIENCE, RAM_GB, TYPE};
 use crate::history::{Amounts, Event, Machine};
-use crate::{ask_over, serve, Told, HEARTBEAT_S, ZONES};
+use crate::{ask_over, serve, HttpResponse, HEARTBEAT_S, ZONES};
 
 /// How often a worker looks at its tasks, and whether a heartbeat is due.
 const POLL_INTERVAL: Duration = Duration::from_millis(25);
@@ -125,7 +125,12 @@
 }
 
 /// The answer to direct commands, unless a fault keeps them from getting through.
-async fn commands(nodes: Rc<RefCell<Nodes>>, id: String, path: String, body: &[u8]) -> Told {
+async fn commands(
+    nodes: Rc<RefCell<Nodes>>,
+    id: String,
+    path: String,
+    body: &[u8],
+) -> HttpResponse {
     let commands = serde_json::from_slice::<DirectCommands>(body);
     if nodes.borrow().is_unreached(&id, commands.as_ref().ok()) {
         // No answer: the client gives up by itself.
@@ -198,10 +203,10 @@
             Due::Wait => continue,
             Due::Heartbeat(heartbeat) => heartbeat,
         };
-        let told = send(&nodes, &id, &pools[heartbeat.target], &heartbeat).await;
+        let response = send(&nodes, &id, &pools[heartbeat.target], &heartbeat).await;
         while_hung(&nodes, &id).await;
-        let told = told.filter(|_| heartbeat.sent.elapsed() <= PATIENCE);
-        nodes.borrow_mut().answered(&id, &heartbeat, told);
+        let response = response.filter(|_| heartbeat.sent.elapsed() <= PATIENCE);
+        nodes.borrow_mut().answered(&id, &heartbeat, response);
     }
 }
 
@@ -211,12 +216,12 @@
     id: &str,
     pool: &Pool,
     heartbeat: &DueHeartbeat,
-) -> Option<Told> {
+) -> Option<HttpResponse> {
     let (away, lost) = {
         let nodes = nodes.borrow();
         let apart = nodes.apart.is_some_and(|(at, _)| at == heartbeat.target);
         let mute = nodes.faults.mute.contains(id);
-        (nodes.turned_away.contains(id), apart || mute)
+        (nodes.rejected_connections.contains(id), apart || mute)
     };
     match (away, lost) {
         (true, _) => Some((503, Value::Null)),
@@ -268,21 +273,21 @@
     fn keep_copy(&mut self, id: &str, heartbeat: &Value) {
         if let Some(sent) = &mut self.sent {
             sent.push_back((Instant::now(), id.to_owned(), heartbeat.clone()));
-            if sent.len() > MOST_SENT {
+            if sent.len() > MAX_SENT {
                 sent.pop_front();
             }
         }
     }
 
     /// What a worker makes of the answer to its heartbeat, or of none.
-    fn answered(&mut self, id: &str, heartbeat: &DueHeartbeat, told: Option<Told>) {
+    fn answered(&mut self, id: &str, heartbeat: &DueHeartbeat, response: Option<HttpResponse>) {
         if self.all[id].gone || self.is_cut(id) {
             return;
         }
-        let told = told.filter(|_| !self.is_deaf(id, |(c, _)| c == heartbeat.target));
-        let refused = told.as_ref().is_some_and(|(status, _)| *status == 503);
+        let response = response.filter(|_| !self.is_deaf(id, |(c, _)| c == heartbeat.target));
+        let refused = response.as_ref().is_some_and(|(status, _)| *status == 503);
         self.refused_heartbeats += usize::from(refused);
-        match told {
+        match response {
             Some((200, body)) => self.replied(id, heartbeat, body),
             Some((421, body)) => {
                 let named = body["foreman"].as_str().and_then(|f| f.strip_prefix("c-"));
--- a/crates/emulators/src/place.rs
+++ b/crates/emulators/src/place.rs
@@ -28,9 +28,9 @@
 const STATES: u16 = 21_700;
 /// For whatever else listens, and how many of them.
 const MORE: u16 = 21_600;
-const MOST_MORE: usize = 32;
+const MAX_MORE: usize = 32;
 /// So many controllers at the most.
-const MOST: usize = 8;
+const MAX: usize = 8;
 /// Addresses that may be claimed: 127.240.0.0/13. No machine's address lies there.
 const FIRST: u32 = 0x7ff0_0000;
 const ADDRESSES: u32 = 1 << 19;
@@ -71,7 +71,7 @@
     /// Whether nobody listens where so many controllers would.
     fn is_free(&self, controllers: usize) -> bool {
         let own = [self.state(), self.cloud()].into_iter();
-        let own = own.chain((0..MOST_MORE).map(|n| self.more(n)));
+        let own = own.chain((0..MAX_MORE).map(|n| self.more(n)));
         let all = 0..controllers;
         let theirs = all.clone();
         let theirs = theirs.flat_map(|i| {
@@ -114,7 +114,7 @@
 
     /// Where whatever else listens, by a number below 32.
     pub fn more(&self, n: usize) -> SocketAddr {
-        assert!(n < MOST_MORE, "there are {MOST_MORE}");
+        assert!(n < MAX_MORE, "there are {MAX_MORE}");
         self.at(MORE + n as u16)
     }
 
@@ -130,12 +130,12 @@
 
     /// Where a controller's line to another one begins.
     pub fn peer_line(&self, from: usize, to: usize) -> SocketAddr {
-        self.at(PEER_LINES + (from * MOST + to) as u16)
+        self.at(PEER_LINES + (from * MAX + to) as u16)
     }
 
     /// Where that goes over to the other's own line.
     pub fn middle(&self, from: usize, to: usize) -> SocketAddr {
-        self.at(MIDDLES + (from * MOST + to) as u16)
+        self.at(MIDDLES + (from * MAX + to) as u16)
     }
 
     /// Where a controller takes the other controllers' messages.
@@ -148,6 +148,6 @@
 /// another test starts at that moment holds a copy of what is bound until it runs its
 /// own program, and then the port could not be bound again ("address already in use").
 fn listens(at: SocketAddr) -> bool {
-    let told = TcpStream::connect_timeout(&at, Duration::from_millis(200));
-    !told.is_err_and(|error| error.kind() == ErrorKind::ConnectionRefused)
+    let response = TcpStream::connect_timeout(&at, Duration::from_millis(200));
+    !response.is_err_and(|error| error.kind() == ErrorKind::ConnectionRefused)
 }
--- a/crates/emulators/src/store.rs
+++ b/crates/emulators/src/store.rs
@@ -16,8 +16,8 @@
 use tokio::time::{sleep, timeout};
 
 use crate::history::{Event, JobPhase, Recorder};
-use crate::{serve, Told};
-pub use faults::{Fate, Faults, TransactionFault};
+use crate::{serve, HttpResponse};
+pub use faults::{Faults, ScriptedOutcome, TransactionFault};
 
 struct Held {
     mod_revision: u64,
@@ -160,8 +160,8 @@
     /// An outage keeps nothing of it: it had reached the service before.
     pub fn release_late(&mut self) -> Vec<u16> {
         let late = std::mem::take(&mut self.faults.late);
-        let told = late.iter().map(|txn| self.txn(txn).0);
-        told.collect()
+        let response = late.iter().map(|txn| self.txn(txn).0);
+        response.collect()
     }
 
     /// Whether a controller is served; none: whoever asks at the common address.
@@ -217,7 +217,7 @@
     }
 
     /// A transaction on conditions (PROTOCOL, "POST /txn"): all of it, or nothing.
-    fn txn(&mut self, txn: &Value) -> Told {
+    fn txn(&mut self, txn: &Value) -> HttpResponse {
         let none = Vec::new();
         let when = txn["when"].as_array().unwrap_or(&none);
         let failed = self.failed_conditions(when);
@@ -289,7 +289,7 @@
     }
 
     /// A new lease.
-    fn grant_lease(&mut self, body: &Value) -> Told {
+    fn grant_lease(&mut self, body: &Value) -> HttpResponse {
         let id = self.leases.keys().next_back().map_or(1, |l| l + 1) + self.revision * 1000;
         let life = Duration::from_millis(body["life_ms"].as_u64().unwrap_or(1000));
         let end = Instant::now() + life;
@@ -298,7 +298,7 @@
     }
 
     /// Renews or ends a lease: `rest` is its number, and what follows.
-    fn change_lease(&mut self, method: &Method, rest: &str) -> Told {
+    fn change_lease(&mut self, method: &Method, rest: &str) -> HttpResponse {
         let id = rest.split('/').next().and_then(|n| n.parse().ok());
         let id: u64 = id.unwrap_or(0);
         if *method == Method::DELETE {
@@ -315,7 +315,7 @@
     }
 
     /// All keys under a prefix.
-    fn list(&self, path: &str) -> Told {
+    fn list(&self, path: &str) -> HttpResponse {
         let under = query(path, "under").unwrap_or_default();
         let since = query(path, "since").unwrap_or_default();
         let items: Vec<Value> = self
@@ -342,21 +342,21 @@
 }
 
 /// A transaction, as the faults of the moment have it.
-async fn transact(store: Rc<RefCell<Store>>, from: Option<usize>, txn: Value) -> Told {
-    let fate = store.borrow_mut().faults.fate(from, &txn);
-    match fate {
+async fn transact(store: Rc<RefCell<Store>>, from: Option<usize>, txn: Value) -> HttpResponse {
+    let scripted_outcome = store.borrow_mut().faults.scripted_outcome(from, &txn);
+    match scripted_outcome {
         None => return store.borrow_mut().txn(&txn),
-        Some(Fate::AnswerLost) => {
+        Some(ScriptedOutcome::AnswerLost) => {
             store.borrow_mut().txn(&txn);
         }
-        Some(Fate::Late) => store.borrow_mut().faults.late.push(txn),
+        Some(ScriptedOutcome::Late) => store.borrow_mut().faults.late.push(txn),
     }
     // The controller gives up by itself.
     std::future::pending().await
 }
 
 /// Changes of keys since a revision, once there are some or the time is up.
-async fn follow(store: Rc<RefCell<Store>>, from: Option<usize>, path: String) -> Told {
+async fn follow(store: Rc<RefCell<Store>>, from: Option<usize>, path: String) -> HttpResponse {
     let number = |name: &str| query(&path, name).and_then(|n| n.parse().ok()).unwrap_or(0);
     let (since, shard) = (number("since"), number("block_ms"));
     let under = query(&path, "under").unwrap_or_default();
--- a/crates/emulators/src/store/faults.rs
+++ b/crates/emulators/src/store/faults.rs
@@ -7,7 +7,7 @@
 
 /// What becomes of a transaction.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Fate {
+pub enum ScriptedOutcome {
     /// Carried out at once, and its answer is lost.
     AnswerLost,
     /// Not answered, and carried out once the test releases it: after newer ones.
@@ -17,7 +17,7 @@
 /// A fault that meets some transactions.
 pub struct TransactionFault {
     /// What becomes of them.
-    pub fate: Fate,
+    pub scripted_outcome: ScriptedOutcome,
     /// Only those of this controller; none: of any.
     pub controller: Option<usize>,
     /// Only those that write a key beginning so.
@@ -27,19 +27,19 @@
     /// Of those the first, and then every so many-th.
     pub every: usize,
     /// So many at the most.
-    pub most: usize,
+    pub max: usize,
 }
 
 impl TransactionFault {
     /// Meets the next transaction that writes a key beginning so.
-    pub fn next(fate: Fate, key: &'static str) -> Self {
+    pub fn next(scripted_outcome: ScriptedOutcome, key: &'static str) -> Self {
         Self {
-            fate,
+            scripted_outcome,
             controller: None,
             key,
             value: |_| true,
             every: 1,
-            most: 1,
+            max: 1,
         }
     }
 
@@ -89,16 +89,20 @@
     }
 
     /// What becomes of a transaction; none: it is carried out and answered.
-    pub(super) fn fate(&mut self, from: Option<usize>, txn: &Value) -> Option<Fate> {
+    pub(super) fn scripted_outcome(
+        &mut self,
+        from: Option<usize>,
+        txn: &Value,
+    ) -> Option<ScriptedOutcome> {
         for armed in &mut self.armed {
-            if !armed.fault.concerns(from, txn) || armed.met >= armed.fault.most {
+            if !armed.fault.concerns(from, txn) || armed.met >= armed.fault.max {
                 continue;
             }
             armed.concerned += 1;
             if (armed.concerned - 1) % armed.fault.every == 0 {
                 armed.met += 1;
                 self.met += 1;
-                return Some(armed.fault.fate);
+                return Some(armed.fault.scripted_outcome);
             }
         }
         None
--- a/crates/emulators/src/users.rs
+++ b/crates/emulators/src/users.rs
@@ -19,7 +19,7 @@
 use tokio::time::{sleep, timeout};
 
 use crate::nodes::Nodes;
-use crate::{ask, told, Told, World, LIMITS};
+use crate::{ask, response, HttpResponse, World, LIMITS};
 
 /// A user waits so long before a request that was not answered is sent again.
 const AGAIN: Duration = Duration::from_millis(100);
@@ -93,7 +93,7 @@
     /// What was wrong.
     pub wrong: Vec<String>,
     /// Answers that told how a job stands.
-    pub told: usize,
+    pub response: usize,
 }
 
 impl Answers {
@@ -104,14 +104,14 @@
         uid: &str,
         question: Question,
         asked: Instant,
-        (status, body): &Told,
+        (status, body): &HttpResponse,
         tasks_done: bool,
     ) {
         let known = self.known.entry(uid.to_owned()).or_default();
         let accepted_before = known.accepted.is_some_and(|at| at < asked);
         let mut wrong: Vec<String> = Vec::new();
         if matches!(status, 200 | 201) {
-            self.told += 1;
+            self.response += 1;
             if *status == 201 && accepted_before {
                 wrong.push("accepted twice".into());
             }
@@ -123,8 +123,8 @@
         } else if accepted_before {
             wrong.push("forgotten".into());
         }
-        let told = format!("{uid} {question:?} was answered {status} {body}");
-        let texts = wrong.into_iter().map(|what| format!("{what}: {told}"));
+        let response = format!("{uid} {question:?} was answered {status} {body}");
+        let texts = wrong.into_iter().map(|what| format!("{what}: {response}"));
         self.wrong.extend(texts);
     }
 
@@ -181,7 +181,12 @@
 
     /// Asks one controller once, and compares its answer. None: no answer, or one
     /// that tells to come back.
-    pub async fn ask(&self, controller: usize, uid: &str, question: Question) -> Option<Told> {
+    pub async fn ask(
+        &self,
+        controller: usize,
+        uid: &str,
+        question: Question,
+    ) -> Option<HttpResponse> {
         let (method, path, body) = match question {
             Question::Submit => (Method::POST, "/v1/jobs".to_owned(), self.job(uid)),
             Question::Poll => (Method::GET, format!("/v1/jobs/{uid}"), Value::Null),
@@ -193,20 +198,25 @@
         };
         let to = self.controllers[controller % self.controllers.len()];
         let asked = Instant::now();
-        let told = ask(to, method, &path, &body).await;
-        let told = told.filter(|(status, _)| *status < 500 && *status != 429)?;
+        let response = ask(to, method, &path, &body).await;
+        let response = response.filter(|(status, _)| *status < 500 && *status != 429)?;
         let done = self.tasks_done(uid);
         let mut answers = self.answers.borrow_mut();
-        answers.note(uid, question, asked, &told, done);
-        Some(told)
+        answers.note(uid, question, asked, &response, done);
+        Some(response)
     }
 
     /// Asks one controller after the other until one answers.
-    pub async fn insist(&self, first: usize, uid: &str, question: Question) -> Told {
+    pub async fn ask_until_answered(
+        &self,
+        first: usize,
+        uid: &str,
+        question: Question,
+    ) -> HttpResponse {
         let end = Instant::now() + Duration::from_secs(60);
         for controller in first.. {
-            if let Some(told) = self.ask(controller, uid, question).await {
-                return told;
+            if let Some(response) = self.ask(controller, uid, question).await {
+                return response;
             }
             assert!(
                 Instant::now() < end,
@@ -219,7 +229,7 @@
 
     /// Asks all controllers at once, `times` times within milliseconds, and repeats
     /// the submission.
-    pub async fn look_closely(&self, uid: &str, times: usize) {
+    pub async fn poll_closely(&self, uid: &str, times: usize) {
         let mut all = Vec::new();
         for _ in 0..times {
             for controller in 0..self.controllers.len() {
@@ -255,7 +265,7 @@
     pub fn answers_hold(&self) {
         let answers = self.answers.borrow();
         assert_eq!(answers.wrong, [] as [String; 0]);
-        assert!(answers.told > 0, "nobody was told anything");
+        assert!(answers.response > 0, "nobody was told anything");
     }
 }
 
@@ -265,8 +275,8 @@
 }
 
 /// Sends a body as it stands; none without an answer.
-pub async fn send_body(to: SocketAddr, path: &str, body: Bytes) -> Option<Told> {
-    told(call_once(to, Method::POST, path, body, LIMITS).await)
+pub async fn send_body(to: SocketAddr, path: &str, body: Bytes) -> Option<HttpResponse> {
+    response(call_once(to, Method::POST, path, body, LIMITS).await)
 }
 
 /// Sends bytes as they stand on a connection of their own, and tells the status that
--- a/crates/emulators/tests/history.rs
+++ b/crates/emulators/tests/history.rs
@@ -150,8 +150,8 @@
     }
 
     fn broken_by(&self, limits: &Limits) -> Vec<&'static str> {
-        let breaches = check(&self.0, limits);
-        let mut names: Vec<&str> = breaches.iter().map(|b| b.rule.name()).collect();
+        let violations = check(&self.0, limits);
+        let mut names: Vec<&str> = violations.iter().map(|b| b.rule.name()).collect();
         names.sort_unstable();
         names.dedup();
         names
--- a/crates/image-distribution/examples/rollout.rs
+++ b/crates/image-distribution/examples/rollout.rs
@@ -12,7 +12,7 @@
 
 use clap::Parser;
 use hdrhistogram::Histogram;
-use sorrelhinge_image_distribution::plan::{Has, Limits, Ran, Rollout, Source, Uploads};
+use sorrelhinge_image_distribution::plan::{Has, Limits, RecentImages, Rollout, Source, Uploads};
 use sorrelhinge_protocol::types::{Image, MachineId};
 
 /// Weights for many machines, in virtual time.
@@ -75,7 +75,7 @@
     /// A machine that is never lost has no image at the end.
     WithoutImage(usize),
     /// A source gives to more machines than it has links; none: the origin.
-    TooManyAtOnce { source: Option<usize>, most: usize },
+    TooManyAtOnce { source: Option<usize>, max: usize },
     /// The rollout has written nothing.
     NoRecord,
     /// The rollout's record is not read by this version.
@@ -89,8 +89,8 @@
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
             Self::WithoutImage(machine) => write!(f, "vm-{machine:05} stays without the image"),
-            Self::TooManyAtOnce { source, most } => {
-                write!(f, "{source:?} gives to more than {most} at once")
+            Self::TooManyAtOnce { source, max } => {
+                write!(f, "{source:?} gives to more than {max} at once")
             }
             Self::NoRecord => write!(f, "no record"),
             Self::OtherVersion => write!(f, "a record of another version"),
@@ -107,7 +107,7 @@
 
 /// Whole images only, from the origin and, if `hand_on`, from machines that have
 /// it; who loses its source begins again.
-fn whole(lost: &[f64], fetch_s: f64, hand_on: bool) -> Outcome {
+fn complete(lost: &[f64], fetch_s: f64, hand_on: bool) -> Outcome {
     // Free sources by time; the origin's links come first and never end.
     let key = |t: f64, who: usize| Reverse((t.to_bits(), who));
     let mut free: BinaryHeap<_> = (0..ORIGIN_LINKS).map(|_| key(0.0, usize::MAX)).collect();
@@ -410,10 +410,10 @@
     /// Full rate was assumed: nobody may have given to two at once.
     fn check_rates(&self) -> Result<(), RolloutError> {
         for (source, uses) in &self.busy {
-            let most = if source.is_some() { 1 } else { ORIGIN_LINKS };
-            if at_once(uses) > most {
+            let max = if source.is_some() { 1 } else { ORIGIN_LINKS };
+            if at_once(uses) > max {
                 let source = *source;
-                return Err(RolloutError::TooManyAtOnce { source, most });
+                return Err(RolloutError::TooManyAtOnce { source, max });
             }
         }
         Ok(())
@@ -463,9 +463,9 @@
     // As the controller keeps its machines: by name.
     let stay = started.iter().filter(|s| lost[s.machine].is_infinite());
     let stay: BTreeMap<_, _> = stay.map(|s| (id(s.machine), path(s.machine))).collect();
-    let ran: Vec<Ran> = stay
+    let ran: Vec<RecentImages> = stay
         .iter()
-        .map(|(m, path)| Ran {
+        .map(|(m, path)| RecentImages {
             machine: m.clone(),
             path,
             has: Has::Part(0.5),
@@ -541,8 +541,8 @@
     let each = Histogram::new_with_max(10_000_000_000, 3)?;
     let mut times = Decisions { each, resume_ns: 0 };
     let plans = [
-        ("flat", whole(&lost, fetch_s, false)),
-        ("tree", whole(&lost, fetch_s, true)),
+        ("flat", complete(&lost, fetch_s, false)),
+        ("tree", complete(&lost, fetch_s, true)),
         ("ours", ours(&lost, args, &mut times)?),
     ];
     for (plan, outcome) in &plans {
--- a/crates/image-distribution/src/fetch_timeout.rs
+++ b/crates/image-distribution/src/fetch_timeout.rs
@@ -53,7 +53,7 @@
 /// What it costs to give up a fetch, in seconds: those spent on it, for each
 /// second that it still needs. `progress` from 0 to 1: nothing at its beginning,
 /// a fetch's time half way, nine times that shortly before its end.
-pub fn give_up_cost(progress: f64, fetch_s: f64) -> f64 {
+pub fn abandon_cost(progress: f64, fetch_s: f64) -> f64 {
     let done = if progress.is_nan() {
         0.0
     } else {
--- a/crates/image-distribution/src/plan.rs
+++ b/crates/image-distribution/src/plan.rs
@@ -24,7 +24,7 @@
 use sorrelhinge_protocol::types::{Image, MachineId};
 
 use self::node::{Node, State, Up};
-pub use self::takeover::{Has, Ran};
+pub use self::takeover::{Has, RecentImages};
 pub use self::uploads::{Limits, Source, Uploads};
 use crate::locality::{Domain, Locality, Seat};
 use crate::record::{RolloutRecord, VERSION};
@@ -55,7 +55,7 @@
     heads: BTreeMap<Domain, u32>,
     wants: u32,
     fetches: u32,
-    whole: u32,
+    complete: u32,
     hand_on: u32,
     copies: u64,
     crossings: u64,
@@ -80,7 +80,7 @@
             heads: BTreeMap::new(),
             wants: 0,
             fetches: 0,
-            whole: 0,
+            complete: 0,
             hand_on: 0,
             copies: 0,
             crossings: 0,
@@ -104,7 +104,7 @@
 
     /// Machines that want it, that fetch it, that have it.
     pub fn counts(&self) -> (u32, u32, u32) {
-        (self.wants, self.fetches, self.whole)
+        (self.wants, self.fetches, self.complete)
     }
 
     /// Nobody wants or fetches it any more: its record may be deleted.
@@ -133,9 +133,9 @@
         }
     }
 
-    /// A machine that wants the image, or has it (`whole`). Its path: zone, rack,
+    /// A machine that wants the image, or has it (`complete`). Its path: zone, rack,
     /// switch as far as known. One that is in the rollout already stays as it is.
-    pub fn join(&mut self, machine: MachineId, path: &[String], whole: bool) {
+    pub fn join(&mut self, machine: MachineId, path: &[String], complete: bool) {
         if self.seats.contains_key(&machine) {
             return;
         }
@@ -143,9 +143,9 @@
         let node = self.node_of(machine.clone(), path);
         self.nodes.insert(seat, node);
         self.seats.insert(machine, seat);
-        if whole {
-            self.whole += 1;
-            self.change(seat, |n| n.state = State::Whole);
+        if complete {
+            self.complete += 1;
+            self.change(seat, |n| n.state = State::Complete);
         } else {
             self.wants += 1;
         }
@@ -168,7 +168,7 @@
         }
         // A rollout widens only while somebody has the image to hand on: if all
         // seeds were refused, each stage more would ask the origin for more.
-        let flows = self.whole > 0 || (self.fetches > 0 && !self.refused(now));
+        let flows = self.complete > 0 || (self.fetches > 0 && !self.refused(now));
         let full = self.wants > 0 && self.fetches >= self.allowed();
         if full && flows && self.stage < LAST_STAGE {
             return Some(record(self.stage + 1));
@@ -192,7 +192,7 @@
             return false;
         };
         match node.state {
-            State::Whole | State::Fetches => true,
+            State::Complete | State::Fetches => true,
             State::Wants => {
                 self.written.is_some()
                     && self.fetches < self.allowed()
@@ -211,7 +211,7 @@
         };
         let node = &self.nodes[&seat];
         match node.state {
-            State::Whole => return Vec::new(),
+            State::Complete => return Vec::new(),
             State::Fetches => return self.named(node),
             State::Wants => {}
         }
@@ -236,14 +236,14 @@
             return;
         };
         match self.nodes[&seat].state {
-            State::Whole => return,
+            State::Complete => return,
             State::Wants => self.wants -= 1,
             State::Fetches => self.fetches -= 1,
         }
-        self.whole += 1;
+        self.complete += 1;
         self.detach(seat, uploads);
         self.change(seat, |n| {
-            n.state = State::Whole;
+            n.state = State::Complete;
             n.assumed = 0;
             n.depth = 0;
             n.from.clear();
@@ -271,7 +271,7 @@
         match node.state {
             State::Wants => self.wants -= 1,
             State::Fetches => self.fetches -= 1,
-            State::Whole => self.whole -= 1,
+            State::Complete => self.complete -= 1,
         }
     }
 
--- a/crates/image-distribution/src/plan/choice.rs
+++ b/crates/image-distribution/src/plan/choice.rs
@@ -30,7 +30,7 @@
     /// Machines that may fetch at once.
     pub(super) fn allowed(&self) -> u32 {
         let stage = FIRST_STAGE_MACHINES * STAGE_GROWTH_FACTOR.pow(self.stage.min(LAST_STAGE));
-        stage.max(self.whole)
+        stage.max(self.complete)
     }
 
     /// Machines of a zone that had their copies from outside it.
@@ -68,9 +68,9 @@
         }
         // Whoever shares a source gets half of its rate: better than to wait for
         // minutes, and than another copy from outside.
-        let most = self.limits.slots.saturating_sub(1);
-        let shared = self.free(zone, most, uploads);
-        let other = || self.free(ALL, most, uploads);
+        let max = self.limits.slots.saturating_sub(1);
+        let shared = self.free(zone, max, uploads);
+        let other = || self.free(ALL, max, uploads);
         if let Some(r) = shared.or_else(other) {
             return Some(Up::From(r.seat));
         }
@@ -80,13 +80,13 @@
         (origin && self.hand_on == 0).then_some(Up::Origin)
     }
 
-    /// The best source of a domain with at most `most` uploads, those of other
+    /// The best source of a domain with at most `max` uploads, those of other
     /// images counted.
-    fn free(&self, domain: Domain, most: u32, uploads: &Uploads) -> Option<Rank> {
+    fn free(&self, domain: Domain, max: u32, uploads: &Uploads) -> Option<Rank> {
         let few = self.locality.of(domain).take(MAX_SOURCES_LOOKED_AT);
-        few.take_while(|r| r.load <= most).find(|r| {
+        few.take_while(|r| r.load <= max).find(|r| {
             let all = self.nodes.get(&r.seat).map(|n| uploads.of(&n.id));
-            all.is_some_and(|all| all <= most)
+            all.is_some_and(|all| all <= max)
         })
     }
 
@@ -101,14 +101,17 @@
         from.extend(node.from.iter().filter(alive));
         from.truncate(self.limits.sources);
         if node.up != Up::Origin && from.len() < self.limits.sources {
-            let whole = self
+            let complete = self
                 .locality
                 .of(zone)
                 .take(MAX_SOURCES_LOOKED_AT)
                 .map(|r| r.seat);
-            let whole =
-                whole.filter(|s| self.nodes.get(s).is_some_and(|n| n.state == State::Whole));
-            let more: Vec<Seat> = whole
+            let complete = complete.filter(|s| {
+                self.nodes
+                    .get(s)
+                    .is_some_and(|n| n.state == State::Complete)
+            });
+            let more: Vec<Seat> = complete
                 .filter(|s| !from.contains(s))
                 .take(MAX_OTHER_SOURCES)
                 .collect();
--- a/crates/image-distribution/src/plan/node.rs
+++ b/crates/image-distribution/src/plan/node.rs
@@ -11,7 +11,7 @@
 pub(super) enum State {
     Wants,
     Fetches,
-    Whole,
+    Complete,
 }
 
 /// Where a machine takes the image from.
--- a/crates/image-distribution/src/plan/takeover.rs
+++ b/crates/image-distribution/src/plan/takeover.rs
@@ -13,14 +13,14 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Has {
     /// A task has run on it here.
-    Whole,
+    Complete,
     /// It fetches; so much is there (0 to 1), 0 if not known.
     Part(f64),
 }
 
 /// A machine as a successor finds it.
 #[derive(Clone, Debug)]
-pub struct Ran<'a> {
+pub struct RecentImages<'a> {
     /// The machine.
     pub machine: MachineId,
     /// Its failure domains, the zone first.
@@ -39,7 +39,7 @@
     pub fn resume<'a>(
         record: &RolloutRecord,
         limits: Limits,
-        ran: impl IntoIterator<Item = Ran<'a>>,
+        ran: impl IntoIterator<Item = RecentImages<'a>>,
         uploads: &mut Uploads,
         now: f64,
     ) -> Option<Self> {
@@ -52,7 +52,7 @@
         rollout.written = Some(record.clone());
         let seeds: BTreeSet<&MachineId> = record.seeds.iter().collect();
         // In order of names, whatever order they come in: all draw the same.
-        let mut ran: Vec<Ran> = ran.into_iter().collect();
+        let mut ran: Vec<RecentImages> = ran.into_iter().collect();
         ran.sort_by(|a, b| a.machine.cmp(&b.machine));
         ran.dedup_by(|b, a| a.machine == b.machine);
         let mut ranks = Vec::with_capacity(ran.len());
@@ -77,7 +77,7 @@
     /// it, and as a seed if it is one. `stage`: the one that the record names.
     fn adopt(
         &mut self,
-        ran: &Ran,
+        ran: &RecentImages,
         seeds: &BTreeSet<&MachineId>,
         stage: u32,
         uploads: &mut Uploads,
@@ -86,9 +86,9 @@
         let seat = self.take_seat();
         let mut node = self.node_of(ran.machine.clone(), ran.path);
         match ran.has {
-            Has::Whole => {
-                node.state = State::Whole;
-                self.whole += 1;
+            Has::Complete => {
+                node.state = State::Complete;
+                self.complete += 1;
             }
             Has::Part(done) => {
                 node.state = State::Fetches;
--- a/crates/image-distribution/tests/model.rs
+++ b/crates/image-distribution/tests/model.rs
@@ -6,9 +6,9 @@
 
 use proptest::prelude::*;
 use sorrelhinge_image_distribution::fetch_timeout::{
-    evictable, fetch_allowance_s, give_up_cost, threshold_s, Cached,
+    abandon_cost, evictable, fetch_allowance_s, threshold_s, Cached,
 };
-use sorrelhinge_image_distribution::plan::{Has, Limits, Ran, Rollout, Source, Uploads};
+use sorrelhinge_image_distribution::plan::{Has, Limits, RecentImages, Rollout, Source, Uploads};
 use sorrelhinge_image_distribution::record::RolloutRecord;
 use sorrelhinge_protocol::types::{Image, MachineId};
 
@@ -248,11 +248,11 @@
         let of = |m: &MachineId| (m.clone(), path(m));
         let paths: BTreeMap<MachineId, Vec<String>> = self.agents.keys().map(of).collect();
         let started = self.agents.iter().filter(|(_, a)| a.from.is_some());
-        let ran = started.map(|(m, a)| Ran {
+        let ran = started.map(|(m, a)| RecentImages {
             machine: m.clone(),
             path: &paths[m],
             has: match a.parts {
-                PARTS => Has::Whole,
+                PARTS => Has::Complete,
                 n => Has::Part(n as f64 / PARTS as f64),
             },
         });
@@ -296,9 +296,8 @@
         }
         let there = self.agents.keys().cloned().collect();
         let planned = self.limits.per_zone as usize;
-        let most = if self.quiet { planned } else { usize::MAX };
-        check(&self.sources(), &there, self.limits.slots as usize, most)
-            .map_err(TestCaseError::fail)
+        let max = if self.quiet { planned } else { usize::MAX };
+        check(&self.sources(), &there, self.limits.slots as usize, max).map_err(TestCaseError::fail)
     }
     /// One part for each that can have it.
     fn transfer(&mut self, step: u32) {
@@ -308,7 +307,7 @@
             .map(|(m, a)| (m.clone(), (a.parts, a.slow)))
             .collect();
         let mut given: BTreeMap<MachineId, u32> = BTreeMap::new();
-        let mut whole = Vec::new();
+        let mut complete = Vec::new();
         for (m, a) in self.agents.iter_mut() {
             let Some(from) = a.from.as_ref().filter(|_| a.parts < PARTS) else {
                 continue;
@@ -333,10 +332,10 @@
             }
             a.parts += 1;
             if a.parts == PARTS {
-                whole.push(m.clone());
+                complete.push(m.clone());
             }
         }
-        for m in whole {
+        for m in complete {
             self.rollout.arrived(&m, &mut self.uploads);
         }
     }
@@ -494,14 +493,14 @@
 #[test]
 fn patience_grows_with_the_fetch() {
     // As measured for images of seconds, and no more than before for them.
-    for (fetch_s, most_s) in [(20.0, 1.0), (100.0, 5.0), (280.0, 14.0), (4_000.0, 30.0)] {
-        assert_eq!(threshold_s(fetch_s), most_s);
+    for (fetch_s, max_s) in [(20.0, 1.0), (100.0, 5.0), (280.0, 14.0), (4_000.0, 30.0)] {
+        assert_eq!(threshold_s(fetch_s), max_s);
     }
     // The slowest fetch that was measured in a rollout is within its allowance.
     assert!(fetch_allowance_s(140.0, 0.5) > 2.0 * 280.0);
-    assert_eq!(give_up_cost(0.0, 280.0), 0.0);
-    assert!(give_up_cost(0.9, 280.0) > 8.0 * give_up_cost(0.5, 280.0));
-    assert!(give_up_cost(1.0, 280.0).is_finite());
+    assert_eq!(abandon_cost(0.0, 280.0), 0.0);
+    assert!(abandon_cost(0.9, 280.0) > 8.0 * abandon_cost(0.5, 280.0));
+    assert!(abandon_cost(1.0, 280.0).is_finite());
 }
 
 /// An upgrade must not evict the version that serves, nor one that is handed on.
--- a/crates/overload/src/admission.rs
+++ b/crates/overload/src/admission.rs
@@ -96,9 +96,9 @@
             }
         }
         self.left = self.per_turn;
-        for most in [1, self.per_turn] {
+        for max in [1, self.per_turn] {
             for queue in &mut self.queues {
-                for _ in 0..most.min(self.left) {
+                for _ in 0..max.min(self.left) {
                     let crowded = queue
                         .front()
                         .is_some_and(|(since, _)| now.since(*since) > NEWEST_FIRST_AFTER_S);
--- a/crates/overload/src/asked.rs
+++ b/crates/overload/src/asked.rs
@@ -70,15 +70,15 @@
 /// once in 10^10 tables, and costs one poll's verdict.
 #[derive(Debug)]
 struct Table {
-    most: usize,
+    max: usize,
     entries: HashMap<u64, Entry>,
     tidied: Option<Time>,
 }
 
 impl Table {
-    fn new(most: usize) -> Self {
+    fn new(max: usize) -> Self {
         Self {
-            most,
+            max,
             entries: HashMap::new(),
             tidied: None,
         }
@@ -86,7 +86,7 @@
 
     /// The entry of an id, new if there is free capacity for it.
     fn entry(&mut self, key: u64, now: Time) -> Option<&mut Entry> {
-        let full = self.entries.len() >= self.most && !self.entries.contains_key(&key);
+        let full = self.entries.len() >= self.max && !self.entries.contains_key(&key);
         if full
             && self
                 .tidied
@@ -96,7 +96,7 @@
             let since = tenths(now).saturating_sub((ASKED_MEMORY_S * 10.0) as u32);
             self.entries.retain(|_, e| e.asked >= since);
         }
-        if self.entries.len() >= self.most && !self.entries.contains_key(&key) {
+        if self.entries.len() >= self.max && !self.entries.contains_key(&key) {
             return None;
         }
         Some(self.entries.entry(key).or_insert(Entry {
--- a/crates/overload/src/fleet_limit.rs
+++ b/crates/overload/src/fleet_limit.rs
@@ -53,7 +53,7 @@
 /// The bound.
 #[derive(Clone, Debug, Default)]
 pub struct FleetLimit {
-    most: Option<f64>,
+    max: Option<f64>,
     fell: Option<Time>,
     last: Option<Time>,
     /// Since when requests have not waited for long.
@@ -76,23 +76,23 @@
         if binds {
             let due = self.fell.is_none_or(|t| now.since(t) >= FALL_INTERVAL_S);
             if due {
-                let bound = self.most.map_or(machines, |m| m.min(machines));
-                self.most = Some(bound * FALL_FACTOR);
+                let bound = self.max.map_or(machines, |m| m.min(machines));
+                self.max = Some(bound * FALL_FACTOR);
                 self.fell = Some(now);
             }
         } else if wait_s < MAX_CALM_WAIT_S {
             // It is forgotten once the fleet is far below it.
             let shown = self.calm_since.is_some_and(|t| now.since(t) >= SUSTAINED_S);
             let carried = if shown { machines } else { 0.0 };
-            self.most = self
-                .most
+            self.max = self
+                .max
                 .map(|m| (m * RISE_FACTOR_PER_S.powf(passed)).max(carried))
                 .filter(|m| *m < 2.0 * machines + 100.0);
         }
     }
 
     /// How many machines there may be; none: as many as there is work for.
-    pub fn most(&self) -> Option<usize> {
-        self.most.map(|m| m as usize)
+    pub fn max(&self) -> Option<usize> {
+        self.max.map(|m| m as usize)
     }
 }
--- a/crates/overload/src/freshness.rs
+++ b/crates/overload/src/freshness.rs
@@ -50,8 +50,8 @@
 /// to two watches old. So half of the bound is left for answers that are late.
 const WATCH_PART: f64 = 0.25;
 /// A watch waits for at least and at most so long, in seconds: it counts as a request.
-const WATCH_LEAST_S: f64 = 0.1;
-const WATCH_MOST_S: f64 = 4.0;
+const MIN_WATCH_S: f64 = 0.1;
+const WATCH_MAX_S: f64 = 4.0;
 
 /// The moment as of which a view shows all changes.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -85,7 +85,7 @@
     /// refused the owner alone and was then out for all, it went on to start what was
     /// claimed before on machines that were back, also tasks of jobs whose cancellation
     /// had been confirmed elsewhere longer ago than `cancel_s`.
-    pub fn may_start_until(self, lease_s: f64, cancel_s: f64) -> Time {
+    pub fn allow_starts_until(self, lease_s: f64, cancel_s: f64) -> Time {
         let bound_s = START_VIEW_S.min(horizon_s(lease_s, cancel_s));
         self.read_sent_at.after(bound_s)
     }
@@ -115,7 +115,7 @@
 /// a lease and 11 s, until leases ended, and no task was started for 2 s of every 4.
 pub fn watch_s(lease_s: f64, cancel_s: f64) -> f64 {
     let bound_s = START_VIEW_S.min(horizon_s(lease_s, cancel_s));
-    (WATCH_PART * bound_s).clamp(WATCH_LEAST_S, WATCH_MOST_S)
+    (WATCH_PART * bound_s).clamp(MIN_WATCH_S, WATCH_MAX_S)
 }
 
 /// The largest bound for which the proof above holds: the controller's and the
--- a/crates/overload/src/pace.rs
+++ b/crates/overload/src/pace.rs
@@ -8,7 +8,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Pace {
     least_s: f64,
-    most_s: f64,
+    max_s: f64,
     share: f64,
     next: Time,
 }
@@ -18,12 +18,12 @@
 
 impl Pace {
     /// Every `least_s` seconds, and for at most this `share` of the time; but
-    /// never put off for more than `most_s`, as one turn in which the process
+    /// never put off for more than `max_s`, as one turn in which the process
     /// stood still must not stop a duty.
-    pub fn new(least_s: f64, most_s: f64, share: f64) -> Self {
+    pub fn new(least_s: f64, max_s: f64, share: f64) -> Self {
         Self {
             least_s,
-            most_s: most_s.max(least_s),
+            max_s: max_s.max(least_s),
             share: share.max(1e-3),
             next: Time(f64::NEG_INFINITY),
         }
@@ -39,7 +39,7 @@
     /// that comes too late costs a connection and a lease.
     pub fn done(&mut self, cost_s: f64, wait_s: f64, now: Time) {
         let pause = (cost_s / self.share * (1.0 + SLOWDOWN_PER_WAIT_S * wait_s.clamp(0.0, 2.0)))
-            .clamp(self.least_s, self.most_s);
+            .clamp(self.least_s, self.max_s);
         self.next = now.after(pause);
     }
 }
--- a/crates/overload/src/reachability.rs
+++ b/crates/overload/src/reachability.rs
@@ -129,9 +129,9 @@
     /// its heartbeats were answered all the time, and its leases ended all the same,
     /// one after the other. What is started there ends with the next lease.
     pub fn incarnation_ended(&mut self, lease_s: f64, now: Time) -> bool {
-        let most = SILENT_GAP_LEASES * lease_s;
-        let lately = self.answered.is_some_and(|t| now.since(t) <= most);
-        let long = self.answered_since.is_some_and(|t| now.since(t) >= most);
+        let max = SILENT_GAP_LEASES * lease_s;
+        let lately = self.answered.is_some_and(|t| now.since(t) <= max);
+        let long = self.answered_since.is_some_and(|t| now.since(t) >= max);
         self.answered_since = None;
         if !lately || !long {
             return false;
--- a/crates/overload/src/sockets.rs
+++ b/crates/overload/src/sockets.rs
@@ -21,7 +21,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Limits {
     /// In all.
-    pub most: usize,
+    pub max: usize,
     /// Beyond so many workers' connections, a new one of a machine without
     /// tasks ends with its answer.
     pub idle_workers: usize,
@@ -52,10 +52,10 @@
     pub fn of(sockets: usize, others: usize, direct: usize) -> Self {
         let aside =
             (RESERVED_SOCKETS + SOCKETS_PER_PEER * others + direct).min(sockets / RESERVED_DIVISOR);
-        let most = (sockets - aside).max(1);
-        let part = |p: f64| ((most as f64 * p) as usize).max(1);
+        let max = (sockets - aside).max(1);
+        let part = |p: f64| ((max as f64 * p) as usize).max(1);
         Self {
-            most,
+            max,
             idle_workers: part(IDLE_WORKERS_SHARE),
             workers: part(WORKERS_SHARE),
             users: part(USERS_SHARE),
@@ -124,7 +124,7 @@
 
     /// The part of all that is open.
     pub fn used(&self) -> f64 {
-        self.all.len() as f64 / self.limits.most as f64
+        self.all.len() as f64 / self.limits.max as f64
     }
 
     /// How many connections workers hold.
@@ -172,7 +172,7 @@
     /// Somebody connected.
     pub fn opened(&mut self, id: ConnId, now: Time) -> Opened {
         let mut opened = Opened::Taken;
-        if self.all.len() >= self.limits.most {
+        if self.all.len() >= self.limits.max {
             match self.longest_idle(now) {
                 Some(other) => opened = Opened::InPlaceOf(other),
                 None => return Opened::Full,
--- a/crates/overload/tests/freshness.rs
+++ b/crates/overload/tests/freshness.rs
@@ -49,7 +49,10 @@
                 fresh.may_answer_workers(now, lease_s, cancel_s),
                 "{watch_s}"
             );
-            assert!(now <= fresh.may_start_until(lease_s, cancel_s), "{watch_s}");
+            assert!(
+                now <= fresh.allow_starts_until(lease_s, cancel_s),
+                "{watch_s}"
+            );
             fresh = fresh.read(sent_at);
             now = now.after(BETWEEN_WATCHES_S);
         }
--- a/crates/overload/tests/model.rs
+++ b/crates/overload/tests/model.rs
@@ -37,7 +37,7 @@
     fn opened(&mut self, id: ConnId, now: f64) -> Opened {
         self.events += 1;
         let mut told = Opened::Taken;
-        if self.all.len() >= self.limits.most {
+        if self.all.len() >= self.limits.max {
             let rank = |p: &Plain| match p.class {
                 // One that connected just now did so to ask something.
                 Class::New if p.idle.is_some_and(|(_, since)| now - since < 1.0) => None,
@@ -170,7 +170,7 @@
             prop_assert_eq!(real.workers(), workers.count());
             // Those that were chosen to end are still counted until they do.
             let ending = model.all.iter().filter(|p| p.ending).count();
-            prop_assert!(real.open() <= limits.most + ending);
+            prop_assert!(real.open() <= limits.max + ending);
         }
     }
 
@@ -228,11 +228,11 @@
 fn free_capacity_is_set_aside_for_the_services_own_connections() {
     for sockets in [100, 500, 2514, 2867, 100_000] {
         let limits = Limits::of(sockets, 4, 48);
-        assert!(limits.most < sockets && limits.most >= sockets * 2 / 3);
+        assert!(limits.max < sockets && limits.max >= sockets * 2 / 3);
         assert!(limits.idle_workers < limits.workers && limits.workers < limits.users);
-        assert!(limits.users < limits.most);
+        assert!(limits.users < limits.max);
     }
-    assert!(2867 - Limits::of(2867, 4, 48).most >= 48 + 48 + 4 * 4);
+    assert!(2867 - Limits::of(2867, 4, 48).max >= 48 + 48 + 4 * 4);
 }
 
 /// A duty that costs more is done less often, within its bound.
@@ -335,12 +335,12 @@
 fn the_bound_on_machines_is_found_and_forgotten() {
     let mut fleet_limit = FleetLimit::default();
     fleet_limit.take(5000, 0.0, false, Time(0.0));
-    assert_eq!(fleet_limit.most(), None);
+    assert_eq!(fleet_limit.max(), None);
     for half in 0..12 {
         fleet_limit.take(5000, 1.5, true, Time(f64::from(half) * 0.5));
     }
-    let most = fleet_limit.most().expect("a bound");
-    assert!((4400..4800).contains(&most), "two steps: {most}");
+    let max = fleet_limit.max().expect("a bound");
+    assert!((4400..4800).contains(&max), "two steps: {max}");
     // What is claimed is bounded too: room for more than that is enough.
     let mut claim_rate = ClaimRate::default();
     for second in 0..60 {
@@ -349,18 +349,18 @@
     assert!(claim_rate.lasts(2_000_000, 20.0) && !claim_rate.lasts(1_000_000, 20.0));
     fleet_limit.take(5000, 0.4, false, Time(10.0));
     assert_eq!(
-        fleet_limit.most(),
-        Some(most),
+        fleet_limit.max(),
+        Some(max),
         "it still waits: no more are rented"
     );
     for second in 0..60 {
         fleet_limit.take(4500, 0.0, false, Time(10.0 + f64::from(second)));
     }
-    assert!(fleet_limit.most().is_some_and(|m| m > most));
+    assert!(fleet_limit.max().is_some_and(|m| m > max));
     for second in 0..60 {
         fleet_limit.take(300, 0.0, false, Time(80.0 + f64::from(second)));
     }
-    assert_eq!(fleet_limit.most(), None);
+    assert_eq!(fleet_limit.max(), None);
 }
 
 /// Workers are sent elsewhere before the sockets are full, always the same
@@ -717,8 +717,8 @@
             }
         }
         let found = found.expect("found out");
-        let most = patience.max(every * f64::from(DOUBT_AFTER_HEARTBEATS + 1)) + every;
-        prop_assert!((patience..=most + 1e-9).contains(&found), "{} of {}", found, most);
+        let max = patience.max(every * f64::from(DOUBT_AFTER_HEARTBEATS + 1)) + every;
+        prop_assert!((patience..=max + 1e-9).contains(&found), "{} of {}", found, max);
         reachability.proved(Time(now));
         prop_assert!(!reachability.in_doubt() && reachability.is_quarantined(Time(now + 1.0)));
         prop_assert!(!reachability.is_quarantined(Time(now + 10.0)));
--- a/crates/pipelines/src/graph.rs
+++ b/crates/pipelines/src/graph.rs
@@ -40,7 +40,7 @@
 
 /// What a job's record says of it.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Facts {
+pub struct JobFacts {
     /// Of its end.
     pub recorded: Recorded,
     /// The jobs that it needs.
@@ -98,8 +98,8 @@
     pub fn put(
         &mut self,
         id: &JobId,
-        facts: &Facts,
-        lookup: impl Fn(&JobId) -> Option<Facts>,
+        facts: &JobFacts,
+        lookup: impl Fn(&JobId) -> Option<JobFacts>,
     ) -> BTreeSet<JobId> {
         let mut changed = BTreeSet::new();
         if !self.nodes.get(id).is_some_and(|n| n.known) {
@@ -117,8 +117,8 @@
     fn insert(
         &mut self,
         id: &JobId,
-        facts: &Facts,
-        lookup: &impl Fn(&JobId) -> Option<Facts>,
+        facts: &JobFacts,
+        lookup: &impl Fn(&JobId) -> Option<JobFacts>,
         changed: &mut BTreeSet<JobId>,
     ) {
         self.adopt(id, facts);
@@ -137,7 +137,7 @@
     }
 
     /// Notes what a job's record says of the job itself.
-    fn adopt(&mut self, id: &JobId, facts: &Facts) {
+    fn adopt(&mut self, id: &JobId, facts: &JobFacts) {
         let node = self.nodes.entry(id.clone()).or_insert_with(Node::unknown);
         node.known = true;
         node.own = facts.urgency;
@@ -147,7 +147,7 @@
     }
 
     /// Notes that a job needs another one.
-    fn link(&mut self, id: &JobId, need: &JobId, lookup: &impl Fn(&JobId) -> Option<Facts>) {
+    fn link(&mut self, id: &JobId, need: &JobId, lookup: &impl Fn(&JobId) -> Option<JobFacts>) {
         if !self.contains(need) {
             match lookup(need) {
                 Some(facts) => {
--- a/crates/pipelines/tests/model.rs
+++ b/crates/pipelines/tests/model.rs
@@ -4,7 +4,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use proptest::prelude::*;
-use sorrelhinge_pipelines::graph::{Facts, Graph, Recorded};
+use sorrelhinge_pipelines::graph::{Graph, JobFacts, Recorded};
 use sorrelhinge_pipelines::urgency::Urgency;
 use sorrelhinge_protocol::types::{JobId, Priority};
 
@@ -21,7 +21,7 @@
 /// All records, and what follows from them by plain recursion.
 #[derive(Clone, Default)]
 struct Model {
-    records: BTreeMap<JobId, Facts>,
+    records: BTreeMap<JobId, JobFacts>,
 }
 
 impl Model {
@@ -90,9 +90,9 @@
 /// Takes in a record as the local view does.
 fn put(
     graph: &mut Graph,
-    read: &mut BTreeMap<JobId, Facts>,
+    read: &mut BTreeMap<JobId, JobFacts>,
     id: &JobId,
-    facts: &Facts,
+    facts: &JobFacts,
 ) -> BTreeSet<JobId> {
     read.insert(id.clone(), facts.clone());
     if facts.needs.is_empty() && !graph.contains(id) {
@@ -151,7 +151,7 @@
 }
 
 /// The record that a step writes; none: it writes none.
-fn written(step: &Step, at: usize, model: &Model) -> Option<(JobId, Facts)> {
+fn written(step: &Step, at: usize, model: &Model) -> Option<(JobId, JobFacts)> {
     let ids: Vec<JobId> = model.records.keys().cloned().collect();
     match step {
         Step::Submit {
@@ -164,7 +164,7 @@
                 true => BTreeSet::new(),
                 false => needs.iter().map(|n| n.get(&ids).clone()).collect(),
             };
-            let facts = Facts {
+            let facts = JobFacts {
                 recorded: Recorded::Open,
                 needs: needs.into_iter().collect(),
                 urgency: Urgency {
@@ -193,9 +193,9 @@
     ids: Vec<JobId>,
     recorded: Recorded,
     model: &Model,
-) -> Option<(JobId, Facts)> {
+) -> Option<(JobId, JobFacts)> {
     let id = (!ids.is_empty()).then(|| which.get(&ids).clone())?;
-    let facts = Facts {
+    let facts = JobFacts {
         recorded,
         ..model.records[&id].clone()
     };
@@ -238,13 +238,13 @@
                 model.records.insert(id, facts);
             }
         }
-        let mut all: Vec<(&u64, (&JobId, &Facts))> = order.iter().zip(&model.records).collect();
+        let mut all: Vec<(&u64, (&JobId, &JobFacts))> = order.iter().zip(&model.records).collect();
         all.sort_by_key(|(rank, _)| **rank);
         let (mut graph, mut read) = (Graph::default(), BTreeMap::new());
         for (_, (id, facts)) in all {
             // A done job's record has no description left, nor what it needed.
             let facts = match facts.recorded {
-                Recorded::Done { .. } => Facts { needs: Vec::new(), ..facts.clone() },
+                Recorded::Done { .. } => JobFacts { needs: Vec::new(), ..facts.clone() },
                 Recorded::Open | Recorded::Cancelled => facts.clone(),
             };
             put(&mut graph, &mut read, id, &facts);
@@ -253,8 +253,8 @@
     }
 }
 
-fn open(needs: &[&str]) -> Facts {
-    Facts {
+fn open(needs: &[&str]) -> JobFacts {
+    JobFacts {
         recorded: Recorded::Open,
         needs: needs.iter().map(|n| JobId::from(*n)).collect(),
         urgency: Urgency {
@@ -281,7 +281,7 @@
     for (id, _) in &records {
         assert!(!graph.is_ready(&JobId::from(*id)), "{id} waits");
     }
-    let cancelled = Facts {
+    let cancelled = JobFacts {
         recorded: Recorded::Cancelled,
         ..open(&["c"])
     };
--- a/crates/priority-lanes/tests/model.rs
+++ b/crates/priority-lanes/tests/model.rs
@@ -149,7 +149,7 @@
                 let waited = |r: &Record| self.now_ms - r.first.1 + 2 * OFF_MS;
                 let pressing = |m: u64| waited(b) + (PRESSING_S * 1000.0) as u64 >= m;
                 let aged = waited(b) >= (AGED_S * 1000.0) as u64;
-                let late = a.may_wait_ms.is_some_and(|most| waited(a) >= most);
+                let late = a.may_wait_ms.is_some_and(|max| waited(a) >= max);
                 let same = a.may_wait_ms == b.may_wait_ms;
                 if !(aged || b.may_wait_ms.is_some_and(pressing)) || same && !late {
                     return Err(format!("{later} overtook {earlier}"));
--- a/crates/protocol/src/invalid.rs
+++ b/crates/protocol/src/invalid.rs
@@ -2,7 +2,7 @@
 //! jobs' bodies and descriptions are all told of in this way.
 
 /// A field that is not valid. `path` leads to it from the outermost name, as in
-/// `topology.spread[0].most`.
+/// `topology.spread[0].max`.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum InvalidField {
     /// The value is not within what the field allows, or the fields don't go
--- a/crates/protocol/src/placement.rs
+++ b/crates/protocol/src/placement.rs
@@ -34,7 +34,9 @@
     /// The most tasks in one domain.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     #[garde(range(min = 1))]
-    pub most: Option<u32>,
+    #[serde(rename = "most")]
+    #[garde(rename("most"))]
+    pub max: Option<u32>,
     /// The largest share of the job's tasks in one domain, above 0 up to 1,
     /// rounded up.
     #[serde(default, skip_serializing_if = "Option::is_none")]
@@ -69,7 +71,8 @@
     /// The most domains; 0: as few as there is room in.
     #[serde(default)]
     #[garde(skip)]
-    pub most: u32,
+    #[serde(rename = "most")]
+    pub max: u32,
     /// Required rather than preferred.
     #[serde(default = "yes")]
     #[garde(skip)]
--- a/crates/protocol/src/types.rs
+++ b/crates/protocol/src/types.rs
@@ -318,19 +318,19 @@
     /// What it asks of the topology; see [`crate::placement`].
     #[serde(skip)]
     pub placement: Option<Box<PlacementRules>>,
-    /// In a record: what earlier versions can't place, see [`JobSpec::sealed`].
+    /// In a record: what earlier versions can't place, see [`JobSpec::with_extension`].
     #[serde(rename = "x", default, skip_serializing_if = "Option::is_none")]
-    pub seal: Option<Box<Seal>>,
+    pub extension: Option<Box<CompatibilityExtension>>,
 }
 
 /// A machine type that no cloud has: what is recorded as the only allowed one
 /// of a sealed job, so that a controller of an earlier version, which would
 /// read the job as an array without placement rules, finds no place for it.
-const SEALED_TYPE: &str = "+";
+const INCOMPATIBLE_TYPE: &str = "+";
 
 /// The part of a sealed job that earlier versions don't know.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Seal {
+pub struct CompatibilityExtension {
     /// It is a gang.
     #[serde(rename = "g", default, skip_serializing_if = "std::ops::Not::not")]
     pub gang: bool,
@@ -343,22 +343,22 @@
 }
 
 /// Whether these types are no cloud's.
-fn is_fence(types: &[TypeName]) -> bool {
-    matches!(types, [only] if only.as_str() == SEALED_TYPE)
+fn is_incompatible_marker(types: &[TypeName]) -> bool {
+    matches!(types, [only] if only.as_str() == INCOMPATIBLE_TYPE)
 }
 
 impl JobSpec {
     /// The form for the record: a gang, or a job with placement rules, is written so
     /// that controllers of the version before these existed answer for it, and
     /// cancel it, yet never place it.
-    pub fn sealed(mut self) -> Self {
+    pub fn with_extension(mut self) -> Self {
         if self.kind == Kind::Gang || self.placement.is_some() {
-            self.seal = Some(Box::new(Seal {
+            self.extension = Some(Box::new(CompatibilityExtension {
                 gang: self.kind == Kind::Gang,
                 types: self.types.take(),
                 placement: self.placement.take(),
             }));
-            self.fence();
+            self.mark_incompatible();
             if self.kind == Kind::Gang {
                 self.kind = Kind::Array;
             }
@@ -367,38 +367,39 @@
     }
     /// Allows no machine type that any cloud has: no version that takes the description
     /// as it stands finds a place for the job.
-    pub fn fence(&mut self) {
-        self.types = Some(vec![TypeName::from(SEALED_TYPE)]);
+    pub fn mark_incompatible(&mut self) {
+        self.types = Some(vec![TypeName::from(INCOMPATIBLE_TYPE)]);
     }
     /// What is kept of a cancelled job whose description is too large to be written again:
     /// its team and what each of its tasks takes, until they are gone. It may have held
     /// devices, if it was sealed.
     pub fn trimmed(&self) -> Self {
-        let fenced = self.seal.is_some() || self.types.as_deref().is_some_and(is_fence);
+        let fenced =
+            self.extension.is_some() || self.types.as_deref().is_some_and(is_incompatible_marker);
         let mut kept = Self {
             class: Arc::from(""),
             image: Image::from(""),
             types: None,
             zone: None,
-            seal: None,
+            extension: None,
             ..self.clone()
         };
         if fenced {
-            kept.fence();
+            kept.mark_incompatible();
         }
         kept
     }
     /// What a record's form stands for. A seal that an earlier version lost
     /// when it cancelled the job is known by its machine type: the job's tasks
     /// may hold any device.
-    pub fn opened(mut self) -> Self {
-        if let Some(seal) = self.seal.take() {
-            self.types = seal.types;
-            self.placement = seal.placement;
-            if seal.gang {
+    pub fn without_extension(mut self) -> Self {
+        if let Some(extension) = self.extension.take() {
+            self.types = extension.types;
+            self.placement = extension.placement;
+            if extension.gang {
                 self.kind = Kind::Gang;
             }
-        } else if self.types.as_deref().is_some_and(is_fence) {
+        } else if self.types.as_deref().is_some_and(is_incompatible_marker) {
             self.placement = Some(Box::new(PlacementRules {
                 lost: true,
                 ..PlacementRules::default()
--- a/crates/protocol/src/users.rs
+++ b/crates/protocol/src/users.rs
@@ -191,6 +191,6 @@
         save_s: wire.stash_s,
         deadline_s: wire.due_s,
         placement: None,
-        seal: None,
+        extension: None,
     })
 }
--- a/crates/reservations/tests/model.rs
+++ b/crates/reservations/tests/model.rs
@@ -270,8 +270,8 @@
                 Event::Jump(error) => error_ms = error,
                 Event::Astray(by, n) => astray = (by, n),
                 Event::Outage(n) => outage = n,
-                Event::Fits(most) => seen.fits = most,
-                Event::Capacity(most) => capacity = most,
+                Event::Fits(max) => seen.fits = max,
+                Event::Capacity(max) => capacity = max,
                 Event::Lost(n) => seen.asked = seen.asked.saturating_sub(n),
                 Event::Pin(tasks) => {
                     pinned = tasks.map(|tasks| window(tasks, day.lasts_s));
--- a/crates/sharding/src/delegation.rs
+++ b/crates/sharding/src/delegation.rs
@@ -72,11 +72,11 @@
             let cpu = w.cpu.max(1);
             let mut tasks = w.tasks;
             while tasks > 0 {
-                let most = self
+                let max = self
                     .free_capacity
                     .iter_mut()
                     .max_by_key(|(b, (free, _))| (*free, **b));
-                let Some((to, (free, _))) = most.filter(|(_, (free, _))| *free >= cpu) else {
+                let Some((to, (free, _))) = max.filter(|(_, (free, _))| *free >= cpu) else {
                     break;
                 };
                 let some = u32::try_from(*free / cpu).unwrap_or(u32::MAX).min(tasks);
--- a/crates/sharding/src/fair.rs
+++ b/crates/sharding/src/fair.rs
@@ -41,7 +41,7 @@
 /// urgent goes first and everything else soon after.
 pub const TURN_AFTER_S: f64 = 3.0;
 
-/// How many places each sort keeps, of `most` that all share.
-pub fn floor(most: usize) -> usize {
-    (most / 8).max(1)
+/// How many places each sort keeps, of `max` that all share.
+pub fn floor(max: usize) -> usize {
+    (max / 8).max(1)
 }
--- a/crates/sharding/src/owners.rs
+++ b/crates/sharding/src/owners.rs
@@ -87,7 +87,7 @@
 
 /// What the operators want of the shards, beside that all are owned.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Wish {
+pub struct ShardPreference {
     /// All shards are to go to this controller, as there is to be one again.
     pub gather: Option<NodeId>,
     /// A shard moves so often, in seconds, even if nothing asks for it, so that
@@ -123,7 +123,7 @@
         &mut self,
         shards: &BTreeMap<ShardId, Held>,
         alive: &BTreeMap<NodeId, Member>,
-        wish: &Wish,
+        wish: &ShardPreference,
         now: Time,
     ) -> Option<Step> {
         self.record_members(alive, now);
@@ -192,16 +192,16 @@
     }
 
     /// A move for balance, or one that is forced, unless one was made just now.
-    fn balance(&mut self, situation: &Situation<'_>, wish: &Wish) -> Option<Step> {
+    fn balance(&mut self, situation: &Situation<'_>, wish: &ShardPreference) -> Option<Step> {
         let now = situation.now;
         let quiet_s = self.moved.map_or(f64::INFINITY, |moved| now.since(moved));
         if quiet_s < BALANCE_INTERVAL_S {
             return None;
         }
         let least = situation.fewest(|node| self.is_settled(node, now))?;
-        let Pair { giver, taker } = match situation.most() {
-            Some(most) if most.shards >= least.shards + 2 => Pair {
-                giver: most.node,
+        let Pair { giver, taker } = match situation.max() {
+            Some(max) if max.shards >= least.shards + 2 => Pair {
+                giver: max.node,
                 taker: least.node,
             },
             _ => self.forced_pair(situation, wish.move_every_s, quiet_s)?,
@@ -304,12 +304,12 @@
     }
 
     /// The controller with the most shards.
-    fn most(&self) -> Option<Load> {
-        let most = self
+    fn max(&self) -> Option<Load> {
+        let max = self
             .counts
             .iter()
             .max_by_key(|(node, shards)| (**shards, **node));
-        most.map(Load::of)
+        max.map(Load::of)
     }
 
     /// The next shard that is not yet there where all are to go.
@@ -344,6 +344,6 @@
 /// How many shards there should be: never more than controllers that live, and
 /// that all can be told apart in the records.
 pub fn how_many(least: u32, controllers: usize) -> u32 {
-    let most = u32::try_from(controllers).unwrap_or(1);
-    least.clamp(1, most.clamp(1, crate::shard::MAX_SHARDS))
+    let max = u32::try_from(controllers).unwrap_or(1);
+    least.clamp(1, max.clamp(1, crate::shard::MAX_SHARDS))
 }
--- a/crates/sharding/src/slices.rs
+++ b/crates/sharding/src/slices.rs
@@ -112,10 +112,10 @@
                 let excess = slice - target(&column, me.0 as usize, i);
                 let lacks = target(&column, to, i) - pair(column[to].slice)[i];
                 let free = slice - pair(mine[team].used)[i];
-                let most = excess.min(lacks).min(free);
-                if most > 0 && most >= all / MIN_TRANSFER_DIVISOR {
-                    *give = most;
-                    weight += most as f64 / all.max(1) as f64;
+                let max = excess.min(lacks).min(free);
+                if max > 0 && max >= all / MIN_TRANSFER_DIVISOR {
+                    *give = max;
+                    weight += max as f64 / all.max(1) as f64;
                 }
             }
             amounts.push(amount(give));
--- a/crates/sharding/tests/model.rs
+++ b/crates/sharding/tests/model.rs
@@ -13,7 +13,7 @@
     DismissedWorkers, PeerContact, ISOLATED_AFTER_S, PROBE_AFTER_S,
 };
 use sorrelhinge_sharding::largest_jobs::{tenth, Largest, WINDOW_JOBS};
-use sorrelhinge_sharding::owners::{how_many, Held, Member, Owners, Step, Wish};
+use sorrelhinge_sharding::owners::{how_many, Held, Member, Owners, ShardPreference, Step};
 use sorrelhinge_sharding::reach::{
     Reach, CUT_OFF_AFTER_S, CUT_OFF_MIN_COUNT, FAILED_AFTER_S, FAILED_MIN_MACHINES,
 };
@@ -180,7 +180,7 @@
     fn lead(
         &mut self,
         leader: &mut Owners,
-        wish: &Wish,
+        wish: &ShardPreference,
         late: bool,
         now: f64,
     ) -> Result<(), TestCaseError> {
@@ -202,7 +202,7 @@
         Ok(())
     }
     /// Nothing fails any more: one leader, and givers that hand on at once.
-    fn settle(&mut self, wish: &Wish, mut now: f64) {
+    fn settle(&mut self, wish: &ShardPreference, mut now: f64) {
         self.late.clear();
         let mut leader = Owners::default();
         for _ in 0..200 {
@@ -394,7 +394,7 @@
                 3 => world.offers().into_iter().take(1).for_each(|offer| world.hand_over(offer)),
                 _ => {
                     let leader = &mut leaders[usize::from(who % 2)];
-                    let wish = Wish { gather: None, move_every_s: forced.then_some(2.0) };
+                    let wish = ShardPreference { gather: None, move_every_s: forced.then_some(2.0) };
                     world.lead(leader, &wish, late, now)?;
                 }
             }
@@ -403,14 +403,14 @@
         }
         // At last all are to go to one, or stay balanced.
         let one = gather.then(|| world.alive.keys().next().cloned()).flatten();
-        world.settle(&Wish { gather: one.clone(), move_every_s: None }, now);
+        world.settle(&ShardPreference { gather: one.clone(), move_every_s: None }, now);
         let count = world.counts()?;
         if let Some(one) = one {
             prop_assert_eq!(count[&one], shards as usize, "{:?}", count);
             return Ok(());
         }
-        let (most, least) = (count.values().max(), count.values().min());
-        prop_assert!(most.unwrap_or(&0) - least.unwrap_or(&0) <= 1, "{:?}", count);
+        let (max, least) = (count.values().max(), count.values().min());
+        prop_assert!(max.unwrap_or(&0) - least.unwrap_or(&0) <= 1, "{:?}", count);
     }
 
     // ---- slices -----------------------------------------------------------
@@ -576,7 +576,12 @@
     world.shards.insert(ShardId(0), (held, 0));
     world.carry_out(&Step::Offer(ShardId(0), node(1)), true);
     world.alive.remove(&node(0));
-    let step = Owners::default().next(&world.held(), &world.alive, &Wish::default(), Time(9.0));
+    let step = Owners::default().next(
+        &world.held(),
+        &world.alive,
+        &ShardPreference::default(),
+        Time(9.0),
+    );
     let Some(step @ Step::Grant(..)) = step else {
         panic!("{step:?}");
     };
--- a/crates/topology/src/devices.rs
+++ b/crates/topology/src/devices.rs
@@ -37,15 +37,15 @@
 
 /// The units that the file gives a machine.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Stock(BTreeMap<Unit, State>);
+pub struct DeviceInventory(BTreeMap<Unit, State>);
 
-impl Stock {
+impl DeviceInventory {
     /// Adds a unit that `share` tasks may hold at a time.
     pub fn put(&mut self, unit: Unit, share: u32, broken: bool) {
         self.0.insert(unit, State { share, broken });
     }
     /// Adds all units of another.
-    pub fn add(&mut self, other: &Stock) {
+    pub fn add(&mut self, other: &DeviceInventory) {
         for (unit, state) in &other.0 {
             self.0.insert(unit.clone(), *state);
         }
@@ -133,11 +133,15 @@
 /// Units for one more task; none if a required one is missing, broken or taken.
 /// Of a preferred kind there are as many as are free, all or none. While a
 /// claim holds units without names, none are given out.
-pub fn choose(stock: &Stock, allocated: &AllocatedDevices, needs: &[Device]) -> Option<Vec<Unit>> {
+pub fn choose(
+    device_inventory: &DeviceInventory,
+    allocated: &AllocatedDevices,
+    needs: &[Device],
+) -> Option<Vec<Unit>> {
     let mut chosen = Vec::new();
     for need in needs {
         // Units that others share already go first: whole ones stay whole.
-        let mut free: Vec<(u32, &Unit)> = stock
+        let mut free: Vec<(u32, &Unit)> = device_inventory
             .0
             .iter()
             .filter(|(unit, state)| unit.kind() == need.kind && !state.broken)
--- a/crates/topology/src/lib.rs
+++ b/crates/topology/src/lib.rs
@@ -26,7 +26,7 @@
 
 use sorrelhinge_protocol::types::{TypeName, Zone};
 
-use devices::Stock;
+use devices::DeviceInventory;
 use finder::Finder;
 use settings::{DeviceStock, Settings, SettingsError};
 use tree::Tree;
@@ -80,28 +80,33 @@
     }
 
     /// What is attached to a machine.
-    pub fn stock(&self, name: &str, addr: Option<IpAddr>, kind: &TypeName) -> Stock {
-        let mut stock = Stock::default();
+    pub fn device_inventory(
+        &self,
+        name: &str,
+        addr: Option<IpAddr>,
+        kind: &TypeName,
+    ) -> DeviceInventory {
+        let mut device_inventory = DeviceInventory::default();
         for entry in &self.devices {
             let by_type = || entry.types.iter().any(|t| t == kind.as_str());
             if entry.matcher.matches(name, addr) || by_type() {
-                stock.add(&entry.stock);
+                device_inventory.add(&entry.device_inventory);
             }
         }
-        stock
+        device_inventory
     }
 
     /// The most units of each kind that one machine can have, of all that the
     /// file names; by machine types, where only types are named.
-    pub fn most_units(&self) -> BTreeMap<String, u32> {
-        let mut most: BTreeMap<String, u32> = BTreeMap::new();
+    pub fn max_units(&self) -> BTreeMap<String, u32> {
+        let mut max: BTreeMap<String, u32> = BTreeMap::new();
         for entry in &self.devices {
-            for (kind, count) in entry.stock.slots() {
+            for (kind, count) in entry.device_inventory.slots() {
                 // Several entries can meet on one machine.
-                *most.entry(kind.to_owned()).or_insert(0) += count;
+                *max.entry(kind.to_owned()).or_insert(0) += count;
             }
         }
-        most
+        max
     }
 
     /// What an operator asks for all jobs of a class.
--- a/crates/topology/src/policy.rs
+++ b/crates/topology/src/policy.rs
@@ -10,7 +10,7 @@
 
 use sorrelhinge_protocol::placement::{Device, PlacementRules, Spread};
 
-pub use judge::Barred;
+pub use judge::ExcludedMachine;
 
 use crate::tree::{Domain, Level, Tree};
 
@@ -26,7 +26,7 @@
 #[derive(Clone, Debug, PartialEq)]
 struct SpreadRule {
     level: Level,
-    most: u32,
+    max: u32,
     must: bool,
 }
 
@@ -39,7 +39,7 @@
 #[derive(Clone, Debug, PartialEq)]
 struct FewRule {
     level: Level,
-    most: u32,
+    max: u32,
     must: bool,
 }
 
@@ -60,7 +60,7 @@
 
 /// Where a task is, as far as rules see it: its machine's place and the
 /// machine, or somewhere unknown.
-pub type Whereabouts<'a> = Option<(Domain, &'a str)>;
+pub type MachineLocation<'a> = Option<(Domain, &'a str)>;
 
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Key {
@@ -111,7 +111,7 @@
 
 /// The most tasks in a domain if they are spread evenly; of several tasks never all in
 /// one.
-fn most_if_even(tree: &Tree, level: Level, tasks: u32) -> u32 {
+fn max_if_even(tree: &Tree, level: Level, tasks: u32) -> u32 {
     let domains = if tree.is_machine(level) {
         tasks
     } else {
@@ -158,7 +158,7 @@
             if let Some(level) = self.level_of_rule(tree, &rule.level, rule.must) {
                 self.fewest.push(FewRule {
                     level,
-                    most: rule.most,
+                    max: rule.max,
                     must: rule.must,
                 });
             }
@@ -185,15 +185,15 @@
         let share = rule
             .share
             .map(|s| ((s * f64::from(tasks)).ceil() as u32).max(1));
-        let most = match (rule.most, share) {
-            (None, None) => most_if_even(tree, level, tasks),
-            (most, share) => most.unwrap_or(u32::MAX).min(share.unwrap_or(u32::MAX)),
+        let max = match (rule.max, share) {
+            (None, None) => max_if_even(tree, level, tasks),
+            (max, share) => max.unwrap_or(u32::MAX).min(share.unwrap_or(u32::MAX)),
         };
         // A rule that the job can't break whatever happens is none.
-        if most < tasks {
+        if max < tasks {
             self.spread.push(SpreadRule {
                 level,
-                most,
+                max,
                 must: rule.must,
             });
         }
@@ -220,7 +220,7 @@
             || self.unjudged.is_some()
             || self.spread.iter().any(|r| r.must)
             || self.together.iter().any(|r| r.must)
-            || self.fewest.iter().any(|r| r.must && r.most > 0)
+            || self.fewest.iter().any(|r| r.must && r.max > 0)
             || self.devices.iter().any(|d| d.must)
     }
     /// Whether any rule looks at where the other tasks are.
@@ -256,7 +256,7 @@
     pub fn tally<'a>(
         &self,
         tree: &Tree,
-        tasks: impl IntoIterator<Item = Whereabouts<'a>>,
+        tasks: impl IntoIterator<Item = MachineLocation<'a>>,
     ) -> Tally {
         let mut levels: Vec<Level> = self
             .spread
@@ -284,7 +284,7 @@
     }
 
     /// Counts one more task.
-    pub fn count(&self, tree: &Tree, tally: &mut Tally, task: Whereabouts<'_>) {
+    pub fn count(&self, tree: &Tree, tally: &mut Tally, task: MachineLocation<'_>) {
         tally.total += 1;
         for LevelCounts { level, counts } in &mut tally.levels {
             match task.and_then(|t| key(tree, *level, t)) {
--- a/crates/topology/src/policy/feasible.rs
+++ b/crates/topology/src/policy/feasible.rs
@@ -61,9 +61,9 @@
 
     /// More units are required than any machine has.
     fn lacks_devices(&self, topology: &Topology) -> Option<String> {
-        let most = topology.most_units();
+        let max = topology.max_units();
         self.devices.iter().filter(|d| d.must).find_map(|need| {
-            let there = most.get(&need.kind).copied().unwrap_or(0);
+            let there = max.get(&need.kind).copied().unwrap_or(0);
             (there < need.count).then(|| {
                 format!(
                     "{} of {:?} on one machine: the most there is, is {there}",
@@ -102,18 +102,18 @@
         bounds: &Bounds,
         at_once: u64,
     ) -> Option<String> {
-        let few = self.fewest.iter().find(|r| r.must && r.most > 0);
+        let few = self.fewest.iter().find(|r| r.must && r.max > 0);
         let rule = few.filter(|r| !tree.is_machine(r.level))?;
         let mut free_capacities = self.free_capacities(tree, bounds, rule.level);
         free_capacities.sort_unstable_by(|a, b| b.cmp(a));
         let free_capacity = free_capacities
             .into_iter()
-            .take(rule.most as usize)
+            .take(rule.max as usize)
             .fold(0, u64::saturating_add);
         (free_capacity < at_once).then(|| {
             format!(
                 "{at_once} tasks at a time in at most {} of each {}: its rules allow {free_capacity}",
-                rule.most,
+                rule.max,
                 tree.level_name(rule.level)
             )
         })
@@ -132,7 +132,7 @@
     fn free_capacity(&self, tree: &Tree, domain: Domain) -> u64 {
         let own = |level: Level| {
             let rules = self.spread.iter().filter(|r| r.must && r.level == level);
-            rules.map(|r| u64::from(r.most)).min()
+            rules.map(|r| u64::from(r.max)).min()
         };
         let level = tree.level_of(domain);
         let deepest = self
--- a/crates/topology/src/policy/judge.rs
+++ b/crates/topology/src/policy/judge.rs
@@ -5,7 +5,7 @@
 
 /// A machine that a rule keeps a job off.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Barred {
+pub struct ExcludedMachine {
     /// Which rule, in words.
     pub why: String,
     /// All machines with places from the asked one's up to here are barred by
@@ -44,17 +44,17 @@
     }
 
     /// Kept off by a rule of this level.
-    fn barred(&self, level: Level, why: String) -> Barred {
+    fn barred(&self, level: Level, why: String) -> ExcludedMachine {
         let place = self.place();
         let until = match self.tree.at(place, level) {
             _ if self.tree.is_machine(level) => place.0,
             Some(domain) => self.tree.range(domain).end,
             None => place.0 + 1,
         };
-        Barred { why, until }
+        ExcludedMachine { why, until }
     }
 
-    fn spread(&self, rule: &SpreadRule) -> Option<Barred> {
+    fn spread(&self, rule: &SpreadRule) -> Option<ExcludedMachine> {
         if !self.asks(rule.must) {
             return None;
         }
@@ -65,11 +65,11 @@
             return Some(self.barred(rule.level, format!("its {name} is not known")));
         };
         let here = counts.by.get(&key).copied().unwrap_or(0);
-        (here + counts.unknown >= rule.most)
-            .then(|| self.barred(rule.level, format!("at most {} in a {name}", rule.most)))
+        (here + counts.unknown >= rule.max)
+            .then(|| self.barred(rule.level, format!("at most {} in a {name}", rule.max)))
     }
 
-    fn together(&self, rule: &TogetherRule) -> Option<Barred> {
+    fn together(&self, rule: &TogetherRule) -> Option<ExcludedMachine> {
         if !self.asks(rule.must) {
             return None;
         }
@@ -81,7 +81,7 @@
         (!fits).then(|| self.barred(rule.level, format!("all in one {name}")))
     }
 
-    fn fewest(&self, rule: &FewRule) -> Option<Barred> {
+    fn fewest(&self, rule: &FewRule) -> Option<ExcludedMachine> {
         let counts = self.counts(rule.level);
         let used = counts.by.len() as u32 + counts.unknown;
         let known = self.key(rule.level);
@@ -92,7 +92,7 @@
             return None;
         }
         let preferred = self.reach == Reach::All && (used > 0 || known.is_none());
-        let required = rule.must && rule.most > 0 && (used >= rule.most || known.is_none());
+        let required = rule.must && rule.max > 0 && (used >= rule.max || known.is_none());
         let name = self.tree.level_name(rule.level);
         (preferred || required)
             .then(|| self.barred(rule.level, format!("in as few of each {name} as can be")))
@@ -108,9 +108,9 @@
         tally: &Tally,
         at: (Domain, &str),
         reach: Reach,
-    ) -> Option<Barred> {
+    ) -> Option<ExcludedMachine> {
         if let Some(why) = &self.unjudged {
-            return Some(Barred {
+            return Some(ExcludedMachine {
                 why: why.clone(),
                 until: u32::MAX,
             });
@@ -136,7 +136,7 @@
         tally: &Tally,
         tasks: impl IntoIterator<Item = (T, (Domain, &'a str))> + Clone,
     ) -> Option<T> {
-        let mut most: Option<(u32, T)> = None;
+        let mut max: Option<(u32, T)> = None;
         for rule in &self.spread {
             let counts = tally.of(rule.level);
             for (task, at) in tasks.clone() {
@@ -144,11 +144,11 @@
                     Some(key) => counts.by.get(&key).copied().unwrap_or(0),
                     None => u32::MAX,
                 };
-                if here > rule.most && most.as_ref().is_none_or(|(n, _)| here > *n) {
-                    most = Some((here, task));
+                if here > rule.max && max.as_ref().is_none_or(|(n, _)| here > *n) {
+                    max = Some((here, task));
                 }
             }
         }
-        most.map(|(_, task)| task)
+        max.map(|(_, task)| task)
     }
 }
--- a/crates/topology/src/settings/build.rs
+++ b/crates/topology/src/settings/build.rs
@@ -7,7 +7,7 @@
 use wildmatch::WildMatch;
 
 use super::{DeviceEntry, Settings, SettingsError};
-use crate::devices::{Stock, Unit};
+use crate::devices::{DeviceInventory, Unit};
 use crate::finder::{Finder, Matcher};
 use crate::tree::{Domain, Tree};
 
@@ -19,12 +19,12 @@
     /// Machines by type.
     pub types: Vec<String>,
     /// The units.
-    pub stock: Stock,
+    pub device_inventory: DeviceInventory,
 }
 
 impl DeviceEntry {
     /// The units and who has them; `at` is the path to the entry.
-    fn stock(&self, at: &str) -> Result<DeviceStock, InvalidField> {
+    fn device_inventory(&self, at: &str) -> Result<DeviceStock, InvalidField> {
         let wrong = |field: &str, why: &str| InvalidField::value(format!("{at}.{field}"), why);
         if self.count.is_some() != self.units.is_empty() {
             return Err(wrong("units", "either count or units names them"));
@@ -39,10 +39,10 @@
         if let Some(other) = self.broken.iter().find(|b| !names.contains(b)) {
             return Err(wrong("broken", &format!("there is no unit {other:?}")));
         }
-        let mut stock = Stock::default();
+        let mut device_inventory = DeviceInventory::default();
         for name in &names {
             let broken = self.broken.contains(name);
-            stock.put(Unit::new(&self.kind, name), self.share, broken);
+            device_inventory.put(Unit::new(&self.kind, name), self.share, broken);
         }
         Ok(DeviceStock {
             matcher: Matcher {
@@ -51,7 +51,7 @@
                 networks: self.networks.clone(),
             },
             types: self.types.clone(),
-            stock,
+            device_inventory,
         })
     }
 
@@ -118,7 +118,7 @@
     pub(crate) fn stocks(&self) -> Result<Vec<DeviceStock>, SettingsError> {
         let entries = self.device.iter().enumerate();
         entries
-            .map(|(i, entry)| Ok(entry.stock(&format!("topology.device[{i}]"))?))
+            .map(|(i, entry)| Ok(entry.device_inventory(&format!("topology.device[{i}]"))?))
             .collect()
     }
 
--- a/crates/topology/tests/model.rs
+++ b/crates/topology/tests/model.rs
@@ -9,7 +9,7 @@
 use sorrelhinge_protocol::placement::{Device, Fewest, PlacementRules, Spread, Together};
 use sorrelhinge_protocol::types::{JobSpec, MachineId};
 use sorrelhinge_protocol::users::read_job;
-use sorrelhinge_topology::devices::{choose, AllocatedDevices, Stock, Unit};
+use sorrelhinge_topology::devices::{choose, AllocatedDevices, DeviceInventory, Unit};
 use sorrelhinge_topology::gang::{self, Rules, Slot};
 use sorrelhinge_topology::policy::{Policy, Reach, Tally};
 use sorrelhinge_topology::tree::{Domain, Tree};
@@ -45,16 +45,16 @@
         prop::option::of(0.1..1.0_f64),
         any::<bool>(),
     )
-        .prop_map(|(level, most, share, must)| Spread {
+        .prop_map(|(level, max, share, must)| Spread {
             level,
-            most,
+            max,
             share,
             must,
         });
     let together = (level(), any::<bool>()).prop_map(|(level, must)| Together { level, must });
-    let fewest = (level(), 0..4_u32, any::<bool>()).prop_map(|(level, most, must)| Fewest {
+    let fewest = (level(), 0..4_u32, any::<bool>()).prop_map(|(level, max, must)| Fewest {
         level,
-        most,
+        max,
         must,
     });
     let device = (1..3_u32, any::<bool>()).prop_map(|(count, must)| Device {
@@ -132,9 +132,9 @@
         }
     }
 
-    fn most(&self, rule: &Spread) -> u32 {
+    fn max(&self, rule: &Spread) -> u32 {
         let depth = LEVELS.iter().position(|l| *l == rule.level);
-        if rule.most.is_none() && rule.share.is_none() {
+        if rule.max.is_none() && rule.share.is_none() {
             let domains = match depth {
                 Some(3) => self.tasks,
                 Some(depth) => self.domains[depth] as u32,
@@ -146,7 +146,7 @@
         let share = rule
             .share
             .map(|s| ((s * f64::from(self.tasks)).ceil() as u32).max(1));
-        rule.most.unwrap_or(u32::MAX).min(share.unwrap_or(u32::MAX))
+        rule.max.unwrap_or(u32::MAX).min(share.unwrap_or(u32::MAX))
     }
 
     /// Whether one more task may go to `at`; `there`: where the others are.
@@ -163,15 +163,15 @@
             (by, unknown)
         };
         for rule in self.rules.spread.iter().filter(|r| r.must || all) {
-            let most = self.most(rule);
-            if most >= self.tasks {
+            let max = self.max(rule);
+            if max >= self.tasks {
                 continue;
             }
             let (by, unknown) = counts(&rule.level);
             let Some(label) = Self::label(at, &rule.level) else {
                 return false;
             };
-            if by.get(&label).copied().unwrap_or(0) + unknown + 1 > most {
+            if by.get(&label).copied().unwrap_or(0) + unknown + 1 > max {
                 return false;
             }
         }
@@ -197,7 +197,7 @@
                 if all && (used > 0 || label.is_none()) {
                     return false;
                 }
-                if rule.must && rule.most > 0 && (used >= rule.most || label.is_none()) {
+                if rule.must && rule.max > 0 && (used >= rule.max || label.is_none()) {
                     return false;
                 }
             }
@@ -220,12 +220,12 @@
     tree.find(&m.path.join("/")).expect("it is in the tree")
 }
 
-fn stock(m: &Box_) -> Stock {
-    let mut stock = Stock::default();
+fn device_inventory(m: &Box_) -> DeviceInventory {
+    let mut device_inventory = DeviceInventory::default();
     for (unit, share, broken) in &m.units {
-        stock.put(unit.clone(), *share, *broken);
+        device_inventory.put(unit.clone(), *share, *broken);
     }
-    stock
+    device_inventory
 }
 
 /// All machines that a policy allows, found as the index finds them: in the
@@ -326,7 +326,7 @@
                     let name = found[n % found.len()].clone();
                     let machine = at(&name).expect("it is there");
                     let held = held.entry(name.clone()).or_default();
-                    let chosen = choose(&stock(&machine), held, &policy.devices);
+                    let chosen = choose(&device_inventory(&machine), held, &policy.devices);
                     let free: usize = machine
                         .units
                         .iter()
@@ -520,9 +520,12 @@
     assert_eq!(find("vm-7", "-", "za"), at("za"));
     assert_eq!(find("vm-7", "10.9.1.9", "zc"), at(""));
     assert_eq!(find("vm-7", "10.1.9.9", "za"), ("za".to_owned(), true));
-    let stock = topology.stock("vm-7", "10.1.1.9".parse().ok(), &"t".into());
-    assert!(stock.works(&Unit::new("enc", "a")) && !stock.works(&Unit::new("enc", "b")));
-    let none = topology.stock("vm-7", "10.1.1.200".parse().ok(), &"t".into());
+    let device_inventory = topology.device_inventory("vm-7", "10.1.1.9".parse().ok(), &"t".into());
+    assert!(
+        device_inventory.works(&Unit::new("enc", "a"))
+            && !device_inventory.works(&Unit::new("enc", "b"))
+    );
+    let none = topology.device_inventory("vm-7", "10.1.1.200".parse().ok(), &"t".into());
     assert!(none.is_empty());
 }
 
--- a/examples/placing.rs
+++ b/examples/placing.rs
@@ -78,7 +78,7 @@
         save_s: 0.0,
         deadline_s: None,
         placement: None,
-        seal: None,
+        extension: None,
     }
 }
 
--- a/src/api/for_peers.rs
+++ b/src/api/for_peers.rs
@@ -9,7 +9,7 @@
 use crate::control::core::Source;
 use crate::control::load::count;
 use crate::control::{HeartbeatReply, Node};
-use crate::peer::{self, Answered, Answering, Heard};
+use crate::peer::{self, Answered, Answering, PeerRequestHandler};
 use crate::types::{NodeId, Revision};
 use crate::worker::Heartbeat;
 
@@ -23,10 +23,16 @@
     }
 }
 
-impl Heard for ForPeers {
-    fn hint(&self, revision: Revision, from: &NodeId, standing: peer::Standing, flags: u16) {
+impl PeerRequestHandler for ForPeers {
+    fn hint(
+        &self,
+        revision: Revision,
+        from: &NodeId,
+        announcement: peer::PeerAnnouncement,
+        flags: u16,
+    ) {
         self.0.hinted(revision);
-        self.0.stands(from, standing, flags);
+        self.0.stands(from, announcement, flags);
     }
 
     fn homed(&self, text: &[u8]) -> Answered {
@@ -49,10 +55,10 @@
     }
 
     fn share(&self, kind: peer::Kind, text: &[u8]) {
-        self.0.told_of_shares(kind, text);
+        self.0.receive_peer_message(kind, text);
     }
 
-    fn heard(&self, machines: &[peer::ForwardedHeartbeat]) {
+    fn heartbeats_announced(&self, machines: &[peer::ForwardedHeartbeat]) {
         self.0.heartbeats_announced(machines);
     }
 
@@ -81,7 +87,7 @@
             peer::Kind::Hint
             | peer::Kind::Answer
             | peer::Kind::Adopted
-            | peer::Kind::Heard
+            | peer::Kind::ForwardedHeartbeats
             | peer::Kind::Needs
             | peer::Kind::Rented
             | peer::Kind::Left => refuse(400, "not a request"),
--- a/src/api/jobs.rs
+++ b/src/api/jobs.rs
@@ -153,13 +153,13 @@
     here: impl Future<Output = Reply>,
 ) -> Reply {
     if node.cut_off() {
-        if let Some(answered) = node.pass_on(kind, text).await {
+        if let Some(answered) = node.forward(kind, text).await {
             return passed(answered);
         }
     }
     let answer = here.await;
-    if answer.status() == 503 && node.passes_on() {
-        if let Some(answered) = node.pass_on(kind, text).await {
+    if answer.status() == 503 && node.forwards() {
+        if let Some(answered) = node.forward(kind, text).await {
             return passed(answered);
         }
     }
--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -62,13 +62,13 @@
 }
 
 /// A number that has to be within bounds.
-fn in_range(key: &str, value: f64, least: f64, most: f64) -> Result<f64, ConfigError> {
-    if value.is_finite() && (least..=most).contains(&value) {
+fn in_range(key: &str, value: f64, least: f64, max: f64) -> Result<f64, ConfigError> {
+    if value.is_finite() && (least..=max).contains(&value) {
         Ok(value)
     } else {
         Err(field(
             key,
-            format!("{value} is not within {least} to {most}"),
+            format!("{value} is not within {least} to {max}"),
         ))
     }
 }
