--- a/src/config/properties.rs
+++ b/src/config/properties.rs
@@ -55,12 +55,12 @@
 }
 
 /// A number within bounds.
-fn number(key: &str, text: &str, least: f64, most: f64) -> Result<f64, ConfigError> {
+fn number(key: &str, text: &str, least: f64, max: f64) -> Result<f64, ConfigError> {
     let value: f64 = text
         .trim()
         .parse()
         .map_err(|_| field(key, format!("not a number: {text:?}")))?;
-    in_range(key, value, least, most)
+    in_range(key, value, least, max)
 }
 
 impl Tuning {
--- a/src/connections.rs
+++ b/src/connections.rs
@@ -52,7 +52,7 @@
     /// The next connection's id.
     next: Cell<u64>,
     /// Those that are being told that there is no free capacity.
-    turned_away: Cell<usize>,
+    rejected_connections: Cell<usize>,
     /// Those that waited in vain so far.
     late: Cell<u64>,
     /// From when on [`Time`] is counted here.
@@ -68,7 +68,7 @@
             somebody_waits: Notify::new(),
             ends: RefCell::default(),
             next: Cell::new(0),
-            turned_away: Cell::new(0),
+            rejected_connections: Cell::new(0),
             late: Cell::new(0),
             epoch: Instant::now(),
         })
@@ -135,18 +135,20 @@
     }
 
     /// How many are being told that there is no free capacity.
-    pub(crate) fn turned_away(&self) -> usize {
-        self.turned_away.get()
+    pub(crate) fn rejected_connections(&self) -> usize {
+        self.rejected_connections.get()
     }
 
     /// One more is being told that there is no free capacity.
     pub(crate) fn begin_turning_away(&self) {
-        self.turned_away.set(self.turned_away.get() + 1);
+        self.rejected_connections
+            .set(self.rejected_connections.get() + 1);
     }
 
     /// One was told that there is no free capacity.
     pub(crate) fn end_turning_away(&self) {
-        self.turned_away.set(self.turned_away.get() - 1);
+        self.rejected_connections
+            .set(self.rejected_connections.get() - 1);
     }
 
     /// Lets those who wait read, a few in each turn of the runtime.
--- a/src/control/admission.rs
+++ b/src/control/admission.rs
@@ -13,12 +13,12 @@
 use crate::types::{JobId, Time};
 
 /// Submissions that are recorded at a time.
-const MOST_SUBMISSIONS: usize = 64;
+const MAX_SUBMISSIONS: usize = 64;
 /// Polls that may be with other controllers at a time.
-const MOST_PASSED: usize = 128;
+const MAX_PASSED: usize = 128;
 /// If no other could answer one, none is passed on for so long: while the state
 /// service is away for all, each would else go through two controllers in vain.
-const IN_VAIN: Duration = Duration::from_secs(1);
+const FORWARD_BACKOFF: Duration = Duration::from_secs(1);
 
 /// One poll that is with another controller; its user may go away meanwhile.
 pub(super) struct Passed<'a> {
@@ -47,11 +47,11 @@
     /// Who asked about which job, and who was told to come back.
     asked: RefCell<Asked>,
     /// Polls that other controllers answer at the moment.
-    polls_passed: Cell<usize>,
+    forwarded_queries: Cell<usize>,
     /// Before this instant no poll is passed on, as nobody could answer the last one.
-    polls_stay_until: Cell<Instant>,
+    queries_stay_local_until: Cell<Instant>,
     /// The same for submissions and cancellations.
-    changes_stay_until: Cell<Instant>,
+    changes_stay_local_until: Cell<Instant>,
 }
 
 impl RequestAdmission {
@@ -62,15 +62,15 @@
             submissions: Cell::new(0),
             lane_turns: RefCell::default(),
             asked: RefCell::default(),
-            polls_passed: Cell::new(0),
-            polls_stay_until: Cell::new(now),
-            changes_stay_until: Cell::new(now),
+            forwarded_queries: Cell::new(0),
+            queries_stay_local_until: Cell::new(now),
+            changes_stay_local_until: Cell::new(now),
         }
     }
 
     /// Whether one more submission may be recorded now.
     pub(super) fn has_free_capacity_for_submission(&self) -> bool {
-        self.submissions.get() < MOST_SUBMISSIONS
+        self.submissions.get() < MAX_SUBMISSIONS
     }
 
     /// A submission is about to be recorded.
@@ -118,25 +118,27 @@
     /// A poll goes to another controller, counted until the result is dropped; none if
     /// that is not to be done now.
     pub(super) fn pass_poll(&self) -> Option<Passed<'_>> {
-        let stays = Instant::now() < self.polls_stay_until.get();
-        if stays || self.polls_passed.get() >= MOST_PASSED {
+        let stays = Instant::now() < self.queries_stay_local_until.get();
+        if stays || self.forwarded_queries.get() >= MAX_PASSED {
             return None;
         }
-        Some(Passed::new(&self.polls_passed))
+        Some(Passed::new(&self.forwarded_queries))
     }
 
     /// No other controller could answer a poll.
     pub(super) fn polls_passed_in_vain(&self) {
-        self.polls_stay_until.set(Instant::now() + IN_VAIN);
+        self.queries_stay_local_until
+            .set(Instant::now() + FORWARD_BACKOFF);
     }
 
     /// Whether submissions and cancellations may be passed on.
     pub(super) fn passes_changes(&self) -> bool {
-        Instant::now() >= self.changes_stay_until.get()
+        Instant::now() >= self.changes_stay_local_until.get()
     }
 
     /// No other controller could decide a submission or cancellation.
     pub(super) fn changes_passed_in_vain(&self) {
-        self.changes_stay_until.set(Instant::now() + IN_VAIN);
+        self.changes_stay_local_until
+            .set(Instant::now() + FORWARD_BACKOFF);
     }
 }
--- a/src/control/calendar.rs
+++ b/src/control/calendar.rs
@@ -12,7 +12,7 @@
 use super::drains::Refused;
 use super::{core, wall_ms, Node};
 use crate::state::view::Versioned;
-use crate::state::{Change, Outcome, StateError, Urgency};
+use crate::state::{Change, RequestPriority, StateError, TransactionOutcome};
 use crate::types::Revision;
 
 /// How often windows are looked at.
@@ -73,7 +73,7 @@
 
 impl Node {
     /// Keeps the calendar's record and takes the windows' steps.
-    pub(super) async fn tend_calendar(self: Rc<Self>) {
+    pub(super) async fn run_reservations(self: Rc<Self>) {
         let Some(file) = self.cfg.calendar.clone() else {
             return;
         };
@@ -89,7 +89,7 @@
                 let (wall, now) = (day_ms(), self.now());
                 let mut steps = Vec::new();
                 for c in self.shards.owned_mut().values_mut() {
-                    c.look_at_windows(&view, wall, now);
+                    c.refresh_windows(&view, wall, now);
                     steps.extend(c.window_steps());
                 }
                 steps
@@ -119,7 +119,7 @@
             return;
         }
         match self.write_calendar(newer.mod_revision, &newer.record).await {
-            Ok(Outcome::Done(revision)) => {
+            Ok(TransactionOutcome::Done(revision)) => {
                 tracing::info!(
                     number = newer.record.number,
                     windows = newer.record.entries.len(),
@@ -129,7 +129,7 @@
                 self.fresh().await;
             }
             // Another was faster; the view tells.
-            Ok(Outcome::Failed(_)) => {
+            Ok(TransactionOutcome::Failed(_)) => {
                 self.fresh().await;
             }
             Err(error) => tracing::debug!(%error, "calendar"),
@@ -184,7 +184,7 @@
         &self,
         mod_revision: Revision,
         record: &CalendarRecord,
-    ) -> Result<Outcome, StateError> {
+    ) -> Result<TransactionOutcome, StateError> {
         let change = Change::write(CALENDAR_KEY.into(), record, None);
         self.state
             .change(CALENDAR_KEY.into(), mod_revision, change, PATIENCE)
@@ -195,10 +195,10 @@
     async fn take_step(&self, step: core::WindowStep) {
         match self
             .state
-            .transact(&step.transaction, Urgency::Within(PATIENCE))
+            .transact(&step.transaction, RequestPriority::Within(PATIENCE))
             .await
         {
-            Ok(Outcome::Done(revision)) => {
+            Ok(TransactionOutcome::Done(revision)) => {
                 let name = step.step.map_or("forgotten".into(), |s| s.to_string());
                 tracing::info!(
                     window = step.window,
@@ -208,7 +208,7 @@
                 );
                 self.peers.announce(revision);
             }
-            Ok(Outcome::Failed(_)) => {}
+            Ok(TransactionOutcome::Failed(_)) => {}
             // If it was carried out after all, the view tells.
             Err(error) => tracing::debug!(%error, "calendar"),
         }
@@ -255,13 +255,13 @@
                 return Ok(());
             };
             match self.write_calendar(held.mod_revision, &record).await {
-                Ok(Outcome::Done(revision)) => {
+                Ok(TransactionOutcome::Done(revision)) => {
                     tracing::info!(windows = record.entries.len(), "calendar");
                     self.peers.announce(revision);
                     self.fresh().await;
                     return Ok(());
                 }
-                Ok(Outcome::Failed(_)) => {}
+                Ok(TransactionOutcome::Failed(_)) => {}
                 Err(error) => {
                     tracing::info!(%error, "calendar");
                     return Err(Refused::Unavailable);
--- a/src/control/cloud_duties.rs
+++ b/src/control/cloud_duties.rs
@@ -13,15 +13,15 @@
 use crate::types::MachineId;
 
 /// How often the fleet is planned.
-const FLEET_EVERY: Duration = Duration::from_millis(700);
+const AUTOSCALE_INTERVAL: Duration = Duration::from_millis(700);
 /// Machines that are read from the list a second.
-const LISTED_A_SECOND: f64 = 350.0;
+const MACHINES_LISTED_PER_S: f64 = 350.0;
 /// The pause, in seconds, before the first list, and after one that failed.
 const LIST_RETRY_S: f64 = 0.5;
 /// The shortest pause between two lists, in seconds.
 const LIST_PAUSE_LEAST_S: f64 = 1.0;
 /// The shortest pause that a late list asks for is no longer than this, in seconds.
-const LIST_PAUSE_MOST_S: f64 = 5.0;
+const LIST_PAUSE_MAX_S: f64 = 5.0;
 /// How often machine types are read: prices change; the rest hardly does.
 const TYPES_INTERVAL: Duration = Duration::from_secs(45);
 /// The pause after types could not be read, while earlier ones are known.
@@ -58,7 +58,7 @@
     /// Reads the machine list. It is late in any case, and longer with more
     /// machines, so then it is read less often.
     pub(super) async fn list_machines(self: Rc<Self>) {
-        let least = (self.cfg.list_lag_s / 2.0).clamp(LIST_PAUSE_LEAST_S, LIST_PAUSE_MOST_S);
+        let least = (self.cfg.list_lag_s / 2.0).clamp(LIST_PAUSE_LEAST_S, LIST_PAUSE_MAX_S);
         let mut pause = LIST_RETRY_S;
         loop {
             sleep(Duration::from_secs_f64(pause)).await;
@@ -70,7 +70,7 @@
                 Ok(list) => {
                     // Of several owners each reads it, so each less often.
                     let owners = self.owners_of_shards() as f64;
-                    pause = least.max(list.len() as f64 / LISTED_A_SECOND) * owners.sqrt();
+                    pause = least.max(list.len() as f64 / MACHINES_LISTED_PER_S) * owners.sqrt();
                     self.machines_listed(&list);
                     self.drive();
                 }
@@ -87,7 +87,7 @@
             self.shards.learn_listed_zones(list.len(), zones);
         }
         for c in self.shards.owned_mut().values_mut() {
-            c.look_elsewhere(&self.store.view());
+            c.refresh_from_view(&self.store.view());
             let scope = c.scope;
             if scope.is_part() {
                 let own = list.iter().filter(|m| scope.covers(&m.id));
@@ -99,9 +99,9 @@
     }
 
     /// Plans the fleet, and rents and gives back by it.
-    pub(super) async fn tend_cloud(self: Rc<Self>) {
+    pub(super) async fn run_autoscaler(self: Rc<Self>) {
         loop {
-            sleep(FLEET_EVERY).await;
+            sleep(AUTOSCALE_INTERVAL).await;
             // Without the lease another controller may own the shard: its
             // machines would look silent here, and must not be given back.
             if !self.leadership.is_exclusive() {
@@ -122,7 +122,7 @@
                     rental,
                 }));
             }
-            self.give_back(&to_delete).await;
+            self.mark_for_scale_in(&to_delete).await;
             for rental in rentals {
                 spawn_local(self.clone().rent(rental));
             }
@@ -130,7 +130,7 @@
     }
 
     /// Gives machines back to the cloud.
-    async fn give_back(self: &Rc<Self>, to_delete: &[MachineId]) {
+    async fn mark_for_scale_in(self: &Rc<Self>, to_delete: &[MachineId]) {
         for machines in to_delete.chunks(DELETED_TOGETHER) {
             match self.cloud.delete(machines).await {
                 Ok(()) => {
@@ -154,7 +154,7 @@
         let result = match self.cloud.rent(rental).await {
             Ok(machines) => {
                 tracing::info!(request_id = rental.request_id, kind = %rental.machine_type, zone = %rental.zone, spot = rental.spot, asked = rental.count, got = machines.len(), "rented");
-                self.tell_rented(rental, &machines);
+                self.announce_rented_machines(rental, &machines);
                 Ok(machines)
             }
             Err(error) => {
--- a/src/control/core/agent.rs
+++ b/src/control/core/agent.rs
@@ -17,7 +17,7 @@
 };
 
 /// After so long without effect a worker is told again to stop a task, in seconds.
-pub(super) const KILL_AGAIN_S: f64 = 2.0;
+pub(super) const KILL_RETRY_S: f64 = 2.0;
 
 /// One attempt to run a task. Ordered by task, then by attempt.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -47,7 +47,7 @@
     /// Whether a task is to be stopped that was not, or whose stop may be lost.
     pub(super) fn is_due(&self, task: &TaskAttempt, now: Time) -> bool {
         let sent = self.0.get(task);
-        sent.is_none_or(|at| now.since(*at) >= KILL_AGAIN_S)
+        sent.is_none_or(|at| now.since(*at) >= KILL_RETRY_S)
     }
 
     /// The worker is told to stop a task.
@@ -125,7 +125,7 @@
     /// Whether direct commands get through.
     pub(super) direct: DirectLine,
     /// A direct command failed: no new tasks until a heartbeat shows that it heard.
-    pub(super) doubted: bool,
+    pub(super) suspected_one_way: bool,
     /// Its last heartbeat was passed on by another controller.
     pub(super) passed: bool,
     /// The cloud takes it, or it was chosen to go.
@@ -154,7 +154,7 @@
             reachability: Reachability::default(),
             tasks: BTreeMap::new(),
             direct: DirectLine::new(now),
-            doubted: false,
+            suspected_one_way: false,
             passed: false,
             leaving: false,
             deleting: false,
--- a/src/control/core/agents.rs
+++ b/src/control/core/agents.rs
@@ -32,7 +32,7 @@
     /// It is given back, or the cloud takes it.
     leaving: bool,
     /// A direct command failed, and no heartbeat shows yet what it heard.
-    doubted: bool,
+    suspected_one_way: bool,
     /// An operator drains it.
     draining: bool,
 }
@@ -118,7 +118,7 @@
     }
 
     /// Whether nothing speaks against a machine hearing what it is told.
-    pub fn hears(&self, id: &MachineId) -> bool {
+    pub fn is_reachable(&self, id: &MachineId) -> bool {
         self.agents
             .get(id)
             .is_none_or(|l| l.fenced() && !l.reachability.in_doubt())
@@ -132,7 +132,7 @@
             return;
         };
         self.apply_status(id, &status, now);
-        if status.leaving || status.doubted || status.draining {
+        if status.leaving || status.suspected_one_way || status.draining {
             self.wake(id);
             self.settle_claims(id, status.leaving, now);
         }
@@ -164,7 +164,7 @@
         let leaving = agent.leaving || agent.deleting;
         let usable = agent.fenced()
             && !draining
-            && !agent.doubted
+            && !agent.suspected_one_way
             && !leaving
             && !agent.failed_jobs.is_shunned(now)
             && !agent.reachability.is_quarantined(now)
@@ -174,7 +174,7 @@
             slow: agent.passed || agent.direct.is_failing(),
             silent,
             leaving,
-            doubted: agent.doubted,
+            suspected_one_way: agent.suspected_one_way,
             draining,
         })
     }
--- a/src/control/core/batch.rs
+++ b/src/control/core/batch.rs
@@ -7,23 +7,23 @@
 
 use super::draft::{Draft, DraftBounds, Written};
 use super::{Batch, Core};
-use crate::control::pending::{ChunkId, Due, Haste};
+use crate::control::pending::{ChunkId, PendingWrite, WritePriority};
 use crate::state::record::{encoded_bytes, ChunkRecord, JobRecord, Phase};
 use crate::state::view::{JobEntry, View};
 use crate::types::{JobId, Time};
 
 impl Core {
-    /// The next transaction, if anything is to be recorded, of at most `most_ops` changes.
+    /// The next transaction, if anything is to be recorded, of at most `max_ops` changes.
     /// `spare`: there are more changes left than urgent ones need.
     pub fn next_batch(
         &mut self,
         view: &View,
-        most_ops: usize,
+        max_ops: usize,
         spare: bool,
         now: Time,
     ) -> Option<Batch> {
         let bounds = DraftBounds {
-            most_ops,
+            max_ops,
             alone: self.rejected_changes.tries_alone(now),
         };
         let mut draft = Draft::new(self.grant_key(), self.grant_revision, bounds);
@@ -48,7 +48,7 @@
             let Some(due) = self.pending.take(spare, now) else {
                 break;
             };
-            let (Due::Finished(id) | Due::Chunk((id, _))) = &due;
+            let (PendingWrite::Finished(id) | PendingWrite::Chunk((id, _))) = &due;
             let id = id.clone();
             self.cluster_state.claimed_all(&id);
             if draft.writes_job(&id) || self.rejected_changes.holds_back(&due, now) {
@@ -61,7 +61,7 @@
             let written = self.written(&id, entry, &due, now);
             if !draft.has_free_capacity_for(&written) {
                 // It goes first into the next one.
-                if let Due::Chunk(chunk) = due {
+                if let PendingWrite::Chunk(chunk) = due {
                     self.claim_again(chunk, now);
                 }
                 break;
@@ -74,22 +74,24 @@
     }
 
     /// Something is to be recorded later.
-    fn put_back(&mut self, due: Due, now: Time) {
+    fn put_back(&mut self, due: PendingWrite, now: Time) {
         match due {
-            Due::Finished(id) => self.finished(id, now),
-            Due::Chunk(chunk) => self.pending.released(chunk, now),
+            PendingWrite::Finished(id) => self.finished(id, now),
+            PendingWrite::Chunk(chunk) => self.pending.released(chunk, now),
         }
     }
 
     /// What one entry of the queues comes to.
-    fn written(&mut self, id: &JobId, entry: &JobEntry, due: &Due, now: Time) -> Written {
+    fn written(&mut self, id: &JobId, entry: &JobEntry, due: &PendingWrite, now: Time) -> Written {
         let held = &entry.record.value;
         match due {
-            Due::Finished(_) if held.phase != Phase::Live => Written::Nothing,
+            PendingWrite::Finished(_) if held.phase != Phase::Live => Written::Nothing,
             // A completed job's record alone says it; its chunks can go.
-            Due::Finished(_) => Written::Job(held.done(self.wall_ms(now))),
-            Due::Chunk(_) if entry.inline().is_some() => self.written_inline(id, entry, now),
-            Due::Chunk((_, chunk)) => self.written_chunk(id, entry, *chunk, now),
+            PendingWrite::Finished(_) => Written::Job(held.done(self.wall_ms(now))),
+            PendingWrite::Chunk(_) if entry.inline().is_some() => {
+                self.written_inline(id, entry, now)
+            }
+            PendingWrite::Chunk((_, chunk)) => self.written_chunk(id, entry, *chunk, now),
         }
     }
 
@@ -218,8 +220,9 @@
     pub(super) fn claim_again(&mut self, chunk: ChunkId, now: Time) {
         match self.cluster_state.job(&chunk.0) {
             Some(job) => {
-                let (haste, sort) = (Haste::of(job).max(Haste::Usual), job.sort());
-                self.pending.claimed(chunk, haste, sort, now);
+                let (write_priority, sort) =
+                    (WritePriority::of(job).max(WritePriority::Usual), job.sort());
+                self.pending.claimed(chunk, write_priority, sort, now);
             }
             None => self.pending.released(chunk, now),
         }
@@ -233,7 +236,8 @@
         if !self.rejected_changes.learn_limits(limits_fell) {
             let with_rollout = batch.rollout.is_some();
             let changes = batch.written_keys();
-            self.rejected_changes.set_apart(changes, with_rollout, now);
+            self.rejected_changes
+                .isolate_batch(changes, with_rollout, now);
         }
         self.conflicted(batch, view, now)
     }
--- a/src/control/core/calendar.rs
+++ b/src/control/core/calendar.rs
@@ -5,7 +5,7 @@
 
 use std::collections::BTreeMap;
 
-use sorrelhinge_reservations::plan::{Change as Due, Seen, Whole};
+use sorrelhinge_reservations::plan::{Change as PendingWrite, Seen, Whole};
 use sorrelhinge_reservations::record::{key, Entry, Step, WindowRecord};
 use sorrelhinge_sharding::shard::ShardId;
 
@@ -24,7 +24,7 @@
     /// When its work last ran or waited, as far as this owner saw.
     pub(super) busy_at: Time,
     /// How many tasks' room is on its way for it.
-    pub(super) coming: u32,
+    pub(super) pending_machines: u32,
     /// What was last seen of it.
     pub(super) seen: Option<Seen>,
     /// What is due for all its occurrences.
@@ -49,7 +49,7 @@
             entry: None,
             records: BTreeMap::new(),
             busy_at: now,
-            coming: 0,
+            pending_machines: 0,
             seen: None,
             whole: Whole {
                 each: BTreeMap::new(),
@@ -97,9 +97,9 @@
     }
 
     /// What was packed into machines on their way.
-    pub fn set_coming(&mut self, coming: &BTreeMap<String, u32>) {
+    pub fn set_coming(&mut self, pending_machines: &BTreeMap<String, u32>) {
         for (name, watch) in &mut self.watched {
-            watch.coming = coming.get(name).copied().unwrap_or(0);
+            watch.pending_machines = pending_machines.get(name).copied().unwrap_or(0);
         }
     }
 }
@@ -149,13 +149,15 @@
         window: &str,
         start_ms: i64,
         mod_revision: Revision,
-        due: &Due,
+        due: &PendingWrite,
     ) -> Option<WindowStep> {
         let key = key(window, start_ms);
         let (step, change) = match due {
-            Due::Keep => return None,
-            Due::Write(record) => (Some(record.step), Change::write(key.clone(), record, None)),
-            Due::Delete => {
+            PendingWrite::Keep => return None,
+            PendingWrite::Write(record) => {
+                (Some(record.step), Change::write(key.clone(), record, None))
+            }
+            PendingWrite::Delete => {
                 let delete = key.clone();
                 (None, Change::Delete { delete })
             }
--- a/src/control/core/commands.rs
+++ b/src/control/core/commands.rs
@@ -153,7 +153,7 @@
     /// Until when tasks may be started by what is known of the records: a task that
     /// starts later could be on its machine after `cancel_s`, if its job was
     /// cancelled through another controller meanwhile.
-    pub fn may_start_until(&mut self, until: Time, now: Time) {
+    pub fn allow_starts_until(&mut self, until: Time, now: Time) {
         for id in self.start_permission.set(until, now) {
             self.command_queue.add(id, ContactOrder::First);
         }
--- a/src/control/core/deleted_machines.rs
+++ b/src/control/core/deleted_machines.rs
@@ -6,7 +6,7 @@
 
 use sorrelhinge_sharding::shard::ShardScope;
 
-use crate::state::record::{gone_key, GoneRecord, GONE_SLOTS};
+use crate::state::record::{retired_machines_key, RetiredMachinesRecord, RETIRED_MACHINE_SLOTS};
 use crate::state::view::View;
 use crate::state::Change;
 use crate::types::{MachineId, Time};
@@ -14,13 +14,13 @@
 /// Names wait so long for company, in seconds.
 const WAIT_S: f64 = 3.0;
 /// But so many are written at once.
-const MANY: usize = 60;
+const DELETED_MACHINES_PER_RECORD: usize = 60;
 
 /// The names to write, and where.
 pub(super) struct DeletedMachines {
     step: u32,
     slot: u32,
-    written: GoneRecord,
+    written: RetiredMachinesRecord,
     fresh: Vec<MachineId>,
     since: Time,
 }
@@ -36,8 +36,8 @@
             step: scope.of,
             slot: last.map_or(scope.shard.0, |(slot, _)| *slot),
             written: last.map_or(
-                GoneRecord {
-                    version: GoneRecord::VERSION,
+                RetiredMachinesRecord {
+                    version: RetiredMachinesRecord::VERSION,
                     machines: Vec::new(),
                 },
                 |(_, held)| held.value.clone(),
@@ -58,26 +58,36 @@
     /// The change to make, if it is time: a list with the new names, in the
     /// next slot if this one is full.
     pub(super) fn change(&mut self, value_bytes: usize, now: Time) -> Option<Change> {
-        let due = self.fresh.len() >= MANY || now.since(self.since) >= WAIT_S;
+        let due =
+            self.fresh.len() >= DELETED_MACHINES_PER_RECORD || now.since(self.since) >= WAIT_S;
         if self.fresh.is_empty() || !due {
             return None;
         }
-        let weight = |names: &[MachineId]| names.iter().map(GoneRecord::weight).sum::<usize>();
+        let weight = |names: &[MachineId]| {
+            names
+                .iter()
+                .map(RetiredMachinesRecord::weight)
+                .sum::<usize>()
+        };
         let free_capacity = value_bytes * 3 / 4;
         if weight(&self.written.machines) + weight(&self.fresh) > free_capacity {
             self.slot += self.step;
-            if self.slot >= GONE_SLOTS {
+            if self.slot >= RETIRED_MACHINE_SLOTS {
                 self.slot %= self.step;
             }
             self.written.machines.clear();
         }
         let mut left = free_capacity;
         let fits = |name: &&MachineId| {
-            left = left.saturating_sub(GoneRecord::weight(name));
+            left = left.saturating_sub(RetiredMachinesRecord::weight(name));
             left > 0
         };
         let take = self.fresh.iter().take_while(fits).count();
         self.written.machines.extend(self.fresh.drain(..take));
-        Some(Change::write(gone_key(self.slot), &self.written, None))
+        Some(Change::write(
+            retired_machines_key(self.slot),
+            &self.written,
+            None,
+        ))
     }
 }
--- a/src/control/core/demand.rs
+++ b/src/control/core/demand.rs
@@ -78,26 +78,26 @@
         match arrivals.spec.kind {
             // Replicas stay: none preempts work for the next.
             Kind::Service => SERVICE_CAPACITY * (come + burst),
-            Kind::Array | Kind::Gang => BURST_SHARE * burst * self.haste(&arrivals.spec),
+            Kind::Array | Kind::Gang => BURST_SHARE * burst * self.write_priority(&arrivals.spec),
         }
     }
 
     /// Within each team's limit, room for a job of the classes whose users
     /// wait for its start: other work of the team must not take the last.
     pub(super) fn hold_back(&mut self) {
-        let mut most: HashMap<Arc<str>, Amount> = HashMap::new();
+        let mut max: HashMap<Arc<str>, Amount> = HashMap::new();
         for a in self.scaling.arrivals.values() {
             if self.starts_within(&a.spec.class).is_some() {
                 let largest = a.recent.iter().map(|(_, n)| *n).max().unwrap_or(0);
                 let job = a.spec.each.times(i64::from(largest.min(MAX_COUNTED_TASKS)));
-                let held = most.entry(a.spec.team.clone()).or_default();
+                let held = max.entry(a.spec.team.clone()).or_default();
                 if held.cpu < job.cpu {
                     *held = job;
                 }
             }
         }
         for (i, team) in self.cfg.teams.iter().enumerate() {
-            let held = most.get(&team.name).copied().unwrap_or_default();
+            let held = max.get(&team.name).copied().unwrap_or_default();
             // A small part of the limit only.
             let held = if held.cpu * HELD_BACK_DIVISOR <= self.cluster_state.teams()[i].limit.cpu {
                 held
--- a/src/control/core/direct_line.rs
+++ b/src/control/core/direct_line.rs
@@ -5,7 +5,7 @@
 /// The first pause after a direct command failed, in seconds; it doubles with each
 /// failure in a row, so many times at the most.
 const FIRST_PAUSE_S: f64 = 0.25;
-const MOST_DOUBLINGS: u32 = 5;
+const MAX_DOUBLINGS: u32 = 5;
 /// Within so long of a heartbeat of the worker's own the next direct command is tried, in
 /// seconds, however many have failed.
 const RETRY_AFTER_HEARTBEAT_S: f64 = 1.0;
@@ -25,7 +25,7 @@
     /// It is silent and has tasks: it is asked directly.
     suspect: bool,
     /// How often in a row it took a connection and did not answer.
-    hangs: u32,
+    unanswered_connections: u32,
 }
 
 impl DirectLine {
@@ -36,7 +36,7 @@
             retry_at: now,
             failures: 0,
             suspect: false,
-            hangs: 0,
+            unanswered_connections: 0,
         }
     }
 
@@ -61,8 +61,8 @@
     }
 
     /// How often in a row the worker took a connection and did not answer.
-    pub(super) fn hangs(&self) -> u32 {
-        self.hangs
+    pub(super) fn unanswered_connections(&self) -> u32 {
+        self.unanswered_connections
     }
 
     /// The worker is silent and has tasks: it is to be asked.
@@ -72,7 +72,7 @@
 
     /// The worker was heard, on whatever way.
     pub(super) fn heard(&mut self) {
-        (self.suspect, self.hangs) = (false, 0);
+        (self.suspect, self.unanswered_connections) = (false, 0);
     }
 
     /// A heartbeat came from the worker itself: there is a way.
@@ -105,9 +105,13 @@
     /// A command did not get through. `hung`: the connection was taken, and no answer
     /// came.
     pub(super) fn failed(&mut self, hung: bool, now: Time) {
-        self.hangs = if hung { self.hangs + 1 } else { 0 };
+        self.unanswered_connections = if hung {
+            self.unanswered_connections + 1
+        } else {
+            0
+        };
         self.failures += 1;
-        let pause_s = FIRST_PAUSE_S * f64::from(self.failures.min(MOST_DOUBLINGS)).exp2();
+        let pause_s = FIRST_PAUSE_S * f64::from(self.failures.min(MAX_DOUBLINGS)).exp2();
         self.retry_at = now.after(pause_s);
     }
 }
--- a/src/control/core/dispatch.rs
+++ b/src/control/core/dispatch.rs
@@ -1,7 +1,7 @@
 //! Commands sent to workers directly, and what became of them (PROTOCOL,
 //! "Controller nodes -> workers").
 
-use super::agent::KILL_AGAIN_S;
+use super::agent::KILL_RETRY_S;
 use super::command_queue::ContactOrder;
 use super::{Core, Dispatch, Source};
 use crate::sched::Sent;
@@ -58,7 +58,7 @@
         let to_be_asked = !agent.fenced() || agent.direct.is_failing() || agent.direct.is_suspect();
         if forgets_only && !to_be_asked {
             if !agent.sent_kills.is_empty() {
-                self.command_queue.retry_after(id, KILL_AGAIN_S, now);
+                self.command_queue.retry_after(id, KILL_RETRY_S, now);
             }
             return None;
         }
@@ -161,7 +161,7 @@
         let Some(agent) = self.agents.get_mut(id) else {
             return;
         };
-        agent.doubted = true;
+        agent.suspected_one_way = true;
         // Its heartbeats have to show the fencing token.
         if !agent.fenced() {
             agent.reachability.asked(now);
--- a/src/control/core/draft.rs
+++ b/src/control/core/draft.rs
@@ -92,7 +92,7 @@
 /// How large a transaction may be.
 pub(super) struct DraftBounds {
     /// Most changes.
-    pub(super) most_ops: usize,
+    pub(super) max_ops: usize,
     /// Each change has a transaction of its own now.
     pub(super) alone: bool,
 }
@@ -140,7 +140,7 @@
 
     /// Whether one more change may go into it.
     pub(super) fn takes_change(&self) -> bool {
-        self.len() < self.bounds.most_ops && !(self.bounds.alone && self.len() > 0)
+        self.len() < self.bounds.max_ops && !(self.bounds.alone && self.len() > 0)
     }
 
     /// Whether more of what waits to be recorded may go into it.
@@ -150,7 +150,7 @@
 
     /// Whether this may go into it in whole.
     pub(super) fn has_free_capacity_for(&self, written: &Written) -> bool {
-        self.len() + written.changes() <= self.bounds.most_ops
+        self.len() + written.changes() <= self.bounds.max_ops
     }
 
     /// Whether a job's record is written by it.
--- a/src/control/core/failed_jobs.rs
+++ b/src/control/core/failed_jobs.rs
@@ -12,7 +12,7 @@
 pub(super) struct FailedJobs {
     jobs: BTreeSet<JobId>,
     /// The machine is not used until then.
-    shunned_until: Time,
+    quarantined_until: Time,
 }
 
 impl FailedJobs {
@@ -20,7 +20,7 @@
     pub(super) fn none() -> Self {
         Self {
             jobs: BTreeSet::new(),
-            shunned_until: Time(0.0),
+            quarantined_until: Time(0.0),
         }
     }
 
@@ -28,12 +28,12 @@
     /// did.
     pub(super) fn add(&mut self, job: &JobId, now: Time) {
         self.jobs.insert(job.clone());
-        self.shunned_until = now.after(SHUNNED_S * self.jobs.len() as f64);
+        self.quarantined_until = now.after(SHUNNED_S * self.jobs.len() as f64);
     }
 
     /// Whether the machine is not to be used now.
     pub(super) fn is_shunned(&self, now: Time) -> bool {
-        now < self.shunned_until
+        now < self.quarantined_until
     }
 
     /// The jobs that failed there, by name.
@@ -50,7 +50,7 @@
     /// A job's failures are not held against the machine any more.
     pub(super) fn forgive(&mut self, job: &JobId) {
         if self.jobs.remove(job) && self.jobs.is_empty() {
-            self.shunned_until = Time(0.0);
+            self.quarantined_until = Time(0.0);
         }
     }
 }
--- a/src/control/core/failures.rs
+++ b/src/control/core/failures.rs
@@ -9,7 +9,7 @@
 /// A machine that refused a task is avoided for so many heartbeat intervals.
 const REFUSED_HEARTBEATS: f64 = 2.0;
 /// The longest pause of a job whose tasks machines do not know, in seconds.
-const MOST_UNKNOWN_PAUSE_S: f64 = 30.0;
+const MAX_UNKNOWN_PAUSE_S: f64 = 30.0;
 /// A job avoids a machine where it failed for so long, in seconds.
 const AVOIDED_S: f64 = 60.0;
 /// A job that failed so often, and on so many machines, is mistaken.
@@ -17,7 +17,7 @@
 const MISTAKEN_MACHINES: usize = 3;
 /// The first pause of a mistaken job, in seconds, and the longest one.
 const MISTAKEN_PAUSE_S: f64 = 2.0;
-const MOST_MISTAKEN_PAUSE_S: f64 = 40.0;
+const MAX_MISTAKEN_PAUSE_S: f64 = 40.0;
 /// A machine on which so many sound jobs failed is faulty.
 const FAULTY_JOBS: usize = 2;
 
@@ -68,7 +68,7 @@
     fn succeeded(&mut self, id: &MachineId, task: &TaskId, now: Time) {
         let all_done = self.cluster_state.edit_job(&task.job, |job| {
             job.tasks.set_done(task.index);
-            (job.failures, job.doubted) = (0, false);
+            (job.failures, job.suspected_one_way) = (0, false);
             job.tasks.all_done()
         });
         // Another shard's jobs are done when that has read so.
@@ -94,7 +94,7 @@
         self.cluster_state.edit_job(job, |job| {
             job.failures += 1;
             let pause_s = f64::from(job.failures).exp2();
-            job.hold_until = now.after(pause_s.min(MOST_UNKNOWN_PAUSE_S));
+            job.hold_until = now.after(pause_s.min(MAX_UNKNOWN_PAUSE_S));
         });
     }
 
@@ -142,19 +142,19 @@
     job.avoid.retain(|_, until| now < *until);
     job.avoid.insert(id.clone(), now.after(AVOIDED_S));
     let mistaken = job.failures >= MISTAKEN_FAILURES && job.avoid.len() >= MISTAKEN_MACHINES;
-    let doubted = job.doubted;
-    if mistaken && !doubted && job.spec.kind == Kind::Array {
+    let suspected_one_way = job.suspected_one_way;
+    if mistaken && !suspected_one_way && job.spec.kind == Kind::Array {
         // However many of its tasks failed at once.
-        (job.doubted, job.failures) = (true, MISTAKEN_FAILURES);
-    } else if doubted && !job.tasks.claims().is_empty() {
+        (job.suspected_one_way, job.failures) = (true, MISTAKEN_FAILURES);
+    } else if suspected_one_way && !job.tasks.claims().is_empty() {
         // Of those that were started before it was doubted.
         job.failures -= 1;
     }
-    if mistaken || doubted {
+    if mistaken || suspected_one_way {
         let wait = f64::from(job.failures.min(6) - 2).exp2();
-        job.hold_until = now.after((MISTAKEN_PAUSE_S * wait).min(MOST_MISTAKEN_PAUSE_S));
+        job.hold_until = now.after((MISTAKEN_PAUSE_S * wait).min(MAX_MISTAKEN_PAUSE_S));
     }
-    match (doubted, mistaken) {
+    match (suspected_one_way, mistaken) {
         (true, _) => Blame::Job,
         (false, true) => Blame::JobFromNowOn,
         (false, false) => Blame::Machine,
--- a/src/control/core/fleet_log.rs
+++ b/src/control/core/fleet_log.rs
@@ -41,7 +41,7 @@
             spot = spot.machines,
             spot_cpus = spot.cpus,
             spot_used = spot.used,
-            coming = self.inventory.coming().len(),
+            pending_machines = self.inventory.pending_machines().len(),
             retiring,
             pending,
             teams = self.team_usage(),
--- a/src/control/core/heartbeats.rs
+++ b/src/control/core/heartbeats.rs
@@ -50,7 +50,8 @@
     /// that it names, and for those that it does not.
     fn take_in(&mut self, heartbeat: &Heartbeat, source: Source, now: Time) {
         let id = &heartbeat.machine;
-        let (lease_s, hears_badly) = (self.cfg.lease_s, now < self.deaf_until);
+        let (lease_s, quarantine_one_way_reachable) =
+            (self.cfg.lease_s, now < self.silence_ignored_until);
         let Some(agent) = self.agent(&SeenMachine::by_heartbeat(heartbeat), now) else {
             return;
         };
@@ -59,7 +60,7 @@
         // lost each time. While requests wait too long, answers may be too late.
         if news.incarnation_ended
             && agent.reachability.incarnation_ended(lease_s, now)
-            && !hears_badly
+            && !quarantine_one_way_reachable
         {
             agent.leaving = true;
         }
@@ -86,8 +87,8 @@
         let Some(agent) = self.agents.get_mut(id).filter(|l| l.fenced()) else {
             return;
         };
-        agent.doubted = agent.reachability.in_doubt();
-        if agent.doubted {
+        agent.suspected_one_way = agent.reachability.in_doubt();
+        if agent.suspected_one_way {
             // It has the present fencing token and does nothing: a higher one has
             // to be taken up before anything more goes there.
             agent.raise_fencing_token();
--- a/src/control/core/image_distribution.rs
+++ b/src/control/core/image_distribution.rs
@@ -45,7 +45,7 @@
 /// A machine in a rollout.
 pub(super) struct Member {
     /// It has all of the image.
-    pub(super) whole: bool,
+    pub(super) complete: bool,
     /// Since when it wants it, or is known to fetch it.
     pub(super) since: Time,
 }
@@ -105,7 +105,7 @@
     pub(super) uploads: Uploads,
     pub(super) rollouts: BTreeMap<Image, ActiveRollout>,
     /// What the state service has; none: of a later version, which is left alone.
-    pub(super) held: BTreeMap<(ShardId, u64), Versioned<Option<RolloutRecord>>>,
+    pub(super) stored_records: BTreeMap<(ShardId, u64), Versioned<Option<RolloutRecord>>>,
     /// Of shards that there are no more.
     useless: BTreeMap<(ShardId, u64), Revision>,
 }
@@ -115,36 +115,43 @@
     /// what may be asked of the origin is at least one copy at a time.
     pub(super) fn load(cfg: &Config, scope: ShardScope, view: &View) -> Self {
         let least_gb = cfg.tuning.staging_least_gb;
-        let whole = Limits::default();
+        let complete = Limits::default();
         let part = |all: u32| (all / scope.of.max(1)).max(1);
         let mut image_distribution = Self {
             least_gb,
             shard: scope.shard,
             value_bytes: cfg.state_limits.value_bytes,
             limits: Limits {
-                per_zone: part(whole.per_zone),
-                origin: part(whole.origin),
-                ..whole
+                per_zone: part(complete.per_zone),
+                origin: part(complete.origin),
+                ..complete
             },
             uploads: Uploads::default(),
             rollouts: BTreeMap::new(),
-            held: BTreeMap::new(),
+            stored_records: BTreeMap::new(),
             useless: BTreeMap::new(),
         };
         if least_gb.is_none() {
             return image_distribution;
         }
-        for (&key, held) in &view.rollouts {
+        for (&key, stored_records) in &view.rollouts {
             let (shard, _) = key;
             if shard == scope.shard {
-                image_distribution.held.insert(key, held.clone());
-                if let Some(record) = held.value.as_ref().filter(|r| r.known()) {
+                image_distribution
+                    .stored_records
+                    .insert(key, stored_records.clone());
+                if let Some(record) = stored_records.value.as_ref().filter(|r| r.known()) {
                     image_distribution
                         .rollouts
                         .insert(record.image.clone(), ActiveRollout::of(None));
                 }
-            } else if shard.0 >= scope.of && scope.shard == ShardId(0) && held.value.is_some() {
-                image_distribution.useless.insert(key, held.mod_revision);
+            } else if shard.0 >= scope.of
+                && scope.shard == ShardId(0)
+                && stored_records.value.is_some()
+            {
+                image_distribution
+                    .useless
+                    .insert(key, stored_records.mod_revision);
             }
         }
         image_distribution
@@ -187,11 +194,11 @@
     fn next_of(&self, image: &Image, kept: &ActiveRollout, now: Time) -> Option<DueStep> {
         let rollout = kept.rollout.as_ref()?;
         let key = self.key(image);
-        let held = self.held.get(&key);
-        if held.is_some_and(|h| h.value.is_none()) {
+        let stored_records = self.stored_records.get(&key);
+        if stored_records.is_some_and(|h| h.value.is_none()) {
             return None;
         }
-        let mod_revision = held.map_or(Revision(0), |h| h.mod_revision);
+        let mod_revision = stored_records.map_or(Revision(0), |h| h.mod_revision);
         if rollout.over() {
             let long = kept.over_since.is_some_and(|t| now.since(t) >= OVER_S);
             return (long && mod_revision != Revision(0)).then(|| deletion(key, mod_revision));
@@ -224,7 +231,7 @@
             return self.ended(step.key);
         };
         let value = Some(written);
-        self.held.insert(
+        self.stored_records.insert(
             step.key,
             Versioned {
                 mod_revision,
@@ -241,7 +248,7 @@
     /// A rollout's record is deleted. Machines that came meanwhile, which begin another
     /// rollout.
     fn ended(&mut self, key: (ShardId, u64)) -> BTreeSet<MachineId> {
-        self.held.remove(&key);
+        self.stored_records.remove(&key);
         let mut woken = BTreeSet::new();
         self.rollouts.retain(|image, kept| {
             let ends = (self.shard, image_hash(image)) == key;
@@ -262,22 +269,22 @@
     /// has now tells.
     pub(super) fn undone(&mut self, step: Step, view: &View, now: Time) {
         let (shard, _) = step.key;
-        let held = view.rollouts.get(&step.key);
-        let recorded = held.and_then(|h| h.value.as_ref());
+        let stored_records = view.rollouts.get(&step.key);
+        let recorded = stored_records.and_then(|h| h.value.as_ref());
         let same = recorded == step.of.as_ref().map(|(_, written)| written);
-        match held {
+        match stored_records {
             _ if same => {
-                let mod_revision = held.map_or(Revision(0), |h| h.mod_revision);
+                let mod_revision = stored_records.map_or(Revision(0), |h| h.mod_revision);
                 self.done(step, mod_revision, now);
             }
-            Some(held) if shard == self.shard => {
-                self.held.insert(step.key, held.clone());
+            Some(stored_records) if shard == self.shard => {
+                self.stored_records.insert(step.key, stored_records.clone());
             }
-            Some(held) => {
-                self.useless.insert(step.key, held.mod_revision);
+            Some(stored_records) => {
+                self.useless.insert(step.key, stored_records.mod_revision);
             }
             None => {
-                self.held.remove(&step.key);
+                self.stored_records.remove(&step.key);
             }
         }
     }
@@ -310,14 +317,14 @@
 
 /// Logs a rollout as it was recorded.
 fn log_rollout(rollout: &Rollout, record: &RolloutRecord) {
-    let (wants, fetches, whole) = rollout.counts();
+    let (wants, fetches, complete) = rollout.counts();
     tracing::info!(
         image = %record.image,
         stage = record.stage,
         seeds = record.seeds.len(),
         wants,
         fetches,
-        whole,
+        complete,
         copies = rollout.copies(),
         crossings = rollout.crossings(),
         "wave"
--- a/src/control/core/inventory.rs
+++ b/src/control/core/inventory.rs
@@ -12,7 +12,7 @@
 
 /// A machine that is on its way.
 #[derive(Clone, Debug)]
-pub(super) struct Coming {
+pub(super) struct PendingMachine {
     pub(super) kind: TypeName,
     pub(super) zone: Zone,
     pub(super) spot: bool,
@@ -22,7 +22,7 @@
 /// Machines by the cloud's lists, apart from those that reported.
 #[derive(Debug, Default)]
 pub(super) struct CloudInventory {
-    coming: BTreeMap<MachineId, Coming>,
+    pending_machines: BTreeMap<MachineId, PendingMachine>,
     /// In how many lists in a row a machine was missing.
     missing: BTreeMap<MachineId, u32>,
     /// A list was read under this grant.
@@ -31,28 +31,34 @@
 
 impl CloudInventory {
     /// Machines that are on their way, by name.
-    pub(super) fn coming(&self) -> &BTreeMap<MachineId, Coming> {
-        &self.coming
+    pub(super) fn pending_machines(&self) -> &BTreeMap<MachineId, PendingMachine> {
+        &self.pending_machines
     }
 
     /// Whether a machine is on its way.
     pub(super) fn is_coming(&self, machine: &MachineId) -> bool {
-        self.coming.contains_key(machine)
+        self.pending_machines.contains_key(machine)
     }
 
     /// A machine is on its way, whatever was known of it.
-    pub(super) fn rented(&mut self, machine: MachineId, coming: Coming) {
-        self.coming.insert(machine, coming);
+    pub(super) fn rented(&mut self, machine: MachineId, pending_machines: PendingMachine) {
+        self.pending_machines.insert(machine, pending_machines);
     }
 
     /// A machine is on its way, unless that is known already.
-    pub(super) fn expect(&mut self, machine: &MachineId, coming: impl FnOnce() -> Coming) {
-        self.coming.entry(machine.clone()).or_insert_with(coming);
+    pub(super) fn expect(
+        &mut self,
+        machine: &MachineId,
+        pending_machines: impl FnOnce() -> PendingMachine,
+    ) {
+        self.pending_machines
+            .entry(machine.clone())
+            .or_insert_with(pending_machines);
     }
 
     /// A machine is up.
     pub(super) fn came_up(&mut self, machine: &MachineId) {
-        self.coming.remove(machine);
+        self.pending_machines.remove(machine);
     }
 
     /// Whether a list was read under this grant.
@@ -85,8 +91,8 @@
 
     /// A machine that never reported is to be deleted; nothing may be known of it but
     /// its name.
-    pub(super) fn give_back(&mut self, machine: &MachineId) {
-        self.expect(machine, || Coming {
+    pub(super) fn mark_for_scale_in(&mut self, machine: &MachineId) {
+        self.expect(machine, || PendingMachine {
             kind: TypeName::from(""),
             zone: Zone::from(""),
             spot: false,
@@ -97,7 +103,7 @@
 
     /// A machine was deleted.
     pub(super) fn forget(&mut self, machine: &MachineId) {
-        self.coming.remove(machine);
+        self.pending_machines.remove(machine);
         self.missing.remove(machine);
     }
 }
--- a/src/control/core/job_changes.rs
+++ b/src/control/core/job_changes.rs
@@ -31,7 +31,7 @@
             return;
         };
         let cancelled = job.cancelled;
-        self.look_at_urgency(view, id, now, wall_ms);
+        self.refresh_urgency(view, id, now, wall_ms);
         self.catch_up(id, entry, now);
         if entry.record.value.phase == Phase::Cancelled && !cancelled {
             self.job_cancelled(id, now);
@@ -70,7 +70,7 @@
     }
 
     /// Jobs that need this one may have come or gone.
-    fn look_at_urgency(&mut self, view: &View, id: &JobId, now: Time, wall_ms: u64) {
+    fn refresh_urgency(&mut self, view: &View, id: &JobId, now: Time, wall_ms: u64) {
         let Some(inherited) = view.pipelines().urgency(id) else {
             return;
         };
--- a/src/control/core/lanes.rs
+++ b/src/control/core/lanes.rs
@@ -8,7 +8,7 @@
 use crate::types::Time;
 
 /// Most jobs of a lane that operators are shown.
-const MOST_SHOWN: usize = 100;
+const MAX_SHOWN: usize = 100;
 
 impl Core {
     /// What each lane holds, and who waits in it.
@@ -18,9 +18,9 @@
             let (used, all) = self.cluster_state.lane_usage(id);
             let waits = self.cluster_state.lane_waits();
             let waits = waits.filter(|(key, job)| key.lane == id && job.tasks.pending() > 0);
-            let waiting = waits.take(MOST_SHOWN).map(|(key, job)| {
+            let waiting = waits.take(MAX_SHOWN).map(|(key, job)| {
                 let waited_s = now.since(job.submitted);
-                let most = may_wait_ms(job.spec.deadline_s, job.spec.estimate_s);
+                let max = may_wait_ms(job.spec.deadline_s, job.spec.estimate_s);
                 let why = self.cluster_state.why_waits(&key.id, now);
                 WaitShown {
                     job: key.id.to_string(),
@@ -28,7 +28,7 @@
                     team: job.spec.team.to_string(),
                     place: key.place.0,
                     waited_s,
-                    left_s: most.map(|ms| ms as f64 / 1000.0 - waited_s),
+                    left_s: max.map(|ms| ms as f64 / 1000.0 - waited_s),
                     front: !key.behind,
                     why: why.unwrap_or_else(|| "it has its turn".into()),
                 }
@@ -48,7 +48,7 @@
     }
 
     /// Says in the log who waits in which lane.
-    pub(super) fn tell_lanes(&self, now: Time) {
+    pub(super) fn log_lanes(&self, now: Time) {
         for (id, lane) in self.cfg.lanes.iter() {
             let mut waits = self
                 .cluster_state
--- a/src/control/core/largest_jobs.rs
+++ b/src/control/core/largest_jobs.rs
@@ -52,21 +52,21 @@
             } else {
                 JobEvent::Came
             };
-            self.tell_largest(id, event, None, now);
+            self.log_largest_job(id, event, None, now);
         }
     }
 
     /// A job's first task was placed here, after so many seconds.
     pub(super) fn largest_began(&self, id: &JobId, wait_s: f64, now: Time) {
         if self.largest_jobs.is(id) {
-            self.tell_largest(id, JobEvent::Begun, Some(wait_s), now);
+            self.log_largest_job(id, JobEvent::Begun, Some(wait_s), now);
         }
     }
 
     /// A job is over.
     pub(super) fn largest_over(&mut self, id: &JobId, event: JobEvent, now: Time) {
         if self.largest_jobs.over(id) {
-            self.tell_largest(id, event, None, now);
+            self.log_largest_job(id, event, None, now);
         }
     }
 
@@ -79,13 +79,13 @@
         let late: Vec<JobId> = late.map(|(id, _)| id.clone()).collect();
         for id in late {
             if self.largest_jobs.late(&id) {
-                self.tell_largest(&id, JobEvent::Late, None, now);
+                self.log_largest_job(&id, JobEvent::Late, None, now);
             }
         }
     }
 
     /// Says in the log what became of a job. `began_s`: how long it waited for that.
-    fn tell_largest(&self, id: &JobId, event: JobEvent, began_s: Option<f64>, now: Time) {
+    fn log_largest_job(&self, id: &JobId, event: JobEvent, began_s: Option<f64>, now: Time) {
         let Some(job) = self.cluster_state.job(id) else {
             return;
         };
--- a/src/control/core/load.rs
+++ b/src/control/core/load.rs
@@ -76,11 +76,11 @@
         core.set_up_cluster(input);
         core.recover_arrivals(view, now, wall_ms);
         core.recover_jobs(view, now, wall_ms);
-        core.look_at_windows(view, wall_ms as i64, now);
+        core.refresh_windows(view, wall_ms as i64, now);
         // Else nobody would go ahead after a takeover until the first look, and the
         // order would be that of the acceptors' clocks.
         core.cluster_state
-            .look_at_lanes(&core.cfg.lanes, now, wall_ms);
+            .refresh_lanes(&core.cfg.lanes, now, wall_ms);
         core
     }
 
@@ -108,7 +108,7 @@
             command_queue: CommandQueue::default(),
             placement_queue: PlacementQueue::default(),
             scaling: ScalingState::new(now),
-            deaf_until: now,
+            silence_ignored_until: now,
             start_permission: StartPermission::unbounded(),
             tombstones: MachineTombstones::load(view, scope),
             windows: calendar::Windows::default(),
@@ -133,7 +133,7 @@
         self.cluster_state
             .set_topology(input.topology.clone(), |_| None);
         self.set_drains(input.view, input.now);
-        self.look_at_limits(input.view);
+        self.refresh_quotas(input.view);
     }
 
     /// Jobs that arrived of late. Of several shards each places an equal part of what
@@ -172,7 +172,7 @@
 }
 
 /// The teams with their whole limits. Of several shards each has its part of them, see
-/// `look_at_limits`.
+/// `refresh_quotas`.
 fn teams(cfg: &Config) -> Vec<Team> {
     cfg.teams
         .iter()
--- a/src/control/core/machine_list.rs
+++ b/src/control/core/machine_list.rs
@@ -5,7 +5,7 @@
 
 use super::agent::AgentState;
 use super::agent::SeenMachine;
-use super::inventory::Coming;
+use super::inventory::PendingMachine;
 use super::Core;
 use crate::cloud::{ListedMachine, MachinePhase};
 use crate::types::{MachineId, Time};
@@ -23,7 +23,7 @@
 const LATEST_LAGS: f64 = 2.0;
 const LATEST_S: f64 = 2.0;
 /// How many times longer machines may hear nothing if most don't.
-const MOST_DEAF: f64 = 3.0;
+const MAX_DEAF: f64 = 3.0;
 
 impl Core {
     /// The machine list arrived: learn of machines, and of those that are gone.
@@ -55,7 +55,7 @@
             if machine.phase == MachinePhase::Failed {
                 // It stopped by itself. That proves nothing about its
                 // tasks; the answer to deleting it will.
-                self.give_back(id);
+                self.mark_for_scale_in(id);
             }
             return;
         }
@@ -66,21 +66,24 @@
                 return;
             }
         }
-        self.inventory.expect(id, || Coming {
+        self.inventory.expect(id, || PendingMachine {
             kind: machine.machine_type.clone(),
             zone: machine.zone.clone(),
             spot: machine.spot,
             since: Time(now.0 - machine.age_s),
         });
         if machine.phase == MachinePhase::Failed {
-            self.give_back(id);
+            self.mark_for_scale_in(id);
         }
     }
 
     /// A machine that was heard of before and is missing from several lists in a row is
     /// probably gone; deleting it proves that.
     fn give_back_missing(&mut self, listed: &BTreeSet<&MachineId>, now: Time) {
-        let known = self.agents.keys().chain(self.inventory.coming().keys());
+        let known = self
+            .agents
+            .keys()
+            .chain(self.inventory.pending_machines().keys());
         let known: Vec<MachineId> = known.cloned().collect();
         for id in known {
             if listed.contains(&id) {
@@ -89,11 +92,11 @@
             let heard = self.agents.get(&id).map(|l| l.last_heard);
             let silent =
                 heard.is_none_or(|t| now.since(t) > self.cfg.heartbeat_s * UNHEARD_HEARTBEATS);
-            let coming = self.inventory.coming().get(&id);
-            let fresh = coming
+            let pending_machines = self.inventory.pending_machines().get(&id);
+            let fresh = pending_machines
                 .is_some_and(|c| now.since(c.since) < FRESH_LAGS * self.cfg.list_lag_s + FRESH_S);
             if silent && !fresh && self.inventory.not_seen(&id) {
-                self.give_back(&id);
+                self.mark_for_scale_in(&id);
             }
         }
     }
@@ -105,7 +108,7 @@
         let unknown = unknown.filter(|id| !listed.contains(id));
         let unknown: Vec<MachineId> = unknown.cloned().collect();
         for id in unknown {
-            self.give_back(&id);
+            self.mark_for_scale_in(&id);
         }
     }
 
@@ -123,7 +126,7 @@
             .count();
         let patience = match doubtful * 2 <= self.agents.len() {
             true => patience,
-            false => MOST_DEAF * patience,
+            false => MAX_DEAF * patience,
         };
         let deaf = |l: &AgentState| !l.deleting && l.reachability.is_unreachable(patience, now);
         let deaf = self.agents.iter().filter(|(_, l)| deaf(l));
@@ -131,16 +134,16 @@
     }
 
     /// A machine is to be deleted, whether it ever reported or not.
-    pub(super) fn give_back(&mut self, id: &MachineId) {
+    pub(super) fn mark_for_scale_in(&mut self, id: &MachineId) {
         match self.agents.get_mut(id) {
             Some(agent) => agent.deleting = true,
-            None => self.inventory.give_back(id),
+            None => self.inventory.mark_for_scale_in(id),
         }
     }
 
     /// Requests wait too long to be read: heartbeats may be missing.
-    pub fn hears_badly(&mut self, now: Time) {
-        self.deaf_until = now.after(self.cfg.silent_s());
+    pub fn quarantine_one_way_reachable(&mut self, now: Time) {
+        self.silence_ignored_until = now.after(self.cfg.silent_s());
     }
 
     /// Machines were deleted: they and their tasks are gone.
--- a/src/control/core/mod.rs
+++ b/src/control/core/mod.rs
@@ -90,7 +90,7 @@
 use self::agent::AgentState;
 pub use self::calendar::WindowStep;
 use self::command_queue::CommandQueue;
-pub use self::command_queue::MOST_FLYING;
+pub use self::command_queue::MAX_FLYING;
 pub use self::draft::Batch;
 use self::failover::Failover;
 use self::inventory::CloudInventory;
@@ -171,7 +171,7 @@
     /// What came of late, and what was asked of the cloud.
     scaling: scaling_state::ScalingState,
     /// Until then silence tells nothing: requests waited too long to be read.
-    deaf_until: Time,
+    silence_ignored_until: Time,
     /// Until when tasks may be started.
     start_permission: StartPermission,
     /// Machines that are gone, which late lists and heartbeats may still show.
@@ -198,7 +198,7 @@
 }
 
 /// How often all machines are looked at for what only time changes.
-const LOOK_S: f64 = 1.0;
+const RESCAN_INTERVAL_S: f64 = 1.0;
 
 impl Core {
     /// Regular work: look at what only time changes, and place.
@@ -207,27 +207,27 @@
             self.wake(&id);
         }
         self.failover.tick(now);
-        if now.since(self.last_look) >= LOOK_S {
+        if now.since(self.last_look) >= RESCAN_INTERVAL_S {
             self.last_look = now;
             self.look_at_all(now);
         }
         self.wake_staged(now);
-        self.settle_gangs(now);
-        self.move_on(now);
+        self.restart_broken_gangs(now);
+        self.continue_moves(now);
         self.walk_all = true;
         self.place(now);
     }
 
     /// Looks at all that only time changes.
     fn look_at_all(&mut self, now: Time) {
-        self.cluster_state.look_at_dues(now);
+        self.cluster_state.refresh_due_times(now);
         let wall_ms = self.wall_ms(now);
         self.cluster_state
-            .look_at_lanes(&self.cfg.lanes, now, wall_ms);
-        self.cluster_state.look_at_idle(now);
-        self.look_at_drains(now);
-        self.look_at_rollouts(now);
-        self.tell_served(now);
+            .refresh_lanes(&self.cfg.lanes, now, wall_ms);
+        self.cluster_state.refresh_idle_capacity(now);
+        self.refresh_drains(now);
+        self.refresh_rollouts(now);
+        self.log_service_levels(now);
         if self.failover.awaits_heartbeats() {
             self.check_fleet_heard(now);
         }
--- a/src/control/core/moving.rs
+++ b/src/control/core/moving.rs
@@ -12,9 +12,9 @@
 use crate::types::{Kind, MachineId, Time};
 
 /// How often a job that waits is spoken of in the log, in seconds.
-const TELL_S: f64 = 60.0;
+const PUBLISH_INTERVAL_S: f64 = 60.0;
 /// A job that waits is spoken of only after this long, in seconds.
-const TELL_AFTER_S: f64 = 15.0;
+const PUBLISH_AFTER_S: f64 = 15.0;
 
 impl Core {
     /// The operator's file changed. Running tasks stay; what they hold is held
@@ -23,7 +23,7 @@
         let agents = &self.agents;
         self.cluster_state
             .set_topology(topology, |id| agents.get(id).map(|l| l.addr.ip()));
-        self.look_at_drains(now);
+        self.refresh_drains(now);
         self.walk_all = true;
     }
 
@@ -33,7 +33,7 @@
         let recorded = || view.drains.values().map(|d| &d.value);
         if !recorded().eq(&self.drains) {
             self.drains = recorded().cloned().collect();
-            self.look_at_drains(now);
+            self.refresh_drains(now);
         }
     }
 
@@ -44,7 +44,7 @@
 
     /// Which machines are drained now: their place, or the drains, may have
     /// changed. An empty one is given back, unless it is to be kept.
-    pub(super) fn look_at_drains(&mut self, now: Time) {
+    pub(super) fn refresh_drains(&mut self, now: Time) {
         if self.drains.is_empty() && !self.cluster_state.machines().values().any(|m| m.draining) {
             return;
         }
@@ -77,7 +77,7 @@
 
     /// Moves tasks off draining machines, and now and then one task of a
     /// service that has too many in a domain.
-    pub(super) fn move_on(&mut self, now: Time) {
+    pub(super) fn continue_moves(&mut self, now: Time) {
         let Some(topology) = self.cluster_state.topology().cloned() else {
             return;
         };
@@ -107,16 +107,17 @@
             tracing::info!(task = %m.task, to, "moved");
             self.settle_stopped(&m.task.job, now);
         }
-        self.tell_who_waits(now);
+        self.log_waiting_jobs(now);
     }
 
     /// Says in the log why jobs wait, each once a minute.
-    fn tell_who_waits(&mut self, now: Time) {
-        self.told.retain(|_, at| now.since(*at) < TELL_S);
+    fn log_waiting_jobs(&mut self, now: Time) {
+        self.told
+            .retain(|_, at| now.since(*at) < PUBLISH_INTERVAL_S);
         let waiting = self.cluster_state.wanting().find(|(id, job)| {
             let long = job
                 .blocked_since
-                .is_some_and(|t| now.since(t) > TELL_AFTER_S);
+                .is_some_and(|t| now.since(t) > PUBLISH_AFTER_S);
             let asks = !job.policy.is_empty() || job.spec.kind == Kind::Gang;
             long && asks && !self.told.contains_key(*id)
         });
@@ -131,7 +132,7 @@
 
     /// A gang runs as one: if a task of it is gone before it was done, the
     /// others are stopped, and it is placed anew once they are gone too.
-    pub(super) fn settle_gangs(&mut self, now: Time) {
+    pub(super) fn restart_broken_gangs(&mut self, now: Time) {
         for id in std::mem::take(&mut self.gangs) {
             let broken = self.cluster_state.job(&id).is_some_and(|j| {
                 j.spec.kind == Kind::Gang
--- a/src/control/core/objectives.rs
+++ b/src/control/core/objectives.rs
@@ -12,16 +12,16 @@
 
 /// Between these the haste of a class counts.
 const LEAST_HASTE: f64 = 0.2;
-const MOST_HASTE: f64 = 2.0;
+const MAX_HASTE: f64 = 2.0;
 /// A job is patient for this part of the time that its objectives leave, and for so many seconds
 /// at the least and at the most.
 const PATIENT_PART: f64 = 0.3;
 const LEAST_PATIENCE_S: f64 = 1.0;
-const MOST_PATIENCE_S: f64 = 30.0;
+const MAX_PATIENCE_S: f64 = 30.0;
 /// A job is late once less than so many boots are left to it.
 const LATE_BOOTS: f64 = 1.5;
 /// Of so many jobs of one sort it is kept when they came.
-const MOST_ARRIVALS: usize = 2000;
+const MAX_ARRIVALS: usize = 2000;
 
 /// What jobs have in common whose arrivals are counted together: by class alone their
 /// room is not the same.
@@ -53,7 +53,7 @@
     fn add(&mut self, spec: &Rc<JobSpec>, at: Time) {
         self.spec = spec.clone();
         self.recent.push_back((at, spec.tasks));
-        if self.recent.len() > MOST_ARRIVALS {
+        if self.recent.len() > MAX_ARRIVALS {
             self.recent.pop_front();
         }
     }
@@ -84,8 +84,8 @@
 
     /// How much a class depends on room that is there already: what a new
     /// machine takes to boot, against the time that its objectives leave.
-    pub(super) fn haste(&self, spec: &JobSpec) -> f64 {
-        (self.boot_s() / self.slack(spec).max(1.0)).clamp(LEAST_HASTE, MOST_HASTE)
+    pub(super) fn write_priority(&self, spec: &JobSpec) -> f64 {
+        (self.boot_s() / self.slack(spec).max(1.0)).clamp(LEAST_HASTE, MAX_HASTE)
     }
 
     /// The shortest usual boot.
@@ -138,7 +138,7 @@
         JobUrgency {
             priority: inherited.map_or(spec.priority, |u| u.priority),
             objectives,
-            patience_s: (PATIENT_PART * slack).clamp(LEAST_PATIENCE_S, MOST_PATIENCE_S),
+            patience_s: (PATIENT_PART * slack).clamp(LEAST_PATIENCE_S, MAX_PATIENCE_S),
             late_s: (slack - LATE_BOOTS * self.boot_s())
                 .max(PATIENT_PART * slack)
                 .max(LEAST_PATIENCE_S),
--- a/src/control/core/overflow.rs
+++ b/src/control/core/overflow.rs
@@ -96,7 +96,7 @@
     }
 
     /// Another shard leaves tasks to this one.
-    pub fn left_here(&mut self, view: &View, left: &LeftTo, now: Time, wall_ms: u64) {
+    pub fn adopt_delegated_tasks(&mut self, view: &View, left: &LeftTo, now: Time, wall_ms: u64) {
         let Some(entry) = view.job(&left.job) else {
             return;
         };
--- a/src/control/core/placement_limits.rs
+++ b/src/control/core/placement_limits.rs
@@ -19,7 +19,7 @@
     }
 
     /// How many jobs may have claims that wait to be recorded.
-    pub fn set_most_claiming(&mut self, most: usize) {
-        self.cluster_state.most_claiming = Some(most);
+    pub fn set_max_claiming(&mut self, max: usize) {
+        self.cluster_state.max_claiming = Some(max);
     }
 }
--- a/src/control/core/record.rs
+++ b/src/control/core/record.rs
@@ -3,7 +3,7 @@
 use super::draft::{ChunkWrite, JobWrite};
 use super::largest_jobs::JobEvent;
 use super::{Batch, Core};
-use crate::control::pending::Haste;
+use crate::control::pending::WritePriority;
 use crate::sched::Job;
 use crate::state::record::{ChunkRecord, Phase, RecordedClaim, RecordedUnits};
 use crate::state::view::{JobEntry, Versioned, View};
@@ -12,8 +12,11 @@
 impl Core {
     /// All tasks of a job are done: that is to be recorded.
     pub(super) fn finished(&mut self, id: JobId, now: Time) {
-        let haste = self.cluster_state.job(&id).map_or(Haste::Usual, Haste::of);
-        self.pending.finished(id, haste, now);
+        let write_priority = self
+            .cluster_state
+            .job(&id)
+            .map_or(WritePriority::Usual, WritePriority::of);
+        self.pending.finished(id, write_priority, now);
     }
 
     /// Whether something is to be recorded that should not wait.
--- a/src/control/core/recorded_job.rs
+++ b/src/control/core/recorded_job.rs
@@ -36,7 +36,7 @@
 /// After as many attempts without a result as it has tasks a new owner takes a job for
 /// mistaken, but not after fewer than the first of these, nor later than after the second.
 const WASTED_LEAST: u64 = 3;
-const WASTED: u64 = 8;
+const MAX_UNUSED_CHUNKS_FACTOR: u64 = 8;
 /// So many failures such a job is held to have had.
 const DOUBTED_FAILURES: u32 = 2;
 
@@ -81,7 +81,7 @@
     fn casts_doubt_on(&self, spec: &JobSpec) -> bool {
         spec.kind == Kind::Array
             && self.tasks.done() == 0
-            && self.wasted >= u64::from(spec.tasks).clamp(WASTED_LEAST, WASTED)
+            && self.wasted >= u64::from(spec.tasks).clamp(WASTED_LEAST, MAX_UNUSED_CHUNKS_FACTOR)
     }
 
     /// Whether one of them was ever placed, as far as the records tell.
@@ -222,15 +222,19 @@
         let spec = Rc::new(spec);
         tracing::debug!(job = %id, class = %spec.class, team = %spec.team, tasks = spec.tasks, image = %spec.image.as_str(), "job");
         let started = found.started();
-        let doubted = found.casts_doubt_on(&spec);
+        let suspected_one_way = found.casts_doubt_on(&spec);
         let lanes = &self.cfg.lanes;
         let lane = lanes.of(&spec.class, spec.priority, spec.deadline_s.is_some());
         let topology = self.cluster_state.topology().map(|t| &**t);
         let urgency = self.urgency(&spec, times, view.pipelines().urgency(id));
         let mut job = Job {
             lane: lane.map(|lane| Laned::new(lane, entry.place)),
-            doubted,
-            failures: if doubted { DOUBTED_FAILURES } else { 0 },
+            suspected_one_way,
+            failures: if suspected_one_way {
+                DOUBTED_FAILURES
+            } else {
+                0
+            },
             cancelled: record.phase == Phase::Cancelled,
             start_within: self.starts_within(&spec.class),
             policy: ClusterState::policy_of(topology, &spec),
--- a/src/control/core/rejected_changes.rs
+++ b/src/control/core/rejected_changes.rs
@@ -5,12 +5,12 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use crate::control::pending::{ChunkId, Due};
+use crate::control::pending::{ChunkId, PendingWrite};
 use crate::types::Time;
 
 /// After a transaction that the state service rejected, each change is tried alone for so
 /// long, in seconds: what is wrong with one must not stop the others.
-const ALONE_S: f64 = 10.0;
+const SINGLE_CHANGE_PERIOD_S: f64 = 10.0;
 /// A change that was rejected alone is tried again after so long, in seconds.
 const REJECTED_S: f64 = 20.0;
 
@@ -55,9 +55,14 @@
 
     /// A transaction with these changes, and with an image's rollout if `with_rollout`, was
     /// rejected: its changes are tried one by one, and one that was alone waits.
-    pub(super) fn set_apart(&mut self, changes: BTreeSet<ChunkId>, with_rollout: bool, now: Time) {
+    pub(super) fn isolate_batch(
+        &mut self,
+        changes: BTreeSet<ChunkId>,
+        with_rollout: bool,
+        now: Time,
+    ) {
         if changes.len() + usize::from(with_rollout) > 1 {
-            self.alone_until = now.after(ALONE_S);
+            self.alone_until = now.after(SINGLE_CHANGE_PERIOD_S);
         } else {
             let until = now.after(REJECTED_S);
             self.waiting.extend(changes.into_iter().map(|c| (c, until)));
@@ -65,11 +70,11 @@
     }
 
     /// Whether a change was rejected alone and still waits.
-    pub(super) fn holds_back(&mut self, due: &Due, now: Time) -> bool {
+    pub(super) fn holds_back(&mut self, due: &PendingWrite, now: Time) -> bool {
         self.waiting.retain(|_, until| now < *until);
         match due {
-            Due::Finished(id) => self.waiting.contains_key(&(id.clone(), 0)),
-            Due::Chunk(chunk) => self.waiting.contains_key(chunk),
+            PendingWrite::Finished(id) => self.waiting.contains_key(&(id.clone(), 0)),
+            PendingWrite::Chunk(chunk) => self.waiting.contains_key(chunk),
         }
     }
 }
--- a/src/control/core/renting.rs
+++ b/src/control/core/renting.rs
@@ -3,7 +3,7 @@
 
 use sorrelhinge_topology::drain::{Drain, Target};
 
-use super::inventory::Coming;
+use super::inventory::PendingMachine;
 use super::scaling_state::MachineOffer;
 use super::Core;
 use crate::cloud::Rental;
@@ -25,12 +25,12 @@
 impl Core {
     /// How many machines there are, up and on their way.
     pub fn machines(&self) -> usize {
-        self.agents.len() + self.inventory.coming().len()
+        self.agents.len() + self.inventory.pending_machines().len()
     }
 
     /// How many machines can be served; none: no bound is known.
-    pub fn set_most_machines(&mut self, most: Option<usize>) {
-        self.scaling.requests.set_max_machines(most);
+    pub fn set_max_machines(&mut self, max: Option<usize>) {
+        self.scaling.requests.set_max_machines(max);
     }
 
     /// Whether a machine may be asked for: the cloud has not just refused such a one,
@@ -105,7 +105,7 @@
                         .requests
                         .refuse(offer, now.after(NO_CAPACITY_S));
                 }
-                let coming = Coming {
+                let pending_machines = PendingMachine {
                     kind: rental.machine_type.clone(),
                     zone: rental.zone.clone(),
                     spot: rental.spot,
@@ -113,7 +113,7 @@
                 };
                 for id in machines.into_iter().filter(|m| self.scope.covers(m)) {
                     if !self.agents.contains_key(&id) {
-                        self.inventory.rented(id, coming.clone());
+                        self.inventory.rented(id, pending_machines.clone());
                     }
                 }
             }
@@ -128,17 +128,22 @@
     }
 
     /// Another owner rented machines, some of which belong to this shard.
-    pub fn rented_for(&mut self, sort: (&TypeName, &Zone, bool), machine: &MachineId, now: Time) {
+    pub fn assign_rented_machine(
+        &mut self,
+        sort: (&TypeName, &Zone, bool),
+        machine: &MachineId,
+        now: Time,
+    ) {
         let known = self.agents.contains_key(machine) || self.tombstones.is_recent(machine);
         if self.scope.covers(machine) && !known {
             let (kind, zone, spot) = sort;
-            let coming = || Coming {
+            let pending_machines = || PendingMachine {
                 kind: kind.clone(),
                 zone: zone.clone(),
                 spot,
                 since: now,
             };
-            self.inventory.expect(machine, coming);
+            self.inventory.expect(machine, pending_machines);
         }
     }
 }
--- a/src/control/core/reservation_demand.rs
+++ b/src/control/core/reservation_demand.rs
@@ -65,7 +65,7 @@
     }
 
     /// Says in the log what windows lack, when that changes and now and then.
-    pub(super) fn say_what_lacks(&mut self, now: Time) {
+    pub(super) fn log_shortage(&mut self, now: Time) {
         if !self.keeps_calendar() {
             return;
         }
@@ -111,7 +111,7 @@
     }
 
     /// What windows lack that is to be rented.
-    pub(super) fn lacks(&self, now: Time) -> Vec<fleet::Lack> {
+    pub(super) fn shortfalls(&self, now: Time) -> Vec<fleet::Shortfall> {
         if self.windows.watched.is_empty() || !self.knows_machines(now) {
             return Vec::new();
         }
@@ -132,10 +132,10 @@
 
     /// What a window lacks, by zone. Where nothing is to be had, other zones have it
     /// meanwhile.
-    fn shortfalls_of(&self, window: &Window, now: Time) -> Vec<fleet::Lack> {
+    fn shortfalls_of(&self, window: &Window, now: Time) -> Vec<fleet::Shortfall> {
         let mut spare = 0;
         let mut open = Vec::new();
-        for (zone, tasks) in self.cluster_state.lacking(&window.name) {
+        for (zone, tasks) in self.cluster_state.missing_tasks(&window.name) {
             match self.type_for(window, zone.as_ref(), now) {
                 Some(kind) => open.push(ZoneShortfall { zone, tasks, kind }),
                 None => spare += tasks,
@@ -143,7 +143,7 @@
         }
         let more = divide(spare, open.len() as u32);
         let open = open.into_iter().zip(more);
-        open.map(|(shortfall, more)| fleet::Lack {
+        open.map(|(shortfall, more)| fleet::Shortfall {
             window: window.name.clone(),
             tasks: shortfall.tasks + more,
             spec: spec_of(window, shortfall.zone, shortfall.kind),
@@ -177,6 +177,6 @@
         save_s: 0.0,
         deadline_s: None,
         placement: None,
-        seal: None,
+        extension: None,
     })
 }
--- a/src/control/core/reservation_refresh.rs
+++ b/src/control/core/reservation_refresh.rs
@@ -33,7 +33,7 @@
     /// Without a calendar, and while its record is of a later version, nothing
     /// differs. A new owner does this before its first decision, so it gives back
     /// no warm machine and lends no held room.
-    pub fn look_at_windows(&mut self, view: &View, wall_ms: i64, now: Time) {
+    pub fn refresh_windows(&mut self, view: &View, wall_ms: i64, now: Time) {
         if self.cfg.calendar.is_none() {
             return;
         }
@@ -46,7 +46,7 @@
             off_ms: self.cfg.clock_off_ms as i64,
         };
         self.reserve_windows(view, clock, now);
-        self.say_what_lacks(now);
+        self.log_shortage(now);
     }
 
     /// Sees what there is for each window, and holds what is to be held here.
@@ -92,7 +92,9 @@
         let supply = self.supply(window, each);
         let gb: f64 = window.map_or(0.0, |w| w.images.iter().map(|i| self.image_gb(i)).sum());
         Seen {
-            asked: used + in_all_shards(here.reserved_tasks) + in_all_shards(watch.coming),
+            asked: used
+                + in_all_shards(here.reserved_tasks)
+                + in_all_shards(watch.pending_machines),
             ready: used + in_all_shards(here.free),
             used,
             waiting,
@@ -103,7 +105,7 @@
             slow_boot_s: SLOW_BOOTS * supply.slowest_boot_s,
             fetch_s: gb / supply.fetch_gb_per_s.max(MIN_FETCH_GB_PER_S),
             rent_per_s: f64::from(supply.tasks_per_machine) * REQUESTED_AT_ONCE,
-            refused: window.and_then(|w| self.refused_for(w, &here, watch.coming, now)),
+            refused: window.and_then(|w| self.refused_for(w, &here, watch.pending_machines, now)),
         }
     }
 
@@ -195,8 +197,8 @@
         0 => 0,
         each => (used.max(0) + each - 1) / each,
     };
-    let most = of(used.cpu, each.cpu)
+    let max = of(used.cpu, each.cpu)
         .max(of(used.gpu, each.gpu))
         .max(of(used.ram, each.ram));
-    u32::try_from(most).unwrap_or(u32::MAX)
+    u32::try_from(max).unwrap_or(u32::MAX)
 }
--- a/src/control/core/reservation_usage.rs
+++ b/src/control/core/reservation_usage.rs
@@ -109,7 +109,7 @@
     /// Adds the jobs that this owner knows.
     fn add_known_work(&self, usage: &mut ReservationUsage) {
         for job in self.cluster_state.jobs().values() {
-            let waiting = match job.cancelled || job.doubted {
+            let waiting = match job.cancelled || job.suspected_one_way {
                 true => 0,
                 false => job.tasks.pending(),
             };
--- a/src/control/core/rollout_refresh.rs
+++ b/src/control/core/rollout_refresh.rs
@@ -5,7 +5,7 @@
 use std::collections::BTreeMap;
 
 use sorrelhinge_image_distribution::fetch_timeout;
-use sorrelhinge_image_distribution::plan::{Has, Ran, Rollout, Uploads};
+use sorrelhinge_image_distribution::plan::{Has, RecentImages, Rollout, Uploads};
 
 use super::image_distribution::{
     does, ActiveRollout, ImageDistribution, ImageState, Member, OVER_S,
@@ -75,9 +75,9 @@
         match does {
             Some(ImageState::Runs) => {
                 self.rollout.arrived(id, self.uploads);
-                member.whole = true;
+                member.complete = true;
             }
-            Some(ImageState::Fetches) if !member.whole => {
+            Some(ImageState::Fetches) if !member.complete => {
                 // It may go on; but who takes from it waits with it.
                 let rate = machine.kind.fetch_gb_per_s;
                 let allowed_s = fetch_timeout::fetch_allowance_s(self.gb, rate);
@@ -86,7 +86,7 @@
                 }
             }
             Some(_) => {}
-            None if member.whole && machine.cache.has(self.image) => {}
+            None if member.complete && machine.cache.has(self.image) => {}
             None => {
                 self.rollout.evicted(id, self.uploads);
                 return false;
@@ -98,13 +98,13 @@
     /// Joins a machine that was started by a predecessor that kept no rollout, or found
     /// late: from whom it takes the image is not known, so it is planned as if it began
     /// now.
-    fn join(&mut self, id: &MachineId, path: &[String], whole: bool) -> Member {
-        self.rollout.join(id.clone(), path, whole);
-        if !whole {
+    fn join(&mut self, id: &MachineId, path: &[String], complete: bool) -> Member {
+        self.rollout.join(id.clone(), path, complete);
+        if !complete {
             self.rollout.assign(id, self.uploads, self.now.0);
         }
         Member {
-            whole,
+            complete,
             since: self.now,
         }
     }
@@ -128,7 +128,7 @@
 
 impl Core {
     /// Compares all rollouts with the claims and the machines that there are.
-    pub(super) fn look_at_rollouts(&mut self, now: Time) {
+    pub(super) fn refresh_rollouts(&mut self, now: Time) {
         if self.image_distribution.least_gb.is_none() {
             return;
         }
@@ -152,7 +152,7 @@
                 kept.gb = image_use.gb;
             }
             if self.image_distribution.rollout_mut(&image).is_some() {
-                self.look_at_rollout(&image, &image_use.machines, now);
+                self.refresh_rollout(&image, &image_use.machines, now);
             } else if waited || image_use.settled {
                 self.resume_rollout(&image, &image_use.machines, now);
             }
@@ -183,7 +183,7 @@
     }
 
     /// Compares an image's rollout with what machines do with it; a rollout that is over goes.
-    fn look_at_rollout(&mut self, image: &Image, on: &BTreeMap<MachineId, ImageState>, now: Time) {
+    fn refresh_rollout(&mut self, image: &Image, on: &BTreeMap<MachineId, ImageState>, now: Time) {
         let joining = self.paths_of_new(image, on);
         let ImageDistribution {
             rollouts, uploads, ..
@@ -205,8 +205,8 @@
         kept.members
             .retain(|id, member| update.keeps(id, member, machines.get(id), on.get(id).copied()));
         for (id, path) in joining {
-            let whole = on.get(&id) == Some(&ImageState::Runs);
-            let member = update.join(&id, &path, whole);
+            let complete = on.get(&id) == Some(&ImageState::Runs);
+            let member = update.join(&id, &path, complete);
             kept.members.insert(id, member);
         }
         kept.waiting.retain(|id| on.contains_key(id));
@@ -237,25 +237,25 @@
         let key = self.image_distribution.key(image);
         let record = self
             .image_distribution
-            .held
+            .stored_records
             .get(&key)
             .and_then(|h| h.value.as_ref());
         let (limits, uploads) = (
             self.image_distribution.limits,
             &mut self.image_distribution.uploads,
         );
-        let ran = found.iter().map(|f| Ran {
+        let ran = found.iter().map(|f| RecentImages {
             machine: f.machine.clone(),
             path: &f.path,
             has: f.has,
         });
         let rollout = record.and_then(|r| Rollout::resume(r, limits, ran, uploads, now.0));
         let rollout = rollout.unwrap_or_else(|| Rollout::new(image.clone(), limits));
-        let (wants, fetches, whole) = rollout.counts();
-        tracing::info!(%image, stage = rollout.stage(), wants, fetches, whole, "wave goes on");
+        let (wants, fetches, complete) = rollout.counts();
+        tracing::info!(%image, stage = rollout.stage(), wants, fetches, complete, "wave goes on");
         if let Some(kept) = self.image_distribution.rollouts.get_mut(image) {
             let member = |has: Has| Member {
-                whole: matches!(has, Has::Whole),
+                complete: matches!(has, Has::Complete),
                 since: now,
             };
             let members = found.into_iter().map(|f| (f.machine, member(f.has)));
@@ -269,11 +269,11 @@
         let mut found = Vec::new();
         for (id, machine) in self.cluster_state.machines() {
             let has = match on.get(id) {
-                Some(ImageState::Runs) => Has::Whole,
+                Some(ImageState::Runs) => Has::Complete,
                 Some(ImageState::Fetches) => Has::Part(self.part_of(id, image)),
                 // Its start waits here, and is joined then.
                 Some(ImageState::Wants) => continue,
-                None if machine.cache.has(image) => Has::Whole,
+                None if machine.cache.has(image) => Has::Complete,
                 None => continue,
             };
             found.push(Found {
--- a/src/control/core/rollouts.rs
+++ b/src/control/core/rollouts.rs
@@ -16,7 +16,7 @@
 
 /// Starts that wait are looked at so many at a time: with thousands of them, and
 /// no upload free, all at once would hold up everything else.
-const LOOKS: usize = 64;
+const MACHINES_SCANNED_PER_PASS: usize = 64;
 impl Core {
     /// Whom a machine takes a job's image from if it is started now, the best
     /// first, and nobody: from the origin. None: the start has to wait for its
@@ -32,7 +32,7 @@
         }
         let path = self.path_of(id);
         let machine = self.cluster_state.machines().get(id);
-        let whole = machine.is_some_and(|m| m.cache.has(&spec.image));
+        let complete = machine.is_some_and(|m| m.cache.has(&spec.image));
         let ImageDistribution {
             rollouts, uploads, ..
         } = &mut self.image_distribution;
@@ -43,8 +43,11 @@
         };
         kept.over_since = None;
         if let Entry::Vacant(seat) = kept.members.entry(id.clone()) {
-            rollout.join(id.clone(), &path, whole);
-            seat.insert(Member { whole, since: now });
+            rollout.join(id.clone(), &path, complete);
+            seat.insert(Member {
+                complete,
+                since: now,
+            });
         }
         if !rollout.may_start(id, uploads, now.0) {
             kept.waiting.insert(id.clone());
@@ -79,7 +82,7 @@
         if let Some(kept) = rollouts.get_mut(&spec.image) {
             if let (Some(rollout), Some(m)) = (&mut kept.rollout, kept.members.get_mut(&machine)) {
                 rollout.arrived(&machine, uploads);
-                m.whole = true;
+                m.complete = true;
             }
         }
     }
@@ -90,10 +93,10 @@
             return true;
         }
         let key = self.image_distribution.key(image);
-        if let Some(held) = self.image_distribution.held.get(&key) {
+        if let Some(stored_records) = self.image_distribution.stored_records.get(&key) {
             // A later version's is left alone, and one of another image whose
             // name has the same hash too.
-            let ours = held.value.as_ref().filter(|r| r.known());
+            let ours = stored_records.value.as_ref().filter(|r| r.known());
             if ours.is_none_or(|r| r.image != *image) {
                 return false;
             }
@@ -107,8 +110,8 @@
         for (id, machine) in self.cluster_state.machines() {
             if machine.cache.has(image) && !self.awaits(id, image) {
                 rollout.join(id.clone(), &self.path_of(id), true);
-                let (whole, since) = (true, Time(0.0));
-                members.insert(id.clone(), Member { whole, since });
+                let (complete, since) = (true, Time(0.0));
+                members.insert(id.clone(), Member { complete, since });
             }
         }
         let kept = ActiveRollout {
@@ -157,12 +160,12 @@
         let machine = self.cluster_state.machines().get(&heartbeat.machine);
         let news =
             |name: &Image| machine.is_some_and(|m| m.cache.expects(name) && !m.cache.has(name));
-        let whole = heartbeat
+        let complete = heartbeat
             .images
             .iter()
             .filter(|i| i.of > 0 && i.parts >= i.of);
-        let whole = whole.map(|i| Image::from(i.image.as_str()));
-        for image in whole.filter(news).collect::<Vec<_>>() {
+        let complete = complete.map(|i| Image::from(i.image.as_str()));
+        for image in complete.filter(news).collect::<Vec<_>>() {
             self.cluster_state
                 .edit_machine(&heartbeat.machine, |m| m.cache.is_there(&image));
         }
@@ -178,7 +181,7 @@
             let Some(rollout) = &kept.rollout else {
                 continue;
             };
-            for _ in 0..LOOKS.min(kept.waiting.len()) {
+            for _ in 0..MACHINES_SCANNED_PER_PASS.min(kept.waiting.len()) {
                 let after = (Bound::Excluded(&kept.scanned_to), Bound::Unbounded);
                 let next = kept.waiting.range(after).next();
                 let Some(id) = next.or_else(|| kept.waiting.first()).cloned() else {
--- a/src/control/core/scale_in.rs
+++ b/src/control/core/scale_in.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeSet;
 
 use super::agent::AgentState;
-use super::inventory::Coming;
+use super::inventory::PendingMachine;
 use super::Core;
 use crate::fleet;
 use crate::sched::Machine;
@@ -50,14 +50,14 @@
         let heard = agents.filter(|l| now.since(l.last_heard) < limit_s).count();
         heard * 2 > self.agents.len()
             && self.failover.age_s(now) > self.cfg.silent_s()
-            && now >= self.deaf_until
+            && now >= self.silence_ignored_until
     }
 
     /// Gives back machines that heartbeat and hear nothing.
     pub(super) fn give_back_deaf(&mut self, now: Time) {
         for id in self.deaf(now) {
             tracing::info!(machine = %id, "it reports and hears nothing: given back");
-            self.give_back(&id);
+            self.mark_for_scale_in(&id);
         }
     }
 
@@ -70,9 +70,10 @@
                 agent.deleting = true;
             }
             let quiet_s = now.since(agent.last_heard);
-            let hangs = hangs(agent, quiet_s, self.cfg.heartbeat_s);
-            if trusts_silence && (quiet_s > self.cfg.silent_s() || hangs) {
-                if hangs && !agent.deleting {
+            let unanswered_connections =
+                unanswered_connections(agent, quiet_s, self.cfg.heartbeat_s);
+            if trusts_silence && (quiet_s > self.cfg.silent_s() || unanswered_connections) {
+                if unanswered_connections && !agent.deleting {
                     tracing::info!(machine = %id, quiet_s, "it hangs: given back");
                 }
                 agent.deleting = true;
@@ -81,17 +82,18 @@
                 to_delete.push(id.clone());
             }
         }
-        let never_came = self.inventory.coming().iter();
-        let never_came = never_came.filter(|(id, coming)| self.never_comes(id, coming, now));
+        let never_came = self.inventory.pending_machines().iter();
+        let never_came =
+            never_came.filter(|(id, pending_machines)| self.never_comes(id, pending_machines, now));
         to_delete.extend(never_came.map(|(id, _)| id.clone()));
         to_delete
     }
 
     /// Whether a machine that was rented is not to be waited for any longer.
-    fn never_comes(&self, id: &MachineId, coming: &Coming, now: Time) -> bool {
-        let boot_s = self.types.get(&coming.kind).map(|t| t.boot_s);
+    fn never_comes(&self, id: &MachineId, pending_machines: &PendingMachine, now: Time) -> bool {
+        let boot_s = self.types.get(&pending_machines.kind).map(|t| t.boot_s);
         let limit_s = STUCK_BOOTS * boot_s.unwrap_or(DEFAULT_BOOT_S) + STUCK_MARGIN_S;
-        now.since(coming.since) > limit_s || self.inventory.is_missing(id)
+        now.since(pending_machines.since) > limit_s || self.inventory.is_missing(id)
     }
 
     /// Whether nothing is to be done and nothing was asked for: the next job finds a
@@ -184,7 +186,7 @@
         retiring: &BTreeSet<MachineId>,
         now: Time,
     ) -> Vec<MachineId> {
-        let mut give_back = Vec::new();
+        let mut mark_for_scale_in = Vec::new();
         for Disuse { machine, share, .. } in disuse {
             let kept = plan.kept.get(&machine).copied().unwrap_or_default();
             let retires = retiring.contains(&machine);
@@ -193,11 +195,11 @@
                 m.kept = kept;
                 m.retiring = retires;
                 if retires && m.claims.is_empty() && now.since(m.idle_since) > EMPTY_S {
-                    give_back.push(machine.clone());
+                    mark_for_scale_in.push(machine.clone());
                 }
             });
         }
-        give_back
+        mark_for_scale_in
     }
 }
 
@@ -209,7 +211,8 @@
 
 /// Whether a machine takes connections and doesn't answer. It was last heard
 /// `quiet_s` seconds ago.
-fn hangs(agent: &AgentState, quiet_s: f64, heartbeat_s: f64) -> bool {
-    let long = agent.direct.hangs() == 1 && quiet_s > HANGS_HEARTBEATS * heartbeat_s;
-    agent.direct.is_suspect() && (agent.direct.hangs() >= HANGS || long)
+fn unanswered_connections(agent: &AgentState, quiet_s: f64, heartbeat_s: f64) -> bool {
+    let long =
+        agent.direct.unanswered_connections() == 1 && quiet_s > HANGS_HEARTBEATS * heartbeat_s;
+    agent.direct.is_suspect() && (agent.direct.unanswered_connections() >= HANGS || long)
 }
--- a/src/control/core/scaling.rs
+++ b/src/control/core/scaling.rs
@@ -46,7 +46,7 @@
         let idle = self.is_idle(now);
         let expected = if idle { Vec::new() } else { self.expected(now) };
         let plan = self.plan_fleet(&expected, &to_delete, now);
-        self.windows.set_coming(&plan.coming);
+        self.windows.set_coming(&plan.pending_machines);
         self.scale_in(&plan, idle, now);
         ScalingDecision {
             to_delete,
@@ -68,9 +68,9 @@
             boot_s,
             cluster_state: &self.cluster_state,
             types: &self.offered_types(),
-            coming: &self.coming_except(to_delete),
+            pending_machines: &self.coming_except(to_delete),
             expected,
-            lacks: &self.lacks(now),
+            shortfalls: &self.shortfalls(now),
             open: &|kind: &TypeName, zone: &Zone, spot: bool| {
                 self.may_request(kind, zone, spot, now)
             },
@@ -87,13 +87,13 @@
     }
 
     /// Machines on their way that are not to be deleted.
-    fn coming_except(&self, to_delete: &[MachineId]) -> Vec<fleet::Coming> {
+    fn coming_except(&self, to_delete: &[MachineId]) -> Vec<fleet::PendingMachine> {
         self.inventory
-            .coming()
+            .pending_machines()
             .iter()
             .filter(|(id, _)| !to_delete.contains(id))
             .filter_map(|(_, c)| {
-                Some(fleet::Coming {
+                Some(fleet::PendingMachine {
                     kind: self.types.get(&c.kind)?.clone(),
                     spot: c.spot,
                     zone: c.zone.clone(),
--- a/src/control/core/served.rs
+++ b/src/control/core/served.rs
@@ -85,13 +85,13 @@
 
     /// Says in the log what each class and team gets, now and then and when it
     /// changes who starves.
-    pub(super) fn tell_served(&mut self, now: Time) {
+    pub(super) fn log_service_levels(&mut self, now: Time) {
         let waits = self.waits_by_sort(now);
         self.largest_late(now);
         let Some(lines) = self.served_log.take_due(&waits, now) else {
             return;
         };
-        self.tell_lanes(now);
+        self.log_lanes(now);
         for l in lines {
             tracing::info!(
                 shard = %self.scope.shard,
--- a/src/control/core/shard_quota.rs
+++ b/src/control/core/shard_quota.rs
@@ -22,7 +22,7 @@
 impl Core {
     /// Takes up this shard's part of the limits, as recorded, less what is being
     /// given away. Guarantees are divided in the same proportion.
-    pub fn look_at_limits(&mut self, view: &View) {
+    pub fn refresh_quotas(&mut self, view: &View) {
         if !self.scope.is_part() {
             return;
         }
@@ -66,7 +66,7 @@
     /// nothing given: takes up what is recorded.
     pub fn giving(&mut self, given: Vec<Amount>, view: &View) {
         self.sharing.given = given;
-        self.look_at_limits(view);
+        self.refresh_quotas(view);
     }
 }
 
--- a/src/control/core/sharing.rs
+++ b/src/control/core/sharing.rs
@@ -71,19 +71,20 @@
             return;
         };
         let size = entry.record.value.chunk.max(1);
-        let mut foreign: BTreeSet<u32> = self.sharing.left.of(id).collect();
+        let mut claimed_elsewhere: BTreeSet<u32> = self.sharing.left.of(id).collect();
         for (chunk, held) in entry.all_chunks() {
             let theirs = held
                 .claims
                 .iter()
                 .filter(|c| !self.scope.covers(&c.machine));
-            foreign.extend(theirs.map(|c| chunk * size + c.place));
+            claimed_elsewhere.extend(theirs.map(|c| chunk * size + c.place));
         }
-        foreign.retain(|i| !job.tasks.is_done(*i) && !job.tasks.claims().contains_key(i));
+        claimed_elsewhere.retain(|i| !job.tasks.is_done(*i) && !job.tasks.claims().contains_key(i));
         let zones = self.zones_elsewhere(&job.spec, entry);
         let taken = self.sharing.taken.of(id).collect();
-        let left_here = (!self.scope.homes(id)).then_some(taken);
-        self.cluster_state.share_job(id, foreign, left_here);
+        let adopt_delegated_tasks = (!self.scope.homes(id)).then_some(taken);
+        self.cluster_state
+            .share_job(id, claimed_elsewhere, adopt_delegated_tasks);
         self.cluster_state.set_elsewhere(id, zones);
     }
 
@@ -105,7 +106,7 @@
     }
 
     /// More is known of where other shards' machines are.
-    pub fn look_elsewhere(&mut self, view: &View) {
+    pub fn refresh_from_view(&mut self, view: &View) {
         let jobs: Vec<JobId> = self.cluster_state.unknown_elsewhere().cloned().collect();
         for id in jobs {
             if let Some(entry) = view.job(&id) {
--- a/src/control/dividing.rs
+++ b/src/control/dividing.rs
@@ -7,11 +7,13 @@
 use super::core::{Core, RecoveryInput, ShardGrant};
 use super::{wall_ms, Node};
 use crate::state::record::{
-    member_key, shard_key, slice_key, Fence, GrantRecord, MapRecord, MemberRecord, ShardRecord,
-    SliceRecord, GRANT, LEADER, MAP,
+    member_key, shard_key, slice_key, GrantRecord, MemberRecord, ShardMapRecord, ShardRecord,
+    ShardedGrantFence, SliceRecord, GRANT, LEADER, MAP,
 };
 use crate::state::view::View;
-use crate::state::{Change, Condition, Outcome, StateError, Transaction, Urgency};
+use crate::state::{
+    Change, Condition, RequestPriority, StateError, Transaction, TransactionOutcome,
+};
 use crate::types::{Amount, LeaseId, Revision, Term, Time};
 
 /// The machines are divided only by a leader that has led for so long, in seconds.
@@ -30,13 +32,13 @@
     ReleasesPending,
     /// The shards' parts of the limits were not recorded.
     #[error("parts of the limits: {0:?}")]
-    Quotas(Result<Outcome, StateError>),
+    Quotas(Result<TransactionOutcome, StateError>),
     /// This controller does not lead any more.
     #[error("the lease ended")]
     LeaseExpired,
     /// The shards were not recorded, or that is not known.
     #[error("blocks: {0:?}")]
-    Shards(Result<Outcome, StateError>),
+    Shards(Result<TransactionOutcome, StateError>),
 }
 
 /// A division into several shards that is about to be recorded.
@@ -62,7 +64,7 @@
     /// From one shard to several: this controller owns all of them at first. Its
     /// core is frozen until nothing is under way; then each shard's part of the
     /// limits is what it uses, and an equal part of the rest.
-    pub(super) async fn divide_machines(&self, again: &mut Option<Time>) {
+    pub(super) async fn split_shards(&self, again: &mut Option<Time>) {
         let of = how_many(self.cfg.tuning.shards_least, self.cfg.others.len() + 1);
         let now = self.now();
         // With a topology one core must see all places.
@@ -90,7 +92,7 @@
             self.shards.learn_zones(zones);
             core.grant
         };
-        if let Err(error) = self.divide_now(of, grant).await {
+        if let Err(error) = self.split_shards_now(of, grant).await {
             let why = error.to_string();
             tracing::info!(why, "the machines stay one block for now");
             *again = Some(self.now().after(DIVIDE_AGAIN_S));
@@ -102,7 +104,7 @@
 
     /// Writes the parts of the limits, and then, if nothing changed meanwhile, the
     /// shards in place of the one grant.
-    async fn divide_now(&self, of: u32, grant: u64) -> Result<(), DivideError> {
+    async fn split_shards_now(&self, of: u32, grant: u64) -> Result<(), DivideError> {
         if !self.fresh().await {
             return Err(DivideError::Unconfirmed);
         }
@@ -111,8 +113,12 @@
         let lease = self.leadership.lease();
         let lease = lease.ok_or(DivideError::LeaseExpired)?;
         let transaction = self.division_txn(&division, quotas_at, lease);
-        match self.state.transact(&transaction, Urgency::First).await {
-            Ok(Outcome::Done(revision)) => {
+        match self
+            .state
+            .transact(&transaction, RequestPriority::First)
+            .await
+        {
+            Ok(TransactionOutcome::Done(revision)) => {
                 tracing::info!(shards = of, "the machines are divided");
                 self.peers.announce(revision);
                 self.fresh().await;
@@ -175,8 +181,12 @@
             conditions: vec![division.guard.clone()],
             changes: parts.collect(),
         };
-        match self.state.transact(&transaction, Urgency::First).await {
-            Ok(Outcome::Done(revision)) => Ok(revision),
+        match self
+            .state
+            .transact(&transaction, RequestPriority::First)
+            .await
+        {
+            Ok(TransactionOutcome::Done(revision)) => Ok(revision),
             other => Err(DivideError::Quotas(other)),
         }
     }
@@ -191,18 +201,18 @@
     ) -> Transaction {
         let of = division.of;
         let mut conditions = vec![division.guard.clone()];
-        let map = MapRecord {
-            version: MapRecord::VERSION,
+        let map = ShardMapRecord {
+            version: ShardMapRecord::VERSION,
             shards: of,
         };
-        let fence = Fence {
+        let mark_incompatible = ShardedGrantFence {
             version: 2,
             shards: of,
         };
         let member = MemberRecord { run: self.run };
         let mut changes = vec![
             Change::write(MAP.into(), &map, None),
-            Change::write(GRANT.into(), &fence, None),
+            Change::write(GRANT.into(), &mark_incompatible, None),
             Change::write(member_key(&self.cfg.node), &member, Some(lease)),
         ];
         for shard in (0..of).map(ShardId) {
@@ -229,7 +239,7 @@
 
     /// From several shards to one, once this controller owns all of them and
     /// nothing is under way: its grant is above all of theirs.
-    pub(super) async fn unite_machines(&self, of: u32) {
+    pub(super) async fn merge_shards(&self, of: u32) {
         if !self.settle_all(of) {
             return;
         }
@@ -238,11 +248,15 @@
             let grant = self.united_grant(&view);
             (united_txn(&view, &grant), grant)
         };
-        match self.state.transact(&transaction, Urgency::First).await {
-            Ok(Outcome::Done(revision)) => {
+        match self
+            .state
+            .transact(&transaction, RequestPriority::First)
+            .await
+        {
+            Ok(TransactionOutcome::Done(revision)) => {
                 tracing::info!("the machines are one block again");
                 self.peers.announce(revision);
-                self.take_over(grant, revision).await;
+                self.begin_leadership(grant, revision).await;
             }
             // If it was carried out after all, nobody owns the shard: the lease
             // ends, and whoever leads next takes it.
@@ -295,8 +309,8 @@
 /// The map and the grant of one scope in place of all shards' records; only if this
 /// controller still leads and none of them changed.
 fn united_txn(view: &View, grant: &GrantRecord) -> Transaction {
-    let map = MapRecord {
-        version: MapRecord::VERSION,
+    let map = ShardMapRecord {
+        version: ShardMapRecord::VERSION,
         shards: 1,
     };
     let mut conditions = vec![Condition {
--- a/src/control/drains.rs
+++ b/src/control/drains.rs
@@ -11,12 +11,12 @@
 use super::{wall_ms, Node};
 use crate::sched::Machine;
 use crate::state::record::drain_key;
-use crate::state::{Change, Outcome};
+use crate::state::{Change, TransactionOutcome};
 use crate::types::{MachineId, NodeId, Revision};
 
 /// Most drains at a time: each is a key that all controllers hold, in about 300 bytes.
 /// Every machine of a fleet of thousands may have one of its own.
-const MOST_DRAINS: usize = 10_000;
+const MAX_DRAINS: usize = 10_000;
 /// How often a change that an operator asked for is tried while others are faster.
 const CHANGE_ATTEMPTS: usize = 4;
 /// How long a change may take.
@@ -126,7 +126,7 @@
                 },
             });
         }
-        if view.drains.len() >= MOST_DRAINS {
+        if view.drains.len() >= MAX_DRAINS {
             return Err(Refused::Wrong("too many drains at a time".into()));
         }
         let last = view.drains.keys().next_back();
@@ -178,13 +178,13 @@
         change: Change,
     ) -> Result<bool, Refused> {
         match self.state.change(key, mod_revision, change, PATIENCE).await {
-            Ok(Outcome::Done(revision)) => {
+            Ok(TransactionOutcome::Done(revision)) => {
                 self.peers.announce(revision);
                 // The next look at the view has it.
                 self.fresh().await;
                 Ok(true)
             }
-            Ok(Outcome::Failed(_)) => Ok(false),
+            Ok(TransactionOutcome::Failed(_)) => Ok(false),
             Err(error) => {
                 tracing::info!(%error, "drain");
                 Err(Refused::Unavailable)
@@ -284,7 +284,7 @@
     domain.usable += u32::from(machine.usable);
     domain.draining += u32::from(machine.draining);
     domain.tasks += machine.claims.len() as u32;
-    for (unit, share, broken) in machine.stock.units() {
+    for (unit, share, broken) in machine.device_inventory.units() {
         let device = domain.devices.entry(unit.kind().to_owned()).or_default();
         device.units += 1;
         device.broken += u32::from(broken);
--- a/src/control/following.rs
+++ b/src/control/following.rs
@@ -7,20 +7,20 @@
 use tokio::time::sleep;
 
 use super::{wall_ms, Node};
-use crate::state::{StateError, Urgency};
+use crate::state::{RequestPriority, StateError};
 use crate::types::Revision;
 
 /// Without news from the state service for this long, and while others have some
-/// for `BEHIND`, a controller is cut off.
-const STALE: Duration = Duration::from_millis(2500);
+/// for `WATCH_LAG_LIMIT`, a controller is cut off.
+const STORE_SILENCE_LIMIT: Duration = Duration::from_millis(2500);
 /// An announced revision that is not read for this long shows that others are served.
-const BEHIND: Duration = Duration::from_secs(1);
+const WATCH_LAG_LIMIT: Duration = Duration::from_secs(1);
 /// A user's request waits for a new view for so long: users wait 2 s.
-pub(super) const FRESH: Duration = Duration::from_millis(1400);
+pub(super) const FRESH_VIEW_TIMEOUT: Duration = Duration::from_millis(1400);
 /// The least pause between two reads of what is new.
 const SYNC_GAP: Duration = Duration::from_millis(20);
 /// The longest pause between two reads of what is new.
-const SYNC_GAP_MOST: Duration = Duration::from_millis(300);
+const SYNC_GAP_MAX: Duration = Duration::from_millis(300);
 /// The pause after a watch that failed.
 const WATCH_RETRY_PAUSE: Duration = Duration::from_millis(250);
 /// The pause after a watch of a controller that owns a scope.
@@ -42,8 +42,8 @@
             return false;
         }
         let view = self.store.view();
-        let served = self.unserved() < STALE;
-        let behind = self.store.is_behind_for(BEHIND);
+        let served = self.unserved() < STORE_SILENCE_LIMIT;
+        let behind = self.store.is_behind_for(WATCH_LAG_LIMIT);
         view.loaded && (served || !behind)
     }
 
@@ -55,7 +55,7 @@
     /// Waits until the view is at least as new as the state service was when
     /// this was called. One read serves all who wait.
     pub async fn fresh(&self) -> bool {
-        self.fresh_within(FRESH).await
+        self.fresh_within(FRESH_VIEW_TIMEOUT).await
     }
 
     /// The same, for so long at the most.
@@ -81,7 +81,7 @@
             self.store.end_refresh(number, succeeded);
             // Not more than half of this controller's requests.
             let gap = Duration::from_secs_f64(2.0 / self.state.requests.rate().max(1.0));
-            sleep(gap.clamp(SYNC_GAP, SYNC_GAP_MOST)).await;
+            sleep(gap.clamp(SYNC_GAP, SYNC_GAP_MAX)).await;
         }
     }
 
@@ -113,7 +113,7 @@
         let since = self.store.view().store_revision;
         match self
             .state
-            .follow(since, wait, Urgency::Within(READ_PATIENCE))
+            .follow(since, wait, RequestPriority::Within(READ_PATIENCE))
             .await
         {
             Ok(events) => {
@@ -156,14 +156,14 @@
         let mut cores = self.shards.owned_mut();
         for c in cores.values_mut() {
             c.set_drains(&view, self.now());
-            c.look_at_limits(&view);
+            c.refresh_quotas(&view);
             if !changed.is_empty() {
                 c.jobs_changed(&view, &changed, self.now(), wall_ms());
             }
         }
         drop(cores);
-        shares |= self.take_up(&view);
-        self.heed_offers(&view);
+        shares |= self.adopt_shards(&view);
+        self.accept_offered_shards(&view);
         let leaderless = view.leader.value.is_none();
         drop(view);
         if shares {
--- a/src/control/heartbeat_routing.rs
+++ b/src/control/heartbeat_routing.rs
@@ -17,26 +17,26 @@
 
 /// For how long a worker's heartbeats are passed on before it is told again whom
 /// to heartbeat to.
-const PASS_ON: Duration = Duration::from_secs(45);
+const FORWARDING_PERIOD: Duration = Duration::from_secs(45);
 /// Workers remembered as told whom to heartbeat to.
-const MOST_SENT_ON: usize = 8192;
+const MAX_SENT_ON: usize = 8192;
 /// A worker that was sent elsewhere and came back is kept for so long.
-const CAME_BACK: Duration = Duration::from_secs(30);
+const RETURN_WINDOW: Duration = Duration::from_secs(30);
 
 /// A worker that was told which controller to heartbeat to.
-struct SentOn {
+struct RedirectedAgent {
     to: NodeId,
     last: Instant,
     /// It came back, as it can't reach that one: its heartbeats are passed on.
-    passing_since: Option<Instant>,
+    forwarding_since: Option<Instant>,
 }
 
-impl SentOn {
+impl RedirectedAgent {
     fn new(to: NodeId, now: Instant) -> Self {
         Self {
             to,
             last: now,
-            passing_since: None,
+            forwarding_since: None,
         }
     }
 }
@@ -55,7 +55,7 @@
 pub(super) struct HeartbeatRouting {
     /// The newest heartbeat of each machine, so that copies are known.
     newest: RefCell<Order>,
-    sent_on: RefCell<HashMap<MachineId, SentOn>>,
+    redirected_agents: RefCell<HashMap<MachineId, RedirectedAgent>>,
     /// Workers that were sent away as this controller is alone.
     dismissed_workers: RefCell<DismissedWorkers>,
     /// What owners were told, and which heartbeats need not be told to them.
@@ -92,35 +92,35 @@
     /// has come back, and is kept.
     pub(super) fn sends_home(&self, machine: &MachineId, home: &NodeId) -> bool {
         let now = Instant::now();
-        let mut sent_on = self.sent_on.borrow_mut();
-        plan_preemption(&mut sent_on, now, CAME_BACK);
-        let came_back = sent_on
+        let mut redirected_agents = self.redirected_agents.borrow_mut();
+        plan_preemption(&mut redirected_agents, now, RETURN_WINDOW);
+        let came_back = redirected_agents
             .get(machine)
-            .is_some_and(|s| now.duration_since(s.last) < CAME_BACK);
+            .is_some_and(|s| now.duration_since(s.last) < RETURN_WINDOW);
         if !came_back {
-            sent_on.insert(machine.clone(), SentOn::new(home.clone(), now));
+            redirected_agents.insert(machine.clone(), RedirectedAgent::new(home.clone(), now));
         }
         !came_back
     }
 
     /// What is done with a heartbeat for `owner`. Its sender is told to go there; one that
-    /// is `back` within that time can't reach it. It is told again after `PASS_ON`, as
+    /// is `back` within that time can't reach it. It is told again after `FORWARDING_PERIOD`, as
     /// the way may be open by then.
     pub(super) fn redirect(&self, machine: &MachineId, owner: &NodeId, back: Duration) -> Redirect {
         let now = Instant::now();
-        let mut sent_on = self.sent_on.borrow_mut();
-        plan_preemption(&mut sent_on, now, back);
-        let known = sent_on
+        let mut redirected_agents = self.redirected_agents.borrow_mut();
+        plan_preemption(&mut redirected_agents, now, back);
+        let known = redirected_agents
             .get_mut(machine)
             .filter(|s| s.to == *owner && now.duration_since(s.last) < back);
         if let Some(known) = known {
             known.last = now;
-            let since = *known.passing_since.get_or_insert(now);
-            if now.duration_since(since) < PASS_ON {
+            let since = *known.forwarding_since.get_or_insert(now);
+            if now.duration_since(since) < FORWARDING_PERIOD {
                 return Redirect::PassOn;
             }
         }
-        sent_on.insert(machine.clone(), SentOn::new(owner.clone(), now));
+        redirected_agents.insert(machine.clone(), RedirectedAgent::new(owner.clone(), now));
         Redirect::Tell
     }
 
@@ -160,8 +160,12 @@
 }
 
 /// Forgets workers that were not sent anywhere for `kept`, once there are too many.
-fn plan_preemption(sent_on: &mut HashMap<MachineId, SentOn>, now: Instant, kept: Duration) {
-    if sent_on.len() >= MOST_SENT_ON {
-        sent_on.retain(|_, s| now.duration_since(s.last) < kept);
+fn plan_preemption(
+    redirected_agents: &mut HashMap<MachineId, RedirectedAgent>,
+    now: Instant,
+    kept: Duration,
+) {
+    if redirected_agents.len() >= MAX_SENT_ON {
+        redirected_agents.retain(|_, s| now.duration_since(s.last) < kept);
     }
 }
--- a/src/control/leadership.rs
+++ b/src/control/leadership.rs
@@ -13,7 +13,7 @@
 
 /// A controller that gave up what it owned, as workers can't be reached from it,
 /// leaves it to the others for so long.
-const UNFIT: Duration = Duration::from_secs(30);
+const RESIGNATION_BACKOFF: Duration = Duration::from_secs(30);
 /// How long a controller without a lease waits for a change before it looks again
 /// whether there is a leader.
 const VACANCY_CHECK_INTERVAL: Duration = Duration::from_millis(300);
@@ -24,7 +24,7 @@
     /// Before this instant no other controller can have become leader.
     exclusive_until: Cell<Instant>,
     /// Before this instant others go first.
-    unfit_until: Cell<Instant>,
+    resigned_until: Cell<Instant>,
     /// Signalled when there is no leader.
     vacant: Notify,
     /// Whether workers are reached from here.
@@ -38,7 +38,7 @@
         Self {
             lease: Cell::new(None),
             exclusive_until: Cell::new(now),
-            unfit_until: Cell::new(now),
+            resigned_until: Cell::new(now),
             vacant: Notify::new(),
             reach: RefCell::default(),
         }
@@ -73,15 +73,16 @@
         Instant::now() < self.exclusive_until.get()
     }
 
-    /// Lets the other controllers go first for `UNFIT`.
+    /// Lets the other controllers go first for `RESIGNATION_BACKOFF`.
     pub(super) fn defer_to_others(&self) {
-        self.unfit_until.set(Instant::now() + UNFIT);
+        self.resigned_until
+            .set(Instant::now() + RESIGNATION_BACKOFF);
         self.forget_reachability();
     }
 
     /// Whether others are to go first.
     pub(super) fn defers_to_others(&self) -> bool {
-        Instant::now() < self.unfit_until.get()
+        Instant::now() < self.resigned_until.get()
     }
 
     /// Says that there is no leader.
--- a/src/control/leading.rs
+++ b/src/control/leading.rs
@@ -10,13 +10,15 @@
 use super::{wall_ms, Node};
 use crate::state::record::{GrantRecord, LeaderRecord, GRANT, LEADER};
 use crate::state::view::Versioned;
-use crate::state::{Change, Condition, Outcome, StateError, Transaction, Urgency};
+use crate::state::{
+    Change, Condition, RequestPriority, StateError, Transaction, TransactionOutcome,
+};
 use crate::types::{LeaseId, Revision, Term};
 
 /// The leader's part of the requests that the state service takes.
-const LEADER_REQUESTS: f64 = 0.5;
+const LEADER_REQUEST_SHARE: f64 = 0.5;
 /// The leader's part of the changes that the state service takes.
-const LEADER_CHANGES: f64 = 0.65;
+const LEADER_WRITE_SHARE: f64 = 0.65;
 /// The part of what the state service takes that all controllers together ask for.
 const RATE_USED: f64 = 0.95;
 /// Requests that may be sent at once after a quiet time.
@@ -24,12 +26,12 @@
 /// Changes that may be sent at once after a quiet time: this part of a second's changes.
 const CHANGE_BURSTS_A_SECOND: f64 = 4.0;
 /// The most changes that may be sent at once.
-const CHANGE_BURST_MOST: f64 = 4.0;
+const CHANGE_BURST_MAX: f64 = 4.0;
 /// Each controller may send so many changes a second, however few there are.
 const CHANGE_RATE_LEAST: f64 = 0.5;
 /// A controller that lets others go first waits so long before each look whether one
 /// of them has become leader.
-const UNFIT_WAIT: Duration = Duration::from_secs(2);
+const RESIGNATION_RETRY_INTERVAL: Duration = Duration::from_secs(2);
 
 /// The pause after a read that failed, before a new leader has read all that was
 /// recorded before its grant.
@@ -68,11 +70,11 @@
             let defers = self.leadership.defers_to_others();
             if defers {
                 // Whoever can do better goes first.
-                sleep(UNFIT_WAIT).await;
+                sleep(RESIGNATION_RETRY_INTERVAL).await;
             }
             match self.candidacy(defers) {
                 Candidacy::None => {}
-                Candidacy::Member => self.enlist(life).await,
+                Candidacy::Member => self.join_members(life).await,
                 Candidacy::Leader(vacancy) => self.stand(vacancy, life).await,
             }
         }
@@ -132,14 +134,18 @@
             number: grant.number + 1,
         };
         let transaction = self.election_txn(&vacancy, &next, kept, lease);
-        match self.state.transact(&transaction, Urgency::First).await {
-            Ok(Outcome::Done(revision)) => {
+        match self
+            .state
+            .transact(&transaction, RequestPriority::First)
+            .await
+        {
+            Ok(TransactionOutcome::Done(revision)) => {
                 self.leadership.acquired(lease, asked, life);
                 if !kept {
-                    self.take_over(next, revision).await;
+                    self.begin_leadership(next, revision).await;
                 }
             }
-            Ok(Outcome::Failed(_)) => {
+            Ok(TransactionOutcome::Failed(_)) => {
                 self.fresh().await;
             }
             Err(error) => {
@@ -186,7 +192,7 @@
     }
 
     /// Recovers the one shard's state from the records, and owns it from then on.
-    pub(super) async fn take_over(&self, grant: GrantRecord, revision: Revision) {
+    pub(super) async fn begin_leadership(&self, grant: GrantRecord, revision: Revision) {
         // Everything that earlier owners recorded is older than the grant.
         self.catch_up(revision, CATCH_UP_PAUSE).await;
         if self.store.view().grant.value.number != grant.number {
@@ -238,11 +244,11 @@
         let rps = self.cfg.state_rps * RATE_USED;
         self.state
             .requests
-            .set_rate(rps * part(LEADER_REQUESTS), REQUEST_BURST);
+            .set_rate(rps * part(LEADER_REQUEST_SHARE), REQUEST_BURST);
         let changes = self.state.change_rate() * RATE_USED;
-        let burst = (changes / CHANGE_BURSTS_A_SECOND).min(CHANGE_BURST_MOST);
+        let burst = (changes / CHANGE_BURSTS_A_SECOND).min(CHANGE_BURST_MAX);
         self.state.writes.set_rate(
-            (changes * part(LEADER_CHANGES)).max(CHANGE_RATE_LEAST),
+            (changes * part(LEADER_WRITE_SHARE)).max(CHANGE_RATE_LEAST),
             burst,
         );
     }
@@ -259,7 +265,7 @@
         tracing::info!(why, "giving up what is owned here");
         self.leadership.defer_to_others();
         for shard in shards {
-            self.stand_down(shard);
+            self.step_down(shard);
         }
         if let Some(lease) = lease {
             // If that gets lost, it ends by itself.
@@ -271,14 +277,14 @@
 
     /// A worker has seen the fencing token of a newer grant, so there is one, whether
     /// or not the state service can be asked about it.
-    pub(super) fn deposed(&self, shard: ShardId) {
+    pub(super) fn superseded(&self, shard: ShardId) {
         tracing::info!(%shard, "a newer grant commands: standing down");
-        self.stand_down(shard);
+        self.step_down(shard);
         self.store.request_refresh();
     }
 
     /// Stops to act for a shard.
-    pub(super) fn stand_down(&self, shard: ShardId) {
+    pub(super) fn step_down(&self, shard: ShardId) {
         let core = self.shards.give_up(shard);
         if core.is_some_and(|c| !c.scope.is_part()) {
             self.leadership.release();
--- a/src/control/limit_transfers.rs
+++ b/src/control/limit_transfers.rs
@@ -10,11 +10,11 @@
 use super::core::Core;
 use super::Node;
 use crate::state::record::{shard_key, slice_key, SliceRecord};
-use crate::state::{Change, Condition, Outcome, Transaction, Urgency};
+use crate::state::{Change, Condition, RequestPriority, Transaction, TransactionOutcome};
 use crate::types::Revision;
 
 /// A shard gives part of its limits away so often at the most.
-pub(super) const GIVE_EVERY: Duration = Duration::from_millis(1500);
+pub(super) const QUOTA_TRANSFER_INTERVAL: Duration = Duration::from_millis(1500);
 /// A transfer waits for its turn at the state service so long.
 const TRANSFER_PATIENCE: Duration = Duration::from_millis(1500);
 /// The pause after a transfer whose outcome is not known.
@@ -44,7 +44,7 @@
     }
 
     /// Gives parts of limits that are not used here to a shard that lacks them.
-    pub(super) async fn give_parts(&self) {
+    pub(super) async fn transfer_quotas(&self) {
         let Some(needs) = self.all_needs() else {
             return;
         };
@@ -127,10 +127,12 @@
         loop {
             match self
                 .state
-                .transact(transaction, Urgency::Within(TRANSFER_PATIENCE))
+                .transact(transaction, RequestPriority::Within(TRANSFER_PATIENCE))
                 .await
             {
-                Ok(Outcome::Done(revision) | Outcome::Failed(revision)) => return Some(revision),
+                Ok(TransactionOutcome::Done(revision) | TransactionOutcome::Failed(revision)) => {
+                    return Some(revision)
+                }
                 // Sent again with the same conditions: whichever try is
                 // carried out, the others fail.
                 Err(error) => {
--- a/src/control/load.rs
+++ b/src/control/load.rs
@@ -84,8 +84,8 @@
     }
 
     /// How many machines there may be.
-    pub fn most_machines(&self) -> Option<usize> {
-        self.fleet_limit.borrow().most()
+    pub fn max_machines(&self) -> Option<usize> {
+        self.fleet_limit.borrow().max()
     }
 
     /// How long requests wait to be read, in seconds, when last measured.
@@ -139,17 +139,17 @@
         let overloaded = self.binds(Resource::Processor) && helpers_exhausted;
         let mut fleet_limit = self.fleet_limit.borrow_mut();
         fleet_limit.take(load.machines, load.wait_s, overloaded, now);
-        fleet_limit.most()
+        fleet_limit.max()
     }
 }
 
 impl Node {
     /// Another controller said how it stands.
-    pub fn stands(&self, node: &NodeId, standing: peer::Standing, flags: u16) {
+    pub fn stands(&self, node: &NodeId, announcement: peer::PeerAnnouncement, flags: u16) {
         let known = self.cfg.others.iter().any(|o| o.node == *node);
         if known {
-            self.peer_statuses.record(node, standing, flags);
-            if flags & peer::LIMITS_FELL != 0 && self.state.told_limits_fell() {
+            self.peer_statuses.record(node, announcement, flags);
+            if flags & peer::LIMITS_FELL != 0 && self.state.note_lower_limits() {
                 tracing::info!(by = %node, "the state service takes fewer changes, says another controller");
                 self.set_share();
             }
@@ -164,7 +164,7 @@
             .peers
             .reachable()
             .filter(|n| {
-                let s = self.peer_statuses.standing_of(n);
+                let s = self.peer_statuses.peer_status_of(n);
                 s.helps && !(free_capacity && s.crowded)
             })
             .cloned()
@@ -173,14 +173,14 @@
         helpers
     }
 
-    fn tell_standing(&self) {
+    fn publish_peer_status(&self) {
         let leading = !self.shards.is_empty();
         let share = if leading {
             (self.load.offload_share() * 1000.0).round() as u16
         } else {
             0
         };
-        let standing = peer::Standing {
+        let announcement = peer::PeerAnnouncement {
             helps: true,
             crowded: self.connections.crowded(),
             relief: leading && self.load.asks_for_relief(),
@@ -191,7 +191,7 @@
             // It may have been seen since the last time.
             self.set_share();
         }
-        self.peers.tell(standing, limits_fell);
+        self.peers.tell(announcement, limits_fell);
     }
 
     /// A new owner goes on where the last one was.
@@ -201,8 +201,8 @@
     }
 
     /// Whether a report that came here is taken for its owner.
-    pub(super) fn takes_for(&self, owner: &NodeId) -> bool {
-        self.peer_statuses.standing_of(owner).share > 0
+    pub(super) fn accepts_heartbeats_for(&self, owner: &NodeId) -> bool {
+        self.peer_statuses.peer_status_of(owner).share > 0
     }
 
     /// The controller that a worker of ours is to heartbeat to instead.
@@ -229,7 +229,7 @@
             let sample = self.sample_load(passed_s, now);
             let changed = self.load.measured(sample, now);
             self.limit_owned_shards(sample, now);
-            self.tell_standing();
+            self.publish_peer_status();
             if changed || log.is_due() {
                 log.write(&self, sample);
             }
@@ -281,21 +281,21 @@
             wait_s: sample.wait_s,
             helpers: self.helpers(false).len(),
         };
-        let most = self.load.measured_as_owner(heartbeat_load, now);
+        let max = self.load.measured_as_owner(heartbeat_load, now);
         // Nor more than all controllers together have sockets for.
         let here = cores.len();
         let shards = cores.first().map_or(1, |c| c.scope.of as usize);
         let sockets =
             heartbeat_load.free_capacity * (self.cfg.others.len() + 1) * here / shards.max(1);
-        let most = most.unwrap_or(usize::MAX).min(sockets);
+        let max = max.unwrap_or(usize::MAX).min(sockets);
         let claims = (self.state.writes.rate() * CLAIMS_S) as usize / here;
         let processor_binds = self.load.binds(Resource::Processor);
         for c in cores.values_mut() {
-            c.set_most_machines(Some(most / here));
+            c.set_max_machines(Some(max / here));
             c.shed_placements(self.load.level() >= Level::Placements);
-            c.set_most_claiming(claims.max(2 * self.cfg.state_limits.txn_ops));
+            c.set_max_claiming(claims.max(2 * self.cfg.state_limits.txn_ops));
             if processor_binds {
-                c.hears_badly(now);
+                c.quarantine_one_way_reachable(now);
             }
         }
     }
@@ -348,7 +348,7 @@
             late = late - self.late_before,
             spread = node.load.offload_share(),
             relief = node.load.asks_for_relief(),
-            most_machines = node.load.most_machines(),
+            max_machines = node.load.max_machines(),
             binding = binding.join(","),
             shedding = pressure.level().name(),
             "load"
--- a/src/control/mod.rs
+++ b/src/control/mod.rs
@@ -143,7 +143,7 @@
     pub fn new(cfg: Rc<Config>, peers: Rc<Peers>, topology: Option<Rc<Topology>>) -> Rc<Self> {
         let state = StateClient::new(cfg.state, cfg.state_rps, cfg.state_limits);
         let cloud = CloudClient::new(cfg.cloud, cfg.cloud_rps * CLOUD_RATE_USED);
-        let limits = Limits::of(cfg.max_sockets, cfg.others.len(), core::MOST_FLYING);
+        let limits = Limits::of(cfg.max_sockets, cfg.others.len(), core::MAX_FLYING);
         let node = Rc::new(Self {
             connections: Connections::new(limits),
             paces: Paces::default(),
@@ -207,14 +207,14 @@
         spawn_local(self.clone().sync());
         spawn_local(self.clone().lead());
         spawn_local(self.clone().pump());
-        spawn_local(self.clone().tend());
-        spawn_local(self.clone().tend_cloud());
+        spawn_local(self.clone().run_placement());
+        spawn_local(self.clone().run_autoscaler());
         spawn_local(self.clone().list_machines());
         spawn_local(self.clone().learn_types());
         spawn_local(self.clone().watch_load());
         spawn_local(self.clone().announce_heartbeats());
-        spawn_local(self.clone().share_out());
-        spawn_local(self.clone().tell_needs());
-        spawn_local(self.clone().tend_calendar());
+        spawn_local(self.clone().assign_shards());
+        spawn_local(self.clone().publish_demand());
+        spawn_local(self.clone().run_reservations());
     }
 }
--- a/src/control/owning.rs
+++ b/src/control/owning.rs
@@ -17,7 +17,7 @@
 pub(super) const TICK: Duration = Duration::from_millis(200);
 /// A look at the whole fleet that takes so long, in seconds, is told of in the
 /// log: everything else waits for it.
-const LONG_S: f64 = 0.4;
+const LONG_DUTY_S: f64 = 0.4;
 
 impl Node {
     /// Runs what is due on the core: walks, recording, commands.
@@ -28,10 +28,10 @@
         let starts_until = self.starts_until();
         // A lease that nobody renews ends, but the next incarnation takes starts again:
         // one of a job that was cancelled elsewhere, long ago by then.
-        let may_command = self.knows_the_cancelled();
+        let may_command = self.knows_all_cancellations();
         let mut sends = Vec::new();
         for (shard, c) in cores.iter_mut() {
-            c.may_start_until(starts_until, now);
+            c.allow_starts_until(starts_until, now);
             if walks {
                 self.timed(Duty::Walk, || c.place(now));
             }
@@ -76,7 +76,7 @@
             (false, None) => {}
         }
         if mine == Some(false) {
-            self.deposed(shard);
+            self.superseded(shard);
         }
         self.drive();
     }
@@ -95,7 +95,7 @@
         let cost = begun.elapsed().as_secs_f64();
         self.paces.done(duty, cost, self.load.wait_s(), self.now());
         self.load.counts.duty_took(cost);
-        if cost >= LONG_S {
+        if cost >= LONG_DUTY_S {
             tracing::info!(
                 duty = duty.name(),
                 cost_s = (cost * 100.0).round() / 100.0,
@@ -106,7 +106,7 @@
     }
 
     /// Lets time pass on the owned shards, and does what is due by it.
-    pub(super) async fn tend(self: Rc<Self>) {
+    pub(super) async fn run_placement(self: Rc<Self>) {
         let mut last = Instant::now();
         loop {
             self.wakeups.owner_woken(TICK).await;
--- a/src/control/peer_statuses.rs
+++ b/src/control/peer_statuses.rs
@@ -7,18 +7,18 @@
 
 use tokio::time::Instant;
 
-use crate::peer::{Standing, POLLS, SHARDS};
+use crate::peer::{PeerAnnouncement, POLLS, SHARDS};
 use crate::types::NodeId;
 
 /// What is known of another controller's standing is of use for so long.
 const STANDING: Duration = Duration::from_secs(3);
 /// Who has not said for so long what it knows may be another version by now.
-const SAID: Duration = Duration::from_secs(3);
+const FINAL_STATE_MEMORY: Duration = Duration::from_secs(3);
 
 /// What one controller last said.
 struct PeerStatus {
     heard_at: Instant,
-    standing: Standing,
+    announcement: PeerAnnouncement,
     /// What its version knows: the flags of a hint.
     capabilities: u16,
 }
@@ -31,29 +31,29 @@
 
 impl PeerStatuses {
     /// A controller said how it stands, and what its version knows.
-    pub(super) fn record(&self, node: &NodeId, standing: Standing, capabilities: u16) {
+    pub(super) fn record(&self, node: &NodeId, announcement: PeerAnnouncement, capabilities: u16) {
         let status = PeerStatus {
             heard_at: Instant::now(),
-            standing,
+            announcement,
             capabilities,
         };
         self.by_node.borrow_mut().insert(node.clone(), status);
     }
 
     /// How a controller stands; the default if it has not said so lately.
-    pub(super) fn standing_of(&self, node: &NodeId) -> Standing {
+    pub(super) fn peer_status_of(&self, node: &NodeId) -> PeerAnnouncement {
         let by_node = self.by_node.borrow();
         let fresh = by_node
             .get(node)
             .filter(|status| status.heard_at.elapsed() < STANDING);
-        fresh.map(|status| status.standing).unwrap_or_default()
+        fresh.map(|status| status.announcement).unwrap_or_default()
     }
 
     /// The largest part of heartbeats, in thousandths, that any controller passed to others
     /// when it was last heard, however long ago.
     pub(super) fn greatest_share(&self) -> u16 {
         let by_node = self.by_node.borrow();
-        let shares = by_node.values().map(|status| status.standing.share);
+        let shares = by_node.values().map(|status| status.announcement.share);
         shares.max().unwrap_or(0)
     }
 
@@ -74,6 +74,8 @@
     pub(super) fn answers_polls(&self, node: &NodeId) -> bool {
         let by_node = self.by_node.borrow();
         let status = by_node.get(node);
-        status.is_some_and(|s| s.heard_at.elapsed() < SAID && s.capabilities & POLLS != 0)
+        status.is_some_and(|s| {
+            s.heard_at.elapsed() < FINAL_STATE_MEMORY && s.capabilities & POLLS != 0
+        })
     }
 }
--- a/src/control/pending.rs
+++ b/src/control/pending.rs
@@ -17,15 +17,15 @@
 pub type ChunkId = (JobId, u32);
 
 /// A result may wait this long for company.
-const RESULT_S: f64 = 12.0;
+const RESULT_DELAY_S: f64 = 12.0;
 /// If changes are to spare, a result waits only this long.
-const RESULT_SPARE_S: f64 = 1.5;
+const RESULT_DELAY_SPARE_S: f64 = 1.5;
 /// A deletion may wait this long.
-const TRASH_S: f64 = 30.0;
+const DELETION_DELAY_S: f64 = 30.0;
 
 /// How much what is to be recorded hurries.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Haste {
+pub enum WritePriority {
     /// Its users wait for the start.
     Awaited,
     /// Work of a lane.
@@ -37,7 +37,7 @@
     Idle,
 }
 
-impl Haste {
+impl WritePriority {
     /// Of a job.
     pub fn of(job: &Job) -> Self {
         match (job.start_within.is_some(), job.priority) {
@@ -52,7 +52,7 @@
 /// A claim's place: by haste, then in the order they came.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct Place {
-    haste: Haste,
+    write_priority: WritePriority,
     number: u64,
 }
 
@@ -100,7 +100,7 @@
 
 /// Something to record.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Due {
+pub enum PendingWrite {
     /// A job is done.
     Finished(JobId),
     /// A chunk changed.
@@ -109,12 +109,18 @@
 
 impl Pending {
     /// A task was claimed. `sort`: the job's class and team.
-    pub fn claimed(&mut self, chunk: ChunkId, haste: Haste, sort: Sort, now: Time) {
+    pub fn claimed(
+        &mut self,
+        chunk: ChunkId,
+        write_priority: WritePriority,
+        sort: Sort,
+        now: Time,
+    ) {
         self.results.remove(&chunk);
         if !self.claimed.contains_key(&chunk) {
             self.count += 1;
             let place = Place {
-                haste,
+                write_priority,
                 number: self.count,
             };
             let claim = WaitingClaim {
@@ -133,8 +139,8 @@
         }
     }
     /// All tasks of a job are done.
-    pub fn finished(&mut self, job: JobId, haste: Haste, now: Time) {
-        let idle = haste == Haste::Idle;
+    pub fn finished(&mut self, job: JobId, write_priority: WritePriority, now: Time) {
+        let idle = write_priority == WritePriority::Idle;
         let key = FinishedJob { idle, job };
         self.finished.entry(key).or_insert(now);
     }
@@ -204,47 +210,47 @@
     }
     /// Takes what is most urgent, if anything is due. `spare`: there are more
     /// changes left than urgent ones need.
-    pub fn take(&mut self, spare: bool, now: Time) -> Option<Due> {
+    pub fn take(&mut self, spare: bool, now: Time) -> Option<PendingWrite> {
         // Urgency goes first, but not alone.
         self.taken += 1;
         if self.taken % SERVED_PER_DONE_JOB == 0 {
             if let Some(job) = self.long_done(now) {
-                return Some(Due::Finished(job));
+                return Some(PendingWrite::Finished(job));
             }
         }
         if self.taken % SERVED_PER_TURN == 1 {
             if let Some(chunk) = self.by_turns(now) {
                 self.drop_claim(&chunk);
-                return Some(Due::Chunk(chunk));
+                return Some(PendingWrite::Chunk(chunk));
             }
         }
         self.take_urgent().or_else(|| self.take_late(spare, now))
     }
 
     /// A claim or a job that is done.
-    fn take_urgent(&mut self) -> Option<Due> {
+    fn take_urgent(&mut self) -> Option<PendingWrite> {
         // Claims that no user waits for take turns with jobs that are done:
         // while there are more claims than changes, nothing else would be told.
         let hurry = self
             .claims
             .first_key_value()
-            .is_some_and(|(place, _)| place.haste == Haste::Awaited);
+            .is_some_and(|(place, _)| place.write_priority == WritePriority::Awaited);
         let turn = hurry || !self.claim_last || self.finished.is_empty();
         let first = turn.then(|| self.claims.first_key_value()).flatten();
         if let Some(chunk) = first.map(|(_, claim)| claim.chunk.clone()) {
             self.drop_claim(&chunk);
             self.claim_last = true;
-            return Some(Due::Chunk(chunk));
+            return Some(PendingWrite::Chunk(chunk));
         }
         self.claim_last = false;
         if let Some((FinishedJob { job, .. }, _)) = self.finished.pop_first() {
-            return Some(Due::Finished(job));
+            return Some(PendingWrite::Finished(job));
         }
         None
     }
 
     /// What waits for company, once it has waited for long enough.
-    fn take_late(&mut self, spare: bool, now: Time) -> Option<Due> {
+    fn take_late(&mut self, spare: bool, now: Time) -> Option<PendingWrite> {
         let oldest = |queue: &BTreeMap<ChunkId, Time>, wait: f64| {
             queue
                 .iter()
@@ -252,14 +258,18 @@
                 .min_by(|a, b| a.1 .0.total_cmp(&b.1 .0))
                 .map(|(chunk, _)| chunk.clone())
         };
-        let wait = if spare { RESULT_SPARE_S } else { RESULT_S };
+        let wait = if spare {
+            RESULT_DELAY_SPARE_S
+        } else {
+            RESULT_DELAY_S
+        };
         if let Some(chunk) = oldest(&self.results, wait) {
             self.results.remove(&chunk);
-            return Some(Due::Chunk(chunk));
+            return Some(PendingWrite::Chunk(chunk));
         }
-        let wait = if spare { 0.0 } else { TRASH_S };
+        let wait = if spare { 0.0 } else { DELETION_DELAY_S };
         let chunk = oldest(&self.trash, wait)?;
         self.trash.remove(&chunk);
-        Some(Due::Chunk(chunk))
+        Some(PendingWrite::Chunk(chunk))
     }
 }
--- a/src/control/polls.rs
+++ b/src/control/polls.rs
@@ -17,12 +17,12 @@
 const ANSWERED: Duration = Duration::from_millis(1900);
 /// This controller tries for so long alone, so that another has time left. One
 /// read takes its turn of at most 0.3 s and an answer's way.
-const HERE: Duration = Duration::from_millis(1200);
+const LOCAL_QUERY_TIMEOUT: Duration = Duration::from_millis(1200);
 /// The same after a read that failed: the state service may hold what is asked of
 /// it here for long, and serve others.
-const HERE_AGAIN: Duration = Duration::from_millis(500);
+const LOCAL_RETRY_TIMEOUT: Duration = Duration::from_millis(500);
 /// Another one has so long, so that a second can be asked.
-const THERE: Duration = Duration::from_millis(950);
+const REMOTE_QUERY_TIMEOUT: Duration = Duration::from_millis(950);
 /// With less time left no other is asked.
 const LEAST: Duration = Duration::from_millis(100);
 
@@ -80,8 +80,8 @@
         }
         let left = || end.saturating_duration_since(Instant::now());
         let patience = match self.store.last_refresh_succeeded() {
-            true => HERE,
-            false => HERE_AGAIN,
+            true => LOCAL_QUERY_TIMEOUT,
+            false => LOCAL_RETRY_TIMEOUT,
         };
         if let Some(summary) = self.status_within(id, left().min(patience)).await {
             return Polled::Here(summary);
@@ -98,7 +98,7 @@
 
     /// The same for another controller that could not; it passes nothing on.
     pub async fn poll_for_peer(&self, id: &JobId) -> Option<Option<Summary>> {
-        self.status_within(id, HERE).await
+        self.status_within(id, LOCAL_QUERY_TIMEOUT).await
     }
 
     async fn poll_there(&self, id: &JobId, end: Instant) -> Option<Polled> {
@@ -109,9 +109,12 @@
                 return None;
             }
             let text = id.as_str().as_bytes().to_vec();
-            let asked = self
-                .peers
-                .pass_on_within(other, peer::Kind::Poll, text, left.min(THERE));
+            let asked = self.peers.forward_within(
+                other,
+                peer::Kind::Poll,
+                text,
+                left.min(REMOTE_QUERY_TIMEOUT),
+            );
             let answered = asked.await;
             {
                 let view = self.store.view();
--- a/src/control/recording.rs
+++ b/src/control/recording.rs
@@ -9,7 +9,7 @@
 use super::core::Batch;
 use super::owning::TICK;
 use super::Node;
-use crate::state::{Outcome, StateError, Urgency};
+use crate::state::{RequestPriority, StateError, TransactionOutcome};
 use crate::types::Revision;
 
 /// A transaction waits for its turn at the state service so long.
@@ -65,14 +65,16 @@
     /// Sends a transaction until its outcome is known, or the scope is not owned any more.
     async fn record_batch(&self, next: ShardBatch) {
         loop {
-            let urgency = Urgency::Within(RECORD_PATIENCE);
+            let urgency = RequestPriority::Within(RECORD_PATIENCE);
             let result = self.state.transact(&next.batch.transaction, urgency).await;
             if !self.shards.owns_by_grant(next.scope, next.grant) {
                 return;
             }
             match result {
-                Ok(Outcome::Done(revision)) => return self.batch_committed(next, revision),
-                Ok(Outcome::Failed(revision)) => {
+                Ok(TransactionOutcome::Done(revision)) => {
+                    return self.batch_committed(next, revision)
+                }
+                Ok(TransactionOutcome::Failed(revision)) => {
                     return self.batch_conflicted(next, revision).await;
                 }
                 Err(StateError::Rejected(why)) => {
@@ -117,7 +119,7 @@
             .is_none_or(|c| c.conflicted(failed.batch, &self.store.view(), self.now()));
         if !kept {
             tracing::info!(shard = %scope, "the grant is not ours any more");
-            self.stand_down(scope);
+            self.step_down(scope);
         }
     }
 
--- a/src/control/renewing.rs
+++ b/src/control/renewing.rs
@@ -7,7 +7,7 @@
 use sorrelhinge_overload::renewal::{Content, Route};
 use tokio::time::sleep;
 
-use super::vouching::vouches;
+use super::vouching::may_renew_for_owner;
 use super::{load, HeartbeatReply, Node};
 use crate::peer;
 use crate::peer::ForwardedHeartbeat;
@@ -23,7 +23,7 @@
     /// cancelled elsewhere, and leases must be able to end its tasks in time
     /// (`sorrelhinge_overload::freshness`). Asked before each answer, for a heartbeat
     /// that has come.
-    pub(super) fn knows_the_cancelled(&self) -> bool {
+    pub(super) fn knows_all_cancellations(&self) -> bool {
         let (lease_s, cancel_s) = (self.cfg.lease_s, self.cfg.cancel_s);
         let freshness = self.store.freshness();
         self.store.view().loaded && freshness.may_answer_workers(self.now(), lease_s, cancel_s)
@@ -32,18 +32,18 @@
     /// Until when tasks may be started by this controller's view of the records.
     pub(super) fn starts_until(&self) -> Time {
         let (lease_s, cancel_s) = (self.cfg.lease_s, self.cfg.cancel_s);
-        self.store.freshness().may_start_until(lease_s, cancel_s)
+        self.store.freshness().allow_starts_until(lease_s, cancel_s)
     }
 
     /// Whether a worker's lease may be renewed without its machine's owner. The answer
     /// carries the fencing token that the worker has, so it commands nothing and fences nobody.
-    fn vouched(&self, heartbeat: &Heartbeat) -> bool {
-        self.knows_the_cancelled() && vouches(&self.store.view(), heartbeat)
+    fn renewed_for_owner(&self, heartbeat: &Heartbeat) -> bool {
+        self.knows_all_cancellations() && may_renew_for_owner(&self.store.view(), heartbeat)
     }
 
     /// The answer that only renews the lease, if that may be given.
     pub(super) fn renewed(&self, heartbeat: &Heartbeat) -> Option<HeartbeatReply> {
-        self.vouched(heartbeat).then(|| {
+        self.renewed_for_owner(heartbeat).then(|| {
             load::count(&self.load.counts.renewed);
             HeartbeatReply::Reply(Reply {
                 fencing_fencing_token: heartbeat.fencing_fencing_token,
@@ -62,7 +62,7 @@
         body: &[u8],
     ) -> HeartbeatReply {
         let content = Content::of(heartbeat);
-        let relief = self.peer_statuses.standing_of(&owner).relief;
+        let relief = self.peer_statuses.peer_status_of(&owner).relief;
         let routing = &self.heartbeat_routing;
         let route = routing.route(
             &heartbeat.machine,
@@ -83,7 +83,7 @@
             }
         }
         let kind = peer::Kind::Adopted;
-        let taken = self.peers.pass_on(&owner, kind, body.to_vec()).await;
+        let taken = self.peers.forward(&owner, kind, body.to_vec()).await;
         match taken.filter(|a| a.status == 200) {
             Some(answered) => {
                 routing.answered_by_owner(&heartbeat.machine, content, self.now());
@@ -102,7 +102,7 @@
         loop {
             sleep(HEARD_NOTICE_INTERVAL).await;
             for (owner, heard) in self.heartbeat_routing.take_answered_for() {
-                self.peers.heard(&owner, &heard);
+                self.peers.heartbeats_announced(&owner, &heard);
             }
         }
     }
--- a/src/control/shard_grants.rs
+++ b/src/control/shard_grants.rs
@@ -4,13 +4,13 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use sorrelhinge_sharding::owners::{Held, Member, Step, Wish};
+use sorrelhinge_sharding::owners::{Held, Member, ShardPreference, Step};
 use tokio::time::sleep;
 
 use super::leading::STAND_RETRY_PAUSE;
 use super::Node;
 use crate::state::record::{shard_key, LeaderRecord, ShardRecord, LEADER};
-use crate::state::{Change, Condition, Outcome, Transaction, Urgency};
+use crate::state::{Change, Condition, RequestPriority, Transaction, TransactionOutcome};
 use crate::types::{Revision, Term};
 
 /// How often the leader looks at who owns what.
@@ -26,7 +26,7 @@
     }
 
     /// As leader: divides the machines, grants shards and moves them.
-    pub(super) async fn share_out(self: Rc<Self>) {
+    pub(super) async fn assign_shards(self: Rc<Self>) {
         let mut divide_at = None;
         loop {
             self.wakeups.assignments_woken(GRANT_CHECK_INTERVAL).await;
@@ -39,20 +39,20 @@
                 continue;
             }
             if shards > 1 && leaderless {
-                self.stand_among().await;
+                self.campaign_among_members().await;
             } else if shards > 1 && self.leads() {
-                self.share_out_once().await;
+                self.assign_shards_once().await;
                 if self.cfg.tuning.shards_least == 1 {
-                    self.unite_machines(shards).await;
+                    self.merge_shards(shards).await;
                 }
             } else if self.leads() {
-                self.divide_machines(&mut divide_at).await;
+                self.split_shards(&mut divide_at).await;
             }
         }
     }
 
     /// Becomes leader while there are several shards. That grants nothing.
-    async fn stand_among(&self) {
+    async fn campaign_among_members(&self) {
         let Some(lease) = self.leadership.lease() else {
             return;
         };
@@ -74,13 +74,17 @@
             }],
             changes: vec![Change::write(LEADER.into(), &leader, Some(lease))],
         };
-        match self.state.transact(&transaction, Urgency::First).await {
-            Ok(Outcome::Done(_)) => {
+        match self
+            .state
+            .transact(&transaction, RequestPriority::First)
+            .await
+        {
+            Ok(TransactionOutcome::Done(_)) => {
                 tracing::info!(term = %leader.term, "leading");
                 self.shards.forget_assignments();
                 self.fresh().await;
             }
-            Ok(Outcome::Failed(_)) => {
+            Ok(TransactionOutcome::Failed(_)) => {
                 self.fresh().await;
             }
             Err(error) => {
@@ -91,15 +95,19 @@
     }
 
     /// Takes the next step of who owns what, if one is due.
-    async fn share_out_once(&self) {
+    async fn assign_shards_once(&self) {
         let Some(step) = self.next_step() else { return };
         let Some(transaction) = self.step_txn(&step) else {
             return;
         };
         tracing::info!(?step, "blocks");
-        match self.state.transact(&transaction, Urgency::First).await {
-            Ok(Outcome::Done(revision)) => self.peers.announce(revision),
-            Ok(Outcome::Failed(_)) => {}
+        match self
+            .state
+            .transact(&transaction, RequestPriority::First)
+            .await
+        {
+            Ok(TransactionOutcome::Done(revision)) => self.peers.announce(revision),
+            Ok(TransactionOutcome::Failed(_)) => {}
             Err(error) => tracing::info!(%error, "blocks"),
         }
         // Whatever became of it, the view tells.
@@ -108,7 +116,7 @@
 
     /// The step that is due by the records.
     fn next_step(&self) -> Option<Step> {
-        let wish = Wish {
+        let wish = ShardPreference {
             gather: (self.cfg.tuning.shards_least == 1).then(|| self.cfg.node.clone()),
             move_every_s: self.cfg.tuning.move_every_s,
         };
--- a/src/control/shard_needs.rs
+++ b/src/control/shard_needs.rs
@@ -6,7 +6,7 @@
 
 use tokio::time::{sleep, Instant};
 
-use super::limit_transfers::GIVE_EVERY;
+use super::limit_transfers::QUOTA_TRANSFER_INTERVAL;
 use super::{wall_ms, Node};
 use crate::peer::Kind;
 use crate::shares::{encode_left, parse_left, LeftTo, Needs, Rented};
@@ -25,7 +25,7 @@
 
     /// Tells the others what this controller's shards use and want, leaves tasks
     /// to shards that have free capacity, and gives away parts of limits.
-    pub(super) async fn tell_needs(self: Rc<Self>) {
+    pub(super) async fn publish_demand(self: Rc<Self>) {
         let mut gave = Instant::now();
         loop {
             sleep(NEEDS_INTERVAL).await;
@@ -34,9 +34,9 @@
             }
             self.tell_own_needs();
             self.leave_tasks();
-            if gave.elapsed() >= GIVE_EVERY {
+            if gave.elapsed() >= QUOTA_TRANSFER_INTERVAL {
                 gave = Instant::now();
-                self.give_parts().await;
+                self.transfer_quotas().await;
             }
         }
     }
@@ -48,7 +48,7 @@
             for other in &others {
                 self.peers.share(other, Kind::Needs, needs.encode());
             }
-            self.take_needs(needs);
+            self.receive_demand(needs);
         }
     }
 
@@ -76,7 +76,7 @@
         }
         for some in left {
             match self.owner_of(some.shard) {
-                Some(owner) if owner == self.cfg.node => self.take_left(&some),
+                Some(owner) if owner == self.cfg.node => self.receive_delegated_tasks(&some),
                 Some(owner) => {
                     if let Some(text) = encode_left(&some) {
                         self.peers.share(&owner, Kind::Left, text);
@@ -88,7 +88,7 @@
     }
 
     /// Takes up what a shard uses and wants.
-    fn take_needs(&self, needs: Needs) {
+    fn receive_demand(&self, needs: Needs) {
         let now = self.now();
         for (shard, c) in self.shards.owned_mut().iter_mut() {
             if *shard != needs.shard {
@@ -99,25 +99,25 @@
     }
 
     /// Takes up tasks that another shard leaves to an owned one.
-    fn take_left(&self, left: &LeftTo) {
+    fn receive_delegated_tasks(&self, left: &LeftTo) {
         let now = self.now();
         if let Some(c) = self.shards.owned_mut().get_mut(left.shard) {
-            c.left_here(&self.store.view(), left, now, wall_ms());
+            c.adopt_delegated_tasks(&self.store.view(), left, now, wall_ms());
         }
         self.wakeups.wake_owner();
     }
 
     /// What another owner told; it may be wrong or late.
-    pub fn told_of_shares(&self, kind: Kind, text: &[u8]) {
+    pub fn receive_peer_message(&self, kind: Kind, text: &[u8]) {
         match kind {
             Kind::Needs => {
                 if let Some(needs) = Needs::parse(text) {
-                    self.take_needs(needs);
+                    self.receive_demand(needs);
                 }
             }
             Kind::Left => {
                 if let Some(left) = parse_left(text) {
-                    self.take_left(&left);
+                    self.receive_delegated_tasks(&left);
                 }
             }
             Kind::Rented => {
@@ -138,13 +138,17 @@
         self.shards.learn_zones(zones);
         for c in self.shards.owned_mut().values_mut() {
             for machine in &rented.machines {
-                c.rented_for(sort, machine, now);
+                c.assign_rented_machine(sort, machine, now);
             }
         }
     }
 
     /// Tells the owners of the other blocks of machines that were rented.
-    pub(super) fn tell_rented(&self, rental: &crate::cloud::Rental, machines: &[MachineId]) {
+    pub(super) fn announce_rented_machines(
+        &self,
+        rental: &crate::cloud::Rental,
+        machines: &[MachineId],
+    ) {
         if self.view_shards() == 1 {
             return;
         }
@@ -155,7 +159,7 @@
             machines: machines.to_vec(),
         };
         let Some(text) = rented.encode() else { return };
-        self.told_of_shares(Kind::Rented, &text);
+        self.receive_peer_message(Kind::Rented, &text);
         for other in self.others_known() {
             self.peers.share(&other, Kind::Rented, text.clone());
         }
--- a/src/control/shard_owners.rs
+++ b/src/control/shard_owners.rs
@@ -9,7 +9,7 @@
 use super::{wall_ms, Node};
 use crate::state::record::{member_key, shard_key, MemberRecord, ShardRecord};
 use crate::state::view::View;
-use crate::state::{Change, Condition, Outcome, Transaction, Urgency};
+use crate::state::{Change, Condition, RequestPriority, Transaction, TransactionOutcome};
 use crate::types::{MachineId, NodeId};
 
 impl Node {
@@ -54,7 +54,7 @@
 
     /// Says in the records that this controller lives, while there are several
     /// shards; its lease is what its shards hang on.
-    pub(super) async fn enlist(&self, life: Duration) {
+    pub(super) async fn join_members(&self, life: Duration) {
         let asked = Instant::now();
         let Ok(lease) = self.state.lease(life).await else {
             return;
@@ -68,7 +68,11 @@
                 Some(lease),
             )],
         };
-        match self.state.transact(&transaction, Urgency::First).await {
+        match self
+            .state
+            .transact(&transaction, RequestPriority::First)
+            .await
+        {
             Ok(_) => {
                 self.leadership.acquired(lease, asked, life);
                 self.store.request_refresh();
@@ -79,7 +83,7 @@
 
     /// Takes up the shards that are granted to this controller. True if there
     /// are any new ones.
-    pub(super) fn take_up(&self, view: &View) -> bool {
+    pub(super) fn adopt_shards(&self, view: &View) -> bool {
         let of = view.shard_count();
         if of == 1 {
             return false;
@@ -125,7 +129,7 @@
 
     /// A shard that is offered to another is frozen; one whose offer was taken
     /// back goes on.
-    pub(super) fn heed_offers(&self, view: &View) {
+    pub(super) fn accept_offered_shards(&self, view: &View) {
         if view.shard_count() == 1 {
             return;
         }
@@ -149,14 +153,14 @@
             let shard = handover.shard;
             match self
                 .state
-                .transact(&handover.transaction, Urgency::First)
+                .transact(&handover.transaction, RequestPriority::First)
                 .await
             {
-                Ok(Outcome::Done(revision)) => {
+                Ok(TransactionOutcome::Done(revision)) => {
                     tracing::info!(%shard, "handed on");
                     self.peers.announce(revision);
                 }
-                Ok(Outcome::Failed(_)) => {}
+                Ok(TransactionOutcome::Failed(_)) => {}
                 Err(error) => tracing::info!(%shard, %error, "handing on"),
             }
             self.fresh().await;
--- a/src/control/shard_ownership.rs
+++ b/src/control/shard_ownership.rs
@@ -10,7 +10,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use sorrelhinge_sharding::owners::{Held, Member, Owners, Step, Wish};
+use sorrelhinge_sharding::owners::{Held, Member, Owners, ShardPreference, Step};
 use sorrelhinge_sharding::shard::ShardId;
 use tokio::time::Instant;
 
@@ -22,7 +22,7 @@
 /// What is known of another shard's needs is of use for so long.
 const NEEDS_VALID_FOR: Duration = Duration::from_secs(3);
 /// Machines whose place is remembered beyond twice those that are listed.
-const PLACES_MORE: usize = 1000;
+const MACHINE_ZONES_SLACK: usize = 1000;
 
 /// The state of each scope that this controller owns, in the order of their numbers;
 /// while there is one scope, it has number 0.
@@ -180,7 +180,7 @@
         zones: impl Iterator<Item = (MachineId, Zone)>,
     ) {
         let mut places = self.places.borrow_mut();
-        if places.len() > 2 * listed + PLACES_MORE {
+        if places.len() > 2 * listed + MACHINE_ZONES_SLACK {
             places.clear();
         }
         places.extend(zones);
@@ -208,7 +208,7 @@
         &self,
         shards: &BTreeMap<ShardId, Held>,
         alive: &BTreeMap<NodeId, Member>,
-        wish: &Wish,
+        wish: &ShardPreference,
         now: Time,
     ) -> Option<Step> {
         self.assignments.borrow_mut().next(shards, alive, wish, now)
--- a/src/control/shards_shown.rs
+++ b/src/control/shards_shown.rs
@@ -9,7 +9,7 @@
 use super::Node;
 use crate::state::record::{shard_key, ShardRecord};
 use crate::state::view::{Versioned, View};
-use crate::state::{Change, Outcome};
+use crate::state::{Change, TransactionOutcome};
 use crate::types::NodeId;
 
 /// For how long a change that an operator asked for is tried.
@@ -113,12 +113,12 @@
                 .state
                 .change(key, held.mod_revision, change, CHANGE_PATIENCE);
             match written.await {
-                Ok(Outcome::Done(revision)) => {
+                Ok(TransactionOutcome::Done(revision)) => {
                     self.peers.announce(revision);
                     return Ok(());
                 }
                 // It moved meanwhile.
-                Ok(Outcome::Failed(_)) => {}
+                Ok(TransactionOutcome::Failed(_)) => {}
                 Err(_) => return Err(Refused::Unavailable),
             }
         }
--- a/src/control/store_view.rs
+++ b/src/control/store_view.rs
@@ -30,7 +30,7 @@
     /// The newest revision that another controller announced.
     newest_hint: Cell<Revision>,
     /// Since when the copy is known to be older than `newest_hint`.
-    behind_since: Cell<Option<Instant>>,
+    lagging_since: Cell<Option<Instant>>,
     refresh_wanted: Notify,
     refreshes_started: Cell<u64>,
     refreshed: watch::Sender<Refresh>,
@@ -43,7 +43,7 @@
             view: RefCell::default(),
             freshness: Cell::new(Freshness::replaced(Time(0.0))),
             newest_hint: Cell::new(Revision(0)),
-            behind_since: Cell::new(None),
+            lagging_since: Cell::new(None),
             refresh_wanted: Notify::new(),
             refreshes_started: Cell::new(0),
             refreshed: watch::Sender::default(),
@@ -106,7 +106,7 @@
     pub(super) fn take_changed(&self) -> Vec<JobId> {
         let mut view = self.view.borrow_mut();
         if view.store_revision >= self.newest_hint.get() {
-            self.behind_since.set(None);
+            self.lagging_since.set(None);
         }
         view.take_changed()
     }
@@ -114,8 +114,8 @@
     /// Another controller announced a revision.
     pub(super) fn hinted(&self, revision: Revision) {
         if revision > self.view.borrow().store_revision {
-            if self.behind_since.get().is_none() {
-                self.behind_since.set(Some(Instant::now()));
+            if self.lagging_since.get().is_none() {
+                self.lagging_since.set(Some(Instant::now()));
             }
             self.newest_hint.set(self.newest_hint.get().max(revision));
             self.request_refresh();
@@ -124,7 +124,7 @@
 
     /// Whether the copy has been older than an announced revision for `at_least`.
     pub(super) fn is_behind_for(&self, at_least: Duration) -> bool {
-        let since = self.behind_since.get();
+        let since = self.lagging_since.get();
         since.is_some_and(|t| t.elapsed() >= at_least)
     }
 
--- a/src/control/users.rs
+++ b/src/control/users.rs
@@ -6,12 +6,14 @@
 use sorrelhinge_protocol::users::{read_job, PipelineStatus};
 
 use super::drains::Refused;
-use super::following::FRESH;
+use super::following::FRESH_VIEW_TIMEOUT;
 use super::{wall_ms, Node, Submitted};
 use crate::sched::ClusterState;
 use crate::state::record::{chunk_key, job_key, JobRecord, NewJob, Phase};
 use crate::state::view::{Cancellation, Summary, Versioned};
-use crate::state::{Change, Condition, Outcome, StateError, Transaction, Urgency};
+use crate::state::{
+    Change, Condition, RequestPriority, StateError, Transaction, TransactionOutcome,
+};
 use crate::types::{JobId, JobSpec, Kind, Revision};
 
 /// A user's write waits so long for its turn.
@@ -205,7 +207,7 @@
 
     /// What users see of a job, as of now; none if that can't be confirmed.
     pub async fn status(&self, id: &JobId) -> Option<Option<Summary>> {
-        self.status_within(id, FRESH).await
+        self.status_within(id, FRESH_VIEW_TIMEOUT).await
     }
 
     /// The same, for so long at the most.
@@ -278,7 +280,7 @@
         id: &JobId,
         mod_revision: Revision,
         record: &JobRecord,
-    ) -> Result<Outcome, StateError> {
+    ) -> Result<TransactionOutcome, StateError> {
         let change = Change::write(job_key(id), record, None);
         self.state
             .change(job_key(id), mod_revision, change, WRITE_PATIENCE)
@@ -290,7 +292,7 @@
         id: &JobId,
         mod_revision: Revision,
         cancellation: &Cancellation,
-    ) -> Result<Outcome, StateError> {
+    ) -> Result<TransactionOutcome, StateError> {
         let Some(claims) = &cancellation.claims else {
             return self.write_job(id, mod_revision, &cancellation.record).await;
         };
@@ -312,19 +314,19 @@
             ],
         };
         self.state
-            .transact(&transaction, Urgency::Within(WRITE_PATIENCE))
+            .transact(&transaction, RequestPriority::Within(WRITE_PATIENCE))
             .await
     }
 
     async fn accept(&self, id: &JobId, record: JobRecord) -> Submitted {
         match self.write_job(id, Revision(0), &record).await {
-            Ok(Outcome::Done(revision)) => {
+            Ok(TransactionOutcome::Done(revision)) => {
                 self.recorded(id, revision, record);
                 // It may need a job that is cancelled, and is cancelled with it then.
                 let summary = self.store.view().summary(id);
                 summary.map_or(Submitted::Unavailable, Submitted::Accepted)
             }
-            Ok(Outcome::Failed(_)) => match self.status(id).await {
+            Ok(TransactionOutcome::Failed(_)) => match self.status(id).await {
                 Some(Some(summary)) => Submitted::Known(summary),
                 _ => Submitted::Unavailable,
             },
@@ -356,7 +358,7 @@
                 )
             };
             match self.write_cancelled(id, mod_revision, &cancellation).await {
-                Ok(Outcome::Done(revision)) => {
+                Ok(TransactionOutcome::Done(revision)) => {
                     tracing::info!(job = %id, "cancelled");
                     if let Some(value) = cancellation.claims {
                         let mod_revision = revision;
@@ -370,7 +372,7 @@
                     return Some(Some(Phase::Cancelled));
                 }
                 // Done, or cancelled by another request, in the meantime.
-                Ok(Outcome::Failed(_)) => {}
+                Ok(TransactionOutcome::Failed(_)) => {}
                 Err(_) => return None,
             }
         }
--- a/src/control/vouching.rs
+++ b/src/control/vouching.rs
@@ -14,7 +14,7 @@
 /// answer given in its stead carries the fencing token that the worker has, and keeps the
 /// incarnation: so a cancelled job's claim on the machine forbids it, also while the task
 /// is not in the heartbeat. A claim stays recorded until its task is provably gone.
-pub fn vouches(view: &View, heartbeat: &Heartbeat) -> bool {
+pub fn may_renew_for_owner(view: &View, heartbeat: &Heartbeat) -> bool {
     heartbeat.fencing_fencing_token.0 > 0
         && !view.may_run_cancelled(&heartbeat.machine)
         && heartbeat.tasks.iter().all(|task_name| {
--- a/src/control/wakeups.rs
+++ b/src/control/wakeups.rs
@@ -20,9 +20,9 @@
         self.owner.notify_one();
     }
 
-    /// Waits for that, for `at_most`.
-    pub(super) async fn owner_woken(&self, at_most: Duration) {
-        let _ = timeout(at_most, self.owner.notified()).await;
+    /// Waits for that, for `at_max`.
+    pub(super) async fn owner_woken(&self, at_max: Duration) {
+        let _ = timeout(at_max, self.owner.notified()).await;
     }
 
     /// There is something urgent to record.
@@ -30,9 +30,9 @@
         self.recording.notify_one();
     }
 
-    /// Waits for that, for `at_most`.
-    pub(super) async fn recording_woken(&self, at_most: Duration) {
-        let _ = timeout(at_most, self.recording.notified()).await;
+    /// Waits for that, for `at_max`.
+    pub(super) async fn recording_woken(&self, at_max: Duration) {
+        let _ = timeout(at_max, self.recording.notified()).await;
     }
 
     /// Who owns which scope, or who leads, has changed.
@@ -40,8 +40,8 @@
         self.assignments.notify_one();
     }
 
-    /// Waits for that, for `at_most`.
-    pub(super) async fn assignments_woken(&self, at_most: Duration) {
-        let _ = timeout(at_most, self.assignments.notified()).await;
+    /// Waits for that, for `at_max`.
+    pub(super) async fn assignments_woken(&self, at_max: Duration) {
+        let _ = timeout(at_max, self.assignments.notified()).await;
     }
 }
--- a/src/control/workers.rs
+++ b/src/control/workers.rs
@@ -14,7 +14,7 @@
 use crate::worker::{Heartbeat, Reply};
 
 /// While others are served for this long, requests are passed on to them.
-const CUT_OFF: Duration = Duration::from_millis(300);
+const FORWARD_AFTER: Duration = Duration::from_millis(300);
 
 /// What came of a heartbeat for an owned shard.
 enum HeartbeatOutcome {
@@ -42,7 +42,7 @@
             return HeartbeatReply::Elsewhere(home);
         }
         match self.own_heartbeat(heartbeat, Source::Heartbeat) {
-            HeartbeatReply::Elsewhere(owner) if self.takes_for(&owner) => {
+            HeartbeatReply::Elsewhere(owner) if self.accepts_heartbeats_for(&owner) => {
                 self.heartbeat_for(owner, heartbeat, body).await
             }
             HeartbeatReply::Elsewhere(owner) => {
@@ -114,7 +114,7 @@
     ) -> Option<peer::Answered> {
         let direct = self
             .peers
-            .pass_on(owner, peer::Kind::Heartbeat, body.to_vec());
+            .forward(owner, peer::Kind::Heartbeat, body.to_vec());
         if let Some(answered) = direct.await {
             return Some(answered);
         }
@@ -135,7 +135,7 @@
         others.sort_by_key(|n| (zone_of(n).is_none_or(|z| z == self.cfg.zone), n.clone()));
         let other = others.first()?;
         self.peers
-            .pass_on(other, peer::Kind::Via, body.to_vec())
+            .forward(other, peer::Kind::Via, body.to_vec())
             .await
     }
 
@@ -152,25 +152,25 @@
 
     /// Whether the state service serves others and not this controller.
     pub fn cut_off(&self) -> bool {
-        self.store.is_behind_for(CUT_OFF) && self.unserved() >= CUT_OFF
+        self.store.is_behind_for(FORWARD_AFTER) && self.unserved() >= FORWARD_AFTER
     }
 
     /// Whether a submission or cancellation that could not be decided here is passed
     /// on. Hints tell that others are served only when something changes: while
     /// nothing did, whoever the state service refused alone turned all of them away,
     /// so a failed request is reason enough, unless nobody else could help just now.
-    pub fn passes_on(&self) -> bool {
+    pub fn forwards(&self) -> bool {
         let others_may = self.admission.passes_changes();
         self.cut_off() || self.state.fails() && others_may
     }
 
     /// Passes a submission or cancellation on to a controller that may be served.
-    pub async fn pass_on(&self, kind: peer::Kind, text: &[u8]) -> Option<peer::Answered> {
+    pub async fn forward(&self, kind: peer::Kind, text: &[u8]) -> Option<peer::Answered> {
         let leader = self.store.view().leader.value.clone().map(|l| l.node);
         let mut others: Vec<NodeId> = self.peers.reachable().cloned().collect();
         others.sort_by_key(|n| (Some(n) != leader.as_ref(), n.clone()));
         for other in others.iter().take(2) {
-            let answered = self.peers.pass_on(other, kind, text.to_vec()).await;
+            let answered = self.peers.forward(other, kind, text.to_vec()).await;
             if let Some(answered) = answered.filter(|a| a.status != 503) {
                 return Some(answered);
             }
@@ -190,7 +190,7 @@
         match outcome {
             Some(HeartbeatOutcome::Copy) => HeartbeatReply::Unavailable,
             Some(HeartbeatOutcome::Superseded) => {
-                self.deposed(shard);
+                self.superseded(shard);
                 HeartbeatReply::Unavailable
             }
             Some(HeartbeatOutcome::Taken(reply)) => {
@@ -219,16 +219,16 @@
         }
         // A heartbeat of one that hears nothing shows no way to the workers: while
         // none heard this owner, its heartbeats kept it one.
-        let hears = core.hears(&heartbeat.machine);
+        let is_reachable = core.is_reachable(&heartbeat.machine);
         match source {
-            Source::Heartbeat | Source::Direct if hears => self.leadership.worker_reached(),
+            Source::Heartbeat | Source::Direct if is_reachable => self.leadership.worker_reached(),
             Source::Heartbeat | Source::Direct => {}
             Source::Adopted | Source::Passed => self.leadership.heartbeat_relayed(now),
         }
         if !core.heartbeat(heartbeat, source, now) {
             return HeartbeatOutcome::Superseded;
         }
-        if !self.knows_the_cancelled() {
+        if !self.knows_all_cancellations() {
             return HeartbeatOutcome::Taken(None);
         }
         if self.paces.due(Duty::Walk, now) {
--- a/src/controller.rs
+++ b/src/controller.rs
@@ -55,9 +55,9 @@
     if let Some(file) = topology {
         spawn_local(reload_on_hangup(node.clone(), file.path));
     }
-    let heard = Rc::new(api::ForPeers::new(node.clone()));
-    let most = PEER_CONNECTIONS * config.others.len() + SPARE_PEER_CONNECTIONS;
-    spawn_local(peer::listen(peers, most, heard));
+    let handler = Rc::new(api::ForPeers::new(node.clone()));
+    let max = PEER_CONNECTIONS * config.others.len() + SPARE_PEER_CONNECTIONS;
+    spawn_local(peer::listen(peers, max, handler));
     spawn_local(serve::serve(node.clone(), users));
     tracing::info!(node = %config.node, zone = %config.zone, bind = %config.bind, "serving");
     node
--- a/src/fleet/free_capacity.rs
+++ b/src/fleet/free_capacity.rs
@@ -2,7 +2,7 @@
 
 use std::rc::Rc;
 
-use sorrelhinge_topology::devices::{AllocatedDevices, Stock};
+use sorrelhinge_topology::devices::{AllocatedDevices, DeviceInventory};
 use sorrelhinge_topology::tree::Domain;
 
 use crate::sched::{CapacityPool, ClusterState};
@@ -22,8 +22,8 @@
     /// Where it is, once it is up.
     pub(super) place: Option<Domain>,
     /// Its devices, and those that are held; what comes up has those of its type.
-    pub(super) stock: Rc<Stock>,
-    pub(super) held: AllocatedDevices,
+    pub(super) device_inventory: Rc<DeviceInventory>,
+    pub(super) reserved: AllocatedDevices,
     /// A task hopes for it: it may come up where its rules allow it.
     pub(super) hoped: bool,
     /// Something that can't be moved off, or was packed here.
@@ -41,8 +41,8 @@
             spot,
             kept: Amount::default(),
             place: None,
-            stock: Rc::default(),
-            held: AllocatedDevices::default(),
+            device_inventory: Rc::default(),
+            reserved: AllocatedDevices::default(),
             hoped: false,
             used: true,
         }
--- a/src/fleet/mod.rs
+++ b/src/fleet/mod.rs
@@ -24,7 +24,7 @@
 
 /// A machine on its way.
 #[derive(Clone, Debug)]
-pub struct Coming {
+pub struct PendingMachine {
     /// Type.
     pub kind: Rc<MachineType>,
     /// Zone.
@@ -56,7 +56,7 @@
     /// Room on ordinary machines for work to come that can't use spot ones.
     pub kept: BTreeMap<MachineId, Amount>,
     /// Of each window's hold, how many tasks' room is on its way.
-    pub coming: BTreeMap<String, u32>,
+    pub pending_machines: BTreeMap<String, u32>,
 }
 
 /// Work that may come: `tasks` tasks like those of `spec`.
@@ -70,7 +70,7 @@
 
 /// Room that a window of the release calendar lacks.
 #[derive(Clone, Debug)]
-pub struct Lack {
+pub struct Shortfall {
     /// The window.
     pub window: String,
     /// What its tasks take, and where they may be.
@@ -86,11 +86,11 @@
     /// What the cloud offers.
     pub types: &'a [Rc<MachineType>],
     /// Machines on their way.
-    pub coming: &'a [Coming],
+    pub pending_machines: &'a [PendingMachine],
     /// Work that may come.
     pub expected: &'a [Expected],
     /// What windows lack.
-    pub lacks: &'a [Lack],
+    pub shortfalls: &'a [Shortfall],
     /// Whether a job's tasks may wait for others to end, rather than for a
     /// new machine to boot.
     pub patient: &'a dyn Fn(&JobSpec) -> bool,
@@ -115,12 +115,14 @@
 
 impl<'a> ReservedFreeCapacity<'a> {
     fn of(cluster_state: &'a ClusterState) -> Self {
-        let mut held = Self::default();
+        let mut reserved = Self::default();
         for (window, id, tasks) in cluster_state.reserved_capacity() {
-            *held.by_machine.entry(id).or_default() += window.each().times(i64::from(tasks));
-            held.cover.insert((window.name.clone(), id.clone()), tasks);
+            *reserved.by_machine.entry(id).or_default() += window.each().times(i64::from(tasks));
+            reserved
+                .cover
+                .insert((window.name.clone(), id.clone()), tasks);
         }
-        held
+        reserved
     }
 }
 
@@ -128,12 +130,12 @@
 pub fn plan(input: &Input, now: Time) -> Plan {
     let mut packing = Packing::new(input);
     // Held room is used, by a window that has not begun or whose work is to come.
-    let mut held = ReservedFreeCapacity::of(input.cluster_state);
+    let mut reserved = ReservedFreeCapacity::of(input.cluster_state);
     // Tasks that could move to spot machines are packed anew, by job.
     let mut again = Wanting::new();
-    add_machines(&mut packing, input, &held.by_machine, &mut again, now);
+    add_machines(&mut packing, input, &reserved.by_machine, &mut again, now);
     add_drained(input.cluster_state, &mut again);
-    let wanting = wanting(input.cluster_state, &mut held.cover, again, now);
+    let wanting = wanting(input.cluster_state, &mut reserved.cover, again, now);
     for item in &items(input, wanting, now) {
         let placed = item.placed.as_ref();
         match placed.and_then(|id| input.cluster_state.job(id)) {
@@ -149,13 +151,13 @@
 fn add_machines<'a>(
     packing: &mut Packing,
     input: &Input<'a>,
-    held: &HashMap<&MachineId, Amount>,
+    reserved: &HashMap<&MachineId, Amount>,
     again: &mut Wanting<'a>,
     now: Time,
 ) {
     let machines = input.cluster_state.machines().iter();
     for (id, machine) in machines.filter(|(_, m)| m.usable) {
-        let mut free_capacity = free_capacity_of(id, machine, held.get(id).copied());
+        let mut free_capacity = free_capacity_of(id, machine, reserved.get(id).copied());
         for task in &machine.claims {
             let Some(job) = input.cluster_state.job(&task.job) else {
                 continue;
@@ -168,7 +170,7 @@
         }
         packing.add(free_capacity);
     }
-    for c in input.coming {
+    for c in input.pending_machines {
         let free_capacity = packing.new_machine_capacity(&c.kind, &c.zone, c.spot);
         packing.add(free_capacity);
     }
@@ -176,22 +178,22 @@
 }
 
 /// The room on a machine that is up, less what is held for windows.
-fn free_capacity_of(id: &MachineId, machine: &Machine, held: Option<Amount>) -> FreeCapacity {
+fn free_capacity_of(id: &MachineId, machine: &Machine, reserved: Option<Amount>) -> FreeCapacity {
     let fixed = machine.used - machine.movable;
     let mut free_capacity =
         FreeCapacity::new(machine.kind.clone(), machine.zone.clone(), machine.spot);
     free_capacity.id = Some(id.clone());
     free_capacity.free -= fixed;
     free_capacity.used = fixed != Amount::default();
-    if let Some(amount) = held {
+    if let Some(amount) = reserved {
         free_capacity.free -= amount;
         free_capacity.used = true;
     }
     free_capacity.soon = free_capacity.free;
     free_capacity.place = Some(machine.place);
-    free_capacity.stock = machine.stock.clone();
+    free_capacity.device_inventory = machine.device_inventory.clone();
     if machine.allocated_devices.any() {
-        free_capacity.held = machine.allocated_devices.clone();
+        free_capacity.reserved = machine.allocated_devices.clone();
     }
     free_capacity
 }
@@ -234,11 +236,11 @@
         .teams()
         .iter()
         .zip(cluster_state.reserved_of_quotas())
-        .map(|(t, held)| (t.limit - t.used - held).cpu.max(0))
+        .map(|(t, reserved)| (t.limit - t.used - reserved).cpu.max(0))
         .collect();
     let mut wanting = Wanting::new();
     // Nor is a job that fails wherever it runs: nothing is rented for it.
-    let asks = |job: &Job| job.wants(now) && !job.doubted;
+    let asks = |job: &Job| job.wants(now) && !job.suspected_one_way;
     for (id, job) in cluster_state.wanting().filter(|(_, j)| asks(j)) {
         // Held room waits for it already.
         let covered = match cover.is_empty() {
@@ -269,9 +271,13 @@
     for e in input.expected.iter().filter(|e| e.tasks > 0) {
         items.push(Item::expected(e.spec.clone(), e.tasks, None));
     }
-    for lack in input.lacks.iter().filter(|l| l.tasks > 0) {
-        let window = Some(lack.window.clone());
-        items.push(Item::expected(lack.spec.clone(), lack.tasks, window));
+    for shortfall in input.shortfalls.iter().filter(|l| l.tasks > 0) {
+        let window = Some(shortfall.window.clone());
+        items.push(Item::expected(
+            shortfall.spec.clone(),
+            shortfall.tasks,
+            window,
+        ));
     }
     // What only ordinary machines can take goes first, then the largest.
     // Among those the lanes' jobs, for which there may be no more machines later.
@@ -309,7 +315,7 @@
                 count,
             })
             .collect(),
-        coming: packing.coming,
+        pending_machines: packing.pending_machines,
         ..Plan::default()
     };
     for free_capacity in packing.free_capacities {
--- a/src/fleet/packing.rs
+++ b/src/fleet/packing.rs
@@ -73,7 +73,7 @@
     /// Rooms from here on are rented by this plan.
     pub(super) new_from: usize,
     /// What of windows' holds was packed into machines on their way.
-    pub(super) coming: BTreeMap<String, u32>,
+    pub(super) pending_machines: BTreeMap<String, u32>,
 }
 
 impl<'a> Packing<'a> {
@@ -89,7 +89,7 @@
             rent: BTreeMap::new(),
             hoped: 0,
             new_from: usize::MAX,
-            coming: BTreeMap::new(),
+            pending_machines: BTreeMap::new(),
         }
     }
 }
@@ -187,7 +187,7 @@
     pub(super) fn pack(&mut self, item: &Item) {
         let spec = &item.spec;
         let mut zones: BTreeMap<Zone, u32> = BTreeMap::new();
-        let most = if spec.spread {
+        let max = if spec.spread {
             item.tasks.div_ceil(2)
         } else {
             item.tasks
@@ -197,7 +197,7 @@
         let soon = !item.expected && !item.queued && (self.input.patient)(spec);
         let mut left = item.tasks;
         while left > 0 {
-            let barred = |z: &Zone| zones.get(z).is_some_and(|n| *n >= most);
+            let barred = |z: &Zone| zones.get(z).is_some_and(|n| *n >= max);
             let left_cpu = spec.each.cpu * i64::from(left);
             let chosen = self.choose_machine(item, soon, left_cpu, &barred);
             let Some(at) = chosen else { return };
@@ -209,7 +209,7 @@
                 .each
                 .how_many(free_capacity.available(soon))
                 .min(left)
-                .min(most - *in_zone)
+                .min(max - *in_zone)
                 .max(1);
             let count = if spec.spread { 1 } else { count };
             self.take(at, item, count);
@@ -228,7 +228,7 @@
         free_capacity.used = true;
         match &item.window {
             Some(window) if free_capacity.id.is_none() && at < self.new_from => {
-                *self.coming.entry(window.clone()).or_insert(0) += count;
+                *self.pending_machines.entry(window.clone()).or_insert(0) += count;
             }
             None if item.expected && !item.spec.spot => free_capacity.kept += taken,
             _ => {}
--- a/src/fleet/placed.rs
+++ b/src/fleet/placed.rs
@@ -20,7 +20,7 @@
 
 /// Types and zones that hardly ever bring what is wanted are not tried, until
 /// what was seen is forgotten.
-const LEAST_CHANCE: f64 = 0.1;
+const MIN_PROBABILITY: f64 = 0.1;
 
 /// An item whose job's rules look at where machines are, or at devices, as far as it is
 /// packed. Only required rules are worth money.
@@ -34,7 +34,7 @@
     tally: Tally,
     /// How many of the item's tasks were packed into each zone, and how many may be.
     zones: BTreeMap<Zone, u32>,
-    most_in_zone: u32,
+    max_in_zone: u32,
 }
 
 impl<'a> PlacedItem<'a> {
@@ -57,7 +57,7 @@
             topology,
             tally,
             zones: BTreeMap::new(),
-            most_in_zone: match item.spec.spread {
+            max_in_zone: match item.spec.spread {
                 true => item.spec.tasks.div_ceil(2),
                 false => u32::MAX,
             },
@@ -66,9 +66,7 @@
 
     /// Whether a zone has as many of its tasks as it may.
     fn bars_zone(&self, zone: &Zone) -> bool {
-        self.zones
-            .get(zone)
-            .is_some_and(|n| *n >= self.most_in_zone)
+        self.zones.get(zone).is_some_and(|n| *n >= self.max_in_zone)
     }
 
     /// Whether the required rules allow one more task at a place.
@@ -92,8 +90,12 @@
     }
 
     /// The units that a task would hold, beside what is held; none if one is missing.
-    fn units(&self, free_capacity: &FreeCapacity, held: &AllocatedDevices) -> Option<Vec<Unit>> {
-        choose(&free_capacity.stock, held, &self.needs)
+    fn units(
+        &self,
+        free_capacity: &FreeCapacity,
+        reserved: &AllocatedDevices,
+    ) -> Option<Vec<Unit>> {
+        choose(&free_capacity.device_inventory, reserved, &self.needs)
     }
 
     /// Counts a task that is packed into a room.
@@ -127,11 +129,11 @@
     fn choose_for_placed(&mut self, placed: &PlacedItem, left: u32) -> Option<usize> {
         let spec = &placed.item.spec;
         let barred = |zone: &Zone| placed.bars_zone(zone);
-        let known = |r: &FreeCapacity| placed.allows(r) && placed.units(r, &r.held).is_some();
-        let coming = |r: &FreeCapacity| r.place.is_none() && !r.hoped;
+        let known = |r: &FreeCapacity| placed.allows(r) && placed.units(r, &r.reserved).is_some();
+        let pending_machines = |r: &FreeCapacity| r.place.is_none() && !r.hoped;
         self.fitting(spec, false, &barred, &known)
-            .or_else(|| self.fitting(spec, false, &barred, &coming))
-            .or_else(|| self.rent_in_hope(placed, left))
+            .or_else(|| self.fitting(spec, false, &barred, &pending_machines))
+            .or_else(|| self.scale_out_speculatively(placed, left))
     }
 
     /// Takes a room for one task.
@@ -141,10 +143,10 @@
         free_capacity.free -= placed.item.spec.each;
         free_capacity.soon -= placed.item.spec.each;
         free_capacity.used = true;
-        let units = placed.units(free_capacity, &free_capacity.held);
+        let units = placed.units(free_capacity, &free_capacity.reserved);
         let sure = units.is_some() && !placed.policy.counts();
         if let Some(units) = units {
-            free_capacity.held.take(&units);
+            free_capacity.reserved.take(&units);
         }
         if free_capacity.place.is_none() {
             free_capacity.hoped = !sure;
@@ -156,7 +158,7 @@
 
     /// Rents the machine that most likely comes up where a task may go, for
     /// its price.
-    fn rent_in_hope(&mut self, placed: &PlacedItem, wanted: u32) -> Option<usize> {
+    fn scale_out_speculatively(&mut self, placed: &PlacedItem, wanted: u32) -> Option<usize> {
         let overshoot = placed.topology.settings.renting.overshoot;
         let bounded = tries(wanted, self.hoped, overshoot) == 0;
         let with_devices = self.places_with_devices(placed);
@@ -181,7 +183,7 @@
                     self.input.memory.chance(&sort, &may)
                 }
             };
-            if chance < LEAST_CHANCE || bounded && !certain {
+            if chance < MIN_PROBABILITY || bounded && !certain {
                 continue;
             }
             let score = free_capacity.price() / chance;
--- a/src/peer/listening.rs
+++ b/src/peer/listening.rs
@@ -12,13 +12,13 @@
 use tokio::task::{spawn_local, yield_now};
 use tokio::time::{sleep, timeout};
 
-use super::message::{ForwardedHeartbeat, Kind, Message, Standing};
+use super::message::{ForwardedHeartbeat, Kind, Message, PeerAnnouncement};
 use super::{send_together, Answered, BUFFER};
 use crate::types::{NodeId, Revision};
 
 /// Requests passed on by one controller that are being answered here: the heartbeats of
 /// a whole fleet may be. A place takes no memory until there is an answer.
-const MOST_ANSWERING: usize = 10_000;
+const MAX_ANSWERING: usize = 10_000;
 /// Heartbeats that are handled without letting others have a turn.
 const IN_A_TURN: usize = 12;
 /// A silent connection ends: its other end may be long gone.
@@ -30,48 +30,52 @@
 pub type Answering = Pin<Box<dyn Future<Output = Answered>>>;
 
 /// What is done with other controllers' messages.
-pub trait Heard {
+pub trait PeerRequestHandler {
     /// The state service has reached a revision, and how the sender stands;
     /// its name is empty if it does not say.
-    fn hint(&self, revision: Revision, from: &NodeId, standing: Standing, flags: u16);
+    fn hint(&self, revision: Revision, from: &NodeId, announcement: PeerAnnouncement, flags: u16);
     /// Answers a worker's report that another controller took for this one.
     fn homed(&self, text: &[u8]) -> Answered;
     /// Machines whose heartbeats another controller answered for this one.
-    fn heard(&self, machines: &[ForwardedHeartbeat]);
+    fn heartbeats_announced(&self, machines: &[ForwardedHeartbeat]);
     /// What another owner of a shard tells.
     fn share(&self, kind: Kind, text: &[u8]);
     /// Answers a request that was passed on.
     fn answer(self: Rc<Self>, kind: Kind, text: Vec<u8>) -> Answering;
 }
 
-/// Takes messages from other controllers until cancelled, over `most` connections at a
+/// Takes messages from other controllers until cancelled, over `max` connections at a
 /// time; those beyond are closed at once.
-pub async fn listen<H: Heard + 'static>(listener: TcpListener, most: usize, heard: Rc<H>) {
+pub async fn listen<H: PeerRequestHandler + 'static>(
+    listener: TcpListener,
+    max: usize,
+    handler: Rc<H>,
+) {
     let open = Rc::new(());
     loop {
         let Ok((stream, _)) = listener.accept().await else {
             sleep(ACCEPT_PAUSE).await;
             continue;
         };
-        if Rc::strong_count(&open) > most {
+        if Rc::strong_count(&open) > max {
             continue;
         }
         let _ = stream.set_nodelay(true);
-        let (heard, held) = (heard.clone(), open.clone());
+        let (handler, held) = (handler.clone(), open.clone());
         spawn_local(async move {
             let _held = held;
-            hear(stream, heard).await;
+            hear(stream, handler).await;
         });
     }
 }
 
 /// Takes one connection's messages, and sends answers to them, until either fails. Requests
 /// that are being answered then go on, and their answers are lost.
-async fn hear<H: Heard + 'static>(stream: TcpStream, heard: Rc<H>) {
+async fn hear<H: PeerRequestHandler + 'static>(stream: TcpStream, handler: Rc<H>) {
     let (from, mut to) = stream.into_split();
-    let (out, mut answers) = mpsc::channel::<Message>(MOST_ANSWERING);
+    let (out, mut answers) = mpsc::channel::<Message>(MAX_ANSWERING);
     let inbound = Inbound {
-        heard,
+        handler,
         out,
         in_a_turn: 0,
     };
@@ -85,14 +89,14 @@
 
 /// One connection's messages, on their way to those who handle them.
 struct Inbound<H> {
-    heard: Rc<H>,
+    handler: Rc<H>,
     /// Answers, to be sent back.
     out: mpsc::Sender<Message>,
     /// Heartbeats that were handled, modulo [`IN_A_TURN`] to give others a turn.
     in_a_turn: usize,
 }
 
-impl<H: Heard + 'static> Inbound<H> {
+impl<H: PeerRequestHandler + 'static> Inbound<H> {
     async fn receive(mut self, mut from: BufReader<OwnedReadHalf>) {
         while let Ok(Some(message)) = timeout(SILENCE, Message::read(&mut from)).await {
             if !self.take(message).await {
@@ -107,12 +111,12 @@
             Kind::Answer => return false,
             Kind::Hint => self.hint(&message),
             // Of another length it is not what this version knows.
-            Kind::Heard => {
+            Kind::ForwardedHeartbeats => {
                 let machines = ForwardedHeartbeat::parse(&message.text).unwrap_or_default();
-                self.heard.heard(machines);
+                self.handler.heartbeats_announced(machines);
             }
             kind @ (Kind::Needs | Kind::Rented | Kind::Left) => {
-                self.heard.share(kind, &message.text);
+                self.handler.share(kind, &message.text);
             }
             Kind::Adopted => self.heartbeat(&message).await,
             Kind::Heartbeat | Kind::Via | Kind::Submit | Kind::Withdraw | Kind::Poll => {
@@ -124,10 +128,10 @@
 
     fn hint(&self, message: &Message) {
         let name = String::from_utf8_lossy(&message.text);
-        let standing = Standing::parse(message.status);
+        let announcement = PeerAnnouncement::parse(message.status);
         let from = NodeId::from(&*name);
-        self.heard
-            .hint(Revision(message.number), &from, standing, message.flags);
+        self.handler
+            .hint(Revision(message.number), &from, announcement, message.flags);
     }
 
     /// Answers a heartbeat at once; without room for the answer it is not taken.
@@ -135,7 +139,7 @@
         let Ok(place) = self.out.clone().try_reserve_owned() else {
             return;
         };
-        let answered = self.heard.homed(&message.text);
+        let answered = self.handler.homed(&message.text);
         place.send(message.answer(answered));
         // They come in batches, and others wait.
         self.in_a_turn += 1;
@@ -151,10 +155,10 @@
         let Ok(place) = self.out.clone().try_reserve_owned() else {
             return;
         };
-        let heard = self.heard.clone();
+        let handler = self.handler.clone();
         spawn_local(async move {
             let text = std::mem::take(&mut message.text);
-            let answered = heard.answer(message.kind, text).await;
+            let answered = handler.answer(message.kind, text).await;
             place.send(message.answer(answered));
         });
     }
