--- a/src/peer/message.rs
+++ b/src/peer/message.rs
@@ -15,7 +15,7 @@
 /// Bytes of a header.
 const LENGTH: usize = std::mem::size_of::<Header>();
 /// Longest text that is passed on: a body of 64 KiB and some.
-pub(super) const MOST_TEXT: usize = 72 << 10;
+pub(super) const MAX_TEXT: usize = 72 << 10;
 
 /// What a message is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -36,7 +36,7 @@
     /// A worker's heartbeat, taken for this controller, which asked for it.
     Adopted,
     /// Machines that were heard: [`ForwardedHeartbeat`] entries. No answer.
-    Heard,
+    ForwardedHeartbeats,
     /// What a shard uses and wants ([`crate::shares`]), as the next two are. No
     /// answer, and only while there are several shards.
     Needs,
@@ -58,7 +58,7 @@
     Kind::Withdraw,
     Kind::Answer,
     Kind::Adopted,
-    Kind::Heard,
+    Kind::ForwardedHeartbeats,
     Kind::Needs,
     Kind::Rented,
     Kind::Left,
@@ -85,7 +85,7 @@
 /// What a controller says of itself with each hint, in the header's `status`;
 /// the text is its name. A version that does not know it sends 0 and no text.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Standing {
+pub struct PeerAnnouncement {
     /// Takes heartbeats for the owner of the machines.
     pub helps: bool,
     /// Has no free capacity for more workers.
@@ -97,27 +97,27 @@
 }
 
 // A standing on the wire: three flags, and below them the share.
-const HELPS: u16 = 0x8000;
-const CROWDED: u16 = 0x4000;
+const ACCEPTS_HEARTBEATS_FLAG: u16 = 0x8000;
+const CROWDED_FLAG: u16 = 0x4000;
 /// A version that does not know it reads a share of 1000, which it then is.
-const RELIEF: u16 = 0x2000;
+const RELIEF_FLAG: u16 = 0x2000;
 
-impl Standing {
+impl PeerAnnouncement {
     /// As it goes over the wire.
     pub fn encode(self) -> u16 {
         let flag = |on: bool, bit: u16| if on { bit } else { 0 };
-        flag(self.helps, HELPS)
-            | flag(self.crowded, CROWDED)
-            | flag(self.relief, RELIEF)
+        flag(self.helps, ACCEPTS_HEARTBEATS_FLAG)
+            | flag(self.crowded, CROWDED_FLAG)
+            | flag(self.relief, RELIEF_FLAG)
             | self.share.min(1000)
     }
     /// Reads it.
     pub fn parse(status: u16) -> Self {
         Self {
-            helps: status & HELPS != 0,
-            crowded: status & CROWDED != 0,
-            relief: status & RELIEF != 0,
-            share: (status & !(HELPS | CROWDED | RELIEF)).min(1000),
+            helps: status & ACCEPTS_HEARTBEATS_FLAG != 0,
+            crowded: status & CROWDED_FLAG != 0,
+            relief: status & RELIEF_FLAG != 0,
+            share: (status & !(ACCEPTS_HEARTBEATS_FLAG | CROWDED_FLAG | RELIEF_FLAG)).min(1000),
         }
     }
 }
@@ -227,7 +227,7 @@
     /// As it goes over the wire; none if it is too long.
     pub fn encode(&self) -> Option<Vec<u8>> {
         let length = u32::try_from(self.text.len()).ok()?;
-        if self.text.len() > MOST_TEXT {
+        if self.text.len() > MAX_TEXT {
             return None;
         }
         let kind = KINDS.iter().position(|k| *k == self.kind)?;
@@ -251,7 +251,7 @@
         let header = Header::read_from_bytes(bytes).ok()?;
         let length = header.length.get() as usize;
         let ours =
-            header.magic.get() == MAGIC && header.version.get() == VERSION && length <= MOST_TEXT;
+            header.magic.get() == MAGIC && header.version.get() == VERSION && length <= MAX_TEXT;
         let kind = *KINDS.get(usize::from(header.kind.get()))?;
         let message = Self {
             kind,
--- a/src/peer/mod.rs
+++ b/src/peer/mod.rs
@@ -21,16 +21,16 @@
 use tokio::time::{sleep, timeout, Instant};
 use zerocopy::IntoBytes;
 
-pub use self::listening::{listen, Answering, Heard};
+pub use self::listening::{listen, Answering, PeerRequestHandler};
 pub use self::message::{
-    ForwardedHeartbeat, Header, Kind, Message, Standing, LIMITS_FELL, POLLS, SHARDS,
+    ForwardedHeartbeat, Header, Kind, Message, PeerAnnouncement, LIMITS_FELL, POLLS, SHARDS,
 };
-use self::message::{MAX_HEARTBEATS_PER_MESSAGE, MOST_TEXT};
+use self::message::{MAX_HEARTBEATS_PER_MESSAGE, MAX_TEXT};
 use crate::types::{NodeId, Revision};
 
 /// Messages that wait to be sent to one controller: the heartbeats of a whole fleet may
 /// come while a line stands still. A place takes no memory until there is a message.
-const MOST_WAITING: usize = 10_000;
+const MAX_WAITING: usize = 10_000;
 /// How long an answer may take: a worker waits 4 s for two of them.
 const ANSWER: Duration = Duration::from_millis(1400);
 /// The same for a report that a worker was sent here with: there is one hop.
@@ -94,8 +94,8 @@
 
     /// Whether requests go over it.
     fn open(&self) -> bool {
-        let doubted = self.doubted_until.get();
-        self.connected() && doubted.is_none_or(|t| Instant::now() >= t)
+        let suspected_one_way = self.doubted_until.get();
+        self.connected() && suspected_one_way.is_none_or(|t| Instant::now() >= t)
     }
 
     /// Sends a request and waits for its answer.
@@ -113,12 +113,13 @@
 
     /// A request of this kind was not answered: others are not sent this way for some time.
     fn doubt(&self, kind: Kind) {
-        let doubted = match kind {
+        let suspected_one_way = match kind {
             // A poll may have had next to no time left.
             Kind::Adopted | Kind::Poll => DOUBTED_HEARTBEAT,
             _ => DOUBTED,
         };
-        self.doubted_until.set(Some(Instant::now() + doubted));
+        self.doubted_until
+            .set(Some(Instant::now() + suspected_one_way));
     }
 }
 
@@ -128,7 +129,7 @@
     lines: HashMap<NodeId, Line>,
     newest: Cell<Revision>,
     /// What is said of this controller, and its name.
-    standing: Cell<Standing>,
+    announcement: Cell<PeerAnnouncement>,
     limits_fell: Cell<bool>,
     name: String,
     requests: Cell<u64>,
@@ -142,7 +143,7 @@
             ..Self::default()
         };
         for (node, address) in others {
-            let (out, messages) = mpsc::channel(MOST_WAITING);
+            let (out, messages) = mpsc::channel(MAX_WAITING);
             let state = Rc::<LineState>::default();
             spawn_local(keep(address, messages, state.clone()));
             let line = Line {
@@ -166,8 +167,8 @@
 
     /// Tells all others how this controller stands, and whether it knows that the limits
     /// of the state service fell.
-    pub fn tell(&self, standing: Standing, limits_fell: bool) {
-        self.standing.set(standing);
+    pub fn tell(&self, announcement: PeerAnnouncement, limits_fell: bool) {
+        self.announcement.set(announcement);
         self.limits_fell.set(limits_fell);
         self.hint();
     }
@@ -181,7 +182,7 @@
             // A hint that finds no free capacity is replaced by the next one.
             let _ = line.out.try_send(Message {
                 number: self.newest.get().0,
-                status: self.standing.get().encode(),
+                status: self.announcement.get().encode(),
                 flags: SHARDS | POLLS | fell,
                 ..Message::new(Kind::Hint, self.name.clone().into_bytes())
             });
@@ -205,30 +206,30 @@
 
     /// Tells the owner of machines that they were heard. What finds no free capacity is
     /// lost: the next heartbeat of each goes to the owner itself, by and by.
-    pub fn heard(&self, owner: &NodeId, machines: &[ForwardedHeartbeat]) {
+    pub fn heartbeats_announced(&self, owner: &NodeId, machines: &[ForwardedHeartbeat]) {
         let Some(line) = self.lines.get(owner).filter(|l| l.connected()) else {
             return;
         };
         for some in machines.chunks(MAX_HEARTBEATS_PER_MESSAGE) {
             let _ = line.out.try_send(Message {
                 waits: true,
-                ..Message::new(Kind::Heard, some.as_bytes().to_vec())
+                ..Message::new(Kind::ForwardedHeartbeats, some.as_bytes().to_vec())
             });
         }
     }
 
     /// Passes a request on; none if no answer came.
-    pub async fn pass_on(&self, node: &NodeId, kind: Kind, text: Vec<u8>) -> Option<Answered> {
+    pub async fn forward(&self, node: &NodeId, kind: Kind, text: Vec<u8>) -> Option<Answered> {
         let patience = match kind {
             Kind::Adopted => ANSWER_HEARTBEAT,
             _ => ANSWER,
         };
-        self.pass_on_within(node, kind, text, patience).await
+        self.forward_within(node, kind, text, patience).await
     }
 
     /// The same, with so much time for the answer. A line that gives none is not used for
     /// some time.
-    pub async fn pass_on_within(
+    pub async fn forward_within(
         &self,
         node: &NodeId,
         kind: Kind,
@@ -236,7 +237,7 @@
         patience: Duration,
     ) -> Option<Answered> {
         let line = self.lines.get(node).filter(|l| l.open())?;
-        if text.len() > MOST_TEXT {
+        if text.len() > MAX_TEXT {
             return None;
         }
         let number = self.requests.get() + 1;
--- a/src/sched/aging.rs
+++ b/src/sched/aging.rs
@@ -14,7 +14,7 @@
     /// Jobs whose objectives have passed give way to jobs that can still meet theirs
     /// (the paper's section 3 leaves the order within a team open), until they
     /// have waited for so long that nothing may pass them over.
-    pub fn look_at_dues(&mut self, now: Time) {
+    pub fn refresh_due_times(&mut self, now: Time) {
         let moved: Vec<(Place, Time, bool)> = self
             .queues
             .iter()
@@ -43,8 +43,8 @@
             ram: 0,
             ..job.spec.each
         };
-        let most = each.how_many(limit).max(1);
-        job.spec.tasks.min(most)
+        let max = each.how_many(limit).max(1);
+        job.spec.tasks.min(max)
     }
 
     /// Whether a job has begun: as many of its tasks as its team's limit allows at
@@ -69,7 +69,7 @@
 
     /// A task of a job was placed: an aged one has its usual turn again once it has
     /// begun, or has its part.
-    pub(super) fn look_whether_begun(&mut self, id: &JobId, now: Time) {
+    pub(super) fn check_whether_begun(&mut self, id: &JobId, now: Time) {
         let Some(job) = self.jobs.get(id).filter(|j| j.aged) else {
             return;
         };
--- a/src/sched/bind.rs
+++ b/src/sched/bind.rs
@@ -31,7 +31,7 @@
             return None;
         }
         self.claims_wait(id);
-        self.look_whether_begun(id, now);
+        self.check_whether_begun(id, now);
         let job = self.jobs.get_mut(id)?;
         // A launch on a cached image takes the job back to waiting for one;
         // any other leaves it free to launch anywhere.
--- a/src/sched/cluster_state.rs
+++ b/src/sched/cluster_state.rs
@@ -52,7 +52,7 @@
     pub(super) claiming_of: BTreeMap<Sort, usize>,
     /// How many there may be; none: any number. What is claimed faster than it
     /// can be recorded only holds room, and its order is decided too early.
-    pub most_claiming: Option<usize>,
+    pub max_claiming: Option<usize>,
     pub(super) jobs: BTreeMap<JobId, Job>,
     pub(super) machines: BTreeMap<MachineId, Machine>,
     /// Per team, the jobs that want tasks placed.
--- a/src/sched/filter/larger_types.rs
+++ b/src/sched/filter/larger_types.rs
@@ -13,7 +13,7 @@
 impl ClusterState {
     /// Whether another job waits that fits only machines as large as this one,
     /// while this one fits smaller ones and has not waited for long.
-    pub(in crate::sched) fn left_to_others(
+    pub(in crate::sched) fn delegated_elsewhere(
         &self,
         request: &PlacementRequest,
         traits: &MachineTraits,
@@ -26,7 +26,7 @@
         } = *request;
         if job.start_within.is_some()
             || self.needs(job.spec.each, traits.kind)
-            || job.outwaits_reservations(now)
+            || job.may_use_reserved_capacity(now)
         {
             return false;
         }
--- a/src/sched/gangs/mod.rs
+++ b/src/sched/gangs/mod.rs
@@ -205,7 +205,7 @@
     pub fn gang_domain(&self, id: &JobId, tree: &Tree) -> Option<String> {
         let job = self.jobs.get(id)?;
         let places = self
-            .whereabouts(job, None)
+            .machine_location(job, None)
             .flatten()
             .map(|(place, _)| place);
         Some(tree.path(gang::common(tree, places)).to_owned())
--- a/src/sched/gangs/slots.rs
+++ b/src/sched/gangs/slots.rs
@@ -1,7 +1,7 @@
 //! How many tasks of a gang each machine could take, now and later.
 
 use sorrelhinge_protocol::placement::Device;
-use sorrelhinge_topology::devices::{choose, AllocatedDevices, Stock};
+use sorrelhinge_topology::devices::{choose, AllocatedDevices, DeviceInventory};
 use sorrelhinge_topology::gang::Slot;
 
 use crate::sched::capacity_index::Nearness;
@@ -27,15 +27,20 @@
     units: AllocatedDevices,
 }
 
-/// How many of `most` tasks find the devices that each needs, beside what is held.
-fn with_devices(stock: &Stock, held: &AllocatedDevices, needs: &[Device], most: u32) -> u32 {
+/// How many of `max` tasks find the devices that each needs, beside what is held.
+fn with_devices(
+    device_inventory: &DeviceInventory,
+    held: &AllocatedDevices,
+    needs: &[Device],
+    max: u32,
+) -> u32 {
     if needs.is_empty() {
-        return most;
+        return max;
     }
     let mut held = held.clone();
     let mut count = 0;
-    while count < most {
-        match choose(stock, &held, needs) {
+    while count < max {
+        match choose(device_inventory, &held, needs) {
             Some(units) => held.take(&units),
             None => break,
         }
@@ -72,9 +77,14 @@
             self.free_capacity_for(id, job.leaves_reserved_capacity(now), m_id, now);
         let fit = |amount: Amount| spec.each.how_many(amount).min(spec.tasks);
         let lasting = self.lasting_use(m);
-        let free = with_devices(&m.stock, &m.allocated_devices, needs, fit(free_capacity));
+        let free = with_devices(
+            &m.device_inventory,
+            &m.allocated_devices,
+            needs,
+            fit(free_capacity),
+        );
         let later = with_devices(
-            &m.stock,
+            &m.device_inventory,
             &lasting.units,
             needs,
             fit(m.kind.total - lasting.amount),
--- a/src/sched/idle.rs
+++ b/src/sched/idle.rs
@@ -22,7 +22,7 @@
     /// What the claims of all that is bounded take.
     pub used: Amount,
     /// Thousandths of a CPU that it may take; none: not known yet.
-    most: Option<i64>,
+    max: Option<i64>,
     /// What all other work used and waited for, in thousandths of a CPU.
     peak: f64,
     at: Time,
@@ -35,7 +35,7 @@
 
 impl ClusterState {
     /// Looks at what idle work may take now.
-    pub fn look_at_idle(&mut self, now: Time) {
+    pub fn refresh_idle_capacity(&mut self, now: Time) {
         let mut wants = vec![Amount::default(); self.teams.len()];
         for job in self.wanting().map(|(_, j)| j) {
             if job.priority > Priority::Idle {
@@ -54,7 +54,7 @@
         // Of all teams together: they do not ask for most at the same time.
         self.idle.peak = (asks as f64).max(self.idle.peak * fade);
         let all = self.capacity.cpu as f64;
-        self.idle.most = Some((all - self.idle.peak).max(FLOOR * all) as i64);
+        self.idle.max = Some((all - self.idle.peak).max(FLOOR * all) as i64);
     }
 
     /// Thousandths of a CPU that idle work holds beyond its part, and that are not
@@ -81,6 +81,6 @@
         let team = &self.teams[job.team];
         let more = self.idle.used.cpu + job.spec.each.cpu;
         !(team.used + job.spec.each).fits_team(team.guarantee)
-            && self.idle.most.is_some_and(|most| more > most)
+            && self.idle.max.is_some_and(|max| more > max)
     }
 }
--- a/src/sched/job.rs
+++ b/src/sched/job.rs
@@ -15,7 +15,7 @@
 /// Part of the estimated run time that a task needs at least.
 const DUE_RUN: f64 = 0.8;
 /// A job that met none of its objectives is due at this multiple of the last.
-const OVERDUE: f64 = 3.0;
+const OVERDUE_FACTOR: f64 = 3.0;
 /// A job of which nothing was placed for so long, in seconds, may take room that is
 /// reserved for work that is only expected: the users' rule is that no job waits for
 /// 90 s beside room that fits it, below its team's limit. The rest is for a takeover.
@@ -43,7 +43,7 @@
     pub delay: Delay,
     /// When it should be done, by its objectives or its deadline, earliest first.
     pub objectives: Vec<Time>,
-    /// The earliest of them that it can still meet, see [`ClusterState::look_at_dues`].
+    /// The earliest of them that it can still meet, see [`ClusterState::refresh_due_times`].
     pub due: Time,
     /// Machines that refused it or failed it, until a time.
     pub avoid: BTreeMap<MachineId, Time>,
@@ -53,7 +53,7 @@
     pub failures: u32,
     /// Its tasks fail wherever they run and none has ended well: the job itself
     /// is mistaken, most likely, until its user withdraws it. See [`Job::open`].
-    pub doubted: bool,
+    pub suspected_one_way: bool,
     /// How soon its users expect it to start, if an objective says so.
     pub start_within: Option<f64>,
     /// How long it may wait before that endangers its objectives.
@@ -71,7 +71,7 @@
     pub started: bool,
     /// When a task of it was placed last, as far as this owner knows.
     pub last_placed: Option<Time>,
-    /// It has waited for too long to begin, see [`ClusterState::look_at_dues`].
+    /// It has waited for too long to begin, see [`ClusterState::refresh_due_times`].
     pub aged: bool,
     /// Its standing in its lane, if it is in one.
     pub lane: Option<Laned>,
@@ -93,7 +93,7 @@
             avoid: BTreeMap::new(),
             hold_until: Time(0.0),
             failures: 0,
-            doubted: false,
+            suspected_one_way: false,
             start_within: None,
             patience_s: 5.0,
             late_s: 60.0,
@@ -111,7 +111,7 @@
     /// and then: all its tasks came back at each try once, hundreds at a time.
     pub fn open(&self) -> u32 {
         let pending = self.tasks.pending();
-        match self.doubted {
+        match self.suspected_one_way {
             true => pending.min(u32::from(self.tasks.claims().is_empty())),
             false => pending,
         }
@@ -146,13 +146,13 @@
     /// Whether it has waited so long for its next task to be placed that room reserved
     /// for expected work is open to it. Placing a task begins the wait anew, so that of
     /// a large job one task at a time takes such room and the others leave it.
-    pub fn outwaits_reservations(&self, now: Time) -> bool {
+    pub fn may_use_reserved_capacity(&self, now: Time) -> bool {
         now.since(self.last_placed.unwrap_or(self.submitted)) >= RESERVATION_WAIT_S
     }
     /// Whether room kept on ordinary machines for work that can't use spot ones is
     /// withheld from it.
     pub(super) fn leaves_reserved_capacity(&self, now: Time) -> bool {
-        self.spec.spot && !self.outwaits_reservations(now)
+        self.spec.spot && !self.may_use_reserved_capacity(now)
     }
     /// When it should be done: the earliest aim that it can still meet. One
     /// that can meet none any more waits for those that can, yet not for ever.
@@ -164,7 +164,9 @@
             .find(|objective| soonest <= **objective);
         match (open, self.objectives.last()) {
             (Some(objective), _) => *objective,
-            (None, Some(last)) => self.submitted.after(OVERDUE * last.since(self.submitted)),
+            (None, Some(last)) => self
+                .submitted
+                .after(OVERDUE_FACTOR * last.since(self.submitted)),
             (None, None) => Time(f64::INFINITY),
         }
     }
--- a/src/sched/job_changes.rs
+++ b/src/sched/job_changes.rs
@@ -69,9 +69,14 @@
 
     /// What other shards claim of a job, or is left to them; and what is left to
     /// this shard, if another places it.
-    pub fn share_job(&mut self, id: &JobId, foreign: BTreeSet<u32>, left: Option<BTreeSet<u32>>) {
+    pub fn share_job(
+        &mut self,
+        id: &JobId,
+        claimed_elsewhere: BTreeSet<u32>,
+        left: Option<BTreeSet<u32>>,
+    ) {
         self.edit_job(id, |job| {
-            job.tasks.set_foreign(foreign);
+            job.tasks.set_foreign(claimed_elsewhere);
             job.tasks.set_left_here(left);
         });
     }
--- a/src/sched/lanes.rs
+++ b/src/sched/lanes.rs
@@ -49,7 +49,7 @@
 #[derive(Clone, Debug, Default)]
 pub(super) struct Queue {
     /// The lane jobs that wait, the first first: as of the last look, see
-    /// [`ClusterState::look_at_lanes`].
+    /// [`ClusterState::refresh_lanes`].
     order: Vec<Key>,
     bounds: BTreeMap<LaneId, Bound>,
     /// Thousandths of a CPU that each lane's claims take.
@@ -83,7 +83,7 @@
 impl ClusterState {
     /// Puts the lane jobs that wait in order, at `now` and `now_ms` of the time of
     /// day: who presses changes with time only.
-    pub fn look_at_lanes(&mut self, lanes: &Lanes, now: Time, now_ms: u64) {
+    pub fn refresh_lanes(&mut self, lanes: &Lanes, now: Time, now_ms: u64) {
         if lanes.is_empty() {
             return;
         }
@@ -91,14 +91,14 @@
         self.lanes.bounds = lanes.iter().map(|(id, lane)| (id, lane.bound)).collect();
         let mut turns = self.turns_of_alike(&order);
         let others_wait = self.others_wait();
-        let mut held = self.lanes.used.clone();
+        let mut allocated = self.lanes.used.clone();
         for key in &order {
             let Some(job) = self.jobs.get(&key.id) else {
                 continue;
             };
-            let held = held.entry(key.lane).or_default();
-            let ahead = self.goes_ahead(key.lane, job, *held, others_wait);
-            *held += job.demand().cpu;
+            let allocated = allocated.entry(key.lane).or_default();
+            let ahead = self.goes_ahead(key.lane, job, *allocated, others_wait);
+            *allocated += job.demand().cpu;
             let laned = Laned {
                 behind: key.behind,
                 must_ms: key.must_ms,
@@ -140,13 +140,13 @@
         turns
     }
 
-    /// Whether a lane job is within its lane's part, of which `held` is taken by the
+    /// Whether a lane job is within its lane's part, of which `allocated` is taken by the
     /// lane's claims and by the jobs before it, in thousandths of a CPU.
-    fn goes_ahead(&self, lane: LaneId, job: &Job, held: i64, others_wait: bool) -> bool {
+    fn goes_ahead(&self, lane: LaneId, job: &Job, allocated: i64, others_wait: bool) -> bool {
         let want = job.demand().cpu;
         let part = self.lanes.bounds.get(&lane);
         let part = part.map_or(0, |bound| bound.of(self.capacity.cpu));
-        !others_wait || held + want <= part || held <= 0 && want <= job.spec.each.cpu
+        !others_wait || allocated + want <= part || allocated <= 0 && want <= job.spec.each.cpu
     }
 
     /// Gives a job its standing in its lane; it is filed anew, as that is part of its
@@ -192,13 +192,13 @@
     fn within_part(&self, job: &Job, others_wait: bool) -> bool {
         let Some(laned) = job.lane else { return false };
         let (lane, total) = self.lane_usage(laned.lane);
-        let held = Held {
+        let allocated = Held {
             total,
             lane,
             others_wait,
         };
         let bound = self.lanes.bounds.get(&laned.lane);
-        bound.is_some_and(|b| b.allows(held, job.spec.each.cpu))
+        bound.is_some_and(|b| b.allows(allocated, job.spec.each.cpu))
     }
 
     /// Teams that are below their guarantee and have work waiting: their work is
--- a/src/sched/machine.rs
+++ b/src/sched/machine.rs
@@ -5,7 +5,7 @@
 
 use sorrelhinge_image_distribution::fetch_timeout;
 use sorrelhinge_protocol::placement::Device;
-use sorrelhinge_topology::devices::{AllocatedDevices, Stock};
+use sorrelhinge_topology::devices::{AllocatedDevices, DeviceInventory};
 use sorrelhinge_topology::tree::{Domain, ROOT};
 
 use super::capacity_index::Nearness;
@@ -23,7 +23,7 @@
 /// used first.
 #[derive(Clone, Debug, Default)]
 pub struct Cache {
-    held: Vec<Cached>,
+    cached_images: Vec<Cached>,
     /// Rises with every change of what is there.
     version: u64,
 }
@@ -31,11 +31,13 @@
 impl Cache {
     /// Whether the image should be there.
     pub fn has(&self, image: &Image) -> bool {
-        self.held.iter().any(|c| c.image == *image && c.ready)
+        self.cached_images
+            .iter()
+            .any(|c| c.image == *image && c.ready)
     }
     /// Whether the image is there or on its way.
     pub fn expects(&self, image: &Image) -> bool {
-        self.held.iter().any(|c| c.image == *image)
+        self.cached_images.iter().any(|c| c.image == *image)
     }
     /// How far an image is from being there.
     pub(super) fn nearness(&self, image: &Image) -> Nearness {
@@ -50,23 +52,23 @@
     /// An image is used; the oldest ones leave if there is no free capacity. `ran`: a
     /// task runs on it, so it is there.
     pub fn touch(&mut self, image: &Image, gb: f64, free_capacity: f64, ran: bool) {
-        let at = self.held.iter().position(|c| c.image == *image);
-        let ready = ran || at.is_some_and(|i| self.held[i].ready);
+        let at = self.cached_images.iter().position(|c| c.image == *image);
+        let ready = ran || at.is_some_and(|i| self.cached_images[i].ready);
         match at {
             Some(i) => {
-                let was = self.held.remove(i);
+                let was = self.cached_images.remove(i);
                 self.version += u64::from(was.ready != ready);
             }
             None => self.version += 1,
         }
-        self.held.push(Cached {
+        self.cached_images.push(Cached {
             image: image.clone(),
             gb,
             ready,
         });
-        let mut total: f64 = self.held.iter().map(|c| c.gb).sum();
-        while total > free_capacity && self.held.len() > 1 {
-            total -= self.held.remove(0).gb;
+        let mut total: f64 = self.cached_images.iter().map(|c| c.gb).sum();
+        while total > free_capacity && self.cached_images.len() > 1 {
+            total -= self.cached_images.remove(0).gb;
             self.version += 1;
         }
     }
@@ -80,7 +82,7 @@
         ran: bool,
         needed: &[Image],
     ) {
-        let others = self.held.iter().filter(|c| c.image != spec.image);
+        let others = self.cached_images.iter().filter(|c| c.image != spec.image);
         let others: Vec<fetch_timeout::Cached> = others
             .map(|c| fetch_timeout::Cached {
                 image: c.image.clone(),
@@ -91,26 +93,26 @@
             .collect();
         let leave =
             fetch_timeout::evictable(&others, spec.image_gb, free_capacity).unwrap_or_default();
-        self.held.retain(|c| !leave.contains(&c.image));
+        self.cached_images.retain(|c| !leave.contains(&c.image));
         self.version += leave.len() as u64;
         self.touch(&spec.image, spec.image_gb, f64::INFINITY, ran);
     }
     /// An image that was on its way is there.
     pub fn is_there(&mut self, image: &Image) {
-        for c in self.held.iter_mut().filter(|c| c.image == *image) {
+        for c in self.cached_images.iter_mut().filter(|c| c.image == *image) {
             self.version += u64::from(!c.ready);
             c.ready = true;
         }
     }
     /// No task waits for the image any more: a fetch under way is given up.
     pub fn give_up(&mut self, image: &Image) {
-        let before = self.held.len();
-        self.held.retain(|c| c.image != *image || c.ready);
-        self.version += u64::from(before != self.held.len());
+        let before = self.cached_images.len();
+        self.cached_images.retain(|c| c.image != *image || c.ready);
+        self.version += u64::from(before != self.cached_images.len());
     }
     /// All images, and whether they are there already.
     pub(super) fn images(&self) -> impl Iterator<Item = (&Image, bool)> {
-        self.held.iter().map(|c| (&c.image, c.ready))
+        self.cached_images.iter().map(|c| (&c.image, c.ready))
     }
     pub(super) fn version(&self) -> u64 {
         self.version
@@ -200,7 +202,7 @@
     /// Where it is, see [`sorrelhinge_topology::tree`].
     pub place: Domain,
     /// Devices that it has.
-    pub stock: Rc<Stock>,
+    pub device_inventory: Rc<DeviceInventory>,
     /// How many units of each kind are in order: what machines are filed by.
     pub working: Rc<[(String, u32)]>,
     /// Devices that its claims hold.
@@ -227,16 +229,16 @@
             retiring: false,
             idle_since: now,
             place: ROOT,
-            stock: Rc::default(),
+            device_inventory: Rc::default(),
             working: Rc::from([]),
             allocated_devices: AllocatedDevices::default(),
             draining: false,
         }
     }
     /// Gives it the devices that the operator's file names.
-    pub fn equip(&mut self, stock: Stock) {
-        self.working = stock.working().into();
-        self.stock = Rc::new(stock);
+    pub fn equip(&mut self, device_inventory: DeviceInventory) {
+        self.working = device_inventory.working().into();
+        self.device_inventory = Rc::new(device_inventory);
     }
     /// A task uses its image here, and `ran` on it or has yet to. `serving` are the other
     /// images that tasks here need, if the image goes from machine to machine.
--- a/src/sched/preempt/victims.rs
+++ b/src/sched/preempt/victims.rs
@@ -109,7 +109,7 @@
             (Progress::Unseen | Progress::Fetching, Some(m)) if self.stages(&job.spec) => {
                 let fetch_s = fetch_timeout::fetch_s(job.spec.image_gb, m.kind.fetch_gb_per_s);
                 let done = now.since(claim.since) / fetch_s.max(1e-3);
-                fetch_timeout::give_up_cost(done, fetch_s)
+                fetch_timeout::abandon_cost(done, fetch_s)
             }
             _ => 0.0,
         };
--- a/src/sched/quota.rs
+++ b/src/sched/quota.rs
@@ -19,7 +19,7 @@
     /// waited for long leaves no part of it to others: under constant load such jobs
     /// waited beside that part for as long as the load lasted (`tests/reservations.rs`).
     pub fn limit_allows(&self, job: &Job, now: Time) -> bool {
-        let limit = if job.outwaits_reservations(now) {
+        let limit = if job.may_use_reserved_capacity(now) {
             self.limit_for(job)
         } else {
             self.limit_to_start(job)
--- a/src/sched/rebalance.rs
+++ b/src/sched/rebalance.rs
@@ -245,8 +245,8 @@
 
     /// A task of a job in a domain that has more of them than its rules want.
     fn excess_task(&self, topology: &Topology, job: &Job) -> Option<u32> {
-        let whereabouts = self.whereabouts(job, None);
-        let tally = job.policy.tally(&topology.tree, whereabouts);
+        let machine_location = self.machine_location(job, None);
+        let tally = job.policy.tally(&topology.tree, machine_location);
         let claims = job.tasks.claims().iter().filter_map(|(index, c)| {
             let place = self.machines.get(&c.machine)?.place;
             Some((*index, (place, c.machine.as_str())))
--- a/src/sched/reservations/mod.rs
+++ b/src/sched/reservations/mod.rs
@@ -73,10 +73,10 @@
             0 => 0,
             each => (used.max(0) + each - 1) / each,
         };
-        let most = of(self.used.cpu, each.cpu)
+        let max = of(self.used.cpu, each.cpu)
             .max(of(self.used.gpu, each.gpu))
             .max(of(self.used.ram, each.ram));
-        u32::try_from(most).unwrap_or(u32::MAX)
+        u32::try_from(max).unwrap_or(u32::MAX)
     }
 
     /// What is to be set aside beside what is used.
@@ -85,7 +85,7 @@
     }
 
     /// What is still to be set aside.
-    pub(in crate::sched) fn lacks(&self) -> u32 {
+    pub(in crate::sched) fn shortfalls(&self) -> u32 {
         self.open().saturating_sub(self.reserved_tasks())
     }
 
--- a/src/sched/reservations/placement.rs
+++ b/src/sched/reservations/placement.rs
@@ -214,12 +214,12 @@
     /// Room appeared on a machine: what a hold still lacks is set aside there
     /// before anybody else has it.
     pub fn refill_reservations(&mut self, id: &MachineId, now: Time) {
-        let lacking = self
+        let missing_tasks = self
             .reservations
             .by_window
             .iter()
-            .filter(|(_, h)| h.lacks() > 0);
-        let names: Vec<String> = lacking.map(|(name, _)| name.clone()).collect();
+            .filter(|(_, h)| h.shortfalls() > 0);
+        let names: Vec<String> = missing_tasks.map(|(name, _)| name.clone()).collect();
         for name in names {
             let (Some(reserved), Some(m)) = (
                 self.reservations.by_window.get(&name),
@@ -249,7 +249,7 @@
         let fit = window
             .each()
             .how_many(self.reservable_capacity(reserved, id, m, now));
-        let more = fit.saturating_sub(here).min(reserved.lacks());
+        let more = fit.saturating_sub(here).min(reserved.shortfalls());
         if window.zones.is_empty() {
             return more;
         }
--- a/src/sched/reservations/shown.rs
+++ b/src/sched/reservations/shown.rs
@@ -89,14 +89,14 @@
     }
 
     /// How much of a hold each of its zones lacks; without zones, of it as a whole.
-    pub fn lacking(&self, name: &str) -> Vec<(Option<Zone>, u32)> {
+    pub fn missing_tasks(&self, name: &str) -> Vec<(Option<Zone>, u32)> {
         let Some(reserved) = self.reservations.by_window.get(name) else {
             return Vec::new();
         };
-        let lacks = reserved.lacks();
+        let shortfalls = reserved.shortfalls();
         let zones = &reserved.reservation.window.zones;
-        if zones.is_empty() || lacks == 0 {
-            return vec![(None, lacks)];
+        if zones.is_empty() || shortfalls == 0 {
+            return vec![(None, shortfalls)];
         }
         let mut counts = self.used_in_zones(reserved, true);
         for (id, n) in &reserved.placed {
@@ -104,7 +104,7 @@
                 *counts.entry(Some(m.zone.clone())).or_insert(0) += n;
             }
         }
-        let mut left = lacks;
+        let mut left = shortfalls;
         let shares = divide(reserved.reservation.tasks, zones.len() as u32);
         zones
             .iter()
--- a/src/sched/tasks.rs
+++ b/src/sched/tasks.rs
@@ -68,10 +68,10 @@
     next_attempt: BTreeMap<u32, u64>,
     cursor: u32,
     /// Tasks that other shards claim, or that are left to them.
-    foreign: BTreeSet<u32>,
+    claimed_elsewhere: BTreeSet<u32>,
     /// Those that this shard may place, if another places the job: what that
     /// one leaves to it.
-    left_here: Option<BTreeSet<u32>>,
+    adopt_delegated_tasks: Option<BTreeSet<u32>>,
 }
 
 impl Tasks {
@@ -86,8 +86,8 @@
             claims: BTreeMap::new(),
             next_attempt: BTreeMap::new(),
             cursor: 0,
-            foreign: BTreeSet::new(),
-            left_here: None,
+            claimed_elsewhere: BTreeSet::new(),
+            adopt_delegated_tasks: None,
         }
     }
     /// The chunk that holds task `index`.
@@ -131,42 +131,45 @@
     /// How many tasks are neither done nor claimed, of those that this shard
     /// places.
     pub fn pending(&self) -> u32 {
-        if let Some(left) = &self.left_here {
+        if let Some(left) = &self.adopt_delegated_tasks {
             return left.iter().filter(|i| self.is_free(**i)).count() as u32;
         }
-        let taken = self.done_count + self.claims.len() as u32 + self.foreign.len() as u32;
+        let taken =
+            self.done_count + self.claims.len() as u32 + self.claimed_elsewhere.len() as u32;
         self.count.saturating_sub(taken)
     }
     fn is_free(&self, index: u32) -> bool {
-        !self.is_done(index) && !self.claims.contains_key(&index) && !self.foreign.contains(&index)
+        !self.is_done(index)
+            && !self.claims.contains_key(&index)
+            && !self.claimed_elsewhere.contains(&index)
     }
-    /// Up to `most` pending tasks, the last ones: the first are claimed next.
-    pub fn last_pending(&self, most: u32) -> BTreeSet<u32> {
+    /// Up to `max` pending tasks, the last ones: the first are claimed next.
+    pub fn last_pending(&self, max: u32) -> BTreeSet<u32> {
         let free = (0..self.count).rev().filter(|i| self.is_free(*i));
-        free.take(most as usize).collect()
+        free.take(max as usize).collect()
     }
     /// Other shards claim these, or they are left to them. None of them may be
     /// claimed here, or done.
-    pub(super) fn set_foreign(&mut self, foreign: BTreeSet<u32>) {
-        self.foreign = foreign;
+    pub(super) fn set_foreign(&mut self, claimed_elsewhere: BTreeSet<u32>) {
+        self.claimed_elsewhere = claimed_elsewhere;
         self.cursor = 0;
     }
     /// Tasks that other shards claim, or that are left to them.
-    pub fn foreign(&self) -> &BTreeSet<u32> {
-        &self.foreign
+    pub fn claimed_elsewhere(&self) -> &BTreeSet<u32> {
+        &self.claimed_elsewhere
     }
     /// Another shard places the job, and leaves these to this one; none: this
     /// shard places it.
     pub(super) fn set_left_here(&mut self, left: Option<BTreeSet<u32>>) {
-        self.left_here = left;
+        self.adopt_delegated_tasks = left;
     }
     /// Whether this shard places the job.
     pub fn at_home(&self) -> bool {
-        self.left_here.is_none()
+        self.adopt_delegated_tasks.is_none()
     }
     /// The lowest task that is neither done nor claimed.
     pub fn next_pending(&mut self) -> Option<u32> {
-        if let Some(left) = &self.left_here {
+        if let Some(left) = &self.adopt_delegated_tasks {
             return left.iter().copied().find(|i| self.is_free(*i));
         }
         while self.cursor < self.count {
--- a/src/sched/topology_rules.rs
+++ b/src/sched/topology_rules.rs
@@ -6,7 +6,7 @@
 
 use sorrelhinge_protocol::placement::Device;
 use sorrelhinge_topology::devices::{choose, Unit};
-use sorrelhinge_topology::policy::{Policy, Reach, Tally, Whereabouts};
+use sorrelhinge_topology::policy::{MachineLocation, Policy, Reach, Tally};
 use sorrelhinge_topology::repair::Stability;
 use sorrelhinge_topology::tree::{Domain, ROOT};
 use sorrelhinge_topology::Topology;
@@ -89,31 +89,34 @@
         let Some(machine) = self.machines.get(id) else {
             return;
         };
-        let (domain, stock) = match &self.topology {
+        let (domain, device_inventory) = match &self.topology {
             Some(t) => {
                 let place = t.place(id.as_str(), addr, &machine.zone);
                 if place.conflict {
                     tracing::error!(machine = %id, zone = %machine.zone, "topology: placed in another zone than the cloud says; its place counts as unknown");
                 }
-                (place.domain, t.stock(id.as_str(), addr, &machine.kind.name))
+                (
+                    place.domain,
+                    t.device_inventory(id.as_str(), addr, &machine.kind.name),
+                )
             }
             None => (ROOT, Default::default()),
         };
-        if machine.place == domain && *machine.stock == stock {
+        if machine.place == domain && *machine.device_inventory == device_inventory {
             return;
         }
         self.edit_machine(id, |m| {
             m.place = domain;
-            m.equip(stock);
+            m.equip(device_inventory);
         });
     }
 
     /// Where a job's tasks are, but for one that is left out.
-    pub(super) fn whereabouts<'a>(
+    pub(super) fn machine_location<'a>(
         &'a self,
         job: &'a Job,
         leave_out: Option<u32>,
-    ) -> impl Iterator<Item = Whereabouts<'a>> + 'a {
+    ) -> impl Iterator<Item = MachineLocation<'a>> + 'a {
         let claims = job.tasks.claims().iter();
         claims
             .filter(move |(index, _)| Some(**index) != leave_out)
@@ -135,7 +138,7 @@
             return None;
         }
         let tally = match &self.topology {
-            Some(t) => policy.tally(&t.tree, self.whereabouts(job, leave_out)),
+            Some(t) => policy.tally(&t.tree, self.machine_location(job, leave_out)),
             None => Tally::default(),
         };
         Some(Site {
@@ -170,7 +173,7 @@
             let Some(m) = self.machines.get(m_id) else {
                 return next;
             };
-            if choose(&m.stock, &m.allocated_devices, &site.needs).is_none() {
+            if choose(&m.device_inventory, &m.allocated_devices, &site.needs).is_none() {
                 return next;
             }
         }
@@ -216,6 +219,10 @@
             return Some(Vec::new());
         }
         let m = self.machines.get(m_id)?;
-        choose(&m.stock, &m.allocated_devices, &job.policy.devices)
+        choose(
+            &m.device_inventory,
+            &m.allocated_devices,
+            &job.policy.devices,
+        )
     }
 }
--- a/src/sched/waiting_reason.rs
+++ b/src/sched/waiting_reason.rs
@@ -90,7 +90,7 @@
         if let Some(barred) = barred {
             return Some(barred.why);
         }
-        if choose(&m.stock, &m.allocated_devices, &site.needs).is_some() {
+        if choose(&m.device_inventory, &m.allocated_devices, &site.needs).is_some() {
             return None;
         }
         let why = match Machine::could(&m.working, &site.needs) {
--- a/src/sched/write_limit.rs
+++ b/src/sched/write_limit.rs
@@ -24,13 +24,13 @@
         }
         let held = self.claiming.len();
         let idle = job.priority == Priority::Idle;
-        self.most_claiming.is_none_or(|all| {
+        self.max_claiming.is_none_or(|all| {
             // A swarm of idle jobs leaves half of it to others.
-            let most = if idle { all / 2 } else { all };
+            let max = if idle { all / 2 } else { all };
             let of_sort = self.claiming_of.get(&job.sort()).copied().unwrap_or(0);
-            held < most
-                || job.start_within.is_some() && held < 2 * most
-                || job.lane.is_some() && 2 * held < 3 * most
+            held < max
+                || job.start_within.is_some() && held < 2 * max
+                || job.lane.is_some() && 2 * held < 3 * max
                 || of_sort < fair::floor(all)
                 || self.claiming.contains(id)
         })
@@ -38,8 +38,8 @@
 
     /// Whether as many claims wait to be recorded as may.
     pub fn claims_bind(&self) -> bool {
-        self.most_claiming
-            .is_some_and(|most| self.claiming.len() >= most)
+        self.max_claiming
+            .is_some_and(|max| self.claiming.len() >= max)
     }
 
     /// The lowest rank that waits, if others wait too.
--- a/src/serve.rs
+++ b/src/serve.rs
@@ -24,7 +24,7 @@
 /// An idle connection ends after this time.
 const IDLE: Duration = Duration::from_secs(60);
 /// How many at a time are told that there is no free capacity.
-const MOST_TURNED_AWAY: usize = 32;
+const MAX_TURNED_AWAY: usize = 32;
 /// While so many are, nobody is accepted; this is how often it is looked at.
 const TURNED_AWAY_PAUSE: Duration = Duration::from_millis(20);
 /// After a connection that could not be accepted.
@@ -51,10 +51,10 @@
         };
         let Some(accepted) = all.accepted() else {
             // The others wait to be accepted, which a load balancer sees.
-            while all.turned_away() >= MOST_TURNED_AWAY {
+            while all.rejected_connections() >= MAX_TURNED_AWAY {
                 sleep(TURNED_AWAY_PAUSE).await;
             }
-            spawn_local(turn_away(all.clone(), stream));
+            spawn_local(reject_connection(all.clone(), stream));
             continue;
         };
         spawn_local(attend(node.clone(), accepted, stream));
@@ -98,7 +98,7 @@
 }
 
 /// Tells somebody for whom there is no free capacity to come back.
-fn turn_away(all: Rc<Connections>, mut stream: TcpStream) -> impl Future<Output = ()> {
+fn reject_connection(all: Rc<Connections>, mut stream: TcpStream) -> impl Future<Output = ()> {
     const WHY: &str = "{\"error\":\"no room for a connection now\"}";
     // Counted, not written down: it was two too few once, users got half a
     // JSON object, and nobody saw it before the sockets ran out.
--- a/src/state/budget.rs
+++ b/src/state/budget.rs
@@ -109,7 +109,7 @@
 
 /// How urgent a request is, when the budget is short.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Urgency {
+pub enum RequestPriority {
     /// Renewals and claims: goes at once and leaves the others the rest.
     First,
     /// Waits for the budget, this long at most.
--- a/src/state/chunk_record.rs
+++ b/src/state/chunk_record.rs
@@ -103,8 +103,15 @@
 
 /// Bytes of a claim of such a job's task: units that it names take room beside it.
 pub(super) fn claim_bytes(spec: &JobSpec) -> usize {
-    let sealed = spec.seal.iter().flat_map(|seal| &seal.placement);
-    let devices = spec.placement.iter().chain(sealed).flat_map(|w| &w.devices);
+    let with_extension = spec
+        .extension
+        .iter()
+        .flat_map(|extension| &extension.placement);
+    let devices = spec
+        .placement
+        .iter()
+        .chain(with_extension)
+        .flat_map(|w| &w.devices);
     let units: usize = devices
         .map(|d| d.count as usize * (d.kind.len() + UNIT_BYTES))
         .sum();
--- a/src/state/client.rs
+++ b/src/state/client.rs
@@ -16,8 +16,8 @@
 };
 use tokio::time::Instant;
 
-use super::budget::{Budget, Urgency};
-use super::error::{ErrorReply, Outcome, RefusedCause, StateError, UnknownCause};
+use super::budget::{Budget, RequestPriority};
+use super::error::{ErrorReply, RefusedCause, StateError, TransactionOutcome, UnknownCause};
 use super::record;
 use crate::config::StateLimits;
 use crate::http::{CallError, Limits, Pool};
@@ -58,7 +58,7 @@
     method: Method,
     path: &'a str,
     body: Bytes,
-    urgency: Urgency,
+    urgency: RequestPriority,
     /// For the answer, once there is a connection.
     timeout: Duration,
 }
@@ -121,7 +121,7 @@
 
     /// Another controller knows that the smaller limits are in force. Returns whether that
     /// is new.
-    pub fn told_limits_fell(&self) -> bool {
+    pub fn note_lower_limits(&self) -> bool {
         self.change_rate.borrow_mut().lower()
     }
 
@@ -136,12 +136,12 @@
     pub async fn transact(
         &self,
         transaction: &Transaction,
-        urgency: Urgency,
-    ) -> Result<Outcome, StateError> {
+        urgency: RequestPriority,
+    ) -> Result<TransactionOutcome, StateError> {
         let reply = self.send_txn(transaction, urgency).await?;
         match reply.status {
-            200 => Ok(Outcome::Done(reply.revision()?)),
-            409 => Ok(Outcome::Failed(reply.revision()?)),
+            200 => Ok(TransactionOutcome::Done(reply.revision()?)),
+            409 => Ok(TransactionOutcome::Failed(reply.revision()?)),
             400 if reply.names_no_lease() => Err(StateError::LeaseEnded),
             400 => Err(self.rejected(transaction, &reply)),
             status => Err(StateError::Refused(RefusedCause::Reply(ErrorReply::new(
@@ -156,15 +156,15 @@
     async fn send_txn(
         &self,
         transaction: &Transaction,
-        urgency: Urgency,
+        urgency: RequestPriority,
     ) -> Result<StateReply, StateError> {
         let cost = transaction.changes.len() as f64;
         let body = serde_json::to_vec(transaction)
             .map_err(|error| StateError::Refused(RefusedCause::Encode(error)))?;
         let body = Bytes::from(body);
         let end = match urgency {
-            Urgency::First => Instant::now(),
-            Urgency::Within(patience) => Instant::now() + patience,
+            RequestPriority::First => Instant::now(),
+            RequestPriority::Within(patience) => Instant::now() + patience,
         };
         loop {
             self.take_changes(cost, urgency, end).await?;
@@ -192,12 +192,12 @@
     async fn take_changes(
         &self,
         cost: f64,
-        urgency: Urgency,
+        urgency: RequestPriority,
         end: Instant,
     ) -> Result<(), StateError> {
         match urgency {
-            Urgency::First => self.writes.force(cost),
-            Urgency::Within(_) => {
+            RequestPriority::First => self.writes.force(cost),
+            RequestPriority::Within(_) => {
                 let left = end.saturating_duration_since(Instant::now());
                 if !self.writes.wait(cost, left).await {
                     return Err(StateError::Refused(RefusedCause::OverBudget));
@@ -238,12 +238,13 @@
         mod_revision: Revision,
         change: Change,
         patience: Duration,
-    ) -> Result<Outcome, StateError> {
+    ) -> Result<TransactionOutcome, StateError> {
         let transaction = Transaction {
             conditions: vec![Condition { key, mod_revision }],
             changes: vec![change],
         };
-        self.transact(&transaction, Urgency::Within(patience)).await
+        self.transact(&transaction, RequestPriority::Within(patience))
+            .await
     }
 
     /// Changes under [`record::ROOT`] after `since`, waiting up to `wait` for one.
@@ -251,7 +252,7 @@
         &self,
         since: Revision,
         wait: Duration,
-        urgency: Urgency,
+        urgency: RequestPriority,
     ) -> Result<Events, StateError> {
         let path = format!(
             "/follow?under={}&since={since}&block_ms={}",
@@ -298,7 +299,7 @@
             method: Method::GET,
             path: &path,
             body: Bytes::new(),
-            urgency: Urgency::Within(PAGE_PATIENCE),
+            urgency: RequestPriority::Within(PAGE_PATIENCE),
             timeout: PAGE_TIMEOUT,
         };
         self.call(request).await?.read()
@@ -310,7 +311,7 @@
             method: Method::POST,
             path: "/leases",
             body: format!("{{\"life_ms\":{}}}", life.as_millis()).into(),
-            urgency: Urgency::First,
+            urgency: RequestPriority::First,
             timeout: LEASE_TIMEOUT,
         };
         let lease: LeaseCreated = self.call(request).await?.read()?;
@@ -323,7 +324,7 @@
             method: Method::DELETE,
             path: &format!("/leases/{lease}"),
             body: Bytes::new(),
-            urgency: Urgency::First,
+            urgency: RequestPriority::First,
             timeout: LEASE_CHANGE_TIMEOUT,
         };
         self.call(request).await.map(|_| ())
@@ -335,7 +336,7 @@
             method: Method::POST,
             path: &format!("/leases/{lease}/renew"),
             body: Bytes::new(),
-            urgency: Urgency::First,
+            urgency: RequestPriority::First,
             timeout: LEASE_CHANGE_TIMEOUT,
         };
         let reply = self.call(request).await?;
@@ -362,10 +363,10 @@
     }
 
     /// Takes one request from the budget, waiting for it as `urgency` allows.
-    async fn take_request(&self, urgency: Urgency) -> Result<(), StateError> {
+    async fn take_request(&self, urgency: RequestPriority) -> Result<(), StateError> {
         match urgency {
-            Urgency::First => self.requests.force(1.0),
-            Urgency::Within(patience) => {
+            RequestPriority::First => self.requests.force(1.0),
+            RequestPriority::Within(patience) => {
                 if !self.requests.wait(1.0, patience).await {
                     return Err(StateError::Refused(RefusedCause::OverBudget));
                 }
--- a/src/state/error.rs
+++ b/src/state/error.rs
@@ -5,7 +5,7 @@
 
 /// A transaction's outcome.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Outcome {
+pub enum TransactionOutcome {
     /// Carried out, as this revision.
     Done(Revision),
     /// A condition failed; the service's revision was this.
--- a/src/state/history.rs
+++ b/src/state/history.rs
@@ -9,17 +9,17 @@
 use crate::types::{Image, JobSpec, MachineId};
 
 /// Jobs that are remembered.
-const MOST_ARRIVALS: usize = 1000;
+const MAX_ARRIVALS: usize = 1000;
 /// Machines of which images are remembered. When so many are known, the half that ran
 /// nothing for longest is forgotten, so at least 5,000 machines stay known however many
-/// come and go. With [`MOST_IMAGES`] for each that is up to 10 MB.
-const MOST_MACHINES: usize = 10_000;
+/// come and go. With [`MAX_IMAGES`] for each that is up to 10 MB.
+const MAX_MACHINES: usize = 10_000;
 /// Images that are remembered of a machine.
-const MOST_IMAGES: usize = 32;
+const MAX_IMAGES: usize = 32;
 
 /// The images that a machine ran, the latest last.
 #[derive(Default)]
-struct Ran {
+struct RecentImages {
     /// Each with its size in GB.
     images: VecDeque<(Image, f64)>,
     /// When it ran the latest: the number of tasks placed anywhere until then.
@@ -31,7 +31,7 @@
 pub struct History {
     /// Each with when it was accepted, in milliseconds of the time of day.
     arrivals: VecDeque<(u64, Rc<JobSpec>)>,
-    machines: HashMap<MachineId, Ran>,
+    machines: HashMap<MachineId, RecentImages>,
     /// Tasks placed so far.
     count: u64,
 }
@@ -40,7 +40,7 @@
     /// A job was accepted, at a time of day in milliseconds.
     pub fn arrived(&mut self, accepted_ms: u64, spec: JobSpec) {
         self.arrivals.push_back((accepted_ms, Rc::new(spec)));
-        if self.arrivals.len() > MOST_ARRIVALS {
+        if self.arrivals.len() > MAX_ARRIVALS {
             self.arrivals.pop_front();
         }
     }
@@ -48,14 +48,14 @@
     /// A task with this image of `gb` GB was placed on a machine.
     pub fn placed(&mut self, machine: &MachineId, image: &Image, gb: f64) {
         self.count += 1;
-        if self.machines.len() >= MOST_MACHINES && !self.machines.contains_key(machine) {
+        if self.machines.len() >= MAX_MACHINES && !self.machines.contains_key(machine) {
             self.forget_older_half();
         }
         let ran = self.machines.entry(machine.clone()).or_default();
         ran.at = self.count;
         ran.images.retain(|(i, _)| i != image);
         ran.images.push_back((image.clone(), gb));
-        if ran.images.len() > MOST_IMAGES {
+        if ran.images.len() > MAX_IMAGES {
             ran.images.pop_front();
         }
     }
--- a/src/state/job_record.rs
+++ b/src/state/job_record.rs
@@ -1,11 +1,11 @@
 //! A job's record: what its user described, how far its tasks are, what it waits for.
 
 use serde::{Deserialize, Serialize};
-use sorrelhinge_pipelines::graph::{Facts, Recorded};
+use sorrelhinge_pipelines::graph::{JobFacts, Recorded};
 use sorrelhinge_pipelines::urgency::Urgency;
 
 use super::chunk_record::{chunk_size_of, claim_bytes, ChunkRecord, CLAIM_BYTES, OWN_BYTES};
-use crate::types::{JobId, JobSpec, Priority, Revision, Seal, TypeName};
+use crate::types::{CompatibilityExtension, JobId, JobSpec, Priority, Revision, TypeName};
 
 /// A job's phase, as far as it is recorded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -71,9 +71,9 @@
     /// The machine types that are allowed, as [`JobSpec::types`] would be.
     #[serde(rename = "t", default, skip_serializing_if = "Option::is_none")]
     pub types: Option<Vec<TypeName>>,
-    /// As [`JobSpec::seal`] would be.
+    /// As [`JobSpec::extension`] would be.
     #[serde(rename = "x", default, skip_serializing_if = "Option::is_none")]
-    pub seal: Option<Box<Seal>>,
+    pub extension: Option<Box<CompatibilityExtension>>,
 }
 
 /// A job that its user submits.
@@ -114,7 +114,7 @@
             tasks: spec.tasks,
             chunk,
             accepted_ms,
-            spec: Some(Box::new(spec.sealed())),
+            spec: Some(Box::new(spec.with_extension())),
             inline: None,
             // The revision is known only once this is written.
             place: None,
@@ -149,9 +149,9 @@
         self.waits = Some(Box::new(WaitsRecord {
             needs,
             types: spec.types.take(),
-            seal: spec.seal.take(),
+            extension: spec.extension.take(),
         }));
-        spec.fence();
+        spec.mark_incompatible();
     }
 
     /// The job as its user described it, if its description is kept.
@@ -159,9 +159,9 @@
         let mut spec = (**self.spec.as_ref()?).clone();
         if let Some(waits) = &self.waits {
             spec.types = waits.types.clone();
-            spec.seal = waits.seal.clone();
+            spec.extension = waits.extension.clone();
         }
-        Some(spec.opened())
+        Some(spec.without_extension())
     }
 
     /// The jobs that it needs.
@@ -170,11 +170,11 @@
     }
 
     /// What it says for the graph of jobs that wait for each other.
-    pub fn facts(&self) -> Facts {
+    pub fn facts(&self) -> JobFacts {
         let milli = |seconds: f64| (seconds * 1000.0) as i64;
         let spec = self.spec.as_deref();
         let due_s = spec.and_then(|s| s.deadline_s);
-        Facts {
+        JobFacts {
             recorded: match self.phase {
                 Phase::Live => Recorded::Open,
                 Phase::Cancelled => Recorded::Cancelled,
--- a/src/state/mod.rs
+++ b/src/state/mod.rs
@@ -25,7 +25,7 @@
 pub mod versioned;
 pub mod view;
 
-pub use budget::{Budget, Urgency};
+pub use budget::{Budget, RequestPriority};
 pub use client::StateClient;
-pub use error::{Outcome, StateError};
+pub use error::{StateError, TransactionOutcome};
 pub use sorrelhinge_protocol::state::{Change, Condition, Event, Events, Item, Transaction};
--- a/src/state/record.rs
+++ b/src/state/record.rs
@@ -8,8 +8,8 @@
 //! | `h/calendar` | [`CalendarRecord`](sorrelhinge_calendar::record::CalendarRecord), if a calendar is given | any controller with a newer file, or for an operator |
 //! | `h/win/NAME@START` | [`WindowRecord`](sorrelhinge_calendar::record::WindowRecord), one occurrence of a window | the owner of shard 0 |
 //! | `h/drain/N` | [`Drain`](sorrelhinge_topology::drain::Drain), N any number | any controller, for an operator |
-//! | `h/gone/N` | [`GoneRecord`], N below [`GONE_SLOTS`], filled in turn | the shard's owner |
-//! | `h/map` | [`MapRecord`]; none: all machines are one shard | the leader |
+//! | `h/gone/N` | [`RetiredMachinesRecord`], N below [`RETIRED_MACHINE_SLOTS`], filled in turn | the shard's owner |
+//! | `h/map` | [`ShardMapRecord`]; none: all machines are one shard | the leader |
 //! | `h/shard/B` | [`ShardRecord`], B below the number of shards | the leader; the owner, to hand it on |
 //! | `h/slice/B` | [`SliceRecord`] | the leader at first; then the owner of a shard that gives |
 //! | `h/node/NODE` | [`MemberRecord`], attached to a lease, while there are several shards | that controller |
@@ -30,13 +30,13 @@
 pub mod members;
 pub mod shards;
 
-pub use self::deleted_machines::{GoneRecord, GONE_SLOTS};
+pub use self::deleted_machines::{RetiredMachinesRecord, RETIRED_MACHINE_SLOTS};
 pub use self::keys::{
-    chunk_key, drain_key, gone_key, image_hash, job_key, member_key, rollout_key, shard_key,
-    slice_key, Key, GRANT, LEADER, MAP, ROOT,
+    chunk_key, drain_key, image_hash, job_key, member_key, retired_machines_key, rollout_key,
+    shard_key, slice_key, Key, GRANT, LEADER, MAP, ROOT,
 };
-pub use self::leadership::{Fence, GrantRecord, LeaderRecord};
+pub use self::leadership::{GrantRecord, LeaderRecord, ShardedGrantFence};
 pub use self::members::MemberRecord;
-pub use self::shards::{MapRecord, ShardRecord, SliceRecord, TeamPart};
+pub use self::shards::{ShardMapRecord, ShardRecord, SliceRecord, TeamPart};
 pub use super::chunk_record::{chunk_size, ChunkRecord, RecordedClaim, RecordedUnits};
 pub use super::job_record::{encoded_bytes, JobRecord, NewJob, Phase, WaitsRecord};
--- a/src/state/record/deleted_machines.rs
+++ b/src/state/record/deleted_machines.rs
@@ -7,13 +7,13 @@
 /// Lists of machines that are gone; the oldest is overwritten. At values of 4 KiB each
 /// holds about 200 names, and all of them up to 1.2 MB in memory. Versions before know
 /// the first 16 only, and ignore the others.
-pub const GONE_SLOTS: u32 = 64;
+pub const RETIRED_MACHINE_SLOTS: u32 = 64;
 
 /// Machines whose deletion the cloud has answered with 200: whatever a record
 /// still claims on them is gone (PROTOCOL, "POST /rentals/delete"). A later
 /// owner need not find that out again. Names are never given twice.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct GoneRecord {
+pub struct RetiredMachinesRecord {
     /// Of the format.
     #[serde(rename = "v")]
     pub version: u32,
@@ -22,7 +22,7 @@
     pub machines: Vec<MachineId>,
 }
 
-impl GoneRecord {
+impl RetiredMachinesRecord {
     /// The format that this version writes.
     pub const VERSION: u32 = 1;
     /// Bytes that one more name takes, about.
--- a/src/state/record/keys.rs
+++ b/src/state/record/keys.rs
@@ -4,7 +4,7 @@
 use sorrelhinge_reservations::record::{parse_key, CALENDAR_KEY};
 use sorrelhinge_sharding::shard::{ShardId, MAX_SHARDS};
 
-use super::deleted_machines::GONE_SLOTS;
+use super::deleted_machines::RETIRED_MACHINE_SLOTS;
 use crate::types::{Image, JobId, NodeId};
 
 /// Prefix of all keys.
@@ -43,7 +43,7 @@
 }
 
 /// Key of a list of machines that are gone.
-pub fn gone_key(slot: u32) -> String {
+pub fn retired_machines_key(slot: u32) -> String {
     format!("h/gone/{slot}")
 }
 
@@ -127,7 +127,10 @@
             }
             "drain" => Some(Self::Drain(which.parse().ok()?)),
             "gone" => {
-                let slot = which.parse().ok().filter(|slot| *slot < GONE_SLOTS);
+                let slot = which
+                    .parse()
+                    .ok()
+                    .filter(|slot| *slot < RETIRED_MACHINE_SLOTS);
                 slot.map(Self::DeletedMachines)
             }
             "task" => {
--- a/src/state/record/leadership.rs
+++ b/src/state/record/leadership.rs
@@ -29,7 +29,7 @@
 /// What `h/grant` holds while there are several shards. A version that knows one
 /// only can't read it, so it never takes all machines for its own.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Fence {
+pub struct ShardedGrantFence {
     /// Of the format.
     #[serde(rename = "v")]
     pub version: u32,
--- a/src/state/record/shards.rs
+++ b/src/state/record/shards.rs
@@ -8,7 +8,7 @@
 /// How many shards there are. Which one a machine belongs to follows from its
 /// name ([`sorrelhinge_sharding::shard`]).
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
-pub struct MapRecord {
+pub struct ShardMapRecord {
     /// Of the format.
     #[serde(rename = "v")]
     pub version: u32,
@@ -17,7 +17,7 @@
     pub shards: u32,
 }
 
-impl MapRecord {
+impl ShardMapRecord {
     /// The format that this version writes.
     pub const VERSION: u32 = 1;
 }
--- a/src/state/view/apply.rs
+++ b/src/state/view/apply.rs
@@ -10,7 +10,9 @@
 use sorrelhinge_sharding::shard::ShardId;
 use sorrelhinge_topology::drain::Drain;
 
-use super::super::record::{ChunkRecord, Fence, GoneRecord, JobRecord, Key, MapRecord};
+use super::super::record::{
+    ChunkRecord, JobRecord, Key, RetiredMachinesRecord, ShardMapRecord, ShardedGrantFence,
+};
 use super::super::{Events, Item};
 use super::{Versioned, View};
 use crate::types::{JobId, Revision};
@@ -159,7 +161,7 @@
         if write.mod_revision <= self.grant.mod_revision {
             return;
         }
-        if serde_json::from_str::<Fence>(write.value.get()).is_ok() {
+        if serde_json::from_str::<ShardedGrantFence>(write.value.get()).is_ok() {
             self.grant.mod_revision = write.mod_revision;
         } else if let Some(grant) = write.parse() {
             self.grant = write.versioned(grant);
@@ -170,7 +172,7 @@
         if write.mod_revision <= self.map.mod_revision {
             return;
         }
-        if let Some(map) = write.parse::<MapRecord>() {
+        if let Some(map) = write.parse::<ShardMapRecord>() {
             self.map = write.versioned(Some(map));
         }
     }
@@ -232,8 +234,8 @@
 
     /// A list of a later format is left alone: it only saves time.
     fn write_deleted_machines(&mut self, slot: u32, write: RecordWrite) {
-        let record = write.parse::<GoneRecord>();
-        let known = record.filter(|r| r.version <= GoneRecord::VERSION);
+        let record = write.parse::<RetiredMachinesRecord>();
+        let known = record.filter(|r| r.version <= RetiredMachinesRecord::VERSION);
         put(&mut self.gone, slot, write.mod_revision, || known);
     }
 
--- a/src/state/view/mod.rs
+++ b/src/state/view/mod.rs
@@ -22,8 +22,8 @@
 use super::history::History;
 pub use super::job_entry::{Cancellation, JobEntry, Summary};
 use super::record::{
-    ChunkRecord, GoneRecord, GrantRecord, LeaderRecord, MapRecord, MemberRecord, Phase,
-    ShardRecord, SliceRecord,
+    ChunkRecord, GrantRecord, LeaderRecord, MemberRecord, Phase, RetiredMachinesRecord,
+    ShardMapRecord, ShardRecord, SliceRecord,
 };
 pub use super::versioned::Versioned;
 use crate::types::{JobId, MachineId, NodeId, Revision};
@@ -41,7 +41,7 @@
     /// The grant.
     pub grant: Versioned<GrantRecord>,
     /// How many shards there are; none: one.
-    pub map: Versioned<Option<MapRecord>>,
+    pub map: Versioned<Option<ShardMapRecord>>,
     /// Who owns each of several shards.
     pub shards: BTreeMap<ShardId, Versioned<ShardRecord>>,
     /// Each one's part of the limits.
@@ -58,7 +58,7 @@
     /// in milliseconds of the time of day.
     pub windows: BTreeMap<(String, i64), Versioned<WindowRecord>>,
     /// Machines that are gone.
-    pub gone: BTreeMap<u32, Versioned<GoneRecord>>,
+    pub gone: BTreeMap<u32, Versioned<RetiredMachinesRecord>>,
     /// Images on their way from machine to machine, by shard and the image's hash;
     /// none: of a version that is not known here.
     pub rollouts: BTreeMap<(ShardId, u64), Versioned<Option<RolloutRecord>>>,
--- a/tests/addition.rs
+++ b/tests/addition.rs
@@ -12,8 +12,8 @@
 use std::time::{Duration, Instant};
 
 use serde_json::json;
-use sorrelhinge_emulators::lines::Cut;
-use sorrelhinge_emulators::nodes::Deaf;
+use sorrelhinge_emulators::lines::LinkFault;
+use sorrelhinge_emulators::nodes::OneWayFault;
 use sorrelhinge_emulators::{run, Plan, World, LEASE_S};
 use tokio::time::sleep;
 
@@ -94,9 +94,9 @@
         let world = begin(plan("deaf", 30, 3)).await;
         let deaf = of_first_zone(&world);
         assert!(deaf.len() >= 4, "{deaf:?}");
-        let only = |machine: &String| Deaf {
+        let only = |machine: &String| OneWayFault {
             machine: Some(machine.clone()),
-            ..Deaf::default()
+            ..OneWayFault::default()
         };
         let moody = {
             let nodes = world.nodes.borrow();
@@ -106,7 +106,7 @@
         let (changes, starts) = (world.store.borrow().changes, world.nodes.borrow().starts);
         let mut uids = Vec::new();
         for round in 0..8 {
-            let mut lines: Vec<Deaf> = deaf.iter().map(only).collect();
+            let mut lines: Vec<OneWayFault> = deaf.iter().map(only).collect();
             lines.extend((round % 2 == 0).then(|| only(&moody)));
             world.nodes.borrow_mut().deaf = lines;
             uids.extend(jobs(&world, 10 + 10 * round, 2).await);
@@ -133,10 +133,10 @@
         let mut world = begin(plan("deaf_to_one", 34, 3)).await;
         let owner = world.leader().expect("a leader");
         let to = Some((owner, grant(&world)));
-        world.nodes.borrow_mut().deaf = vec![Deaf {
+        world.nodes.borrow_mut().deaf = vec![OneWayFault {
             zone: Some(0),
             to,
-            ..Deaf::default()
+            ..OneWayFault::default()
         }];
         let mut uids = jobs(&world, 10, 6).await;
         sleep(Duration::from_secs_f64(LEASE_S)).await;
@@ -144,9 +144,9 @@
         all_done(&world, &uids).await;
         // During a takeover: one machine hears nobody any more.
         let never = of_first_zone(&world).into_iter().next().expect("a machine");
-        world.nodes.borrow_mut().deaf = vec![Deaf {
+        world.nodes.borrow_mut().deaf = vec![OneWayFault {
             machine: Some(never.clone()),
-            ..Deaf::default()
+            ..OneWayFault::default()
         }];
         world.kill_controller(owner);
         world.start_controller(owner);
@@ -228,9 +228,13 @@
     run(async {
         let world = begin(plan("alone", 42, 3)).await;
         let mut uids = Vec::new();
-        for (round, (cut, owner)) in [(Cut::Held, true), (Cut::Refused, true), (Cut::Held, false)]
-            .into_iter()
-            .enumerate()
+        for (round, (cut, owner)) in [
+            (LinkFault::Held, true),
+            (LinkFault::Refused, true),
+            (LinkFault::Held, false),
+        ]
+        .into_iter()
+        .enumerate()
         {
             world.until("a leader", 30, |w| w.leader().is_some()).await;
             let leader = world.leader().expect("a leader");
@@ -252,7 +256,7 @@
             println!("{cut:?}: {lost} started again");
             assert!(lost <= REPLICAS, "{lost} were started again");
             uids.extend(some);
-            world.cut(alone, Cut::None);
+            world.cut(alone, LinkFault::None);
             let end = Instant::now() + Duration::from_secs(30);
             while !healthy(&world, alone).await {
                 assert!(Instant::now() < end, "not healthy again");
@@ -331,18 +335,18 @@
             uids.extend(jobs(&world, 10 + 10 * round, 3).await);
             let (alone, ended) = (round % 5, (round + 2) % 5);
             let cut = if round % 2 == 0 {
-                Cut::Held
+                LinkFault::Held
             } else {
-                Cut::Refused
+                LinkFault::Refused
             };
             world.cut(alone, cut);
             let deaf = {
                 let nodes = world.nodes.borrow();
                 let there = |z: u8| nodes.all.values().find(|n| n.zone == z && !n.gone);
                 let some = (0..3).filter_map(there);
-                let lines = some.map(|n| Deaf {
+                let lines = some.map(|n| OneWayFault {
                     machine: Some(n.id.clone()),
-                    ..Deaf::default()
+                    ..OneWayFault::default()
                 });
                 lines.collect()
             };
@@ -353,7 +357,7 @@
             uids.extend(jobs(&world, 200 + 10 * round, 3).await);
             world.replay(LEASE_S, 1).await;
             sleep(Duration::from_secs(2)).await;
-            world.cut(alone, Cut::None);
+            world.cut(alone, LinkFault::None);
             world.nodes.borrow_mut().deaf.clear();
         }
         ends_well(&world, &uids).await;
--- a/tests/aging.rs
+++ b/tests/aging.rs
@@ -51,7 +51,7 @@
             save_s: 0.0,
             deadline_s: None,
             placement: None,
-            seal: None,
+            extension: None,
         };
         let objective = Time(self.now + objective_s);
         let job = Job {
@@ -66,7 +66,7 @@
     fn tick(&mut self) {
         self.now += 1.0;
         let now = Time(self.now);
-        self.cluster_state.look_at_dues(now);
+        self.cluster_state.refresh_due_times(now);
         let (over, running) = std::mem::take(&mut self.running)
             .into_iter()
             .partition(|(since, _)| now.0 - since >= RUN_S);
@@ -128,7 +128,7 @@
 #[test]
 fn an_array_of_hours_begins_and_leaves_the_rest_its_part() {
     let mut cluster = Cluster::new(20, 40.0);
-    let (mut most, mut began) = (0, None);
+    let (mut max, mut began) = (0, None);
     for n in 0..400 {
         // Enough for the whole limit by themselves.
         cluster.submit(&format!("run-a{n}"), Priority::High, 1, 60.0);
@@ -138,7 +138,7 @@
         cluster.tick();
         if let Some(job) = cluster.cluster_state.job(&JobId::from("run-long")) {
             let held = job.tasks.claims().len() as u32;
-            most = most.max(held);
+            max = max.max(held);
             // As many as the limit allows at once.
             if began.is_none() && held + job.tasks.done() >= 10 {
                 began = Some(n - 40);
@@ -147,5 +147,5 @@
     }
     assert!(began.is_some_and(|s| s <= 240), "{began:?}");
     // Half of ten tasks, and the one that is being placed.
-    assert!(most <= 6, "{most} of 10");
+    assert!(max <= 6, "{max} of 10");
 }
--- a/tests/answers.rs
+++ b/tests/answers.rs
@@ -12,7 +12,7 @@
 
 use hyper::Method;
 use serde_json::{json, Value};
-use sorrelhinge_emulators::lines::Cut;
+use sorrelhinge_emulators::lines::LinkFault;
 use sorrelhinge_emulators::users::{one_task, Answers, Question, Users};
 use sorrelhinge_emulators::{run, Plan, World, CANCEL_S};
 use tokio::task::{spawn_local, JoinHandle};
@@ -31,25 +31,29 @@
 /// One job's user: submits it, cancels one in three at once and one in three as its
 /// task ends, and looks closely after each answer.
 async fn user(users: Users, uid: String, nth: usize) {
-    let (status, told) = users.insist(nth, &uid, Question::Submit).await;
+    let (status, told) = users.ask_until_answered(nth, &uid, Question::Submit).await;
     assert!(matches!(status, 200 | 201), "{uid}: {told}");
-    users.look_closely(&uid, 2).await;
+    users.poll_closely(&uid, 2).await;
     match nth % 3 {
         0 => {
-            users.insist(nth + 1, &uid, Question::Cancel).await;
+            users
+                .ask_until_answered(nth + 1, &uid, Question::Cancel)
+                .await;
         }
         1 => {
             let ends = Instant::now() + Duration::from_secs(40);
             while !users.tasks_done(&uid) && Instant::now() < ends {
                 sleep(Duration::from_millis(5)).await;
             }
-            users.insist(nth + 1, &uid, Question::Cancel).await;
+            users
+                .ask_until_answered(nth + 1, &uid, Question::Cancel)
+                .await;
         }
         _ => {
             users.until_over(&uid, 60).await;
         }
     }
-    users.look_closely(&uid, 3).await;
+    users.poll_closely(&uid, 3).await;
 }
 
 /// So many jobs, one after the other, until all their users know how they ended.
@@ -112,7 +116,7 @@
         world.until("all tasks are gone", within, gone).await;
         world.rules_hold();
         let answers = self.users.answers.borrow();
-        println!("{} jobs, {} answers", accepted.len(), answers.told);
+        println!("{} jobs, {} answers", accepted.len(), answers.response);
     }
 }
 
@@ -140,7 +144,7 @@
         let day = Day::begin(&world, 3, 64);
         let mut came = 0;
         for round in 0..2 {
-            for how in [Cut::Refused, Cut::Held] {
+            for how in [LinkFault::Refused, LinkFault::Held] {
                 let leader = world.leader().unwrap_or(0);
                 let at = (leader + round) % 3;
                 came += 7;
@@ -148,12 +152,12 @@
                 world.cut_state(at, how);
                 came += 7;
                 day.came(came).await;
-                world.cut_state(at, Cut::None);
+                world.cut_state(at, LinkFault::None);
                 // From the other controllers alone.
                 world.cut(at, how);
-                world.cut_state(at, Cut::None);
+                world.cut_state(at, LinkFault::None);
                 day.came(came + 5).await;
-                world.cut(at, Cut::None);
+                world.cut(at, LinkFault::None);
             }
         }
         day.end(&world).await;
@@ -198,7 +202,7 @@
         world
             .until("nothing changes", 10, |_| Instant::now() >= settled)
             .await;
-        world.cut_state(refused, Cut::Refused);
+        world.cut_state(refused, LinkFault::Refused);
         let ask = async |method: Method, path: &str, body: &Value| {
             let end = Instant::now() + Duration::from_secs(20);
             loop {
--- a/tests/bad_requests.rs
+++ b/tests/bad_requests.rs
@@ -13,15 +13,15 @@
 use bytes::Bytes;
 use hyper::Method;
 use serde_json::{json, Value};
-use sorrelhinge_emulators::lines::Cut;
+use sorrelhinge_emulators::lines::LinkFault;
 use sorrelhinge_emulators::users::{send_body, send_bytes};
-use sorrelhinge_emulators::{ask, run, Plan, Told};
+use sorrelhinge_emulators::{ask, run, HttpResponse, Plan};
 use tokio::time::sleep;
 
 use self::leader::start_led;
 
 /// PROTOCOL: a request body may be at most 64 KiB.
-const MOST_BODY: usize = 64 << 10;
+const MAX_BODY: usize = 64 << 10;
 
 fn job(uid: &str) -> Value {
     json!({"uid": uid, "jobclass": "bake", "crew": "crew", "shape": "sweep",
@@ -199,7 +199,7 @@
 fn no_objects() -> Vec<Bytes> {
     let deep = "[".repeat(30_000);
     let deep_object = "{\"uid\":".repeat(5_000);
-    let large = json!({"uid": "run-large", "text": "x".repeat(MOST_BODY)}).to_string();
+    let large = json!({"uid": "run-large", "text": "x".repeat(MAX_BODY)}).to_string();
     let out_of_range = job("run-range").to_string().replace("600.0", "1e999");
     let not_a_number = job("run-nan").to_string().replace("600.0", "NaN");
     let huge = format!(
@@ -232,7 +232,7 @@
 
 /// Asks until the answer is another than "come back": a controller that the state
 /// service refuses first has to learn that the others are served.
-async fn submit(to: SocketAddr, body: Bytes) -> Told {
+async fn submit(to: SocketAddr, body: Bytes) -> HttpResponse {
     let end = Instant::now() + Duration::from_secs(30);
     loop {
         let told = send_body(to, "/v1/jobs", body.clone()).await;
@@ -245,7 +245,7 @@
     }
 }
 
-async fn ask_until(to: SocketAddr, method: Method, path: &str) -> Told {
+async fn ask_until(to: SocketAddr, method: Method, path: &str) -> HttpResponse {
     let end = Instant::now() + Duration::from_secs(30);
     loop {
         let told = ask(to, method.clone(), path, &Value::Null).await;
@@ -353,7 +353,7 @@
 
 /// Bodies that are too large, in bytes: by a little, and by more than a connection holds
 /// on its way.
-const TOO_LARGE: [usize; 3] = [MOST_BODY + 1, 1 << 20, 4 << 20];
+const TOO_LARGE: [usize; 3] = [MAX_BODY + 1, 1 << 20, 4 << 20];
 const TRIES: usize = 20;
 
 /// Whoever sends too large a body is told so, each time. The connection was ended with
@@ -400,7 +400,7 @@
         let refused = (leader + 2) % 3;
         for (at, cut) in [(leader, false), (other, false), (refused, true)] {
             if cut {
-                world.cut_state(at, Cut::Refused);
+                world.cut_state(at, LinkFault::Refused);
             }
             let to = world.address(at);
             refuses_unknown(to, &format!("{at}")).await;
--- a/tests/cluster_states/mod.rs
+++ b/tests/cluster_states/mod.rs
@@ -32,7 +32,7 @@
         ram: 0,
     };
     let described = |(name, cpus, limit): &(&str, f64, Option<f64>)| match limit {
-        Some(most) => team(name, *cpus, *most),
+        Some(max) => team(name, *cpus, *max),
         None => Team {
             limit: none,
             ..team(name, *cpus, 0.0)
--- a/tests/edges.rs
+++ b/tests/edges.rs
@@ -10,12 +10,13 @@
 use sorrelhinge::api::read_job;
 use sorrelhinge::config::{lanes, Config, Tuning};
 use sorrelhinge::peer::{
-    listen, Answered, ForwardedHeartbeat, Heard, Kind, Message, Peers, Standing,
+    listen, Answered, ForwardedHeartbeat, Kind, Message, PeerAnnouncement, PeerRequestHandler,
+    Peers,
 };
 use sorrelhinge::shares::{encode_left, parse_left, LeftTo, Needs, Rented};
 use sorrelhinge::state::record::{
     chunk_key, chunk_size, job_key, member_key, rollout_key, shard_key, slice_key, ChunkRecord,
-    Fence, GrantRecord, JobRecord, Key, Phase,
+    GrantRecord, JobRecord, Key, Phase, ShardedGrantFence,
 };
 use sorrelhinge::state::view::{Versioned, View};
 use sorrelhinge::types::{
@@ -218,12 +219,12 @@
 /// shards are united the grant again.
 #[test]
 fn several_shards_keep_out_who_knows_one() {
-    let fence = serde_json::to_string(&Fence {
+    let mark_incompatible = serde_json::to_string(&ShardedGrantFence {
         version: 2,
         shards: 3,
     });
-    let fence = fence.expect("JSON");
-    assert!(serde_json::from_str::<GrantRecord>(&fence).is_err());
+    let mark_incompatible = mark_incompatible.expect("JSON");
+    assert!(serde_json::from_str::<GrantRecord>(&mark_incompatible).is_err());
     let write = |key: &str, value: Value, mod_revision: u64| json!({"write": key, "value": value, "stamp": mod_revision});
     let grant = |number: u64| json!({"owner": "n-0", "term": 1, "number": number});
     let owned = json!({"v": 1, "owner": "n-1", "run": 7, "term": 1, "number": 5});
@@ -355,14 +356,14 @@
 #[derive(Default)]
 struct Echo(Rc<RefCell<Vec<MachineId>>>);
 
-impl Heard for Echo {
-    fn hint(&self, _: Revision, _: &NodeId, _: Standing, _: u16) {}
+impl PeerRequestHandler for Echo {
+    fn hint(&self, _: Revision, _: &NodeId, _: PeerAnnouncement, _: u16) {}
     fn homed(&self, text: &[u8]) -> Answered {
         let text = text.to_vec();
         Answered { status: 200, text }
     }
     fn share(&self, _: Kind, _: &[u8]) {}
-    fn heard(&self, machines: &[ForwardedHeartbeat]) {
+    fn heartbeats_announced(&self, machines: &[ForwardedHeartbeat]) {
         let read = machines.iter().filter_map(ForwardedHeartbeat::read);
         self.0
             .borrow_mut()
@@ -391,14 +392,14 @@
             tokio::time::sleep(Duration::from_millis(5)).await;
         }
         for text in [b"one".to_vec(), vec![7; 60_000]] {
-            let answered = peers.pass_on(&other, Kind::Heartbeat, text.clone()).await;
+            let answered = peers.forward(&other, Kind::Heartbeat, text.clone()).await;
             assert_eq!(answered, Some(Answered { status: 200, text }));
         }
         // Heartbeats taken for the owner go in batches, each with its answer.
         let many = (0..200_u32).map(|n| {
             let (peers, other, text) = (peers.clone(), other.clone(), n.to_string().into_bytes());
             spawn_local(async move {
-                let answered = peers.pass_on(&other, Kind::Adopted, text.clone()).await;
+                let answered = peers.forward(&other, Kind::Adopted, text.clone()).await;
                 assert_eq!(answered, Some(Answered { status: 200, text }));
             })
         });
@@ -431,18 +432,18 @@
             ForwardedHeartbeat::new(&long_name, Incarnation(1), SequenceNumber(1)),
             None
         );
-        peers.heard(&other, &told);
+        peers.heartbeats_announced(&other, &told);
         while heard.borrow().len() < names.len() {
             tokio::time::sleep(Duration::from_millis(5)).await;
         }
         assert_eq!(*heard.borrow(), names);
         let nobody = NodeId::from("n-2");
         assert_eq!(
-            peers.pass_on(&nobody, Kind::Heartbeat, Vec::new()).await,
+            peers.forward(&nobody, Kind::Heartbeat, Vec::new()).await,
             None
         );
         let long = vec![0; 1 << 20];
-        assert_eq!(peers.pass_on(&other, Kind::Heartbeat, long).await, None);
+        assert_eq!(peers.forward(&other, Kind::Heartbeat, long).await, None);
         listening.abort();
     });
 }
@@ -456,7 +457,7 @@
     let chunk = record.inline.as_ref().expect("claims");
     assert!(chunk.units.is_empty() && chunk.claims.len() == 1);
     let spec = record.spec.clone().expect("a description");
-    assert_eq!(spec.clone().opened(), *spec);
+    assert_eq!(spec.clone().without_extension(), *spec);
     let written = serde_json::to_string(&record).expect("record");
     assert_eq!(written, before, "byte by byte");
     // A gang with a device, as the version before would read it.
@@ -465,16 +466,20 @@
     gang.types = Some(vec!["t".into()]);
     let wishes = r#"{"devices":[{"kind":"enc","count":1,"must":true}]}"#;
     gang.placement = Some(serde_json::from_str(wishes).expect("wishes"));
-    let sealed = serde_json::to_value(gang.clone().sealed()).expect("JSON");
-    assert_eq!(sealed["kind"], "array");
-    assert_eq!(sealed["types"], json!(["+"]), "no cloud has such a type");
-    let again: JobSpec = serde_json::from_value(sealed.clone()).expect("readable");
-    assert_eq!(again.opened(), gang);
+    let with_extension = serde_json::to_value(gang.clone().with_extension()).expect("JSON");
+    assert_eq!(with_extension["kind"], "array");
+    assert_eq!(
+        with_extension["types"],
+        json!(["+"]),
+        "no cloud has such a type"
+    );
+    let again: JobSpec = serde_json::from_value(with_extension.clone()).expect("readable");
+    assert_eq!(again.without_extension(), gang);
     // What it keeps when it writes a cancellation: then anything may be held.
-    let mut kept = sealed;
+    let mut kept = with_extension;
     kept.as_object_mut().expect("an object").remove("x");
     let lost: JobSpec = serde_json::from_value(kept).expect("readable");
-    assert!(lost.opened().placement.is_some_and(|w| w.lost));
+    assert!(lost.without_extension().placement.is_some_and(|w| w.lost));
 }
 
 /// A job's place, over all versions of its record that come by: those of the
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -62,9 +62,9 @@
         let input = Input {
             cluster_state: &cluster_state,
             types: std::slice::from_ref(&kind),
-            coming: &[],
+            pending_machines: &[],
             expected: &[],
-            lacks: &[],
+            shortfalls: &[],
             patient: &|_| true,
             boot_s: kind.boot_s,
             open: &|_, _, _| true,
--- a/tests/fleet_limits.rs
+++ b/tests/fleet_limits.rs
@@ -15,16 +15,18 @@
 use serde_json::{json, Value};
 use sorrelhinge::config::Config;
 use sorrelhinge::control::core::{Core, Places, RecoveryInput, ShardGrant};
-use sorrelhinge::peer::{listen, Answered, ForwardedHeartbeat, Heard, Kind, Peers, Standing};
+use sorrelhinge::peer::{
+    listen, Answered, ForwardedHeartbeat, Kind, PeerAnnouncement, PeerRequestHandler, Peers,
+};
 use sorrelhinge::state::history::History;
-use sorrelhinge::state::record::{drain_key, Key, GONE_SLOTS};
+use sorrelhinge::state::record::{drain_key, Key, RETIRED_MACHINE_SLOTS};
 use sorrelhinge::state::view::View;
 use sorrelhinge::state::Events;
 use sorrelhinge::types::{Image, MachineId, NodeId, Revision, Time};
 use sorrelhinge::TopologyFile;
 use sorrelhinge_emulators::place::Place;
 use sorrelhinge_emulators::store::Limits;
-use sorrelhinge_emulators::{ask, run, store, Told};
+use sorrelhinge_emulators::{ask, run, store, HttpResponse};
 use tokio::net::TcpListener;
 use tokio::sync::Notify;
 use tokio::task::spawn_local;
@@ -186,7 +188,7 @@
     let last = *owner.view.gone.keys().next_back().expect("a list");
     assert_eq!(last, 16);
     assert_eq!(Key::parse("h/gone/16"), Some(Key::DeletedMachines(16)));
-    assert_eq!(Key::parse(&format!("h/gone/{GONE_SLOTS}")), None);
+    assert_eq!(Key::parse(&format!("h/gone/{RETIRED_MACHINE_SLOTS}")), None);
 }
 
 // ---- heartbeats that are passed on between controllers -----------------------
@@ -199,15 +201,15 @@
     released: Notify,
 }
 
-impl Heard for Slow {
-    fn hint(&self, _: Revision, _: &NodeId, _: Standing, _: u16) {}
+impl PeerRequestHandler for Slow {
+    fn hint(&self, _: Revision, _: &NodeId, _: PeerAnnouncement, _: u16) {}
     fn homed(&self, text: &[u8]) -> Answered {
         Answered {
             status: 200,
             text: text.to_vec(),
         }
     }
-    fn heard(&self, _: &[ForwardedHeartbeat]) {}
+    fn heartbeats_announced(&self, _: &[ForwardedHeartbeat]) {}
     fn share(&self, _: Kind, _: &[u8]) {}
     fn answer(self: Rc<Self>, _: Kind, text: Vec<u8>) -> Pin<Box<dyn Future<Output = Answered>>> {
         self.asked.set(self.asked.get() + 1);
@@ -239,7 +241,7 @@
     let passed = (0..requests).map(|n| {
         let (peers, other, text) = (peers.clone(), other.clone(), n.to_string().into_bytes());
         spawn_local(async move {
-            let answer = peers.pass_on_within(&other, kind, text.clone(), PATIENCE);
+            let answer = peers.forward_within(&other, kind, text.clone(), PATIENCE);
             answer.await == Some(Answered { status: 200, text })
         })
     });
@@ -320,7 +322,7 @@
 }
 
 /// Asks until the controller answers with another status than 503.
-async fn asked(place: &Place, method: Method, path: &str, body: Value) -> Told {
+async fn asked(place: &Place, method: Method, path: &str, body: Value) -> HttpResponse {
     let end = Instant::now() + Duration::from_secs(40);
     loop {
         let told = ask(place.users(0), method.clone(), path, &body).await;
--- a/tests/golden_formats/peers.rs
+++ b/tests/golden_formats/peers.rs
@@ -1,6 +1,8 @@
 //! Layouts of what controllers send each other, in hexadecimal digits.
 
-use sorrelhinge::peer::{ForwardedHeartbeat, Kind, Message, Standing, LIMITS_FELL, POLLS, SHARDS};
+use sorrelhinge::peer::{
+    ForwardedHeartbeat, Kind, Message, PeerAnnouncement, LIMITS_FELL, POLLS, SHARDS,
+};
 use sorrelhinge::shares::{encode_left, parse_left, LeftTo, Needs, Rented};
 use sorrelhinge::types::{Amount, Incarnation, JobId, MachineId, SequenceNumber, TypeName, Zone};
 use sorrelhinge_sharding::shard::ShardId;
@@ -18,7 +20,7 @@
     ("cancellation", Kind::Withdraw),
     ("answer", Kind::Answer),
     ("report taken for its reader", Kind::Adopted),
-    ("machines that were heard", Kind::Heard),
+    ("machines that were heard", Kind::ForwardedHeartbeats),
     ("needs", Kind::Needs),
     ("rented machines", Kind::Rented),
     ("tasks left to a block", Kind::Left),
@@ -61,15 +63,15 @@
     let shares = [0, 1, 999, 1000];
     for bits in 0..8_u16 {
         for share in shares {
-            let standing = Standing {
+            let announcement = PeerAnnouncement {
                 helps: bits & 1 != 0,
                 crowded: bits & 2 != 0,
                 relief: bits & 4 != 0,
                 share,
             };
-            assert_eq!(Standing::parse(standing.encode()), standing);
+            assert_eq!(PeerAnnouncement::parse(announcement.encode()), announcement);
             let name = format!("{bits:03b} {share}");
-            golden.add(&name, &format!("{:04x}", standing.encode()));
+            golden.add(&name, &format!("{:04x}", announcement.encode()));
         }
     }
     for (name, flag) in [
--- a/tests/golden_formats/records.rs
+++ b/tests/golden_formats/records.rs
@@ -2,14 +2,15 @@
 
 use sorrelhinge::state::job_entry::JobEntry;
 use sorrelhinge::state::record::{
-    chunk_key, drain_key, gone_key, image_hash, job_key, member_key, rollout_key, shard_key,
-    slice_key, ChunkRecord, Fence, GoneRecord, GrantRecord, JobRecord, Key, LeaderRecord,
-    MapRecord, MemberRecord, NewJob, Phase, ShardRecord, SliceRecord, WaitsRecord, GRANT, LEADER,
-    MAP,
+    chunk_key, drain_key, image_hash, job_key, member_key, retired_machines_key, rollout_key,
+    shard_key, slice_key, ChunkRecord, GrantRecord, JobRecord, Key, LeaderRecord, MemberRecord,
+    NewJob, Phase, RetiredMachinesRecord, ShardMapRecord, ShardRecord, ShardedGrantFence,
+    SliceRecord, WaitsRecord, GRANT, LEADER, MAP,
 };
 use sorrelhinge::state::view::Versioned;
 use sorrelhinge::types::{
-    Amount, Attempt, Image, JobId, JobSpec, MachineId, NodeId, Revision, Seal, Term, TypeName,
+    Amount, Attempt, CompatibilityExtension, Image, JobId, JobSpec, MachineId, NodeId, Revision,
+    Term, TypeName,
 };
 use sorrelhinge_image_distribution::record::RolloutRecord;
 use sorrelhinge_reservations::record::CALENDAR_KEY;
@@ -30,8 +31,8 @@
     }
 }
 
-fn seal() -> Seal {
-    Seal {
+fn extension() -> CompatibilityExtension {
+    CompatibilityExtension {
         gang: true,
         types: Some(vec![TypeName::from("g8")]),
         placement: Some(Box::new(placement_rules())),
@@ -41,7 +42,7 @@
 /// A job's record with a value for each field.
 fn full(phase: Phase) -> JobRecord {
     let spec = JobSpec {
-        seal: Some(Box::new(seal())),
+        extension: Some(Box::new(extension())),
         ..described(|_| {})
     };
     JobRecord {
@@ -55,7 +56,7 @@
         waits: Some(Box::new(WaitsRecord {
             needs: vec![JobId::from("run-000410"), JobId::from("run-000411")],
             types: Some(vec![TypeName::from("g8")]),
-            seal: Some(Box::new(seal())),
+            extension: Some(Box::new(extension())),
         })),
         done_ms: Some(1_700_000_000_900),
     }
@@ -184,13 +185,13 @@
 }
 
 fn add_shards(golden: &mut Golden) {
-    let several = Fence {
+    let several = ShardedGrantFence {
         version: 1,
         shards: 3,
     };
     add_json(golden, "grant of several blocks", &several);
-    let map = MapRecord {
-        version: MapRecord::VERSION,
+    let map = ShardMapRecord {
+        version: ShardMapRecord::VERSION,
         shards: 3,
     };
     add_json(golden, "map", &map);
@@ -220,8 +221,8 @@
 }
 
 fn add_machines(golden: &mut Golden) {
-    let gone = GoneRecord {
-        version: GoneRecord::VERSION,
+    let gone = RetiredMachinesRecord {
+        version: RetiredMachinesRecord::VERSION,
         machines: vec![MachineId::from("vm-000231")],
     };
     add_json(golden, "gone machines", &gone);
@@ -274,7 +275,11 @@
             member_key(&NodeId::from("n-0")),
             Key::Member(NodeId::from("n-0")),
         ),
-        ("gone machines", gone_key(15), Key::DeletedMachines(15)),
+        (
+            "gone machines",
+            retired_machines_key(15),
+            Key::DeletedMachines(15),
+        ),
         ("drain", drain_key(3), Key::Drain(3)),
         (
             "wave",
--- a/tests/golden_formats/users.rs
+++ b/tests/golden_formats/users.rs
@@ -46,13 +46,13 @@
         spread: vec![
             Spread {
                 level: "switch".into(),
-                most: Some(1),
+                max: Some(1),
                 share: None,
                 must: true,
             },
             Spread {
                 level: "rack".into(),
-                most: None,
+                max: None,
                 share: Some(0.25),
                 must: false,
             },
@@ -63,7 +63,7 @@
         }),
         fewest: Some(Fewest {
             level: "switch".into(),
-            most: 2,
+            max: 2,
             must: true,
         }),
         devices: vec![Device {
--- a/tests/idle.rs
+++ b/tests/idle.rs
@@ -33,7 +33,7 @@
 
 /// Looks, places, and lets what was placed run.
 fn turn(cluster_state: &mut ClusterState, now: f64) {
-    cluster_state.look_at_idle(Time(now));
+    cluster_state.refresh_idle_capacity(Time(now));
     run_placed(cluster_state, now);
 }
 
--- a/tests/job_ends.rs
+++ b/tests/job_ends.rs
@@ -17,7 +17,7 @@
 const JOBS: usize = 60;
 
 async fn user(users: Users, uid: String, nth: usize) {
-    users.insist(nth, &uid, Question::Submit).await;
+    users.ask_until_answered(nth, &uid, Question::Submit).await;
     // The stand-in's time goes in steps of 25 ms: some are called off just before the
     // end, most within the milliseconds after it.
     while !users.tasks_done(&uid) {
@@ -26,10 +26,11 @@
     // Before and after the owner has heard of the end and recorded it.
     sleep(Duration::from_millis(40 * (nth as u64 % 12))).await;
     let (all, id) = (users.clone(), uid.clone());
-    let cancel = spawn_local(async move { all.insist(nth + 1, &id, Question::Cancel).await });
-    users.look_closely(&uid, 2).await;
+    let cancel =
+        spawn_local(async move { all.ask_until_answered(nth + 1, &id, Question::Cancel).await });
+    users.poll_closely(&uid, 2).await;
     cancel.await.expect("it is answered");
-    users.look_closely(&uid, 3).await;
+    users.poll_closely(&uid, 3).await;
 }
 
 #[test]
--- a/tests/lanes.rs
+++ b/tests/lanes.rs
@@ -273,8 +273,8 @@
 
 /// Looks and places: who was placed, in order.
 fn turn(cluster_state: &mut ClusterState, now: f64) -> Vec<String> {
-    cluster_state.look_at_dues(Time(now));
-    cluster_state.look_at_lanes(&lanes(), Time(now), (now * 1000.0) as u64);
+    cluster_state.refresh_due_times(Time(now));
+    cluster_state.refresh_lanes(&lanes(), Time(now), (now * 1000.0) as u64);
     let launches = cluster_state.place(RULE, Time(now));
     let ids = launches.iter().map(|l| l.task.job.to_string());
     ids.collect()
--- a/tests/late_reads.rs
+++ b/tests/late_reads.rs
@@ -14,7 +14,7 @@
 use sorrelhinge::state::Events;
 use sorrelhinge::types::{JobId, Revision};
 use sorrelhinge_emulators::place::Place;
-use sorrelhinge_emulators::{ask, run, serve, Told};
+use sorrelhinge_emulators::{ask, run, serve, HttpResponse};
 use sorrelhinge_protocol::users::read_job;
 use tokio::net::TcpListener;
 use tokio::sync::Notify;
@@ -85,7 +85,7 @@
 }
 
 impl Script {
-    async fn answer(self: Rc<Self>, path: String) -> Told {
+    async fn answer(self: Rc<Self>, path: String) -> HttpResponse {
         if path.starts_with("/keys?") {
             let nth = self.readings.get();
             self.readings.set(nth + 1);
@@ -134,7 +134,7 @@
 }
 
 /// Asks until the controller answers with another status than 503.
-async fn poll(controller: SocketAddr) -> Told {
+async fn poll(controller: SocketAddr) -> HttpResponse {
     let path = format!("/v1/jobs/{JOB}");
     let end = Instant::now() + Duration::from_secs(20);
     loop {
--- a/tests/meetings_loopback.rs
+++ b/tests/meetings_loopback.rs
@@ -13,8 +13,8 @@
 use serde_json::{json, Value};
 use sorrelhinge_emulators::history::Event;
 use sorrelhinge_emulators::nodes::{machines_of, Hold, Released};
-use sorrelhinge_emulators::store::{Fate, TransactionFault};
-use sorrelhinge_emulators::{run, Plan, Told, World, CANCEL_S};
+use sorrelhinge_emulators::store::{ScriptedOutcome, TransactionFault};
+use sorrelhinge_emulators::{run, HttpResponse, Plan, World, CANCEL_S};
 use tokio::task::{spawn_local, JoinHandle};
 use tokio::time::sleep;
 
@@ -67,14 +67,14 @@
 }
 
 /// Sends a request without waiting for its answer.
-fn send(world: &World, i: usize, path: &str, body: &Value) -> JoinHandle<Option<Told>> {
+fn send(world: &World, i: usize, path: &str, body: &Value) -> JoinHandle<Option<HttpResponse>> {
     let (recorder, to) = (world.recorder.clone(), world.address(i));
     let (path, body) = (path.to_owned(), body.clone());
     spawn_local(async move { recorder.ask(i, to, Method::POST, &path, &body).await })
 }
 
 /// Asks a controller until it answers 200 or 404, and has that.
-async fn told(world: &World, i: usize, uid: &str) -> Told {
+async fn told(world: &World, i: usize, uid: &str) -> HttpResponse {
     for _ in 0..PATIENCE_S * 10 {
         let told = world.ask_one(i, &path(uid)).await;
         if let Some(told) = told.filter(|(s, _)| [200, 404].contains(s)) {
@@ -137,11 +137,11 @@
 async fn gap(name: &str, net: u8, controllers: usize, properties: &'static str) {
     let world = begin(name, net, controllers, properties).await;
     if properties == LONG_LEASE_OF_SHARDS {
-        let shared_out = |w: &World| {
+        let assigned = |w: &World| {
             let map = w.store.borrow().get("h/map");
             map.is_some_and(|m| m["blocks"] == 3)
         };
-        world.until("three blocks", PATIENCE_S, shared_out).await;
+        world.until("three blocks", PATIENCE_S, assigned).await;
     }
     let uid = "run-000002";
     let long = json!({"pieces": 3, "guess_s": 600.0});
@@ -162,13 +162,13 @@
     let hung = machines_of(&world.nodes, uid)[0].clone();
     world.nodes.borrow_mut().hang(&hung);
     sleep(Duration::from_secs(1)).await;
-    world.nodes.borrow_mut().go_on(&hung);
+    world.nodes.borrow_mut().resume(&hung);
     let outage = Duration::from_secs_f64(CANCEL_S + 3.0);
     while world.recorder.now() < confirmed + outage {
         sleep(Duration::from_millis(100)).await;
     }
-    let breaches = world.breaches(0);
-    assert!(breaches.is_empty(), "{breaches:?}");
+    let violations = world.violations(0);
+    assert!(violations.is_empty(), "{violations:?}");
     world.store.borrow_mut().set_refused(old, false);
     world.store.borrow_mut().set_down(false);
     for i in 0..controllers {
@@ -247,7 +247,7 @@
     store.inject(TransactionFault {
         controller: Some(controller),
         value,
-        ..TransactionFault::next(Fate::AnswerLost, JOBS)
+        ..TransactionFault::next(ScriptedOutcome::AnswerLost, JOBS)
     });
 }
 
@@ -294,7 +294,7 @@
         world.store.borrow_mut().inject(TransactionFault {
             controller: Some(controller),
             value,
-            ..TransactionFault::next(Fate::Late, JOBS)
+            ..TransactionFault::next(ScriptedOutcome::Late, JOBS)
         });
     };
     let held = |n: usize| move |w: &World| w.store.borrow().late() == n;
--- a/tests/overload.rs
+++ b/tests/overload.rs
@@ -288,9 +288,13 @@
                 .clone()
         };
         let starts = world.nodes.borrow().starts;
-        world.nodes.borrow_mut().turned_away.insert(on.clone());
+        world
+            .nodes
+            .borrow_mut()
+            .rejected_connections
+            .insert(on.clone());
         sleep(Duration::from_secs_f64(LEASE_S - 2.0 * HEARTBEAT_S)).await;
-        world.nodes.borrow_mut().turned_away.clear();
+        world.nodes.borrow_mut().rejected_connections.clear();
         world
             .until("the task is done", 20, |w| w.done("run-000001", 1))
             .await;
--- a/tests/peer_transfer.rs
+++ b/tests/peer_transfer.rs
@@ -90,7 +90,7 @@
 }
 
 impl Origin {
-    const MOST: usize = 4;
+    const MAX: usize = 4;
     const PIECE: usize = 16 << 10;
 
     async fn start(tar: Vec<u8>) -> Rc<Self> {
@@ -130,7 +130,7 @@
                 stream.write_all(&self.checksums).await?;
                 continue;
             }
-            if self.busy.get() >= Self::MOST {
+            if self.busy.get() >= Self::MAX {
                 self.head(&mut stream, "503 busy\r\nretry-after: 1", 0)
                     .await?;
                 continue;
--- a/tests/pipelines_loopback.rs
+++ b/tests/pipelines_loopback.rs
@@ -9,7 +9,7 @@
 
 use hyper::Method;
 use serde_json::{json, Value};
-use sorrelhinge_emulators::store::{Fate, Limits, TransactionFault};
+use sorrelhinge_emulators::store::{Limits, ScriptedOutcome, TransactionFault};
 use sorrelhinge_emulators::{run, Plan, World, CANCEL_S};
 use tokio::time::{sleep, Instant};
 
@@ -179,7 +179,7 @@
             );
             let body = world.job(&root, json!({"guess_s": 30.0}));
             if n % 5 == 4 {
-                let lost = TransactionFault::next(Fate::AnswerLost, "h/job/run-r");
+                let lost = TransactionFault::next(ScriptedOutcome::AnswerLost, "h/job/run-r");
                 world.store.borrow_mut().inject(lost);
             }
             let mut accepted = None;
--- a/tests/place_model.rs
+++ b/tests/place_model.rs
@@ -59,8 +59,8 @@
     m.usable = rng.random_bool(0.9);
     m.slow = rng.random_bool(0.1);
     m.retiring = rng.random_bool(0.1);
-    let most = m.kind.total.cpu / 1000;
-    let used = rng.random_range(0..=most) as f64;
+    let max = m.kind.total.cpu / 1000;
+    let used = rng.random_range(0..=max) as f64;
     m.used = Amount::new(used, 0.0, used * rng.random_range(1.0..4.0));
     if !m.spot && rng.random_bool(0.3) {
         m.kept = Amount::new(2.0, 0.0, 4.0);
@@ -95,7 +95,7 @@
         save_s: 0.0,
         deadline_s: rng.random_bool(0.5).then(|| f64::from(10 * n + 20)),
         placement: None,
-        seal: None,
+        extension: None,
     };
     let mut avoid = BTreeMap::new();
     if rng.random_bool(0.2) {
@@ -150,7 +150,7 @@
     /// Encoders that are in order and not held.
     encoders: BTreeMap<MachineId, u32>,
     /// The most tasks of a job on a switch, and whether that is required.
-    most: BTreeMap<JobId, (u32, bool)>,
+    max: BTreeMap<JobId, (u32, bool)>,
     /// Jobs that need an encoder, and whether they can't do without.
     need: BTreeMap<JobId, bool>,
     had_any: BTreeSet<MachineId>,
@@ -197,15 +197,15 @@
         for (id, job) in jobs {
             let mut wishes = PlacementRules::default();
             if rng.random_bool(0.4) {
-                let (most, must) = (rng.random_range(1..3), rng.random_bool(0.5));
+                let (max, must) = (rng.random_range(1..3), rng.random_bool(0.5));
                 wishes.spread.push(Spread {
                     level: "switch".into(),
-                    most: Some(most),
+                    max: Some(max),
                     share: None,
                     must,
                 });
-                if most < job.spec.tasks {
-                    sites.most.insert(id.clone(), (most, must));
+                if max < job.spec.tasks {
+                    sites.max.insert(id.clone(), (max, must));
                 }
             }
             if rng.random_bool(0.3) {
@@ -227,12 +227,12 @@
     /// Whether a job's wishes allow one more of its tasks on a machine; `all`:
     /// those that are only preferred too.
     fn allow(&self, id: &JobId, there: &[MachineId], m: &MachineId, all: bool) -> bool {
-        if let Some((most, must)) = self.most.get(id) {
+        if let Some((max, must)) = self.max.get(id) {
             let switch = |m: &MachineId| Some(&self.path[m]).filter(|p| p.contains('/'));
             let here = there
                 .iter()
                 .filter(|t| switch(t).is_none() || switch(t) == switch(m));
-            let free = switch(m).is_some() && (here.count() as u32) < *most;
+            let free = switch(m).is_some() && (here.count() as u32) < *max;
             if (*must || all) && !free {
                 return false;
             }
@@ -244,7 +244,7 @@
     }
 
     fn prefers(&self, id: &JobId) -> bool {
-        self.most.get(id).is_some_and(|(_, must)| !must)
+        self.max.get(id).is_some_and(|(_, must)| !must)
             || self.need.get(id).is_some_and(|must| !must)
     }
 }
@@ -540,7 +540,7 @@
     for seed in 0..400 {
         let (mut cluster_state, mut model) = generate(seed);
         for now in [1.0, 2.0, 3.5, 8.0, 40.0] {
-            cluster_state.look_at_dues(Time(now));
+            cluster_state.refresh_due_times(Time(now));
             let real: Vec<(JobId, MachineId)> = cluster_state
                 .place(RULE, Time(now))
                 .into_iter()
@@ -584,7 +584,7 @@
     let mut trace = Trace::default();
     let mut launched = Vec::new();
     for now in [1.0, 2.0, 3.5, 8.0] {
-        cluster_state.look_at_dues(Time(now));
+        cluster_state.refresh_due_times(Time(now));
         let launches = cluster_state.place(RULE, Time(now));
         launched.extend(fold_launches(&mut trace, now, launches));
     }
@@ -732,7 +732,7 @@
         let mut m = Machine::new(kinds[0].clone(), Zone::from("za"), false, Time(0.0));
         m.usable = true;
         cluster_state.add_machine(id.clone(), m);
-        cluster_state.look_at_dues(Time(now));
+        cluster_state.refresh_due_times(Time(now));
         cluster_state.place(RULE, Time(now))[0].task.job.clone()
     };
     assert_eq!(first_at(61.0), JobId::from("run-0"), "it still makes it");
--- a/tests/polls.rs
+++ b/tests/polls.rs
@@ -10,7 +10,7 @@
 
 use hyper::Method;
 use serde_json::{json, Value};
-use sorrelhinge_emulators::lines::Cut;
+use sorrelhinge_emulators::lines::LinkFault;
 use sorrelhinge_emulators::{ask, run, Plan, World};
 use tokio::task::spawn_local;
 use tokio::time::sleep;
@@ -34,7 +34,7 @@
         let to = world.address(slow);
         // By job: answers that told it to come back since one that did not.
         let mut in_a_row: BTreeMap<&str, u32> = BTreeMap::new();
-        let (mut shed, mut most) = (0, 0);
+        let (mut shed, mut max) = (0, 0);
         let begun = Instant::now();
         while shed < 2 * JOBS && begun.elapsed() < Duration::from_secs(90) {
             world.freeze_controller(slow, true);
@@ -55,7 +55,7 @@
                     Some((503, why)) if why["error"] == "too much is asked for now" => {
                         *refused += 1;
                         shed += 1;
-                        most = most.max(*refused);
+                        max = max.max(*refused);
                     }
                     Some((503, _)) => {}
                     _ => *refused = 0,
@@ -63,7 +63,7 @@
             }
         }
         assert!(shed >= 2 * JOBS, "polls were shed: {}", shed);
-        assert_eq!(most, 1, "refusals of a job in a row");
+        assert_eq!(max, 1, "refusals of a job in a row");
     });
 }
 
@@ -97,7 +97,7 @@
             sleep(Duration::from_millis(100)).await;
         }
         sleep(Duration::from_secs(2)).await;
-        for how in [Cut::Refused, Cut::Held] {
+        for how in [LinkFault::Refused, LinkFault::Held] {
             world.cut_state(cut, how);
             let mut missed = 0;
             for _ in 0..6 {
--- a/tests/production_records.rs
+++ b/tests/production_records.rs
@@ -6,8 +6,8 @@
 use serde_json::{json, Value};
 use sorrelhinge::api::read_job;
 use sorrelhinge::state::record::{
-    ChunkRecord, GoneRecord, GrantRecord, JobRecord, LeaderRecord, MapRecord, MemberRecord, NewJob,
-    Phase, SliceRecord,
+    ChunkRecord, GrantRecord, JobRecord, LeaderRecord, MemberRecord, NewJob, Phase,
+    RetiredMachinesRecord, ShardMapRecord, SliceRecord,
 };
 use sorrelhinge::types::{JobId, JobSpec};
 
@@ -63,9 +63,9 @@
     unchanged::<ChunkRecord>(CHUNK);
     unchanged::<LeaderRecord>(LEADER);
     unchanged::<GrantRecord>(GRANT);
-    unchanged::<MapRecord>(MAP);
+    unchanged::<ShardMapRecord>(MAP);
     unchanged::<SliceRecord>(SLICE);
-    unchanged::<GoneRecord>(GONE);
+    unchanged::<RetiredMachinesRecord>(GONE);
     unchanged::<MemberRecord>(MEMBER);
 }
 
--- a/tests/reserved_capacity.rs
+++ b/tests/reserved_capacity.rs
@@ -10,7 +10,7 @@
 
 use serde_json::json;
 use sorrelhinge::api::read_job;
-use sorrelhinge::fleet::{plan, Coming, Input, Lack, Plan};
+use sorrelhinge::fleet::{plan, Input, PendingMachine, Plan, Shortfall};
 use sorrelhinge::sched::{ClusterState, DelayRule, Job, Lending, Machine, Reservation, Tasks};
 use sorrelhinge::types::{Amount, JobId, JobSpec, MachineId, MachineType, Time, Zone};
 use sorrelhinge_reservations::settings::Window;
@@ -142,34 +142,36 @@
 fn it_is_spread_over_zones_and_rented_once() {
     let mut cluster_state = cluster_state(100.0, 1);
     hold(&mut cluster_state, &["za", "zb"], -1.0);
-    let lacking: Vec<u32> = cluster_state
-        .lacking("drop")
+    let missing_tasks: Vec<u32> = cluster_state
+        .missing_tasks("drop")
         .iter()
         .map(|(_, n)| *n)
         .collect();
-    assert_eq!((held(&cluster_state).len(), lacking), (1, vec![0, 1]));
+    assert_eq!((held(&cluster_state).len(), missing_tasks), (1, vec![0, 1]));
     // A job of the window's that waits is not rented for beside its hold.
     place(&mut cluster_state, "r-1", 0, "bake", 2, 500.0);
     hold(&mut cluster_state, &["za", "zb"], -1.0);
-    let mut lack = spec("red", "bake", 1, 500.0);
-    lack.zone = Some(Zone::from("zb"));
-    let lacks = [Lack {
+    let mut shortfall = spec("red", "bake", 1, 500.0);
+    shortfall.zone = Some(Zone::from("zb"));
+    let shortfalls = [Shortfall {
         window: "drop".into(),
-        spec: Rc::new(lack),
+        spec: Rc::new(shortfall),
         tasks: 1,
     }];
-    let one = Coming {
+    let one = PendingMachine {
         kind: kind(),
         zone: Zone::from("zb"),
         spot: false,
     };
-    let plan_of = |cluster_state: &ClusterState, lacks: &[Lack], coming: &[Coming]| {
+    let plan_of = |cluster_state: &ClusterState,
+                   shortfalls: &[Shortfall],
+                   pending_machines: &[PendingMachine]| {
         let input = Input {
             cluster_state,
             types: &[kind()],
-            coming,
+            pending_machines,
             expected: &[],
-            lacks,
+            shortfalls,
             patient: &|_| false,
             boot_s: 10.0,
             open: &|_, _, _| true,
@@ -180,12 +182,12 @@
     let rented = |plan: &Plan| plan.rent.iter().map(|w| w.count).sum::<u32>();
     let mut idle = self::cluster_state(100.0, 1);
     hold(&mut idle, &["za", "zb"], -1.0);
-    let first = plan_of(&idle, &lacks, &[]);
+    let first = plan_of(&idle, &shortfalls, &[]);
     assert_eq!(rented(&first), 1);
     assert!(first.unused.is_empty(), "a machine with held room stays");
-    let second = plan_of(&idle, &lacks, &[one]);
+    let second = plan_of(&idle, &shortfalls, &[one]);
     assert_eq!(rented(&second), 0, "it is on its way");
-    assert_eq!(second.coming["drop"], 1);
+    assert_eq!(second.pending_machines["drop"], 1);
     let waits = plan_of(&cluster_state, &[], &[]);
     assert_eq!(rented(&waits), 1, "one task runs, one waits");
 }
--- a/tests/rules/commands.rs
+++ b/tests/rules/commands.rs
@@ -19,7 +19,7 @@
     let mut world = World::new(7);
     let (at, task_name) = cancelled_task(&mut world);
     for _ in 0..5 {
-        world.take_over();
+        world.begin_leadership();
         let heartbeat = world.workers[at].heartbeat();
         let Owner { core, view, .. } = world.owners.last_mut().expect("an owner");
         assert!(core.heartbeat(&heartbeat, Source::Heartbeat, Time(world.now)));
@@ -78,7 +78,7 @@
 fn an_owner_that_knows_no_machine_types_kills_cancelled_tasks_all_the_same() {
     let mut world = World::new(7);
     let (at, task_name) = cancelled_task(&mut world);
-    world.take_over();
+    world.begin_leadership();
     let heartbeat = world.workers[at].heartbeat();
     let running = heartbeat.tasks.iter().any(|p| p.task_name == task_name);
     assert!(running, "{task_name} is reported");
@@ -111,7 +111,7 @@
 fn an_answer_has_the_kill_though_a_direct_command_had_it_a_moment_ago() {
     let mut world = World::new(7);
     let (at, task_name) = cancelled_task(&mut world);
-    world.take_over();
+    world.begin_leadership();
     let heartbeat = world.workers[at].heartbeat();
     let now = Time(world.now);
     let Owner { core, view, .. } = world.owners.last_mut().expect("an owner");
@@ -185,10 +185,10 @@
     let mut world = World::new(1);
     claim_recorded(&mut world);
     let Owner { core, view, .. } = &mut world.owners[0];
-    core.may_start_until(Time(2.0), Time(2.0));
+    core.allow_starts_until(Time(2.0), Time(2.0));
     assert!(core.dispatch(view, Time(2.0)).is_empty());
     assert!(core.dispatch(view, Time(60.0)).is_empty());
-    core.may_start_until(Time(66.0), Time(60.0));
+    core.allow_starts_until(Time(66.0), Time(60.0));
     let sends = core.dispatch(view, Time(60.0));
     let commands = sends.iter().flat_map(|s| &s.commands.commands);
     assert_eq!(
@@ -230,15 +230,15 @@
         Some(Sent::Flying),
         "absent, but the start may still come"
     );
-    let fence = core
+    let mark_incompatible = core
         .dispatch(view, Time(9.0))
         .pop()
         .expect("the raised token goes out");
     assert!(
-        fence.commands.fencing_fencing_token.0 > w.fencing_token
-            && fence.commands.commands.is_empty()
+        mark_incompatible.commands.fencing_fencing_token.0 > w.fencing_token
+            && mark_incompatible.commands.commands.is_empty()
     );
-    w.fencing_token = fence.commands.fencing_fencing_token.0;
+    w.fencing_token = mark_incompatible.commands.fencing_fencing_token.0;
     core.dispatched(&id, Sending::NotSent, Time(9.0));
     core.heartbeat(&w.heartbeat(), Source::Heartbeat, Time(10.0));
     assert_eq!(
--- a/tests/rules/decision_trace.rs
+++ b/tests/rules/decision_trace.rs
@@ -33,8 +33,8 @@
     world.pipelines = seed % 5 == 4;
     // The first owners have begun without all that.
     match world.of {
-        1 => world.take_over(),
-        of => (0..of).for_each(|shard| world.take_over_shard(shard)),
+        1 => world.begin_leadership(),
+        of => (0..of).for_each(|shard| world.begin_shard_ownership(shard)),
     }
     world
 }
--- a/tests/rules/faults.rs
+++ b/tests/rules/faults.rs
@@ -6,7 +6,7 @@
 use rand::Rng;
 use serde_json::Value;
 use sorrelhinge::control::core::Source;
-use sorrelhinge::control::vouching::vouches;
+use sorrelhinge::control::vouching::may_renew_for_owner;
 use sorrelhinge::state::record::job_key;
 use sorrelhinge::state::view::View;
 use sorrelhinge::types::{JobId, Time};
@@ -168,7 +168,7 @@
         self.faults.late_txns = later;
         for late in due {
             let done = self.store.transact(&late.transaction);
-            let applied = matches!(done, sorrelhinge::state::Outcome::Done(_));
+            let applied = matches!(done, sorrelhinge::state::TransactionOutcome::Done(_));
             self.faults.late_applied += usize::from(applied);
         }
         let helper = &mut self.faults.helper;
@@ -184,7 +184,10 @@
         let may = helper
             .freshness
             .may_answer_workers(Time(self.now), LEASE_S, CANCEL_S);
-        if may && vouches(&helper.view, heartbeat) && self.workers[at].deaf_until <= self.now {
+        if may
+            && may_renew_for_owner(&helper.view, heartbeat)
+            && self.workers[at].silence_ignored_until <= self.now
+        {
             self.workers[at].renewed = self.now;
             self.faults.renewed += 1;
         }
--- a/tests/rules/invariants.rs
+++ b/tests/rules/invariants.rs
@@ -29,10 +29,10 @@
             .collect();
         let job = piece_job(&self.jobs, task_name);
         let device = &job["topology"]["devices"][0];
-        let most = usize::from(!device.is_null());
+        let max = usize::from(!device.is_null());
         let least = usize::from(device["must"] == true);
         assert!(
-            (least..=most).contains(&names.len()),
+            (least..=max).contains(&names.len()),
             "{task_name} on {}: {names:?} of {device}",
             w.id
         );
@@ -102,9 +102,9 @@
             );
             here += u64::from(other.zone == w.zone);
         }
-        let most = job["pieces"].as_u64().expect("pieces").div_ceil(2);
+        let max = job["pieces"].as_u64().expect("pieces").div_ceil(2);
         assert!(
-            job["spread"] == false || here < most,
+            job["spread"] == false || here < max,
             "wrong_place: {task_name} not spread"
         );
         if let Some(at) = self.cancelled.get(id) {
--- a/tests/rules/meetings/cancellation.rs
+++ b/tests/rules/meetings/cancellation.rs
@@ -96,7 +96,7 @@
         world.cut_owners(CANCEL_S + 40.0);
         world.faults.to_first = true;
         for _ in 0..world.of {
-            world.take_over();
+            world.begin_leadership();
         }
         world.run_for(1.0);
         world.confirm_all_cancelled();
--- a/tests/rules/meetings/cancellation_apart.rs
+++ b/tests/rules/meetings/cancellation_apart.rs
@@ -1,7 +1,7 @@
 //! Cancellations while owners, workers and their helpers are apart.
 
 use serde_json::json;
-use sorrelhinge::control::vouching::vouches;
+use sorrelhinge::control::vouching::may_renew_for_owner;
 use sorrelhinge::state::view::View;
 use sorrelhinge::types::{JobId, Revision};
 
@@ -42,15 +42,21 @@
     view.replace(Revision(0), Vec::new());
     assert!(world.store.follow(&mut view));
     assert!(view.job(&JobId::from(&*uid)).is_some());
-    assert!(vouches(&view, &heartbeat), "a live job's start may arrive");
+    assert!(
+        may_renew_for_owner(&view, &heartbeat),
+        "a live job's start may arrive"
+    );
     record["p"] = json!("c");
     world.store.write(&key, record.clone());
     assert!(world.store.follow(&mut view));
-    assert!(!vouches(&view, &heartbeat), "it may arrive late");
+    assert!(
+        !may_renew_for_owner(&view, &heartbeat),
+        "it may arrive late"
+    );
     record["i"] = json!({"a": 2, "d": 0, "c": []});
     world.store.write(&key, record);
     assert!(world.store.follow(&mut view));
-    assert!(vouches(&view, &heartbeat), "provably gone");
+    assert!(may_renew_for_owner(&view, &heartbeat), "provably gone");
 }
 
 /// Every team is at its limit; jobs are cancelled whose machines are cut off or hang;
@@ -75,7 +81,7 @@
         }
         world.run_for(1.0);
         for _ in 0..3 {
-            world.take_over();
+            world.begin_leadership();
             world.run_for(7.0);
         }
     });
--- a/tests/rules/meetings/capacity.rs
+++ b/tests/rules/meetings/capacity.rs
@@ -27,7 +27,7 @@
                 day.cancel(&id);
             }
             if n % 40 == 39 {
-                day.world.take_over();
+                day.world.begin_leadership();
             }
         }
         assert!(day.world.started > 20, "seed {seed}: {}", day.world.started);
@@ -67,7 +67,7 @@
                 }
             }
             if n == 120 {
-                day.world.take_over();
+                day.world.begin_leadership();
             }
         }
         assert!(day.world.started > 40, "seed {seed}: {}", day.world.started);
@@ -99,7 +99,7 @@
             }
             day.late_commands = 0.1;
             if n % 80 == 79 {
-                day.world.take_over();
+                day.world.begin_leadership();
             }
             day.step();
         }
@@ -150,14 +150,14 @@
         day.world.owners.clear();
         for shard in 0..shards {
             match shards {
-                1 => day.world.take_over(),
-                _ => day.world.take_over_shard(shard),
+                1 => day.world.begin_leadership(),
+                _ => day.world.begin_shard_ownership(shard),
             }
         }
         day.writes = 3;
         day.run(10.0);
         assert!(day.world.started > before, "seed {seed}: nothing started");
-        day.world.take_over();
+        day.world.begin_leadership();
         day.settle(300.0);
     }
 }
--- a/tests/rules/meetings/completion.rs
+++ b/tests/rules/meetings/completion.rs
@@ -2,7 +2,7 @@
 
 use serde_json::json;
 use sorrelhinge::control::core::Batch;
-use sorrelhinge::state::Outcome;
+use sorrelhinge::state::TransactionOutcome;
 use sorrelhinge::types::Time;
 use sorrelhinge_sharding::shard::ShardId;
 
@@ -49,7 +49,7 @@
             // Its process stands still through the grant, and goes on.
             let at = day.world.owners.iter().rposition(of).expect("its owner");
             day.world.owners[at].paused_until = day.world.now + 1.0;
-            day.world.take_over_shard(shard.0);
+            day.world.begin_shard_ownership(shard.0);
             cancel(&mut day, &mut next);
             day.run(3.0);
         }
@@ -82,8 +82,8 @@
                 day.world.owners.clear();
                 for shard in 0..shards {
                     match shards {
-                        1 => day.world.take_over(),
-                        _ => day.world.take_over_shard(shard),
+                        1 => day.world.begin_leadership(),
+                        _ => day.world.begin_shard_ownership(shard),
                     }
                 }
             }
@@ -128,7 +128,7 @@
         if transaction.to_string().contains(r#""p":"d""#) {
             return (day, id, batch);
         }
-        if let Outcome::Done(revision) = day.world.store.transact(&transaction) {
+        if let TransactionOutcome::Done(revision) = day.world.store.transact(&transaction) {
             o.core.committed(batch, revision, &mut o.view, now);
         }
     }
@@ -144,14 +144,14 @@
         let transaction = serde_json::to_value(&batch.transaction).expect("txn");
         assert!(matches!(
             day.world.store.transact(&transaction),
-            Outcome::Failed(_)
+            TransactionOutcome::Failed(_)
         ));
         day.world.owners[0].pending = Some(batch);
         day.writes = 3;
         day.run(10.0);
         assert_eq!(day.phase(&id), "c");
         assert_eq!(day.world.starts_of[&id], 2, "seed {seed}: started again");
-        day.world.take_over();
+        day.world.begin_leadership();
         day.settle(30.0);
         assert_eq!(day.phase(&id), "c");
     }
@@ -169,13 +169,16 @@
         let transaction = serde_json::to_value(&batch.transaction).expect("txn");
         assert!(matches!(
             day.world.store.transact(&transaction),
-            Outcome::Done(_)
+            TransactionOutcome::Done(_)
         ));
         record["p"] = json!("c");
         let on = |mod_revision: u64| json!({"when": [{"key": key, "stamp": mod_revision}], "apply": [{"write": key, "value": record}]});
         for stale in [mod_revision, 0] {
             let outcome = day.world.store.transact(&on(stale));
-            assert!(matches!(outcome, Outcome::Failed(_)), "seed {seed}");
+            assert!(
+                matches!(outcome, TransactionOutcome::Failed(_)),
+                "seed {seed}"
+            );
         }
         // Its answer was lost: it is tried again.
         day.world.owners[0].pending = Some(batch);
@@ -183,7 +186,7 @@
         day.cancel(&id);
         day.run(10.0);
         assert_eq!(day.phase(&id), "d");
-        day.world.take_over();
+        day.world.begin_leadership();
         day.settle(30.0);
         assert_eq!(day.phase(&id), "d");
         assert_eq!(day.world.starts_of[&id], 2, "seed {seed}: started again");
--- a/tests/rules/meetings/day.rs
+++ b/tests/rules/meetings/day.rs
@@ -129,7 +129,7 @@
         self.hung.clear();
         self.mute.clear();
         for w in &mut self.world.workers {
-            (w.silent_until, w.deaf_until) = (0.0, 0.0);
+            (w.silent_until, w.silence_ignored_until) = (0.0, 0.0);
         }
         let until = self.world.now + seconds;
         while self.world.now < until {
@@ -232,7 +232,7 @@
         let fencing_fencing_token = reply["baton"].as_u64().expect("baton");
         let lost = self.world.rng.random_bool(self.lost_answers);
         let w = &mut self.world.workers[at];
-        if lost || w.deaf_until > now.0 || fencing_fencing_token < w.fencing_token {
+        if lost || w.silence_ignored_until > now.0 || fencing_fencing_token < w.fencing_token {
             return;
         }
         (w.fencing_token, w.renewed) = (fencing_fencing_token, now.0);
@@ -256,7 +256,7 @@
             let changed = o.view.take_changed();
             o.core.jobs_changed(&o.view, &changed, now, 0);
             if scope.is_part() {
-                o.core.look_at_limits(&o.view);
+                o.core.refresh_quotas(&o.view);
                 o.core.still_granted(&o.view);
             }
         }
@@ -284,7 +284,7 @@
             return Way::Closed;
         };
         let other_side = self.apart.is_some_and(|zone| alone != (w.zone == zone));
-        if w.silent_until.max(w.deaf_until) > now || other_side {
+        if w.silent_until.max(w.silence_ignored_until) > now || other_side {
             return Way::Closed;
         }
         if self.world.rng.random_bool(self.late_commands) {
--- a/tests/rules/meetings/leadership.rs
+++ b/tests/rules/meetings/leadership.rs
@@ -16,11 +16,11 @@
             world.short_jobs(4);
             world.run_for(1.0);
             for _ in 0..world.of {
-                world.take_over();
+                world.begin_leadership();
             }
             world.run_for(1.0);
             world.keep_heartbeats();
-            world.take_over();
+            world.begin_leadership();
             world.run_for(2.0);
             world.owners.clear();
             world.run_for(1.0);
@@ -42,7 +42,7 @@
             for o in &mut world.owners {
                 o.paused_until = world.now + STEP_S + pause_s;
             }
-            world.take_over();
+            world.begin_leadership();
             world.run_for(1.5);
         }
         world.faults.held_part = 0.0;
@@ -56,7 +56,7 @@
         world.fill_red();
         for round in 0..10 {
             world.short_jobs(1);
-            world.take_over();
+            world.begin_leadership();
             world.run_for(2.0);
             if round % 3 == 0 {
                 world.cut_owners(3.0);
--- a/tests/rules/meetings/leadership_late.rs
+++ b/tests/rules/meetings/leadership_late.rs
@@ -24,7 +24,7 @@
         world.deliver_copies();
         world.run_for(2.0);
         for at in 0..4 {
-            world.workers[at].deaf_until = world.now + LEASE_S + 4.0;
+            world.workers[at].silence_ignored_until = world.now + LEASE_S + 4.0;
         }
         world.run_for(LEASE_S + 6.0);
         for _ in 0..5 {
@@ -47,7 +47,7 @@
         let held = std::mem::take(&mut world.faults.kept);
         world.faults.kept = held.clone();
         for _ in 0..world.of {
-            world.take_over();
+            world.begin_leadership();
             world.deliver_copies();
         }
         world.run_for(3.0);
@@ -69,7 +69,7 @@
         world.fill_red();
         world.short_jobs(4);
         world.run_for(6.0);
-        world.take_over();
+        world.begin_leadership();
         world.run_for(6.0);
         let first = world.jobs.keys().next().cloned().expect("a job");
         world.confirm_cancelled(&first);
@@ -89,7 +89,7 @@
         for _ in 0..4 {
             world.fill_red();
             for _ in 0..world.of {
-                world.take_over();
+                world.begin_leadership();
             }
             world.faults.held_part = 0.0;
             world.run_for(6.0);
--- a/tests/rules/meetings/out_of_reach.rs
+++ b/tests/rules/meetings/out_of_reach.rs
@@ -43,7 +43,7 @@
             for _ in 0..50 {
                 world.step(false);
             }
-            world.take_over();
+            world.begin_leadership();
             world.confirm_cancelled("run-000001");
             // A release waits up to 12 s for company, and until it is recorded nobody
             // vouches for the machine in its owner's stead.
@@ -83,7 +83,7 @@
         }
         day.apart = Some("zb");
         let former = day.world.owners.len();
-        day.world.take_over();
+        day.world.begin_leadership();
         day.cancel(&services[0]);
         day.run(CANCEL_S - LEASE_S - 5.0);
         day.pause_first(former, 2.0 * LEASE_S);
--- a/tests/rules/meetings/partition.rs
+++ b/tests/rules/meetings/partition.rs
@@ -24,8 +24,8 @@
     day.run(seconds);
     for shard in 0..shards {
         match shards {
-            1 => day.world.take_over(),
-            _ => day.world.take_over_shard(shard),
+            1 => day.world.begin_leadership(),
+            _ => day.world.begin_shard_ownership(shard),
         }
     }
 }
@@ -45,8 +45,8 @@
         day.run(2.0);
         for shard in 0..shards {
             match shards {
-                1 => day.world.take_over(),
-                _ => day.world.take_over_shard(shard),
+                1 => day.world.begin_leadership(),
+                _ => day.world.begin_shard_ownership(shard),
             }
         }
         day.cancel("run-000000");
@@ -78,7 +78,7 @@
             }
             day.run(1.0);
             if n == 12 {
-                day.world.take_over();
+                day.world.begin_leadership();
             }
         }
         day.settle(240.0);
@@ -124,7 +124,7 @@
             match n % 3 {
                 0 => w.expect("the worker").silent_until = until,
                 1 => drop(day.hung.insert(id.clone(), until)),
-                _ => w.expect("the worker").deaf_until = until,
+                _ => w.expect("the worker").silence_ignored_until = until,
             }
         }
         let next = day.submit(10, json!({"crew": "red"}));
@@ -134,12 +134,12 @@
         day.world.owners.clear();
         for shard in 0..shards {
             match shards {
-                1 => day.world.take_over(),
-                _ => day.world.take_over_shard(shard),
+                1 => day.world.begin_leadership(),
+                _ => day.world.begin_shard_ownership(shard),
             }
         }
         day.run(15.0);
-        day.world.take_over();
+        day.world.begin_leadership();
         day.run(30.0);
         day.settle(240.0);
     }
@@ -161,7 +161,7 @@
                 let w = day.world.workers.iter_mut().find(|w| w.id == id);
                 match n % 3 {
                     0 => w.expect("the worker").silent_until = until,
-                    1 => w.expect("the worker").deaf_until = until,
+                    1 => w.expect("the worker").silence_ignored_until = until,
                     _ => drop(day.hung.insert(id, until)),
                 }
             }
@@ -170,7 +170,7 @@
                 day.submit(4, json!({}));
                 day.run(2.0);
             }
-            day.world.take_over();
+            day.world.begin_leadership();
             day.run(seconds);
             day.settle(300.0);
         }
@@ -200,7 +200,7 @@
                 day.cancel(&id);
             }
             if n % 50 == 49 {
-                day.world.take_over();
+                day.world.begin_leadership();
             }
             day.step();
         }
--- a/tests/rules/mistaken.rs
+++ b/tests/rules/mistaken.rs
@@ -33,7 +33,7 @@
     let (_, right) = &world.store.keys["h/job/run-000010"];
     assert_eq!(right["p"], "d", "what is not mistaken ends meanwhile");
     assert_eq!(world.starts_of["run-000010"], 40);
-    world.take_over();
+    world.begin_leadership();
     for _ in 0..40 {
         world.step(false);
     }
--- a/tests/rules/recording.rs
+++ b/tests/rules/recording.rs
@@ -6,7 +6,7 @@
 
 use serde_json::json;
 use sorrelhinge::control::core::{Core, Places, RecoveryInput, ShardGrant};
-use sorrelhinge::control::pending::{Due, Haste, Pending};
+use sorrelhinge::control::pending::{Pending, PendingWrite, WritePriority};
 use sorrelhinge::shares::LeftTo;
 use sorrelhinge::state::record::chunk_key;
 use sorrelhinge::state::Transaction;
@@ -58,23 +58,26 @@
     let chunk = |n: u32| (JobId::from(format!("run-{n:04}").as_str()), 0);
     let mut pending = Pending::default();
     for n in 0..100 {
-        pending.claimed(chunk(n), Haste::Idle, sort("ping"), Time(0.0));
-        pending.finished(chunk(100 + n).0, Haste::Idle, Time(0.0));
+        pending.claimed(chunk(n), WritePriority::Idle, sort("ping"), Time(0.0));
+        pending.finished(chunk(100 + n).0, WritePriority::Idle, Time(0.0));
     }
-    pending.claimed(chunk(300), Haste::Usual, sort("check"), Time(1.0));
-    pending.finished(chunk(301).0, Haste::Usual, Time(1.0));
+    pending.claimed(chunk(300), WritePriority::Usual, sort("check"), Time(1.0));
+    pending.finished(chunk(301).0, WritePriority::Usual, Time(1.0));
     let taken = [(); 3].map(|()| pending.take(false, Time(1.0)));
-    assert!(taken.contains(&Some(Due::Chunk(chunk(300)))), "{taken:?}");
     assert!(
-        taken.contains(&Some(Due::Finished(chunk(301).0))),
+        taken.contains(&Some(PendingWrite::Chunk(chunk(300)))),
+        "{taken:?}"
+    );
+    assert!(
+        taken.contains(&Some(PendingWrite::Finished(chunk(301).0))),
         "{taken:?}"
     );
     let mut idle = 0;
     for n in 0..40 {
         let now = Time(10.0 + f64::from(n) * 0.1);
-        pending.claimed(chunk(1000 + n), Haste::Usual, sort("check"), now);
+        pending.claimed(chunk(1000 + n), WritePriority::Usual, sort("check"), now);
         let due = pending.take(false, now);
-        idle += usize::from(matches!(due, Some(Due::Chunk(c)) if c < chunk(100)));
+        idle += usize::from(matches!(due, Some(PendingWrite::Chunk(c)) if c < chunk(100)));
     }
     assert!(idle >= 4, "it has its turns: {idle}");
 }
@@ -93,21 +96,36 @@
     let chunk = |n: u32| (JobId::from(format!("run-{n:04}").as_str()), 0);
     let mut pending = Pending::default();
     for n in 0..10 {
-        pending.claimed(chunk(n), Haste::Usual, sort("bake"), Time(0.0));
-        pending.claimed(chunk(100 + n), Haste::Usual, sort("check"), Time(0.0));
-        pending.finished(chunk(200 + n).0, Haste::Usual, Time(0.0));
+        pending.claimed(chunk(n), WritePriority::Usual, sort("bake"), Time(0.0));
+        pending.claimed(
+            chunk(100 + n),
+            WritePriority::Usual,
+            sort("check"),
+            Time(0.0),
+        );
+        pending.finished(chunk(200 + n).0, WritePriority::Usual, Time(0.0));
     }
     let mut taken: BTreeMap<&str, usize> = BTreeMap::new();
     for n in 0..100 {
         let now = Time(10.0 + f64::from(n) * 0.1);
         // Two more for each that is recorded.
-        pending.claimed(chunk(1000 + 2 * n), Haste::Awaited, sort("live"), now);
-        pending.claimed(chunk(1001 + 2 * n), Haste::Awaited, sort("live"), now);
+        pending.claimed(
+            chunk(1000 + 2 * n),
+            WritePriority::Awaited,
+            sort("live"),
+            now,
+        );
+        pending.claimed(
+            chunk(1001 + 2 * n),
+            WritePriority::Awaited,
+            sort("live"),
+            now,
+        );
         let what = match pending.take(false, now) {
-            Some(Due::Finished(_)) => "done",
-            Some(Due::Chunk((id, _))) if id >= chunk(1000).0 => "live",
-            Some(Due::Chunk((id, _))) if id >= chunk(100).0 => "check",
-            Some(Due::Chunk(_)) => "bake",
+            Some(PendingWrite::Finished(_)) => "done",
+            Some(PendingWrite::Chunk((id, _))) if id >= chunk(1000).0 => "live",
+            Some(PendingWrite::Chunk((id, _))) if id >= chunk(100).0 => "check",
+            Some(PendingWrite::Chunk(_)) => "bake",
             None => "nothing",
         };
         *taken.entry(what).or_insert(0) += 1;
@@ -119,35 +137,45 @@
 }
 
 #[test]
-fn changes_go_where_they_are_missed_most() {
+fn changes_go_where_they_are_missed_max() {
     let chunk = |n: u32| (JobId::from(format!("run-{n}").as_str()), 0);
     let mut pending = Pending::default();
     pending.useless(chunk(1), Time(0.0));
     pending.released(chunk(2), Time(0.0));
-    pending.finished(chunk(3).0, Haste::Usual, Time(0.0));
-    pending.claimed(chunk(4), Haste::Usual, sort("batch"), Time(0.0));
-    pending.claimed(chunk(5), Haste::Awaited, sort("live"), Time(0.0));
-    pending.claimed(chunk(2), Haste::Usual, sort("batch"), Time(0.5));
+    pending.finished(chunk(3).0, WritePriority::Usual, Time(0.0));
+    pending.claimed(chunk(4), WritePriority::Usual, sort("batch"), Time(0.0));
+    pending.claimed(chunk(5), WritePriority::Awaited, sort("live"), Time(0.0));
+    pending.claimed(chunk(2), WritePriority::Usual, sort("batch"), Time(0.5));
     let mut taken = |spare: bool, now: f64| pending.take(spare, Time(now));
-    assert_eq!(taken(false, 1.0), Some(Due::Chunk(chunk(5))), "in a hurry");
     assert_eq!(
         taken(false, 1.0),
-        Some(Due::Finished(chunk(3).0)),
+        Some(PendingWrite::Chunk(chunk(5))),
+        "in a hurry"
+    );
+    assert_eq!(
+        taken(false, 1.0),
+        Some(PendingWrite::Finished(chunk(3).0)),
         "in turn with claims that no user waits for"
     );
-    assert_eq!(taken(false, 1.0), Some(Due::Chunk(chunk(4))));
+    assert_eq!(taken(false, 1.0), Some(PendingWrite::Chunk(chunk(4))));
     assert_eq!(
         taken(false, 1.0),
-        Some(Due::Chunk(chunk(2))),
+        Some(PendingWrite::Chunk(chunk(2))),
         "with its result"
     );
     assert_eq!(taken(false, 1.0), None, "a deletion can wait");
-    assert_eq!(taken(true, 1.0), Some(Due::Chunk(chunk(1))));
+    assert_eq!(taken(true, 1.0), Some(PendingWrite::Chunk(chunk(1))));
     pending.released(chunk(6), Time(1.0));
     assert_eq!(pending.take(false, Time(8.0)), None);
-    assert_eq!(pending.take(true, Time(8.0)), Some(Due::Chunk(chunk(6))));
+    assert_eq!(
+        pending.take(true, Time(8.0)),
+        Some(PendingWrite::Chunk(chunk(6)))
+    );
     pending.released(chunk(6), Time(8.0));
-    assert_eq!(pending.take(false, Time(30.0)), Some(Due::Chunk(chunk(6))));
+    assert_eq!(
+        pending.take(false, Time(30.0)),
+        Some(PendingWrite::Chunk(chunk(6)))
+    );
 }
 
 /// A shard to which a task was left, and which another shard's claim forestalled,
@@ -198,7 +226,7 @@
         tasks: vec![0],
     };
     let o = &mut world.owners[b];
-    o.core.left_here(&o.view, &left, now, 0);
+    o.core.adopt_delegated_tasks(&o.view, &left, now, 0);
     o.core.place_all(now);
     let claimed = |o: &Owner| {
         o.core
--- a/tests/rules/scenes.rs
+++ b/tests/rules/scenes.rs
@@ -7,7 +7,7 @@
 use sorrelhinge::control::core::{Batch, Core, Source};
 use sorrelhinge::state::record::JobRecord;
 use sorrelhinge::state::view::View;
-use sorrelhinge::state::Outcome;
+use sorrelhinge::state::TransactionOutcome;
 use sorrelhinge::types::{JobId, Time};
 
 use crate::*;
@@ -101,7 +101,7 @@
 /// Carries out what an owner records, which the state service must not refuse.
 pub(crate) fn commit(store: &mut Store, core: &mut Core, view: &mut View, batch: Batch, now: Time) {
     let transaction = serde_json::to_value(&batch.transaction).expect("txn");
-    let Outcome::Done(revision) = store.transact(&transaction) else {
+    let TransactionOutcome::Done(revision) = store.transact(&transaction) else {
         panic!("refused: {transaction}");
     };
     core.committed(batch, revision, view, now);
--- a/tests/rules/shards.rs
+++ b/tests/rules/shards.rs
@@ -27,7 +27,7 @@
                     .has_capacity(ShardId(other), free_capacity, now);
             }
             let o = &mut self.owners[at];
-            o.core.look_elsewhere(&o.view);
+            o.core.refresh_from_view(&o.view);
             for left in o.core.leave(&o.view, now) {
                 let text = sorrelhinge::shares::encode_left(&left).expect("a short name");
                 self.trace.fold_json("left to a block", &text);
@@ -37,7 +37,7 @@
                     .rposition(|t| t.core.scope.shard == left.shard);
                 if let Some(taker) = taker.filter(|t| *t != at && self.rng.random_bool(0.8)) {
                     let t = &mut self.owners[taker];
-                    t.core.left_here(&t.view, &left, now, 0);
+                    t.core.adopt_delegated_tasks(&t.view, &left, now, 0);
                 }
             }
             self.give(at);
@@ -56,13 +56,13 @@
             };
             let part = |s: &SliceRecord| s.teams[0].cpu;
             let used = o.core.needs()[0].used.cpu;
-            let most = part(&mine.value) - used;
+            let max = part(&mine.value) - used;
             // One that knows it is deposed gives nothing.
             let granted = o.view.shards[&me].value.number == o.core.grant;
-            if to == me || most < 1000 || !granted {
+            if to == me || max < 1000 || !granted {
                 return;
             }
-            let give = self.rng.random_range(500..=most);
+            let give = self.rng.random_range(500..=max);
             let changed = |s: &SliceRecord, by: i64| {
                 let mut s = s.clone();
                 s.teams[0].cpu += by;
--- a/tests/rules/silence.rs
+++ b/tests/rules/silence.rs
@@ -245,7 +245,7 @@
         }
     }
     // The next owner reads a list without it, and is not told that it is gone.
-    world.take_over();
+    world.begin_leadership();
     let core = &mut world.owners[1].core;
     core.listed(&[], Time(300.0));
     for copy in &copies {
--- a/tests/rules/store.rs
+++ b/tests/rules/store.rs
@@ -4,7 +4,7 @@
 
 use serde_json::{json, Value};
 use sorrelhinge::state::view::View;
-use sorrelhinge::state::Outcome;
+use sorrelhinge::state::TransactionOutcome;
 use sorrelhinge::types::Revision;
 
 /// The state service: conditional writes, versions, changes since.
@@ -41,7 +41,7 @@
             || changes.iter().any(|c| bytes(c) > self.limits.value_bytes)
     }
 
-    pub(crate) fn transact(&mut self, transaction: &Value) -> Outcome {
+    pub(crate) fn transact(&mut self, transaction: &Value) -> TransactionOutcome {
         let mod_revision = |k: &str| self.keys.get(k).map_or(0, |(s, _)| *s);
         let met = transaction["when"]
             .as_array()
@@ -51,7 +51,7 @@
                 mod_revision(w["key"].as_str().expect("key")) == w["stamp"].as_u64().expect("stamp")
             });
         if !met {
-            return Outcome::Failed(Revision(self.revision));
+            return TransactionOutcome::Failed(Revision(self.revision));
         }
         self.revision += 1;
         let changes = transaction["apply"].as_array().expect("changes");
@@ -75,13 +75,16 @@
                     .push(json!({"delete": key, "stamp": self.revision}));
             }
         }
-        Outcome::Done(Revision(self.revision))
+        TransactionOutcome::Done(Revision(self.revision))
     }
 
     pub(crate) fn write(&mut self, key: &str, value: Value) {
         let mod_revision = self.keys.get(key).map_or(0, |(s, _)| *s);
         let transaction = json!({"when": [{"key": key, "stamp": mod_revision}], "apply": [{"write": key, "value": value}]});
-        assert!(matches!(self.transact(&transaction), Outcome::Done(_)));
+        assert!(matches!(
+            self.transact(&transaction),
+            TransactionOutcome::Done(_)
+        ));
     }
 
     pub(crate) fn follow(&self, view: &mut View) -> bool {
--- a/tests/rules/takeover.rs
+++ b/tests/rules/takeover.rs
@@ -2,7 +2,7 @@
 
 use serde_json::json;
 use sorrelhinge::control::core::Source;
-use sorrelhinge::state::Outcome;
+use sorrelhinge::state::TransactionOutcome;
 use sorrelhinge::types::{MachineId, Time};
 use sorrelhinge::worker::Sending;
 
@@ -29,7 +29,7 @@
         .collect();
     // A list of a later format is left alone.
     world.store.write("h/gone/1", json!({"v": 9, "m": all}));
-    world.take_over();
+    world.begin_leadership();
     let o = world.owners.last_mut().expect("an owner");
     assert!(claimed(o) > 0);
     o.core.deleted(&all, Time(world.now));
@@ -45,9 +45,9 @@
     assert_eq!(transaction["apply"][0]["write"], "h/gone/0");
     assert!(matches!(
         world.store.transact(&transaction),
-        Outcome::Done(_)
+        TransactionOutcome::Done(_)
     ));
-    world.take_over();
+    world.begin_leadership();
     let o = world.owners.last().expect("an owner");
     assert_eq!(claimed(o), 0);
     assert_eq!(o.core.cluster_state.unknown_machines().count(), 0);
@@ -64,7 +64,7 @@
     );
     let chunk = json!({"a": 2, "d": 0, "c": [[0, 1, "vm-000001"]]});
     world.store.write("h/task/run-000000/000000", chunk);
-    world.take_over();
+    world.begin_leadership();
     let owner = world.owners.last_mut().expect("an owner");
     assert!(owner.core.cluster_state.jobs().is_empty());
     let batch = owner
--- a/tests/rules/worker.rs
+++ b/tests/rules/worker.rs
@@ -24,7 +24,7 @@
     pub(crate) renewed: f64,
     pub(crate) silent_until: f64,
     /// Until then it heartbeats and hears nothing.
-    pub(crate) deaf_until: f64,
+    pub(crate) silence_ignored_until: f64,
     /// Until then its heartbeats are lost; direct commands arrive.
     pub(crate) mute_until: f64,
     /// Until then it stands still, while its lease runs on.
@@ -45,7 +45,7 @@
             fencing_token: 0,
             renewed: 0.0,
             silent_until: 0.0,
-            deaf_until: 0.0,
+            silence_ignored_until: 0.0,
             mute_until: 0.0,
             hangs_until: 0.0,
             warned: false,
--- a/tests/rules/world.rs
+++ b/tests/rules/world.rs
@@ -16,7 +16,7 @@
     chunk_key, job_key, GrantRecord, JobRecord, NewJob, ShardRecord, GRANT,
 };
 use sorrelhinge::state::view::View;
-use sorrelhinge::state::{Outcome, Transaction};
+use sorrelhinge::state::{Transaction, TransactionOutcome};
 use sorrelhinge::types::{JobId, MachineId, Revision, Term, Time};
 use sorrelhinge::worker::{Heartbeat, Sending};
 use sorrelhinge_overload::freshness::Freshness;
@@ -136,7 +136,7 @@
         };
         world.reader.replace(Revision(0), Vec::new());
         match of {
-            1 => world.take_over(),
+            1 => world.begin_leadership(),
             _ => world.divide(),
         }
         world
@@ -152,7 +152,7 @@
             self.store.write(&format!("h/slice/{shard}"), slice);
         }
         for shard in 0..of {
-            self.take_over_shard(shard);
+            self.begin_shard_ownership(shard);
         }
     }
 
@@ -170,7 +170,7 @@
     }
 
     /// A shard is granted anew; its last owner may not have heard of that.
-    pub(crate) fn take_over_shard(&mut self, shard: u32) {
+    pub(crate) fn begin_shard_ownership(&mut self, shard: u32) {
         self.grants += 1;
         let record = ShardRecord {
             version: 1,
@@ -233,10 +233,10 @@
         });
     }
 
-    pub(crate) fn take_over(&mut self) {
+    pub(crate) fn begin_leadership(&mut self) {
         if self.of > 1 {
             let shard = self.rng.random_range(0..self.of);
-            return self.take_over_shard(shard);
+            return self.begin_shard_ownership(shard);
         }
         self.grants += 1;
         let grant = GrantRecord {
@@ -325,7 +325,7 @@
                 json!({"when": [{"key": key, "stamp": mod_revision}], "apply": [{"delete": key}]});
             assert!(matches!(
                 self.store.transact(&transaction),
-                Outcome::Done(_)
+                TransactionOutcome::Done(_)
             ));
             return;
         }
@@ -385,7 +385,7 @@
         }
         assert!(matches!(
             self.store.transact(&transaction),
-            Outcome::Done(_)
+            TransactionOutcome::Done(_)
         ));
     }
 
@@ -398,7 +398,7 @@
             && self
                 .workers
                 .iter()
-                .any(|w| w.id == id && w.silent_until.max(w.deaf_until) <= self.now);
+                .any(|w| w.id == id && w.silent_until.max(w.silence_ignored_until) <= self.now);
         let age_s = self.held_back_s(owner, &id);
         let luck = if self.calm {
             99
@@ -483,8 +483,10 @@
                 o.pending = Some(batch);
             }
             _ => match self.store.transact(&transaction) {
-                Outcome::Done(revision) => o.core.committed(batch, revision, &mut o.view, now),
-                Outcome::Failed(_) => {
+                TransactionOutcome::Done(revision) => {
+                    o.core.committed(batch, revision, &mut o.view, now)
+                }
+                TransactionOutcome::Failed(_) => {
                     self.store.follow(&mut o.view);
                     let changed = o.view.take_changed();
                     o.core.jobs_changed(&o.view, &changed, now, 0);
@@ -541,7 +543,7 @@
         if self.luck(0.2) {
             self.copies.push(heartbeat);
         }
-        let deaf = self.workers[at].deaf_until > self.now;
+        let deaf = self.workers[at].silence_ignored_until > self.now;
         if deaf || self.luck(0.05) || fencing_fencing_token < self.workers[at].fencing_token {
             return;
         }
@@ -609,7 +611,7 @@
                 w.sequence = 0;
                 w.fencing_token = 0;
                 w.renewed = self.now;
-                w.deaf_until = 0.0;
+                w.silence_ignored_until = 0.0;
                 w.mute_until = 0.0;
                 w.hangs_until = 0.0;
                 w.silent_until = 0.0;
@@ -666,15 +668,15 @@
             // No grant is written.
         } else if let Some(shard) = (0..self.of).find(|b| !owned(*b)) {
             match self.of {
-                1 => self.take_over(),
-                _ => self.take_over_shard(shard),
+                1 => self.begin_leadership(),
+                _ => self.begin_shard_ownership(shard),
             }
         } else if self.luck(0.01) {
-            self.take_over();
+            self.begin_leadership();
             if self.luck(0.3) {
                 // It ended at once, and the next one too.
-                self.take_over();
-                self.take_over();
+                self.begin_leadership();
+                self.begin_leadership();
             }
         }
         if self.luck(0.01) {
@@ -690,7 +692,7 @@
         }
         if self.topology.is_some() && !self.in_outage() && self.luck(0.02) {
             self.write_as_before();
-            self.take_over();
+            self.begin_leadership();
         }
     }
 
@@ -725,7 +727,7 @@
             self.workers[at].silent_until = self.now + self.rng.random_range(1.0..30.0);
         }
         if self.luck(0.004) {
-            self.workers[at].deaf_until = self.now + self.rng.random_range(1.0..60.0);
+            self.workers[at].silence_ignored_until = self.now + self.rng.random_range(1.0..60.0);
         }
         if self.workers[at].spot && self.luck(0.004) {
             self.workers[at].warned = true;
@@ -769,8 +771,8 @@
         let now = Time(self.now);
         let scope = self.owners[owner].core.scope;
         let last = self.owners.iter().rposition(|o| o.core.scope == scope);
-        let hears = last == Some(owner) || self.rng.random_bool(0.1);
-        if !hears || !self.is_served(owner) {
+        let is_reachable = last == Some(owner) || self.rng.random_bool(0.1);
+        if !is_reachable || !self.is_served(owner) {
             return;
         }
         let o = &mut self.owners[owner];
@@ -781,7 +783,7 @@
         o.core.jobs_changed(&o.view, &changed, now, 0);
         o.core.set_drains(&o.view, now);
         if scope.is_part() {
-            o.core.look_at_limits(&o.view);
+            o.core.refresh_quotas(&o.view);
             o.core.still_granted(&o.view);
         }
     }
--- a/tests/sched_model.rs
+++ b/tests/sched_model.rs
@@ -83,7 +83,7 @@
         save_s: 0.0,
         deadline_s: None,
         placement: None,
-        seal: None,
+        extension: None,
     };
     let tasks = Tasks::new(spec.tasks, 64);
     Job {
--- a/tests/settings/mod.rs
+++ b/tests/settings/mod.rs
@@ -7,7 +7,7 @@
 /// Settings of a small world: two zones, two teams whose amounts are these many
 /// times the smallest.
 pub fn config(scale: f64) -> Rc<Config> {
-    let (red, most, blue) = (6.0 * scale, 10.0 * scale, 4.0 * scale);
+    let (red, max, blue) = (6.0 * scale, 10.0 * scale, 4.0 * scale);
     let text = format!(
         r#"
         node = "n-0"
@@ -22,7 +22,7 @@
         [[params.teams]]
         name = "red"
         cpus = {red:?}
-        cpus_max = {most:?}
+        cpus_max = {max:?}
         [[params.teams]]
         name = "blue"
         cpus = {blue:?}
--- a/tests/single_tasks.rs
+++ b/tests/single_tasks.rs
@@ -23,14 +23,16 @@
 /// One job's user: a quarter of them cancel soon after the acceptance, at another moment
 /// each; the others ask until their job is over.
 async fn user(users: Users, uid: String, nth: usize) -> String {
-    let (status, told) = users.insist(nth, &uid, Question::Submit).await;
+    let (status, told) = users.ask_until_answered(nth, &uid, Question::Submit).await;
     assert!(matches!(status, 200 | 201), "{uid}: {told}");
     if nth % CANCELLED_ONE_IN == 0 {
         sleep(Duration::from_millis(
             70 * (nth / CANCELLED_ONE_IN % 10) as u64,
         ))
         .await;
-        users.insist(nth + 1, &uid, Question::Cancel).await;
+        users
+            .ask_until_answered(nth + 1, &uid, Question::Cancel)
+            .await;
     }
     users.until_over(&uid, 60).await
 }
--- a/tests/staging.rs
+++ b/tests/staging.rs
@@ -86,7 +86,7 @@
             tasks: BTreeMap::new(),
             starts: BTreeMap::new(),
         };
-        world.take_over();
+        world.begin_leadership();
         for n in 0..machines {
             let zone = if n % 2 == 0 { "za" } else { "zb" };
             world.workers.insert(format!("m{n}"), (zone, 0));
@@ -116,7 +116,7 @@
     }
 
     /// Another owner, which knows what is recorded and nothing more.
-    fn take_over(&mut self) {
+    fn begin_leadership(&mut self) {
         self.grant += 1;
         let grant = json!({"owner": "n-0", "term": self.grant, "number": self.grant});
         self.put(json!({"write": GRANT, "value": grant}));
@@ -328,7 +328,7 @@
     world.submit("run-1", service("run-1", 30, MODEL, 40.0, 3.0));
     world.until_started(30);
     let before = world.rollout_changes().len();
-    world.take_over();
+    world.begin_leadership();
     world.submit("run-2", service("run-2", 8, MODEL, 40.0, 3.0));
     // A machine that has a start is not heard for a while.
     let all: Vec<String> = world.workers.keys().cloned().collect();
@@ -355,7 +355,7 @@
     let mut world = World::new(ON, 18);
     world.submit("run-1", service("run-1", 18, MODEL, 40.0, 3.0));
     world.until_started(12);
-    world.take_over();
+    world.begin_leadership();
     world.steps(30);
     assert_eq!(world.counts(), (18, 2), "{:?}", world.starts);
 }
@@ -395,7 +395,7 @@
     world.put(json!({"write": rollout_key(ShardId(0), hash), "value": later}));
     let old = json!({"v": 1, "i": MODEL, "s": 2, "m": ["m0"]});
     world.put(json!({"write": rollout_key(ShardId(1), hash), "value": old}));
-    world.take_over();
+    world.begin_leadership();
     world.submit("run-1", service("run-1", 4, MODEL, 40.0, 3.0));
     world.steps(8);
     assert_eq!(world.counts(), (4, 4));
--- a/tests/switch_loss.rs
+++ b/tests/switch_loss.rs
@@ -158,9 +158,9 @@
     let wrong = world.nodes.borrow().wrong.clone();
     let watch = watch.take();
     let mean = watch.by_cut.iter().sum::<f64>() / watch.by_cut.len().max(1) as f64;
-    let most = watch.by_cut.iter().copied().fold(0.0, f64::max);
+    let max = watch.by_cut.iter().copied().fold(0.0, f64::max);
     println!(
-        "{mode:?}: {} switches cut, replica time lost a cut: mean {mean:.1} s, most {most:.1} s; fewest copies {}; {} starts",
+        "{mode:?}: {} switches cut, replica time lost a cut: mean {mean:.1} s, most {max:.1} s; fewest copies {}; {} starts",
         watch.by_cut.len(),
         watch.fewest,
         world.nodes.borrow().starts
--- a/tests/topology_cases.rs
+++ b/tests/topology_cases.rs
@@ -198,8 +198,8 @@
     }
 }
 
-fn spread(most: u32, must: bool) -> Value {
-    json!({"spread": [{"level": "switch", "most": most, "must": must}]})
+fn spread(max: u32, must: bool) -> Value {
+    json!({"spread": [{"level": "switch", "most": max, "must": must}]})
 }
 
 /// Fewer domains are left than a policy needs: what is required waits and says
@@ -375,15 +375,15 @@
         w.place();
         let at = w.switches(&id);
         let zones: BTreeSet<char> = at.iter().filter_map(|s| s.chars().next()).collect();
-        let most = zones
+        let max = zones
             .iter()
             .map(|z| at.iter().filter(|s| s.starts_with(*z)).count());
-        let most = most.max().unwrap_or(0);
+        let max = max.max().unwrap_or(0);
         if wanted.one_zone {
             assert!(zones.len() <= 1, "{case}: {at:?}");
         }
         if wanted.spread {
-            assert!(most <= wanted.tasks.div_ceil(2) as usize, "{case}: {at:?}");
+            assert!(max <= wanted.tasks.div_ceil(2) as usize, "{case}: {at:?}");
         }
         if let Some(zone) = &wanted.zone {
             assert!(zones.iter().all(|z| zone.as_str().ends_with(*z)), "{case}");
@@ -558,14 +558,14 @@
     );
     w.place();
     assert_eq!(w.switches(&id), ["a0"]);
-    let rent = |w: &World, memory: &Memory, coming: &[fleet::Coming]| {
+    let rent = |w: &World, memory: &Memory, pending_machines: &[fleet::PendingMachine]| {
         let types = [kind()];
         let input = fleet::Input {
             cluster_state: &w.cluster_state,
             types: &types,
-            coming,
+            pending_machines,
             expected: &[],
-            lacks: &[],
+            shortfalls: &[],
             patient: &|_| true,
             boot_s: 10.0,
             open: &|_, _, _| true,
@@ -576,12 +576,12 @@
     let mut memory = Memory::default();
     let wanted = rent(&w, &memory, &[]);
     assert_eq!(wanted.iter().map(|r| r.count).sum::<u32>(), 2, "{wanted:?}");
-    let coming = fleet::Coming {
+    let pending_machines = fleet::PendingMachine {
         kind: kind(),
         zone: Zone::from("za"),
         spot: true,
     };
-    let two = [coming.clone(), coming];
+    let two = [pending_machines.clone(), pending_machines];
     assert_eq!(rent(&w, &memory, &two), [], "two are on their way");
     // Zone a's spot machines all come up behind the switch that has one.
     let used = t.tree.find("za/s0").expect("a domain");
