--- a/examples/placing.rs
+++ b/examples/placing.rs
@@ -9,7 +9,7 @@
 
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
-use sorrelhinge::sched::{ClusterState, DelayRule, Job, Machine, Tasks, Team};
+use sorrelhinge::scheduler::{ClusterState, DelayRule, Job, Machine, Tasks, Team};
 use sorrelhinge::types::{
     Amount, Image, JobId, JobSpec, Kind, MachineId, MachineType, Priority, Time, TypeName, Zone,
 };
--- a/src/api/agent.rs
+++ b/src/api/agent.rs
@@ -6,10 +6,10 @@
 use sorrelhinge_overload::admission::Class;
 
 use super::reply::{passed, refuse, reply, Reply};
+use crate::agent_client::{Heartbeat, TaskPhase};
 use crate::connections::Conn;
-use crate::control::load::count;
+use crate::control::load_monitor::count;
 use crate::control::{HeartbeatReply, Node};
-use crate::worker::{Heartbeat, TaskPhase};
 
 /// How a heartbeat is answered over HTTP.
 pub(super) fn heartbeat_response(heartbeat: HeartbeatReply) -> Reply {
--- a/src/api/for_peers.rs
+++ b/src/api/for_peers.rs
@@ -6,12 +6,12 @@
 
 use super::reply::{refuse, Reply};
 use super::{agent, jobs};
+use crate::agent_client::Heartbeat;
 use crate::control::core::Source;
-use crate::control::load::count;
+use crate::control::load_monitor::count;
 use crate::control::{HeartbeatReply, Node};
-use crate::peer::{self, Answered, Answering, PeerRequestHandler};
+use crate::peer_link::{self, Answered, Answering, PeerRequestHandler};
 use crate::types::{NodeId, Revision};
-use crate::worker::Heartbeat;
 
 /// What other controllers ask this one to answer.
 pub struct ForPeers(Rc<Node>);
@@ -28,7 +28,7 @@
         &self,
         revision: Revision,
         from: &NodeId,
-        announcement: peer::PeerAnnouncement,
+        announcement: peer_link::PeerAnnouncement,
         flags: u16,
     ) {
         self.0.hinted(revision);
@@ -54,43 +54,43 @@
         }
     }
 
-    fn share(&self, kind: peer::Kind, text: &[u8]) {
+    fn share(&self, kind: peer_link::Kind, text: &[u8]) {
         self.0.receive_peer_message(kind, text);
     }
 
-    fn heartbeats_announced(&self, machines: &[peer::ForwardedHeartbeat]) {
+    fn heartbeats_announced(&self, machines: &[peer_link::ForwardedHeartbeat]) {
         self.0.heartbeats_announced(machines);
     }
 
-    fn answer(self: Rc<Self>, kind: peer::Kind, text: Vec<u8>) -> Answering {
+    fn answer(self: Rc<Self>, kind: peer_link::Kind, text: Vec<u8>) -> Answering {
         Box::pin(async move { answered(self.answer_here(kind, &text).await).await })
     }
 }
 
 impl ForPeers {
-    async fn answer_here(&self, kind: peer::Kind, text: &[u8]) -> Reply {
+    async fn answer_here(&self, kind: peer_link::Kind, text: &[u8]) -> Reply {
         let node = &self.0;
         match kind {
-            peer::Kind::Submit => jobs::submit(node, text).await,
-            peer::Kind::Withdraw => jobs::withdraw(node, &String::from_utf8_lossy(text)).await,
-            peer::Kind::Poll => jobs::poll_passed(node, &String::from_utf8_lossy(text)).await,
-            peer::Kind::Heartbeat => match serde_json::from_slice::<Heartbeat>(text) {
+            peer_link::Kind::Submit => jobs::submit(node, text).await,
+            peer_link::Kind::Withdraw => jobs::withdraw(node, &String::from_utf8_lossy(text)).await,
+            peer_link::Kind::Poll => jobs::poll_passed(node, &String::from_utf8_lossy(text)).await,
+            peer_link::Kind::Heartbeat => match serde_json::from_slice::<Heartbeat>(text) {
                 Ok(heartbeat) => {
                     agent::heartbeat_response(node.own_heartbeat(&heartbeat, Source::Passed))
                 }
                 Err(_) => refuse(400, "malformed report"),
             },
-            peer::Kind::Via => match serde_json::from_slice::<Heartbeat>(text) {
+            peer_link::Kind::Via => match serde_json::from_slice::<Heartbeat>(text) {
                 Ok(heartbeat) => agent::heartbeat_response(node.passed_via(&heartbeat, text).await),
                 Err(_) => refuse(400, "malformed report"),
             },
-            peer::Kind::Hint
-            | peer::Kind::Answer
-            | peer::Kind::Adopted
-            | peer::Kind::ForwardedHeartbeats
-            | peer::Kind::Needs
-            | peer::Kind::Rented
-            | peer::Kind::Left => refuse(400, "not a request"),
+            peer_link::Kind::Hint
+            | peer_link::Kind::Answer
+            | peer_link::Kind::Adopted
+            | peer_link::Kind::ForwardedHeartbeats
+            | peer_link::Kind::Needs
+            | peer_link::Kind::Rented
+            | peer_link::Kind::Left => refuse(400, "not a request"),
         }
     }
 }
--- a/src/api/jobs.rs
+++ b/src/api/jobs.rs
@@ -9,9 +9,9 @@
 use sorrelhinge_protocol::users::{job_id, read_job, read_needs};
 
 use super::reply::{later, passed, refuse, reply, Reply};
-use crate::control::load::count;
+use crate::control::load_monitor::count;
 use crate::control::{Node, Polled, Submitted};
-use crate::peer;
+use crate::peer_link;
 use crate::state::record::{NewJob, Phase};
 use crate::state::view::Summary;
 use crate::types::{JobId, JobSpec};
@@ -30,14 +30,14 @@
         return later(SHED_SUBMISSION_S, "too much is asked for now");
     }
     count(&node.load().counts.submissions);
-    here_or_there(node, peer::Kind::Submit, body, submit(node, body)).await
+    here_or_there(node, peer_link::Kind::Submit, body, submit(node, body)).await
 }
 
 /// Takes a user's cancellation.
 pub(super) async fn take_cancellation(node: &Node, id: &str) -> Reply {
     count(&node.load().counts.cancellations);
     let here = withdraw(node, id);
-    here_or_there(node, peer::Kind::Withdraw, id.as_bytes(), here).await
+    here_or_there(node, peer_link::Kind::Withdraw, id.as_bytes(), here).await
 }
 
 /// Answers a submission here.
@@ -148,7 +148,7 @@
 /// service is known to serve others only, else if it did not serve this one.
 async fn here_or_there(
     node: &Node,
-    kind: peer::Kind,
+    kind: peer_link::Kind,
     text: &[u8],
     here: impl Future<Output = Reply>,
 ) -> Reply {
--- a/src/api/reply.rs
+++ b/src/api/reply.rs
@@ -7,7 +7,7 @@
 use hyper::{Response, StatusCode};
 use serde_json::{json, Value};
 
-use crate::peer::Answered;
+use crate::peer_link::Answered;
 
 /// An answer.
 pub(crate) type Reply = Response<Full<Bytes>>;
--- a/src/fleet/free_capacity.rs
+++ b/src/autoscaler/free_capacity.rs
@@ -5,7 +5,7 @@
 use sorrelhinge_topology::devices::{AllocatedDevices, DeviceInventory};
 use sorrelhinge_topology::tree::Domain;
 
-use crate::sched::{CapacityPool, ClusterState};
+use crate::scheduler::{CapacityPool, ClusterState};
 use crate::types::{Amount, JobSpec, MachineId, MachineType, TypeName, Zone};
 
 /// Room on a machine, there or rented by the plan.
--- a/src/fleet/mod.rs
+++ b/src/autoscaler/mod.rs
@@ -16,7 +16,7 @@
 
 use self::free_capacity::FreeCapacity;
 use self::packing::{Item, Packing};
-use crate::sched::{ClusterState, Job, Machine, Progress};
+use crate::scheduler::{ClusterState, Job, Machine, Progress};
 use crate::types::{Amount, JobId, JobSpec, Kind, MachineId, MachineType, Time, TypeName, Zone};
 
 /// Part of a boot that work waits for tasks to end.
--- a/src/fleet/packing.rs
+++ b/src/autoscaler/packing.rs
@@ -6,7 +6,7 @@
 
 use super::free_capacity::{Bin, FreeCapacity};
 use super::Input;
-use crate::sched::CapacityPool;
+use crate::scheduler::CapacityPool;
 use crate::types::{JobId, JobSpec, Kind, Zone};
 
 /// Tasks of a job, or expected ones, to pack.
--- a/src/fleet/placed.rs
+++ b/src/autoscaler/placed.rs
@@ -15,7 +15,7 @@
 use super::free_capacity::FreeCapacity;
 use super::packing::{Item, Packing};
 use super::Input;
-use crate::sched::Job;
+use crate::scheduler::Job;
 use crate::types::Zone;
 
 /// Types and zones that hardly ever bring what is wanted are not tried, until
--- a/src/control/core/agent.rs
+++ b/src/control/core/agent.rs
@@ -8,13 +8,13 @@
 use super::direct_line::DirectLine;
 use super::failed_jobs::FailedJobs;
 use super::Source;
+use crate::agent_client::{
+    Command, DirectCommands, ExitReason, Heartbeat, ReportedImage, ReportedTask, TaskPhase,
+};
 use crate::cloud::ListedMachine;
 use crate::types::{
     Attempt, FencingToken, Incarnation, MachineId, SequenceNumber, TaskId, Time, TypeName, Zone,
 };
-use crate::worker::{
-    Command, DirectCommands, ExitReason, Heartbeat, ReportedImage, ReportedTask, TaskPhase,
-};
 
 /// After so long without effect a worker is told again to stop a task, in seconds.
 pub(super) const KILL_RETRY_S: f64 = 2.0;
--- a/src/control/core/agents.rs
+++ b/src/control/core/agents.rs
@@ -7,7 +7,7 @@
 use super::command_queue::ContactOrder;
 use super::machine_types::MachineTypes;
 use super::Core;
-use crate::sched::{Machine, Sent};
+use crate::scheduler::{Machine, Sent};
 use crate::types::{Kind, MachineId, MachineType, Time};
 
 /// A machine with tasks that is silent for this many heartbeat intervals is asked
--- a/src/control/core/batch.rs
+++ b/src/control/core/batch.rs
@@ -7,7 +7,7 @@
 
 use super::draft::{Draft, DraftBounds, Written};
 use super::{Batch, Core};
-use crate::control::pending::{ChunkId, PendingWrite, WritePriority};
+use crate::control::write_queue::{ChunkId, PendingWrite, WritePriority};
 use crate::state::record::{encoded_bytes, ChunkRecord, JobRecord, Phase};
 use crate::state::view::{JobEntry, View};
 use crate::types::{JobId, Time};
--- a/src/control/core/commands.rs
+++ b/src/control/core/commands.rs
@@ -2,12 +2,12 @@
 
 use super::agent::TaskAttempt;
 use super::command_queue::ContactOrder;
-use super::record::recorded_claim;
+use super::outcomes::recorded_claim;
 use super::Core;
-use crate::sched::{Claim, Job, Sent};
+use crate::agent_client::{Command, Reply, TaskPhase};
+use crate::scheduler::{Claim, Job, Sent};
 use crate::state::view::View;
 use crate::types::{Kind, MachineId, TaskId, Time};
-use crate::worker::{Command, Reply, TaskPhase};
 
 impl Core {
     /// The answer to a heartbeat: fencing token and commands that need no hurry, and the
--- a/src/control/core/demand.rs
+++ b/src/control/core/demand.rs
@@ -6,7 +6,7 @@
 
 use super::objectives::Arrivals;
 use super::Core;
-use crate::fleet;
+use crate::autoscaler;
 use crate::types::{Amount, Kind, Priority, Time};
 
 /// For how long an arrival counts, in seconds.
@@ -27,7 +27,7 @@
 
 impl Core {
     /// Room to keep for each class that came of late: a typical job of it.
-    pub(super) fn expected(&mut self, now: Time) -> Vec<fleet::Expected> {
+    pub(super) fn expected(&mut self, now: Time) -> Vec<autoscaler::Expected> {
         self.forget_old_arrivals(now);
         self.cluster_state.shapes = self
             .scaling
@@ -49,7 +49,7 @@
             .values()
             // Work of idle priority takes what is left.
             .filter(|a| a.spec.priority > Priority::Idle)
-            .map(|a| fleet::Expected {
+            .map(|a| autoscaler::Expected {
                 spec: a.spec.clone(),
                 tasks: (headroom * self.tasks_while_booting(a, span_s)).ceil() as u32,
             })
--- a/src/control/core/dispatch.rs
+++ b/src/control/core/dispatch.rs
@@ -4,10 +4,10 @@
 use super::agent::KILL_RETRY_S;
 use super::command_queue::ContactOrder;
 use super::{Core, Dispatch, Source};
-use crate::sched::Sent;
+use crate::agent_client::{Command, Sending};
+use crate::scheduler::Sent;
 use crate::state::view::View;
 use crate::types::{MachineId, Time};
-use crate::worker::{Command, Sending};
 
 impl Core {
     /// Direct commands that should go out now, so many at a time that neither
--- a/src/control/core/failures.rs
+++ b/src/control/core/failures.rs
@@ -2,9 +2,9 @@
 //! job.
 
 use super::Core;
-use crate::sched::Job;
+use crate::agent_client::ExitReason;
+use crate::scheduler::Job;
 use crate::types::{JobId, JobSpec, Kind, MachineId, TaskId, Time};
-use crate::worker::ExitReason;
 
 /// A machine that refused a task is avoided for so many heartbeat intervals.
 const REFUSED_HEARTBEATS: f64 = 2.0;
--- a/src/control/core/heartbeats.rs
+++ b/src/control/core/heartbeats.rs
@@ -3,9 +3,9 @@
 
 use super::agent::{SeenMachine, TaskAttempt, TaskStatus};
 use super::{Core, Source};
-use crate::sched::{Progress, Sent};
+use crate::agent_client::{ExitReason, Heartbeat, TaskPhase};
+use crate::scheduler::{Progress, Sent};
 use crate::types::{Incarnation, MachineId, SequenceNumber, TaskId, Time};
-use crate::worker::{ExitReason, Heartbeat, TaskPhase};
 
 impl Core {
     /// Whether a heartbeat is a copy that came late: not newer than what is known, or
--- a/src/control/core/image_distribution.rs
+++ b/src/control/core/image_distribution.rs
@@ -12,7 +12,7 @@
 use sorrelhinge_sharding::shard::{ShardId, ShardScope};
 
 use crate::config::Config;
-use crate::sched::{Claim, Progress, Sent};
+use crate::scheduler::{Claim, Progress, Sent};
 use crate::state::record::{image_hash, rollout_key};
 use crate::state::view::{Versioned, View};
 use crate::state::{Change, Condition};
--- a/src/control/core/rollouts.rs
+++ b/src/control/core/image_rollout.rs
@@ -11,8 +11,8 @@
 
 use super::image_distribution::{does, ActiveRollout, ImageDistribution, ImageState, Member};
 use super::Core;
+use crate::agent_client::Heartbeat;
 use crate::types::{Image, JobSpec, MachineId, TaskId, Time};
-use crate::worker::Heartbeat;
 
 /// Starts that wait are looked at so many at a time: with thousands of them, and
 /// no upload free, all at once would hold up everything else.
--- a/src/control/core/load.rs
+++ b/src/control/core/load_monitor.rs
@@ -15,15 +15,15 @@
 use super::placement_queue::PlacementQueue;
 use super::rejected_changes::RejectedChanges;
 use super::scaling_state::ScalingState;
-use super::served::ServedLog;
-use super::sharing::{self, Places};
+use super::service_levels::ServedLog;
 use super::start_permission::StartPermission;
+use super::task_delegation::{self, Places};
 use super::tombstones::MachineTombstones;
 use super::topology_history::TopologyHistory;
-use super::{calendar, image_distribution, Core};
+use super::{image_distribution, reservations, Core};
 use crate::config::Config;
-use crate::control::pending::Pending;
-use crate::sched::{ClusterState, Team};
+use crate::control::write_queue::Pending;
+use crate::scheduler::{ClusterState, Team};
 use crate::state::view::{JobEntry, View};
 use crate::types::{Amount, FencingToken, JobId, MachineType, Revision, Time};
 
@@ -96,7 +96,7 @@
             grant_revision: grant.revision,
             scope,
             frozen_since: None,
-            sharing: sharing::Sharing::default(),
+            sharing: task_delegation::Sharing::default(),
             places,
             served_log: ServedLog::new(now),
             largest_jobs: Largest::default(),
@@ -111,7 +111,7 @@
             silence_ignored_until: now,
             start_permission: StartPermission::unbounded(),
             tombstones: MachineTombstones::load(view, scope),
-            windows: calendar::Windows::default(),
+            windows: reservations::Windows::default(),
             drains: Vec::new(),
             image_distribution,
             topology_history: TopologyHistory::default(),
--- a/src/control/core/mod.rs
+++ b/src/control/core/mod.rs
@@ -28,7 +28,6 @@
 mod agent;
 mod agents;
 mod batch;
-mod calendar;
 mod command_queue;
 mod commands;
 mod delegated_tasks;
@@ -43,38 +42,39 @@
 mod fleet_log;
 mod heartbeats;
 mod image_distribution;
+mod image_rollout;
 mod inventory;
 mod job_changes;
-mod lanes;
 mod largest_jobs;
-mod load;
+mod load_monitor;
 mod log_format;
 mod machine_list;
 mod machine_types;
-mod moving;
 mod objectives;
+mod outcomes;
 mod overflow;
+mod placement;
 mod placement_limits;
 mod placement_queue;
-mod placing;
-mod record;
+mod priority_lanes;
 mod recorded_job;
 mod rejected_changes;
-mod renting;
 mod reservation_demand;
 mod reservation_refresh;
 mod reservation_supply;
 mod reservation_usage;
+mod reservations;
 mod rollout_refresh;
-mod rollouts;
 mod scale_in;
+mod scale_out;
 mod scaling;
 mod scaling_state;
-mod served;
+mod service_levels;
 mod shard_freeze;
+mod shard_handover;
 mod shard_quota;
-mod sharing;
 mod start_permission;
+mod task_delegation;
 mod tombstones;
 mod topology_history;
 mod unknown_agent;
@@ -88,26 +88,26 @@
 use sorrelhinge_topology::drain::Drain;
 
 use self::agent::AgentState;
-pub use self::calendar::WindowStep;
 use self::command_queue::CommandQueue;
 pub use self::command_queue::MAX_FLYING;
 pub use self::draft::Batch;
 use self::failover::Failover;
 use self::inventory::CloudInventory;
-pub use self::load::{RecoveryInput, ShardGrant};
+pub use self::load_monitor::{RecoveryInput, ShardGrant};
 use self::machine_types::MachineTypes;
 use self::placement_queue::PlacementQueue;
 use self::rejected_changes::RejectedChanges;
+pub use self::reservations::WindowStep;
 pub use self::scaling::ScalingDecision;
-use self::served::ServedLog;
-pub use self::sharing::Places;
+use self::service_levels::ServedLog;
 use self::start_permission::StartPermission;
+pub use self::task_delegation::Places;
 use self::tombstones::MachineTombstones;
-use super::pending::Pending;
+use super::write_queue::Pending;
+use crate::agent_client::DirectCommands;
 use crate::config::Config;
-use crate::sched::ClusterState;
+use crate::scheduler::ClusterState;
 use crate::types::{JobId, MachineId, Revision, Time};
-use crate::worker::DirectCommands;
 
 /// Where a heartbeat came from.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -147,7 +147,7 @@
     /// It is handed on: nothing more is claimed, and what is under way settles.
     frozen_since: Option<Time>,
     /// Room that others' tasks may take, and what was left to others.
-    sharing: sharing::Sharing,
+    sharing: task_delegation::Sharing,
     /// Zones of all shards' machines.
     places: Places,
     /// What classes and teams got, for the log.
@@ -177,7 +177,7 @@
     /// Machines that are gone, which late lists and heartbeats may still show.
     tombstones: MachineTombstones,
     /// Windows of the release calendar.
-    windows: calendar::Windows,
+    windows: reservations::Windows,
     /// What operators drain.
     drains: Vec<Drain>,
     /// Images that go from machine to machine.
--- a/src/control/core/objectives.rs
+++ b/src/control/core/objectives.rs
@@ -7,7 +7,7 @@
 use sorrelhinge_pipelines::urgency::Urgency;
 
 use super::Core;
-use crate::sched::JobUrgency;
+use crate::scheduler::JobUrgency;
 use crate::types::{JobSpec, Time, TypeName};
 
 /// Between these the haste of a class counts.
--- a/src/control/core/record.rs
+++ b/src/control/core/outcomes.rs
@@ -3,8 +3,8 @@
 use super::draft::{ChunkWrite, JobWrite};
 use super::largest_jobs::JobEvent;
 use super::{Batch, Core};
-use crate::control::pending::WritePriority;
-use crate::sched::Job;
+use crate::control::write_queue::WritePriority;
+use crate::scheduler::Job;
 use crate::state::record::{ChunkRecord, Phase, RecordedClaim, RecordedUnits};
 use crate::state::view::{JobEntry, Versioned, View};
 use crate::types::{Attempt, JobId, Kind, Revision, TaskId, Time};
--- a/src/control/core/overflow.rs
+++ b/src/control/core/overflow.rs
@@ -5,8 +5,8 @@
 use sorrelhinge_sharding::shard::ShardId;
 
 use super::Core;
-use crate::sched::{Job, Machine};
-use crate::shares::LeftTo;
+use crate::peer_messages::LeftTo;
+use crate::scheduler::{Job, Machine};
 use crate::state::record::Phase;
 use crate::state::view::View;
 use crate::types::{Kind, Time};
--- a/src/control/core/placing.rs
+++ b/src/control/core/placement.rs
@@ -1,9 +1,9 @@
 //! When the scheduler places tasks, and what follows from each placement. Which
-//! machine a task gets is decided in [`crate::sched`].
+//! machine a task gets is decided in [`crate::scheduler`].
 
 use super::Core;
-use crate::control::pending::WritePriority;
-use crate::sched::{DelayRule, Job, Launch};
+use crate::control::write_queue::WritePriority;
+use crate::scheduler::{DelayRule, Job, Launch};
 use crate::types::{JobId, MachineId, Time};
 
 /// Part of its start objective after which room is made for a job.
--- a/src/control/core/placement_queue.rs
+++ b/src/control/core/placement_queue.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeSet;
 use std::ops::Bound;
 
-use crate::sched::Pass;
+use crate::scheduler::Pass;
 use crate::types::{MachineId, Time};
 
 /// For so long walks share what they have in common, in seconds.
--- a/src/control/core/recorded_job.rs
+++ b/src/control/core/recorded_job.rs
@@ -5,7 +5,7 @@
 
 use super::objectives::JobTimes;
 use super::Core;
-use crate::sched::{Claim, ClusterState, Job, Laned, Progress, Sent, Tasks};
+use crate::scheduler::{Claim, ClusterState, Job, Laned, Progress, Sent, Tasks};
 use crate::state::record::{JobRecord, Phase, RecordedClaim};
 use crate::state::view::{JobEntry, View};
 use crate::types::{Attempt, JobId, JobSpec, Kind, MachineId, TaskId, Time};
--- a/src/control/core/rejected_changes.rs
+++ b/src/control/core/rejected_changes.rs
@@ -5,7 +5,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use crate::control::pending::{ChunkId, PendingWrite};
+use crate::control::write_queue::{ChunkId, PendingWrite};
 use crate::types::Time;
 
 /// After a transaction that the state service rejected, each change is tried alone for so
--- a/src/control/core/reservation_demand.rs
+++ b/src/control/core/reservation_demand.rs
@@ -10,10 +10,10 @@
 use sorrelhinge_sharding::delegation::{Delegated, Waiting};
 use sorrelhinge_sharding::shard::ShardId;
 
-use super::calendar::LoggedShortage;
 use super::reservation_supply::TypeChoice;
+use super::reservations::LoggedShortage;
 use super::Core;
-use crate::fleet;
+use crate::autoscaler;
 use crate::types::{Image, JobSpec, Kind, Priority, Time, Zone};
 
 /// The same shortage is said again in the log after so many seconds.
@@ -111,7 +111,7 @@
     }
 
     /// What windows lack that is to be rented.
-    pub(super) fn shortfalls(&self, now: Time) -> Vec<fleet::Shortfall> {
+    pub(super) fn shortfalls(&self, now: Time) -> Vec<autoscaler::Shortfall> {
         if self.windows.watched.is_empty() || !self.knows_machines(now) {
             return Vec::new();
         }
@@ -132,7 +132,7 @@
 
     /// What a window lacks, by zone. Where nothing is to be had, other zones have it
     /// meanwhile.
-    fn shortfalls_of(&self, window: &Window, now: Time) -> Vec<fleet::Shortfall> {
+    fn shortfalls_of(&self, window: &Window, now: Time) -> Vec<autoscaler::Shortfall> {
         let mut spare = 0;
         let mut open = Vec::new();
         for (zone, tasks) in self.cluster_state.missing_tasks(&window.name) {
@@ -143,7 +143,7 @@
         }
         let more = divide(spare, open.len() as u32);
         let open = open.into_iter().zip(more);
-        open.map(|(shortfall, more)| fleet::Shortfall {
+        open.map(|(shortfall, more)| autoscaler::Shortfall {
             window: window.name.clone(),
             tasks: shortfall.tasks + more,
             spec: spec_of(window, shortfall.zone, shortfall.kind),
--- a/src/control/core/reservation_refresh.rs
+++ b/src/control/core/reservation_refresh.rs
@@ -8,11 +8,11 @@
 use sorrelhinge_reservations::record::CalendarRecord;
 use sorrelhinge_reservations::settings::Window;
 
-use super::calendar::Watch;
 use super::reservation_supply::QuotaHeadroom;
 use super::reservation_usage::ReservationUsage;
+use super::reservations::Watch;
 use super::Core;
-use crate::sched::{Lending, Reservation};
+use crate::scheduler::{Lending, Reservation};
 use crate::state::view::View;
 use crate::types::{Amount, Time};
 
--- a/src/control/core/reservation_supply.rs
+++ b/src/control/core/reservation_supply.rs
@@ -8,7 +8,7 @@
 
 use super::reservation_usage::ReservationUsage;
 use super::Core;
-use crate::sched::ReservationStatus;
+use crate::scheduler::ReservationStatus;
 use crate::types::{Amount, MachineType, Time, TypeName, Zone};
 
 /// A machine type to ask for.
--- a/src/control/core/reservation_usage.rs
+++ b/src/control/core/reservation_usage.rs
@@ -6,7 +6,7 @@
 
 use sorrelhinge_reservations::settings::Window;
 
-use super::calendar::Watch;
+use super::reservations::Watch;
 use super::Core;
 use crate::state::record::Phase;
 use crate::state::view::View;
--- a/src/control/core/calendar.rs
+++ b/src/control/core/reservations.rs
@@ -1,6 +1,6 @@
 //! Windows of the release calendar: what the owner knows of each, and which steps are
 //! due. Steps and their records are of [`sorrelhinge_reservations::plan`]; where room is
-//! held, of [`crate::sched::Reservation`]. What is seen of windows and held for them is brought
+//! held, of [`crate::scheduler::Reservation`]. What is seen of windows and held for them is brought
 //! up to date by [`super::reservation_refresh`].
 
 use std::collections::BTreeMap;
--- a/src/control/core/rollout_refresh.rs
+++ b/src/control/core/rollout_refresh.rs
@@ -11,7 +11,7 @@
     does, ActiveRollout, ImageDistribution, ImageState, Member, OVER_S,
 };
 use super::Core;
-use crate::sched::{Machine, Sent};
+use crate::scheduler::{Machine, Sent};
 use crate::types::{Image, MachineId, Time};
 
 /// A successor waits for what its predecessor started for so many heartbeats: a machine
--- a/src/control/core/scale_in.rs
+++ b/src/control/core/scale_in.rs
@@ -6,10 +6,10 @@
 use super::agent::AgentState;
 use super::inventory::PendingMachine;
 use super::Core;
-use crate::fleet;
-use crate::sched::Machine;
+use crate::agent_client::TaskPhase;
+use crate::autoscaler;
+use crate::scheduler::Machine;
 use crate::types::{MachineId, Time};
-use crate::worker::TaskPhase;
 
 /// A machine was heard of late if that is less than so many heartbeat intervals ago.
 const HEARD_HEARTBEATS: f64 = 2.5;
@@ -105,7 +105,7 @@
     }
 
     /// Chooses the machines to go, by the plan, and gives back those that are empty.
-    pub(super) fn scale_in(&mut self, plan: &fleet::Plan, idle: bool, now: Time) {
+    pub(super) fn scale_in(&mut self, plan: &autoscaler::Plan, idle: bool, now: Time) {
         let disuse = self.measure_disuse(plan, now);
         let candidates = self.scale_in_candidates(&disuse, idle);
         let retiring = self.above_guarantees(candidates, idle);
@@ -119,7 +119,7 @@
 
     /// Only what had no use for long falls idle on purpose: a machine with a warm
     /// cache is worth more than a new one.
-    fn measure_disuse(&mut self, plan: &fleet::Plan, now: Time) -> Vec<Disuse> {
+    fn measure_disuse(&mut self, plan: &autoscaler::Plan, now: Time) -> Vec<Disuse> {
         let passed_s = now.since(self.scaling.last_plan);
         let weight = 1.0 - (-passed_s / self.cfg.tuning.idle_s.max(1.0)).exp();
         self.scaling.last_plan = now;
@@ -181,7 +181,7 @@
     /// Notes on each machine what the plan says of it; those to give back now.
     fn mark_machines(
         &mut self,
-        plan: &fleet::Plan,
+        plan: &autoscaler::Plan,
         disuse: Vec<Disuse>,
         retiring: &BTreeSet<MachineId>,
         now: Time,
--- a/src/control/core/renting.rs
+++ b/src/control/core/scale_out.rs
@@ -1,13 +1,13 @@
 //! Scale-out: which machines are asked of the cloud, and what came of it. Whether ordinary
-//! machines or spot ones are asked for, of which type and where, is of [`crate::fleet`].
+//! machines or spot ones are asked for, of which type and where, is of [`crate::autoscaler`].
 
 use sorrelhinge_topology::drain::{Drain, Target};
 
 use super::inventory::PendingMachine;
 use super::scaling_state::MachineOffer;
 use super::Core;
+use crate::autoscaler;
 use crate::cloud::Rental;
-use crate::fleet;
 use crate::types::{MachineId, Time, TypeName, Zone};
 
 /// What the cloud had too little of is not asked for again for so many seconds.
@@ -45,7 +45,7 @@
     }
 
     /// The requests to send, as far as the machines can be served and used.
-    pub(super) fn scale_out(&mut self, wants: Vec<fleet::Want>, now: Time) -> Vec<Rental> {
+    pub(super) fn scale_out(&mut self, wants: Vec<autoscaler::Want>, now: Time) -> Vec<Rental> {
         let mut left = self.machines_to_add(now);
         let mut rentals = Vec::new();
         for mut want in wants {
--- a/src/control/core/scaling.rs
+++ b/src/control/core/scaling.rs
@@ -1,12 +1,12 @@
 //! What is decided of the fleet in one look. The steps are of modules of their own: the
 //! room to keep for work to come of [`super::demand`], machines to delete and to empty of
-//! [`super::scale_in`], requests to the cloud of [`super::renting`].
+//! [`super::scale_in`], requests to the cloud of [`super::scale_out`].
 
 use std::rc::Rc;
 
 use super::Core;
+use crate::autoscaler;
 use crate::cloud::Rental;
-use crate::fleet;
 use crate::types::{JobSpec, MachineId, MachineType, Time, TypeName, Zone};
 
 /// Nothing is asked for until so many heartbeat intervals after the start: which machines
@@ -58,12 +58,12 @@
     /// those on their way, less those that are to be deleted.
     fn plan_fleet(
         &self,
-        expected: &[fleet::Expected],
+        expected: &[autoscaler::Expected],
         to_delete: &[MachineId],
         now: Time,
-    ) -> fleet::Plan {
+    ) -> autoscaler::Plan {
         let boot_s = self.boot_s();
-        let input = fleet::Input {
+        let input = autoscaler::Input {
             patient: &|spec: &JobSpec| self.slack(spec) > boot_s,
             boot_s,
             cluster_state: &self.cluster_state,
@@ -76,7 +76,7 @@
             },
             memory: self.topology_history.placements(),
         };
-        fleet::plan(&input, now)
+        autoscaler::plan(&input, now)
     }
 
     /// The cloud's machine types by name.
@@ -87,13 +87,13 @@
     }
 
     /// Machines on their way that are not to be deleted.
-    fn coming_except(&self, to_delete: &[MachineId]) -> Vec<fleet::PendingMachine> {
+    fn coming_except(&self, to_delete: &[MachineId]) -> Vec<autoscaler::PendingMachine> {
         self.inventory
             .pending_machines()
             .iter()
             .filter(|(id, _)| !to_delete.contains(id))
             .filter_map(|(_, c)| {
-                Some(fleet::PendingMachine {
+                Some(autoscaler::PendingMachine {
                     kind: self.types.get(&c.kind)?.clone(),
                     spot: c.spot,
                     zone: c.zone.clone(),
--- a/src/control/core/scaling_state.rs
+++ b/src/control/core/scaling_state.rs
@@ -1,6 +1,6 @@
 //! What is remembered between looks at the fleet: the work that arrived, and the
 //! requests to the cloud. Changed by arrivals ([`super::objectives`]), by claims
-//! ([`super::placing`]) and by the steps of a look ([`super::scaling`]).
+//! ([`super::placement`]) and by the steps of a look ([`super::scaling`]).
 
 use std::collections::{BTreeMap, HashMap};
 
--- a/src/control/core/shard_freeze.rs
+++ b/src/control/core/shard_freeze.rs
@@ -2,7 +2,7 @@
 //! nothing more, and what is under way settles.
 
 use super::Core;
-use crate::sched::Sent;
+use crate::scheduler::Sent;
 use crate::state::record::{shard_key, GRANT};
 use crate::state::view::View;
 use crate::types::{TaskId, Time};
--- a/src/control/core/moving.rs
+++ b/src/control/core/shard_handover.rs
@@ -7,7 +7,7 @@
 use sorrelhinge_topology::{repair, Topology};
 
 use super::Core;
-use crate::sched::Moving;
+use crate::scheduler::Moving;
 use crate::state::view::View;
 use crate::types::{Kind, MachineId, Time};
 
--- a/src/control/core/unknown_agent.rs
+++ b/src/control/core/unknown_agent.rs
@@ -7,9 +7,9 @@
 //! were kept alive by answers without a command for as long as that lasted.
 
 use super::Core;
+use crate::agent_client::{Command, Heartbeat, Reply, ReportedTask, TaskPhase};
 use crate::state::view::View;
 use crate::types::{MachineId, Time};
-use crate::worker::{Command, Heartbeat, Reply, ReportedTask, TaskPhase};
 
 impl Core {
     /// The answer to a worker's heartbeat.
--- a/src/control/drains.rs
+++ b/src/control/drains.rs
@@ -9,7 +9,7 @@
 
 use super::core::Core;
 use super::{wall_ms, Node};
-use crate::sched::Machine;
+use crate::scheduler::Machine;
 use crate::state::record::drain_key;
 use crate::state::{Change, TransactionOutcome};
 use crate::types::{MachineId, NodeId, Revision};
--- a/src/control/heartbeat_routing.rs
+++ b/src/control/heartbeat_routing.rs
@@ -11,9 +11,9 @@
 use sorrelhinge_sharding::isolation::DismissedWorkers;
 use tokio::time::Instant;
 
-use crate::peer::ForwardedHeartbeat;
+use crate::agent_client::Heartbeat;
+use crate::peer_link::ForwardedHeartbeat;
 use crate::types::{MachineId, NodeId, Time};
-use crate::worker::Heartbeat;
 
 /// For how long a worker's heartbeats are passed on before it is told again whom
 /// to heartbeat to.
--- a/src/control/workers.rs
+++ b/src/control/heartbeats.rs
@@ -9,9 +9,9 @@
 use super::heartbeat_routing::Redirect;
 use super::paces::Duty;
 use super::{HeartbeatReply, Node};
-use crate::peer;
+use crate::agent_client::{Heartbeat, Reply};
+use crate::peer_link;
 use crate::types::{MachineId, NodeId};
-use crate::worker::{Heartbeat, Reply};
 
 /// While others are served for this long, requests are passed on to them.
 const FORWARD_AFTER: Duration = Duration::from_millis(300);
@@ -111,10 +111,10 @@
         owner: &NodeId,
         body: &[u8],
         via: bool,
-    ) -> Option<peer::Answered> {
+    ) -> Option<peer_link::Answered> {
         let direct = self
             .peers
-            .forward(owner, peer::Kind::Heartbeat, body.to_vec());
+            .forward(owner, peer_link::Kind::Heartbeat, body.to_vec());
         if let Some(answered) = direct.await {
             return Some(answered);
         }
@@ -135,7 +135,7 @@
         others.sort_by_key(|n| (zone_of(n).is_none_or(|z| z == self.cfg.zone), n.clone()));
         let other = others.first()?;
         self.peers
-            .forward(other, peer::Kind::Via, body.to_vec())
+            .forward(other, peer_link::Kind::Via, body.to_vec())
             .await
     }
 
@@ -165,7 +165,7 @@
     }
 
     /// Passes a submission or cancellation on to a controller that may be served.
-    pub async fn forward(&self, kind: peer::Kind, text: &[u8]) -> Option<peer::Answered> {
+    pub async fn forward(&self, kind: peer_link::Kind, text: &[u8]) -> Option<peer_link::Answered> {
         let leader = self.store.view().leader.value.clone().map(|l| l.node);
         let mut others: Vec<NodeId> = self.peers.reachable().cloned().collect();
         others.sort_by_key(|n| (Some(n) != leader.as_ref(), n.clone()));
--- a/src/control/vouching.rs
+++ b/src/control/lease_delegation.rs
@@ -1,10 +1,10 @@
 //! Whether a worker's lease may be renewed by a controller that does not own its
 //! machine: a decision on the records alone.
 
+use crate::agent_client::{Heartbeat, ReportedTask, TaskPhase};
 use crate::state::record::Phase;
 use crate::state::view::View;
 use crate::types::TaskId;
-use crate::worker::{Heartbeat, ReportedTask, TaskPhase};
 
 /// Whether all that runs on a machine, or may yet start there, is claimed by the
 /// records for jobs that are neither cancelled nor done.
--- a/src/control/renewing.rs
+++ b/src/control/lease_renewal.rs
@@ -7,12 +7,12 @@
 use sorrelhinge_overload::renewal::{Content, Route};
 use tokio::time::sleep;
 
-use super::vouching::may_renew_for_owner;
-use super::{load, HeartbeatReply, Node};
-use crate::peer;
-use crate::peer::ForwardedHeartbeat;
+use super::lease_delegation::may_renew_for_owner;
+use super::{load_monitor, HeartbeatReply, Node};
+use crate::agent_client::{Heartbeat, Reply};
+use crate::peer_link;
+use crate::peer_link::ForwardedHeartbeat;
 use crate::types::{NodeId, Time};
-use crate::worker::{Heartbeat, Reply};
 
 /// How often an owner is told which machines were heard.
 const HEARD_NOTICE_INTERVAL: Duration = Duration::from_millis(500);
@@ -44,7 +44,7 @@
     /// The answer that only renews the lease, if that may be given.
     pub(super) fn renewed(&self, heartbeat: &Heartbeat) -> Option<HeartbeatReply> {
         self.renewed_for_owner(heartbeat).then(|| {
-            load::count(&self.load.counts.renewed);
+            load_monitor::count(&self.load.counts.renewed);
             HeartbeatReply::Reply(Reply {
                 fencing_fencing_token: heartbeat.fencing_fencing_token,
                 commands: Vec::new(),
@@ -82,7 +82,7 @@
                 return answer;
             }
         }
-        let kind = peer::Kind::Adopted;
+        let kind = peer_link::Kind::Adopted;
         let taken = self.peers.forward(&owner, kind, body.to_vec()).await;
         match taken.filter(|a| a.status == 200) {
             Some(answered) => {
--- a/src/control/load.rs
+++ b/src/control/load_monitor.rs
@@ -13,7 +13,7 @@
 
 use super::core::Core;
 use super::Node;
-use crate::peer;
+use crate::peer_link;
 use crate::types::{MachineId, NodeId, Time};
 
 /// How often it is measured.
@@ -145,11 +145,11 @@
 
 impl Node {
     /// Another controller said how it stands.
-    pub fn stands(&self, node: &NodeId, announcement: peer::PeerAnnouncement, flags: u16) {
+    pub fn stands(&self, node: &NodeId, announcement: peer_link::PeerAnnouncement, flags: u16) {
         let known = self.cfg.others.iter().any(|o| o.node == *node);
         if known {
             self.peer_statuses.record(node, announcement, flags);
-            if flags & peer::LIMITS_FELL != 0 && self.state.note_lower_limits() {
+            if flags & peer_link::LIMITS_FELL != 0 && self.state.note_lower_limits() {
                 tracing::info!(by = %node, "the state service takes fewer changes, says another controller");
                 self.set_share();
             }
@@ -180,7 +180,7 @@
         } else {
             0
         };
-        let announcement = peer::PeerAnnouncement {
+        let announcement = peer_link::PeerAnnouncement {
             helps: true,
             crowded: self.connections.crowded(),
             relief: leading && self.load.asks_for_relief(),
--- a/src/control/mod.rs
+++ b/src/control/mod.rs
@@ -9,35 +9,35 @@
 //! other modules hold its duties, and change state only through these owners.
 
 mod admission;
-mod calendar;
 mod catalog;
 mod cloud_duties;
 pub mod core;
-mod dividing;
 mod drains;
-mod following;
 mod heartbeat_routing;
+mod heartbeats;
+mod leader;
 mod leadership;
-mod leading;
-mod limit_transfers;
-pub mod load;
-mod owning;
+pub mod lease_delegation;
+mod lease_renewal;
+pub mod load_monitor;
 mod paces;
 mod peer_statuses;
-pub mod pending;
-mod polls;
+mod quota_transfers;
 mod recording;
-mod renewing;
+mod reservations;
+mod resharding;
+mod shard_demand;
 mod shard_grants;
-mod shard_needs;
+mod shard_owner;
 mod shard_owners;
 mod shard_ownership;
-mod shards_shown;
+mod shard_status;
+mod status_queries;
 mod store_view;
-mod users;
-pub mod vouching;
+mod store_watch;
+mod submissions;
 mod wakeups;
-mod workers;
+pub mod write_queue;
 
 use std::rc::Rc;
 use std::time::{SystemTime, UNIX_EPOCH};
@@ -56,18 +56,18 @@
 use self::shard_ownership::ShardOwnership;
 use self::store_view::StoreView;
 use self::wakeups::Wakeups;
+use crate::agent_client::Reply;
 use crate::cloud::CloudClient;
 use crate::config::Config;
 use crate::connections::Connections;
-use crate::peer::{self, Peers};
+use crate::peer_link::{self, Peers};
 use crate::state::view::Summary;
 use crate::state::StateClient;
 use crate::types::{NodeId, Time};
-use crate::worker::Reply;
 
-pub use calendar::{day_ms, CalendarAsked};
 pub use drains::Refused;
-pub use polls::Polled;
+pub use reservations::{day_ms, CalendarAsked};
+pub use status_queries::Polled;
 
 /// What a submission comes to.
 #[derive(Clone, Debug, PartialEq)]
@@ -87,7 +87,7 @@
     /// The shard's owner answers.
     Reply(Reply),
     /// The shard's owner answered, and this controller passes it on.
-    Passed(peer::Answered),
+    Passed(peer_link::Answered),
     /// Another controller owns the shard.
     Elsewhere(NodeId),
     /// Nobody is known to.
@@ -105,7 +105,7 @@
     /// How often duties over the whole fleet are done.
     paces: Paces,
     /// What it is asked for, and what is shed.
-    load: load::Load,
+    load: load_monitor::Load,
     /// The records as known here.
     store: StoreView,
     /// The shards that this controller owns, and hints about the others.
@@ -147,7 +147,7 @@
         let node = Rc::new(Self {
             connections: Connections::new(limits),
             paces: Paces::default(),
-            load: load::Load::default(),
+            load: load_monitor::Load::default(),
             state,
             cloud,
             peers,
@@ -178,7 +178,7 @@
     }
 
     /// What is known of the load.
-    pub fn load(&self) -> &load::Load {
+    pub fn load(&self) -> &load_monitor::Load {
         &self.load
     }
 
--- a/src/control/peer_statuses.rs
+++ b/src/control/peer_statuses.rs
@@ -7,7 +7,7 @@
 
 use tokio::time::Instant;
 
-use crate::peer::{PeerAnnouncement, POLLS, SHARDS};
+use crate::peer_link::{PeerAnnouncement, POLLS, SHARDS};
 use crate::types::NodeId;
 
 /// What is known of another controller's standing is of use for so long.
--- a/src/control/recording.rs
+++ b/src/control/recording.rs
@@ -7,7 +7,7 @@
 use tokio::time::sleep;
 
 use super::core::Batch;
-use super::owning::TICK;
+use super::shard_owner::TICK;
 use super::Node;
 use crate::state::{RequestPriority, StateError, TransactionOutcome};
 use crate::types::Revision;
--- a/src/control/shard_needs.rs
+++ b/src/control/shard_demand.rs
@@ -6,10 +6,10 @@
 
 use tokio::time::{sleep, Instant};
 
-use super::limit_transfers::QUOTA_TRANSFER_INTERVAL;
+use super::quota_transfers::QUOTA_TRANSFER_INTERVAL;
 use super::{wall_ms, Node};
-use crate::peer::Kind;
-use crate::shares::{encode_left, parse_left, LeftTo, Needs, Rented};
+use crate::peer_link::Kind;
+use crate::peer_messages::{encode_left, parse_left, LeftTo, Needs, Rented};
 use crate::types::{MachineId, NodeId};
 
 /// How often owners tell what they use and want.
--- a/src/control/shard_grants.rs
+++ b/src/control/shard_grants.rs
@@ -7,7 +7,7 @@
 use sorrelhinge_sharding::owners::{Held, Member, ShardPreference, Step};
 use tokio::time::sleep;
 
-use super::leading::STAND_RETRY_PAUSE;
+use super::leader::STAND_RETRY_PAUSE;
 use super::Node;
 use crate::state::record::{shard_key, LeaderRecord, ShardRecord, LEADER};
 use crate::state::{Change, Condition, RequestPriority, Transaction, TransactionOutcome};
--- a/src/control/owning.rs
+++ b/src/control/shard_owner.rs
@@ -10,8 +10,8 @@
 use super::core::{Core, Dispatch};
 use super::paces::Duty;
 use super::Node;
+use crate::agent_client::{send_commands, Sending};
 use crate::types::Time;
-use crate::worker::{send_commands, Sending};
 
 /// How often what is not urgent is looked at.
 pub(super) const TICK: Duration = Duration::from_millis(200);
--- a/src/control/shard_ownership.rs
+++ b/src/control/shard_ownership.rs
@@ -15,7 +15,7 @@
 use tokio::time::Instant;
 
 use super::core::{Core, Places};
-use crate::shares::Needs;
+use crate::peer_messages::Needs;
 use crate::state::view::View;
 use crate::types::{MachineId, NodeId, Time, Zone};
 
--- a/src/control/polls.rs
+++ b/src/control/status_queries.rs
@@ -8,7 +8,7 @@
 use tokio::time::Instant;
 
 use super::Node;
-use crate::peer;
+use crate::peer_link;
 use crate::state::record::Phase;
 use crate::state::view::Summary;
 use crate::types::{JobId, NodeId};
@@ -31,7 +31,7 @@
     /// Confirmed here; none: there is no such job.
     Here(Option<Summary>),
     /// Another controller answered.
-    There(peer::Answered),
+    There(peer_link::Answered),
     /// Nobody could confirm it in time.
     Unknown,
 }
@@ -111,7 +111,7 @@
             let text = id.as_str().as_bytes().to_vec();
             let asked = self.peers.forward_within(
                 other,
-                peer::Kind::Poll,
+                peer_link::Kind::Poll,
                 text,
                 left.min(REMOTE_QUERY_TIMEOUT),
             );
--- a/src/control/users.rs
+++ b/src/control/submissions.rs
@@ -6,9 +6,9 @@
 use sorrelhinge_protocol::users::{read_job, PipelineStatus};
 
 use super::drains::Refused;
-use super::following::FRESH_VIEW_TIMEOUT;
+use super::store_watch::FRESH_VIEW_TIMEOUT;
 use super::{wall_ms, Node, Submitted};
-use crate::sched::ClusterState;
+use crate::scheduler::ClusterState;
 use crate::state::record::{chunk_key, job_key, JobRecord, NewJob, Phase};
 use crate::state::view::{Cancellation, Summary, Versioned};
 use crate::state::{
--- a/src/control/pending.rs
+++ b/src/control/write_queue.rs
@@ -10,7 +10,7 @@
 use sorrelhinge_sharding::fair::{Turns, SERVED_PER_DONE_JOB, SERVED_PER_TURN, TURN_AFTER_S};
 use sorrelhinge_sharding::served::Sort;
 
-use crate::sched::Job;
+use crate::scheduler::Job;
 use crate::types::{JobId, Priority, Time};
 
 /// Part of a job's tasks.
--- a/src/controller.rs
+++ b/src/controller.rs
@@ -13,7 +13,7 @@
 use crate::config::Config;
 use crate::control::Node;
 use crate::topology_file::{reload_on_hangup, TopologyFile};
-use crate::{api, peer, serve};
+use crate::{api, peer_link, server};
 
 /// Connections of other controllers that are open at a time: so many for each of them,
 /// as one that restarts leaves some behind, and so many more.
@@ -49,7 +49,7 @@
 ) -> Rc<Node> {
     let others = config.others.iter().map(|o| (o.node.clone(), o.address));
     let first = topology.as_ref().map(|t| t.first.clone());
-    let lines = peer::Peers::start(&config.node, others);
+    let lines = peer_link::Peers::start(&config.node, others);
     let node = Node::new(config.clone(), lines, first);
     node.start();
     if let Some(file) = topology {
@@ -57,8 +57,8 @@
     }
     let handler = Rc::new(api::ForPeers::new(node.clone()));
     let max = PEER_CONNECTIONS * config.others.len() + SPARE_PEER_CONNECTIONS;
-    spawn_local(peer::listen(peers, max, handler));
-    spawn_local(serve::serve(node.clone(), users));
+    spawn_local(peer_link::listen(peers, max, handler));
+    spawn_local(server::serve(node.clone(), users));
     tracing::info!(node = %config.node, zone = %config.zone, bind = %config.bind, "serving");
     node
 }
--- a/src/peer/message.rs
+++ b/src/peer_link/message.rs
@@ -37,7 +37,7 @@
     Adopted,
     /// Machines that were heard: [`ForwardedHeartbeat`] entries. No answer.
     ForwardedHeartbeats,
-    /// What a shard uses and wants ([`crate::shares`]), as the next two are. No
+    /// What a shard uses and wants ([`crate::peer_messages`]), as the next two are. No
     /// answer, and only while there are several shards.
     Needs,
     /// Machines that were rented.
--- a/src/shares.rs
+++ b/src/peer_messages.rs
@@ -1,5 +1,5 @@
 //! What owners of shards tell each other: fixed layouts, little-endian, in the
-//! text of a [`crate::peer::Message`]. All of it are hints: they spare waits, and
+//! text of a [`crate::peer_link::Message`]. All of it are hints: they spare waits, and
 //! nothing is proved by them. They go only between controllers of which one has
 //! read that there are several shards.
 
--- a/src/sched/filter/free_capacity.rs
+++ b/src/scheduler/filter/free_capacity.rs
@@ -1,12 +1,12 @@
 //! Rule: room on a machine that is not reserved, held or kept for others.
 
-use crate::sched::ClusterState;
+use crate::scheduler::ClusterState;
 use crate::types::{Amount, JobId, MachineId, Time};
 
 impl ClusterState {
     /// Room on a machine for a job, less what is reserved for others, and less what is
     /// kept there for work that can't use spot machines if the job `leaves_kept`.
-    pub(in crate::sched) fn free_capacity_for(
+    pub(in crate::scheduler) fn free_capacity_for(
         &self,
         id: &JobId,
         leaves_kept: bool,
@@ -36,7 +36,7 @@
     }
 
     /// Whether room on a machine is meant for somebody.
-    pub(in crate::sched) fn is_spoken_for(&self, m_id: &MachineId) -> bool {
+    pub(in crate::scheduler) fn is_spoken_for(&self, m_id: &MachineId) -> bool {
         self.reserved.contains_key(m_id)
             || self.gang_free_capacity.contains_key(m_id)
             || self.has_reserved_capacity(m_id)
--- a/src/sched/filter/larger_types.rs
+++ b/src/scheduler/filter/larger_types.rs
@@ -3,17 +3,17 @@
 use std::collections::BTreeMap;
 
 use super::PlacementRequest;
-use crate::sched::machine::{CapacityPool, MachineTraits};
-use crate::sched::ClusterState;
+use crate::scheduler::machine::{CapacityPool, MachineTraits};
+use crate::scheduler::ClusterState;
 use crate::types::{JobId, Time};
 
 /// Jobs that wait for the types that only they fit, at the start of a pass.
-pub(in crate::sched) type Needy = BTreeMap<CapacityPool, Vec<JobId>>;
+pub(in crate::scheduler) type Needy = BTreeMap<CapacityPool, Vec<JobId>>;
 
 impl ClusterState {
     /// Whether another job waits that fits only machines as large as this one,
     /// while this one fits smaller ones and has not waited for long.
-    pub(in crate::sched) fn delegated_elsewhere(
+    pub(in crate::scheduler) fn delegated_elsewhere(
         &self,
         request: &PlacementRequest,
         traits: &MachineTraits,
@@ -49,7 +49,7 @@
     }
 
     /// Which jobs wait that fit only types as large as each group's.
-    pub(in crate::sched) fn needy(&self, now: Time) -> Needy {
+    pub(in crate::scheduler) fn needy(&self, now: Time) -> Needy {
         let mut needy = Needy::new();
         let smallest = self.capacity_index.kinds().min_by_key(|k| k.total.cpu);
         for (id, job) in self.wanting() {
--- a/src/sched/filter/machine_type.rs
+++ b/src/scheduler/filter/machine_type.rs
@@ -1,6 +1,6 @@
 //! Rule: a machine's type, zone and kind (spot or ordinary) as the job asks for them.
 
-use crate::sched::{ClusterState, Machine};
+use crate::scheduler::{ClusterState, Machine};
 use crate::types::{Amount, JobSpec, MachineType, Zone};
 
 impl ClusterState {
@@ -18,7 +18,7 @@
     }
 
     /// Whether tasks of this size fit no smaller type than this one.
-    pub(in crate::sched) fn needs(&self, each: Amount, kind: &MachineType) -> bool {
+    pub(in crate::scheduler) fn needs(&self, each: Amount, kind: &MachineType) -> bool {
         !self
             .capacity_index
             .kinds()
--- a/src/sched/filter/mod.rs
+++ b/src/scheduler/filter/mod.rs
@@ -18,7 +18,7 @@
 use sorrelhinge_topology::policy::Reach;
 use sorrelhinge_topology::tree::Domain;
 
-pub(in crate::sched) use self::larger_types::Needy;
+pub(in crate::scheduler) use self::larger_types::Needy;
 use super::capacity_index::GroupKey;
 use super::machine::Machine;
 use super::topology_rules::{Ask, Site};
@@ -27,7 +27,7 @@
 
 /// One more task of a job that wants a machine.
 #[derive(Clone, Copy)]
-pub(in crate::sched) struct PlacementRequest<'a> {
+pub(in crate::scheduler) struct PlacementRequest<'a> {
     /// The job's id.
     pub id: &'a JobId,
     /// The job.
@@ -39,7 +39,7 @@
 }
 
 /// All rules for one request, made ready once and asked for many machines.
-pub(in crate::sched) struct Filters<'a> {
+pub(in crate::scheduler) struct Filters<'a> {
     cluster_state: &'a ClusterState,
     request: &'a PlacementRequest<'a>,
     ask: &'a Ask<'a>,
@@ -116,7 +116,7 @@
 impl ClusterState {
     /// Whether a task may start on a machine whose turn it is: all rules, and its
     /// team's limit.
-    pub(in crate::sched) fn may_start_on(
+    pub(in crate::scheduler) fn may_start_on(
         &self,
         request: &PlacementRequest,
         m_id: &MachineId,
--- a/src/sched/filter/zones.rs
+++ b/src/scheduler/filter/zones.rs
@@ -2,14 +2,14 @@
 
 use std::collections::BTreeMap;
 
-use crate::sched::{ClusterState, Job};
+use crate::scheduler::{ClusterState, Job};
 use crate::types::{JobId, Zone};
 
 impl ClusterState {
     /// How many tasks of a job are in each zone; none if a claim is on a
     /// machine whose zone is not known yet, which forbids every placement that
     /// depends on zones.
-    pub(in crate::sched) fn zones_of(
+    pub(in crate::scheduler) fn zones_of(
         &self,
         id: &JobId,
         job: &Job,
@@ -33,7 +33,7 @@
     }
 
     /// Whether one more task of a job may go to a zone, by the zones of the others.
-    pub(in crate::sched) fn zone_allows(
+    pub(in crate::scheduler) fn zone_allows(
         job: &Job,
         zones: &BTreeMap<&Zone, u32>,
         zone: &Zone,
--- a/src/sched/gangs/rules.rs
+++ b/src/scheduler/gangs/rules.rs
@@ -3,7 +3,7 @@
 use sorrelhinge_topology::gang::{Rules, Slot};
 use sorrelhinge_topology::policy::Reach;
 
-use crate::sched::{ClusterState, Job};
+use crate::scheduler::{ClusterState, Job};
 use crate::types::Zone;
 
 /// What a job's rules say of a plan for all its tasks.
--- a/src/sched/gangs/slots.rs
+++ b/src/scheduler/gangs/slots.rs
@@ -4,8 +4,8 @@
 use sorrelhinge_topology::devices::{choose, AllocatedDevices, DeviceInventory};
 use sorrelhinge_topology::gang::Slot;
 
-use crate::sched::capacity_index::Nearness;
-use crate::sched::{ClusterState, Job, Machine};
+use crate::scheduler::capacity_index::Nearness;
+use crate::scheduler::{ClusterState, Job, Machine};
 use crate::types::{Amount, JobId, Kind, MachineId, Time};
 
 /// A slot's cost is counted in tenths of a second.
--- a/src/sched/preempt/victims.rs
+++ b/src/scheduler/preempt/victims.rs
@@ -3,8 +3,8 @@
 use sorrelhinge_image_distribution::fetch_timeout;
 
 use super::Stopping;
-use crate::sched::machine::fetch_s;
-use crate::sched::{idle, Claim, ClusterState, Job, Machine, Progress};
+use crate::scheduler::machine::fetch_s;
+use crate::scheduler::{idle, Claim, ClusterState, Job, Machine, Progress};
 use crate::types::{Amount, JobId, Kind, MachineId, Priority, TaskId, Time};
 
 /// How many CPU-seconds may be wasted to start a job in time that its users
--- a/src/sched/reservations/lending.rs
+++ b/src/scheduler/reservations/lending.rs
@@ -3,8 +3,8 @@
 use sorrelhinge_reservations::lend::{may_lend, Borrower, Lend};
 
 use super::ReservedCapacity;
-use crate::sched::machine::fetch_s;
-use crate::sched::{Claim, ClusterState, Job, Machine, Progress};
+use crate::scheduler::machine::fetch_s;
+use crate::scheduler::{Claim, ClusterState, Job, Machine, Progress};
 use crate::types::{Amount, JobId, Kind, MachineId, MachineType, Time};
 
 /// What has run longer than its estimate is taken to run for so long yet, in seconds:
@@ -63,7 +63,12 @@
     }
 
     /// What is held on a machine and not lent to a job.
-    pub(in crate::sched) fn held_from(&self, id: &JobId, m_id: &MachineId, now: Time) -> Amount {
+    pub(in crate::scheduler) fn held_from(
+        &self,
+        id: &JobId,
+        m_id: &MachineId,
+        now: Time,
+    ) -> Amount {
         let mut sum = Amount::default();
         if self.reservations.by_window.is_empty() {
             return sum;
@@ -83,7 +88,7 @@
     }
 
     /// Whether room is held on a machine.
-    pub(in crate::sched) fn has_reserved_capacity(&self, m_id: &MachineId) -> bool {
+    pub(in crate::scheduler) fn has_reserved_capacity(&self, m_id: &MachineId) -> bool {
         self.reservations
             .by_window
             .values()
--- a/src/sched/reservations/mod.rs
+++ b/src/scheduler/reservations/mod.rs
@@ -42,32 +42,32 @@
 
 /// A hold, and where its free capacity is.
 #[derive(Clone, Debug)]
-pub(in crate::sched) struct ReservedCapacity {
-    pub(in crate::sched) reservation: Reservation,
+pub(in crate::scheduler) struct ReservedCapacity {
+    pub(in crate::scheduler) reservation: Reservation,
     /// What the claims of its window's work take.
     used: Amount,
     /// Tasks' room set aside, by machine.
-    pub(in crate::sched) placed: BTreeMap<MachineId, u32>,
+    pub(in crate::scheduler) placed: BTreeMap<MachineId, u32>,
 }
 
 impl ReservedCapacity {
     /// Whether a team's job is of its window's work.
-    pub(in crate::sched) fn is_for(&self, team: usize, spec: &JobSpec) -> bool {
+    pub(in crate::scheduler) fn is_for(&self, team: usize, spec: &JobSpec) -> bool {
         self.reservation.team == team && self.reservation.window.is_for(&spec.team, &spec.class)
     }
 
     /// What is to be set aside beside what is used.
-    pub(in crate::sched) fn open_amount(&self) -> Amount {
+    pub(in crate::scheduler) fn open_amount(&self) -> Amount {
         self.free_capacity_of(self.open())
     }
 
     /// What so many of its tasks take.
-    pub(in crate::sched) fn free_capacity_of(&self, tasks: u32) -> Amount {
+    pub(in crate::scheduler) fn free_capacity_of(&self, tasks: u32) -> Amount {
         self.reservation.window.each().times(i64::from(tasks))
     }
 
     /// So many of its tasks take what its work uses.
-    pub(in crate::sched) fn used_tasks(&self) -> u32 {
+    pub(in crate::scheduler) fn used_tasks(&self) -> u32 {
         let each = self.reservation.window.each();
         let of = |used: i64, each: i64| match each {
             0 => 0,
@@ -80,17 +80,17 @@
     }
 
     /// What is to be set aside beside what is used.
-    pub(in crate::sched) fn open(&self) -> u32 {
+    pub(in crate::scheduler) fn open(&self) -> u32 {
         self.reservation.tasks.saturating_sub(self.used_tasks())
     }
 
     /// What is still to be set aside.
-    pub(in crate::sched) fn shortfalls(&self) -> u32 {
+    pub(in crate::scheduler) fn shortfalls(&self) -> u32 {
         self.open().saturating_sub(self.reserved_tasks())
     }
 
     /// How many tasks' room is set aside.
-    pub(in crate::sched) fn reserved_tasks(&self) -> u32 {
+    pub(in crate::scheduler) fn reserved_tasks(&self) -> u32 {
         self.placed.values().sum()
     }
 
@@ -117,8 +117,8 @@
 
 /// All holds, by their windows' names.
 #[derive(Clone, Debug, Default)]
-pub(in crate::sched) struct Reservations {
-    pub(in crate::sched) by_window: BTreeMap<String, ReservedCapacity>,
+pub(in crate::scheduler) struct Reservations {
+    pub(in crate::scheduler) by_window: BTreeMap<String, ReservedCapacity>,
 }
 
 impl Reservations {
--- a/src/sched/reservations/placement.rs
+++ b/src/scheduler/reservations/placement.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use super::{Reservation, ReservedCapacity};
-use crate::sched::{ClusterState, Machine};
+use crate::scheduler::{ClusterState, Machine};
 use crate::types::{Amount, Image, MachineId, Time, Zone};
 
 /// A machine that has free capacity for tasks of a window. The least is taken first.
@@ -151,7 +151,7 @@
     }
 
     /// How many tasks of a window's work are in each zone.
-    pub(in crate::sched) fn used_in_zones(
+    pub(in crate::scheduler) fn used_in_zones(
         &self,
         reserved: &ReservedCapacity,
         zoned: bool,
--- a/src/sched/reservations/shown.rs
+++ b/src/scheduler/reservations/shown.rs
@@ -6,7 +6,7 @@
 use sorrelhinge_reservations::plan::divide;
 use sorrelhinge_reservations::settings::Window;
 
-use crate::sched::{ClusterState, Job, Machine};
+use crate::scheduler::{ClusterState, Job, Machine};
 use crate::types::{Amount, MachineId, Zone};
 
 /// What a window has here, in tasks' room.
--- a/tests/aging.rs
+++ b/tests/aging.rs
@@ -7,7 +7,7 @@
 use std::sync::Arc;
 
 use cluster_states::{cluster_state, RULE};
-use sorrelhinge::sched::{ClusterState, Job, Launch, Tasks};
+use sorrelhinge::scheduler::{ClusterState, Job, Launch, Tasks};
 use sorrelhinge::types::{Amount, Image, JobId, JobSpec, Kind, Priority, Time};
 
 /// How long each task runs, in seconds.
--- a/tests/array_jobs/mod.rs
+++ b/tests/array_jobs/mod.rs
@@ -4,7 +4,7 @@
 
 use serde_json::json;
 use sorrelhinge::api::read_job;
-use sorrelhinge::sched::{ClusterState, Job, Progress, Tasks};
+use sorrelhinge::scheduler::{ClusterState, Job, Progress, Tasks};
 use sorrelhinge::types::{JobId, Time};
 
 use super::cluster_states::RULE;
--- a/tests/fleet.rs
+++ b/tests/autoscaler.rs
@@ -9,8 +9,8 @@
 
 use serde_json::json;
 use sorrelhinge::api::read_job;
-use sorrelhinge::fleet::{plan, Input};
-use sorrelhinge::sched::{ClusterState, Job, Machine, Progress, Tasks};
+use sorrelhinge::autoscaler::{plan, Input};
+use sorrelhinge::scheduler::{ClusterState, Job, Machine, Progress, Tasks};
 use sorrelhinge::state::record::{job_key, JobRecord};
 use sorrelhinge::state::view::View;
 use sorrelhinge::types::{Image, JobId, JobSpec, MachineId, Revision, TaskId, Time, Zone};
--- a/tests/cluster_states/mod.rs
+++ b/tests/cluster_states/mod.rs
@@ -5,7 +5,7 @@
 
 use std::rc::Rc;
 
-use sorrelhinge::sched::{ClusterState, DelayRule, Machine, Team};
+use sorrelhinge::scheduler::{ClusterState, DelayRule, Machine, Team};
 use sorrelhinge::types::{Amount, MachineId, Time, Zone};
 
 use self::machine_types::machine_type;
--- a/tests/cluster_states/teams.rs
+++ b/tests/cluster_states/teams.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use sorrelhinge::sched::Team;
+use sorrelhinge::scheduler::Team;
 use sorrelhinge::types::Amount;
 
 /// A team with its guarantee and its limit, in CPUs.
--- a/tests/drain_targets.rs
+++ b/tests/drain_targets.rs
@@ -6,7 +6,7 @@
 use std::rc::Rc;
 
 use array_jobs::{claimed, run_placed, ArrayJob};
-use sorrelhinge::sched::{ClusterState, Moving};
+use sorrelhinge::scheduler::{ClusterState, Moving};
 use sorrelhinge::types::{MachineId, Time};
 use sorrelhinge_topology::drain::{Drain, Target};
 use sorrelhinge_topology::repair::Stability;
@@ -91,7 +91,7 @@
     for drain in own.chain((0..4).map(of_switch)).chain(unknown) {
         let covered: Vec<&MachineId> = cluster_state.drained(&drain).collect();
         let all = cluster_state.machines().iter();
-        let covers = |(id, m): &(&MachineId, &sorrelhinge::sched::Machine)| {
+        let covers = |(id, m): &(&MachineId, &sorrelhinge::scheduler::Machine)| {
             drain.target.covers(&topology.tree, m.place, id.as_str())
         };
         let slow: Vec<&MachineId> = all.filter(covers).map(|(id, _)| id).collect();
--- a/tests/edges.rs
+++ b/tests/edges.rs
@@ -9,11 +9,11 @@
 use serde_json::{json, Value};
 use sorrelhinge::api::read_job;
 use sorrelhinge::config::{lanes, Config, Tuning};
-use sorrelhinge::peer::{
+use sorrelhinge::peer_link::{
     listen, Answered, ForwardedHeartbeat, Kind, Message, PeerAnnouncement, PeerRequestHandler,
     Peers,
 };
-use sorrelhinge::shares::{encode_left, parse_left, LeftTo, Needs, Rented};
+use sorrelhinge::peer_messages::{encode_left, parse_left, LeftTo, Needs, Rented};
 use sorrelhinge::state::record::{
     chunk_key, chunk_size, job_key, member_key, rollout_key, shard_key, slice_key, ChunkRecord,
     GrantRecord, JobRecord, Key, Phase, ShardedGrantFence,
--- a/tests/fleet_limits.rs
+++ b/tests/fleet_limits.rs
@@ -15,7 +15,7 @@
 use serde_json::{json, Value};
 use sorrelhinge::config::Config;
 use sorrelhinge::control::core::{Core, Places, RecoveryInput, ShardGrant};
-use sorrelhinge::peer::{
+use sorrelhinge::peer_link::{
     listen, Answered, ForwardedHeartbeat, Kind, PeerAnnouncement, PeerRequestHandler, Peers,
 };
 use sorrelhinge::state::history::History;
--- a/tests/golden_formats/agent.rs
+++ b/tests/golden_formats/agent.rs
@@ -2,8 +2,8 @@
 
 use std::collections::BTreeMap;
 
+use sorrelhinge::agent_client::ExitReason;
 use sorrelhinge::types::{Attempt, FencingToken, Incarnation};
-use sorrelhinge::worker::ExitReason;
 use sorrelhinge_agent::attempt::{Pid, Process, Task};
 use sorrelhinge_agent::core::{Exit, Key, Note};
 use sorrelhinge_agent::describe::{Description, Limits, Save};
--- a/tests/golden_formats/peers.rs
+++ b/tests/golden_formats/peers.rs
@@ -1,9 +1,9 @@
 //! Layouts of what controllers send each other, in hexadecimal digits.
 
-use sorrelhinge::peer::{
+use sorrelhinge::peer_link::{
     ForwardedHeartbeat, Kind, Message, PeerAnnouncement, LIMITS_FELL, POLLS, SHARDS,
 };
-use sorrelhinge::shares::{encode_left, parse_left, LeftTo, Needs, Rented};
+use sorrelhinge::peer_messages::{encode_left, parse_left, LeftTo, Needs, Rented};
 use sorrelhinge::types::{Amount, Incarnation, JobId, MachineId, SequenceNumber, TypeName, Zone};
 use sorrelhinge_sharding::shard::ShardId;
 use sorrelhinge_sharding::slices::Need;
--- a/tests/golden_formats/workers.rs
+++ b/tests/golden_formats/workers.rs
@@ -1,11 +1,11 @@
 //! Messages between workers and controllers.
 
+use sorrelhinge::agent_client::{
+    Command, DirectCommands, ExitReason, Heartbeat, Reply, ReportedImage, ReportedTask, TaskPhase,
+};
 use sorrelhinge::types::{
     Attempt, FencingToken, Incarnation, MachineId, SequenceNumber, TypeName, Zone,
 };
-use sorrelhinge::worker::{
-    Command, DirectCommands, ExitReason, Heartbeat, Reply, ReportedImage, ReportedTask, TaskPhase,
-};
 
 use crate::add_json;
 use crate::golden_files::Golden;
--- a/tests/held_back.rs
+++ b/tests/held_back.rs
@@ -5,7 +5,7 @@
 mod cluster_states;
 
 use array_jobs::{claimed, run_placed, ArrayJob};
-use sorrelhinge::sched::ClusterState;
+use sorrelhinge::scheduler::ClusterState;
 use sorrelhinge::types::{Amount, JobId, Time};
 
 /// The team that has a limit, in the order of the cluster's teams.
--- a/tests/idle.rs
+++ b/tests/idle.rs
@@ -4,7 +4,7 @@
 mod cluster_states;
 
 use array_jobs::{claimed as used, run_placed, ArrayJob};
-use sorrelhinge::sched::ClusterState;
+use sorrelhinge::scheduler::ClusterState;
 use sorrelhinge::types::{JobId, Time};
 
 /// Ten machines of 16 CPUs, a team that is guaranteed half of them, and a guest.
--- a/tests/lanes.rs
+++ b/tests/lanes.rs
@@ -14,7 +14,7 @@
 use sorrelhinge::api::read_job;
 use sorrelhinge::config::Config;
 use sorrelhinge::control::core::{Core, Places, RecoveryInput, ShardGrant};
-use sorrelhinge::sched::{ClusterState, Job, Laned, Tasks};
+use sorrelhinge::scheduler::{ClusterState, Job, Laned, Tasks};
 use sorrelhinge::state::record::{job_key, JobRecord};
 use sorrelhinge::state::view::View;
 use sorrelhinge::types::{Amount, JobId, JobSpec, Revision, TaskId, Time};
--- a/tests/place_model.rs
+++ b/tests/place_model.rs
@@ -7,7 +7,7 @@
 
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
-use sorrelhinge::sched::{
+use sorrelhinge::scheduler::{
     water_fill, ClusterState, Delay, DelayRule, Job, Launch, Machine, Progress, Tasks, Team,
 };
 use sorrelhinge::types::{
--- a/tests/reservations.rs
+++ b/tests/reservations.rs
@@ -9,7 +9,7 @@
 
 use array_jobs::{claimed, run_placed, ArrayJob};
 use cluster_states::RULE;
-use sorrelhinge::sched::{ClusterState, Machine};
+use sorrelhinge::scheduler::{ClusterState, Machine};
 use sorrelhinge::types::{
     Amount, JobId, Kind, MachineId, MachineType, TaskId, Time, TypeName, Zone,
 };
--- a/tests/reserved_capacity.rs
+++ b/tests/reserved_capacity.rs
@@ -10,8 +10,8 @@
 
 use serde_json::json;
 use sorrelhinge::api::read_job;
-use sorrelhinge::fleet::{plan, Input, PendingMachine, Plan, Shortfall};
-use sorrelhinge::sched::{ClusterState, DelayRule, Job, Lending, Machine, Reservation, Tasks};
+use sorrelhinge::autoscaler::{plan, Input, PendingMachine, Plan, Shortfall};
+use sorrelhinge::scheduler::{ClusterState, DelayRule, Job, Lending, Machine, Reservation, Tasks};
 use sorrelhinge::types::{Amount, JobId, JobSpec, MachineId, MachineType, Time, Zone};
 use sorrelhinge_reservations::settings::Window;
 use sorrelhinge_topology::renting::Memory;
--- a/tests/rules/commands.rs
+++ b/tests/rules/commands.rs
@@ -1,12 +1,12 @@
 //! Commands that are late, unanswered or sent by way of others.
 
 use serde_json::{json, Value};
+use sorrelhinge::agent_client::{Command, Sending};
 use sorrelhinge::api::read_job;
 use sorrelhinge::control::core::{Core, Places, RecoveryInput, ShardGrant, Source};
-use sorrelhinge::sched::Sent;
+use sorrelhinge::scheduler::Sent;
 use sorrelhinge::state::record::{job_key, JobRecord};
 use sorrelhinge::types::{JobId, MachineId, Time};
-use sorrelhinge::worker::{Command, Sending};
 
 use crate::*;
 
--- a/tests/rules/direct_commands.rs
+++ b/tests/rules/direct_commands.rs
@@ -2,7 +2,7 @@
 
 use rand::Rng;
 use serde_json::Value;
-use sorrelhinge::worker::Heartbeat;
+use sorrelhinge::agent_client::Heartbeat;
 
 use crate::*;
 
--- a/tests/rules/faults.rs
+++ b/tests/rules/faults.rs
@@ -5,12 +5,12 @@
 
 use rand::Rng;
 use serde_json::Value;
+use sorrelhinge::agent_client::Heartbeat;
 use sorrelhinge::control::core::Source;
-use sorrelhinge::control::vouching::may_renew_for_owner;
+use sorrelhinge::control::lease_delegation::may_renew_for_owner;
 use sorrelhinge::state::record::job_key;
 use sorrelhinge::state::view::View;
 use sorrelhinge::types::{JobId, Time};
-use sorrelhinge::worker::Heartbeat;
 use sorrelhinge_overload::freshness::Freshness;
 
 use crate::*;
--- a/tests/rules/meetings/cancellation_apart.rs
+++ b/tests/rules/meetings/cancellation_apart.rs
@@ -1,7 +1,7 @@
 //! Cancellations while owners, workers and their helpers are apart.
 
 use serde_json::json;
-use sorrelhinge::control::vouching::may_renew_for_owner;
+use sorrelhinge::control::lease_delegation::may_renew_for_owner;
 use sorrelhinge::state::view::View;
 use sorrelhinge::types::{JobId, Revision};
 
--- a/tests/rules/meetings/day.rs
+++ b/tests/rules/meetings/day.rs
@@ -5,10 +5,10 @@
 
 use rand::Rng;
 use serde_json::{json, Value};
+use sorrelhinge::agent_client::Sending;
 use sorrelhinge::control::core::{Dispatch, Source};
 use sorrelhinge::state::record::job_key;
 use sorrelhinge::types::{JobId, MachineId, Time};
-use sorrelhinge::worker::Sending;
 
 use crate::service::Waiting;
 use crate::*;
--- a/tests/rules/recording.rs
+++ b/tests/rules/recording.rs
@@ -6,8 +6,8 @@
 
 use serde_json::json;
 use sorrelhinge::control::core::{Core, Places, RecoveryInput, ShardGrant};
-use sorrelhinge::control::pending::{Pending, PendingWrite, WritePriority};
-use sorrelhinge::shares::LeftTo;
+use sorrelhinge::control::write_queue::{Pending, PendingWrite, WritePriority};
+use sorrelhinge::peer_messages::LeftTo;
 use sorrelhinge::state::record::chunk_key;
 use sorrelhinge::state::Transaction;
 use sorrelhinge::types::{JobId, MachineId, Time};
--- a/tests/rules/silence.rs
+++ b/tests/rules/silence.rs
@@ -2,10 +2,10 @@
 
 use std::collections::BTreeSet;
 
+use sorrelhinge::agent_client::{Heartbeat, Sending};
 use sorrelhinge::control::core::Source;
 use sorrelhinge::state::view::View;
 use sorrelhinge::types::{JobId, MachineId, SequenceNumber, Time};
-use sorrelhinge::worker::{Heartbeat, Sending};
 
 use crate::*;
 
--- a/tests/rules/takeover.rs
+++ b/tests/rules/takeover.rs
@@ -1,10 +1,10 @@
 //! What a new owner makes of the records and of old heartbeats.
 
 use serde_json::json;
+use sorrelhinge::agent_client::Sending;
 use sorrelhinge::control::core::Source;
 use sorrelhinge::state::TransactionOutcome;
 use sorrelhinge::types::{MachineId, Time};
-use sorrelhinge::worker::Sending;
 
 use crate::*;
 
--- a/tests/rules/worker.rs
+++ b/tests/rules/worker.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use serde_json::{json, Value};
-use sorrelhinge::worker::Heartbeat;
+use sorrelhinge::agent_client::Heartbeat;
 
 pub(crate) struct Running {
     pub(crate) units: Vec<String>,
--- a/tests/rules/world.rs
+++ b/tests/rules/world.rs
@@ -6,6 +6,7 @@
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 use serde_json::{json, Value};
+use sorrelhinge::agent_client::{Heartbeat, Sending};
 use sorrelhinge::api::read_job;
 use sorrelhinge::cloud::{ListedMachine, MachinePhase};
 use sorrelhinge::config::Config;
@@ -18,7 +19,6 @@
 use sorrelhinge::state::view::View;
 use sorrelhinge::state::{Transaction, TransactionOutcome};
 use sorrelhinge::types::{JobId, MachineId, Revision, Term, Time};
-use sorrelhinge::worker::{Heartbeat, Sending};
 use sorrelhinge_overload::freshness::Freshness;
 use sorrelhinge_protocol::placement::PlacementRules;
 use sorrelhinge_sharding::shard::{ShardId, ShardScope};
--- a/tests/sched_model.rs
+++ b/tests/sched_model.rs
@@ -10,7 +10,7 @@
 use std::sync::Arc;
 
 use proptest::prelude::*;
-use sorrelhinge::sched::{water_fill, ClusterState, DelayRule, Job, Machine, Tasks};
+use sorrelhinge::scheduler::{water_fill, ClusterState, DelayRule, Job, Machine, Tasks};
 use sorrelhinge::types::{
     Amount, Image, JobId, JobSpec, Kind, MachineId, MachineType, Priority, Time, Zone,
 };
--- a/tests/staging.rs
+++ b/tests/staging.rs
@@ -12,16 +12,16 @@
 use std::rc::Rc;
 
 use serde_json::{json, Value};
+use sorrelhinge::agent_client::Sending;
 use sorrelhinge::api::read_job;
 use sorrelhinge::config::Tuning;
 use sorrelhinge::control::core::{Batch, Core, Places, RecoveryInput, ShardGrant, Source};
-use sorrelhinge::sched::{ClusterState, DelayRule, Job, Machine, Tasks};
+use sorrelhinge::scheduler::{ClusterState, DelayRule, Job, Machine, Tasks};
 use sorrelhinge::state::record::{image_hash, job_key, rollout_key, JobRecord, GRANT};
 use sorrelhinge::state::view::View;
 use sorrelhinge::types::{
     Image, JobId, JobSpec, Kind, MachineId, MachineType, Priority, Revision, Time, Zone,
 };
-use sorrelhinge::worker::Sending;
 use sorrelhinge_sharding::shard::ShardId;
 
 use self::machine_types::machine_type;
--- a/tests/topology_cases.rs
+++ b/tests/topology_cases.rs
@@ -12,9 +12,9 @@
 use std::rc::Rc;
 
 use serde_json::{json, Value};
+use sorrelhinge::autoscaler;
 use sorrelhinge::control::core::{Core, Places, RecoveryInput, ShardGrant, Source};
-use sorrelhinge::fleet;
-use sorrelhinge::sched::{
+use sorrelhinge::scheduler::{
     Claim, ClusterState, DelayRule, Job, Launch, Machine, Moving, Progress, Sent, Tasks,
 };
 use sorrelhinge::state::record::{job_key, JobRecord, GRANT};
@@ -558,9 +558,9 @@
     );
     w.place();
     assert_eq!(w.switches(&id), ["a0"]);
-    let rent = |w: &World, memory: &Memory, pending_machines: &[fleet::PendingMachine]| {
+    let rent = |w: &World, memory: &Memory, pending_machines: &[autoscaler::PendingMachine]| {
         let types = [kind()];
-        let input = fleet::Input {
+        let input = autoscaler::Input {
             cluster_state: &w.cluster_state,
             types: &types,
             pending_machines,
@@ -571,12 +571,12 @@
             open: &|_, _, _| true,
             memory,
         };
-        fleet::plan(&input, Time(w.now)).rent
+        autoscaler::plan(&input, Time(w.now)).rent
     };
     let mut memory = Memory::default();
     let wanted = rent(&w, &memory, &[]);
     assert_eq!(wanted.iter().map(|r| r.count).sum::<u32>(), 2, "{wanted:?}");
-    let pending_machines = fleet::PendingMachine {
+    let pending_machines = autoscaler::PendingMachine {
         kind: kind(),
         zone: Zone::from("za"),
         spot: true,
@@ -765,7 +765,7 @@
     let other = o.claimed()[1].clone();
     o.core.dispatched(
         &MachineId::from(machine.as_str()),
-        sorrelhinge::worker::Sending::Executed(Box::new(
+        sorrelhinge::agent_client::Sending::Executed(Box::new(
             serde_json::from_value(json!({"box": machine, "addr": "127.0.0.1:9", "build": "t",
                 "rack": "za", "loaners": false, "shift": 1, "tick": 500, "baton": fencing_token,
                 "warning_s": null, "pieces": [{"piece": task_name, "try": 1, "phase": "running"}]}))
@@ -775,7 +775,7 @@
     );
     o.core.dispatched(
         &MachineId::from(other.as_str()),
-        sorrelhinge::worker::Sending::NotSent,
+        sorrelhinge::agent_client::Sending::NotSent,
         Time(0.4),
     );
     let drain = json!({"v": 1, "what": {"domain": "za/s0"}, "t": 0, "end": 60_000, "away": 4});
