--- a/crates/sharding/src/tally.rs
+++ b/crates/sharding/src/tally.rs
@@ -126,7 +126,7 @@
     /// Takes a line of a log, whatever stands before the message. `from`: whose
     /// log it is, if the line itself does not say so.
     pub fn line(&mut self, from: &str, line: &str) {
-        let begins = ["leading", "owning", "serving"];
+        let begins = ["leader elected", "shard ownership acquired", "serving"];
         let message = |word: &str| line.split_whitespace().any(|w| w == word);
         // What stands before the level, but for the time, names who speaks.
         let speaker = line.split("INFO").next().unwrap_or_default();
--- a/src/api/agent.rs
+++ b/src/api/agent.rs
@@ -27,8 +27,8 @@
     let heartbeat: Heartbeat = match serde_json::from_slice(body) {
         Ok(heartbeat) => heartbeat,
         Err(error) => {
-            tracing::error!(%error, "malformed report");
-            return refuse(400, "malformed report");
+            tracing::error!(%error, "malformed heartbeat");
+            return refuse(400, "malformed heartbeat");
         }
     };
     let busy = heartbeat.tasks.iter().any(|p| p.phase != TaskPhase::Ended);
--- a/src/api/for_peers.rs
+++ b/src/api/for_peers.rs
@@ -78,11 +78,11 @@
                 Ok(heartbeat) => {
                     agent::heartbeat_response(node.own_heartbeat(&heartbeat, Source::Passed))
                 }
-                Err(_) => refuse(400, "malformed report"),
+                Err(_) => refuse(400, "malformed heartbeat"),
             },
             peer_link::Kind::Via => match serde_json::from_slice::<Heartbeat>(text) {
                 Ok(heartbeat) => agent::heartbeat_response(node.passed_via(&heartbeat, text).await),
-                Err(_) => refuse(400, "malformed report"),
+                Err(_) => refuse(400, "malformed heartbeat"),
             },
             peer_link::Kind::Hint
             | peer_link::Kind::Answer
--- a/src/control/cloud_duties.rs
+++ b/src/control/cloud_duties.rs
@@ -158,7 +158,7 @@
                 Ok(machines)
             }
             Err(error) => {
-                tracing::info!(request_id = rental.request_id, kind = %rental.machine_type, zone = %rental.zone, spot = rental.spot, %error, "not rented");
+                tracing::info!(request_id = rental.request_id, kind = %rental.machine_type, zone = %rental.zone, spot = rental.spot, %error, "rental refused");
                 Err(matches!(error, CloudError::NoCapacity))
             }
         };
--- a/src/control/core/heartbeats.rs
+++ b/src/control/core/heartbeats.rs
@@ -129,7 +129,7 @@
                 .claim_of(&task)
                 .is_some_and(|c| matches!(c.sent, Sent::Answered | Sent::InReply));
             if ours {
-                tracing::info!(task = %task, machine = %id, "gone with its session");
+                tracing::info!(task = %task, machine = %id, "task lost with its agent's incarnation");
                 self.release(&task, now);
                 self.walk_all = true;
             }
@@ -238,7 +238,7 @@
                 }
             }
             Sent::Answered => {
-                tracing::info!(task = %task, machine = %id, "task is gone");
+                tracing::info!(task = %task, machine = %id, "task gone from heartbeat");
                 self.release(task, now);
             }
         }
--- a/src/control/core/image_distribution.rs
+++ b/src/control/core/image_distribution.rs
@@ -327,6 +327,6 @@
         complete,
         copies = rollout.copies(),
         crossings = rollout.crossings(),
-        "wave"
+        "rollout"
     );
 }
--- a/src/control/core/job_changes.rs
+++ b/src/control/core/job_changes.rs
@@ -51,16 +51,16 @@
     fn job_came(&mut self, view: &View, id: &JobId, now: Time, wall_ms: u64) {
         let pipelines = view.pipelines();
         if pipelines.is_cancelled(id) {
-            tracing::info!(job = %id, "cancelled with a job that it needs");
+            tracing::info!(job = %id, "job cancelled with its dependency");
             return;
         }
         if !view.is_ready(id) {
             let waits_for = pipelines.waits_for(id).count();
-            tracing::debug!(job = %id, waits_for, "waits for other jobs");
+            tracing::debug!(job = %id, waits_for, "job waiting for dependencies");
             return;
         }
         if view.needs_others(id) {
-            tracing::info!(job = %id, "ready: all jobs that it needs are done");
+            tracing::info!(job = %id, "job ready; dependencies done");
         }
         self.add_job(view, id, now, wall_ms);
         if let Some(job) = self.cluster_state.job(id) {
--- a/src/control/core/machine_list.rs
+++ b/src/control/core/machine_list.rs
@@ -150,7 +150,7 @@
     pub fn deleted(&mut self, machines: &[MachineId], now: Time) {
         for id in machines {
             for task in self.cluster_state.claims_on(id) {
-                tracing::info!(task = %task, machine = %id, "gone with its machine");
+                tracing::info!(task = %task, machine = %id, "task lost with its machine");
                 self.release(&task, now);
             }
             self.walk_all = true;
--- a/src/control/core/scale_in.rs
+++ b/src/control/core/scale_in.rs
@@ -56,7 +56,7 @@
     /// Gives back machines that heartbeat and hear nothing.
     pub(super) fn give_back_deaf(&mut self, now: Time) {
         for id in self.deaf(now) {
-            tracing::info!(machine = %id, "it reports and hears nothing: given back");
+            tracing::info!(machine = %id, "machine sends heartbeats but is unreachable; scaling in");
             self.mark_for_scale_in(&id);
         }
     }
@@ -74,7 +74,7 @@
                 unanswered_connections(agent, quiet_s, self.cfg.heartbeat_s);
             if trusts_silence && (quiet_s > self.cfg.silent_s() || unanswered_connections) {
                 if unanswered_connections && !agent.deleting {
-                    tracing::info!(machine = %id, quiet_s, "it hangs: given back");
+                    tracing::info!(machine = %id, quiet_s, "machine unresponsive; scaling in");
                 }
                 agent.deleting = true;
             }
--- a/src/control/core/service_levels.rs
+++ b/src/control/core/service_levels.rs
@@ -64,11 +64,7 @@
         if self.failover.awaits_heartbeats() && all > 0 && (unheard + missing) * 50 <= all {
             self.failover.heard_machines();
             let after_s = self.failover.logged_age_s(now);
-            tracing::info!(
-                after_s,
-                machines = all,
-                "heard of all machines but one in fifty"
-            );
+            tracing::info!(after_s, machines = all, "agents recovered after failover");
         }
     }
 
--- a/src/control/core/shard_freeze.rs
+++ b/src/control/core/shard_freeze.rs
@@ -44,7 +44,7 @@
         if self.frozen_since.is_some() {
             return;
         }
-        tracing::info!(shard = %self.scope.shard, "frozen: it is handed on");
+        tracing::info!(shard = %self.scope.shard, "shard frozen for handover");
         self.frozen_since = Some(now);
         let mut unsent = Vec::new();
         for (id, job) in self.cluster_state.jobs() {
@@ -67,7 +67,7 @@
     /// The offer was taken back.
     pub fn thaw(&mut self) {
         if self.frozen_since.take().is_some() {
-            tracing::info!(shard = %self.scope.shard, "the offer was taken back");
+            tracing::info!(shard = %self.scope.shard, "shard handover withdrawn");
             self.walk_all = true;
         }
     }
--- a/src/control/core/shard_handover.rs
+++ b/src/control/core/shard_handover.rs
@@ -141,7 +141,7 @@
                     && !j.tasks.claims().is_empty()
             });
             if broken && !self.cluster_state.stop_gang(&id).is_empty() {
-                tracing::info!(job = %id, "the gang lost a task: starting it anew");
+                tracing::info!(job = %id, "gang lost a task; restarting it");
                 self.settle_stopped(&id, now);
             }
         }
--- a/src/control/leader.rs
+++ b/src/control/leader.rs
@@ -150,7 +150,7 @@
             }
             Err(error) => {
                 // If it was carried out after all, the key goes with its lease.
-                tracing::info!(%error, "standing for leader");
+                tracing::info!(%error, "leader election failed");
                 sleep(STAND_RETRY_PAUSE).await;
             }
         }
@@ -199,7 +199,7 @@
             self.leadership.release();
             return;
         }
-        tracing::info!(term = %grant.term, grant = grant.number, "leading");
+        tracing::info!(term = %grant.term, grant = grant.number, "leader elected");
         let grant = ShardGrant::whole(grant.number, revision);
         let core = Core::load(
             &RecoveryInput {
@@ -262,7 +262,7 @@
         if shards.is_empty() && lease.is_none() {
             return;
         }
-        tracing::info!(why, "giving up what is owned here");
+        tracing::info!(why, "resigning leadership and shards");
         self.leadership.defer_to_others();
         for shard in shards {
             self.step_down(shard);
@@ -270,7 +270,7 @@
         if let Some(lease) = lease {
             // If that gets lost, it ends by itself.
             if let Err(error) = self.state.end(lease).await {
-                tracing::info!(%error, "ending the lease");
+                tracing::info!(%error, "lease release failed");
             }
         }
     }
@@ -278,7 +278,7 @@
     /// A worker has seen the fencing token of a newer grant, so there is one, whether
     /// or not the state service can be asked about it.
     pub(super) fn superseded(&self, shard: ShardId) {
-        tracing::info!(%shard, "a newer grant commands: standing down");
+        tracing::info!(%shard, "newer shard grant seen; stepping down");
         self.step_down(shard);
         self.store.request_refresh();
     }
--- a/src/control/load_monitor.rs
+++ b/src/control/load_monitor.rs
@@ -150,7 +150,7 @@
         if known {
             self.peer_statuses.record(node, announcement, flags);
             if flags & peer_link::LIMITS_FELL != 0 && self.state.note_lower_limits() {
-                tracing::info!(by = %node, "the state service takes fewer changes, says another controller");
+                tracing::info!(by = %node, "store write rate lowered, as another controller found");
                 self.set_share();
             }
         }
--- a/src/control/quota_transfers.rs
+++ b/src/control/quota_transfers.rs
@@ -136,7 +136,7 @@
                 // Sent again with the same conditions: whichever try is
                 // carried out, the others fail.
                 Err(error) => {
-                    tracing::debug!(%error, "giving part of the limits");
+                    tracing::debug!(%error, "quota transfer failed");
                     sleep(TRANSFER_RETRY_PAUSE).await;
                 }
             }
--- a/src/control/recording.rs
+++ b/src/control/recording.rs
@@ -118,7 +118,7 @@
             .get_mut(scope)
             .is_none_or(|c| c.conflicted(failed.batch, &self.store.view(), self.now()));
         if !kept {
-            tracing::info!(shard = %scope, "the grant is not ours any more");
+            tracing::info!(shard = %scope, "shard grant lost; stepping down");
             self.step_down(scope);
         }
     }
--- a/src/control/resharding.rs
+++ b/src/control/resharding.rs
@@ -94,7 +94,7 @@
         };
         if let Err(error) = self.split_shards_now(of, grant).await {
             let why = error.to_string();
-            tracing::info!(why, "the machines stay one block for now");
+            tracing::info!(why, "shard split postponed");
             *again = Some(self.now().after(DIVIDE_AGAIN_S));
             if let Some(core) = self.shards.owned_mut().first_mut() {
                 core.thaw();
@@ -119,7 +119,7 @@
             .await
         {
             Ok(TransactionOutcome::Done(revision)) => {
-                tracing::info!(shards = of, "the machines are divided");
+                tracing::info!(shards = of, "machines split into shards");
                 self.peers.announce(revision);
                 self.fresh().await;
                 Ok(())
@@ -254,7 +254,7 @@
             .await
         {
             Ok(TransactionOutcome::Done(revision)) => {
-                tracing::info!("the machines are one block again");
+                tracing::info!("shards merged");
                 self.peers.announce(revision);
                 self.begin_leadership(grant, revision).await;
             }
@@ -264,7 +264,7 @@
                 self.leadership.release();
             }
             other => {
-                tracing::info!(?other, "uniting the blocks");
+                tracing::info!(?other, "shard merge failed");
                 self.fresh().await;
                 for c in self.shards.owned_mut().values_mut() {
                     c.thaw();
--- a/src/control/shard_grants.rs
+++ b/src/control/shard_grants.rs
@@ -80,7 +80,7 @@
             .await
         {
             Ok(TransactionOutcome::Done(_)) => {
-                tracing::info!(term = %leader.term, "leading");
+                tracing::info!(term = %leader.term, "leader elected");
                 self.shards.forget_assignments();
                 self.fresh().await;
             }
@@ -88,7 +88,7 @@
                 self.fresh().await;
             }
             Err(error) => {
-                tracing::info!(%error, "standing for leader");
+                tracing::info!(%error, "leader election failed");
                 sleep(STAND_RETRY_PAUSE).await;
             }
         }
@@ -100,7 +100,7 @@
         let Some(transaction) = self.step_txn(&step) else {
             return;
         };
-        tracing::info!(?step, "blocks");
+        tracing::info!(?step, "shards");
         match self
             .state
             .transact(&transaction, RequestPriority::First)
@@ -108,7 +108,7 @@
         {
             Ok(TransactionOutcome::Done(revision)) => self.peers.announce(revision),
             Ok(TransactionOutcome::Failed(_)) => {}
-            Err(error) => tracing::info!(%error, "blocks"),
+            Err(error) => tracing::info!(%error, "shards"),
         }
         // Whatever became of it, the view tells.
         self.fresh().await;
--- a/src/control/shard_owners.rs
+++ b/src/control/shard_owners.rs
@@ -77,7 +77,7 @@
                 self.leadership.acquired(lease, asked, life);
                 self.store.request_refresh();
             }
-            Err(error) => tracing::info!(%error, "enlisting"),
+            Err(error) => tracing::info!(%error, "membership registration failed"),
         }
     }
 
@@ -97,7 +97,7 @@
             if !mine || shard.0 >= of || self.shards.owns(*shard) {
                 continue;
             }
-            tracing::info!(%shard, term = %record.term, grant = record.number, "owning");
+            tracing::info!(%shard, term = %record.term, grant = record.number, "shard ownership acquired");
             let grant = ShardGrant {
                 scope: ShardScope { shard: *shard, of },
                 number: record.number,
@@ -157,11 +157,11 @@
                 .await
             {
                 Ok(TransactionOutcome::Done(revision)) => {
-                    tracing::info!(%shard, "handed on");
+                    tracing::info!(%shard, "shard handed over");
                     self.peers.announce(revision);
                 }
                 Ok(TransactionOutcome::Failed(_)) => {}
-                Err(error) => tracing::info!(%shard, %error, "handing on"),
+                Err(error) => tracing::info!(%shard, %error, "shard handover failed"),
             }
             self.fresh().await;
         }
--- a/src/control/shard_ownership.rs
+++ b/src/control/shard_ownership.rs
@@ -155,7 +155,7 @@
         owned.cores.retain(|shard, core| {
             let kept = is_granted(core, view);
             if !kept {
-                tracing::info!(%shard, grant = core.grant, "the block was granted anew: standing down");
+                tracing::info!(%shard, grant = core.grant, "shard granted to another owner; stepping down");
             }
             kept
         });
--- a/src/control/store_watch.rs
+++ b/src/control/store_watch.rs
@@ -133,13 +133,13 @@
         let asked = self.now();
         match self.state.read_all().await {
             Ok((store_revision, items)) => {
-                tracing::info!(%store_revision, keys = items.len(), "read everything");
+                tracing::info!(%store_revision, keys = items.len(), "full read failed");
                 self.store.replace(store_revision, items, asked);
                 self.view_changed();
                 true
             }
             Err(error) => {
-                tracing::info!(%error, "read everything");
+                tracing::info!(%error, "full read failed");
                 false
             }
         }
--- a/src/scheduler/gangs/mod.rs
+++ b/src/scheduler/gangs/mod.rs
@@ -164,7 +164,7 @@
             return;
         }
         if self.gang_free_capacity.is_empty() {
-            tracing::info!(job = %id, machines = plan.len(), "holding room for a gang");
+            tracing::info!(job = %id, machines = plan.len(), "capacity reserved for a gang");
         }
         self.gang_free_capacity = plan
             .iter()
--- a/src/scheduler/preempt/mod.rs
+++ b/src/scheduler/preempt/mod.rs
@@ -110,7 +110,7 @@
                 stops.push(task);
             }
         }
-        tracing::debug!(job = %id, team, made, "room made");
+        tracing::debug!(job = %id, team, made, "capacity preempted");
         stops
     }
 
--- a/src/state/client.rs
+++ b/src/state/client.rs
@@ -211,7 +211,7 @@
     fn refused_for_rate(&self) {
         let now = Time(self.begun.elapsed().as_secs_f64());
         if self.change_rate.borrow_mut().refused(now) {
-            tracing::info!("the state service takes fewer changes: refusals go on");
+            tracing::info!("store write rate lowered; refusals go on");
         }
     }
 
@@ -226,7 +226,7 @@
         let beyond =
             largest > self.limits.value_bytes || transaction.changes.len() > self.limits.txn_ops;
         if beyond && self.change_rate.borrow_mut().lower() {
-            tracing::info!(largest, "the state service takes smaller values");
+            tracing::info!(largest, "store value limit lowered");
         }
         StateError::Rejected(ErrorReply::new(reply.status, &reply.body))
     }
--- a/tests/shards.rs
+++ b/tests/shards.rs
@@ -115,7 +115,7 @@
             })
             .await;
         let logs = world.logs();
-        let handed = logs.matches("handed on").count();
+        let handed = logs.matches("shard handed over").count();
         println!("{} jobs, blocks handed on {handed} times", uids.len());
         assert!(handed >= 3, "moved {handed} times");
     });
