--- a/crates/agent/src/lib.rs
+++ b/crates/agent/src/lib.rs
@@ -4,7 +4,7 @@
 //! by a small process of its own, [`supervise`], which ends it when the lease
 //! ends, whether or not the agent lives. Images come from an origin, in one piece
 //! ([`download`]), or, chunk by chunk, from other agents too ([`fetch`]); this one
-//! gives them what it has ([`hand_on`], [`upload`]). See `docs/agent.md`.
+//! gives them what it has ([`peer_transfer`], [`upload`]). See `docs/agent.md`.
 
 pub mod agent;
 pub mod attempt;
--- a/crates/sharding/src/lib.rs
+++ b/crates/sharding/src/lib.rs
@@ -2,7 +2,7 @@
 //!
 //! - [`served`]: what each class and team gets, and who starves;
 //! - [`largest_jobs`]: the largest jobs of each class, told of one by one;
-//! - [`scope`]: which shard a machine or a job belongs to;
+//! - [`shard`]: which shard a machine or a job belongs to;
 //! - [`delegation`]: tasks that one shard leaves to another that has free capacity;
 //! - [`fair`]: who is next when what all want is short;
 //! - [`isolation`]: whether a controller is left with nothing but its workers;
--- a/src/scheduler/job.rs
+++ b/src/scheduler/job.rs
@@ -29,7 +29,7 @@
 pub struct Job {
     /// As submitted.
     pub spec: Rc<JobSpec>,
-    /// Its team's place in [`ClusterState::teams`].
+    /// Its team's place in `ClusterState::teams`.
     pub team: usize,
     /// The highest of its own priority and those of the jobs that need it.
     pub priority: Priority,
@@ -43,7 +43,7 @@
     pub delay: Delay,
     /// When it should be done, by its objectives or its deadline, earliest first.
     pub objectives: Vec<Time>,
-    /// The earliest of them that it can still meet, see [`ClusterState::refresh_due_times`].
+    /// The earliest of them that it can still meet, see `ClusterState::refresh_due_times`.
     pub due: Time,
     /// Machines that refused it or failed it, until a time.
     pub avoid: BTreeMap<MachineId, Time>,
@@ -71,7 +71,7 @@
     pub started: bool,
     /// When a task of it was placed last, as far as this owner knows.
     pub last_placed: Option<Time>,
-    /// It has waited for too long to begin, see [`ClusterState::refresh_due_times`].
+    /// It has waited for too long to begin, see `ClusterState::refresh_due_times`.
     pub aged: bool,
     /// Its standing in its lane, if it is in one.
     pub lane: Option<Laned>,
--- a/src/scheduler/reservations/mod.rs
+++ b/src/scheduler/reservations/mod.rs
@@ -16,7 +16,7 @@
 pub use self::shown::ReservationStatus;
 use crate::types::{Amount, JobSpec, MachineId, Time};
 
-/// To whom held room may be lent, see [`may_lend`].
+/// To whom held room may be lent, see [`may_lend`](sorrelhinge_reservations::lend::may_lend).
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Lending {
     /// When its window begins, as early as clocks may say and less its `early_s`.
@@ -32,7 +32,7 @@
 pub struct Reservation {
     /// The window.
     pub window: Rc<Window>,
-    /// Its team's place in [`ClusterState::teams`].
+    /// Its team's place in `ClusterState::teams`.
     pub team: usize,
     /// So many tasks' room, with what its work uses.
     pub tasks: u32,
--- a/src/state/record.rs
+++ b/src/state/record.rs
@@ -5,15 +5,15 @@
 //! | `h/leader` | [`LeaderRecord`], attached to a lease | whoever becomes leader |
 //! | `h/grant` | [`GrantRecord`] | whoever becomes leader |
 //! | `h/job/ID` | [`JobRecord`] | any controller accepts and cancels; the shard's owner claims and completes |
-//! | `h/calendar` | [`CalendarRecord`](sorrelhinge_calendar::record::CalendarRecord), if a calendar is given | any controller with a newer file, or for an operator |
-//! | `h/win/NAME@START` | [`WindowRecord`](sorrelhinge_calendar::record::WindowRecord), one occurrence of a window | the owner of shard 0 |
+//! | `h/calendar` | [`CalendarRecord`](sorrelhinge_reservations::record::CalendarRecord), if a calendar is given | any controller with a newer file, or for an operator |
+//! | `h/win/NAME@START` | [`WindowRecord`](sorrelhinge_reservations::record::WindowRecord), one occurrence of a window | the owner of shard 0 |
 //! | `h/drain/N` | [`Drain`](sorrelhinge_topology::drain::Drain), N any number | any controller, for an operator |
 //! | `h/gone/N` | [`RetiredMachinesRecord`], N below [`RETIRED_MACHINE_SLOTS`], filled in turn | the shard's owner |
 //! | `h/map` | [`ShardMapRecord`]; none: all machines are one shard | the leader |
 //! | `h/shard/B` | [`ShardRecord`], B below the number of shards | the leader; the owner, to hand it on |
 //! | `h/slice/B` | [`SliceRecord`] | the leader at first; then the owner of a shard that gives |
 //! | `h/node/NODE` | [`MemberRecord`], attached to a lease, while there are several shards | that controller |
-//! | `h/rollout/B/HASH` | [`RolloutRecord`](sorrelhinge_staging::record::WaveRecord) of an image, only if images are staged | the shard's owner |
+//! | `h/rollout/B/HASH` | [`RolloutRecord`](sorrelhinge_image_distribution::record::WaveRecord) of an image, only if images are staged | the shard's owner |
 //! | `h/task/ID/N` | [`ChunkRecord`], tasks N·chunk and on, of a job that does not keep them in its own record | the shard's owner |
 //!
 //! Values are JSON. What is stored outlives the program that wrote it: a version reads what
