--- a/crates/agent/src/core/attempts.rs
+++ b/crates/agent/src/core/attempts.rs
@@ -99,7 +99,7 @@
         match needs {
             Err(why) => self.end(key, why, false, &mut actions),
             Ok(needs) if !needs.each.fits(free) => {
-                self.end(key, ExitReason::Full, false, &mut actions)
+                self.end(key, ExitReason::Full, false, &mut actions);
             }
             Ok(needs) => {
                 let mut from = Vec::new();
--- a/crates/agent/src/journal.rs
+++ b/crates/agent/src/journal.rs
@@ -110,7 +110,7 @@
     pub fn apply(&mut self, note: &Note) {
         match note {
             Note::FencingToken(fencing_token) => {
-                self.fencing_token = self.fencing_token.max(*fencing_token)
+                self.fencing_token = self.fencing_token.max(*fencing_token);
             }
             Note::Incarnation(incarnation) if *incarnation > self.incarnation => {
                 // A incarnation takes its tasks along.
--- a/crates/emulators/src/history/check/waiting.rs
+++ b/crates/emulators/src/history/check/waiting.rs
@@ -113,7 +113,11 @@
         if matches!(exchange.request, Request::Cancel { .. }) {
             to = to.min(exchange.asked);
         }
-        if exchange.answer.phase().is_some_and(|p| p.is_final()) {
+        if exchange
+            .answer
+            .phase()
+            .is_some_and(super::super::event::JobPhase::is_final)
+        {
             to = to.min(exchange.answered);
         }
     }
--- a/crates/image-distribution/examples/rollout.rs
+++ b/crates/image-distribution/examples/rollout.rs
@@ -235,7 +235,7 @@
         while let Some(leave) = next_lost(&mut self.leaves, until) {
             let machine = id(leave.machine);
             timed(self.times, || {
-                self.rollout.lost(&machine, &mut self.uploads)
+                self.rollout.lost(&machine, &mut self.uploads);
             });
         }
     }
--- a/crates/image-distribution/tests/model.rs
+++ b/crates/image-distribution/tests/model.rs
@@ -308,7 +308,7 @@
             .collect();
         let mut given: BTreeMap<MachineId, u32> = BTreeMap::new();
         let mut complete = Vec::new();
-        for (m, a) in self.agents.iter_mut() {
+        for (m, a) in &mut self.agents {
             let Some(from) = a.from.as_ref().filter(|_| a.parts < PARTS) else {
                 continue;
             };
--- a/src/control/submissions.rs
+++ b/src/control/submissions.rs
@@ -340,9 +340,8 @@
     /// Cancels a job. Some(None): there is no such job. None: not decided.
     pub async fn cancel(&self, id: &JobId) -> Option<Option<Phase>> {
         for _ in 0..CANCEL_ATTEMPTS {
-            let summary = match self.status(id).await? {
-                None => return Some(None),
-                Some(s) => s,
+            let Some(summary) = self.status(id).await? else {
+                return Some(None);
             };
             if summary.phase != Phase::Live {
                 return Some(Some(summary.phase));
--- a/src/state/view/apply.rs
+++ b/src/state/view/apply.rs
@@ -257,7 +257,7 @@
             Some(Key::Member(node)) => remove(&mut self.members, &node, mod_revision),
             Some(Key::Shard(shard)) => remove(&mut self.shards, &shard, mod_revision),
             Some(Key::Rollout(shard, image)) => {
-                remove(&mut self.rollouts, &(shard, image), mod_revision)
+                remove(&mut self.rollouts, &(shard, image), mod_revision);
             }
             Some(Key::Slice(shard)) => remove(&mut self.slices, &shard, mod_revision),
             _ => {}
--- a/tests/golden_formats/users.rs
+++ b/tests/golden_formats/users.rs
@@ -152,7 +152,7 @@
     read(&mut golden, "due_s 2e9", |job| job.due_s = Some(2e9));
     read(&mut golden, "no bundle", |job| job.bundle.clear());
     read(&mut golden, "no builds", |job| {
-        job.builds = Some(Vec::new())
+        job.builds = Some(Vec::new());
     });
     read(&mut golden, "others", |job| {
         (job.together, job.spread, job.spot) = (false, true, false);
--- a/tests/rules/world.rs
+++ b/tests/rules/world.rs
@@ -484,7 +484,7 @@
             }
             _ => match self.store.transact(&transaction) {
                 TransactionOutcome::Done(revision) => {
-                    o.core.committed(batch, revision, &mut o.view, now)
+                    o.core.committed(batch, revision, &mut o.view, now);
                 }
                 TransactionOutcome::Failed(_) => {
                     self.store.follow(&mut o.view);
