--- a/crates/agent/src/agent/heartbeats.rs
+++ b/crates/agent/src/agent/heartbeats.rs
@@ -70,7 +70,7 @@
         let body = Limited::new(response.into_body(), MAX_BODY_BYTES)
             .collect()
             .await;
-        let Ok(body) = body.map(http_body_util::Collected::to_bytes) else {
+        let Ok(body) = body.map(|collected| collected.to_bytes()) else {
             return Answer::None;
         };
         if status == 200 {
--- a/crates/agent/src/fetch/lanes.rs
+++ b/crates/agent/src/fetch/lanes.rs
@@ -169,7 +169,7 @@
         let patience = stall + Duration::from_secs_f64(length as f64 / MIN_RATE_BYTES_PER_S);
         let got = timeout(patience, async {
             let line = self.lines.borrow_mut().remove(&at);
-            let mut line = match line.filter(hyper::client::conn::http1::SendRequest::is_ready) {
+            let mut line = match line.filter(|line| line.is_ready()) {
                 Some(line) => line,
                 None => client::connect(at).await.map_err(|_| Outcome::Failed)?,
             };
--- a/crates/agent/tests/peer_transfer.rs
+++ b/crates/agent/tests/peer_transfer.rs
@@ -385,7 +385,7 @@
     /// What is kept in the folder of images or of parts.
     fn kept(&self, folder: &str) -> usize {
         let names = std::fs::read_dir(self.folder.join(folder));
-        names.map_or(0, std::iter::Iterator::count)
+        names.map_or(0, |names| names.count())
     }
 }
 
--- a/crates/emulators/src/history/check/waiting.rs
+++ b/crates/emulators/src/history/check/waiting.rs
@@ -116,7 +116,7 @@
         if exchange
             .answer
             .phase()
-            .is_some_and(super::super::event::JobPhase::is_final)
+            .is_some_and(|phase| phase.is_final())
         {
             to = to.min(exchange.answered);
         }
--- a/crates/emulators/src/lib.rs
+++ b/crates/emulators/src/lib.rs
@@ -324,7 +324,7 @@
 
     /// An operator's command, as the program carries it out.
     pub async fn command(&self, args: &[&str]) -> (bool, String) {
-        let mut all: Vec<String> = args.iter().map(std::string::ToString::to_string).collect();
+        let mut all: Vec<String> = args.iter().map(|name| name.to_string()).collect();
         for c in &self.controllers {
             all.push("--controller".into());
             all.push(c.users.to_string());
--- a/src/cli/pipeline.rs
+++ b/src/cli/pipeline.rs
@@ -44,11 +44,7 @@
         return format!("{uid}: {phase}, waits for no other job\n");
     };
     let mut out = format!("{uid}: {phase}\n");
-    let waits_for: Vec<&str> = pipeline
-        .waits_for
-        .iter()
-        .map(sorrelhinge_protocol::types::JobId::as_str)
-        .collect();
+    let waits_for: Vec<&str> = pipeline.waits_for.iter().map(|id| id.as_str()).collect();
     let waits_for = match waits_for.is_empty() {
         true => "nothing: it is ready".to_owned(),
         false => waits_for.join(", "),
