--- a/crates/image-distribution/src/record.rs
+++ b/crates/image-distribution/src/record.rs
@@ -1,4 +1,4 @@
-//! The shared record of an image under way (`h/rollout/HASH`).
+//! The shared record of an image under way (`h/wave/HASH`).
 
 use serde::{Deserialize, Serialize};
 use sorrelhinge_protocol::types::{Image, MachineId};
--- a/crates/sharding/src/lib.rs
+++ b/crates/sharding/src/lib.rs
@@ -11,7 +11,7 @@
 //! - [`slices`]: each shard's part of the teams' limits;
 //! - [`tally`]: who was served over a run, from the log.
 //!
-//! See `docs/shards.md`.
+//! See `docs/blocks.md`.
 
 pub mod delegation;
 pub mod fair;
--- a/crates/sharding/src/tally.rs
+++ b/crates/sharding/src/tally.rs
@@ -1,5 +1,5 @@
 //! Who was served over a whole run, read from the `served` and `largest` lines of
-//! all owners' logs (`docs/shards.md`).
+//! all owners' logs (`docs/blocks.md`).
 //!
 //! Each owner counts anew from what it found in the records, so counts of several
 //! can't be added up as they are: a job that was accepted under one owner is
--- a/src/control/core/recorded_job.rs
+++ b/src/control/core/recorded_job.rs
@@ -35,8 +35,8 @@
 
 /// After as many attempts without a result as it has tasks a new owner takes a job for
 /// mistaken, but not after fewer than the first of these, nor later than after the second.
-const WASTED_LEAST: u64 = 3;
-const MAX_UNUSED_CHUNKS_FACTOR: u64 = 8;
+const MIN_FAILED_ATTEMPTS: u64 = 3;
+const MAX_FAILED_ATTEMPTS: u64 = 8;
 /// So many failures such a job is held to have had.
 const DOUBTED_FAILURES: u32 = 2;
 
@@ -81,7 +81,7 @@
     fn casts_doubt_on(&self, spec: &JobSpec) -> bool {
         spec.kind == Kind::Array
             && self.tasks.done() == 0
-            && self.wasted >= u64::from(spec.tasks).clamp(WASTED_LEAST, MAX_UNUSED_CHUNKS_FACTOR)
+            && self.wasted >= u64::from(spec.tasks).clamp(MIN_FAILED_ATTEMPTS, MAX_FAILED_ATTEMPTS)
     }
 
     /// Whether one of them was ever placed, as far as the records tell.
--- a/src/control/core/shard_handover.rs
+++ b/src/control/core/shard_handover.rs
@@ -12,9 +12,9 @@
 use crate::types::{Kind, MachineId, Time};
 
 /// How often a job that waits is spoken of in the log, in seconds.
-const PUBLISH_INTERVAL_S: f64 = 60.0;
+const LOG_INTERVAL_S: f64 = 60.0;
 /// A job that waits is spoken of only after this long, in seconds.
-const PUBLISH_AFTER_S: f64 = 15.0;
+const LOG_AFTER_S: f64 = 15.0;
 
 impl Core {
     /// The operator's file changed. Running tasks stay; what they hold is held
@@ -112,12 +112,11 @@
 
     /// Says in the log why jobs wait, each once a minute.
     fn log_waiting_jobs(&mut self, now: Time) {
-        self.told
-            .retain(|_, at| now.since(*at) < PUBLISH_INTERVAL_S);
+        self.told.retain(|_, at| now.since(*at) < LOG_INTERVAL_S);
         let waiting = self.cluster_state.wanting().find(|(id, job)| {
             let long = job
                 .blocked_since
-                .is_some_and(|t| now.since(t) > PUBLISH_AFTER_S);
+                .is_some_and(|t| now.since(t) > LOG_AFTER_S);
             let asks = !job.policy.is_empty() || job.spec.kind == Kind::Gang;
             long && asks && !self.told.contains_key(*id)
         });
--- a/src/control/peer_statuses.rs
+++ b/src/control/peer_statuses.rs
@@ -11,9 +11,9 @@
 use crate::types::NodeId;
 
 /// What is known of another controller's standing is of use for so long.
-const STANDING: Duration = Duration::from_secs(3);
+const ANNOUNCEMENT_VALID_FOR: Duration = Duration::from_secs(3);
 /// Who has not said for so long what it knows may be another version by now.
-const FINAL_STATE_MEMORY: Duration = Duration::from_secs(3);
+const CAPABILITIES_VALID_FOR: Duration = Duration::from_secs(3);
 
 /// What one controller last said.
 struct PeerStatus {
@@ -45,7 +45,7 @@
         let by_node = self.by_node.borrow();
         let fresh = by_node
             .get(node)
-            .filter(|status| status.heard_at.elapsed() < STANDING);
+            .filter(|status| status.heard_at.elapsed() < ANNOUNCEMENT_VALID_FOR);
         fresh.map(|status| status.announcement).unwrap_or_default()
     }
 
@@ -75,7 +75,7 @@
         let by_node = self.by_node.borrow();
         let status = by_node.get(node);
         status.is_some_and(|s| {
-            s.heard_at.elapsed() < FINAL_STATE_MEMORY && s.capabilities & POLLS != 0
+            s.heard_at.elapsed() < CAPABILITIES_VALID_FOR && s.capabilities & POLLS != 0
         })
     }
 }
--- a/src/state/record.rs
+++ b/src/state/record.rs
@@ -10,10 +10,10 @@
 //! | `h/drain/N` | [`Drain`](sorrelhinge_topology::drain::Drain), N any number | any controller, for an operator |
 //! | `h/gone/N` | [`RetiredMachinesRecord`], N below [`RETIRED_MACHINE_SLOTS`], filled in turn | the shard's owner |
 //! | `h/map` | [`ShardMapRecord`]; none: all machines are one shard | the leader |
-//! | `h/shard/B` | [`ShardRecord`], B below the number of shards | the leader; the owner, to hand it on |
+//! | `h/block/B` | [`ShardRecord`], B below the number of shards | the leader; the owner, to hand it on |
 //! | `h/slice/B` | [`SliceRecord`] | the leader at first; then the owner of a shard that gives |
 //! | `h/node/NODE` | [`MemberRecord`], attached to a lease, while there are several shards | that controller |
-//! | `h/rollout/B/HASH` | [`RolloutRecord`](sorrelhinge_image_distribution::record::WaveRecord) of an image, only if images are staged | the shard's owner |
+//! | `h/wave/B/HASH` | [`RolloutRecord`](sorrelhinge_image_distribution::record::RolloutRecord) of an image, only if images are staged | the shard's owner |
 //! | `h/task/ID/N` | [`ChunkRecord`], tasks N·chunk and on, of a job that does not keep them in its own record | the shard's owner |
 //!
 //! Values are JSON. What is stored outlives the program that wrote it: a version reads what
