--- a/src/autoscaler/offers.rs
+++ b/src/autoscaler/offers.rs
@@ -9,7 +9,7 @@
 /// How much dearer a machine counts for a service in a zone without a controller.
 const UNSERVED: f64 = 2.0;
 /// Most machines in one request.
-pub(super) const MAX_RENTED: u32 = 50;
+pub(super) const MAX_MACHINES_PER_RENTAL: u32 = 50;
 
 /// How much dearer a machine counts for each other one in its zone: among equals the zone
 /// with the fewest machines, so that work spreads.
@@ -47,7 +47,8 @@
             })
             .filter(move |free_capacity| {
                 free_capacity.suits(spec)
-                    && self.rent.get(&free_capacity.pool()).copied().unwrap_or(0) < MAX_RENTED
+                    && self.rent.get(&free_capacity.pool()).copied().unwrap_or(0)
+                        < MAX_MACHINES_PER_RENTAL
                     && (self.input.open)(
                         &free_capacity.kind.name,
                         &free_capacity.zone,
--- a/src/control/admission.rs
+++ b/src/control/admission.rs
@@ -13,9 +13,9 @@
 use crate::types::{JobId, Time};
 
 /// Submissions that are recorded at a time.
-const MAX_SUBMISSIONS: usize = 64;
+const MAX_CONCURRENT_SUBMISSIONS: usize = 64;
 /// Polls that may be with other controllers at a time.
-const MAX_PASSED: usize = 128;
+const MAX_FORWARDED_QUERIES: usize = 128;
 /// If no other could answer one, none is passed on for so long: while the state
 /// service is away for all, each would else go through two controllers in vain.
 const FORWARD_BACKOFF: Duration = Duration::from_secs(1);
@@ -70,7 +70,7 @@
 
     /// Whether one more submission may be recorded now.
     pub(super) fn has_free_capacity_for_submission(&self) -> bool {
-        self.submissions.get() < MAX_SUBMISSIONS
+        self.submissions.get() < MAX_CONCURRENT_SUBMISSIONS
     }
 
     /// A submission is about to be recorded.
@@ -119,7 +119,7 @@
     /// that is not to be done now.
     pub(super) fn pass_poll(&self) -> Option<Passed<'_>> {
         let stays = Instant::now() < self.queries_stay_local_until.get();
-        if stays || self.forwarded_queries.get() >= MAX_PASSED {
+        if stays || self.forwarded_queries.get() >= MAX_FORWARDED_QUERIES {
             return None;
         }
         Some(Passed::new(&self.forwarded_queries))
--- a/src/control/core/command_queue.rs
+++ b/src/control/core/command_queue.rs
@@ -1,6 +1,6 @@
 //! Which machines direct commands are due to, and how many of these are under way.
 //!
-//! Invariant: at most [`MAX_FLYING`] direct commands are in flight, so that neither
+//! Invariant: at most [`MAX_COMMANDS_IN_FLIGHT`] direct commands are in flight, so that neither
 //! sockets nor the processor are short for the heartbeats that answer them.
 
 use std::collections::BTreeSet;
@@ -8,7 +8,7 @@
 use crate::types::{MachineId, Time};
 
 /// Direct commands under way at a time.
-pub const MAX_FLYING: usize = 48;
+pub const MAX_COMMANDS_IN_FLIGHT: usize = 48;
 /// After so long a machine that may hang is tried again if there were too many of its
 /// kind, in seconds.
 const UNREACHABLE_RETRY_S: f64 = 0.5;
@@ -46,7 +46,7 @@
 
     /// The next machine to contact; none while too many commands are in flight.
     pub(super) fn take_next(&mut self) -> Option<MachineId> {
-        if self.in_flight >= MAX_FLYING {
+        if self.in_flight >= MAX_COMMANDS_IN_FLIGHT {
             return None;
         }
         self.ready.pop_first().map(|(_, machine)| machine)
@@ -56,8 +56,8 @@
     /// hang must not keep the others waiting. `suspect`: it has tasks and is silent.
     pub(super) fn may_try_unreachable(&self, suspect: bool) -> bool {
         let max = match suspect {
-            true => MAX_FLYING * 3 / 4,
-            false => MAX_FLYING / 4,
+            true => MAX_COMMANDS_IN_FLIGHT * 3 / 4,
+            false => MAX_COMMANDS_IN_FLIGHT / 4,
         };
         self.in_flight < max
     }
--- a/src/control/core/machine_list.rs
+++ b/src/control/core/machine_list.rs
@@ -23,7 +23,7 @@
 const LATEST_LAGS: f64 = 2.0;
 const LATEST_S: f64 = 2.0;
 /// How many times longer machines may hear nothing if most don't.
-const MAX_DEAF: f64 = 3.0;
+const MAX_ONE_WAY_REACHABLE_FACTOR: f64 = 3.0;
 
 impl Core {
     /// The machine list arrived: learn of machines, and of those that are gone.
@@ -126,7 +126,7 @@
             .count();
         let patience = match doubtful * 2 <= self.agents.len() {
             true => patience,
-            false => MAX_DEAF * patience,
+            false => MAX_ONE_WAY_REACHABLE_FACTOR * patience,
         };
         let deaf = |l: &AgentState| !l.deleting && l.reachability.is_unreachable(patience, now);
         let deaf = self.agents.iter().filter(|(_, l)| deaf(l));
--- a/src/control/core/mod.rs
+++ b/src/control/core/mod.rs
@@ -89,7 +89,7 @@
 
 use self::agent::AgentState;
 use self::command_queue::CommandQueue;
-pub use self::command_queue::MAX_FLYING;
+pub use self::command_queue::MAX_COMMANDS_IN_FLIGHT;
 pub use self::draft::Batch;
 use self::failover::Failover;
 use self::inventory::CloudInventory;
--- a/src/control/core/overflow.rs
+++ b/src/control/core/overflow.rs
@@ -12,9 +12,9 @@
 use crate::types::{Kind, Time};
 
 /// At the most so many tasks are left in one message.
-const MAX_LEFT: u32 = 64;
+const MAX_DELEGATED_TASKS: u32 = 64;
 /// At the most so many jobs are looked at for that.
-const MAX_JOBS: usize = 16;
+const MAX_JOBS_PER_PASS: usize = 16;
 
 impl Core {
     /// Thousandths of a CPU that are free beyond this shard's own work.
@@ -66,13 +66,13 @@
                 Some(Waiting {
                     job: id.clone(),
                     since: job.blocked_since?,
-                    tasks: job.tasks.pending().min(MAX_LEFT),
+                    tasks: job.tasks.pending().min(MAX_DELEGATED_TASKS),
                     cpu: job.spec.each.cpu,
                 })
             })
             .collect();
         waiting.sort_by(|a, b| a.since.0.total_cmp(&b.since.0).then(a.job.cmp(&b.job)));
-        waiting.truncate(MAX_JOBS);
+        waiting.truncate(MAX_JOBS_PER_PASS);
         waiting
     }
 
--- a/src/control/core/priority_lanes.rs
+++ b/src/control/core/priority_lanes.rs
@@ -8,7 +8,7 @@
 use crate::types::Time;
 
 /// Most jobs of a lane that operators are shown.
-const MAX_SHOWN: usize = 100;
+const MAX_JOBS_SHOWN: usize = 100;
 
 impl Core {
     /// What each lane holds, and who waits in it.
@@ -18,7 +18,7 @@
             let (used, all) = self.cluster_state.lane_usage(id);
             let waits = self.cluster_state.lane_waits();
             let waits = waits.filter(|(key, job)| key.lane == id && job.tasks.pending() > 0);
-            let waiting = waits.take(MAX_SHOWN).map(|(key, job)| {
+            let waiting = waits.take(MAX_JOBS_SHOWN).map(|(key, job)| {
                 let waited_s = now.since(job.submitted);
                 let max = may_wait_ms(job.spec.deadline_s, job.spec.estimate_s);
                 let why = self.cluster_state.why_waits(&key.id, now);
--- a/src/control/core/tombstones.rs
+++ b/src/control/core/tombstones.rs
@@ -13,7 +13,7 @@
 
 /// Names of deleted machines are kept for so many leases, and so many of them.
 const DELETED_LEASES: f64 = 12.0;
-const MAX_DELETED: usize = 20_000;
+const MAX_DELETED_MACHINES: usize = 20_000;
 
 /// The names of machines that are gone.
 pub(super) struct MachineTombstones {
@@ -65,7 +65,7 @@
     pub(super) fn expire(&mut self, cfg: &Config, now: Time) {
         let mut keep_s = (4.0 * cfg.list_lag_s + 10.0).max(DELETED_LEASES * cfg.lease_s);
         self.deleted.retain(|_, at| now.since(*at) < keep_s);
-        while self.deleted.len() > MAX_DELETED && keep_s > 1.0 {
+        while self.deleted.len() > MAX_DELETED_MACHINES && keep_s > 1.0 {
             keep_s /= 2.0;
             self.deleted.retain(|_, at| now.since(*at) < keep_s);
         }
--- a/src/control/heartbeat_routing.rs
+++ b/src/control/heartbeat_routing.rs
@@ -19,7 +19,7 @@
 /// to heartbeat to.
 const FORWARDING_PERIOD: Duration = Duration::from_secs(45);
 /// Workers remembered as told whom to heartbeat to.
-const MAX_SENT_ON: usize = 8192;
+const MAX_REDIRECTED_AGENTS: usize = 8192;
 /// A worker that was sent elsewhere and came back is kept for so long.
 const RETURN_WINDOW: Duration = Duration::from_secs(30);
 
@@ -165,7 +165,7 @@
     now: Instant,
     kept: Duration,
 ) {
-    if redirected_agents.len() >= MAX_SENT_ON {
+    if redirected_agents.len() >= MAX_REDIRECTED_AGENTS {
         redirected_agents.retain(|_, s| now.duration_since(s.last) < kept);
     }
 }
--- a/src/control/mod.rs
+++ b/src/control/mod.rs
@@ -143,7 +143,11 @@
     pub fn new(cfg: Rc<Config>, peers: Rc<Peers>, topology: Option<Rc<Topology>>) -> Rc<Self> {
         let state = StateClient::new(cfg.state, cfg.state_rps, cfg.state_limits);
         let cloud = CloudClient::new(cfg.cloud, cfg.cloud_rps * CLOUD_RATE_USED);
-        let limits = Limits::of(cfg.max_sockets, cfg.others.len(), core::MAX_FLYING);
+        let limits = Limits::of(
+            cfg.max_sockets,
+            cfg.others.len(),
+            core::MAX_COMMANDS_IN_FLIGHT,
+        );
         let node = Rc::new(Self {
             connections: Connections::new(limits),
             paces: Paces::default(),
--- a/src/http.rs
+++ b/src/http.rs
@@ -64,9 +64,9 @@
 }
 
 /// The longest body of an answer that is read, in bytes.
-const MAX_BYTES: usize = 64 << 20;
+const MAX_RESPONSE_BYTES: usize = 64 << 20;
 /// Connections to one address that are kept open while nothing is asked.
-const MAX_IDLE: usize = 4;
+const MAX_IDLE_CONNECTIONS: usize = 4;
 
 type Sender = SendRequest<Full<Bytes>>;
 
@@ -106,7 +106,7 @@
 ) -> Result<Answer, TransportError> {
     let response = sender.send_request(request).await?;
     let status = response.status();
-    let body = Limited::new(response.into_body(), MAX_BYTES)
+    let body = Limited::new(response.into_body(), MAX_RESPONSE_BYTES)
         .collect()
         .await
         .map_err(TransportError::Body)?
@@ -188,7 +188,7 @@
         let mut idle = self.idle.borrow_mut();
         if result.is_err() {
             idle.clear();
-        } else if idle.len() < MAX_IDLE {
+        } else if idle.len() < MAX_IDLE_CONNECTIONS {
             idle.push(sender);
         }
         result
--- a/src/peer_link/listening.rs
+++ b/src/peer_link/listening.rs
@@ -18,7 +18,7 @@
 
 /// Requests passed on by one controller that are being answered here: the heartbeats of
 /// a whole fleet may be. A place takes no memory until there is an answer.
-const MAX_ANSWERING: usize = 10_000;
+const MAX_REQUESTS_IN_PROGRESS: usize = 10_000;
 /// Heartbeats that are handled without letting others have a turn.
 const IN_A_TURN: usize = 12;
 /// A silent connection ends: its other end may be long gone.
@@ -73,7 +73,7 @@
 /// that are being answered then go on, and their answers are lost.
 async fn hear<H: PeerRequestHandler + 'static>(stream: TcpStream, handler: Rc<H>) {
     let (from, mut to) = stream.into_split();
-    let (out, mut answers) = mpsc::channel::<Message>(MAX_ANSWERING);
+    let (out, mut answers) = mpsc::channel::<Message>(MAX_REQUESTS_IN_PROGRESS);
     let inbound = Inbound {
         handler,
         out,
--- a/src/peer_link/message.rs
+++ b/src/peer_link/message.rs
@@ -15,7 +15,7 @@
 /// Bytes of a header.
 const LENGTH: usize = std::mem::size_of::<Header>();
 /// Longest text that is passed on: a body of 64 KiB and some.
-pub(super) const MAX_TEXT: usize = 72 << 10;
+pub(super) const MAX_TEXT_BYTES: usize = 72 << 10;
 
 /// What a message is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -227,7 +227,7 @@
     /// As it goes over the wire; none if it is too long.
     pub fn encode(&self) -> Option<Vec<u8>> {
         let length = u32::try_from(self.text.len()).ok()?;
-        if self.text.len() > MAX_TEXT {
+        if self.text.len() > MAX_TEXT_BYTES {
             return None;
         }
         let kind = KINDS.iter().position(|k| *k == self.kind)?;
@@ -250,8 +250,9 @@
     pub fn parse(bytes: &[u8]) -> Option<(Self, usize)> {
         let header = Header::read_from_bytes(bytes).ok()?;
         let length = header.length.get() as usize;
-        let ours =
-            header.magic.get() == MAGIC && header.version.get() == VERSION && length <= MAX_TEXT;
+        let ours = header.magic.get() == MAGIC
+            && header.version.get() == VERSION
+            && length <= MAX_TEXT_BYTES;
         let kind = *KINDS.get(usize::from(header.kind.get()))?;
         let message = Self {
             kind,
--- a/src/peer_link/mod.rs
+++ b/src/peer_link/mod.rs
@@ -25,12 +25,12 @@
 pub use self::message::{
     ForwardedHeartbeat, Header, Kind, Message, PeerAnnouncement, LIMITS_FELL, POLLS, SHARDS,
 };
-use self::message::{MAX_HEARTBEATS_PER_MESSAGE, MAX_TEXT};
+use self::message::{MAX_HEARTBEATS_PER_MESSAGE, MAX_TEXT_BYTES};
 use crate::types::{NodeId, Revision};
 
 /// Messages that wait to be sent to one controller: the heartbeats of a whole fleet may
 /// come while a line stands still. A place takes no memory until there is a message.
-const MAX_WAITING: usize = 10_000;
+const MAX_PENDING_REQUESTS: usize = 10_000;
 /// How long an answer may take: a worker waits 4 s for two of them.
 const ANSWER: Duration = Duration::from_millis(1400);
 /// The same for a report that a worker was sent here with: there is one hop.
@@ -143,7 +143,7 @@
             ..Self::default()
         };
         for (node, address) in others {
-            let (out, messages) = mpsc::channel(MAX_WAITING);
+            let (out, messages) = mpsc::channel(MAX_PENDING_REQUESTS);
             let state = Rc::<LineState>::default();
             spawn_local(keep(address, messages, state.clone()));
             let line = Line {
@@ -237,7 +237,7 @@
         patience: Duration,
     ) -> Option<Answered> {
         let line = self.lines.get(node).filter(|l| l.open())?;
-        if text.len() > MAX_TEXT {
+        if text.len() > MAX_TEXT_BYTES {
             return None;
         }
         let number = self.requests.get() + 1;
--- a/src/scheduler/preempt/mod.rs
+++ b/src/scheduler/preempt/mod.rs
@@ -11,7 +11,7 @@
 /// On how many machines room is made for one job at a time.
 const MAX_PREEMPTION_CANDIDATES: u32 = 16;
 /// For how many jobs room is made at a time, as each looks at all machines.
-const MAX_JOBS: usize = 4;
+const MAX_JOBS_PER_PASS: usize = 4;
 /// For how long room stays reserved for the job that it was made for.
 const RESERVED_S: f64 = 10.0;
 /// A job that waits for free capacity to be made, and in how many places.
@@ -72,7 +72,7 @@
                 }
             })
             .filter(|starved| starved.places > 0)
-            .take(MAX_JOBS)
+            .take(MAX_JOBS_PER_PASS)
             .collect()
     }
 
--- a/src/server.rs
+++ b/src/server.rs
@@ -24,7 +24,7 @@
 /// An idle connection ends after this time.
 const IDLE: Duration = Duration::from_secs(60);
 /// How many at a time are told that there is no free capacity.
-const MAX_TURNED_AWAY: usize = 32;
+const MAX_REJECTED_CONNECTIONS: usize = 32;
 /// While so many are, nobody is accepted; this is how often it is looked at.
 const TURNED_AWAY_PAUSE: Duration = Duration::from_millis(20);
 /// After a connection that could not be accepted.
@@ -51,7 +51,7 @@
         };
         let Some(accepted) = all.accepted() else {
             // The others wait to be accepted, which a load balancer sees.
-            while all.rejected_connections() >= MAX_TURNED_AWAY {
+            while all.rejected_connections() >= MAX_REJECTED_CONNECTIONS {
                 sleep(TURNED_AWAY_PAUSE).await;
             }
             spawn_local(reject_connection(all.clone(), stream));
--- a/src/state/history.rs
+++ b/src/state/history.rs
@@ -12,10 +12,10 @@
 const MAX_ARRIVALS: usize = 1000;
 /// Machines of which images are remembered. When so many are known, the half that ran
 /// nothing for longest is forgotten, so at least 5,000 machines stay known however many
-/// come and go. With [`MAX_IMAGES`] for each that is up to 10 MB.
+/// come and go. With [`MAX_IMAGES_PER_MACHINE`] for each that is up to 10 MB.
 const MAX_MACHINES: usize = 10_000;
 /// Images that are remembered of a machine.
-const MAX_IMAGES: usize = 32;
+const MAX_IMAGES_PER_MACHINE: usize = 32;
 
 /// The images that a machine ran, the latest last.
 #[derive(Default)]
@@ -55,7 +55,7 @@
         ran.at = self.count;
         ran.images.retain(|(i, _)| i != image);
         ran.images.push_back((image.clone(), gb));
-        if ran.images.len() > MAX_IMAGES {
+        if ran.images.len() > MAX_IMAGES_PER_MACHINE {
             ran.images.pop_front();
         }
     }
--- a/tests/bad_requests.rs
+++ b/tests/bad_requests.rs
@@ -21,7 +21,7 @@
 use self::leader::start_led;
 
 /// PROTOCOL: a request body may be at most 64 KiB.
-const MAX_BODY: usize = 64 << 10;
+const MAX_BODY_BYTES: usize = 64 << 10;
 
 fn job(uid: &str) -> Value {
     json!({"uid": uid, "jobclass": "bake", "crew": "crew", "shape": "sweep",
@@ -199,7 +199,7 @@
 fn no_objects() -> Vec<Bytes> {
     let deep = "[".repeat(30_000);
     let deep_object = "{\"uid\":".repeat(5_000);
-    let large = json!({"uid": "run-large", "text": "x".repeat(MAX_BODY)}).to_string();
+    let large = json!({"uid": "run-large", "text": "x".repeat(MAX_BODY_BYTES)}).to_string();
     let out_of_range = job("run-range").to_string().replace("600.0", "1e999");
     let not_a_number = job("run-nan").to_string().replace("600.0", "NaN");
     let huge = format!(
@@ -353,7 +353,7 @@
 
 /// Bodies that are too large, in bytes: by a little, and by more than a connection holds
 /// on its way.
-const TOO_LARGE: [usize; 3] = [MAX_BODY + 1, 1 << 20, 4 << 20];
+const TOO_LARGE: [usize; 3] = [MAX_BODY_BYTES + 1, 1 << 20, 4 << 20];
 const TRIES: usize = 20;
 
 /// Whoever sends too large a body is told so, each time. The connection was ended with
