--- a/crates/agent/src/agent/status.rs
+++ b/crates/agent/src/agent/status.rs
@@ -94,7 +94,7 @@
         heartbeat.machine_type,
         heartbeat.zone,
         heartbeat.incarnation,
-        heartbeat.fencing_fencing_token,
+        heartbeat.fencing_token,
         heartbeat.tasks.len()
     );
     for task in &heartbeat.tasks {
--- a/crates/agent/src/core/commands.rs
+++ b/crates/agent/src/core/commands.rs
@@ -33,10 +33,10 @@
         if !self.dying.is_empty() {
             return (CommandOutcome::NotNow, actions);
         }
-        let taken = commands.fencing_fencing_token >= self.fencing_token
+        let taken = commands.fencing_token >= self.fencing_token
             && commands.incarnation == self.incarnation;
         if taken {
-            self.learn(commands.fencing_fencing_token, now, &mut actions);
+            self.learn(commands.fencing_token, now, &mut actions);
             self.execute(&commands.commands, now, &mut actions);
         }
         let heartbeat = self.heartbeat(&mut actions);
--- a/crates/agent/src/core/heartbeats.rs
+++ b/crates/agent/src/core/heartbeats.rs
@@ -108,7 +108,7 @@
             spot: self.machine.spot,
             incarnation: self.incarnation,
             sequence: SequenceNumber(self.sequence),
-            fencing_fencing_token: self.fencing_token,
+            fencing_token: self.fencing_token,
             preemption_notice_s: None,
             tasks: self
                 .tasks
@@ -144,14 +144,14 @@
             Answer::Reply(reply) => {
                 self.flying = None;
                 if heartbeat.incarnation != self.incarnation
-                    || reply.fencing_fencing_token < self.fencing_token
+                    || reply.fencing_token < self.fencing_token
                 {
                     // It stays here while its lease runs out.
                     return actions;
                 }
                 self.answered = sent;
                 actions.push(Action::Lease(sent));
-                self.learn(reply.fencing_fencing_token, now, &mut actions);
+                self.learn(reply.fencing_token, now, &mut actions);
                 self.execute(&reply.commands, now, &mut actions);
             }
             Answer::Elsewhere(named) => self.redirect(named, now),
--- a/crates/agent/src/fetch/find.rs
+++ b/crates/agent/src/fetch/find.rs
@@ -45,7 +45,7 @@
     /// agent's word; none if nobody has any.
     pub(super) async fn find_checksums(&self) -> Result<Option<Found>, Failed> {
         let begun = clock::now();
-        if let Some(known) = &self.image.checksums_sha256 {
+        if let Some(known) = &self.image.sums_sha256 {
             if let Some(found) = self.named_checksums_of_agents(known, begun).await? {
                 return Ok(Some(found));
             }
@@ -100,7 +100,7 @@
                 return Ok(None);
             }
         };
-        let known = self.image.checksums_sha256.as_ref();
+        let known = self.image.sums_sha256.as_ref();
         let as_named = known.is_none_or(|known| *known == checksums::sha256(&text));
         match self.found(text, true, None) {
             Ok(found) if as_named => Ok(Some(found)),
--- a/crates/agent/src/images.rs
+++ b/crates/agent/src/images.rs
@@ -33,9 +33,8 @@
     /// it the sums may come from any other agent. Optional.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     #[garde(inner(length(bytes, min = 64, max = 64), custom(hexadecimal)))]
-    #[serde(rename = "sums_sha256")]
-    #[garde(rename("sums_sha256"))]
-    pub checksums_sha256: Option<String>,
+    // By its name on the wire, which the texts of refusals quote.
+    pub sums_sha256: Option<String>,
 }
 
 /// A name that can be part of a path.
--- a/crates/agent/tests/images.rs
+++ b/crates/agent/tests/images.rs
@@ -81,7 +81,7 @@
     let image = Image {
         name: "img".into(),
         sha256: sum,
-        checksums_sha256: None,
+        sums_sha256: None,
     };
     (bytes, image)
 }
--- a/crates/agent/tests/worker_model.rs
+++ b/crates/agent/tests/worker_model.rs
@@ -272,7 +272,7 @@
     fn agrees(&self, heartbeat: &Heartbeat) -> Result<(), TestCaseError> {
         prop_assert!(!self.dying(), "a report while tasks are not gone");
         prop_assert_eq!(heartbeat.incarnation.0, self.incarnation);
-        prop_assert_eq!(heartbeat.fencing_fencing_token.0, self.fencing_token);
+        prop_assert_eq!(heartbeat.fencing_token.0, self.fencing_token);
         let said: BTreeMap<(String, u64), Plain> = heartbeat
             .tasks
             .iter()
@@ -398,7 +398,7 @@
         let incarnation = self.model.incarnation + u64::from(!matches);
         let commands: Vec<Command> = list.iter().map(command).collect();
         let direct = DirectCommands {
-            fencing_fencing_token: FencingToken(fencing_token),
+            fencing_token: FencingToken(fencing_token),
             incarnation: Incarnation(incarnation),
             commands: commands.clone(),
         };
@@ -438,7 +438,7 @@
             self.model.execute(&commands);
         }
         let reply = Reply {
-            fencing_fencing_token: FencingToken(fencing_token),
+            fencing_token: FencingToken(fencing_token),
             commands,
         };
         let answer = Answer::Reply(reply);
--- a/crates/emulators/src/nodes.rs
+++ b/crates/emulators/src/nodes.rs
@@ -369,12 +369,12 @@
     /// Carries out direct commands if fencing token and incarnation match.
     fn obey(&mut self, id: &str, commands: &DirectCommands) -> bool {
         let node = self.all.get_mut(id).expect("it is there");
-        if commands.fencing_fencing_token.0 < node.fencing_token
+        if commands.fencing_token.0 < node.fencing_token
             || commands.incarnation.0 != node.incarnation
         {
             return false;
         }
-        node.fencing_token = commands.fencing_fencing_token.0;
+        node.fencing_token = commands.fencing_token.0;
         self.execute(id, &commands.commands);
         true
     }
--- a/crates/emulators/src/nodes/faults.rs
+++ b/crates/emulators/src/nodes/faults.rs
@@ -27,7 +27,7 @@
     fn concerns(&self, machine: &str, commands: &DirectCommands) -> bool {
         let start = |o: &_| matches!(o, sorrelhinge_protocol::worker::Command::Start { .. });
         self.grant
-            .is_none_or(|g| commands.fencing_fencing_token.grant() == g)
+            .is_none_or(|g| commands.fencing_token.grant() == g)
             && self.machine.as_ref().is_none_or(|m| m == machine)
             && (!self.starts || commands.commands.iter().any(start))
     }
--- a/crates/emulators/src/nodes/worker.rs
+++ b/crates/emulators/src/nodes/worker.rs
@@ -234,7 +234,7 @@
     /// Whether a request does not get through to a machine: it is gone, behind a
     /// switch that is cut, or cut off from who commands.
     fn is_unreached(&self, id: &str, commands: Option<&DirectCommands>) -> bool {
-        let grant = commands.map(|commands| commands.fencing_fencing_token.grant());
+        let grant = commands.map(|commands| commands.fencing_token.grant());
         let commands = |(_, g): (usize, u64)| grant == Some(g);
         self.all[id].gone
             || self.is_cut(id)
@@ -304,10 +304,9 @@
             return;
         };
         let node = self.all.get_mut(id).expect("it is there");
-        if reply.fencing_fencing_token.0 >= node.fencing_token
-            && heartbeat.incarnation == node.incarnation
+        if reply.fencing_token.0 >= node.fencing_token && heartbeat.incarnation == node.incarnation
         {
-            node.fencing_token = reply.fencing_fencing_token.0;
+            node.fencing_token = reply.fencing_token.0;
             node.answered = heartbeat.sent;
             self.execute(id, &reply.commands);
         }
--- a/crates/overload/src/renewal.rs
+++ b/crates/overload/src/renewal.rs
@@ -23,7 +23,7 @@
         let mut hasher = DefaultHasher::new();
         (
             heartbeat.incarnation,
-            heartbeat.fencing_fencing_token,
+            heartbeat.fencing_token,
             heartbeat.addr,
         )
             .hash(&mut hasher);
--- a/crates/overload/tests/model.rs
+++ b/crates/overload/tests/model.rs
@@ -415,12 +415,12 @@
 }
 
 /// A heartbeat as a worker makes it; `what` stands for all that its tasks tell.
-fn heartbeat(machine: u8, tick: u64, fencing_fencing_token: u64, what: u8) -> Heartbeat {
+fn heartbeat(machine: u8, tick: u64, fencing_token: u64, what: u8) -> Heartbeat {
     let phase = ["fetching", "running", "ended"][usize::from(what % 3)];
     let exit_reason = if phase == "ended" { "\"done\"" } else { "null" };
     let text = format!(
         "{{\"box\":\"vm-{machine}\",\"addr\":\"127.0.0.1:9\",\"build\":\"t\",\"rack\":\"za\",\
-         \"shift\":1,\"tick\":{tick},\"baton\":{fencing_fencing_token},\"warning_s\":null,\"pieces\":[\
+         \"shift\":1,\"tick\":{tick},\"baton\":{fencing_token},\"warning_s\":null,\"pieces\":[\
          {{\"piece\":\"run-000001/{}\",\"try\":1,\"phase\":\"{phase}\",\"cause\":{exit_reason}}}]}}",
         what / 3
     );
@@ -439,9 +439,9 @@
         // The model keeps whole heartbeats: what the owner last answered, and when.
         let mut told: std::collections::BTreeMap<u8, (String, f64)> = Default::default();
         let mut now = 0.0;
-        for (tick, (machine, what, fencing_fencing_token, relief, passed, answers)) in heartbeats.into_iter().enumerate() {
+        for (tick, (machine, what, fencing_token, relief, passed, answers)) in heartbeats.into_iter().enumerate() {
             now += passed / 4.0;
-            let sent = heartbeat(machine, tick as u64 + 1, fencing_fencing_token, what);
+            let sent = heartbeat(machine, tick as u64 + 1, fencing_token, what);
             let same = Heartbeat { sequence: Default::default(), ..sent.clone() };
             let same = serde_json::to_string(&same).expect("text");
             let content = Content::of(&sent);
--- a/crates/protocol/src/operators.rs
+++ b/crates/protocol/src/operators.rs
@@ -189,9 +189,8 @@
 pub struct PinAsked {
     /// Which.
     #[garde(range(max = 1_000))]
-    #[serde(rename = "block")]
-    #[garde(rename("block"))]
-    pub shard: u32,
+    // By its name on the wire, which the texts of refusals quote.
+    pub block: u32,
     /// To which controller; none: to none.
     #[serde(default)]
     #[garde(inner(length(bytes, min = 1, max = 200)))]
--- a/crates/protocol/src/placement.rs
+++ b/crates/protocol/src/placement.rs
@@ -34,9 +34,8 @@
     /// The most tasks in one domain.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     #[garde(range(min = 1))]
-    #[serde(rename = "most")]
-    #[garde(rename("most"))]
-    pub max: Option<u32>,
+    // By its name on the wire, which the texts of refusals quote.
+    pub most: Option<u32>,
     /// The largest share of the job's tasks in one domain, above 0 up to 1,
     /// rounded up.
     #[serde(default, skip_serializing_if = "Option::is_none")]
--- a/crates/protocol/src/worker.rs
+++ b/crates/protocol/src/worker.rs
@@ -115,7 +115,7 @@
     /// Highest fencing token seen.
     #[serde(default)]
     #[serde(rename = "baton")]
-    pub fencing_fencing_token: FencingToken,
+    pub fencing_token: FencingToken,
     /// Seconds until the cloud takes the machine.
     #[serde(rename = "warning_s")]
     pub preemption_notice_s: Option<f64>,
@@ -181,7 +181,7 @@
 pub struct Reply {
     /// Token.
     #[serde(rename = "baton")]
-    pub fencing_fencing_token: FencingToken,
+    pub fencing_token: FencingToken,
     /// Commands.
     #[serde(rename = "orders")]
     pub commands: Vec<Command>,
@@ -192,7 +192,7 @@
 pub struct DirectCommands {
     /// Token.
     #[serde(rename = "baton")]
-    pub fencing_fencing_token: FencingToken,
+    pub fencing_token: FencingToken,
     /// Incarnation they are meant for.
     #[serde(rename = "shift")]
     pub incarnation: Incarnation,
--- a/crates/topology/src/policy.rs
+++ b/crates/topology/src/policy.rs
@@ -185,7 +185,7 @@
         let share = rule
             .share
             .map(|s| ((s * f64::from(tasks)).ceil() as u32).max(1));
-        let max = match (rule.max, share) {
+        let max = match (rule.most, share) {
             (None, None) => max_if_even(tree, level, tasks),
             (max, share) => max.unwrap_or(u32::MAX).min(share.unwrap_or(u32::MAX)),
         };
--- a/crates/topology/tests/model.rs
+++ b/crates/topology/tests/model.rs
@@ -47,7 +47,7 @@
     )
         .prop_map(|(level, max, share, must)| Spread {
             level,
-            max,
+            most: max,
             share,
             must,
         });
@@ -134,7 +134,7 @@
 
     fn max(&self, rule: &Spread) -> u32 {
         let depth = LEVELS.iter().position(|l| *l == rule.level);
-        if rule.max.is_none() && rule.share.is_none() {
+        if rule.most.is_none() && rule.share.is_none() {
             let domains = match depth {
                 Some(3) => self.tasks,
                 Some(depth) => self.domains[depth] as u32,
@@ -146,7 +146,7 @@
         let share = rule
             .share
             .map(|s| ((s * f64::from(self.tasks)).ceil() as u32).max(1));
-        rule.max.unwrap_or(u32::MAX).min(share.unwrap_or(u32::MAX))
+        rule.most.unwrap_or(u32::MAX).min(share.unwrap_or(u32::MAX))
     }
 
     /// Whether one more task may go to `at`; `there`: where the others are.
--- a/src/cli/shards.rs
+++ b/src/cli/shards.rs
@@ -71,7 +71,7 @@
 }
 
 async fn pin(controllers: &Controllers, shard: u32, to: Option<String>) -> Result<(), CliError> {
-    let asked = PinAsked { shard, to };
+    let asked = PinAsked { block: shard, to };
     asked.check()?;
     let _: Value = controllers.post(PATH, &asked).await?;
     Ok(())
--- a/src/control/core/agent.rs
+++ b/src/control/core/agent.rs
@@ -55,7 +55,7 @@
         self.0.insert(task.clone(), now);
     }
 
-    /// Whether it was told to stop nothing that it still heartbeats.
+    /// Whether it was told to stop nothing that it still reports.
     pub(super) fn is_empty(&self) -> bool {
         self.0.is_empty()
     }
@@ -195,9 +195,9 @@
         self.addr = heartbeat.addr;
         self.incarnation = heartbeat.incarnation;
         self.sequence = heartbeat.sequence;
-        let took_up = heartbeat.fencing_fencing_token > self.seen
-            && heartbeat.fencing_fencing_token.grant() == self.fencing_token.grant();
-        self.seen = self.seen.max(heartbeat.fencing_fencing_token);
+        let took_up = heartbeat.fencing_token > self.seen
+            && heartbeat.fencing_token.grant() == self.fencing_token.grant();
+        self.seen = self.seen.max(heartbeat.fencing_token);
         self.last_heard = now;
         self.told_of = SequenceNumber(0);
         self.direct.heard();
@@ -252,7 +252,7 @@
     /// Direct commands for the incarnation that was heard last, under the present fencing token.
     pub(super) fn commands(&self, commands: Vec<Command>) -> DirectCommands {
         DirectCommands {
-            fencing_fencing_token: self.fencing_token,
+            fencing_token: self.fencing_token,
             incarnation: self.incarnation,
             commands,
         }
--- a/src/control/core/commands.rs
+++ b/src/control/core/commands.rs
@@ -31,7 +31,7 @@
             .get(id)
             .map_or(self.base_fencing_token(), |l| l.fencing_token);
         Reply {
-            fencing_fencing_token: fencing_token,
+            fencing_token,
             commands,
         }
     }
--- a/src/control/core/heartbeats.rs
+++ b/src/control/core/heartbeats.rs
@@ -22,7 +22,7 @@
     /// the worker: that is so however late the heartbeat is, since only who has
     /// the newer grant sends its fencing tokens.
     pub fn heartbeat(&mut self, heartbeat: &Heartbeat, source: Source, now: Time) -> bool {
-        if heartbeat.fencing_fencing_token.grant() > self.grant {
+        if heartbeat.fencing_token.grant() > self.grant {
             return false;
         }
         if self.counts(heartbeat) {
@@ -41,8 +41,8 @@
         // list tells what machines there are it makes none. The answer has the
         // fencing token, and the next heartbeat shows it.
         let id = &heartbeat.machine;
-        let shown = heartbeat.fencing_fencing_token >= self.base_fencing_token()
-            || self.inventory.is_coming(id);
+        let shown =
+            heartbeat.fencing_token >= self.base_fencing_token() || self.inventory.is_coming(id);
         !self.inventory.was_listed() || shown || self.agents.contains_key(id)
     }
 
@@ -50,8 +50,7 @@
     /// that it names, and for those that it does not.
     fn take_in(&mut self, heartbeat: &Heartbeat, source: Source, now: Time) {
         let id = &heartbeat.machine;
-        let (lease_s, quarantine_one_way_reachable) =
-            (self.cfg.lease_s, now < self.silence_ignored_until);
+        let (lease_s, silence_ignored) = (self.cfg.lease_s, now < self.silence_ignored_until);
         let Some(agent) = self.agent(&SeenMachine::by_heartbeat(heartbeat), now) else {
             return;
         };
@@ -60,11 +59,11 @@
         // lost each time. While requests wait too long, answers may be too late.
         if news.incarnation_ended
             && agent.reachability.incarnation_ended(lease_s, now)
-            && !quarantine_one_way_reachable
+            && !silence_ignored
         {
             agent.leaving = true;
         }
-        let fenced = heartbeat.fencing_fencing_token >= agent.fencing_token;
+        let fenced = heartbeat.fencing_token >= agent.fencing_token;
         self.record_served_images(heartbeat);
         if news.moved {
             self.cluster_state.locate(id, Some(heartbeat.addr.ip()));
--- a/src/control/core/machine_list.rs
+++ b/src/control/core/machine_list.rs
@@ -142,7 +142,7 @@
     }
 
     /// Requests wait too long to be read: heartbeats may be missing.
-    pub fn quarantine_one_way_reachable(&mut self, now: Time) {
+    pub fn ignore_silence(&mut self, now: Time) {
         self.silence_ignored_until = now.after(self.cfg.silent_s());
     }
 
--- a/src/control/core/mod.rs
+++ b/src/control/core/mod.rs
@@ -229,7 +229,7 @@
         self.refresh_rollouts(now);
         self.log_service_levels(now);
         if self.failover.awaits_heartbeats() {
-            self.check_fleet_heard(now);
+            self.log_recovery_time(now);
         }
         let ids: Vec<MachineId> = self.agents.keys().cloned().collect();
         for id in ids {
--- a/src/control/core/placement.rs
+++ b/src/control/core/placement.rs
@@ -73,7 +73,7 @@
     }
 
     /// Where room appeared, windows have what they lack before anybody else.
-    fn refill_machines(&mut self, now: Time) {
+    fn refill_windows(&mut self, now: Time) {
         if self.windows.hold() {
             for id in self.placement_queue.iter() {
                 self.cluster_state.refill_reservations(id, now);
@@ -86,7 +86,7 @@
     /// long queue all walks together took eight seconds once, and the leader's
     /// lease was lost meanwhile.
     pub fn place(&mut self, now: Time) {
-        self.refill_machines(now);
+        self.refill_windows(now);
         let begun = self.cluster_state.capacity_index.steps.get();
         while self.cluster_state.capacity_index.steps.get() - begun < WALK_STEPS {
             let Some(id) = self.placement_queue.take_next() else {
@@ -101,7 +101,7 @@
     pub fn place_all(&mut self, now: Time) {
         if !self.is_frozen() && std::mem::take(&mut self.walk_all) && self.cluster_state.has_work()
         {
-            self.refill_machines(now);
+            self.refill_windows(now);
             let launches = self.cluster_state.place(self.rule(), now);
             self.launched(launches, now);
         }
--- a/src/control/core/service_levels.rs
+++ b/src/control/core/service_levels.rs
@@ -57,7 +57,7 @@
 
 impl Core {
     /// Tells how long it took to hear of all machines, for the log.
-    pub(super) fn check_fleet_heard(&mut self, now: Time) {
+    pub(super) fn log_recovery_time(&mut self, now: Time) {
         let unheard = self.agents.values().filter(|l| !l.fenced()).count();
         let missing = self.cluster_state.unknown_machines().count();
         let all = self.agents.len() + missing;
--- a/src/control/core/unknown_agent.rs
+++ b/src/control/core/unknown_agent.rs
@@ -21,7 +21,7 @@
         let running = running.filter(|task| task.phase != TaskPhase::Ended);
         let stopped = running.filter(|task| !self.may_run_on(&heartbeat.machine, task));
         Reply {
-            fencing_fencing_token: self.base_fencing_token(),
+            fencing_token: self.base_fencing_token(),
             commands: stopped.map(kill_at_once).collect(),
         }
     }
--- a/src/control/heartbeats.rs
+++ b/src/control/heartbeats.rs
@@ -214,7 +214,7 @@
         let now = self.now();
         // Before it can depose, and without an answer, which would have commands
         // that nobody takes count as sent.
-        if core.is_copy(heartbeat) && heartbeat.fencing_fencing_token.grant() <= core.grant {
+        if core.is_copy(heartbeat) && heartbeat.fencing_token.grant() <= core.grant {
             return HeartbeatOutcome::Copy;
         }
         // A heartbeat of one that hears nothing shows no way to the workers: while
--- a/src/control/leader.rs
+++ b/src/control/leader.rs
@@ -37,7 +37,7 @@
 /// recorded before its grant.
 const CATCH_UP_PAUSE: Duration = Duration::from_millis(50);
 /// The pause after an election whose outcome is not known.
-pub(super) const STAND_RETRY_PAUSE: Duration = Duration::from_millis(150);
+pub(super) const ELECTION_RETRY_PAUSE: Duration = Duration::from_millis(150);
 
 /// What a controller without a lease may become.
 enum Candidacy {
@@ -52,7 +52,7 @@
 /// There is no leader, by these records.
 struct Vacancy {
     /// The revision of the leader's record; 0: there is none.
-    leader_stamp: Revision,
+    leader_revision: Revision,
     /// The last grant of the shard.
     grant: Versioned<GrantRecord>,
 }
@@ -75,7 +75,7 @@
             match self.candidacy(defers) {
                 Candidacy::None => {}
                 Candidacy::Member => self.join_members(life).await,
-                Candidacy::Leader(vacancy) => self.stand(vacancy, life).await,
+                Candidacy::Leader(vacancy) => self.campaign(vacancy, life).await,
             }
         }
     }
@@ -108,19 +108,19 @@
         }
         // The key goes with its lease, unless an earlier run of this very
         // controller wrote it: that run is over.
-        let leader_stamp = match &leader.value {
+        let leader_revision = match &leader.value {
             None => Revision(0),
             Some(l) if l.node == self.cfg.node && l.run != self.run => leader.mod_revision,
             Some(_) => return Candidacy::None,
         };
         Candidacy::Leader(Vacancy {
-            leader_stamp,
+            leader_revision,
             grant: view.grant.clone(),
         })
     }
 
     /// Tries to become leader; if the shard is still ours, keeps the grant.
-    async fn stand(&self, vacancy: Vacancy, life: Duration) {
+    async fn campaign(&self, vacancy: Vacancy, life: Duration) {
         let asked = Instant::now();
         let Ok(lease) = self.state.lease(life).await else {
             return;
@@ -133,7 +133,7 @@
             term: Term(grant.term.0 + u64::from(!kept)),
             number: grant.number + 1,
         };
-        let transaction = self.election_txn(&vacancy, &next, kept, lease);
+        let transaction = self.election_transaction(&vacancy, &next, kept, lease);
         match self
             .state
             .transact(&transaction, RequestPriority::First)
@@ -151,14 +151,14 @@
             Err(error) => {
                 // If it was carried out after all, the key goes with its lease.
                 tracing::info!(%error, "leader election failed");
-                sleep(STAND_RETRY_PAUSE).await;
+                sleep(ELECTION_RETRY_PAUSE).await;
             }
         }
     }
 
     /// The leader's record under the lease and, unless the grant is `kept`, the next
     /// grant; only if nobody else was faster.
-    fn election_txn(
+    fn election_transaction(
         &self,
         vacancy: &Vacancy,
         next: &GrantRecord,
@@ -174,7 +174,7 @@
             conditions: vec![
                 Condition {
                     key: LEADER.into(),
-                    mod_revision: vacancy.leader_stamp,
+                    mod_revision: vacancy.leader_revision,
                 },
                 Condition {
                     key: GRANT.into(),
--- a/src/control/lease_delegation.rs
+++ b/src/control/lease_delegation.rs
@@ -15,7 +15,7 @@
 /// incarnation: so a cancelled job's claim on the machine forbids it, also while the task
 /// is not in the heartbeat. A claim stays recorded until its task is provably gone.
 pub fn may_renew_for_owner(view: &View, heartbeat: &Heartbeat) -> bool {
-    heartbeat.fencing_fencing_token.0 > 0
+    heartbeat.fencing_token.0 > 0
         && !view.may_run_cancelled(&heartbeat.machine)
         && heartbeat.tasks.iter().all(|task_name| {
             task_name.phase == TaskPhase::Ended || is_live_claim(view, heartbeat, task_name)
--- a/src/control/lease_renewal.rs
+++ b/src/control/lease_renewal.rs
@@ -46,7 +46,7 @@
         self.renewed_for_owner(heartbeat).then(|| {
             load_monitor::count(&self.load.counts.renewed);
             HeartbeatReply::Reply(Reply {
-                fencing_fencing_token: heartbeat.fencing_fencing_token,
+                fencing_token: heartbeat.fencing_token,
                 commands: Vec::new(),
             })
         })
--- a/src/control/load_monitor.rs
+++ b/src/control/load_monitor.rs
@@ -295,7 +295,7 @@
             c.shed_placements(self.load.level() >= Level::Placements);
             c.set_max_claiming(claims.max(2 * self.cfg.state_limits.txn_ops));
             if processor_binds {
-                c.quarantine_one_way_reachable(now);
+                c.ignore_silence(now);
             }
         }
     }
--- a/src/control/resharding.rs
+++ b/src/control/resharding.rs
@@ -112,7 +112,7 @@
         let quotas_at = self.record_quotas(&division).await?;
         let lease = self.leadership.lease();
         let lease = lease.ok_or(DivideError::LeaseExpired)?;
-        let transaction = self.division_txn(&division, quotas_at, lease);
+        let transaction = self.division_transaction(&division, quotas_at, lease);
         match self
             .state
             .transact(&transaction, RequestPriority::First)
@@ -193,7 +193,7 @@
 
     /// The map, the fence in the grant's place, this controller as a member, and a
     /// record for each scope; only if the quotas are as written at `quotas_at`.
-    fn division_txn(
+    fn division_transaction(
         &self,
         division: &Division,
         quotas_at: Revision,
@@ -246,7 +246,7 @@
         let (transaction, grant) = {
             let view = self.store.view();
             let grant = self.united_grant(&view);
-            (united_txn(&view, &grant), grant)
+            (united_transaction(&view, &grant), grant)
         };
         match self
             .state
@@ -308,7 +308,7 @@
 
 /// The map and the grant of one scope in place of all shards' records; only if this
 /// controller still leads and none of them changed.
-fn united_txn(view: &View, grant: &GrantRecord) -> Transaction {
+fn united_transaction(view: &View, grant: &GrantRecord) -> Transaction {
     let map = ShardMapRecord {
         version: ShardMapRecord::VERSION,
         shards: 1,
--- a/src/control/shard_grants.rs
+++ b/src/control/shard_grants.rs
@@ -7,7 +7,7 @@
 use sorrelhinge_sharding::owners::{Held, Member, ShardPreference, Step};
 use tokio::time::sleep;
 
-use super::leader::STAND_RETRY_PAUSE;
+use super::leader::ELECTION_RETRY_PAUSE;
 use super::Node;
 use crate::state::record::{shard_key, LeaderRecord, ShardRecord, LEADER};
 use crate::state::{Change, Condition, RequestPriority, Transaction, TransactionOutcome};
@@ -89,7 +89,7 @@
             }
             Err(error) => {
                 tracing::info!(%error, "leader election failed");
-                sleep(STAND_RETRY_PAUSE).await;
+                sleep(ELECTION_RETRY_PAUSE).await;
             }
         }
     }
@@ -97,7 +97,7 @@
     /// Takes the next step of who owns what, if one is due.
     async fn assign_shards_once(&self) {
         let Some(step) = self.next_step() else { return };
-        let Some(transaction) = self.step_txn(&step) else {
+        let Some(transaction) = self.step_transaction(&step) else {
             return;
         };
         tracing::info!(?step, "shards");
@@ -139,7 +139,7 @@
 
     /// The change that takes a step. Also on the leader's record: a step of one that
     /// was deposed meanwhile, and is late, fails.
-    fn step_txn(&self, step: &Step) -> Option<Transaction> {
+    fn step_transaction(&self, step: &Step) -> Option<Transaction> {
         let view = self.store.view();
         let (Step::Grant(shard, _) | Step::Offer(shard, _) | Step::TakeBack(shard)) = step;
         let held = view.shards.get(shard)?;
--- a/src/control/shard_owner.rs
+++ b/src/control/shard_owner.rs
@@ -66,7 +66,7 @@
             .shards
             .owned_mut()
             .get_mut(shard)
-            .filter(|c| c.grant == send.commands.fencing_fencing_token.grant())
+            .filter(|c| c.grant == send.commands.fencing_token.grant())
             .map(|c| c.dispatched(&send.machine, outcome, now));
         // What fails for an owner that is none any more says nothing of
         // the next time that it is one.
--- a/src/control/shard_owners.rs
+++ b/src/control/shard_owners.rs
@@ -129,7 +129,7 @@
 
     /// A shard that is offered to another is frozen; one whose offer was taken
     /// back goes on.
-    pub(super) fn accept_offered_shards(&self, view: &View) {
+    pub(super) fn freeze_offered_shards(&self, view: &View) {
         if view.shard_count() == 1 {
             return;
         }
--- a/src/control/shard_status.rs
+++ b/src/control/shard_status.rs
@@ -101,7 +101,7 @@
             if !self.fresh().await {
                 return Err(Refused::Unavailable);
             }
-            let shard = ShardId(asked.shard);
+            let shard = ShardId(asked.block);
             let held = self.held_shard(shard)?;
             let record = ShardRecord {
                 pin: to.clone(),
--- a/src/control/store_watch.rs
+++ b/src/control/store_watch.rs
@@ -163,7 +163,7 @@
         }
         drop(cores);
         shares |= self.adopt_shards(&view);
-        self.accept_offered_shards(&view);
+        self.freeze_offered_shards(&view);
         let leaderless = view.leader.value.is_none();
         drop(view);
         if shares {
--- a/src/scheduler/filter/larger_types.rs
+++ b/src/scheduler/filter/larger_types.rs
@@ -13,7 +13,7 @@
 impl ClusterState {
     /// Whether another job waits that fits only machines as large as this one,
     /// while this one fits smaller ones and has not waited for long.
-    pub(in crate::scheduler) fn delegated_elsewhere(
+    pub(in crate::scheduler) fn kept_for_larger_jobs(
         &self,
         request: &PlacementRequest,
         traits: &MachineTraits,
--- a/src/scheduler/filter/mod.rs
+++ b/src/scheduler/filter/mod.rs
@@ -83,7 +83,7 @@
             && ClusterState::zone_allows(job, &self.zones, &key.zone)
             && !self
                 .cluster_state
-                .delegated_elsewhere(self.request, &key.traits(kind))
+                .kept_for_larger_jobs(self.request, &key.traits(kind))
             && self
                 .site
                 .as_ref()
@@ -134,7 +134,7 @@
                 .zones_of(id, job, None)
                 .is_some_and(|zones| Self::zone_allows(job, &zones, &machine.zone))
             && self.limit_allows(job, now)
-            && !self.delegated_elsewhere(request, &machine.traits())
+            && !self.kept_for_larger_jobs(request, &machine.traits())
             && self.site_suits(request, m_id)
     }
 }
--- a/src/state/client.rs
+++ b/src/state/client.rs
@@ -138,7 +138,7 @@
         transaction: &Transaction,
         urgency: RequestPriority,
     ) -> Result<TransactionOutcome, StateError> {
-        let reply = self.send_txn(transaction, urgency).await?;
+        let reply = self.send_transaction(transaction, urgency).await?;
         match reply.status {
             200 => Ok(TransactionOutcome::Done(reply.revision()?)),
             409 => Ok(TransactionOutcome::Failed(reply.revision()?)),
@@ -153,7 +153,7 @@
 
     /// Sends a transaction until the service does not refuse it for its rate of changes any
     /// more, or the time is over.
-    async fn send_txn(
+    async fn send_transaction(
         &self,
         transaction: &Transaction,
         urgency: RequestPriority,
--- a/tests/golden_formats/operators.rs
+++ b/tests/golden_formats/operators.rs
@@ -128,7 +128,7 @@
     }
     for to in [Some("n-1".to_owned()), None] {
         let name = format!("block moved to {}", to.as_deref().unwrap_or("none"));
-        add_json(&mut golden, &name, &PinAsked { shard: 1, to });
+        add_json(&mut golden, &name, &PinAsked { block: 1, to });
     }
     add_json(&mut golden, "topology", &topology());
     add_json(&mut golden, "blocks", &shards());
--- a/tests/golden_formats/users.rs
+++ b/tests/golden_formats/users.rs
@@ -46,13 +46,13 @@
         spread: vec![
             Spread {
                 level: "switch".into(),
-                max: Some(1),
+                most: Some(1),
                 share: None,
                 must: true,
             },
             Spread {
                 level: "rack".into(),
-                max: None,
+                most: None,
                 share: Some(0.25),
                 must: false,
             },
--- a/tests/golden_formats/workers.rs
+++ b/tests/golden_formats/workers.rs
@@ -19,7 +19,7 @@
         spot: false,
         incarnation: Incarnation(7),
         sequence: SequenceNumber(41),
-        fencing_fencing_token: FencingToken(3 << 20),
+        fencing_token: FencingToken(3 << 20),
         preemption_notice_s: None,
         tasks: Vec::new(),
         images: Vec::new(),
@@ -103,12 +103,12 @@
         add_json(&mut golden, &format!("task ended {name}"), &task);
     }
     let reply = Reply {
-        fencing_fencing_token: FencingToken(9),
+        fencing_token: FencingToken(9),
         commands: commands(),
     };
     add_json(&mut golden, "reply", &reply);
     let commands = DirectCommands {
-        fencing_fencing_token: FencingToken(9),
+        fencing_token: FencingToken(9),
         incarnation: Incarnation(7),
         commands: commands(),
     };
--- a/tests/place_model.rs
+++ b/tests/place_model.rs
@@ -200,7 +200,7 @@
                 let (max, must) = (rng.random_range(1..3), rng.random_bool(0.5));
                 wishes.spread.push(Spread {
                     level: "switch".into(),
-                    max: Some(max),
+                    most: Some(max),
                     share: None,
                     must,
                 });
--- a/tests/rules/commands.rs
+++ b/tests/rules/commands.rs
@@ -25,7 +25,7 @@
         assert!(core.heartbeat(&heartbeat, Source::Heartbeat, Time(world.now)));
         let reply = core.reply(&heartbeat.machine, view, Time(world.now));
         let reply = serde_json::to_value(&reply).expect("reply");
-        assert!(heartbeat.fencing_fencing_token.0 < reply["baton"].as_u64().expect("a token"));
+        assert!(heartbeat.fencing_token.0 < reply["baton"].as_u64().expect("a token"));
         let commands = reply["orders"].as_array().expect("orders");
         let verbs: Vec<&Value> = commands
             .iter()
@@ -160,7 +160,7 @@
         core.heartbeat(&w.heartbeat(), Source::Heartbeat, Time(1.0));
         w.fencing_token = core
             .reply(&MachineId::from(w.id.as_str()), view, Time(1.0))
-            .fencing_fencing_token
+            .fencing_token
             .0;
         core.heartbeat(&w.heartbeat(), Source::Heartbeat, Time(1.5));
     }
@@ -235,10 +235,10 @@
         .pop()
         .expect("the raised token goes out");
     assert!(
-        mark_incompatible.commands.fencing_fencing_token.0 > w.fencing_token
+        mark_incompatible.commands.fencing_token.0 > w.fencing_token
             && mark_incompatible.commands.commands.is_empty()
     );
-    w.fencing_token = mark_incompatible.commands.fencing_fencing_token.0;
+    w.fencing_token = mark_incompatible.commands.fencing_token.0;
     core.dispatched(&id, Sending::NotSent, Time(9.0));
     core.heartbeat(&w.heartbeat(), Source::Heartbeat, Time(10.0));
     assert_eq!(
--- a/tests/rules/meetings/day.rs
+++ b/tests/rules/meetings/day.rs
@@ -229,13 +229,13 @@
         }
         o.core.walk(&machine, now);
         let reply = serde_json::to_value(o.core.reply(&machine, &o.view, now)).expect("reply");
-        let fencing_fencing_token = reply["baton"].as_u64().expect("baton");
+        let fencing_token = reply["baton"].as_u64().expect("baton");
         let lost = self.world.rng.random_bool(self.lost_answers);
         let w = &mut self.world.workers[at];
-        if lost || w.silence_ignored_until > now.0 || fencing_fencing_token < w.fencing_token {
+        if lost || w.silence_ignored_until > now.0 || fencing_token < w.fencing_token {
             return;
         }
-        (w.fencing_token, w.renewed) = (fencing_fencing_token, now.0);
+        (w.fencing_token, w.renewed) = (fencing_token, now.0);
         self.world.commands(at, &reply["orders"]);
     }
 
--- a/tests/rules/silence.rs
+++ b/tests/rules/silence.rs
@@ -154,7 +154,7 @@
                 o.core.heartbeat(&w.heartbeat(), Source::Heartbeat, now);
                 let reply = o.core.reply(&id, &o.view, now);
                 if !is_deaf(&w.id) {
-                    w.fencing_token = reply.fencing_fencing_token.0;
+                    w.fencing_token = reply.fencing_token.0;
                 }
             }
             regular(&mut o.core, now);
@@ -178,7 +178,7 @@
                     };
                     w.tasks.insert(task_name, running);
                 }
-                w.fencing_token = send.commands.fencing_fencing_token.0;
+                w.fencing_token = send.commands.fencing_token.0;
                 let outcome = Sending::Executed(Box::new(w.heartbeat()));
                 o.core.dispatched(&send.machine, outcome, now);
             }
@@ -261,7 +261,7 @@
     let id = MachineId::from(w.id.as_str());
     w.fencing_token = core
         .reply(&id, &View::default(), Time(300.0))
-        .fencing_fencing_token
+        .fencing_token
         .0;
     core.heartbeat(&w.heartbeat(), Source::Heartbeat, Time(301.0));
     assert_eq!(core.machines(), 1);
--- a/tests/rules/world.rs
+++ b/tests/rules/world.rs
@@ -539,15 +539,15 @@
         let reply = o.core.reply(&heartbeat.machine, &o.view, Time(self.now));
         self.trace.fold_json(heartbeat.machine.as_str(), &reply);
         let reply = serde_json::to_value(&reply).expect("reply");
-        let fencing_fencing_token = reply["baton"].as_u64().expect("baton");
+        let fencing_token = reply["baton"].as_u64().expect("baton");
         if self.luck(0.2) {
             self.copies.push(heartbeat);
         }
         let deaf = self.workers[at].silence_ignored_until > self.now;
-        if deaf || self.luck(0.05) || fencing_fencing_token < self.workers[at].fencing_token {
+        if deaf || self.luck(0.05) || fencing_token < self.workers[at].fencing_token {
             return;
         }
-        self.workers[at].fencing_token = fencing_fencing_token;
+        self.workers[at].fencing_token = fencing_token;
         self.workers[at].renewed = sent;
         self.commands(at, &reply["orders"]);
     }
