--- a/crates/sharding/src/owners.rs
+++ b/crates/sharding/src/owners.rs
@@ -296,7 +296,7 @@
         taker.or_else(|| Some(self.fewest(|_| true)?.node))
     }
 
-    /// The controller with the fewest blocks of those that may be chosen.
+    /// The controller with the fewest shards of those that may be chosen.
     fn fewest(&self, may: impl Fn(&NodeId) -> bool) -> Option<Load> {
         let chosen = self.counts.iter().filter(|(node, _)| may(node));
         let least = chosen.min_by_key(|(node, shards)| (**shards, **node));
--- a/crates/sharding/src/shard.rs
+++ b/crates/sharding/src/shard.rs
@@ -26,7 +26,7 @@
 /// writes a record for each, and the least that a transaction takes is eight.
 pub const MAX_SHARDS: u32 = 5;
 
-/// One block of so many.
+/// One shard of so many.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ShardScope {
     /// Which.
@@ -49,7 +49,7 @@
     ShardId(best.unwrap_or(0))
 }
 
-/// The block of a machine, of `of` shards.
+/// The shard of a machine, of `of` shards.
 pub fn of_machine(machine: &MachineId, of: u32) -> ShardId {
     highest(0, machine.as_str(), of)
 }
--- a/crates/sharding/src/tally.rs
+++ b/crates/sharding/src/tally.rs
@@ -144,7 +144,7 @@
                 large.begun = true;
             }
         } else if begins.into_iter().any(message) {
-            let shard = field(line, "block");
+            let shard = field(line, "shard");
             let ends = |key: &String| {
                 shard.map_or_else(
                     || key.starts_with(&format!("{speaker} ")),
@@ -168,7 +168,7 @@
             done: number("done").unwrap_or(0),
             waiting: number("waiting").unwrap_or(0),
         };
-        let at = self.period(speaker, field(line, "block").unwrap_or("0"));
+        let at = self.period(speaker, field(line, "shard").unwrap_or("0"));
         self.periods[at].counts.insert((class, team), count);
     }
 
@@ -191,7 +191,7 @@
         let Some((job, class)) = field(line, "job").zip(field(line, "class")) else {
             return;
         };
-        let shard = field(line, "block").unwrap_or("0");
+        let shard = field(line, "shard").unwrap_or("0");
         let period = self.period(speaker, shard);
         let large = self.large.entry(job.to_owned()).or_default();
         large.class = class.to_owned();
--- a/crates/sharding/tests/model.rs
+++ b/crates/sharding/tests/model.rs
@@ -723,7 +723,7 @@
 fn owners_counts_are_added_up_across_takeovers() {
     let line = |accepted, started, done, waiting| {
         format!(
-            "INFO served block=0 class=bake team=red accepted={accepted} started={started} \
+            "INFO served shard=0 class=bake team=red accepted={accepted} started={started} \
              done={done} waiting={waiting} oldest_s=1.0 starves=false"
         )
     };
@@ -751,12 +751,12 @@
 
 /// Lines of one of the largest jobs.
 fn large(job: u32, cpus: u32, state: &str) -> String {
-    format!("INFO largest block=0 class=bake team=red job=run-{job} cpus={cpus}.0 {state}")
+    format!("INFO largest shard=0 class=bake team=red job=run-{job} cpus={cpus}.0 {state}")
 }
 
 #[test]
 fn the_largest_are_known_across_takeovers() {
-    let class = "INFO served block=0 class=bake team=red accepted=30 started=20 done=0 \
+    let class = "INFO served shard=0 class=bake team=red accepted=30 started=20 done=0 \
         waiting=10 oldest_s=1.0 starves=false";
     let mut tally = Tally::default();
     tally.line("a", "INFO leading term=1 grant=1");
--- a/src/cli/shards.rs
+++ b/src/cli/shards.rs
@@ -1,4 +1,4 @@
-//! `sorrelhinge blocks`: who owns which block of the machines, and why.
+//! `sorrelhinge blocks`: who owns which shard of the machines, and why.
 
 use std::fmt::Write;
 
--- a/src/control/shard_demand.rs
+++ b/src/control/shard_demand.rs
@@ -143,7 +143,7 @@
         }
     }
 
-    /// Tells the owners of the other blocks of machines that were rented.
+    /// Tells the owners of the other shards of machines that were rented.
     pub(super) fn announce_rented_machines(
         &self,
         rental: &crate::cloud::Rental,
--- a/src/control/shard_owners.rs
+++ b/src/control/shard_owners.rs
@@ -18,12 +18,12 @@
         self.store.try_view().map_or(1, |v| v.shard_count())
     }
 
-    /// The block of a machine.
+    /// The shard of a machine.
     pub(super) fn shard_of(&self, machine: &MachineId) -> ShardId {
         of_machine(machine, self.store.view().shard_count())
     }
 
-    /// Whether a machine belongs to a block of this controller.
+    /// Whether a machine belongs to a shard of this controller.
     pub(super) fn owns(&self, machine: &MachineId) -> bool {
         let shard = self.shard_of(machine);
         self.shards.owns(shard)
--- a/src/state/record/leadership.rs
+++ b/src/state/record/leadership.rs
@@ -15,7 +15,7 @@
     pub term: Term,
 }
 
-/// The block of machines, granted to one controller.
+/// The shard of machines, granted to one controller.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct GrantRecord {
     /// To whom.
