--- a/src/control/cloud_duties.rs
+++ b/src/control/cloud_duties.rs
@@ -79,7 +79,7 @@
         }
     }
 
-    /// Tells each owned scope which of its machines are listed.
+    /// Tells each owned shard which of its machines are listed.
     fn machines_listed(&self, list: &[ListedMachine]) {
         let now = self.now();
         if self.view_shards() > 1 {
@@ -117,7 +117,7 @@
                 let decision = self.timed(Duty::Fleet, || c.fleet(now));
                 to_delete.extend(decision.to_delete);
                 rentals.extend(decision.scale_out.into_iter().map(|rental| ShardRental {
-                    scope: *shard,
+                    shard: *shard,
                     grant: c.grant,
                     rental,
                 }));
@@ -147,7 +147,7 @@
         }
     }
 
-    /// Rents machines, and tells all who may own them. The scope that asked learns the
+    /// Rents machines, and tells all who may own them. The shard that asked learns the
     /// outcome if it is still owned by the same grant.
     async fn rent(self: Rc<Self>, order: ShardRental) {
         let rental = &order.rental;
@@ -164,16 +164,16 @@
         };
         let now = self.now();
         let mut cores = self.shards.owned_mut();
-        let core = cores.get_mut(order.scope);
+        let core = cores.get_mut(order.shard);
         if let Some(c) = core.filter(|c| c.grant == order.grant) {
             c.rented(rental, result, now);
         }
     }
 }
 
-/// Machines that an owned scope asks for.
+/// Machines that an owned shard asks for.
 struct ShardRental {
-    scope: ShardId,
+    shard: ShardId,
     /// The grant that it asked under.
     grant: u64,
     rental: Rental,
--- a/src/control/heartbeat_routing.rs
+++ b/src/control/heartbeat_routing.rs
@@ -93,7 +93,7 @@
     pub(super) fn sends_home(&self, machine: &MachineId, home: &NodeId) -> bool {
         let now = Instant::now();
         let mut redirected_agents = self.redirected_agents.borrow_mut();
-        plan_preemption(&mut redirected_agents, now, RETURN_WINDOW);
+        evict_stale(&mut redirected_agents, now, RETURN_WINDOW);
         let came_back = redirected_agents
             .get(machine)
             .is_some_and(|s| now.duration_since(s.last) < RETURN_WINDOW);
@@ -109,7 +109,7 @@
     pub(super) fn redirect(&self, machine: &MachineId, owner: &NodeId, back: Duration) -> Redirect {
         let now = Instant::now();
         let mut redirected_agents = self.redirected_agents.borrow_mut();
-        plan_preemption(&mut redirected_agents, now, back);
+        evict_stale(&mut redirected_agents, now, back);
         let known = redirected_agents
             .get_mut(machine)
             .filter(|s| s.to == *owner && now.duration_since(s.last) < back);
@@ -160,7 +160,7 @@
 }
 
 /// Forgets workers that were not sent anywhere for `kept`, once there are too many.
-fn plan_preemption(
+fn evict_stale(
     redirected_agents: &mut HashMap<MachineId, RedirectedAgent>,
     now: Instant,
     kept: Duration,
--- a/src/control/recording.rs
+++ b/src/control/recording.rs
@@ -19,9 +19,9 @@
 /// The pause after a read that failed, while a conflict is looked for.
 const CATCH_UP_PAUSE: Duration = Duration::from_millis(100);
 
-/// What a scope has to record.
+/// What a shard has to record.
 struct ShardBatch {
-    scope: ShardId,
+    shard: ShardId,
     /// The grant that it was claimed under.
     grant: u64,
     batch: Batch,
@@ -35,7 +35,7 @@
             // Also now and then for what is not urgent.
             self.wakeups.recording_woken(TICK).await;
             while let Some(next) = self.next_shard_batch(last) {
-                last = next.scope;
+                last = next.shard;
                 self.record_batch(next).await;
                 self.drive();
             }
@@ -55,19 +55,19 @@
         turns.find_map(|(shard, c)| {
             let batch = c.next_batch(&view, self.cfg.state_limits.txn_ops, spare, now)?;
             Some(ShardBatch {
-                scope: *shard,
+                shard: *shard,
                 grant: c.grant,
                 batch,
             })
         })
     }
 
-    /// Sends a transaction until its outcome is known, or the scope is not owned any more.
+    /// Sends a transaction until its outcome is known, or the shard is not owned any more.
     async fn record_batch(&self, next: ShardBatch) {
         loop {
             let urgency = RequestPriority::Within(RECORD_PATIENCE);
             let result = self.state.transact(&next.batch.transaction, urgency).await;
-            if !self.shards.owns_by_grant(next.scope, next.grant) {
+            if !self.shards.owns_by_grant(next.shard, next.grant) {
                 return;
             }
             match result {
@@ -94,7 +94,7 @@
 
     /// The transaction was carried out.
     fn batch_committed(&self, done: ShardBatch, revision: Revision) {
-        if let Some(c) = self.shards.owned_mut().get_mut(done.scope) {
+        if let Some(c) = self.shards.owned_mut().get_mut(done.shard) {
             let mut view = self.store.view_for_commit();
             c.committed(done.batch, revision, &mut view, self.now());
         }
@@ -103,29 +103,29 @@
 
     /// A condition of the transaction failed: the records at `revision` tell why.
     async fn batch_conflicted(&self, failed: ShardBatch, revision: Revision) {
-        let (scope, grant) = (failed.scope, failed.grant);
+        let (shard, grant) = (failed.shard, failed.grant);
         while self.store.view().store_revision < revision {
             if !self.fresh().await {
                 sleep(CATCH_UP_PAUSE).await;
             }
-            if !self.shards.owns_by_grant(scope, grant) {
+            if !self.shards.owns_by_grant(shard, grant) {
                 return;
             }
         }
         let kept = self
             .shards
             .owned_mut()
-            .get_mut(scope)
+            .get_mut(shard)
             .is_none_or(|c| c.conflicted(failed.batch, &self.store.view(), self.now()));
         if !kept {
-            tracing::info!(shard = %scope, "shard grant lost; stepping down");
-            self.step_down(scope);
+            tracing::info!(%shard, "shard grant lost; stepping down");
+            self.step_down(shard);
         }
     }
 
     /// The state service refuses the transaction as it is.
     fn batch_rejected(&self, refused: ShardBatch) {
-        if let Some(c) = self.shards.owned_mut().get_mut(refused.scope) {
+        if let Some(c) = self.shards.owned_mut().get_mut(refused.shard) {
             let limits_fell = self.state.limits_fell();
             c.rejected(refused.batch, limits_fell, &self.store.view(), self.now());
         }
--- a/src/control/shard_ownership.rs
+++ b/src/control/shard_ownership.rs
@@ -1,7 +1,7 @@
 //! Which shards this controller owns, and what it knows of the others: the machines'
 //! zones, what other owners use and want, and, as leader, when shards were assigned.
 //!
-//! A scope comes in by [`ShardOwnership::adopt`] and goes out by
+//! A shard comes in by [`ShardOwnership::adopt`] and goes out by
 //! [`ShardOwnership::give_up`] or [`ShardOwnership::retain_granted`]; everything else
 //! only works on shards that are owned. No borrow is held across an await.
 
@@ -24,8 +24,8 @@
 /// Machines whose place is remembered beyond twice those that are listed.
 const MACHINE_ZONES_SLACK: usize = 1000;
 
-/// The state of each scope that this controller owns, in the order of their numbers;
-/// while there is one scope, it has number 0.
+/// The state of each shard that this controller owns, in the order of their numbers;
+/// while there is one shard, it has number 0.
 #[derive(Default)]
 pub(super) struct OwnedShards {
     cores: BTreeMap<ShardId, Core>,
@@ -42,22 +42,22 @@
         self.cores.len()
     }
 
-    /// Whether a scope is owned.
-    pub(super) fn contains(&self, scope: ShardId) -> bool {
-        self.cores.contains_key(&scope)
+    /// Whether a shard is owned.
+    pub(super) fn contains(&self, shard: ShardId) -> bool {
+        self.cores.contains_key(&shard)
     }
 
-    /// A scope's state; none: it is not owned.
-    pub(super) fn get(&self, scope: ShardId) -> Option<&Core> {
-        self.cores.get(&scope)
+    /// A shard's state; none: it is not owned.
+    pub(super) fn get(&self, shard: ShardId) -> Option<&Core> {
+        self.cores.get(&shard)
     }
 
     /// The same, to be changed.
-    pub(super) fn get_mut(&mut self, scope: ShardId) -> Option<&mut Core> {
-        self.cores.get_mut(&scope)
+    pub(super) fn get_mut(&mut self, shard: ShardId) -> Option<&mut Core> {
+        self.cores.get_mut(&shard)
     }
 
-    /// The one with the lowest number: the only one while there is one scope.
+    /// The one with the lowest number: the only one while there is one shard.
     pub(super) fn first(&self) -> Option<&Core> {
         self.cores.values().next()
     }
@@ -88,7 +88,7 @@
     }
 }
 
-/// What the owner of a scope last told of it.
+/// What the owner of a shard last told of it.
 struct ToldNeeds {
     told_at: Instant,
     needs: Rc<Needs>,
@@ -100,7 +100,7 @@
     owned: RefCell<OwnedShards>,
     /// Where machines are, of all shards; the owned ones read it too.
     places: Places,
-    /// What each scope uses and wants.
+    /// What each shard uses and wants.
     needs: RefCell<HashMap<ShardId, ToldNeeds>>,
     /// What this controller remembers as leader of who owns what.
     assignments: RefCell<Owners>,
@@ -117,20 +117,20 @@
         self.owned.borrow_mut()
     }
 
-    /// Whether this controller owns no scope.
+    /// Whether this controller owns no shard.
     pub(super) fn is_empty(&self) -> bool {
         self.owned.borrow().is_empty()
     }
 
-    /// Whether this controller owns a scope.
-    pub(super) fn owns(&self, scope: ShardId) -> bool {
-        self.owned.borrow().contains(scope)
+    /// Whether this controller owns a shard.
+    pub(super) fn owns(&self, shard: ShardId) -> bool {
+        self.owned.borrow().contains(shard)
     }
 
-    /// Whether this controller owns a scope by that very grant.
-    pub(super) fn owns_by_grant(&self, scope: ShardId, grant: u64) -> bool {
+    /// Whether this controller owns a shard by that very grant.
+    pub(super) fn owns_by_grant(&self, shard: ShardId, grant: u64) -> bool {
         let owned = self.owned.borrow();
-        owned.get(scope).is_some_and(|core| core.grant == grant)
+        owned.get(shard).is_some_and(|core| core.grant == grant)
     }
 
     /// The numbers of the owned shards, in order.
@@ -138,14 +138,14 @@
         self.owned.borrow().cores.keys().copied().collect()
     }
 
-    /// Owns a scope from now on, with the state recovered from the records.
-    pub(super) fn adopt(&self, scope: ShardId, core: Core) {
-        self.owned.borrow_mut().cores.insert(scope, core);
+    /// Owns a shard from now on, with the state recovered from the records.
+    pub(super) fn adopt(&self, shard: ShardId, core: Core) {
+        self.owned.borrow_mut().cores.insert(shard, core);
     }
 
-    /// Stops to act for a scope at once.
-    pub(super) fn give_up(&self, scope: ShardId) -> Option<Core> {
-        self.owned.borrow_mut().cores.remove(&scope)
+    /// Stops to act for a shard at once.
+    pub(super) fn give_up(&self, shard: ShardId) -> Option<Core> {
+        self.owned.borrow_mut().cores.remove(&shard)
     }
 
     /// Gives up the shards that are granted anew by the records; true if any were.
@@ -186,20 +186,20 @@
         places.extend(zones);
     }
 
-    /// A scope's owner told what it uses and wants.
+    /// A shard's owner told what it uses and wants.
     pub(super) fn record_needs(&self, needs: Needs) {
-        let scope = needs.shard;
+        let shard = needs.shard;
         let told = ToldNeeds {
             told_at: Instant::now(),
             needs: Rc::new(needs),
         };
-        self.needs.borrow_mut().insert(scope, told);
+        self.needs.borrow_mut().insert(shard, told);
     }
 
-    /// What a scope uses and wants; none if that was not told lately.
-    pub(super) fn needs_of(&self, scope: ShardId) -> Option<Rc<Needs>> {
+    /// What a shard uses and wants; none if that was not told lately.
+    pub(super) fn needs_of(&self, shard: ShardId) -> Option<Rc<Needs>> {
         let needs = self.needs.borrow();
-        let told = needs.get(&scope)?;
+        let told = needs.get(&shard)?;
         (told.told_at.elapsed() < NEEDS_VALID_FOR).then(|| told.needs.clone())
     }
 
@@ -220,7 +220,7 @@
     }
 }
 
-/// Whether the records still grant this scope to this owner.
+/// Whether the records still grant this shard to this owner.
 fn is_granted(core: &mut Core, view: &View) -> bool {
     match core.scope.is_part() || view.shard_count() > 1 {
         true => core.still_granted(view),
--- a/src/control/store_view.rs
+++ b/src/control/store_view.rs
@@ -60,7 +60,7 @@
         self.view.try_borrow().ok()
     }
 
-    /// For the owner of a scope, who writes into the copy what its transaction
+    /// For the owner of a shard, who writes into the copy what its transaction
     /// recorded. Not to be held across an await.
     pub(super) fn view_for_commit(&self) -> RefMut<'_, View> {
         self.view.borrow_mut()
