--- a/src/scheduler/rebalance.rs
+++ b/src/scheduler/rebalance.rs
@@ -71,11 +71,12 @@
 }
 
 impl ClusterState {
-    /// Tasks of a job that don't run where they should.
+    /// Tasks of a job that are not known to run, or are being stopped. One that is claimed
+    /// or told to start and that no heartbeat has named counts too: it may never come up.
     fn away(job: &Job) -> u32 {
-        let running = job.tasks.claims().values().filter(|c| {
-            matches!(c.progress, Progress::Running(_) | Progress::Unseen) && c.stop.is_none()
-        });
+        let claims = job.tasks.claims().values();
+        let running =
+            claims.filter(|c| matches!(c.progress, Progress::Running(_)) && c.stop.is_none());
         let over = job.tasks.done();
         job.spec.tasks - over - running.count() as u32
     }
--- a/tests/topology_cases.rs
+++ b/tests/topology_cases.rs
@@ -546,6 +546,96 @@
     assert_eq!(moves.iter().filter(|m| m.task.job == live).count(), left);
 }
 
+/// Sets what is known of all replicas of a job on their machines.
+fn set_progress(w: &mut World, job: &JobId, sent: Sent, progress: Progress) {
+    for (task, _) in w.claims().into_iter().filter(|(t, _)| t.job == *job) {
+        let claim = w.cluster_state.claim_mut(&task).expect("a claim");
+        (claim.sent, claim.progress) = (sent, progress);
+    }
+}
+
+/// The replicas of a service of four that a drain of the first two switches moves now, of
+/// which one may be away at a time.
+fn drained_replicas(w: &mut World, job: &JobId) -> usize {
+    let drain = Drain {
+        version: 1,
+        target: Target::Domain("za".into()),
+        started_ms: 0,
+        deadline_ms: 0,
+        away: 1,
+        keep: false,
+    };
+    let ids: Vec<MachineId> = w.cluster_state.machines().keys().cloned().collect();
+    for id in ids.iter().filter(|id| id.as_str() < "vm-a2") {
+        w.cluster_state
+            .edit_machine(id, |m| (m.draining, m.usable) = (true, false));
+    }
+    let drains = [(drain, 60.0)];
+    let moving = Moving {
+        drains: &drains,
+        stability: &w.stability,
+    };
+    let moves = w.cluster_state.drain(&moving, Time(w.now));
+    moves.iter().filter(|m| m.task.job == *job).count()
+}
+
+/// A replica that was moved is away until its replacement is known to run: being claimed,
+/// told to start or fetching its image is not enough.
+#[test]
+fn a_replacement_is_away_until_it_runs() {
+    let t = topology("a", 3, "");
+    let mut w = World::new(&t, "a", 3, 2);
+    let live = w.add(
+        "run-1",
+        spec(json!({"pieces": 4, "topology": spread(4, true)})),
+    );
+    assert_eq!(w.place().len(), 4);
+    assert_eq!(drained_replicas(&mut w, &live), 1);
+    assert_eq!(drained_replicas(&mut w, &live), 0, "it is being stopped");
+    w.settle();
+    assert_eq!(drained_replicas(&mut w, &live), 0, "it is not placed");
+    let launches = w.cluster_state.place(RULE, Time(w.now));
+    assert_eq!(launches.len(), 1);
+    let replacement = &launches[0].task;
+    for (sent, progress) in [
+        (Sent::No, Progress::Unseen),
+        (Sent::Flying, Progress::Unseen),
+        (Sent::InReply, Progress::Unseen),
+        (Sent::Answered, Progress::Unseen),
+        (Sent::Answered, Progress::Fetching),
+    ] {
+        let claim = w.cluster_state.claim_mut(replacement).expect("a claim");
+        (claim.sent, claim.progress) = (sent, progress);
+        assert_eq!(drained_replicas(&mut w, &live), 0, "{sent:?}, {progress:?}");
+    }
+    let claim = w.cluster_state.claim_mut(replacement).expect("a claim");
+    claim.progress = Progress::Running(Time(w.now));
+    assert_eq!(drained_replicas(&mut w, &live), 1, "it runs");
+}
+
+/// After a failover nothing of a service is moved until each of its replicas was named in
+/// a heartbeat: which of them run is not known before.
+#[test]
+fn a_drain_waits_for_the_replicas_found_at_a_failover() {
+    let t = topology("a", 3, "");
+    let mut w = World::new(&t, "a", 3, 2);
+    let live = w.add(
+        "run-1",
+        spec(json!({"pieces": 4, "topology": spread(2, true)})),
+    );
+    assert_eq!(w.place().len(), 4);
+    set_progress(&mut w, &live, Sent::Found, Progress::Unseen);
+    assert_eq!(drained_replicas(&mut w, &live), 0, "none was named");
+    let (unnamed, _) = w.claims().pop().expect("a claim");
+    let now = Time(w.now);
+    set_progress(&mut w, &live, Sent::Answered, Progress::Running(now));
+    let claim = w.cluster_state.claim_mut(&unnamed).expect("a claim");
+    (claim.sent, claim.progress) = (Sent::Found, Progress::Unseen);
+    assert_eq!(drained_replicas(&mut w, &live), 0, "one was not named");
+    set_progress(&mut w, &live, Sent::Answered, Progress::Running(now));
+    assert_eq!(drained_replicas(&mut w, &live), 1, "all run");
+}
+
 /// Rented in hope: at most so many at a time, where it is likely, and not at
 /// all where it never helped.
 #[test]
