--- a/crates/agent/src/core/attempts.rs
+++ b/crates/agent/src/core/attempts.rs
@@ -134,9 +134,10 @@
         let waits =
             |h: &AttemptEntry| h.phase == TaskPhase::Fetching && h.needs.is_some_and(|n| n.image);
         if self.tasks.get(key).is_some_and(waits) {
-            match there {
-                true => self.begin(key, &mut actions),
-                false => self.end(key, ExitReason::Error, false, &mut actions),
+            if there {
+                self.begin(key, &mut actions);
+            } else {
+                self.end(key, ExitReason::Error, false, &mut actions);
             }
         }
         actions
--- a/crates/agent/src/fetch/lanes.rs
+++ b/crates/agent/src/fetch/lanes.rs
@@ -184,9 +184,10 @@
             }
             let bytes = body_of(response, length as usize).await?;
             self.lines.borrow_mut().insert(at, line);
-            match bytes.len() as u64 == length {
-                true => Ok(Taken::Bytes(bytes)),
-                false => Err(Outcome::Failed),
+            if bytes.len() as u64 == length {
+                Ok(Taken::Bytes(bytes))
+            } else {
+                Err(Outcome::Failed)
             }
         });
         let got = got.await.unwrap_or(Err(Outcome::Failed));
--- a/crates/agent/src/images.rs
+++ b/crates/agent/src/images.rs
@@ -40,16 +40,18 @@
 /// A name that can be part of a path.
 fn plain_name(name: &str, _: &()) -> garde::Result {
     let plain = |b: u8| b.is_ascii_alphanumeric() || matches!(b, b'-' | b'_' | b'.');
-    match name.bytes().all(plain) && !name.starts_with('.') {
-        true => Ok(()),
-        false => Err(garde::Error::new("not a plain name")),
+    if name.bytes().all(plain) && !name.starts_with('.') {
+        Ok(())
+    } else {
+        Err(garde::Error::new("not a plain name"))
     }
 }
 
 fn hexadecimal(sum: &str, _: &()) -> garde::Result {
-    match sum.bytes().all(|b| matches!(b, b'0'..=b'9' | b'a'..=b'f')) {
-        true => Ok(()),
-        false => Err(garde::Error::new("not lower-case hexadecimal digits")),
+    if sum.bytes().all(|b| matches!(b, b'0'..=b'9' | b'a'..=b'f')) {
+        Ok(())
+    } else {
+        Err(garde::Error::new("not lower-case hexadecimal digits"))
     }
 }
 
--- a/crates/agent/tests/worker_model.rs
+++ b/crates/agent/tests/worker_model.rs
@@ -451,9 +451,10 @@
             return Ok(());
         };
         self.model.lease(self.now);
-        let answer = match named {
-            true => Answer::Elsewhere(Some("c-1".into())),
-            false => Answer::None,
+        let answer = if named {
+            Answer::Elsewhere(Some("c-1".into()))
+        } else {
+            Answer::None
         };
         let actions = self.core.answered(sent, answer, Time(self.now));
         self.act(actions)
@@ -470,9 +471,10 @@
         }
         let busy = self.model.processes.len() + self.model.imaging.len();
         self.model.describe(id, found, busy);
-        let needs = match found {
-            true => Ok(needs_of(&key.task_name)),
-            false => Err(ExitReason::NoSuch),
+        let needs = if found {
+            Ok(needs_of(&key.task_name))
+        } else {
+            Err(ExitReason::NoSuch)
         };
         let actions = self.core.described(&key, needs, Time(self.now));
         self.act(actions)
@@ -485,9 +487,10 @@
         self.model.lease(self.now);
         let id = id_of(&key);
         if self.model.imaging.remove(&id) {
-            let phase = match there {
-                true => Plain::Running,
-                false => Plain::Ended(ExitReason::Error),
+            let phase = if there {
+                Plain::Running
+            } else {
+                Plain::Ended(ExitReason::Error)
             };
             self.model.tasks.insert(id, phase);
         }
--- a/crates/emulators/src/controllers.rs
+++ b/crates/emulators/src/controllers.rs
@@ -147,9 +147,10 @@
 
 /// A controller's configuration, as its settings are in PROTOCOL.
 fn config_text(plan: &Plan, place: &Place, number: usize) -> String {
-    let state = match plan.lines {
-        true => place.state_line(number),
-        false => place.state_of(number),
+    let state = if plan.lines {
+        place.state_line(number)
+    } else {
+        place.state_of(number)
     };
     let others = others_text(plan, place, number);
     let state_next = match plan.state_next {
@@ -180,9 +181,10 @@
 fn others_text(plan: &Plan, place: &Place, number: usize) -> String {
     let others = (0..plan.controllers).filter(|other| *other != number);
     let texts = others.map(|other| {
-        let address = match plan.lines {
-            true => place.peer_line(number, other),
-            false => place.peers(other),
+        let address = if plan.lines {
+            place.peer_line(number, other)
+        } else {
+            place.peers(other)
         };
         format!(
             "[[others]]\nnode = \"c-{other}\"\narea = \"{}\"\naddress = \"{address}\"\n",
--- a/crates/emulators/src/history/check/answers.rs
+++ b/crates/emulators/src/history/check/answers.rs
@@ -30,7 +30,7 @@
 }
 
 /// The rules of this module.
-pub fn check(entries: &[Entry], exchanges: &Exchanges) -> Vec<InvariantViolation> {
+pub(super) fn check(entries: &[Entry], exchanges: &Exchanges) -> Vec<InvariantViolation> {
     let confirmed = exchanges.confirmed_cancelled();
     let mut violations = Vec::new();
     for (uid, about) in exchanges.by_job() {
--- a/crates/emulators/src/history/check/cancelled.rs
+++ b/crates/emulators/src/history/check/cancelled.rs
@@ -44,7 +44,7 @@
 }
 
 /// The rules of this module.
-pub fn check(
+pub(super) fn check(
     entries: &[Entry],
     exchanges: &Exchanges,
     limits: &Limits,
--- a/crates/emulators/src/history/check/exchanges.rs
+++ b/crates/emulators/src/history/check/exchanges.rs
@@ -7,7 +7,7 @@
 
 /// A question and what came of it.
 #[derive(Clone, Debug)]
-pub struct Exchange {
+pub(super) struct Exchange {
     /// When it was sent.
     pub asked: Moment,
     /// When it was answered or given up; the history's end if neither.
@@ -22,14 +22,14 @@
 
 impl Exchange {
     /// Whether it is a submission that was answered 200 or 201.
-    pub fn accepts(&self) -> bool {
+    pub(super) fn accepts(&self) -> bool {
         matches!(self.request, Request::Submit { .. })
             && matches!(self.answer.status(), Some(200 | 201))
     }
 }
 
 /// All exchanges, in the order of the questions.
-pub struct Exchanges {
+pub(super) struct Exchanges {
     /// The exchanges.
     pub all: Vec<Exchange>,
     /// Each job's first body that can run.
@@ -38,7 +38,7 @@
 
 impl Exchanges {
     /// Joins the entries, which are sorted by time.
-    pub fn read(entries: &[Entry], site: &Site, end: Moment) -> Self {
+    pub(super) fn read(entries: &[Entry], site: &Site, end: Moment) -> Self {
         let mut places: BTreeMap<RequestId, usize> = BTreeMap::new();
         let mut all: Vec<Exchange> = Vec::new();
         let mut jobs = BTreeMap::new();
@@ -76,7 +76,7 @@
     }
 
     /// Those about each job.
-    pub fn by_job(&self) -> BTreeMap<&str, Vec<&Exchange>> {
+    pub(super) fn by_job(&self) -> BTreeMap<&str, Vec<&Exchange>> {
         let mut by_job: BTreeMap<&str, Vec<&Exchange>> = BTreeMap::new();
         for exchange in &self.all {
             let uid = exchange.request.uid();
@@ -86,12 +86,12 @@
     }
 
     /// When each job was first told to be accepted.
-    pub fn accepted(&self) -> BTreeMap<&str, Moment> {
+    pub(super) fn accepted(&self) -> BTreeMap<&str, Moment> {
         self.first(Exchange::accepts)
     }
 
     /// When each job was first told to be cancelled.
-    pub fn confirmed_cancelled(&self) -> BTreeMap<&str, Moment> {
+    pub(super) fn confirmed_cancelled(&self) -> BTreeMap<&str, Moment> {
         self.first(|e| e.answer.phase() == Some(JobPhase::Cancelled))
     }
 
@@ -108,6 +108,6 @@
 }
 
 /// Why a body must be refused; none: it can run.
-pub fn reject_reason(body: &serde_json::Value, site: &Site) -> Option<RejectReason> {
+pub(super) fn reject_reason(body: &serde_json::Value, site: &Site) -> Option<RejectReason> {
     Job::read_fit(body, site).err()
 }
--- a/crates/emulators/src/history/check/pipelines.rs
+++ b/crates/emulators/src/history/check/pipelines.rs
@@ -7,7 +7,11 @@
 use crate::history::event::{Entry, Event, JobPhase, Limits, Moment, Reason};
 
 /// The rules of this module.
-pub fn check(entries: &[Entry], exchanges: &Exchanges, limits: &Limits) -> Vec<InvariantViolation> {
+pub(super) fn check(
+    entries: &[Entry],
+    exchanges: &Exchanges,
+    limits: &Limits,
+) -> Vec<InvariantViolation> {
     let mut violations = too_early(entries, exchanges);
     violations.extend(orphaned(exchanges, limits));
     violations
--- a/crates/emulators/src/history/check/placement.rs
+++ b/crates/emulators/src/history/check/placement.rs
@@ -10,7 +10,7 @@
 
 /// What is on the machines at one moment.
 #[derive(Default)]
-pub struct Occupancy {
+pub(super) struct Occupancy {
     /// Machines that are up.
     pub machines: BTreeMap<String, Machine>,
     /// Tasks on machines.
@@ -19,7 +19,7 @@
 
 impl Occupancy {
     /// Takes an event in.
-    pub fn apply(&mut self, event: &Event) {
+    pub(super) fn apply(&mut self, event: &Event) {
         match event {
             Event::MachineUp(machine) => {
                 self.machines.insert(machine.id.clone(), machine.clone());
@@ -39,21 +39,26 @@
     }
 
     /// What a team's tasks use.
-    pub fn used_by_team(&self, team: &str, jobs: &BTreeMap<String, Job>) -> Amounts {
+    pub(super) fn used_by_team(&self, team: &str, jobs: &BTreeMap<String, Job>) -> Amounts {
         let jobs_of = self.present.iter().filter_map(|a| jobs.get(&a.task.job));
         let of_team = jobs_of.filter(|j| j.team == team);
         of_team.fold(Amounts::default(), |sum, j| sum.plus(j.each))
     }
 
     /// What is used on a machine.
-    pub fn used_on(&self, machine: &str, jobs: &BTreeMap<String, Job>) -> Amounts {
+    pub(super) fn used_on(&self, machine: &str, jobs: &BTreeMap<String, Job>) -> Amounts {
         let here = self.present.iter().filter(|a| a.machine == machine);
         let jobs_of = here.filter_map(|a| jobs.get(&a.task.job));
         jobs_of.fold(Amounts::default(), |sum, j| sum.plus(j.each))
     }
 
     /// Why a task of a job may not start on a machine, given the job's other tasks.
-    pub fn misplaced(&self, task: &TaskName, job: &Job, machine: &Machine) -> Option<&'static str> {
+    pub(super) fn misplaced(
+        &self,
+        task: &TaskName,
+        job: &Job,
+        machine: &Machine,
+    ) -> Option<&'static str> {
         if !job.allows_type(&machine.build) {
             return Some("type not allowed");
         }
@@ -81,7 +86,11 @@
 }
 
 /// The rules of this module.
-pub fn check(entries: &[Entry], exchanges: &Exchanges, site: &Site) -> Vec<InvariantViolation> {
+pub(super) fn check(
+    entries: &[Entry],
+    exchanges: &Exchanges,
+    site: &Site,
+) -> Vec<InvariantViolation> {
     let mut violations = wrongly_accepted(exchanges, site);
     let mut occupancy = Occupancy::default();
     let mut started = false;
--- a/crates/emulators/src/history/check/silence.rs
+++ b/crates/emulators/src/history/check/silence.rs
@@ -60,7 +60,11 @@
 }
 
 /// The rules of this module.
-pub fn check(entries: &[Entry], exchanges: &Exchanges, limits: &Limits) -> Vec<InvariantViolation> {
+pub(super) fn check(
+    entries: &[Entry],
+    exchanges: &Exchanges,
+    limits: &Limits,
+) -> Vec<InvariantViolation> {
     let accepted = exchanges.accepted();
     let over = entries
         .iter()
--- a/crates/emulators/src/history/check/waiting.rs
+++ b/crates/emulators/src/history/check/waiting.rs
@@ -147,7 +147,7 @@
 /// The rule of this module. A job whose tasks start is not left waiting: its time
 /// begins anew with each start. Gangs need room for all their tasks at once, and
 /// are left out.
-pub fn check(
+pub(super) fn check(
     entries: &[Entry],
     exchanges: &Exchanges,
     site: &Site,
--- a/crates/emulators/src/history/job.rs
+++ b/crates/emulators/src/history/job.rs
@@ -226,9 +226,10 @@
     pub fn read_fit(body: &Value, site: &Site) -> Result<Self, RejectReason> {
         let job = Self::read(body)?;
         let team = site.team(&job.team).ok_or(RejectReason::UnknownTeam)?;
-        let at_once = match job.service || job.gang {
-            true => job.tasks,
-            false => 1,
+        let at_once = if job.service || job.gang {
+            job.tasks
+        } else {
+            1
         };
         if !team.allows(job.each.times(at_once as f64)) {
             return Err(RejectReason::OverLimit);
@@ -249,9 +250,10 @@
 
     /// At most so many of its tasks may be in one zone.
     pub fn max_in_zone(&self) -> u64 {
-        match self.spread {
-            true => self.tasks.div_ceil(2),
-            false => self.tasks,
+        if self.spread {
+            self.tasks.div_ceil(2)
+        } else {
+            self.tasks
         }
     }
 }
--- a/crates/emulators/src/nodes.rs
+++ b/crates/emulators/src/nodes.rs
@@ -133,9 +133,10 @@
 impl Task {
     /// What a start makes of a job's task: refused where the machine is full.
     fn begin(job: &Value, cpus: f64, full: bool, units: &[(String, String)]) -> Self {
-        let run_s = match job["shape"] == "standing" {
-            true => f64::INFINITY,
-            false => job["guess_s"].as_f64().unwrap_or(1.0),
+        let run_s = if job["shape"] == "standing" {
+            f64::INFINITY
+        } else {
+            job["guess_s"].as_f64().unwrap_or(1.0)
         };
         Self {
             phase: if full { "ended" } else { "fetching" }.into(),
--- a/crates/emulators/src/nodes/faults.rs
+++ b/crates/emulators/src/nodes/faults.rs
@@ -111,9 +111,10 @@
                 self.faults.held.push((id, commands));
                 continue;
             }
-            match !self.all[&id].gone && self.obey(&id, &commands) {
-                true => released.carried_out += 1,
-                false => released.dropped += 1,
+            if !self.all[&id].gone && self.obey(&id, &commands) {
+                released.carried_out += 1;
+            } else {
+                released.dropped += 1;
             }
         }
         released
--- a/crates/emulators/src/nodes/worker.rs
+++ b/crates/emulators/src/nodes/worker.rs
@@ -152,9 +152,10 @@
     let Ok(commands) = commands else {
         return (400, Value::Null);
     };
-    match nodes.obey(&id, &commands) {
-        true => (200, nodes.heartbeat(&id)),
-        false => (409, nodes.heartbeat(&id)),
+    if nodes.obey(&id, &commands) {
+        (200, nodes.heartbeat(&id))
+    } else {
+        (409, nodes.heartbeat(&id))
     }
 }
 
--- a/crates/emulators/src/store.rs
+++ b/crates/emulators/src/store.rs
@@ -124,9 +124,10 @@
     /// Refuses one controller alone, or serves it again: its open watches wait, and
     /// its leases run out, as nobody renews them.
     pub fn set_refused(&mut self, controller: usize, refused: bool) {
-        match refused {
-            true => self.faults.refused.insert(controller),
-            false => self.faults.refused.remove(&controller),
+        if refused {
+            self.faults.refused.insert(controller)
+        } else {
+            self.faults.refused.remove(&controller)
         };
         self.changed.notify_waiters();
     }
--- a/crates/image-distribution/examples/rollout.rs
+++ b/crates/image-distribution/examples/rollout.rs
@@ -56,9 +56,12 @@
         z = (z ^ (z >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
         (z >> 11) as f64 / (1_u64 << 53) as f64
     };
-    let one = |_| match draw() < part {
-        true => draw() * within,
-        false => f64::INFINITY,
+    let one = |_| {
+        if draw() < part {
+            draw() * within
+        } else {
+            f64::INFINITY
+        }
     };
     (0..n).map(one).collect()
 }
--- a/crates/image-distribution/src/locality.rs
+++ b/crates/image-distribution/src/locality.rs
@@ -53,41 +53,40 @@
 
 impl Locality {
     /// The innermost domain of a path, the zone first.
-    pub fn domain(&mut self, path: &[String]) -> Domain {
+    pub(crate) fn domain(&mut self, path: &[String]) -> Domain {
         let mut at = ALL;
         for name in path {
-            at = match self.parts[at].names.get(name.as_str()) {
-                Some(inner) => *inner,
-                None => {
-                    let new = self.parts.len();
-                    self.parts.push(Part::of(at));
-                    self.parts[at].names.insert(name.as_str().into(), new);
-                    new
-                }
+            at = if let Some(inner) = self.parts[at].names.get(name.as_str()) {
+                *inner
+            } else {
+                let new = self.parts.len();
+                self.parts.push(Part::of(at));
+                self.parts[at].names.insert(name.as_str().into(), new);
+                new
             };
         }
         at
     }
     /// A domain and those around it, from the inside, without [`ALL`].
-    pub fn around(&self, domain: Domain) -> impl Iterator<Item = Domain> + '_ {
+    pub(crate) fn around(&self, domain: Domain) -> impl Iterator<Item = Domain> + '_ {
         let wider = move |d: &Domain| Some(self.parts[*d].within);
         std::iter::successors(Some(domain), wider).take_while(|d| *d != ALL)
     }
     /// The zone of a domain; [`ALL`] if none is known.
-    pub fn zone(&self, domain: Domain) -> Domain {
+    pub(crate) fn zone(&self, domain: Domain) -> Domain {
         self.around(domain).last().unwrap_or(ALL)
     }
     /// A machine hands on from now on.
-    pub fn insert(&mut self, domain: Domain, rank: Rank) {
+    pub(crate) fn insert(&mut self, domain: Domain, rank: Rank) {
         self.each(domain, |sources| sources.insert(rank));
     }
     /// A machine hands on no more, or with another rank.
-    pub fn remove(&mut self, domain: Domain, rank: Rank) {
+    pub(crate) fn remove(&mut self, domain: Domain, rank: Rank) {
         self.each(domain, |sources| sources.remove(&rank));
     }
     /// Many sources at once, into an empty index: a set built whole takes a tenth
     /// of the time, and a successor has 10,000.
-    pub fn fill(&mut self, ranks: &[(Domain, Rank)]) {
+    pub(crate) fn fill(&mut self, ranks: &[(Domain, Rank)]) {
         let mut of = vec![Vec::new(); self.parts.len()];
         for (domain, rank) in ranks {
             for d in self.around(*domain) {
@@ -100,7 +99,7 @@
         }
     }
     /// The sources of a domain, the best first.
-    pub fn of(&self, domain: Domain) -> impl Iterator<Item = Rank> + '_ {
+    pub(crate) fn of(&self, domain: Domain) -> impl Iterator<Item = Rank> + '_ {
         self.parts[domain].sources.iter().copied()
     }
 
--- a/crates/overload/src/asked.rs
+++ b/crates/overload/src/asked.rs
@@ -141,9 +141,10 @@
         if refused(&self.known) || refused(&self.unknown) {
             return Verdict::Answer;
         }
-        let table = match poll.known {
-            true => &mut self.known,
-            false => &mut self.unknown,
+        let table = if poll.known {
+            &mut self.known
+        } else {
+            &mut self.unknown
         };
         // A job that was never answered here, or that there is no free capacity to
         // remember as refused, is answered.
@@ -181,9 +182,10 @@
 
     /// A poll was to be answered and could not be: the next one is not refused.
     pub fn failed(&mut self, job: &JobId, known: bool, now: Time) {
-        let table = match known {
-            true => &mut self.known,
-            false => &mut self.unknown,
+        let table = if known {
+            &mut self.known
+        } else {
+            &mut self.unknown
         };
         if let Some(entry) = table.entry(key(job), now) {
             entry.asked = tenths(now);
--- a/crates/overload/src/freshness.rs
+++ b/crates/overload/src/freshness.rs
@@ -71,9 +71,10 @@
     /// overtake each other: an older one makes the view no older.
     #[must_use]
     pub fn read(self, sent_at: Time) -> Self {
-        match sent_at > self.read_sent_at {
-            true => Self::replaced(sent_at),
-            false => self,
+        if sent_at > self.read_sent_at {
+            Self::replaced(sent_at)
+        } else {
+            self
         }
     }
 
--- a/crates/overload/tests/model.rs
+++ b/crates/overload/tests/model.rs
@@ -552,10 +552,7 @@
             prop_assert!(!(refused && last.insert(n, refused) == Some(true)), "twice in a row");
             last.insert(n, refused);
             for asked in [&mut asked, &mut calm].into_iter().filter(|_| !refused) {
-                match can {
-                    true => asked.answered(&job, true, Time(now)),
-                    false => asked.failed(&job, true, Time(now)),
-                }
+                if can { asked.answered(&job, true, Time(now)) } else { asked.failed(&job, true, Time(now)) }
             }
             prop_assert!(asked.known_count() <= 8 && asked.unknown_count() <= 5);
         }
--- a/crates/pipelines/src/node.rs
+++ b/crates/pipelines/src/node.rs
@@ -35,7 +35,7 @@
 
 impl Node {
     /// A job that was named and not seen.
-    pub fn unknown() -> Self {
+    pub(crate) fn unknown() -> Self {
         Self {
             known: false,
             cancelled: false,
@@ -49,7 +49,7 @@
     }
 
     /// What it passes on to the jobs that it needs: nothing once it is cancelled.
-    pub fn passes_on(&self) -> Option<Urgency> {
+    pub(crate) fn passes_on(&self) -> Option<Urgency> {
         let open = self.known && !self.cancelled;
         open.then(|| self.urgency.passed_on(self.run_ms))
     }
--- a/crates/pipelines/tests/model.rs
+++ b/crates/pipelines/tests/model.rs
@@ -53,9 +53,10 @@
 
     fn seen(&self, id: &JobId) -> Seen {
         let facts = &self.records[id];
-        let needs: &[JobId] = match self.cancelled(id) {
-            true => &[],
-            false => &facts.needs,
+        let needs: &[JobId] = if self.cancelled(id) {
+            &[]
+        } else {
+            &facts.needs
         };
         let waits_for = needs.iter().filter(|n| self.done_since(n).is_none());
         let waits_for: BTreeSet<JobId> = waits_for.cloned().collect();
@@ -160,9 +161,10 @@
             finish_ms,
             run_ms,
         } => {
-            let needs: BTreeSet<JobId> = match ids.is_empty() {
-                true => BTreeSet::new(),
-                false => needs.iter().map(|n| n.get(&ids).clone()).collect(),
+            let needs: BTreeSet<JobId> = if ids.is_empty() {
+                BTreeSet::new()
+            } else {
+                needs.iter().map(|n| n.get(&ids).clone()).collect()
             };
             let facts = JobFacts {
                 recorded: Recorded::Open,
--- a/crates/reservations/src/plan.rs
+++ b/crates/reservations/src/plan.rs
@@ -69,9 +69,10 @@
         Step::Held => hold,
         _ => tasks,
     };
-    let missing = wanted.saturating_sub(match clock.latest_ms() >= at.start_ms {
-        true => seen.ready,
-        false => seen.asked,
+    let missing = wanted.saturating_sub(if clock.latest_ms() >= at.start_ms {
+        seen.ready
+    } else {
+        seen.asked
     });
     (late && missing > 0).then_some(Short::Late(missing))
 }
--- a/crates/reservations/src/plan/change.rs
+++ b/crates/reservations/src/plan/change.rs
@@ -143,28 +143,31 @@
         step,
         end_ms: at.end_ms,
         tasks: window.tasks,
-        since_ms: match step == record.step {
-            true => record.since_ms,
-            false => clock.now_ms,
+        since_ms: if step == record.step {
+            record.since_ms
+        } else {
+            clock.now_ms
         },
         ..record.clone()
     };
-    match changed == *record {
-        true => Change::Keep,
-        false => Change::Write(changed),
+    if changed == *record {
+        Change::Keep
+    } else {
+        Change::Write(changed)
     }
 }
 
 /// A record whose room is on its way back: over once it is, or after a while.
 fn released(record: &WindowRecord, seen: &Seen, clock: Clock) -> Change {
     let late_ms = record.end_ms.saturating_add(MAX_RELEASE_S * 1000);
-    match seen.asked <= seen.used || clock.earliest_ms() >= late_ms {
-        true => Change::Write(WindowRecord {
+    if seen.asked <= seen.used || clock.earliest_ms() >= late_ms {
+        Change::Write(WindowRecord {
             step: Step::Over,
             since_ms: clock.now_ms,
             ..record.clone()
-        }),
-        false => Change::Keep,
+        })
+    } else {
+        Change::Keep
     }
 }
 
@@ -173,8 +176,9 @@
     // Deleted only when every clock within the bound is past its end:
     // one that is behind would begin it a second time.
     let known_ms = record.end_ms.max(at.end_ms) + 2 * clock.off_ms + RECORD_RETENTION_S * 1000;
-    match clock.earliest_ms() >= known_ms {
-        true => Change::Delete,
-        false => Change::Keep,
+    if clock.earliest_ms() >= known_ms {
+        Change::Delete
+    } else {
+        Change::Keep
     }
 }
--- a/crates/reservations/src/plan/free_capacity.rs
+++ b/crates/reservations/src/plan/free_capacity.rs
@@ -30,9 +30,10 @@
 
 /// Seconds that the cloud's and our own limits make of it anyway.
 fn pace_s(tasks: u32, seen: &Seen) -> f64 {
-    match seen.rent_per_s > 0.0 {
-        true => f64::from(tasks) / seen.rent_per_s,
-        false => 0.0,
+    if seen.rent_per_s > 0.0 {
+        f64::from(tasks) / seen.rent_per_s
+    } else {
+        0.0
     }
 }
 
@@ -60,11 +61,10 @@
     // one that is behind.
     let gone_ms = clock.latest_ms() + clock.off_ms - record.since_ms;
     let gone_s = gone_ms as f64 / 1000.0;
-    let steps = match over_s > 0.0 {
-        true => {
-            (gone_s.max(0.0) / over_s * f64::from(RAMP_STEPS)).min(f64::from(RAMP_STEPS)) as u32 + 1
-        }
-        false => RAMP_STEPS,
+    let steps = if over_s > 0.0 {
+        (gone_s.max(0.0) / over_s * f64::from(RAMP_STEPS)).min(f64::from(RAMP_STEPS)) as u32 + 1
+    } else {
+        RAMP_STEPS
     };
     part(record.tasks, steps.min(RAMP_STEPS), RAMP_STEPS)
 }
--- a/crates/reservations/src/record.rs
+++ b/crates/reservations/src/record.rs
@@ -199,9 +199,10 @@
     }
 
     fn changeable(&self) -> Result<(), RecordError> {
-        match self.known() {
-            true => Ok(()),
-            false => Err(RecordError::LaterVersion),
+        if self.known() {
+            Ok(())
+        } else {
+            Err(RecordError::LaterVersion)
         }
     }
 
--- a/crates/reservations/src/settings.rs
+++ b/crates/reservations/src/settings.rs
@@ -29,9 +29,10 @@
 /// Names stand in the state service's keys, in paths and in log lines.
 fn plain(name: &str, _: &()) -> garde::Result {
     let plain = |c: char| c.is_ascii_alphanumeric() || ".-_".contains(c);
-    match name.chars().all(plain) {
-        true => Ok(()),
-        false => Err(garde::Error::new("letters, digits, '.', '-' and '_' only")),
+    if name.chars().all(plain) {
+        Ok(())
+    } else {
+        Err(garde::Error::new("letters, digits, '.', '-' and '_' only"))
     }
 }
 
--- a/crates/reservations/src/shown.rs
+++ b/crates/reservations/src/shown.rs
@@ -162,9 +162,10 @@
     ];
     let mut rows = vec![head.map(String::from)];
     for w in &shown.windows {
-        let name = match w.pinned {
-            true => format!("{} (pinned)", w.name),
-            false => w.name.clone(),
+        let name = if w.pinned {
+            format!("{} (pinned)", w.name)
+        } else {
+            w.name.clone()
         };
         rows.push([
             name,
--- a/examples/placing.rs
+++ b/examples/placing.rs
@@ -84,7 +84,7 @@
 
 /// What placing came to.
 #[derive(Clone, Copy, Debug)]
-pub struct Cost {
+pub(crate) struct Cost {
     /// Tasks placed.
     pub placed: usize,
     /// Places looked at.
@@ -95,7 +95,7 @@
 
 /// Places the same 600 jobs on the same machines, as they come, with or
 /// without the operator's file. One of `every` jobs is a service with a rule.
-pub fn place(machines: u32, switches: u32, every: u32, on: bool) -> Cost {
+pub(crate) fn place(machines: u32, switches: u32, every: u32, on: bool) -> Cost {
     let mut rng = StdRng::seed_from_u64(11);
     let mut cluster_state = ClusterState::new(vec![Team {
         name: Arc::from("t"),
@@ -149,7 +149,7 @@
 
 /// Prints both.
 #[allow(dead_code)]
-pub fn main() {
+pub(crate) fn main() {
     let (machines, switches) = (2000, 200);
     println!("{machines} machines behind {switches} switches, 600 jobs");
     for every in [4, 1] {
--- a/src/api/operators.rs
+++ b/src/api/operators.rs
@@ -58,9 +58,10 @@
 /// Shows a resource, or changes it as `body` says. Without a body those that can be shown
 /// are shown, by whichever method.
 pub(super) async fn operate(node: &Node, resource: Resource, body: &[u8]) -> Reply {
-    let answer = match resource.is_shown() && body.is_empty() {
-        true => show(node, resource),
-        false => change(node, resource, body).await,
+    let answer = if resource.is_shown() && body.is_empty() {
+        show(node, resource)
+    } else {
+        change(node, resource, body).await
     };
     match answer {
         Ok(told) => reply(200, told),
--- a/src/autoscaler/mod.rs
+++ b/src/autoscaler/mod.rs
@@ -243,9 +243,10 @@
     let asks = |job: &Job| job.wants(now) && !job.suspected_one_way;
     for (id, job) in cluster_state.wanting().filter(|(_, j)| asks(j)) {
         // Held room waits for it already.
-        let covered = match cover.is_empty() {
-            true => 0,
-            false => cluster_state.covered(job, cover),
+        let covered = if cover.is_empty() {
+            0
+        } else {
+            cluster_state.covered(job, cover)
         };
         let cpu = job.spec.each.cpu.max(1);
         let free_capacity = u32::try_from(open[job.team] / cpu).unwrap_or(u32::MAX);
--- a/src/autoscaler/placed.rs
+++ b/src/autoscaler/placed.rs
@@ -57,9 +57,10 @@
             topology,
             tally,
             zones: BTreeMap::new(),
-            max_in_zone: match item.spec.spread {
-                true => item.spec.tasks.div_ceil(2),
-                false => u32::MAX,
+            max_in_zone: if item.spec.spread {
+                item.spec.tasks.div_ceil(2)
+            } else {
+                u32::MAX
             },
         })
     }
@@ -172,16 +173,15 @@
             let may = |place: Domain| {
                 placed.allows_at(place, "") && (equipped || with_devices.contains(&place))
             };
-            let chance = match certain {
-                true => 1.0,
-                false => {
-                    let sort = (
-                        free_capacity.kind.name.clone(),
-                        free_capacity.zone.clone(),
-                        free_capacity.spot,
-                    );
-                    self.input.memory.chance(&sort, &may)
-                }
+            let chance = if certain {
+                1.0
+            } else {
+                let sort = (
+                    free_capacity.kind.name.clone(),
+                    free_capacity.zone.clone(),
+                    free_capacity.spot,
+                );
+                self.input.memory.chance(&sort, &may)
             };
             if chance < MIN_PROBABILITY || bounded && !certain {
                 continue;
--- a/src/cli/pipeline.rs
+++ b/src/cli/pipeline.rs
@@ -45,9 +45,10 @@
     };
     let mut out = format!("{uid}: {phase}\n");
     let waits_for: Vec<&str> = pipeline.waits_for.iter().map(|id| id.as_str()).collect();
-    let waits_for = match waits_for.is_empty() {
-        true => "nothing: it is ready".to_owned(),
-        false => waits_for.join(", "),
+    let waits_for = if waits_for.is_empty() {
+        "nothing: it is ready".to_owned()
+    } else {
+        waits_for.join(", ")
     };
     let finish_by = match pipeline.finish_by_ms {
         Some(ms) => format!("{:.1} s after 1970-01-01 UTC", ms as f64 / 1000.0),
--- a/src/cli/topology.rs
+++ b/src/cli/topology.rs
@@ -76,9 +76,10 @@
         .iter()
         .map(|(kind, n)| format!("{kind} {}/{}, {}", n.held, n.slots, n.broken))
         .collect();
-    let name = match d.domain.is_empty() {
-        true => "(not known)",
-        false => &d.domain,
+    let name = if d.domain.is_empty() {
+        "(not known)"
+    } else {
+        &d.domain
     };
     format!(
         "{name:<40} {:<8} {:>8} {:>7} {:>8} {:>6}  {}",
--- a/src/cloud.rs
+++ b/src/cloud.rs
@@ -114,9 +114,10 @@
         self.waiting.borrow_mut().insert(since);
         let allowed = self.budget.wait(1.0, PATIENCE).await;
         self.waiting.borrow_mut().remove(&since);
-        match allowed {
-            true => Ok(()),
-            false => Err(CloudFailure::OverBudget),
+        if allowed {
+            Ok(())
+        } else {
+            Err(CloudFailure::OverBudget)
         }
     }
 
--- a/src/control/cloud_duties.rs
+++ b/src/control/cloud_duties.rs
@@ -45,9 +45,10 @@
                 }
                 Err(error) => {
                     tracing::info!(%error, "machine types");
-                    let pause = match self.catalog.has_types() {
-                        true => TYPES_RETRY_PAUSE,
-                        false => FIRST_TYPES_RETRY_PAUSE,
+                    let pause = if self.catalog.has_types() {
+                        TYPES_RETRY_PAUSE
+                    } else {
+                        FIRST_TYPES_RETRY_PAUSE
                     };
                     sleep(pause).await;
                 }
--- a/src/control/core/batch.rs
+++ b/src/control/core/batch.rs
@@ -124,15 +124,16 @@
         // The description alone is larger. While that can still be written, it is, as
         // earlier versions read no other form; then the claims' own key goes before the
         // claims in the record.
-        match self.rejected_changes.limits_fell() {
-            false => Written::Job(JobRecord {
-                inline: Some(claims),
-                ..record
-            }),
-            true => Written::Chunk {
+        if self.rejected_changes.limits_fell() {
+            Written::Chunk {
                 chunk: 0,
                 record: Some(self.fitting(id, 0, claims, now)),
-            },
+            }
+        } else {
+            Written::Job(JobRecord {
+                inline: Some(claims),
+                ..record
+            })
         }
     }
 
@@ -150,12 +151,13 @@
             .filter(|r| !over || !r.claims.is_empty() || kept_for_owner);
         if let Some(record) = keep {
             let record = self.fitting(id, chunk, record, now);
-            return match held.is_some_and(|h| h.value == record) {
-                true => Written::Nothing,
-                false => Written::Chunk {
+            return if held.is_some_and(|h| h.value == record) {
+                Written::Nothing
+            } else {
+                Written::Chunk {
                     chunk,
                     record: Some(record),
-                },
+                }
             };
         }
         // Only once the job is over, and by the shard that places it. Another one, that
@@ -166,12 +168,13 @@
         }
         // Nor while another shard's tasks of a cancelled job are not provably gone: its
         // next owner would not count them.
-        match cancelled && held.is_some_and(|h| self.claims_in(&h.value, false)) {
-            true => Written::Nothing,
-            false => Written::Chunk {
+        if cancelled && held.is_some_and(|h| self.claims_in(&h.value, false)) {
+            Written::Nothing
+        } else {
+            Written::Chunk {
                 chunk,
                 record: None,
-            },
+            }
         }
     }
 
--- a/src/control/core/command_queue.rs
+++ b/src/control/core/command_queue.rs
@@ -55,9 +55,10 @@
     /// Whether a machine that commands did not reach may be tried now: those that may
     /// hang must not keep the others waiting. `suspect`: it has tasks and is silent.
     pub(super) fn may_try_unreachable(&self, suspect: bool) -> bool {
-        let max = match suspect {
-            true => MAX_COMMANDS_IN_FLIGHT * 3 / 4,
-            false => MAX_COMMANDS_IN_FLIGHT / 4,
+        let max = if suspect {
+            MAX_COMMANDS_IN_FLIGHT * 3 / 4
+        } else {
+            MAX_COMMANDS_IN_FLIGHT / 4
         };
         self.in_flight < max
     }
--- a/src/control/core/machine_list.rs
+++ b/src/control/core/machine_list.rs
@@ -124,9 +124,10 @@
             .values()
             .filter(|l| l.reachability.in_doubt())
             .count();
-        let patience = match doubtful * 2 <= self.agents.len() {
-            true => patience,
-            false => MAX_ONE_WAY_REACHABLE_FACTOR * patience,
+        let patience = if doubtful * 2 <= self.agents.len() {
+            patience
+        } else {
+            MAX_ONE_WAY_REACHABLE_FACTOR * patience
         };
         let deaf = |l: &AgentState| !l.deleting && l.reachability.is_unreachable(patience, now);
         let deaf = self.agents.iter().filter(|(_, l)| deaf(l));
--- a/src/control/core/reservation_usage.rs
+++ b/src/control/core/reservation_usage.rs
@@ -109,9 +109,10 @@
     /// Adds the jobs that this owner knows.
     fn add_known_work(&self, usage: &mut ReservationUsage) {
         for job in self.cluster_state.jobs().values() {
-            let waiting = match job.cancelled || job.suspected_one_way {
-                true => 0,
-                false => job.tasks.pending(),
+            let waiting = if job.cancelled || job.suspected_one_way {
+                0
+            } else {
+                job.tasks.pending()
             };
             usage.add(&job.spec, job.tasks.claims().len() as u32, waiting);
         }
--- a/src/control/core/reservations.rs
+++ b/src/control/core/reservations.rs
@@ -87,17 +87,17 @@
 
 impl Windows {
     /// Whether any room is held.
-    pub fn hold(&self) -> bool {
+    pub(super) fn hold(&self) -> bool {
         self.watched.values().any(|w| w.whole.hold > 0)
     }
 
     /// A request of the cloud failed.
-    pub fn failed(&mut self, until: Time) {
+    pub(super) fn failed(&mut self, until: Time) {
         self.failing_until = Some(until);
     }
 
     /// What was packed into machines on their way.
-    pub fn set_coming(&mut self, pending_machines: &BTreeMap<String, u32>) {
+    pub(super) fn set_coming(&mut self, pending_machines: &BTreeMap<String, u32>) {
         for (name, watch) in &mut self.watched {
             watch.pending_machines = pending_machines.get(name).copied().unwrap_or(0);
         }
--- a/src/control/core/scale_in.rs
+++ b/src/control/core/scale_in.rs
@@ -161,9 +161,10 @@
     /// of it.
     fn above_guarantees(&self, candidates: Vec<MachineId>, idle: bool) -> BTreeSet<MachineId> {
         let mut left = self.cluster_state.capacity().cpu;
-        let floor = match idle {
-            true => 0.0,
-            false => self.cluster_state.guaranteed().cpu as f64 * self.cfg.tuning.floor,
+        let floor = if idle {
+            0.0
+        } else {
+            self.cluster_state.guaranteed().cpu as f64 * self.cfg.tuning.floor
         };
         let mut retiring = BTreeSet::new();
         for id in candidates {
--- a/src/control/core/scale_out.rs
+++ b/src/control/core/scale_out.rs
@@ -87,9 +87,10 @@
     /// A request's name. Unique: the grant's number was written before, and
     /// this owner counts its own requests. Two shards' grants may have the same number.
     fn request_id(&self, number: u64) -> String {
-        match self.scope.is_part() {
-            true => format!("r-{}-{}-{number}", self.grant, self.scope.shard),
-            false => format!("r-{}-{number}", self.grant),
+        if self.scope.is_part() {
+            format!("r-{}-{}-{number}", self.grant, self.scope.shard)
+        } else {
+            format!("r-{}-{number}", self.grant)
         }
     }
 
--- a/src/control/core/service_levels.rs
+++ b/src/control/core/service_levels.rs
@@ -42,9 +42,10 @@
         let lines = self.counts.lines(waits);
         let starving = lines.iter().filter(|l| l.starves);
         let starving: BTreeSet<Sort> = starving.map(|l| l.sort.clone()).collect();
-        let due_s = match starving == self.starved {
-            true => SERVED_S,
-            false => SERVED_LEAST_S,
+        let due_s = if starving == self.starved {
+            SERVED_S
+        } else {
+            SERVED_LEAST_S
         };
         if now.since(self.told_at) < due_s {
             return None;
--- a/src/control/core/start_permission.rs
+++ b/src/control/core/start_permission.rs
@@ -38,9 +38,10 @@
     /// Sets the bound. The machines on which starts were withheld, if they may be sent.
     pub(super) fn set(&mut self, until: Time, now: Time) -> BTreeSet<MachineId> {
         self.until = until;
-        match self.is_valid(now) {
-            true => std::mem::take(&mut self.withheld),
-            false => BTreeSet::new(),
+        if self.is_valid(now) {
+            std::mem::take(&mut self.withheld)
+        } else {
+            BTreeSet::new()
         }
     }
 }
--- a/src/control/shard_ownership.rs
+++ b/src/control/shard_ownership.rs
@@ -222,8 +222,9 @@
 
 /// Whether the records still grant this shard to this owner.
 fn is_granted(core: &mut Core, view: &View) -> bool {
-    match core.scope.is_part() || view.shard_count() > 1 {
-        true => core.still_granted(view),
-        false => view.grant.value.number <= core.grant,
+    if core.scope.is_part() || view.shard_count() > 1 {
+        core.still_granted(view)
+    } else {
+        view.grant.value.number <= core.grant
     }
 }
--- a/src/control/shard_status.rs
+++ b/src/control/shard_status.rs
@@ -22,14 +22,13 @@
     pub fn show_shards(&self) -> ShardsShown {
         let view = self.store.view();
         let leader = view.leader.value.as_ref().map(|l| l.node.to_string());
-        let shards = match view.shard_count() > 1 {
-            true => {
-                let shards = view.shards.iter();
-                shards
-                    .map(|(shard, held)| self.shown_shard(&view, *shard, &held.value))
-                    .collect()
-            }
-            false => Vec::new(),
+        let shards = if view.shard_count() > 1 {
+            let shards = view.shards.iter();
+            shards
+                .map(|(shard, held)| self.shown_shard(&view, *shard, &held.value))
+                .collect()
+        } else {
+            Vec::new()
         };
         let mut shown = ShardsShown {
             leader: leader.clone(),
@@ -68,8 +67,8 @@
             owner: Some(record.owner.to_string()),
             alive,
             grant: record.number,
-            to: record.to.as_ref().map(|name| name.to_string()),
-            pin: record.pin.as_ref().map(|name| name.to_string()),
+            to: record.to.as_ref().map(|to| to.to_string()),
+            pin: record.pin.as_ref().map(|pin| pin.to_string()),
             machines: told.as_ref().map(|n| n.machines),
             why: why_there(record, alive),
             teams: teams.collect(),
--- a/src/control/status_queries.rs
+++ b/src/control/status_queries.rs
@@ -58,9 +58,10 @@
             return self.admission.job_over(id);
         }
         let known = self.store.view().job(id).is_some();
-        match answered {
-            true => self.admission.poll_answered(id, known, self.now()),
-            false => self.admission.poll_failed(id, known, self.now()),
+        if answered {
+            self.admission.poll_answered(id, known, self.now());
+        } else {
+            self.admission.poll_failed(id, known, self.now());
         }
     }
 
@@ -79,9 +80,10 @@
             }
         }
         let left = || end.saturating_duration_since(Instant::now());
-        let patience = match self.store.last_refresh_succeeded() {
-            true => LOCAL_QUERY_TIMEOUT,
-            false => LOCAL_RETRY_TIMEOUT,
+        let patience = if self.store.last_refresh_succeeded() {
+            LOCAL_QUERY_TIMEOUT
+        } else {
+            LOCAL_RETRY_TIMEOUT
         };
         if let Some(summary) = self.status_within(id, left().min(patience)).await {
             return Polled::Here(summary);
--- a/src/control/submissions.rs
+++ b/src/control/submissions.rs
@@ -122,9 +122,10 @@
     fn new_record(&self, new: &NewJob) -> Result<JobRecord, NamesTooLong> {
         let value_bytes = self.cfg.state_limits.value_bytes;
         let record = JobRecord::accepted(new.clone(), wall_ms(), value_bytes);
-        match record.fits(value_bytes) {
-            true => Ok(record),
-            false => Err(NamesTooLong),
+        if record.fits(value_bytes) {
+            Ok(record)
+        } else {
+            Err(NamesTooLong)
         }
     }
 
--- a/src/peer_link/mod.rs
+++ b/src/peer_link/mod.rs
@@ -174,9 +174,10 @@
     }
 
     fn hint(&self) {
-        let fell = match self.limits_fell.get() {
-            true => LIMITS_FELL,
-            false => 0,
+        let fell = if self.limits_fell.get() {
+            LIMITS_FELL
+        } else {
+            0
         };
         for line in self.lines.values().filter(|l| l.connected()) {
             // A hint that finds no free capacity is replaced by the next one.
--- a/src/scheduler/capacity_index/mod.rs
+++ b/src/scheduler/capacity_index/mod.rs
@@ -9,7 +9,7 @@
 
 use sorrelhinge_topology::tree::Domain;
 
-pub use self::shelf::Size;
+pub(super) use self::shelf::Size;
 use self::shelf::{size, Shelves};
 use super::machine::{Machine, MachineTraits};
 use crate::types::{Amount, Image, MachineId, MachineType, TypeName, Zone};
@@ -47,7 +47,7 @@
 }
 
 /// Whether a machine passes, or up to which place none does.
-pub type Pass<'a> = &'a dyn Fn(Domain, &MachineId) -> Result<(), u32>;
+pub(super) type Pass<'a> = &'a dyn Fn(Domain, &MachineId) -> Result<(), u32>;
 
 /// What machine is looked for in a group.
 pub struct Search<'a> {
--- a/src/scheduler/capacity_index/shelf.rs
+++ b/src/scheduler/capacity_index/shelf.rs
@@ -9,7 +9,7 @@
 use crate::types::{Amount, Image, MachineId};
 
 /// Free CPUs, memory and GPUs, in the order of tightness.
-pub type Size = (i64, i64, i64);
+pub(crate) type Size = (i64, i64, i64);
 
 pub(super) fn size(amount: Amount) -> Size {
     (amount.cpu, amount.ram, amount.gpu)
@@ -76,7 +76,7 @@
 
 impl Shelves {
     /// Puts a machine in, or takes it out, by what is free there.
-    pub fn change(&mut self, filed: &Filed, size: Size, id: &MachineId, put: bool) {
+    pub(super) fn change(&mut self, filed: &Filed, size: Size, id: &MachineId, put: bool) {
         let place = filed.filing.place;
         let on = |shelf: &mut Shelf| {
             if put {
@@ -101,12 +101,17 @@
     }
 
     /// Whether any machine has an image.
-    pub fn has_image(&self, image: &Image) -> bool {
+    pub(super) fn has_image(&self, image: &Image) -> bool {
         self.ready.contains_key(image)
     }
 
     /// The tightest machine with free capacity whose image is as near as asked, and that passes.
-    pub fn first(&self, search: &Search, steps: &Cell<u64>, pass: Pass<'_>) -> Option<Found> {
+    pub(super) fn first(
+        &self,
+        search: &Search,
+        steps: &Cell<u64>,
+        pass: Pass<'_>,
+    ) -> Option<Found> {
         let shelf = match search.near {
             Nearness::Ready => self.ready.get(search.image)?,
             Nearness::Coming => self.coming.get(search.image)?,
--- a/src/scheduler/filter/larger_types.rs
+++ b/src/scheduler/filter/larger_types.rs
@@ -40,9 +40,10 @@
             .get(&traits.pool())
             .and_then(|ids| ids.iter().find(|other| *other != id))
             .is_some_and(|other| {
-                let waits_for_s = match more_urgent(other) {
-                    true => job.patience_s,
-                    false => job.late_s,
+                let waits_for_s = if more_urgent(other) {
+                    job.patience_s
+                } else {
+                    job.late_s
                 };
                 waited < waits_for_s
             })
--- a/src/scheduler/filter/mod.rs
+++ b/src/scheduler/filter/mod.rs
@@ -54,7 +54,7 @@
 impl<'a> Filters<'a> {
     /// Makes the rules ready; none if nothing may be placed as it is not known where the
     /// job's tasks are.
-    pub fn new(
+    pub(super) fn new(
         cluster_state: &'a ClusterState,
         request: &'a PlacementRequest<'a>,
         ask: &'a Ask<'a>,
@@ -72,12 +72,12 @@
     }
 
     /// Whether room kept for work that can't use spot machines is withheld.
-    pub fn leaves_kept(&self) -> bool {
+    pub(super) fn leaves_kept(&self) -> bool {
         self.leaves_kept
     }
 
     /// Whether any machine of a group may do.
-    pub fn admits_group(&self, key: &GroupKey, kind: &MachineType) -> bool {
+    pub(super) fn admits_group(&self, key: &GroupKey, kind: &MachineType) -> bool {
         let job = self.request.job;
         ClusterState::kind_suits(&job.spec, key.spot, kind, &key.zone)
             && ClusterState::zone_allows(job, &self.zones, &key.zone)
@@ -92,7 +92,7 @@
 
     /// Whether a machine of a group that was admitted may do; else up to which place
     /// none does.
-    pub fn admits_machine(&self, place: Domain, m_id: &MachineId) -> Result<(), u32> {
+    pub(super) fn admits_machine(&self, place: Domain, m_id: &MachineId) -> Result<(), u32> {
         let PlacementRequest { id, job, now, .. } = *self.request;
         let cluster_state = self.cluster_state;
         let fits = !job.avoids(m_id, now)
--- a/src/scheduler/job.rs
+++ b/src/scheduler/job.rs
@@ -111,9 +111,10 @@
     /// and then: all its tasks came back at each try once, hundreds at a time.
     pub fn open(&self) -> u32 {
         let pending = self.tasks.pending();
-        match self.suspected_one_way {
-            true => pending.min(u32::from(self.tasks.claims().is_empty())),
-            false => pending,
+        if self.suspected_one_way {
+            pending.min(u32::from(self.tasks.claims().is_empty()))
+        } else {
+            pending
         }
     }
     /// Whether a task of it has ended well, or runs as a service does.
--- a/src/scheduler/machine.rs
+++ b/src/scheduler/machine.rs
@@ -161,7 +161,7 @@
 
 impl MachineTraits<'_> {
     /// The pool that it is of.
-    pub fn pool(&self) -> CapacityPool {
+    pub(super) fn pool(&self) -> CapacityPool {
         CapacityPool {
             spot: self.spot,
             kind: self.kind.name.clone(),
--- a/src/scheduler/placement_pass.rs
+++ b/src/scheduler/placement_pass.rs
@@ -32,7 +32,7 @@
 
 impl PassContext {
     /// A task of a job that wants a machine in this pass.
-    pub fn request<'a>(&'a self, id: &'a JobId, job: &'a Job) -> PlacementRequest<'a> {
+    pub(super) fn request<'a>(&'a self, id: &'a JobId, job: &'a Job) -> PlacementRequest<'a> {
         PlacementRequest {
             id,
             job,
--- a/src/scheduler/reservations/lending.rs
+++ b/src/scheduler/reservations/lending.rs
@@ -52,9 +52,10 @@
         let work = Borrower {
             ends_in_s: ends_in_s(job, claim, &m.kind, now),
             stoppable,
-            stash_s: match job.spec.checkpoint_s > 0.0 {
-                true => job.spec.save_s,
-                false => 0.0,
+            stash_s: if job.spec.checkpoint_s > 0.0 {
+                job.spec.save_s
+            } else {
+                0.0
             },
         };
         let lending = &reserved.reservation.lending;
--- a/src/scheduler/reservations/mod.rs
+++ b/src/scheduler/reservations/mod.rs
@@ -98,9 +98,10 @@
     fn trim(&mut self, first: &MachineId) {
         let mut over = self.reserved_tasks().saturating_sub(self.open());
         while over > 0 {
-            let at = match self.placed.contains_key(first) {
-                true => Some(first.clone()),
-                false => self.placed.keys().next_back().cloned(),
+            let at = if self.placed.contains_key(first) {
+                Some(first.clone())
+            } else {
+                self.placed.keys().next_back().cloned()
             };
             let Some(at) = at else { return };
             if let Some(n) = self.placed.get_mut(&at) {
@@ -123,7 +124,7 @@
 
 impl Reservations {
     /// Work was placed: its window's hold is smaller by as much.
-    pub fn taken(&mut self, team: usize, spec: &JobSpec, machine: &MachineId) {
+    pub(super) fn taken(&mut self, team: usize, spec: &JobSpec, machine: &MachineId) {
         for reserved in self.by_window.values_mut().filter(|h| h.is_for(team, spec)) {
             reserved.used += spec.each;
             reserved.trim(machine);
@@ -131,14 +132,14 @@
     }
 
     /// Work has ended.
-    pub fn left(&mut self, team: usize, spec: &JobSpec) {
+    pub(super) fn left(&mut self, team: usize, spec: &JobSpec) {
         for reserved in self.by_window.values_mut().filter(|h| h.is_for(team, spec)) {
             reserved.used -= spec.each;
         }
     }
 
     /// A machine is gone.
-    pub fn drop_machine(&mut self, id: &MachineId) {
+    pub(super) fn drop_machine(&mut self, id: &MachineId) {
         for reserved in self.by_window.values_mut() {
             reserved.placed.remove(id);
         }
--- a/src/scheduler/waiting_reason.rs
+++ b/src/scheduler/waiting_reason.rs
@@ -93,9 +93,10 @@
         if choose(&m.device_inventory, &m.allocated_devices, &site.needs).is_some() {
             return None;
         }
-        let why = match Machine::could(&m.working, &site.needs) {
-            true => TAKEN,
-            false => "it has no such device",
+        let why = if Machine::could(&m.working, &site.needs) {
+            TAKEN
+        } else {
+            "it has no such device"
         };
         Some(why.into())
     }
--- a/src/state/view/jobs.rs
+++ b/src/state/view/jobs.rs
@@ -91,9 +91,10 @@
             entry.record.value.phase == Phase::Cancelled
                 && entry.all_chunks().any(|(_, c)| !c.claims.is_empty())
         });
-        match cancelled {
-            true => self.cancelled_claims.insert(id.clone()),
-            false => self.cancelled_claims.remove(id),
+        if cancelled {
+            self.cancelled_claims.insert(id.clone())
+        } else {
+            self.cancelled_claims.remove(id)
         };
         self.changed.push(id.clone());
     }
--- a/tests/array_jobs/mod.rs
+++ b/tests/array_jobs/mod.rs
@@ -10,7 +10,7 @@
 use super::cluster_states::RULE;
 
 /// A job that may use spot machines, submitted at 0.
-pub struct ArrayJob<'a> {
+pub(crate) struct ArrayJob<'a> {
     pub uid: &'a str,
     /// Its team's place among the cluster's.
     pub team: usize,
@@ -22,7 +22,7 @@
 
 impl ArrayJob<'_> {
     /// Adds it to a cluster.
-    pub fn add(self, cluster_state: &mut ClusterState) -> JobId {
+    pub(crate) fn add(self, cluster_state: &mut ClusterState) -> JobId {
         let value = json!({"uid": self.uid, "jobclass": self.rank, "crew": "a-team",
             "shape": "sweep", "rank": self.rank, "pieces": self.tasks, "cpus": 1.0, "cards": 0.0,
             "ram_gb": 1.0, "bundle": "img-1", "pull_gb": 0.1, "builds": null, "rack": null,
@@ -37,7 +37,7 @@
 }
 
 /// Places what can be placed, and lets it run: how many tasks.
-pub fn run_placed(cluster_state: &mut ClusterState, now: f64) -> usize {
+pub(crate) fn run_placed(cluster_state: &mut ClusterState, now: f64) -> usize {
     let launches = cluster_state.place(RULE, Time(now));
     for launch in &launches {
         let claim = cluster_state.claim_mut(&launch.task).expect("placed");
@@ -48,6 +48,6 @@
 }
 
 /// How many of a job's tasks are claimed.
-pub fn claimed(cluster_state: &ClusterState, id: &JobId) -> usize {
+pub(crate) fn claimed(cluster_state: &ClusterState, id: &JobId) -> usize {
     cluster_state.job(id).map_or(0, |j| j.tasks.claims().len())
 }
--- a/tests/cluster_states/machine_types.rs
+++ b/tests/cluster_states/machine_types.rs
@@ -3,7 +3,7 @@
 use sorrelhinge::types::{Amount, MachineType, TypeName, Zone};
 
 /// Machines of so many CPUs and GB of memory, in these zones, with free capacity for 8 GB of images.
-pub fn machine_type(cpus: f64, ram_gb: f64, zones: &[&str]) -> MachineType {
+pub(super) fn machine_type(cpus: f64, ram_gb: f64, zones: &[&str]) -> MachineType {
     MachineType {
         name: TypeName::from("t"),
         total: Amount::new(cpus, 0.0, ram_gb),
--- a/tests/cluster_states/mod.rs
+++ b/tests/cluster_states/mod.rs
@@ -12,14 +12,14 @@
 use self::teams::team;
 
 /// Nobody waits for a machine that has its image.
-pub const RULE: DelayRule = DelayRule {
+pub(crate) const RULE: DelayRule = DelayRule {
     fetches: 0.0,
     max_s: 0.0,
 };
 
 /// Machines of so many CPUs, spot ones or not; teams with their guarantees and, if
 /// there is one, their limits in CPUs.
-pub fn cluster_state(
+pub(crate) fn cluster_state(
     machines: u32,
     cpus: f64,
     spot: bool,
--- a/tests/cluster_states/teams.rs
+++ b/tests/cluster_states/teams.rs
@@ -6,7 +6,7 @@
 use sorrelhinge::types::Amount;
 
 /// A team with its guarantee and its limit, in CPUs.
-pub fn team(name: &str, guarantee: f64, limit: f64) -> Team {
+pub(super) fn team(name: &str, guarantee: f64, limit: f64) -> Team {
     Team {
         name: Arc::from(name),
         guarantee: Amount::new(guarantee, 0.0, 0.0),
--- a/tests/golden_files/mod.rs
+++ b/tests/golden_files/mod.rs
@@ -9,13 +9,13 @@
 
 /// Named texts, a line each, as a golden file has them.
 #[derive(Default)]
-pub struct Golden {
+pub(crate) struct Golden {
     lines: Vec<String>,
 }
 
 impl Golden {
     /// Adds a text. Neither it nor its name has a line break.
-    pub fn add(&mut self, name: &str, text: &str) {
+    pub(crate) fn add(&mut self, name: &str, text: &str) {
         assert!(
             !name.contains(['\t', '\n']) && !text.contains('\n'),
             "{name} is one line"
@@ -29,13 +29,13 @@
     }
 
     /// Compares all of them with the golden file.
-    pub fn check(&self, file: &str) {
+    pub(crate) fn check(&self, file: &str) {
         check(file, &(self.lines.join("\n") + "\n"));
     }
 }
 
 /// Compares a text with a golden file; one that is missing is a failure.
-pub fn check(file: &str, text: &str) {
+pub(crate) fn check(file: &str, text: &str) {
     let path = PathBuf::from(env!("CARGO_MANIFEST_DIR"))
         .join("tests/golden")
         .join(file);
--- a/tests/golden_files/trace.rs
+++ b/tests/golden_files/trace.rs
@@ -3,7 +3,7 @@
 /// Folds texts into 64 bits by FNV-1a, which is the same on every machine and in every
 /// version of the compiler.
 #[derive(Clone, Copy)]
-pub struct Trace(u64);
+pub(crate) struct Trace(u64);
 
 impl Default for Trace {
     fn default() -> Self {
@@ -13,14 +13,14 @@
 
 impl Trace {
     /// Folds a text; a byte that no text has ends it.
-    pub fn fold(&mut self, text: &str) {
+    pub(crate) fn fold(&mut self, text: &str) {
         for byte in text.bytes().chain([0xff]) {
             self.0 = (self.0 ^ u64::from(byte)).wrapping_mul(0x100_0000_01b3);
         }
     }
 
     /// The hash.
-    pub fn hash(self) -> u64 {
+    pub(crate) fn hash(self) -> u64 {
         self.0
     }
 }
--- a/tests/lanes.rs
+++ b/tests/lanes.rs
@@ -37,9 +37,12 @@
     .await;
     // Nothing more is to be had: else nobody would wait.
     world.nodes.borrow_mut().full = true;
-    let owned = move |w: &World| match properties.contains("blocks") {
-        true => (0..3).all(|b| w.store.borrow().get(&format!("h/block/{b}")).is_some()),
-        false => w.leader().is_some(),
+    let owned = move |w: &World| {
+        if properties.contains("blocks") {
+            (0..3).all(|b| w.store.borrow().get(&format!("h/block/{b}")).is_some())
+        } else {
+            w.leader().is_some()
+        }
     };
     world.until("owners", 30, owned).await;
     world
--- a/tests/loopback/cancellation.rs
+++ b/tests/loopback/cancellation.rs
@@ -5,7 +5,7 @@
 use sorrelhinge_emulators::World;
 
 /// Cancels a job, which is answered with its new phase.
-pub async fn cancel(world: &World, uid: &str) {
+pub(crate) async fn cancel(world: &World, uid: &str) {
     let path = format!("/v1/jobs/{uid}/withdraw");
     let (status, told) = world.ask(Method::POST, &path, &Value::Null).await;
     assert_eq!((status, &told["phase"]), (200, &json!("cancelled")));
--- a/tests/loopback/service.rs
+++ b/tests/loopback/service.rs
@@ -4,10 +4,10 @@
 use sorrelhinge_emulators::World;
 
 /// The service's id.
-pub const SERVICE: &str = "run-000001";
+pub(crate) const SERVICE: &str = "run-000001";
 
 /// Submits the service, and waits until all its replicas run.
-pub async fn run_service(world: &World, replicas: usize, within_s: u64) {
+pub(crate) async fn run_service(world: &World, replicas: usize, within_s: u64) {
     let service = json!({"shape": "standing", "pieces": replicas, "rank": "critical"});
     assert_eq!(world.submit(SERVICE, service).await.0, 201);
     let up = |w: &World| w.nodes.borrow().copies(SERVICE) == replicas;
--- a/tests/polls.rs
+++ b/tests/polls.rs
@@ -62,7 +62,7 @@
                 }
             }
         }
-        assert!(shed >= 2 * JOBS, "polls were shed: {}", shed);
+        assert!(shed >= 2 * JOBS, "polls were shed: {shed}");
         assert_eq!(max, 1, "refusals of a job in a row");
     });
 }
--- a/tests/rules/meetings/day.rs
+++ b/tests/rules/meetings/day.rs
@@ -163,15 +163,17 @@
         let now = self.world.now;
         let late = std::mem::take(&mut self.world.late);
         for (at, id, commands) in late {
-            match at <= now {
-                true => self.held.push((id, commands)),
-                false => self.world.late.push((at, id, commands)),
+            if at <= now {
+                self.held.push((id, commands));
+            } else {
+                self.world.late.push((at, id, commands));
             }
         }
         for (id, commands) in std::mem::take(&mut self.held) {
-            match self.is_hung(&id) {
-                true => self.held.push((id, commands)),
-                false => drop(self.world.carry_out(&id, &commands)),
+            if self.is_hung(&id) {
+                self.held.push((id, commands));
+            } else {
+                drop(self.world.carry_out(&id, &commands));
             }
         }
     }
@@ -202,9 +204,10 @@
     /// one while both are apart from the rest.
     fn owner_of(&self, machine: &MachineId, zone: &str) -> Option<usize> {
         let covers = |o: &Owner| o.core.scope.covers(machine);
-        match self.apart == Some(zone) {
-            true => self.world.owners.iter().position(covers),
-            false => self.world.owners.iter().rposition(covers),
+        if self.apart == Some(zone) {
+            self.world.owners.iter().position(covers)
+        } else {
+            self.world.owners.iter().rposition(covers)
         }
     }
 
--- a/tests/rules/silence.rs
+++ b/tests/rules/silence.rs
@@ -113,9 +113,10 @@
             }
             regular(core, now);
             for send in core.dispatch(view, now) {
-                let sent = match send.machine == silent {
-                    true => outcome(),
-                    false => Sending::NotSent,
+                let sent = if send.machine == silent {
+                    outcome()
+                } else {
+                    Sending::NotSent
                 };
                 core.dispatched(&send.machine, sent, now);
             }
--- a/tests/rules/workload.rs
+++ b/tests/rules/workload.rs
@@ -38,9 +38,10 @@
     // A machine whose name says another zone than the cloud is nowhere known,
     // and then each is a switch of its own for what the rules can promise.
     let zone = if digit % 2 == 0 { "za" } else { "zb" };
-    match zone == w.zone {
-        true => (w.zone, digit % 4 / 2),
-        false => (w.zone, 10),
+    if zone == w.zone {
+        (w.zone, digit % 4 / 2)
+    } else {
+        (w.zone, 10)
     }
 }
 
@@ -90,9 +91,10 @@
         (false, false) if rng.random_bool(0.3) => "high",
         (false, false) => "normal",
     };
-    let cpus = match huge {
-        true => 0.25,
-        false => f64::from(rng.random_range(1..4)),
+    let cpus = if huge {
+        0.25
+    } else {
+        f64::from(rng.random_range(1..4))
     };
     json!({"uid": format!("run-{id:06}"), "jobclass": class,
         "crew": if rng.random_bool(0.5) {"red"} else {"blue"},
--- a/tests/rules/world.rs
+++ b/tests/rules/world.rs
@@ -330,9 +330,10 @@
             return;
         }
         let at = self.rng.random_range(0..self.workers.len());
-        let what = match self.rng.random_bool(0.5) {
-            true => json!({"domain": pick_switch(&mut self.rng)}),
-            false => json!({"machine": self.workers[at].id}),
+        let what = if self.rng.random_bool(0.5) {
+            json!({"domain": pick_switch(&mut self.rng)})
+        } else {
+            json!({"machine": self.workers[at].id})
         };
         let now_ms = (self.now * 1000.0) as u64;
         let drain = json!({"v": 1, "what": what, "t": now_ms, "end": now_ms + 20_000, "away": 1});
--- a/tests/settings/mod.rs
+++ b/tests/settings/mod.rs
@@ -6,7 +6,7 @@
 
 /// Settings of a small world: two zones, two teams whose amounts are these many
 /// times the smallest.
-pub fn config(scale: f64) -> Rc<Config> {
+pub(crate) fn config(scale: f64) -> Rc<Config> {
     let (red, max, blue) = (6.0 * scale, 10.0 * scale, 4.0 * scale);
     let text = format!(
         r#"
