--- a/tests/peer_transfer.rs
+++ b/tests/peer_transfer.rs
@@ -65,8 +65,7 @@
         println!("{NAME}: test");
         return ExitCode::SUCCESS;
     }
-    let mut filters = args.iter().filter(|a| !a.starts_with('-')).peekable();
-    if filters.peek().is_some() && !filters.any(|f| NAME.contains(f.as_str())) {
+    if !is_selected(&args) {
         println!("test result: ok. 0 passed; 1 filtered out");
         return ExitCode::SUCCESS;
     }
@@ -77,6 +76,31 @@
     ExitCode::SUCCESS
 }
 
+/// Whether the arguments of the harness select the test: it is named by a filter, if there
+/// is one, and by no `--skip`.
+fn is_selected(args: &[String]) -> bool {
+    let exact = args.iter().any(|a| a == "--exact");
+    let names_test = |filter: &String| {
+        if exact {
+            filter == NAME
+        } else {
+            NAME.contains(filter.as_str())
+        }
+    };
+    let mut filters = Vec::new();
+    let mut rest = args.iter();
+    while let Some(arg) = rest.next() {
+        if arg == "--skip" {
+            if rest.next().is_some_and(names_test) {
+                return false;
+            }
+        } else if !arg.starts_with('-') {
+            filters.push(arg);
+        }
+    }
+    filters.is_empty() || filters.into_iter().any(names_test)
+}
+
 /// The origin: two files, with ranges, to so many at once.
 struct Origin {
     addr: SocketAddr,
