--- a/tests/pages.rs
+++ b/tests/pages.rs
@@ -4,6 +4,8 @@
 use std::collections::BTreeSet;
 use std::path::{Path, PathBuf};
 
+use sorrelhinge::config::Config;
+
 /// Pages of what was: they name files and constants as they were.
 const HISTORY: [&str; 1] = ["results.md"];
 /// Folders that a path in a page begins with.
@@ -118,6 +120,14 @@
     assert!(named >= 40, "{named} constants are named");
 }
 
+#[test]
+fn the_example_of_the_settings_is_valid() {
+    let text = std::fs::read_to_string(root().join("deploy/settings.toml")).expect("a file");
+    let config = Config::parse(&text).expect("valid settings");
+    assert_eq!(config.others.len(), 2);
+    assert_eq!(config.teams.len(), 1);
+}
+
 #[test]
 fn only_paths_and_constants_in_backquotes_count() {
     let page = "`src/main.rs` src/none.rs `MAX_X` MAX_Y `see src/other.rs` `Max`\n";
