--- a/src/control/core/agent.rs
+++ b/src/control/core/agent.rs
@@ -258,6 +258,11 @@
         }
     }
 
+    /// Its machine is drained, not to be kept, and has no tasks left.
+    pub(super) fn drained_empty(&mut self) {
+        self.leaving = true;
+    }
+
     /// Fences all commands that were sent to it so far.
     pub(super) fn raise_fencing_token(&mut self) {
         self.fencing_token = self.fencing_token.raised();
--- a/src/control/core/agents.rs
+++ b/src/control/core/agents.rs
@@ -206,7 +206,7 @@
             if claim.is_some_and(|c| c.sent == Sent::No) {
                 // It has a better place where commands get through.
                 self.release(&task, now);
-                self.walk_all = true;
+                self.placement_queue.request_full_walk();
             } else if leaving {
                 self.cluster_state.stop(&task, false);
             }
--- /dev/null
+++ b/src/control/core/drain_progress.rs
@@ -0,0 +1,24 @@
+//! How far drains are, as operators are shown it.
+
+use sorrelhinge_topology::drain::{Drain, Progress};
+
+use super::Core;
+
+impl Core {
+    /// How far a drain is.
+    pub fn drain_progress(&self, drain: &Drain) -> Progress {
+        let mut progress = Progress::default();
+        for id in self.cluster_state.drained(drain) {
+            let claims = self.cluster_state.claims_on(id);
+            let stopping = claims.iter().filter(|t| {
+                let claim = self.cluster_state.claim_of(t);
+                claim.is_some_and(|c| c.stop.is_some())
+            });
+            progress.machines += 1;
+            progress.empty += u32::from(claims.is_empty());
+            progress.stopping += stopping.count() as u32;
+            progress.tasks += claims.len() as u32;
+        }
+        progress
+    }
+}
--- /dev/null
+++ b/src/control/core/evictions.rs
@@ -0,0 +1,37 @@
+//! Moves of running tasks to other machines: off draining machines, and for repair.
+
+use super::Core;
+use crate::scheduler::Moving;
+use crate::types::Time;
+
+impl Core {
+    /// Moves tasks off draining machines, and now and then one task of a
+    /// service that has too many in a domain.
+    pub(super) fn continue_moves(&mut self, now: Time) {
+        let Some(topology) = self.cluster_state.topology().cloned() else {
+            return;
+        };
+        let drains = self.drains.with_seconds_left(self.wall_ms(now));
+        let moving = Moving {
+            drains: &drains,
+            stability: self.topology_history.losses(),
+        };
+        let mut moves = if drains.is_empty() {
+            Vec::new()
+        } else {
+            self.cluster_state.drain(&moving, now)
+        };
+        if self
+            .repair_schedule
+            .take_due(&topology.settings.repair, now)
+        {
+            moves.extend(self.cluster_state.repair(&moving, now));
+            self.topology_history.tidy(&topology.settings, now);
+        }
+        for m in moves {
+            let to = m.to.as_ref().map_or("-", |id| id.as_str());
+            tracing::info!(task = %m.task, to, "moved");
+            self.settle_stopped(&m.task.job, now);
+        }
+    }
+}
--- a/src/control/core/failures.rs
+++ b/src/control/core/failures.rs
@@ -57,9 +57,9 @@
             | ExitReason::Incomplete
             | ExitReason::Other => {}
         }
-        // Its task may have a place elsewhere.
-        self.walk_all |= why != ExitReason::Done;
         if why != ExitReason::Done {
+            // Its task may have a place elsewhere.
+            self.placement_queue.request_full_walk();
             tracing::info!(task = %task, machine = %id, ?why, "task ended");
         }
     }
--- a/src/control/core/heartbeats.rs
+++ b/src/control/core/heartbeats.rs
@@ -130,7 +130,7 @@
             if ours {
                 tracing::info!(task = %task, machine = %id, "task lost with its agent's incarnation");
                 self.release(&task, now);
-                self.walk_all = true;
+                self.placement_queue.request_full_walk();
             }
         }
     }
--- a/src/control/core/job_changes.rs
+++ b/src/control/core/job_changes.rs
@@ -83,7 +83,7 @@
         let urgency = self.urgency(&job.spec, &JobTimes { ready, ..times }, Some(inherited));
         if !urgency.is_of(job) {
             self.cluster_state.set_urgency(id, &urgency, now);
-            self.walk_all = true;
+            self.placement_queue.request_full_walk();
         }
     }
 
@@ -167,7 +167,7 @@
     /// Gives up a task's claim, which is to be recorded; its free capacity is there for others.
     pub(super) fn release(&mut self, task: &TaskId, now: Time) -> Option<Claim> {
         let claim = self.cluster_state.release(task, now)?;
-        self.gangs.insert(task.job.clone());
+        self.gangs_to_check.add(task.job.clone());
         self.pending.released(self.chunk_of(task), now);
         self.placement_queue.add(claim.machine.clone());
         Some(claim)
--- a/src/control/core/machine_list.rs
+++ b/src/control/core/machine_list.rs
@@ -154,7 +154,7 @@
                 tracing::info!(task = %task, machine = %id, "task lost with its machine");
                 self.release(&task, now);
             }
-            self.walk_all = true;
+            self.placement_queue.request_full_walk();
             self.tombstones.add(id, now);
             self.agents.remove(id);
             self.inventory.forget(id);
--- a/src/control/core/mod.rs
+++ b/src/control/core/mod.rs
@@ -9,7 +9,7 @@
 //! | --- | --- | --- |
 //! | machines that commands are due to, commands in flight | `command_queue` | `dispatch`, `agents` |
 //! | until when tasks may be started | `start_permission` | `commands` |
-//! | machines on which room appeared | `placement_queue` | `placing` |
+//! | machines to walk for free capacity, one by one or all | `placement_queue` | `placement` |
 //! | time since the failover, what is open from it | `failover` | all |
 //! | the cloud's machine list | `inventory` | `machine_list`, `scale_in`, `renting` |
 //! | machines that are gone | `tombstones`, `deleted_machines` | `machine_list`, `heartbeats` |
@@ -17,7 +17,11 @@
 //! | a worker's last heartbeat, its fencing token and commands | `agent`, `direct_line` | `heartbeats`, `dispatch` |
 //! | a transaction while it is put together | `draft` | `batch`, `record` |
 //! | jobs that came, requests to the cloud | `scaling_state` | `objectives`, `demand`, `scale_in`, `renting` |
-//! | losses and new machines by failure domain | `topology_history` | `agents`, `moving`, `scaling` |
+//! | losses and new machines by failure domain | `topology_history` | `agents`, `evictions`, `scaling` |
+//! | drains as recorded | `drains` | `evictions`, `scale_out` |
+//! | when the spread of services was last repaired | `topology_repair` | `evictions` |
+//! | jobs among which may be broken gangs | `gang_restarts` | `job_changes`, `recorded_job` |
+//! | when waiting jobs were last logged | `waiting_log` | `tick` |
 //! | changes that were rejected | `rejected_changes` | `batch` |
 //! | what the log says of who is served | `served` | `placing`, `record` |
 //!
@@ -36,10 +40,14 @@
 mod direct_line;
 mod dispatch;
 mod draft;
+mod drain_progress;
+mod drains;
+mod evictions;
 mod failed_jobs;
 mod failover;
 mod failures;
 mod fleet_log;
+mod gang_restarts;
 mod heartbeats;
 mod image_distribution;
 mod image_rollout;
@@ -71,27 +79,29 @@
 mod scaling_state;
 mod service_levels;
 mod shard_freeze;
-mod shard_handover;
 mod shard_quota;
 mod start_permission;
 mod task_delegation;
 mod tombstones;
 mod topology_history;
+mod topology_repair;
 mod unknown_agent;
+mod waiting_log;
 
-use std::collections::{BTreeMap, BTreeSet};
+use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::rc::Rc;
 
 use sorrelhinge_sharding::largest_jobs::Largest;
 use sorrelhinge_sharding::shard::ShardScope;
-use sorrelhinge_topology::drain::Drain;
 
 use self::agent::AgentState;
 use self::command_queue::CommandQueue;
 pub use self::command_queue::MAX_COMMANDS_IN_FLIGHT;
 pub use self::draft::Batch;
+use self::drains::RecordedDrains;
 use self::failover::Failover;
+use self::gang_restarts::JobsToCheck;
 use self::inventory::CloudInventory;
 use self::machine_types::MachineTypes;
 use self::placement_queue::PlacementQueue;
@@ -103,11 +113,13 @@
 use self::start_permission::StartPermission;
 pub use self::task_delegation::Places;
 use self::tombstones::MachineTombstones;
+use self::topology_repair::RepairSchedule;
+use self::waiting_log::WaitingLog;
 use super::write_queue::Pending;
 use crate::agent_client::DirectCommands;
 use crate::config::Config;
 use crate::scheduler::ClusterState;
-use crate::types::{JobId, MachineId, Revision, Time};
+use crate::types::{MachineId, Revision, Time};
 
 /// Where a heartbeat came from.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -179,20 +191,19 @@
     /// Windows of the release calendar.
     windows: reservations::Windows,
     /// What operators drain.
-    drains: Vec<Drain>,
+    drains: RecordedDrains,
     /// Images that go from machine to machine.
     image_distribution: image_distribution::ImageDistribution,
     /// Where machines were lost and came up of late.
     topology_history: topology_history::TopologyHistory,
     /// Jobs that lost a claim: a gang among them may have to start anew.
-    gangs: BTreeSet<JobId>,
-    last_repair: Option<Time>,
-    /// When each job that waits was last spoken of in the log.
-    told: BTreeMap<JobId, Time>,
+    gangs_to_check: JobsToCheck,
+    /// When tasks were last moved to repair their spread.
+    repair_schedule: RepairSchedule,
+    /// When each job that waits was last logged.
+    waiting_log: WaitingLog,
     /// What rejected transactions tell about the next ones.
     rejected_changes: RejectedChanges,
-    /// Work arrived or room appeared: walk all machines.
-    pub walk_all: bool,
     /// When all machines were last looked at.
     last_look: Time,
 }
@@ -214,10 +225,16 @@
         self.wake_staged(now);
         self.restart_broken_gangs(now);
         self.continue_moves(now);
-        self.walk_all = true;
+        self.log_waiting_jobs(now);
+        self.placement_queue.request_full_walk();
         self.place(now);
     }
 
+    /// The time of day in milliseconds, by the clock that was read at the start.
+    fn wall_ms(&self, now: Time) -> u64 {
+        self.failover.wall_ms(now)
+    }
+
     /// Looks at all that only time changes.
     fn look_at_all(&mut self, now: Time) {
         self.cluster_state.refresh_due_times(now);
--- a/src/control/core/overflow.rs
+++ b/src/control/core/overflow.rs
@@ -112,7 +112,7 @@
             self.add_known(view, &left.job, now, wall_ms);
         }
         self.share(&left.job, entry);
-        self.walk_all = true;
+        self.placement_queue.request_full_walk();
     }
 
     /// Ends what was left for long enough.
--- a/src/control/core/placement.rs
+++ b/src/control/core/placement.rs
@@ -96,11 +96,16 @@
         }
     }
 
+    /// Whether work arrived or waits may have passed since the last [`Self::place_all`].
+    pub fn place_all_is_due(&self) -> bool {
+        self.placement_queue.full_walk_is_due()
+    }
+
     /// Places what can be placed anywhere, if work arrived or waits may have
     /// passed.
     pub fn place_all(&mut self, now: Time) {
-        if !self.is_frozen() && std::mem::take(&mut self.walk_all) && self.cluster_state.has_work()
-        {
+        let due = !self.is_frozen() && self.placement_queue.take_full_walk();
+        if due && self.cluster_state.has_work() {
             self.refill_windows(now);
             let launches = self.cluster_state.place(self.rule(), now);
             self.launched(launches, now);
--- a/src/control/core/placement_limits.rs
+++ b/src/control/core/placement_limits.rs
@@ -14,7 +14,7 @@
         };
         if self.cluster_state.held_rank != lowest {
             self.cluster_state.held_rank = lowest;
-            self.walk_all = true;
+            self.placement_queue.request_full_walk();
         }
     }
 
--- a/src/control/core/placement_queue.rs
+++ b/src/control/core/placement_queue.rs
@@ -16,6 +16,8 @@
     /// The one that was taken last: the next one is behind it by name, so that none
     /// waits for ever while room appears on others.
     last: MachineId,
+    /// Waiting jobs are to be offered all machines.
+    full_walk: bool,
     /// What walks share, and since when.
     pass: Option<(Time, Pass)>,
 }
@@ -25,6 +27,7 @@
         Self {
             machines: BTreeSet::new(),
             last: MachineId::from(""),
+            full_walk: true,
             pass: None,
         }
     }
@@ -51,6 +54,21 @@
         Some(machine)
     }
 
+    /// Work arrived or free capacity appeared: all machines are to be walked.
+    pub(super) fn request_full_walk(&mut self) {
+        self.full_walk = true;
+    }
+
+    /// Whether all machines are to be walked.
+    pub(super) fn full_walk_is_due(&self) -> bool {
+        self.full_walk
+    }
+
+    /// Whether all machines are to be walked; they are now.
+    pub(super) fn take_full_walk(&mut self) -> bool {
+        std::mem::take(&mut self.full_walk)
+    }
+
     /// Begins a new pass if the present one is too old.
     pub(super) fn refresh_pass(&mut self, now: Time) {
         let begun = self.pass.as_ref().map(|(at, _)| *at);
--- a/src/control/core/recorded_job.rs
+++ b/src/control/core/recorded_job.rs
@@ -123,8 +123,8 @@
             self.finished(id.clone(), now);
         }
         // A gang that was claimed in part, or lost a part, starts anew.
-        self.gangs.insert(id.clone());
-        self.walk_all = true;
+        self.gangs_to_check.add(id.clone());
+        self.placement_queue.request_full_walk();
     }
 
     /// A job goes into the cluster state. `placed_here`: this shard places it, and it is
--- a/src/control/core/recovery.rs
+++ b/src/control/core/recovery.rs
@@ -1,7 +1,7 @@
 //! Taking up a grant: everything that is recorded of the shard goes into the
 //! cluster state.
 
-use std::collections::{BTreeMap, BTreeSet};
+use std::collections::BTreeMap;
 use std::rc::Rc;
 
 use sorrelhinge_sharding::largest_jobs::Largest;
@@ -9,7 +9,9 @@
 use sorrelhinge_topology::Topology;
 
 use super::command_queue::CommandQueue;
+use super::drains::RecordedDrains;
 use super::failover::Failover;
+use super::gang_restarts::JobsToCheck;
 use super::inventory::CloudInventory;
 use super::machine_types::MachineTypes;
 use super::placement_queue::PlacementQueue;
@@ -20,6 +22,8 @@
 use super::task_delegation::{self, Places};
 use super::tombstones::MachineTombstones;
 use super::topology_history::TopologyHistory;
+use super::topology_repair::RepairSchedule;
+use super::waiting_log::WaitingLog;
 use super::{image_distribution, reservations, Core};
 use crate::config::Config;
 use crate::control::write_queue::Pending;
@@ -112,14 +116,13 @@
             start_permission: StartPermission::unbounded(),
             tombstones: MachineTombstones::load(view, scope),
             windows: reservations::Windows::default(),
-            drains: Vec::new(),
+            drains: RecordedDrains::default(),
             image_distribution,
             topology_history: TopologyHistory::default(),
-            gangs: BTreeSet::new(),
-            last_repair: None,
-            told: BTreeMap::new(),
+            gangs_to_check: JobsToCheck::default(),
+            repair_schedule: RepairSchedule::default(),
+            waiting_log: WaitingLog::default(),
             rejected_changes: RejectedChanges::none(now),
-            walk_all: true,
             last_look: now,
         }
     }
--- a/src/control/core/scale_out.rs
+++ b/src/control/core/scale_out.rs
@@ -1,8 +1,6 @@
 //! Scale-out: which machines are asked of the cloud, and what came of it. Whether ordinary
 //! machines or spot ones are asked for, of which type and where, is of [`crate::autoscaler`].
 
-use sorrelhinge_topology::drain::{Drain, Target};
-
 use super::inventory::PendingMachine;
 use super::scaling_state::MachineOffer;
 use super::Core;
@@ -15,13 +13,6 @@
 /// Nor is that for so many seconds for which a call failed.
 const FAILED_S: f64 = 3.0;
 
-/// Whether a whole zone is drained. Nothing is rented there: what came up was
-/// drained at once, and rented again and again.
-pub(super) fn is_drained(drains: &[Drain], zone: &Zone) -> bool {
-    let whole = |d: &Drain| matches!(&d.target, Target::Domain(path) if path == zone.as_str());
-    drains.iter().any(whole)
-}
-
 impl Core {
     /// How many machines there are, up and on their way.
     pub fn machines(&self) -> usize {
@@ -41,7 +32,7 @@
             zone: zone.clone(),
             spot,
         };
-        !self.scaling.requests.is_refused(&offer, now) && !is_drained(&self.drains, zone)
+        !self.scaling.requests.is_refused(&offer, now) && !self.drains.covers_zone(zone)
     }
 
     /// The requests to send, as far as the machines can be served and used.
--- a/src/control/core/shard_freeze.rs
+++ b/src/control/core/shard_freeze.rs
@@ -68,7 +68,7 @@
     pub fn thaw(&mut self) {
         if self.frozen_since.take().is_some() {
             tracing::info!(shard = %self.scope.shard, "shard handover withdrawn");
-            self.walk_all = true;
+            self.placement_queue.request_full_walk();
         }
     }
 
--- a/src/control/core/shard_quota.rs
+++ b/src/control/core/shard_quota.rs
@@ -41,7 +41,7 @@
         let now = teams.map(|t| (t.limit, t.guarantee));
         if !now.eq(parts.iter().copied()) {
             self.cluster_state.set_limits(parts.into_iter());
-            self.walk_all = true;
+            self.placement_queue.request_full_walk();
         }
     }
 
--- a/src/control/core/task_delegation.rs
+++ b/src/control/core/task_delegation.rs
@@ -157,7 +157,7 @@
         if live && all_done && self.scope.homes(id) {
             self.finished(id.clone(), now);
         }
-        self.walk_all = true;
+        self.placement_queue.request_full_walk();
     }
 
     /// Takes up a chunk: the next attempt's number, who has which task, what is done.
--- a/src/control/drains.rs
+++ b/src/control/drains.rs
@@ -214,7 +214,7 @@
         let now = wall_ms();
         let drains = self.store.view().drains.clone();
         let drains = drains.iter().map(|(number, d)| {
-            let progress = core.drained(&d.value);
+            let progress = core.drain_progress(&d.value);
             DrainShown {
                 number: *number,
                 target: d.value.target.to_string(),
--- a/src/control/shard_owner.rs
+++ b/src/control/shard_owner.rs
@@ -83,7 +83,7 @@
 
     /// Offers all waiting jobs the best machine, if that is due.
     fn place_all(&self, core: &mut Core, now: Time) {
-        if core.walk_all && self.paces.due(Duty::Place, now) {
+        if core.place_all_is_due() && self.paces.due(Duty::Place, now) {
             self.timed(Duty::Place, || core.place_all(now));
         }
     }
