--- a/src/control/core/agent.rs
+++ b/src/control/core/agent.rs
@@ -129,9 +129,9 @@
     /// Its last heartbeat was passed on by another controller.
     pub(super) passed: bool,
     /// The cloud takes it, or it was chosen to go.
-    pub(super) leaving: bool,
+    leaving: bool,
     /// Being deleted: nothing may count on it again.
-    pub(super) deleting: bool,
+    deleting: bool,
     /// Jobs that failed here.
     pub(super) failed_jobs: FailedJobs,
     /// What it was told to stop.
@@ -258,11 +258,80 @@
         }
     }
 
+    /// Whether its machine is given back, or the cloud takes it.
+    pub(super) fn is_leaving(&self) -> bool {
+        self.leaving
+    }
+
     /// Its machine is drained, not to be kept, and has no tasks left.
     pub(super) fn drained_empty(&mut self) {
         self.leaving = true;
     }
 
+    /// No plan has use for its machine, and it is empty.
+    pub(super) fn chosen_for_scale_in(&mut self) {
+        self.leaving = true;
+    }
+
+    /// Several sound jobs failed on its machine.
+    pub(super) fn proved_faulty(&mut self) {
+        self.leaving = true;
+    }
+
+    /// Its leases end again and again though its heartbeats are answered.
+    pub(super) fn loses_leases(&mut self) {
+        self.leaving = true;
+    }
+
+    /// Whether its machine is being deleted.
+    pub(super) fn is_deleting(&self) -> bool {
+        self.deleting
+    }
+
+    /// Its machine is to be deleted from now on.
+    pub(super) fn begin_deletion(&mut self) {
+        self.deleting = true;
+    }
+
+    /// It has reported the present fencing token, and is no longer doubted unless nothing
+    /// that is sent there has an effect.
+    pub(super) fn reported_fencing_token(&mut self) {
+        self.suspected_one_way = self.reachability.in_doubt();
+        if self.suspected_one_way {
+            // It has the present fencing token and does nothing: a higher one has
+            // to be taken up before anything more goes there.
+            self.raise_fencing_token();
+        }
+    }
+
+    /// It carried a direct command out.
+    pub(super) fn command_executed(&mut self, now: Time) {
+        self.direct.executed(now);
+        self.reachability.proved(now);
+        self.passed = false;
+    }
+
+    /// It answered that it did not carry a direct command out.
+    pub(super) fn command_refused(&mut self, now: Time) {
+        self.direct.refused(now);
+        self.reachability.proved(now);
+    }
+
+    /// A direct command may have reached it, and no answer came.
+    pub(super) fn command_unanswered(&mut self, now: Time) {
+        self.direct.failed(true, now);
+        self.raise_fencing_token();
+    }
+
+    /// A direct command did not get through, or no answer to it: it is in doubt.
+    pub(super) fn command_failed(&mut self, now: Time) {
+        self.suspected_one_way = true;
+        // Its heartbeats have to show the fencing token.
+        if !self.fenced() {
+            self.reachability.asked(now);
+        }
+    }
+
     /// Fences all commands that were sent to it so far.
     pub(super) fn raise_fencing_token(&mut self) {
         self.fencing_token = self.fencing_token.raised();
--- a/src/control/core/agents.rs
+++ b/src/control/core/agents.rs
@@ -50,12 +50,12 @@
 
     /// The line to a machine, which is new if it was not known; none: its type is not.
     pub(super) fn agent(&mut self, seen: &SeenMachine<'_>, now: Time) -> Option<&mut AgentState> {
-        if !self.agents.contains_key(seen.id) {
+        if !self.agents.contains(seen.id) {
             let kind = self.types.get(seen.kind)?.clone();
             self.inventory.came_up(seen.id);
             self.add_machine(seen, kind, now);
             let agent = AgentState::new(seen.addr, self.base_fencing_token(), now);
-            self.agents.insert(seen.id.clone(), agent);
+            self.agents.came_up(seen.id.clone(), agent);
             self.wake(seen.id);
         }
         self.agents.get_mut(seen.id)
@@ -161,7 +161,7 @@
         let draining = machine.is_some_and(|m| m.draining);
         let silent =
             now.since(agent.last_heard) >= SILENT_HEARTBEATS * self.cfg.heartbeat_s + SILENT_S;
-        let leaving = agent.leaving || agent.deleting;
+        let leaving = agent.is_leaving() || agent.is_deleting();
         let usable = agent.fenced()
             && !draining
             && !agent.suspected_one_way
--- a/src/control/core/dispatch.rs
+++ b/src/control/core/dispatch.rs
@@ -28,7 +28,7 @@
         let Some(agent) = self.agents.get(id) else {
             return false;
         };
-        if agent.direct.is_in_flight() || agent.deleting {
+        if agent.direct.is_in_flight() || agent.is_deleting() {
             // The answer brings it back.
             return false;
         }
@@ -106,9 +106,7 @@
         let Some(agent) = self.agents.get_mut(id) else {
             return;
         };
-        agent.direct.executed(now);
-        agent.reachability.proved(now);
-        agent.passed = false;
+        agent.command_executed(now);
         // The incarnation that took the command may end right after it;
         // the heartbeat decides what is there.
         self.mark_flying(id, Sent::Answered);
@@ -119,8 +117,7 @@
         let Some(agent) = self.agents.get_mut(id) else {
             return;
         };
-        agent.direct.refused(now);
-        agent.reachability.proved(now);
+        agent.command_refused(now);
         let inherited = !agent.fenced();
         if !inherited {
             self.mark_flying(id, Sent::No);
@@ -151,8 +148,7 @@
     /// nothing on this machine is settled.
     fn command_unanswered(&mut self, id: &MachineId, now: Time) {
         if let Some(agent) = self.agents.get_mut(id) {
-            agent.direct.failed(true, now);
-            agent.raise_fencing_token();
+            agent.command_unanswered(now);
         }
     }
 
@@ -161,11 +157,7 @@
         let Some(agent) = self.agents.get_mut(id) else {
             return;
         };
-        agent.suspected_one_way = true;
-        // Its heartbeats have to show the fencing token.
-        if !agent.fenced() {
-            agent.reachability.asked(now);
-        }
+        agent.command_failed(now);
         tracing::info!(machine = %id, fencing_token = %agent.fencing_token, "direct command failed");
         self.refresh_machine(id, now);
     }
--- a/src/control/core/drains.rs
+++ b/src/control/core/drains.rs
@@ -70,7 +70,7 @@
             return;
         }
         let covered = self.covered_by_drains();
-        let ids: Vec<MachineId> = self.agents.keys().cloned().collect();
+        let ids: Vec<MachineId> = self.agents.ids().cloned().collect();
         for id in ids {
             self.refresh_drain_of(&id, covered.get(&id).copied(), now);
         }
--- a/src/control/core/failures.rs
+++ b/src/control/core/failures.rs
@@ -124,15 +124,15 @@
         // mistaken ones that met on a machine cost the machine once.
         let cluster_state = &self.cluster_state;
         let sound = |job: &&JobId| cluster_state.job(job).is_none_or(Job::is_sound);
-        agent.leaving |= agent.failed_jobs.jobs().filter(sound).count() >= FAULTY_JOBS;
+        if agent.failed_jobs.jobs().filter(sound).count() >= FAULTY_JOBS {
+            agent.proved_faulty();
+        }
     }
 
     /// A job's failures are held against no machine any more: it is mistaken, or
     /// was withdrawn.
     pub(super) fn clear(&mut self, job: &JobId) {
-        for agent in self.agents.values_mut() {
-            agent.failed_jobs.forgive(job);
-        }
+        self.agents.forgive(job);
     }
 }
 
--- a/src/control/core/heartbeats.rs
+++ b/src/control/core/heartbeats.rs
@@ -43,7 +43,7 @@
         let id = &heartbeat.machine;
         let shown =
             heartbeat.fencing_token >= self.base_fencing_token() || self.inventory.is_coming(id);
-        !self.inventory.was_listed() || shown || self.agents.contains_key(id)
+        !self.inventory.was_listed() || shown || self.agents.contains(id)
     }
 
     /// What follows from a report that counts: for the line to its machine, for the tasks
@@ -61,7 +61,7 @@
             && agent.reachability.incarnation_ended(lease_s, now)
             && !silence_ignored
         {
-            agent.leaving = true;
+            agent.loses_leases();
         }
         let fenced = heartbeat.fencing_token >= agent.fencing_token;
         self.record_served_images(heartbeat);
@@ -86,12 +86,7 @@
         let Some(agent) = self.agents.get_mut(id).filter(|l| l.fenced()) else {
             return;
         };
-        agent.suspected_one_way = agent.reachability.in_doubt();
-        if agent.suspected_one_way {
-            // It has the present fencing token and does nothing: a higher one has
-            // to be taken up before anything more goes there.
-            agent.raise_fencing_token();
-        }
+        agent.reported_fencing_token();
     }
 
     /// A task that we started is in the heartbeat: the machine hears.
--- a/src/control/core/image_rollout.rs
+++ b/src/control/core/image_rollout.rs
@@ -60,7 +60,7 @@
         }
         let addr = |source: &From| match source {
             From::Origin => None,
-            From::Machine(id) => self.agents.get(id).map(|l| l.addr),
+            From::Machine(id) => self.agents.addr(id),
         };
         Some(from.iter().filter_map(addr).collect())
     }
--- a/src/control/core/machine_list.rs
+++ b/src/control/core/machine_list.rs
@@ -3,7 +3,6 @@
 
 use std::collections::BTreeSet;
 
-use super::agent::AgentState;
 use super::agent::SeenMachine;
 use super::inventory::PendingMachine;
 use super::Core;
@@ -51,7 +50,7 @@
     fn machine_listed(&mut self, machine: &ListedMachine, now: Time) {
         let id = &machine.id;
         self.inventory.seen(id);
-        if self.agents.contains_key(id) {
+        if self.agents.contains(id) {
             if machine.phase == MachinePhase::Failed {
                 // It stopped by itself. That proves nothing about its
                 // tasks; the answer to deleting it will.
@@ -82,7 +81,7 @@
     fn give_back_missing(&mut self, listed: &BTreeSet<&MachineId>, now: Time) {
         let known = self
             .agents
-            .keys()
+            .ids()
             .chain(self.inventory.pending_machines().keys());
         let known: Vec<MachineId> = known.cloned().collect();
         for id in known {
@@ -116,28 +115,21 @@
     /// no lease, so what ran there has ended by then: before, a cut that heals would
     /// cost their tasks.
     pub(super) fn deaf(&self, now: Time) -> Vec<MachineId> {
-        let patience = self.cfg.lease_s * DRIFT + 2.0 * self.cfg.heartbeat_s;
+        let patience_s = self.cfg.lease_s * DRIFT + 2.0 * self.cfg.heartbeat_s;
         // If most hear nothing it may be this controller that can't be heard. Another
         // may then be the owner before long; if none is, they go all the same.
-        let doubtful = self
-            .agents
-            .values()
-            .filter(|l| l.reachability.in_doubt())
-            .count();
-        let patience = if doubtful * 2 <= self.agents.len() {
-            patience
+        let patience_s = if self.agents.most_in_doubt() {
+            MAX_ONE_WAY_REACHABLE_FACTOR * patience_s
         } else {
-            MAX_ONE_WAY_REACHABLE_FACTOR * patience
+            patience_s
         };
-        let deaf = |l: &AgentState| !l.deleting && l.reachability.is_unreachable(patience, now);
-        let deaf = self.agents.iter().filter(|(_, l)| deaf(l));
-        deaf.map(|(id, _)| id.clone()).collect()
+        self.agents.unreachable(patience_s, now)
     }
 
     /// A machine is to be deleted, whether it ever reported or not.
     pub(super) fn mark_for_scale_in(&mut self, id: &MachineId) {
         match self.agents.get_mut(id) {
-            Some(agent) => agent.deleting = true,
+            Some(agent) => agent.begin_deletion(),
             None => self.inventory.mark_for_scale_in(id),
         }
     }
@@ -156,7 +148,7 @@
             }
             self.placement_queue.request_full_walk();
             self.tombstones.add(id, now);
-            self.agents.remove(id);
+            self.agents.deleted(id);
             self.inventory.forget(id);
             self.cluster_state.remove_machine(id);
         }
--- a/src/control/core/mod.rs
+++ b/src/control/core/mod.rs
@@ -14,6 +14,7 @@
 //! | the cloud's machine list | `inventory` | `machine_list`, `scale_in`, `renting` |
 //! | machines that are gone | `tombstones`, `deleted_machines` | `machine_list`, `heartbeats` |
 //! | the cloud's machine types | `machine_types` | `agents`, `objectives`, `scaling`, `reservation_supply` |
+//! | the agents of all machines that are up | `agent_table` | all |
 //! | a worker's last heartbeat, its fencing token and commands | `agent`, `direct_line` | `heartbeats`, `dispatch` |
 //! | a transaction while it is put together | `draft` | `batch`, `record` |
 //! | jobs that came, requests to the cloud | `scaling_state` | `objectives`, `demand`, `scale_in`, `renting` |
@@ -30,6 +31,7 @@
 //! earlier commands; the time of every step is handed in, and no clock is read.
 
 mod agent;
+mod agent_table;
 mod agents;
 mod batch;
 mod command_queue;
@@ -88,14 +90,13 @@
 mod unknown_agent;
 mod waiting_log;
 
-use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::rc::Rc;
 
 use sorrelhinge_sharding::largest_jobs::Largest;
 use sorrelhinge_sharding::shard::ShardScope;
 
-use self::agent::AgentState;
+use self::agent_table::AgentTable;
 use self::command_queue::CommandQueue;
 pub use self::command_queue::MAX_COMMANDS_IN_FLIGHT;
 pub use self::draft::Batch;
@@ -168,8 +169,8 @@
     largest_jobs: Largest,
     /// The cloud's machine types.
     types: MachineTypes,
-    /// The lines to the workers of all machines that are up.
-    agents: BTreeMap<MachineId, AgentState>,
+    /// The agents of all machines that are up.
+    agents: AgentTable,
     /// What the cloud's machine lists tell.
     inventory: CloudInventory,
     /// What waits to be recorded.
@@ -248,7 +249,7 @@
         if self.failover.awaits_heartbeats() {
             self.log_recovery_time(now);
         }
-        let ids: Vec<MachineId> = self.agents.keys().cloned().collect();
+        let ids: Vec<MachineId> = self.agents.ids().cloned().collect();
         for id in ids {
             self.refresh_machine(&id, now);
         }
--- a/src/control/core/recovery.rs
+++ b/src/control/core/recovery.rs
@@ -1,13 +1,13 @@
 //! Taking up a grant: everything that is recorded of the shard goes into the
 //! cluster state.
 
-use std::collections::BTreeMap;
 use std::rc::Rc;
 
 use sorrelhinge_sharding::largest_jobs::Largest;
 use sorrelhinge_sharding::shard::ShardScope;
 use sorrelhinge_topology::Topology;
 
+use super::agent_table::AgentTable;
 use super::command_queue::CommandQueue;
 use super::drains::RecordedDrains;
 use super::failover::Failover;
@@ -105,7 +105,7 @@
             served_log: ServedLog::new(now),
             largest_jobs: Largest::default(),
             types: MachineTypes::default(),
-            agents: BTreeMap::new(),
+            agents: AgentTable::default(),
             inventory: CloudInventory::default(),
             pending: Pending::default(),
             failover: Failover::begin(now, input.wall_ms, view.history.images()),
--- a/src/control/core/reservation_demand.rs
+++ b/src/control/core/reservation_demand.rs
@@ -126,7 +126,7 @@
         // A list is late by twice its usual lag at most (PROTOCOL).
         let listed = self.failover.age_s(now) > 2.0 * self.cfg.list_lag_s + 2.0;
         let quiet = self.failover.age_s(now) <= self.cfg.silent_s();
-        let unheard = quiet && self.agents.values().any(|l| !l.fenced() && !l.deleting);
+        let unheard = quiet && self.agents.any_staying_unfenced();
         listed && !unheard
     }
 
--- a/src/control/core/scale_in.rs
+++ b/src/control/core/scale_in.rs
@@ -46,9 +46,7 @@
     /// how a fleet that is too large for its controllers would be kept so.
     pub(super) fn trusts_silence(&self, now: Time) -> bool {
         let limit_s = HEARD_HEARTBEATS * self.cfg.heartbeat_s;
-        let agents = self.agents.values();
-        let heard = agents.filter(|l| now.since(l.last_heard) < limit_s).count();
-        heard * 2 > self.agents.len()
+        self.agents.most_reported_within(limit_s, now)
             && self.failover.age_s(now) > self.cfg.silent_s()
             && now >= self.silence_ignored_until
     }
@@ -65,20 +63,20 @@
     /// are lost, and those that never came.
     pub(super) fn machines_to_delete(&mut self, trusts_silence: bool, now: Time) -> Vec<MachineId> {
         let mut to_delete = Vec::new();
-        for (id, agent) in &mut self.agents {
-            if agent.leaving && is_empty(agent, self.cluster_state.machines().get(id)) {
-                agent.deleting = true;
+        for (id, agent) in self.agents.iter_mut() {
+            if agent.is_leaving() && is_empty(agent, self.cluster_state.machines().get(id)) {
+                agent.begin_deletion();
             }
             let quiet_s = now.since(agent.last_heard);
             let unanswered_connections =
                 unanswered_connections(agent, quiet_s, self.cfg.heartbeat_s);
             if trusts_silence && (quiet_s > self.cfg.silent_s() || unanswered_connections) {
-                if unanswered_connections && !agent.deleting {
+                if unanswered_connections && !agent.is_deleting() {
                     tracing::info!(machine = %id, quiet_s, "machine unresponsive; scaling in");
                 }
-                agent.deleting = true;
+                agent.begin_deletion();
             }
-            if agent.deleting {
+            if agent.is_deleting() {
                 to_delete.push(id.clone());
             }
         }
@@ -111,7 +109,7 @@
         let retiring = self.above_guarantees(candidates, idle);
         for id in self.mark_machines(plan, disuse, &retiring, now) {
             if let Some(agent) = self.agents.get_mut(&id) {
-                agent.leaving = true;
+                agent.chosen_for_scale_in();
             }
             self.refresh_machine(&id, now);
         }
--- a/src/control/core/scale_out.rs
+++ b/src/control/core/scale_out.rs
@@ -104,7 +104,7 @@
                     since: now,
                 };
                 for id in machines.into_iter().filter(|m| self.scope.covers(m)) {
-                    if !self.agents.contains_key(&id) {
+                    if !self.agents.contains(&id) {
                         self.inventory.rented(id, pending_machines.clone());
                     }
                 }
@@ -126,7 +126,7 @@
         machine: &MachineId,
         now: Time,
     ) {
-        let known = self.agents.contains_key(machine) || self.tombstones.is_recent(machine);
+        let known = self.agents.contains(machine) || self.tombstones.is_recent(machine);
         if self.scope.covers(machine) && !known {
             let (kind, zone, spot) = sort;
             let pending_machines = || PendingMachine {
--- a/src/control/core/service_levels.rs
+++ b/src/control/core/service_levels.rs
@@ -59,7 +59,7 @@
 impl Core {
     /// Tells how long it took to hear of all machines, for the log.
     pub(super) fn log_recovery_time(&mut self, now: Time) {
-        let unheard = self.agents.values().filter(|l| !l.fenced()).count();
+        let unheard = self.agents.count_unfenced();
         let missing = self.cluster_state.unknown_machines().count();
         let all = self.agents.len() + missing;
         if self.failover.awaits_heartbeats() && all > 0 && (unheard + missing) * 50 <= all {
--- a/src/control/core/topology_repair.rs
+++ b/src/control/core/topology_repair.rs
@@ -33,7 +33,7 @@
     pub fn set_topology(&mut self, topology: Option<Rc<Topology>>, now: Time) {
         let agents = &self.agents;
         self.cluster_state
-            .set_topology(topology, |id| agents.get(id).map(|l| l.addr.ip()));
+            .set_topology(topology, |id| agents.addr(id).map(|addr| addr.ip()));
         self.refresh_drains(now);
         self.placement_queue.request_full_walk();
     }
--- a/src/control/core/unknown_agent.rs
+++ b/src/control/core/unknown_agent.rs
@@ -14,7 +14,7 @@
 impl Core {
     /// The answer to a worker's heartbeat.
     pub fn answer(&mut self, heartbeat: &Heartbeat, view: &View, now: Time) -> Reply {
-        if self.agents.contains_key(&heartbeat.machine) {
+        if self.agents.contains(&heartbeat.machine) {
             return self.reply(&heartbeat.machine, view, now);
         }
         let running = heartbeat.tasks.iter();
