--- a/src/control/core/agent.rs
+++ b/src/control/core/agent.rs
@@ -7,92 +7,10 @@
 
 use super::direct_line::DirectLine;
 use super::failed_jobs::FailedJobs;
+use super::task_attempt::{SentKills, TaskAttempt, TaskStatus};
 use super::Source;
-use crate::agent_client::{
-    Command, DirectCommands, ExitReason, Heartbeat, ReportedImage, ReportedTask, TaskPhase,
-};
-use crate::cloud::ListedMachine;
-use crate::types::{
-    Attempt, FencingToken, Incarnation, MachineId, SequenceNumber, TaskId, Time, TypeName, Zone,
-};
-
-/// After so long without effect a worker is told again to stop a task, in seconds.
-pub(super) const KILL_RETRY_S: f64 = 2.0;
-
-/// One attempt to run a task. Ordered by task, then by attempt.
-#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub(super) struct TaskAttempt {
-    pub(super) task: TaskId,
-    pub(super) attempt: Attempt,
-}
-
-/// What a heartbeat says of a task.
-#[derive(Clone, Copy, Debug)]
-pub(super) struct TaskStatus {
-    pub(super) phase: TaskPhase,
-    /// Why it ended, if it did.
-    pub(super) why: Option<ExitReason>,
-}
-
-/// Tasks that a worker was told to stop, and when that was last.
-#[derive(Debug, Default)]
-pub(super) struct SentKills(BTreeMap<TaskAttempt, Time>);
-
-impl SentKills {
-    /// Forgets those that its last heartbeat does not name.
-    pub(super) fn keep_reported(&mut self, reported: &BTreeMap<TaskAttempt, TaskStatus>) {
-        self.0.retain(|key, _| reported.contains_key(key));
-    }
-
-    /// Whether a task is to be stopped that was not, or whose stop may be lost.
-    pub(super) fn is_due(&self, task: &TaskAttempt, now: Time) -> bool {
-        let sent = self.0.get(task);
-        sent.is_none_or(|at| now.since(*at) >= KILL_RETRY_S)
-    }
-
-    /// The worker is told to stop a task.
-    pub(super) fn sent(&mut self, task: &TaskAttempt, now: Time) {
-        self.0.insert(task.clone(), now);
-    }
-
-    /// Whether it was told to stop nothing that it still reports.
-    pub(super) fn is_empty(&self) -> bool {
-        self.0.is_empty()
-    }
-}
-
-/// A machine as a list or a heartbeat shows it.
-pub(super) struct SeenMachine<'a> {
-    pub(super) id: &'a MachineId,
-    pub(super) addr: SocketAddr,
-    pub(super) kind: &'a TypeName,
-    pub(super) zone: &'a Zone,
-    pub(super) spot: bool,
-}
-
-impl<'a> SeenMachine<'a> {
-    /// By the cloud's list, at the address that this names.
-    pub(super) fn by_list(listed: &'a ListedMachine, addr: SocketAddr) -> Self {
-        Self {
-            id: &listed.id,
-            addr,
-            kind: &listed.machine_type,
-            zone: &listed.zone,
-            spot: listed.spot,
-        }
-    }
-
-    /// By its worker's heartbeat.
-    pub(super) fn by_heartbeat(heartbeat: &'a Heartbeat) -> Self {
-        Self {
-            id: &heartbeat.machine,
-            addr: heartbeat.addr,
-            kind: &heartbeat.machine_type,
-            zone: &heartbeat.zone,
-            spot: heartbeat.spot,
-        }
-    }
-}
+use crate::agent_client::{Command, DirectCommands, Heartbeat, ReportedImage, ReportedTask};
+use crate::types::{FencingToken, Incarnation, SequenceNumber, Time};
 
 /// What a heartbeat tells that the one before it did not.
 pub(super) struct HeartbeatNews {
--- a/src/control/core/agents.rs
+++ b/src/control/core/agents.rs
@@ -3,9 +3,10 @@
 
 use std::rc::Rc;
 
-use super::agent::{AgentState, SeenMachine};
+use super::agent::AgentState;
 use super::command_queue::ContactOrder;
 use super::machine_types::MachineTypes;
+use super::seen_machine::SeenMachine;
 use super::Core;
 use crate::scheduler::{Machine, Sent};
 use crate::types::{Kind, MachineId, MachineType, Time};
--- a/src/control/core/command_queue.rs
+++ b/src/control/core/command_queue.rs
@@ -24,15 +24,27 @@
     Empty,
 }
 
-/// A machine that is to be contacted again.
-type Retry = (u64, MachineId);
+/// A machine that is to be contacted now.
+#[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
+struct Contact {
+    order: ContactOrder,
+    machine: MachineId,
+}
+
+/// A machine that is to be contacted again. Ordered by time.
+#[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
+struct Retry {
+    /// When, in milliseconds on this process's clock.
+    at_ms: u64,
+    machine: MachineId,
+}
 
 /// Machines that commands may have to go to.
 #[derive(Debug, Default)]
 pub(super) struct CommandQueue {
     /// To be contacted now; each turn takes the first.
-    ready: BTreeSet<(ContactOrder, MachineId)>,
-    /// To be contacted at a time, in milliseconds on this process's clock.
+    ready: BTreeSet<Contact>,
+    /// To be contacted at a time.
     retries: BTreeSet<Retry>,
     /// Direct commands that were sent and are not answered.
     in_flight: usize,
@@ -41,7 +53,7 @@
 impl CommandQueue {
     /// Commands may have to go to a machine.
     pub(super) fn add(&mut self, machine: MachineId, order: ContactOrder) {
-        self.ready.insert((order, machine));
+        self.ready.insert(Contact { order, machine });
     }
 
     /// The next machine to contact; none while too many commands are in flight.
@@ -49,7 +61,7 @@
         if self.in_flight >= MAX_COMMANDS_IN_FLIGHT {
             return None;
         }
-        self.ready.pop_first().map(|(_, machine)| machine)
+        self.ready.pop_first().map(|contact| contact.machine)
     }
 
     /// Whether a machine that commands did not reach may be tried now: those that may
@@ -66,13 +78,13 @@
     /// Contact a machine not before a time.
     pub(super) fn retry_at(&mut self, machine: MachineId, at: Time) {
         let at_ms = (at.0 * 1000.0).ceil().max(0.0) as u64;
-        self.retries.insert((at_ms, machine));
+        self.retries.insert(Retry { at_ms, machine });
     }
 
     /// Contact a machine again after so many seconds.
     pub(super) fn retry_after(&mut self, machine: MachineId, delay_s: f64, now: Time) {
         let at_ms = (now.after(delay_s).0 * 1000.0) as u64;
-        self.retries.insert((at_ms, machine));
+        self.retries.insert(Retry { at_ms, machine });
     }
 
     /// Contact a machine that may hang again when others of its kind were answered.
@@ -82,10 +94,13 @@
 
     /// Machines whose time to be contacted again has come, the earliest first.
     pub(super) fn take_due_retries(&mut self, now: Time) -> Vec<MachineId> {
-        let due = ((now.0 * 1000.0) as u64 + 1, MachineId::from(""));
-        let later = self.retries.split_off(&due);
+        let first_later = Retry {
+            at_ms: (now.0 * 1000.0) as u64 + 1,
+            machine: MachineId::from(""),
+        };
+        let later = self.retries.split_off(&first_later);
         let retries = std::mem::replace(&mut self.retries, later);
-        retries.into_iter().map(|(_, machine)| machine).collect()
+        retries.into_iter().map(|retry| retry.machine).collect()
     }
 
     /// A direct command was sent.
--- a/src/control/core/commands.rs
+++ b/src/control/core/commands.rs
@@ -1,8 +1,8 @@
 //! Commands for a machine: what is started, stopped and forgotten there.
 
-use super::agent::TaskAttempt;
 use super::command_queue::ContactOrder;
 use super::outcomes::recorded_claim;
+use super::task_attempt::TaskAttempt;
 use super::Core;
 use crate::agent_client::{Command, Reply, TaskPhase};
 use crate::scheduler::{Claim, Job, Sent};
--- a/src/control/core/dispatch.rs
+++ b/src/control/core/dispatch.rs
@@ -1,8 +1,8 @@
 //! Commands sent to workers directly, and what became of them (PROTOCOL,
 //! "Controller nodes -> workers").
 
-use super::agent::KILL_RETRY_S;
 use super::command_queue::ContactOrder;
+use super::task_attempt::KILL_RETRY_S;
 use super::{Core, Dispatch, Source};
 use crate::agent_client::{Command, Sending};
 use crate::scheduler::Sent;
--- a/src/control/core/draft.rs
+++ b/src/control/core/draft.rs
@@ -6,7 +6,7 @@
 
 use std::collections::BTreeSet;
 
-use super::image_distribution::{DueStep, Step};
+use super::rollout_records::{DueStep, Step};
 use crate::control::write_queue::ChunkId;
 use crate::state::record::{chunk_key, job_key, ChunkRecord, JobRecord};
 use crate::state::view::JobEntry;
--- a/src/control/core/drains.rs
+++ b/src/control/core/drains.rs
@@ -39,10 +39,9 @@
         self.drains.iter().any(covers_zone)
     }
 
-    /// Each drain with the seconds left of it at this time of day, in milliseconds.
-    pub(super) fn with_seconds_left(&self, wall_ms: u64) -> Vec<(Drain, f64)> {
-        let drains = self.drains.iter();
-        drains.map(|d| (d.clone(), d.left_s(wall_ms))).collect()
+    /// All of them, in the order of their numbers.
+    pub(super) fn iter(&self) -> impl Iterator<Item = &Drain> {
+        self.drains.iter()
     }
 }
 
@@ -79,7 +78,7 @@
     /// The machines that drains cover.
     fn covered_by_drains(&self) -> BTreeMap<MachineId, WhenEmpty> {
         let mut covered = BTreeMap::new();
-        for drain in &self.drains.drains {
+        for drain in self.drains.iter() {
             for id in self.cluster_state.drained(drain) {
                 let when_empty = covered.entry(id.clone()).or_insert(WhenEmpty::Delete);
                 if drain.keep {
--- a/src/control/core/evictions.rs
+++ b/src/control/core/evictions.rs
@@ -1,5 +1,7 @@
 //! Moves of running tasks to other machines: off draining machines, and for repair.
 
+use sorrelhinge_topology::drain::Drain;
+
 use super::Core;
 use crate::scheduler::Moving;
 use crate::types::Time;
@@ -11,7 +13,9 @@
         let Some(topology) = self.cluster_state.topology().cloned() else {
             return;
         };
-        let drains = self.drains.with_seconds_left(self.wall_ms(now));
+        let wall_ms = self.wall_ms(now);
+        let drains = self.drains.iter().map(|d| (d.clone(), d.left_s(wall_ms)));
+        let drains: Vec<(Drain, f64)> = drains.collect();
         let moving = Moving {
             drains: &drains,
             stability: self.topology_history.losses(),
--- a/src/control/core/heartbeats.rs
+++ b/src/control/core/heartbeats.rs
@@ -1,7 +1,8 @@
 //! Workers' heartbeats: which of them count, and what they prove about the claims on a
 //! machine.
 
-use super::agent::{SeenMachine, TaskAttempt, TaskStatus};
+use super::seen_machine::SeenMachine;
+use super::task_attempt::{TaskAttempt, TaskStatus};
 use super::{Core, Source};
 use crate::agent_client::{ExitReason, Heartbeat, TaskPhase};
 use crate::scheduler::{Progress, Sent};
--- a/src/control/core/image_rollout.rs
+++ b/src/control/core/image_rollout.rs
@@ -2,14 +2,14 @@
 //! others take their image from. What is known and recorded of it is in
 //! [`super::image_distribution`]; it is compared with the claims in [`super::rollout_refresh`].
 
-use std::collections::btree_map::Entry;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::ops::Bound;
 
 use sorrelhinge_image_distribution::plan::{Rollout, Source as From};
 
-use super::image_distribution::{does, ActiveRollout, ImageDistribution, ImageState, Member};
+use super::active_rollout::{does, ActiveRollout, ImageState, Member, StartingMachine};
+use super::image_distribution::ImageDistribution;
 use super::Core;
 use crate::agent_client::Heartbeat;
 use crate::types::{Image, JobSpec, MachineId, TaskId, Time};
@@ -17,6 +17,7 @@
 /// Starts that wait are looked at so many at a time: with thousands of them, and
 /// no upload free, all at once would hold up everything else.
 const MACHINES_SCANNED_PER_PASS: usize = 64;
+
 impl Core {
     /// Whom a machine takes a job's image from if it is started now, the best
     /// first, and nobody: from the origin. None: the start has to wait for its
@@ -37,27 +38,12 @@
             rollouts, uploads, ..
         } = &mut self.image_distribution;
         let kept = rollouts.get_mut(&spec.image)?;
-        let Some(rollout) = &mut kept.rollout else {
-            kept.waiting.insert(id.clone());
-            return None;
+        let starting = StartingMachine {
+            id,
+            path: &path,
+            complete,
         };
-        kept.over_since = None;
-        if let Entry::Vacant(seat) = kept.members.entry(id.clone()) {
-            rollout.join(id.clone(), &path, complete);
-            seat.insert(Member {
-                complete,
-                since: now,
-            });
-        }
-        if !rollout.may_start(id, uploads, now.0) {
-            kept.waiting.insert(id.clone());
-            return None;
-        }
-        kept.waiting.remove(id);
-        let from = rollout.assign(id, uploads, now.0);
-        if let Some(member) = kept.members.get_mut(id) {
-            member.since = now;
-        }
+        let from = kept.start_on(&starting, uploads, now)?;
         let addr = |source: &From| match source {
             From::Origin => None,
             From::Machine(id) => self.agents.addr(id),
--- a/src/control/core/machine_list.rs
+++ b/src/control/core/machine_list.rs
@@ -3,8 +3,8 @@
 
 use std::collections::BTreeSet;
 
-use super::agent::SeenMachine;
 use super::inventory::PendingMachine;
+use super::seen_machine::SeenMachine;
 use super::Core;
 use crate::cloud::{ListedMachine, MachinePhase};
 use crate::types::{MachineId, Time};
--- a/src/control/core/mod.rs
+++ b/src/control/core/mod.rs
@@ -30,6 +30,7 @@
 //! about a machine's tasks before one of its heartbeats carries the fencing token that fences all
 //! earlier commands; the time of every step is handed in, and no clock is read.
 
+mod active_rollout;
 mod agent;
 mod agent_table;
 mod agents;
@@ -74,15 +75,18 @@
 mod reservation_supply;
 mod reservation_usage;
 mod reservations;
+mod rollout_records;
 mod rollout_refresh;
 mod scale_in;
 mod scale_out;
 mod scaling;
 mod scaling_state;
+mod seen_machine;
 mod service_levels;
 mod shard_freeze;
 mod shard_quota;
 mod start_permission;
+mod task_attempt;
 mod task_delegation;
 mod tombstones;
 mod topology_history;
--- a/src/control/core/placement_queue.rs
+++ b/src/control/core/placement_queue.rs
@@ -18,8 +18,14 @@
     last: MachineId,
     /// Waiting jobs are to be offered all machines.
     full_walk: bool,
-    /// What walks share, and since when.
-    pass: Option<(Time, Pass)>,
+    /// None: no walk was begun yet.
+    pass: Option<CurrentPass>,
+}
+
+/// What the walks of a short time share.
+struct CurrentPass {
+    begun: Time,
+    pass: Pass,
 }
 
 impl Default for PlacementQueue {
@@ -71,14 +77,17 @@
 
     /// Begins a new pass if the present one is too old.
     pub(super) fn refresh_pass(&mut self, now: Time) {
-        let begun = self.pass.as_ref().map(|(at, _)| *at);
+        let begun = self.pass.as_ref().map(|current| current.begun);
         if begun.is_none_or(|at| now.since(at) >= PASS_S) {
-            self.pass = Some((now, Pass::default()));
+            self.pass = Some(CurrentPass {
+                begun: now,
+                pass: Pass::default(),
+            });
         }
     }
 
     /// What walks share in the present pass.
     pub(super) fn pass(&self) -> Option<&Pass> {
-        self.pass.as_ref().map(|(_, pass)| pass)
+        self.pass.as_ref().map(|current| &current.pass)
     }
 }
--- a/src/control/core/recorded_job.rs
+++ b/src/control/core/recorded_job.rs
@@ -90,6 +90,13 @@
     }
 }
 
+/// A job for the cluster state, as it is recorded.
+struct RecordedJob {
+    job: Job,
+    /// Claims on this shard's machines.
+    claims: Vec<FoundClaim>,
+}
+
 impl Core {
     /// Takes a job into the cluster state. One that waits for others is not taken: so it
     /// has no part in limits, shares, queues, aging or renting until the committed records
@@ -112,7 +119,7 @@
         let found = self.found_tasks(id, entry, now);
         let all_done = found.tasks.all_done();
         let times = job_times(view, id, record, now, wall_ms);
-        let Some((job, claims)) = self.recorded_job(view, id, found, &times) else {
+        let Some(RecordedJob { job, claims }) = self.recorded_job(view, id, found, &times) else {
             return;
         };
         let placed_here = !over && self.scope.homes(id);
@@ -208,17 +215,14 @@
         id: &JobId,
         found: FoundTasks,
         times: &JobTimes,
-    ) -> Option<(Job, Vec<FoundClaim>)> {
+    ) -> Option<RecordedJob> {
         let entry = view.job(id)?;
         let record = &entry.record.value;
         let Some(spec) = record.description() else {
             tracing::error!(job = %id, "record has no description");
             return None;
         };
-        let Some(team) = self.cfg.teams.iter().position(|t| t.name == spec.team) else {
-            tracing::error!(job = %id, team = %spec.team, "unknown team");
-            return None;
-        };
+        let team = self.team_of(id, &spec)?;
         let spec = Rc::new(spec);
         tracing::debug!(job = %id, class = %spec.class, team = %spec.team, tasks = spec.tasks, image = %spec.image.as_str(), "job");
         let started = found.started();
@@ -227,14 +231,15 @@
         let lane = lanes.of(&spec.class, spec.priority, spec.deadline_s.is_some());
         let topology = self.cluster_state.topology().map(|t| &**t);
         let urgency = self.urgency(&spec, times, view.pipelines().urgency(id));
+        let failures = if suspected_one_way {
+            DOUBTED_FAILURES
+        } else {
+            0
+        };
         let mut job = Job {
             lane: lane.map(|lane| Laned::new(lane, entry.place)),
             suspected_one_way,
-            failures: if suspected_one_way {
-                DOUBTED_FAILURES
-            } else {
-                0
-            },
+            failures,
             cancelled: record.phase == Phase::Cancelled,
             start_within: self.starts_within(&spec.class),
             policy: ClusterState::policy_of(topology, &spec),
@@ -242,6 +247,19 @@
             ..Job::new(spec, team, times.ready, found.tasks)
         };
         urgency.apply(&mut job);
-        Some((job, found.claims))
+        Some(RecordedJob {
+            job,
+            claims: found.claims,
+        })
+    }
+
+    /// The place of a job's team among those of the settings; none: it is not among them.
+    fn team_of(&self, id: &JobId, spec: &JobSpec) -> Option<usize> {
+        let mut teams = self.cfg.teams.iter();
+        let team = teams.position(|t| t.name == spec.team);
+        if team.is_none() {
+            tracing::error!(job = %id, team = %spec.team, "unknown team");
+        }
+        team
     }
 }
--- a/src/control/core/rollout_refresh.rs
+++ b/src/control/core/rollout_refresh.rs
@@ -7,9 +7,9 @@
 use sorrelhinge_image_distribution::fetch_timeout;
 use sorrelhinge_image_distribution::plan::{Has, RecentImages, Rollout, Uploads};
 
-use super::image_distribution::{
-    does, ActiveRollout, ImageDistribution, ImageState, Member, OVER_S,
-};
+use super::active_rollout::{does, ActiveRollout, ImageState, Member};
+use super::image_distribution::ImageDistribution;
+use super::rollout_records::DELETION_DELAY_S;
 use super::Core;
 use crate::scheduler::{Machine, Sent};
 use crate::types::{Image, MachineId, Time};
@@ -122,7 +122,9 @@
             (false, _) => self.over_since = None,
             _ => {}
         }
-        self.over_since.is_some_and(|t| now.since(t) >= OVER_S) && rollout.record().is_none()
+        self.over_since
+            .is_some_and(|t| now.since(t) >= DELETION_DELAY_S)
+            && rollout.record().is_none()
     }
 }
 
--- a/src/control/core/scale_in.rs
+++ b/src/control/core/scale_in.rs
@@ -39,6 +39,12 @@
     share: f64,
 }
 
+/// A machine that no plan has use for.
+struct ScaleInCandidate<'a> {
+    machine: &'a MachineId,
+    price_per_cpu: f64,
+}
+
 impl Core {
     /// Whether a machine's silence tells anything. If most are silent it is this
     /// controller that can't hear. Nor does silence tell anything where requests
@@ -140,18 +146,23 @@
         // What can't be served goes as soon as it has no use.
         let max = self.scaling.requests.max_machines();
         let excess = max.is_some_and(|max| self.machines() > max);
-        let mut candidates: Vec<(f64, &MachineId)> = disuse
+        let mut candidates: Vec<ScaleInCandidate> = disuse
             .iter()
             .filter(|d| d.now && (d.share > UNUSED_SHARE || idle || excess))
             .filter_map(|d| {
                 let machine = self.cluster_state.machines().get(&d.machine)?;
-                Some((machine.price_per_cpu(), &d.machine))
+                Some(ScaleInCandidate {
+                    machine: &d.machine,
+                    price_per_cpu: machine.price_per_cpu(),
+                })
             })
             .collect();
-        candidates.sort_by(|(price, id), (other_price, other_id)| {
-            other_price.total_cmp(price).then(other_id.cmp(id))
+        candidates.sort_by(|a, b| {
+            let dearest_first = b.price_per_cpu.total_cmp(&a.price_per_cpu);
+            dearest_first.then(b.machine.cmp(a.machine))
         });
-        candidates.into_iter().map(|(_, id)| id.clone()).collect()
+        let ids = candidates.into_iter().map(|c| c.machine.clone());
+        ids.collect()
     }
 
     /// Of the candidates, in their order, those without which the teams' guarantees
