--- a/src/control/cloud_duties.rs
+++ b/src/control/cloud_duties.rs
@@ -9,7 +9,7 @@
 
 use super::paces::Duty;
 use super::Node;
-use crate::cloud::{CloudError, ListedMachine, Rental};
+use crate::cloud::{ListedMachine, Rental};
 use crate::types::MachineId;
 
 /// How often the fleet is planned.
@@ -160,14 +160,14 @@
             }
             Err(error) => {
                 tracing::info!(request_id = rental.request_id, kind = %rental.machine_type, zone = %rental.zone, spot = rental.spot, %error, "rental refused");
-                Err(matches!(error, CloudError::NoCapacity))
+                Err(error)
             }
         };
         let now = self.now();
         let mut cores = self.shards.owned_mut();
         let core = cores.get_mut(order.shard);
         if let Some(c) = core.filter(|c| c.grant == order.grant) {
-            c.rented(rental, result, now);
+            c.scale_out_finished(rental, result, now);
         }
     }
 }
--- a/src/control/core/active_rollout.rs
+++ b/src/control/core/active_rollout.rs
@@ -12,7 +12,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum ImageState {
     /// Its start was not sent.
-    Wants,
+    StartPending,
     /// It was, and the task doesn't run yet.
     Fetches,
     /// A task runs on it.
@@ -20,10 +20,10 @@
 }
 
 /// What a claim's task does with its image.
-pub(super) fn does(claim: &Claim) -> ImageState {
+pub(super) fn image_state(claim: &Claim) -> ImageState {
     match (claim.progress, claim.sent) {
         (Progress::Running(_) | Progress::Saving, _) => ImageState::Runs,
-        (_, Sent::No) => ImageState::Wants,
+        (_, Sent::No) => ImageState::StartPending,
         _ => ImageState::Fetches,
     }
 }
@@ -32,7 +32,7 @@
 pub(super) struct Member {
     /// It has all of the image.
     pub(super) complete: bool,
-    /// Since when it wants it, or is known to fetch it.
+    /// Since when its start is pending, or it is known to fetch the image.
     pub(super) since: Time,
 }
 
@@ -57,7 +57,7 @@
     /// Machines whose start waits, and which of them was looked at last.
     pub(super) waiting: BTreeSet<MachineId>,
     pub(super) scanned_to: MachineId,
-    /// Since when nobody wants or fetches it.
+    /// Since when no start is pending and nobody fetches it.
     pub(super) over_since: Option<Time>,
 }
 
--- a/src/control/core/agent.rs
+++ b/src/control/core/agent.rs
@@ -12,7 +12,7 @@
 use crate::agent_client::{Command, DirectCommands, Heartbeat, ReportedImage, ReportedTask};
 use crate::types::{FencingToken, Incarnation, SequenceNumber, Time};
 
-/// What a heartbeat tells that the one before it did not.
+/// What a heartbeat shows that the one before it did not.
 pub(super) struct HeartbeatNews {
     /// The worker's incarnation ended, and all its tasks with it.
     pub(super) incarnation_ended: bool,
@@ -32,17 +32,17 @@
     pub(super) fencing_token: FencingToken,
     /// The highest fencing token that the worker has reported.
     seen: FencingToken,
-    /// When it was last heard, by this controller or, as a hint, by another one.
-    pub(super) last_heard: Time,
+    /// When its last heartbeat came, to this controller or, as a hint, to another one.
+    pub(super) last_contact: Time,
     /// The newest report that another controller spoke of.
-    told_of: SequenceNumber,
+    relayed_sequence: SequenceNumber,
     /// Whether anything that is sent there has an effect.
     pub(super) reachability: Reachability,
     /// What its last heartbeat said of its tasks.
     pub(super) tasks: BTreeMap<TaskAttempt, TaskStatus>,
     /// Whether direct commands get through.
     pub(super) direct: DirectLine,
-    /// A direct command failed: no new tasks until a heartbeat shows that it heard.
+    /// A direct command failed: no new tasks until a heartbeat shows that one arrived.
     pub(super) suspected_one_way: bool,
     /// Its last heartbeat was passed on by another controller.
     pub(super) passed: bool,
@@ -52,14 +52,14 @@
     deleting: bool,
     /// Jobs that failed here.
     pub(super) failed_jobs: FailedJobs,
-    /// What it was told to stop.
+    /// What it was sent the command to stop.
     pub(super) sent_kills: SentKills,
     /// Images that it said it hands on.
     pub(super) images: Vec<ReportedImage>,
 }
 
 impl AgentState {
-    /// To a machine of which nothing was heard yet. `fencing_token`: the grant's lowest one.
+    /// Of a machine that has sent no heartbeat yet. `fencing_token`: the grant's lowest one.
     pub(super) fn new(addr: SocketAddr, fencing_token: FencingToken, now: Time) -> Self {
         Self {
             addr,
@@ -67,8 +67,8 @@
             sequence: SequenceNumber(0),
             fencing_token,
             seen: FencingToken(0),
-            last_heard: now,
-            told_of: SequenceNumber(0),
+            last_contact: now,
+            relayed_sequence: SequenceNumber(0),
             reachability: Reachability::default(),
             tasks: BTreeMap::new(),
             direct: DirectLine::new(now),
@@ -116,9 +116,9 @@
         let took_up = heartbeat.fencing_token > self.seen
             && heartbeat.fencing_token.grant() == self.fencing_token.grant();
         self.seen = self.seen.max(heartbeat.fencing_token);
-        self.last_heard = now;
-        self.told_of = SequenceNumber(0);
-        self.direct.heard();
+        self.last_contact = now;
+        self.relayed_sequence = SequenceNumber(0);
+        self.direct.contact_confirmed();
         self.passed = source == Source::Passed;
         // Only what comes from the worker itself shows that there is a way. Heartbeats
         // that others took did too once: while the owner was cut off from all
@@ -131,7 +131,7 @@
         }
         self.set_tasks(&heartbeat.tasks);
         self.images.clone_from(&heartbeat.images);
-        // That it heartbeats is no sign that it hears: each heartbeat made a machine
+        // That it heartbeats is no sign that commands reach it: each heartbeat made a machine
         // usable again that no command reached.
         self.reachability.reported(now);
         if took_up {
@@ -145,18 +145,18 @@
         (heartbeat.incarnation, heartbeat.sequence) <= (self.incarnation, self.sequence)
     }
 
-    /// Another controller heard it. Each heartbeat counts once: told of again and again, a
+    /// Another controller received its heartbeat. Each counts once: relayed again and again, a
     /// copy kept a dead machine alive.
-    pub(super) fn heard_elsewhere(
+    pub(super) fn relayed_contact(
         &mut self,
         incarnation: Incarnation,
         sequence: SequenceNumber,
         now: Time,
     ) {
-        if self.incarnation == incarnation && sequence > self.sequence.max(self.told_of) {
-            self.told_of = sequence;
-            self.last_heard = now;
-            self.direct.heard();
+        if self.incarnation == incarnation && sequence > self.sequence.max(self.relayed_sequence) {
+            self.relayed_sequence = sequence;
+            self.last_contact = now;
+            self.direct.contact_confirmed();
         }
     }
 
@@ -167,7 +167,7 @@
         !self.direct.is_in_flight() && (self.passed || pauses)
     }
 
-    /// Direct commands for the incarnation that was heard last, under the present fencing token.
+    /// Direct commands for the incarnation that reported last, under the present fencing token.
     pub(super) fn commands(&self, commands: Vec<Command>) -> DirectCommands {
         DirectCommands {
             fencing_token: self.fencing_token,
--- a/src/control/core/agents.rs
+++ b/src/control/core/agents.rs
@@ -28,11 +28,11 @@
     usable: bool,
     /// Commands go there only in replies to its heartbeats.
     slow: bool,
-    /// It was not heard for too long.
+    /// Its last heartbeat came too long ago.
     silent: bool,
     /// It is given back, or the cloud takes it.
     leaving: bool,
-    /// A direct command failed, and no heartbeat shows yet what it heard.
+    /// A direct command failed, and no heartbeat shows yet what reached it.
     suspected_one_way: bool,
     /// An operator drains it.
     draining: bool,
@@ -118,7 +118,7 @@
         self.command_queue.add(id.clone(), order);
     }
 
-    /// Whether nothing speaks against a machine hearing what it is told.
+    /// Whether nothing speaks against commands reaching a machine.
     pub fn is_reachable(&self, id: &MachineId) -> bool {
         self.agents
             .get(id)
@@ -129,7 +129,7 @@
     /// there: its line, or the time, may have changed that.
     pub(super) fn refresh_machine(&mut self, id: &MachineId, now: Time) {
         self.suspect_if_silent(id, now);
-        let Some(status) = self.link_status(id, now) else {
+        let Some(status) = self.usability(id, now) else {
             return;
         };
         self.apply_status(id, &status, now);
@@ -145,7 +145,7 @@
             return;
         };
         let patience_s = (SUSPECT_HEARTBEATS * self.cfg.heartbeat_s).max(SUSPECT_LEAST_S);
-        let silent = now.since(agent.last_heard) >= patience_s;
+        let silent = now.since(agent.last_contact) >= patience_s;
         if agent.direct.is_suspect() || !silent || !self.has_tasks(id) {
             return;
         }
@@ -156,12 +156,12 @@
     }
 
     /// What the line to a machine says of it now.
-    fn link_status(&self, id: &MachineId, now: Time) -> Option<AgentUsability> {
+    fn usability(&self, id: &MachineId, now: Time) -> Option<AgentUsability> {
         let agent = self.agents.get(id)?;
         let machine = self.cluster_state.machines().get(id);
         let draining = machine.is_some_and(|m| m.draining);
         let silent =
-            now.since(agent.last_heard) >= SILENT_HEARTBEATS * self.cfg.heartbeat_s + SILENT_S;
+            now.since(agent.last_contact) >= SILENT_HEARTBEATS * self.cfg.heartbeat_s + SILENT_S;
         let leaving = agent.is_leaving() || agent.is_deleting();
         let usable = agent.fenced()
             && !draining
--- a/src/control/core/batch.rs
+++ b/src/control/core/batch.rs
@@ -24,7 +24,7 @@
     ) -> Option<Batch> {
         let bounds = DraftBounds {
             max_ops,
-            alone: self.rejected_changes.tries_alone(now),
+            single_change: self.rejected_changes.isolates(now),
         };
         let mut draft = Draft::new(self.grant_key(), self.grant_revision, bounds);
         // First: starts wait for it.
@@ -51,7 +51,7 @@
             let (PendingWrite::Finished(id) | PendingWrite::Chunk((id, _))) = &due;
             let id = id.clone();
             self.cluster_state.claimed_all(&id);
-            if draft.writes_job(&id) || self.rejected_changes.holds_back(&due, now) {
+            if draft.writes_job(&id) || self.rejected_changes.defers(&due, now) {
                 again.push(due);
                 continue;
             }
@@ -83,11 +83,11 @@
 
     /// What one entry of the queues comes to.
     fn written(&mut self, id: &JobId, entry: &JobEntry, due: &PendingWrite, now: Time) -> Written {
-        let held = &entry.record.value;
+        let stored = &entry.record.value;
         match due {
-            PendingWrite::Finished(_) if held.phase != Phase::Live => Written::Nothing,
+            PendingWrite::Finished(_) if stored.phase != Phase::Live => Written::Nothing,
             // A completed job's record alone says it; its chunks can go.
-            PendingWrite::Finished(_) => Written::Job(held.done(self.wall_ms(now))),
+            PendingWrite::Finished(_) => Written::Job(stored.done(self.wall_ms(now))),
             PendingWrite::Chunk(_) if entry.inline().is_some() => {
                 self.written_inline(id, entry, now)
             }
@@ -97,17 +97,17 @@
 
     /// A job that keeps its claims in its own record.
     fn written_inline(&mut self, id: &JobId, entry: &JobEntry, now: Time) -> Written {
-        let held = &entry.record.value;
+        let stored = &entry.record.value;
         let Some(inline) = self.snapshot(id, 0, entry.inline()) else {
             return Written::Nothing;
         };
-        if entry.inline() == Some(&inline) || held.phase == Phase::Done {
+        if entry.inline() == Some(&inline) || stored.phase == Phase::Done {
             return Written::Nothing;
         }
         let value_bytes = self.cfg.state_limits.value_bytes;
         let mut record = JobRecord {
             inline: Some(inline),
-            ..entry.rewritten(self.cfg.in_lane(held))
+            ..entry.rewritten(self.cfg.in_lane(stored))
         };
         if encoded_bytes(&record) <= value_bytes {
             return Written::Job(record);
@@ -141,17 +141,17 @@
     fn written_chunk(&mut self, id: &JobId, entry: &JobEntry, chunk: u32, now: Time) -> Written {
         let over = entry.record.value.phase != Phase::Live;
         let cancelled = entry.record.value.phase == Phase::Cancelled;
-        let held = entry.chunks.get(&chunk);
+        let stored = entry.chunks.get(&chunk);
         let homed = self.scope.homes(id);
         // Another shard takes what it claimed out of the record, and the job's own shard
         // then deletes that.
-        let kept_for_owner = !homed && held.is_some_and(|h| self.claims_in(&h.value, true));
+        let still_claimed_here = !homed && stored.is_some_and(|h| self.claims_in(&h.value, true));
         let keep = self
-            .snapshot(id, chunk, held.map(|h| &h.value))
-            .filter(|r| !over || !r.claims.is_empty() || kept_for_owner);
+            .snapshot(id, chunk, stored.map(|h| &h.value))
+            .filter(|r| !over || !r.claims.is_empty() || still_claimed_here);
         if let Some(record) = keep {
             let record = self.fitting(id, chunk, record, now);
-            return if held.is_some_and(|h| h.value == record) {
+            return if stored.is_some_and(|h| h.value == record) {
                 Written::Nothing
             } else {
                 Written::Chunk {
@@ -163,12 +163,12 @@
         // Only once the job is over, and by the shard that places it. Another one, that
         // had no task of it left, deleted what others still claimed in the chunk, and
         // they were started twice (hunt, day `apart`).
-        if held.is_none() || !over || !homed {
+        if stored.is_none() || !over || !homed {
             return Written::Nothing;
         }
         // Nor while another shard's tasks of a cancelled job are not provably gone: its
         // next owner would not count them.
-        if cancelled && held.is_some_and(|h| self.claims_in(&h.value, false)) {
+        if cancelled && stored.is_some_and(|h| self.claims_in(&h.value, false)) {
             Written::Nothing
         } else {
             Written::Chunk {
@@ -199,7 +199,7 @@
                 break;
             };
             let place = record.claims.remove(last).place;
-            record.units.retain(|held| held.place != place);
+            record.units.retain(|units| units.place != place);
             shortened = true;
         }
         if shortened {
--- a/src/control/core/commands.rs
+++ b/src/control/core/commands.rs
@@ -64,7 +64,7 @@
         commands
     }
 
-    /// What the machine's reported tasks are told: those that must not run, and those that
+    /// The commands for the machine's reported tasks: those that must not run, and those that
     /// have ended. `in_reply`: they go in the answer to a heartbeat, which renews its lease.
     fn stops_and_forgets(
         &mut self,
--- a/src/control/core/deleted_machines.rs
+++ b/src/control/core/deleted_machines.rs
@@ -1,4 +1,4 @@
-//! Machines that are gone, noted for the owners to come.
+//! Deleted machines, noted for the owners to come.
 //!
 //! While changes are short, results wait, and records claim tasks on machines
 //! that were given back long ago. A new owner would count them against limits
@@ -21,7 +21,7 @@
     step: u32,
     slot: u32,
     written: RetiredMachinesRecord,
-    fresh: Vec<MachineId>,
+    unwritten: Vec<MachineId>,
     since: Time,
 }
 
@@ -31,7 +31,7 @@
     pub(super) fn load(view: &View, scope: ShardScope) -> Self {
         let own = |slot: &u32| slot % scope.of == scope.shard.0;
         let last = view.gone.iter().filter(|(slot, _)| own(slot));
-        let last = last.max_by_key(|(_, held)| held.mod_revision);
+        let last = last.max_by_key(|(_, stored)| stored.mod_revision);
         Self {
             step: scope.of,
             slot: last.map_or(scope.shard.0, |(slot, _)| *slot),
@@ -40,27 +40,27 @@
                     version: RetiredMachinesRecord::VERSION,
                     machines: Vec::new(),
                 },
-                |(_, held)| held.value.clone(),
+                |(_, stored)| stored.value.clone(),
             ),
-            fresh: Vec::new(),
+            unwritten: Vec::new(),
             since: Time(0.0),
         }
     }
 
-    /// One more is gone.
+    /// A machine was deleted.
     pub(super) fn add(&mut self, machine: &MachineId, now: Time) {
-        if self.fresh.is_empty() {
+        if self.unwritten.is_empty() {
             self.since = now;
         }
-        self.fresh.push(machine.clone());
+        self.unwritten.push(machine.clone());
     }
 
     /// The change to make, if it is time: a list with the new names, in the
     /// next slot if this one is full.
     pub(super) fn change(&mut self, value_bytes: usize, now: Time) -> Option<Change> {
         let due =
-            self.fresh.len() >= DELETED_MACHINES_PER_RECORD || now.since(self.since) >= WAIT_S;
-        if self.fresh.is_empty() || !due {
+            self.unwritten.len() >= DELETED_MACHINES_PER_RECORD || now.since(self.since) >= WAIT_S;
+        if self.unwritten.is_empty() || !due {
             return None;
         }
         let weight = |names: &[MachineId]| {
@@ -69,21 +69,21 @@
                 .map(RetiredMachinesRecord::weight)
                 .sum::<usize>()
         };
-        let free_capacity = value_bytes * 3 / 4;
-        if weight(&self.written.machines) + weight(&self.fresh) > free_capacity {
+        let max_bytes = value_bytes * 3 / 4;
+        if weight(&self.written.machines) + weight(&self.unwritten) > max_bytes {
             self.slot += self.step;
             if self.slot >= RETIRED_MACHINE_SLOTS {
                 self.slot %= self.step;
             }
             self.written.machines.clear();
         }
-        let mut left = free_capacity;
+        let mut left = max_bytes;
         let fits = |name: &&MachineId| {
             left = left.saturating_sub(RetiredMachinesRecord::weight(name));
             left > 0
         };
-        let take = self.fresh.iter().take_while(fits).count();
-        self.written.machines.extend(self.fresh.drain(..take));
+        let take = self.unwritten.iter().take_while(fits).count();
+        self.written.machines.extend(self.unwritten.drain(..take));
         Some(Change::write(
             retired_machines_key(self.slot),
             &self.written,
--- a/src/control/core/demand.rs
+++ b/src/control/core/demand.rs
@@ -1,4 +1,4 @@
-//! Room that is kept for work to come: what arrived of late, and what that lets
+//! Free capacity that is kept for work to come: what arrived of late, and what that lets
 //! expect while a new machine boots.
 
 use std::collections::HashMap;
@@ -15,18 +15,18 @@
 const MIN_ARRIVAL_SPAN_S: f64 = 30.0;
 /// Of a larger job only so many tasks count.
 const MAX_COUNTED_TASKS: u32 = 1000;
-/// Room is kept for what comes in so many usual boots.
+/// Free capacity is kept for what comes in so many usual boots.
 const BOOTS_COVERED: f64 = 1.5;
-/// More room for replicas: the more there is, the more likely some of it has
+/// More of it for replicas: the more there is, the more likely some of it has
 /// the image, and a fetch takes longer than their users wait.
 const SERVICE_CAPACITY: f64 = 1.7;
 /// Tasks of arrays and gangs end and preempts work: only this share of a burst is kept for.
 const BURST_SHARE: f64 = 0.6;
-/// At most one such part of a team's limit is held back.
-const HELD_BACK_DIVISOR: i64 = 10;
+/// At most one such part of a team's limit is reserved.
+const RESERVE_DIVISOR: i64 = 10;
 
 impl Core {
-    /// Room to keep for each class that came of late: a typical job of it.
+    /// Free capacity to keep for each class that came of late: a typical job of it.
     pub(super) fn expected(&mut self, now: Time) -> Vec<autoscaler::Expected> {
         self.forget_old_arrivals(now);
         self.cluster_state.shapes = self
@@ -35,14 +35,14 @@
             .values()
             .map(|a| a.spec.each)
             .collect();
-        self.hold_back();
+        self.reserve_for_urgent_classes();
         let headroom = self.cfg.tuning.headroom;
         let firsts = self
             .scaling
             .arrivals
             .values()
             .filter_map(|a| a.recent.front());
-        let first = Time(firsts.map(|(t, _)| t.0).fold(now.0, f64::min));
+        let first = Time(firsts.map(|arrival| arrival.at.0).fold(now.0, f64::min));
         let span_s = now.since(first).clamp(MIN_ARRIVAL_SPAN_S, ARRIVAL_WINDOW_S);
         self.scaling
             .arrivals
@@ -61,7 +61,7 @@
         for arrivals in self.scaling.arrivals.values_mut() {
             arrivals
                 .recent
-                .retain(|(t, _)| now.since(*t) < ARRIVAL_WINDOW_S);
+                .retain(|arrival| now.since(arrival.at) < ARRIVAL_WINDOW_S);
         }
         self.scaling.arrivals.retain(|_, a| !a.recent.is_empty());
     }
@@ -69,7 +69,7 @@
     /// Tasks of a class that come while a machine boots, and how much that varies
     /// when they come in jobs. All classes' arrivals came within `span_s` seconds.
     fn tasks_while_booting(&self, arrivals: &Arrivals, span_s: f64) -> f64 {
-        let sizes = arrivals.recent.iter().map(|(_, tasks)| *tasks);
+        let sizes = arrivals.recent.iter().map(|arrival| arrival.tasks);
         let sum: u32 = sizes.map(|tasks| tasks.min(MAX_COUNTED_TASKS)).sum();
         let mean = f64::from(sum) / arrivals.recent.len() as f64;
         let boot_s = BOOTS_COVERED * self.boot_s();
@@ -78,33 +78,39 @@
         match arrivals.spec.kind {
             // Replicas stay: none preempts work for the next.
             Kind::Service => SERVICE_CAPACITY * (come + burst),
-            Kind::Array | Kind::Gang => BURST_SHARE * burst * self.write_priority(&arrivals.spec),
+            Kind::Array | Kind::Gang => BURST_SHARE * burst * self.headroom_weight(&arrivals.spec),
         }
     }
 
-    /// Within each team's limit, room for a job of the classes whose users
+    /// Within each team's limit, a reserve for a job of the classes whose users
     /// wait for its start: other work of the team must not take the last.
-    pub(super) fn hold_back(&mut self) {
+    pub(super) fn reserve_for_urgent_classes(&mut self) {
         let mut max: HashMap<Arc<str>, Amount> = HashMap::new();
         for a in self.scaling.arrivals.values() {
             if self.starts_within(&a.spec.class).is_some() {
-                let largest = a.recent.iter().map(|(_, n)| *n).max().unwrap_or(0);
+                let largest = a
+                    .recent
+                    .iter()
+                    .map(|arrival| arrival.tasks)
+                    .max()
+                    .unwrap_or(0);
                 let job = a.spec.each.times(i64::from(largest.min(MAX_COUNTED_TASKS)));
-                let held = max.entry(a.spec.team.clone()).or_default();
-                if held.cpu < job.cpu {
-                    *held = job;
+                let reserve = max.entry(a.spec.team.clone()).or_default();
+                if reserve.cpu < job.cpu {
+                    *reserve = job;
                 }
             }
         }
         for (i, team) in self.cfg.teams.iter().enumerate() {
-            let held = max.get(&team.name).copied().unwrap_or_default();
+            let reserve = max.get(&team.name).copied().unwrap_or_default();
             // A small part of the limit only.
-            let held = if held.cpu * HELD_BACK_DIVISOR <= self.cluster_state.teams()[i].limit.cpu {
-                held
-            } else {
-                Amount::default()
-            };
-            self.cluster_state.hold_back(i, held);
+            let reserve =
+                if reserve.cpu * RESERVE_DIVISOR <= self.cluster_state.teams()[i].limit.cpu {
+                    reserve
+                } else {
+                    Amount::default()
+                };
+            self.cluster_state.hold_back(i, reserve);
         }
     }
 }
--- a/src/control/core/direct_line.rs
+++ b/src/control/core/direct_line.rs
@@ -70,8 +70,8 @@
         self.suspect = true;
     }
 
-    /// The worker was heard, on whatever way.
-    pub(super) fn heard(&mut self) {
+    /// A heartbeat of the worker came, on whatever way.
+    pub(super) fn contact_confirmed(&mut self) {
         (self.suspect, self.unanswered_connections) = (false, 0);
     }
 
--- a/src/control/core/dispatch.rs
+++ b/src/control/core/dispatch.rs
@@ -53,7 +53,7 @@
         let agent = self.agents.get_mut(&id)?;
         let forgets_only = commands.iter().all(|o| matches!(o, Command::Forget { .. }));
         // Forgetting waits for the next heartbeat; a worker that does not
-        // know our fencing token is told at once, and one that a command did not
+        // know our fencing token is contacted at once, and one that a command did not
         // reach is tried again.
         let to_be_asked = !agent.fenced() || agent.direct.is_failing() || agent.direct.is_suspect();
         if forgets_only && !to_be_asked {
@@ -135,7 +135,7 @@
         if !agent.fenced() {
             return;
         }
-        // It may heartbeat on and hear nothing. Whether it does,
+        // It may heartbeat on and receive no command. Whether it does,
         // the fencing token shows, by whatever way it gets there.
         if !agent.reachability.is_confirmed(self.cfg.heartbeat_s, now) {
             agent.raise_fencing_token();
--- a/src/control/core/draft.rs
+++ b/src/control/core/draft.rs
@@ -94,7 +94,7 @@
     /// Most changes.
     pub(super) max_ops: usize,
     /// Each change has a transaction of its own now.
-    pub(super) alone: bool,
+    pub(super) single_change: bool,
 }
 
 /// A transaction while it is put together.
@@ -140,7 +140,7 @@
 
     /// Whether one more change may go into it.
     pub(super) fn takes_change(&self) -> bool {
-        self.len() < self.bounds.max_ops && !(self.bounds.alone && self.len() > 0)
+        self.len() < self.bounds.max_ops && !(self.bounds.single_change && self.len() > 0)
     }
 
     /// Whether more of what waits to be recorded may go into it.
--- a/src/control/core/failover.rs
+++ b/src/control/core/failover.rs
@@ -18,15 +18,15 @@
     recent: bool,
     /// Nothing was placed yet.
     awaits_first_placement: bool,
-    /// Not all machines were heard.
+    /// Not all machines have reported.
     awaits_heartbeats: bool,
     /// Images that machines ran before this owner knew them, with their sizes in GB.
     cached_images: HashMap<MachineId, Vec<(Image, f64)>>,
 }
 
 impl Failover {
-    /// The grant was taken up now. `cached_images`: what the history tells that machines
-    /// ran, with sizes in GB.
+    /// The grant was taken up now. `cached_images`: the images that machines ran by the
+    /// history, with sizes in GB.
     pub(super) fn begin(
         now: Time,
         wall_ms: u64,
@@ -73,13 +73,13 @@
         std::mem::take(&mut self.awaits_first_placement)
     }
 
-    /// Whether too few machines were heard so far.
+    /// Whether too few machines have reported so far.
     pub(super) fn awaits_heartbeats(&self) -> bool {
         self.awaits_heartbeats
     }
 
-    /// All machines were heard, or nearly all.
-    pub(super) fn heard_machines(&mut self) {
+    /// All machines have reported, or nearly all.
+    pub(super) fn machines_recovered(&mut self) {
         self.awaits_heartbeats = false;
     }
 
--- a/src/control/core/failures.rs
+++ b/src/control/core/failures.rs
@@ -50,7 +50,7 @@
             ExitReason::Done if spec.kind != Kind::Service => self.succeeded(id, task, now),
             ExitReason::Error => self.failed(id, task, now),
             ExitReason::Full | ExitReason::InUse => self.avoid_for_now(id, &task.job, now),
-            ExitReason::NoSuch => self.hold_unknown(&task.job, now),
+            ExitReason::NoSuch => self.back_off_unknown(&task.job, now),
             ExitReason::Done
             | ExitReason::Stopped
             | ExitReason::Peers
@@ -90,7 +90,7 @@
 
     /// A machine refused a task because there is none of that name: the job is tried less
     /// and less often.
-    fn hold_unknown(&mut self, job: &JobId, now: Time) {
+    fn back_off_unknown(&mut self, job: &JobId, now: Time) {
         self.cluster_state.edit_job(job, |job| {
             job.failures += 1;
             let pause_s = f64::from(job.failures).exp2();
--- a/src/control/core/heartbeats.rs
+++ b/src/control/core/heartbeats.rs
@@ -10,7 +10,7 @@
 
 impl Core {
     /// Whether a heartbeat is a copy that came late: not newer than what is known, or
-    /// of a machine that is gone, whose name is never used again. Copies of a dead
+    /// of a deleted machine, whose name is never used again. Copies of a dead
     /// machine's last heartbeat made a machine of it again, and kept it.
     pub fn is_copy(&self, heartbeat: &Heartbeat) -> bool {
         if let Some(agent) = self.agents.get(&heartbeat.machine) {
@@ -90,7 +90,7 @@
         agent.reported_fencing_token();
     }
 
-    /// A task that we started is in the heartbeat: the machine hears.
+    /// A task that we started is in the heartbeat: commands reach the machine.
     fn see_starts(&mut self, id: &MachineId, now: Time) {
         let Some(agent) = self
             .agents
@@ -115,7 +115,7 @@
 
     /// A machine's incarnation ended, and its tasks with it. What this owner sent there
     /// before was for that incarnation, so it is gone, whatever fencing token the worker has:
-    /// on a deaf machine no heartbeat ever carries the present one. What a former
+    /// on a machine that no command reaches no heartbeat ever carries the present one. What a former
     /// owner started may belong to the new incarnation, and waits for the fencing token.
     fn incarnation_ended(&mut self, id: &MachineId, now: Time) {
         for task in self.cluster_state.claims_on(id) {
@@ -131,9 +131,9 @@
         }
     }
 
-    /// Another controller heard a machine, and there was nothing new. A hint:
+    /// Another controller received a heartbeat, and there was nothing new. A hint:
     /// it only spares the question whether the machine still answers.
-    pub fn heard(
+    pub fn relayed_contact(
         &mut self,
         id: &MachineId,
         incarnation: Incarnation,
@@ -141,7 +141,7 @@
         now: Time,
     ) {
         if let Some(agent) = self.agents.get_mut(id) {
-            agent.heard_elsewhere(incarnation, sequence, now);
+            agent.relayed_contact(incarnation, sequence, now);
         }
     }
 
@@ -224,7 +224,7 @@
             // Only the next heartbeat of the worker's own shows whether
             // it took a reply: a direct answer may overtake it.
             Sent::InReply if source == Source::Direct => {}
-            // An answer is still to come, and tells.
+            // An answer is still to come, and shows it.
             Sent::Flying if in_flight => {}
             Sent::Flying | Sent::InReply => {
                 claim.sent = Sent::No;
--- a/src/control/core/image_rollout.rs
+++ b/src/control/core/image_rollout.rs
@@ -8,7 +8,7 @@
 
 use sorrelhinge_image_distribution::plan::{Rollout, Source as From};
 
-use super::active_rollout::{does, ActiveRollout, ImageState, Member, StartingMachine};
+use super::active_rollout::{image_state, ActiveRollout, ImageState, Member, StartingMachine};
 use super::image_distribution::ImageDistribution;
 use super::Core;
 use crate::agent_client::Heartbeat;
@@ -118,7 +118,7 @@
         let mut needing = claims.iter().filter(|t| needs(t)).peekable();
         let any = needing.peek().is_some();
         let furthest = needing.filter_map(|t| self.cluster_state.claim_of(t));
-        any && furthest.map(does).max() < Some(ImageState::Runs)
+        any && furthest.map(image_state).max() < Some(ImageState::Runs)
     }
 
     /// A machine's failure domains, its zone first.
@@ -159,7 +159,7 @@
 
     /// Wakes machines whose start waited and may be sent now, a few at a time.
     pub(super) fn wake_staged(&mut self, now: Time) {
-        let mut awake = Vec::new();
+        let mut due = Vec::new();
         let ImageDistribution {
             rollouts, uploads, ..
         } = &mut self.image_distribution;
@@ -177,12 +177,12 @@
                 let joins = !kept.members.contains_key(&id);
                 if joins || rollout.may_start(&id, uploads, now.0) {
                     kept.waiting.remove(&id);
-                    awake.push(id.clone());
+                    due.push(id.clone());
                 }
                 kept.scanned_to = id;
             }
         }
-        for id in awake {
+        for id in due {
             self.wake(&id);
         }
     }
--- a/src/control/core/inventory.rs
+++ b/src/control/core/inventory.rs
@@ -1,8 +1,9 @@
-//! What the cloud's machine lists tell: machines that are on their way, and those that
+//! What the cloud's machine lists show: machines that are on their way, and those that
 //! the lists no longer show.
 
 use std::collections::BTreeMap;
 
+use super::scaling_state::MachineOffer;
 use crate::types::{MachineId, Time, TypeName, Zone};
 
 /// A machine that so many lists in a row did not show is probably gone.
@@ -19,6 +20,18 @@
     pub(super) since: Time,
 }
 
+impl PendingMachine {
+    /// The cloud granted it now.
+    pub(super) fn requested(offer: &MachineOffer, now: Time) -> Self {
+        Self {
+            kind: offer.kind.clone(),
+            zone: offer.zone.clone(),
+            spot: offer.spot,
+            since: now,
+        }
+    }
+}
+
 /// Machines by the cloud's lists, apart from those that reported.
 #[derive(Debug, Default)]
 pub(super) struct CloudInventory {
@@ -41,19 +54,15 @@
     }
 
     /// A machine is on its way, whatever was known of it.
-    pub(super) fn rented(&mut self, machine: MachineId, pending_machines: PendingMachine) {
-        self.pending_machines.insert(machine, pending_machines);
+    pub(super) fn requested(&mut self, machine: MachineId, pending: PendingMachine) {
+        self.pending_machines.insert(machine, pending);
     }
 
     /// A machine is on its way, unless that is known already.
-    pub(super) fn expect(
-        &mut self,
-        machine: &MachineId,
-        pending_machines: impl FnOnce() -> PendingMachine,
-    ) {
+    pub(super) fn expect(&mut self, machine: &MachineId, pending: impl FnOnce() -> PendingMachine) {
         self.pending_machines
             .entry(machine.clone())
-            .or_insert_with(pending_machines);
+            .or_insert_with(pending);
     }
 
     /// A machine is up.
--- a/src/control/core/job_changes.rs
+++ b/src/control/core/job_changes.rs
@@ -19,7 +19,7 @@
             if self.cluster_state.job(id).is_some() {
                 self.job_changed(view, id, now, wall_ms);
             } else if entry.record.value.phase == Phase::Live && self.scope.homes(id) {
-                self.job_came(view, id, now, wall_ms);
+                self.job_arrived(view, id, now, wall_ms);
             }
             self.forget_job(view, id, now);
         }
@@ -48,7 +48,7 @@
     }
 
     /// A job came, or became ready, or is cancelled with another one.
-    fn job_came(&mut self, view: &View, id: &JobId, now: Time, wall_ms: u64) {
+    fn job_arrived(&mut self, view: &View, id: &JobId, now: Time, wall_ms: u64) {
         let pipelines = view.pipelines();
         if pipelines.is_cancelled(id) {
             tracing::info!(job = %id, "job cancelled with its dependency");
@@ -135,7 +135,7 @@
         let mut unsent = Vec::new();
         let mut started = Vec::new();
         for (&index, claim) in job.tasks.claims() {
-            // Whatever is to happen there, its machine is told.
+            // Whatever is to happen there, its machine is sent it.
             self.command_queue
                 .add(claim.machine.clone(), ContactOrder::First);
             let task = TaskId {
--- a/src/control/core/largest_jobs.rs
+++ b/src/control/core/largest_jobs.rs
@@ -1,5 +1,5 @@
-//! What the log tells of the largest jobs of each class; which they are is
-//! decided in [`sorrelhinge_sharding::largest`].
+//! What the log says of the largest jobs of each class; which they are is
+//! decided in [`sorrelhinge_sharding::largest_jobs`].
 
 use std::fmt;
 
@@ -9,11 +9,11 @@
 use super::Core;
 use crate::types::{JobId, Time};
 
-/// What the log tells of a job.
+/// What the log says of a job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum JobEvent {
     /// It came, or was found by this owner.
-    Came,
+    Arrived,
     /// Its first task was placed.
     Begun,
     /// It has waited for too long.
@@ -27,7 +27,7 @@
 impl fmt::Display for JobEvent {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            Self::Came => "came",
+            Self::Arrived => "came",
             Self::Begun => "begun",
             Self::Late => "late",
             Self::Done => "done",
@@ -38,7 +38,7 @@
 
 impl Core {
     /// A job came, or was found by this owner.
-    pub(super) fn largest_came(&mut self, id: &JobId, now: Time) {
+    pub(super) fn largest_arrived(&mut self, id: &JobId, now: Time) {
         let Some(job) = self.cluster_state.job(id) else {
             return;
         };
@@ -46,11 +46,11 @@
         let (class, _) = job.sort();
         let begun = job.started;
         if self.largest_jobs.came(id, &class, cpu) {
-            // When it began was told by the owner that placed it.
+            // When it began was logged by the owner that placed it.
             let event = if begun {
                 JobEvent::Begun
             } else {
-                JobEvent::Came
+                JobEvent::Arrived
             };
             self.log_largest_job(id, event, None, now);
         }
@@ -71,7 +71,7 @@
     }
 
     /// Those that have waited for too long, once each: if the log ends before
-    /// they begin, nothing else would tell.
+    /// they begin, nothing else would say so.
     pub(super) fn largest_late(&mut self, now: Time) {
         let waits = self.cluster_state.wanting().filter(|(_, j)| !j.started);
         let late = waits
--- a/src/control/core/machine_list.rs
+++ b/src/control/core/machine_list.rs
@@ -1,5 +1,5 @@
 //! What machines there are, by the cloud's list and by what was deleted: which are new,
-//! which are gone, and which are given back.
+//! which were deleted, and which are given back.
 
 use std::collections::BTreeSet;
 
@@ -11,8 +11,8 @@
 
 /// Clocks drift apart by 0.05% (PROTOCOL).
 const DRIFT: f64 = 1.001;
-/// A machine that was not heard for so many heartbeat intervals may be gone.
-const UNHEARD_HEARTBEATS: f64 = 1.5;
+/// A machine that missed so many heartbeats may be gone.
+const MISSED_HEARTBEATS: f64 = 1.5;
 /// A machine that was rented less than so many usual lags of the list, and so many seconds,
 /// ago may not be listed yet.
 const FRESH_LAGS: f64 = 3.0;
@@ -21,17 +21,17 @@
 /// from before it (PROTOCOL: it is late by twice its usual lag at most).
 const LATEST_LAGS: f64 = 2.0;
 const LATEST_S: f64 = 2.0;
-/// How many times longer machines may hear nothing if most don't.
+/// How many times longer machines may be unreachable if most are.
 const MAX_ONE_WAY_REACHABLE_FACTOR: f64 = 3.0;
 
 impl Core {
-    /// The machine list arrived: learn of machines, and of those that are gone.
+    /// The machine list arrived: learn of machines, and of those that were deleted.
     pub fn listed(&mut self, list: &[ListedMachine], now: Time) {
         let names: BTreeSet<&MachineId> = list.iter().map(|m| &m.id).collect();
         self.inventory.list_read();
         self.tombstones.expire(&self.cfg, now);
         for machine in list {
-            // The list is late: a machine that is gone must not come back as
+            // The list is late: a deleted machine must not come back as
             // one to be asked, or waited for.
             if !self.tombstones.contains(&machine.id) {
                 self.machine_listed(machine, now);
@@ -39,14 +39,14 @@
         }
         self.give_back_missing(&names, now);
         // A list is late by twice its usual lag at most (PROTOCOL), so by now it
-        // tells of a time at which every machine that a former owner claimed
+        // shows a time at which every machine that a former owner claimed
         // was there.
         if self.failover.age_s(now) > LATEST_LAGS * self.cfg.list_lag_s + LATEST_S {
             self.give_back_unknown(&names);
         }
     }
 
-    /// The list shows a machine that is not known to be gone.
+    /// The list shows a machine that is not known to be deleted.
     fn machine_listed(&mut self, machine: &ListedMachine, now: Time) {
         let id = &machine.id;
         self.inventory.seen(id);
@@ -76,7 +76,7 @@
         }
     }
 
-    /// A machine that was heard of before and is missing from several lists in a row is
+    /// A machine that was known before and is missing from several lists in a row is
     /// probably gone; deleting it proves that.
     fn give_back_missing(&mut self, listed: &BTreeSet<&MachineId>, now: Time) {
         let known = self
@@ -88,9 +88,9 @@
             if listed.contains(&id) {
                 continue;
             }
-            let heard = self.agents.get(&id).map(|l| l.last_heard);
-            let silent =
-                heard.is_none_or(|t| now.since(t) > self.cfg.heartbeat_s * UNHEARD_HEARTBEATS);
+            let last_contact = self.agents.get(&id).map(|l| l.last_contact);
+            let silent = last_contact
+                .is_none_or(|t| now.since(t) > self.cfg.heartbeat_s * MISSED_HEARTBEATS);
             let pending_machines = self.inventory.pending_machines().get(&id);
             let fresh = pending_machines
                 .is_some_and(|c| now.since(c.since) < FRESH_LAGS * self.cfg.list_lag_s + FRESH_S);
@@ -111,12 +111,12 @@
         }
     }
 
-    /// Machines that heartbeat and hear nothing, to be given back. Their answers renew
+    /// Machines that heartbeat and that no command reaches, to be given back. Their answers renew
     /// no lease, so what ran there has ended by then: before, a cut that heals would
     /// cost their tasks.
-    pub(super) fn deaf(&self, now: Time) -> Vec<MachineId> {
+    pub(super) fn unreachable_machines(&self, now: Time) -> Vec<MachineId> {
         let patience_s = self.cfg.lease_s * DRIFT + 2.0 * self.cfg.heartbeat_s;
-        // If most hear nothing it may be this controller that can't be heard. Another
+        // If most are unreachable it may be this controller's network. Another
         // may then be the owner before long; if none is, they go all the same.
         let patience_s = if self.agents.most_in_doubt() {
             MAX_ONE_WAY_REACHABLE_FACTOR * patience_s
--- a/src/control/core/machine_types.rs
+++ b/src/control/core/machine_types.rs
@@ -5,7 +5,7 @@
 
 use crate::types::{Amount, MachineType, TypeName};
 
-/// Machine types by name; none until the cloud has told them.
+/// Machine types by name; none until the cloud has listed them.
 #[derive(Debug, Default)]
 pub(super) struct MachineTypes(HashMap<TypeName, Rc<MachineType>>);
 
--- a/src/control/core/mod.rs
+++ b/src/control/core/mod.rs
@@ -11,20 +11,20 @@
 //! | until when tasks may be started | `start_permission` | `commands` |
 //! | machines to walk for free capacity, one by one or all | `placement_queue` | `placement` |
 //! | time since the failover, what is open from it | `failover` | all |
-//! | the cloud's machine list | `inventory` | `machine_list`, `scale_in`, `renting` |
-//! | machines that are gone | `tombstones`, `deleted_machines` | `machine_list`, `heartbeats` |
+//! | the cloud's machine list | `inventory` | `machine_list`, `scale_in`, `scale_out` |
+//! | deleted machines | `tombstones`, `deleted_machines` | `machine_list`, `heartbeats` |
 //! | the cloud's machine types | `machine_types` | `agents`, `objectives`, `scaling`, `reservation_supply` |
 //! | the agents of all machines that are up | `agent_table` | all |
 //! | a worker's last heartbeat, its fencing token and commands | `agent`, `direct_line` | `heartbeats`, `dispatch` |
-//! | a transaction while it is put together | `draft` | `batch`, `record` |
-//! | jobs that came, requests to the cloud | `scaling_state` | `objectives`, `demand`, `scale_in`, `renting` |
+//! | a transaction while it is put together | `draft` | `batch`, `outcomes` |
+//! | jobs that arrived, requests to the cloud | `scaling_state` | `objectives`, `demand`, `scale_in`, `scale_out` |
 //! | losses and new machines by failure domain | `topology_history` | `agents`, `evictions`, `scaling` |
 //! | drains as recorded | `drains` | `evictions`, `scale_out` |
 //! | when the spread of services was last repaired | `topology_repair` | `evictions` |
 //! | jobs among which may be broken gangs | `gang_restarts` | `job_changes`, `recorded_job` |
 //! | when waiting jobs were last logged | `waiting_log` | `tick` |
 //! | changes that were rejected | `rejected_changes` | `batch` |
-//! | what the log says of who is served | `served` | `placing`, `record` |
+//! | what the log says of who is served | `service_levels` | `placement`, `outcomes` |
 //!
 //! Invariants: no task is started before its claim is recorded; nothing is concluded
 //! about a machine's tasks before one of its heartbeats carries the fencing token that fences all
@@ -114,6 +114,7 @@
 use self::rejected_changes::RejectedChanges;
 pub use self::reservations::WindowStep;
 pub use self::scaling::ScalingDecision;
+pub use self::scaling_state::MachineOffer;
 use self::service_levels::ServedLog;
 use self::start_permission::StartPermission;
 pub use self::task_delegation::Places;
@@ -163,7 +164,7 @@
     pub scope: ShardScope,
     /// It is handed on: nothing more is claimed, and what is under way settles.
     frozen_since: Option<Time>,
-    /// Room that others' tasks may take, and what was left to others.
+    /// Capacity that others' tasks may take, and what was left to others.
     sharing: task_delegation::Sharing,
     /// Zones of all shards' machines.
     places: Places,
@@ -175,7 +176,7 @@
     types: MachineTypes,
     /// The agents of all machines that are up.
     agents: AgentTable,
-    /// What the cloud's machine lists tell.
+    /// What the cloud's machine lists show.
     inventory: CloudInventory,
     /// What waits to be recorded.
     pending: Pending,
@@ -185,13 +186,13 @@
     command_queue: CommandQueue,
     /// Machines where tasks may find a place now.
     placement_queue: PlacementQueue,
-    /// What came of late, and what was asked of the cloud.
+    /// Jobs that arrived of late, and requests to the cloud.
     scaling: scaling_state::ScalingState,
-    /// Until then silence tells nothing: requests waited too long to be read.
+    /// Until then silence means nothing: requests waited too long to be read.
     silence_ignored_until: Time,
     /// Until when tasks may be started.
     start_permission: StartPermission,
-    /// Machines that are gone, which late lists and heartbeats may still show.
+    /// Deleted machines, which late lists and heartbeats may still show.
     tombstones: MachineTombstones,
     /// Windows of the release calendar.
     windows: reservations::Windows,
@@ -207,10 +208,10 @@
     repair_schedule: RepairSchedule,
     /// When each job that waits was last logged.
     waiting_log: WaitingLog,
-    /// What rejected transactions tell about the next ones.
+    /// What follows from rejected transactions for the next ones.
     rejected_changes: RejectedChanges,
-    /// When all machines were last looked at.
-    last_look: Time,
+    /// When all was last looked at that only time changes.
+    last_rescan: Time,
 }
 
 /// How often all machines are looked at for what only time changes.
@@ -223,9 +224,9 @@
             self.wake(&id);
         }
         self.failover.tick(now);
-        if now.since(self.last_look) >= RESCAN_INTERVAL_S {
-            self.last_look = now;
-            self.look_at_all(now);
+        if now.since(self.last_rescan) >= RESCAN_INTERVAL_S {
+            self.last_rescan = now;
+            self.rescan(now);
         }
         self.wake_staged(now);
         self.restart_broken_gangs(now);
@@ -240,8 +241,8 @@
         self.failover.wall_ms(now)
     }
 
-    /// Looks at all that only time changes.
-    fn look_at_all(&mut self, now: Time) {
+    /// Brings all up to date that only time changes.
+    fn rescan(&mut self, now: Time) {
         self.cluster_state.refresh_due_times(now);
         let wall_ms = self.wall_ms(now);
         self.cluster_state
--- a/src/control/core/objectives.rs
+++ b/src/control/core/objectives.rs
@@ -10,21 +10,21 @@
 use crate::scheduler::JobUrgency;
 use crate::types::{JobSpec, Time, TypeName};
 
-/// Between these the haste of a class counts.
-const LEAST_HASTE: f64 = 0.2;
-const MAX_HASTE: f64 = 2.0;
+/// Bounds of [`Core::headroom_weight`].
+const MIN_HEADROOM_WEIGHT: f64 = 0.2;
+const MAX_HEADROOM_WEIGHT: f64 = 2.0;
 /// A job is patient for this part of the time that its objectives leave, and for so many seconds
 /// at the least and at the most.
 const PATIENT_PART: f64 = 0.3;
-const LEAST_PATIENCE_S: f64 = 1.0;
+const MIN_PATIENCE_S: f64 = 1.0;
 const MAX_PATIENCE_S: f64 = 30.0;
 /// A job is late once less than so many boots are left to it.
 const LATE_BOOTS: f64 = 1.5;
 /// Of so many jobs of one sort it is kept when they came.
 const MAX_ARRIVALS: usize = 2000;
 
-/// What jobs have in common whose arrivals are counted together: by class alone their
-/// room is not the same.
+/// What jobs have in common whose arrivals are counted together: those of one class may
+/// need different machine types.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct ArrivalSort {
     class: Rc<str>,
@@ -36,8 +36,15 @@
 pub(super) struct Arrivals {
     /// The latest one's description.
     pub(super) spec: Rc<JobSpec>,
-    /// When each came, and how many tasks it has; the latest last.
-    pub(super) recent: VecDeque<(Time, u32)>,
+    /// The latest last.
+    pub(super) recent: VecDeque<Arrival>,
+}
+
+/// A job that came.
+pub(super) struct Arrival {
+    pub(super) at: Time,
+    /// How many tasks it has.
+    pub(super) tasks: u32,
 }
 
 impl Arrivals {
@@ -52,7 +59,10 @@
     /// A job came.
     fn add(&mut self, spec: &Rc<JobSpec>, at: Time) {
         self.spec = spec.clone();
-        self.recent.push_back((at, spec.tasks));
+        self.recent.push_back(Arrival {
+            at,
+            tasks: spec.tasks,
+        });
         if self.recent.len() > MAX_ARRIVALS {
             self.recent.pop_front();
         }
@@ -82,10 +92,10 @@
             .add(spec, at);
     }
 
-    /// How much a class depends on room that is there already: what a new
+    /// How much a class depends on free capacity that is there already: what a new
     /// machine takes to boot, against the time that its objectives leave.
-    pub(super) fn write_priority(&self, spec: &JobSpec) -> f64 {
-        (self.boot_s() / self.slack(spec).max(1.0)).clamp(LEAST_HASTE, MAX_HASTE)
+    pub(super) fn headroom_weight(&self, spec: &JobSpec) -> f64 {
+        (self.boot_s() / self.slack(spec).max(1.0)).clamp(MIN_HEADROOM_WEIGHT, MAX_HEADROOM_WEIGHT)
     }
 
     /// The shortest usual boot.
@@ -138,10 +148,10 @@
         JobUrgency {
             priority: inherited.map_or(spec.priority, |u| u.priority),
             objectives,
-            patience_s: (PATIENT_PART * slack).clamp(LEAST_PATIENCE_S, MAX_PATIENCE_S),
+            patience_s: (PATIENT_PART * slack).clamp(MIN_PATIENCE_S, MAX_PATIENCE_S),
             late_s: (slack - LATE_BOOTS * self.boot_s())
                 .max(PATIENT_PART * slack)
-                .max(LEAST_PATIENCE_S),
+                .max(MIN_PATIENCE_S),
         }
     }
 
--- a/src/control/core/outcomes.rs
+++ b/src/control/core/outcomes.rs
@@ -29,34 +29,34 @@
         self.pending.claims_wait(now)
     }
 
-    /// A chunk as it should be recorded: what other shards hold of it, as in
-    /// `held`, stays as it is.
+    /// A chunk as it should be recorded: what other shards claim of it, as in
+    /// `stored`, stays as it is.
     pub(super) fn snapshot(
         &self,
         id: &JobId,
         chunk: u32,
-        held: Option<&ChunkRecord>,
+        stored: Option<&ChunkRecord>,
     ) -> Option<ChunkRecord> {
         let mut record = chunk_record(self.cluster_state.job(id)?, chunk);
-        if let Some(held) = held.filter(|_| self.scope.is_part()) {
-            self.keep_others_part(&mut record, held);
+        if let Some(stored) = stored.filter(|_| self.scope.is_part()) {
+            self.merge_other_shards(&mut record, stored);
         }
         Some(record)
     }
 
     /// Leaves in a chunk's record what other shards wrote into it.
-    fn keep_others_part(&self, record: &mut ChunkRecord, held: &ChunkRecord) {
-        let theirs = held.claims.iter();
+    fn merge_other_shards(&self, record: &mut ChunkRecord, stored: &ChunkRecord) {
+        let theirs = stored.claims.iter();
         let theirs = theirs.filter(|claim| !self.scope.covers(&claim.machine));
         let theirs: Vec<_> = theirs.cloned().collect();
         let of = |place: u32| theirs.iter().any(|claim| claim.place == place);
-        let units = held.units.iter().filter(|units| of(units.place));
+        let units = stored.units.iter().filter(|units| of(units.place));
         record.units.extend(units.cloned());
         record.units.sort_by_key(|units| units.place);
         record.claims.extend(theirs);
         record.claims.sort_by_key(|claim| claim.place);
-        record.next_attempt = record.next_attempt.max(held.next_attempt);
-        record.done |= held.done;
+        record.next_attempt = record.next_attempt.max(stored.next_attempt);
+        record.done |= stored.done;
     }
 
     /// Whether a chunk's record claims tasks on machines of this shard, or, if not
@@ -208,21 +208,21 @@
     /// A chunk was not recorded, or had been already.
     fn chunk_conflicted(&mut self, write: ChunkWrite, view: &View, now: Time) {
         let (id, chunk) = &write.chunk;
-        let held = view.job(id).and_then(|e| e.chunk(*chunk));
-        match (&write.record, held) {
-            (Some(ours), Some(held)) if ours == held => self.confirm(id, *chunk, ours, now),
+        let stored = view.job(id).and_then(|e| e.chunk(*chunk));
+        match (&write.record, stored) {
+            (Some(ours), Some(stored)) if ours == stored => self.confirm(id, *chunk, ours, now),
             (Some(_), _) => self.claim_again(write.chunk, now),
             (None, _) => self.pending.useless(write.chunk, now),
         }
     }
 }
 
-/// A chunk of a job as this shard holds it.
+/// A chunk of a job as this shard has it.
 fn chunk_record(job: &Job, chunk: u32) -> ChunkRecord {
     let size = job.tasks.chunk_size();
     let from = chunk * size;
-    let held = || job.tasks.claims().range(from..from + size);
-    let claims = held().map(|(&index, claim)| {
+    let claims_of_chunk = || job.tasks.claims().range(from..from + size);
+    let claims = claims_of_chunk().map(|(&index, claim)| {
         let place = index - from;
         RecordedClaim::from((place, claim.attempt, claim.machine.clone()))
     });
@@ -230,7 +230,7 @@
     // written by an earlier version, and may hold anything.
     let placement = job.spec.placement.as_ref();
     let devices = placement.is_some_and(|w| !w.devices.is_empty());
-    let named = held().filter(|(_, c)| devices && !c.unnamed);
+    let named = claims_of_chunk().filter(|(_, c)| devices && !c.unnamed);
     let units = named.map(|(&index, claim)| {
         let place = index - from;
         RecordedUnits::from((place, claim.units.clone()))
--- a/src/control/core/placement.rs
+++ b/src/control/core/placement.rs
@@ -6,7 +6,7 @@
 use crate::scheduler::{DelayRule, Job, Launch};
 use crate::types::{JobId, MachineId, Time};
 
-/// Part of its start objective after which room is made for a job.
+/// Part of its start objective after which other tasks are preempted for a job.
 const PREEMPT_START: f64 = 0.15;
 /// The same for other jobs, as a multiple of their patience.
 const PREEMPT_SLACK: f64 = 2.0;
@@ -64,7 +64,7 @@
         self.placement_queue.refresh_pass(now);
         // A new owner's first heartbeat of a machine walks it at once: others' work
         // had a part of what was held.
-        if self.windows.hold() {
+        if self.windows.any_reserved() {
             self.cluster_state.refill_reservations(id, now);
         }
         let pass = self.placement_queue.pass();
@@ -72,16 +72,16 @@
         self.launched(launches, now);
     }
 
-    /// Where room appeared, windows have what they lack before anybody else.
+    /// Where capacity became free, windows have what they lack before anybody else.
     fn refill_windows(&mut self, now: Time) {
-        if self.windows.hold() {
+        if self.windows.any_reserved() {
             for id in self.placement_queue.iter() {
                 self.cluster_state.refill_reservations(id, now);
             }
         }
     }
 
-    /// Places what can be placed on machines where room appeared, one after the
+    /// Places what can be placed on machines where capacity became free, one after the
     /// other by name, as far as one turn allows: with thousands of them and a
     /// long queue all walks together took eight seconds once, and the leader's
     /// lease was lost meanwhile.
--- a/src/control/core/placement_limits.rs
+++ b/src/control/core/placement_limits.rs
@@ -1,4 +1,4 @@
-//! What bounds placing beside room and quotas: work that is held back under load, and how
+//! What bounds placing beside free capacity and quotas: work that is held back under load, and how
 //! many jobs may have claims that wait to be recorded.
 
 use super::Core;
--- a/src/control/core/placement_queue.rs
+++ b/src/control/core/placement_queue.rs
@@ -1,4 +1,4 @@
-//! Machines on which room appeared, to be walked one after the other by name.
+//! Machines on which capacity became free, to be walked one after the other by name.
 
 use std::collections::BTreeSet;
 use std::ops::Bound;
@@ -11,10 +11,10 @@
 
 /// Machines where tasks may find a place now.
 pub(super) struct PlacementQueue {
-    /// Machines where room appeared.
+    /// Machines where capacity became free.
     machines: BTreeSet<MachineId>,
     /// The one that was taken last: the next one is behind it by name, so that none
-    /// waits for ever while room appears on others.
+    /// waits for ever while capacity becomes free on others.
     last: MachineId,
     /// Waiting jobs are to be offered all machines.
     full_walk: bool,
@@ -40,7 +40,7 @@
 }
 
 impl PlacementQueue {
-    /// Room appeared on a machine.
+    /// Capacity became free on a machine.
     pub(super) fn add(&mut self, machine: MachineId) {
         self.machines.insert(machine);
     }
--- a/src/control/core/recorded_job.rs
+++ b/src/control/core/recorded_job.rs
@@ -37,7 +37,7 @@
 /// mistaken, but not after fewer than the first of these, nor later than after the second.
 const MIN_FAILED_ATTEMPTS: u64 = 3;
 const MAX_FAILED_ATTEMPTS: u64 = 8;
-/// So many failures such a job is held to have had.
+/// So many failures are counted for such a job.
 const DOUBTED_FAILURES: u32 = 2;
 
 /// A claim in a record.
@@ -50,8 +50,8 @@
 }
 
 impl FoundClaim {
-    /// `holds_devices`: the job's tasks hold some, named or not.
-    fn into_claim(self, holds_devices: bool, now: Time) -> Claim {
+    /// `uses_devices`: the job's tasks have some, named or not.
+    fn into_claim(self, uses_devices: bool, now: Time) -> Claim {
         Claim {
             attempt: self.attempt,
             machine: self.machine,
@@ -60,7 +60,7 @@
             sent: Sent::Found,
             progress: Progress::Unseen,
             stop: None,
-            unnamed: holds_devices && self.units.is_none(),
+            unnamed: uses_devices && self.units.is_none(),
             units: self.units.unwrap_or_default(),
         }
     }
@@ -148,7 +148,7 @@
         let job = Job { last_placed, ..job };
         self.cluster_state.add_job(id.clone(), job);
         if placed_here {
-            self.largest_came(id, now);
+            self.largest_arrived(id, now);
         }
     }
 
@@ -157,18 +157,18 @@
         // An earlier version's record names no units.
         let job = self.cluster_state.job(id);
         let placement = job.and_then(|j| j.spec.placement.as_ref());
-        let holds_devices = placement.is_some_and(|w| w.lost || !w.devices.is_empty());
+        let uses_devices = placement.is_some_and(|w| w.lost || !w.devices.is_empty());
         for claim in claims {
             let task = TaskId {
                 job: id.clone(),
                 index: claim.index,
             };
-            let claim = claim.into_claim(holds_devices, now);
+            let claim = claim.into_claim(uses_devices, now);
             self.cluster_state.put_claim(&task, claim);
         }
     }
 
-    /// Reads a job's tasks. What is claimed on machines that are gone is released: its
+    /// Reads a job's tasks. What is claimed on deleted machines is released: its
     /// task went with its machine, recorded or not.
     fn found_tasks(&mut self, id: &JobId, entry: &JobEntry, now: Time) -> FoundTasks {
         let record = &entry.record.value;
@@ -177,14 +177,17 @@
             claims: Vec::new(),
             wasted: 0,
         };
-        for (chunk, held) in entry.all_chunks() {
-            found.tasks.set_next_attempt(chunk, held.next_attempt);
-            let of_use = held.claims.len() as u64 + u64::from(held.done.count_ones());
-            found.wasted += held.next_attempt.saturating_sub(1 + of_use);
-            for bit in (0..found.tasks.chunk_size()).filter(|bit| held.done >> bit & 1 == 1) {
+        for (chunk, stored) in entry.all_chunks() {
+            found.tasks.set_next_attempt(chunk, stored.next_attempt);
+            let of_use = stored.claims.len() as u64 + u64::from(stored.done.count_ones());
+            found.wasted += stored.next_attempt.saturating_sub(1 + of_use);
+            for bit in (0..found.tasks.chunk_size()).filter(|bit| stored.done >> bit & 1 == 1) {
                 found.tasks.set_done(chunk * record.chunk + bit);
             }
-            let here = held.claims.iter().filter(|c| self.scope.covers(&c.machine));
+            let here = stored
+                .claims
+                .iter()
+                .filter(|c| self.scope.covers(&c.machine));
             for RecordedClaim {
                 place,
                 attempt,
@@ -195,7 +198,7 @@
                 if self.tombstones.is_inherited(machine) {
                     self.pending.released((id.clone(), chunk), now);
                 } else if index < record.tasks {
-                    let units = held.units.iter().find(|u| u.place == *place);
+                    let units = stored.units.iter().find(|u| u.place == *place);
                     found.claims.push(FoundClaim {
                         index,
                         attempt: *attempt,
--- a/src/control/core/recovery.rs
+++ b/src/control/core/recovery.rs
@@ -123,7 +123,7 @@
             repair_schedule: RepairSchedule::default(),
             waiting_log: WaitingLog::default(),
             rejected_changes: RejectedChanges::none(now),
-            last_look: now,
+            last_rescan: now,
         }
     }
 
--- a/src/control/core/rejected_changes.rs
+++ b/src/control/core/rejected_changes.rs
@@ -14,13 +14,13 @@
 /// A change that was rejected alone is tried again after so long, in seconds.
 const REJECTED_S: f64 = 20.0;
 
-/// What rejected transactions tell about the next ones.
+/// What follows from rejected transactions for the next ones.
 #[derive(Debug)]
 pub(super) struct RejectedChanges {
     /// The state service has its smaller limits (`state.next`).
     limits_fell: bool,
     /// Until then each change has a transaction of its own.
-    alone_until: Time,
+    isolated_until: Time,
     /// Changes that were rejected alone, until when they wait. A job's own record has
     /// the key of its first chunk.
     waiting: BTreeMap<ChunkId, Time>,
@@ -31,7 +31,7 @@
     pub(super) fn none(now: Time) -> Self {
         Self {
             limits_fell: false,
-            alone_until: now,
+            isolated_until: now,
             waiting: BTreeMap::new(),
         }
     }
@@ -41,7 +41,7 @@
         self.limits_fell
     }
 
-    /// A rejection tells whether the smaller limits are in force. True if that is news.
+    /// A rejection shows whether the smaller limits are in force. True if that is news.
     pub(super) fn learn_limits(&mut self, fell: bool) -> bool {
         let new = fell && !self.limits_fell;
         self.limits_fell |= fell;
@@ -49,8 +49,8 @@
     }
 
     /// Whether each change has a transaction of its own now.
-    pub(super) fn tries_alone(&self, now: Time) -> bool {
-        now < self.alone_until
+    pub(super) fn isolates(&self, now: Time) -> bool {
+        now < self.isolated_until
     }
 
     /// A transaction with these changes, and with an image's rollout if `with_rollout`, was
@@ -62,7 +62,7 @@
         now: Time,
     ) {
         if changes.len() + usize::from(with_rollout) > 1 {
-            self.alone_until = now.after(SINGLE_CHANGE_PERIOD_S);
+            self.isolated_until = now.after(SINGLE_CHANGE_PERIOD_S);
         } else {
             let until = now.after(REJECTED_S);
             self.waiting.extend(changes.into_iter().map(|c| (c, until)));
@@ -70,7 +70,7 @@
     }
 
     /// Whether a change was rejected alone and still waits.
-    pub(super) fn holds_back(&mut self, due: &PendingWrite, now: Time) -> bool {
+    pub(super) fn defers(&mut self, due: &PendingWrite, now: Time) -> bool {
         self.waiting.retain(|_, until| now < *until);
         match due {
             PendingWrite::Finished(id) => self.waiting.contains_key(&(id.clone(), 0)),
--- a/src/control/core/reservation_demand.rs
+++ b/src/control/core/reservation_demand.rs
@@ -26,7 +26,7 @@
 struct ZoneShortfall {
     /// The zone; none: any.
     zone: Option<Zone>,
-    /// Room for how many tasks.
+    /// How many tasks it is for.
     tasks: u32,
     /// What to ask for.
     kind: TypeChoice,
@@ -41,12 +41,11 @@
             let Some(job) = self.cluster_state.job(&waits.job) else {
                 continue;
             };
-            let held = self.windows.watched.values().find(|w| {
+            let reserved = self.windows.watched.values().find(|w| {
                 let window = w.entry.as_ref().map(|e| &e.window);
-                w.whole.hold > 0
-                    && window.is_some_and(|w| w.is_for(&job.spec.team, &job.spec.class))
+                w.plan.hold > 0 && window.is_some_and(|w| w.is_for(&job.spec.team, &job.spec.class))
             });
-            let parts = held.map_or(Vec::new(), |w| divide(w.whole.hold, self.scope.of));
+            let parts = reserved.map_or(Vec::new(), |w| divide(w.plan.hold, self.scope.of));
             let mut left = waits.tasks;
             for (shard, part) in parts.into_iter().enumerate() {
                 let to = ShardId(shard as u32);
@@ -70,7 +69,7 @@
             return;
         }
         for (name, watch) in &mut self.windows.watched {
-            let short = watch.whole.each.iter().find(|(_, n)| n.short.is_some());
+            let short = watch.plan.each.iter().find(|(_, n)| n.short.is_some());
             let Some((start_ms, next)) = short else {
                 watch.logged = None;
                 continue;
@@ -102,7 +101,7 @@
                 name,
                 watch.entry.as_ref(),
                 &records,
-                &watch.whole,
+                &watch.plan,
                 seen,
                 now_ms,
             ));
@@ -125,9 +124,9 @@
     fn knows_machines(&self, now: Time) -> bool {
         // A list is late by twice its usual lag at most (PROTOCOL).
         let listed = self.failover.age_s(now) > 2.0 * self.cfg.list_lag_s + 2.0;
-        let quiet = self.failover.age_s(now) <= self.cfg.silent_s();
-        let unheard = quiet && self.agents.any_staying_unfenced();
-        listed && !unheard
+        let recovering = self.failover.age_s(now) <= self.cfg.silent_s();
+        let unfenced = recovering && self.agents.any_staying_unfenced();
+        listed && !unfenced
     }
 
     /// What a window lacks, by zone. Where nothing is to be had, other zones have it
@@ -170,7 +169,7 @@
         zone,
         one_zone: false,
         spread: false,
-        // Held room is on machines that stay.
+        // Reserved capacity is on machines that stay.
         spot: false,
         estimate_s: f64::from(window.lasts_s),
         checkpoint_s: 0.0,
--- a/src/control/core/reservation_refresh.rs
+++ b/src/control/core/reservation_refresh.rs
@@ -32,7 +32,7 @@
     /// Looks at all windows: their records, what is there, what is to be held.
     /// Without a calendar, and while its record is of a later version, nothing
     /// differs. A new owner does this before its first decision, so it gives back
-    /// no warm machine and lends no held room.
+    /// no warm machine and lends no reserved capacity.
     pub fn refresh_windows(&mut self, view: &View, wall_ms: i64, now: Time) {
         if self.cfg.calendar.is_none() {
             return;
@@ -58,7 +58,7 @@
             let window = usage.window(name);
             let seen = self.see(watch, window, &usage, now);
             let records = watch.record_values();
-            watch.whole = steps(window.map(|w| &**w), &records, &seen, clock);
+            watch.plan = steps(window.map(|w| &**w), &records, &seen, clock);
             let hold = self.reserve_here(watch, window, clock, now);
             watch.seen = Some(seen);
             reservations.extend(hold);
@@ -117,19 +117,19 @@
         clock: Clock,
         now: Time,
     ) -> Option<Reservation> {
-        let window = window.filter(|_| watch.whole.hold > 0)?;
+        let window = window.filter(|_| watch.plan.hold > 0)?;
         let mut teams = self.cfg.teams.iter();
         let team = teams.position(|t| *t.name == *window.team)?;
         let start_ms = watch.first_reserved_ms()?;
         Some(Reservation {
             window: window.clone(),
             team,
-            tasks: self.tasks_reserved_here(window, team, watch.whole.hold),
+            tasks: self.tasks_reserved_here(window, team, watch.plan.hold),
             lending: self.lending(window, start_ms, clock, now),
         })
     }
 
-    /// This shard's part of the tasks whose room is held, never beyond its part of the
+    /// This shard's part of the tasks whose capacity is reserved, never beyond its part of the
     /// team's limit.
     fn tasks_reserved_here(&self, window: &Window, team: usize, tasks: u32) -> u32 {
         if !self.scope.is_part() {
@@ -148,7 +148,7 @@
         part.unwrap_or(0).min(limit)
     }
 
-    /// What held room may be lent to until the window begins.
+    /// What reserved capacity may be lent to until the window begins.
     fn lending(&self, window: &Window, start_ms: i64, clock: Clock, now: Time) -> Lending {
         let early_ms = i64::from(window.early_s) * MS_PER_S;
         let left_s = (start_ms - early_ms - clock.latest_ms()) as f64 / MS_PER_S as f64;
--- a/src/control/core/reservation_supply.rs
+++ b/src/control/core/reservation_supply.rs
@@ -1,4 +1,4 @@
-//! What can be had for a window of the release calendar: machine types, room in its
+//! What can be had for a window of the release calendar: machine types, what is free in its
 //! team's limit, and whether the cloud refuses more.
 
 use std::rc::Rc;
@@ -31,7 +31,7 @@
     pub(super) tasks_per_machine: u32,
 }
 
-/// Room for a window in its team's limit.
+/// What is free for a window in its team's limit.
 #[derive(Default)]
 pub(super) struct QuotaHeadroom {
     /// How many tasks fit.
@@ -100,7 +100,7 @@
             .map(TypeChoice::Named)
     }
 
-    /// Why a window's room is not rented, if it isn't.
+    /// Why a window's capacity is not asked of the cloud, if it isn't.
     pub(super) fn refused_for(
         &self,
         window: &Window,
@@ -129,7 +129,7 @@
         (any && closed).then_some(Refused::Capacity)
     }
 
-    /// How many tasks' room of a window fits into its team's limit, beside the
+    /// How many tasks of a window fit into its team's limit, beside the
     /// team's other work and windows that come first.
     pub(super) fn quota_headroom(
         &self,
--- a/src/control/core/reservation_usage.rs
+++ b/src/control/core/reservation_usage.rs
@@ -16,7 +16,7 @@
 pub(super) struct ActiveWindow {
     /// The window.
     pub(super) window: Rc<Window>,
-    /// Room is held for it, by its records.
+    /// Capacity is reserved for it, by its records.
     pub(super) reserved: bool,
 }
 
--- a/src/control/core/reservations.rs
+++ b/src/control/core/reservations.rs
@@ -1,11 +1,11 @@
 //! Windows of the release calendar: what the owner knows of each, and which steps are
-//! due. Steps and their records are of [`sorrelhinge_reservations::plan`]; where room is
-//! held, of [`crate::scheduler::Reservation`]. What is seen of windows and held for them is brought
+//! due. Steps and their records are of [`sorrelhinge_reservations::plan`]; where capacity is
+//! reserved, of [`crate::scheduler::Reservation`]. What is seen of windows and held for them is brought
 //! up to date by [`super::reservation_refresh`].
 
 use std::collections::BTreeMap;
 
-use sorrelhinge_reservations::plan::{Change as PendingWrite, Seen, Whole};
+use sorrelhinge_reservations::plan::{Change as RecordChange, Seen, Whole};
 use sorrelhinge_reservations::record::{key, Entry, Step, WindowRecord};
 use sorrelhinge_sharding::shard::ShardId;
 
@@ -23,12 +23,12 @@
     pub(super) records: BTreeMap<i64, Versioned<WindowRecord>>,
     /// When its work last ran or waited, as far as this owner saw.
     pub(super) busy_at: Time,
-    /// How many tasks' room is on its way for it.
+    /// How many tasks' capacity is on its way for it.
     pub(super) pending_machines: u32,
     /// What was last seen of it.
     pub(super) seen: Option<Seen>,
     /// What is due for all its occurrences.
-    pub(super) whole: Whole,
+    pub(super) plan: Whole,
     /// What was last logged of a shortage.
     pub(super) logged: Option<LoggedShortage>,
 }
@@ -51,7 +51,7 @@
             busy_at: now,
             pending_machines: 0,
             seen: None,
-            whole: Whole {
+            plan: Whole {
                 each: BTreeMap::new(),
                 hold: 0,
             },
@@ -67,13 +67,13 @@
             .collect()
     }
 
-    /// The first beginning, in milliseconds, of those occurrences for which room is held
+    /// The first beginning, in milliseconds, of those occurrences for which capacity is reserved
     /// by their records.
     pub(super) fn first_reserved_ms(&self) -> Option<i64> {
-        let reservations =
+        let is_reserved =
             |r: &Versioned<WindowRecord>| matches!(r.value.step, Step::Warming | Step::Held);
-        let held = self.records.iter().filter(|(_, r)| reservations(r));
-        held.map(|(start, _)| *start).min()
+        let reserved = self.records.iter().filter(|(_, r)| is_reserved(r));
+        reserved.map(|(start, _)| *start).min()
     }
 }
 
@@ -86,9 +86,9 @@
 }
 
 impl Windows {
-    /// Whether any room is held.
-    pub(super) fn hold(&self) -> bool {
-        self.watched.values().any(|w| w.whole.hold > 0)
+    /// Whether free capacity is reserved for any.
+    pub(super) fn any_reserved(&self) -> bool {
+        self.watched.values().any(|w| w.plan.hold > 0)
     }
 
     /// A request of the cloud failed.
@@ -131,7 +131,7 @@
         }
         let mut due = Vec::new();
         for (name, watch) in &self.windows.watched {
-            for (start_ms, next) in &watch.whole.each {
+            for (start_ms, next) in &watch.plan.each {
                 let mod_revision = watch
                     .records
                     .get(start_ms)
@@ -149,15 +149,15 @@
         window: &str,
         start_ms: i64,
         mod_revision: Revision,
-        due: &PendingWrite,
+        due: &RecordChange,
     ) -> Option<WindowStep> {
         let key = key(window, start_ms);
         let (step, change) = match due {
-            PendingWrite::Keep => return None,
-            PendingWrite::Write(record) => {
+            RecordChange::Keep => return None,
+            RecordChange::Write(record) => {
                 (Some(record.step), Change::write(key.clone(), record, None))
             }
-            PendingWrite::Delete => {
+            RecordChange::Delete => {
                 let delete = key.clone();
                 (None, Change::Delete { delete })
             }
--- a/src/control/core/rollout_refresh.rs
+++ b/src/control/core/rollout_refresh.rs
@@ -1,5 +1,5 @@
 //! Compares the images that many machines want with the claims and the machines that
-//! there are: who came, who is gone, whose image left the cache. Also goes on with what
+//! there are: who came, who was deleted, whose image left the cache. Also continues what
 //! a former owner recorded.
 
 use std::collections::BTreeMap;
@@ -7,7 +7,7 @@
 use sorrelhinge_image_distribution::fetch_timeout;
 use sorrelhinge_image_distribution::plan::{Has, RecentImages, Rollout, Uploads};
 
-use super::active_rollout::{does, ActiveRollout, ImageState, Member};
+use super::active_rollout::{image_state, ActiveRollout, ImageState, Member};
 use super::image_distribution::ImageDistribution;
 use super::rollout_records::DELETION_DELAY_S;
 use super::Core;
@@ -177,8 +177,8 @@
                 let furthest = image_use
                     .machines
                     .entry(claim.machine.clone())
-                    .or_insert(ImageState::Wants);
-                *furthest = does(claim).max(*furthest);
+                    .or_insert(ImageState::StartPending);
+                *furthest = image_state(claim).max(*furthest);
             }
         }
         in_use
@@ -228,11 +228,11 @@
         let known = |id: &MachineId| kept.is_some_and(|k| k.members.contains_key(id));
         let new = on
             .iter()
-            .filter(|(id, d)| **d > ImageState::Wants && !known(id));
+            .filter(|(id, d)| **d > ImageState::StartPending && !known(id));
         new.map(|(id, _)| (id.clone(), self.path_of(id))).collect()
     }
 
-    /// Goes on with a predecessor's rollout: who fetches goes on, and its seeds
+    /// Continues a predecessor's rollout: who fetches goes on, and its seeds
     /// count, so the origin is not asked for their copies again.
     fn resume_rollout(&mut self, image: &Image, on: &BTreeMap<MachineId, ImageState>, now: Time) {
         let found = self.machines_with(image, on);
@@ -274,7 +274,7 @@
                 Some(ImageState::Runs) => Has::Complete,
                 Some(ImageState::Fetches) => Has::Part(self.part_of(id, image)),
                 // Its start waits here, and is joined then.
-                Some(ImageState::Wants) => continue,
+                Some(ImageState::StartPending) => continue,
                 None if machine.cache.has(image) => Has::Complete,
                 None => continue,
             };
--- a/src/control/core/scale_in.rs
+++ b/src/control/core/scale_in.rs
@@ -11,8 +11,8 @@
 use crate::scheduler::Machine;
 use crate::types::{MachineId, Time};
 
-/// A machine was heard of late if that is less than so many heartbeat intervals ago.
-const HEARD_HEARTBEATS: f64 = 2.5;
+/// A machine reported of late if that is less than so many heartbeat intervals ago.
+const RECENT_HEARTBEATS: f64 = 2.5;
 /// A machine that was asked directly so often in vain hangs.
 const HANGS: u32 = 2;
 /// So does one that was asked once and is silent for so many heartbeat intervals.
@@ -46,20 +46,20 @@
 }
 
 impl Core {
-    /// Whether a machine's silence tells anything. If most are silent it is this
-    /// controller that can't hear. Nor does silence tell anything where requests
+    /// Whether a machine's silence means anything. If most are silent it is this
+    /// controller that nothing reaches. Nor does silence mean anything where requests
     /// wait too long to be read: giving machines back then, and renting others, is
     /// how a fleet that is too large for its controllers would be kept so.
     pub(super) fn trusts_silence(&self, now: Time) -> bool {
-        let limit_s = HEARD_HEARTBEATS * self.cfg.heartbeat_s;
+        let limit_s = RECENT_HEARTBEATS * self.cfg.heartbeat_s;
         self.agents.most_reported_within(limit_s, now)
             && self.failover.age_s(now) > self.cfg.silent_s()
             && now >= self.silence_ignored_until
     }
 
-    /// Gives back machines that heartbeat and hear nothing.
-    pub(super) fn give_back_deaf(&mut self, now: Time) {
-        for id in self.deaf(now) {
+    /// Gives back machines that heartbeat and that no command reaches.
+    pub(super) fn scale_in_unreachable(&mut self, now: Time) {
+        for id in self.unreachable_machines(now) {
             tracing::info!(machine = %id, "machine sends heartbeats but is unreachable; scaling in");
             self.mark_for_scale_in(&id);
         }
@@ -73,7 +73,7 @@
             if agent.is_leaving() && is_empty(agent, self.cluster_state.machines().get(id)) {
                 agent.begin_deletion();
             }
-            let quiet_s = now.since(agent.last_heard);
+            let quiet_s = now.since(agent.last_contact);
             let unanswered_connections =
                 unanswered_connections(agent, quiet_s, self.cfg.heartbeat_s);
             if trusts_silence && (quiet_s > self.cfg.silent_s() || unanswered_connections) {
@@ -87,17 +87,16 @@
             }
         }
         let never_came = self.inventory.pending_machines().iter();
-        let never_came =
-            never_came.filter(|(id, pending_machines)| self.never_comes(id, pending_machines, now));
+        let never_came = never_came.filter(|(id, pending)| self.never_comes(id, pending, now));
         to_delete.extend(never_came.map(|(id, _)| id.clone()));
         to_delete
     }
 
     /// Whether a machine that was rented is not to be waited for any longer.
-    fn never_comes(&self, id: &MachineId, pending_machines: &PendingMachine, now: Time) -> bool {
-        let boot_s = self.types.get(&pending_machines.kind).map(|t| t.boot_s);
+    fn never_comes(&self, id: &MachineId, pending: &PendingMachine, now: Time) -> bool {
+        let boot_s = self.types.get(&pending.kind).map(|t| t.boot_s);
         let limit_s = STUCK_BOOTS * boot_s.unwrap_or(DEFAULT_BOOT_S) + STUCK_MARGIN_S;
-        now.since(pending_machines.since) > limit_s || self.inventory.is_missing(id)
+        now.since(pending.since) > limit_s || self.inventory.is_missing(id)
     }
 
     /// Whether nothing is to be done and nothing was asked for: the next job finds a
@@ -213,13 +212,13 @@
     }
 }
 
-/// Whether nothing is claimed on a machine, and nothing runs that it told of.
+/// Whether nothing is claimed on a machine, and nothing runs that it reported.
 fn is_empty(agent: &AgentState, machine: Option<&Machine>) -> bool {
     machine.is_none_or(|m| m.claims.is_empty())
         && agent.tasks.values().all(|t| t.phase == TaskPhase::Ended)
 }
 
-/// Whether a machine takes connections and doesn't answer. It was last heard
+/// Whether a machine takes connections and doesn't answer. Its last heartbeat came
 /// `quiet_s` seconds ago.
 fn unanswered_connections(agent: &AgentState, quiet_s: f64, heartbeat_s: f64) -> bool {
     let long =
--- a/src/control/core/scale_out.rs
+++ b/src/control/core/scale_out.rs
@@ -5,7 +5,7 @@
 use super::scaling_state::MachineOffer;
 use super::Core;
 use crate::autoscaler;
-use crate::cloud::Rental;
+use crate::cloud::{CloudError, Rental};
 use crate::types::{MachineId, Time, TypeName, Zone};
 
 /// What the cloud had too little of is not asked for again for so many seconds.
@@ -36,22 +36,22 @@
     }
 
     /// The requests to send, as far as the machines can be served and used.
-    pub(super) fn scale_out(&mut self, wants: Vec<autoscaler::Want>, now: Time) -> Vec<Rental> {
+    pub(super) fn scale_out(&mut self, requests: Vec<autoscaler::Want>, now: Time) -> Vec<Rental> {
         let mut left = self.machines_to_add(now);
         let mut rentals = Vec::new();
-        for mut want in wants {
-            want.count = want.count.min(u32::try_from(left).unwrap_or(u32::MAX));
-            if want.count == 0 {
+        for mut request in requests {
+            request.count = request.count.min(u32::try_from(left).unwrap_or(u32::MAX));
+            if request.count == 0 {
                 continue;
             }
-            left -= want.count as usize;
+            left -= request.count as usize;
             let number = self.scaling.requests.begin();
             rentals.push(Rental {
                 request_id: self.request_id(number),
-                machine_type: want.kind,
-                zone: want.zone,
-                spot: want.spot,
-                count: want.count,
+                machine_type: request.kind,
+                zone: request.zone,
+                spot: request.spot,
+                count: request.count,
             });
         }
         rentals
@@ -85,57 +85,48 @@
         }
     }
 
-    /// A rental's outcome: the machines, or whether that is for want of capacity; else
-    /// the call failed.
-    pub fn rented(&mut self, rental: &Rental, machines: Result<Vec<MachineId>, bool>, now: Time) {
+    /// A request's outcome: the machines, or why there are none.
+    pub fn scale_out_finished(
+        &mut self,
+        rental: &Rental,
+        machines: Result<Vec<MachineId>, CloudError>,
+        now: Time,
+    ) {
         self.scaling.requests.end();
         let offer = MachineOffer::from(rental);
         match machines {
             Ok(machines) => {
+                let pending = PendingMachine::requested(&offer, now);
                 if machines.len() < rental.count as usize {
                     self.scaling
                         .requests
                         .refuse(offer, now.after(NO_CAPACITY_S));
                 }
-                let pending_machines = PendingMachine {
-                    kind: rental.machine_type.clone(),
-                    zone: rental.zone.clone(),
-                    spot: rental.spot,
-                    since: now,
-                };
                 for id in machines.into_iter().filter(|m| self.scope.covers(m)) {
                     if !self.agents.contains(&id) {
-                        self.inventory.rented(id, pending_machines.clone());
+                        self.inventory.requested(id, pending.clone());
                     }
                 }
             }
-            Err(no_capacity) => {
-                if !no_capacity {
-                    self.windows.failed(now.after(FAILED_S));
-                }
-                let pause_s = if no_capacity { NO_CAPACITY_S } else { FAILED_S };
-                self.scaling.requests.refuse(offer, now.after(pause_s));
+            Err(CloudError::NoCapacity) => {
+                self.scaling
+                    .requests
+                    .refuse(offer, now.after(NO_CAPACITY_S));
+            }
+            Err(CloudError::Failed(_)) => {
+                self.windows.failed(now.after(FAILED_S));
+                self.scaling.requests.refuse(offer, now.after(FAILED_S));
             }
         }
     }
 
-    /// Another owner rented machines, some of which belong to this shard.
-    pub fn assign_rented_machine(
-        &mut self,
-        sort: (&TypeName, &Zone, bool),
-        machine: &MachineId,
-        now: Time,
-    ) {
+    /// A machine that another owner asked the cloud for is on its way: it may belong to this
+    /// shard.
+    pub fn expect_machine(&mut self, machine: &MachineId, offer: &MachineOffer, now: Time) {
         let known = self.agents.contains(machine) || self.tombstones.is_recent(machine);
         if self.scope.covers(machine) && !known {
-            let (kind, zone, spot) = sort;
-            let pending_machines = || PendingMachine {
-                kind: kind.clone(),
-                zone: zone.clone(),
-                spot,
-                since: now,
-            };
-            self.inventory.expect(machine, pending_machines);
+            self.inventory
+                .expect(machine, || PendingMachine::requested(offer, now));
         }
     }
 }
--- a/src/control/core/scaling.rs
+++ b/src/control/core/scaling.rs
@@ -1,5 +1,5 @@
-//! What is decided of the fleet in one look. The steps are of modules of their own: the
-//! room to keep for work to come of [`super::demand`], machines to delete and to empty of
+//! What is decided of the fleet in one pass. The steps are of modules of their own: the
+//! free capacity to keep for work to come of [`super::demand`], machines to delete and to empty of
 //! [`super::scale_in`], requests to the cloud of [`super::scale_out`].
 
 use std::rc::Rc;
@@ -23,8 +23,8 @@
 }
 
 impl Core {
-    /// Looks at the whole fleet: machines to delete now, and requests to send. Each
-    /// request is under way until its outcome is told to [`Core::rented`]. Nothing is
+    /// Plans the fleet: machines to delete now, and requests to send. Each
+    /// request is under way until its outcome comes to [`Core::scale_out_finished`]. Nothing is
     /// decided while the scope is handed on.
     pub fn fleet(&mut self, now: Time) -> ScalingDecision {
         if self.is_frozen() {
@@ -33,7 +33,7 @@
         self.log_fleet_if_due(now);
         let trusts_silence = self.trusts_silence(now);
         if trusts_silence {
-            self.give_back_deaf(now);
+            self.scale_in_unreachable(now);
         }
         let to_delete = self.machines_to_delete(trusts_silence, now);
         let settled = self.failover.age_s(now) > SETTLED_HEARTBEATS * self.cfg.heartbeat_s;
--- a/src/control/core/scaling_state.rs
+++ b/src/control/core/scaling_state.rs
@@ -12,13 +12,13 @@
 
 /// A sort of machine that the cloud is asked for.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub(super) struct MachineOffer {
+pub struct MachineOffer {
     /// The machine type.
-    pub(super) kind: TypeName,
+    pub kind: TypeName,
     /// The zone.
-    pub(super) zone: Zone,
+    pub zone: Zone,
     /// Whether it is a spot machine.
-    pub(super) spot: bool,
+    pub spot: bool,
 }
 
 impl From<&Rental> for MachineOffer {
@@ -33,7 +33,7 @@
 
 /// What is remembered between looks at the fleet.
 pub(super) struct ScalingState {
-    /// Jobs that came of late.
+    /// Jobs that arrived of late.
     pub(super) arrivals: BTreeMap<ArrivalSort, Arrivals>,
     /// Requests to the cloud.
     pub(super) requests: ScaleOutRequests,
--- a/src/control/core/service_levels.rs
+++ b/src/control/core/service_levels.rs
@@ -8,7 +8,7 @@
 use super::Core;
 use crate::types::Time;
 
-/// How often it is told who is served, in seconds, and how often at the most if
+/// How often it is logged who is served, in seconds, and how often at the most if
 /// that changes.
 const SERVED_S: f64 = 30.0;
 const SERVED_LEAST_S: f64 = 5.0;
@@ -16,8 +16,8 @@
 /// Counts of what classes and teams got, and what the log said of them last.
 pub(super) struct ServedLog {
     counts: Served,
-    /// When it was last told.
-    told_at: Time,
+    /// When it was last logged.
+    logged_at: Time,
     /// Who starved then.
     starved: BTreeSet<Sort>,
 }
@@ -27,7 +27,7 @@
     pub(super) fn new(now: Time) -> Self {
         Self {
             counts: Served::default(),
-            told_at: now,
+            logged_at: now,
             starved: BTreeSet::new(),
         }
     }
@@ -37,7 +37,7 @@
         &mut self.counts
     }
 
-    /// What is to be told now: now and then, and sooner if it changed who starves.
+    /// What is to be logged now: now and then, and sooner if it changed who starves.
     fn take_due(&mut self, waits: &BTreeMap<Sort, Waits>, now: Time) -> Option<Vec<Line>> {
         let lines = self.counts.lines(waits);
         let starving = lines.iter().filter(|l| l.starves);
@@ -47,23 +47,23 @@
         } else {
             SERVED_LEAST_S
         };
-        if now.since(self.told_at) < due_s {
+        if now.since(self.logged_at) < due_s {
             return None;
         }
-        self.told_at = now;
+        self.logged_at = now;
         self.starved = starving;
         Some(lines)
     }
 }
 
 impl Core {
-    /// Tells how long it took to hear of all machines, for the log.
+    /// Logs how long it took until all machines had reported.
     pub(super) fn log_recovery_time(&mut self, now: Time) {
-        let unheard = self.agents.count_unfenced();
+        let unfenced = self.agents.count_unfenced();
         let missing = self.cluster_state.unknown_machines().count();
         let all = self.agents.len() + missing;
-        if self.failover.awaits_heartbeats() && all > 0 && (unheard + missing) * 50 <= all {
-            self.failover.heard_machines();
+        if self.failover.awaits_heartbeats() && all > 0 && (unfenced + missing) * 50 <= all {
+            self.failover.machines_recovered();
             let after_s = self.failover.logged_age_s(now);
             tracing::info!(after_s, machines = all, "agents recovered after failover");
         }
--- a/src/control/core/shard_freeze.rs
+++ b/src/control/core/shard_freeze.rs
@@ -27,10 +27,10 @@
         if !self.scope.is_part() {
             return view.shard_count() == 1 && view.grant.mod_revision == self.grant_revision;
         }
-        let held = view.shards.get(&self.scope.shard);
-        match held.filter(|b| b.value.number == self.grant && b.value.owner == self.cfg.node) {
-            Some(held) if view.shard_count() == self.scope.of => {
-                self.grant_revision = held.mod_revision;
+        let granted = view.shards.get(&self.scope.shard);
+        match granted.filter(|b| b.value.number == self.grant && b.value.owner == self.cfg.node) {
+            Some(granted) if view.shard_count() == self.scope.of => {
+                self.grant_revision = granted.mod_revision;
                 true
             }
             _ => false,
--- a/src/control/core/shard_quota.rs
+++ b/src/control/core/shard_quota.rs
@@ -31,9 +31,9 @@
         let shards = i64::from(self.scope.of.max(1));
         let teams = self.cfg.teams.iter().enumerate();
         let parts = teams.map(|(i, team)| {
-            let held = record.map_or(Amount::default(), |r| r.of(&team.name));
+            let recorded = record.map_or(Amount::default(), |r| r.of(&team.name));
             let given = given.get(i).copied().unwrap_or_default();
-            let part = team_part(team, held, given, shards);
+            let part = team_part(team, recorded, given, shards);
             (part.limit, part.guarantee)
         });
         let parts: Vec<(Amount, Amount)> = parts.collect();
@@ -70,25 +70,25 @@
     }
 }
 
-/// A team's part of its limit, which is recorded as `held`, less what is being given
+/// A team's part of its limit, by the record, less what is being given
 /// away; its guarantee in the same proportion. RAM has no limit.
-fn team_part(team: &TeamConfig, held: Amount, given: Amount, shards: i64) -> TeamPart {
+fn team_part(team: &TeamConfig, recorded: Amount, given: Amount, shards: i64) -> TeamPart {
     // Of no limit there are no parts, whatever is recorded.
-    let part = |held: i64, given: i64, whole: i64, guarantee: i64| {
-        if whole == Amount::NO_LIMIT {
+    let part = |recorded: i64, given: i64, total_limit: i64, guarantee: i64| {
+        if total_limit == Amount::NO_LIMIT {
             return ResourcePart {
-                limit: whole,
+                limit: total_limit,
                 guarantee: guarantee / shards,
             };
         }
-        let share = i128::from(held.max(0)) * i128::from(guarantee);
+        let share = i128::from(recorded.max(0)) * i128::from(guarantee);
         ResourcePart {
-            limit: held - given,
-            guarantee: (share / i128::from(whole.max(1))) as i64,
+            limit: recorded - given,
+            guarantee: (share / i128::from(total_limit.max(1))) as i64,
         }
     };
-    let cpu = part(held.cpu, given.cpu, team.limit.cpu, team.guarantee.cpu);
-    let gpu = part(held.gpu, given.gpu, team.limit.gpu, team.guarantee.gpu);
+    let cpu = part(recorded.cpu, given.cpu, team.limit.cpu, team.guarantee.cpu);
+    let gpu = part(recorded.gpu, given.gpu, team.limit.gpu, team.guarantee.gpu);
     TeamPart {
         limit: Amount {
             cpu: cpu.limit,
--- a/src/control/core/start_permission.rs
+++ b/src/control/core/start_permission.rs
@@ -17,7 +17,7 @@
 }
 
 impl StartPermission {
-    /// No bound, until one is told.
+    /// No bound, until one is set.
     pub(super) fn unbounded() -> Self {
         Self {
             until: Time(f64::INFINITY),
--- a/src/control/core/task_delegation.rs
+++ b/src/control/core/task_delegation.rs
@@ -1,4 +1,4 @@
-//! Several shards: what of a job others hold, by its record, and what of that is taken
+//! Several shards: what of a job others have claimed, by its record, and what of that is taken
 //! up. What is left to other shards is of [`super::overflow`], the shard's part of the
 //! limits of [`super::shard_quota`], and handing it on of [`super::shard_freeze`].
 
@@ -13,7 +13,7 @@
 use crate::state::view::{JobEntry, View};
 use crate::types::{Amount, Attempt, JobId, JobSpec, Kind, MachineId, TaskId, Time, Zone};
 
-/// In which zone machines of all shards are, as far as it was heard.
+/// In which zone machines of all shards are, as far as it is known.
 pub type Places = Rc<std::cell::RefCell<HashMap<MachineId, Zone>>>;
 
 /// What goes between this shard and others.
@@ -62,7 +62,7 @@
         chunks.any(|(_, chunk)| self.claims_in(chunk, true))
     }
 
-    /// What others hold of a job, by its record, and what is left to whom.
+    /// What others have claimed of a job, by its record, and what is left to whom.
     pub(super) fn share(&mut self, id: &JobId, entry: &JobEntry) {
         if !self.scope.is_part() {
             return;
@@ -72,8 +72,8 @@
         };
         let size = entry.record.value.chunk.max(1);
         let mut claimed_elsewhere: BTreeSet<u32> = self.sharing.left.of(id).collect();
-        for (chunk, held) in entry.all_chunks() {
-            let theirs = held
+        for (chunk, stored) in entry.all_chunks() {
+            let theirs = stored
                 .claims
                 .iter()
                 .filter(|c| !self.scope.covers(&c.machine));
@@ -82,9 +82,9 @@
         claimed_elsewhere.retain(|i| !job.tasks.is_done(*i) && !job.tasks.claims().contains_key(i));
         let zones = self.zones_elsewhere(&job.spec, entry);
         let taken = self.sharing.taken.of(id).collect();
-        let adopt_delegated_tasks = (!self.scope.homes(id)).then_some(taken);
+        let taken_here = (!self.scope.homes(id)).then_some(taken);
         self.cluster_state
-            .share_job(id, claimed_elsewhere, adopt_delegated_tasks);
+            .share_job(id, claimed_elsewhere, taken_here);
         self.cluster_state.set_elsewhere(id, zones);
     }
 
--- a/src/control/core/tombstones.rs
+++ b/src/control/core/tombstones.rs
@@ -1,4 +1,4 @@
-//! Machines that are gone for good. Their names are never used again, so a late machine
+//! Deleted machines. Their names are never used again, so a late machine
 //! list, or a late copy of a heartbeat, must not bring one back.
 
 use std::collections::{BTreeMap, BTreeSet};
@@ -15,7 +15,7 @@
 const DELETED_LEASES: f64 = 12.0;
 const MAX_DELETED_MACHINES: usize = 20_000;
 
-/// The names of machines that are gone.
+/// The names of deleted machines.
 pub(super) struct MachineTombstones {
     /// Deleted under this grant, and when.
     deleted: BTreeMap<MachineId, Time>,
@@ -33,12 +33,12 @@
             deleted: BTreeMap::new(),
             to_record: DeletedMachines::load(view, scope),
             inherited: recorded
-                .flat_map(|held| held.value.machines.iter().cloned())
+                .flat_map(|stored| stored.value.machines.iter().cloned())
                 .collect(),
         }
     }
 
-    /// Whether a machine is gone.
+    /// Whether a machine was deleted.
     pub(super) fn contains(&self, machine: &MachineId) -> bool {
         self.is_recent(machine) || self.is_inherited(machine)
     }
@@ -48,7 +48,7 @@
         self.deleted.contains_key(machine)
     }
 
-    /// Whether an earlier owner noted a machine as gone.
+    /// Whether an earlier owner noted a machine as deleted.
     pub(super) fn is_inherited(&self, machine: &MachineId) -> bool {
         self.inherited.contains(machine)
     }
--- a/src/control/lease_renewal.rs
+++ b/src/control/lease_renewal.rs
@@ -115,7 +115,7 @@
         for (machine, incarnation, sequence) in machines.iter().filter_map(ForwardedHeartbeat::read)
         {
             if let Some(c) = cores.get_mut(self.shard_of(&machine)) {
-                c.heard(&machine, incarnation, sequence, now);
+                c.relayed_contact(&machine, incarnation, sequence, now);
             }
         }
     }
--- a/src/control/shard_demand.rs
+++ b/src/control/shard_demand.rs
@@ -6,6 +6,7 @@
 
 use tokio::time::{sleep, Instant};
 
+use super::core::MachineOffer;
 use super::quota_transfers::QUOTA_TRANSFER_INTERVAL;
 use super::{wall_ms, Node};
 use crate::peer_link::Kind;
@@ -132,13 +133,17 @@
     /// Takes up machines that were rented: their zones, and that those of owned shards come.
     fn take_rented(&self, rented: &Rented) {
         let now = self.now();
-        let sort = (&rented.kind, &rented.zone, rented.spot);
+        let offer = MachineOffer {
+            kind: rented.kind.clone(),
+            zone: rented.zone.clone(),
+            spot: rented.spot,
+        };
         let zones = rented.machines.iter();
         let zones = zones.map(|m| (m.clone(), rented.zone.clone()));
         self.shards.learn_zones(zones);
         for c in self.shards.owned_mut().values_mut() {
             for machine in &rented.machines {
-                c.assign_rented_machine(sort, machine, now);
+                c.expect_machine(machine, &offer, now);
             }
         }
     }
--- a/tests/rules/silence.rs
+++ b/tests/rules/silence.rs
@@ -223,7 +223,7 @@
         }
         let last = copies.last().expect("one");
         o.core.heartbeat(last, Source::Adopted, now);
-        o.core.heard(
+        o.core.relayed_contact(
             &dead,
             last.incarnation,
             SequenceNumber(last.sequence.0 + 1),
--- a/tests/rules/world.rs
+++ b/tests/rules/world.rs
@@ -8,7 +8,7 @@
 use serde_json::{json, Value};
 use sorrelhinge::agent_client::{Heartbeat, Sending};
 use sorrelhinge::api::read_job;
-use sorrelhinge::cloud::{ListedMachine, MachinePhase};
+use sorrelhinge::cloud::{CloudError, ListedMachine, MachinePhase};
 use sorrelhinge::config::Config;
 use sorrelhinge::control::core::{
     Batch, Core, Dispatch, Places, RecoveryInput, ShardGrant, Source,
@@ -601,7 +601,8 @@
             .fold_json("deleted machines", &decision.to_delete);
         for rental in decision.scale_out {
             self.trace.fold_json("rental", &rental);
-            self.owners[owner].core.rented(&rental, Err(true), now);
+            let core = &mut self.owners[owner].core;
+            core.scale_out_finished(&rental, Err(CloudError::NoCapacity), now);
         }
         for id in decision.to_delete {
             self.rented += 1;
