--- a/src/control/core/agent.rs
+++ b/src/control/core/agent.rs
@@ -33,7 +33,7 @@
     /// The highest fencing token that the worker has reported.
     seen: FencingToken,
     /// When its last heartbeat came, to this controller or, as a hint, to another one.
-    pub(super) last_contact: Time,
+    last_contact: Time,
     /// The newest report that another controller spoke of.
     relayed_sequence: SequenceNumber,
     /// Whether anything that is sent there has an effect.
@@ -43,9 +43,9 @@
     /// Whether direct commands get through.
     pub(super) direct: DirectLine,
     /// A direct command failed: no new tasks until a heartbeat shows that one arrived.
-    pub(super) suspected_one_way: bool,
+    suspected_one_way: bool,
     /// Its last heartbeat was passed on by another controller.
-    pub(super) passed: bool,
+    passed: bool,
     /// The cloud takes it, or it was chosen to go.
     leaving: bool,
     /// Being deleted: nothing may count on it again.
@@ -176,6 +176,21 @@
         }
     }
 
+    /// Seconds since its last heartbeat came here or, as a hint, to another controller.
+    pub(super) fn silence_s(&self, now: Time) -> f64 {
+        now.since(self.last_contact)
+    }
+
+    /// Whether a direct command failed, and no heartbeat shows yet that one arrived.
+    pub(super) fn is_suspected_one_way(&self) -> bool {
+        self.suspected_one_way
+    }
+
+    /// Whether its last heartbeat was passed on by another controller.
+    pub(super) fn is_passed_on(&self) -> bool {
+        self.passed
+    }
+
     /// Whether its machine is given back, or the cloud takes it.
     pub(super) fn is_leaving(&self) -> bool {
         self.leaving
--- a/src/control/core/agent_table.rs
+++ b/src/control/core/agent_table.rs
@@ -73,7 +73,7 @@
     /// Whether more than half of all agents sent a heartbeat in the last `limit_s` seconds.
     pub(super) fn most_reported_within(&self, limit_s: f64, now: Time) -> bool {
         let agents = self.agents.values();
-        let reported = agents.filter(|agent| now.since(agent.last_contact) < limit_s);
+        let reported = agents.filter(|agent| agent.silence_s(now) < limit_s);
         reported.count() * 2 > self.agents.len()
     }
 
--- a/src/control/core/agents.rs
+++ b/src/control/core/agents.rs
@@ -145,7 +145,7 @@
             return;
         };
         let patience_s = (SUSPECT_HEARTBEATS * self.cfg.heartbeat_s).max(SUSPECT_LEAST_S);
-        let silent = now.since(agent.last_contact) >= patience_s;
+        let silent = agent.silence_s(now) >= patience_s;
         if agent.direct.is_suspect() || !silent || !self.has_tasks(id) {
             return;
         }
@@ -160,22 +160,21 @@
         let agent = self.agents.get(id)?;
         let machine = self.cluster_state.machines().get(id);
         let draining = machine.is_some_and(|m| m.draining);
-        let silent =
-            now.since(agent.last_contact) >= SILENT_HEARTBEATS * self.cfg.heartbeat_s + SILENT_S;
+        let silent = agent.silence_s(now) >= SILENT_HEARTBEATS * self.cfg.heartbeat_s + SILENT_S;
         let leaving = agent.is_leaving() || agent.is_deleting();
         let usable = agent.fenced()
             && !draining
-            && !agent.suspected_one_way
+            && !agent.is_suspected_one_way()
             && !leaving
             && !agent.failed_jobs.is_shunned(now)
             && !agent.reachability.is_quarantined(now)
             && !silent;
         Some(AgentUsability {
             usable,
-            slow: agent.passed || agent.direct.is_failing(),
+            slow: agent.is_passed_on() || agent.direct.is_failing(),
             silent,
             leaving,
-            suspected_one_way: agent.suspected_one_way,
+            suspected_one_way: agent.is_suspected_one_way(),
             draining,
         })
     }
--- a/src/control/core/dispatch.rs
+++ b/src/control/core/dispatch.rs
@@ -43,7 +43,7 @@
             return false;
         }
         // Else the reply to its next heartbeat takes the commands there.
-        !(agent.passed && agent.fenced())
+        !(agent.is_passed_on() && agent.fenced())
     }
 
     /// The commands for a machine that may be contacted; none if there is nothing that
--- a/src/control/core/heartbeats.rs
+++ b/src/control/core/heartbeats.rs
@@ -51,7 +51,7 @@
     /// that it names, and for those that it does not.
     fn take_in(&mut self, heartbeat: &Heartbeat, source: Source, now: Time) {
         let id = &heartbeat.machine;
-        let (lease_s, silence_ignored) = (self.cfg.lease_s, now < self.silence_ignored_until);
+        let (lease_s, silence_ignored) = (self.cfg.lease_s, self.ignored_silence.is_on(now));
         let Some(agent) = self.agent(&SeenMachine::by_heartbeat(heartbeat), now) else {
             return;
         };
--- a/src/control/core/machine_list.rs
+++ b/src/control/core/machine_list.rs
@@ -88,11 +88,11 @@
             if listed.contains(&id) {
                 continue;
             }
-            let last_contact = self.agents.get(&id).map(|l| l.last_contact);
-            let silent = last_contact
-                .is_none_or(|t| now.since(t) > self.cfg.heartbeat_s * MISSED_HEARTBEATS);
-            let pending_machines = self.inventory.pending_machines().get(&id);
-            let fresh = pending_machines
+            let limit_s = self.cfg.heartbeat_s * MISSED_HEARTBEATS;
+            let agent = self.agents.get(&id);
+            let silent = agent.is_none_or(|a| a.silence_s(now) > limit_s);
+            let pending = self.inventory.pending_machines().get(&id);
+            let fresh = pending
                 .is_some_and(|c| now.since(c.since) < FRESH_LAGS * self.cfg.list_lag_s + FRESH_S);
             if silent && !fresh && self.inventory.not_seen(&id) {
                 self.mark_for_scale_in(&id);
@@ -134,11 +134,6 @@
         }
     }
 
-    /// Requests wait too long to be read: heartbeats may be missing.
-    pub fn ignore_silence(&mut self, now: Time) {
-        self.silence_ignored_until = now.after(self.cfg.silent_s());
-    }
-
     /// Machines were deleted: they and their tasks are gone.
     pub fn deleted(&mut self, machines: &[MachineId], now: Time) {
         for id in machines {
--- a/src/control/core/mod.rs
+++ b/src/control/core/mod.rs
@@ -22,6 +22,8 @@
 //! | drains as recorded | `drains` | `evictions`, `scale_out` |
 //! | when the spread of services was last repaired | `topology_repair` | `evictions` |
 //! | jobs among which may be broken gangs | `gang_restarts` | `job_changes`, `recorded_job` |
+//! | whether the shard is frozen for its handover | `shard_freeze` | all that claims |
+//! | until when silence means nothing | `silence` | `heartbeats`, `scaling` |
 //! | when waiting jobs were last logged | `waiting_log` | `tick` |
 //! | changes that were rejected | `rejected_changes` | `batch` |
 //! | what the log says of who is served | `service_levels` | `placement`, `outcomes` |
@@ -85,6 +87,7 @@
 mod service_levels;
 mod shard_freeze;
 mod shard_quota;
+mod silence;
 mod start_permission;
 mod task_attempt;
 mod task_delegation;
@@ -116,6 +119,8 @@
 pub use self::scaling::ScalingDecision;
 pub use self::scaling_state::MachineOffer;
 use self::service_levels::ServedLog;
+use self::shard_freeze::HandoverFreeze;
+use self::silence::IgnoredSilence;
 use self::start_permission::StartPermission;
 pub use self::task_delegation::Places;
 use self::tombstones::MachineTombstones;
@@ -163,7 +168,7 @@
     /// Which shard it is.
     pub scope: ShardScope,
     /// It is handed on: nothing more is claimed, and what is under way settles.
-    frozen_since: Option<Time>,
+    freeze: HandoverFreeze,
     /// Capacity that others' tasks may take, and what was left to others.
     sharing: task_delegation::Sharing,
     /// Zones of all shards' machines.
@@ -188,8 +193,8 @@
     placement_queue: PlacementQueue,
     /// Jobs that arrived of late, and requests to the cloud.
     scaling: scaling_state::ScalingState,
-    /// Until then silence means nothing: requests waited too long to be read.
-    silence_ignored_until: Time,
+    /// For how long silence means nothing: requests waited too long to be read.
+    ignored_silence: IgnoredSilence,
     /// Until when tasks may be started.
     start_permission: StartPermission,
     /// Deleted machines, which late lists and heartbeats may still show.
--- a/src/control/core/overflow.rs
+++ b/src/control/core/overflow.rs
@@ -19,7 +19,7 @@
 impl Core {
     /// Thousandths of a CPU that are free beyond this shard's own work.
     pub fn spare_cpu(&self) -> i64 {
-        if self.cluster_state.has_work() || self.frozen_since.is_some() {
+        if self.cluster_state.has_work() || self.is_frozen() {
             return 0;
         }
         let kept = |m: &Machine| if m.usable { m.kept.cpu } else { 0 };
@@ -36,7 +36,7 @@
     /// Leaves tasks that found no place to shards that have free capacity.
     pub fn leave(&mut self, view: &View, now: Time) -> Vec<LeftTo> {
         self.end_left(view, now);
-        if self.frozen_since.is_some() {
+        if self.is_frozen() {
             return Vec::new();
         }
         let waiting = self.jobs_without_place();
@@ -102,7 +102,7 @@
         };
         let live = entry.record.value.phase == Phase::Live;
         let in_range = left.tasks.iter().all(|i| *i < entry.record.value.tasks);
-        if !live || !in_range || self.scope.homes(&left.job) || self.frozen_since.is_some() {
+        if !live || !in_range || self.scope.homes(&left.job) || self.is_frozen() {
             return;
         }
         let tasks = left.tasks.iter().copied().collect();
--- a/src/control/core/recorded_job.rs
+++ b/src/control/core/recorded_job.rs
@@ -6,7 +6,7 @@
 use super::objectives::JobTimes;
 use super::Core;
 use crate::scheduler::{Claim, ClusterState, Job, Laned, Progress, Sent, Tasks};
-use crate::state::record::{JobRecord, Phase, RecordedClaim};
+use crate::state::record::{ChunkRecord, JobRecord, Phase, RecordedClaim};
 use crate::state::view::{JobEntry, View};
 use crate::types::{Attempt, JobId, JobSpec, Kind, MachineId, TaskId, Time};
 use sorrelhinge_topology::devices::Unit;
@@ -50,6 +50,17 @@
 }
 
 impl FoundClaim {
+    /// The claim of the task `index`, with the units that its chunk's record names for it.
+    fn new(index: u32, claim: &RecordedClaim, chunk: &ChunkRecord) -> Self {
+        let units = chunk.units.iter().find(|u| u.place == claim.place);
+        Self {
+            index,
+            attempt: claim.attempt,
+            machine: claim.machine.clone(),
+            units: units.map(|u| u.units.clone()),
+        }
+    }
+
     /// `uses_devices`: the job's tasks have some, named or not.
     fn into_claim(self, uses_devices: bool, now: Time) -> Claim {
         Claim {
@@ -188,23 +199,12 @@
                 .claims
                 .iter()
                 .filter(|c| self.scope.covers(&c.machine));
-            for RecordedClaim {
-                place,
-                attempt,
-                machine,
-            } in here
-            {
-                let index = chunk * record.chunk + place;
-                if self.tombstones.is_inherited(machine) {
+            for claim in here {
+                let index = chunk * record.chunk + claim.place;
+                if self.tombstones.is_inherited(&claim.machine) {
                     self.pending.released((id.clone(), chunk), now);
                 } else if index < record.tasks {
-                    let units = stored.units.iter().find(|u| u.place == *place);
-                    found.claims.push(FoundClaim {
-                        index,
-                        attempt: *attempt,
-                        machine: machine.clone(),
-                        units: units.map(|u| u.units.clone()),
-                    });
+                    found.claims.push(FoundClaim::new(index, claim, stored));
                 }
             }
         }
@@ -230,8 +230,6 @@
         tracing::debug!(job = %id, class = %spec.class, team = %spec.team, tasks = spec.tasks, image = %spec.image.as_str(), "job");
         let started = found.started();
         let suspected_one_way = found.casts_doubt_on(&spec);
-        let lanes = &self.cfg.lanes;
-        let lane = lanes.of(&spec.class, spec.priority, spec.deadline_s.is_some());
         let topology = self.cluster_state.topology().map(|t| &**t);
         let urgency = self.urgency(&spec, times, view.pipelines().urgency(id));
         let failures = if suspected_one_way {
@@ -240,7 +238,7 @@
             0
         };
         let mut job = Job {
-            lane: lane.map(|lane| Laned::new(lane, entry.place)),
+            lane: self.lane_of(&spec, entry),
             suspected_one_way,
             failures,
             cancelled: record.phase == Phase::Cancelled,
@@ -256,6 +254,13 @@
         })
     }
 
+    /// A job's priority lane and its place there, if its class has lanes.
+    fn lane_of(&self, spec: &JobSpec, entry: &JobEntry) -> Option<Laned> {
+        let lanes = &self.cfg.lanes;
+        let lane = lanes.of(&spec.class, spec.priority, spec.deadline_s.is_some());
+        lane.map(|lane| Laned::new(lane, entry.place))
+    }
+
     /// The place of a job's team among those of the settings; none: it is not among them.
     fn team_of(&self, id: &JobId, spec: &JobSpec) -> Option<usize> {
         let mut teams = self.cfg.teams.iter();
--- a/src/control/core/recovery.rs
+++ b/src/control/core/recovery.rs
@@ -18,6 +18,8 @@
 use super::rejected_changes::RejectedChanges;
 use super::scaling_state::ScalingState;
 use super::service_levels::ServedLog;
+use super::shard_freeze::HandoverFreeze;
+use super::silence::IgnoredSilence;
 use super::start_permission::StartPermission;
 use super::task_delegation::{self, Places};
 use super::tombstones::MachineTombstones;
@@ -99,7 +101,7 @@
             grant: grant.number,
             grant_revision: grant.revision,
             scope,
-            frozen_since: None,
+            freeze: HandoverFreeze::default(),
             sharing: task_delegation::Sharing::default(),
             places,
             served_log: ServedLog::new(now),
@@ -112,7 +114,7 @@
             command_queue: CommandQueue::default(),
             placement_queue: PlacementQueue::default(),
             scaling: ScalingState::new(now),
-            silence_ignored_until: now,
+            ignored_silence: IgnoredSilence::none(now),
             start_permission: StartPermission::unbounded(),
             tombstones: MachineTombstones::load(view, scope),
             windows: reservations::Windows::default(),
--- a/src/control/core/scale_in.rs
+++ b/src/control/core/scale_in.rs
@@ -11,8 +11,6 @@
 use crate::scheduler::Machine;
 use crate::types::{MachineId, Time};
 
-/// A machine reported of late if that is less than so many heartbeat intervals ago.
-const RECENT_HEARTBEATS: f64 = 2.5;
 /// A machine that was asked directly so often in vain hangs.
 const HANGS: u32 = 2;
 /// So does one that was asked once and is silent for so many heartbeat intervals.
@@ -46,17 +44,6 @@
 }
 
 impl Core {
-    /// Whether a machine's silence means anything. If most are silent it is this
-    /// controller that nothing reaches. Nor does silence mean anything where requests
-    /// wait too long to be read: giving machines back then, and renting others, is
-    /// how a fleet that is too large for its controllers would be kept so.
-    pub(super) fn trusts_silence(&self, now: Time) -> bool {
-        let limit_s = RECENT_HEARTBEATS * self.cfg.heartbeat_s;
-        self.agents.most_reported_within(limit_s, now)
-            && self.failover.age_s(now) > self.cfg.silent_s()
-            && now >= self.silence_ignored_until
-    }
-
     /// Gives back machines that heartbeat and that no command reaches.
     pub(super) fn scale_in_unreachable(&mut self, now: Time) {
         for id in self.unreachable_machines(now) {
@@ -73,7 +60,7 @@
             if agent.is_leaving() && is_empty(agent, self.cluster_state.machines().get(id)) {
                 agent.begin_deletion();
             }
-            let quiet_s = now.since(agent.last_contact);
+            let quiet_s = agent.silence_s(now);
             let unanswered_connections =
                 unanswered_connections(agent, quiet_s, self.cfg.heartbeat_s);
             if trusts_silence && (quiet_s > self.cfg.silent_s() || unanswered_connections) {
--- a/src/control/core/shard_freeze.rs
+++ b/src/control/core/shard_freeze.rs
@@ -11,6 +11,36 @@
 /// unanswered one is in doubt for the next owner, as after any takeover.
 const SETTLE_S: f64 = 1.0;
 
+/// Since when the shard is frozen for its handover.
+#[derive(Default)]
+pub(super) struct HandoverFreeze {
+    since: Option<Time>,
+}
+
+impl HandoverFreeze {
+    /// Freezes the shard. False if it was frozen before.
+    fn begin(&mut self, now: Time) -> bool {
+        let begins = self.since.is_none();
+        self.since.get_or_insert(now);
+        begins
+    }
+
+    /// Ends it. False if the shard was not frozen.
+    fn end(&mut self) -> bool {
+        self.since.take().is_some()
+    }
+
+    /// Whether the shard is frozen.
+    fn is_on(&self) -> bool {
+        self.since.is_some()
+    }
+
+    /// Whether it began less than so many seconds ago.
+    fn is_younger_than(&self, age_s: f64, now: Time) -> bool {
+        self.since.is_some_and(|t| now.since(t) < age_s)
+    }
+}
+
 impl Core {
     /// The key of this shard's grant.
     pub(super) fn grant_key(&self) -> String {
@@ -41,11 +71,17 @@
     /// be recorded are dropped: nothing was sent for them, and with changes short
     /// they would keep the shard frozen for seconds.
     pub fn freeze(&mut self, now: Time) {
-        if self.frozen_since.is_some() {
+        if !self.freeze.begin(now) {
             return;
         }
         tracing::info!(shard = %self.scope.shard, "shard frozen for handover");
-        self.frozen_since = Some(now);
+        for task in self.unsent_claims() {
+            self.release(&task, now);
+        }
+    }
+
+    /// Tasks whose claims still wait to be recorded, and of which nothing was sent.
+    fn unsent_claims(&self) -> Vec<TaskId> {
         let mut unsent = Vec::new();
         for (id, job) in self.cluster_state.jobs() {
             for (&index, claim) in job.tasks.claims() {
@@ -59,14 +95,12 @@
                 }
             }
         }
-        for task in unsent {
-            self.release(&task, now);
-        }
+        unsent
     }
 
     /// The offer was taken back.
     pub fn thaw(&mut self) {
-        if self.frozen_since.take().is_some() {
+        if self.freeze.end() {
             tracing::info!(shard = %self.scope.shard, "shard handover withdrawn");
             self.placement_queue.request_full_walk();
         }
@@ -74,14 +108,14 @@
 
     /// Whether it is frozen.
     pub fn is_frozen(&self) -> bool {
-        self.frozen_since.is_some()
+        self.freeze.is_on()
     }
 
     /// Whether what is under way has settled: what was claimed is recorded, and
     /// no command is unanswered, or it has taken long enough. Results that wait
     /// to be recorded are not waited for: workers repeat them to the next owner.
     pub fn settled(&self, now: Time) -> bool {
-        let patient = self.frozen_since.is_some_and(|t| now.since(t) < SETTLE_S);
+        let patient = self.freeze.is_younger_than(SETTLE_S, now);
         !(self.pending.claims_any() || patient && self.command_queue.awaits_answers())
     }
 }
