--- a/src/control/core/active_rollout.rs
+++ b/src/control/core/active_rollout.rs
@@ -2,12 +2,17 @@
 
 use std::collections::btree_map::Entry;
 use std::collections::{BTreeMap, BTreeSet};
+use std::ops::Bound;
 
 use sorrelhinge_image_distribution::plan::{Rollout, Source, Uploads};
 
 use crate::scheduler::{Claim, Progress, Sent};
 use crate::types::{MachineId, Time};
 
+/// Starts that wait are looked at so many at a time: with thousands of them, and
+/// no upload free, all at once would hold up everything else.
+const MACHINES_SCANNED_PER_PASS: usize = 64;
+
 /// What a machine does with an image, by the claims there.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum ImageState {
@@ -45,6 +50,13 @@
     pub(super) complete: bool,
 }
 
+/// A machine that has all of an image when its rollout begins.
+pub(super) struct CompleteMachine {
+    pub(super) id: MachineId,
+    /// Its failure domains, the zone first.
+    pub(super) path: Vec<String>,
+}
+
 /// An image's rollout here.
 pub(super) struct ActiveRollout {
     /// None: a predecessor's, which is continued once it is known what was
@@ -56,7 +68,7 @@
     pub(super) members: BTreeMap<MachineId, Member>,
     /// Machines whose start waits, and which of them was looked at last.
     pub(super) waiting: BTreeSet<MachineId>,
-    pub(super) scanned_to: MachineId,
+    scanned_to: MachineId,
     /// Since when no start is pending and nobody fetches it.
     pub(super) over_since: Option<Time>,
 }
@@ -74,6 +86,59 @@
         }
     }
 
+    /// A new rollout, with the machines that have all of the image.
+    pub(super) fn begin(
+        mut rollout: Rollout,
+        complete: impl Iterator<Item = CompleteMachine>,
+    ) -> Self {
+        let mut members = BTreeMap::new();
+        for machine in complete {
+            rollout.join(machine.id.clone(), &machine.path, true);
+            let member = Member {
+                complete: true,
+                since: Time(0.0),
+            };
+            members.insert(machine.id, member);
+        }
+        Self {
+            members,
+            ..Self::of(Some(rollout))
+        }
+    }
+
+    /// A machine of the rollout has all of the image.
+    pub(super) fn arrived(&mut self, machine: &MachineId, uploads: &mut Uploads) {
+        let member = self.members.get_mut(machine);
+        if let (Some(rollout), Some(member)) = (&mut self.rollout, member) {
+            rollout.arrived(machine, uploads);
+            member.complete = true;
+        }
+    }
+
+    /// Scans some of the machines whose start waits, from where the last scan ended; those
+    /// that may be sent it now wait no longer.
+    pub(super) fn take_due_starts(&mut self, uploads: &Uploads, now: Time) -> Vec<MachineId> {
+        let mut due = Vec::new();
+        let Some(rollout) = &self.rollout else {
+            return due;
+        };
+        for _ in 0..MACHINES_SCANNED_PER_PASS.min(self.waiting.len()) {
+            let after = (Bound::Excluded(&self.scanned_to), Bound::Unbounded);
+            let next = self.waiting.range(after).next();
+            let Some(id) = next.or_else(|| self.waiting.first()).cloned() else {
+                break;
+            };
+            // One that is not in it yet joins with its start.
+            let joins = !self.members.contains_key(&id);
+            if joins || rollout.may_start(&id, uploads, now.0) {
+                self.waiting.remove(&id);
+                due.push(id.clone());
+            }
+            self.scanned_to = id;
+        }
+        due
+    }
+
     /// Whom a machine takes the image from if its start is sent now, the best first. None:
     /// the start has to wait for its stage.
     pub(super) fn start_on(
--- a/src/control/core/image_distribution.rs
+++ b/src/control/core/image_distribution.rs
@@ -7,15 +7,15 @@
 
 use std::collections::BTreeMap;
 
-use sorrelhinge_image_distribution::plan::{Limits, Rollout, Uploads};
+use sorrelhinge_image_distribution::plan::{Limits, Rollout, Source, Uploads};
 use sorrelhinge_image_distribution::record::RolloutRecord;
 use sorrelhinge_sharding::shard::{ShardId, ShardScope};
 
-use super::active_rollout::ActiveRollout;
+use super::active_rollout::{ActiveRollout, StartingMachine};
 use super::rollout_records::RolloutKey;
 use crate::config::Config;
 use crate::state::view::{Versioned, View};
-use crate::types::{Image, JobSpec, Revision};
+use crate::types::{Image, JobSpec, MachineId, Revision, Time};
 
 /// All rollouts of a shard.
 pub(super) struct ImageDistribution {
@@ -82,6 +82,58 @@
         self.least_gb.is_some_and(|least| spec.image_gb >= least)
     }
 
+    /// Whether an image has a rollout here, perhaps a predecessor's.
+    pub(super) fn has_rollout(&self, image: &Image) -> bool {
+        self.rollouts.contains_key(image)
+    }
+
+    /// A rollout for an image that has none; none: it has to do without one.
+    pub(super) fn new_rollout(&self, image: &Image) -> Option<Rollout> {
+        if let Some(stored_record) = self.stored_records.get(&self.key(image)) {
+            // A later version's is left alone, and one of another image whose
+            // name has the same hash too.
+            let ours = stored_record.value.as_ref().filter(|r| r.known());
+            ours.filter(|r| r.image == *image)?;
+        }
+        let rollout = Rollout::new(image.clone(), self.limits);
+        let first = rollout.next(0.0)?;
+        self.fitting(&first)?;
+        Some(rollout)
+    }
+
+    /// A rollout begins for an image that had none.
+    pub(super) fn begin(&mut self, image: &Image, rollout: ActiveRollout) {
+        self.rollouts.insert(image.clone(), rollout);
+    }
+
+    /// Whom a machine takes an image from if its start is sent now, the best first. None:
+    /// the start has to wait for its stage.
+    pub(super) fn start_on(
+        &mut self,
+        image: &Image,
+        machine: &StartingMachine<'_>,
+        now: Time,
+    ) -> Option<Vec<Source>> {
+        let rollout = self.rollouts.get_mut(image)?;
+        rollout.start_on(machine, &mut self.uploads, now)
+    }
+
+    /// A machine has all of an image.
+    pub(super) fn arrived(&mut self, image: &Image, machine: &MachineId) {
+        if let Some(rollout) = self.rollouts.get_mut(image) {
+            rollout.arrived(machine, &mut self.uploads);
+        }
+    }
+
+    /// Machines whose start waited and may be sent now, a few of each rollout.
+    pub(super) fn take_due_starts(&mut self, now: Time) -> Vec<MachineId> {
+        let uploads = &self.uploads;
+        let rollouts = self.rollouts.values_mut();
+        rollouts
+            .flat_map(|rollout| rollout.take_due_starts(uploads, now))
+            .collect()
+    }
+
     /// By which an image's record is found.
     pub(super) fn key(&self, image: &Image) -> RolloutKey {
         RolloutKey::of(self.shard, image)
--- a/src/control/core/image_rollout.rs
+++ b/src/control/core/image_rollout.rs
@@ -2,22 +2,17 @@
 //! others take their image from. What is known and recorded of it is in
 //! [`super::image_distribution`]; it is compared with the claims in [`super::rollout_refresh`].
 
-use std::collections::BTreeMap;
 use std::net::SocketAddr;
-use std::ops::Bound;
 
-use sorrelhinge_image_distribution::plan::{Rollout, Source as From};
+use sorrelhinge_image_distribution::plan::Source as From;
 
-use super::active_rollout::{image_state, ActiveRollout, ImageState, Member, StartingMachine};
-use super::image_distribution::ImageDistribution;
+use super::active_rollout::{
+    image_state, ActiveRollout, CompleteMachine, ImageState, StartingMachine,
+};
 use super::Core;
 use crate::agent_client::Heartbeat;
 use crate::types::{Image, JobSpec, MachineId, TaskId, Time};
 
-/// Starts that wait are looked at so many at a time: with thousands of them, and
-/// no upload free, all at once would hold up everything else.
-const MACHINES_SCANNED_PER_PASS: usize = 64;
-
 impl Core {
     /// Whom a machine takes a job's image from if it is started now, the best
     /// first, and nobody: from the origin. None: the start has to wait for its
@@ -34,16 +29,13 @@
         let path = self.path_of(id);
         let machine = self.cluster_state.machines().get(id);
         let complete = machine.is_some_and(|m| m.cache.has(&spec.image));
-        let ImageDistribution {
-            rollouts, uploads, ..
-        } = &mut self.image_distribution;
-        let kept = rollouts.get_mut(&spec.image)?;
         let starting = StartingMachine {
             id,
             path: &path,
             complete,
         };
-        let from = kept.start_on(&starting, uploads, now)?;
+        let image = &spec.image;
+        let from = self.image_distribution.start_on(image, &starting, now)?;
         let addr = |source: &From| match source {
             From::Origin => None,
             From::Machine(id) => self.agents.addr(id),
@@ -62,49 +54,26 @@
         let Some(machine) = self.cluster_state.claim_of(task).map(|c| c.machine.clone()) else {
             return;
         };
-        let ImageDistribution {
-            rollouts, uploads, ..
-        } = &mut self.image_distribution;
-        if let Some(kept) = rollouts.get_mut(&spec.image) {
-            if let (Some(rollout), Some(m)) = (&mut kept.rollout, kept.members.get_mut(&machine)) {
-                rollout.arrived(&machine, uploads);
-                m.complete = true;
-            }
-        }
+        self.image_distribution.arrived(&spec.image, &machine);
     }
 
     /// Has a rollout for an image; false if it has to do without one.
     pub(super) fn keep_rollout(&mut self, image: &Image) -> bool {
-        if self.image_distribution.rollouts.contains_key(image) {
+        if self.image_distribution.has_rollout(image) {
             return true;
         }
-        let key = self.image_distribution.key(image);
-        if let Some(stored_records) = self.image_distribution.stored_records.get(&key) {
-            // A later version's is left alone, and one of another image whose
-            // name has the same hash too.
-            let ours = stored_records.value.as_ref().filter(|r| r.known());
-            if ours.is_none_or(|r| r.image != *image) {
-                return false;
-            }
-        }
-        let mut rollout = Rollout::new(image.clone(), self.image_distribution.limits);
-        let first = rollout.next(0.0);
-        if first.is_none_or(|record| self.image_distribution.fitting(&record).is_none()) {
+        let Some(rollout) = self.image_distribution.new_rollout(image) else {
             return false;
-        }
-        let mut members = BTreeMap::new();
-        for (id, machine) in self.cluster_state.machines() {
-            if machine.cache.has(image) && !self.awaits(id, image) {
-                rollout.join(id.clone(), &self.path_of(id), true);
-                let (complete, since) = (true, Time(0.0));
-                members.insert(id.clone(), Member { complete, since });
-            }
-        }
-        let kept = ActiveRollout {
-            members,
-            ..ActiveRollout::of(Some(rollout))
         };
-        self.image_distribution.rollouts.insert(image.clone(), kept);
+        let machines = self.cluster_state.machines().iter();
+        let complete = machines
+            .filter(|(id, machine)| machine.cache.has(image) && !self.awaits(id, image))
+            .map(|(id, _)| CompleteMachine {
+                id: id.clone(),
+                path: self.path_of(id),
+            });
+        let begun = ActiveRollout::begin(rollout, complete);
+        self.image_distribution.begin(image, begun);
         true
     }
 
@@ -159,30 +128,7 @@
 
     /// Wakes machines whose start waited and may be sent now, a few at a time.
     pub(super) fn wake_staged(&mut self, now: Time) {
-        let mut due = Vec::new();
-        let ImageDistribution {
-            rollouts, uploads, ..
-        } = &mut self.image_distribution;
-        for kept in rollouts.values_mut() {
-            let Some(rollout) = &kept.rollout else {
-                continue;
-            };
-            for _ in 0..MACHINES_SCANNED_PER_PASS.min(kept.waiting.len()) {
-                let after = (Bound::Excluded(&kept.scanned_to), Bound::Unbounded);
-                let next = kept.waiting.range(after).next();
-                let Some(id) = next.or_else(|| kept.waiting.first()).cloned() else {
-                    break;
-                };
-                // One that is not in it yet joins with its start.
-                let joins = !kept.members.contains_key(&id);
-                if joins || rollout.may_start(&id, uploads, now.0) {
-                    kept.waiting.remove(&id);
-                    due.push(id.clone());
-                }
-                kept.scanned_to = id;
-            }
-        }
-        for id in due {
+        for id in self.image_distribution.take_due_starts(now) {
             self.wake(&id);
         }
     }
