--- a/src/control/core/demand.rs
+++ b/src/control/core/demand.rs
@@ -4,7 +4,7 @@
 use std::collections::HashMap;
 use std::sync::Arc;
 
-use super::objectives::Arrivals;
+use super::arrivals::Arrivals;
 use super::Core;
 use crate::autoscaler;
 use crate::types::{Amount, Kind, Priority, Time};
@@ -28,89 +28,68 @@
 impl Core {
     /// Free capacity to keep for each class that came of late: a typical job of it.
     pub(super) fn expected(&mut self, now: Time) -> Vec<autoscaler::Expected> {
-        self.forget_old_arrivals(now);
-        self.cluster_state.shapes = self
-            .scaling
-            .arrivals
-            .values()
-            .map(|a| a.spec.each)
-            .collect();
+        self.scaling.arrivals.expire(ARRIVAL_WINDOW_S, now);
+        let arrivals = self.scaling.arrivals.iter();
+        self.cluster_state.shapes = arrivals.map(|a| a.spec().each).collect();
         self.reserve_for_urgent_classes();
         let headroom = self.cfg.tuning.headroom;
-        let firsts = self
-            .scaling
-            .arrivals
-            .values()
-            .filter_map(|a| a.recent.front());
-        let first = Time(firsts.map(|arrival| arrival.at.0).fold(now.0, f64::min));
+        let first = self.scaling.arrivals.first_at(now);
         let span_s = now.since(first).clamp(MIN_ARRIVAL_SPAN_S, ARRIVAL_WINDOW_S);
-        self.scaling
-            .arrivals
-            .values()
+        let arrivals = self.scaling.arrivals.iter();
+        arrivals
             // Work of idle priority takes what is left.
-            .filter(|a| a.spec.priority > Priority::Idle)
+            .filter(|a| a.spec().priority > Priority::Idle)
             .map(|a| autoscaler::Expected {
-                spec: a.spec.clone(),
+                spec: a.spec().clone(),
                 tasks: (headroom * self.tasks_while_booting(a, span_s)).ceil() as u32,
             })
             .collect()
     }
 
-    /// Drops arrivals that are too old to count, and classes of which none is left.
-    fn forget_old_arrivals(&mut self, now: Time) {
-        for arrivals in self.scaling.arrivals.values_mut() {
-            arrivals
-                .recent
-                .retain(|arrival| now.since(arrival.at) < ARRIVAL_WINDOW_S);
-        }
-        self.scaling.arrivals.retain(|_, a| !a.recent.is_empty());
-    }
-
     /// Tasks of a class that come while a machine boots, and how much that varies
     /// when they come in jobs. All classes' arrivals came within `span_s` seconds.
     fn tasks_while_booting(&self, arrivals: &Arrivals, span_s: f64) -> f64 {
-        let sizes = arrivals.recent.iter().map(|arrival| arrival.tasks);
+        let sizes = arrivals.task_counts();
+        let count = sizes.len();
         let sum: u32 = sizes.map(|tasks| tasks.min(MAX_COUNTED_TASKS)).sum();
-        let mean = f64::from(sum) / arrivals.recent.len() as f64;
+        let mean = f64::from(sum) / count as f64;
         let boot_s = BOOTS_COVERED * self.boot_s();
         let come = f64::from(sum) / span_s * boot_s;
         let burst = (come * mean).sqrt();
-        match arrivals.spec.kind {
+        match arrivals.spec().kind {
             // Replicas stay: none preempts work for the next.
             Kind::Service => SERVICE_CAPACITY * (come + burst),
-            Kind::Array | Kind::Gang => BURST_SHARE * burst * self.headroom_weight(&arrivals.spec),
+            Kind::Array | Kind::Gang => BURST_SHARE * burst * self.headroom_weight(arrivals.spec()),
         }
     }
 
     /// Within each team's limit, a reserve for a job of the classes whose users
     /// wait for its start: other work of the team must not take the last.
     pub(super) fn reserve_for_urgent_classes(&mut self) {
-        let mut max: HashMap<Arc<str>, Amount> = HashMap::new();
-        for a in self.scaling.arrivals.values() {
-            if self.starts_within(&a.spec.class).is_some() {
-                let largest = a
-                    .recent
-                    .iter()
-                    .map(|arrival| arrival.tasks)
-                    .max()
-                    .unwrap_or(0);
-                let job = a.spec.each.times(i64::from(largest.min(MAX_COUNTED_TASKS)));
-                let reserve = max.entry(a.spec.team.clone()).or_default();
-                if reserve.cpu < job.cpu {
-                    *reserve = job;
-                }
-            }
-        }
+        let largest = self.largest_urgent_jobs();
         for (i, team) in self.cfg.teams.iter().enumerate() {
-            let reserve = max.get(&team.name).copied().unwrap_or_default();
+            let job = largest.get(&team.name).copied().unwrap_or_default();
+            let limit = self.cluster_state.teams()[i].limit;
             // A small part of the limit only.
-            let reserve =
-                if reserve.cpu * RESERVE_DIVISOR <= self.cluster_state.teams()[i].limit.cpu {
-                    reserve
-                } else {
-                    Amount::default()
-                };
+            let small = job.cpu * RESERVE_DIVISOR <= limit.cpu;
+            let reserve = if small { job } else { Amount::default() };
             self.cluster_state.hold_back(i, reserve);
         }
     }
+
+    /// By team: what the largest job takes, by its CPUs, of those that came of late and
+    /// whose users wait for the start.
+    fn largest_urgent_jobs(&self) -> HashMap<Arc<str>, Amount> {
+        let mut by_team: HashMap<Arc<str>, Amount> = HashMap::new();
+        let arrivals = self.scaling.arrivals.iter();
+        for a in arrivals.filter(|a| self.starts_within(&a.spec().class).is_some()) {
+            let tasks = a.largest_task_count().min(MAX_COUNTED_TASKS);
+            let job = a.spec().each.times(i64::from(tasks));
+            let largest = by_team.entry(a.spec().team.clone()).or_default();
+            if largest.cpu < job.cpu {
+                *largest = job;
+            }
+        }
+        by_team
+    }
 }
--- a/src/control/core/mod.rs
+++ b/src/control/core/mod.rs
@@ -17,7 +17,7 @@
 //! | the agents of all machines that are up | `agent_table` | all |
 //! | a worker's last heartbeat, its fencing token and commands | `agent`, `direct_line` | `heartbeats`, `dispatch` |
 //! | a transaction while it is put together | `draft` | `batch`, `outcomes` |
-//! | jobs that arrived, requests to the cloud | `scaling_state` | `objectives`, `demand`, `scale_in`, `scale_out` |
+//! | jobs that arrived, requests to the cloud | `scaling_state`, `arrivals` | `demand`, `scale_in`, `scale_out` |
 //! | losses and new machines by failure domain | `topology_history` | `agents`, `evictions`, `scaling` |
 //! | drains as recorded | `drains` | `evictions`, `scale_out` |
 //! | when the spread of services was last repaired | `topology_repair` | `evictions` |
@@ -36,6 +36,7 @@
 mod agent;
 mod agent_table;
 mod agents;
+mod arrivals;
 mod batch;
 mod command_queue;
 mod commands;
--- a/src/control/core/objectives.rs
+++ b/src/control/core/objectives.rs
@@ -1,14 +1,10 @@
-//! What jobs need by the objectives of their class (settings, `objectives`), and which
-//! jobs came of late.
-
-use std::collections::VecDeque;
-use std::rc::Rc;
+//! What jobs need by the objectives of their class (settings, `objectives`).
 
 use sorrelhinge_pipelines::urgency::Urgency;
 
 use super::Core;
 use crate::scheduler::JobUrgency;
-use crate::types::{JobSpec, Time, TypeName};
+use crate::types::{JobSpec, Time};
 
 /// Bounds of [`Core::headroom_weight`].
 const MIN_HEADROOM_WEIGHT: f64 = 0.2;
@@ -20,54 +16,6 @@
 const MAX_PATIENCE_S: f64 = 30.0;
 /// A job is late once less than so many boots are left to it.
 const LATE_BOOTS: f64 = 1.5;
-/// Of so many jobs of one sort it is kept when they came.
-const MAX_ARRIVALS: usize = 2000;
-
-/// What jobs have in common whose arrivals are counted together: those of one class may
-/// need different machine types.
-#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub(super) struct ArrivalSort {
-    class: Rc<str>,
-    /// The smallest machine type that a task fits; none if no type is known that it does.
-    smallest_type: Option<TypeName>,
-}
-
-/// Jobs of one sort that came of late.
-pub(super) struct Arrivals {
-    /// The latest one's description.
-    pub(super) spec: Rc<JobSpec>,
-    /// The latest last.
-    pub(super) recent: VecDeque<Arrival>,
-}
-
-/// A job that came.
-pub(super) struct Arrival {
-    pub(super) at: Time,
-    /// How many tasks it has.
-    pub(super) tasks: u32,
-}
-
-impl Arrivals {
-    /// None came yet of those that are like this job.
-    fn new(spec: &Rc<JobSpec>) -> Self {
-        Self {
-            spec: spec.clone(),
-            recent: VecDeque::new(),
-        }
-    }
-
-    /// A job came.
-    fn add(&mut self, spec: &Rc<JobSpec>, at: Time) {
-        self.spec = spec.clone();
-        self.recent.push_back(Arrival {
-            at,
-            tasks: spec.tasks,
-        });
-        if self.recent.len() > MAX_ARRIVALS {
-            self.recent.pop_front();
-        }
-    }
-}
 
 /// From when a job's times count, on this process's clock.
 pub(super) struct JobTimes {
@@ -80,18 +28,6 @@
 }
 
 impl Core {
-    /// A job came: others of its sort may follow.
-    pub(super) fn arrived(&mut self, spec: &Rc<JobSpec>, at: Time) {
-        let sort = ArrivalSort {
-            class: Rc::from(&*spec.class),
-            smallest_type: self.types.smallest_for(spec.each).cloned(),
-        };
-        let arrivals = self.scaling.arrivals.entry(sort);
-        arrivals
-            .or_insert_with(|| Arrivals::new(spec))
-            .add(spec, at);
-    }
-
     /// How much a class depends on free capacity that is there already: what a new
     /// machine takes to boot, against the time that its objectives leave.
     pub(super) fn headroom_weight(&self, spec: &JobSpec) -> f64 {
--- a/src/control/core/reservation_supply.rs
+++ b/src/control/core/reservation_supply.rs
@@ -68,7 +68,7 @@
     /// The size of an image in GB, as jobs of late say.
     pub(super) fn image_gb(&self, image: &str) -> f64 {
         let jobs = self.cluster_state.jobs().values().map(|j| &j.spec);
-        let late = self.scaling.arrivals.values().map(|a| &a.spec);
+        let late = self.scaling.arrivals.iter().map(|a| a.spec());
         let found = jobs.chain(late).find(|s| s.image.as_str() == image);
         found.map_or(0.0, |s| s.image_gb)
     }
--- a/src/control/core/scaling_state.rs
+++ b/src/control/core/scaling_state.rs
@@ -1,12 +1,12 @@
 //! What is remembered between looks at the fleet: the work that arrived, and the
-//! requests to the cloud. Changed by arrivals ([`super::objectives`]), by claims
+//! requests to the cloud. Changed by arrivals ([`super::arrivals`]), by claims
 //! ([`super::placement`]) and by the steps of a look ([`super::scaling`]).
 
-use std::collections::{BTreeMap, HashMap};
+use std::collections::HashMap;
 
 use sorrelhinge_overload::fleet_limit::ClaimRate;
 
-use super::objectives::{ArrivalSort, Arrivals};
+use super::arrivals::ArrivalLog;
 use crate::cloud::Rental;
 use crate::types::{Time, TypeName, Zone};
 
@@ -34,7 +34,7 @@
 /// What is remembered between looks at the fleet.
 pub(super) struct ScalingState {
     /// Jobs that arrived of late.
-    pub(super) arrivals: BTreeMap<ArrivalSort, Arrivals>,
+    pub(super) arrivals: ArrivalLog,
     /// Requests to the cloud.
     pub(super) requests: ScaleOutRequests,
     /// When the totals were last logged.
@@ -47,7 +47,7 @@
     /// Of an owner that starts now.
     pub(super) fn new(now: Time) -> Self {
         Self {
-            arrivals: BTreeMap::new(),
+            arrivals: ArrivalLog::default(),
             requests: ScaleOutRequests::default(),
             last_log: now,
             last_plan: now,
