--- a/src/control/core/agent.rs
+++ b/src/control/core/agent.rs
@@ -1,4 +1,4 @@
-//! What an owner knows of the line to one worker.
+//! What an owner knows of one worker.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -20,7 +20,7 @@
     pub(super) moved: bool,
 }
 
-/// The line to one worker.
+/// What is known of one worker.
 #[derive(Debug)]
 pub(super) struct AgentState {
     /// Where its worker listens.
--- a/src/control/core/agents.rs
+++ b/src/control/core/agents.rs
@@ -1,5 +1,4 @@
-//! The lines to all workers: what a machine's first heartbeat adds, and which machines
-//! can be used.
+//! What a machine's first heartbeat adds, and which machines can be used.
 
 use std::rc::Rc;
 
@@ -22,7 +21,7 @@
 const SILENT_HEARTBEATS: f64 = 2.5;
 const SILENT_S: f64 = 1.0;
 
-/// What the line to a machine says of it.
+/// How far a machine can be used, by what its agent reported.
 struct AgentUsability {
     /// Tasks may be placed there.
     usable: bool,
@@ -49,7 +48,7 @@
         !self.types.is_empty()
     }
 
-    /// The line to a machine, which is new if it was not known; none: its type is not.
+    /// The agent of a machine, which is new if it was not known; none: its type is not.
     pub(super) fn agent(&mut self, seen: &SeenMachine<'_>, now: Time) -> Option<&mut AgentState> {
         if !self.agents.contains(seen.id) {
             let kind = self.types.get(seen.kind)?.clone();
@@ -126,7 +125,7 @@
     }
 
     /// Looks whether tasks may be placed on a machine, and what becomes of those that are
-    /// there: its line, or the time, may have changed that.
+    /// there: its agent's reports, or the time, may have changed that.
     pub(super) fn refresh_machine(&mut self, id: &MachineId, now: Time) {
         self.suspect_if_silent(id, now);
         let Some(status) = self.usability(id, now) else {
@@ -155,7 +154,7 @@
         self.wake(id);
     }
 
-    /// What the line to a machine says of it now.
+    /// How far a machine can be used now.
     fn usability(&self, id: &MachineId, now: Time) -> Option<AgentUsability> {
         let agent = self.agents.get(id)?;
         let machine = self.cluster_state.machines().get(id);
--- a/src/control/core/batch.rs
+++ b/src/control/core/batch.rs
@@ -41,7 +41,7 @@
         draft.finish()
     }
 
-    /// Adds what waits to be recorded, the most urgent first, as far as there is free capacity.
+    /// Adds what waits to be recorded, the most urgent first, as far as they fit.
     fn add_pending(&mut self, draft: &mut Draft, view: &View, spare: bool, now: Time) {
         let mut again = Vec::new();
         while draft.takes_more() {
@@ -59,7 +59,7 @@
                 continue;
             };
             let written = self.written(&id, entry, &due, now);
-            if !draft.has_free_capacity_for(&written) {
+            if !draft.fits(&written) {
                 // It goes first into the next one.
                 if let PendingWrite::Chunk(chunk) = due {
                     self.claim_again(chunk, now);
--- a/src/control/core/draft.rs
+++ b/src/control/core/draft.rs
@@ -149,7 +149,7 @@
     }
 
     /// Whether this may go into it in whole.
-    pub(super) fn has_free_capacity_for(&self, written: &Written) -> bool {
+    pub(super) fn fits(&self, written: &Written) -> bool {
         self.len() + written.changes() <= self.bounds.max_ops
     }
 
--- a/src/control/core/heartbeats.rs
+++ b/src/control/core/heartbeats.rs
@@ -47,7 +47,7 @@
         !self.inventory.was_listed() || shown || self.agents.contains(id)
     }
 
-    /// What follows from a report that counts: for the line to its machine, for the tasks
+    /// What follows from a report that counts: for its agent's state, for the tasks
     /// that it names, and for those that it does not.
     fn take_in(&mut self, heartbeat: &Heartbeat, source: Source, now: Time) {
         let id = &heartbeat.machine;
--- a/src/control/core/recorded_job.rs
+++ b/src/control/core/recorded_job.rs
@@ -228,10 +228,8 @@
         let team = self.team_of(id, &spec)?;
         let spec = Rc::new(spec);
         tracing::debug!(job = %id, class = %spec.class, team = %spec.team, tasks = spec.tasks, image = %spec.image.as_str(), "job");
-        let started = found.started();
         let suspected_one_way = found.casts_doubt_on(&spec);
         let topology = self.cluster_state.topology().map(|t| &**t);
-        let urgency = self.urgency(&spec, times, view.pipelines().urgency(id));
         let failures = if suspected_one_way {
             DOUBTED_FAILURES
         } else {
@@ -244,10 +242,11 @@
             cancelled: record.phase == Phase::Cancelled,
             start_within: self.starts_within(&spec.class),
             policy: ClusterState::policy_of(topology, &spec),
-            started,
+            started: found.started(),
             ..Job::new(spec, team, times.ready, found.tasks)
         };
-        urgency.apply(&mut job);
+        let inherited = view.pipelines().urgency(id);
+        self.urgency(&job.spec, times, inherited).apply(&mut job);
         Some(RecordedJob {
             job,
             claims: found.claims,
--- a/src/control/core/rollout_records.rs
+++ b/src/control/core/rollout_records.rs
@@ -74,12 +74,12 @@
             return Some(deletion(*key, *mod_revision));
         }
         let mut rollouts = self.rollouts.iter();
-        rollouts.find_map(|(image, kept)| self.next_of(image, kept, now))
+        rollouts.find_map(|(image, active)| self.next_of(image, active, now))
     }
 
     /// What is due of a rollout: its next record, or its deletion once it is over.
-    fn next_of(&self, image: &Image, kept: &ActiveRollout, now: Time) -> Option<DueStep> {
-        let rollout = kept.rollout.as_ref()?;
+    fn next_of(&self, image: &Image, active: &ActiveRollout, now: Time) -> Option<DueStep> {
+        let rollout = active.rollout.as_ref()?;
         let key = self.key(image);
         let stored_records = self.stored_records.get(&key);
         if stored_records.is_some_and(|h| h.value.is_none()) {
@@ -87,7 +87,7 @@
         }
         let mod_revision = stored_records.map_or(Revision(0), |h| h.mod_revision);
         if rollout.over() {
-            let long = kept
+            let long = active
                 .over_since
                 .is_some_and(|t| now.since(t) >= DELETION_DELAY_S);
             return (long && mod_revision != Revision(0)).then(|| deletion(key, mod_revision));
@@ -138,20 +138,20 @@
     /// rollout.
     fn ended(&mut self, key: RolloutKey) -> BTreeSet<MachineId> {
         self.stored_records.remove(&key);
-        let mut woken = BTreeSet::new();
-        self.rollouts.retain(|image, kept| {
+        let mut waiting_starts = BTreeSet::new();
+        self.rollouts.retain(|image, active| {
             let ends = RolloutKey::of(self.shard, image) == key;
             if ends {
-                for machine in kept.members.keys() {
-                    if let Some(rollout) = &mut kept.rollout {
+                for machine in active.members.keys() {
+                    if let Some(rollout) = &mut active.rollout {
                         rollout.lost(machine, &mut self.uploads);
                     }
                 }
-                woken.append(&mut kept.waiting);
+                waiting_starts.append(&mut active.waiting);
             }
             !ends
         });
-        woken
+        waiting_starts
     }
 
     /// A change was not carried out, or had been before: what the state service
--- a/src/control/core/rollout_refresh.rs
+++ b/src/control/core/rollout_refresh.rs
@@ -150,8 +150,8 @@
         let unused = ImageUse::of_size(0.0);
         for image in images {
             let image_use = in_use.get(&image).unwrap_or(&unused);
-            if let Some(kept) = self.image_distribution.rollouts.get_mut(&image) {
-                kept.gb = image_use.gb;
+            if let Some(active) = self.image_distribution.rollouts.get_mut(&image) {
+                active.gb = image_use.gb;
             }
             if self.image_distribution.rollout_mut(&image).is_some() {
                 self.refresh_rollout(&image, &image_use.machines, now);
@@ -190,29 +190,30 @@
         let ImageDistribution {
             rollouts, uploads, ..
         } = &mut self.image_distribution;
-        let Some(kept) = rollouts.get_mut(image) else {
+        let Some(active) = rollouts.get_mut(image) else {
             return;
         };
-        let Some(rollout) = &mut kept.rollout else {
+        let Some(rollout) = &mut active.rollout else {
             return;
         };
         let mut update = RolloutUpdate {
             image,
-            gb: kept.gb,
+            gb: active.gb,
             rollout,
             uploads,
             now,
         };
         let machines = self.cluster_state.machines();
-        kept.members
+        active
+            .members
             .retain(|id, member| update.keeps(id, member, machines.get(id), on.get(id).copied()));
         for (id, path) in joining {
             let complete = on.get(&id) == Some(&ImageState::Runs);
             let member = update.join(&id, &path, complete);
-            kept.members.insert(id, member);
+            active.members.insert(id, member);
         }
-        kept.waiting.retain(|id| on.contains_key(id));
-        if kept.is_over(now) {
+        active.waiting.retain(|id| on.contains_key(id));
+        if active.is_over(now) {
             self.image_distribution.rollouts.remove(image);
         }
     }
@@ -224,8 +225,8 @@
         image: &Image,
         on: &BTreeMap<MachineId, ImageState>,
     ) -> BTreeMap<MachineId, Vec<String>> {
-        let kept = self.image_distribution.rollouts.get(image);
-        let known = |id: &MachineId| kept.is_some_and(|k| k.members.contains_key(id));
+        let active = self.image_distribution.rollouts.get(image);
+        let known = |id: &MachineId| active.is_some_and(|k| k.members.contains_key(id));
         let new = on
             .iter()
             .filter(|(id, d)| **d > ImageState::StartPending && !known(id));
@@ -255,14 +256,14 @@
         let rollout = rollout.unwrap_or_else(|| Rollout::new(image.clone(), limits));
         let (wants, fetches, complete) = rollout.counts();
         tracing::info!(%image, stage = rollout.stage(), wants, fetches, complete, "rollout resumed");
-        if let Some(kept) = self.image_distribution.rollouts.get_mut(image) {
+        if let Some(active) = self.image_distribution.rollouts.get_mut(image) {
             let member = |has: Has| Member {
                 complete: matches!(has, Has::Complete),
                 since: now,
             };
             let members = found.into_iter().map(|f| (f.machine, member(f.has)));
-            kept.members = members.collect();
-            kept.rollout = Some(rollout);
+            active.members = members.collect();
+            active.rollout = Some(rollout);
         }
     }
 
--- a/src/control/core/unknown_agent.rs
+++ b/src/control/core/unknown_agent.rs
@@ -1,6 +1,6 @@
-//! Answers to workers whose machine this owner has no link to yet.
+//! Answers to workers whose machine this owner has no state of yet.
 //!
-//! A link needs the machine's type, which a controller learns from the cloud, and
+//! That needs the machine's type, which a controller learns from the cloud, and
 //! a report that certainly is no late copy. Until then the answer still renews the
 //! worker's lease (PROTOCOL, "Leases"), so it has to stop what must not run: while
 //! the cloud was away and all controllers had just begun, tasks of cancelled jobs
