--- a/src/control/core/fleet_log.rs
+++ b/src/control/core/fleet_log.rs
@@ -20,8 +20,7 @@
 impl Core {
     /// Logs the totals if that is due.
     pub(super) fn log_fleet_if_due(&mut self, now: Time) {
-        if now.since(self.scaling.last_log) >= FLEET_LOG_INTERVAL_S {
-            self.scaling.last_log = now;
+        if self.scaling.take_log_due(FLEET_LOG_INTERVAL_S, now) {
             self.log_fleet();
         }
     }
--- a/src/control/core/scale_in.rs
+++ b/src/control/core/scale_in.rs
@@ -110,9 +110,8 @@
     /// Only what had no use for long falls idle on purpose: a machine with a warm
     /// cache is worth more than a new one.
     fn measure_disuse(&mut self, plan: &autoscaler::Plan, now: Time) -> Vec<Disuse> {
-        let passed_s = now.since(self.scaling.last_plan);
+        let passed_s = self.scaling.planned(now);
         let weight = 1.0 - (-passed_s / self.cfg.tuning.idle_s.max(1.0)).exp();
-        self.scaling.last_plan = now;
         let machines = self.cluster_state.machines().iter();
         machines
             .map(|(id, machine)| {
--- a/src/control/core/scaling_state.rs
+++ b/src/control/core/scaling_state.rs
@@ -38,9 +38,9 @@
     /// Requests to the cloud.
     pub(super) requests: ScaleOutRequests,
     /// When the totals were last logged.
-    pub(super) last_log: Time,
+    last_log: Time,
     /// When the last plan was made.
-    pub(super) last_plan: Time,
+    last_plan: Time,
 }
 
 impl ScalingState {
@@ -53,6 +53,23 @@
             last_plan: now,
         }
     }
+
+    /// Whether the totals were last logged at least so many seconds ago; if so, they are
+    /// logged now.
+    pub(super) fn take_log_due(&mut self, interval_s: f64, now: Time) -> bool {
+        let due = now.since(self.last_log) >= interval_s;
+        if due {
+            self.last_log = now;
+        }
+        due
+    }
+
+    /// A plan is made now. Seconds since the one before it.
+    pub(super) fn planned(&mut self, now: Time) -> f64 {
+        let passed_s = now.since(self.last_plan);
+        self.last_plan = now;
+        passed_s
+    }
 }
 
 /// Requests to the cloud for machines, and what bounds them.
