--- a/src/control/core/agent.rs
+++ b/src/control/core/agent.rs
@@ -1,4 +1,4 @@
-//! What an owner knows of the line to one worker.
+//! What an owner knows of one worker.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -7,94 +7,12 @@
 
 use super::direct_line::DirectLine;
 use super::failed_jobs::FailedJobs;
+use super::task_attempt::{SentKills, TaskAttempt, TaskStatus};
 use super::Source;
-use crate::agent_client::{
-    Command, DirectCommands, ExitReason, Heartbeat, ReportedImage, ReportedTask, TaskPhase,
-};
-use crate::cloud::ListedMachine;
-use crate::types::{
-    Attempt, FencingToken, Incarnation, MachineId, SequenceNumber, TaskId, Time, TypeName, Zone,
-};
+use crate::agent_client::{Command, DirectCommands, Heartbeat, ReportedImage, ReportedTask};
+use crate::types::{FencingToken, Incarnation, SequenceNumber, Time};
 
-/// After so long without effect a worker is told again to stop a task, in seconds.
-pub(super) const KILL_RETRY_S: f64 = 2.0;
-
-/// One attempt to run a task. Ordered by task, then by attempt.
-#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub(super) struct TaskAttempt {
-    pub(super) task: TaskId,
-    pub(super) attempt: Attempt,
-}
-
-/// What a heartbeat says of a task.
-#[derive(Clone, Copy, Debug)]
-pub(super) struct TaskStatus {
-    pub(super) phase: TaskPhase,
-    /// Why it ended, if it did.
-    pub(super) why: Option<ExitReason>,
-}
-
-/// Tasks that a worker was told to stop, and when that was last.
-#[derive(Debug, Default)]
-pub(super) struct SentKills(BTreeMap<TaskAttempt, Time>);
-
-impl SentKills {
-    /// Forgets those that its last heartbeat does not name.
-    pub(super) fn keep_reported(&mut self, reported: &BTreeMap<TaskAttempt, TaskStatus>) {
-        self.0.retain(|key, _| reported.contains_key(key));
-    }
-
-    /// Whether a task is to be stopped that was not, or whose stop may be lost.
-    pub(super) fn is_due(&self, task: &TaskAttempt, now: Time) -> bool {
-        let sent = self.0.get(task);
-        sent.is_none_or(|at| now.since(*at) >= KILL_RETRY_S)
-    }
-
-    /// The worker is told to stop a task.
-    pub(super) fn sent(&mut self, task: &TaskAttempt, now: Time) {
-        self.0.insert(task.clone(), now);
-    }
-
-    /// Whether it was told to stop nothing that it still reports.
-    pub(super) fn is_empty(&self) -> bool {
-        self.0.is_empty()
-    }
-}
-
-/// A machine as a list or a heartbeat shows it.
-pub(super) struct SeenMachine<'a> {
-    pub(super) id: &'a MachineId,
-    pub(super) addr: SocketAddr,
-    pub(super) kind: &'a TypeName,
-    pub(super) zone: &'a Zone,
-    pub(super) spot: bool,
-}
-
-impl<'a> SeenMachine<'a> {
-    /// By the cloud's list, at the address that this names.
-    pub(super) fn by_list(listed: &'a ListedMachine, addr: SocketAddr) -> Self {
-        Self {
-            id: &listed.id,
-            addr,
-            kind: &listed.machine_type,
-            zone: &listed.zone,
-            spot: listed.spot,
-        }
-    }
-
-    /// By its worker's heartbeat.
-    pub(super) fn by_heartbeat(heartbeat: &'a Heartbeat) -> Self {
-        Self {
-            id: &heartbeat.machine,
-            addr: heartbeat.addr,
-            kind: &heartbeat.machine_type,
-            zone: &heartbeat.zone,
-            spot: heartbeat.spot,
-        }
-    }
-}
-
-/// What a heartbeat tells that the one before it did not.
+/// What a heartbeat shows that the one before it did not.
 pub(super) struct HeartbeatNews {
     /// The worker's incarnation ended, and all its tasks with it.
     pub(super) incarnation_ended: bool,
@@ -102,7 +20,7 @@
     pub(super) moved: bool,
 }
 
-/// The line to one worker.
+/// What is known of one worker.
 #[derive(Debug)]
 pub(super) struct AgentState {
     /// Where its worker listens.
@@ -114,34 +32,34 @@
     pub(super) fencing_token: FencingToken,
     /// The highest fencing token that the worker has reported.
     seen: FencingToken,
-    /// When it was last heard, by this controller or, as a hint, by another one.
-    pub(super) last_heard: Time,
+    /// When its last heartbeat came, to this controller or, as a hint, to another one.
+    last_contact: Time,
     /// The newest report that another controller spoke of.
-    told_of: SequenceNumber,
+    relayed_sequence: SequenceNumber,
     /// Whether anything that is sent there has an effect.
     pub(super) reachability: Reachability,
     /// What its last heartbeat said of its tasks.
     pub(super) tasks: BTreeMap<TaskAttempt, TaskStatus>,
     /// Whether direct commands get through.
     pub(super) direct: DirectLine,
-    /// A direct command failed: no new tasks until a heartbeat shows that it heard.
-    pub(super) suspected_one_way: bool,
+    /// A direct command failed: no new tasks until a heartbeat shows that one arrived.
+    suspected_one_way: bool,
     /// Its last heartbeat was passed on by another controller.
-    pub(super) passed: bool,
+    passed: bool,
     /// The cloud takes it, or it was chosen to go.
-    pub(super) leaving: bool,
+    leaving: bool,
     /// Being deleted: nothing may count on it again.
-    pub(super) deleting: bool,
+    deleting: bool,
     /// Jobs that failed here.
     pub(super) failed_jobs: FailedJobs,
-    /// What it was told to stop.
+    /// What it was sent the command to stop.
     pub(super) sent_kills: SentKills,
     /// Images that it said it hands on.
     pub(super) images: Vec<ReportedImage>,
 }
 
 impl AgentState {
-    /// To a machine of which nothing was heard yet. `fencing_token`: the grant's lowest one.
+    /// Of a machine that has sent no heartbeat yet. `fencing_token`: the grant's lowest one.
     pub(super) fn new(addr: SocketAddr, fencing_token: FencingToken, now: Time) -> Self {
         Self {
             addr,
@@ -149,8 +67,8 @@
             sequence: SequenceNumber(0),
             fencing_token,
             seen: FencingToken(0),
-            last_heard: now,
-            told_of: SequenceNumber(0),
+            last_contact: now,
+            relayed_sequence: SequenceNumber(0),
             reachability: Reachability::default(),
             tasks: BTreeMap::new(),
             direct: DirectLine::new(now),
@@ -198,9 +116,9 @@
         let took_up = heartbeat.fencing_token > self.seen
             && heartbeat.fencing_token.grant() == self.fencing_token.grant();
         self.seen = self.seen.max(heartbeat.fencing_token);
-        self.last_heard = now;
-        self.told_of = SequenceNumber(0);
-        self.direct.heard();
+        self.last_contact = now;
+        self.relayed_sequence = SequenceNumber(0);
+        self.direct.contact_confirmed();
         self.passed = source == Source::Passed;
         // Only what comes from the worker itself shows that there is a way. Heartbeats
         // that others took did too once: while the owner was cut off from all
@@ -213,7 +131,7 @@
         }
         self.set_tasks(&heartbeat.tasks);
         self.images.clone_from(&heartbeat.images);
-        // That it heartbeats is no sign that it hears: each heartbeat made a machine
+        // That it heartbeats is no sign that commands reach it: each heartbeat made a machine
         // usable again that no command reached.
         self.reachability.reported(now);
         if took_up {
@@ -227,18 +145,18 @@
         (heartbeat.incarnation, heartbeat.sequence) <= (self.incarnation, self.sequence)
     }
 
-    /// Another controller heard it. Each heartbeat counts once: told of again and again, a
+    /// Another controller received its heartbeat. Each counts once: relayed again and again, a
     /// copy kept a dead machine alive.
-    pub(super) fn heard_elsewhere(
+    pub(super) fn relayed_contact(
         &mut self,
         incarnation: Incarnation,
         sequence: SequenceNumber,
         now: Time,
     ) {
-        if self.incarnation == incarnation && sequence > self.sequence.max(self.told_of) {
-            self.told_of = sequence;
-            self.last_heard = now;
-            self.direct.heard();
+        if self.incarnation == incarnation && sequence > self.sequence.max(self.relayed_sequence) {
+            self.relayed_sequence = sequence;
+            self.last_contact = now;
+            self.direct.contact_confirmed();
         }
     }
 
@@ -249,7 +167,7 @@
         !self.direct.is_in_flight() && (self.passed || pauses)
     }
 
-    /// Direct commands for the incarnation that was heard last, under the present fencing token.
+    /// Direct commands for the incarnation that reported last, under the present fencing token.
     pub(super) fn commands(&self, commands: Vec<Command>) -> DirectCommands {
         DirectCommands {
             fencing_token: self.fencing_token,
@@ -258,6 +176,95 @@
         }
     }
 
+    /// Seconds since its last heartbeat came here or, as a hint, to another controller.
+    pub(super) fn silence_s(&self, now: Time) -> f64 {
+        now.since(self.last_contact)
+    }
+
+    /// Whether a direct command failed, and no heartbeat shows yet that one arrived.
+    pub(super) fn is_suspected_one_way(&self) -> bool {
+        self.suspected_one_way
+    }
+
+    /// Whether its last heartbeat was passed on by another controller.
+    pub(super) fn is_passed_on(&self) -> bool {
+        self.passed
+    }
+
+    /// Whether its machine is given back, or the cloud takes it.
+    pub(super) fn is_leaving(&self) -> bool {
+        self.leaving
+    }
+
+    /// Its machine is drained, not to be kept, and has no tasks left.
+    pub(super) fn drained_empty(&mut self) {
+        self.leaving = true;
+    }
+
+    /// No plan has use for its machine, and it is empty.
+    pub(super) fn chosen_for_scale_in(&mut self) {
+        self.leaving = true;
+    }
+
+    /// Several sound jobs failed on its machine.
+    pub(super) fn proved_faulty(&mut self) {
+        self.leaving = true;
+    }
+
+    /// Its leases end again and again though its heartbeats are answered.
+    pub(super) fn loses_leases(&mut self) {
+        self.leaving = true;
+    }
+
+    /// Whether its machine is being deleted.
+    pub(super) fn is_deleting(&self) -> bool {
+        self.deleting
+    }
+
+    /// Its machine is to be deleted from now on.
+    pub(super) fn begin_deletion(&mut self) {
+        self.deleting = true;
+    }
+
+    /// It has reported the present fencing token, and is no longer doubted unless nothing
+    /// that is sent there has an effect.
+    pub(super) fn reported_fencing_token(&mut self) {
+        self.suspected_one_way = self.reachability.in_doubt();
+        if self.suspected_one_way {
+            // It has the present fencing token and does nothing: a higher one has
+            // to be taken up before anything more goes there.
+            self.raise_fencing_token();
+        }
+    }
+
+    /// It carried a direct command out.
+    pub(super) fn command_executed(&mut self, now: Time) {
+        self.direct.executed(now);
+        self.reachability.proved(now);
+        self.passed = false;
+    }
+
+    /// It answered that it did not carry a direct command out.
+    pub(super) fn command_refused(&mut self, now: Time) {
+        self.direct.refused(now);
+        self.reachability.proved(now);
+    }
+
+    /// A direct command may have reached it, and no answer came.
+    pub(super) fn command_unanswered(&mut self, now: Time) {
+        self.direct.failed(true, now);
+        self.raise_fencing_token();
+    }
+
+    /// A direct command did not get through, or no answer to it: it is in doubt.
+    pub(super) fn command_failed(&mut self, now: Time) {
+        self.suspected_one_way = true;
+        // Its heartbeats have to show the fencing token.
+        if !self.fenced() {
+            self.reachability.asked(now);
+        }
+    }
+
     /// Fences all commands that were sent to it so far.
     pub(super) fn raise_fencing_token(&mut self) {
         self.fencing_token = self.fencing_token.raised();
--- a/src/control/core/agents.rs
+++ b/src/control/core/agents.rs
@@ -1,11 +1,11 @@
-//! The lines to all workers: what a machine's first heartbeat adds, and which machines
-//! can be used.
+//! What a machine's first heartbeat adds, and which machines can be used.
 
 use std::rc::Rc;
 
-use super::agent::{AgentState, SeenMachine};
+use super::agent::AgentState;
 use super::command_queue::ContactOrder;
 use super::machine_types::MachineTypes;
+use super::seen_machine::SeenMachine;
 use super::Core;
 use crate::scheduler::{Machine, Sent};
 use crate::types::{Kind, MachineId, MachineType, Time};
@@ -21,17 +21,17 @@
 const SILENT_HEARTBEATS: f64 = 2.5;
 const SILENT_S: f64 = 1.0;
 
-/// What the line to a machine says of it.
+/// How far a machine can be used, by what its agent reported.
 struct AgentUsability {
     /// Tasks may be placed there.
     usable: bool,
     /// Commands go there only in replies to its heartbeats.
     slow: bool,
-    /// It was not heard for too long.
+    /// Its last heartbeat came too long ago.
     silent: bool,
     /// It is given back, or the cloud takes it.
     leaving: bool,
-    /// A direct command failed, and no heartbeat shows yet what it heard.
+    /// A direct command failed, and no heartbeat shows yet what reached it.
     suspected_one_way: bool,
     /// An operator drains it.
     draining: bool,
@@ -48,14 +48,14 @@
         !self.types.is_empty()
     }
 
-    /// The line to a machine, which is new if it was not known; none: its type is not.
+    /// The agent of a machine, which is new if it was not known; none: its type is not.
     pub(super) fn agent(&mut self, seen: &SeenMachine<'_>, now: Time) -> Option<&mut AgentState> {
-        if !self.agents.contains_key(seen.id) {
+        if !self.agents.contains(seen.id) {
             let kind = self.types.get(seen.kind)?.clone();
             self.inventory.came_up(seen.id);
             self.add_machine(seen, kind, now);
             let agent = AgentState::new(seen.addr, self.base_fencing_token(), now);
-            self.agents.insert(seen.id.clone(), agent);
+            self.agents.came_up(seen.id.clone(), agent);
             self.wake(seen.id);
         }
         self.agents.get_mut(seen.id)
@@ -117,7 +117,7 @@
         self.command_queue.add(id.clone(), order);
     }
 
-    /// Whether nothing speaks against a machine hearing what it is told.
+    /// Whether nothing speaks against commands reaching a machine.
     pub fn is_reachable(&self, id: &MachineId) -> bool {
         self.agents
             .get(id)
@@ -125,10 +125,10 @@
     }
 
     /// Looks whether tasks may be placed on a machine, and what becomes of those that are
-    /// there: its line, or the time, may have changed that.
+    /// there: its agent's reports, or the time, may have changed that.
     pub(super) fn refresh_machine(&mut self, id: &MachineId, now: Time) {
         self.suspect_if_silent(id, now);
-        let Some(status) = self.link_status(id, now) else {
+        let Some(status) = self.usability(id, now) else {
             return;
         };
         self.apply_status(id, &status, now);
@@ -144,7 +144,7 @@
             return;
         };
         let patience_s = (SUSPECT_HEARTBEATS * self.cfg.heartbeat_s).max(SUSPECT_LEAST_S);
-        let silent = now.since(agent.last_heard) >= patience_s;
+        let silent = agent.silence_s(now) >= patience_s;
         if agent.direct.is_suspect() || !silent || !self.has_tasks(id) {
             return;
         }
@@ -154,27 +154,26 @@
         self.wake(id);
     }
 
-    /// What the line to a machine says of it now.
-    fn link_status(&self, id: &MachineId, now: Time) -> Option<AgentUsability> {
+    /// How far a machine can be used now.
+    fn usability(&self, id: &MachineId, now: Time) -> Option<AgentUsability> {
         let agent = self.agents.get(id)?;
         let machine = self.cluster_state.machines().get(id);
         let draining = machine.is_some_and(|m| m.draining);
-        let silent =
-            now.since(agent.last_heard) >= SILENT_HEARTBEATS * self.cfg.heartbeat_s + SILENT_S;
-        let leaving = agent.leaving || agent.deleting;
+        let silent = agent.silence_s(now) >= SILENT_HEARTBEATS * self.cfg.heartbeat_s + SILENT_S;
+        let leaving = agent.is_leaving() || agent.is_deleting();
         let usable = agent.fenced()
             && !draining
-            && !agent.suspected_one_way
+            && !agent.is_suspected_one_way()
             && !leaving
             && !agent.failed_jobs.is_shunned(now)
             && !agent.reachability.is_quarantined(now)
             && !silent;
         Some(AgentUsability {
             usable,
-            slow: agent.passed || agent.direct.is_failing(),
+            slow: agent.is_passed_on() || agent.direct.is_failing(),
             silent,
             leaving,
-            suspected_one_way: agent.suspected_one_way,
+            suspected_one_way: agent.is_suspected_one_way(),
             draining,
         })
     }
@@ -206,7 +205,7 @@
             if claim.is_some_and(|c| c.sent == Sent::No) {
                 // It has a better place where commands get through.
                 self.release(&task, now);
-                self.walk_all = true;
+                self.placement_queue.request_full_walk();
             } else if leaving {
                 self.cluster_state.stop(&task, false);
             }
--- a/src/control/core/commands.rs
+++ b/src/control/core/commands.rs
@@ -1,8 +1,8 @@
 //! Commands for a machine: what is started, stopped and forgotten there.
 
-use super::agent::TaskAttempt;
 use super::command_queue::ContactOrder;
 use super::outcomes::recorded_claim;
+use super::task_attempt::TaskAttempt;
 use super::Core;
 use crate::agent_client::{Command, Reply, TaskPhase};
 use crate::scheduler::{Claim, Job, Sent};
@@ -64,7 +64,7 @@
         commands
     }
 
-    /// What the machine's reported tasks are told: those that must not run, and those that
+    /// The commands for the machine's reported tasks: those that must not run, and those that
     /// have ended. `in_reply`: they go in the answer to a heartbeat, which renews its lease.
     fn stops_and_forgets(
         &mut self,
--- a/src/control/core/dispatch.rs
+++ b/src/control/core/dispatch.rs
@@ -1,8 +1,8 @@
 //! Commands sent to workers directly, and what became of them (PROTOCOL,
 //! "Controller nodes -> workers").
 
-use super::agent::KILL_RETRY_S;
 use super::command_queue::ContactOrder;
+use super::task_attempt::KILL_RETRY_S;
 use super::{Core, Dispatch, Source};
 use crate::agent_client::{Command, Sending};
 use crate::scheduler::Sent;
@@ -28,7 +28,7 @@
         let Some(agent) = self.agents.get(id) else {
             return false;
         };
-        if agent.direct.is_in_flight() || agent.deleting {
+        if agent.direct.is_in_flight() || agent.is_deleting() {
             // The answer brings it back.
             return false;
         }
@@ -43,7 +43,7 @@
             return false;
         }
         // Else the reply to its next heartbeat takes the commands there.
-        !(agent.passed && agent.fenced())
+        !(agent.is_passed_on() && agent.fenced())
     }
 
     /// The commands for a machine that may be contacted; none if there is nothing that
@@ -53,7 +53,7 @@
         let agent = self.agents.get_mut(&id)?;
         let forgets_only = commands.iter().all(|o| matches!(o, Command::Forget { .. }));
         // Forgetting waits for the next heartbeat; a worker that does not
-        // know our fencing token is told at once, and one that a command did not
+        // know our fencing token is contacted at once, and one that a command did not
         // reach is tried again.
         let to_be_asked = !agent.fenced() || agent.direct.is_failing() || agent.direct.is_suspect();
         if forgets_only && !to_be_asked {
@@ -106,9 +106,7 @@
         let Some(agent) = self.agents.get_mut(id) else {
             return;
         };
-        agent.direct.executed(now);
-        agent.reachability.proved(now);
-        agent.passed = false;
+        agent.command_executed(now);
         // The incarnation that took the command may end right after it;
         // the heartbeat decides what is there.
         self.mark_flying(id, Sent::Answered);
@@ -119,8 +117,7 @@
         let Some(agent) = self.agents.get_mut(id) else {
             return;
         };
-        agent.direct.refused(now);
-        agent.reachability.proved(now);
+        agent.command_refused(now);
         let inherited = !agent.fenced();
         if !inherited {
             self.mark_flying(id, Sent::No);
@@ -138,7 +135,7 @@
         if !agent.fenced() {
             return;
         }
-        // It may heartbeat on and hear nothing. Whether it does,
+        // It may heartbeat on and receive no command. Whether it does,
         // the fencing token shows, by whatever way it gets there.
         if !agent.reachability.is_confirmed(self.cfg.heartbeat_s, now) {
             agent.raise_fencing_token();
@@ -151,8 +148,7 @@
     /// nothing on this machine is settled.
     fn command_unanswered(&mut self, id: &MachineId, now: Time) {
         if let Some(agent) = self.agents.get_mut(id) {
-            agent.direct.failed(true, now);
-            agent.raise_fencing_token();
+            agent.command_unanswered(now);
         }
     }
 
@@ -161,11 +157,7 @@
         let Some(agent) = self.agents.get_mut(id) else {
             return;
         };
-        agent.suspected_one_way = true;
-        // Its heartbeats have to show the fencing token.
-        if !agent.fenced() {
-            agent.reachability.asked(now);
-        }
+        agent.command_failed(now);
         tracing::info!(machine = %id, fencing_token = %agent.fencing_token, "direct command failed");
         self.refresh_machine(id, now);
     }
--- a/src/control/core/draft.rs
+++ b/src/control/core/draft.rs
@@ -6,7 +6,7 @@
 
 use std::collections::BTreeSet;
 
-use super::image_distribution::{DueStep, Step};
+use super::rollout_records::{DueStep, Step};
 use crate::control::write_queue::ChunkId;
 use crate::state::record::{chunk_key, job_key, ChunkRecord, JobRecord};
 use crate::state::view::JobEntry;
@@ -94,7 +94,7 @@
     /// Most changes.
     pub(super) max_ops: usize,
     /// Each change has a transaction of its own now.
-    pub(super) alone: bool,
+    pub(super) single_change: bool,
 }
 
 /// A transaction while it is put together.
@@ -140,7 +140,7 @@
 
     /// Whether one more change may go into it.
     pub(super) fn takes_change(&self) -> bool {
-        self.len() < self.bounds.max_ops && !(self.bounds.alone && self.len() > 0)
+        self.len() < self.bounds.max_ops && !(self.bounds.single_change && self.len() > 0)
     }
 
     /// Whether more of what waits to be recorded may go into it.
@@ -149,7 +149,7 @@
     }
 
     /// Whether this may go into it in whole.
-    pub(super) fn has_free_capacity_for(&self, written: &Written) -> bool {
+    pub(super) fn fits(&self, written: &Written) -> bool {
         self.len() + written.changes() <= self.bounds.max_ops
     }
 
--- a/src/control/core/failures.rs
+++ b/src/control/core/failures.rs
@@ -50,16 +50,16 @@
             ExitReason::Done if spec.kind != Kind::Service => self.succeeded(id, task, now),
             ExitReason::Error => self.failed(id, task, now),
             ExitReason::Full | ExitReason::InUse => self.avoid_for_now(id, &task.job, now),
-            ExitReason::NoSuch => self.hold_unknown(&task.job, now),
+            ExitReason::NoSuch => self.back_off_unknown(&task.job, now),
             ExitReason::Done
             | ExitReason::Stopped
             | ExitReason::Peers
             | ExitReason::Incomplete
             | ExitReason::Other => {}
         }
-        // Its task may have a place elsewhere.
-        self.walk_all |= why != ExitReason::Done;
         if why != ExitReason::Done {
+            // Its task may have a place elsewhere.
+            self.placement_queue.request_full_walk();
             tracing::info!(task = %task, machine = %id, ?why, "task ended");
         }
     }
@@ -90,7 +90,7 @@
 
     /// A machine refused a task because there is none of that name: the job is tried less
     /// and less often.
-    fn hold_unknown(&mut self, job: &JobId, now: Time) {
+    fn back_off_unknown(&mut self, job: &JobId, now: Time) {
         self.cluster_state.edit_job(job, |job| {
             job.failures += 1;
             let pause_s = f64::from(job.failures).exp2();
@@ -124,15 +124,15 @@
         // mistaken ones that met on a machine cost the machine once.
         let cluster_state = &self.cluster_state;
         let sound = |job: &&JobId| cluster_state.job(job).is_none_or(Job::is_sound);
-        agent.leaving |= agent.failed_jobs.jobs().filter(sound).count() >= FAULTY_JOBS;
+        if agent.failed_jobs.jobs().filter(sound).count() >= FAULTY_JOBS {
+            agent.proved_faulty();
+        }
     }
 
     /// A job's failures are held against no machine any more: it is mistaken, or
     /// was withdrawn.
     pub(super) fn clear(&mut self, job: &JobId) {
-        for agent in self.agents.values_mut() {
-            agent.failed_jobs.forgive(job);
-        }
+        self.agents.forgive(job);
     }
 }
 
--- a/src/control/core/heartbeats.rs
+++ b/src/control/core/heartbeats.rs
@@ -1,7 +1,8 @@
 //! Workers' heartbeats: which of them count, and what they prove about the claims on a
 //! machine.
 
-use super::agent::{SeenMachine, TaskAttempt, TaskStatus};
+use super::seen_machine::SeenMachine;
+use super::task_attempt::{TaskAttempt, TaskStatus};
 use super::{Core, Source};
 use crate::agent_client::{ExitReason, Heartbeat, TaskPhase};
 use crate::scheduler::{Progress, Sent};
@@ -9,7 +10,7 @@
 
 impl Core {
     /// Whether a heartbeat is a copy that came late: not newer than what is known, or
-    /// of a machine that is gone, whose name is never used again. Copies of a dead
+    /// of a deleted machine, whose name is never used again. Copies of a dead
     /// machine's last heartbeat made a machine of it again, and kept it.
     pub fn is_copy(&self, heartbeat: &Heartbeat) -> bool {
         if let Some(agent) = self.agents.get(&heartbeat.machine) {
@@ -43,14 +44,14 @@
         let id = &heartbeat.machine;
         let shown =
             heartbeat.fencing_token >= self.base_fencing_token() || self.inventory.is_coming(id);
-        !self.inventory.was_listed() || shown || self.agents.contains_key(id)
+        !self.inventory.was_listed() || shown || self.agents.contains(id)
     }
 
-    /// What follows from a report that counts: for the line to its machine, for the tasks
+    /// What follows from a report that counts: for its agent's state, for the tasks
     /// that it names, and for those that it does not.
     fn take_in(&mut self, heartbeat: &Heartbeat, source: Source, now: Time) {
         let id = &heartbeat.machine;
-        let (lease_s, silence_ignored) = (self.cfg.lease_s, now < self.silence_ignored_until);
+        let (lease_s, silence_ignored) = (self.cfg.lease_s, self.ignored_silence.is_on(now));
         let Some(agent) = self.agent(&SeenMachine::by_heartbeat(heartbeat), now) else {
             return;
         };
@@ -61,7 +62,7 @@
             && agent.reachability.incarnation_ended(lease_s, now)
             && !silence_ignored
         {
-            agent.leaving = true;
+            agent.loses_leases();
         }
         let fenced = heartbeat.fencing_token >= agent.fencing_token;
         self.record_served_images(heartbeat);
@@ -86,15 +87,10 @@
         let Some(agent) = self.agents.get_mut(id).filter(|l| l.fenced()) else {
             return;
         };
-        agent.suspected_one_way = agent.reachability.in_doubt();
-        if agent.suspected_one_way {
-            // It has the present fencing token and does nothing: a higher one has
-            // to be taken up before anything more goes there.
-            agent.raise_fencing_token();
-        }
+        agent.reported_fencing_token();
     }
 
-    /// A task that we started is in the heartbeat: the machine hears.
+    /// A task that we started is in the heartbeat: commands reach the machine.
     fn see_starts(&mut self, id: &MachineId, now: Time) {
         let Some(agent) = self
             .agents
@@ -119,7 +115,7 @@
 
     /// A machine's incarnation ended, and its tasks with it. What this owner sent there
     /// before was for that incarnation, so it is gone, whatever fencing token the worker has:
-    /// on a deaf machine no heartbeat ever carries the present one. What a former
+    /// on a machine that no command reaches no heartbeat ever carries the present one. What a former
     /// owner started may belong to the new incarnation, and waits for the fencing token.
     fn incarnation_ended(&mut self, id: &MachineId, now: Time) {
         for task in self.cluster_state.claims_on(id) {
@@ -130,14 +126,14 @@
             if ours {
                 tracing::info!(task = %task, machine = %id, "task lost with its agent's incarnation");
                 self.release(&task, now);
-                self.walk_all = true;
+                self.placement_queue.request_full_walk();
             }
         }
     }
 
-    /// Another controller heard a machine, and there was nothing new. A hint:
+    /// Another controller received a heartbeat, and there was nothing new. A hint:
     /// it only spares the question whether the machine still answers.
-    pub fn heard(
+    pub fn relayed_contact(
         &mut self,
         id: &MachineId,
         incarnation: Incarnation,
@@ -145,7 +141,7 @@
         now: Time,
     ) {
         if let Some(agent) = self.agents.get_mut(id) {
-            agent.heard_elsewhere(incarnation, sequence, now);
+            agent.relayed_contact(incarnation, sequence, now);
         }
     }
 
@@ -228,7 +224,7 @@
             // Only the next heartbeat of the worker's own shows whether
             // it took a reply: a direct answer may overtake it.
             Sent::InReply if source == Source::Direct => {}
-            // An answer is still to come, and tells.
+            // An answer is still to come, and shows it.
             Sent::Flying if in_flight => {}
             Sent::Flying | Sent::InReply => {
                 claim.sent = Sent::No;
--- a/src/control/core/mod.rs
+++ b/src/control/core/mod.rs
@@ -9,24 +9,34 @@
 //! | --- | --- | --- |
 //! | machines that commands are due to, commands in flight | `command_queue` | `dispatch`, `agents` |
 //! | until when tasks may be started | `start_permission` | `commands` |
-//! | machines on which room appeared | `placement_queue` | `placing` |
+//! | machines to walk for free capacity, one by one or all | `placement_queue` | `placement` |
 //! | time since the failover, what is open from it | `failover` | all |
-//! | the cloud's machine list | `inventory` | `machine_list`, `scale_in`, `renting` |
-//! | machines that are gone | `tombstones`, `deleted_machines` | `machine_list`, `heartbeats` |
+//! | the cloud's machine list | `inventory` | `machine_list`, `scale_in`, `scale_out` |
+//! | deleted machines | `tombstones`, `deleted_machines` | `machine_list`, `heartbeats` |
 //! | the cloud's machine types | `machine_types` | `agents`, `objectives`, `scaling`, `reservation_supply` |
+//! | the agents of all machines that are up | `agent_table` | all |
 //! | a worker's last heartbeat, its fencing token and commands | `agent`, `direct_line` | `heartbeats`, `dispatch` |
-//! | a transaction while it is put together | `draft` | `batch`, `record` |
-//! | jobs that came, requests to the cloud | `scaling_state` | `objectives`, `demand`, `scale_in`, `renting` |
-//! | losses and new machines by failure domain | `topology_history` | `agents`, `moving`, `scaling` |
+//! | a transaction while it is put together | `draft` | `batch`, `outcomes` |
+//! | jobs that arrived, requests to the cloud | `scaling_state`, `arrivals` | `demand`, `scale_in`, `scale_out` |
+//! | losses and new machines by failure domain | `topology_history` | `agents`, `evictions`, `scaling` |
+//! | drains as recorded | `drains` | `evictions`, `scale_out` |
+//! | when the spread of services was last repaired | `topology_repair` | `evictions` |
+//! | jobs among which may be broken gangs | `gang_restarts` | `job_changes`, `recorded_job` |
+//! | whether the shard is frozen for its handover | `shard_freeze` | all that claims |
+//! | until when silence means nothing | `silence` | `heartbeats`, `scaling` |
+//! | when waiting jobs were last logged | `waiting_log` | `tick` |
 //! | changes that were rejected | `rejected_changes` | `batch` |
-//! | what the log says of who is served | `served` | `placing`, `record` |
+//! | what the log says of who is served | `service_levels` | `placement`, `outcomes` |
 //!
 //! Invariants: no task is started before its claim is recorded; nothing is concluded
 //! about a machine's tasks before one of its heartbeats carries the fencing token that fences all
 //! earlier commands; the time of every step is handed in, and no clock is read.
 
+mod active_rollout;
 mod agent;
+mod agent_table;
 mod agents;
+mod arrivals;
 mod batch;
 mod command_queue;
 mod commands;
@@ -36,10 +46,14 @@
 mod direct_line;
 mod dispatch;
 mod draft;
+mod drain_progress;
+mod drains;
+mod evictions;
 mod failed_jobs;
 mod failover;
 mod failures;
 mod fleet_log;
+mod gang_restarts;
 mod heartbeats;
 mod image_distribution;
 mod image_rollout;
@@ -64,34 +78,39 @@
 mod reservation_supply;
 mod reservation_usage;
 mod reservations;
+mod rollout_records;
 mod rollout_refresh;
 mod scale_in;
 mod scale_out;
 mod scaling;
 mod scaling_state;
+mod seen_machine;
 mod service_levels;
 mod shard_freeze;
-mod shard_handover;
 mod shard_quota;
+mod silence;
 mod start_permission;
+mod task_attempt;
 mod task_delegation;
 mod tombstones;
 mod topology_history;
+mod topology_repair;
 mod unknown_agent;
+mod waiting_log;
 
-use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 use std::rc::Rc;
 
 use sorrelhinge_sharding::largest_jobs::Largest;
 use sorrelhinge_sharding::shard::ShardScope;
-use sorrelhinge_topology::drain::Drain;
 
-use self::agent::AgentState;
+use self::agent_table::AgentTable;
 use self::command_queue::CommandQueue;
 pub use self::command_queue::MAX_COMMANDS_IN_FLIGHT;
 pub use self::draft::Batch;
+use self::drains::RecordedDrains;
 use self::failover::Failover;
+use self::gang_restarts::JobsToCheck;
 use self::inventory::CloudInventory;
 use self::machine_types::MachineTypes;
 use self::placement_queue::PlacementQueue;
@@ -99,15 +118,20 @@
 use self::rejected_changes::RejectedChanges;
 pub use self::reservations::WindowStep;
 pub use self::scaling::ScalingDecision;
+pub use self::scaling_state::MachineOffer;
 use self::service_levels::ServedLog;
+use self::shard_freeze::HandoverFreeze;
+use self::silence::IgnoredSilence;
 use self::start_permission::StartPermission;
 pub use self::task_delegation::Places;
 use self::tombstones::MachineTombstones;
+use self::topology_repair::RepairSchedule;
+use self::waiting_log::WaitingLog;
 use super::write_queue::Pending;
 use crate::agent_client::DirectCommands;
 use crate::config::Config;
 use crate::scheduler::ClusterState;
-use crate::types::{JobId, MachineId, Revision, Time};
+use crate::types::{MachineId, Revision, Time};
 
 /// Where a heartbeat came from.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -145,8 +169,8 @@
     /// Which shard it is.
     pub scope: ShardScope,
     /// It is handed on: nothing more is claimed, and what is under way settles.
-    frozen_since: Option<Time>,
-    /// Room that others' tasks may take, and what was left to others.
+    freeze: HandoverFreeze,
+    /// Capacity that others' tasks may take, and what was left to others.
     sharing: task_delegation::Sharing,
     /// Zones of all shards' machines.
     places: Places,
@@ -156,9 +180,9 @@
     largest_jobs: Largest,
     /// The cloud's machine types.
     types: MachineTypes,
-    /// The lines to the workers of all machines that are up.
-    agents: BTreeMap<MachineId, AgentState>,
-    /// What the cloud's machine lists tell.
+    /// The agents of all machines that are up.
+    agents: AgentTable,
+    /// What the cloud's machine lists show.
     inventory: CloudInventory,
     /// What waits to be recorded.
     pending: Pending,
@@ -168,33 +192,32 @@
     command_queue: CommandQueue,
     /// Machines where tasks may find a place now.
     placement_queue: PlacementQueue,
-    /// What came of late, and what was asked of the cloud.
+    /// Jobs that arrived of late, and requests to the cloud.
     scaling: scaling_state::ScalingState,
-    /// Until then silence tells nothing: requests waited too long to be read.
-    silence_ignored_until: Time,
+    /// For how long silence means nothing: requests waited too long to be read.
+    ignored_silence: IgnoredSilence,
     /// Until when tasks may be started.
     start_permission: StartPermission,
-    /// Machines that are gone, which late lists and heartbeats may still show.
+    /// Deleted machines, which late lists and heartbeats may still show.
     tombstones: MachineTombstones,
     /// Windows of the release calendar.
     windows: reservations::Windows,
     /// What operators drain.
-    drains: Vec<Drain>,
+    drains: RecordedDrains,
     /// Images that go from machine to machine.
     image_distribution: image_distribution::ImageDistribution,
     /// Where machines were lost and came up of late.
     topology_history: topology_history::TopologyHistory,
     /// Jobs that lost a claim: a gang among them may have to start anew.
-    gangs: BTreeSet<JobId>,
-    last_repair: Option<Time>,
-    /// When each job that waits was last spoken of in the log.
-    told: BTreeMap<JobId, Time>,
-    /// What rejected transactions tell about the next ones.
+    gangs_to_check: JobsToCheck,
+    /// When tasks were last moved to repair their spread.
+    repair_schedule: RepairSchedule,
+    /// When each job that waits was last logged.
+    waiting_log: WaitingLog,
+    /// What follows from rejected transactions for the next ones.
     rejected_changes: RejectedChanges,
-    /// Work arrived or room appeared: walk all machines.
-    pub walk_all: bool,
-    /// When all machines were last looked at.
-    last_look: Time,
+    /// When all was last looked at that only time changes.
+    last_rescan: Time,
 }
 
 /// How often all machines are looked at for what only time changes.
@@ -207,19 +230,25 @@
             self.wake(&id);
         }
         self.failover.tick(now);
-        if now.since(self.last_look) >= RESCAN_INTERVAL_S {
-            self.last_look = now;
-            self.look_at_all(now);
+        if now.since(self.last_rescan) >= RESCAN_INTERVAL_S {
+            self.last_rescan = now;
+            self.rescan(now);
         }
         self.wake_staged(now);
         self.restart_broken_gangs(now);
         self.continue_moves(now);
-        self.walk_all = true;
+        self.log_waiting_jobs(now);
+        self.placement_queue.request_full_walk();
         self.place(now);
     }
 
-    /// Looks at all that only time changes.
-    fn look_at_all(&mut self, now: Time) {
+    /// The time of day in milliseconds, by the clock that was read at the start.
+    fn wall_ms(&self, now: Time) -> u64 {
+        self.failover.wall_ms(now)
+    }
+
+    /// Brings all up to date that only time changes.
+    fn rescan(&mut self, now: Time) {
         self.cluster_state.refresh_due_times(now);
         let wall_ms = self.wall_ms(now);
         self.cluster_state
@@ -231,7 +260,7 @@
         if self.failover.awaits_heartbeats() {
             self.log_recovery_time(now);
         }
-        let ids: Vec<MachineId> = self.agents.keys().cloned().collect();
+        let ids: Vec<MachineId> = self.agents.ids().cloned().collect();
         for id in ids {
             self.refresh_machine(&id, now);
         }
--- a/src/control/core/placement_queue.rs
+++ b/src/control/core/placement_queue.rs
@@ -1,4 +1,4 @@
-//! Machines on which room appeared, to be walked one after the other by name.
+//! Machines on which capacity became free, to be walked one after the other by name.
 
 use std::collections::BTreeSet;
 use std::ops::Bound;
@@ -11,13 +11,21 @@
 
 /// Machines where tasks may find a place now.
 pub(super) struct PlacementQueue {
-    /// Machines where room appeared.
+    /// Machines where capacity became free.
     machines: BTreeSet<MachineId>,
     /// The one that was taken last: the next one is behind it by name, so that none
-    /// waits for ever while room appears on others.
+    /// waits for ever while capacity becomes free on others.
     last: MachineId,
-    /// What walks share, and since when.
-    pass: Option<(Time, Pass)>,
+    /// Waiting jobs are to be offered all machines.
+    full_walk: bool,
+    /// None: no walk was begun yet.
+    pass: Option<CurrentPass>,
+}
+
+/// What the walks of a short time share.
+struct CurrentPass {
+    begun: Time,
+    pass: Pass,
 }
 
 impl Default for PlacementQueue {
@@ -25,13 +33,14 @@
         Self {
             machines: BTreeSet::new(),
             last: MachineId::from(""),
+            full_walk: true,
             pass: None,
         }
     }
 }
 
 impl PlacementQueue {
-    /// Room appeared on a machine.
+    /// Capacity became free on a machine.
     pub(super) fn add(&mut self, machine: MachineId) {
         self.machines.insert(machine);
     }
@@ -51,16 +60,34 @@
         Some(machine)
     }
 
+    /// Work arrived or free capacity appeared: all machines are to be walked.
+    pub(super) fn request_full_walk(&mut self) {
+        self.full_walk = true;
+    }
+
+    /// Whether all machines are to be walked.
+    pub(super) fn full_walk_is_due(&self) -> bool {
+        self.full_walk
+    }
+
+    /// Whether all machines are to be walked; they are now.
+    pub(super) fn take_full_walk(&mut self) -> bool {
+        std::mem::take(&mut self.full_walk)
+    }
+
     /// Begins a new pass if the present one is too old.
     pub(super) fn refresh_pass(&mut self, now: Time) {
-        let begun = self.pass.as_ref().map(|(at, _)| *at);
+        let begun = self.pass.as_ref().map(|current| current.begun);
         if begun.is_none_or(|at| now.since(at) >= PASS_S) {
-            self.pass = Some((now, Pass::default()));
+            self.pass = Some(CurrentPass {
+                begun: now,
+                pass: Pass::default(),
+            });
         }
     }
 
     /// What walks share in the present pass.
     pub(super) fn pass(&self) -> Option<&Pass> {
-        self.pass.as_ref().map(|(_, pass)| pass)
+        self.pass.as_ref().map(|current| &current.pass)
     }
 }
--- a/src/control/core/recorded_job.rs
+++ b/src/control/core/recorded_job.rs
@@ -6,7 +6,7 @@
 use super::objectives::JobTimes;
 use super::Core;
 use crate::scheduler::{Claim, ClusterState, Job, Laned, Progress, Sent, Tasks};
-use crate::state::record::{JobRecord, Phase, RecordedClaim};
+use crate::state::record::{ChunkRecord, JobRecord, Phase, RecordedClaim};
 use crate::state::view::{JobEntry, View};
 use crate::types::{Attempt, JobId, JobSpec, Kind, MachineId, TaskId, Time};
 use sorrelhinge_topology::devices::Unit;
@@ -37,7 +37,7 @@
 /// mistaken, but not after fewer than the first of these, nor later than after the second.
 const MIN_FAILED_ATTEMPTS: u64 = 3;
 const MAX_FAILED_ATTEMPTS: u64 = 8;
-/// So many failures such a job is held to have had.
+/// So many failures are counted for such a job.
 const DOUBTED_FAILURES: u32 = 2;
 
 /// A claim in a record.
@@ -50,8 +50,19 @@
 }
 
 impl FoundClaim {
-    /// `holds_devices`: the job's tasks hold some, named or not.
-    fn into_claim(self, holds_devices: bool, now: Time) -> Claim {
+    /// The claim of the task `index`, with the units that its chunk's record names for it.
+    fn new(index: u32, claim: &RecordedClaim, chunk: &ChunkRecord) -> Self {
+        let units = chunk.units.iter().find(|u| u.place == claim.place);
+        Self {
+            index,
+            attempt: claim.attempt,
+            machine: claim.machine.clone(),
+            units: units.map(|u| u.units.clone()),
+        }
+    }
+
+    /// `uses_devices`: the job's tasks have some, named or not.
+    fn into_claim(self, uses_devices: bool, now: Time) -> Claim {
         Claim {
             attempt: self.attempt,
             machine: self.machine,
@@ -60,7 +71,7 @@
             sent: Sent::Found,
             progress: Progress::Unseen,
             stop: None,
-            unnamed: holds_devices && self.units.is_none(),
+            unnamed: uses_devices && self.units.is_none(),
             units: self.units.unwrap_or_default(),
         }
     }
@@ -90,6 +101,13 @@
     }
 }
 
+/// A job for the cluster state, as it is recorded.
+struct RecordedJob {
+    job: Job,
+    /// Claims on this shard's machines.
+    claims: Vec<FoundClaim>,
+}
+
 impl Core {
     /// Takes a job into the cluster state. One that waits for others is not taken: so it
     /// has no part in limits, shares, queues, aging or renting until the committed records
@@ -112,7 +130,7 @@
         let found = self.found_tasks(id, entry, now);
         let all_done = found.tasks.all_done();
         let times = job_times(view, id, record, now, wall_ms);
-        let Some((job, claims)) = self.recorded_job(view, id, found, &times) else {
+        let Some(RecordedJob { job, claims }) = self.recorded_job(view, id, found, &times) else {
             return;
         };
         let placed_here = !over && self.scope.homes(id);
@@ -123,8 +141,8 @@
             self.finished(id.clone(), now);
         }
         // A gang that was claimed in part, or lost a part, starts anew.
-        self.gangs.insert(id.clone());
-        self.walk_all = true;
+        self.gangs_to_check.add(id.clone());
+        self.placement_queue.request_full_walk();
     }
 
     /// A job goes into the cluster state. `placed_here`: this shard places it, and it is
@@ -141,7 +159,7 @@
         let job = Job { last_placed, ..job };
         self.cluster_state.add_job(id.clone(), job);
         if placed_here {
-            self.largest_came(id, now);
+            self.largest_arrived(id, now);
         }
     }
 
@@ -150,18 +168,18 @@
         // An earlier version's record names no units.
         let job = self.cluster_state.job(id);
         let placement = job.and_then(|j| j.spec.placement.as_ref());
-        let holds_devices = placement.is_some_and(|w| w.lost || !w.devices.is_empty());
+        let uses_devices = placement.is_some_and(|w| w.lost || !w.devices.is_empty());
         for claim in claims {
             let task = TaskId {
                 job: id.clone(),
                 index: claim.index,
             };
-            let claim = claim.into_claim(holds_devices, now);
+            let claim = claim.into_claim(uses_devices, now);
             self.cluster_state.put_claim(&task, claim);
         }
     }
 
-    /// Reads a job's tasks. What is claimed on machines that are gone is released: its
+    /// Reads a job's tasks. What is claimed on deleted machines is released: its
     /// task went with its machine, recorded or not.
     fn found_tasks(&mut self, id: &JobId, entry: &JobEntry, now: Time) -> FoundTasks {
         let record = &entry.record.value;
@@ -170,31 +188,23 @@
             claims: Vec::new(),
             wasted: 0,
         };
-        for (chunk, held) in entry.all_chunks() {
-            found.tasks.set_next_attempt(chunk, held.next_attempt);
-            let of_use = held.claims.len() as u64 + u64::from(held.done.count_ones());
-            found.wasted += held.next_attempt.saturating_sub(1 + of_use);
-            for bit in (0..found.tasks.chunk_size()).filter(|bit| held.done >> bit & 1 == 1) {
+        for (chunk, stored) in entry.all_chunks() {
+            found.tasks.set_next_attempt(chunk, stored.next_attempt);
+            let of_use = stored.claims.len() as u64 + u64::from(stored.done.count_ones());
+            found.wasted += stored.next_attempt.saturating_sub(1 + of_use);
+            for bit in (0..found.tasks.chunk_size()).filter(|bit| stored.done >> bit & 1 == 1) {
                 found.tasks.set_done(chunk * record.chunk + bit);
             }
-            let here = held.claims.iter().filter(|c| self.scope.covers(&c.machine));
-            for RecordedClaim {
-                place,
-                attempt,
-                machine,
-            } in here
-            {
-                let index = chunk * record.chunk + place;
-                if self.tombstones.is_inherited(machine) {
+            let here = stored
+                .claims
+                .iter()
+                .filter(|c| self.scope.covers(&c.machine));
+            for claim in here {
+                let index = chunk * record.chunk + claim.place;
+                if self.tombstones.is_inherited(&claim.machine) {
                     self.pending.released((id.clone(), chunk), now);
                 } else if index < record.tasks {
-                    let units = held.units.iter().find(|u| u.place == *place);
-                    found.claims.push(FoundClaim {
-                        index,
-                        attempt: *attempt,
-                        machine: machine.clone(),
-                        units: units.map(|u| u.units.clone()),
-                    });
+                    found.claims.push(FoundClaim::new(index, claim, stored));
                 }
             }
         }
@@ -208,40 +218,55 @@
         id: &JobId,
         found: FoundTasks,
         times: &JobTimes,
-    ) -> Option<(Job, Vec<FoundClaim>)> {
+    ) -> Option<RecordedJob> {
         let entry = view.job(id)?;
         let record = &entry.record.value;
         let Some(spec) = record.description() else {
             tracing::error!(job = %id, "record has no description");
             return None;
         };
-        let Some(team) = self.cfg.teams.iter().position(|t| t.name == spec.team) else {
-            tracing::error!(job = %id, team = %spec.team, "unknown team");
-            return None;
-        };
+        let team = self.team_of(id, &spec)?;
         let spec = Rc::new(spec);
         tracing::debug!(job = %id, class = %spec.class, team = %spec.team, tasks = spec.tasks, image = %spec.image.as_str(), "job");
-        let started = found.started();
         let suspected_one_way = found.casts_doubt_on(&spec);
-        let lanes = &self.cfg.lanes;
-        let lane = lanes.of(&spec.class, spec.priority, spec.deadline_s.is_some());
         let topology = self.cluster_state.topology().map(|t| &**t);
-        let urgency = self.urgency(&spec, times, view.pipelines().urgency(id));
+        let failures = if suspected_one_way {
+            DOUBTED_FAILURES
+        } else {
+            0
+        };
         let mut job = Job {
-            lane: lane.map(|lane| Laned::new(lane, entry.place)),
+            lane: self.lane_of(&spec, entry),
             suspected_one_way,
-            failures: if suspected_one_way {
-                DOUBTED_FAILURES
-            } else {
-                0
-            },
+            failures,
             cancelled: record.phase == Phase::Cancelled,
             start_within: self.starts_within(&spec.class),
             policy: ClusterState::policy_of(topology, &spec),
-            started,
+            started: found.started(),
             ..Job::new(spec, team, times.ready, found.tasks)
         };
-        urgency.apply(&mut job);
-        Some((job, found.claims))
+        let inherited = view.pipelines().urgency(id);
+        self.urgency(&job.spec, times, inherited).apply(&mut job);
+        Some(RecordedJob {
+            job,
+            claims: found.claims,
+        })
+    }
+
+    /// A job's priority lane and its place there, if its class has lanes.
+    fn lane_of(&self, spec: &JobSpec, entry: &JobEntry) -> Option<Laned> {
+        let lanes = &self.cfg.lanes;
+        let lane = lanes.of(&spec.class, spec.priority, spec.deadline_s.is_some());
+        lane.map(|lane| Laned::new(lane, entry.place))
+    }
+
+    /// The place of a job's team among those of the settings; none: it is not among them.
+    fn team_of(&self, id: &JobId, spec: &JobSpec) -> Option<usize> {
+        let mut teams = self.cfg.teams.iter();
+        let team = teams.position(|t| t.name == spec.team);
+        if team.is_none() {
+            tracing::error!(job = %id, team = %spec.team, "unknown team");
+        }
+        team
     }
 }
--- a/src/control/core/recovery.rs
+++ b/src/control/core/recovery.rs
@@ -1,25 +1,31 @@
 //! Taking up a grant: everything that is recorded of the shard goes into the
 //! cluster state.
 
-use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
 
 use sorrelhinge_sharding::largest_jobs::Largest;
 use sorrelhinge_sharding::shard::ShardScope;
 use sorrelhinge_topology::Topology;
 
+use super::agent_table::AgentTable;
 use super::command_queue::CommandQueue;
+use super::drains::RecordedDrains;
 use super::failover::Failover;
+use super::gang_restarts::JobsToCheck;
 use super::inventory::CloudInventory;
 use super::machine_types::MachineTypes;
 use super::placement_queue::PlacementQueue;
 use super::rejected_changes::RejectedChanges;
 use super::scaling_state::ScalingState;
 use super::service_levels::ServedLog;
+use super::shard_freeze::HandoverFreeze;
+use super::silence::IgnoredSilence;
 use super::start_permission::StartPermission;
 use super::task_delegation::{self, Places};
 use super::tombstones::MachineTombstones;
 use super::topology_history::TopologyHistory;
+use super::topology_repair::RepairSchedule;
+use super::waiting_log::WaitingLog;
 use super::{image_distribution, reservations, Core};
 use crate::config::Config;
 use crate::control::write_queue::Pending;
@@ -95,32 +101,31 @@
             grant: grant.number,
             grant_revision: grant.revision,
             scope,
-            frozen_since: None,
+            freeze: HandoverFreeze::default(),
             sharing: task_delegation::Sharing::default(),
             places,
             served_log: ServedLog::new(now),
             largest_jobs: Largest::default(),
             types: MachineTypes::default(),
-            agents: BTreeMap::new(),
+            agents: AgentTable::default(),
             inventory: CloudInventory::default(),
             pending: Pending::default(),
             failover: Failover::begin(now, input.wall_ms, view.history.images()),
             command_queue: CommandQueue::default(),
             placement_queue: PlacementQueue::default(),
             scaling: ScalingState::new(now),
-            silence_ignored_until: now,
+            ignored_silence: IgnoredSilence::none(now),
             start_permission: StartPermission::unbounded(),
             tombstones: MachineTombstones::load(view, scope),
             windows: reservations::Windows::default(),
-            drains: Vec::new(),
+            drains: RecordedDrains::default(),
             image_distribution,
             topology_history: TopologyHistory::default(),
-            gangs: BTreeSet::new(),
-            last_repair: None,
-            told: BTreeMap::new(),
+            gangs_to_check: JobsToCheck::default(),
+            repair_schedule: RepairSchedule::default(),
+            waiting_log: WaitingLog::default(),
             rejected_changes: RejectedChanges::none(now),
-            walk_all: true,
-            last_look: now,
+            last_rescan: now,
         }
     }
 
--- a/src/control/core/rollout_refresh.rs
+++ b/src/control/core/rollout_refresh.rs
@@ -1,5 +1,5 @@
 //! Compares the images that many machines want with the claims and the machines that
-//! there are: who came, who is gone, whose image left the cache. Also goes on with what
+//! there are: who came, who was deleted, whose image left the cache. Also continues what
 //! a former owner recorded.
 
 use std::collections::BTreeMap;
@@ -7,9 +7,9 @@
 use sorrelhinge_image_distribution::fetch_timeout;
 use sorrelhinge_image_distribution::plan::{Has, RecentImages, Rollout, Uploads};
 
-use super::image_distribution::{
-    does, ActiveRollout, ImageDistribution, ImageState, Member, OVER_S,
-};
+use super::active_rollout::{image_state, ActiveRollout, ImageState, Member};
+use super::image_distribution::ImageDistribution;
+use super::rollout_records::DELETION_DELAY_S;
 use super::Core;
 use crate::scheduler::{Machine, Sent};
 use crate::types::{Image, MachineId, Time};
@@ -122,7 +122,9 @@
             (false, _) => self.over_since = None,
             _ => {}
         }
-        self.over_since.is_some_and(|t| now.since(t) >= OVER_S) && rollout.record().is_none()
+        self.over_since
+            .is_some_and(|t| now.since(t) >= DELETION_DELAY_S)
+            && rollout.record().is_none()
     }
 }
 
@@ -148,8 +150,8 @@
         let unused = ImageUse::of_size(0.0);
         for image in images {
             let image_use = in_use.get(&image).unwrap_or(&unused);
-            if let Some(kept) = self.image_distribution.rollouts.get_mut(&image) {
-                kept.gb = image_use.gb;
+            if let Some(active) = self.image_distribution.rollouts.get_mut(&image) {
+                active.gb = image_use.gb;
             }
             if self.image_distribution.rollout_mut(&image).is_some() {
                 self.refresh_rollout(&image, &image_use.machines, now);
@@ -175,8 +177,8 @@
                 let furthest = image_use
                     .machines
                     .entry(claim.machine.clone())
-                    .or_insert(ImageState::Wants);
-                *furthest = does(claim).max(*furthest);
+                    .or_insert(ImageState::StartPending);
+                *furthest = image_state(claim).max(*furthest);
             }
         }
         in_use
@@ -188,29 +190,30 @@
         let ImageDistribution {
             rollouts, uploads, ..
         } = &mut self.image_distribution;
-        let Some(kept) = rollouts.get_mut(image) else {
+        let Some(active) = rollouts.get_mut(image) else {
             return;
         };
-        let Some(rollout) = &mut kept.rollout else {
+        let Some(rollout) = &mut active.rollout else {
             return;
         };
         let mut update = RolloutUpdate {
             image,
-            gb: kept.gb,
+            gb: active.gb,
             rollout,
             uploads,
             now,
         };
         let machines = self.cluster_state.machines();
-        kept.members
+        active
+            .members
             .retain(|id, member| update.keeps(id, member, machines.get(id), on.get(id).copied()));
         for (id, path) in joining {
             let complete = on.get(&id) == Some(&ImageState::Runs);
             let member = update.join(&id, &path, complete);
-            kept.members.insert(id, member);
+            active.members.insert(id, member);
         }
-        kept.waiting.retain(|id| on.contains_key(id));
-        if kept.is_over(now) {
+        active.waiting.retain(|id| on.contains_key(id));
+        if active.is_over(now) {
             self.image_distribution.rollouts.remove(image);
         }
     }
@@ -222,15 +225,15 @@
         image: &Image,
         on: &BTreeMap<MachineId, ImageState>,
     ) -> BTreeMap<MachineId, Vec<String>> {
-        let kept = self.image_distribution.rollouts.get(image);
-        let known = |id: &MachineId| kept.is_some_and(|k| k.members.contains_key(id));
+        let active = self.image_distribution.rollouts.get(image);
+        let known = |id: &MachineId| active.is_some_and(|k| k.members.contains_key(id));
         let new = on
             .iter()
-            .filter(|(id, d)| **d > ImageState::Wants && !known(id));
+            .filter(|(id, d)| **d > ImageState::StartPending && !known(id));
         new.map(|(id, _)| (id.clone(), self.path_of(id))).collect()
     }
 
-    /// Goes on with a predecessor's rollout: who fetches goes on, and its seeds
+    /// Continues a predecessor's rollout: who fetches goes on, and its seeds
     /// count, so the origin is not asked for their copies again.
     fn resume_rollout(&mut self, image: &Image, on: &BTreeMap<MachineId, ImageState>, now: Time) {
         let found = self.machines_with(image, on);
@@ -253,14 +256,14 @@
         let rollout = rollout.unwrap_or_else(|| Rollout::new(image.clone(), limits));
         let (wants, fetches, complete) = rollout.counts();
         tracing::info!(%image, stage = rollout.stage(), wants, fetches, complete, "rollout resumed");
-        if let Some(kept) = self.image_distribution.rollouts.get_mut(image) {
+        if let Some(active) = self.image_distribution.rollouts.get_mut(image) {
             let member = |has: Has| Member {
                 complete: matches!(has, Has::Complete),
                 since: now,
             };
             let members = found.into_iter().map(|f| (f.machine, member(f.has)));
-            kept.members = members.collect();
-            kept.rollout = Some(rollout);
+            active.members = members.collect();
+            active.rollout = Some(rollout);
         }
     }
 
@@ -272,7 +275,7 @@
                 Some(ImageState::Runs) => Has::Complete,
                 Some(ImageState::Fetches) => Has::Part(self.part_of(id, image)),
                 // Its start waits here, and is joined then.
-                Some(ImageState::Wants) => continue,
+                Some(ImageState::StartPending) => continue,
                 None if machine.cache.has(image) => Has::Complete,
                 None => continue,
             };
--- a/src/control/core/scale_in.rs
+++ b/src/control/core/scale_in.rs
@@ -11,8 +11,6 @@
 use crate::scheduler::Machine;
 use crate::types::{MachineId, Time};
 
-/// A machine was heard of late if that is less than so many heartbeat intervals ago.
-const HEARD_HEARTBEATS: f64 = 2.5;
 /// A machine that was asked directly so often in vain hangs.
 const HANGS: u32 = 2;
 /// So does one that was asked once and is silent for so many heartbeat intervals.
@@ -39,23 +37,16 @@
     share: f64,
 }
 
-impl Core {
-    /// Whether a machine's silence tells anything. If most are silent it is this
-    /// controller that can't hear. Nor does silence tell anything where requests
-    /// wait too long to be read: giving machines back then, and renting others, is
-    /// how a fleet that is too large for its controllers would be kept so.
-    pub(super) fn trusts_silence(&self, now: Time) -> bool {
-        let limit_s = HEARD_HEARTBEATS * self.cfg.heartbeat_s;
-        let agents = self.agents.values();
-        let heard = agents.filter(|l| now.since(l.last_heard) < limit_s).count();
-        heard * 2 > self.agents.len()
-            && self.failover.age_s(now) > self.cfg.silent_s()
-            && now >= self.silence_ignored_until
-    }
+/// A machine that no plan has use for.
+struct ScaleInCandidate<'a> {
+    machine: &'a MachineId,
+    price_per_cpu: f64,
+}
 
-    /// Gives back machines that heartbeat and hear nothing.
-    pub(super) fn give_back_deaf(&mut self, now: Time) {
-        for id in self.deaf(now) {
+impl Core {
+    /// Gives back machines that heartbeat and that no command reaches.
+    pub(super) fn scale_in_unreachable(&mut self, now: Time) {
+        for id in self.unreachable_machines(now) {
             tracing::info!(machine = %id, "machine sends heartbeats but is unreachable; scaling in");
             self.mark_for_scale_in(&id);
         }
@@ -65,35 +56,34 @@
     /// are lost, and those that never came.
     pub(super) fn machines_to_delete(&mut self, trusts_silence: bool, now: Time) -> Vec<MachineId> {
         let mut to_delete = Vec::new();
-        for (id, agent) in &mut self.agents {
-            if agent.leaving && is_empty(agent, self.cluster_state.machines().get(id)) {
-                agent.deleting = true;
+        for (id, agent) in self.agents.iter_mut() {
+            if agent.is_leaving() && is_empty(agent, self.cluster_state.machines().get(id)) {
+                agent.begin_deletion();
             }
-            let quiet_s = now.since(agent.last_heard);
+            let quiet_s = agent.silence_s(now);
             let unanswered_connections =
                 unanswered_connections(agent, quiet_s, self.cfg.heartbeat_s);
             if trusts_silence && (quiet_s > self.cfg.silent_s() || unanswered_connections) {
-                if unanswered_connections && !agent.deleting {
+                if unanswered_connections && !agent.is_deleting() {
                     tracing::info!(machine = %id, quiet_s, "machine unresponsive; scaling in");
                 }
-                agent.deleting = true;
+                agent.begin_deletion();
             }
-            if agent.deleting {
+            if agent.is_deleting() {
                 to_delete.push(id.clone());
             }
         }
         let never_came = self.inventory.pending_machines().iter();
-        let never_came =
-            never_came.filter(|(id, pending_machines)| self.never_comes(id, pending_machines, now));
+        let never_came = never_came.filter(|(id, pending)| self.never_comes(id, pending, now));
         to_delete.extend(never_came.map(|(id, _)| id.clone()));
         to_delete
     }
 
     /// Whether a machine that was rented is not to be waited for any longer.
-    fn never_comes(&self, id: &MachineId, pending_machines: &PendingMachine, now: Time) -> bool {
-        let boot_s = self.types.get(&pending_machines.kind).map(|t| t.boot_s);
+    fn never_comes(&self, id: &MachineId, pending: &PendingMachine, now: Time) -> bool {
+        let boot_s = self.types.get(&pending.kind).map(|t| t.boot_s);
         let limit_s = STUCK_BOOTS * boot_s.unwrap_or(DEFAULT_BOOT_S) + STUCK_MARGIN_S;
-        now.since(pending_machines.since) > limit_s || self.inventory.is_missing(id)
+        now.since(pending.since) > limit_s || self.inventory.is_missing(id)
     }
 
     /// Whether nothing is to be done and nothing was asked for: the next job finds a
@@ -111,7 +101,7 @@
         let retiring = self.above_guarantees(candidates, idle);
         for id in self.mark_machines(plan, disuse, &retiring, now) {
             if let Some(agent) = self.agents.get_mut(&id) {
-                agent.leaving = true;
+                agent.chosen_for_scale_in();
             }
             self.refresh_machine(&id, now);
         }
@@ -120,9 +110,8 @@
     /// Only what had no use for long falls idle on purpose: a machine with a warm
     /// cache is worth more than a new one.
     fn measure_disuse(&mut self, plan: &autoscaler::Plan, now: Time) -> Vec<Disuse> {
-        let passed_s = now.since(self.scaling.last_plan);
+        let passed_s = self.scaling.planned(now);
         let weight = 1.0 - (-passed_s / self.cfg.tuning.idle_s.max(1.0)).exp();
-        self.scaling.last_plan = now;
         let machines = self.cluster_state.machines().iter();
         machines
             .map(|(id, machine)| {
@@ -142,18 +131,23 @@
         // What can't be served goes as soon as it has no use.
         let max = self.scaling.requests.max_machines();
         let excess = max.is_some_and(|max| self.machines() > max);
-        let mut candidates: Vec<(f64, &MachineId)> = disuse
+        let mut candidates: Vec<ScaleInCandidate> = disuse
             .iter()
             .filter(|d| d.now && (d.share > UNUSED_SHARE || idle || excess))
             .filter_map(|d| {
                 let machine = self.cluster_state.machines().get(&d.machine)?;
-                Some((machine.price_per_cpu(), &d.machine))
+                Some(ScaleInCandidate {
+                    machine: &d.machine,
+                    price_per_cpu: machine.price_per_cpu(),
+                })
             })
             .collect();
-        candidates.sort_by(|(price, id), (other_price, other_id)| {
-            other_price.total_cmp(price).then(other_id.cmp(id))
+        candidates.sort_by(|a, b| {
+            let dearest_first = b.price_per_cpu.total_cmp(&a.price_per_cpu);
+            dearest_first.then(b.machine.cmp(a.machine))
         });
-        candidates.into_iter().map(|(_, id)| id.clone()).collect()
+        let ids = candidates.into_iter().map(|c| c.machine.clone());
+        ids.collect()
     }
 
     /// Of the candidates, in their order, those without which the teams' guarantees
@@ -204,13 +198,13 @@
     }
 }
 
-/// Whether nothing is claimed on a machine, and nothing runs that it told of.
+/// Whether nothing is claimed on a machine, and nothing runs that it reported.
 fn is_empty(agent: &AgentState, machine: Option<&Machine>) -> bool {
     machine.is_none_or(|m| m.claims.is_empty())
         && agent.tasks.values().all(|t| t.phase == TaskPhase::Ended)
 }
 
-/// Whether a machine takes connections and doesn't answer. It was last heard
+/// Whether a machine takes connections and doesn't answer. Its last heartbeat came
 /// `quiet_s` seconds ago.
 fn unanswered_connections(agent: &AgentState, quiet_s: f64, heartbeat_s: f64) -> bool {
     let long =
--- a/src/control/core/scaling_state.rs
+++ b/src/control/core/scaling_state.rs
@@ -1,24 +1,24 @@
 //! What is remembered between looks at the fleet: the work that arrived, and the
-//! requests to the cloud. Changed by arrivals ([`super::objectives`]), by claims
+//! requests to the cloud. Changed by arrivals ([`super::arrivals`]), by claims
 //! ([`super::placement`]) and by the steps of a look ([`super::scaling`]).
 
-use std::collections::{BTreeMap, HashMap};
+use std::collections::HashMap;
 
 use sorrelhinge_overload::fleet_limit::ClaimRate;
 
-use super::objectives::{ArrivalSort, Arrivals};
+use super::arrivals::ArrivalLog;
 use crate::cloud::Rental;
 use crate::types::{Time, TypeName, Zone};
 
 /// A sort of machine that the cloud is asked for.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub(super) struct MachineOffer {
+pub struct MachineOffer {
     /// The machine type.
-    pub(super) kind: TypeName,
+    pub kind: TypeName,
     /// The zone.
-    pub(super) zone: Zone,
+    pub zone: Zone,
     /// Whether it is a spot machine.
-    pub(super) spot: bool,
+    pub spot: bool,
 }
 
 impl From<&Rental> for MachineOffer {
@@ -33,26 +33,43 @@
 
 /// What is remembered between looks at the fleet.
 pub(super) struct ScalingState {
-    /// Jobs that came of late.
-    pub(super) arrivals: BTreeMap<ArrivalSort, Arrivals>,
+    /// Jobs that arrived of late.
+    pub(super) arrivals: ArrivalLog,
     /// Requests to the cloud.
     pub(super) requests: ScaleOutRequests,
     /// When the totals were last logged.
-    pub(super) last_log: Time,
+    last_log: Time,
     /// When the last plan was made.
-    pub(super) last_plan: Time,
+    last_plan: Time,
 }
 
 impl ScalingState {
     /// Of an owner that starts now.
     pub(super) fn new(now: Time) -> Self {
         Self {
-            arrivals: BTreeMap::new(),
+            arrivals: ArrivalLog::default(),
             requests: ScaleOutRequests::default(),
             last_log: now,
             last_plan: now,
         }
     }
+
+    /// Whether the totals were last logged at least so many seconds ago; if so, they are
+    /// logged now.
+    pub(super) fn take_log_due(&mut self, interval_s: f64, now: Time) -> bool {
+        let due = now.since(self.last_log) >= interval_s;
+        if due {
+            self.last_log = now;
+        }
+        due
+    }
+
+    /// A plan is made now. Seconds since the one before it.
+    pub(super) fn planned(&mut self, now: Time) -> f64 {
+        let passed_s = now.since(self.last_plan);
+        self.last_plan = now;
+        passed_s
+    }
 }
 
 /// Requests to the cloud for machines, and what bounds them.
--- a/src/control/core/unknown_agent.rs
+++ b/src/control/core/unknown_agent.rs
@@ -1,6 +1,6 @@
-//! Answers to workers whose machine this owner has no link to yet.
+//! Answers to workers whose machine this owner has no state of yet.
 //!
-//! A link needs the machine's type, which a controller learns from the cloud, and
+//! That needs the machine's type, which a controller learns from the cloud, and
 //! a report that certainly is no late copy. Until then the answer still renews the
 //! worker's lease (PROTOCOL, "Leases"), so it has to stop what must not run: while
 //! the cloud was away and all controllers had just begun, tasks of cancelled jobs
@@ -14,7 +14,7 @@
 impl Core {
     /// The answer to a worker's heartbeat.
     pub fn answer(&mut self, heartbeat: &Heartbeat, view: &View, now: Time) -> Reply {
-        if self.agents.contains_key(&heartbeat.machine) {
+        if self.agents.contains(&heartbeat.machine) {
             return self.reply(&heartbeat.machine, view, now);
         }
         let running = heartbeat.tasks.iter();
