--- a/crates/topology/src/policy.rs
+++ b/crates/topology/src/policy.rs
@@ -5,12 +5,14 @@
 
 mod feasible;
 mod judge;
+mod reasons;
 
 use std::collections::BTreeMap;
 
 use sorrelhinge_protocol::placement::{Device, PlacementRules, Spread};
 
 pub use judge::ExcludedMachine;
+pub use reasons::{ExclusionRule, InfeasiblePolicy, UnjudgedPolicy};
 
 use crate::tree::{Domain, Level, Tree};
 
@@ -55,7 +57,7 @@
     /// What it wished is not known any more: its tasks may hold any device.
     pub lost: bool,
     /// A required rule that can't be judged: nothing may be placed.
-    unjudged: Option<String>,
+    unjudged: Option<UnjudgedPolicy>,
 }
 
 /// Where a task is, as far as rules see it: its machine's place and the
@@ -136,9 +138,9 @@
     }
 
     /// A policy that can't be judged, so that nothing is placed.
-    pub fn unjudged(why: &str) -> Self {
+    pub fn unjudged(why: UnjudgedPolicy) -> Self {
         Self {
-            unjudged: Some(why.to_owned()),
+            unjudged: Some(why),
             ..Self::default()
         }
     }
@@ -173,7 +175,9 @@
         let level = tree.level(name);
         if level.is_none() && must {
             self.unjudged
-                .get_or_insert(format!("there is no level {name:?}"));
+                .get_or_insert_with(|| UnjudgedPolicy::UnknownLevel {
+                    level: name.to_owned(),
+                });
         }
         level
     }
--- a/crates/topology/src/policy/feasible.rs
+++ b/crates/topology/src/policy/feasible.rs
@@ -3,7 +3,7 @@
 
 use sorrelhinge_protocol::types::{JobSpec, Kind};
 
-use super::Policy;
+use super::{InfeasiblePolicy, Policy};
 use crate::tree::{Domain, Level, Tree, ROOT};
 use crate::Topology;
 
@@ -47,9 +47,9 @@
 impl Policy {
     /// Why a job can never be placed on the machines that the file describes,
     /// if that is so.
-    pub fn never(&self, topology: &Topology, spec: &JobSpec) -> Option<String> {
+    pub fn never(&self, topology: &Topology, spec: &JobSpec) -> Option<InfeasiblePolicy> {
         if let Some(why) = &self.unjudged {
-            return Some(why.clone());
+            return Some(InfeasiblePolicy::Unjudged(why.clone()));
         }
         let tree = &topology.tree;
         let bounds = Bounds::of(self, tree, spec);
@@ -60,21 +60,25 @@
     }
 
     /// More units are required than any machine has.
-    fn lacks_devices(&self, topology: &Topology) -> Option<String> {
+    fn lacks_devices(&self, topology: &Topology) -> Option<InfeasiblePolicy> {
         let max = topology.max_units();
         self.devices.iter().filter(|d| d.must).find_map(|need| {
             let there = max.get(&need.kind).copied().unwrap_or(0);
-            (there < need.count).then(|| {
-                format!(
-                    "{} of {:?} on one machine: the most there is, is {there}",
-                    need.count, need.kind
-                )
+            (there < need.count).then(|| InfeasiblePolicy::Devices {
+                kind: need.kind.clone(),
+                count: need.count,
+                max: there,
             })
         })
     }
 
     /// The required rules leave too little free capacity where all tasks have to be.
-    fn lacks_free_capacity(&self, tree: &Tree, bounds: &Bounds, at_once: u64) -> Option<String> {
+    fn lacks_free_capacity(
+        &self,
+        tree: &Tree,
+        bounds: &Bounds,
+        at_once: u64,
+    ) -> Option<InfeasiblePolicy> {
         let judged = self.spread.iter().any(|r| r.must) || self.one_domain().is_some();
         if !judged {
             return None;
@@ -87,12 +91,8 @@
                 .into_iter()
                 .collect(),
         };
-        let free_capacity = free_capacities.into_iter().max().unwrap_or(0);
-        (free_capacity < at_once).then(|| {
-            format!(
-                "{at_once} tasks at a time; its rules allow {free_capacity} on all the machines described"
-            )
-        })
+        let allowed = free_capacities.into_iter().max().unwrap_or(0);
+        (allowed < at_once).then_some(InfeasiblePolicy::Tasks { at_once, allowed })
     }
 
     /// The required rules leave too little free capacity in as many domains as the tasks may use.
@@ -101,21 +101,20 @@
         tree: &Tree,
         bounds: &Bounds,
         at_once: u64,
-    ) -> Option<String> {
+    ) -> Option<InfeasiblePolicy> {
         let few = self.fewest.iter().find(|r| r.must && r.max > 0);
         let rule = few.filter(|r| !tree.is_machine(r.level))?;
         let mut free_capacities = self.free_capacities(tree, bounds, rule.level);
         free_capacities.sort_unstable_by(|a, b| b.cmp(a));
-        let free_capacity = free_capacities
+        let allowed = free_capacities
             .into_iter()
             .take(rule.max as usize)
             .fold(0, u64::saturating_add);
-        (free_capacity < at_once).then(|| {
-            format!(
-                "{at_once} tasks at a time in at most {} of each {}: its rules allow {free_capacity}",
-                rule.max,
-                tree.level_name(rule.level)
-            )
+        (allowed < at_once).then(|| InfeasiblePolicy::TasksInFewDomains {
+            at_once,
+            allowed,
+            max_domains: rule.max,
+            level: tree.level_name(rule.level).to_owned(),
         })
     }
 
--- a/crates/topology/src/policy/judge.rs
+++ b/crates/topology/src/policy/judge.rs
@@ -1,13 +1,15 @@
 //! Which machines a policy keeps one more task off, and which tasks pile up.
 
-use super::{key, Counts, FewRule, Key, Policy, Reach, SpreadRule, Tally, TogetherRule};
+use super::{
+    key, Counts, ExclusionRule, FewRule, Key, Policy, Reach, SpreadRule, Tally, TogetherRule,
+};
 use crate::tree::{Domain, Level, Tree};
 
 /// A machine that a rule keeps a job off.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ExcludedMachine {
-    /// Which rule, in words.
-    pub why: String,
+    /// Which rule.
+    pub rule: ExclusionRule,
     /// All machines with places from the asked one's up to here are barred by
     /// it too.
     pub until: u32,
@@ -33,6 +35,10 @@
         key(self.tree, level, self.at)
     }
 
+    fn level_name(&self, level: Level) -> String {
+        self.tree.level_name(level).to_owned()
+    }
+
     /// The job's tasks by domain of a level.
     fn counts(&self, level: Level) -> &Counts {
         self.tally.of(level)
@@ -44,29 +50,32 @@
     }
 
     /// Kept off by a rule of this level.
-    fn barred(&self, level: Level, why: String) -> ExcludedMachine {
+    fn barred(&self, level: Level, rule: ExclusionRule) -> ExcludedMachine {
         let place = self.place();
         let until = match self.tree.at(place, level) {
             _ if self.tree.is_machine(level) => place.0,
             Some(domain) => self.tree.range(domain).end,
             None => place.0 + 1,
         };
-        ExcludedMachine { why, until }
+        ExcludedMachine { rule, until }
     }
 
     fn spread(&self, rule: &SpreadRule) -> Option<ExcludedMachine> {
         if !self.asks(rule.must) {
             return None;
         }
-        let name = self.tree.level_name(rule.level);
         let counts = self.counts(rule.level);
         let Some(key) = self.key(rule.level) else {
             // It may share a domain with any other task.
-            return Some(self.barred(rule.level, format!("its {name} is not known")));
+            let level = self.level_name(rule.level);
+            return Some(self.barred(rule.level, ExclusionRule::UnknownDomain { level }));
         };
         let here = counts.by.get(&key).copied().unwrap_or(0);
-        (here + counts.unknown >= rule.max)
-            .then(|| self.barred(rule.level, format!("at most {} in a {name}", rule.max)))
+        (here + counts.unknown >= rule.max).then(|| {
+            let level = self.level_name(rule.level);
+            let max = rule.max;
+            self.barred(rule.level, ExclusionRule::Spread { level, max })
+        })
     }
 
     fn together(&self, rule: &TogetherRule) -> Option<ExcludedMachine> {
@@ -77,8 +86,10 @@
         let fits = self.key(rule.level).is_some_and(|key| {
             self.tally.total == 0 || counts.unknown == 0 && counts.by.contains_key(&key)
         });
-        let name = self.tree.level_name(rule.level);
-        (!fits).then(|| self.barred(rule.level, format!("all in one {name}")))
+        (!fits).then(|| {
+            let level = self.level_name(rule.level);
+            self.barred(rule.level, ExclusionRule::Together { level })
+        })
     }
 
     fn fewest(&self, rule: &FewRule) -> Option<ExcludedMachine> {
@@ -93,9 +104,10 @@
         }
         let preferred = self.reach == Reach::All && (used > 0 || known.is_none());
         let required = rule.must && rule.max > 0 && (used >= rule.max || known.is_none());
-        let name = self.tree.level_name(rule.level);
-        (preferred || required)
-            .then(|| self.barred(rule.level, format!("in as few of each {name} as can be")))
+        (preferred || required).then(|| {
+            let level = self.level_name(rule.level);
+            self.barred(rule.level, ExclusionRule::Fewest { level })
+        })
     }
 }
 
@@ -111,7 +123,7 @@
     ) -> Option<ExcludedMachine> {
         if let Some(why) = &self.unjudged {
             return Some(ExcludedMachine {
-                why: why.clone(),
+                rule: ExclusionRule::Unjudged(why.clone()),
                 until: u32::MAX,
             });
         }
--- a/crates/topology/tests/model.rs
+++ b/crates/topology/tests/model.rs
@@ -11,7 +11,9 @@
 use sorrelhinge_protocol::users::read_job;
 use sorrelhinge_topology::devices::{choose, AllocatedDevices, DeviceInventory, Unit};
 use sorrelhinge_topology::gang::{self, Rules, Slot};
-use sorrelhinge_topology::policy::{Policy, Reach, Tally};
+use sorrelhinge_topology::policy::{
+    ExclusionRule, InfeasiblePolicy, Policy, Reach, Tally, UnjudgedPolicy,
+};
 use sorrelhinge_topology::tree::{Domain, Tree};
 
 const LEVELS: [&str; 4] = ["zone", "rack", "switch", "machine"];
@@ -449,7 +451,8 @@
         let mut spec = spec(kind, tasks);
         spec.zone = zone.map(Into::into);
         let rules: PlacementRules = serde_json::from_str(rules).expect("rules");
-        Policy::new([&rules], &topology.tree, tasks).never(&topology, &spec)
+        let never = Policy::new([&rules], &topology.tree, tasks).never(&topology, &spec);
+        never.map(|why| why.to_string())
     };
     let one_each = r#"{"spread": [{"level": "switch", "most": 1}]}"#;
     assert_eq!(never("standing", 3, None, one_each), None);
@@ -649,3 +652,70 @@
         "write it anew: sorrelhinge topology schema > deploy/topology.schema.json"
     );
 }
+
+/// Users and the log read these texts: they are part of what the software promises.
+#[test]
+fn excluding_rules_have_their_texts() {
+    let level = || "rack".to_owned();
+    let text = |rule: ExclusionRule| rule.to_string();
+    let unknown = UnjudgedPolicy::UnknownLevel { level: level() };
+    assert_eq!(
+        text(ExclusionRule::Unjudged(unknown)),
+        "there is no level \"rack\""
+    );
+    assert_eq!(
+        text(ExclusionRule::Unjudged(UnjudgedPolicy::NoTopology)),
+        "this controller has no topology"
+    );
+    assert_eq!(
+        text(ExclusionRule::UnknownDomain { level: level() }),
+        "its rack is not known"
+    );
+    let spread = ExclusionRule::Spread {
+        level: level(),
+        max: 2,
+    };
+    assert_eq!(text(spread), "at most 2 in a rack");
+    assert_eq!(
+        text(ExclusionRule::Together { level: level() }),
+        "all in one rack"
+    );
+    assert_eq!(
+        text(ExclusionRule::Fewest { level: level() }),
+        "in as few of each rack as can be"
+    );
+}
+
+/// The same of why a job can never be placed.
+#[test]
+fn infeasible_policies_have_their_texts() {
+    let unjudged = InfeasiblePolicy::Unjudged(UnjudgedPolicy::NoTopology);
+    assert_eq!(unjudged.to_string(), "this controller has no topology");
+    let devices = InfeasiblePolicy::Devices {
+        kind: "enc".into(),
+        count: 3,
+        max: 2,
+    };
+    assert_eq!(
+        devices.to_string(),
+        "3 of \"enc\" on one machine: the most there is, is 2"
+    );
+    let tasks = InfeasiblePolicy::Tasks {
+        at_once: 4,
+        allowed: 3,
+    };
+    assert_eq!(
+        tasks.to_string(),
+        "4 tasks at a time; its rules allow 3 on all the machines described"
+    );
+    let few = InfeasiblePolicy::TasksInFewDomains {
+        at_once: 4,
+        allowed: 3,
+        max_domains: 2,
+        level: "rack".into(),
+    };
+    assert_eq!(
+        few.to_string(),
+        "4 tasks at a time in at most 2 of each rack: its rules allow 3"
+    );
+}
--- a/src/api/jobs.rs
+++ b/src/api/jobs.rs
@@ -114,7 +114,7 @@
     // It looks at all machines, so only where operators asked for it.
     if summary.phase == Phase::Live && node.topology().is_some() {
         if let Some(why) = node.why_waits(id) {
-            told["waits"] = json!(why);
+            told["waits"] = json!(why.to_string());
         }
     }
     reply(200, told)
--- a/src/control/core/priority_lanes.rs
+++ b/src/control/core/priority_lanes.rs
@@ -30,7 +30,7 @@
                     waited_s,
                     left_s: max.map(|ms| ms as f64 / 1000.0 - waited_s),
                     front: !key.behind,
-                    why: why.unwrap_or_else(|| "it has its turn".into()),
+                    why: why.map_or_else(|| "it has its turn".into(), |why| why.to_string()),
                 }
             });
             LaneShown {
--- a/src/control/core/shard_handover.rs
+++ b/src/control/core/shard_handover.rs
@@ -124,6 +124,7 @@
             return;
         };
         if let Some(why) = self.cluster_state.why_waits(&id, now) {
+            let why = why.to_string();
             tracing::info!(job = %id, why, "waits");
         }
         self.told.insert(id, now);
--- a/src/control/submissions.rs
+++ b/src/control/submissions.rs
@@ -8,7 +8,7 @@
 use super::drains::Refused;
 use super::store_watch::FRESH_VIEW_TIMEOUT;
 use super::{wall_ms, Node, Submitted};
-use crate::scheduler::ClusterState;
+use crate::scheduler::{ClusterState, WaitingReason};
 use crate::state::record::{chunk_key, job_key, JobRecord, NewJob, Phase};
 use crate::state::view::{Cancellation, Summary, Versioned};
 use crate::state::{
@@ -80,7 +80,9 @@
             let policy = ClusterState::policy_of(Some(t), spec);
             policy.never(t, spec)
         });
-        never.map_or(Feasibility::Possible, Feasibility::Never)
+        never.map_or(Feasibility::Possible, |why| {
+            Feasibility::Never(why.to_string())
+        })
     }
 
     /// Devices that a class needs are written into each of its jobs, so that
@@ -159,7 +161,7 @@
     }
 
     /// Why a job waits, if this controller places it and knows.
-    pub fn why_waits(&self, id: &JobId) -> Option<String> {
+    pub fn why_waits(&self, id: &JobId) -> Option<WaitingReason> {
         let cores = self.shards.owned();
         let mut here = cores.values().filter(|c| c.scope.homes(id));
         here.find_map(|c| c.cluster_state.why_waits(id, self.now()))
--- a/src/scheduler/mod.rs
+++ b/src/scheduler/mod.rs
@@ -66,3 +66,4 @@
 pub use shares::{water_fill, Standing};
 pub use tasks::{Claim, Progress, Sent, Tasks};
 pub use team::Team;
+pub use waiting_reason::{MachineExclusion, WaitingReason};
--- a/src/scheduler/topology_rules.rs
+++ b/src/scheduler/topology_rules.rs
@@ -6,7 +6,7 @@
 
 use sorrelhinge_protocol::placement::Device;
 use sorrelhinge_topology::devices::{choose, Unit};
-use sorrelhinge_topology::policy::{MachineLocation, Policy, Reach, Tally};
+use sorrelhinge_topology::policy::{MachineLocation, Policy, Reach, Tally, UnjudgedPolicy};
 use sorrelhinge_topology::repair::Stability;
 use sorrelhinge_topology::tree::{Domain, ROOT};
 use sorrelhinge_topology::Topology;
@@ -79,7 +79,7 @@
                     .collect();
                 Rc::new(Policy::new(class.iter().chain(own), &t.tree, spec.tasks))
             }
-            None if own.is_some() => Rc::new(Policy::unjudged("this controller has no topology")),
+            None if own.is_some() => Rc::new(Policy::unjudged(UnjudgedPolicy::NoTopology)),
             None => Rc::default(),
         }
     }
--- a/tests/topology_cases.rs
+++ b/tests/topology_cases.rs
@@ -15,7 +15,8 @@
 use sorrelhinge::autoscaler;
 use sorrelhinge::control::core::{Core, Places, RecoveryInput, ShardGrant, Source};
 use sorrelhinge::scheduler::{
-    Claim, ClusterState, DelayRule, Job, Launch, Machine, Moving, Progress, Sent, Tasks,
+    Claim, ClusterState, DelayRule, Job, Launch, Machine, MachineExclusion, Moving, Progress, Sent,
+    Tasks, WaitingReason,
 };
 use sorrelhinge::state::record::{job_key, JobRecord, GRANT};
 use sorrelhinge::state::view::View;
@@ -25,6 +26,7 @@
 use sorrelhinge_protocol::placement::PlacementRules;
 use sorrelhinge_protocol::users::read_job;
 use sorrelhinge_topology::drain::{Drain, Target};
+use sorrelhinge_topology::policy::ExclusionRule;
 use sorrelhinge_topology::renting::Memory;
 use sorrelhinge_topology::repair::Stability;
 use sorrelhinge_topology::Topology;
@@ -220,7 +222,8 @@
     let why = w
         .cluster_state
         .why_waits(&hard, Time(1.0))
-        .expect("a reason");
+        .expect("a reason")
+        .to_string();
     assert!(why.contains("at most 1 in a switch"), "{why}");
     // A domain comes back, and the third goes there.
     w.usable("vm-b1", true);
@@ -336,7 +339,8 @@
     let why = w
         .cluster_state
         .why_waits(&second, Time(1.0))
-        .expect("a reason");
+        .expect("a reason")
+        .to_string();
     assert!(why.contains("its devices are taken"), "{why}");
     // The file names another unit: it is free. The old one comes back: held.
     w.cluster_state
@@ -900,3 +904,56 @@
         .all(|m| *m == machine || m.starts_with("vm-b")));
     assert_eq!(claim(&o).stop, Some(0.0), "its place is ready, so it moves");
 }
+
+/// Users and the log read these texts: they are part of what the software promises.
+#[test]
+fn exclusions_have_their_texts() {
+    let text = |why: MachineExclusion| {
+        let (machines, with_free_capacity) = (2, 3);
+        let excluded = WaitingReason::Excluded {
+            why,
+            machines,
+            with_free_capacity,
+        };
+        excluded.to_string()
+    };
+    assert_eq!(
+        text(MachineExclusion::DevicesTaken),
+        "its devices are taken (2 of 3 machines with room)"
+    );
+    assert_eq!(
+        text(MachineExclusion::NoSuchDevice),
+        "it has no such device (2 of 3 machines with room)"
+    );
+    let level = "rack".into();
+    assert_eq!(
+        text(MachineExclusion::Rule(ExclusionRule::Together { level })),
+        "all in one rack (2 of 3 machines with room)"
+    );
+}
+
+/// The same of what else a job waits for.
+#[test]
+fn reasons_to_wait_have_their_texts() {
+    let with_free_capacity = 3;
+    let reasons = [
+        (WaitingReason::TeamAtLimit, "its team is at its limit"),
+        (
+            WaitingReason::GangStopping,
+            "the gang starts anew once all its tasks are gone",
+        ),
+        (WaitingReason::NoTopology, "this controller has no topology"),
+        (
+            WaitingReason::NoFreeCapacity { suitable: 3 },
+            "no room on any of 3 machines that suit it",
+        ),
+        (
+            WaitingReason::NoFreeCapacityForGang { with_free_capacity },
+            "no room for the whole gang; 3 machines have some",
+        ),
+        (WaitingReason::BehindOthers, "others go first"),
+    ];
+    for (why, text) in reasons {
+        assert_eq!(why.to_string(), text);
+    }
+}
