--- a/src/autoscaler/placed.rs
+++ b/src/autoscaler/placed.rs
@@ -8,7 +8,7 @@
 use sorrelhinge_protocol::placement::Device;
 use sorrelhinge_topology::devices::{choose, AllocatedDevices, Unit};
 use sorrelhinge_topology::policy::{Policy, Reach, Tally};
-use sorrelhinge_topology::renting::tries;
+use sorrelhinge_topology::renting::{tries, MachinePool};
 use sorrelhinge_topology::tree::Domain;
 use sorrelhinge_topology::Topology;
 
@@ -176,12 +176,12 @@
             let chance = if certain {
                 1.0
             } else {
-                let sort = (
-                    free_capacity.kind.name.clone(),
-                    free_capacity.zone.clone(),
-                    free_capacity.spot,
-                );
-                self.input.memory.chance(&sort, &may)
+                let pool = MachinePool {
+                    kind: free_capacity.kind.name.clone(),
+                    zone: free_capacity.zone.clone(),
+                    spot: free_capacity.spot,
+                };
+                self.input.memory.chance(&pool, &may)
             };
             if chance < MIN_PROBABILITY || bounded && !certain {
                 continue;
--- a/src/control/core/agents.rs
+++ b/src/control/core/agents.rs
@@ -3,6 +3,8 @@
 
 use std::rc::Rc;
 
+use sorrelhinge_topology::renting::MachinePool;
+
 use super::agent::{AgentState, SeenMachine};
 use super::command_queue::ContactOrder;
 use super::machine_types::MachineTypes;
@@ -73,13 +75,17 @@
             let ran = !self.cluster_state.is_distributed(gb);
             machine.cache.touch(&image, gb, machine.kind.cache_gb, ran);
         }
-        let sort = (machine.kind.name.clone(), machine.zone.clone(), seen.spot);
+        let pool = MachinePool {
+            kind: machine.kind.name.clone(),
+            zone: machine.zone.clone(),
+            spot: seen.spot,
+        };
         self.cluster_state.add_machine(id.clone(), machine);
         if self.cluster_state.topology().is_some() {
             self.cluster_state.locate(id, Some(seen.addr.ip()));
             let place = self.cluster_state.machines().get(id).map(|m| m.place);
             self.topology_history
-                .came_up(sort, place.unwrap_or_default(), now);
+                .came_up(pool, place.unwrap_or_default(), now);
         }
     }
 
--- a/src/control/core/fleet_log.rs
+++ b/src/control/core/fleet_log.rs
@@ -1,6 +1,7 @@
 //! What is used and free on all machines, for the log.
 
 use super::Core;
+use crate::scheduler::TypeUsage;
 use crate::types::Time;
 
 /// How often that is logged, in seconds.
@@ -75,10 +76,15 @@
     fn use_by_type(&self) -> String {
         let usage: Vec<String> = self
             .cluster_state
-            .use_of_kinds()
+            .use_of_types()
             .iter()
-            .map(|(kind, sum)| {
-                let [machines, cpus, used, needed] = sum;
+            .map(|(kind, usage)| {
+                let TypeUsage {
+                    machines,
+                    cpus,
+                    used,
+                    needed,
+                } = usage;
                 format!("{kind}:{machines}/{cpus}/{used}/{needed}")
             })
             .collect();
--- a/src/control/core/priority_lanes.rs
+++ b/src/control/core/priority_lanes.rs
@@ -15,7 +15,7 @@
     pub fn show_lanes(&self, now: Time) -> LanesShown {
         let cpus = |milli: i64| milli as f64 / 1000.0;
         let lanes = self.cfg.lanes.iter().map(|(id, lane)| {
-            let (used, all) = self.cluster_state.lane_usage(id);
+            let usage = self.cluster_state.lane_usage(id);
             let waits = self.cluster_state.lane_waits();
             let waits = waits.filter(|(key, job)| key.lane == id && job.tasks.pending() > 0);
             let waiting = waits.take(MAX_JOBS_SHOWN).map(|(key, job)| {
@@ -37,8 +37,8 @@
                 name: lane.name.clone(),
                 order: lane.order,
                 part: lane.bound.part(),
-                cpus: cpus(used),
-                of_cpus: cpus(all),
+                cpus: cpus(usage.used),
+                of_cpus: cpus(usage.capacity),
                 waiting: waiting.collect(),
             }
         });
@@ -63,7 +63,7 @@
                 waiting += 1;
                 oldest_s = oldest_s.max(now.since(job.submitted));
             }
-            let (used, all) = self.cluster_state.lane_usage(id);
+            let usage = self.cluster_state.lane_usage(id);
             tracing::info!(
                 shard = %self.scope.shard,
                 lane = lane.name,
@@ -71,8 +71,8 @@
                 next = %first.id,
                 place = first.place.0,
                 oldest_s = tenths(oldest_s),
-                cpus = used / 1000,
-                of_cpus = all / 1000,
+                cpus = usage.used / 1000,
+                of_cpus = usage.capacity / 1000,
                 "lane"
             );
         }
--- a/src/control/core/shard_handover.rs
+++ b/src/control/core/shard_handover.rs
@@ -7,7 +7,7 @@
 use sorrelhinge_topology::{repair, Topology};
 
 use super::Core;
-use crate::scheduler::Moving;
+use crate::scheduler::{ActiveDrain, Moving};
 use crate::state::view::View;
 use crate::types::{Kind, MachineId, Time};
 
@@ -82,10 +82,13 @@
             return;
         };
         let wall = self.wall_ms(now);
-        let drains: Vec<(Drain, f64)> = self
+        let drains: Vec<ActiveDrain> = self
             .drains
             .iter()
-            .map(|d| (d.clone(), d.left_s(wall)))
+            .map(|drain| ActiveDrain {
+                drain: drain.clone(),
+                left_s: drain.left_s(wall),
+            })
             .collect();
         let moving = Moving {
             drains: &drains,
--- a/src/control/core/shard_quota.rs
+++ b/src/control/core/shard_quota.rs
@@ -4,16 +4,12 @@
 
 use super::Core;
 use crate::config::TeamConfig;
+use crate::scheduler::{Team, TeamLimits};
 use crate::state::view::View;
 use crate::types::Amount;
 
-/// What a team has in this shard, in thousandths, as amounts are.
-struct TeamPart {
-    limit: Amount,
-    guarantee: Amount,
-}
-
-/// The same of one resource.
+/// A team's limit and guarantee of one resource in this shard, in thousandths, as
+/// amounts are.
 struct ResourcePart {
     limit: i64,
     guarantee: i64,
@@ -33,12 +29,10 @@
         let parts = teams.map(|(i, team)| {
             let held = record.map_or(Amount::default(), |r| r.of(&team.name));
             let given = given.get(i).copied().unwrap_or_default();
-            let part = team_part(team, held, given, shards);
-            (part.limit, part.guarantee)
+            team_part(team, held, given, shards)
         });
-        let parts: Vec<(Amount, Amount)> = parts.collect();
-        let teams = self.cluster_state.teams().iter();
-        let now = teams.map(|t| (t.limit, t.guarantee));
+        let parts: Vec<TeamLimits> = parts.collect();
+        let now = self.cluster_state.teams().iter().map(Team::limits);
         if !now.eq(parts.iter().copied()) {
             self.cluster_state.set_limits(parts.into_iter());
             self.walk_all = true;
@@ -72,7 +66,7 @@
 
 /// A team's part of its limit, which is recorded as `held`, less what is being given
 /// away; its guarantee in the same proportion. RAM has no limit.
-fn team_part(team: &TeamConfig, held: Amount, given: Amount, shards: i64) -> TeamPart {
+fn team_part(team: &TeamConfig, held: Amount, given: Amount, shards: i64) -> TeamLimits {
     // Of no limit there are no parts, whatever is recorded.
     let part = |held: i64, given: i64, whole: i64, guarantee: i64| {
         if whole == Amount::NO_LIMIT {
@@ -89,7 +83,7 @@
     };
     let cpu = part(held.cpu, given.cpu, team.limit.cpu, team.guarantee.cpu);
     let gpu = part(held.gpu, given.gpu, team.limit.gpu, team.guarantee.gpu);
-    TeamPart {
+    TeamLimits {
         limit: Amount {
             cpu: cpu.limit,
             gpu: gpu.limit,
--- a/src/control/core/topology_history.rs
+++ b/src/control/core/topology_history.rs
@@ -2,7 +2,7 @@
 //! lost, and where those that were asked for came up. Without a topology both stay
 //! empty.
 
-use sorrelhinge_topology::renting::{Memory, Sort};
+use sorrelhinge_topology::renting::{MachinePool, Memory};
 use sorrelhinge_topology::repair::Stability;
 use sorrelhinge_topology::settings::Settings;
 use sorrelhinge_topology::tree::{Domain, Tree};
@@ -17,9 +17,9 @@
 }
 
 impl TopologyHistory {
-    /// A machine of a sort came up in a domain.
-    pub(super) fn came_up(&mut self, sort: Sort, place: Domain, now: Time) {
-        self.placements.came(sort, place, now);
+    /// A machine of a pool came up in a domain.
+    pub(super) fn came_up(&mut self, pool: MachinePool, place: Domain, now: Time) {
+        self.placements.came(pool, place, now);
     }
 
     /// A machine in a domain was lost.
--- a/src/scheduler/cluster_state.rs
+++ b/src/scheduler/cluster_state.rs
@@ -12,6 +12,22 @@
 use super::{idle, lanes, reservations, Claim, Job, Machine, Team};
 use crate::types::{Amount, Attempt, JobId, MachineId, Priority, TaskId, Time, TypeName, Zone};
 
+/// Amounts of CPU are counted in thousandths.
+const MILLI_PER_CPU: i64 = 1000;
+
+/// Usable machines of a type, and whole CPUs on them.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub struct TypeUsage {
+    /// Machines.
+    pub machines: i64,
+    /// Their CPUs.
+    pub cpus: i64,
+    /// CPUs used by tasks.
+    pub used: i64,
+    /// CPUs used by tasks that fit no smaller type.
+    pub needed: i64,
+}
+
 /// Room on a machine that is being made, or found, for a job's next task.
 #[derive(Clone, Debug)]
 pub(super) struct Reservation {
@@ -161,19 +177,18 @@
         self.capacity
     }
 
-    /// Of each type: usable machines, their CPUs, CPUs used, and CPUs used by
-    /// tasks that fit no smaller type: what is short may be only one type.
-    pub fn use_of_kinds(&self) -> BTreeMap<TypeName, [i64; 4]> {
-        let mut sums: BTreeMap<TypeName, [i64; 4]> = BTreeMap::new();
+    /// What is used of each machine type: what is short may be only one type.
+    pub fn use_of_types(&self) -> BTreeMap<TypeName, TypeUsage> {
+        let mut sums: BTreeMap<TypeName, TypeUsage> = BTreeMap::new();
         for m in self.machines.values().filter(|m| m.usable) {
             let sum = sums.entry(m.kind.name.clone()).or_default();
             let needed = m.claims.iter().filter_map(|t| self.jobs.get(&t.job));
             let needed = needed.filter(|j| self.needs(j.spec.each, &m.kind));
             let needed: i64 = needed.map(|j| j.spec.each.cpu).sum();
-            sum[0] += 1;
-            sum[1] += m.kind.total.cpu / 1000;
-            sum[2] += m.used.cpu / 1000;
-            sum[3] += needed / 1000;
+            sum.machines += 1;
+            sum.cpus += m.kind.total.cpu / MILLI_PER_CPU;
+            sum.used += m.used.cpu / MILLI_PER_CPU;
+            sum.needed += needed / MILLI_PER_CPU;
         }
         sums
     }
--- a/src/scheduler/lanes.rs
+++ b/src/scheduler/lanes.rs
@@ -74,6 +74,15 @@
     }
 }
 
+/// What a lane's jobs use of all usable machines, in thousandths of a CPU.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct LaneUsage {
+    /// What the lane's jobs use.
+    pub used: i64,
+    /// What there is.
+    pub capacity: i64,
+}
+
 /// What was placed for lane jobs ahead of all others, and who was tried.
 pub(super) struct LanesPlaced {
     pub launches: Vec<Launch>,
@@ -175,10 +184,12 @@
         }
     }
 
-    /// Thousandths of a CPU that a lane's jobs hold, and of how many its part is.
-    pub fn lane_usage(&self, lane: LaneId) -> (i64, i64) {
-        let used = self.lanes.used.get(&lane).copied().unwrap_or(0);
-        (used, self.capacity.cpu)
+    /// What a lane's jobs use now, and of how much its part is.
+    pub fn lane_usage(&self, lane: LaneId) -> LaneUsage {
+        LaneUsage {
+            used: self.lanes.used.get(&lane).copied().unwrap_or(0),
+            capacity: self.capacity.cpu,
+        }
     }
 
     /// The lane jobs that wait, the first first.
@@ -191,10 +202,10 @@
     /// part goes: a flood in a lane would else keep everybody waiting.
     fn within_part(&self, job: &Job, others_wait: bool) -> bool {
         let Some(laned) = job.lane else { return false };
-        let (lane, total) = self.lane_usage(laned.lane);
+        let usage = self.lane_usage(laned.lane);
         let allocated = Held {
-            total,
-            lane,
+            total: usage.capacity,
+            lane: usage.used,
             others_wait,
         };
         let bound = self.lanes.bounds.get(&laned.lane);
--- a/src/scheduler/quota.rs
+++ b/src/scheduler/quota.rs
@@ -1,6 +1,6 @@
 //! Quotas: what a team may use, and what is left to some of its jobs.
 
-use super::{ClusterState, Job};
+use super::{ClusterState, Job, TeamLimits};
 use crate::types::{Amount, Time};
 
 impl ClusterState {
@@ -32,11 +32,11 @@
         self.teams[team].held_back = amount;
     }
 
-    /// This shard's part of the limits, and of the guarantees as much: by team.
-    pub fn set_limits(&mut self, parts: impl Iterator<Item = (Amount, Amount)>) {
-        for (team, (limit, guarantee)) in self.teams.iter_mut().zip(parts) {
-            team.limit = limit;
-            team.guarantee = guarantee;
+    /// Sets this shard's part of the limits and guarantees, in the order of the teams.
+    pub fn set_limits(&mut self, parts: impl Iterator<Item = TeamLimits>) {
+        for (team, part) in self.teams.iter_mut().zip(parts) {
+            team.limit = part.limit;
+            team.guarantee = part.guarantee;
         }
     }
 
--- a/src/scheduler/rebalance.rs
+++ b/src/scheduler/rebalance.rs
@@ -10,7 +10,7 @@
 use sorrelhinge_topology::Topology;
 
 use super::tasks::{Progress, Sent};
-use super::topology_rules::Ask;
+use super::topology_rules::{Ask, Settled};
 use super::{ClusterState, Job};
 use crate::types::{JobId, Kind, MachineId, TaskId, Time};
 
@@ -26,16 +26,29 @@
     pub to: Option<MachineId>,
 }
 
+/// A drain under way.
+#[derive(Clone, Debug)]
+pub struct ActiveDrain {
+    /// What drains, and how.
+    pub drain: Drain,
+    /// Seconds until its deadline.
+    pub left_s: f64,
+}
+
 /// What moving looks at beside the cluster state.
 pub struct Moving<'a> {
-    /// Drains and the seconds left of each.
-    pub drains: &'a [(Drain, f64)],
+    /// Drains under way.
+    pub drains: &'a [ActiveDrain],
     /// Domains that lost machines of late.
     pub stability: &'a Stability,
 }
 
-/// A drain, the seconds left of it, and its place among all.
-type NumberedDrain<'a> = (usize, &'a (Drain, f64));
+/// A drain and its place among all: of two that end at one time the first counts.
+#[derive(Clone, Copy)]
+struct NumberedDrain<'a> {
+    number: usize,
+    active: &'a ActiveDrain,
+}
 
 /// Drains by what they cover: each machine of a fleet may have one of its own, and is not
 /// compared with those of all the others.
@@ -45,13 +58,14 @@
 }
 
 impl<'a> DrainsByTarget<'a> {
-    fn new(drains: &'a [(Drain, f64)]) -> Self {
+    fn new(drains: &'a [ActiveDrain]) -> Self {
         let mut by_target = Self {
             machines: HashMap::new(),
             domains: Vec::new(),
         };
-        for numbered in drains.iter().enumerate() {
-            match &numbered.1 .0.target {
+        for (number, active) in drains.iter().enumerate() {
+            let numbered = NumberedDrain { number, active };
+            match &active.drain.target {
                 Target::Machine(name) => by_target
                     .machines
                     .entry(name.as_str())
@@ -82,17 +96,18 @@
     }
 
     /// Which drain covers a machine: the one that ends first.
-    fn drain_of<'a>(
-        &self,
-        id: &MachineId,
-        drains: &DrainsByTarget<'a>,
-    ) -> Option<&'a (Drain, f64)> {
+    fn drain_of<'a>(&self, id: &MachineId, drains: &DrainsByTarget<'a>) -> Option<&'a ActiveDrain> {
         let topology = self.topology.as_ref()?;
         let machine = self.machines.get(id)?;
         let covers = |d: &Drain| d.target.covers(&topology.tree, machine.place, id.as_str());
-        let covering = drains.candidates(id).filter(|(_, (d, _))| covers(d));
-        let first = covering.min_by(|(n, a), (m, b)| a.1.total_cmp(&b.1).then(n.cmp(m)));
-        first.map(|(_, drain)| drain)
+        let covering = drains
+            .candidates(id)
+            .filter(|numbered| covers(&numbered.active.drain));
+        let first = covering.min_by(|a, b| {
+            let left_s = a.active.left_s.total_cmp(&b.active.left_s);
+            left_s.then(a.number.cmp(&b.number))
+        });
+        first.map(|numbered| numbered.active)
     }
 
     /// The machines that drains cover now.
@@ -125,14 +140,14 @@
         let drains = DrainsByTarget::new(moving.drains);
         let mut moves = Vec::new();
         for m_id in draining {
-            let Some((drain, left_s)) = self.drain_of(&m_id, &drains) else {
+            let Some(active) = self.drain_of(&m_id, &drains) else {
                 continue;
             };
             for task in self.claims_on(&m_id) {
                 let Some(tenant) = self.tenant(&task, now) else {
                     continue;
                 };
-                let step = drain::step(drain, &tenant, *left_s);
+                let step = drain::step(&active.drain, &tenant, active.left_s);
                 moves.extend(self.move_off(step, task, moving, now));
             }
         }
@@ -194,7 +209,10 @@
         let settle_s = self.topology.as_ref()?.settings.repair.settle_s;
         let quiet = Ask {
             leave_out: None,
-            settled: Some((moving.stability, settle_s)),
+            settled: Some(Settled {
+                stability: moving.stability,
+                settle_s,
+            }),
         };
         let any = Ask::default();
         let find = |ask: &Ask, reach| self.elsewhere(&task.job, task.index, ask, reach, now);
@@ -214,7 +232,10 @@
         let settle_s = topology.settings.repair.settle_s;
         let quiet = Ask {
             leave_out: None,
-            settled: Some((moving.stability, settle_s)),
+            settled: Some(Settled {
+                stability: moving.stability,
+                settle_s,
+            }),
         };
         let (task, to) = self.jobs.iter().find_map(|(id, job)| {
             if !Self::may_be_repaired(job) {
--- a/src/scheduler/topology_rules.rs
+++ b/src/scheduler/topology_rules.rs
@@ -21,8 +21,17 @@
 pub(super) struct Ask<'a> {
     /// A task that will have moved off: where it is does not count.
     pub leave_out: Option<u32>,
-    /// Only domains that lost nothing for so long.
-    pub settled: Option<(&'a Stability, f64)>,
+    /// Only domains that lost no machine for some time.
+    pub settled: Option<Settled<'a>>,
+}
+
+/// Which domains lost no machine for some time.
+#[derive(Clone, Copy)]
+pub(super) struct Settled<'a> {
+    /// When domains lost machines.
+    pub stability: &'a Stability,
+    /// For how long, in seconds.
+    pub settle_s: f64,
 }
 
 /// What a job's policy needs to judge machines.
@@ -178,7 +187,10 @@
             }
         }
         match ask.settled {
-            Some((stability, s)) if !stability.trusted(&topology.tree, place, s, now) => next,
+            Some(Settled {
+                stability,
+                settle_s,
+            }) if !stability.trusted(&topology.tree, place, settle_s, now) => next,
             _ => Ok(()),
         }
     }
--- a/src/scheduler/waiting_reason.rs
+++ b/src/scheduler/waiting_reason.rs
@@ -41,7 +41,7 @@
         with_free_capacity: u32,
     },
     /// Others come first in order.
-    BehindOthers,
+    OthersFirst,
 }
 
 impl fmt::Display for WaitingReason {
@@ -65,7 +65,7 @@
                 f,
                 "no room for the whole gang; {with_free_capacity} machines have some"
             ),
-            Self::BehindOthers => f.write_str("others go first"),
+            Self::OthersFirst => f.write_str("others go first"),
         }
     }
 }
@@ -154,7 +154,7 @@
         if job.spec.kind == Kind::Gang {
             return WaitingReason::NoFreeCapacityForGang { with_free_capacity };
         }
-        WaitingReason::BehindOthers
+        WaitingReason::OthersFirst
     }
 
     /// Looks at all machines that suit a job.
--- a/tests/drain_targets.rs
+++ b/tests/drain_targets.rs
@@ -6,7 +6,7 @@
 use std::rc::Rc;
 
 use array_jobs::{claimed, run_placed, ArrayJob};
-use sorrelhinge::scheduler::{ClusterState, Moving};
+use sorrelhinge::scheduler::{ActiveDrain, ClusterState, Moving};
 use sorrelhinge::types::{MachineId, Time};
 use sorrelhinge_topology::drain::{Drain, Target};
 use sorrelhinge_topology::repair::Stability;
@@ -54,6 +54,10 @@
     }
 }
 
+fn active(drain: Drain, left_s: f64) -> ActiveDrain {
+    ActiveDrain { drain, left_s }
+}
+
 fn of_machine(n: u32) -> Drain {
     drain(Target::Machine(format!("vm-{n}")))
 }
@@ -63,7 +67,7 @@
 }
 
 /// How many tasks are stopped by drains, each with the seconds left of it.
-fn stopped(cluster_state: &mut ClusterState, drains: &[(Drain, f64)]) -> usize {
+fn stopped(cluster_state: &mut ClusterState, drains: &[ActiveDrain]) -> usize {
     let ids: Vec<MachineId> = cluster_state.machines().keys().cloned().collect();
     for id in &ids {
         cluster_state.edit_machine(id, |m| m.draining = true);
@@ -108,12 +112,12 @@
         // Machine 3 has to be left at once by its own drain; machines 10 to 19 by that
         // of their switch, though the own one of 12 would let its task end.
         let mut drains = vec![
-            (of_switch(0), late),
-            (of_machine(3), over),
-            (of_machine(3), late),
-            (of_machine(12), late),
-            (of_switch(1), over),
-            (of_machine(25), late),
+            active(of_switch(0), late),
+            active(of_machine(3), over),
+            active(of_machine(3), late),
+            active(of_machine(12), late),
+            active(of_switch(1), over),
+            active(of_machine(25), late),
         ];
         if reversed {
             drains.reverse();
@@ -126,7 +130,9 @@
 #[test]
 fn every_machine_has_a_drain_of_its_own() {
     let left_s = |n: u32| if n % 2 == 0 { 0.0 } else { 10.0 * ESTIMATE_S };
-    let drains: Vec<(Drain, f64)> = (0..MACHINES).map(|n| (of_machine(n), left_s(n))).collect();
+    let drains: Vec<ActiveDrain> = (0..MACHINES)
+        .map(|n| active(of_machine(n), left_s(n)))
+        .collect();
     assert_eq!(
         stopped(&mut cluster_state(), &drains),
         MACHINES as usize / 2
--- a/tests/topology_cases.rs
+++ b/tests/topology_cases.rs
@@ -15,8 +15,8 @@
 use sorrelhinge::autoscaler;
 use sorrelhinge::control::core::{Core, Places, RecoveryInput, ShardGrant, Source};
 use sorrelhinge::scheduler::{
-    Claim, ClusterState, DelayRule, Job, Launch, Machine, MachineExclusion, Moving, Progress, Sent,
-    Tasks, WaitingReason,
+    ActiveDrain, Claim, ClusterState, DelayRule, Job, Launch, Machine, MachineExclusion, Moving,
+    Progress, Sent, Tasks, WaitingReason,
 };
 use sorrelhinge::state::record::{job_key, JobRecord, GRANT};
 use sorrelhinge::state::view::View;
@@ -27,7 +27,7 @@
 use sorrelhinge_protocol::users::read_job;
 use sorrelhinge_topology::drain::{Drain, Target};
 use sorrelhinge_topology::policy::ExclusionRule;
-use sorrelhinge_topology::renting::Memory;
+use sorrelhinge_topology::renting::{MachinePool, Memory};
 use sorrelhinge_topology::repair::Stability;
 use sorrelhinge_topology::Topology;
 
@@ -512,7 +512,8 @@
             w.cluster_state
                 .edit_machine(id, |m| (m.draining, m.usable) = (true, false));
         }
-        let drains = [(drain.clone(), left_s)];
+        let drain = drain.clone();
+        let drains = [ActiveDrain { drain, left_s }];
         let moving = Moving {
             drains: &drains,
             stability: &w.stability,
@@ -574,7 +575,8 @@
         w.cluster_state
             .edit_machine(id, |m| (m.draining, m.usable) = (true, false));
     }
-    let drains = [(drain, 60.0)];
+    let left_s = 60.0;
+    let drains = [ActiveDrain { drain, left_s }];
     let moving = Moving {
         drains: &drains,
         stability: &w.stability,
@@ -667,6 +669,11 @@
         };
         autoscaler::plan(&input, Time(w.now)).rent
     };
+    let pool = |zone: &str, spot: bool| MachinePool {
+        kind: TypeName::from("t"),
+        zone: Zone::from(zone),
+        spot,
+    };
     let mut memory = Memory::default();
     let wanted = rent(&w, &memory, &[]);
     assert_eq!(wanted.iter().map(|r| r.count).sum::<u32>(), 2, "{wanted:?}");
@@ -680,8 +687,7 @@
     // Zone a's spot machines all come up behind the switch that has one.
     let used = t.tree.find("za/s0").expect("a domain");
     for _ in 0..20 {
-        let sort = (TypeName::from("t"), Zone::from("za"), true);
-        memory.came(sort, used, Time(0.0));
+        memory.came(pool("za", true), used, Time(0.0));
     }
     let wanted = rent(&w, &memory, &[]);
     assert!(
@@ -691,8 +697,7 @@
     for zone in ["za", "zb"] {
         for spot in [true, false] {
             for _ in 0..20 {
-                let sort = (TypeName::from("t"), Zone::from(zone), spot);
-                memory.came(sort, used, Time(0.0));
+                memory.came(pool(zone, spot), used, Time(0.0));
             }
         }
     }
@@ -951,7 +956,7 @@
             WaitingReason::NoFreeCapacityForGang { with_free_capacity },
             "no room for the whole gang; 3 machines have some",
         ),
-        (WaitingReason::BehindOthers, "others go first"),
+        (WaitingReason::OthersFirst, "others go first"),
     ];
     for (why, text) in reasons {
         assert_eq!(why.to_string(), text);
