--- a/crates/topology/src/gang.rs
+++ b/crates/topology/src/gang.rs
@@ -1,9 +1,9 @@
-//! Gangs (DESIGN): placed whole when free slots suffice; else freed slots are
-//! held on the fewest machines that would fit the gang.
+//! Gangs (DESIGN): placed all at once when free slots suffice; else freed slots are
+//! reserved on the fewest machines that would fit the gang.
 //!
-//! Two gangs never hold each other up: machines are held for one gang at a
+//! Two gangs never block each other: machines are reserved for one gang at a
 //! time, for a bounded time and a bounded part of the fleet, and a gang is
-//! claimed whole or not at all.
+//! claimed with all its tasks or not at all.
 
 use sorrelhinge_protocol::types::{MachineId, Time};
 
@@ -24,21 +24,39 @@
     pub cost: u32,
 }
 
-/// How many tasks go to which machine.
-pub type Plan = Vec<(MachineId, u32)>;
+/// Tasks of a gang for one machine.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct Assignment {
+    /// Which.
+    pub machine: MachineId,
+    /// How many tasks.
+    pub tasks: u32,
+}
+
+/// All tasks of a gang, by machine.
+pub type Plan = Vec<Assignment>;
+
+/// Tasks that are planned on a slot already.
+#[derive(Clone, Copy, Debug)]
+pub struct ChosenSlot<'a> {
+    /// The slot.
+    pub slot: &'a Slot,
+    /// How many tasks.
+    pub tasks: u32,
+}
 
 /// How many more tasks the job's rules allow on a slot, when `chosen` are
 /// planned already.
 pub trait Rules {
     /// At most `wanted`.
-    fn allowed(&self, chosen: &[(&Slot, u32)], slot: &Slot, wanted: u32) -> u32;
+    fn allowed(&self, chosen: &[ChosenSlot<'_>], slot: &Slot, wanted: u32) -> u32;
 }
 
 /// No rules.
 pub struct Anywhere;
 
 impl Rules for Anywhere {
-    fn allowed(&self, _: &[(&Slot, u32)], _: &Slot, wanted: u32) -> u32 {
+    fn allowed(&self, _: &[ChosenSlot<'_>], _: &Slot, wanted: u32) -> u32 {
         wanted
     }
 }
@@ -48,7 +66,7 @@
     tasks: u32,
     free_capacity: impl Fn(&Slot) -> u32,
     rules: &dyn Rules,
-) -> Option<Vec<(&'a Slot, u32)>> {
+) -> Option<Vec<ChosenSlot<'a>>> {
     let mut order: Vec<&Slot> = slots
         .iter()
         .copied()
@@ -61,7 +79,7 @@
             .then(a.cost.cmp(&b.cost))
             .then(a.machine.cmp(&b.machine))
     });
-    let mut chosen: Vec<(&Slot, u32)> = Vec::new();
+    let mut chosen: Vec<ChosenSlot> = Vec::new();
     let mut left = tasks;
     while left > 0 && !order.is_empty() {
         // For what is left at the end the tightest that takes it all.
@@ -74,7 +92,7 @@
             .allowed(&chosen, slot, free_capacity(slot).min(left))
             .min(left);
         if take > 0 {
-            chosen.push((slot, take));
+            chosen.push(ChosenSlot { slot, tasks: take });
             left -= take;
         }
     }
@@ -90,7 +108,7 @@
 }
 
 impl Wanted<'_> {
-    fn fill<'s>(&self, slots: &[&'s Slot]) -> Option<Vec<(&'s Slot, u32)>> {
+    fn fill<'s>(&self, slots: &[&'s Slot]) -> Option<Vec<ChosenSlot<'s>>> {
         fill(slots, self.tasks, self.free_capacity, self.rules)
     }
 
@@ -110,7 +128,7 @@
     /// The plan on the fewest machines within one domain of a level; of several the one
     /// in the tightest domain.
     fn within_level(&self, tree: &Tree, slots: &[Slot], level: Level) -> Option<Plan> {
-        let mut best: Option<(Rank, Plan)> = None;
+        let mut best: Option<RankedPlan> = None;
         let places = slots.iter().filter_map(|s| tree.at(s.place, level));
         let mut domains: Vec<Domain> = places.collect();
         domains.sort_unstable();
@@ -131,12 +149,13 @@
                     machines,
                     free_capacity,
                 };
-                if best.as_ref().is_none_or(|(known, _)| rank < *known) {
-                    best = Some((rank, owned(chosen)));
+                if best.as_ref().is_none_or(|known| rank < known.rank) {
+                    let plan = owned(chosen);
+                    best = Some(RankedPlan { rank, plan });
                 }
             }
         }
-        best.map(|(_, plan)| plan)
+        best.map(|best| best.plan)
     }
 }
 
@@ -148,16 +167,27 @@
     free_capacity: u32,
 }
 
-fn owned(chosen: Vec<(&Slot, u32)>) -> Plan {
-    chosen
-        .into_iter()
-        .map(|(s, n)| (s.machine.clone(), n))
-        .collect()
+struct RankedPlan {
+    rank: Rank,
+    plan: Plan,
+}
+
+fn owned(chosen: Vec<ChosenSlot<'_>>) -> Plan {
+    let assignments = chosen.into_iter().map(|chosen| Assignment {
+        machine: chosen.slot.machine.clone(),
+        tasks: chosen.tasks,
+    });
+    assignments.collect()
 }
 
-/// Places a gang whole in what is free, if that suffices: within one domain of
+/// Plans all tasks of a gang in what is free, if that suffices: within one domain of
 /// the innermost level that has free capacity, on the fewest machines.
-pub fn whole(tree: Option<&Tree>, slots: &[Slot], tasks: u32, rules: &dyn Rules) -> Option<Plan> {
+pub fn plan_now(
+    tree: Option<&Tree>,
+    slots: &[Slot],
+    tasks: u32,
+    rules: &dyn Rules,
+) -> Option<Plan> {
     let wanted = Wanted {
         tasks,
         free_capacity: &|s| s.free,
@@ -166,8 +196,13 @@
     wanted.within(tree, slots)
 }
 
-/// The fewest machines that would fit a gang once they are free.
-pub fn hold(tree: Option<&Tree>, slots: &[Slot], tasks: u32, rules: &dyn Rules) -> Option<Plan> {
+/// The fewest machines that would fit a gang once what ends by itself has ended.
+pub fn plan_later(
+    tree: Option<&Tree>,
+    slots: &[Slot],
+    tasks: u32,
+    rules: &dyn Rules,
+) -> Option<Plan> {
     let wanted = Wanted {
         tasks,
         free_capacity: &|s| s.later,
@@ -176,52 +211,73 @@
     wanted.within(tree, slots)
 }
 
-/// Whose turn it is to have machines held.
+/// A gang that has machines reserved.
+#[derive(Clone, Debug)]
+struct Holder<J> {
+    job: J,
+    since: Time,
+}
+
+/// A gang that had its turn and waits for the next.
+#[derive(Clone, Debug)]
+struct Waiting<J> {
+    job: J,
+    until: Time,
+}
+
+/// Whose turn it is to have machines reserved.
 #[derive(Clone, Debug)]
 pub struct Turn<J> {
-    holder: Option<(J, Time)>,
-    /// Gangs that had their turn, and until when they wait for the next.
-    rested: Vec<(J, Time)>,
+    holder: Option<Holder<J>>,
+    waiting: Vec<Waiting<J>>,
 }
 
 impl<J> Default for Turn<J> {
     fn default() -> Self {
         Self {
             holder: None,
-            rested: Vec::new(),
+            waiting: Vec::new(),
         }
     }
 }
 
 impl<J: Clone + PartialEq> Turn<J> {
-    /// Whether a gang that found no free capacity may have machines held: it does, or
-    /// nobody does and it has not just had its turn. A turn ends after
+    /// Whether a gang that found no free capacity may have machines reserved: it has, or
+    /// none has and it has not just had its turn. A turn ends after
     /// `hold_s` seconds, and the gang then stands back for as long.
     pub fn may_reserve(&mut self, job: &J, hold_s: f64, now: Time) -> bool {
-        self.rested.retain(|(_, until)| now < *until);
-        if let Some((holder, since)) = &self.holder {
-            if now.since(*since) < hold_s {
-                return holder == job;
+        self.waiting.retain(|waiting| now < waiting.until);
+        if let Some(holder) = &self.holder {
+            if now.since(holder.since) < hold_s {
+                return holder.job == *job;
             }
-            let over = holder.clone();
+            let job = holder.job.clone();
+            let until = now.after(hold_s);
             self.holder = None;
-            self.rested.push((over, now.after(hold_s)));
+            self.waiting.push(Waiting { job, until });
         }
-        if self.rested.iter().any(|(j, _)| j == job) {
+        if self.waiting.iter().any(|waiting| waiting.job == *job) {
             return false;
         }
-        self.holder = Some((job.clone(), now));
+        self.holder = Some(Holder {
+            job: job.clone(),
+            since: now,
+        });
         true
     }
     /// A gang was placed, or is over.
     pub fn leave(&mut self, job: &J) {
-        if self.holder.as_ref().is_some_and(|(j, _)| j == job) {
+        if self
+            .holder
+            .as_ref()
+            .is_some_and(|holder| holder.job == *job)
+        {
             self.holder = None;
         }
     }
-    /// Who has machines held.
+    /// The gang that has machines reserved.
     pub fn holder(&self) -> Option<&J> {
-        self.holder.as_ref().map(|(j, _)| j)
+        self.holder.as_ref().map(|holder| &holder.job)
     }
 }
 
--- a/crates/topology/src/policy.rs
+++ b/crates/topology/src/policy.rs
@@ -6,15 +6,15 @@
 mod feasible;
 mod judge;
 mod reasons;
-
-use std::collections::BTreeMap;
+mod tally;
 
 use sorrelhinge_protocol::placement::{Device, PlacementRules, Spread};
 
-pub use judge::ExcludedMachine;
+pub use judge::{ExcludedMachine, LocatedTask};
 pub use reasons::{ExclusionRule, InfeasiblePolicy, UnjudgedPolicy};
+pub use tally::{MachineLocation, Tally};
 
-use crate::tree::{Domain, Level, Tree};
+use crate::tree::{Level, Tree};
 
 /// Which rules count.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -60,57 +60,6 @@
     unjudged: Option<UnjudgedPolicy>,
 }
 
-/// Where a task is, as far as rules see it: its machine's place and the
-/// machine, or somewhere unknown.
-pub type MachineLocation<'a> = Option<(Domain, &'a str)>;
-
-#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-enum Key {
-    Domain(Domain),
-    Machine(String),
-}
-
-#[derive(Clone, Debug, Default)]
-struct Counts {
-    by: BTreeMap<Key, u32>,
-    unknown: u32,
-}
-
-/// How many of a job's tasks are in each domain of one level.
-#[derive(Clone, Debug)]
-struct LevelCounts {
-    level: Level,
-    counts: Counts,
-}
-
-/// How many of a job's tasks are in each domain of each level that a rule of
-/// its policy names.
-#[derive(Clone, Debug, Default)]
-pub struct Tally {
-    levels: Vec<LevelCounts>,
-    total: u32,
-}
-
-impl Tally {
-    fn of(&self, level: Level) -> &Counts {
-        static NONE: Counts = Counts {
-            by: BTreeMap::new(),
-            unknown: 0,
-        };
-        self.levels
-            .iter()
-            .find(|l| l.level == level)
-            .map_or(&NONE, |l| &l.counts)
-    }
-}
-
-fn key(tree: &Tree, level: Level, (place, machine): (Domain, &str)) -> Option<Key> {
-    if tree.is_machine(level) {
-        return Some(Key::Machine(machine.to_owned()));
-    }
-    tree.at(place, level).map(Key::Domain)
-}
-
 /// The most tasks in a domain if they are spread evenly; of several tasks never all in
 /// one.
 fn max_if_even(tree: &Tree, level: Level, tasks: u32) -> u32 {
@@ -255,46 +204,4 @@
         let musts = self.together.iter().filter(|r| r.must);
         musts.map(|r| r.level).max()
     }
-
-    /// Counts a job's tasks.
-    pub fn tally<'a>(
-        &self,
-        tree: &Tree,
-        tasks: impl IntoIterator<Item = MachineLocation<'a>>,
-    ) -> Tally {
-        let mut levels: Vec<Level> = self
-            .spread
-            .iter()
-            .map(|r| r.level)
-            .chain(self.together.iter().map(|r| r.level))
-            .chain(self.fewest.iter().map(|r| r.level))
-            .collect();
-        levels.sort_unstable();
-        levels.dedup();
-        let mut tally = Tally {
-            levels: levels
-                .into_iter()
-                .map(|level| LevelCounts {
-                    level,
-                    counts: Counts::default(),
-                })
-                .collect(),
-            total: 0,
-        };
-        for task in tasks {
-            self.count(tree, &mut tally, task);
-        }
-        tally
-    }
-
-    /// Counts one more task.
-    pub fn count(&self, tree: &Tree, tally: &mut Tally, task: MachineLocation<'_>) {
-        tally.total += 1;
-        for LevelCounts { level, counts } in &mut tally.levels {
-            match task.and_then(|t| key(tree, *level, t)) {
-                Some(key) => *counts.by.entry(key).or_insert(0) += 1,
-                None => counts.unknown += 1,
-            }
-        }
-    }
 }
--- a/crates/topology/src/policy/judge.rs
+++ b/crates/topology/src/policy/judge.rs
@@ -1,9 +1,10 @@
 //! Which machines a policy keeps one more task off, and which tasks pile up.
 
+use super::tally::{Counts, DomainKey};
 use super::{
-    key, Counts, ExclusionRule, FewRule, Key, Policy, Reach, SpreadRule, Tally, TogetherRule,
+    ExclusionRule, FewRule, MachineLocation, Policy, Reach, SpreadRule, Tally, TogetherRule,
 };
-use crate::tree::{Domain, Level, Tree};
+use crate::tree::{Level, Tree};
 
 /// A machine that a rule keeps a job off.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -15,24 +16,34 @@
     pub until: u32,
 }
 
+/// A task of a job and where it is.
+#[derive(Clone, Copy, Debug)]
+pub struct LocatedTask<'a> {
+    /// The task's index in its job.
+    pub index: u32,
+    /// Its machine.
+    pub location: MachineLocation<'a>,
+}
+
+/// A task and how many of its job are in its domain.
+struct Crowded {
+    index: u32,
+    tasks: u32,
+}
+
 /// A machine that is judged for one more task of a job.
 #[derive(Clone, Copy)]
 struct Judged<'a> {
     tree: &'a Tree,
     tally: &'a Tally,
-    at: (Domain, &'a str),
+    location: MachineLocation<'a>,
     reach: Reach,
 }
 
 impl Judged<'_> {
-    fn place(&self) -> Domain {
-        let (place, _) = self.at;
-        place
-    }
-
     /// Its domain of a level; none if that is not known.
-    fn key(&self, level: Level) -> Option<Key> {
-        key(self.tree, level, self.at)
+    fn domain(&self, level: Level) -> Option<DomainKey> {
+        self.location.domain(self.tree, level)
     }
 
     fn level_name(&self, level: Level) -> String {
@@ -51,7 +62,7 @@
 
     /// Kept off by a rule of this level.
     fn barred(&self, level: Level, rule: ExclusionRule) -> ExcludedMachine {
-        let place = self.place();
+        let place = self.location.place;
         let until = match self.tree.at(place, level) {
             _ if self.tree.is_machine(level) => place.0,
             Some(domain) => self.tree.range(domain).end,
@@ -65,12 +76,12 @@
             return None;
         }
         let counts = self.counts(rule.level);
-        let Some(key) = self.key(rule.level) else {
+        let Some(domain) = self.domain(rule.level) else {
             // It may share a domain with any other task.
             let level = self.level_name(rule.level);
             return Some(self.barred(rule.level, ExclusionRule::UnknownDomain { level }));
         };
-        let here = counts.by.get(&key).copied().unwrap_or(0);
+        let here = counts.by_domain.get(&domain).copied().unwrap_or(0);
         (here + counts.unknown >= rule.max).then(|| {
             let level = self.level_name(rule.level);
             let max = rule.max;
@@ -83,8 +94,8 @@
             return None;
         }
         let counts = self.counts(rule.level);
-        let fits = self.key(rule.level).is_some_and(|key| {
-            self.tally.total == 0 || counts.unknown == 0 && counts.by.contains_key(&key)
+        let fits = self.domain(rule.level).is_some_and(|domain| {
+            self.tally.total() == 0 || counts.unknown == 0 && counts.by_domain.contains_key(&domain)
         });
         (!fits).then(|| {
             let level = self.level_name(rule.level);
@@ -94,11 +105,11 @@
 
     fn fewest(&self, rule: &FewRule) -> Option<ExcludedMachine> {
         let counts = self.counts(rule.level);
-        let used = counts.by.len() as u32 + counts.unknown;
-        let known = self.key(rule.level);
+        let used = counts.by_domain.len() as u32 + counts.unknown;
+        let known = self.domain(rule.level);
         if known
             .as_ref()
-            .is_some_and(|key| counts.by.contains_key(key))
+            .is_some_and(|domain| counts.by_domain.contains_key(domain))
         {
             return None;
         }
@@ -118,7 +129,7 @@
         &self,
         tree: &Tree,
         tally: &Tally,
-        at: (Domain, &str),
+        location: MachineLocation<'_>,
         reach: Reach,
     ) -> Option<ExcludedMachine> {
         if let Some(why) = &self.unjudged {
@@ -130,7 +141,7 @@
         let judged = Judged {
             tree,
             tally,
-            at,
+            location,
             reach,
         };
         let spread = self.spread.iter().find_map(|r| judged.spread(r));
@@ -139,28 +150,26 @@
             .or_else(|| self.fewest.iter().find_map(|r| judged.fewest(r)))
     }
 
-    /// A task in a domain that has more than a rule wants, the fullest first;
-    /// `tasks` are the job's tasks that could be moved. Required rules can be
+    /// The index of a task in a domain that has more than a rule allows, the fullest
+    /// first; `tasks` are the job's tasks that could be moved. Required rules can be
     /// broken only by labels that changed under the tasks.
-    pub fn excess<'a, T: Copy>(
-        &self,
-        tree: &Tree,
-        tally: &Tally,
-        tasks: impl IntoIterator<Item = (T, (Domain, &'a str))> + Clone,
-    ) -> Option<T> {
-        let mut max: Option<(u32, T)> = None;
+    pub fn excess(&self, tree: &Tree, tally: &Tally, tasks: &[LocatedTask<'_>]) -> Option<u32> {
+        let mut max: Option<Crowded> = None;
         for rule in &self.spread {
             let counts = tally.of(rule.level);
-            for (task, at) in tasks.clone() {
-                let here = match key(tree, rule.level, at) {
-                    Some(key) => counts.by.get(&key).copied().unwrap_or(0),
+            for task in tasks {
+                let tasks = match task.location.domain(tree, rule.level) {
+                    Some(domain) => counts.by_domain.get(&domain).copied().unwrap_or(0),
                     None => u32::MAX,
                 };
-                if here > rule.max && max.as_ref().is_none_or(|(n, _)| here > *n) {
-                    max = Some((here, task));
+                if tasks > rule.max && max.as_ref().is_none_or(|known| tasks > known.tasks) {
+                    max = Some(Crowded {
+                        index: task.index,
+                        tasks,
+                    });
                 }
             }
         }
-        max.map(|(_, task)| task)
+        max.map(|crowded| crowded.index)
     }
 }
--- a/crates/topology/tests/model.rs
+++ b/crates/topology/tests/model.rs
@@ -10,9 +10,9 @@
 use sorrelhinge_protocol::types::{JobSpec, MachineId};
 use sorrelhinge_protocol::users::read_job;
 use sorrelhinge_topology::devices::{choose, AllocatedDevices, DeviceInventory, Unit};
-use sorrelhinge_topology::gang::{self, Rules, Slot};
+use sorrelhinge_topology::gang::{self, ChosenSlot, Rules, Slot};
 use sorrelhinge_topology::policy::{
-    ExclusionRule, InfeasiblePolicy, Policy, Reach, Tally, UnjudgedPolicy,
+    ExclusionRule, InfeasiblePolicy, MachineLocation, Policy, Reach, Tally, UnjudgedPolicy,
 };
 use sorrelhinge_topology::tree::{Domain, Tree};
 
@@ -230,6 +230,10 @@
     device_inventory
 }
 
+fn location(place: Domain, machine: &str) -> MachineLocation<'_> {
+    MachineLocation { place, machine }
+}
+
 /// All machines that a policy allows, found as the index finds them: in the
 /// order of places, passing over what is barred as a whole.
 fn allowed(
@@ -250,7 +254,7 @@
         if domain.0 < from {
             continue;
         }
-        match policy.bars(tree, tally, (domain, name), reach) {
+        match policy.bars(tree, tally, location(domain, name), reach) {
             None => out.push(name.to_owned()),
             Some(barred) => from = from.max(barred.until),
         }
@@ -294,9 +298,9 @@
                 *count = labels.len();
             }
             let plain = Plain { rules: &case.rules, tasks: case.tasks, domains };
-            let places: Vec<(Domain, &str)> = others
+            let places: Vec<MachineLocation> = others
                 .iter()
-                .map(|m| (place(&tree, m), m.name.as_str()))
+                .map(|m| location(place(&tree, m), &m.name))
                 .collect();
             let tally = policy.tally(&tree, places.into_iter().map(Some));
             let mut found = Vec::new();
@@ -374,11 +378,11 @@
             })
             .collect();
         let sum: u32 = slots.iter().map(|s| s.free).sum();
-        let plan = gang::whole(Some(&tree), &slots, tasks, &gang::Anywhere);
+        let plan = gang::plan_now(Some(&tree), &slots, tasks, &gang::Anywhere);
         prop_assert_eq!(plan.is_some(), sum >= tasks);
         let Some(plan) = plan else { return Ok(()) };
-        prop_assert_eq!(plan.iter().map(|(_, n)| n).sum::<u32>(), tasks);
-        for (name, count) in &plan {
+        prop_assert_eq!(plan.iter().map(|on| on.tasks).sum::<u32>(), tasks);
+        for gang::Assignment { machine: name, tasks: count } in &plan {
             let slot = slots.iter().find(|s| s.machine == *name).expect("a slot");
             prop_assert!(*count <= slot.free);
         }
@@ -395,7 +399,7 @@
                 }
             }
             if free_capacity.values().any(|n| *n >= tasks) {
-                let used: Vec<_> = plan.iter().map(|(m, _)| label(m, depth)).collect();
+                let used: Vec<_> = plan.iter().map(|on| label(&on.machine, depth)).collect();
                 prop_assert!(used.iter().all(|l| l.is_some() && *l == used[0]));
                 // The largest alone would need so many machines at least.
                 let inside = |s: &&Slot| label(&s.machine, depth) == used[0];
@@ -621,7 +625,7 @@
 fn a_plan_keeps_rules() {
     struct Two;
     impl Rules for Two {
-        fn allowed(&self, _: &[(&Slot, u32)], _: &Slot, wanted: u32) -> u32 {
+        fn allowed(&self, _: &[ChosenSlot<'_>], _: &Slot, wanted: u32) -> u32 {
             wanted.min(2)
         }
     }
@@ -633,11 +637,11 @@
         cost: 0,
     };
     let slots = [slot(1, 4), slot(2, 1), slot(3, 3)];
-    let plan = gang::whole(None, &slots, 5, &Two).expect("room");
-    assert!(plan.iter().all(|(_, n)| *n <= 2));
-    assert_eq!(plan.iter().map(|(_, n)| n).sum::<u32>(), 5);
-    assert_eq!(gang::whole(None, &slots, 6, &Two), None);
-    assert!(gang::hold(None, &slots, 6, &Two).is_some());
+    let plan = gang::plan_now(None, &slots, 5, &Two).expect("room");
+    assert!(plan.iter().all(|on| on.tasks <= 2));
+    assert_eq!(plan.iter().map(|on| on.tasks).sum::<u32>(), 5);
+    assert_eq!(gang::plan_now(None, &slots, 6, &Two), None);
+    assert!(gang::plan_later(None, &slots, 6, &Two).is_some());
 }
 
 /// What is committed under `deploy/` is what this version reads.
--- a/src/autoscaler/placed.rs
+++ b/src/autoscaler/placed.rs
@@ -7,7 +7,7 @@
 
 use sorrelhinge_protocol::placement::Device;
 use sorrelhinge_topology::devices::{choose, AllocatedDevices, Unit};
-use sorrelhinge_topology::policy::{Policy, Reach, Tally};
+use sorrelhinge_topology::policy::{MachineLocation, Policy, Reach, Tally};
 use sorrelhinge_topology::renting::{tries, MachinePool};
 use sorrelhinge_topology::tree::Domain;
 use sorrelhinge_topology::Topology;
@@ -46,7 +46,10 @@
         let there = job.tasks.claims().values().map(|claim| {
             let machine = input.cluster_state.machines().get(&claim.machine)?;
             // What is to move off a draining machine does not stay there.
-            (!machine.draining).then_some((machine.place, claim.machine.as_str()))
+            (!machine.draining).then_some(MachineLocation {
+                place: machine.place,
+                machine: claim.machine.as_str(),
+            })
         });
         let staying: Vec<_> = there.flatten().map(Some).collect();
         let tally = policy.tally(&topology.tree, staying);
@@ -76,7 +79,7 @@
             .bars(
                 &self.topology.tree,
                 &self.tally,
-                (place, machine),
+                MachineLocation { place, machine },
                 Reach::Musts,
             )
             .is_none()
@@ -104,7 +107,10 @@
         *self.zones.entry(free_capacity.zone.clone()).or_insert(0) += 1;
         if let Some(place) = free_capacity.place {
             let name = free_capacity.id.as_ref().map_or("", |id| id.as_str());
-            let at = Some((place, name));
+            let at = Some(MachineLocation {
+                place,
+                machine: name,
+            });
             self.policy.count(&self.topology.tree, &mut self.tally, at);
         }
     }
--- a/src/scheduler/gangs/mod.rs
+++ b/src/scheduler/gangs/mod.rs
@@ -1,5 +1,5 @@
-//! Gangs: claimed whole or not at all (DESIGN). Where free slots don't
-//! suffice, what falls free is held on the fewest machines that would fit.
+//! Gangs: all tasks are claimed or none (DESIGN). Where free slots don't
+//! suffice, what falls free is reserved on the fewest machines that would fit.
 
 mod rules;
 mod slots;
@@ -17,7 +17,7 @@
 use super::filter::{Needy, PlacementRequest};
 use super::topology_rules::Ask;
 use super::{ClusterState, Delay, DelayRule, Job, Launch};
-use crate::types::{JobId, MachineId, TaskId, Time};
+use crate::types::{Attempt, JobId, MachineId, TaskId, Time};
 
 /// How long a gang that found no free capacity waits until all machines are looked at
 /// for it again.
@@ -26,10 +26,10 @@
 /// What can be done for a gang.
 #[derive(Default)]
 struct GangPlans {
-    /// It finds its place now.
-    whole: Option<gang::Plan>,
-    /// Else what to hold for it.
-    to_hold: Option<gang::Plan>,
+    /// Where all its tasks fit now.
+    now: Option<gang::Plan>,
+    /// Else what to reserve for it.
+    later: Option<gang::Plan>,
 }
 
 impl ClusterState {
@@ -38,8 +38,8 @@
         settings.unwrap_or_default()
     }
 
-    /// Places a gang whole, or holds room for it if it is its turn. Nothing is
-    /// placed while tasks of an earlier start are not provably gone.
+    /// Places all tasks of a gang, or reserves machines for it if it is its turn. Nothing
+    /// is placed while tasks of an earlier start are not known to have ended.
     pub(super) fn place_gang(&mut self, id: &JobId, rule: DelayRule, now: Time) -> Vec<Launch> {
         let Some(job) = self.jobs.get(id) else {
             return Vec::new();
@@ -57,14 +57,14 @@
         if let Some(job) = self.jobs.get_mut(id) {
             job.try_at = now.after(TRY_AGAIN_S);
         }
-        match plans.whole {
+        match plans.now {
             Some(plan) if self.gang_may_launch(id, &plan, rule, now) => {
                 self.leave_turn(id);
                 return self.launch_gang(id, &plan, now);
             }
             Some(_) => self.skip(vec![id.clone()], now),
             None => {
-                if let Some(plan) = plans.to_hold {
+                if let Some(plan) = plans.later {
                     self.reserve_for(id, &plan, now);
                 }
             }
@@ -93,12 +93,12 @@
                 job,
                 reach,
             };
-            plans.whole = gang::whole(tree, &slots, tasks, &rules);
-            if plans.whole.is_some() {
+            plans.now = gang::plan_now(tree, &slots, tasks, &rules);
+            if plans.now.is_some() {
                 break;
             }
-            if plans.to_hold.is_none() {
-                plans.to_hold = gang::hold(tree, &slots, tasks, &rules);
+            if plans.later.is_none() {
+                plans.later = gang::plan_later(tree, &slots, tasks, &rules);
             }
         }
         plans
@@ -108,7 +108,7 @@
         let job = self.jobs.get(id);
         job.is_some_and(|job| {
             plan.iter()
-                .all(|(m_id, _)| self.may_launch(job, m_id, rule, now))
+                .all(|on| self.may_launch(job, &on.machine, rule, now))
         })
     }
 
@@ -119,45 +119,51 @@
         let attempt = job.tasks.take_generation();
         job.delay = Delay::default();
         let mut launches = Vec::new();
-        for (m_id, count) in plan {
-            for _ in 0..*count {
-                let units = self.units_for(id, m_id);
-                let job = self.jobs.get_mut(id);
-                let index = job.and_then(|j| j.tasks.next_pending());
-                let (Some(units), Some(index)) = (units, index) else {
-                    // The plan counted what is free: this does not happen. The
-                    // gang is short then, and is taken apart and placed anew.
-                    continue;
-                };
-                let task = TaskId {
-                    job: id.clone(),
-                    index,
-                };
-                let machine = self.machines.get(m_id);
-                let cached = machine.is_some_and(|m| {
-                    self.jobs
-                        .get(id)
-                        .is_some_and(|j| m.cache.has(&j.spec.image))
-                });
-                self.enter(&task, attempt, m_id, units, now);
-                launches.push(Launch {
-                    task,
-                    machine: m_id.clone(),
-                    cached,
-                });
+        for on in plan {
+            for _ in 0..on.tasks {
+                // The plan counted what is free: none is missing. If one is, the gang
+                // is short of a task, is taken apart and placed anew.
+                launches.extend(self.launch_gang_task(id, attempt, &on.machine, now));
             }
         }
         launches
     }
 
+    /// Claims the next task of a gang on a machine; none if its devices are not free there.
+    fn launch_gang_task(
+        &mut self,
+        id: &JobId,
+        attempt: Attempt,
+        m_id: &MachineId,
+        now: Time,
+    ) -> Option<Launch> {
+        let units = self.units_for(id, m_id);
+        let job = self.jobs.get_mut(id)?;
+        let index = job.tasks.next_pending();
+        let units = units?;
+        let task = TaskId {
+            job: id.clone(),
+            index: index?,
+        };
+        let image = &self.jobs.get(id)?.spec.image;
+        let machine = self.machines.get(m_id);
+        let cached = machine.is_some_and(|m| m.cache.has(image));
+        self.enter(&task, attempt, m_id, units, now);
+        Some(Launch {
+            task,
+            machine: m_id.clone(),
+            cached,
+        })
+    }
+
     fn reserve_for(&mut self, id: &JobId, plan: &gang::Plan, now: Time) {
         let settings = self.gang_settings();
         let Some(each) = self.jobs.get(id).map(|j| j.spec.each) else {
             return;
         };
-        let count: u32 = plan.iter().map(|(_, n)| n).sum();
-        let held = each.times(i64::from(count));
-        if held.cpu as f64 > settings.held * self.capacity.cpu as f64 {
+        let count: u32 = plan.iter().map(|on| on.tasks).sum();
+        let reserved = each.times(i64::from(count));
+        if reserved.cpu as f64 > settings.held * self.capacity.cpu as f64 {
             return;
         }
         if !self.turn.may_reserve(id, settings.hold_s, now) {
@@ -168,21 +174,22 @@
         }
         self.gang_free_capacity = plan
             .iter()
-            .map(|(m, n)| {
-                let amount = each.times(i64::from(*n));
+            .map(|on| {
+                let amount = each.times(i64::from(on.tasks));
                 let job = id.clone();
-                (m.clone(), GangFreeCapacity { job, amount })
+                (on.machine.clone(), GangFreeCapacity { job, amount })
             })
             .collect();
     }
 
-    /// A gang needs no more free capacity held.
+    /// A gang needs no machines reserved any more.
     pub(super) fn leave_turn(&mut self, id: &JobId) {
         self.turn.leave(id);
-        self.gang_free_capacity.retain(|_, held| held.job != *id);
+        self.gang_free_capacity
+            .retain(|_, reserved| reserved.job != *id);
     }
 
-    /// Ends what is held beyond its time, or for a gang that is over.
+    /// Ends a reservation that is beyond its time, or of a gang that is over.
     pub(super) fn drop_expired_reservations(&mut self, now: Time) {
         let Some(holder) = self.turn.holder().cloned() else {
             return;
@@ -194,20 +201,20 @@
         }
     }
 
-    /// Machines with free capacity held for a gang.
+    /// Machines with free capacity reserved for a gang.
     pub fn reserved_for_gangs(&self) -> impl Iterator<Item = (&MachineId, &JobId)> {
         self.gang_free_capacity
             .iter()
-            .map(|(m, held)| (m, &held.job))
+            .map(|(machine, reserved)| (machine, &reserved.job))
     }
 
     /// The domain, as far in as it is one, that a gang's tasks run in.
     pub fn gang_domain(&self, id: &JobId, tree: &Tree) -> Option<String> {
         let job = self.jobs.get(id)?;
         let places = self
-            .machine_location(job, None)
+            .task_locations(job, None)
             .flatten()
-            .map(|(place, _)| place);
+            .map(|location| location.place);
         Some(tree.path(gang::common(tree, places)).to_owned())
     }
 
--- a/src/scheduler/gangs/rules.rs
+++ b/src/scheduler/gangs/rules.rs
@@ -1,7 +1,7 @@
 //! What a gang's job allows of a plan for all its tasks.
 
-use sorrelhinge_topology::gang::{Rules, Slot};
-use sorrelhinge_topology::policy::Reach;
+use sorrelhinge_topology::gang::{ChosenSlot, Rules, Slot};
+use sorrelhinge_topology::policy::{MachineLocation, Reach};
 
 use crate::scheduler::{ClusterState, Job};
 use crate::types::Zone;
@@ -14,25 +14,33 @@
 }
 
 impl Rules for JobRules<'_> {
-    fn allowed(&self, chosen: &[(&Slot, u32)], slot: &Slot, wanted: u32) -> u32 {
+    fn allowed(&self, chosen: &[ChosenSlot<'_>], slot: &Slot, wanted: u32) -> u32 {
         let Some(zone) = self.zone_of(slot) else {
             return 0;
         };
         let spec = &self.job.spec;
         let elsewhere = |s: &Slot| self.zone_of(s) != Some(zone);
-        if spec.one_zone && chosen.iter().any(|(s, _)| elsewhere(s)) {
+        if spec.one_zone && chosen.iter().any(|c| elsewhere(c.slot)) {
             return 0;
         }
         let mut allowed = wanted;
         if spec.spread {
-            let here = chosen.iter().filter(|(s, _)| !elsewhere(s));
-            let here: u32 = here.map(|(_, n)| n).sum();
+            let here = chosen.iter().filter(|c| !elsewhere(c.slot));
+            let here: u32 = here.map(|c| c.tasks).sum();
             allowed = allowed.min(spec.tasks.div_ceil(2).saturating_sub(here));
         }
         self.allowed_by_policy(chosen, slot, allowed)
     }
 }
 
+/// Where a slot's machine is.
+fn location(slot: &Slot) -> MachineLocation<'_> {
+    MachineLocation {
+        place: slot.place,
+        machine: slot.machine.as_str(),
+    }
+}
+
 impl JobRules<'_> {
     fn zone_of(&self, slot: &Slot) -> Option<&Zone> {
         let machine = self.cluster_state.machines.get(&slot.machine)?;
@@ -40,7 +48,7 @@
     }
 
     /// How many of `wanted` more tasks the job's placement rules allow on a slot.
-    fn allowed_by_policy(&self, chosen: &[(&Slot, u32)], slot: &Slot, wanted: u32) -> u32 {
+    fn allowed_by_policy(&self, chosen: &[ChosenSlot<'_>], slot: &Slot, wanted: u32) -> u32 {
         let policy = &self.job.policy;
         if !policy.counts() {
             return wanted;
@@ -49,10 +57,10 @@
             return 0;
         };
         let tree = &topology.tree;
-        let at = (slot.place, slot.machine.as_str());
+        let at = location(slot);
         let planned = chosen
             .iter()
-            .flat_map(|(s, n)| (0..*n).map(|_| Some((s.place, s.machine.as_str()))));
+            .flat_map(|c| (0..c.tasks).map(|_| Some(location(c.slot))));
         let mut tally = policy.tally(tree, planned);
         let mut count = 0;
         while count < wanted && policy.bars(tree, &tally, at, self.reach).is_none() {
--- a/src/scheduler/rebalance.rs
+++ b/src/scheduler/rebalance.rs
@@ -5,7 +5,7 @@
 use std::collections::HashMap;
 
 use sorrelhinge_topology::drain::{self, Drain, Step, Target, Tenant};
-use sorrelhinge_topology::policy::Reach;
+use sorrelhinge_topology::policy::{LocatedTask, MachineLocation, Reach};
 use sorrelhinge_topology::repair::Stability;
 use sorrelhinge_topology::Topology;
 
@@ -267,13 +267,17 @@
 
     /// A task of a job in a domain that has more of them than its rules want.
     fn excess_task(&self, topology: &Topology, job: &Job) -> Option<u32> {
-        let machine_location = self.machine_location(job, None);
-        let tally = job.policy.tally(&topology.tree, machine_location);
-        let claims = job.tasks.claims().iter().filter_map(|(index, c)| {
-            let place = self.machines.get(&c.machine)?.place;
-            Some((*index, (place, c.machine.as_str())))
+        let locations = self.task_locations(job, None);
+        let tally = job.policy.tally(&topology.tree, locations);
+        let tasks = job.tasks.claims().iter().filter_map(|(&index, claim)| {
+            let location = MachineLocation {
+                place: self.machines.get(&claim.machine)?.place,
+                machine: claim.machine.as_str(),
+            };
+            Some(LocatedTask { index, location })
         });
-        job.policy.excess(&topology.tree, &tally, claims)
+        let tasks: Vec<LocatedTask> = tasks.collect();
+        job.policy.excess(&topology.tree, &tally, &tasks)
     }
 
     /// Stops all tasks of a gang: it runs as one or not at all.
--- a/src/scheduler/topology_rules.rs
+++ b/src/scheduler/topology_rules.rs
@@ -121,17 +121,20 @@
     }
 
     /// Where a job's tasks are, but for one that is left out.
-    pub(super) fn machine_location<'a>(
+    pub(super) fn task_locations<'a>(
         &'a self,
         job: &'a Job,
         leave_out: Option<u32>,
-    ) -> impl Iterator<Item = MachineLocation<'a>> + 'a {
+    ) -> impl Iterator<Item = Option<MachineLocation<'a>>> + 'a {
         let claims = job.tasks.claims().iter();
         claims
             .filter(move |(index, _)| Some(**index) != leave_out)
             .map(|(_, claim)| {
                 let machine = self.machines.get(&claim.machine)?;
-                Some((machine.place, claim.machine.as_str()))
+                Some(MachineLocation {
+                    place: machine.place,
+                    machine: claim.machine.as_str(),
+                })
             })
     }
 
@@ -147,7 +150,7 @@
             return None;
         }
         let tally = match &self.topology {
-            Some(t) => policy.tally(&t.tree, self.machine_location(job, leave_out)),
+            Some(t) => policy.tally(&t.tree, self.task_locations(job, leave_out)),
             None => Tally::default(),
         };
         Some(Site {
@@ -171,7 +174,10 @@
         let Some(topology) = &self.topology else {
             return Err(u32::MAX);
         };
-        let at = (place, m_id.as_str());
+        let at = MachineLocation {
+            place,
+            machine: m_id.as_str(),
+        };
         if let Some(barred) = site
             .policy
             .bars(&topology.tree, &site.tally, at, site.reach)
--- a/src/scheduler/waiting_reason.rs
+++ b/src/scheduler/waiting_reason.rs
@@ -4,7 +4,7 @@
 use std::fmt;
 
 use sorrelhinge_topology::devices::choose;
-use sorrelhinge_topology::policy::{ExclusionRule, Reach, UnjudgedPolicy};
+use sorrelhinge_topology::policy::{ExclusionRule, MachineLocation, Reach, UnjudgedPolicy};
 
 use super::machine::Machine;
 use super::topology_rules::Site;
@@ -184,7 +184,10 @@
         m: &Machine,
     ) -> Option<MachineExclusion> {
         let topology = self.topology.as_ref()?;
-        let at = (m.place, m_id.as_str());
+        let at = MachineLocation {
+            place: m.place,
+            machine: m_id.as_str(),
+        };
         let barred = site
             .policy
             .bars(&topology.tree, &site.tally, at, Reach::Musts);
