--- a/src/control/core/reservation_demand.rs
+++ b/src/control/core/reservation_demand.rs
@@ -14,6 +14,7 @@
 use super::reservations::LoggedShortage;
 use super::Core;
 use crate::autoscaler;
+use crate::scheduler::MissingTasks;
 use crate::types::{Image, JobSpec, Kind, Priority, Time, Zone};
 
 /// The same shortage is said again in the log after so many seconds.
@@ -135,7 +136,8 @@
     fn shortfalls_of(&self, window: &Window, now: Time) -> Vec<autoscaler::Shortfall> {
         let mut spare = 0;
         let mut open = Vec::new();
-        for (zone, tasks) in self.cluster_state.missing_tasks(&window.name) {
+        for missing in self.cluster_state.missing_tasks(&window.name) {
+            let MissingTasks { zone, tasks } = missing;
             match self.type_for(window, zone.as_ref(), now) {
                 Some(kind) => open.push(ZoneShortfall { zone, tasks, kind }),
                 None => spare += tasks,
--- a/src/control/core/scale_out.rs
+++ b/src/control/core/scale_out.rs
@@ -45,7 +45,11 @@
     }
 
     /// The requests to send, as far as the machines can be served and used.
-    pub(super) fn scale_out(&mut self, wants: Vec<autoscaler::Want>, now: Time) -> Vec<Rental> {
+    pub(super) fn scale_out(
+        &mut self,
+        wants: Vec<autoscaler::ScaleOutRequest>,
+        now: Time,
+    ) -> Vec<Rental> {
         let mut left = self.machines_to_add(now);
         let mut rentals = Vec::new();
         for mut want in wants {
--- a/src/scheduler/lanes.rs
+++ b/src/scheduler/lanes.rs
@@ -1,17 +1,18 @@
 //! Lane jobs go ahead of all others, as far as their lane's part goes
 //! (`docs/lanes.md`). Without lanes nothing here is ever filled.
 
+mod placement;
+
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
 use sorrelhinge_priority_lanes::order::{arrange, may_wait_ms, Key, Waits};
-use sorrelhinge_priority_lanes::part::{Bound, Held};
+use sorrelhinge_priority_lanes::part::Bound;
 use sorrelhinge_priority_lanes::{LaneId, Lanes};
 
-use super::placement_pass::PassContext;
 use super::queue::{Group, QueueTurn};
-use super::{ClusterState, Job, Launch};
-use crate::types::{JobId, Kind, Priority, Revision, Time};
+use super::{ClusterState, Job};
+use crate::types::{JobId, Priority, Revision, Time};
 
 /// A job's standing in its lane.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -83,12 +84,6 @@
     pub capacity: i64,
 }
 
-/// What was placed for lane jobs ahead of all others, and who was tried.
-pub(super) struct LanesPlaced {
-    pub launches: Vec<Launch>,
-    pub tried: Vec<JobId>,
-}
-
 impl ClusterState {
     /// Puts the lane jobs that wait in order, at `now` and `now_ms` of the time of
     /// day: who presses changes with time only.
@@ -198,109 +193,9 @@
         order.filter_map(|key| Some((key, self.jobs.get(&key.id)?)))
     }
 
-    /// Whether one more task of a lane job goes ahead of others, as far as its lane's
-    /// part goes: a flood in a lane would else keep everybody waiting.
-    fn within_part(&self, job: &Job, others_wait: bool) -> bool {
-        let Some(laned) = job.lane else { return false };
-        let usage = self.lane_usage(laned.lane);
-        let allocated = Held {
-            total: usage.capacity,
-            lane: usage.used,
-            others_wait,
-        };
-        let bound = self.lanes.bounds.get(&laned.lane);
-        bound.is_some_and(|b| b.allows(allocated, job.spec.each.cpu))
-    }
-
-    /// Teams that are below their guarantee and have work waiting: their work is
-    /// gone before by no lane job of a team that is beyond its own. While it was, on a
-    /// day of bursts 0.862 of the work within a guarantee began in time, not 0.949
-    /// (simulated machines).
-    fn owed(&self) -> Vec<usize> {
-        let standings = self.standings().into_iter().enumerate();
-        let owed = standings.filter(|(team, s)| {
-            s.below_guarantee > 0.0 && self.queues[*team].iter().any(|p| !p.in_lane)
-        });
-        owed.map(|(team, _)| team).collect()
-    }
-
-    /// Whether a lane job's team is within its guarantee with one more task of it, or
-    /// no other is `owed` any.
-    fn leaves_guarantees(&self, job: &Job, owed: &[usize]) -> bool {
-        let team = &self.teams[job.team];
-        (team.used + job.spec.each).fits_team(team.guarantee)
-            || owed.iter().all(|other| *other == job.team)
-    }
-
     /// Whether jobs wait that are in no lane.
     fn others_wait(&self) -> bool {
         let mut queues = self.queues.iter().flatten();
         queues.any(|place| !place.in_lane)
     }
-
-    /// The lane jobs that are to be offered room before all others, in order. One
-    /// that fits nowhere is gone past like any other in a walk.
-    pub(super) fn lanes_first(&self, now: Time) -> Vec<(&JobId, &Job)> {
-        if self.lanes.order.is_empty() {
-            return Vec::new();
-        }
-        let others = self.others_wait();
-        let owed = self.owed();
-        self.lane_waits()
-            .filter(|(_, job)| {
-                job.wants(now)
-                    && self.within_part(job, others)
-                    && self.leaves_guarantees(job, &owed)
-            })
-            .map(|(key, job)| (&key.id, job))
-            .collect()
-    }
-
-    /// Offers the lane jobs the best machines, ahead of all others.
-    pub(super) fn place_lanes(&mut self, context: &PassContext) -> LanesPlaced {
-        let mut launches = Vec::new();
-        let mut skipped = Vec::new();
-        let first = self.lanes_first(context.now);
-        // A gang is placed whole, in its ordinary turn.
-        let first = first.iter().filter(|(_, j)| j.spec.kind != Kind::Gang);
-        let tried: Vec<JobId> = first.map(|(id, _)| (*id).clone()).collect();
-        for id in &tried {
-            launches.extend(self.place_lane_job(id, context, &mut skipped));
-        }
-        self.skip(skipped, context.now);
-        LanesPlaced { launches, tried }
-    }
-
-    /// Places as many tasks of a lane job as go ahead of others; `skipped` gets the job if
-    /// it waits for a machine with its image.
-    fn place_lane_job(
-        &mut self,
-        id: &JobId,
-        context: &PassContext,
-        skipped: &mut Vec<JobId>,
-    ) -> Vec<Launch> {
-        let mut launches = Vec::new();
-        while let Some(job) = self.jobs.get(id) {
-            self.capacity_index.count_step();
-            if !job.wants(context.now)
-                || !self.may_claim(id, job)
-                || !self.within_part(job, self.others_wait())
-                || !self.leaves_guarantees(job, &self.owed())
-            {
-                break;
-            }
-            let Some(offer) = self.best(&context.request(id, job)) else {
-                break;
-            };
-            if !self.may_launch(job, &offer.machine, context.rule, context.now) {
-                skipped.push(id.clone());
-                break;
-            }
-            let Some(launch) = self.launch(id, &offer.machine, context.now) else {
-                break;
-            };
-            launches.push(launch);
-        }
-        launches
-    }
 }
--- a/src/scheduler/mod.rs
+++ b/src/scheduler/mod.rs
@@ -28,6 +28,7 @@
 mod claims;
 mod cluster_state;
 mod delay;
+mod drains_by_target;
 mod filter;
 mod gangs;
 mod idle;
@@ -62,7 +63,10 @@
 pub use placement_pass::Pass;
 pub use queue::QueueTurn;
 pub use rebalance::{ActiveDrain, Move, Moving};
-pub use reservations::{Lending, Reservation, ReservationStatus};
+pub use reservations::{
+    Lending, MissingTasks, Reservation, ReservationKey, ReservationStatus, ReservedOnMachine,
+    ReservedTasks,
+};
 pub use shares::{water_fill, Standing};
 pub use tasks::{Claim, Progress, Sent, Tasks};
 pub use team::{Team, TeamLimits};
--- a/src/scheduler/rebalance.rs
+++ b/src/scheduler/rebalance.rs
@@ -2,13 +2,12 @@
 //! after a domain came back. A task can't run twice, so what is made before
 //! the break is its place: room elsewhere is reserved, then it is stopped.
 
-use std::collections::HashMap;
-
 use sorrelhinge_topology::drain::{self, Drain, Step, Target, Tenant};
 use sorrelhinge_topology::policy::{LocatedTask, MachineLocation, Reach};
 use sorrelhinge_topology::repair::Stability;
 use sorrelhinge_topology::Topology;
 
+use super::drains_by_target::DrainsByTarget;
 use super::tasks::{Progress, Sent};
 use super::topology_rules::{Ask, Settled};
 use super::{ClusterState, Job};
@@ -43,47 +42,6 @@
     pub stability: &'a Stability,
 }
 
-/// A drain and its place among all: of two that end at one time the first counts.
-#[derive(Clone, Copy)]
-struct NumberedDrain<'a> {
-    number: usize,
-    active: &'a ActiveDrain,
-}
-
-/// Drains by what they cover: each machine of a fleet may have one of its own, and is not
-/// compared with those of all the others.
-struct DrainsByTarget<'a> {
-    machines: HashMap<&'a str, Vec<NumberedDrain<'a>>>,
-    domains: Vec<NumberedDrain<'a>>,
-}
-
-impl<'a> DrainsByTarget<'a> {
-    fn new(drains: &'a [ActiveDrain]) -> Self {
-        let mut by_target = Self {
-            machines: HashMap::new(),
-            domains: Vec::new(),
-        };
-        for (number, active) in drains.iter().enumerate() {
-            let numbered = NumberedDrain { number, active };
-            match &active.drain.target {
-                Target::Machine(name) => by_target
-                    .machines
-                    .entry(name.as_str())
-                    .or_default()
-                    .push(numbered),
-                Target::Domain(_) => by_target.domains.push(numbered),
-            }
-        }
-        by_target
-    }
-
-    /// Those that may cover a machine: its own, and those of domains.
-    fn candidates(&self, id: &MachineId) -> impl Iterator<Item = NumberedDrain<'a>> + '_ {
-        let own = self.machines.get(id.as_str()).into_iter().flatten();
-        own.chain(&self.domains).copied()
-    }
-}
-
 impl ClusterState {
     /// Tasks of a job that are not known to run, or are being stopped. One that is claimed
     /// or told to start and that no heartbeat has named counts too: it may never come up.
--- a/src/scheduler/reservations/mod.rs
+++ b/src/scheduler/reservations/mod.rs
@@ -13,7 +13,9 @@
 
 use sorrelhinge_reservations::settings::Window;
 
-pub use self::shown::ReservationStatus;
+pub use self::shown::{
+    MissingTasks, ReservationKey, ReservationStatus, ReservedOnMachine, ReservedTasks,
+};
 use crate::types::{Amount, JobSpec, MachineId, Time};
 
 /// To whom held room may be lent, see [`may_lend`](sorrelhinge_reservations::lend::may_lend).
--- a/src/scheduler/reservations/shown.rs
+++ b/src/scheduler/reservations/shown.rs
@@ -1,4 +1,4 @@
-//! What is held for windows, as the release calendar and the fleet ask for it.
+//! What is reserved for windows, as the release calendar and the autoscaler ask for it.
 
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -9,48 +9,87 @@
 use crate::scheduler::{ClusterState, Job, Machine};
 use crate::types::{Amount, MachineId, Zone};
 
-/// What a window has here, in tasks' room.
+/// For how many of its tasks a window has capacity here.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ReservationStatus {
-    /// Set aside on machines.
+    /// Reserved on machines.
     pub reserved_tasks: u32,
     /// Of it, what is free now.
     pub free: u32,
     /// What its work uses.
     pub used: u32,
-    /// What is to be set aside beside it.
+    /// What is to be reserved beside it.
     pub open: u32,
 }
 
+/// Capacity reserved for a window on a machine.
+#[derive(Clone, Copy, Debug)]
+pub struct ReservedOnMachine<'a> {
+    /// The window.
+    pub window: &'a Rc<Window>,
+    /// The machine.
+    pub machine: &'a MachineId,
+    /// For how many of the window's tasks.
+    pub tasks: u32,
+}
+
+impl ReservedOnMachine<'_> {
+    /// Which window and machine.
+    pub fn key(&self) -> ReservationKey {
+        ReservationKey {
+            window: self.window.name.clone(),
+            machine: self.machine.clone(),
+        }
+    }
+}
+
+/// A window and a machine.
+#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub struct ReservationKey {
+    /// The window's name.
+    pub window: String,
+    /// The machine.
+    pub machine: MachineId,
+}
+
+/// For how many tasks each window has capacity reserved on each machine.
+pub type ReservedTasks = BTreeMap<ReservationKey, u32>;
+
+/// What a window lacks in a zone.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct MissingTasks {
+    /// The zone; none: the window is not spread over zones.
+    pub zone: Option<Zone>,
+    /// For how many of its tasks nothing is reserved.
+    pub tasks: u32,
+}
+
 impl ClusterState {
-    /// All room set aside: the window, the machine, how many tasks' room.
-    pub fn reserved_capacity(&self) -> impl Iterator<Item = (&Rc<Window>, &MachineId, u32)> {
-        self.reservations.by_window.values().flat_map(|h| {
-            let window = &h.reservation.window;
-            h.placed.iter().map(move |(id, n)| (window, id, *n))
+    /// All capacity reserved for windows, in the order of windows and machines.
+    pub fn reserved_capacity(&self) -> impl Iterator<Item = ReservedOnMachine<'_>> {
+        self.reservations.by_window.values().flat_map(|reserved| {
+            let window = &reserved.reservation.window;
+            let placed = reserved.placed.iter();
+            placed.map(move |(machine, &tasks)| ReservedOnMachine {
+                window,
+                machine,
+                tasks,
+            })
         })
     }
 
-    /// Of what is held, how many tasks of a job will find room there; notes it
-    /// in `left`, which begins as [`ClusterState::reserved_capacity`].
-    pub fn covered(&self, job: &Job, left: &mut BTreeMap<(String, MachineId), u32>) -> u32 {
+    /// How many tasks of a job find capacity that is reserved for its window; takes them
+    /// off `left`, which begins as [`ClusterState::reserved_capacity`].
+    pub fn covered(&self, job: &Job, left: &mut ReservedTasks) -> u32 {
         let mut covered = 0;
-        let wanted = job.tasks.pending();
-        for ((name, id), n) in left.iter_mut() {
-            let Some(reserved) = self
-                .reservations
-                .by_window
-                .get(name)
-                .filter(|h| h.is_for(job.team, &job.spec))
-            else {
+        let pending = job.tasks.pending();
+        for (key, n) in left.iter_mut() {
+            let reserved = self.reservations.by_window.get(&key.window);
+            let Some(reserved) = reserved.filter(|r| r.is_for(job.team, &job.spec)) else {
                 continue;
             };
-            if covered >= wanted
-                || !self
-                    .machines
-                    .get(id)
-                    .is_some_and(|m| Self::suits(&job.spec, m))
-            {
+            let machine = self.machines.get(&key.machine);
+            if covered >= pending || !machine.is_some_and(|m| Self::suits(&job.spec, m)) {
                 continue;
             }
             let each = reserved.reservation.window.each();
@@ -58,7 +97,7 @@
                 .spec
                 .each
                 .how_many(each.times(i64::from(*n)))
-                .min(wanted - covered);
+                .min(pending - covered);
             // So much of the free capacity is spoken for.
             let takes = job.spec.each.times(i64::from(fits));
             let rest = each.how_many(each.times(i64::from(*n)) - takes);
@@ -68,8 +107,7 @@
         covered
     }
 
-    /// What a window has: tasks' room set aside, of it what is free now, what its
-    /// work uses, and how many of its tasks wait.
+    /// What a window has here; none if nothing is to be reserved for it.
     pub fn reservation_of(&self, name: &str) -> Option<ReservationStatus> {
         let reserved = self.reservations.by_window.get(name)?;
         let each = reserved.reservation.window.each();
@@ -88,15 +126,18 @@
         })
     }
 
-    /// How much of a hold each of its zones lacks; without zones, of it as a whole.
-    pub fn missing_tasks(&self, name: &str) -> Vec<(Option<Zone>, u32)> {
+    /// What a window lacks in each of its zones; one entry if it is not spread over zones.
+    pub fn missing_tasks(&self, name: &str) -> Vec<MissingTasks> {
         let Some(reserved) = self.reservations.by_window.get(name) else {
             return Vec::new();
         };
         let shortfalls = reserved.shortfalls();
         let zones = &reserved.reservation.window.zones;
         if zones.is_empty() || shortfalls == 0 {
-            return vec![(None, shortfalls)];
+            return vec![MissingTasks {
+                zone: None,
+                tasks: shortfalls,
+            }];
         }
         let mut counts = self.used_in_zones(reserved, true);
         for (id, n) in &reserved.placed {
@@ -112,9 +153,9 @@
             .map(|(zone, share)| {
                 let zone = Some(Zone::from(zone.as_str()));
                 let has = counts.get(&zone).copied().unwrap_or(0);
-                let wants = share.saturating_sub(has).min(left);
-                left -= wants;
-                (zone, wants)
+                let tasks = share.saturating_sub(has).min(left);
+                left -= tasks;
+                MissingTasks { zone, tasks }
             })
             .collect()
     }
--- a/tests/reserved_capacity.rs
+++ b/tests/reserved_capacity.rs
@@ -91,7 +91,7 @@
 fn held(cluster_state: &ClusterState) -> BTreeMap<MachineId, u32> {
     let free_capacity = cluster_state.reserved_capacity();
     free_capacity
-        .map(|(_, id, tasks)| (id.clone(), tasks))
+        .map(|on| (on.machine.clone(), on.tasks))
         .collect()
 }
 
@@ -145,7 +145,7 @@
     let missing_tasks: Vec<u32> = cluster_state
         .missing_tasks("drop")
         .iter()
-        .map(|(_, n)| *n)
+        .map(|missing| missing.tasks)
         .collect();
     assert_eq!((held(&cluster_state).len(), missing_tasks), (1, vec![0, 1]));
     // A job of the window's that waits is not rented for beside its hold.
