--- a/crates/priority-lanes/src/part.rs
+++ b/crates/priority-lanes/src/part.rs
@@ -1,10 +1,10 @@
 //! How much of anything that binds a lane may take ahead of others.
 //!
-//! Two kinds of things bind. Some are *held* (CPUs, a team's limit): a lane may
-//! hold its part of them, see [`Bound::allows`]. Others *flow* (changes of the
+//! Two kinds of things bind. Some are *used for a time* (CPUs, a team's limit): a lane
+//! may use its part of them, see [`Bound::allows`]. Others *flow* (changes of the
 //! state service, requests to the cloud): a lane has its part of the turns, see
 //! [`Turn`]. Both let a lane have one job at least, and both bind only while
-//! others wait: what nobody else wants is not left unused.
+//! others wait: what nobody else needs is not left unused.
 
 /// Whatever its part, a lane has one turn in twenty: a part of 0 would else turn
 /// a lane into a trap, where jobs wait that would run without lanes.
@@ -21,13 +21,13 @@
     part: f64,
 }
 
-/// Something held that binds, in any unit, as it is now.
+/// Something limited that jobs use for as long as they run, in any unit, as it is now.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Held {
+pub struct SharedCapacity {
     /// All that there is, used or not.
     pub total: i64,
-    /// What the lane's jobs hold.
-    pub lane: i64,
+    /// What the lane's jobs use.
+    pub used_by_lane: i64,
     /// Whether jobs of no lane, or of other lanes, wait for it.
     pub others_wait: bool,
 }
@@ -46,7 +46,7 @@
         self.part
     }
 
-    /// How much of `total` the lane may hold while others wait, but for its first
+    /// How much of `total` the lane may use while others wait, but for its first
     /// job.
     pub fn of(self, total: i64) -> i64 {
         // Rounded down: two lanes of a half never have more than all.
@@ -56,8 +56,9 @@
     /// Whether a job of the lane that asks for `asks` may go ahead of others. Its
     /// first one always may, however large: else a lane whose part is smaller
     /// than a job would never run it.
-    pub fn allows(self, held: Held, asks: i64) -> bool {
-        !held.others_wait || held.lane <= 0 || held.lane.saturating_add(asks) <= self.of(held.total)
+    pub fn allows(self, shared: SharedCapacity, asks: i64) -> bool {
+        let after = shared.used_by_lane.saturating_add(asks);
+        !shared.others_wait || shared.used_by_lane <= 0 || after <= self.of(shared.total)
     }
 }
 
--- a/crates/priority-lanes/src/shown.rs
+++ b/crates/priority-lanes/src/shown.rs
@@ -20,7 +20,7 @@
     pub order: i64,
     /// Its part at most, 0 to 1.
     pub part: f64,
-    /// CPUs that its jobs hold.
+    /// CPUs that its jobs use.
     pub cpus: f64,
     /// CPUs of which that is a part.
     pub of_cpus: f64,
--- a/crates/priority-lanes/tests/model.rs
+++ b/crates/priority-lanes/tests/model.rs
@@ -5,7 +5,7 @@
 
 use proptest::prelude::*;
 use sorrelhinge_priority_lanes::order::{arrange, may_wait_ms, Key, Waits, AGED_S, PRESSING_S};
-use sorrelhinge_priority_lanes::part::{Bound, Held, Turn};
+use sorrelhinge_priority_lanes::part::{Bound, SharedCapacity, Turn};
 use sorrelhinge_priority_lanes::shown::{LaneShown, LanesShown, WaitShown};
 use sorrelhinge_priority_lanes::{place, LaneId, Lanes};
 use sorrelhinge_protocol::types::{JobId, Priority, Revision};
@@ -296,13 +296,13 @@
     fn a_flood_takes_its_part(sizes in prop::collection::vec(1i64..40, 1..60), part in 0.0f64..=1.0) {
         let (total, bound, mut lane) = (100, Bound::new(part), 0);
         for size in &sizes {
-            if bound.allows(Held { total, lane, others_wait: true }, *size) {
+            if bound.allows(SharedCapacity { total, used_by_lane: lane, others_wait: true }, *size) {
                 lane += size;
             }
         }
         prop_assert!(lane <= bound.of(total).max(sizes[0]));
         prop_assert!(lane > 0, "not even its first job");
-        let alone = Held { total, lane: 90, others_wait: false };
+        let alone = SharedCapacity { total, used_by_lane: 90, others_wait: false };
         prop_assert!(bound.allows(alone, 10), "nobody else wants it");
     }
 
--- a/crates/reservations/src/plan.rs
+++ b/crates/reservations/src/plan.rs
@@ -1,12 +1,12 @@
-//! One occurrence's steps, and how much free capacity is held now.
+//! One occurrence's steps, and how much capacity is reserved now.
 //!
-//! What is held follows the *recorded* step, never the one that is due: a new
+//! What is reserved follows the *recorded* step, never the one that is due: a new
 //! owner finds in the record all that its predecessor acted by. Clocks decide
 //! only when the next step is due, with edges widened by their bound: begun as
 //! early, and ended as late, as any clock within the bound may say. A recorded
 //! step is not undone by a clock, wherever that jumps.
 //!
-//! In parts: what it is made from (`seen`), how much free capacity is held (`free_capacity`), what a
+//! In parts: what it is made from (`seen`), how much capacity is reserved (`free_capacity`), what a
 //! record is to become (`change`), and who gives way (`arbitration`).
 
 mod arbitration;
@@ -16,11 +16,11 @@
 
 use std::collections::BTreeMap;
 
-pub use self::arbitration::{arbitrate, Got, TeamFreeCapacity, Want};
+pub use self::arbitration::{arbitrate, CapacityRequest, CapacityShare, TeamFreeCapacity};
 use self::change::change;
 pub use self::change::Change;
 use self::free_capacity::ms;
-pub use self::free_capacity::{hold, lead_s};
+pub use self::free_capacity::{lead_s, reserved_tasks};
 pub use self::seen::{Clock, Refused, Seen, Short};
 use crate::record::{span, Step, WindowRecord};
 use crate::settings::Window;
@@ -31,9 +31,9 @@
 pub struct Next {
     /// The record's change.
     pub change: Change,
-    /// How many tasks' room to hold now, with what its work uses.
-    pub hold: u32,
-    /// What the hold lacks.
+    /// For how many tasks to reserve capacity now, with what its work uses.
+    pub reserved_tasks: u32,
+    /// What is lacking of that.
     pub short: Option<Short>,
     /// A line for operators.
     pub why: String,
@@ -43,7 +43,7 @@
     at: Span,
     tasks: u32,
     step: Step,
-    hold: u32,
+    reserved: u32,
     seen: &Seen,
     clock: Clock,
 ) -> Option<Short> {
@@ -56,7 +56,7 @@
             None => Short::Limit(seen.fits),
         });
     }
-    if seen.asked < hold {
+    if seen.asked < reserved {
         match seen.refused {
             Some(Refused::Capacity) => return Some(Short::Capacity),
             Some(Refused::Changes) => return Some(Short::Changes),
@@ -66,7 +66,7 @@
     let needs_ms = ms(seen.boot_s + seen.fetch_s);
     let late = step >= Step::Warming && clock.latest_ms() >= at.start_ms - needs_ms;
     let wanted = match step {
-        Step::Held => hold,
+        Step::Held => reserved,
         _ => tasks,
     };
     let missing = wanted.saturating_sub(if clock.latest_ms() >= at.start_ms {
@@ -95,33 +95,36 @@
         None => at,
     };
     let change = change(window, at, record, seen, clock);
-    let held = record.map_or(0, |r| hold(window, at.start_ms, r, seen, clock));
+    let reserved = record.map_or(0, |r| reserved_tasks(window, at.start_ms, r, seen, clock));
     let shown = record.or(match &change {
         Change::Write(first) => Some(first),
         Change::Keep | Change::Delete => None,
     });
-    let short = shown.and_then(|r| shortage(at, r.tasks, r.step, held, seen, clock));
-    let why = explain(shown, short.as_ref(), held);
+    let short = shown.and_then(|r| shortage(at, r.tasks, r.step, reserved, seen, clock));
+    let why = explain(shown, short.as_ref(), reserved);
     Next {
         change,
-        hold: held,
+        reserved_tasks: reserved,
         short,
         why,
     }
 }
 
-/// A line for operators: the record, what its hold lacks, and how much is held.
-fn explain(shown: Option<&WindowRecord>, short: Option<&Short>, held: u32) -> String {
+/// A line for operators: the record, what it lacks, and how much is reserved.
+fn explain(shown: Option<&WindowRecord>, short: Option<&Short>, reserved: u32) -> String {
     match (shown, short) {
         (None, _) => "not near".into(),
         (Some(r), _) if !r.known() => "its record is of a later version".into(),
         (Some(r), Some(short)) => format!("{}: {short}", r.step),
-        (Some(r), None) if r.step == Step::Held && held < r.tasks => {
-            format!("{}: no work, held for {held} of {} tasks", r.step, r.tasks)
+        (Some(r), None) if r.step == Step::Held && reserved < r.tasks => {
+            format!(
+                "{}: no work, held for {reserved} of {} tasks",
+                r.step, r.tasks
+            )
         }
         (Some(r), None) if r.removed => format!("{}: taken out or moved", r.step),
         (Some(r), None) if r.step == Step::Warming => {
-            format!("{}: asked for {held} of {} tasks", r.step, r.tasks)
+            format!("{}: asked for {reserved} of {} tasks", r.step, r.tasks)
         }
         (Some(r), None) => r.step.to_string(),
     }
@@ -129,12 +132,12 @@
 
 /// What is due for all occurrences of a window.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Whole {
+pub struct WindowPlan {
     /// Each occurrence that is near or recorded, by its beginning.
     pub each: BTreeMap<i64, Next>,
-    /// How many tasks' room to hold: the most that any of them wants, not the
-    /// sum, as one goes over into the next with the same room.
-    pub hold: u32,
+    /// For how many tasks to reserve capacity: the most that any of them needs, not the
+    /// sum, as one goes over into the next with the same machines.
+    pub reserved_tasks: u32,
 }
 
 /// Looks at all occurrences of a window: those recorded, by their beginning in
@@ -145,7 +148,7 @@
     records: &BTreeMap<i64, WindowRecord>,
     seen: &Seen,
     clock: Clock,
-) -> Whole {
+) -> WindowPlan {
     let mut spans: BTreeMap<i64, Span> = records
         .iter()
         .map(|(start, record)| (*start, span(*start, record)))
@@ -166,11 +169,14 @@
         })
         .filter(|(start, next)| records.contains_key(start) || next.change != Change::Keep)
         .collect();
-    let hold = each.values().map(|next| next.hold).max().unwrap_or(0);
-    Whole { each, hold }
+    let reserved = each.values().map(|next| next.reserved_tasks).max();
+    WindowPlan {
+        each,
+        reserved_tasks: reserved.unwrap_or(0),
+    }
 }
 
-/// Parts of a hold for `shards` shards: they add up to it, differ by one at
+/// Parts of a number of tasks for `shards` shards: they add up to it, differ by one at
 /// most, and none shrinks when it grows.
 pub fn divide(tasks: u32, shards: u32) -> Vec<u32> {
     (0..shards)
--- a/crates/reservations/src/plan/change.rs
+++ b/crates/reservations/src/plan/change.rs
@@ -11,7 +11,7 @@
 /// for an operator to act on a shortage.
 const PLAN_AHEAD_S: f64 = 300.0;
 
-/// For how long after its end room may be on its way back, in seconds.
+/// For how long after its end machines may be on their way back, in seconds.
 const MAX_RELEASE_S: i64 = 60;
 
 /// How long an occurrence that is over stays known beyond all that clocks
@@ -107,12 +107,7 @@
             if record.removed && clock.earliest_ms() < at.end_ms =>
         {
             // Taken out and pinned again: an operator's word, not a clock's.
-            match due(window, at, None, seen, clock) {
-                Some(step @ (Step::Planned | Step::Warming)) => {
-                    Change::Write(fresh(step, at, window.tasks, clock))
-                }
-                _ => Change::Keep,
-            }
+            first_step(window, at, seen, clock)
         }
         (Step::Releasing, _) => released(record, seen, clock),
         (Step::Over, _) => forgotten(at, record, clock),
@@ -124,10 +119,19 @@
     let Some(window) = window else {
         return Change::Keep;
     };
-    // Its room would be up when it is over.
+    // Its machines would be up when it is over.
     let useful_ms = at.end_ms.saturating_sub(ms(seen.boot_s + seen.fetch_s));
+    if clock.now_ms < useful_ms {
+        first_step(window, at, seen, clock)
+    } else {
+        Change::Keep
+    }
+}
+
+/// A new record if the occurrence is near or warms.
+fn first_step(window: &Window, at: Span, seen: &Seen, clock: Clock) -> Change {
     match due(window, at, None, seen, clock) {
-        Some(step @ (Step::Planned | Step::Warming)) if clock.now_ms < useful_ms => {
+        Some(step @ (Step::Planned | Step::Warming)) => {
             Change::Write(fresh(step, at, window.tasks, clock))
         }
         _ => Change::Keep,
@@ -157,7 +161,7 @@
     }
 }
 
-/// A record whose room is on its way back: over once it is, or after a while.
+/// A record whose machines are on their way back: over once they are, or after a while.
 fn released(record: &WindowRecord, seen: &Seen, clock: Clock) -> Change {
     let late_ms = record.end_ms.saturating_add(MAX_RELEASE_S * 1000);
     if seen.asked <= seen.used || clock.earliest_ms() >= late_ms {
--- a/crates/reservations/src/shown.rs
+++ b/crates/reservations/src/shown.rs
@@ -5,7 +5,7 @@
 use jiff::Timestamp;
 use serde::{Deserialize, Serialize};
 
-use crate::plan::{Seen, Short, Whole};
+use crate::plan::{Seen, Short, WindowPlan};
 use crate::record::{Entry, Step, WindowRecord};
 use crate::when::Span;
 
@@ -84,7 +84,7 @@
     name: &str,
     entry: Option<&Entry>,
     records: &BTreeMap<i64, WindowRecord>,
-    whole: &Whole,
+    plan: &WindowPlan,
     seen: &Seen,
     now_ms: i64,
 ) -> Vec<WindowShown> {
@@ -93,14 +93,14 @@
     }
     let row = |(start_ms, record): (&i64, &WindowRecord)| {
         let span = crate::record::span(*start_ms, record);
-        let next = whole.each.get(start_ms);
-        // Room belongs to the window; it is shown where it is held.
+        let next = plan.each.get(start_ms);
+        // Machines belong to the window; they are shown where they are reserved.
         let holds = matches!(record.step, Step::Warming | Step::Held);
         let free_capacity = |n: u32| if holds { n } else { 0 };
         WindowShown {
             step: Some(record.step),
             tasks: record.tasks,
-            hold: next.map_or(0, |n| n.hold),
+            hold: next.map_or(0, |n| n.reserved_tasks),
             asked: free_capacity(seen.asked),
             ready: free_capacity(seen.ready),
             used: free_capacity(seen.used),
--- a/crates/reservations/tests/model.rs
+++ b/crates/reservations/tests/model.rs
@@ -13,8 +13,8 @@
 use sorrelhinge_protocol::types::Amount;
 use sorrelhinge_reservations::lend::{may_lend, Borrower, Lend};
 use sorrelhinge_reservations::plan::{
-    arbitrate, divide, lead_s, steps, Change, Clock, Refused, Seen, Short, TeamFreeCapacity, Want,
-    Whole,
+    arbitrate, divide, lead_s, steps, CapacityRequest, Change, Clock, Refused, Seen, Short,
+    TeamFreeCapacity, WindowPlan,
 };
 use sorrelhinge_reservations::record::{Step, WindowRecord, VERSION};
 use sorrelhinge_reservations::settings::Window;
@@ -132,7 +132,7 @@
 }
 
 type Records = BTreeMap<i64, WindowRecord>;
-type Planner = fn(Option<&Window>, &Records, &Seen, Clock) -> Whole;
+type Planner = fn(Option<&Window>, &Records, &Seen, Clock) -> WindowPlan;
 
 /// What the checker knows that no controller does.
 #[derive(Default)]
@@ -294,15 +294,21 @@
         let clock = clock(true_ms + wrong_ms, day.off_ms);
         let whole = planner(pinned.as_ref(), &records, &seen, clock);
         let held_by = records.get(&START_MS).cloned();
-        judge.held(true_ms, day, held_by.as_ref(), whole.hold, &seen)?;
+        judge.held(true_ms, day, held_by.as_ref(), whole.reserved_tasks, &seen)?;
         // Rented or returned; what its work uses is not taken from it.
-        seen.asked = whole.hold.min(capacity).max(seen.used.min(seen.asked));
+        seen.asked = whole
+            .reserved_tasks
+            .min(capacity)
+            .max(seen.used.min(seen.asked));
         seen.ready = seen.asked;
-        seen.refused = (whole.hold > capacity).then_some(Refused::Capacity);
-        if whole.hold > seen.asked {
+        seen.refused = (whole.reserved_tasks > capacity).then_some(Refused::Capacity);
+        if whole.reserved_tasks > seen.asked {
             let looked = planner(pinned.as_ref(), &records, &seen, clock);
             if looked.each.values().all(|next| next.short.is_none()) {
-                return Err(format!("nothing said: {} of {}", seen.asked, whole.hold));
+                return Err(format!(
+                    "nothing said: {} of {}",
+                    seen.asked, whole.reserved_tasks
+                ));
             }
         }
         if outage > 0 {
@@ -350,7 +356,7 @@
     ) {
         let teams = ["a", "b", "c"];
         let cpus = |cpu: i64| Amount { cpu, ..Amount::default() };
-        let wants: Vec<Want> = wants.iter().enumerate().map(|(i, (team, cpu, tasks))| Want {
+        let wants: Vec<CapacityRequest> = wants.iter().enumerate().map(|(i, (team, cpu, tasks))| CapacityRequest {
             name: format!("w{i}"),
             team: teams[*team].into(),
             each: cpus(*cpu),
@@ -361,7 +367,7 @@
             (team.to_string(), free_capacity)
         }).collect();
         let got = arbitrate(&wants, &free_capacity, pool.map(cpus));
-        let cpus = |of: &dyn Fn(&Want) -> bool| -> i64 {
+        let cpus = |of: &dyn Fn(&CapacityRequest) -> bool| -> i64 {
             let of = wants.iter().zip(&got).filter(|(w, _)| of(w));
             of.map(|(w, g)| w.each.cpu * i64::from(g.tasks)).sum()
         };
@@ -388,11 +394,11 @@
 
 /// What `steps` says, with each change for a record in that step altered.
 fn altered(
-    mut whole: Whole,
+    mut whole: WindowPlan,
     r: &Records,
     at: Step,
     to: impl Fn(i64, &WindowRecord) -> Change,
-) -> Whole {
+) -> WindowPlan {
     for (start, next) in &mut whole.each {
         if let Some(old) = r.get(start).filter(|old| old.step == at) {
             next.change = to(*start, old);
@@ -408,20 +414,20 @@
 }
 
 /// Asks for everything as soon as it warms.
-fn all_at_once(w: Option<&Window>, r: &Records, s: &Seen, c: Clock) -> Whole {
+fn all_at_once(w: Option<&Window>, r: &Records, s: &Seen, c: Clock) -> WindowPlan {
     let mut whole = steps(w, r, s, c);
     let warming = r.values().find(|o| o.step == Step::Warming);
-    whole.hold = warming.map_or(whole.hold, |o| o.tasks.min(s.fits));
+    whole.reserved_tasks = warming.map_or(whole.reserved_tasks, |o| o.tasks.min(s.fits));
     whole
 }
 
 /// Acts by a step before it is recorded.
-fn acts_first(w: Option<&Window>, r: &Records, s: &Seen, c: Clock) -> Whole {
+fn acts_first(w: Option<&Window>, r: &Records, s: &Seen, c: Clock) -> WindowPlan {
     let mut whole = steps(w, r, s, c);
     for next in whole.each.values() {
         if let Change::Write(new) = &next.change {
             if new.step == Step::Warming {
-                whole.hold = whole.hold.max(new.tasks.min(s.fits));
+                whole.reserved_tasks = whole.reserved_tasks.max(new.tasks.min(s.fits));
             }
         }
     }
@@ -523,7 +529,7 @@
     BTreeMap::from([(START_MS, record)])
 }
 
-fn written(whole: &Whole) -> Option<(Step, u32)> {
+fn written(whole: &WindowPlan) -> Option<(Step, u32)> {
     match &whole.each.get(&START_MS)?.change {
         Change::Write(record) => Some((record.step, record.tasks)),
         Change::Keep | Change::Delete => None,
@@ -541,12 +547,12 @@
         });
         steps(Some(&window), &held, &seen, at(seconds))
     };
-    let holds = [39, 41, 51, 61, 71].map(|s| idle(s as f64, 0, s).hold);
+    let holds = [39, 41, 51, 61, 71].map(|s| idle(s as f64, 0, s).reserved_tasks);
     assert_eq!(holds, [40, 30, 20, 10, 0]);
     assert_eq!(written(&idle(71.0, 0, 71)), Some((Step::Releasing, 40)));
-    assert_eq!(idle(0.0, 1, 61).hold, 40);
+    assert_eq!(idle(0.0, 1, 61).reserved_tasks, 40);
     // Nor are hours by the clock hours of waiting.
-    assert_eq!(idle(1.0, 0, 500).hold, 40, "a new owner");
+    assert_eq!(idle(1.0, 0, 500).reserved_tasks, 40, "a new owner");
 }
 
 /// A changed window's record takes over its sizes in one write; one that is
@@ -557,14 +563,17 @@
     let held = one(record(Step::Held, 0, 40));
     let larger = window(60, 700);
     let whole = steps(Some(&larger), &held, &busy, at(10));
-    assert_eq!((written(&whole), whole.hold), (Some((Step::Held, 60)), 40));
+    assert_eq!(
+        (written(&whole), whole.reserved_tasks),
+        (Some((Step::Held, 60)), 40)
+    );
     let Change::Write(changed) = &whole.each[&START_MS].change else {
         panic!("{whole:?}");
     };
     assert_eq!(changed.end_ms, START_MS + 700_000);
     let gone = steps(None, &held, &busy, at(10));
     let let_go = Some((Step::Releasing, 40));
-    assert_eq!((written(&gone), gone.hold), (let_go, 40));
+    assert_eq!((written(&gone), gone.reserved_tasks), (let_go, 40));
     let mut moved = window(40, 600);
     moved.when = When::Once("2026-12-01T00:01:00Z".parse().expect("a moment"));
     let whole = steps(Some(&moved), &held, &busy, at(10));
@@ -606,9 +615,17 @@
     let (mut records, mut seen, mut writes) = (Records::new(), seen(), 0);
     for second in 0..3_600 {
         let whole = steps(Some(&window), &records, &seen, at(second));
-        let right = whole.hold == 40 || (second <= 60 && whole.hold < 40);
-        assert!(right, "{} after {second} s: {records:?}", whole.hold);
-        (seen.asked, seen.ready, seen.used) = (whole.hold, whole.hold, whole.hold / 2);
+        let right = whole.reserved_tasks == 40 || (second <= 60 && whole.reserved_tasks < 40);
+        assert!(
+            right,
+            "{} after {second} s: {records:?}",
+            whole.reserved_tasks
+        );
+        (seen.asked, seen.ready, seen.used) = (
+            whole.reserved_tasks,
+            whole.reserved_tasks,
+            whole.reserved_tasks / 2,
+        );
         for (start, next) in &whole.each {
             writes += u32::from(next.change != Change::Keep);
             apply(&mut records, *start, &next.change);
@@ -659,7 +676,7 @@
     ]);
     // Pairs of name and team; tasks and whom it gives way to.
     let got = |wants: [(&str, &str); 2], pool| {
-        let wants = wants.map(|(name, team)| Want {
+        let wants = wants.map(|(name, team)| CapacityRequest {
             name: name.into(),
             team: team.into(),
             each: Amount::new(1.0, 0.0, 1.0),
--- a/src/control/core/fleet_log.rs
+++ b/src/control/core/fleet_log.rs
@@ -31,7 +31,7 @@
     fn log_fleet(&self) {
         let ordinary = self.machine_totals(false);
         let spot = self.machine_totals(true);
-        let wanting = self.cluster_state.wanting();
+        let wanting = self.cluster_state.jobs_to_place();
         let pending: u32 = wanting.map(|(_, j)| j.tasks.pending()).sum();
         let machines = self.cluster_state.machines().values();
         let retiring = machines.filter(|m| m.retiring).count();
--- a/src/control/core/largest_jobs.rs
+++ b/src/control/core/largest_jobs.rs
@@ -73,7 +73,10 @@
     /// Those that have waited for too long, once each: if the log ends before
     /// they begin, nothing else would tell.
     pub(super) fn largest_late(&mut self, now: Time) {
-        let waits = self.cluster_state.wanting().filter(|(_, j)| !j.started);
+        let waits = self
+            .cluster_state
+            .jobs_to_place()
+            .filter(|(_, j)| !j.started);
         let late = waits
             .filter(|(id, j)| self.largest_jobs.is(id) && now.since(j.submitted) > BEGIN_WITHIN_S);
         let late: Vec<JobId> = late.map(|(id, _)| id.clone()).collect();
--- a/src/control/core/overflow.rs
+++ b/src/control/core/overflow.rs
@@ -60,7 +60,7 @@
         };
         let mut waiting: Vec<Waiting> = self
             .cluster_state
-            .wanting()
+            .jobs_to_place()
             .filter(|(_, job)| may_leave(job))
             .filter_map(|(id, job)| {
                 Some(Waiting {
--- a/src/control/core/reservation_demand.rs
+++ b/src/control/core/reservation_demand.rs
@@ -44,10 +44,10 @@
             };
             let held = self.windows.watched.values().find(|w| {
                 let window = w.entry.as_ref().map(|e| &e.window);
-                w.whole.hold > 0
+                w.plan.reserved_tasks > 0
                     && window.is_some_and(|w| w.is_for(&job.spec.team, &job.spec.class))
             });
-            let parts = held.map_or(Vec::new(), |w| divide(w.whole.hold, self.scope.of));
+            let parts = held.map_or(Vec::new(), |w| divide(w.plan.reserved_tasks, self.scope.of));
             let mut left = waits.tasks;
             for (shard, part) in parts.into_iter().enumerate() {
                 let to = ShardId(shard as u32);
@@ -71,7 +71,7 @@
             return;
         }
         for (name, watch) in &mut self.windows.watched {
-            let short = watch.whole.each.iter().find(|(_, n)| n.short.is_some());
+            let short = watch.plan.each.iter().find(|(_, n)| n.short.is_some());
             let Some((start_ms, next)) = short else {
                 watch.logged = None;
                 continue;
@@ -89,7 +89,7 @@
             });
             let asked = watch.seen.as_ref().map_or(0, |s| s.asked);
             let ready = watch.seen.as_ref().map_or(0, |s| s.ready);
-            tracing::info!(window = %name, start_ms, hold = next.hold, asked, ready, why = %next.why, "calendar");
+            tracing::info!(window = %name, start_ms, hold = next.reserved_tasks, asked, ready, why = %next.why, "calendar");
         }
     }
 
@@ -103,7 +103,7 @@
                 name,
                 watch.entry.as_ref(),
                 &records,
-                &watch.whole,
+                &watch.plan,
                 seen,
                 now_ms,
             ));
--- a/src/control/core/reservation_refresh.rs
+++ b/src/control/core/reservation_refresh.rs
@@ -58,7 +58,7 @@
             let window = usage.window(name);
             let seen = self.see(watch, window, &usage, now);
             let records = watch.record_values();
-            watch.whole = steps(window.map(|w| &**w), &records, &seen, clock);
+            watch.plan = steps(window.map(|w| &**w), &records, &seen, clock);
             let hold = self.reserve_here(watch, window, clock, now);
             watch.seen = Some(seen);
             reservations.extend(hold);
@@ -117,14 +117,14 @@
         clock: Clock,
         now: Time,
     ) -> Option<Reservation> {
-        let window = window.filter(|_| watch.whole.hold > 0)?;
+        let window = window.filter(|_| watch.plan.reserved_tasks > 0)?;
         let mut teams = self.cfg.teams.iter();
         let team = teams.position(|t| *t.name == *window.team)?;
         let start_ms = watch.first_reserved_ms()?;
         Some(Reservation {
             window: window.clone(),
             team,
-            tasks: self.tasks_reserved_here(window, team, watch.whole.hold),
+            tasks: self.tasks_reserved_here(window, team, watch.plan.reserved_tasks),
             lending: self.lending(window, start_ms, clock, now),
         })
     }
--- a/src/control/core/reservation_supply.rs
+++ b/src/control/core/reservation_supply.rs
@@ -3,7 +3,7 @@
 
 use std::rc::Rc;
 
-use sorrelhinge_reservations::plan::{arbitrate, Refused, TeamFreeCapacity, Want};
+use sorrelhinge_reservations::plan::{arbitrate, CapacityRequest, Refused, TeamFreeCapacity};
 use sorrelhinge_reservations::settings::Window;
 
 use super::reservation_usage::ReservationUsage;
@@ -138,8 +138,8 @@
     ) -> QuotaHeadroom {
         let among = usage.active.iter();
         let among = among.filter(|a| a.reserved || a.window.name == window.name);
-        let wants: Vec<Want> = among
-            .map(|a| Want {
+        let requests: Vec<CapacityRequest> = among
+            .map(|a| CapacityRequest {
                 name: a.window.name.clone(),
                 team: a.window.team.clone(),
                 each: a.window.each(),
@@ -154,7 +154,7 @@
             };
             (t.name.to_string(), free_capacity)
         });
-        let got = arbitrate(&wants, &teams.collect(), None);
+        let got = arbitrate(&requests, &teams.collect(), None);
         let got = got.into_iter().find(|g| g.name == window.name);
         got.map_or_else(QuotaHeadroom::default, |g| QuotaHeadroom {
             tasks: g.tasks,
--- a/src/control/core/reservations.rs
+++ b/src/control/core/reservations.rs
@@ -5,7 +5,7 @@
 
 use std::collections::BTreeMap;
 
-use sorrelhinge_reservations::plan::{Change as PendingWrite, Seen, Whole};
+use sorrelhinge_reservations::plan::{Change as PendingWrite, Seen, WindowPlan};
 use sorrelhinge_reservations::record::{key, Entry, Step, WindowRecord};
 use sorrelhinge_sharding::shard::ShardId;
 
@@ -28,7 +28,7 @@
     /// What was last seen of it.
     pub(super) seen: Option<Seen>,
     /// What is due for all its occurrences.
-    pub(super) whole: Whole,
+    pub(super) plan: WindowPlan,
     /// What was last logged of a shortage.
     pub(super) logged: Option<LoggedShortage>,
 }
@@ -51,9 +51,9 @@
             busy_at: now,
             pending_machines: 0,
             seen: None,
-            whole: Whole {
+            plan: WindowPlan {
                 each: BTreeMap::new(),
-                hold: 0,
+                reserved_tasks: 0,
             },
             logged: None,
         }
@@ -88,7 +88,7 @@
 impl Windows {
     /// Whether any room is held.
     pub(super) fn hold(&self) -> bool {
-        self.watched.values().any(|w| w.whole.hold > 0)
+        self.watched.values().any(|w| w.plan.reserved_tasks > 0)
     }
 
     /// A request of the cloud failed.
@@ -131,7 +131,7 @@
         }
         let mut due = Vec::new();
         for (name, watch) in &self.windows.watched {
-            for (start_ms, next) in &watch.whole.each {
+            for (start_ms, next) in &watch.plan.each {
                 let mod_revision = watch
                     .records
                     .get(start_ms)
--- a/src/control/core/service_levels.rs
+++ b/src/control/core/service_levels.rs
@@ -72,7 +72,11 @@
     /// By class and team: jobs that wait for their first start.
     fn waits_by_sort(&self, now: Time) -> BTreeMap<Sort, Waits> {
         let mut waits: BTreeMap<Sort, Waits> = BTreeMap::new();
-        for (_, job) in self.cluster_state.wanting().filter(|(_, j)| !j.started) {
+        for (_, job) in self
+            .cluster_state
+            .jobs_to_place()
+            .filter(|(_, j)| !j.started)
+        {
             let w = waits.entry(job.sort()).or_default();
             w.jobs += 1;
             w.oldest_s = w.oldest_s.max(now.since(job.submitted));
--- a/src/control/core/shard_handover.rs
+++ b/src/control/core/shard_handover.rs
@@ -116,7 +116,7 @@
     /// Says in the log why jobs wait, each once a minute.
     fn log_waiting_jobs(&mut self, now: Time) {
         self.told.retain(|_, at| now.since(*at) < LOG_INTERVAL_S);
-        let waiting = self.cluster_state.wanting().find(|(id, job)| {
+        let waiting = self.cluster_state.jobs_to_place().find(|(id, job)| {
             let long = job
                 .blocked_since
                 .is_some_and(|t| now.since(t) > LOG_AFTER_S);
--- a/src/scheduler/cluster_state.rs
+++ b/src/scheduler/cluster_state.rs
@@ -37,7 +37,7 @@
     pub until: Time,
 }
 
-/// Room on a machine that is held for a gang.
+/// Capacity on a machine that is reserved for a gang.
 #[derive(Clone, Debug)]
 pub(super) struct GangFreeCapacity {
     /// The gang.
@@ -71,15 +71,15 @@
     pub max_claiming: Option<usize>,
     pub(super) jobs: BTreeMap<JobId, Job>,
     pub(super) machines: BTreeMap<MachineId, Machine>,
-    /// Per team, the jobs that want tasks placed.
+    /// Per team, the jobs that have tasks to place.
     pub(super) queues: Vec<BTreeSet<Place>>,
-    /// Per team, what their pending tasks want.
+    /// Per team, what their pending tasks need.
     pub(super) demand: Vec<Amount>,
     /// Where there is free capacity.
     pub capacity_index: CapacityIndex,
     /// Room that is being made for a job, until a time.
     pub(super) reserved: BTreeMap<MachineId, Reservation>,
-    /// Room held for a gang, at each machine so much.
+    /// What is reserved for a gang, by machine.
     pub(super) gang_free_capacity: BTreeMap<MachineId, GangFreeCapacity>,
     pub(super) turn: Turn<JobId>,
     /// Failure domains, if the feature is on.
@@ -94,7 +94,7 @@
     pub(super) idle: idle::Idle,
     /// Who goes ahead of all others.
     pub(super) lanes: lanes::Queue,
-    /// Room held for windows of the release calendar.
+    /// What is reserved for windows of the release calendar.
     pub(super) reservations: reservations::Reservations,
 }
 
@@ -145,15 +145,15 @@
         &self.machines
     }
 
-    /// The jobs that want tasks placed, in no order.
-    pub fn wanting(&self) -> impl Iterator<Item = (&JobId, &Job)> {
+    /// The jobs that have tasks to place, in no order.
+    pub fn jobs_to_place(&self) -> impl Iterator<Item = (&JobId, &Job)> {
         self.queues
             .iter()
             .flatten()
             .filter_map(|p| Some((&p.id, self.jobs.get(&p.id)?)))
     }
 
-    /// Whether any job wants a task placed.
+    /// Whether any job has a task to place.
     pub fn has_work(&self) -> bool {
         self.queues.iter().any(|q| !q.is_empty())
     }
--- a/src/scheduler/filter/free_capacity.rs
+++ b/src/scheduler/filter/free_capacity.rs
@@ -1,10 +1,10 @@
-//! Rule: room on a machine that is not reserved, held or kept for others.
+//! Rule: free capacity of a machine that is not reserved or kept for others.
 
 use crate::scheduler::ClusterState;
 use crate::types::{Amount, JobId, MachineId, Time};
 
 impl ClusterState {
-    /// Room on a machine for a job, less what is reserved for others, and less what is
+    /// Free capacity of a machine for a job, less what is reserved for others, and less what is
     /// kept there for work that can't use spot machines if the job `leaves_kept`.
     pub(in crate::scheduler) fn free_capacity_for(
         &self,
@@ -19,24 +19,28 @@
         let mut free = machine.free();
         if let Some(reserved) = self.reserved.get(m_id) {
             if reserved.job != *id && now < reserved.until {
-                if let Some(job) = self.jobs.get(&reserved.job).filter(|j| j.wants(now)) {
+                if let Some(job) = self
+                    .jobs
+                    .get(&reserved.job)
+                    .filter(|j| j.needs_placement(now))
+                {
                     free -= job.spec.each;
                 }
             }
         }
-        if let Some(held) = self.gang_free_capacity.get(m_id) {
-            if held.job != *id {
-                free -= held.amount;
+        if let Some(for_gang) = self.gang_free_capacity.get(m_id) {
+            if for_gang.job != *id {
+                free -= for_gang.amount;
             }
         }
         if leaves_kept {
             free -= machine.kept;
         }
-        free - self.held_from(id, m_id, now)
+        free - self.reserved_from(id, m_id, now)
     }
 
-    /// Whether room on a machine is meant for somebody.
-    pub(in crate::scheduler) fn is_spoken_for(&self, m_id: &MachineId) -> bool {
+    /// Whether capacity of a machine is reserved for a job, a gang or a window.
+    pub(in crate::scheduler) fn has_reservation(&self, m_id: &MachineId) -> bool {
         self.reserved.contains_key(m_id)
             || self.gang_free_capacity.contains_key(m_id)
             || self.has_reserved_capacity(m_id)
--- a/src/scheduler/filter/larger_types.rs
+++ b/src/scheduler/filter/larger_types.rs
@@ -53,8 +53,8 @@
     pub(in crate::scheduler) fn needy(&self, now: Time) -> Needy {
         let mut needy = Needy::new();
         let smallest = self.capacity_index.kinds().min_by_key(|k| k.total.cpu);
-        for (id, job) in self.wanting() {
-            if smallest.is_none_or(|k| job.spec.each.fits(k.total)) || !job.wants(now) {
+        for (id, job) in self.jobs_to_place() {
+            if smallest.is_none_or(|k| job.spec.each.fits(k.total)) || !job.needs_placement(now) {
                 continue;
             }
             for (key, group) in self.capacity_index.groups() {
--- a/src/scheduler/filter/mod.rs
+++ b/src/scheduler/filter/mod.rs
@@ -96,7 +96,7 @@
         let PlacementRequest { id, job, now, .. } = *self.request;
         let cluster_state = self.cluster_state;
         let fits = !job.avoids(m_id, now)
-            && (!cluster_state.is_spoken_for(m_id)
+            && (!cluster_state.has_reservation(m_id)
                 || job.spec.each.fits(cluster_state.free_capacity_for(
                     id,
                     self.leaves_kept,
--- a/src/scheduler/gangs/mod.rs
+++ b/src/scheduler/gangs/mod.rs
@@ -45,7 +45,7 @@
             return Vec::new();
         };
         let tasks = job.tasks.pending();
-        if !job.wants(now) || !job.tasks.claims().is_empty() || now < job.try_at {
+        if !job.needs_placement(now) || !job.tasks.claims().is_empty() || now < job.try_at {
             return Vec::new();
         }
         let team = &self.teams[job.team];
@@ -195,8 +195,11 @@
             return;
         };
         let hold_s = self.gang_settings().hold_s;
-        let wants = self.jobs.get(&holder).is_some_and(|j| j.wants(now));
-        if !wants || !self.turn.may_reserve(&holder, hold_s, now) {
+        let waits = self
+            .jobs
+            .get(&holder)
+            .is_some_and(|j| j.needs_placement(now));
+        if !waits || !self.turn.may_reserve(&holder, hold_s, now) {
             self.leave_turn(&holder);
         }
     }
--- a/src/scheduler/gangs/slots.rs
+++ b/src/scheduler/gangs/slots.rs
@@ -11,7 +11,7 @@
 /// A slot's cost is counted in tenths of a second.
 const COST_STEPS: f64 = 10.0;
 
-/// A gang that is to be placed whole.
+/// A gang whose tasks are to be placed all at once.
 pub(super) struct GangRequest<'a> {
     pub id: &'a JobId,
     pub job: &'a Job,
@@ -27,21 +27,21 @@
     units: AllocatedDevices,
 }
 
-/// How many of `max` tasks find the devices that each needs, beside what is held.
+/// How many of `max` tasks find the devices that each needs, beside what is allocated.
 fn with_devices(
     device_inventory: &DeviceInventory,
-    held: &AllocatedDevices,
+    allocated: &AllocatedDevices,
     needs: &[Device],
     max: u32,
 ) -> u32 {
     if needs.is_empty() {
         return max;
     }
-    let mut held = held.clone();
+    let mut allocated = allocated.clone();
     let mut count = 0;
     while count < max {
-        match choose(device_inventory, &held, needs) {
-            Some(units) => held.take(&units),
+        match choose(device_inventory, &allocated, needs) {
+            Some(units) => allocated.take(&units),
             None => break,
         }
         count += 1;
--- a/src/scheduler/idle.rs
+++ b/src/scheduler/idle.rs
@@ -36,10 +36,10 @@
 impl ClusterState {
     /// Looks at what idle work may take now.
     pub fn refresh_idle_capacity(&mut self, now: Time) {
-        let mut wants = vec![Amount::default(); self.teams.len()];
-        for job in self.wanting().map(|(_, j)| j) {
+        let mut pending = vec![Amount::default(); self.teams.len()];
+        for job in self.jobs_to_place().map(|(_, j)| j) {
             if job.priority > Priority::Idle {
-                wants[job.team] += job.demand();
+                pending[job.team] += job.demand();
             }
         }
         let mut used: Vec<i64> = self.teams.iter().map(|t| t.used.cpu).collect();
@@ -47,7 +47,7 @@
         for job in idle_jobs {
             used[job.team] -= job.spec.each.cpu * job.tasks.claims().len() as i64;
         }
-        let asks = |(i, team): (usize, &Team)| (used[i] + wants[i].cpu).min(team.limit.cpu);
+        let asks = |(i, team): (usize, &Team)| (used[i] + pending[i].cpu).min(team.limit.cpu);
         let asks: i64 = self.teams.iter().enumerate().map(asks).sum();
         let fade = (-now.since(self.idle.at) / LATE_S).exp();
         self.idle.at = now;
--- a/src/scheduler/job.rs
+++ b/src/scheduler/job.rs
@@ -127,8 +127,8 @@
     pub(super) fn is_queued(&self) -> bool {
         self.tasks.pending() > 0 && !self.cancelled
     }
-    /// Whether it wants a task placed now.
-    pub fn wants(&self, now: Time) -> bool {
+    /// Whether it has a task to place now.
+    pub fn needs_placement(&self, now: Time) -> bool {
         !self.cancelled && self.open() > 0 && now >= self.hold_until
     }
     /// What it counts as when what binds is divided: its class and team.
@@ -171,7 +171,7 @@
             (None, None) => Time(f64::INFINITY),
         }
     }
-    /// What its pending tasks want.
+    /// What its pending tasks need.
     pub(super) fn demand(&self) -> Amount {
         if self.cancelled {
             Amount::default()
--- a/src/scheduler/job_changes.rs
+++ b/src/scheduler/job_changes.rs
@@ -47,10 +47,10 @@
             job.due = job.due_now(now);
         });
         let Some(job) = self.jobs.get(id) else { return };
-        let held = job.spec.each.times(job.tasks.claims().len() as i64);
+        let allocated = job.spec.each.times(job.tasks.claims().len() as i64);
         match (bounded, idle::is_bounded(job)) {
-            (true, false) => self.idle.used -= held,
-            (false, true) => self.idle.used += held,
+            (true, false) => self.idle.used -= allocated,
+            (false, true) => self.idle.used += allocated,
             (true, true) | (false, false) => {}
         }
     }
--- a/src/scheduler/lanes.rs
+++ b/src/scheduler/lanes.rs
@@ -46,7 +46,7 @@
     }
 }
 
-/// The lanes, what they hold, and who waits in them.
+/// The lanes, what their jobs use, and which jobs wait in them.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Queue {
     /// The lane jobs that wait, the first first: as of the last look, see
@@ -117,7 +117,7 @@
 
     /// The lane jobs that wait, the first first.
     fn arranged(&self, now: Time, now_ms: u64) -> Vec<Key> {
-        let waits = self.wanting().filter_map(|(id, job)| {
+        let waits = self.jobs_to_place().filter_map(|(id, job)| {
             let laned = job.lane?;
             let waited_ms = (now.since(job.submitted) * 1000.0).max(0.0) as u64;
             Some(Waits {
@@ -147,10 +147,10 @@
     /// Whether a lane job is within its lane's part, of which `allocated` is taken by the
     /// lane's claims and by the jobs before it, in thousandths of a CPU.
     fn goes_ahead(&self, lane: LaneId, job: &Job, allocated: i64, others_wait: bool) -> bool {
-        let want = job.demand().cpu;
+        let needs = job.demand().cpu;
         let part = self.lanes.bounds.get(&lane);
         let part = part.map_or(0, |bound| bound.of(self.capacity.cpu));
-        !others_wait || allocated + want <= part || allocated <= 0 && want <= job.spec.each.cpu
+        !others_wait || allocated + needs <= part || allocated <= 0 && needs <= job.spec.each.cpu
     }
 
     /// Gives a job its standing in its lane; it is filed anew, as that is part of its
--- a/src/scheduler/lanes/placement.rs
+++ b/src/scheduler/lanes/placement.rs
@@ -1,6 +1,6 @@
 //! Placing lane jobs ahead of all others.
 
-use sorrelhinge_priority_lanes::part::Held;
+use sorrelhinge_priority_lanes::part::SharedCapacity;
 
 use crate::scheduler::placement_pass::PassContext;
 use crate::scheduler::{ClusterState, Job, Launch};
@@ -18,9 +18,9 @@
     fn within_part(&self, job: &Job, others_wait: bool) -> bool {
         let Some(laned) = job.lane else { return false };
         let usage = self.lane_usage(laned.lane);
-        let allocated = Held {
+        let allocated = SharedCapacity {
             total: usage.capacity,
-            lane: usage.used,
+            used_by_lane: usage.used,
             others_wait,
         };
         let bound = self.lanes.bounds.get(&laned.lane);
@@ -28,7 +28,7 @@
     }
 
     /// Teams that are below their guarantee and have work waiting: their work is
-    /// gone before by no lane job of a team that is beyond its own. While it was, on a
+    /// passed by no lane job of a team that is beyond its own. While it was, on a
     /// day of bursts 0.862 of the work within a guarantee began in time, not 0.949
     /// (simulated machines).
     fn owed(&self) -> Vec<usize> {
@@ -48,7 +48,7 @@
     }
 
     /// The lane jobs that are offered machines before all others, in order. One
-    /// that fits nowhere is gone past like any other in a walk.
+    /// that fits nowhere is passed over like any other in a walk.
     pub(in crate::scheduler) fn lanes_first(&self, now: Time) -> Vec<(&JobId, &Job)> {
         if self.lanes.order.is_empty() {
             return Vec::new();
@@ -57,7 +57,7 @@
         let owed = self.owed();
         self.lane_waits()
             .filter(|(_, job)| {
-                job.wants(now)
+                job.needs_placement(now)
                     && self.within_part(job, others)
                     && self.leaves_guarantees(job, &owed)
             })
@@ -70,7 +70,7 @@
         let mut launches = Vec::new();
         let mut skipped = Vec::new();
         let first = self.lanes_first(context.now);
-        // A gang is placed whole, in its ordinary turn.
+        // A gang is placed all at once, in its ordinary turn.
         let first = first.iter().filter(|(_, j)| j.spec.kind != Kind::Gang);
         let tried: Vec<JobId> = first.map(|(id, _)| (*id).clone()).collect();
         for id in &tried {
@@ -91,7 +91,7 @@
         let mut launches = Vec::new();
         while let Some(job) = self.jobs.get(id) {
             self.capacity_index.count_step();
-            if !job.wants(context.now)
+            if !job.needs_placement(context.now)
                 || !self.may_claim(id, job)
                 || !self.within_part(job, self.others_wait())
                 || !self.leaves_guarantees(job, &self.owed())
--- a/src/scheduler/order.rs
+++ b/src/scheduler/order.rs
@@ -58,7 +58,7 @@
         order
     }
 
-    /// The jobs that want a task placed, in the order of the walk: those that are
+    /// The jobs that have a task to place, in the order of the walk: those that are
     /// ahead in their lane, then the others.
     pub(super) fn in_order(&self, now: Time) -> impl Iterator<Item = (&JobId, &Job)> {
         let first = self.lanes_first(now);
@@ -67,7 +67,7 @@
         first.into_iter().chain(others)
     }
 
-    /// The jobs that want a task placed, in the order that would be without lanes.
+    /// The jobs that have a task to place, in the order that would be without lanes.
     fn in_turn(&self, now: Time) -> impl Iterator<Item = (&JobId, &Job)> {
         self.team_order()
             .into_iter()
--- a/src/scheduler/placement_pass.rs
+++ b/src/scheduler/placement_pass.rs
@@ -281,7 +281,7 @@
     /// Jobs that were tried and still want tasks placed wait from now on.
     fn mark_blocked(&mut self, tried: HashSet<JobId>, now: Time) {
         for id in tried {
-            if let Some(job) = self.jobs.get_mut(&id).filter(|j| j.wants(now)) {
+            if let Some(job) = self.jobs.get_mut(&id).filter(|j| j.needs_placement(now)) {
                 job.blocked_since.get_or_insert(now);
             }
         }
--- a/src/scheduler/preempt/mod.rs
+++ b/src/scheduler/preempt/mod.rs
@@ -1,4 +1,4 @@
-//! Preemption: room is made for jobs that found no place, where that wastes least.
+//! Preemption: tasks are stopped for jobs that found no machine, where that wastes least.
 
 mod victims;
 
@@ -8,11 +8,11 @@
 use super::{idle, ClusterState, Job};
 use crate::types::{Amount, JobId, Kind, MachineId, TaskId, Time};
 
-/// On how many machines room is made for one job at a time.
+/// On how many machines tasks are stopped for one job at a time.
 const MAX_PREEMPTION_CANDIDATES: u32 = 16;
-/// For how many jobs room is made at a time, as each looks at all machines.
+/// For how many jobs tasks are stopped at a time, as each looks at all machines.
 const MAX_JOBS_PER_PASS: usize = 4;
-/// For how long room stays reserved for the job that it was made for.
+/// For how long the capacity that comes free stays reserved for the job.
 const RESERVED_S: f64 = 10.0;
 /// A job that waits for free capacity to be made, and in how many places.
 struct StarvedJob {
@@ -54,18 +54,18 @@
     /// The first jobs of the order that found no place for `patience` seconds, and that
     /// have fewer places reserved than they could use.
     fn starved_jobs(&self, patience: impl Fn(&Job) -> f64, now: Time) -> Vec<StarvedJob> {
-        let mut held: BTreeMap<&JobId, u32> = BTreeMap::new();
+        let mut by_job: BTreeMap<&JobId, u32> = BTreeMap::new();
         for reserved in self.reserved.values() {
-            *held.entry(&reserved.job).or_insert(0) += 1;
+            *by_job.entry(&reserved.job).or_insert(0) += 1;
         }
         self.in_order(now)
             // Room made piece by piece does not make a gang fit; what falls
-            // free is held for it.
+            // free is reserved for it.
             .filter(|(_, job)| job.spec.kind != Kind::Gang)
             .filter(|(_, job)| job.blocked_since.map_or(0.0, |t| now.since(t)) >= patience(job))
             .map(|(id, job)| {
                 let wanted = job.tasks.pending().min(MAX_PREEMPTION_CANDIDATES);
-                let reserved = held.get(id).copied().unwrap_or(0);
+                let reserved = by_job.get(id).copied().unwrap_or(0);
                 StarvedJob {
                     id: id.clone(),
                     places: wanted.saturating_sub(reserved),
@@ -76,7 +76,7 @@
             .collect()
     }
 
-    /// Makes and reserves room for one job, where that wastes least. Returns the tasks
+    /// Frees and reserves capacity for one job, where that wastes least. Returns the tasks
     /// to stop.
     fn preempt_for(
         &mut self,
@@ -114,7 +114,7 @@
         stops
     }
 
-    /// Machines on which room for a job can be made, the cheapest first. One look at
+    /// Machines on which capacity for a job can be freed, the cheapest first. One look at
     /// all machines finds the best of them; each is looked at again when its turn
     /// comes, as those before it count.
     fn by_preemption_cost(
--- a/src/scheduler/preempt/victims.rs
+++ b/src/scheduler/preempt/victims.rs
@@ -27,7 +27,7 @@
     pub victims: Vec<TaskId>,
 }
 
-/// For whom room is to be made.
+/// For what job capacity is to be freed.
 pub(super) struct FreeCapacityRequest<'a> {
     pub id: &'a JobId,
     pub job: &'a Job,
@@ -51,12 +51,12 @@
     claim: &'a Claim,
 }
 
-/// Free room on a machine and what teams use, as it would be once the tasks that
-/// were chosen so far are gone.
+/// Free capacity of a machine and what teams use, as it would be once the tasks that
+/// were chosen so far have ended.
 struct Balance {
     /// Free on the machine for the job.
     free: Amount,
-    /// What the job's team uses, with the task that room is made for.
+    /// What the job's team uses, with the task that capacity is freed for.
     used: Amount,
     /// What the job's team may use.
     limit: Amount,
@@ -88,7 +88,7 @@
         (own || !self.limited) && (lower || (self.within_guarantee && borrowed))
     }
 
-    /// Counts a candidate as gone.
+    /// Counts a candidate as stopped.
     fn stop(&mut self, job: &Job, candidate: &Candidate) {
         let other = candidate.job;
         let each = other.spec.each;
@@ -125,7 +125,7 @@
         (lost + fetched + REQUEUE_S) * job.spec.each.cpu as f64 / 1000.0
     }
 
-    /// Whether and how room for one more task of a job can be made on a machine.
+    /// Whether and how capacity for one more task of a job can be freed on a machine.
     pub(super) fn plan_preemption(
         &self,
         request: &FreeCapacityRequest,
@@ -176,7 +176,7 @@
         })
     }
 
-    /// Room and use before anything is chosen: what is leaving already counts as gone.
+    /// Capacity and use before anything is chosen: what is being stopped counts as ended.
     fn balance(
         &self,
         request: &FreeCapacityRequest,
--- a/src/scheduler/queue.rs
+++ b/src/scheduler/queue.rs
@@ -29,7 +29,7 @@
     place: Revision,
 }
 
-/// Order of the jobs of a team that want tasks placed.
+/// Order of the jobs of a team that have tasks to place.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct Place {
     pub(super) group: Group,
--- a/src/scheduler/quota.rs
+++ b/src/scheduler/quota.rs
@@ -5,7 +5,7 @@
 
 impl ClusterState {
     /// What a job's team may use once a task of the job starts: its limit, less
-    /// what is held for windows, and less the part that is left to jobs whose
+    /// what is reserved for windows, and less the part that is left to jobs whose
     /// users wait for the start unless it is one of them.
     pub(super) fn limit_to_start(&self, job: &Job) -> Amount {
         let limit = self.limit_for(job);
@@ -45,8 +45,8 @@
         &self.demand
     }
 
-    /// What a job's team may use, less what is held for other work of the team:
-    /// held room is inside the limit, whether or not its machines are there.
+    /// What a job's team may use, less what is reserved for other work of the team:
+    /// that is inside the limit, whether or not its machines are there.
     pub(super) fn limit_for(&self, job: &Job) -> Amount {
         let mut limit = self.teams[job.team].limit;
         for reserved in self.reservations.by_window.values() {
@@ -57,7 +57,7 @@
         limit
     }
 
-    /// What is held of each team's limit beside what is used.
+    /// What is reserved of each team's limit beside what is used.
     pub fn reserved_of_quotas(&self) -> Vec<Amount> {
         let mut sums = vec![Amount::default(); self.teams.len()];
         for reserved in self.reservations.by_window.values() {
--- a/src/scheduler/reservations/lending.rs
+++ b/src/scheduler/reservations/lending.rs
@@ -1,4 +1,4 @@
-//! Lending of held room to work that leaves it in time, see [`may_lend`].
+//! Lending of reserved capacity to work that leaves it in time, see [`may_lend`].
 
 use sorrelhinge_reservations::lend::{may_lend, Borrower, Lend};
 
@@ -27,7 +27,7 @@
 }
 
 impl ClusterState {
-    /// Whether a hold's room is lent to a job's task, claimed or to be.
+    /// Whether reserved capacity is lent to a job's task, claimed or to be.
     pub(super) fn lends(
         &self,
         reserved: &ReservedCapacity,
@@ -42,13 +42,13 @@
             None => job.spec.each,
         };
         let own = &self.teams[reserved.reservation.team];
-        let whole = own.used + reserved.open_amount();
+        let total = own.used + reserved.open_amount();
         // PROTOCOL lets a borrower's work be stopped for a team's guarantee; what
         // priority the window's work will have is not known.
         let stoppable = job.spec.kind == Kind::Array
             && job.team != reserved.reservation.team
             && !(team.used + more).fits_team(team.guarantee)
-            && whole.fits_team(own.guarantee);
+            && total.fits_team(own.guarantee);
         let work = Borrower {
             ends_in_s: ends_in_s(job, claim, &m.kind, now),
             stoppable,
@@ -63,8 +63,8 @@
         may_lend(&work, left_s, lending.stop_s, lending.wait_s) != Lend::No
     }
 
-    /// What is held on a machine and not lent to a job.
-    pub(in crate::scheduler) fn held_from(
+    /// What is reserved on a machine and not lent to a job.
+    pub(in crate::scheduler) fn reserved_from(
         &self,
         id: &JobId,
         m_id: &MachineId,
@@ -88,11 +88,11 @@
         sum
     }
 
-    /// Whether room is held on a machine.
+    /// Whether capacity of a machine is reserved for a window.
     pub(in crate::scheduler) fn has_reserved_capacity(&self, m_id: &MachineId) -> bool {
         self.reservations
             .by_window
             .values()
-            .any(|h| h.placed.contains_key(m_id))
+            .any(|reserved| reserved.placed.contains_key(m_id))
     }
 }
--- a/src/scheduler/reservations/mod.rs
+++ b/src/scheduler/reservations/mod.rs
@@ -1,8 +1,8 @@
-//! Room held for windows of the release calendar, on machines that are there.
+//! Capacity reserved for windows of the release calendar, on machines that are there.
 //!
-//! Held room is taken by nobody but the window's own work, unless it is lent
+//! Reserved capacity is taken by nobody but the window's own work, unless it is lent
 //! ([`sorrelhinge_reservations::lend`]); it counts in its team's limit. Where it is,
-//! no record says: each owner chooses anew, from what it hears of its machines.
+//! no record says: each owner chooses anew, from its machines' heartbeats.
 
 mod lending;
 mod placement;
@@ -18,12 +18,12 @@
 };
 use crate::types::{Amount, JobSpec, MachineId, Time};
 
-/// To whom held room may be lent, see [`may_lend`](sorrelhinge_reservations::lend::may_lend).
+/// To what work reserved capacity may be lent, see [`may_lend`](sorrelhinge_reservations::lend::may_lend).
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Lending {
     /// When its window begins, as early as clocks may say and less its `early_s`.
     pub until: Time,
-    /// Seconds until a task that is to stop is told.
+    /// Seconds until a task that is to stop has the command.
     pub stop_s: f64,
     /// How long the window's work may wait, in seconds.
     pub wait_s: f64,
@@ -36,19 +36,19 @@
     pub window: Rc<Window>,
     /// Its team's place in `ClusterState::teams`.
     pub team: usize,
-    /// So many tasks' room, with what its work uses.
+    /// For how many tasks, with what its work uses.
     pub tasks: u32,
     /// To whom it may be lent.
     pub lending: Lending,
 }
 
-/// A hold, and where its free capacity is.
+/// What a window is to have, and on which machines it is reserved.
 #[derive(Clone, Debug)]
 pub(in crate::scheduler) struct ReservedCapacity {
     pub(in crate::scheduler) reservation: Reservation,
     /// What the claims of its window's work take.
     used: Amount,
-    /// Tasks' room set aside, by machine.
+    /// For how many tasks capacity is reserved, by machine.
     pub(in crate::scheduler) placed: BTreeMap<MachineId, u32>,
 }
 
@@ -58,7 +58,7 @@
         self.reservation.team == team && self.reservation.window.is_for(&spec.team, &spec.class)
     }
 
-    /// What is to be set aside beside what is used.
+    /// What is to be reserved beside what is used.
     pub(in crate::scheduler) fn open_amount(&self) -> Amount {
         self.free_capacity_of(self.open())
     }
@@ -81,22 +81,22 @@
         u32::try_from(max).unwrap_or(u32::MAX)
     }
 
-    /// What is to be set aside beside what is used.
+    /// What is to be reserved beside what is used.
     pub(in crate::scheduler) fn open(&self) -> u32 {
         self.reservation.tasks.saturating_sub(self.used_tasks())
     }
 
-    /// What is still to be set aside.
+    /// For how many tasks capacity is still to be reserved.
     pub(in crate::scheduler) fn shortfalls(&self) -> u32 {
         self.open().saturating_sub(self.reserved_tasks())
     }
 
-    /// How many tasks' room is set aside.
+    /// For how many tasks capacity is reserved.
     pub(in crate::scheduler) fn reserved_tasks(&self) -> u32 {
         self.placed.values().sum()
     }
 
-    /// Lets room go that is set aside beyond what is due, on `first` first.
+    /// Releases what is reserved beyond what is due, on `first` first.
     fn trim(&mut self, first: &MachineId) {
         let mut over = self.reserved_tasks().saturating_sub(self.open());
         while over > 0 {
@@ -107,9 +107,9 @@
             };
             let Some(at) = at else { return };
             if let Some(n) = self.placed.get_mut(&at) {
-                let gone = (*n).min(over);
-                over -= gone;
-                *n -= gone;
+                let released = (*n).min(over);
+                over -= released;
+                *n -= released;
                 if *n == 0 {
                     self.placed.remove(&at);
                 }
@@ -118,16 +118,20 @@
     }
 }
 
-/// All holds, by their windows' names.
+/// All reservations, by their windows' names.
 #[derive(Clone, Debug, Default)]
 pub(in crate::scheduler) struct Reservations {
     pub(in crate::scheduler) by_window: BTreeMap<String, ReservedCapacity>,
 }
 
 impl Reservations {
-    /// Work was placed: its window's hold is smaller by as much.
+    /// Work was placed: its window needs as much less reserved.
     pub(super) fn taken(&mut self, team: usize, spec: &JobSpec, machine: &MachineId) {
-        for reserved in self.by_window.values_mut().filter(|h| h.is_for(team, spec)) {
+        for reserved in self
+            .by_window
+            .values_mut()
+            .filter(|reserved| reserved.is_for(team, spec))
+        {
             reserved.used += spec.each;
             reserved.trim(machine);
         }
@@ -135,12 +139,16 @@
 
     /// Work has ended.
     pub(super) fn left(&mut self, team: usize, spec: &JobSpec) {
-        for reserved in self.by_window.values_mut().filter(|h| h.is_for(team, spec)) {
+        for reserved in self
+            .by_window
+            .values_mut()
+            .filter(|reserved| reserved.is_for(team, spec))
+        {
             reserved.used -= spec.each;
         }
     }
 
-    /// A machine is gone.
+    /// A machine is removed.
     pub(super) fn drop_machine(&mut self, id: &MachineId) {
         for reserved in self.by_window.values_mut() {
             reserved.placed.remove(id);
--- a/src/scheduler/reservations/placement.rs
+++ b/src/scheduler/reservations/placement.rs
@@ -1,4 +1,4 @@
-//! On which machines room is held for windows.
+//! On which machines capacity is reserved for windows.
 
 use std::collections::BTreeMap;
 
@@ -11,7 +11,7 @@
 struct Candidate<'a> {
     /// How many of the window's images it lacks.
     absent_images: usize,
-    /// Nothing was held for the window there before.
+    /// Nothing was reserved for the window there before.
     new: bool,
     /// The place of its type among those that the window allows.
     type_place: usize,
@@ -29,7 +29,9 @@
         let mut before = std::mem::take(&mut self.reservations.by_window);
         for reservation in reservations {
             let name = reservation.window.name.clone();
-            let placed = before.remove(&name).map_or(BTreeMap::new(), |h| h.placed);
+            let placed = before
+                .remove(&name)
+                .map_or(BTreeMap::new(), |reserved| reserved.placed);
             let mut reserved = ReservedCapacity {
                 reservation,
                 used: Amount::default(),
@@ -45,8 +47,8 @@
         self.settle_reservations(now);
     }
 
-    /// Chooses machines for all that is held: those with the images first, then
-    /// those that were held before, spread over the window's zones.
+    /// Chooses machines for all windows: those with the images first, then those that
+    /// were reserved before, spread over the window's zones.
     fn settle_reservations(&mut self, now: Time) {
         // Where machines are short, what lies within a guarantee goes first.
         let mut order: Vec<(bool, String)> = self
@@ -83,10 +85,10 @@
     ) -> BTreeMap<MachineId, u32> {
         let mut placed = BTreeMap::new();
         let reserved = self.reservations.by_window.get(name);
-        let Some(reserved) = reserved.filter(|h| h.open() > 0) else {
+        let Some(reserved) = reserved.filter(|reserved| reserved.open() > 0) else {
             return placed;
         };
-        let mut queues = self.hold_candidates(reserved, before, now);
+        let mut queues = self.reservation_candidates(reserved, before, now);
         let zoned = !reserved.reservation.window.zones.is_empty();
         let mut counts = self.used_in_zones(reserved, zoned);
         for _ in 0..reserved.open() {
@@ -112,7 +114,7 @@
     }
 
     /// Machines that have free capacity for tasks of a window.
-    fn hold_candidates(
+    fn reservation_candidates(
         &self,
         reserved: &ReservedCapacity,
         before: &BTreeMap<MachineId, u32>,
@@ -172,7 +174,7 @@
         counts
     }
 
-    /// Room on a machine that a window can have: what is free, and what others'
+    /// Capacity on a machine that can be reserved for a window: what is free, and what others'
     /// work leaves in time.
     fn reservable_capacity(
         &self,
@@ -211,14 +213,14 @@
         free_capacity
     }
 
-    /// Room appeared on a machine: what a hold still lacks is set aside there
-    /// before anybody else has it.
+    /// Capacity came free on a machine: what a window still lacks is reserved there
+    /// before other work takes it.
     pub fn refill_reservations(&mut self, id: &MachineId, now: Time) {
         let missing_tasks = self
             .reservations
             .by_window
             .iter()
-            .filter(|(_, h)| h.shortfalls() > 0);
+            .filter(|(_, reserved)| reserved.shortfalls() > 0);
         let names: Vec<String> = missing_tasks.map(|(name, _)| name.clone()).collect();
         for name in names {
             let (Some(reserved), Some(m)) = (
@@ -227,7 +229,7 @@
             ) else {
                 return;
             };
-            let more = self.more_to_hold(reserved, id, m, now);
+            let more = self.more_to_reserve(reserved, id, m, now);
             if more > 0 {
                 if let Some(reserved) = self.reservations.by_window.get_mut(&name) {
                     *reserved.placed.entry(id.clone()).or_insert(0) += more;
@@ -236,8 +238,8 @@
         }
     }
 
-    /// How many more tasks' room a machine gives a hold, within its zone's share.
-    fn more_to_hold(
+    /// For how many more tasks of a window a machine has capacity, within its zone's share.
+    fn more_to_reserve(
         &self,
         reserved: &ReservedCapacity,
         id: &MachineId,
--- a/src/scheduler/waiting_reason.rs
+++ b/src/scheduler/waiting_reason.rs
@@ -124,7 +124,7 @@
     /// Why a job that has a task to place has found no machine for it; none if it waits
     /// for nothing, or no placement has tried yet.
     pub fn why_waits(&self, id: &JobId, now: Time) -> Option<WaitingReason> {
-        let job = self.jobs.get(id).filter(|j| j.wants(now))?;
+        let job = self.jobs.get(id).filter(|j| j.needs_placement(now))?;
         job.blocked_since?;
         if !self.limit_allows(job, now) {
             return Some(WaitingReason::TeamAtLimit);
--- a/src/scheduler/write_limit.rs
+++ b/src/scheduler/write_limit.rs
@@ -44,7 +44,7 @@
 
     /// The lowest rank that waits, if others wait too.
     pub fn lowest_of_ranks(&self) -> Option<Priority> {
-        let ranks: BTreeSet<Priority> = self.wanting().map(|(_, j)| j.priority).collect();
+        let ranks: BTreeSet<Priority> = self.jobs_to_place().map(|(_, j)| j.priority).collect();
         ranks.first().copied().filter(|_| ranks.len() > 1)
     }
 
