--- a/crates/topology/src/policy/feasible.rs
+++ b/crates/topology/src/policy/feasible.rs
@@ -144,10 +144,10 @@
             (None, _) => u64::MAX,
             (Some(deepest), Some(level)) if level >= deepest => u64::MAX,
             _ => {
-                let next = level.map_or(Level(0), |l| Level(l.0 + 1));
+                let next = level.map_or(Level(0), Level::inner);
                 let range = tree.range(domain);
                 tree.domains(next)
-                    .filter(|d| range.contains(&d.0))
+                    .filter(|d| range.contains(d))
                     .map(|d| self.free_capacity(tree, d))
                     .fold(0, u64::saturating_add)
             }
--- a/crates/topology/src/policy/judge.rs
+++ b/crates/topology/src/policy/judge.rs
@@ -4,16 +4,15 @@
 use super::{
     ExclusionRule, FewRule, MachineLocation, Policy, Reach, SpreadRule, Tally, TogetherRule,
 };
-use crate::tree::{Level, Tree};
+use crate::tree::{Domain, Level, Tree};
 
 /// A machine that a rule keeps a job off.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ExcludedMachine {
     /// Which rule.
     pub rule: ExclusionRule,
-    /// All machines with places from the asked one's up to here are barred by
-    /// it too.
-    pub until: u32,
+    /// The rule excludes all machines with places from the judged one's up to here too.
+    pub until: Domain,
 }
 
 /// A task of a job and where it is.
@@ -64,9 +63,9 @@
     fn barred(&self, level: Level, rule: ExclusionRule) -> ExcludedMachine {
         let place = self.location.place;
         let until = match self.tree.at(place, level) {
-            _ if self.tree.is_machine(level) => place.0,
+            _ if self.tree.is_machine(level) => place,
             Some(domain) => self.tree.range(domain).end,
-            None => place.0 + 1,
+            None => place.next(),
         };
         ExcludedMachine { rule, until }
     }
@@ -135,7 +134,7 @@
         if let Some(why) = &self.unjudged {
             return Some(ExcludedMachine {
                 rule: ExclusionRule::Unjudged(why.clone()),
-                until: u32::MAX,
+                until: Domain::END,
             });
         }
         let judged = Judged {
--- a/crates/topology/src/repair.rs
+++ b/crates/topology/src/repair.rs
@@ -4,7 +4,7 @@
 
 use sorrelhinge_protocol::types::Time;
 
-use crate::tree::{Domain, Tree, ROOT};
+use crate::tree::{Domain, Level, Tree, ROOT};
 
 /// Domains that lost a machine of late. A switch that flaps is lost again and
 /// again, and nothing is moved back behind it until it has been quiet.
@@ -21,8 +21,8 @@
         let Some(depth) = tree.level_of(place) else {
             return;
         };
-        for level in 1..=depth.0 {
-            if let Some(domain) = tree.at(place, crate::tree::Level(level)) {
+        for level in below_zone(depth) {
+            if let Some(domain) = tree.at(place, level) {
                 self.lost.insert(domain, now);
             }
         }
@@ -33,8 +33,8 @@
         let Some(depth) = tree.level_of(place) else {
             return false;
         };
-        (1..=depth.0)
-            .filter_map(|level| tree.at(place, crate::tree::Level(level)))
+        below_zone(depth)
+            .filter_map(|level| tree.at(place, level))
             .all(|d| self.lost.get(&d).is_none_or(|t| now.since(*t) >= settle_s))
     }
 
@@ -45,6 +45,12 @@
     }
 }
 
+/// The levels below the zone's down to `innermost`, the outermost first.
+fn below_zone(innermost: Level) -> impl Iterator<Item = Level> {
+    let Level(innermost) = innermost;
+    (1..=innermost).map(Level)
+}
+
 /// Whether it is time for the next move.
 pub fn due(last: Option<Time>, every_s: f64, now: Time) -> bool {
     last.is_none_or(|t| now.since(t) >= every_s)
--- a/crates/topology/src/tree.rs
+++ b/crates/topology/src/tree.rs
@@ -5,10 +5,25 @@
 use std::collections::{BTreeMap, HashMap};
 use std::ops::Range;
 
-/// A domain's number. [`ROOT`] holds everything; a machine there is somewhere.
+/// A domain's number. Everything lies in [`ROOT`]; a machine there is somewhere.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Domain(pub u32);
 
+impl Domain {
+    /// Above all domains' numbers.
+    pub const END: Self = Self(u32::MAX);
+
+    /// The next number.
+    #[must_use]
+    pub fn next(self) -> Self {
+        Self(self.0 + 1)
+    }
+
+    fn index(self) -> usize {
+        self.0 as usize
+    }
+}
+
 /// All domains together, and the place of a machine of which nothing is known.
 pub const ROOT: Domain = Domain(0);
 
@@ -16,6 +31,23 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Level(pub u8);
 
+impl Level {
+    /// The next level inwards.
+    #[must_use]
+    pub fn inner(self) -> Self {
+        Self(self.0 + 1)
+    }
+
+    fn index(self) -> usize {
+        usize::from(self.0)
+    }
+
+    /// A domain's depth at this level; the root has 0.
+    fn depth(self) -> u8 {
+        self.0 + 1
+    }
+}
+
 #[derive(Clone, Debug)]
 struct Node {
     path: String,
@@ -23,7 +55,7 @@
     depth: u8,
     parent: Domain,
     /// The first number that is not within it.
-    end: u32,
+    end: Domain,
 }
 
 /// All failure domains. Domains are numbered depth first, so a domain and what lies
@@ -69,7 +101,7 @@
             path: path.to_owned(),
             depth,
             parent,
-            end: 0,
+            end: ROOT,
         });
         for (name, inner) in &self.inner {
             let path = if depth == 0 {
@@ -79,7 +111,7 @@
             };
             inner.number(nodes, &path, depth + 1, Domain(at as u32));
         }
-        nodes[at].end = nodes.len() as u32;
+        nodes[at].end = Domain(nodes.len() as u32);
     }
 }
 
@@ -131,7 +163,7 @@
     }
 
     fn node(&self, domain: Domain) -> &Node {
-        &self.nodes[(domain.0 as usize).min(self.nodes.len() - 1)]
+        &self.nodes[domain.index().min(self.nodes.len() - 1)]
     }
 
     /// The level of this name. The innermost is the machine, see
@@ -142,7 +174,7 @@
     }
     /// A level's name.
     pub fn level_name(&self, level: Level) -> &str {
-        self.levels.get(usize::from(level.0)).map_or("?", |l| l)
+        self.levels.get(level.index()).map_or("?", |l| l)
     }
     /// All levels' names, outermost first.
     pub fn levels(&self) -> &[String] {
@@ -150,7 +182,7 @@
     }
     /// Whether this level's domains are the machines themselves.
     pub fn is_machine(&self, level: Level) -> bool {
-        usize::from(level.0) + 1 >= self.levels.len()
+        level.index() + 1 >= self.levels.len()
     }
     /// The domain of this path; the empty path is the root's.
     pub fn find(&self, path: &str) -> Option<Domain> {
@@ -161,21 +193,21 @@
         &self.node(domain).path
     }
     /// The numbers within a domain, itself included.
-    pub fn range(&self, domain: Domain) -> Range<u32> {
-        domain.0..self.node(domain).end
+    pub fn range(&self, domain: Domain) -> Range<Domain> {
+        domain..self.node(domain).end
     }
     /// Whether `inner` is `outer` or lies within it.
     pub fn covers(&self, outer: Domain, inner: Domain) -> bool {
-        self.range(outer).contains(&inner.0)
+        self.range(outer).contains(&inner)
     }
     /// The domain of a level that a place lies in; none if that is not known.
     pub fn at(&self, place: Domain, level: Level) -> Option<Domain> {
         let mut domain = place;
         let mut node = self.node(domain);
-        if node.depth <= level.0 {
+        if node.depth < level.depth() {
             return None;
         }
-        while node.depth > level.0 + 1 {
+        while node.depth > level.depth() {
             domain = node.parent;
             node = self.node(domain);
         }
@@ -186,7 +218,7 @@
         self.nodes
             .iter()
             .enumerate()
-            .filter(move |(_, n)| n.depth == level.0 + 1)
+            .filter(move |(_, n)| n.depth == level.depth())
             .map(|(i, _)| Domain(i as u32))
     }
     /// A domain's level; none for the root.
--- a/crates/topology/tests/model.rs
+++ b/crates/topology/tests/model.rs
@@ -249,9 +249,9 @@
         .collect();
     order.sort();
     let mut out = Vec::new();
-    let mut from = 0_u32;
+    let mut from = Domain(0);
     for (domain, name) in order {
-        if domain.0 < from {
+        if domain < from {
             continue;
         }
         match policy.bars(tree, tally, location(domain, name), reach) {
--- a/src/autoscaler/free_capacity.rs
+++ b/src/autoscaler/free_capacity.rs
@@ -1,4 +1,4 @@
-//! Room on machines that are there, on their way, or to be rented.
+//! Free capacity of machines that are there, on their way, or to be rented.
 
 use std::rc::Rc;
 
@@ -8,7 +8,7 @@
 use crate::scheduler::{CapacityPool, ClusterState};
 use crate::types::{Amount, JobSpec, MachineId, MachineType, TypeName, Zone};
 
-/// Room on a machine, there or rented by the plan.
+/// Free capacity of a machine, there or rented by the plan.
 pub(super) struct FreeCapacity {
     pub(super) id: Option<MachineId>,
     pub(super) kind: Rc<MachineType>,
@@ -21,7 +21,7 @@
     pub(super) kept: Amount,
     /// Where it is, once it is up.
     pub(super) place: Option<Domain>,
-    /// Its devices, and those that are held; what comes up has those of its type.
+    /// Its devices, and those in use; what comes up has those of its type.
     pub(super) device_inventory: Rc<DeviceInventory>,
     pub(super) reserved: AllocatedDevices,
     /// A task hopes for it: it may come up where its rules allow it.
@@ -83,7 +83,7 @@
     }
 }
 
-/// Rooms that are as good as each other but for how tight they are.
+/// Machines that are as good as each other but for how tight they are.
 #[derive(Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct Bin {
     pub(super) spot: bool,
--- a/src/autoscaler/packing.rs
+++ b/src/autoscaler/packing.rs
@@ -13,18 +13,18 @@
 pub(super) struct Item {
     pub(super) spec: Rc<JobSpec>,
     pub(super) tasks: u32,
-    /// Room that is only kept.
+    /// Capacity that is only kept free.
     pub(super) expected: bool,
     /// It has waited so long already that its objectives are in danger.
     pub(super) late: bool,
     /// It has waited for about as long as it can for tasks to end: they do,
-    /// but as much work comes as they leave room for.
+    /// but as much work comes as they leave capacity for.
     pub(super) queued: bool,
     /// Its job has rules that its spec alone does not tell.
     pub(super) placed: Option<JobId>,
     /// Its job is in a lane.
     pub(super) lane: bool,
-    /// For a window's hold.
+    /// To be reserved for a window.
     pub(super) window: Option<String>,
 }
 
@@ -44,7 +44,7 @@
     }
 }
 
-/// How good a room is for a task, the least first.
+/// How good a machine is for a task, the least first.
 #[derive(PartialEq, PartialOrd)]
 struct Rank {
     /// An ordinary machine, for what may use spot ones.
@@ -57,12 +57,21 @@
     cpu: i64,
 }
 
-/// Rooms, and what was packed into them so far.
+/// A machine by what is free there.
+#[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+struct FreeCpu {
+    /// Thousandths of a CPU.
+    cpu: i64,
+    /// The machine's place in `free_capacities`.
+    at: usize,
+}
+
+/// Machines, and what was packed into them so far.
 pub(super) struct Packing<'a> {
     pub(super) input: &'a Input<'a>,
     pub(super) free_capacities: Vec<FreeCapacity>,
-    /// Rooms by what is free now, and by what is free soon: the tightest first.
-    bins: [BTreeMap<Bin, BTreeSet<(i64, usize)>>; 2],
+    /// Machines by what is free now, and by what is free soon: the tightest first.
+    bins: [BTreeMap<Bin, BTreeSet<FreeCpu>>; 2],
     pub(super) crowd: HashMap<Zone, u32>,
     pub(super) total_cpu: i64,
     pub(super) guaranteed_cpu: i64,
@@ -70,9 +79,9 @@
     /// Machines rented for the sake of where they may come up, on their way
     /// and new.
     pub(super) hoped: u32,
-    /// Rooms from here on are rented by this plan.
+    /// Machines from here on are rented by this plan.
     pub(super) new_from: usize,
-    /// What of windows' holds was packed into machines on their way.
+    /// For how many tasks of each window machines on their way have capacity.
     pub(super) pending_machines: BTreeMap<String, u32>,
 }
 
@@ -108,7 +117,8 @@
         let free_capacity = &self.free_capacities[at];
         for (soon, bins) in self.bins.iter_mut().enumerate() {
             let bin = bins.entry(free_capacity.bin()).or_default();
-            let key = (free_capacity.available(soon == 1).cpu, at);
+            let cpu = free_capacity.available(soon == 1).cpu;
+            let key = FreeCpu { cpu, at };
             if put {
                 bin.insert(key);
             } else {
@@ -117,7 +127,7 @@
         }
     }
 
-    /// The room for a task that ranks best: spot machines for what may use
+    /// The machine for a task that ranks best: spot machines for what may use
     /// them, then machines that stay anyway, then the tightest fit.
     pub(super) fn fitting(
         &self,
@@ -131,7 +141,11 @@
             if barred(&bin.zone) {
                 continue;
             }
-            for &(cpu, at) in free_capacities.range((spec.each.cpu, 0)..) {
+            let least = FreeCpu {
+                cpu: spec.each.cpu,
+                at: 0,
+            };
+            for &FreeCpu { cpu, at } in free_capacities.range(least..) {
                 let free_capacity = &self.free_capacities[at];
                 if !free_capacity.suits(spec) {
                     break;
@@ -156,7 +170,7 @@
         best.map(|(_, at)| at)
     }
 
-    /// The room for a task, there or to be rented.
+    /// The machine for a task, there or to be rented.
     fn choose_machine(
         &mut self,
         item: &Item,
@@ -166,7 +180,7 @@
     ) -> Option<usize> {
         let spec = &item.spec;
         let fitting = self.fitting(spec, soon, barred, &|_| true);
-        // An ordinary machine that nothing else holds is dear for work
+        // An ordinary machine that nothing else uses is dear for work
         // that may use spot machines: rather rent one of those.
         let keep = fitting
             .map(|at| &self.free_capacities[at])
@@ -203,7 +217,7 @@
             let Some(at) = chosen else { return };
             let free_capacity = &self.free_capacities[at];
             let in_zone = zones.entry(free_capacity.zone.clone()).or_insert(0);
-            // A spread job's tasks go to one room after another, as their
+            // A spread job's tasks go to one machine after another, as their
             // zones fill up.
             let count = spec
                 .each
@@ -218,7 +232,7 @@
         }
     }
 
-    /// Takes a room for so many tasks of an item.
+    /// Takes capacity for so many tasks of an item.
     fn take(&mut self, at: usize, item: &Item, count: u32) {
         self.file(at, false);
         let free_capacity = &mut self.free_capacities[at];
--- a/src/autoscaler/placed.rs
+++ b/src/autoscaler/placed.rs
@@ -93,7 +93,7 @@
         }
     }
 
-    /// The units that a task would hold, beside what is held; none if one is missing.
+    /// The units that a task would use, beside those in use; none if one is missing.
     fn units(
         &self,
         free_capacity: &FreeCapacity,
@@ -102,7 +102,7 @@
         choose(&free_capacity.device_inventory, reserved, &self.needs)
     }
 
-    /// Counts a task that is packed into a room.
+    /// Counts a task that is packed into a machine.
     fn count(&mut self, free_capacity: &FreeCapacity) {
         *self.zones.entry(free_capacity.zone.clone()).or_insert(0) += 1;
         if let Some(place) = free_capacity.place {
@@ -132,7 +132,7 @@
         }
     }
 
-    /// The room for one more task, there or rented in hope.
+    /// The machine for one more task, there or rented in hope.
     fn choose_for_placed(&mut self, placed: &PlacedItem, left: u32) -> Option<usize> {
         let spec = &placed.item.spec;
         let barred = |zone: &Zone| placed.bars_zone(zone);
@@ -143,7 +143,7 @@
             .or_else(|| self.scale_out_speculatively(placed, left))
     }
 
-    /// Takes a room for one task.
+    /// Takes capacity for one task.
     fn take_for_placed(&mut self, at: usize, placed: &mut PlacedItem) {
         self.file(at, false);
         let free_capacity = &mut self.free_capacities[at];
--- a/src/control/drains.rs
+++ b/src/control/drains.rs
@@ -4,6 +4,7 @@
 use std::time::Duration;
 
 use sorrelhinge_protocol::operators::{DomainShown, DrainAsked, DrainShown, Target, TopologyShown};
+use sorrelhinge_topology::devices::InventoryUnit;
 use sorrelhinge_topology::drain::{Drain, Target as What};
 use sorrelhinge_topology::tree::{Domain, Level, Tree};
 
@@ -284,7 +285,12 @@
     domain.usable += u32::from(machine.usable);
     domain.draining += u32::from(machine.draining);
     domain.tasks += machine.claims.len() as u32;
-    for (unit, share, broken) in machine.device_inventory.units() {
+    for InventoryUnit {
+        unit,
+        share,
+        broken,
+    } in machine.device_inventory.units()
+    {
         let device = domain.devices.entry(unit.kind().to_owned()).or_default();
         device.units += 1;
         device.broken += u32::from(broken);
--- a/src/scheduler/capacity_index/mod.rs
+++ b/src/scheduler/capacity_index/mod.rs
@@ -7,10 +7,11 @@
 use std::collections::{BTreeMap, HashMap};
 use std::rc::Rc;
 
+use sorrelhinge_topology::devices::DeviceCount;
 use sorrelhinge_topology::tree::Domain;
 
+use self::shelf::Shelves;
 pub(super) use self::shelf::Size;
-use self::shelf::{size, Shelves};
 use super::machine::{Machine, MachineTraits};
 use crate::types::{Amount, Image, MachineId, MachineType, TypeName, Zone};
 
@@ -30,7 +31,7 @@
     /// Zone.
     pub zone: Zone,
     /// How many units of each kind of device are in order.
-    pub devices: Rc<[(String, u32)]>,
+    pub devices: Rc<[DeviceCount]>,
 }
 
 impl GroupKey {
@@ -47,7 +48,7 @@
 }
 
 /// Whether a machine passes, or up to which place none does.
-pub(super) type Pass<'a> = &'a dyn Fn(Domain, &MachineId) -> Result<(), u32>;
+pub(super) type Pass<'a> = &'a dyn Fn(Domain, &MachineId) -> Result<(), Domain>;
 
 /// What machine is looked for in a group.
 pub struct Search<'a> {
@@ -119,18 +120,26 @@
                 devices: machine.working.clone(),
             },
             place: machine.place,
-            own: size(machine.free()),
-            open: size(machine.free() - machine.kept),
+            own: Size::of(machine.free()),
+            open: Size::of(machine.free() - machine.kept),
             version: machine.cache.version(),
         }
     }
 }
 
-/// A machine in the index, with its images, and whether they are there already.
+/// An image of a machine in the index.
+#[derive(Clone, Debug, PartialEq)]
+struct IndexedImage {
+    image: Image,
+    /// It is there; otherwise it is being fetched.
+    ready: bool,
+}
+
+/// A machine in the index, with its images.
 #[derive(Clone, Debug, PartialEq)]
 struct Filed {
     filing: Filing,
-    images: Vec<(Image, bool)>,
+    images: Vec<IndexedImage>,
 }
 
 /// A type, and how many usable machines there are of it.
@@ -172,7 +181,12 @@
         let images = machine.cache.images();
         let filed = Filed {
             filing,
-            images: images.map(|(i, ready)| (i.clone(), ready)).collect(),
+            images: images
+                .map(|(image, ready)| IndexedImage {
+                    image: image.clone(),
+                    ready,
+                })
+                .collect(),
         };
         self.put_in(id, &filed, &machine.kind);
         self.filed.insert(id.clone(), filed);
--- a/src/scheduler/capacity_index/shelf.rs
+++ b/src/scheduler/capacity_index/shelf.rs
@@ -5,21 +5,73 @@
 
 use sorrelhinge_topology::tree::Domain;
 
-use super::{Filed, Found, Nearness, Pass, Search};
+use super::{Filed, Found, IndexedImage, Nearness, Pass, Search};
 use crate::types::{Amount, Image, MachineId};
 
-/// Free CPUs, memory and GPUs, in the order of tightness.
-pub(crate) type Size = (i64, i64, i64);
+/// A free amount, in the order of tightness: CPUs before memory before GPUs.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub struct Size {
+    cpu: i64,
+    ram: i64,
+    gpu: i64,
+}
+
+impl Size {
+    pub(super) fn of(amount: Amount) -> Self {
+        Self {
+            cpu: amount.cpu,
+            ram: amount.ram,
+            gpu: amount.gpu,
+        }
+    }
+
+    /// The least with so many CPUs.
+    fn at_least(cpu: i64) -> Self {
+        Self {
+            cpu,
+            ram: i64::MIN,
+            gpu: i64::MIN,
+        }
+    }
+
+    fn amount(self) -> Amount {
+        Amount {
+            cpu: self.cpu,
+            gpu: self.gpu,
+            ram: self.ram,
+        }
+    }
+}
 
-pub(super) fn size(amount: Amount) -> Size {
-    (amount.cpu, amount.ram, amount.gpu)
+/// A machine, in the order of places.
+#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
+struct PlacedMachine {
+    place: Domain,
+    machine: MachineId,
+}
+
+impl PlacedMachine {
+    fn new(place: Domain, machine: &MachineId) -> Self {
+        Self {
+            place,
+            machine: machine.clone(),
+        }
+    }
+
+    /// Before all machines of a place.
+    fn first_of(place: Domain) -> Self {
+        Self {
+            place,
+            machine: MachineId::from(""),
+        }
+    }
 }
 
 /// Machines by their free capacity, the tightest first, and those of the same by
 /// their place, so that a domain that a rule bars is passed over at once.
 #[derive(Clone, Debug, Default)]
 struct Shelf {
-    by_size: BTreeMap<Size, BTreeSet<(Domain, MachineId)>>,
+    by_size: BTreeMap<Size, BTreeSet<PlacedMachine>>,
 }
 
 impl Shelf {
@@ -27,36 +79,35 @@
         self.by_size
             .entry(size)
             .or_default()
-            .insert((place, id.clone()));
+            .insert(PlacedMachine::new(place, id));
     }
     fn take(&mut self, size: Size, place: Domain, id: &MachineId) {
         if let Some(ids) = self.by_size.get_mut(&size) {
-            ids.remove(&(place, id.clone()));
+            ids.remove(&PlacedMachine::new(place, id));
             if ids.is_empty() {
                 self.by_size.remove(&size);
             }
         }
     }
     fn first(&self, each: Amount, steps: &Cell<u64>, pass: Pass<'_>) -> Option<Found> {
-        for (&size, ids) in self.by_size.range((each.cpu, i64::MIN, i64::MIN)..) {
+        for (&size, ids) in self.by_size.range(Size::at_least(each.cpu)..) {
             steps.set(steps.get() + 1);
-            let (cpu, ram, gpu) = size;
-            if !each.fits(Amount { cpu, gpu, ram }) {
+            if !each.fits(size.amount()) {
                 continue;
             }
             let mut rest = ids.range(..);
-            while let Some((place, id)) = rest.next() {
+            while let Some(PlacedMachine { place, machine }) = rest.next() {
                 steps.set(steps.get() + 1);
-                match pass(*place, id) {
+                match pass(*place, machine) {
                     Ok(()) => {
                         return Some(Found {
                             free: size,
                             place: *place,
-                            machine: id.clone(),
+                            machine: machine.clone(),
                         })
                     }
-                    Err(until) if until > place.0 + 1 => {
-                        rest = ids.range((Domain(until), MachineId::from(""))..);
+                    Err(until) if until > place.next() => {
+                        rest = ids.range(PlacedMachine::first_of(until)..);
                     }
                     Err(_) => {}
                 }
@@ -86,7 +137,7 @@
             }
         };
         on(&mut self.all);
-        for (image, ready) in &filed.images {
+        for IndexedImage { image, ready } in &filed.images {
             let by = if *ready {
                 &mut self.ready
             } else {
--- a/src/scheduler/filter/mod.rs
+++ b/src/scheduler/filter/mod.rs
@@ -92,7 +92,7 @@
 
     /// Whether a machine of a group that was admitted may do; else up to which place
     /// none does.
-    pub(super) fn admits_machine(&self, place: Domain, m_id: &MachineId) -> Result<(), u32> {
+    pub(super) fn admits_machine(&self, place: Domain, m_id: &MachineId) -> Result<(), Domain> {
         let PlacementRequest { id, job, now, .. } = *self.request;
         let cluster_state = self.cluster_state;
         let fits = !job.avoids(m_id, now)
@@ -104,7 +104,7 @@
                     now,
                 )));
         if !fits {
-            return Err(place.0 + 1);
+            return Err(place.next());
         }
         match &self.site {
             Some(site) => cluster_state.site_passes(site, self.ask, place, m_id, now),
--- a/src/scheduler/machine.rs
+++ b/src/scheduler/machine.rs
@@ -5,7 +5,7 @@
 
 use sorrelhinge_image_distribution::fetch_timeout;
 use sorrelhinge_protocol::placement::Device;
-use sorrelhinge_topology::devices::{AllocatedDevices, DeviceInventory};
+use sorrelhinge_topology::devices::{AllocatedDevices, DeviceCount, DeviceInventory};
 use sorrelhinge_topology::tree::{Domain, ROOT};
 
 use super::capacity_index::Nearness;
@@ -204,8 +204,8 @@
     /// Devices that it has.
     pub device_inventory: Rc<DeviceInventory>,
     /// How many units of each kind are in order: what machines are filed by.
-    pub working: Rc<[(String, u32)]>,
-    /// Devices that its claims hold.
+    pub working: Rc<[DeviceCount]>,
+    /// Devices that its claims use.
     pub allocated_devices: AllocatedDevices,
     /// It is being drained: no new tasks, and what runs there moves off.
     pub draining: bool,
@@ -253,11 +253,11 @@
     }
     /// Whether it has enough units of all required kinds in order, taken or
     /// not.
-    pub fn could(working: &[(String, u32)], needs: &[Device]) -> bool {
+    pub fn could(working: &[DeviceCount], needs: &[Device]) -> bool {
         needs.iter().filter(|d| d.must).all(|d| {
             working
                 .iter()
-                .any(|(kind, n)| *kind == d.kind && *n >= d.count)
+                .any(|there| there.kind == d.kind && there.count >= d.count)
         })
     }
     /// What counts for the cost of a start here.
--- a/src/scheduler/reservations/placement.rs
+++ b/src/scheduler/reservations/placement.rs
@@ -20,6 +20,14 @@
     tasks: u32,
 }
 
+/// When a window is served, the least first.
+#[derive(PartialEq, Eq, PartialOrd, Ord)]
+struct Turn {
+    /// What it is to have lies beyond its team's guarantee.
+    beyond_guarantee: bool,
+    window: String,
+}
+
 /// Candidates by zone, the best last; by no zone if the window is not spread.
 type Queues<'a> = BTreeMap<Option<Zone>, Vec<Candidate<'a>>>;
 
@@ -51,14 +59,17 @@
     /// were reserved before, spread over the window's zones.
     fn settle_reservations(&mut self, now: Time) {
         // Where machines are short, what lies within a guarantee goes first.
-        let mut order: Vec<(bool, String)> = self
+        let mut order: Vec<Turn> = self
             .reservations
             .by_window
             .iter()
             .map(|(name, reserved)| {
                 let all = self.teams[reserved.reservation.team].used + reserved.open_amount();
                 let beyond = !all.fits_team(self.teams[reserved.reservation.team].guarantee);
-                (beyond, name.clone())
+                Turn {
+                    beyond_guarantee: beyond,
+                    window: name.clone(),
+                }
             })
             .collect();
         order.sort();
@@ -66,7 +77,7 @@
         for (name, reserved) in &mut self.reservations.by_window {
             old.insert(name.clone(), std::mem::take(&mut reserved.placed));
         }
-        for (_, name) in order {
+        for Turn { window: name, .. } in order {
             let before = old.remove(&name).unwrap_or_default();
             let placed = self.choose(&name, &before, now);
             if let Some(reserved) = self.reservations.by_window.get_mut(&name) {
--- a/src/scheduler/score.rs
+++ b/src/scheduler/score.rs
@@ -1,6 +1,7 @@
 //! The score step of a placement: what a start on a machine costs, in seconds of waiting
 //! for its image. The least cost wins.
 
+use sorrelhinge_topology::devices::DeviceCount;
 use sorrelhinge_topology::tree::Domain;
 
 use super::capacity_index::{Nearness, Size};
@@ -52,7 +53,7 @@
         job: &Job,
         near: Nearness,
         traits: &MachineTraits,
-        devices: &[(String, u32)],
+        devices: &[DeviceCount],
     ) -> f64 {
         let mut cost = self.place_cost(&job.spec, near, traits);
         if !devices.is_empty() && job.policy.devices.is_empty() {
--- a/src/scheduler/topology_rules.rs
+++ b/src/scheduler/topology_rules.rs
@@ -169,10 +169,10 @@
         place: Domain,
         m_id: &MachineId,
         now: Time,
-    ) -> Result<(), u32> {
-        let next = Err(place.0 + 1);
+    ) -> Result<(), Domain> {
+        let next = Err(place.next());
         let Some(topology) = &self.topology else {
-            return Err(u32::MAX);
+            return Err(Domain::END);
         };
         let at = MachineLocation {
             place,
