--- a/crates/reservations/tests/settings.rs
+++ b/crates/reservations/tests/settings.rs
@@ -7,7 +7,7 @@
 use sorrelhinge_protocol::types::{Amount, MachineType};
 use sorrelhinge_reservations::plan::{steps, Clock, Refused, Seen};
 use sorrelhinge_reservations::record::{
-    key, parse_key, CalendarRecord, Entry, Step, Taken, WindowRecord,
+    key, parse_key, CalendarRecord, Entry, OccurrenceKey, Step, Taken, WindowRecord,
 };
 use sorrelhinge_reservations::settings::{check, past, read, schema, Calendar, Known};
 use sorrelhinge_reservations::shown::{render, rows, CalendarShown};
@@ -224,7 +224,11 @@
     assert_eq!(text, r#"{"v":1,"e":5000,"s":"held","t":1,"n":7}"#);
     let name = key("weekend-drop", NOW_MS);
     assert_eq!(name, "h/win/weekend-drop@1796083200");
-    assert_eq!(parse_key(&name), Some(("weekend-drop", NOW_MS)));
+    let key = OccurrenceKey {
+        window: "weekend-drop",
+        start_ms: NOW_MS,
+    };
+    assert_eq!(parse_key(&name), Some(key));
 }
 
 #[test]
--- a/src/control/drains.rs
+++ b/src/control/drains.rs
@@ -4,7 +4,6 @@
 use std::time::Duration;
 
 use sorrelhinge_protocol::operators::{DomainShown, DrainAsked, DrainShown, Target, TopologyShown};
-use sorrelhinge_topology::devices::InventoryUnit;
 use sorrelhinge_topology::drain::{Drain, Target as What};
 use sorrelhinge_topology::tree::{Domain, Level, Tree};
 
@@ -285,16 +284,14 @@
     domain.usable += u32::from(machine.usable);
     domain.draining += u32::from(machine.draining);
     domain.tasks += machine.claims.len() as u32;
-    for InventoryUnit {
-        unit,
-        share,
-        broken,
-    } in machine.device_inventory.units()
-    {
-        let device = domain.devices.entry(unit.kind().to_owned()).or_default();
+    for slot in machine.device_inventory.units() {
+        let device = domain
+            .devices
+            .entry(slot.unit.kind().to_owned())
+            .or_default();
         device.units += 1;
-        device.broken += u32::from(broken);
-        device.slots += if broken { 0 } else { share };
-        device.held += machine.allocated_devices.holders(unit);
+        device.broken += u32::from(slot.broken);
+        device.slots += if slot.broken { 0 } else { slot.share };
+        device.held += machine.allocated_devices.holders(slot.unit);
     }
 }
--- a/src/scheduler/lanes/placement.rs
+++ b/src/scheduler/lanes/placement.rs
@@ -6,6 +6,12 @@
 use crate::scheduler::{ClusterState, Job, Launch};
 use crate::types::{JobId, Kind, Time};
 
+/// A lane job that goes ahead of others.
+pub(in crate::scheduler) struct LaneJob<'a> {
+    pub id: &'a JobId,
+    pub job: &'a Job,
+}
+
 /// What was placed for lane jobs ahead of all others, and who was tried.
 pub(in crate::scheduler) struct LanesPlaced {
     pub launches: Vec<Launch>,
@@ -49,7 +55,7 @@
 
     /// The lane jobs that are offered machines before all others, in order. One
     /// that fits nowhere is passed over like any other in a walk.
-    pub(in crate::scheduler) fn lanes_first(&self, now: Time) -> Vec<(&JobId, &Job)> {
+    pub(in crate::scheduler) fn lanes_first(&self, now: Time) -> Vec<LaneJob<'_>> {
         if self.lanes.order.is_empty() {
             return Vec::new();
         }
@@ -61,7 +67,7 @@
                     && self.within_part(job, others)
                     && self.leaves_guarantees(job, &owed)
             })
-            .map(|(key, job)| (&key.id, job))
+            .map(|(key, job)| LaneJob { id: &key.id, job })
             .collect()
     }
 
@@ -71,8 +77,10 @@
         let mut skipped = Vec::new();
         let first = self.lanes_first(context.now);
         // A gang is placed all at once, in its ordinary turn.
-        let first = first.iter().filter(|(_, j)| j.spec.kind != Kind::Gang);
-        let tried: Vec<JobId> = first.map(|(id, _)| (*id).clone()).collect();
+        let first = first
+            .iter()
+            .filter(|first| first.job.spec.kind != Kind::Gang);
+        let tried: Vec<JobId> = first.map(|first| first.id.clone()).collect();
         for id in &tried {
             launches.extend(self.place_lane_job(id, context, &mut skipped));
         }
--- a/src/scheduler/order.rs
+++ b/src/scheduler/order.rs
@@ -62,9 +62,10 @@
     /// ahead in their lane, then the others.
     pub(super) fn in_order(&self, now: Time) -> impl Iterator<Item = (&JobId, &Job)> {
         let first = self.lanes_first(now);
-        let ahead: HashSet<&JobId> = first.iter().map(|(id, _)| *id).collect();
+        let ahead: HashSet<&JobId> = first.iter().map(|first| first.id).collect();
         let others = self.in_turn(now).filter(move |(id, _)| !ahead.contains(id));
-        first.into_iter().chain(others)
+        let first = first.into_iter().map(|first| (first.id, first.job));
+        first.chain(others)
     }
 
     /// The jobs that have a task to place, in the order that would be without lanes.
--- a/src/state/record/keys.rs
+++ b/src/state/record/keys.rs
@@ -108,8 +108,8 @@
     }
 
     fn parse_window(text: &str) -> Option<Self> {
-        let (name, start_ms) = parse_key(text)?;
-        Some(Self::Window(name.into(), start_ms))
+        let key = parse_key(text)?;
+        Some(Self::Window(key.window.into(), key.start_ms))
     }
 
     /// Reads the key of a kind of which there are many: the kind, and which one.
