--- a/crates/priority-lanes/src/place.rs
+++ b/crates/priority-lanes/src/place.rs
@@ -28,7 +28,7 @@
     before.map_or(says, |place| place.min(says))
 }
 
-/// What the next write of the record is to hold: the place, for a job in a lane,
+/// What the next write of the record is to say: the place, for a job in a lane,
 /// and for one that has it already, also where this controller's file has no lane
 /// for it. None otherwise: without lanes no record differs.
 pub fn to_write(in_lane: bool, copied: Option<Revision>, place: Revision) -> Option<Revision> {
--- a/crates/reservations/src/lend.rs
+++ b/crates/reservations/src/lend.rs
@@ -1,12 +1,12 @@
-//! Who may use held room before its window's work does. Machines that wait idle
-//! for their window cost as much as busy ones, yet whoever uses them must be
-//! gone in time.
+//! What work may use reserved capacity before its window's work does. Machines that wait idle
+//! for their window cost as much as busy ones, yet whoever uses them must
+//! leave them in time.
 
 /// Estimates are often wrong by half, sometimes by more: work must end before
 /// the window begins even if it takes this many times its estimate.
 pub const ESTIMATE_FACTOR: f64 = 2.0;
 
-/// Work that would use held room.
+/// Work that would use reserved capacity.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Borrower {
     /// Estimated seconds until it ends, with its image's fetch; `None` if it
@@ -19,7 +19,7 @@
     pub stash_s: f64,
 }
 
-/// How held room may be used.
+/// How reserved capacity may be used.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Lend {
     /// Not by this work.
@@ -30,10 +30,10 @@
     Stop,
 }
 
-/// Whether held room is lent to some work. `left_s`: seconds until the window
+/// Whether reserved capacity is lent to some work. `left_s`: seconds until the window
 /// begins, by the latest that the clock may be, and less its `early_s`;
 /// negative once it has begun. `stop_s`: seconds from the decision to stop a
-/// task until its machine is told and the free capacity free, without saving. `wait_s`:
+/// task until its machine has the command and its capacity is free, without saving. `wait_s`:
 /// how long the window's work may wait for free capacity after it has come.
 pub fn may_lend(work: &Borrower, left_s: f64, stop_s: f64, wait_s: f64) -> Lend {
     // An estimate of 0 is a service's, which never ends.
@@ -44,7 +44,7 @@
         return Lend::Ends;
     }
     // The window's work may come at its first moment: what is stopped then is
-    // gone within the time that that work may wait.
+    // over within the time that that work may wait.
     if work.stoppable && stop_s + work.stash_s <= wait_s {
         return Lend::Stop;
     }
--- a/crates/reservations/src/lib.rs
+++ b/crates/reservations/src/lib.rs
@@ -3,8 +3,8 @@
 //! - [`settings`]: the operator's file, and what is wrong with it;
 //! - [`when`]: when a window's occurrences begin and end, by time zones;
 //! - [`record`]: what the state service reservations of windows and occurrences;
-//! - [`plan`]: one occurrence's steps, how much free capacity is held, and who gives way;
-//! - [`lend`]: who may use held room before its window begins;
+//! - [`plan`]: one occurrence's steps, how much capacity is reserved, and who gives way;
+//! - [`lend`]: what work may use reserved capacity before its window begins;
 //! - [`shown`]: what operators are shown.
 //!
 //! Times are milliseconds of the time of day, which differs between
--- a/crates/reservations/src/plan/seen.rs
+++ b/crates/reservations/src/plan/seen.rs
@@ -1,5 +1,5 @@
 //! What the plan is made from: the time of day with its bound, and what the owner
-//! sees of a window; and what a hold can lack.
+//! sees of a window; and what can be lacking.
 
 use std::fmt;
 
@@ -29,7 +29,7 @@
 /// all shards and all occurrences of the window.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Seen {
-    /// Room set aside, used by its work, or rented for it and on its way.
+    /// Capacity reserved, used by its work, or rented for it and on its way.
     pub asked: u32,
     /// Of it, what is up and has the images, used or not.
     pub ready: u32,
@@ -44,7 +44,7 @@
     pub gives_way_to: Option<String>,
     /// For how long none of its work has run or waited, in seconds on the
     /// steady clock, as far as this owner has seen: from its takeover on. So a
-    /// takeover makes a hold longer, never shorter.
+    /// takeover keeps capacity reserved for longer, never shorter.
     pub idle_s: f64,
     /// Usual seconds until a machine is up.
     pub boot_s: f64,
@@ -52,7 +52,7 @@
     pub slow_boot_s: f64,
     /// Seconds until a machine has the images, on the slowest type allowed.
     pub fetch_s: f64,
-    /// How many tasks' room can be rented in a second at most.
+    /// For how many tasks machines can be rented in a second at most.
     pub rent_per_s: f64,
     /// Why the last request for free capacity brought less, if it did.
     pub refused: Option<Refused>,
@@ -68,7 +68,7 @@
     Changes,
 }
 
-/// What a hold lacks.
+/// What is lacking of the capacity to be reserved.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Short {
@@ -80,7 +80,7 @@
     Capacity,
     /// Changes or requests are used up.
     Changes,
-    /// So many tasks' room is not ready, and there is less time left than it
+    /// Machines for so many tasks are not ready, and there is less time left than it
     /// takes.
     Late(u32),
 }
--- a/crates/reservations/src/settings/checks.rs
+++ b/crates/reservations/src/settings/checks.rs
@@ -169,8 +169,8 @@
 }
 
 fn shown(amount: Amount) -> String {
-    let whole = |milli: i64| milli as f64 / 1000.0;
-    format!("{} CPUs and {} GPUs", whole(amount.cpu), whole(amount.gpu))
+    let units = |milli: i64| milli as f64 / 1000.0;
+    format!("{} CPUs and {} GPUs", units(amount.cpu), units(amount.gpu))
 }
 
 /// A window's beginning or end.
@@ -193,26 +193,26 @@
 }
 
 /// Goes through beginnings and ends of all of a team's occurrences in order of
-/// time, ends first, with what is held then.
+/// time, ends first, with what is reserved then.
 fn overlaps(windows: &[Window], team: &str, limit: Amount, now_ms: i64) -> Result<(), WindowError> {
     let own = windows.iter().filter(|w| w.team == team);
     let mut edges: Vec<Edge> = own.flat_map(|w| edges_of(w, now_ms)).collect();
     edges.sort_by_key(|e| (e.at_ms, e.begins, &e.window.name));
-    let mut held = Amount::default();
+    let mut reserved = Amount::default();
     let mut open: Vec<&str> = Vec::new();
     for Edge { begins, window, .. } in edges {
         let needs = window.all_tasks();
         if !begins {
-            held -= needs;
+            reserved -= needs;
             open.retain(|name| *name != window.name);
             continue;
         }
-        held += needs;
-        if !held.fits_team(limit) {
+        reserved += needs;
+        if !reserved.fits_team(limit) {
             let reason = format!(
                 "together with {} it holds {}, the limit of team {team:?} is {}",
                 open.join(", "),
-                shown(held),
+                shown(reserved),
                 shown(limit)
             );
             return Err(window.refused("tasks", reason));
--- a/crates/reservations/src/when.rs
+++ b/crates/reservations/src/when.rs
@@ -116,7 +116,7 @@
 
 /// When a day's time is. One that a clock skips is the first moment after the
 /// gap, so that a window is never left out; one that a clock shows twice is
-/// the first of the two, so that it is not held twice.
+/// the first of the two, so that it does not begin twice.
 fn moment(date: Date, at: Time, tz: &TimeZone) -> Option<i64> {
     let there = tz.to_ambiguous_timestamp(date.to_datetime(at));
     let moment = match there.offset() {
@@ -157,8 +157,9 @@
         if period <= 0 {
             return None;
         }
-        let gone = after_ms.checked_sub(offset)?.div_euclid(period);
-        gone.checked_add(1)?
+        let elapsed = after_ms.checked_sub(offset)?.div_euclid(period);
+        elapsed
+            .checked_add(1)?
             .checked_mul(period)?
             .checked_add(offset)
     }
--- a/crates/topology/src/drain.rs
+++ b/crates/topology/src/drain.rs
@@ -80,7 +80,7 @@
     pub kind: Kind,
     /// It runs; otherwise it waits for its image, or its start.
     pub running: bool,
-    /// It has been told to stop.
+    /// It has been sent a stop.
     pub stopping: bool,
     /// Estimated seconds until it ends, if it ever does.
     pub left_s: Option<f64>,
@@ -102,7 +102,7 @@
 /// A task that will not nearly end in time is stopped at once, rather than
 /// having worked in vain: its estimate must be this many times what is left,
 /// as estimates are often wrong by half.
-const HOPELESS_ESTIMATE_FACTOR: f64 = 2.0;
+const STOP_ESTIMATE_FACTOR: f64 = 2.0;
 
 /// What to do about one task, `left_s` seconds before the drain's deadline.
 pub fn step(drain: &Drain, tenant: &Tenant, left_s: f64) -> Step {
@@ -119,7 +119,7 @@
         // Not begun: nothing is lost by beginning elsewhere.
         Kind::Array if !tenant.running => Step::Stop,
         Kind::Array | Kind::Gang => match tenant.left_s {
-            Some(needs) if needs > HOPELESS_ESTIMATE_FACTOR * left_s => Step::Stop,
+            Some(needs) if needs > STOP_ESTIMATE_FACTOR * left_s => Step::Stop,
             _ => Step::Wait,
         },
     }
--- a/crates/topology/src/gang.rs
+++ b/crates/topology/src/gang.rs
@@ -244,15 +244,15 @@
 impl<J: Clone + PartialEq> Turn<J> {
     /// Whether a gang that found no free capacity may have machines reserved: it has, or
     /// none has and it has not just had its turn. A turn ends after
-    /// `hold_s` seconds, and the gang then stands back for as long.
-    pub fn may_reserve(&mut self, job: &J, hold_s: f64, now: Time) -> bool {
+    /// `turn_s` seconds, and the gang then stands back for as long.
+    pub fn may_reserve(&mut self, job: &J, turn_s: f64, now: Time) -> bool {
         self.waiting.retain(|waiting| now < waiting.until);
         if let Some(holder) = &self.holder {
-            if now.since(holder.since) < hold_s {
+            if now.since(holder.since) < turn_s {
                 return holder.job == *job;
             }
             let job = holder.job.clone();
-            let until = now.after(hold_s);
+            let until = now.after(turn_s);
             self.holder = None;
             self.waiting.push(Waiting { job, until });
         }
--- a/crates/topology/src/lib.rs
+++ b/crates/topology/src/lib.rs
@@ -3,11 +3,11 @@
 //!
 //! - [`tree`]: failure domains, numbered so that a domain is a range;
 //! - [`finder`]: a machine's place, by name, pattern or network;
-//! - [`devices`]: units, who holds them, and which to give out;
+//! - [`devices`]: units, which claims use them, and which to give out;
 //! - [`policy`]: what a job's placement rules allow, given where its tasks are;
 //! - [`drain`]: which task to move off next, and when there is no waiting;
 //! - [`repair`]: what piled up, and which domains can be trusted again;
-//! - [`gang`]: placing whole, and what to hold for a gang that has no free capacity;
+//! - [`gang`]: placing all tasks at once, and what to reserve where capacity is short;
 //! - [`renting`]: which types and zones brought which domains;
 //! - [`settings`]: the operator's file.
 
--- a/crates/topology/src/policy.rs
+++ b/crates/topology/src/policy.rs
@@ -1,6 +1,6 @@
 //! What a job's placement rules allow, given where its tasks are.
 //!
-//! A placement asks twice: first with everything wished ([`Reach::All`]), and
+//! A placement asks twice: first with every rule ([`Reach::All`]), and
 //! if that finds no place, with what is required only ([`Reach::Musts`]).
 
 mod feasible;
@@ -46,7 +46,7 @@
 }
 
 /// A job's placement rules and its class's, with levels instead of names. All of them
-/// hold together.
+/// apply.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Policy {
     spread: Vec<SpreadRule>,
@@ -54,7 +54,7 @@
     fewest: Vec<FewRule>,
     /// Devices that each task needs.
     pub devices: Vec<Device>,
-    /// What it wished is not known any more: its tasks may hold any device.
+    /// Its rules are not known any more: its tasks may use any device.
     pub lost: bool,
     /// A required rule that can't be judged: nothing may be placed.
     unjudged: Option<UnjudgedPolicy>,
--- a/crates/topology/src/policy/feasible.rs
+++ b/crates/topology/src/policy/feasible.rs
@@ -54,13 +54,13 @@
         let tree = &topology.tree;
         let bounds = Bounds::of(self, tree, spec);
         let at_once = tasks_at_once(spec);
-        self.lacks_devices(topology)
-            .or_else(|| self.lacks_free_capacity(tree, &bounds, at_once))
-            .or_else(|| self.lacks_free_capacity_in_few(tree, &bounds, at_once))
+        self.missing_devices(topology)
+            .or_else(|| self.too_little_capacity(tree, &bounds, at_once))
+            .or_else(|| self.too_little_capacity_in_few(tree, &bounds, at_once))
     }
 
     /// More units are required than any machine has.
-    fn lacks_devices(&self, topology: &Topology) -> Option<InfeasiblePolicy> {
+    fn missing_devices(&self, topology: &Topology) -> Option<InfeasiblePolicy> {
         let max = topology.max_units();
         self.devices.iter().filter(|d| d.must).find_map(|need| {
             let there = max.get(&need.kind).copied().unwrap_or(0);
@@ -73,7 +73,7 @@
     }
 
     /// The required rules leave too little free capacity where all tasks have to be.
-    fn lacks_free_capacity(
+    fn too_little_capacity(
         &self,
         tree: &Tree,
         bounds: &Bounds,
@@ -96,7 +96,7 @@
     }
 
     /// The required rules leave too little free capacity in as many domains as the tasks may use.
-    fn lacks_free_capacity_in_few(
+    fn too_little_capacity_in_few(
         &self,
         tree: &Tree,
         bounds: &Bounds,
--- a/src/autoscaler/offers.rs
+++ b/src/autoscaler/offers.rs
@@ -58,7 +58,7 @@
     }
 
     /// Rents a machine.
-    pub(super) fn rent_free_capacity(&mut self, free_capacity: FreeCapacity) -> usize {
+    pub(super) fn add_rental(&mut self, free_capacity: FreeCapacity) -> usize {
         *self.rent.entry(free_capacity.pool()).or_insert(0) += 1;
         self.add(free_capacity)
     }
--- a/src/autoscaler/packing.rs
+++ b/src/autoscaler/packing.rs
@@ -188,13 +188,13 @@
         if keep {
             return fitting;
         }
-        let rented = self
+        let new_machine = self
             .cheapest(item, left_cpu, barred)
             .filter(|r| r.spot || fitting.is_none());
-        let Some(free_capacity) = rented else {
+        let Some(free_capacity) = new_machine else {
             return fitting;
         };
-        Some(self.rent_free_capacity(free_capacity))
+        Some(self.add_rental(free_capacity))
     }
 
     /// Packs an item's tasks, and rents for those that find no free capacity.
--- a/src/autoscaler/placed.rs
+++ b/src/autoscaler/placed.rs
@@ -198,7 +198,7 @@
             }
         }
         let (_, free_capacity) = best?;
-        Some(self.rent_free_capacity(free_capacity))
+        Some(self.add_rental(free_capacity))
     }
 
     /// Where machines have the devices that the tasks need: those that a type does not
--- a/src/control/core/placement_limits.rs
+++ b/src/control/core/placement_limits.rs
@@ -12,8 +12,8 @@
         } else {
             None
         };
-        if self.cluster_state.held_rank != lowest {
-            self.cluster_state.held_rank = lowest;
+        if self.cluster_state.blocked_rank != lowest {
+            self.cluster_state.blocked_rank = lowest;
             self.walk_all = true;
         }
     }
--- a/src/scheduler/claims.rs
+++ b/src/scheduler/claims.rs
@@ -8,7 +8,7 @@
 use crate::types::{Attempt, Image, JobId, JobSpec, MachineId, TaskId, Time};
 
 impl ClusterState {
-    /// Enters a claim that its job holds already on a known machine.
+    /// Enters a claim that its job has already on a known machine.
     pub(super) fn occupy(&mut self, id: &MachineId, task: &TaskId) {
         let Some(job) = self.jobs.get(&task.job) else {
             return;
@@ -105,7 +105,7 @@
         }
     }
 
-    /// Keeps room for a job's next task on a machine, until a time.
+    /// Reserves capacity for a job's next task on a machine, until a time.
     pub(super) fn reserve(&mut self, machine: MachineId, job: &JobId, until: Time) {
         let job = job.clone();
         self.reserved.insert(machine, Reservation { job, until });
@@ -126,7 +126,7 @@
         }
     }
 
-    /// Removes a claim whose task is provably gone, or was never started.
+    /// Removes a claim whose task is known to have ended, or was never started.
     pub fn release(&mut self, task: &TaskId, now: Time) -> Option<Claim> {
         let claim = self.edit_job(&task.job, |job| job.tasks.remove_claim(task.index))??;
         let job = self.jobs.get(&task.job)?;
--- a/src/scheduler/cluster_state.rs
+++ b/src/scheduler/cluster_state.rs
@@ -28,7 +28,7 @@
     pub needed: i64,
 }
 
-/// Room on a machine that is being made, or found, for a job's next task.
+/// Capacity on a machine that is being freed, or was found, for a job's next task.
 #[derive(Clone, Debug)]
 pub(super) struct Reservation {
     /// For whom.
@@ -61,13 +61,13 @@
     /// loses all its tasks with their leases if there is none.
     pub served: BTreeSet<Zone>,
     /// Jobs of this rank are not placed, but for teams below their guarantee.
-    pub held_rank: Option<Priority>,
+    pub blocked_rank: Option<Priority>,
     /// Jobs with claims that wait to be recorded, and how many of each class and
     /// team.
     pub(super) claiming: BTreeSet<JobId>,
     pub(super) claiming_of: BTreeMap<Sort, usize>,
     /// How many there may be; none: any number. What is claimed faster than it
-    /// can be recorded only holds room, and its order is decided too early.
+    /// can be recorded only blocks capacity, and its order is decided too early.
     pub max_claiming: Option<usize>,
     pub(super) jobs: BTreeMap<JobId, Job>,
     pub(super) machines: BTreeMap<MachineId, Machine>,
@@ -84,7 +84,7 @@
     pub(super) turn: Turn<JobId>,
     /// Failure domains, if the feature is on.
     pub(super) topology: Option<Rc<Topology>>,
-    /// Where other shards hold tasks of jobs whose zones count together; none: that
+    /// Where other shards have tasks of jobs whose zones count together; none: that
     /// is not known of all of them.
     pub(super) elsewhere: HashMap<JobId, Option<BTreeMap<Zone, u32>>>,
     /// Claims on machines that are not known yet.
@@ -179,18 +179,18 @@
 
     /// What is used of each machine type: what is short may be only one type.
     pub fn use_of_types(&self) -> BTreeMap<TypeName, TypeUsage> {
-        let mut sums: BTreeMap<TypeName, TypeUsage> = BTreeMap::new();
+        let mut totals: BTreeMap<TypeName, TypeUsage> = BTreeMap::new();
         for m in self.machines.values().filter(|m| m.usable) {
-            let sum = sums.entry(m.kind.name.clone()).or_default();
+            let total = totals.entry(m.kind.name.clone()).or_default();
             let needed = m.claims.iter().filter_map(|t| self.jobs.get(&t.job));
             let needed = needed.filter(|j| self.needs(j.spec.each, &m.kind));
             let needed: i64 = needed.map(|j| j.spec.each.cpu).sum();
-            sum.machines += 1;
-            sum.cpus += m.kind.total.cpu / MILLI_PER_CPU;
-            sum.used += m.used.cpu / MILLI_PER_CPU;
-            sum.needed += needed / MILLI_PER_CPU;
+            total.machines += 1;
+            total.cpus += m.kind.total.cpu / MILLI_PER_CPU;
+            total.used += m.used.cpu / MILLI_PER_CPU;
+            total.needed += needed / MILLI_PER_CPU;
         }
-        sums
+        totals
     }
 
     /// What all teams together are guaranteed.
--- a/src/scheduler/filter/mod.rs
+++ b/src/scheduler/filter/mod.rs
@@ -25,7 +25,7 @@
 use super::{ClusterState, Job};
 use crate::types::{JobId, MachineId, MachineType, Time, Zone};
 
-/// One more task of a job that wants a machine.
+/// One more task of a job that needs a machine.
 #[derive(Clone, Copy)]
 pub(in crate::scheduler) struct PlacementRequest<'a> {
     /// The job's id.
@@ -71,7 +71,7 @@
         })
     }
 
-    /// Whether room kept for work that can't use spot machines is withheld.
+    /// Whether capacity kept for work that can't use spot machines is withheld.
     pub(super) fn leaves_kept(&self) -> bool {
         self.leaves_kept
     }
--- a/src/scheduler/filter/zones.rs
+++ b/src/scheduler/filter/zones.rs
@@ -41,7 +41,7 @@
         let here = zones.get(zone).copied().unwrap_or(0);
         // Of claims found at a takeover some may be over, and be in another zone than
         // those that run: it is not known which, so nothing goes anywhere until one
-        // side is shown to be gone. Any zone with a claim was good enough once, and a
+        // side is shown to have ended. Any zone with a claim was good enough once, and a
         // task started in one while others ran in the other (`wrong_place`).
         (!job.spec.one_zone || zones.iter().all(|(z, n)| *n == 0 || *z == zone))
             && (!job.spec.spread || here < job.spec.tasks.div_ceil(2))
--- a/src/scheduler/gangs/mod.rs
+++ b/src/scheduler/gangs/mod.rs
@@ -194,12 +194,12 @@
         let Some(holder) = self.turn.holder().cloned() else {
             return;
         };
-        let hold_s = self.gang_settings().hold_s;
+        let turn_s = self.gang_settings().hold_s;
         let waits = self
             .jobs
             .get(&holder)
             .is_some_and(|j| j.needs_placement(now));
-        if !waits || !self.turn.may_reserve(&holder, hold_s, now) {
+        if !waits || !self.turn.may_reserve(&holder, turn_s, now) {
             self.leave_turn(&holder);
         }
     }
--- a/src/scheduler/idle.rs
+++ b/src/scheduler/idle.rs
@@ -1,7 +1,7 @@
 //! What work of idle priority may take: what is left beside the rest.
 //!
-//! Idle tasks run for minutes and come by the thousand. Left to fill every room
-//! that was free for a moment, they held it when the next job came: that waited
+//! Idle tasks run for minutes and come by the thousand. Left to fill all capacity
+//! that was free for a moment, they had it when the next job came: that waited
 //! until it was late enough to stop some of them, thousands of times a day, and
 //! what was stopped began anew.
 
@@ -28,7 +28,7 @@
     at: Time,
 }
 
-/// Whether a job is bounded: its tasks hold the free capacity that they get.
+/// Whether a job is bounded: its tasks keep the capacity that they get.
 pub(super) fn is_bounded(job: &Job) -> bool {
     job.priority == Priority::Idle && job.spec.estimate_s >= SHORT_S
 }
@@ -57,7 +57,7 @@
         self.idle.max = Some((all - self.idle.peak).max(FLOOR * all) as i64);
     }
 
-    /// Thousandths of a CPU that idle work holds beyond its part, and that are not
+    /// Thousandths of a CPU that idle work uses beyond its part, and that are not
     /// being stopped.
     pub(super) fn idle_beyond(&self) -> i64 {
         let stopped: i64 = self
--- a/src/scheduler/job.rs
+++ b/src/scheduler/job.rs
@@ -16,15 +16,15 @@
 const DUE_RUN: f64 = 0.8;
 /// A job that met none of its objectives is due at this multiple of the last.
 const OVERDUE_FACTOR: f64 = 3.0;
-/// A job of which nothing was placed for so long, in seconds, may take room that is
+/// A job of which nothing was placed for so long, in seconds, may take capacity that is
 /// reserved for work that is only expected: the users' rule is that no job waits for
-/// 90 s beside room that fits it, below its team's limit. The rest is for a takeover.
+/// 90 s beside capacity that fits it, below its team's limit. The rest is for a takeover.
 const RESERVATION_WAIT_S: f64 = 60.0;
 
 /// Aims that differ by less, in seconds, are the same.
 const SAME_OBJECTIVE_S: f64 = 0.5;
 
-/// A job that is not over, or whose tasks are not provably gone.
+/// A job that is not over, or whose tasks are not known to have ended.
 #[derive(Clone, Debug)]
 pub struct Job {
     /// As submitted.
@@ -144,13 +144,13 @@
         self.blocked_since
             .is_some_and(|t| now.since(t) > self.late_s)
     }
-    /// Whether it has waited so long for its next task to be placed that room reserved
+    /// Whether it has waited so long for its next task to be placed that capacity reserved
     /// for expected work is open to it. Placing a task begins the wait anew, so that of
-    /// a large job one task at a time takes such room and the others leave it.
+    /// a large job one task at a time takes such capacity and the others leave it.
     pub fn may_use_reserved_capacity(&self, now: Time) -> bool {
         now.since(self.last_placed.unwrap_or(self.submitted)) >= RESERVATION_WAIT_S
     }
-    /// Whether room kept on ordinary machines for work that can't use spot ones is
+    /// Whether capacity kept on ordinary machines for work that can't use spot ones is
     /// withheld from it.
     pub(super) fn leaves_reserved_capacity(&self, now: Time) -> bool {
         self.spec.spot && !self.may_use_reserved_capacity(now)
--- a/src/scheduler/job_changes.rs
+++ b/src/scheduler/job_changes.rs
@@ -76,12 +76,12 @@
         left: Option<BTreeSet<u32>>,
     ) {
         self.edit_job(id, |job| {
-            job.tasks.set_foreign(claimed_elsewhere);
-            job.tasks.set_left_here(left);
+            job.tasks.set_claimed_elsewhere(claimed_elsewhere);
+            job.tasks.set_adopted(left);
         });
     }
 
-    /// In which zones other shards hold tasks of a job; none: that is not known.
+    /// In which zones other shards have tasks of a job; none: that is not known.
     pub fn set_elsewhere(&mut self, id: &JobId, zones: Option<BTreeMap<Zone, u32>>) {
         if zones.as_ref().is_some_and(BTreeMap::is_empty) {
             self.elsewhere.remove(id);
@@ -90,7 +90,7 @@
         }
     }
 
-    /// Jobs of which it is not known where other shards hold their tasks.
+    /// Jobs of which it is not known where other shards have their tasks.
     pub fn unknown_elsewhere(&self) -> impl Iterator<Item = &JobId> {
         let unknown = self.elsewhere.iter().filter(|(_, zones)| zones.is_none());
         unknown.map(|(id, _)| id)
--- a/src/scheduler/machine_changes.rs
+++ b/src/scheduler/machine_changes.rs
@@ -34,7 +34,7 @@
         self.edit_machine(&id, |_| ());
     }
 
-    /// A machine is gone. Nothing may claim it any more.
+    /// Removes a machine. Nothing may claim it any more.
     pub fn remove_machine(&mut self, id: &MachineId) {
         self.edit_machine(id, |m| m.usable = false);
         self.machines.remove(id);
--- a/src/scheduler/placement_pass.rs
+++ b/src/scheduler/placement_pass.rs
@@ -31,7 +31,7 @@
 }
 
 impl PassContext {
-    /// A task of a job that wants a machine in this pass.
+    /// A task of a job that needs a machine in this pass.
     pub(super) fn request<'a>(&'a self, id: &'a JobId, job: &'a Job) -> PlacementRequest<'a> {
         PlacementRequest {
             id,
@@ -44,7 +44,7 @@
 
 /// How far a pass has come.
 struct PassProgress {
-    /// Jobs that were offered a machine, or a turn to be placed whole.
+    /// Jobs that were offered a machine, or a turn to be placed all at once.
     tried: HashSet<JobId>,
     /// By team, from where in its queue the pass goes on.
     from: Vec<Bound<Place>>,
@@ -129,7 +129,7 @@
                 || !job.spec.each.fits(machine.free())
                 || !self.may_claim(id, job)
             {
-                // A gang is placed whole, not by the walk of one machine.
+                // A gang is placed all at once, not by the walk of one machine.
                 continue;
             }
             let request = PlacementRequest {
@@ -164,7 +164,7 @@
 
     /// Offers every job that waits the best machine for it: what the walks of
     /// all machines come to, when work arrived or waits passed that no heartbeat
-    /// shows. Within a pass room only shrinks, so a job that found none is not
+    /// shows. Within a pass free capacity only shrinks, so a job that found none is not
     /// asked again: each team's queue is gone through once, however often the
     /// teams take turns.
     pub fn place(&mut self, rule: DelayRule, now: Time) -> Vec<Launch> {
@@ -184,7 +184,7 @@
             let scan = self.scan_queues(&context, &mut progress);
             self.skip(scan.skipped, now);
             // A gang has its turn before whatever comes after it, and what was
-            // found for that counted on room and limits that it may have taken.
+            // found for that counted on capacity and limits that it may have taken.
             if !scan.gangs.is_empty() {
                 for id in &scan.gangs {
                     launches.extend(self.place_gang(id, rule, now));
@@ -278,7 +278,7 @@
         launch
     }
 
-    /// Jobs that were tried and still want tasks placed wait from now on.
+    /// Jobs that were tried and still have tasks to place wait from now on.
     fn mark_blocked(&mut self, tried: HashSet<JobId>, now: Time) {
         for id in tried {
             if let Some(job) = self.jobs.get_mut(&id).filter(|j| j.needs_placement(now)) {
--- a/src/scheduler/preempt/mod.rs
+++ b/src/scheduler/preempt/mod.rs
@@ -24,7 +24,7 @@
 struct Stopping {
     /// What the teams' tasks take that are being stopped, by team.
     leaving: Vec<Amount>,
-    /// Thousandths of a CPU that idle work holds beyond its part and that are not
+    /// Thousandths of a CPU that idle work uses beyond its part and that are not
     /// being stopped.
     idle_beyond: i64,
 }
@@ -164,7 +164,7 @@
 
     /// What the teams' tasks take that are being stopped.
     fn leaving(&self) -> Vec<Amount> {
-        let mut sums = vec![Amount::default(); self.teams.len()];
+        let mut totals = vec![Amount::default(); self.teams.len()];
         for job in self.jobs.values() {
             let stopped = job
                 .tasks
@@ -172,8 +172,8 @@
                 .values()
                 .filter(|c| c.stop.is_some())
                 .count();
-            sums[job.team] += job.spec.each.times(stopped as i64);
+            totals[job.team] += job.spec.each.times(stopped as i64);
         }
-        sums
+        totals
     }
 }
--- a/src/scheduler/preempt/victims.rs
+++ b/src/scheduler/preempt/victims.rs
@@ -60,7 +60,7 @@
     used: Amount,
     /// What the job's team may use.
     limit: Amount,
-    /// What each team still holds beyond its guarantee.
+    /// What each team still uses beyond its guarantee.
     beyond: Vec<Amount>,
     /// The job's team is within its guarantee with the task.
     within_guarantee: bool,
--- a/src/scheduler/quota.rs
+++ b/src/scheduler/quota.rs
@@ -59,10 +59,10 @@
 
     /// What is reserved of each team's limit beside what is used.
     pub fn reserved_of_quotas(&self) -> Vec<Amount> {
-        let mut sums = vec![Amount::default(); self.teams.len()];
+        let mut totals = vec![Amount::default(); self.teams.len()];
         for reserved in self.reservations.by_window.values() {
-            sums[reserved.reservation.team] += reserved.open_amount();
+            totals[reserved.reservation.team] += reserved.open_amount();
         }
-        sums
+        totals
     }
 }
--- a/src/scheduler/rebalance.rs
+++ b/src/scheduler/rebalance.rs
@@ -1,6 +1,6 @@
 //! Moving tasks on purpose: off machines that are drained, and apart again
 //! after a domain came back. A task can't run twice, so what is made before
-//! the break is its place: room elsewhere is reserved, then it is stopped.
+//! the break is its place: capacity elsewhere is reserved, then it is stopped.
 
 use sorrelhinge_topology::drain::{self, Drain, Step, Target, Tenant};
 use sorrelhinge_topology::policy::{LocatedTask, MachineLocation, Reach};
@@ -44,7 +44,7 @@
 
 impl ClusterState {
     /// Tasks of a job that are not known to run, or are being stopped. One that is claimed
-    /// or told to start and that no heartbeat has named counts too: it may never come up.
+    /// or was sent its start and that no heartbeat has named counts too: it may never come up.
     fn away(job: &Job) -> u32 {
         let claims = job.tasks.claims().values();
         let running =
@@ -182,9 +182,9 @@
     }
 
     /// One service's task in a domain that has more of them than its rules
-    /// want, if there is a place that they allow in a domain that has been
-    /// quiet. All tasks of the service run; so the rules that are required hold
-    /// on the way as far as they held before.
+    /// allow, if there is a place that they allow in a domain that has been
+    /// quiet. All tasks of the service run; so the rules that are required are kept
+    /// on the way as far as they were before.
     pub fn repair(&mut self, moving: &Moving, now: Time) -> Option<Move> {
         let topology = self.topology.clone()?;
         let settle_s = topology.settings.repair.settle_s;
@@ -223,7 +223,7 @@
                 .all(|c| matches!(c.progress, Progress::Running(_)))
     }
 
-    /// A task of a job in a domain that has more of them than its rules want.
+    /// A task of a job in a domain that has more of them than its rules allow.
     fn excess_task(&self, topology: &Topology, job: &Job) -> Option<u32> {
         let locations = self.task_locations(job, None);
         let tally = job.policy.tally(&topology.tree, locations);
--- a/src/scheduler/tasks.rs
+++ b/src/scheduler/tasks.rs
@@ -34,7 +34,7 @@
     Saving,
 }
 
-/// A task's claim on a machine. It counts until its task is provably gone.
+/// A task's claim on a machine. It counts until its task is known to have ended.
 #[derive(Clone, Debug)]
 pub struct Claim {
     /// The attempt.
@@ -51,9 +51,9 @@
     pub progress: Progress,
     /// The task is to be stopped, with this grace in seconds.
     pub stop: Option<f64>,
-    /// Devices that it holds.
+    /// Devices that it uses.
     pub units: Vec<Unit>,
-    /// It may hold devices that its record does not name.
+    /// It may use devices that its record does not name.
     pub unnamed: bool,
 }
 
@@ -90,7 +90,7 @@
             adopt_delegated_tasks: None,
         }
     }
-    /// The chunk that holds task `index`.
+    /// The chunk of task `index`.
     pub fn chunk_of(&self, index: u32) -> u32 {
         index / self.chunk
     }
@@ -150,7 +150,7 @@
     }
     /// Other shards claim these, or they are left to them. None of them may be
     /// claimed here, or done.
-    pub(super) fn set_foreign(&mut self, claimed_elsewhere: BTreeSet<u32>) {
+    pub(super) fn set_claimed_elsewhere(&mut self, claimed_elsewhere: BTreeSet<u32>) {
         self.claimed_elsewhere = claimed_elsewhere;
         self.cursor = 0;
     }
@@ -160,7 +160,7 @@
     }
     /// Another shard places the job, and leaves these to this one; none: this
     /// shard places it.
-    pub(super) fn set_left_here(&mut self, left: Option<BTreeSet<u32>>) {
+    pub(super) fn set_adopted(&mut self, left: Option<BTreeSet<u32>>) {
         self.adopt_delegated_tasks = left;
     }
     /// Whether this shard places the job.
--- a/src/scheduler/topology_rules.rs
+++ b/src/scheduler/topology_rules.rs
@@ -48,7 +48,7 @@
 impl ClusterState {
     /// Takes up the operator's file, new or changed: every machine's place and
     /// devices, and every job's policy. Claims stay what they are; whatever
-    /// they hold is held until their tasks are gone.
+    /// they use is in use until their tasks have ended.
     pub fn set_topology(
         &mut self,
         topology: Option<Rc<Topology>>,
@@ -229,7 +229,7 @@
         })
     }
 
-    /// The units that one more task of a job would hold on a machine; none if
+    /// The units that one more task of a job would use on a machine; none if
     /// one that it can't do without is missing, broken or taken.
     pub(super) fn units_for(&self, id: &JobId, m_id: &MachineId) -> Option<Vec<Unit>> {
         let job = self.jobs.get(id)?;
--- a/src/scheduler/write_limit.rs
+++ b/src/scheduler/write_limit.rs
@@ -1,5 +1,5 @@
 //! How many claims may wait to be recorded, and whose: what is claimed faster than the
-//! state service takes it only holds room.
+//! state service takes it only blocks capacity.
 
 use std::collections::BTreeSet;
 
@@ -9,28 +9,28 @@
 use crate::types::{JobId, Priority, TaskId};
 
 impl ClusterState {
-    /// Whether a task of a job may be claimed now: not while its rank is held
+    /// Whether a task of a job may be claimed now: not while its rank is blocked
     /// back, another task shows whether the job is mistaken, nor before others' claims
     /// are recorded. Those whose users wait for the start may be twice as many.
     pub(super) fn may_claim(&self, id: &JobId, job: &Job) -> bool {
         if job.open() == 0 || self.idle_is_full(job) {
             return false;
         }
-        if self.held_rank == Some(job.priority) {
+        if self.blocked_rank == Some(job.priority) {
             let team = &self.teams[job.team];
             if !(team.used + job.spec.each).fits_team(team.guarantee) {
                 return false;
             }
         }
-        let held = self.claiming.len();
+        let claims = self.claiming.len();
         let idle = job.priority == Priority::Idle;
         self.max_claiming.is_none_or(|all| {
             // A swarm of idle jobs leaves half of it to others.
             let max = if idle { all / 2 } else { all };
             let of_sort = self.claiming_of.get(&job.sort()).copied().unwrap_or(0);
-            held < max
-                || job.start_within.is_some() && held < 2 * max
-                || job.lane.is_some() && 2 * held < 3 * max
+            claims < max
+                || job.start_within.is_some() && claims < 2 * max
+                || job.lane.is_some() && 2 * claims < 3 * max
                 || of_sort < fair::floor(all)
                 || self.claiming.contains(id)
         })
