--- a/crates/topology/src/lib.rs
+++ b/crates/topology/src/lib.rs
@@ -28,7 +28,7 @@
 
 use devices::DeviceInventory;
 use finder::Finder;
-use settings::{DeviceStock, Settings, SettingsError};
+use settings::{InventoryRule, Settings, SettingsError};
 use tree::Tree;
 
 /// The operator's file, checked and made fit for questions.
@@ -39,7 +39,7 @@
     /// The file, for what is looked up rarely.
     pub settings: Settings,
     finder: Finder<tree::Domain>,
-    devices: Vec<DeviceStock>,
+    devices: Vec<InventoryRule>,
 }
 
 impl Topology {
@@ -49,7 +49,7 @@
         let settings = Settings::parse(text)?;
         let tree = settings.tree()?;
         let finder = settings.finder(&tree)?;
-        let devices = settings.stocks()?;
+        let devices = settings.inventory_rules()?;
         settings.check_policies(&tree)?;
         Ok(Self {
             tree,
--- a/crates/topology/src/settings.rs
+++ b/crates/topology/src/settings.rs
@@ -12,7 +12,7 @@
 use sorrelhinge_protocol::invalid::{InvalidField, MalformedToml};
 use sorrelhinge_protocol::placement::PlacementRules;
 
-pub(crate) use self::build::DeviceStock;
+pub(crate) use self::build::InventoryRule;
 
 /// What is wrong with the file: the line, or the path to the wrong field.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
--- a/crates/topology/src/settings/build.rs
+++ b/crates/topology/src/settings/build.rs
@@ -13,7 +13,7 @@
 
 /// Units that the file gives to machines.
 #[derive(Debug)]
-pub(crate) struct DeviceStock {
+pub(crate) struct InventoryRule {
     /// Machines by name, pattern and network.
     pub matcher: Matcher,
     /// Machines by type.
@@ -24,7 +24,7 @@
 
 impl DeviceEntry {
     /// The units and who has them; `at` is the path to the entry.
-    fn device_inventory(&self, at: &str) -> Result<DeviceStock, InvalidField> {
+    fn device_inventory(&self, at: &str) -> Result<InventoryRule, InvalidField> {
         let wrong = |field: &str, why: &str| InvalidField::value(format!("{at}.{field}"), why);
         if self.count.is_some() != self.units.is_empty() {
             return Err(wrong("units", "either count or units names them"));
@@ -44,7 +44,7 @@
             let broken = self.broken.contains(name);
             device_inventory.put(Unit::new(&self.kind, name), self.share, broken);
         }
-        Ok(DeviceStock {
+        Ok(InventoryRule {
             matcher: Matcher {
                 names: self.machines.clone(),
                 patterns: patterns(&self.patterns),
@@ -115,7 +115,7 @@
     }
 
     /// The entries of devices, checked.
-    pub(crate) fn stocks(&self) -> Result<Vec<DeviceStock>, SettingsError> {
+    pub(crate) fn inventory_rules(&self) -> Result<Vec<InventoryRule>, SettingsError> {
         let entries = self.device.iter().enumerate();
         entries
             .map(|(i, entry)| Ok(entry.device_inventory(&format!("topology.device[{i}]"))?))
--- a/src/scheduler/job.rs
+++ b/src/scheduler/job.rs
@@ -209,9 +209,10 @@
     }
     /// Whether a job is as urgent already: times may differ by what clocks wander.
     pub fn is_of(&self, job: &Job) -> bool {
+        let same = |&Time(one): &Time, &Time(other): &Time| (one - other).abs() < SAME_OBJECTIVE_S;
         let mut objectives = self.objectives.iter().zip(&job.objectives);
         job.priority == self.priority
             && job.objectives.len() == self.objectives.len()
-            && objectives.all(|(one, other)| (one.0 - other.0).abs() < SAME_OBJECTIVE_S)
+            && objectives.all(|(one, other)| same(one, other))
     }
 }
--- a/src/scheduler/mod.rs
+++ b/src/scheduler/mod.rs
@@ -3,7 +3,8 @@
 //!
 //! The walk follows Algorithm 1 of the paper (section 4.2) with the changes
 //! that `docs/design.md` lists. No decision looks at every machine or every
-//! job: the cluster state keeps its sums, its queues and an index of free capacity up to date.
+//! job: the cluster state keeps its sums, its queues and an index of free capacity up to
+//! date.
 //!
 //! A task is placed in these steps:
 //!
@@ -15,7 +16,7 @@
 //! 5. `bind`, `claims`: the task is claimed there.
 //!
 //! `placement_pass` takes these steps for one machine or for all jobs, `gangs` for all
-//! tasks of a gang at once. Where no free capacity is free, `preempt` makes it and `reservations` keeps
+//! tasks of a gang at once. Where too little capacity is free, `preempt` frees it and `reservations` keeps
 //! it for windows of the release calendar; `rebalance` moves what runs.
 //!
 //! Decisions are the same for the same state and time: all iteration is in order of
--- a/src/scheduler/queue.rs
+++ b/src/scheduler/queue.rs
@@ -4,7 +4,7 @@
 use std::cmp::Reverse;
 
 use super::Job;
-use crate::types::{JobId, Priority, Revision};
+use crate::types::{JobId, Priority, Revision, Time};
 
 /// What goes first within a team.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -78,13 +78,13 @@
     }
     /// Its turn among jobs of its team, group and priority, without lanes.
     pub(super) fn turn(&self) -> QueueTurn {
-        let milli = |s: f64| (s * 1000.0) as i64;
+        let milli = |Time(seconds): Time| (seconds * 1000.0) as i64;
         QueueTurn {
             due_ms: match self.group() {
                 Group::Aged => i64::MIN,
-                Group::Production | Group::Others => milli(self.due.0),
+                Group::Production | Group::Others => milli(self.due),
             },
-            submitted_ms: milli(self.submitted.0),
+            submitted_ms: milli(self.submitted),
         }
     }
 }
