--- a/crates/topology/src/lib.rs
+++ b/crates/topology/src/lib.rs
@@ -3,11 +3,11 @@
 //!
 //! - [`tree`]: failure domains, numbered so that a domain is a range;
 //! - [`finder`]: a machine's place, by name, pattern or network;
-//! - [`devices`]: units, who holds them, and which to give out;
+//! - [`devices`]: units, which claims use them, and which to give out;
 //! - [`policy`]: what a job's placement rules allow, given where its tasks are;
 //! - [`drain`]: which task to move off next, and when there is no waiting;
 //! - [`repair`]: what piled up, and which domains can be trusted again;
-//! - [`gang`]: placing whole, and what to hold for a gang that has no free capacity;
+//! - [`gang`]: placing all tasks at once, and what to reserve where capacity is short;
 //! - [`renting`]: which types and zones brought which domains;
 //! - [`settings`]: the operator's file.
 
@@ -28,7 +28,7 @@
 
 use devices::DeviceInventory;
 use finder::Finder;
-use settings::{DeviceStock, Settings, SettingsError};
+use settings::{InventoryRule, Settings, SettingsError};
 use tree::Tree;
 
 /// The operator's file, checked and made fit for questions.
@@ -39,7 +39,7 @@
     /// The file, for what is looked up rarely.
     pub settings: Settings,
     finder: Finder<tree::Domain>,
-    devices: Vec<DeviceStock>,
+    devices: Vec<InventoryRule>,
 }
 
 impl Topology {
@@ -49,7 +49,7 @@
         let settings = Settings::parse(text)?;
         let tree = settings.tree()?;
         let finder = settings.finder(&tree)?;
-        let devices = settings.stocks()?;
+        let devices = settings.inventory_rules()?;
         settings.check_policies(&tree)?;
         Ok(Self {
             tree,
--- a/crates/topology/src/policy.rs
+++ b/crates/topology/src/policy.rs
@@ -1,18 +1,20 @@
 //! What a job's placement rules allow, given where its tasks are.
 //!
-//! A placement asks twice: first with everything wished ([`Reach::All`]), and
+//! A placement asks twice: first with every rule ([`Reach::All`]), and
 //! if that finds no place, with what is required only ([`Reach::Musts`]).
 
 mod feasible;
 mod judge;
-
-use std::collections::BTreeMap;
+mod reasons;
+mod tally;
 
 use sorrelhinge_protocol::placement::{Device, PlacementRules, Spread};
 
-pub use judge::ExcludedMachine;
+pub use judge::{ExcludedMachine, LocatedTask};
+pub use reasons::{ExclusionRule, InfeasiblePolicy, UnjudgedPolicy};
+pub use tally::{MachineLocation, Tally};
 
-use crate::tree::{Domain, Level, Tree};
+use crate::tree::{Level, Tree};
 
 /// Which rules count.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -44,7 +46,7 @@
 }
 
 /// A job's placement rules and its class's, with levels instead of names. All of them
-/// hold together.
+/// apply.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Policy {
     spread: Vec<SpreadRule>,
@@ -52,61 +54,10 @@
     fewest: Vec<FewRule>,
     /// Devices that each task needs.
     pub devices: Vec<Device>,
-    /// What it wished is not known any more: its tasks may hold any device.
+    /// Its rules are not known any more: its tasks may use any device.
     pub lost: bool,
     /// A required rule that can't be judged: nothing may be placed.
-    unjudged: Option<String>,
-}
-
-/// Where a task is, as far as rules see it: its machine's place and the
-/// machine, or somewhere unknown.
-pub type MachineLocation<'a> = Option<(Domain, &'a str)>;
-
-#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-enum Key {
-    Domain(Domain),
-    Machine(String),
-}
-
-#[derive(Clone, Debug, Default)]
-struct Counts {
-    by: BTreeMap<Key, u32>,
-    unknown: u32,
-}
-
-/// How many of a job's tasks are in each domain of one level.
-#[derive(Clone, Debug)]
-struct LevelCounts {
-    level: Level,
-    counts: Counts,
-}
-
-/// How many of a job's tasks are in each domain of each level that a rule of
-/// its policy names.
-#[derive(Clone, Debug, Default)]
-pub struct Tally {
-    levels: Vec<LevelCounts>,
-    total: u32,
-}
-
-impl Tally {
-    fn of(&self, level: Level) -> &Counts {
-        static NONE: Counts = Counts {
-            by: BTreeMap::new(),
-            unknown: 0,
-        };
-        self.levels
-            .iter()
-            .find(|l| l.level == level)
-            .map_or(&NONE, |l| &l.counts)
-    }
-}
-
-fn key(tree: &Tree, level: Level, (place, machine): (Domain, &str)) -> Option<Key> {
-    if tree.is_machine(level) {
-        return Some(Key::Machine(machine.to_owned()));
-    }
-    tree.at(place, level).map(Key::Domain)
+    unjudged: Option<UnjudgedPolicy>,
 }
 
 /// The most tasks in a domain if they are spread evenly; of several tasks never all in
@@ -136,9 +87,9 @@
     }
 
     /// A policy that can't be judged, so that nothing is placed.
-    pub fn unjudged(why: &str) -> Self {
+    pub fn unjudged(why: UnjudgedPolicy) -> Self {
         Self {
-            unjudged: Some(why.to_owned()),
+            unjudged: Some(why),
             ..Self::default()
         }
     }
@@ -173,7 +124,9 @@
         let level = tree.level(name);
         if level.is_none() && must {
             self.unjudged
-                .get_or_insert(format!("there is no level {name:?}"));
+                .get_or_insert_with(|| UnjudgedPolicy::UnknownLevel {
+                    level: name.to_owned(),
+                });
         }
         level
     }
@@ -251,46 +204,4 @@
         let musts = self.together.iter().filter(|r| r.must);
         musts.map(|r| r.level).max()
     }
-
-    /// Counts a job's tasks.
-    pub fn tally<'a>(
-        &self,
-        tree: &Tree,
-        tasks: impl IntoIterator<Item = MachineLocation<'a>>,
-    ) -> Tally {
-        let mut levels: Vec<Level> = self
-            .spread
-            .iter()
-            .map(|r| r.level)
-            .chain(self.together.iter().map(|r| r.level))
-            .chain(self.fewest.iter().map(|r| r.level))
-            .collect();
-        levels.sort_unstable();
-        levels.dedup();
-        let mut tally = Tally {
-            levels: levels
-                .into_iter()
-                .map(|level| LevelCounts {
-                    level,
-                    counts: Counts::default(),
-                })
-                .collect(),
-            total: 0,
-        };
-        for task in tasks {
-            self.count(tree, &mut tally, task);
-        }
-        tally
-    }
-
-    /// Counts one more task.
-    pub fn count(&self, tree: &Tree, tally: &mut Tally, task: MachineLocation<'_>) {
-        tally.total += 1;
-        for LevelCounts { level, counts } in &mut tally.levels {
-            match task.and_then(|t| key(tree, *level, t)) {
-                Some(key) => *counts.by.entry(key).or_insert(0) += 1,
-                None => counts.unknown += 1,
-            }
-        }
-    }
 }
--- a/crates/topology/tests/model.rs
+++ b/crates/topology/tests/model.rs
@@ -10,8 +10,10 @@
 use sorrelhinge_protocol::types::{JobSpec, MachineId};
 use sorrelhinge_protocol::users::read_job;
 use sorrelhinge_topology::devices::{choose, AllocatedDevices, DeviceInventory, Unit};
-use sorrelhinge_topology::gang::{self, Rules, Slot};
-use sorrelhinge_topology::policy::{Policy, Reach, Tally};
+use sorrelhinge_topology::gang::{self, ChosenSlot, Rules, Slot};
+use sorrelhinge_topology::policy::{
+    ExclusionRule, InfeasiblePolicy, MachineLocation, Policy, Reach, Tally, UnjudgedPolicy,
+};
 use sorrelhinge_topology::tree::{Domain, Tree};
 
 const LEVELS: [&str; 4] = ["zone", "rack", "switch", "machine"];
@@ -228,6 +230,10 @@
     device_inventory
 }
 
+fn location(place: Domain, machine: &str) -> MachineLocation<'_> {
+    MachineLocation { place, machine }
+}
+
 /// All machines that a policy allows, found as the index finds them: in the
 /// order of places, passing over what is barred as a whole.
 fn allowed(
@@ -243,12 +249,12 @@
         .collect();
     order.sort();
     let mut out = Vec::new();
-    let mut from = 0_u32;
+    let mut from = Domain(0);
     for (domain, name) in order {
-        if domain.0 < from {
+        if domain < from {
             continue;
         }
-        match policy.bars(tree, tally, (domain, name), reach) {
+        match policy.bars(tree, tally, location(domain, name), reach) {
             None => out.push(name.to_owned()),
             Some(barred) => from = from.max(barred.until),
         }
@@ -292,9 +298,9 @@
                 *count = labels.len();
             }
             let plain = Plain { rules: &case.rules, tasks: case.tasks, domains };
-            let places: Vec<(Domain, &str)> = others
+            let places: Vec<MachineLocation> = others
                 .iter()
-                .map(|m| (place(&tree, m), m.name.as_str()))
+                .map(|m| location(place(&tree, m), &m.name))
                 .collect();
             let tally = policy.tally(&tree, places.into_iter().map(Some));
             let mut found = Vec::new();
@@ -372,11 +378,11 @@
             })
             .collect();
         let sum: u32 = slots.iter().map(|s| s.free).sum();
-        let plan = gang::whole(Some(&tree), &slots, tasks, &gang::Anywhere);
+        let plan = gang::plan_now(Some(&tree), &slots, tasks, &gang::Anywhere);
         prop_assert_eq!(plan.is_some(), sum >= tasks);
         let Some(plan) = plan else { return Ok(()) };
-        prop_assert_eq!(plan.iter().map(|(_, n)| n).sum::<u32>(), tasks);
-        for (name, count) in &plan {
+        prop_assert_eq!(plan.iter().map(|on| on.tasks).sum::<u32>(), tasks);
+        for gang::Assignment { machine: name, tasks: count } in &plan {
             let slot = slots.iter().find(|s| s.machine == *name).expect("a slot");
             prop_assert!(*count <= slot.free);
         }
@@ -393,7 +399,7 @@
                 }
             }
             if free_capacity.values().any(|n| *n >= tasks) {
-                let used: Vec<_> = plan.iter().map(|(m, _)| label(m, depth)).collect();
+                let used: Vec<_> = plan.iter().map(|on| label(&on.machine, depth)).collect();
                 prop_assert!(used.iter().all(|l| l.is_some() && *l == used[0]));
                 // The largest alone would need so many machines at least.
                 let inside = |s: &&Slot| label(&s.machine, depth) == used[0];
@@ -449,7 +455,8 @@
         let mut spec = spec(kind, tasks);
         spec.zone = zone.map(Into::into);
         let rules: PlacementRules = serde_json::from_str(rules).expect("rules");
-        Policy::new([&rules], &topology.tree, tasks).never(&topology, &spec)
+        let never = Policy::new([&rules], &topology.tree, tasks).never(&topology, &spec);
+        never.map(|why| why.to_string())
     };
     let one_each = r#"{"spread": [{"level": "switch", "most": 1}]}"#;
     assert_eq!(never("standing", 3, None, one_each), None);
@@ -618,7 +625,7 @@
 fn a_plan_keeps_rules() {
     struct Two;
     impl Rules for Two {
-        fn allowed(&self, _: &[(&Slot, u32)], _: &Slot, wanted: u32) -> u32 {
+        fn allowed(&self, _: &[ChosenSlot<'_>], _: &Slot, wanted: u32) -> u32 {
             wanted.min(2)
         }
     }
@@ -630,11 +637,11 @@
         cost: 0,
     };
     let slots = [slot(1, 4), slot(2, 1), slot(3, 3)];
-    let plan = gang::whole(None, &slots, 5, &Two).expect("room");
-    assert!(plan.iter().all(|(_, n)| *n <= 2));
-    assert_eq!(plan.iter().map(|(_, n)| n).sum::<u32>(), 5);
-    assert_eq!(gang::whole(None, &slots, 6, &Two), None);
-    assert!(gang::hold(None, &slots, 6, &Two).is_some());
+    let plan = gang::plan_now(None, &slots, 5, &Two).expect("room");
+    assert!(plan.iter().all(|on| on.tasks <= 2));
+    assert_eq!(plan.iter().map(|on| on.tasks).sum::<u32>(), 5);
+    assert_eq!(gang::plan_now(None, &slots, 6, &Two), None);
+    assert!(gang::plan_later(None, &slots, 6, &Two).is_some());
 }
 
 /// What is committed under `deploy/` is what this version reads.
@@ -649,3 +656,70 @@
         "write it anew: sorrelhinge topology schema > deploy/topology.schema.json"
     );
 }
+
+/// Users and the log read these texts: they are part of what the software promises.
+#[test]
+fn excluding_rules_have_their_texts() {
+    let level = || "rack".to_owned();
+    let text = |rule: ExclusionRule| rule.to_string();
+    let unknown = UnjudgedPolicy::UnknownLevel { level: level() };
+    assert_eq!(
+        text(ExclusionRule::Unjudged(unknown)),
+        "there is no level \"rack\""
+    );
+    assert_eq!(
+        text(ExclusionRule::Unjudged(UnjudgedPolicy::NoTopology)),
+        "this controller has no topology"
+    );
+    assert_eq!(
+        text(ExclusionRule::UnknownDomain { level: level() }),
+        "its rack is not known"
+    );
+    let spread = ExclusionRule::Spread {
+        level: level(),
+        max: 2,
+    };
+    assert_eq!(text(spread), "at most 2 in a rack");
+    assert_eq!(
+        text(ExclusionRule::Together { level: level() }),
+        "all in one rack"
+    );
+    assert_eq!(
+        text(ExclusionRule::Fewest { level: level() }),
+        "in as few of each rack as can be"
+    );
+}
+
+/// The same of why a job can never be placed.
+#[test]
+fn infeasible_policies_have_their_texts() {
+    let unjudged = InfeasiblePolicy::Unjudged(UnjudgedPolicy::NoTopology);
+    assert_eq!(unjudged.to_string(), "this controller has no topology");
+    let devices = InfeasiblePolicy::Devices {
+        kind: "enc".into(),
+        count: 3,
+        max: 2,
+    };
+    assert_eq!(
+        devices.to_string(),
+        "3 of \"enc\" on one machine: the most there is, is 2"
+    );
+    let tasks = InfeasiblePolicy::Tasks {
+        at_once: 4,
+        allowed: 3,
+    };
+    assert_eq!(
+        tasks.to_string(),
+        "4 tasks at a time; its rules allow 3 on all the machines described"
+    );
+    let few = InfeasiblePolicy::TasksInFewDomains {
+        at_once: 4,
+        allowed: 3,
+        max_domains: 2,
+        level: "rack".into(),
+    };
+    assert_eq!(
+        few.to_string(),
+        "4 tasks at a time in at most 2 of each rack: its rules allow 3"
+    );
+}
--- a/src/autoscaler/placed.rs
+++ b/src/autoscaler/placed.rs
@@ -7,8 +7,8 @@
 
 use sorrelhinge_protocol::placement::Device;
 use sorrelhinge_topology::devices::{choose, AllocatedDevices, Unit};
-use sorrelhinge_topology::policy::{Policy, Reach, Tally};
-use sorrelhinge_topology::renting::tries;
+use sorrelhinge_topology::policy::{MachineLocation, Policy, Reach, Tally};
+use sorrelhinge_topology::renting::{tries, MachinePool};
 use sorrelhinge_topology::tree::Domain;
 use sorrelhinge_topology::Topology;
 
@@ -46,7 +46,10 @@
         let there = job.tasks.claims().values().map(|claim| {
             let machine = input.cluster_state.machines().get(&claim.machine)?;
             // What is to move off a draining machine does not stay there.
-            (!machine.draining).then_some((machine.place, claim.machine.as_str()))
+            (!machine.draining).then_some(MachineLocation {
+                place: machine.place,
+                machine: claim.machine.as_str(),
+            })
         });
         let staying: Vec<_> = there.flatten().map(Some).collect();
         let tally = policy.tally(&topology.tree, staying);
@@ -76,7 +79,7 @@
             .bars(
                 &self.topology.tree,
                 &self.tally,
-                (place, machine),
+                MachineLocation { place, machine },
                 Reach::Musts,
             )
             .is_none()
@@ -90,7 +93,7 @@
         }
     }
 
-    /// The units that a task would hold, beside what is held; none if one is missing.
+    /// The units that a task would use, beside those in use; none if one is missing.
     fn units(
         &self,
         free_capacity: &FreeCapacity,
@@ -99,12 +102,15 @@
         choose(&free_capacity.device_inventory, reserved, &self.needs)
     }
 
-    /// Counts a task that is packed into a room.
+    /// Counts a task that is packed into a machine.
     fn count(&mut self, free_capacity: &FreeCapacity) {
         *self.zones.entry(free_capacity.zone.clone()).or_insert(0) += 1;
         if let Some(place) = free_capacity.place {
             let name = free_capacity.id.as_ref().map_or("", |id| id.as_str());
-            let at = Some((place, name));
+            let at = Some(MachineLocation {
+                place,
+                machine: name,
+            });
             self.policy.count(&self.topology.tree, &mut self.tally, at);
         }
     }
@@ -126,7 +132,7 @@
         }
     }
 
-    /// The room for one more task, there or rented in hope.
+    /// The machine for one more task, there or rented in hope.
     fn choose_for_placed(&mut self, placed: &PlacedItem, left: u32) -> Option<usize> {
         let spec = &placed.item.spec;
         let barred = |zone: &Zone| placed.bars_zone(zone);
@@ -137,7 +143,7 @@
             .or_else(|| self.scale_out_speculatively(placed, left))
     }
 
-    /// Takes a room for one task.
+    /// Takes capacity for one task.
     fn take_for_placed(&mut self, at: usize, placed: &mut PlacedItem) {
         self.file(at, false);
         let free_capacity = &mut self.free_capacities[at];
@@ -176,12 +182,12 @@
             let chance = if certain {
                 1.0
             } else {
-                let sort = (
-                    free_capacity.kind.name.clone(),
-                    free_capacity.zone.clone(),
-                    free_capacity.spot,
-                );
-                self.input.memory.chance(&sort, &may)
+                let pool = MachinePool {
+                    kind: free_capacity.kind.name.clone(),
+                    zone: free_capacity.zone.clone(),
+                    spot: free_capacity.spot,
+                };
+                self.input.memory.chance(&pool, &may)
             };
             if chance < MIN_PROBABILITY || bounded && !certain {
                 continue;
@@ -192,7 +198,7 @@
             }
         }
         let (_, free_capacity) = best?;
-        Some(self.rent_free_capacity(free_capacity))
+        Some(self.add_rental(free_capacity))
     }
 
     /// Where machines have the devices that the tasks need: those that a type does not
--- a/src/control/core/evictions.rs
+++ b/src/control/core/evictions.rs
@@ -1,9 +1,7 @@
 //! Moves of running tasks to other machines: off draining machines, and for repair.
 
-use sorrelhinge_topology::drain::Drain;
-
 use super::Core;
-use crate::scheduler::Moving;
+use crate::scheduler::{ActiveDrain, Moving};
 use crate::types::Time;
 
 impl Core {
@@ -14,8 +12,11 @@
             return;
         };
         let wall_ms = self.wall_ms(now);
-        let drains = self.drains.iter().map(|d| (d.clone(), d.left_s(wall_ms)));
-        let drains: Vec<(Drain, f64)> = drains.collect();
+        let drains = self.drains.iter().map(|drain| ActiveDrain {
+            drain: drain.clone(),
+            left_s: drain.left_s(wall_ms),
+        });
+        let drains: Vec<ActiveDrain> = drains.collect();
         let moving = Moving {
             drains: &drains,
             stability: self.topology_history.losses(),
--- a/src/control/core/fleet_log.rs
+++ b/src/control/core/fleet_log.rs
@@ -1,6 +1,7 @@
 //! What is used and free on all machines, for the log.
 
 use super::Core;
+use crate::scheduler::TypeUsage;
 use crate::types::Time;
 
 /// How often that is logged, in seconds.
@@ -29,7 +30,7 @@
     fn log_fleet(&self) {
         let ordinary = self.machine_totals(false);
         let spot = self.machine_totals(true);
-        let wanting = self.cluster_state.wanting();
+        let wanting = self.cluster_state.jobs_to_place();
         let pending: u32 = wanting.map(|(_, j)| j.tasks.pending()).sum();
         let machines = self.cluster_state.machines().values();
         let retiring = machines.filter(|m| m.retiring).count();
@@ -74,10 +75,15 @@
     fn use_by_type(&self) -> String {
         let usage: Vec<String> = self
             .cluster_state
-            .use_of_kinds()
+            .use_of_types()
             .iter()
-            .map(|(kind, sum)| {
-                let [machines, cpus, used, needed] = sum;
+            .map(|(kind, usage)| {
+                let TypeUsage {
+                    machines,
+                    cpus,
+                    used,
+                    needed,
+                } = usage;
                 format!("{kind}:{machines}/{cpus}/{used}/{needed}")
             })
             .collect();
--- a/src/control/core/reservation_demand.rs
+++ b/src/control/core/reservation_demand.rs
@@ -14,6 +14,7 @@
 use super::reservations::LoggedShortage;
 use super::Core;
 use crate::autoscaler;
+use crate::scheduler::MissingTasks;
 use crate::types::{Image, JobSpec, Kind, Priority, Time, Zone};
 
 /// The same shortage is said again in the log after so many seconds.
@@ -43,9 +44,11 @@
             };
             let reserved = self.windows.watched.values().find(|w| {
                 let window = w.entry.as_ref().map(|e| &e.window);
-                w.plan.hold > 0 && window.is_some_and(|w| w.is_for(&job.spec.team, &job.spec.class))
+                w.plan.reserved_tasks > 0
+                    && window.is_some_and(|w| w.is_for(&job.spec.team, &job.spec.class))
             });
-            let parts = reserved.map_or(Vec::new(), |w| divide(w.plan.hold, self.scope.of));
+            let parts =
+                reserved.map_or(Vec::new(), |w| divide(w.plan.reserved_tasks, self.scope.of));
             let mut left = waits.tasks;
             for (shard, part) in parts.into_iter().enumerate() {
                 let to = ShardId(shard as u32);
@@ -87,7 +90,7 @@
             });
             let asked = watch.seen.as_ref().map_or(0, |s| s.asked);
             let ready = watch.seen.as_ref().map_or(0, |s| s.ready);
-            tracing::info!(window = %name, start_ms, hold = next.hold, asked, ready, why = %next.why, "calendar");
+            tracing::info!(window = %name, start_ms, hold = next.reserved_tasks, asked, ready, why = %next.why, "calendar");
         }
     }
 
@@ -134,7 +137,8 @@
     fn shortfalls_of(&self, window: &Window, now: Time) -> Vec<autoscaler::Shortfall> {
         let mut spare = 0;
         let mut open = Vec::new();
-        for (zone, tasks) in self.cluster_state.missing_tasks(&window.name) {
+        for missing in self.cluster_state.missing_tasks(&window.name) {
+            let MissingTasks { zone, tasks } = missing;
             match self.type_for(window, zone.as_ref(), now) {
                 Some(kind) => open.push(ZoneShortfall { zone, tasks, kind }),
                 None => spare += tasks,
--- a/src/control/core/reservations.rs
+++ b/src/control/core/reservations.rs
@@ -5,7 +5,7 @@
 
 use std::collections::BTreeMap;
 
-use sorrelhinge_reservations::plan::{Change as RecordChange, Seen, Whole};
+use sorrelhinge_reservations::plan::{Change as RecordChange, Seen, WindowPlan};
 use sorrelhinge_reservations::record::{key, Entry, Step, WindowRecord};
 use sorrelhinge_sharding::shard::ShardId;
 
@@ -28,7 +28,7 @@
     /// What was last seen of it.
     pub(super) seen: Option<Seen>,
     /// What is due for all its occurrences.
-    pub(super) plan: Whole,
+    pub(super) plan: WindowPlan,
     /// What was last logged of a shortage.
     pub(super) logged: Option<LoggedShortage>,
 }
@@ -51,9 +51,9 @@
             busy_at: now,
             pending_machines: 0,
             seen: None,
-            plan: Whole {
+            plan: WindowPlan {
                 each: BTreeMap::new(),
-                hold: 0,
+                reserved_tasks: 0,
             },
             logged: None,
         }
@@ -88,7 +88,7 @@
 impl Windows {
     /// Whether free capacity is reserved for any.
     pub(super) fn any_reserved(&self) -> bool {
-        self.watched.values().any(|w| w.plan.hold > 0)
+        self.watched.values().any(|w| w.plan.reserved_tasks > 0)
     }
 
     /// A request of the cloud failed.
--- a/src/control/core/waiting_log.rs
+++ b/src/control/core/waiting_log.rs
@@ -47,6 +47,7 @@
             return;
         };
         if let Some(why) = self.cluster_state.why_waits(&id, now) {
+            let why = why.to_string();
             tracing::info!(job = %id, why, "waits");
         }
         self.waiting_log.logged(id, now);
@@ -54,7 +55,7 @@
 
     /// The first job that has waited for long and was not logged of late.
     fn next_waiting_to_log(&self, now: Time) -> Option<JobId> {
-        let mut waiting = self.cluster_state.wanting();
+        let mut waiting = self.cluster_state.jobs_to_place();
         let to_log = waiting.find(|(id, job)| {
             waits_for_long(job, now) && is_constrained(job) && !self.waiting_log.is_recent(id)
         });
--- a/src/control/drains.rs
+++ b/src/control/drains.rs
@@ -284,11 +284,14 @@
     domain.usable += u32::from(machine.usable);
     domain.draining += u32::from(machine.draining);
     domain.tasks += machine.claims.len() as u32;
-    for (unit, share, broken) in machine.device_inventory.units() {
-        let device = domain.devices.entry(unit.kind().to_owned()).or_default();
+    for slot in machine.device_inventory.units() {
+        let device = domain
+            .devices
+            .entry(slot.unit.kind().to_owned())
+            .or_default();
         device.units += 1;
-        device.broken += u32::from(broken);
-        device.slots += if broken { 0 } else { share };
-        device.held += machine.allocated_devices.holders(unit);
+        device.broken += u32::from(slot.broken);
+        device.slots += if slot.broken { 0 } else { slot.share };
+        device.held += machine.allocated_devices.holders(slot.unit);
     }
 }
--- a/src/scheduler/cluster_state.rs
+++ b/src/scheduler/cluster_state.rs
@@ -12,7 +12,23 @@
 use super::{idle, lanes, reservations, Claim, Job, Machine, Team};
 use crate::types::{Amount, Attempt, JobId, MachineId, Priority, TaskId, Time, TypeName, Zone};
 
-/// Room on a machine that is being made, or found, for a job's next task.
+/// Amounts of CPU are counted in thousandths.
+const MILLI_PER_CPU: i64 = 1000;
+
+/// Usable machines of a type, and whole CPUs on them.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub struct TypeUsage {
+    /// Machines.
+    pub machines: i64,
+    /// Their CPUs.
+    pub cpus: i64,
+    /// CPUs used by tasks.
+    pub used: i64,
+    /// CPUs used by tasks that fit no smaller type.
+    pub needed: i64,
+}
+
+/// Capacity on a machine that is being freed, or was found, for a job's next task.
 #[derive(Clone, Debug)]
 pub(super) struct Reservation {
     /// For whom.
@@ -21,7 +37,7 @@
     pub until: Time,
 }
 
-/// Room on a machine that is held for a gang.
+/// Capacity on a machine that is reserved for a gang.
 #[derive(Clone, Debug)]
 pub(super) struct GangFreeCapacity {
     /// The gang.
@@ -45,30 +61,30 @@
     /// loses all its tasks with their leases if there is none.
     pub served: BTreeSet<Zone>,
     /// Jobs of this rank are not placed, but for teams below their guarantee.
-    pub held_rank: Option<Priority>,
+    pub blocked_rank: Option<Priority>,
     /// Jobs with claims that wait to be recorded, and how many of each class and
     /// team.
     pub(super) claiming: BTreeSet<JobId>,
     pub(super) claiming_of: BTreeMap<Sort, usize>,
     /// How many there may be; none: any number. What is claimed faster than it
-    /// can be recorded only holds room, and its order is decided too early.
+    /// can be recorded only blocks capacity, and its order is decided too early.
     pub max_claiming: Option<usize>,
     pub(super) jobs: BTreeMap<JobId, Job>,
     pub(super) machines: BTreeMap<MachineId, Machine>,
-    /// Per team, the jobs that want tasks placed.
+    /// Per team, the jobs that have tasks to place.
     pub(super) queues: Vec<BTreeSet<Place>>,
-    /// Per team, what their pending tasks want.
+    /// Per team, what their pending tasks need.
     pub(super) demand: Vec<Amount>,
     /// Where there is free capacity.
     pub capacity_index: CapacityIndex,
     /// Room that is being made for a job, until a time.
     pub(super) reserved: BTreeMap<MachineId, Reservation>,
-    /// Room held for a gang, at each machine so much.
+    /// What is reserved for a gang, by machine.
     pub(super) gang_free_capacity: BTreeMap<MachineId, GangFreeCapacity>,
     pub(super) turn: Turn<JobId>,
     /// Failure domains, if the feature is on.
     pub(super) topology: Option<Rc<Topology>>,
-    /// Where other shards hold tasks of jobs whose zones count together; none: that
+    /// Where other shards have tasks of jobs whose zones count together; none: that
     /// is not known of all of them.
     pub(super) elsewhere: HashMap<JobId, Option<BTreeMap<Zone, u32>>>,
     /// Claims on machines that are not known yet.
@@ -78,7 +94,7 @@
     pub(super) idle: idle::Idle,
     /// Who goes ahead of all others.
     pub(super) lanes: lanes::Queue,
-    /// Room held for windows of the release calendar.
+    /// What is reserved for windows of the release calendar.
     pub(super) reservations: reservations::Reservations,
 }
 
@@ -129,15 +145,15 @@
         &self.machines
     }
 
-    /// The jobs that want tasks placed, in no order.
-    pub fn wanting(&self) -> impl Iterator<Item = (&JobId, &Job)> {
+    /// The jobs that have tasks to place, in no order.
+    pub fn jobs_to_place(&self) -> impl Iterator<Item = (&JobId, &Job)> {
         self.queues
             .iter()
             .flatten()
             .filter_map(|p| Some((&p.id, self.jobs.get(&p.id)?)))
     }
 
-    /// Whether any job wants a task placed.
+    /// Whether any job has a task to place.
     pub fn has_work(&self) -> bool {
         self.queues.iter().any(|q| !q.is_empty())
     }
@@ -161,21 +177,20 @@
         self.capacity
     }
 
-    /// Of each type: usable machines, their CPUs, CPUs used, and CPUs used by
-    /// tasks that fit no smaller type: what is short may be only one type.
-    pub fn use_of_kinds(&self) -> BTreeMap<TypeName, [i64; 4]> {
-        let mut sums: BTreeMap<TypeName, [i64; 4]> = BTreeMap::new();
+    /// What is used of each machine type: what is short may be only one type.
+    pub fn use_of_types(&self) -> BTreeMap<TypeName, TypeUsage> {
+        let mut totals: BTreeMap<TypeName, TypeUsage> = BTreeMap::new();
         for m in self.machines.values().filter(|m| m.usable) {
-            let sum = sums.entry(m.kind.name.clone()).or_default();
+            let total = totals.entry(m.kind.name.clone()).or_default();
             let needed = m.claims.iter().filter_map(|t| self.jobs.get(&t.job));
             let needed = needed.filter(|j| self.needs(j.spec.each, &m.kind));
             let needed: i64 = needed.map(|j| j.spec.each.cpu).sum();
-            sum[0] += 1;
-            sum[1] += m.kind.total.cpu / 1000;
-            sum[2] += m.used.cpu / 1000;
-            sum[3] += needed / 1000;
+            total.machines += 1;
+            total.cpus += m.kind.total.cpu / MILLI_PER_CPU;
+            total.used += m.used.cpu / MILLI_PER_CPU;
+            total.needed += needed / MILLI_PER_CPU;
         }
-        sums
+        totals
     }
 
     /// What all teams together are guaranteed.
--- a/src/scheduler/filter/mod.rs
+++ b/src/scheduler/filter/mod.rs
@@ -25,7 +25,7 @@
 use super::{ClusterState, Job};
 use crate::types::{JobId, MachineId, MachineType, Time, Zone};
 
-/// One more task of a job that wants a machine.
+/// One more task of a job that needs a machine.
 #[derive(Clone, Copy)]
 pub(in crate::scheduler) struct PlacementRequest<'a> {
     /// The job's id.
@@ -71,7 +71,7 @@
         })
     }
 
-    /// Whether room kept for work that can't use spot machines is withheld.
+    /// Whether capacity kept for work that can't use spot machines is withheld.
     pub(super) fn leaves_kept(&self) -> bool {
         self.leaves_kept
     }
@@ -92,11 +92,11 @@
 
     /// Whether a machine of a group that was admitted may do; else up to which place
     /// none does.
-    pub(super) fn admits_machine(&self, place: Domain, m_id: &MachineId) -> Result<(), u32> {
+    pub(super) fn admits_machine(&self, place: Domain, m_id: &MachineId) -> Result<(), Domain> {
         let PlacementRequest { id, job, now, .. } = *self.request;
         let cluster_state = self.cluster_state;
         let fits = !job.avoids(m_id, now)
-            && (!cluster_state.is_spoken_for(m_id)
+            && (!cluster_state.has_reservation(m_id)
                 || job.spec.each.fits(cluster_state.free_capacity_for(
                     id,
                     self.leaves_kept,
@@ -104,7 +104,7 @@
                     now,
                 )));
         if !fits {
-            return Err(place.0 + 1);
+            return Err(place.next());
         }
         match &self.site {
             Some(site) => cluster_state.site_passes(site, self.ask, place, m_id, now),
--- a/src/scheduler/job.rs
+++ b/src/scheduler/job.rs
@@ -16,15 +16,15 @@
 const DUE_RUN: f64 = 0.8;
 /// A job that met none of its objectives is due at this multiple of the last.
 const OVERDUE_FACTOR: f64 = 3.0;
-/// A job of which nothing was placed for so long, in seconds, may take room that is
+/// A job of which nothing was placed for so long, in seconds, may take capacity that is
 /// reserved for work that is only expected: the users' rule is that no job waits for
-/// 90 s beside room that fits it, below its team's limit. The rest is for a takeover.
+/// 90 s beside capacity that fits it, below its team's limit. The rest is for a takeover.
 const RESERVATION_WAIT_S: f64 = 60.0;
 
 /// Aims that differ by less, in seconds, are the same.
 const SAME_OBJECTIVE_S: f64 = 0.5;
 
-/// A job that is not over, or whose tasks are not provably gone.
+/// A job that is not over, or whose tasks are not known to have ended.
 #[derive(Clone, Debug)]
 pub struct Job {
     /// As submitted.
@@ -127,8 +127,8 @@
     pub(super) fn is_queued(&self) -> bool {
         self.tasks.pending() > 0 && !self.cancelled
     }
-    /// Whether it wants a task placed now.
-    pub fn wants(&self, now: Time) -> bool {
+    /// Whether it has a task to place now.
+    pub fn needs_placement(&self, now: Time) -> bool {
         !self.cancelled && self.open() > 0 && now >= self.hold_until
     }
     /// What it counts as when what binds is divided: its class and team.
@@ -144,13 +144,13 @@
         self.blocked_since
             .is_some_and(|t| now.since(t) > self.late_s)
     }
-    /// Whether it has waited so long for its next task to be placed that room reserved
+    /// Whether it has waited so long for its next task to be placed that capacity reserved
     /// for expected work is open to it. Placing a task begins the wait anew, so that of
-    /// a large job one task at a time takes such room and the others leave it.
+    /// a large job one task at a time takes such capacity and the others leave it.
     pub fn may_use_reserved_capacity(&self, now: Time) -> bool {
         now.since(self.last_placed.unwrap_or(self.submitted)) >= RESERVATION_WAIT_S
     }
-    /// Whether room kept on ordinary machines for work that can't use spot ones is
+    /// Whether capacity kept on ordinary machines for work that can't use spot ones is
     /// withheld from it.
     pub(super) fn leaves_reserved_capacity(&self, now: Time) -> bool {
         self.spec.spot && !self.may_use_reserved_capacity(now)
@@ -171,7 +171,7 @@
             (None, None) => Time(f64::INFINITY),
         }
     }
-    /// What its pending tasks want.
+    /// What its pending tasks need.
     pub(super) fn demand(&self) -> Amount {
         if self.cancelled {
             Amount::default()
@@ -209,9 +209,10 @@
     }
     /// Whether a job is as urgent already: times may differ by what clocks wander.
     pub fn is_of(&self, job: &Job) -> bool {
+        let same = |&Time(one): &Time, &Time(other): &Time| (one - other).abs() < SAME_OBJECTIVE_S;
         let mut objectives = self.objectives.iter().zip(&job.objectives);
         job.priority == self.priority
             && job.objectives.len() == self.objectives.len()
-            && objectives.all(|(one, other)| (one.0 - other.0).abs() < SAME_OBJECTIVE_S)
+            && objectives.all(|(one, other)| same(one, other))
     }
 }
--- a/src/scheduler/mod.rs
+++ b/src/scheduler/mod.rs
@@ -3,7 +3,8 @@
 //!
 //! The walk follows Algorithm 1 of the paper (section 4.2) with the changes
 //! that `docs/design.md` lists. No decision looks at every machine or every
-//! job: the cluster state keeps its sums, its queues and an index of free capacity up to date.
+//! job: the cluster state keeps its sums, its queues and an index of free capacity up to
+//! date.
 //!
 //! A task is placed in these steps:
 //!
@@ -15,7 +16,7 @@
 //! 5. `bind`, `claims`: the task is claimed there.
 //!
 //! `placement_pass` takes these steps for one machine or for all jobs, `gangs` for all
-//! tasks of a gang at once. Where no free capacity is free, `preempt` makes it and `reservations` keeps
+//! tasks of a gang at once. Where too little capacity is free, `preempt` frees it and `reservations` keeps
 //! it for windows of the release calendar; `rebalance` moves what runs.
 //!
 //! Decisions are the same for the same state and time: all iteration is in order of
@@ -28,6 +29,7 @@
 mod claims;
 mod cluster_state;
 mod delay;
+mod drains_by_target;
 mod filter;
 mod gangs;
 mod idle;
@@ -53,16 +55,20 @@
 
 pub use bind::Launch;
 pub use capacity_index::{CapacityIndex, GroupKey};
-pub use cluster_state::ClusterState;
+pub use cluster_state::{ClusterState, TypeUsage};
 pub use delay::{Delay, DelayRule};
 pub use job::{Job, JobUrgency};
-pub use lanes::Laned;
+pub use lanes::{LaneUsage, Laned};
 pub(crate) use machine::CapacityPool;
 pub use machine::{Cache, Machine};
 pub use placement_pass::Pass;
 pub use queue::QueueTurn;
-pub use rebalance::{Move, Moving};
-pub use reservations::{Lending, Reservation, ReservationStatus};
+pub use rebalance::{ActiveDrain, Move, Moving};
+pub use reservations::{
+    Lending, MissingTasks, Reservation, ReservationKey, ReservationStatus, ReservedOnMachine,
+    ReservedTasks,
+};
 pub use shares::{water_fill, Standing};
 pub use tasks::{Claim, Progress, Sent, Tasks};
-pub use team::Team;
+pub use team::{Team, TeamLimits};
+pub use waiting_reason::{MachineExclusion, WaitingReason};
--- a/src/scheduler/quota.rs
+++ b/src/scheduler/quota.rs
@@ -1,11 +1,11 @@
 //! Quotas: what a team may use, and what is left to some of its jobs.
 
-use super::{ClusterState, Job};
+use super::{ClusterState, Job, TeamLimits};
 use crate::types::{Amount, Time};
 
 impl ClusterState {
     /// What a job's team may use once a task of the job starts: its limit, less
-    /// what is held for windows, and less the part that is left to jobs whose
+    /// what is reserved for windows, and less the part that is left to jobs whose
     /// users wait for the start unless it is one of them.
     pub(super) fn limit_to_start(&self, job: &Job) -> Amount {
         let limit = self.limit_for(job);
@@ -32,11 +32,11 @@
         self.teams[team].held_back = amount;
     }
 
-    /// This shard's part of the limits, and of the guarantees as much: by team.
-    pub fn set_limits(&mut self, parts: impl Iterator<Item = (Amount, Amount)>) {
-        for (team, (limit, guarantee)) in self.teams.iter_mut().zip(parts) {
-            team.limit = limit;
-            team.guarantee = guarantee;
+    /// Sets this shard's part of the limits and guarantees, in the order of the teams.
+    pub fn set_limits(&mut self, parts: impl Iterator<Item = TeamLimits>) {
+        for (team, part) in self.teams.iter_mut().zip(parts) {
+            team.limit = part.limit;
+            team.guarantee = part.guarantee;
         }
     }
 
@@ -45,8 +45,8 @@
         &self.demand
     }
 
-    /// What a job's team may use, less what is held for other work of the team:
-    /// held room is inside the limit, whether or not its machines are there.
+    /// What a job's team may use, less what is reserved for other work of the team:
+    /// that is inside the limit, whether or not its machines are there.
     pub(super) fn limit_for(&self, job: &Job) -> Amount {
         let mut limit = self.teams[job.team].limit;
         for reserved in self.reservations.by_window.values() {
@@ -57,12 +57,12 @@
         limit
     }
 
-    /// What is held of each team's limit beside what is used.
+    /// What is reserved of each team's limit beside what is used.
     pub fn reserved_of_quotas(&self) -> Vec<Amount> {
-        let mut sums = vec![Amount::default(); self.teams.len()];
+        let mut totals = vec![Amount::default(); self.teams.len()];
         for reserved in self.reservations.by_window.values() {
-            sums[reserved.reservation.team] += reserved.open_amount();
+            totals[reserved.reservation.team] += reserved.open_amount();
         }
-        sums
+        totals
     }
 }
--- a/src/scheduler/rebalance.rs
+++ b/src/scheduler/rebalance.rs
@@ -1,16 +1,15 @@
 //! Moving tasks on purpose: off machines that are drained, and apart again
 //! after a domain came back. A task can't run twice, so what is made before
-//! the break is its place: room elsewhere is reserved, then it is stopped.
-
-use std::collections::HashMap;
+//! the break is its place: capacity elsewhere is reserved, then it is stopped.
 
 use sorrelhinge_topology::drain::{self, Drain, Step, Target, Tenant};
-use sorrelhinge_topology::policy::Reach;
+use sorrelhinge_topology::policy::{LocatedTask, MachineLocation, Reach};
 use sorrelhinge_topology::repair::Stability;
 use sorrelhinge_topology::Topology;
 
+use super::drains_by_target::DrainsByTarget;
 use super::tasks::{Progress, Sent};
-use super::topology_rules::Ask;
+use super::topology_rules::{Ask, Settled};
 use super::{ClusterState, Job};
 use crate::types::{JobId, Kind, MachineId, TaskId, Time};
 
@@ -26,53 +25,26 @@
     pub to: Option<MachineId>,
 }
 
+/// A drain under way.
+#[derive(Clone, Debug)]
+pub struct ActiveDrain {
+    /// What drains, and how.
+    pub drain: Drain,
+    /// Seconds until its deadline.
+    pub left_s: f64,
+}
+
 /// What moving looks at beside the cluster state.
 pub struct Moving<'a> {
-    /// Drains and the seconds left of each.
-    pub drains: &'a [(Drain, f64)],
+    /// Drains under way.
+    pub drains: &'a [ActiveDrain],
     /// Domains that lost machines of late.
     pub stability: &'a Stability,
 }
 
-/// A drain, the seconds left of it, and its place among all.
-type NumberedDrain<'a> = (usize, &'a (Drain, f64));
-
-/// Drains by what they cover: each machine of a fleet may have one of its own, and is not
-/// compared with those of all the others.
-struct DrainsByTarget<'a> {
-    machines: HashMap<&'a str, Vec<NumberedDrain<'a>>>,
-    domains: Vec<NumberedDrain<'a>>,
-}
-
-impl<'a> DrainsByTarget<'a> {
-    fn new(drains: &'a [(Drain, f64)]) -> Self {
-        let mut by_target = Self {
-            machines: HashMap::new(),
-            domains: Vec::new(),
-        };
-        for numbered in drains.iter().enumerate() {
-            match &numbered.1 .0.target {
-                Target::Machine(name) => by_target
-                    .machines
-                    .entry(name.as_str())
-                    .or_default()
-                    .push(numbered),
-                Target::Domain(_) => by_target.domains.push(numbered),
-            }
-        }
-        by_target
-    }
-
-    /// Those that may cover a machine: its own, and those of domains.
-    fn candidates(&self, id: &MachineId) -> impl Iterator<Item = NumberedDrain<'a>> + '_ {
-        let own = self.machines.get(id.as_str()).into_iter().flatten();
-        own.chain(&self.domains).copied()
-    }
-}
-
 impl ClusterState {
     /// Tasks of a job that are not known to run, or are being stopped. One that is claimed
-    /// or told to start and that no heartbeat has named counts too: it may never come up.
+    /// or was sent its start and that no heartbeat has named counts too: it may never come up.
     fn away(job: &Job) -> u32 {
         let claims = job.tasks.claims().values();
         let running =
@@ -82,17 +54,18 @@
     }
 
     /// Which drain covers a machine: the one that ends first.
-    fn drain_of<'a>(
-        &self,
-        id: &MachineId,
-        drains: &DrainsByTarget<'a>,
-    ) -> Option<&'a (Drain, f64)> {
+    fn drain_of<'a>(&self, id: &MachineId, drains: &DrainsByTarget<'a>) -> Option<&'a ActiveDrain> {
         let topology = self.topology.as_ref()?;
         let machine = self.machines.get(id)?;
         let covers = |d: &Drain| d.target.covers(&topology.tree, machine.place, id.as_str());
-        let covering = drains.candidates(id).filter(|(_, (d, _))| covers(d));
-        let first = covering.min_by(|(n, a), (m, b)| a.1.total_cmp(&b.1).then(n.cmp(m)));
-        first.map(|(_, drain)| drain)
+        let covering = drains
+            .candidates(id)
+            .filter(|numbered| covers(&numbered.active.drain));
+        let first = covering.min_by(|a, b| {
+            let left_s = a.active.left_s.total_cmp(&b.active.left_s);
+            left_s.then(a.number.cmp(&b.number))
+        });
+        first.map(|numbered| numbered.active)
     }
 
     /// The machines that drains cover now.
@@ -125,14 +98,14 @@
         let drains = DrainsByTarget::new(moving.drains);
         let mut moves = Vec::new();
         for m_id in draining {
-            let Some((drain, left_s)) = self.drain_of(&m_id, &drains) else {
+            let Some(active) = self.drain_of(&m_id, &drains) else {
                 continue;
             };
             for task in self.claims_on(&m_id) {
                 let Some(tenant) = self.tenant(&task, now) else {
                     continue;
                 };
-                let step = drain::step(drain, &tenant, *left_s);
+                let step = drain::step(&active.drain, &tenant, active.left_s);
                 moves.extend(self.move_off(step, task, moving, now));
             }
         }
@@ -194,7 +167,10 @@
         let settle_s = self.topology.as_ref()?.settings.repair.settle_s;
         let quiet = Ask {
             leave_out: None,
-            settled: Some((moving.stability, settle_s)),
+            settled: Some(Settled {
+                stability: moving.stability,
+                settle_s,
+            }),
         };
         let any = Ask::default();
         let find = |ask: &Ask, reach| self.elsewhere(&task.job, task.index, ask, reach, now);
@@ -206,15 +182,18 @@
     }
 
     /// One service's task in a domain that has more of them than its rules
-    /// want, if there is a place that they allow in a domain that has been
-    /// quiet. All tasks of the service run; so the rules that are required hold
-    /// on the way as far as they held before.
+    /// allow, if there is a place that they allow in a domain that has been
+    /// quiet. All tasks of the service run; so the rules that are required are kept
+    /// on the way as far as they were before.
     pub fn repair(&mut self, moving: &Moving, now: Time) -> Option<Move> {
         let topology = self.topology.clone()?;
         let settle_s = topology.settings.repair.settle_s;
         let quiet = Ask {
             leave_out: None,
-            settled: Some((moving.stability, settle_s)),
+            settled: Some(Settled {
+                stability: moving.stability,
+                settle_s,
+            }),
         };
         let (task, to) = self.jobs.iter().find_map(|(id, job)| {
             if !Self::may_be_repaired(job) {
@@ -244,15 +223,19 @@
                 .all(|c| matches!(c.progress, Progress::Running(_)))
     }
 
-    /// A task of a job in a domain that has more of them than its rules want.
+    /// A task of a job in a domain that has more of them than its rules allow.
     fn excess_task(&self, topology: &Topology, job: &Job) -> Option<u32> {
-        let machine_location = self.machine_location(job, None);
-        let tally = job.policy.tally(&topology.tree, machine_location);
-        let claims = job.tasks.claims().iter().filter_map(|(index, c)| {
-            let place = self.machines.get(&c.machine)?.place;
-            Some((*index, (place, c.machine.as_str())))
+        let locations = self.task_locations(job, None);
+        let tally = job.policy.tally(&topology.tree, locations);
+        let tasks = job.tasks.claims().iter().filter_map(|(&index, claim)| {
+            let location = MachineLocation {
+                place: self.machines.get(&claim.machine)?.place,
+                machine: claim.machine.as_str(),
+            };
+            Some(LocatedTask { index, location })
         });
-        job.policy.excess(&topology.tree, &tally, claims)
+        let tasks: Vec<LocatedTask> = tasks.collect();
+        job.policy.excess(&topology.tree, &tally, &tasks)
     }
 
     /// Stops all tasks of a gang: it runs as one or not at all.
--- a/src/scheduler/topology_rules.rs
+++ b/src/scheduler/topology_rules.rs
@@ -6,7 +6,7 @@
 
 use sorrelhinge_protocol::placement::Device;
 use sorrelhinge_topology::devices::{choose, Unit};
-use sorrelhinge_topology::policy::{MachineLocation, Policy, Reach, Tally};
+use sorrelhinge_topology::policy::{MachineLocation, Policy, Reach, Tally, UnjudgedPolicy};
 use sorrelhinge_topology::repair::Stability;
 use sorrelhinge_topology::tree::{Domain, ROOT};
 use sorrelhinge_topology::Topology;
@@ -21,8 +21,17 @@
 pub(super) struct Ask<'a> {
     /// A task that will have moved off: where it is does not count.
     pub leave_out: Option<u32>,
-    /// Only domains that lost nothing for so long.
-    pub settled: Option<(&'a Stability, f64)>,
+    /// Only domains that lost no machine for some time.
+    pub settled: Option<Settled<'a>>,
+}
+
+/// Which domains lost no machine for some time.
+#[derive(Clone, Copy)]
+pub(super) struct Settled<'a> {
+    /// When domains lost machines.
+    pub stability: &'a Stability,
+    /// For how long, in seconds.
+    pub settle_s: f64,
 }
 
 /// What a job's policy needs to judge machines.
@@ -39,7 +48,7 @@
 impl ClusterState {
     /// Takes up the operator's file, new or changed: every machine's place and
     /// devices, and every job's policy. Claims stay what they are; whatever
-    /// they hold is held until their tasks are gone.
+    /// they use is in use until their tasks have ended.
     pub fn set_topology(
         &mut self,
         topology: Option<Rc<Topology>>,
@@ -79,7 +88,7 @@
                     .collect();
                 Rc::new(Policy::new(class.iter().chain(own), &t.tree, spec.tasks))
             }
-            None if own.is_some() => Rc::new(Policy::unjudged("this controller has no topology")),
+            None if own.is_some() => Rc::new(Policy::unjudged(UnjudgedPolicy::NoTopology)),
             None => Rc::default(),
         }
     }
@@ -112,17 +121,20 @@
     }
 
     /// Where a job's tasks are, but for one that is left out.
-    pub(super) fn machine_location<'a>(
+    pub(super) fn task_locations<'a>(
         &'a self,
         job: &'a Job,
         leave_out: Option<u32>,
-    ) -> impl Iterator<Item = MachineLocation<'a>> + 'a {
+    ) -> impl Iterator<Item = Option<MachineLocation<'a>>> + 'a {
         let claims = job.tasks.claims().iter();
         claims
             .filter(move |(index, _)| Some(**index) != leave_out)
             .map(|(_, claim)| {
                 let machine = self.machines.get(&claim.machine)?;
-                Some((machine.place, claim.machine.as_str()))
+                Some(MachineLocation {
+                    place: machine.place,
+                    machine: claim.machine.as_str(),
+                })
             })
     }
 
@@ -138,7 +150,7 @@
             return None;
         }
         let tally = match &self.topology {
-            Some(t) => policy.tally(&t.tree, self.machine_location(job, leave_out)),
+            Some(t) => policy.tally(&t.tree, self.task_locations(job, leave_out)),
             None => Tally::default(),
         };
         Some(Site {
@@ -157,12 +169,15 @@
         place: Domain,
         m_id: &MachineId,
         now: Time,
-    ) -> Result<(), u32> {
-        let next = Err(place.0 + 1);
+    ) -> Result<(), Domain> {
+        let next = Err(place.next());
         let Some(topology) = &self.topology else {
-            return Err(u32::MAX);
+            return Err(Domain::END);
+        };
+        let at = MachineLocation {
+            place,
+            machine: m_id.as_str(),
         };
-        let at = (place, m_id.as_str());
         if let Some(barred) = site
             .policy
             .bars(&topology.tree, &site.tally, at, site.reach)
@@ -178,7 +193,10 @@
             }
         }
         match ask.settled {
-            Some((stability, s)) if !stability.trusted(&topology.tree, place, s, now) => next,
+            Some(Settled {
+                stability,
+                settle_s,
+            }) if !stability.trusted(&topology.tree, place, settle_s, now) => next,
             _ => Ok(()),
         }
     }
@@ -211,7 +229,7 @@
         })
     }
 
-    /// The units that one more task of a job would hold on a machine; none if
+    /// The units that one more task of a job would use on a machine; none if
     /// one that it can't do without is missing, broken or taken.
     pub(super) fn units_for(&self, id: &JobId, m_id: &MachineId) -> Option<Vec<Unit>> {
         let job = self.jobs.get(id)?;
