--- a/src/control/core/agents.rs
+++ b/src/control/core/agents.rs
@@ -8,6 +8,7 @@
 use super::machine_types::MachineTypes;
 use super::Core;
 use crate::scheduler::{Machine, Sent};
+use crate::state::history::CachedImage;
 use crate::types::{Kind, MachineId, MachineType, Time};
 
 /// A machine with tasks that is silent for this many heartbeat intervals is asked
@@ -66,7 +67,7 @@
     fn add_machine(&mut self, seen: &SeenMachine<'_>, kind: Rc<MachineType>, now: Time) {
         let id = seen.id;
         let mut machine = Machine::new(kind, seen.zone.clone(), seen.spot, now);
-        for (image, gb) in self.failover.take_cached_images(id) {
+        for CachedImage { image, gb } in self.failover.take_cached_images(id) {
             // That a task was placed there proves no fetch of minutes: taken
             // for one, the next start there named no source, and all that
             // had waited for their stage went to the origin after a takeover.
--- a/src/control/core/deleted_machines.rs
+++ b/src/control/core/deleted_machines.rs
@@ -30,7 +30,7 @@
     /// Each of several owners has slots of its own.
     pub(super) fn load(view: &View, scope: ShardScope) -> Self {
         let own = |slot: &u32| slot % scope.of == scope.shard.0;
-        let last = view.gone.iter().filter(|(slot, _)| own(slot));
+        let last = view.retired_machines.iter().filter(|(slot, _)| own(slot));
         let last = last.max_by_key(|(_, held)| held.mod_revision);
         Self {
             step: scope.of,
--- a/src/control/core/failover.rs
+++ b/src/control/core/failover.rs
@@ -3,7 +3,8 @@
 use std::collections::HashMap;
 
 use super::log_format::tenths;
-use crate::types::{Image, MachineId, Time};
+use crate::state::history::CachedImage;
+use crate::types::{MachineId, Time};
 
 /// For how long after a failover machines are asked by what is on them, in seconds.
 const RECENT_S: f64 = 60.0;
@@ -20,17 +21,17 @@
     awaits_first_placement: bool,
     /// Not all machines were heard.
     awaits_heartbeats: bool,
-    /// Images that machines ran before this owner knew them, with their sizes in GB.
-    cached_images: HashMap<MachineId, Vec<(Image, f64)>>,
+    /// Images that machines ran before this owner knew them.
+    cached_images: HashMap<MachineId, Vec<CachedImage>>,
 }
 
 impl Failover {
-    /// The grant was taken up now. `cached_images`: what the history tells that machines
-    /// ran, with sizes in GB.
+    /// The grant was taken up now. `cached_images`: what machines ran
+    /// according to the history.
     pub(super) fn begin(
         now: Time,
         wall_ms: u64,
-        cached_images: HashMap<MachineId, Vec<(Image, f64)>>,
+        cached_images: HashMap<MachineId, Vec<CachedImage>>,
     ) -> Self {
         Self {
             at: now,
@@ -83,8 +84,8 @@
         self.awaits_heartbeats = false;
     }
 
-    /// The images that a machine ran before this owner knew it, with sizes in GB.
-    pub(super) fn take_cached_images(&mut self, machine: &MachineId) -> Vec<(Image, f64)> {
+    /// The images that a machine ran before this owner knew it.
+    pub(super) fn take_cached_images(&mut self, machine: &MachineId) -> Vec<CachedImage> {
         self.cached_images.remove(machine).unwrap_or_default()
     }
 }
--- a/src/control/core/image_distribution.rs
+++ b/src/control/core/image_distribution.rs
@@ -13,7 +13,7 @@
 
 use crate::config::Config;
 use crate::scheduler::{Claim, Progress, Sent};
-use crate::state::record::{image_hash, rollout_key};
+use crate::state::record::{image_hash, rollout_key, RolloutId};
 use crate::state::view::{Versioned, View};
 use crate::state::{Change, Condition};
 use crate::types::{Image, JobSpec, MachineId, Revision, Time};
@@ -84,7 +84,7 @@
 /// it is deleted.
 #[derive(Debug)]
 pub(super) struct Step {
-    key: (ShardId, u64),
+    key: RolloutId,
     of: Option<(RolloutRecord, RolloutRecord)>,
 }
 
@@ -105,9 +105,9 @@
     pub(super) uploads: Uploads,
     pub(super) rollouts: BTreeMap<Image, ActiveRollout>,
     /// What the state service has; none: of a later version, which is left alone.
-    pub(super) stored_records: BTreeMap<(ShardId, u64), Versioned<Option<RolloutRecord>>>,
+    pub(super) stored_records: BTreeMap<RolloutId, Versioned<Option<RolloutRecord>>>,
     /// Of shards that there are no more.
-    useless: BTreeMap<(ShardId, u64), Revision>,
+    useless: BTreeMap<RolloutId, Revision>,
 }
 
 impl ImageDistribution {
@@ -135,7 +135,7 @@
             return image_distribution;
         }
         for (&key, stored_records) in &view.rollouts {
-            let (shard, _) = key;
+            let shard = key.shard;
             if shard == scope.shard {
                 image_distribution
                     .stored_records
@@ -162,9 +162,12 @@
         self.least_gb.is_some_and(|least| spec.image_gb >= least)
     }
 
-    /// The shard and the image's hash, by which its record is found.
-    pub(super) fn key(&self, image: &Image) -> (ShardId, u64) {
-        (self.shard, image_hash(image))
+    /// Which rollout here is of an image.
+    pub(super) fn key(&self, image: &Image) -> RolloutId {
+        RolloutId {
+            shard: self.shard,
+            image_hash: image_hash(image),
+        }
     }
 
     /// The record as it fits into a value: seeds that are left out cost a copy
@@ -247,11 +250,11 @@
 
     /// A rollout's record is deleted. Machines that came meanwhile, which begin another
     /// rollout.
-    fn ended(&mut self, key: (ShardId, u64)) -> BTreeSet<MachineId> {
+    fn ended(&mut self, key: RolloutId) -> BTreeSet<MachineId> {
         self.stored_records.remove(&key);
         let mut woken = BTreeSet::new();
         self.rollouts.retain(|image, kept| {
-            let ends = (self.shard, image_hash(image)) == key;
+            let ends = self.shard == key.shard && image_hash(image) == key.image_hash;
             if ends {
                 for machine in kept.members.keys() {
                     if let Some(rollout) = &mut kept.rollout {
@@ -268,7 +271,6 @@
     /// A change was not carried out, or had been before: what the state service
     /// has now tells.
     pub(super) fn undone(&mut self, step: Step, view: &View, now: Time) {
-        let (shard, _) = step.key;
         let stored_records = view.rollouts.get(&step.key);
         let recorded = stored_records.and_then(|h| h.value.as_ref());
         let same = recorded == step.of.as_ref().map(|(_, written)| written);
@@ -277,7 +279,7 @@
                 let mod_revision = stored_records.map_or(Revision(0), |h| h.mod_revision);
                 self.done(step, mod_revision, now);
             }
-            Some(stored_records) if shard == self.shard => {
+            Some(stored_records) if step.key.shard == self.shard => {
                 self.stored_records.insert(step.key, stored_records.clone());
             }
             Some(stored_records) => {
@@ -296,12 +298,12 @@
 }
 
 /// The key of a rollout's record.
-fn record_name((shard, image_hash): (ShardId, u64)) -> String {
-    rollout_key(shard, image_hash)
+fn record_name(rollout: RolloutId) -> String {
+    rollout_key(rollout.shard, rollout.image_hash)
 }
 
 /// The deletion of a rollout's record.
-fn deletion(key: (ShardId, u64), mod_revision: Revision) -> DueStep {
+fn deletion(key: RolloutId, mod_revision: Revision) -> DueStep {
     let name = record_name(key);
     DueStep {
         change: Change::Delete {
--- a/src/control/core/recovery.rs
+++ b/src/control/core/recovery.rs
@@ -142,9 +142,9 @@
         let ShardScope { shard, of } = self.scope;
         let all = view.history.arrivals().enumerate();
         let part = all.filter(|(n, _)| *n as u32 % of == shard.0);
-        for (_, (accepted_ms, spec)) in part {
-            let age_s = wall_ms.saturating_sub(*accepted_ms) as f64 / 1000.0;
-            self.arrived(spec, Time(now.0 - age_s));
+        for (_, arrival) in part {
+            let age_s = wall_ms.saturating_sub(arrival.accepted_ms) as f64 / 1000.0;
+            self.arrived(&arrival.spec, Time(now.0 - age_s));
         }
     }
 
--- a/src/control/core/reservation_refresh.rs
+++ b/src/control/core/reservation_refresh.rs
@@ -13,6 +13,7 @@
 use super::reservations::Watch;
 use super::Core;
 use crate::scheduler::{Lending, Reservation};
+use crate::state::record::WindowOccurrence;
 use crate::state::view::View;
 use crate::types::{Amount, Time};
 
@@ -175,7 +176,7 @@
     now: Time,
 ) {
     let listed = calendar.entries.iter().map(|e| &e.window.name);
-    let recorded = view.windows.keys().map(|(name, _)| name);
+    let recorded = view.windows.keys().map(|occurrence| &occurrence.window);
     let names: BTreeSet<&String> = listed.chain(recorded).collect();
     watched.retain(|name, _| names.contains(name));
     for name in names {
@@ -184,10 +185,15 @@
             .or_insert_with(|| Watch::new(now));
         let mut entries = calendar.entries.iter();
         watch.entry = entries.find(|e| e.window.name == *name).cloned();
-        let from = (name.clone(), i64::MIN);
+        let from = WindowOccurrence {
+            window: name.clone(),
+            start_ms: i64::MIN,
+        };
         let records = view.windows.range(from..);
-        let records = records.take_while(|((n, _), _)| n == name);
-        watch.records = records.map(|((_, start), r)| (*start, r.clone())).collect();
+        let records = records.take_while(|(occurrence, _)| occurrence.window == *name);
+        watch.records = records
+            .map(|(occurrence, r)| (occurrence.start_ms, r.clone()))
+            .collect();
     }
 }
 
--- a/src/control/core/tombstones.rs
+++ b/src/control/core/tombstones.rs
@@ -28,7 +28,7 @@
 impl MachineTombstones {
     /// What earlier owners noted.
     pub(super) fn load(view: &View, scope: ShardScope) -> Self {
-        let recorded = view.gone.values();
+        let recorded = view.retired_machines.values();
         Self {
             deleted: BTreeMap::new(),
             to_record: DeletedMachines::load(view, scope),
--- a/src/control/store_watch.rs
+++ b/src/control/store_watch.rs
@@ -7,7 +7,7 @@
 use tokio::time::sleep;
 
 use super::{wall_ms, Node};
-use crate::state::{RequestPriority, StateError};
+use crate::state::{RequestPriority, StateError, StoreSnapshot};
 use crate::types::Revision;
 
 /// Without news from the state service for this long, and while others have some
@@ -132,7 +132,10 @@
     pub(super) async fn read_all(&self) -> bool {
         let asked = self.now();
         match self.state.read_all().await {
-            Ok((store_revision, items)) => {
+            Ok(StoreSnapshot {
+                store_revision,
+                items,
+            }) => {
                 tracing::info!(%store_revision, keys = items.len(), "full read failed");
                 self.store.replace(store_revision, items, asked);
                 self.view_changed();
--- a/src/state/budget.rs
+++ b/src/state/budget.rs
@@ -1,6 +1,6 @@
 //! This controller's share of what all controllers together may ask of a service, as a
-//! fencing token bucket. The level can be negative: what must go first is taken all the same, and
-//! the others wait until it is made up for.
+//! token bucket. The level can be negative: the most urgent requests are taken all the same,
+//! and the others wait until it is made up for.
 
 use std::cell::Cell;
 use std::time::Duration;
@@ -15,7 +15,7 @@
 const LEAST_PAUSE: Duration = Duration::from_millis(2);
 
 /// This controller's share of what all may ask of a service: a bucket that
-/// refills steadily and holds one second's worth, or a least burst.
+/// refills steadily up to one second's worth, or a least burst.
 pub struct Budget {
     rate: Cell<f64>,
     least_burst: Cell<f64>,
@@ -65,19 +65,23 @@
             .set((self.level.get() + gained).min(self.burst()));
     }
 
-    /// Whether most of what the bucket can hold is there.
+    /// Whether the bucket is filled well enough that some of it counts as spare.
     pub fn spare(&self) -> bool {
         self.refill();
         self.level.get() >= SPARE_PART * self.burst()
     }
 
-    /// Takes `n` at once, even beyond what is there: for what must go first.
+    /// Takes `n` at once, even beyond what is there: for the most urgent requests.
     pub fn force(&self, n: f64) {
         self.refill();
         self.level.set(self.level.get() - n);
     }
 
-    /// Takes `n` if there is enough; else tells how long that would take.
+    /// Takes `n` if there is enough.
+    ///
+    /// # Errors
+    ///
+    /// For how long to wait until there would be enough.
     pub fn take(&self, n: f64) -> Result<(), Duration> {
         self.refill();
         // More than fits is allowed on a full bucket.
--- a/src/state/chunk_record.rs
+++ b/src/state/chunk_record.rs
@@ -29,9 +29,9 @@
     /// Claims of tasks, by their place.
     #[serde(rename = "c", default, skip_serializing_if = "Vec::is_empty")]
     pub claims: Vec<RecordedClaim>,
-    /// Devices that claims of a job with devices hold, if only none. A field of its own, so
-    /// that earlier versions can read the claims; what they write has none, and then any
-    /// device of the machine may be held.
+    /// Devices assigned to the claims of a job with devices, if only none. A field of its own,
+    /// so that earlier versions can read the claims; what they write has none, and then any
+    /// device of the machine may be in use.
     #[serde(rename = "u", default, skip_serializing_if = "Vec::is_empty")]
     pub units: Vec<RecordedUnits>,
 }
@@ -64,7 +64,7 @@
     }
 }
 
-/// The devices that a claim holds. Stored as an array of its fields in their order.
+/// The devices assigned to a claim. Stored as an array of its fields in their order.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 #[serde(from = "(u32, Vec<Unit>)")]
 pub struct RecordedUnits {
@@ -96,12 +96,12 @@
     }
     /// About how many bytes its claims take.
     pub fn weight(&self) -> usize {
-        let units = self.units.iter().flat_map(|held| &held.units);
+        let units = self.units.iter().flat_map(|recorded| &recorded.units);
         CLAIM_BYTES * self.claims.len() + units.map(|u| u.kind().len() + UNIT_BYTES).sum::<usize>()
     }
 }
 
-/// Bytes of a claim of such a job's task: units that it names take room beside it.
+/// Bytes of a claim of such a job's task, with those of the units that it names.
 pub(super) fn claim_bytes(spec: &JobSpec) -> usize {
     let with_extension = spec
         .extension
--- /dev/null
+++ b/src/state/client/leases.rs
@@ -0,0 +1,62 @@
+//! Leases: granted, renewed and ended.
+
+use std::time::Duration;
+
+use bytes::Bytes;
+use hyper::Method;
+use sorrelhinge_protocol::state::LeaseCreated;
+
+use super::super::budget::RequestPriority;
+use super::super::error::StateError;
+use super::request::StateRequest;
+use super::StateClient;
+use crate::types::LeaseId;
+
+/// For the answer that grants a lease.
+const LEASE_TIMEOUT: Duration = Duration::from_secs(1);
+/// For the answer to the renewal or the end of a lease.
+const LEASE_CHANGE_TIMEOUT: Duration = Duration::from_millis(800);
+
+impl StateClient {
+    /// A new lease, which ends `life` after it was last renewed.
+    pub async fn lease(&self, life: Duration) -> Result<LeaseId, StateError> {
+        let request = StateRequest {
+            method: Method::POST,
+            path: "/leases",
+            body: format!("{{\"life_ms\":{}}}", life.as_millis()).into(),
+            urgency: RequestPriority::First,
+            timeout: LEASE_TIMEOUT,
+        };
+        let lease: LeaseCreated = self.call(request).await?.read()?;
+        Ok(lease.lease)
+    }
+
+    /// Ends a lease, and what is attached to it, at once.
+    pub async fn end(&self, lease: LeaseId) -> Result<(), StateError> {
+        let request = StateRequest {
+            method: Method::DELETE,
+            path: &format!("/leases/{lease}"),
+            body: Bytes::new(),
+            urgency: RequestPriority::First,
+            timeout: LEASE_CHANGE_TIMEOUT,
+        };
+        self.call(request).await.map(|_| ())
+    }
+
+    /// Renews a lease.
+    pub async fn renew(&self, lease: LeaseId) -> Result<(), StateError> {
+        let request = StateRequest {
+            method: Method::POST,
+            path: &format!("/leases/{lease}/renew"),
+            body: Bytes::new(),
+            urgency: RequestPriority::First,
+            timeout: LEASE_CHANGE_TIMEOUT,
+        };
+        let reply = self.call(request).await?;
+        match reply.status {
+            200 => Ok(()),
+            404 => Err(StateError::LeaseEnded),
+            _ => Err(reply.unexpected()),
+        }
+    }
+}
--- /dev/null
+++ b/src/state/client/transactions.rs
@@ -0,0 +1,135 @@
+//! Transactions: compare-and-swap on several keys, sent within the budget of changes.
+
+use std::time::Duration;
+
+use bytes::Bytes;
+use hyper::Method;
+use sorrelhinge_protocol::state::{Change, Condition, Transaction};
+use tokio::time::Instant;
+
+use super::super::budget::RequestPriority;
+use super::super::error::{ErrorReply, RefusedCause, StateError, TransactionOutcome};
+use super::request::{StateReply, StateRequest};
+use super::StateClient;
+use crate::types::{Revision, Time};
+
+/// For the answer to a transaction.
+const TXN_TIMEOUT: Duration = Duration::from_millis(1500);
+
+impl StateClient {
+    /// Carries out a transaction. If all controllers together ask too much of
+    /// the service, it is tried again as long as `urgency` allows.
+    pub async fn transact(
+        &self,
+        transaction: &Transaction,
+        urgency: RequestPriority,
+    ) -> Result<TransactionOutcome, StateError> {
+        let reply = self.send_transaction(transaction, urgency).await?;
+        match reply.status {
+            200 => Ok(TransactionOutcome::Done(reply.revision()?)),
+            409 => Ok(TransactionOutcome::Failed(reply.revision()?)),
+            400 if reply.names_no_lease() => Err(StateError::LeaseEnded),
+            400 => Err(self.rejected(transaction, &reply)),
+            status => Err(StateError::Refused(RefusedCause::Reply(ErrorReply::new(
+                status,
+                &reply.body,
+            )))),
+        }
+    }
+
+    /// Sends a transaction until the service does not refuse it for its rate of changes any
+    /// more, or the time is over.
+    async fn send_transaction(
+        &self,
+        transaction: &Transaction,
+        urgency: RequestPriority,
+    ) -> Result<StateReply, StateError> {
+        let cost = transaction.changes.len() as f64;
+        let body = serde_json::to_vec(transaction)
+            .map_err(|error| StateError::Refused(RefusedCause::Encode(error)))?;
+        let body = Bytes::from(body);
+        let end = match urgency {
+            RequestPriority::First => Instant::now(),
+            RequestPriority::Within(patience) => Instant::now() + patience,
+        };
+        loop {
+            self.take_changes(cost, urgency, end).await?;
+            let request = StateRequest {
+                method: Method::POST,
+                path: "/txn",
+                body: body.clone(),
+                urgency,
+                timeout: TXN_TIMEOUT,
+            };
+            match self.call(request).await {
+                Err(StateError::TooMany) => {
+                    self.refused_for_rate();
+                    if Instant::now() >= end {
+                        return Err(StateError::TooMany);
+                    }
+                    self.writes.drain();
+                }
+                result => return result,
+            }
+        }
+    }
+
+    /// Takes `cost` changes from the budget, waiting for them until `end`.
+    async fn take_changes(
+        &self,
+        cost: f64,
+        urgency: RequestPriority,
+        end: Instant,
+    ) -> Result<(), StateError> {
+        match urgency {
+            RequestPriority::First => self.writes.force(cost),
+            RequestPriority::Within(_) => {
+                let left = end.saturating_duration_since(Instant::now());
+                if !self.writes.wait(cost, left).await {
+                    return Err(StateError::Refused(RefusedCause::OverBudget));
+                }
+            }
+        }
+        Ok(())
+    }
+
+    /// The service refused a transaction as one change too many.
+    fn refused_for_rate(&self) {
+        let now = Time(self.begun.elapsed().as_secs_f64());
+        if self.change_rate.borrow_mut().refused(now) {
+            tracing::info!("store write rate lowered; refusals go on");
+        }
+    }
+
+    /// The service rejected a transaction. If only the larger limits allow it, that shows
+    /// that they are over.
+    fn rejected(&self, transaction: &Transaction, reply: &StateReply) -> StateError {
+        let size = |change: &Change| match change {
+            Change::Write { value, .. } => value.get().len(),
+            Change::Delete { .. } => 0,
+        };
+        let largest = transaction.changes.iter().map(size).max().unwrap_or(0);
+        let beyond =
+            largest > self.limits.value_bytes || transaction.changes.len() > self.limits.txn_ops;
+        if beyond && self.change_rate.borrow_mut().lower() {
+            tracing::info!(largest, "store value limit lowered");
+        }
+        StateError::Rejected(ErrorReply::new(reply.status, &reply.body))
+    }
+
+    /// Changes one key, if it still has this version.
+    pub async fn change(
+        &self,
+        key: String,
+        mod_revision: Revision,
+        change: Change,
+        patience: Duration,
+    ) -> Result<TransactionOutcome, StateError> {
+        let transaction = Transaction {
+            conditions: vec![Condition { key, mod_revision }],
+            changes: vec![change],
+        };
+        self.transact(&transaction, RequestPriority::Within(patience))
+            .await
+    }
+}
--- a/src/state/history.rs
+++ b/src/state/history.rs
@@ -1,7 +1,6 @@
-//! What the records tell beside the present: which jobs came of late, and
-//! which images the machines ran. Every controller that follows the records
-//! knows it, so whoever takes over does not start without. Nothing is decided
-//! from it that a rule depends on.
+//! What the records show of the past: which jobs arrived recently, and which images the
+//! machines ran. Every controller that follows the records has it, so a new owner does not
+//! start without it. Nothing that a rule depends on is decided from it.
 
 use std::collections::{HashMap, VecDeque};
 use std::rc::Rc;
@@ -17,20 +16,36 @@
 /// Images that are remembered of a machine.
 const MAX_IMAGES_PER_MACHINE: usize = 32;
 
+/// A job that arrived.
+#[derive(Clone, Debug)]
+pub struct JobArrival {
+    /// When it was accepted, in milliseconds of the time of day.
+    pub accepted_ms: u64,
+    /// Its description.
+    pub spec: Rc<JobSpec>,
+}
+
+/// An image that a machine ran, and so may still have in its cache.
+#[derive(Clone, Debug, PartialEq)]
+pub struct CachedImage {
+    /// Its name.
+    pub image: Image,
+    /// Its size, in GB.
+    pub gb: f64,
+}
+
 /// The images that a machine ran, the latest last.
 #[derive(Default)]
 struct RecentImages {
-    /// Each with its size in GB.
-    images: VecDeque<(Image, f64)>,
+    images: VecDeque<CachedImage>,
     /// When it ran the latest: the number of tasks placed anywhere until then.
     at: u64,
 }
 
-/// What came and what ran of late.
+/// Which jobs arrived and which images ran recently.
 #[derive(Default)]
 pub struct History {
-    /// Each with when it was accepted, in milliseconds of the time of day.
-    arrivals: VecDeque<(u64, Rc<JobSpec>)>,
+    arrivals: VecDeque<JobArrival>,
     machines: HashMap<MachineId, RecentImages>,
     /// Tasks placed so far.
     count: u64,
@@ -39,7 +54,10 @@
 impl History {
     /// A job was accepted, at a time of day in milliseconds.
     pub fn arrived(&mut self, accepted_ms: u64, spec: JobSpec) {
-        self.arrivals.push_back((accepted_ms, Rc::new(spec)));
+        self.arrivals.push_back(JobArrival {
+            accepted_ms,
+            spec: Rc::new(spec),
+        });
         if self.arrivals.len() > MAX_ARRIVALS {
             self.arrivals.pop_front();
         }
@@ -53,14 +71,18 @@
         }
         let ran = self.machines.entry(machine.clone()).or_default();
         ran.at = self.count;
-        ran.images.retain(|(i, _)| i != image);
-        ran.images.push_back((image.clone(), gb));
+        ran.images.retain(|cached| cached.image != *image);
+        ran.images.push_back(CachedImage {
+            image: image.clone(),
+            gb,
+        });
         if ran.images.len() > MAX_IMAGES_PER_MACHINE {
             ran.images.pop_front();
         }
     }
 
-    /// Machines come and go; those that ran nothing for long are gone.
+    /// Forgets the half of the machines that ran nothing for longest: most of them have
+    /// been deleted since.
     fn forget_older_half(&mut self) {
         let mut ages: Vec<u64> = self.machines.values().map(|m| m.at).collect();
         ages.sort_unstable();
@@ -68,14 +90,13 @@
         self.machines.retain(|_, m| m.at > middle);
     }
 
-    /// The jobs that came of late, in the order of their records, each with when it was
-    /// accepted, in milliseconds of the time of day.
-    pub fn arrivals(&self) -> impl Iterator<Item = &(u64, Rc<JobSpec>)> {
+    /// The jobs that arrived recently, in the order of their records.
+    pub fn arrivals(&self) -> impl Iterator<Item = &JobArrival> {
         self.arrivals.iter()
     }
 
-    /// The images that each machine ran, the latest last, each with its size in GB.
-    pub fn images(&self) -> HashMap<MachineId, Vec<(Image, f64)>> {
+    /// The images that each machine ran, the latest last.
+    pub fn images(&self) -> HashMap<MachineId, Vec<CachedImage>> {
         self.machines
             .iter()
             .map(|(id, ran)| (id.clone(), ran.images.iter().cloned().collect()))
--- a/src/state/job_entry.rs
+++ b/src/state/job_entry.rs
@@ -26,10 +26,10 @@
     /// Every write of a job that is not over begins with this one: one that began
     /// with the bare record would move the job back to its own revision.
     pub fn rewritten(&self, in_lane: bool) -> JobRecord {
-        let held = &self.record.value;
+        let recorded = &self.record.value;
         JobRecord {
-            place: place::to_write(in_lane, held.place, self.place),
-            ..held.clone()
+            place: place::to_write(in_lane, recorded.place, self.place),
+            ..recorded.clone()
         }
     }
 
@@ -42,7 +42,7 @@
 
     /// The writes that cancel the job, made for values of `value_bytes`: its record, and
     /// its claims under a key of their own if both are too large together. A record whose
-    /// description alone is too large keeps what its tasks take until they are gone.
+    /// description alone is too large keeps what its tasks take until they have ended.
     pub fn cancelled(&self, in_lane: bool, value_bytes: usize) -> Cancellation {
         let fits = |r: &JobRecord| encoded_bytes(r) <= value_bytes;
         let mut record = JobRecord {
--- a/src/state/mod.rs
+++ b/src/state/mod.rs
@@ -26,6 +26,6 @@
 pub mod view;
 
 pub use budget::{Budget, RequestPriority};
-pub use client::StateClient;
+pub use client::{StateClient, StoreSnapshot};
 pub use error::{StateError, TransactionOutcome};
 pub use sorrelhinge_protocol::state::{Change, Condition, Event, Events, Item, Transaction};
--- a/src/state/record/keys.rs
+++ b/src/state/record/keys.rs
@@ -42,7 +42,7 @@
     format!("h/node/{node}")
 }
 
-/// Key of a list of machines that are gone.
+/// Key of a list of machines that the cloud has deleted.
 pub fn retired_machines_key(slot: u32) -> String {
     format!("h/gone/{slot}")
 }
@@ -52,9 +52,9 @@
     format!("h/drain/{number}")
 }
 
-/// Key of an image's rollout among a shard's machines.
-pub fn rollout_key(shard: ShardId, image: u64) -> String {
-    format!("h/wave/{shard}/{image:016x}")
+/// Key of an image's rollout among a shard's machines; the image by its [`image_hash`].
+pub fn rollout_key(shard: ShardId, image_hash: u64) -> String {
+    format!("h/wave/{shard}/{image_hash:016x}")
 }
 
 /// What an image is called in keys: FNV-1a of its name, which may be long and
@@ -64,7 +64,25 @@
     image.as_str().bytes().fold(0xcbf2_9ce4_8422_2325, mix)
 }
 
-/// What a key holds.
+/// One occurrence of a window of the release calendar.
+#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub struct WindowOccurrence {
+    /// The window's name.
+    pub window: String,
+    /// When it begins, in milliseconds of the time of day.
+    pub start_ms: i64,
+}
+
+/// Which rollout a record is of: one image among the machines of one shard.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub struct RolloutId {
+    /// The shard.
+    pub shard: ShardId,
+    /// The image, by its [`image_hash`].
+    pub image_hash: u64,
+}
+
+/// Which record a key names.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Key {
     /// The leader.
@@ -77,7 +95,7 @@
     Chunk(JobId, u32),
     /// A drain.
     Drain(u64),
-    /// Machines that are gone.
+    /// Machines that the cloud has deleted.
     DeletedMachines(u32),
     /// The number of shards.
     Map,
@@ -89,10 +107,10 @@
     Member(NodeId),
     /// The windows of the release calendar.
     Calendar,
-    /// An occurrence of a window: its name, and its beginning in milliseconds.
-    Window(String, i64),
+    /// An occurrence of a window.
+    Window(WindowOccurrence),
     /// An image's rollout among a shard's machines.
-    Rollout(ShardId, u64),
+    Rollout(RolloutId),
 }
 
 impl Key {
@@ -109,7 +127,10 @@
 
     fn parse_window(text: &str) -> Option<Self> {
         let (name, start_ms) = parse_key(text)?;
-        Some(Self::Window(name.into(), start_ms))
+        Some(Self::Window(WindowOccurrence {
+            window: name.into(),
+            start_ms,
+        }))
     }
 
     /// Reads the key of a kind of which there are many: the kind, and which one.
@@ -121,9 +142,11 @@
             "block" => parse_shard(which).map(Self::Shard),
             "slice" => parse_shard(which).map(Self::Slice),
             "wave" => {
-                let (shard, image) = which.split_once('/')?;
-                let image = u64::from_str_radix(image, 16).ok()?;
-                parse_shard(shard).map(|shard| Self::Rollout(shard, image))
+                let (shard, image_hash) = which.split_once('/')?;
+                Some(Self::Rollout(RolloutId {
+                    shard: parse_shard(shard)?,
+                    image_hash: u64::from_str_radix(image_hash, 16).ok()?,
+                }))
             }
             "drain" => Some(Self::Drain(which.parse().ok()?)),
             "gone" => {
--- a/src/state/record/leadership.rs
+++ b/src/state/record/leadership.rs
@@ -26,7 +26,7 @@
     pub number: u64,
 }
 
-/// What `h/grant` holds while there are several shards. A version that knows one
+/// The value of `h/grant` while there are several shards. A version that knows one
 /// only can't read it, so it never takes all machines for its own.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ShardedGrantFence {
--- a/src/state/record/shards.rs
+++ b/src/state/record/shards.rs
@@ -28,7 +28,7 @@
     /// Of the format.
     #[serde(rename = "v")]
     pub version: u32,
-    /// Whom it is granted.
+    /// To whom it is granted.
     pub owner: NodeId,
     /// That controller's process: one that was restarted owns nothing.
     pub run: u64,
@@ -39,7 +39,7 @@
     /// To whom it is offered.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub to: Option<NodeId>,
-    /// Where an operator wants it.
+    /// The controller that an operator pinned it to.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub pin: Option<NodeId>,
 }
--- a/src/state/view/apply.rs
+++ b/src/state/view/apply.rs
@@ -7,17 +7,17 @@
 use serde_json::value::RawValue;
 use sorrelhinge_image_distribution::record::RolloutRecord;
 use sorrelhinge_reservations::record::{CalendarRecord, WindowRecord};
-use sorrelhinge_sharding::shard::ShardId;
 use sorrelhinge_topology::drain::Drain;
 
 use super::super::record::{
-    ChunkRecord, JobRecord, Key, RetiredMachinesRecord, ShardMapRecord, ShardedGrantFence,
+    ChunkRecord, JobRecord, Key, RetiredMachinesRecord, RolloutId, ShardMapRecord,
+    ShardedGrantFence, WindowOccurrence,
 };
 use super::super::{Events, Item};
 use super::{Versioned, View};
 use crate::types::{JobId, Revision};
 
-/// A key that was written, as it was read or as the watch told it.
+/// A key that was written, as a read or the watch brought it.
 #[derive(Clone, Copy)]
 struct RecordWrite<'a> {
     key: &'a str,
@@ -42,28 +42,25 @@
 
 /// Takes in a value unless a newer one is here, or it can't be read.
 fn put<K: Ord, T>(
-    held: &mut BTreeMap<K, Versioned<T>>,
+    records: &mut BTreeMap<K, Versioned<T>>,
     key: K,
     mod_revision: Revision,
     read: impl FnOnce() -> Option<T>,
 ) {
-    if held.get(&key).is_none_or(|h| mod_revision > h.mod_revision) {
-        if let Some(value) = read() {
-            held.insert(
-                key,
-                Versioned {
-                    mod_revision,
-                    value,
-                },
-            );
-        }
+    let known = records.get(&key);
+    if known.is_some_and(|record| mod_revision <= record.mod_revision) {
+        return;
+    }
+    if let Some(value) = read() {
+        records.insert(key, Versioned::new(mod_revision, value));
     }
 }
 
 /// Drops a key that was deleted as `mod_revision`, unless it was written again since.
-fn remove<K: Ord, T>(held: &mut BTreeMap<K, Versioned<T>>, key: &K, mod_revision: Revision) {
-    if held.get(key).is_some_and(|h| h.mod_revision < mod_revision) {
-        held.remove(key);
+fn remove<K: Ord, T>(records: &mut BTreeMap<K, Versioned<T>>, key: &K, mod_revision: Revision) {
+    let known = records.get(key);
+    if known.is_some_and(|record| record.mod_revision < mod_revision) {
+        records.remove(key);
     }
 }
 
@@ -140,8 +137,8 @@
             Key::Slice(shard) => put(&mut self.slices, shard, mod_revision, || write.parse()),
             Key::Member(node) => put(&mut self.members, node, mod_revision, || write.parse()),
             Key::Calendar => self.write_calendar(write),
-            Key::Window(name, start_ms) => self.write_window((name, start_ms), write),
-            Key::Rollout(shard, image) => self.write_rollout((shard, image), write),
+            Key::Window(occurrence) => self.write_window(occurrence, write),
+            Key::Rollout(rollout) => self.write_rollout(rollout, write),
             Key::Job(id) => self.write_job(&id, write),
             Key::Drain(number) => self.write_drain(number, write),
             Key::DeletedMachines(slot) => self.write_deleted_machines(slot, write),
@@ -188,7 +185,7 @@
         self.calendar = write.versioned(calendar);
     }
 
-    fn write_window(&mut self, occurrence: (String, i64), write: RecordWrite) {
+    fn write_window(&mut self, occurrence: WindowOccurrence, write: RecordWrite) {
         put(&mut self.windows, occurrence, write.mod_revision, || {
             WindowRecord::read(write.value.get())
         });
@@ -196,7 +193,7 @@
 
     /// A rollout that can't be read is there all the same: a write that takes it for absent
     /// would fail again and again, and all claims of its transaction with it.
-    fn write_rollout(&mut self, rollout: (ShardId, u64), write: RecordWrite) {
+    fn write_rollout(&mut self, rollout: RolloutId, write: RecordWrite) {
         put(&mut self.rollouts, rollout, write.mod_revision, || {
             Some(write.parse::<RolloutRecord>().filter(RolloutRecord::known))
         });
@@ -226,7 +223,7 @@
             );
             return;
         }
-        let newer = |held: &Versioned<Drain>| held.mod_revision > write.mod_revision;
+        let newer = |known: &Versioned<Drain>| known.mod_revision > write.mod_revision;
         if !self.drains.get(&number).is_some_and(newer) {
             self.drains.insert(number, write.versioned(drain));
         }
@@ -236,7 +233,9 @@
     fn write_deleted_machines(&mut self, slot: u32, write: RecordWrite) {
         let record = write.parse::<RetiredMachinesRecord>();
         let known = record.filter(|r| r.version <= RetiredMachinesRecord::VERSION);
-        put(&mut self.gone, slot, write.mod_revision, || known);
+        put(&mut self.retired_machines, slot, write.mod_revision, || {
+            known
+        });
     }
 
     /// A key was deleted. Jobs, the grant, the number of shards and the calendar never are,
@@ -250,15 +249,11 @@
                 };
             }
             Some(Key::Chunk(id, chunk)) => self.drop_chunk(&id, chunk, mod_revision),
-            Some(Key::Window(name, start_ms)) => {
-                remove(&mut self.windows, &(name, start_ms), mod_revision);
-            }
+            Some(Key::Window(occurrence)) => remove(&mut self.windows, &occurrence, mod_revision),
             Some(Key::Drain(number)) => remove(&mut self.drains, &number, mod_revision),
             Some(Key::Member(node)) => remove(&mut self.members, &node, mod_revision),
             Some(Key::Shard(shard)) => remove(&mut self.shards, &shard, mod_revision),
-            Some(Key::Rollout(shard, image)) => {
-                remove(&mut self.rollouts, &(shard, image), mod_revision);
-            }
+            Some(Key::Rollout(rollout)) => remove(&mut self.rollouts, &rollout, mod_revision),
             Some(Key::Slice(shard)) => remove(&mut self.slices, &shard, mod_revision),
             _ => {}
         }
--- a/src/state/view/jobs.rs
+++ b/src/state/view/jobs.rs
@@ -14,7 +14,7 @@
         let value = &record.value;
         match self.jobs.get_mut(id) {
             Some(entry) if entry.record.mod_revision >= record.mod_revision => {
-                // One that comes late tells its place all the same.
+                // One that comes late still has the earlier place.
                 let place = place::known(Some(entry.place), value.place, record.mod_revision);
                 if place >= entry.place {
                     return;
@@ -60,13 +60,13 @@
             Some(entry) => (&mut entry.chunks, Some(&entry.record.value)),
             None => (self.orphans.entry(id.clone()).or_default(), None),
         };
-        let held = chunks.entry(chunk).or_default();
-        if record.mod_revision > held.mod_revision {
+        let known = chunks.entry(chunk).or_default();
+        if record.mod_revision > known.mod_revision {
             if let Some(job) = job {
-                let before = Some(&held.value);
+                let before = Some(&known.value);
                 note_claims(&mut self.history, job, before, Some(&record.value));
             }
-            *held = record;
+            *known = record;
             self.note_changed(id);
         }
     }
--- a/src/state/view/mod.rs
+++ b/src/state/view/mod.rs
@@ -1,4 +1,4 @@
-//! This controller's copy of what the state service holds.
+//! This controller's copy of the records in the state service.
 //!
 //! It is as the service was at one revision ([`View::store_revision`]), or newer in single keys:
 //! what this controller wrote itself is here before the watch brings it. Of each key the
@@ -22,8 +22,8 @@
 use super::history::History;
 pub use super::job_entry::{Cancellation, JobEntry, Summary};
 use super::record::{
-    ChunkRecord, GrantRecord, LeaderRecord, MemberRecord, Phase, RetiredMachinesRecord,
-    ShardMapRecord, ShardRecord, SliceRecord,
+    ChunkRecord, GrantRecord, LeaderRecord, MemberRecord, Phase, RetiredMachinesRecord, RolloutId,
+    ShardMapRecord, ShardRecord, SliceRecord, WindowOccurrence,
 };
 pub use super::versioned::Versioned;
 use crate::types::{JobId, MachineId, NodeId, Revision};
@@ -48,22 +48,21 @@
     pub slices: BTreeMap<ShardId, Versioned<SliceRecord>>,
     /// Controllers that live, while there are several shards.
     pub members: BTreeMap<NodeId, Versioned<MemberRecord>>,
-    /// What came and what ran of late.
+    /// Which jobs arrived and which images ran recently.
     pub history: History,
     /// What operators drain.
     pub drains: BTreeMap<u64, Versioned<Drain>>,
     /// The windows of the release calendar; none: there is no record.
     pub calendar: Versioned<Option<CalendarRecord>>,
-    /// Each window's occurrences that are near or under way, by their beginning
-    /// in milliseconds of the time of day.
-    pub windows: BTreeMap<(String, i64), Versioned<WindowRecord>>,
-    /// Machines that are gone.
-    pub gone: BTreeMap<u32, Versioned<RetiredMachinesRecord>>,
-    /// Images on their way from machine to machine, by shard and the image's hash;
-    /// none: of a version that is not known here.
-    pub rollouts: BTreeMap<(ShardId, u64), Versioned<Option<RolloutRecord>>>,
+    /// Each window's occurrences that are near or under way.
+    pub windows: BTreeMap<WindowOccurrence, Versioned<WindowRecord>>,
+    /// Machines that the cloud has deleted, by the slot of their list.
+    pub retired_machines: BTreeMap<u32, Versioned<RetiredMachinesRecord>>,
+    /// Images on their way from machine to machine; none: of a version that is not
+    /// known here.
+    pub rollouts: BTreeMap<RolloutId, Versioned<Option<RolloutRecord>>>,
     jobs: HashMap<JobId, JobEntry>,
-    /// Jobs that wait for others, by what `jobs` holds.
+    /// Jobs that wait for others, from what `jobs` says.
     pipelines: Graph,
     /// Chunks that came before their job's record.
     orphans: HashMap<JobId, BTreeMap<u32, Versioned<ChunkRecord>>>,
@@ -138,9 +137,9 @@
         chunks.any(|(_, chunk)| chunk.claims.iter().any(|claim| claim.machine == *machine))
     }
 
-    /// A job's phase as its users are told it: one that needs a cancelled job is cancelled
+    /// A job's phase as its users see it: one that needs a cancelled job is cancelled
     /// with it, by that job's record alone.
-    fn phase_told(&self, id: &JobId, recorded: Phase) -> Phase {
+    fn visible_phase(&self, id: &JobId, recorded: Phase) -> Phase {
         match recorded {
             Phase::Live if self.pipelines.is_cancelled(id) => Phase::Cancelled,
             recorded => recorded,
@@ -152,7 +151,7 @@
         let entry = self.jobs.get(id)?;
         let record = &entry.record.value;
         let mut summary = Summary {
-            phase: self.phase_told(id, record.phase),
+            phase: self.visible_phase(id, record.phase),
             done: 0,
             running: 0,
         };
--- a/tests/autoscaler.rs
+++ b/tests/autoscaler.rs
@@ -11,6 +11,7 @@
 use sorrelhinge::api::read_job;
 use sorrelhinge::autoscaler::{plan, Input};
 use sorrelhinge::scheduler::{ClusterState, Job, Machine, Progress, Tasks};
+use sorrelhinge::state::history::CachedImage;
 use sorrelhinge::state::record::{job_key, JobRecord};
 use sorrelhinge::state::view::View;
 use sorrelhinge::types::{Image, JobId, JobSpec, MachineId, Revision, TaskId, Time, Zone};
@@ -103,7 +104,17 @@
     change(&record, 2);
     change(&record.done(99), 3);
     let images = view.history.images();
-    assert_eq!(images[&machine], [(Image::from("img-1"), 1.0)]);
-    let arrivals: Vec<u64> = view.history.arrivals().map(|(ms, _)| *ms).collect();
+    assert_eq!(
+        images[&machine],
+        [CachedImage {
+            image: Image::from("img-1"),
+            gb: 1.0
+        }]
+    );
+    let arrivals: Vec<u64> = view
+        .history
+        .arrivals()
+        .map(|arrival| arrival.accepted_ms)
+        .collect();
     assert_eq!(arrivals, [77], "once, however often its record changes");
 }
--- a/tests/edges.rs
+++ b/tests/edges.rs
@@ -16,7 +16,7 @@
 use sorrelhinge::peer_messages::{encode_left, parse_left, LeftTo, Needs, Rented};
 use sorrelhinge::state::record::{
     chunk_key, chunk_size, job_key, member_key, rollout_key, shard_key, slice_key, ChunkRecord,
-    GrantRecord, JobRecord, Key, Phase, ShardedGrantFence,
+    GrantRecord, JobRecord, Key, Phase, RolloutId, ShardedGrantFence,
 };
 use sorrelhinge::state::view::{Versioned, View};
 use sorrelhinge::types::{
@@ -205,7 +205,10 @@
     assert_eq!(Key::parse(&shard_key(shard)), Some(Key::Shard(shard)));
     assert_eq!(Key::parse(&slice_key(shard)), Some(Key::Slice(shard)));
     assert_eq!(Key::parse(&member_key(&node)), Some(Key::Member(node)));
-    let rollout = Some(Key::Rollout(shard, u64::MAX - 1));
+    let rollout = Some(Key::Rollout(RolloutId {
+        shard,
+        image_hash: u64::MAX - 1,
+    }));
     assert_eq!(Key::parse(&rollout_key(shard, u64::MAX - 1)), rollout);
     assert_eq!(Key::parse("h/block/5"), None, "there are never so many");
     assert_eq!(Key::parse("other/run-7"), None);
--- a/tests/fleet_limits.rs
+++ b/tests/fleet_limits.rs
@@ -147,7 +147,7 @@
 
     /// The names that the next owner knows to be gone.
     fn names(&self) -> BTreeSet<MachineId> {
-        let lists = self.view.gone.values();
+        let lists = self.view.retired_machines.values();
         lists.flat_map(|held| held.value.machines.clone()).collect()
     }
 
@@ -185,7 +185,12 @@
         owner.record(now.after(3.5));
     }
     assert_eq!(owner.names().len(), deleted);
-    let last = *owner.view.gone.keys().next_back().expect("a list");
+    let last = *owner
+        .view
+        .retired_machines
+        .keys()
+        .next_back()
+        .expect("a list");
     assert_eq!(last, 16);
     assert_eq!(Key::parse("h/gone/16"), Some(Key::DeletedMachines(16)));
     assert_eq!(Key::parse(&format!("h/gone/{RETIRED_MACHINE_SLOTS}")), None);
--- a/tests/golden_formats/records.rs
+++ b/tests/golden_formats/records.rs
@@ -4,8 +4,8 @@
 use sorrelhinge::state::record::{
     chunk_key, drain_key, image_hash, job_key, member_key, retired_machines_key, rollout_key,
     shard_key, slice_key, ChunkRecord, GrantRecord, JobRecord, Key, LeaderRecord, MemberRecord,
-    NewJob, Phase, RetiredMachinesRecord, ShardMapRecord, ShardRecord, ShardedGrantFence,
-    SliceRecord, WaitsRecord, GRANT, LEADER, MAP,
+    NewJob, Phase, RetiredMachinesRecord, RolloutId, ShardMapRecord, ShardRecord,
+    ShardedGrantFence, SliceRecord, WaitsRecord, WindowOccurrence, GRANT, LEADER, MAP,
 };
 use sorrelhinge::state::view::Versioned;
 use sorrelhinge::types::{
@@ -284,12 +284,18 @@
         (
             "wave",
             rollout_key(shard, image),
-            Key::Rollout(shard, image),
+            Key::Rollout(RolloutId {
+                shard,
+                image_hash: image,
+            }),
         ),
         (
             "occurrence",
             sorrelhinge_reservations::record::key("finale", 1_764_936_000_000),
-            Key::Window("finale".into(), 1_764_936_000_000),
+            Key::Window(WindowOccurrence {
+                window: "finale".into(),
+                start_ms: 1_764_936_000_000,
+            }),
         ),
     ];
     for (name, text, key) in keys {
