--- a/crates/overload/tests/freshness.rs
+++ b/crates/lease-safety/tests/freshness.rs
@@ -1,7 +1,7 @@
 //! The bound on answers to workers, against the rule that it is for.
 
 use proptest::prelude::*;
-use sorrelhinge_overload::freshness::{horizon_s, watch_s, Freshness, CLOCK_DRIFT};
+use sorrelhinge_lease_safety::freshness::{horizon_s, watch_s, Freshness, CLOCK_DRIFT};
 use sorrelhinge_protocol::types::Time;
 
 /// As the settings of larger sites have it: the whole margin is kept.
--- a/crates/overload/src/fleet_limit.rs
+++ b/crates/overload/src/fleet_limit.rs
@@ -1,7 +1,7 @@
-//! How many machines can be served: nothing is rented that can't be.
+//! How many machines can be served: no more are rented.
 //!
-//! Machines report whether they are of use or not, so a fleet can be too large
-//! for its controllers though each machine is wanted. What they can carry is
+//! Machines heartbeat whether they are of use or not, so a fleet can be too large
+//! for its controllers though there is work for each machine. How many they can serve is
 //! not computed from constants, which would be those of one installation, but
 //! found: while requests wait too long for the processor the bound falls, and
 //! with free capacity to spare it rises again.
@@ -19,38 +19,7 @@
 /// found before: an owner that took over in a storm knew few of its machines.
 const SUSTAINED_S: f64 = 8.0;
 
-/// How much is claimed a second, which is bounded by the changes that the state
-/// service takes: machines for work that can't be claimed would stand idle.
-#[derive(Clone, Debug, Default)]
-pub struct ClaimRate {
-    rate: f64,
-    last: Option<Time>,
-}
-
-/// Time constant of the rate, in seconds.
-const CLAIM_RATE_TIME_CONSTANT_S: f64 = 8.0;
-/// Room for what is claimed in this many boots is enough.
-const RESERVE_BOOTS: f64 = 1.5;
-
-impl ClaimRate {
-    /// Takes in what was claimed since the last call, in thousandths of a CPU.
-    pub fn take(&mut self, claimed: i64, now: Time) {
-        let passed = self.last.map_or(0.0, |t| now.since(t));
-        self.last = Some(now);
-        if passed > 0.0 {
-            let part = 1.0 - (-passed / CLAIM_RATE_TIME_CONSTANT_S).exp();
-            self.rate += (claimed as f64 / passed - self.rate) * part;
-        }
-    }
-
-    /// Whether what is free now lasts until a machine that is rented now would
-    /// be up.
-    pub fn lasts(&self, free: i64, boot_s: f64) -> bool {
-        free as f64 > self.rate * boot_s * RESERVE_BOOTS
-    }
-}
-
-/// The bound.
+/// The bound on the number of machines.
 #[derive(Clone, Debug, Default)]
 pub struct FleetLimit {
     max: Option<f64>,
@@ -61,7 +30,7 @@
 }
 
 impl FleetLimit {
-    /// Takes in how things stand: how many machines there are, up and on
+    /// Takes in a measurement: how many machines there are, up and on
     /// their way, how long requests wait for the processor, in seconds, and
     /// whether that is too long.
     pub fn take(&mut self, machines: usize, wait_s: f64, binds: bool, now: Time) {
--- a/crates/overload/src/pressure.rs
+++ b/crates/overload/src/pressure.rs
@@ -6,6 +6,8 @@
 
 use sorrelhinge_protocol::types::Time;
 
+use crate::decaying_mean::DecayingMean;
+
 /// What a controller can run out of.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Resource {
@@ -146,7 +148,7 @@
 /// What is known of the load.
 #[derive(Clone, Debug, Default)]
 pub struct Pressure {
-    means: [f64; RESOURCES.len()],
+    means: [DecayingMean; RESOURCES.len()],
     binds: [bool; RESOURCES.len()],
     sheds: [bool; RESOURCES.len()],
     level: Level,
@@ -160,9 +162,8 @@
     pub fn take(&mut self, sample: Sample, now: Time) -> bool {
         let before = (self.binds, self.level);
         let sheds_before = self.sheds.contains(&true);
-        let passed = self.last.map_or(SMOOTHING_S, |t| now.since(t));
+        let elapsed_s = self.last.map_or(SMOOTHING_S, |t| now.since(t));
         self.last = Some(now);
-        let part = 1.0 - (-passed / SMOOTHING_S).exp();
         let measured = [
             sample.wait_s,
             sample.sockets,
@@ -175,11 +176,12 @@
             // One long measurement says no more than a few of the least that
             // would bind: a process that stood still is not overloaded.
             let value = value.clamp(0.0, 3.5 * if shed.is_finite() { shed } else { enter });
-            self.means[i] += (value - self.means[i]) * part;
+            self.means[i].take(value, elapsed_s, SMOOTHING_S);
+            let mean = self.means[i].value();
             let bound = if self.binds[i] { leave } else { enter };
-            self.binds[i] = self.means[i] >= bound;
-            let still = self.sheds[i] && self.means[i] >= 0.5 * shed;
-            self.sheds[i] = self.binds[i] && (still || self.means[i] >= shed);
+            self.binds[i] = mean >= bound;
+            let still = self.sheds[i] && mean >= 0.5 * shed;
+            self.sheds[i] = self.binds[i] && (still || mean >= shed);
         }
         let bound = self.sheds.contains(&true);
         if bound != sheds_before {
--- a/crates/overload/tests/model.rs
+++ b/crates/overload/tests/model.rs
@@ -3,16 +3,14 @@
 use proptest::prelude::*;
 use sorrelhinge_overload::admission::{AdmissionQueue, Class, CLASSES};
 use sorrelhinge_overload::asked::{Asked, Poll, Verdict, ASKED_MEMORY_S, STALE_ANSWER_S};
-use sorrelhinge_overload::fleet_limit::{ClaimRate, FleetLimit};
+use sorrelhinge_overload::claim_rate::ClaimRate;
+use sorrelhinge_overload::fleet_limit::FleetLimit;
 use sorrelhinge_overload::heartbeat_offload::{HeartbeatLoad, HeartbeatOffload};
-use sorrelhinge_overload::order::{Order, MACHINE_MEMORY_S, MAX_MACHINES};
 use sorrelhinge_overload::pace::Pace;
 use sorrelhinge_overload::pressure::{Level, Pressure, Resource, Sample};
-use sorrelhinge_overload::reachability::{Reachability, DOUBT_AFTER_HEARTBEATS};
-use sorrelhinge_overload::renewal::{Content, Relief, Renewals, Route};
+use sorrelhinge_overload::relief::Relief;
 use sorrelhinge_overload::sockets::{ConnId, Limits, Opened, Sockets};
-use sorrelhinge_protocol::types::{Incarnation, JobId, MachineId, NodeId, SequenceNumber, Time};
-use sorrelhinge_protocol::worker::Heartbeat;
+use sorrelhinge_protocol::types::{JobId, MachineId, NodeId, Time};
 
 /// A connection as the model keeps it: all of them in one list.
 #[derive(Clone, Debug)]
@@ -414,50 +412,7 @@
     assert_eq!(offload.share(), 0.0, "all are back");
 }
 
-/// A heartbeat as a worker makes it; `what` stands for all that its tasks tell.
-fn heartbeat(machine: u8, tick: u64, fencing_token: u64, what: u8) -> Heartbeat {
-    let phase = ["fetching", "running", "ended"][usize::from(what % 3)];
-    let exit_reason = if phase == "ended" { "\"done\"" } else { "null" };
-    let text = format!(
-        "{{\"box\":\"vm-{machine}\",\"addr\":\"127.0.0.1:9\",\"build\":\"t\",\"rack\":\"za\",\
-         \"shift\":1,\"tick\":{tick},\"baton\":{fencing_token},\"warning_s\":null,\"pieces\":[\
-         {{\"piece\":\"run-000001/{}\",\"try\":1,\"phase\":\"{phase}\",\"cause\":{exit_reason}}}]}}",
-        what / 3
-    );
-    serde_json::from_str(&text).expect("a report")
-}
-
 proptest! {
-    /// The owner hears everything new at once, and of every machine that
-    /// heartbeats within a few rounds; with no relief asked for it hears all.
-    #[test]
-    fn the_owner_misses_nothing_new(
-        heartbeats in prop::collection::vec((0..4_u8, 0..5_u8, 0..3_u64, any::<bool>(), 0.5..9.0_f64, any::<bool>()), 1..300),
-    ) {
-        let heartbeat_s = 6.0;
-        let mut renewals = Renewals::default();
-        // The model keeps whole heartbeats: what the owner last answered, and when.
-        let mut told: std::collections::BTreeMap<u8, (String, f64)> = Default::default();
-        let mut now = 0.0;
-        for (tick, (machine, what, fencing_token, relief, passed, answers)) in heartbeats.into_iter().enumerate() {
-            now += passed / 4.0;
-            let sent = heartbeat(machine, tick as u64 + 1, fencing_token, what);
-            let same = Heartbeat { sequence: Default::default(), ..sent.clone() };
-            let same = serde_json::to_string(&same).expect("text");
-            let content = Content::of(&sent);
-            let route = renewals.route(&sent.machine, content, relief, heartbeat_s, Time(now));
-            let known = told.get(&machine).is_some_and(|(text, _)| *text == same);
-            let lately = told.get(&machine).is_some_and(|(_, at)| now - at < 2.5 * heartbeat_s);
-            let spared = relief && known && lately;
-            prop_assert_eq!(route, if spared { Route::Renew } else { Route::Ask });
-            if route == Route::Ask && answers {
-                renewals.answered(&sent.machine, content, Time(now));
-                told.insert(machine, (same, now));
-            }
-        }
-        prop_assert!(renewals.len() <= 4);
-    }
-
     /// Relief is asked for only once all workers heartbeat elsewhere, and ends
     /// only after a while without any wait.
     #[test]
@@ -596,159 +551,3 @@
         assert_eq!(poll(&mut asked, n, at), verdict, "run {n} at {at}");
     }
 }
-
-// ---- which heartbeat is a copy -------------------------------------------------
-
-proptest! {
-    /// Against the whole history: what is not newer than all that came before of the
-    /// same machine is a copy, in whatever order it comes.
-    #[test]
-    fn copies_are_told_by_incarnation_and_tick(
-        heartbeats in prop::collection::vec((0..4_u8, 1..4_u64, 0..30_u64), 1..200),
-    ) {
-        let mut order = Order::default();
-        let mut newest = std::collections::BTreeMap::new();
-        for (machine, incarnation, tick) in heartbeats {
-            let id = MachineId::from(&*format!("vm-{machine}"));
-            let new = order.is_new(&id, Incarnation(incarnation), SequenceNumber(tick), Time(1.0));
-            let at = newest.entry(machine).or_default();
-            prop_assert_eq!(new, *at < (incarnation, tick));
-            *at = (incarnation, tick).max(*at);
-        }
-    }
-}
-
-/// However many machines come and go: memory is bounded, and those that heartbeat are
-/// the ones that are known.
-#[test]
-fn the_order_of_heartbeats_takes_little_memory() {
-    let mut order = Order::default();
-    let id = |n: usize| MachineId::from(&*format!("vm-{n:07}"));
-    let stays = id(9_999_999);
-    for n in 0..3 * MAX_MACHINES {
-        let now = Time(n as f64 * 0.001);
-        assert!(order.is_new(&id(n), Incarnation(1), SequenceNumber(1), now));
-        if n % 100 == 0 {
-            assert!(order.is_new(&stays, Incarnation(1), SequenceNumber(n as u64 + 1), now));
-        }
-        assert!(order.len() <= MAX_MACHINES + 1);
-    }
-    let again = order.is_new(&stays, Incarnation(1), SequenceNumber(1), Time(61.0));
-    assert!(!again, "it is known");
-    order.is_new(
-        &stays,
-        Incarnation(2),
-        SequenceNumber(1),
-        Time(61.0 + 2.0 * MACHINE_MEMORY_S),
-    );
-    assert_eq!(order.len(), 1);
-}
-
-// ---- whether a machine hears ------------------------------------------------
-
-#[derive(Clone, Copy, Debug)]
-enum Told {
-    Asked,
-    Heartbeat(bool),
-    Proved,
-    Pause(u8),
-}
-
-fn told() -> impl Strategy<Value = Told> {
-    prop_oneof![
-        4 => Just(Told::Asked),
-        16 => prop::bool::weighted(0.9).prop_map(Told::Heartbeat),
-        1 => Just(Told::Proved),
-        12 => (0_u8..20).prop_map(Told::Pause),
-    ]
-}
-
-proptest! {
-    /// Against the whole history: nobody is deaf who showed an effect, was asked for
-    /// none, or was told nothing in that time.
-    #[test]
-    fn nothing_is_unreachable_without_evidence(history in prop::collection::vec(told(), 1..200)) {
-        let (patience, lease) = (5.0, 20.0);
-        let mut reachability = Reachability::default();
-        let (mut now, mut log) = (0.0, Vec::new());
-        for what in history {
-            match what {
-                Told::Asked => reachability.asked(Time(now)),
-                Told::Heartbeat(answered) => {
-                    reachability.reported(Time(now));
-                    if answered {
-                        reachability.answered(lease, Time(now));
-                    }
-                }
-                Told::Proved => reachability.proved(Time(now)),
-                Told::Pause(tenths) => now += f64::from(tenths) / 10.0,
-            }
-            log.push((now, what));
-            if !reachability.is_unreachable(patience, Time(now)) {
-                continue;
-            }
-            let proof = log.iter().rposition(|(_, w)| matches!(w, Told::Proved));
-            let since = &log[proof.map_or(0, |i| i + 1)..];
-            let asked = since.iter().find(|(_, w)| matches!(w, Told::Asked));
-            let asked = asked.map(|(at, _)| *at).expect("asked for an effect");
-            prop_assert!(now - asked >= patience);
-            let heartbeats = since.iter().filter(|(at, w)| *at >= asked && matches!(w, Told::Heartbeat(_)));
-            prop_assert!(heartbeats.count() > DOUBT_AFTER_HEARTBEATS as usize);
-        }
-    }
-
-    /// Who is asked, heartbeats, is answered and shows nothing is found out, after the
-    /// patience and no sooner; one effect ends it, and then it is quarantined.
-    #[test]
-    fn who_shows_nothing_is_found_out(every in 0.2..2.0_f64, patience in 4.0..30.0_f64) {
-        let mut reachability = Reachability::default();
-        reachability.proved(Time(0.0));
-        reachability.asked(Time(1.0));
-        let (mut now, mut found) = (1.0, None);
-        while now < 60.0 {
-            now += every;
-            reachability.reported(Time(now));
-            reachability.answered(20.0, Time(now));
-            if found.is_none() && reachability.is_unreachable(patience, Time(now)) {
-                found = Some(now - 1.0);
-            }
-        }
-        let found = found.expect("found out");
-        let max = patience.max(every * f64::from(DOUBT_AFTER_HEARTBEATS + 1)) + every;
-        prop_assert!((patience..=max + 1e-9).contains(&found), "{} of {}", found, max);
-        reachability.proved(Time(now));
-        prop_assert!(!reachability.in_doubt() && reachability.is_quarantined(Time(now + 1.0)));
-        prop_assert!(!reachability.is_quarantined(Time(now + 10.0)));
-    }
-}
-
-/// In an outage no heartbeat is answered, so there is nothing to hear: once it is over
-/// nobody is given back for what was before. And one that hung until its lease ended
-/// lost its incarnation by itself, while one whose answers were lost did not.
-#[test]
-fn what_was_not_answered_is_no_deafness() {
-    let mut reachability = Reachability::default();
-    reachability.answered(20.0, Time(0.0));
-    reachability.asked(Time(1.0));
-    for s in 1..90 {
-        reachability.reported(Time(f64::from(s)));
-        assert!(!reachability.is_unreachable(20.0, Time(f64::from(s))));
-    }
-    let (mut hung, mut unheard) = (Reachability::default(), Reachability::default());
-    for lease in 0..4 {
-        let begun = f64::from(lease) * 30.0;
-        hung.answered(20.0, Time(begun));
-        for s in 0..30 {
-            unheard.reported(Time(begun + f64::from(s)));
-            unheard.answered(20.0, Time(begun + f64::from(s)));
-        }
-        assert!(!hung.incarnation_ended(20.0, Time(begun + 29.0)));
-        let lost = unheard.incarnation_ended(20.0, Time(begun + 29.0));
-        assert_eq!(lost, lease > 1, "the third in a row is no bad luck");
-    }
-    // Long after, it is bad luck again.
-    for s in [300.0, 315.0, 320.0] {
-        unheard.answered(20.0, Time(s));
-    }
-    assert!(!unheard.incarnation_ended(20.0, Time(321.0)));
-}
--- a/src/config/platform.rs
+++ b/src/config/platform.rs
@@ -6,7 +6,7 @@
 use std::sync::Arc;
 
 use serde::Deserialize;
-use sorrelhinge_overload::freshness::horizon_s;
+use sorrelhinge_lease_safety::freshness::horizon_s;
 use sorrelhinge_priority_lanes::Lanes;
 use sorrelhinge_protocol::invalid::MalformedToml;
 
--- a/src/control/core/agent.rs
+++ b/src/control/core/agent.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-use sorrelhinge_overload::reachability::Reachability;
+use sorrelhinge_lease_safety::reachability::Reachability;
 
 use super::direct_line::DirectLine;
 use super::failed_jobs::FailedJobs;
--- a/src/control/core/scaling_state.rs
+++ b/src/control/core/scaling_state.rs
@@ -4,7 +4,7 @@
 
 use std::collections::{BTreeMap, HashMap};
 
-use sorrelhinge_overload::fleet_limit::ClaimRate;
+use sorrelhinge_overload::claim_rate::ClaimRate;
 
 use super::objectives::{ArrivalSort, Arrivals};
 use crate::cloud::Rental;
--- a/src/control/heartbeat_routing.rs
+++ b/src/control/heartbeat_routing.rs
@@ -6,8 +6,8 @@
 use std::collections::HashMap;
 use std::time::Duration;
 
-use sorrelhinge_overload::order::Order;
-use sorrelhinge_overload::renewal::{Content, Renewals, Route};
+use sorrelhinge_lease_safety::heartbeat_order::Order;
+use sorrelhinge_lease_safety::renewal::{Content, Renewals, Route};
 use sorrelhinge_sharding::isolation::DismissedWorkers;
 use tokio::time::Instant;
 
--- a/src/control/lease_renewal.rs
+++ b/src/control/lease_renewal.rs
@@ -1,10 +1,10 @@
 //! Leases renewed for an owner that has no time; what may be answered so is
-//! decided in `sorrelhinge_overload::renewal`.
+//! decided in `sorrelhinge_lease_safety::renewal`.
 
 use std::rc::Rc;
 use std::time::Duration;
 
-use sorrelhinge_overload::renewal::{Content, Route};
+use sorrelhinge_lease_safety::renewal::{Content, Route};
 use tokio::time::sleep;
 
 use super::lease_delegation::may_renew_for_owner;
@@ -21,7 +21,7 @@
     /// Whether this controller's view of the records is new enough to answer
     /// workers without the state service: beyond this, a job may have been
     /// cancelled elsewhere, and leases must be able to end its tasks in time
-    /// (`sorrelhinge_overload::freshness`). Asked before each answer, for a heartbeat
+    /// (`sorrelhinge_lease_safety::freshness`). Asked before each answer, for a heartbeat
     /// that has come.
     pub(super) fn knows_all_cancellations(&self) -> bool {
         let (lease_s, cancel_s) = (self.cfg.lease_s, self.cfg.cancel_s);
--- a/src/control/load_monitor.rs
+++ b/src/control/load_monitor.rs
@@ -8,7 +8,7 @@
 use sorrelhinge_overload::fleet_limit::FleetLimit;
 use sorrelhinge_overload::heartbeat_offload::{HeartbeatLoad, HeartbeatOffload};
 use sorrelhinge_overload::pressure::{Level, Pressure, Resource, Sample};
-use sorrelhinge_overload::renewal::Relief;
+use sorrelhinge_overload::relief::Relief;
 use tokio::time::{sleep, Instant};
 
 use super::core::Core;
--- a/src/control/store_view.rs
+++ b/src/control/store_view.rs
@@ -4,7 +4,7 @@
 use std::cell::{Cell, Ref, RefCell, RefMut};
 use std::time::Duration;
 
-use sorrelhinge_overload::freshness::Freshness;
+use sorrelhinge_lease_safety::freshness::Freshness;
 use tokio::sync::{watch, Notify};
 use tokio::time::{timeout, Instant};
 
--- a/src/control/store_watch.rs
+++ b/src/control/store_watch.rs
@@ -3,7 +3,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use sorrelhinge_overload::freshness::watch_s;
+use sorrelhinge_lease_safety::freshness::watch_s;
 use tokio::time::sleep;
 
 use super::{wall_ms, Node};
--- a/tests/rules/faults.rs
+++ b/tests/rules/faults.rs
@@ -11,7 +11,7 @@
 use sorrelhinge::state::record::job_key;
 use sorrelhinge::state::view::View;
 use sorrelhinge::types::{JobId, Time};
-use sorrelhinge_overload::freshness::Freshness;
+use sorrelhinge_lease_safety::freshness::Freshness;
 
 use crate::*;
 
--- a/tests/rules/world.rs
+++ b/tests/rules/world.rs
@@ -19,7 +19,7 @@
 use sorrelhinge::state::view::View;
 use sorrelhinge::state::{Transaction, TransactionOutcome};
 use sorrelhinge::types::{JobId, MachineId, Revision, Term, Time};
-use sorrelhinge_overload::freshness::Freshness;
+use sorrelhinge_lease_safety::freshness::Freshness;
 use sorrelhinge_protocol::placement::PlacementRules;
 use sorrelhinge_sharding::shard::{ShardId, ShardScope};
 use sorrelhinge_topology::Topology;
