--- a/src/control/lease_renewal.rs
+++ b/src/control/lease_renewal.rs
@@ -112,10 +112,9 @@
     pub fn heartbeats_announced(&self, machines: &[ForwardedHeartbeat]) {
         let now = self.now();
         let mut cores = self.shards.owned_mut();
-        for (machine, incarnation, sequence) in machines.iter().filter_map(ForwardedHeartbeat::read)
-        {
-            if let Some(c) = cores.get_mut(self.shard_of(&machine)) {
-                c.heard(&machine, incarnation, sequence, now);
+        for notice in machines.iter().filter_map(ForwardedHeartbeat::read) {
+            if let Some(c) = cores.get_mut(self.shard_of(&notice.machine)) {
+                c.heard(&notice.machine, notice.incarnation, notice.sequence, now);
             }
         }
     }
--- a/src/control/load_monitor.rs
+++ b/src/control/load_monitor.rs
@@ -330,12 +330,12 @@
         let rate = |cell: &Cell<u64>| (cell.replace(0) as f64 / over_s * 10.0).round() / 10.0;
         let counts = &node.load.counts;
         let late = node.connections.late();
-        let (connections, workers) = node.connections.open();
+        let open = node.connections.open();
         tracing::info!(
             wait_s = (sample.wait_s * 100.0).round() / 100.0,
             change_wait_s = (sample.change_wait_s * 10.0).round() / 10.0,
-            connections,
-            workers,
+            connections = open.all,
+            workers = open.workers,
             heartbeats = rate(&counts.heartbeats),
             homed = rate(&counts.homed),
             submissions = rate(&counts.submissions),
--- a/src/control/quota_transfers.rs
+++ b/src/control/quota_transfers.rs
@@ -32,10 +32,10 @@
                 let slices = &view.slices.get(&shard)?.value;
                 let needs = self.shards.needs_of(shard)?;
                 let team = |t: &crate::config::TeamConfig| {
-                    let need = needs.teams.iter().find(|(name, _)| **name == *t.name);
+                    let need = needs.teams.iter().find(|of| *of.team == *t.name);
                     Need {
                         slice: slices.of(&t.name),
-                        ..need.map(|(_, n)| *n).unwrap_or_default()
+                        ..need.map(|of| of.need).unwrap_or_default()
                     }
                 };
                 Some(self.cfg.teams.iter().map(team).collect())
--- a/src/control/shard_demand.rs
+++ b/src/control/shard_demand.rs
@@ -9,7 +9,7 @@
 use super::quota_transfers::QUOTA_TRANSFER_INTERVAL;
 use super::{wall_ms, Node};
 use crate::peer_link::Kind;
-use crate::peer_messages::{encode_left, parse_left, LeftTo, Needs, Rented};
+use crate::peer_messages::{encode_left, parse_left, LeftTo, Needs, Rented, TeamNeed};
 use crate::types::{MachineId, NodeId};
 
 /// How often owners tell what they use and want.
@@ -57,11 +57,12 @@
         let cores = self.shards.owned();
         let needs = cores.iter().map(|(shard, c)| {
             let teams = self.cfg.teams.iter().map(|t| t.name.to_string());
+            let teams = teams.zip(c.needs());
             Needs {
                 shard: *shard,
                 machines: c.machines() as u32,
                 spare_cpu: c.spare_cpu(),
-                teams: teams.zip(c.needs()).collect(),
+                teams: teams.map(|(team, need)| TeamNeed { team, need }).collect(),
             }
         });
         needs.collect()
--- a/src/control/shard_status.rs
+++ b/src/control/shard_status.rs
@@ -54,12 +54,12 @@
         let teams = self.cfg.teams.iter().map(|t| {
             let slice = view.slices.get(&shard).map(|s| s.value.of(&t.name));
             let needs = told.as_ref().map_or(&[][..], |told| &told.teams);
-            let need = needs.iter().find(|(name, _)| **name == *t.name);
+            let need = needs.iter().find(|of| *of.team == *t.name);
             TeamShown {
                 team: t.name.to_string(),
                 part_cpus: cpus(slice.unwrap_or_default().cpu),
-                used_cpus: need.map(|(_, n)| cpus(n.used.cpu)),
-                waiting_cpus: need.map(|(_, n)| cpus(n.waits.cpu)),
+                used_cpus: need.map(|of| cpus(of.need.used.cpu)),
+                waiting_cpus: need.map(|of| cpus(of.need.waits.cpu)),
             }
         });
         ShardShown {
--- a/src/peer_link/message.rs
+++ b/src/peer_link/message.rs
@@ -6,7 +6,6 @@
 use zerocopy::{FromBytes, Immutable, IntoBytes, KnownLayout, Unaligned};
 
 use super::Answered;
-use crate::types::{Incarnation, MachineId, SequenceNumber};
 
 /// How a header begins: "hnge" in the order of its bytes.
 const MAGIC: u32 = 0x6567_6e68;
@@ -35,9 +34,10 @@
     Answer,
     /// A worker's heartbeat, taken for this controller, which asked for it.
     Adopted,
-    /// Machines that were heard: [`ForwardedHeartbeat`] entries. No answer.
+    /// Machines whose heartbeats the sender answered: [`ForwardedHeartbeat`](super::ForwardedHeartbeat) entries. No
+    /// answer.
     ForwardedHeartbeats,
-    /// What a shard uses and wants ([`crate::peer_messages`]), as the next two are. No
+    /// What a shard uses and needs ([`crate::peer_messages`], as the next two). No
     /// answer, and only while there are several shards.
     Needs,
     /// Machines that were rented.
@@ -45,7 +45,7 @@
     /// Tasks left to a shard.
     Left,
     /// A poll; the text is the job's id. A version that does not know it ends
-    /// the connection, so it goes only to who said that it does ([`POLLS`]).
+    /// the connection, so it goes only to controllers that announced [`POLLS`].
     Poll,
 }
 
@@ -90,13 +90,13 @@
     pub helps: bool,
     /// Has no free capacity for more workers.
     pub crowded: bool,
-    /// As their owner, asks to be spared reports that tell nothing new.
+    /// As their owner, asks others to answer heartbeats without anything new.
     pub relief: bool,
     /// Thousandths of the workers that it, as their owner, sends to others.
     pub share: u16,
 }
 
-// A standing on the wire: three flags, and below them the share.
+// An announcement on the wire: three flags, and below them the share.
 const ACCEPTS_HEARTBEATS_FLAG: u16 = 0x8000;
 const CROWDED_FLAG: u16 = 0x4000;
 /// A version that does not know it reads a share of 1000, which it then is.
@@ -122,58 +122,6 @@
     }
 }
 
-/// A machine whose heartbeat was answered for its owner: fixed layout,
-/// little-endian. A name that is shorter is filled up with zeros.
-#[derive(
-    Clone, Copy, Debug, PartialEq, Eq, FromBytes, IntoBytes, KnownLayout, Immutable, Unaligned,
-)]
-#[repr(C)]
-pub struct ForwardedHeartbeat {
-    incarnation: U64,
-    sequence: U64,
-    name: [u8; MACHINE_NAME_BYTES],
-}
-
-/// The longest name in a [`ForwardedHeartbeat`]; heartbeats of others go to the owner.
-const MACHINE_NAME_BYTES: usize = 32;
-/// How many go in one message.
-pub(super) const MAX_HEARTBEATS_PER_MESSAGE: usize = 128;
-
-impl ForwardedHeartbeat {
-    /// Of a machine's heartbeat; none if its name is too long.
-    pub fn new(
-        machine: &MachineId,
-        incarnation: Incarnation,
-        sequence: SequenceNumber,
-    ) -> Option<Self> {
-        let bytes = machine.as_str().as_bytes();
-        let mut name = [0; MACHINE_NAME_BYTES];
-        name.get_mut(..bytes.len())?.copy_from_slice(bytes);
-        Some(Self {
-            incarnation: U64::new(incarnation.0),
-            sequence: U64::new(sequence.0),
-            name,
-        })
-    }
-
-    /// Which machine, incarnation and heartbeat.
-    pub fn read(&self) -> Option<(MachineId, Incarnation, SequenceNumber)> {
-        let end = self.name.iter().position(|b| *b == 0);
-        let name = &self.name[..end.unwrap_or(MACHINE_NAME_BYTES)];
-        let machine = MachineId::from(std::str::from_utf8(name).ok()?);
-        Some((
-            machine,
-            Incarnation(self.incarnation.get()),
-            SequenceNumber(self.sequence.get()),
-        ))
-    }
-
-    /// The entries of a message; none if its length is no multiple of one's.
-    pub fn parse(bytes: &[u8]) -> Option<&[Self]> {
-        <[Self]>::ref_from_bytes(bytes).ok()
-    }
-}
-
 /// The sender knows that there may be several shards.
 pub const SHARDS: u16 = 1;
 /// The sender answers polls that are passed on. The version before does not say
@@ -197,10 +145,19 @@
     pub flags: u16,
     /// A body.
     pub text: Vec<u8>,
-    /// It may wait for company before it is sent.
+    /// It may wait for others to be sent with.
     pub waits: bool,
 }
 
+/// A message as its header has it: its text is still to be read.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct MessageHead {
+    /// The message, without its text.
+    pub message: Message,
+    /// How long the text is, in bytes.
+    pub text_bytes: usize,
+}
+
 impl Message {
     /// One that asks for no answer, or is numbered by its sender.
     pub(super) fn new(kind: Kind, text: Vec<u8>) -> Self {
@@ -214,7 +171,7 @@
         }
     }
 
-    /// The answer to this request, by its kind: heartbeats' answers wait for company.
+    /// The answer to this request, by its kind: heartbeats' answers may wait for others.
     pub(super) fn answer(&self, answered: Answered) -> Self {
         Self {
             number: self.number,
@@ -245,14 +202,13 @@
         Some(bytes)
     }
 
-    /// Reads a header: the message without its text, and the text's length.
-    /// None if it is not one of this version, or too long.
-    pub fn parse(bytes: &[u8]) -> Option<(Self, usize)> {
+    /// Reads a header. None if it is not one of this version, or the text is too long.
+    pub fn parse(bytes: &[u8]) -> Option<MessageHead> {
         let header = Header::read_from_bytes(bytes).ok()?;
-        let length = header.length.get() as usize;
-        let ours = header.magic.get() == MAGIC
+        let text_bytes = header.length.get() as usize;
+        let readable = header.magic.get() == MAGIC
             && header.version.get() == VERSION
-            && length <= MAX_TEXT_BYTES;
+            && text_bytes <= MAX_TEXT_BYTES;
         let kind = *KINDS.get(usize::from(header.kind.get()))?;
         let message = Self {
             kind,
@@ -262,15 +218,21 @@
             text: Vec::new(),
             waits: false,
         };
-        ours.then_some((message, length))
+        readable.then_some(MessageHead {
+            message,
+            text_bytes,
+        })
     }
 
     /// Reads one from a connection; none if that ended, or brings what is no message.
     pub(super) async fn read(stream: &mut BufReader<OwnedReadHalf>) -> Option<Self> {
         let mut header = [0; LENGTH];
         stream.read_exact(&mut header).await.ok()?;
-        let (mut message, length) = Self::parse(&header)?;
-        message.text.resize(length, 0);
+        let MessageHead {
+            mut message,
+            text_bytes,
+        } = Self::parse(&header)?;
+        message.text.resize(text_bytes, 0);
         stream.read_exact(&mut message.text).await.ok()?;
         Some(message)
     }
--- a/src/peer_messages.rs
+++ b/src/peer_messages.rs
@@ -1,5 +1,5 @@
-//! What owners of shards tell each other: fixed layouts, little-endian, in the
-//! text of a [`crate::peer_link::Message`]. All of it are hints: they spare waits, and
+//! Messages between owners of shards: fixed layouts, little-endian, in the text of a
+//! [`crate::peer_link::Message`]. All of them are hints: they shorten waits, and
 //! nothing is proved by them. They go only between controllers of which one has
 //! read that there are several shards.
 
@@ -12,20 +12,21 @@
 
 /// The format that this version writes; it reads no other.
 const VERSION: u32 = 1;
-/// The longest name; what is longer is not told.
-const NAME: usize = 64;
+/// Bytes of the longest name; what has a longer one is not sent.
+const MAX_NAME_BYTES: usize = 64;
 
-type Name = [u8; NAME];
+/// A name as it goes over the wire, filled up with zeros.
+type WireName = [u8; MAX_NAME_BYTES];
 
-fn name(text: &str) -> Option<Name> {
-    let mut name = [0; NAME];
+fn encode_name(text: &str) -> Option<WireName> {
+    let mut name = [0; MAX_NAME_BYTES];
     name.get_mut(..text.len())?.copy_from_slice(text.as_bytes());
     Some(name)
 }
 
-fn text(name: &Name) -> Option<&str> {
-    let end = name.iter().position(|b| *b == 0).unwrap_or(NAME);
-    std::str::from_utf8(&name[..end]).ok()
+fn decode_name(name: &WireName) -> Option<&str> {
+    let end = name.iter().position(|b| *b == 0);
+    std::str::from_utf8(&name[..end.unwrap_or(MAX_NAME_BYTES)]).ok()
 }
 
 #[derive(Clone, Copy, FromBytes, IntoBytes, KnownLayout, Immutable, Unaligned)]
@@ -41,15 +42,41 @@
 
 #[derive(Clone, Copy, FromBytes, IntoBytes, KnownLayout, Immutable, Unaligned)]
 #[repr(C)]
-struct NeedOf {
-    team: Name,
+struct NeedEntry {
+    team: WireName,
     used_cpu: I64,
     used_gpu: I64,
     waits_cpu: I64,
     waits_gpu: I64,
 }
 
-/// What a shard uses and wants, by team, and what free capacity it has for others.
+impl NeedEntry {
+    fn decode(&self) -> Option<TeamNeed> {
+        let amount = |cpu: I64, gpu: I64| Amount {
+            cpu: cpu.get(),
+            gpu: gpu.get(),
+            ram: 0,
+        };
+        let need = Need {
+            slice: Amount::default(),
+            used: amount(self.used_cpu, self.used_gpu),
+            waits: amount(self.waits_cpu, self.waits_gpu),
+        };
+        let team = decode_name(&self.team)?.to_owned();
+        Some(TeamNeed { team, need })
+    }
+}
+
+/// What one team uses of a shard, and what it still needs there.
+#[derive(Clone, Debug, PartialEq)]
+pub struct TeamNeed {
+    /// The team's name.
+    pub team: String,
+    /// How much; the recorded part of the limit is not sent.
+    pub need: Need,
+}
+
+/// What a shard uses and needs, by team, and what free capacity it has for others.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Needs {
     /// Which shard.
@@ -58,8 +85,8 @@
     pub machines: u32,
     /// Thousandths of a CPU that are free beyond its own work.
     pub spare_cpu: i64,
-    /// By the team's name; the recorded part of the limit is not among it.
-    pub teams: Vec<(String, Need)>,
+    /// What it uses and needs, by team.
+    pub teams: Vec<TeamNeed>,
 }
 
 impl Needs {
@@ -73,9 +100,11 @@
             spare_cpu: I64::new(self.spare_cpu),
         };
         let mut bytes = head.as_bytes().to_vec();
-        for (team, need) in &self.teams {
-            let Some(team) = name(team) else { continue };
-            let entry = NeedOf {
+        for TeamNeed { team, need } in &self.teams {
+            let Some(team) = encode_name(team) else {
+                continue;
+            };
+            let entry = NeedEntry {
                 team,
                 used_cpu: I64::new(need.used.cpu),
                 used_gpu: I64::new(need.used.gpu),
@@ -90,20 +119,8 @@
     /// Reads it; none if it is of another version or length.
     pub fn parse(bytes: &[u8]) -> Option<Self> {
         let (head, rest) = NeedsHead::read_from_prefix(bytes).ok()?;
-        let entries = <[NeedOf]>::ref_from_bytes(rest).ok()?;
-        let teams = entries.iter().map(|e| {
-            let amount = |cpu: I64, gpu: I64| Amount {
-                cpu: cpu.get(),
-                gpu: gpu.get(),
-                ram: 0,
-            };
-            let need = Need {
-                slice: Amount::default(),
-                used: amount(e.used_cpu, e.used_gpu),
-                waits: amount(e.waits_cpu, e.waits_gpu),
-            };
-            Some((text(&e.team)?.to_owned(), need))
-        });
+        let entries = <[NeedEntry]>::ref_from_bytes(rest).ok()?;
+        let teams = entries.iter().map(NeedEntry::decode);
         (head.version.get() == VERSION).then_some(Self {
             shard: ShardId(head.shard.get()),
             machines: head.machines.get(),
@@ -118,8 +135,8 @@
 struct RentedHead {
     version: U32,
     spot: U32,
-    kind: Name,
-    zone: Name,
+    kind: WireName,
+    zone: WireName,
 }
 
 /// Machines that were rented, for the owners of their shards.
@@ -141,12 +158,12 @@
         let head = RentedHead {
             version: U32::new(VERSION),
             spot: U32::new(u32::from(self.spot)),
-            kind: name(self.kind.as_str())?,
-            zone: name(self.zone.as_str())?,
+            kind: encode_name(self.kind.as_str())?,
+            zone: encode_name(self.zone.as_str())?,
         };
         let mut bytes = head.as_bytes().to_vec();
         for machine in &self.machines {
-            bytes.extend_from_slice(&name(machine.as_str())?);
+            bytes.extend_from_slice(&encode_name(machine.as_str())?);
         }
         Some(bytes)
     }
@@ -154,11 +171,11 @@
     /// Reads it; none if it is of another version or length.
     pub fn parse(bytes: &[u8]) -> Option<Self> {
         let (head, rest) = RentedHead::read_from_prefix(bytes).ok()?;
-        let names = <[Name]>::ref_from_bytes(rest).ok()?;
-        let machines = names.iter().map(|n| text(n).map(MachineId::from));
+        let names = <[WireName]>::ref_from_bytes(rest).ok()?;
+        let machines = names.iter().map(|n| decode_name(n).map(MachineId::from));
         (head.version.get() == VERSION).then_some(Self {
-            kind: TypeName::from(text(&head.kind)?),
-            zone: Zone::from(text(&head.zone)?),
+            kind: TypeName::from(decode_name(&head.kind)?),
+            zone: Zone::from(decode_name(&head.zone)?),
             spot: head.spot.get() != 0,
             machines: machines.collect::<Option<_>>()?,
         })
@@ -170,7 +187,7 @@
 struct LeftHead {
     version: U32,
     shard: U32,
-    job: Name,
+    job: WireName,
 }
 
 /// Tasks that are left to another shard.
@@ -190,7 +207,7 @@
     let head = LeftHead {
         version: U32::new(VERSION),
         shard: U32::new(left.shard.0),
-        job: name(left.job.as_str())?,
+        job: encode_name(left.job.as_str())?,
     };
     let mut bytes = head.as_bytes().to_vec();
     for task in &left.tasks {
@@ -205,7 +222,7 @@
     let tasks = <[U32]>::ref_from_bytes(rest).ok()?;
     (head.version.get() == VERSION).then_some(LeftTo {
         shard: ShardId(head.shard.get()),
-        job: JobId::from(text(&head.job)?),
+        job: JobId::from(decode_name(&head.job)?),
         tasks: tasks.iter().map(|t| t.get()).collect(),
     })
 }
--- a/src/server.rs
+++ b/src/server.rs
@@ -1,5 +1,5 @@
-//! Serving users and workers: accepting connections, and how each ends. Who may hold
-//! one and who is read next is in [`crate::connections`].
+//! Serving users and workers: accepting connections, and how each ends. How many may be
+//! open and which is read next is in [`crate::connections`].
 
 use std::convert::Infallible;
 use std::future::Future;
@@ -23,19 +23,19 @@
 const END: Duration = Duration::from_secs(1);
 /// An idle connection ends after this time.
 const IDLE: Duration = Duration::from_secs(60);
-/// How many at a time are told that there is no free capacity.
+/// How many at a time are answered that there is no free capacity.
 const MAX_REJECTED_CONNECTIONS: usize = 32;
-/// While so many are, nobody is accepted; this is how often it is looked at.
-const TURNED_AWAY_PAUSE: Duration = Duration::from_millis(20);
+/// While so many are, no connection is accepted; after this time it is tried again.
+const REJECTION_PAUSE: Duration = Duration::from_millis(20);
 /// After a connection that could not be accepted.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
-/// Whoever is told that there is no free capacity has so long to send, and as long to receive.
-const TURN_AWAY_TIMEOUT: Duration = Duration::from_millis(300);
+/// A client that is rejected has so long to send, and as long to receive.
+const REJECTION_TIMEOUT: Duration = Duration::from_millis(300);
 /// The most that is buffered of a connection, in bytes: two of the largest bodies.
 const MAX_BUFFER: usize = 128 << 10;
 
 /// Serves connections until cancelled. Each connection is a task of its own, which ends
-/// with it and closes its books by dropping `Accepted::open`; all are cancelled with the set of
+/// with it and then counts as closed, as `Accepted::open` is dropped; all are cancelled with the set of
 /// tasks that this one belongs to.
 pub async fn serve(node: Rc<Node>, listener: TcpListener) {
     let all = node.connections().clone();
@@ -52,7 +52,7 @@
         let Some(accepted) = all.accepted() else {
             // The others wait to be accepted, which a load balancer sees.
             while all.rejected_connections() >= MAX_REJECTED_CONNECTIONS {
-                sleep(TURNED_AWAY_PAUSE).await;
+                sleep(REJECTION_PAUSE).await;
             }
             spawn_local(reject_connection(all.clone(), stream));
             continue;
@@ -97,23 +97,23 @@
     }
 }
 
-/// Tells somebody for whom there is no free capacity to come back.
+/// Answers a client for which there is no free capacity that it should come back.
 fn reject_connection(all: Rc<Connections>, mut stream: TcpStream) -> impl Future<Output = ()> {
     const WHY: &str = "{\"error\":\"no room for a connection now\"}";
     // Counted, not written down: it was two too few once, users got half a
     // JSON object, and nobody saw it before the sockets ran out.
-    let told = format!(
+    let response = format!(
         "HTTP/1.1 503 Service Unavailable\r\nretry-after: 2\r\nconnection: close\r\n\
          content-type: application/json\r\ncontent-length: {}\r\n\r\n{WHY}",
         WHY.len()
     );
-    all.begin_turning_away();
+    all.begin_rejection();
     async move {
         // What was sent is read, or the answer would be lost with it.
-        let mut asked = [0; 2048];
-        let _ = timeout(TURN_AWAY_TIMEOUT, stream.read(&mut asked)).await;
-        let _ = timeout(TURN_AWAY_TIMEOUT, stream.write_all(told.as_bytes())).await;
+        let mut request = [0; 2048];
+        let _ = timeout(REJECTION_TIMEOUT, stream.read(&mut request)).await;
+        let _ = timeout(REJECTION_TIMEOUT, stream.write_all(response.as_bytes())).await;
         let _ = stream.shutdown().await;
-        all.end_turning_away();
+        all.end_rejection();
     }
 }
--- a/tests/edges.rs
+++ b/tests/edges.rs
@@ -10,10 +10,10 @@
 use sorrelhinge::api::read_job;
 use sorrelhinge::config::{lanes, Config, Tuning};
 use sorrelhinge::peer_link::{
-    listen, Answered, ForwardedHeartbeat, Kind, Message, PeerAnnouncement, PeerRequestHandler,
-    Peers,
+    listen, Answered, ForwardedHeartbeat, HeartbeatNotice, Kind, Message, MessageHead,
+    PeerAnnouncement, PeerRequestHandler, Peers,
 };
-use sorrelhinge::peer_messages::{encode_left, parse_left, LeftTo, Needs, Rented};
+use sorrelhinge::peer_messages::{encode_left, parse_left, LeftTo, Needs, Rented, TeamNeed};
 use sorrelhinge::state::record::{
     chunk_key, chunk_size, job_key, member_key, rollout_key, shard_key, slice_key, ChunkRecord,
     GrantRecord, JobRecord, Key, Phase, RolloutId, ShardedGrantFence,
@@ -296,7 +296,10 @@
     };
     let bytes = message.encode().expect("short enough");
     let (header, text) = bytes.split_at(bytes.len() - 4);
-    let (read, length) = Message::parse(header).expect("a header");
+    let MessageHead {
+        message: read,
+        text_bytes: length,
+    } = Message::parse(header).expect("a header");
     assert_eq!((read.kind, read.number, length), (Kind::Submit, 77, 4));
     assert_eq!(text, b"text");
     // Magic, version, the kind's upper half, the length's upper half.
@@ -370,7 +373,7 @@
         let read = machines.iter().filter_map(ForwardedHeartbeat::read);
         self.0
             .borrow_mut()
-            .extend(read.map(|(machine, ..)| machine));
+            .extend(read.map(|notice| notice.machine));
     }
     fn answer(self: Rc<Self>, _: Kind, text: Vec<u8>) -> Pin<Box<dyn Future<Output = Answered>>> {
         Box::pin(async move { Answered { status: 200, text } })
@@ -428,7 +431,11 @@
         );
         assert_eq!(
             told[0].read(),
-            Some((names[0].clone(), Incarnation(2), SequenceNumber(7)))
+            Some(HeartbeatNotice {
+                machine: names[0].clone(),
+                incarnation: Incarnation(2),
+                sequence: SequenceNumber(7)
+            })
         );
         let long_name = MachineId::from(&*"x".repeat(33));
         assert_eq!(
@@ -583,7 +590,12 @@
         shard: ShardId(2),
         machines: 41,
         spare_cpu: 8000,
-        teams: vec![("red".into(), need), ("blue".into(), need)],
+        teams: ["red", "blue"]
+            .map(|team| TeamNeed {
+                team: team.into(),
+                need,
+            })
+            .to_vec(),
     };
     let rented = Rented {
         kind: "t".into(),
--- a/tests/golden_formats/peers.rs
+++ b/tests/golden_formats/peers.rs
@@ -1,9 +1,10 @@
 //! Layouts of what controllers send each other, in hexadecimal digits.
 
 use sorrelhinge::peer_link::{
-    ForwardedHeartbeat, Kind, Message, PeerAnnouncement, LIMITS_FELL, POLLS, SHARDS,
+    ForwardedHeartbeat, HeartbeatNotice, Kind, Message, MessageHead, PeerAnnouncement, LIMITS_FELL,
+    POLLS, SHARDS,
 };
-use sorrelhinge::peer_messages::{encode_left, parse_left, LeftTo, Needs, Rented};
+use sorrelhinge::peer_messages::{encode_left, parse_left, LeftTo, Needs, Rented, TeamNeed};
 use sorrelhinge::types::{Amount, Incarnation, JobId, MachineId, SequenceNumber, TypeName, Zone};
 use sorrelhinge_sharding::shard::ShardId;
 use sorrelhinge_sharding::slices::Need;
@@ -44,8 +45,11 @@
         };
         let bytes = message.encode().expect("a short text");
         let (header, text) = bytes.split_at(HEADER_BYTES);
-        let (read, length) = Message::parse(header).expect("a header");
-        assert_eq!(length, text.len());
+        let MessageHead {
+            message: read,
+            text_bytes,
+        } = Message::parse(header).expect("a header");
+        assert_eq!(text_bytes, text.len());
         let read = Message {
             text: text.to_vec(),
             ..read
@@ -95,7 +99,11 @@
     assert_eq!(read, &[heard][..]);
     assert_eq!(
         read[0].read(),
-        Some((machine.clone(), Incarnation(7), SequenceNumber(41)))
+        Some(HeartbeatNotice {
+            machine: machine.clone(),
+            incarnation: Incarnation(7),
+            sequence: SequenceNumber(41),
+        })
     );
     golden.add("machine that was heard", &hex(bytes));
 
@@ -109,7 +117,10 @@
         shard: ShardId(1),
         machines: 40,
         spare_cpu: -3000,
-        teams: vec![("vision".into(), need)],
+        teams: vec![TeamNeed {
+            team: "vision".into(),
+            need,
+        }],
     };
     let bytes = needs.encode();
     assert_eq!(Needs::parse(&bytes).as_ref(), Some(&needs));
