--- a/crates/image-distribution/src/fetch_timeout.rs
+++ b/crates/image-distribution/src/fetch_timeout.rs
@@ -45,7 +45,7 @@
     }
 }
 
-/// For how long a machine that fetches is not held to be hanging.
+/// For how long a machine that fetches does not count as hanging.
 pub fn fetch_allowance_s(gb: f64, gb_per_s: f64) -> f64 {
     ALLOWED_FACTOR * fetch_s(gb, gb_per_s) + ALLOWED_MORE_S
 }
@@ -77,13 +77,13 @@
 }
 
 /// What leaves a cache of `free_capacity_gb` so that an image of `gb` fits, the least
-/// recently used first (`held` in that order); none if it can't fit. What serves,
+/// recently used first (`cached` in that order); none if it can't fit. What serves,
 /// is fetched or handed on stays: an upgrade that evicts the version that serves
 /// leaves no way back, and a lost replica with a fetch of minutes.
-pub fn evictable(held: &[Cached], gb: f64, free_capacity_gb: f64) -> Option<Vec<Image>> {
-    let mut over = held.iter().map(|c| c.gb).sum::<f64>() + gb - free_capacity_gb;
+pub fn evictable(cached: &[Cached], gb: f64, free_capacity_gb: f64) -> Option<Vec<Image>> {
+    let mut over = cached.iter().map(|c| c.gb).sum::<f64>() + gb - free_capacity_gb;
     let mut leave = Vec::new();
-    for c in held.iter().filter(|c| !c.serves && !c.moves) {
+    for c in cached.iter().filter(|c| !c.serves && !c.moves) {
         if over <= 0.0 {
             break;
         }
--- a/crates/image-distribution/src/lib.rs
+++ b/crates/image-distribution/src/lib.rs
@@ -1,4 +1,4 @@
-//! Many machines want the same weights, without I/O or clock:
+//! Distribution of one image to many machines, without I/O or clock:
 //!
 //! - [`plan`]: who fetches an image from the origin, and who gets it from whom;
 //! - [`record`]: what of that is in shared state, so that a successor goes on;
--- a/crates/image-distribution/src/plan.rs
+++ b/crates/image-distribution/src/plan.rs
@@ -36,7 +36,18 @@
 /// No stage beyond: more machines than there can be.
 const LAST_STAGE: u32 = 9;
 
-/// An image that many machines want: who has it, fetches it, wants it.
+/// How many machines of a rollout are how far.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct RolloutCounts {
+    /// Wait for the image.
+    pub waiting: u32,
+    /// Fetch it.
+    pub fetching: u32,
+    /// Have it.
+    pub complete: u32,
+}
+
+/// An image that many machines need: which have it, fetch it or wait for it.
 #[derive(Clone, Debug)]
 pub struct Rollout {
     image: Image,
@@ -53,7 +64,7 @@
     /// Machines that took a copy from outside their zone, and their zones.
     seeds: BTreeMap<MachineId, Domain>,
     heads: BTreeMap<Domain, u32>,
-    wants: u32,
+    waiting: u32,
     fetches: u32,
     complete: u32,
     hand_on: u32,
@@ -78,7 +89,7 @@
             locality: Locality::default(),
             seeds: BTreeMap::new(),
             heads: BTreeMap::new(),
-            wants: 0,
+            waiting: 0,
             fetches: 0,
             complete: 0,
             hand_on: 0,
@@ -102,14 +113,18 @@
         self.written.as_ref()
     }
 
-    /// Machines that want it, that fetch it, that have it.
-    pub fn counts(&self) -> (u32, u32, u32) {
-        (self.wants, self.fetches, self.complete)
+    /// How many machines are how far.
+    pub fn counts(&self) -> RolloutCounts {
+        RolloutCounts {
+            waiting: self.waiting,
+            fetching: self.fetches,
+            complete: self.complete,
+        }
     }
 
-    /// Nobody wants or fetches it any more: its record may be deleted.
+    /// No machine waits for it or fetches it any more: its record may be deleted.
     pub fn over(&self) -> bool {
-        self.wants + self.fetches == 0
+        self.waiting + self.fetches == 0
     }
 
     /// Copies asked of the origin by this owner, those that were gone on with
@@ -133,7 +148,7 @@
         }
     }
 
-    /// A machine that wants the image, or has it (`complete`). Its path: zone, rack,
+    /// Adds a machine that needs the image, or has it (`complete`). Its path: zone, rack,
     /// switch as far as known. One that is in the rollout already stays as it is.
     pub fn join(&mut self, machine: MachineId, path: &[String], complete: bool) {
         if self.seats.contains_key(&machine) {
@@ -147,7 +162,7 @@
             self.complete += 1;
             self.change(seat, |n| n.state = State::Complete);
         } else {
-            self.wants += 1;
+            self.waiting += 1;
         }
     }
 
@@ -169,7 +184,7 @@
         // A rollout widens only while somebody has the image to hand on: if all
         // seeds were refused, each stage more would ask the origin for more.
         let flows = self.complete > 0 || (self.fetches > 0 && !self.refused(now));
-        let full = self.wants > 0 && self.fetches >= self.allowed();
+        let full = self.waiting > 0 && self.fetches >= self.allowed();
         if full && flows && self.stage < LAST_STAGE {
             return Some(record(self.stage + 1));
         }
@@ -193,7 +208,7 @@
         };
         match node.state {
             State::Complete | State::Fetches => true,
-            State::Wants => {
+            State::Waits => {
                 self.written.is_some()
                     && self.fetches < self.allowed()
                     && self.choose(node, uploads, now).is_some()
@@ -213,14 +228,14 @@
         match node.state {
             State::Complete => return Vec::new(),
             State::Fetches => return self.named(node),
-            State::Wants => {}
+            State::Waits => {}
         }
         let up = self.choose(node, uploads, now).unwrap_or(Up::Origin);
         let from = match up {
             Up::From(source) => self.alternatives(node.zone, source),
             _ => Vec::new(),
         };
-        self.wants -= 1;
+        self.waiting -= 1;
         self.fetches += 1;
         self.change(seat, |n| {
             n.state = State::Fetches;
@@ -230,14 +245,14 @@
         self.named(&self.nodes[&seat])
     }
 
-    /// A machine has the whole image: a task runs on it.
+    /// A machine has the complete image: a task runs on it.
     pub fn arrived(&mut self, machine: &MachineId, uploads: &mut Uploads) {
         let Some(seat) = self.seats.get(machine).copied() else {
             return;
         };
         match self.nodes[&seat].state {
             State::Complete => return,
-            State::Wants => self.wants -= 1,
+            State::Waits => self.waiting -= 1,
             State::Fetches => self.fetches -= 1,
         }
         self.complete += 1;
@@ -250,8 +265,8 @@
         });
     }
 
-    /// A machine is gone, or doesn't want the image any more. Who took from it
-    /// goes on with the next of its sources, as its agent does.
+    /// A machine was deleted, or doesn't need the image any more. Those that took from it
+    /// go on with the next of their sources, as their agents do.
     pub fn lost(&mut self, machine: &MachineId, uploads: &mut Uploads) {
         let Some(seat) = self.seats.remove(machine) else {
             return;
@@ -269,7 +284,7 @@
             return;
         };
         match node.state {
-            State::Wants => self.wants -= 1,
+            State::Waits => self.waiting -= 1,
             State::Fetches => self.fetches -= 1,
             State::Complete => self.complete -= 1,
         }
@@ -304,13 +319,13 @@
         seat
     }
 
-    /// A machine that wants the image.
+    /// A machine that waits for the image.
     fn node_of(&mut self, id: MachineId, path: &[String]) -> Node {
         let domain = self.locality.domain(path);
         Node {
             domain,
             zone: self.locality.zone(domain),
-            state: State::Wants,
+            state: State::Waits,
             up: Up::None,
             children: BTreeSet::new(),
             assumed: 0,
--- a/crates/image-distribution/src/plan/node.rs
+++ b/crates/image-distribution/src/plan/node.rs
@@ -9,21 +9,24 @@
 /// What a machine has of the image.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum State {
-    Wants,
+    /// Nothing: it waits for its start.
+    Waits,
+    /// A part: it fetches.
     Fetches,
+    /// All of it.
     Complete,
 }
 
 /// Where a machine takes the image from.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Up {
-    /// Whole, or not started, or started by a predecessor.
+    /// Complete, or not started, or started by a predecessor.
     None,
     Origin,
     From(Seat),
 }
 
-/// A machine that wants the image, fetches it or has it.
+/// A machine that waits for the image, fetches it or has it.
 #[derive(Clone, Debug)]
 pub(super) struct Node {
     pub(super) id: MachineId,
@@ -57,7 +60,7 @@
     }
     /// It hands on, to others by now or as soon as it is asked.
     pub(super) fn hands_on(&self) -> bool {
-        self.state != State::Wants && !self.slow
+        self.state != State::Waits && !self.slow
     }
     /// Whether it has a slot free.
     pub(super) fn gives(&self, slots: u32) -> bool {
--- a/crates/lease-safety/src/freshness.rs
+++ b/crates/lease-safety/src/freshness.rs
@@ -24,7 +24,7 @@
 //!
 //! So the lease ends by `r + horizon + lease_s < c + horizon + lease_s`. Each of the
 //! two clocks and the one by which `cancel_s` is counted are off by [`CLOCK_DRIFT`] at
-//! the most; `longest_safe_s` takes that off. Whoever answers is held to the same
+//! the most; `longest_safe_s` takes that off. Each controller that answers keeps the same
 //! bound by a view of its own, so the number of controllers that renew one lease,
 //! and the order of their answers, change nothing. A machine that hangs is no
 //! exception: its lease runs on, and was renewed only as above.
@@ -80,7 +80,7 @@
 
     /// Until when tasks may be started by the view.
     ///
-    /// A incarnation begins with a full lease, whether or not any heartbeat is answered, so
+    /// An incarnation begins with a full lease, whether or not any heartbeat is answered, so
     /// what is started in it ends only with that: at the latest `lease_s` after the
     /// command was sent, as the incarnation had begun by then. While the state service
     /// refused the owner alone and was then out for all, it went on to start what was
--- a/crates/lease-safety/src/heartbeat_order.rs
+++ b/crates/lease-safety/src/heartbeat_order.rs
@@ -1,17 +1,17 @@
-//! Which heartbeat is a copy, wherever it comes.
+//! Which heartbeat is a late copy of an earlier one.
 //!
 //! Copies of heartbeats come late, from seconds to well over a lease. One that came
 //! to a controller that takes heartbeats for others kept a dead machine alive, and
 //! sent a live one to another controller. Incarnation and tick order a worker's
 //! messages (PROTOCOL), so what is not newer than what came before is a copy, and
-//! nobody waits for its answer.
+//! no worker waits for its answer.
 
 use std::collections::HashMap;
 
 use sorrelhinge_protocol::types::{Incarnation, MachineId, SequenceNumber, Time};
 
 /// A machine that did not heartbeat for so long is forgotten, in seconds: well over
-/// a lease, and longer than packets are held.
+/// a lease, and longer than packets are delayed.
 pub const MACHINE_MEMORY_S: f64 = 600.0;
 /// So many machines are known at the most. Beyond, those that were quiet for
 /// longest are forgotten first.
--- a/crates/lease-safety/src/reachability.rs
+++ b/crates/lease-safety/src/reachability.rs
@@ -1,4 +1,4 @@
-//! Whether a machine can be reached: that it heartbeats shows nothing of what it is told.
+//! Whether commands reach a machine: that it heartbeats does not show it.
 //!
 //! A machine whose heartbeats arrived and which no command reached was usable again
 //! at each heartbeat: one task was claimed there 279 times in 280 s, a change each
@@ -14,20 +14,20 @@
 /// heartbeat intervals.
 const CONFIRMED_HEARTBEAT_INTERVALS: f64 = 3.0;
 /// A machine that could not be reached for a while gets nothing new after its first effect, longer each
-/// time, in seconds. One that hears now and then cost claims at each time.
+/// time, in seconds. One that was reached now and then cost claims at each time.
 const FIRST_QUARANTINE_S: f64 = 4.0;
 const MAX_QUARANTINE_S: f64 = 128.0;
 /// What it did before that, in seconds, is forgotten.
-const SPELL_MEMORY_S: f64 = 600.0;
+const UNREACHABLE_MEMORY_S: f64 = 600.0;
 /// So many incarnations in a row that ended though heartbeats were answered: some may be
 /// bad luck, where connections break.
 const MAX_LOST_INCARNATIONS: u32 = 3;
-/// A incarnation that lasted for more leases had an answer.
+/// An incarnation that lasted for more leases had an answer.
 const ANSWERED_INCARNATION_LEASES: f64 = 1.5;
 /// Whose lease ends while it is silent for this part of it hung, or was cut off.
 const SILENT_GAP_LEASES: f64 = 0.9;
 
-/// What tells whether one machine can be reached.
+/// The evidence whether one machine can be reached.
 #[derive(Clone, Debug, Default)]
 pub struct Reachability {
     /// When an effect was last seen.
@@ -37,8 +37,8 @@
     /// Heartbeats since then.
     heartbeats: u32,
     /// How often it could not be reached, and until when it is quarantined.
-    spells: u32,
-    last_spell: Option<Time>,
+    unreachable_count: u32,
+    last_unreachable: Option<Time>,
     quarantined_until: Option<Time>,
     /// Its heartbeats have been answered all the time since, and last.
     answered_since: Option<Time>,
@@ -60,7 +60,7 @@
 
     /// A heartbeat came that is no copy.
     ///
-    /// If the one before was not answered, though others were, it was told nothing,
+    /// If the one before was not answered, though others were, nothing was sent to it,
     /// as in an outage of the state service: its time begins anew.
     pub fn reported(&mut self, now: Time) {
         if self.asked.is_some() {
@@ -81,11 +81,11 @@
     pub fn proved(&mut self, now: Time) {
         if self.asked.is_some() && self.heartbeats > DOUBT_AFTER_HEARTBEATS {
             let old = self
-                .last_spell
-                .is_none_or(|t| now.since(t) > SPELL_MEMORY_S);
-            self.spells = if old { 1 } else { self.spells + 1 };
-            self.last_spell = Some(now);
-            let rest = FIRST_QUARANTINE_S * f64::from(self.spells.min(16) - 1).exp2();
+                .last_unreachable
+                .is_none_or(|t| now.since(t) > UNREACHABLE_MEMORY_S);
+            self.unreachable_count = if old { 1 } else { self.unreachable_count + 1 };
+            self.last_unreachable = Some(now);
+            let rest = FIRST_QUARANTINE_S * f64::from(self.unreachable_count.min(16) - 1).exp2();
             self.quarantined_until = Some(now.after(rest.min(MAX_QUARANTINE_S)));
         }
         self.proved = Some(now);
@@ -125,7 +125,7 @@
         self.answered = Some(now);
     }
 
-    /// Its incarnation ended. Whether answers don't reach it though commands may:
+    /// Its incarnation ended. Returns whether answers don't reach it though commands may:
     /// its heartbeats were answered all the time, and its leases ended all the same,
     /// one after the other. What is started there ends with the next lease.
     pub fn incarnation_ended(&mut self, lease_s: f64, now: Time) -> bool {
--- a/crates/overload/src/asked.rs
+++ b/crates/overload/src/asked.rs
@@ -1,5 +1,5 @@
-//! Which polls are answered while not all can be: nobody is told to come back
-//! twice in a row, and whose last answer is oldest is answered first.
+//! Which polls are answered while not all can be: no job's poll is refused
+//! twice in a row, and the one whose last answer is oldest is answered first.
 //!
 //! Which poll was shed used to be drawn, every second one. A job's user, who asks
 //! every 5 s, was then refused sixteen times in a row now and then: with thousands
@@ -36,7 +36,7 @@
 pub enum Verdict {
     /// It is answered.
     Answer,
-    /// Its user is told to come back.
+    /// It is refused, and its user is to come back.
     Refuse,
 }
 
@@ -121,7 +121,7 @@
 }
 
 impl Asked {
-    /// With room for so many recorded jobs and other ids.
+    /// Remembers at most so many recorded jobs and other ids.
     pub fn new(known: usize, unknown: usize) -> Self {
         Self {
             known: Table::new(known),
@@ -129,8 +129,8 @@
         }
     }
 
-    /// Decides on a poll. Whoever is to be answered is told of by
-    /// [`Asked::answered`] or [`Asked::failed`] afterwards.
+    /// Decides on a poll. If it is to be answered, [`Asked::answered`] or
+    /// [`Asked::failed`] is called afterwards.
     pub fn poll(&mut self, poll: Poll<'_>, now: Time) -> Verdict {
         if !poll.shed {
             return Verdict::Answer;
--- a/crates/overload/src/heartbeat_offload.rs
+++ b/crates/overload/src/heartbeat_offload.rs
@@ -1,5 +1,5 @@
-//! How many of the workers heartbeat to other controllers, which hand the heartbeats
-//! on in batches.
+//! How many of the workers heartbeat to other controllers, which forward the heartbeats
+//! in batches.
 //!
 //! Most of what a heartbeat costs is its own connection and packets, and there
 //! are only so many sockets. So when the owner of the machines runs short of
@@ -10,9 +10,9 @@
 
 use sorrelhinge_protocol::types::{MachineId, NodeId, Time};
 
-/// Above this part of the connections that workers may hold, some are sent
-/// elsewhere; they come back below `RETURN_BELOW_SHARE` of it.
+/// Above this part of the connections that workers may have open, some are offloaded.
 const OFFLOAD_ABOVE_SHARE: f64 = 0.8;
+/// Below this part of them offloaded workers come back.
 const RETURN_BELOW_SHARE: f64 = 0.5;
 /// With this much waiting, in seconds, more are sent elsewhere.
 const LONG_WAIT_S: f64 = 0.15;
@@ -28,12 +28,12 @@
     since: Option<Time>,
 }
 
-/// What it is decided from.
+/// What the share is decided from.
 #[derive(Clone, Copy, Debug)]
 pub struct HeartbeatLoad {
     /// Machines there are.
     pub machines: usize,
-    /// Connections that workers may hold here.
+    /// Connections that workers may have open here.
     pub free_capacity: usize,
     /// How long requests wait to be read, in seconds.
     pub wait_s: f64,
@@ -50,7 +50,7 @@
         }
     }
 
-    /// Takes in how things stand.
+    /// Takes in a measurement.
     pub fn take(&mut self, heartbeat_load: HeartbeatLoad, now: Time) {
         let free_capacity = heartbeat_load.free_capacity.max(1) as f64;
         let machines = heartbeat_load.machines as f64;
--- a/crates/overload/src/pace.rs
+++ b/crates/overload/src/pace.rs
@@ -1,4 +1,4 @@
-//! Duties that look at the whole fleet, no more often than their cost allows.
+//! Tasks that go through the whole fleet, no more often than their cost allows.
 
 use sorrelhinge_protocol::types::Time;
 
--- a/crates/overload/src/sockets.rs
+++ b/crates/overload/src/sockets.rs
@@ -1,11 +1,11 @@
-//! Who may hold a connection, and which one ends when there are no more.
+//! Which connections are open, and which one ends when there are no more.
 //!
 //! A controller may have so many sockets and no more, and what it opens itself
 //! (to the state service, the cloud, the other controllers and the workers)
-//! comes out of the same number. So room for those is set aside, and those who
-//! connect share the rest. Nobody is refused in silence: a worker that heartbeats
+//! comes out of the same number. So sockets for those are reserved, and clients
+//! share the rest. No client is refused without an answer: a worker that heartbeats
 //! seldom is asked to connect anew each time, the longest idle connection gives
-//! way to a new one, and where there is none, the new one is told to come back.
+//! way to a new one, and where there is none, the new one is answered that it should come back.
 
 use std::collections::{BTreeMap, HashMap};
 
@@ -17,7 +17,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ConnId(pub u64);
 
-/// How many connections others may hold here.
+/// How many connections of users and workers may be open here.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Limits {
     /// In all.
@@ -42,7 +42,7 @@
 const IDLE_WORKERS_SHARE: f64 = 0.6;
 const WORKERS_SHARE: f64 = 0.8;
 const USERS_SHARE: f64 = 0.9;
-/// A connection on which nothing was asked yet is left alone for so long, in
+/// A connection on which nothing was asked yet is not ended for so long, in
 /// seconds.
 const NEW_CONNECTION_GRACE_S: f64 = 1.0;
 
@@ -70,7 +70,7 @@
     Taken,
     /// It is taken, and this one, which is idle, is to end for it.
     InPlaceOf(ConnId),
-    /// All are being answered: it is told so, and ends.
+    /// All are being answered: it is rejected, and ends.
     Full,
 }
 
@@ -85,12 +85,12 @@
     ending: bool,
 }
 
-/// The connections that others hold here.
+/// The open connections of users and workers.
 #[derive(Debug)]
 pub struct Sockets {
     limits: Limits,
     all: HashMap<ConnId, Entry>,
-    held: [usize; CLASSES.len()],
+    open_by_class: [usize; CLASSES.len()],
     /// Idle ones by class, the longest idle first.
     idle: [BTreeMap<u64, (ConnId, Time)>; CLASSES.len()],
     count: u64,
@@ -106,7 +106,7 @@
         Self {
             limits,
             all: HashMap::new(),
-            held: Default::default(),
+            open_by_class: Default::default(),
             idle: Default::default(),
             count: 0,
         }
@@ -127,9 +127,9 @@
         self.all.len() as f64 / self.limits.max as f64
     }
 
-    /// How many connections workers hold.
+    /// How many connections of workers are open.
     pub fn workers(&self) -> usize {
-        self.held[Class::Busy as usize] + self.held[Class::Idle as usize]
+        self.open_by_class[Class::Busy as usize] + self.open_by_class[Class::Idle as usize]
     }
 
     /// A connection is idle from now on.
@@ -143,13 +143,13 @@
             ending: false,
         };
         if let Some(before) = self.all.insert(id, entry) {
-            self.held[before.class as usize] -= 1;
+            self.open_by_class[before.class as usize] -= 1;
             // A request that was refused unread was never noted as asked.
             if let Some(place) = before.idle {
                 self.idle[before.class as usize].remove(&place);
             }
         }
-        self.held[class as usize] += 1;
+        self.open_by_class[class as usize] += 1;
     }
 
     /// Chooses the connection that is ended in place of a new one, if any is idle.
@@ -182,7 +182,7 @@
         opened
     }
 
-    /// A whole request came: it is being answered.
+    /// A complete request came: it is being answered.
     pub fn asked(&mut self, id: ConnId, class: Class) {
         let Some(entry) = self.all.get_mut(&id) else {
             return;
@@ -190,9 +190,9 @@
         if let Some(place) = entry.idle.take() {
             self.idle[entry.class as usize].remove(&place);
         }
-        self.held[entry.class as usize] -= 1;
+        self.open_by_class[entry.class as usize] -= 1;
         entry.class = class;
-        self.held[class as usize] += 1;
+        self.open_by_class[class as usize] += 1;
     }
 
     /// The request has its answer. False if the connection is to end with it.
@@ -220,7 +220,7 @@
     /// It ended.
     pub fn closed(&mut self, id: ConnId) {
         if let Some(entry) = self.all.remove(&id) {
-            self.held[entry.class as usize] -= 1;
+            self.open_by_class[entry.class as usize] -= 1;
             if let Some(place) = entry.idle {
                 self.idle[entry.class as usize].remove(&place);
             }
--- a/crates/overload/src/state_limits.rs
+++ b/crates/overload/src/state_limits.rs
@@ -55,7 +55,7 @@
         self.lowered
     }
 
-    /// The lower limits are in force: seen here, or told by another controller. Returns
+    /// The lower limits are in force: seen here, or announced by another controller. Returns
     /// whether that is new.
     pub fn lower(&mut self) -> bool {
         !std::mem::replace(&mut self.lowered, true)
--- a/crates/protocol/src/invalid.rs
+++ b/crates/protocol/src/invalid.rs
@@ -1,5 +1,5 @@
 //! What is wrong with a text that was read: which field, and why. Operators' files,
-//! jobs' bodies and descriptions are all told of in this way.
+//! jobs' bodies and descriptions are all reported in this way.
 
 /// A field that is not valid. `path` leads to it from the outermost name, as in
 /// `topology.spread[0].max`.
--- a/crates/protocol/src/operators.rs
+++ b/crates/protocol/src/operators.rs
@@ -14,7 +14,7 @@
     1
 }
 
-fn ten_minutes() -> f64 {
+fn default_deadline_s() -> f64 {
     600.0
 }
 
@@ -26,7 +26,7 @@
     #[garde(length(bytes, min = 1, max = 200))]
     pub target: String,
     /// Seconds until nothing is waited for any more.
-    #[serde(default = "ten_minutes")]
+    #[serde(default = "default_deadline_s")]
     #[garde(range(min = 0.0, max = 604_800.0))]
     pub deadline_s: f64,
     /// The most replicas of a job away at a time.
@@ -72,9 +72,9 @@
     pub units: u32,
     /// Of these, how many are out of order.
     pub broken: u32,
-    /// How many tasks could hold one that is in order.
+    /// To how many tasks one that is in order could be assigned.
     pub slots: u32,
-    /// How many do.
+    /// To how many one is assigned.
     pub held: u32,
 }
 
@@ -143,7 +143,7 @@
     pub team: String,
     /// CPUs of its limit that are this shard's part.
     pub part_cpus: f64,
-    /// CPUs used; none: the shard's owner has not told of late.
+    /// CPUs used; none: the shard's owner has not reported lately.
     pub used_cpus: Option<f64>,
     /// CPUs that wait to be placed; likewise.
     pub waiting_cpus: Option<f64>,
@@ -163,9 +163,9 @@
     pub grant: u64,
     /// To whom it is offered.
     pub to: Option<String>,
-    /// Where an operator wants it.
+    /// The controller that an operator pinned it to.
     pub pin: Option<String>,
-    /// Machines, up and on their way; none: its owner has not told of late.
+    /// Machines, up and on their way; none: its owner has not reported lately.
     pub machines: Option<u32>,
     /// Why its owner has it.
     pub why: String,
--- a/crates/protocol/src/types.rs
+++ b/crates/protocol/src/types.rs
@@ -295,7 +295,7 @@
     pub each: Amount,
     /// Image that each task needs.
     pub image: Image,
-    /// The image's size.
+    /// The image's size, in GB.
     pub image_gb: f64,
     /// Allowed machine types; none means any.
     pub types: Option<Vec<TypeName>>,
@@ -307,13 +307,13 @@
     pub spread: bool,
     /// May use spot machines.
     pub spot: bool,
-    /// The owner's guess of a task's run time.
+    /// The owner's guess of a task's run time, in seconds.
     pub estimate_s: f64,
-    /// Interval of checkpoints; 0 for none.
+    /// Interval of checkpoints, in seconds; 0 for none.
     pub checkpoint_s: f64,
-    /// Time to save when stopped.
+    /// Time to save when stopped, in seconds.
     pub save_s: f64,
-    /// When it should be complete, from submission.
+    /// When it should be complete, in seconds from submission.
     pub deadline_s: Option<f64>,
     /// What it asks of the topology; see [`crate::placement`].
     #[serde(skip)]
@@ -324,11 +324,11 @@
 }
 
 /// A machine type that no cloud has: what is recorded as the only allowed one
-/// of a sealed job, so that a controller of an earlier version, which would
+/// of a job with an extension, so that a controller of an earlier version, which would
 /// read the job as an array without placement rules, finds no place for it.
 const INCOMPATIBLE_TYPE: &str = "+";
 
-/// The part of a sealed job that earlier versions don't know.
+/// The part of a job that earlier versions don't know.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct CompatibilityExtension {
     /// It is a gang.
@@ -371,8 +371,8 @@
         self.types = Some(vec![TypeName::from(INCOMPATIBLE_TYPE)]);
     }
     /// What is kept of a cancelled job whose description is too large to be written again:
-    /// its team and what each of its tasks takes, until they are gone. It may have held
-    /// devices, if it was sealed.
+    /// its team and what each of its tasks takes, until they have ended. Devices may
+    /// be assigned to it, if its description has an extension.
     pub fn trimmed(&self) -> Self {
         let fenced =
             self.extension.is_some() || self.types.as_deref().is_some_and(is_incompatible_marker);
@@ -389,9 +389,9 @@
         }
         kept
     }
-    /// What a record's form stands for. A seal that an earlier version lost
-    /// when it cancelled the job is known by its machine type: the job's tasks
-    /// may hold any device.
+    /// What a record's form stands for. An extension that an earlier version lost
+    /// when it cancelled the job is known by its machine type: any device may be
+    /// assigned to the job's tasks.
     pub fn without_extension(mut self) -> Self {
         if let Some(extension) = self.extension.take() {
             self.types = extension.types;
@@ -423,15 +423,15 @@
     pub name: TypeName,
     /// What it offers.
     pub total: Amount,
-    /// Room for cached images.
+    /// Capacity for cached images, in GB.
     pub cache_gb: f64,
-    /// How fast images arrive.
+    /// How fast images arrive, in GB a second.
     pub fetch_gb_per_s: f64,
     /// Price an hour.
     pub price: f64,
     /// Price an hour of a spot machine.
     pub spot_price: f64,
-    /// Usual time until its worker heartbeats.
+    /// Usual time until its worker heartbeats, in seconds.
     pub boot_s: f64,
     /// Where it exists.
     pub zones: Vec<Zone>,
--- a/crates/protocol/src/users.rs
+++ b/crates/protocol/src/users.rs
@@ -9,10 +9,10 @@
 use crate::types::{Amount, Image, JobId, JobSpec, Kind, Priority, TypeName, Zone};
 
 const MAX_TASKS: u64 = 100_000;
-/// A gang is placed whole, so its size is what one decision can weigh.
+/// A gang is placed all at once, so its size is what one decision can weigh.
 const MAX_GANG_TASKS: u64 = 2_000;
 
-/// What users are told of a job.
+/// What users see of a job.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct JobStatus {
     /// Id.
--- a/crates/sharding/src/owners.rs
+++ b/crates/sharding/src/owners.rs
@@ -8,7 +8,7 @@
 //! | frozen | the giver | claims nothing more there, and lets what is under way settle |
 //! | handed | the giver | writes the taker as owner, with the next number |
 //! | confirmed | the taker | its fencing token is raised machine by machine; only then it counts on one |
-//! | taken back | the leader | clears the offer: the taker is gone, or it takes too long |
+//! | taken back | the leader | clears the offer: the taker does not live any more, or it takes too long |
 //!
 //! Whoever leads next reads from the record which step a move is at. Nothing is
 //! proved by who is alive: a grant that was wrong costs time only, as claims are
@@ -29,21 +29,21 @@
 
 /// A shard, as recorded.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Held {
+pub struct RecordedShard {
     /// Its owner, and the process that was granted it.
     pub owner: NodeId,
     /// That process.
     pub run: u64,
     /// To whom it is offered.
     pub to: Option<NodeId>,
-    /// Where an operator wants it: it is moved there, and not away for balance.
+    /// The controller that an operator pinned it to: it is moved there, and not away for balance.
     pub pin: Option<NodeId>,
 }
 
 /// What the leader does next.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Step {
-    /// Grants a shard whose owner is gone.
+    /// Grants a shard whose owner does not live any more.
     Grant(ShardId, NodeId),
     /// Offers a shard to another controller.
     Offer(ShardId, NodeId),
@@ -85,7 +85,7 @@
     moved: Option<Time>,
 }
 
-/// What the operators want of the shards, beside that all are owned.
+/// How the operators want the shards to be owned.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ShardPreference {
     /// All shards are to go to this controller, as there is to be one again.
@@ -97,7 +97,7 @@
 
 /// What one decision looks at.
 struct Situation<'a> {
-    shards: &'a BTreeMap<ShardId, Held>,
+    shards: &'a BTreeMap<ShardId, RecordedShard>,
     alive: &'a BTreeMap<NodeId, Member>,
     /// How many shards each controller has, and will have once what is offered
     /// has moved.
@@ -121,9 +121,9 @@
     /// The next step, if any is due.
     pub fn next(
         &mut self,
-        shards: &BTreeMap<ShardId, Held>,
+        shards: &BTreeMap<ShardId, RecordedShard>,
         alive: &BTreeMap<NodeId, Member>,
-        wish: &ShardPreference,
+        preference: &ShardPreference,
         now: Time,
     ) -> Option<Step> {
         self.record_members(alive, now);
@@ -138,13 +138,17 @@
         if !self.offers.is_empty() {
             return None;
         }
-        if let Some(gather) = wish.gather.as_ref().filter(|g| alive.contains_key(*g)) {
+        if let Some(gather) = preference
+            .gather
+            .as_ref()
+            .filter(|g| alive.contains_key(*g))
+        {
             return situation.gather_to(gather);
         }
         if let Some(step) = situation.move_to_pin() {
             return Some(step);
         }
-        self.balance(&situation, wish)
+        self.balance(&situation, preference)
     }
 
     /// Notes who lives, and since when. One that was restarted begins anew.
@@ -159,21 +163,21 @@
     }
 
     /// Notes which offers stand, and since when.
-    fn record_offers(&mut self, shards: &BTreeMap<ShardId, Held>, now: Time) {
+    fn record_offers(&mut self, shards: &BTreeMap<ShardId, RecordedShard>, now: Time) {
         self.offers.retain(|shard, offer| {
             shards
                 .get(shard)
-                .is_some_and(|held| held.to.as_ref() == Some(&offer.to))
+                .is_some_and(|recorded| recorded.to.as_ref() == Some(&offer.to))
         });
-        for (shard, held) in shards {
-            if let Some(to) = held.to.clone() {
+        for (shard, recorded) in shards {
+            if let Some(to) = recorded.to.clone() {
                 let offer = SeenOffer { to, since: now };
                 self.offers.entry(*shard).or_insert(offer);
             }
         }
     }
 
-    /// The first offer whose taker is gone, or that has stood for too long.
+    /// The first offer whose taker does not live any more, or that has stood for too long.
     fn expired_offer(&self, situation: &Situation<'_>) -> Option<ShardId> {
         let expired = |offer: &SeenOffer| {
             !situation.alive.contains_key(&offer.to)
@@ -192,7 +196,7 @@
     }
 
     /// A move for balance, or one that is forced, unless one was made just now.
-    fn balance(&mut self, situation: &Situation<'_>, wish: &ShardPreference) -> Option<Step> {
+    fn balance(&mut self, situation: &Situation<'_>, preference: &ShardPreference) -> Option<Step> {
         let now = situation.now;
         let quiet_s = self.moved.map_or(f64::INFINITY, |moved| now.since(moved));
         if quiet_s < BALANCE_INTERVAL_S {
@@ -204,7 +208,7 @@
                 giver: max.node,
                 taker: least.node,
             },
-            _ => self.forced_pair(situation, wish.move_every_s, quiet_s)?,
+            _ => self.forced_pair(situation, preference.move_every_s, quiet_s)?,
         };
         let shard = self.shard_in_turn(situation, &giver)?;
         if giver == taker {
@@ -240,7 +244,9 @@
         let own: Vec<ShardId> = situation
             .shards
             .iter()
-            .filter(|(_, held)| held.owner == *giver && held.pin.as_ref() != Some(giver))
+            .filter(|(_, recorded)| {
+                recorded.owner == *giver && recorded.pin.as_ref() != Some(giver)
+            })
             .map(|(shard, _)| *shard)
             .collect();
         own.get(turn % own.len().max(1)).copied()
@@ -249,7 +255,7 @@
 
 impl<'a> Situation<'a> {
     fn new(
-        shards: &'a BTreeMap<ShardId, Held>,
+        shards: &'a BTreeMap<ShardId, RecordedShard>,
         alive: &'a BTreeMap<NodeId, Member>,
         now: Time,
     ) -> Self {
@@ -260,9 +266,9 @@
             counts,
             now,
         };
-        for held in shards.values() {
-            let owner = situation.living_taker(held).unwrap_or(&held.owner);
-            let counted = situation.is_owned(held) || held.to.is_some();
+        for recorded in shards.values() {
+            let owner = situation.living_taker(recorded).unwrap_or(&recorded.owner);
+            let counted = situation.is_owned(recorded) || recorded.to.is_some();
             if let Some(count) = situation.counts.get_mut(owner) {
                 *count += usize::from(counted);
             }
@@ -271,25 +277,28 @@
     }
 
     /// Whether the process that was granted a shard lives.
-    fn is_owned(&self, held: &Held) -> bool {
-        let member = self.alive.get(&held.owner);
-        member.is_some_and(|member| member.run == held.run)
+    fn is_owned(&self, recorded: &RecordedShard) -> bool {
+        let member = self.alive.get(&recorded.owner);
+        member.is_some_and(|member| member.run == recorded.run)
     }
 
     /// To whom a shard is offered, if that controller lives.
-    fn living_taker(&self, held: &'a Held) -> Option<&'a NodeId> {
-        held.to.as_ref().filter(|to| self.alive.contains_key(*to))
+    fn living_taker(&self, recorded: &'a RecordedShard) -> Option<&'a NodeId> {
+        recorded
+            .to
+            .as_ref()
+            .filter(|to| self.alive.contains_key(*to))
     }
 
-    /// The first shard whose owner is gone.
+    /// The first shard whose owner does not live any more.
     fn unowned(&self) -> Option<ShardId> {
         let mut shards = self.shards.iter();
         shards
-            .find(|(_, held)| !self.is_owned(held))
+            .find(|(_, recorded)| !self.is_owned(recorded))
             .map(|(shard, _)| *shard)
     }
 
-    /// Who is granted a shard whose owner is gone: the one it was offered to, if
+    /// Who is granted a shard whose owner does not live any more: the one it was offered to, if
     /// that lives, as it may know more; else whoever has the fewest.
     fn new_owner(&self, shard: ShardId) -> Option<NodeId> {
         let taker = self.living_taker(self.shards.get(&shard)?).cloned();
@@ -315,18 +324,18 @@
     /// The next shard that is not yet there where all are to go.
     fn gather_to(&self, gather: &NodeId) -> Option<Step> {
         let mut shards = self.shards.iter();
-        let away = shards.find(|(_, held)| held.owner != *gather);
+        let away = shards.find(|(_, recorded)| recorded.owner != *gather);
         away.map(|(shard, _)| Step::Offer(*shard, gather.clone()))
     }
 
-    /// The next shard that is not where an operator wants it, if that lives.
+    /// The next shard that is not with the controller that it is pinned to, if that lives.
     fn move_to_pin(&self) -> Option<Step> {
-        self.shards.iter().find_map(|(shard, held)| {
-            let there = held
+        self.shards.iter().find_map(|(shard, recorded)| {
+            let there = recorded
                 .pin
                 .as_ref()
                 .filter(|pin| self.alive.contains_key(*pin));
-            let pin = there.filter(|pin| **pin != held.owner)?;
+            let pin = there.filter(|pin| **pin != recorded.owner)?;
             Some(Step::Offer(*shard, pin.clone()))
         })
     }
@@ -342,7 +351,7 @@
 }
 
 /// How many shards there should be: never more than controllers that live, and
-/// that all can be told apart in the records.
+/// no more than the records can number.
 pub fn how_many(least: u32, controllers: usize) -> u32 {
     let max = u32::try_from(controllers).unwrap_or(1);
     least.clamp(1, max.clamp(1, crate::shard::MAX_SHARDS))
--- a/crates/sharding/tests/model.rs
+++ b/crates/sharding/tests/model.rs
@@ -13,7 +13,9 @@
     DismissedWorkers, PeerContact, ISOLATED_AFTER_S, PROBE_AFTER_S,
 };
 use sorrelhinge_sharding::largest_jobs::{tenth, Largest, WINDOW_JOBS};
-use sorrelhinge_sharding::owners::{how_many, Held, Member, Owners, ShardPreference, Step};
+use sorrelhinge_sharding::owners::{
+    how_many, Member, Owners, RecordedShard, ShardPreference, Step,
+};
 use sorrelhinge_sharding::reach::{
     Reach, CUT_OFF_AFTER_S, CUT_OFF_MIN_COUNT, FAILED_AFTER_S, FAILED_MIN_MACHINES,
 };
@@ -80,11 +82,11 @@
 /// What the state service holds, with transactions that may be late.
 #[derive(Clone, Debug, Default)]
 struct World {
-    shards: BTreeMap<ShardId, (Held, u64)>,
+    shards: BTreeMap<ShardId, (RecordedShard, u64)>,
     alive: BTreeMap<NodeId, Member>,
     /// What each process believes to own, by the number it was granted.
     believes: BTreeMap<(NodeId, u64), BTreeMap<ShardId, u64>>,
-    late: Vec<(ShardId, u64, Held)>,
+    late: Vec<(ShardId, u64, RecordedShard)>,
     mod_revision: u64,
 }
 
@@ -96,8 +98,8 @@
 }
 
 /// A shard's record with this owner and nothing else.
-fn owned_by(owner: &NodeId, run: u64) -> Held {
-    Held {
+fn owned_by(owner: &NodeId, run: u64) -> RecordedShard {
+    RecordedShard {
         owner: owner.clone(),
         run,
         to: None,
@@ -118,14 +120,14 @@
         }
         world
     }
-    fn held(&self) -> BTreeMap<ShardId, Held> {
+    fn held(&self) -> BTreeMap<ShardId, RecordedShard> {
         self.shards
             .iter()
             .map(|(b, (h, _))| (*b, h.clone()))
             .collect()
     }
     /// A conditional write: carried out only if nobody wrote since.
-    fn write(&mut self, shard: ShardId, mod_revision: u64, held: Held) -> bool {
+    fn write(&mut self, shard: ShardId, mod_revision: u64, held: RecordedShard) -> bool {
         let fits = self
             .shards
             .get(&shard)
@@ -150,8 +152,8 @@
         }
     }
     /// A shard's record with another offer, or none.
-    fn offered(&self, shard: ShardId, to: Option<NodeId>) -> Held {
-        Held {
+    fn offered(&self, shard: ShardId, to: Option<NodeId>) -> RecordedShard {
+        RecordedShard {
             to,
             ..self.shards[&shard].0.clone()
         }
@@ -567,7 +569,7 @@
     for n in 0..3 {
         world.alive.insert(node(n), Member { run: 1 });
     }
-    let held = Held {
+    let held = RecordedShard {
         owner: node(0),
         run: 1,
         to: None,
@@ -688,7 +690,7 @@
     ] {
         let peer_contact = PeerContact {
             others,
-            unheard_s,
+            peers_silent_s: unheard_s,
             unserved_s,
         };
         assert_eq!(peer_contact.is_isolated(), alone, "{peer_contact:?}");
--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -112,7 +112,7 @@
     pub txn_ops: usize,
 }
 
-/// Everything that the service is told, checked.
+/// All settings of the service, checked.
 #[derive(Clone, Debug)]
 pub struct Config {
     /// This controller.
@@ -143,7 +143,7 @@
     pub heartbeat_s: f64,
     /// A worker's lease.
     pub lease_s: f64,
-    /// From cancelling a job to its last task gone.
+    /// From cancelling a job to the end of its last task, in seconds.
     pub cancel_s: f64,
     /// State service requests per second, all controllers together.
     pub state_rps: f64,
--- a/src/control/core/image_distribution.rs
+++ b/src/control/core/image_distribution.rs
@@ -319,14 +319,14 @@
 
 /// Logs a rollout as it was recorded.
 fn log_rollout(rollout: &Rollout, record: &RolloutRecord) {
-    let (wants, fetches, complete) = rollout.counts();
+    let counts = rollout.counts();
     tracing::info!(
         image = %record.image,
         stage = record.stage,
         seeds = record.seeds.len(),
-        wants,
-        fetches,
-        complete,
+        wants = counts.waiting,
+        fetches = counts.fetching,
+        complete = counts.complete,
         copies = rollout.copies(),
         crossings = rollout.crossings(),
         "rollout"
--- a/src/control/core/rollout_refresh.rs
+++ b/src/control/core/rollout_refresh.rs
@@ -251,8 +251,15 @@
         });
         let rollout = record.and_then(|r| Rollout::resume(r, limits, ran, uploads, now.0));
         let rollout = rollout.unwrap_or_else(|| Rollout::new(image.clone(), limits));
-        let (wants, fetches, complete) = rollout.counts();
-        tracing::info!(%image, stage = rollout.stage(), wants, fetches, complete, "rollout resumed");
+        let counts = rollout.counts();
+        tracing::info!(
+            %image,
+            stage = rollout.stage(),
+            wants = counts.waiting,
+            fetches = counts.fetching,
+            complete = counts.complete,
+            "rollout resumed"
+        );
         if let Some(kept) = self.image_distribution.rollouts.get_mut(image) {
             let member = |has: Has| Member {
                 complete: matches!(has, Has::Complete),
--- a/src/control/heartbeats.rs
+++ b/src/control/heartbeats.rs
@@ -74,7 +74,7 @@
         let unheard = last.map_or_else(|| self.epoch.elapsed(), |at| at.elapsed());
         PeerContact {
             others: !self.cfg.others.is_empty(),
-            unheard_s: unheard.as_secs_f64(),
+            peers_silent_s: unheard.as_secs_f64(),
             unserved_s: self.unserved().as_secs_f64(),
         }
     }
--- a/src/control/load_monitor.rs
+++ b/src/control/load_monitor.rs
@@ -191,7 +191,7 @@
             // It may have been seen since the last time.
             self.set_share();
         }
-        self.peers.tell(announcement, limits_fell);
+        self.peers.announce_self(announcement, limits_fell);
     }
 
     /// A new owner goes on where the last one was.
--- a/src/control/shard_grants.rs
+++ b/src/control/shard_grants.rs
@@ -4,7 +4,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use sorrelhinge_sharding::owners::{Held, Member, ShardPreference, Step};
+use sorrelhinge_sharding::owners::{Member, RecordedShard, ShardPreference, Step};
 use tokio::time::sleep;
 
 use super::leader::ELECTION_RETRY_PAUSE;
@@ -123,7 +123,7 @@
         let now = self.now();
         let view = self.store.view();
         let shards = view.shards.iter().map(|(shard, b)| {
-            let held = Held {
+            let held = RecordedShard {
                 owner: b.value.owner.clone(),
                 run: b.value.run,
                 to: b.value.to.clone(),
--- a/src/control/shard_ownership.rs
+++ b/src/control/shard_ownership.rs
@@ -10,7 +10,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use sorrelhinge_sharding::owners::{Held, Member, Owners, ShardPreference, Step};
+use sorrelhinge_sharding::owners::{Member, Owners, RecordedShard, ShardPreference, Step};
 use sorrelhinge_sharding::shard::ShardId;
 use tokio::time::Instant;
 
@@ -206,7 +206,7 @@
     /// As leader: the next step of who owns what, if one is due.
     pub(super) fn next_assignment(
         &self,
-        shards: &BTreeMap<ShardId, Held>,
+        shards: &BTreeMap<ShardId, RecordedShard>,
         alive: &BTreeMap<NodeId, Member>,
         wish: &ShardPreference,
         now: Time,
--- a/src/peer_link/mod.rs
+++ b/src/peer_link/mod.rs
@@ -90,7 +90,7 @@
 
     /// Announces this controller's state to all others, and whether it knows that the limits
     /// of the state service fell.
-    pub fn tell(&self, announcement: PeerAnnouncement, limits_fell: bool) {
+    pub fn announce_self(&self, announcement: PeerAnnouncement, limits_fell: bool) {
         self.announcement.set(announcement);
         self.limits_fell.set(limits_fell);
         self.hint();
--- a/src/state/error.rs
+++ b/src/state/error.rs
@@ -65,7 +65,7 @@
 /// Why a request may have been carried out, or may still be.
 #[derive(Debug, thiserror::Error)]
 pub enum UnknownCause {
-    /// It was sent, and no whole answer came.
+    /// It was sent, and no complete answer came.
     #[error(transparent)]
     NoAnswer(TransportError),
     /// The answer to a transaction cannot be read.
--- a/src/state/mod.rs
+++ b/src/state/mod.rs
@@ -2,7 +2,7 @@
 //! "Controller nodes -> state service"): its client, the records kept in it, and this controller's copy of them.
 //!
 //! A record is changed by compare-and-swap only: a transaction names the versions that it
-//! was decided on, and is carried out whole or not at all. A request whose outcome is
+//! was decided on, and is carried out completely or not at all. A request whose outcome is
 //! unknown ([`StateError::Unknown`]) may still be carried out later, so whoever sent it
 //! decides nothing before the [view](view::View) shows which.
 //!
--- a/src/state/view/apply.rs
+++ b/src/state/view/apply.rs
@@ -68,7 +68,7 @@
     /// Replaces everything by what was read, unless what is here is as new.
     ///
     /// Two readings can be on their way at once, and the older one can be answered
-    /// last. It hid jobs whose acceptance users had been told of, and changes that
+    /// last. It hid jobs whose acceptance had been answered to users, and changes that
     /// were read after the newer one no longer followed on what was here.
     pub fn replace(&mut self, store_revision: Revision, items: Vec<Item>) {
         if self.loaded && store_revision <= self.store_revision {
@@ -229,7 +229,7 @@
         }
     }
 
-    /// A list of a later format is left alone: it only saves time.
+    /// A list of a later format is ignored: it only saves time.
     fn write_deleted_machines(&mut self, slot: u32, write: RecordWrite) {
         let record = write.parse::<RetiredMachinesRecord>();
         let known = record.filter(|r| r.version <= RetiredMachinesRecord::VERSION);
