--- a/crates/image-distribution/src/plan.rs
+++ b/crates/image-distribution/src/plan.rs
@@ -10,12 +10,15 @@
 //! Every call looks at a bounded number of sources, whatever the fleet's size.
 //!
 //! In parts: what bounds a rollout and the uploads under way (`uploads`), a machine of
-//! it (`node`), the choice of a source (`choice`), the chains (`chains`), and a rollout
+//! it (`node`), the choice of a source (`choice`), the chains (`chains`), the stages
+//! (`stages`), the starts (`starts`), and a rollout
 //! gone on with by a new owner (`takeover`).
 
 mod chains;
 mod choice;
 mod node;
+mod stages;
+mod starts;
 mod takeover;
 mod uploads;
 
@@ -24,17 +27,12 @@
 use sorrelhinge_protocol::types::{Image, MachineId};
 
 use self::node::{Node, State, Up};
+use self::stages::LAST_STAGE;
+pub use self::stages::MIN_STAGE_S;
 pub use self::takeover::{Has, RecentImages};
 pub use self::uploads::{Limits, Source, Uploads};
 use crate::locality::{Domain, Locality, Seat};
-use crate::record::{RolloutRecord, VERSION};
-
-/// A stage is open for at least so long, and seeds are written no more often: a
-/// rollout of 10,000 machines is six changes.
-pub const MIN_STAGE_S: f64 = 1.0;
-
-/// No stage beyond: more machines than there can be.
-const LAST_STAGE: u32 = 9;
+use crate::record::RolloutRecord;
 
 /// How many machines of a rollout are how far.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -166,85 +164,6 @@
         }
     }
 
-    /// The record to write, if a step is due at `now` seconds: the rollout's first,
-    /// the next stage's, or one with other seeds. [`Rollout::written`] once it is.
-    pub fn next(&self, now: f64) -> Option<RolloutRecord> {
-        let record = |stage| RolloutRecord {
-            v: VERSION,
-            image: self.image.clone(),
-            stage,
-            seeds: self.seeds.keys().cloned().collect(),
-        };
-        let Some(written) = &self.written else {
-            return Some(record(0));
-        };
-        if now - self.since < MIN_STAGE_S {
-            return None;
-        }
-        // A rollout widens only while somebody has the image to hand on: if all
-        // seeds were refused, each stage more would ask the origin for more.
-        let flows = self.complete > 0 || (self.fetches > 0 && !self.refused(now));
-        let full = self.waiting > 0 && self.fetches >= self.allowed();
-        if full && flows && self.stage < LAST_STAGE {
-            return Some(record(self.stage + 1));
-        }
-        let same = written.seeds.len() == self.seeds.len()
-            && written.seeds.iter().all(|m| self.seeds.contains_key(m));
-        (!same).then(|| record(self.stage))
-    }
-
-    /// A record is in shared state since `now` seconds: its stage is open.
-    pub fn written(&mut self, record: RolloutRecord, now: f64) {
-        self.stage = self.stage.max(record.stage);
-        self.since = now;
-        self.written = Some(record);
-    }
-
-    /// Whether a start may be sent to a machine now that will make it fetch the
-    /// image. True also for one that fetches or has it.
-    pub fn may_start(&self, machine: &MachineId, uploads: &Uploads, now: f64) -> bool {
-        let Some(node) = self.node(machine) else {
-            return false;
-        };
-        match node.state {
-            State::Complete | State::Fetches => true,
-            State::Waits => {
-                self.written.is_some()
-                    && self.fetches < self.allowed()
-                    && self.choose(node, uploads, now).is_some()
-            }
-        }
-    }
-
-    /// The sources of a machine for the start that is sent to it now, the best
-    /// first; what follows the last is the origin. Empty for a machine that has
-    /// it or isn't known. Asked again for one that fetches, it names what is left of its
-    /// sources: the start may be sent twice.
-    pub fn assign(&mut self, machine: &MachineId, uploads: &mut Uploads, now: f64) -> Vec<Source> {
-        let Some(seat) = self.seats.get(machine).copied() else {
-            return Vec::new();
-        };
-        let node = &self.nodes[&seat];
-        match node.state {
-            State::Complete => return Vec::new(),
-            State::Fetches => return self.named(node),
-            State::Waits => {}
-        }
-        let up = self.choose(node, uploads, now).unwrap_or(Up::Origin);
-        let from = match up {
-            Up::From(source) => self.alternatives(node.zone, source),
-            _ => Vec::new(),
-        };
-        self.waiting -= 1;
-        self.fetches += 1;
-        self.change(seat, |n| {
-            n.state = State::Fetches;
-            n.from = from;
-        });
-        self.attach(seat, up, uploads);
-        self.named(&self.nodes[&seat])
-    }
-
     /// A machine has the complete image: a task runs on it.
     pub fn arrived(&mut self, machine: &MachineId, uploads: &mut Uploads) {
         let Some(seat) = self.seats.get(machine).copied() else {
--- a/crates/protocol/src/users.rs
+++ b/crates/protocol/src/users.rs
@@ -8,6 +8,7 @@
 
 use crate::types::{Amount, Image, JobId, JobSpec, Kind, Priority, TypeName, Zone};
 
+/// Tasks of the largest job.
 const MAX_TASKS: u64 = 100_000;
 /// A gang is placed all at once, so its size is what one decision can weigh.
 const MAX_GANG_TASKS: u64 = 2_000;
@@ -64,11 +65,11 @@
     pub cpus: f64,
     /// GPUs of a task.
     pub cards: f64,
-    /// Memory of a task.
+    /// Memory of a task, in GB.
     pub ram_gb: f64,
     /// Image.
     pub bundle: String,
-    /// Its size.
+    /// Its size, in GB.
     pub pull_gb: f64,
     /// Allowed machine types.
     pub builds: Option<Vec<String>>,
@@ -81,13 +82,13 @@
     /// May use spot machines.
     #[serde(rename = "loaners")]
     pub spot: bool,
-    /// Estimated run time.
+    /// Estimated run time, in seconds.
     pub guess_s: f64,
-    /// Interval of checkpoints.
+    /// Interval of checkpoints, in seconds.
     pub mark_s: f64,
-    /// Time to save.
+    /// Time to save, in seconds.
     pub stash_s: f64,
-    /// Deadline from submission.
+    /// Deadline, in seconds from submission.
     pub due_s: Option<f64>,
 }
 
@@ -114,83 +115,114 @@
     Ok(needs.into_iter().collect())
 }
 
+/// Largest amount of a resource of a task, and of GB of its image.
+const MAX_AMOUNT: f64 = 1e6;
+/// Longest time that a job may name, in seconds.
+const MAX_TIME_S: f64 = 1e9;
+/// Bytes of the longest name of a class, a team, an image, a zone or a machine type.
+const MAX_NAME_BYTES: usize = 200;
+/// Machine types that one job may allow.
+const MAX_ALLOWED_TYPES: usize = 32;
+
 /// Reads a job; the error names what is wrong.
 pub fn read_job(value: Value) -> Result<JobSpec, &'static str> {
     let wire: WireJob =
         serde_json::from_value(value).map_err(|_| "a field is missing or of the wrong type")?;
-    let kind = match wire.shape.as_str() {
-        "sweep" => Kind::Array,
-        "standing" => Kind::Service,
-        // Gangs are in the design, and this is the users' word for them.
-        "ensemble" => Kind::Gang,
-        _ => return Err("shape is none of sweep, standing and ensemble"),
-    };
-    let priority = match wire.rank.as_str() {
-        "critical" => Priority::Critical,
-        "high" => Priority::High,
-        "normal" => Priority::Normal,
-        "idle" => Priority::Idle,
-        _ => return Err("unknown rank"),
-    };
-    if !(1..=MAX_TASKS).contains(&wire.pieces) {
-        return Err("pieces is not within 1 to 100000");
+    let kind = wire.kind()?;
+    let priority = wire.priority()?;
+    wire.check_task_count(kind)?;
+    wire.check_amounts()?;
+    wire.check_times()?;
+    wire.check_names()?;
+    Ok(wire.into_spec(kind, priority))
+}
+
+impl WireJob {
+    fn kind(&self) -> Result<Kind, &'static str> {
+        match self.shape.as_str() {
+            "sweep" => Ok(Kind::Array),
+            "standing" => Ok(Kind::Service),
+            // Gangs are in the design, and this is the users' word for them.
+            "ensemble" => Ok(Kind::Gang),
+            _ => Err("shape is none of sweep, standing and ensemble"),
+        }
+    }
+
+    fn priority(&self) -> Result<Priority, &'static str> {
+        match self.rank.as_str() {
+            "critical" => Ok(Priority::Critical),
+            "high" => Ok(Priority::High),
+            "normal" => Ok(Priority::Normal),
+            "idle" => Ok(Priority::Idle),
+            _ => Err("unknown rank"),
+        }
     }
-    if kind == Kind::Gang && wire.pieces > MAX_GANG_TASKS {
-        return Err("pieces of an ensemble is not within 1 to 2000");
+
+    fn check_task_count(&self, kind: Kind) -> Result<(), &'static str> {
+        if !(1..=MAX_TASKS).contains(&self.pieces) {
+            return Err("pieces is not within 1 to 100000");
+        }
+        if kind == Kind::Gang && self.pieces > MAX_GANG_TASKS {
+            return Err("pieces of an ensemble is not within 1 to 2000");
+        }
+        Ok(())
     }
-    let amount = |x: f64| (0.0..=1e6).contains(&x);
-    if ![wire.cpus, wire.cards, wire.ram_gb, wire.pull_gb]
-        .into_iter()
-        .all(amount)
-    {
-        return Err("cpus, cards, ram_gb or pull_gb is out of range");
+
+    fn check_amounts(&self) -> Result<(), &'static str> {
+        let mut amounts = [self.cpus, self.cards, self.ram_gb, self.pull_gb].into_iter();
+        if !amounts.all(|amount| (0.0..=MAX_AMOUNT).contains(&amount)) {
+            return Err("cpus, cards, ram_gb or pull_gb is out of range");
+        }
+        Ok(())
     }
-    let span = |x: f64| (0.0..=1e9).contains(&x);
-    if ![wire.guess_s, wire.mark_s, wire.stash_s]
-        .into_iter()
-        .chain(wire.due_s)
-        .all(span)
-    {
-        return Err("guess_s, mark_s, stash_s or due_s is out of range");
+
+    fn check_times(&self) -> Result<(), &'static str> {
+        let times = [self.guess_s, self.mark_s, self.stash_s].into_iter();
+        let mut times = times.chain(self.due_s);
+        if !times.all(|time_s| (0.0..=MAX_TIME_S).contains(&time_s)) {
+            return Err("guess_s, mark_s, stash_s or due_s is out of range");
+        }
+        Ok(())
     }
-    let short = |text: &str| !text.is_empty() && text.len() <= 200;
-    let named = [&wire.jobclass, &wire.crew, &wire.bundle];
-    if !named
-        .into_iter()
-        .chain(&wire.rack)
-        .chain(wire.builds.iter().flatten())
-        .all(|t| short(t))
-    {
-        return Err("a name is empty or too long");
+
+    fn check_names(&self) -> Result<(), &'static str> {
+        let names = [&self.jobclass, &self.crew, &self.bundle].into_iter();
+        let types = self.builds.iter().flatten();
+        let mut names = names.chain(&self.rack).chain(types);
+        if !names.all(|name| !name.is_empty() && name.len() <= MAX_NAME_BYTES) {
+            return Err("a name is empty or too long");
+        }
+        let out_of_range =
+            |types: &Vec<String>| types.is_empty() || types.len() > MAX_ALLOWED_TYPES;
+        if self.builds.as_ref().is_some_and(out_of_range) {
+            return Err("builds is empty or too long");
+        }
+        Ok(())
     }
-    if wire
-        .builds
-        .as_ref()
-        .is_some_and(|b| b.is_empty() || b.len() > 32)
-    {
-        return Err("builds is empty or too long");
+
+    /// The job of a body that was checked.
+    fn into_spec(self, kind: Kind, priority: Priority) -> JobSpec {
+        let type_names = |types: Vec<String>| types.iter().map(|t| TypeName::from(&**t)).collect();
+        JobSpec {
+            class: Arc::from(self.jobclass),
+            team: Arc::from(self.crew),
+            kind,
+            priority,
+            tasks: self.pieces as u32,
+            each: Amount::new(self.cpus, self.cards, self.ram_gb),
+            image: Image::from(self.bundle.as_str()),
+            image_gb: self.pull_gb,
+            types: self.builds.map(type_names),
+            zone: self.rack.map(|zone| Zone::from(zone.as_str())),
+            one_zone: self.together,
+            spread: self.spread,
+            spot: self.spot,
+            estimate_s: self.guess_s,
+            checkpoint_s: self.mark_s,
+            save_s: self.stash_s,
+            deadline_s: self.due_s,
+            placement: None,
+            extension: None,
+        }
     }
-    Ok(JobSpec {
-        class: Arc::from(wire.jobclass),
-        team: Arc::from(wire.crew),
-        kind,
-        priority,
-        tasks: wire.pieces as u32,
-        each: Amount::new(wire.cpus, wire.cards, wire.ram_gb),
-        image: Image::from(wire.bundle.as_str()),
-        image_gb: wire.pull_gb,
-        types: wire
-            .builds
-            .map(|b| b.iter().map(|t| TypeName::from(t.as_str())).collect()),
-        zone: wire.rack.map(|z| Zone::from(z.as_str())),
-        one_zone: wire.together,
-        spread: wire.spread,
-        spot: wire.spot,
-        estimate_s: wire.guess_s,
-        checkpoint_s: wire.mark_s,
-        save_s: wire.stash_s,
-        deadline_s: wire.due_s,
-        placement: None,
-        extension: None,
-    })
 }
--- a/crates/sharding/src/slices.rs
+++ b/crates/sharding/src/slices.rs
@@ -12,7 +12,7 @@
 
 use crate::shard::ShardId;
 
-/// What a shard has and wants of one team's limit. Memory is not limited.
+/// What a shard has and needs of one team's limit. Memory is not limited.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Need {
     /// Its part.
@@ -65,18 +65,18 @@
 }
 
 /// The part that a shard should have of what all have together: what it uses,
-/// and of the rest what it wants; beyond that an equal part.
+/// and of the rest what it needs; beyond that an equal part.
 fn target(needs: &[Need], of: usize, i: usize) -> i64 {
     let sum = |f: &dyn Fn(&Need) -> i64| needs.iter().map(f).sum::<i64>();
     let used = |n: &Need| pair(n.used)[i];
     let waits = |n: &Need| pair(n.waits)[i].max(0);
     let rest = (sum(&|n| pair(n.slice)[i]) - sum(&used)).max(0);
-    let wanted = sum(&waits);
+    let requested = sum(&waits);
     let (mine, n) = (&needs[of], needs.len().max(1) as i64);
-    if wanted <= rest {
-        used(mine) + waits(mine) + (rest - wanted) / n
+    if requested <= rest {
+        used(mine) + waits(mine) + (rest - requested) / n
     } else {
-        let share = i128::from(rest) * i128::from(waits(mine)) / i128::from(wanted.max(1));
+        let share = i128::from(rest) * i128::from(waits(mine)) / i128::from(requested.max(1));
         used(mine) + share as i64
     }
 }
--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -4,6 +4,7 @@
 //!
 //! Times are in seconds (`_s`) or milliseconds (`_ms`), as they are written in the files.
 
+mod objectives;
 mod platform;
 mod properties;
 
--- a/src/config/platform.rs
+++ b/src/config/platform.rs
@@ -1,6 +1,5 @@
 //! The platform's settings, a TOML file (DEPLOY).
 
-use std::collections::HashMap;
 use std::net::SocketAddr;
 use std::path::PathBuf;
 use std::sync::Arc;
@@ -10,6 +9,7 @@
 use sorrelhinge_priority_lanes::Lanes;
 use sorrelhinge_protocol::invalid::MalformedToml;
 
+use super::objectives::{ClassObjectives, RawObjective};
 use super::{field, in_range, Config, ConfigError, Other, StateLimits, TeamConfig, Tuning};
 use crate::types::{Amount, NodeId, Zone};
 
@@ -43,14 +43,6 @@
     gpus_max: f64,
 }
 
-#[derive(Deserialize)]
-struct RawObjective {
-    kind: String,
-    class: Option<String>,
-    within_s: Option<f64>,
-    times: Option<f64>,
-}
-
 #[derive(Deserialize)]
 struct RawWorkers {
     #[serde(rename = "report_s")]
@@ -188,55 +180,7 @@
     Ok(teams)
 }
 
-/// What the objectives ask of each class.
-#[derive(Default)]
-struct ClassObjectives {
-    start: HashMap<Arc<str>, f64>,
-    finish: HashMap<Arc<str>, Vec<f64>>,
-    deadline: HashMap<Arc<str>, Vec<f64>>,
-}
-
-impl ClassObjectives {
-    fn of(objectives: Vec<RawObjective>) -> Self {
-        let mut class_objectives = Self::default();
-        for objective in objectives {
-            let Some(class) = objective.class.map(Arc::<str>::from) else {
-                continue;
-            };
-            match (objective.kind.as_str(), objective.within_s, objective.times) {
-                ("wait", Some(within), _) => {
-                    let least = class_objectives.start.entry(class).or_insert(within);
-                    *least = least.min(within);
-                }
-                ("finished", Some(within), _) => {
-                    class_objectives
-                        .finish
-                        .entry(class)
-                        .or_default()
-                        .push(within);
-                }
-                ("deadline", _, Some(times)) => {
-                    class_objectives
-                        .deadline
-                        .entry(class)
-                        .or_default()
-                        .push(times);
-                }
-                _ => {}
-            }
-        }
-        for times in class_objectives
-            .finish
-            .values_mut()
-            .chain(class_objectives.deadline.values_mut())
-        {
-            times.sort_by(f64::total_cmp);
-        }
-        class_objectives
-    }
-}
-
-/// What has to hold between fields.
+/// Checks conditions between fields.
 fn check(params: &RawParams) -> Result<(), ConfigError> {
     if params.zones.is_empty() {
         return Err(field("params.zones", "no zone is named"));
