--- a/crates/overload/src/admission.rs
+++ b/crates/overload/src/admission.rs
@@ -1,9 +1,9 @@
-//! Whose request is read next.
+//! Which connection is read next.
 //!
-//! A routine that is ready to read waits behind all others that are: with
+//! A task that is ready to read waits behind all others that are: with
 //! thousands of them, a lease's renewal would wait for seconds. So only a few
-//! may read in one turn of the runtime; who finds no pass waits here, where
-//! order and patience are ours to choose.
+//! may read in one turn of the runtime; the others wait here, in an order and
+//! for a time that are chosen.
 
 use std::collections::VecDeque;
 
@@ -25,32 +25,45 @@
 /// All classes, first to last.
 pub const CLASSES: [Class; 4] = [Class::New, Class::Busy, Class::User, Class::Idle];
 
-/// Beyond this wait, in seconds, the newest reads first: most of those behind
-/// it would be given up before an answer, and then none would be in time.
+/// Beyond this wait, in seconds, the newest reads first: most of the older ones
+/// would time out before their answers, and then none would be in time.
 const NEWEST_FIRST_AFTER_S: f64 = 1.5;
 
-/// Who waits to read. `T` stands for whoever waits.
+/// A connection in the queue.
+#[derive(Debug)]
+struct Waiting<T> {
+    since: Time,
+    connection: T,
+}
+
+impl<T> Waiting<T> {
+    /// Whether it has waited for longer than `bound_s` seconds.
+    fn exceeds(&self, bound_s: f64, now: Time) -> bool {
+        now.since(self.since) > bound_s
+    }
+}
+
+/// The connections that wait to be read; `T` stands for one of them.
 #[derive(Debug)]
 pub struct AdmissionQueue<T> {
-    queues: [VecDeque<(Time, T)>; CLASSES.len()],
+    queues: [VecDeque<Waiting<T>>; CLASSES.len()],
     per_turn: usize,
     left: usize,
     patience_s: f64,
 }
 
-/// What a turn comes to.
+/// The result of a turn.
 #[derive(Debug, PartialEq, Eq)]
 pub struct Admission<T> {
     /// These may read now.
     pub admitted: Vec<T>,
-    /// These have waited for longer than anybody waits for an answer: reading
-    /// what they ask would be in vain.
+    /// These have waited for longer than any client waits for an answer: reading
+    /// their requests would be in vain.
     pub expired: Vec<T>,
 }
 
 impl<T> AdmissionQueue<T> {
-    /// `per_turn` may read in a turn. Whoever asked has given up after
-    /// `patience_s` seconds.
+    /// `per_turn` may read in a turn. A client times out after `patience_s` seconds.
     pub fn new(per_turn: usize, patience_s: f64) -> Self {
         Self {
             queues: Default::default(),
@@ -60,7 +73,7 @@
         }
     }
 
-    /// Whether one more may read in this turn, ahead of nobody who waits.
+    /// Whether one more may read in this turn: none that waits is passed over.
     pub fn try_admit(&mut self) -> bool {
         let free = self.left > 0 && self.waiting() == 0;
         if free {
@@ -70,8 +83,11 @@
     }
 
     /// Waits for a later turn.
-    pub fn enqueue(&mut self, class: Class, who: T, now: Time) {
-        self.queues[class as usize].push_back((now, who));
+    pub fn enqueue(&mut self, class: Class, connection: T, now: Time) {
+        self.queues[class as usize].push_back(Waiting {
+            since: now,
+            connection,
+        });
     }
 
     /// How many wait.
@@ -81,39 +97,34 @@
 
     /// The next turn: one of each class, then in the order of the classes.
     pub fn admit_next(&mut self, now: Time) -> Admission<T> {
-        let mut admission = Admission {
-            admitted: Vec::new(),
-            expired: Vec::new(),
-        };
-        for queue in &mut self.queues {
-            while queue
-                .front()
-                .is_some_and(|(since, _)| now.since(*since) > self.patience_s)
-            {
-                admission
-                    .expired
-                    .extend(queue.pop_front().map(|(_, who)| who));
-            }
-        }
+        let expired = self.take_expired(now);
+        let mut admitted = Vec::new();
         self.left = self.per_turn;
         for max in [1, self.per_turn] {
             for queue in &mut self.queues {
                 for _ in 0..max.min(self.left) {
-                    let crowded = queue
-                        .front()
-                        .is_some_and(|(since, _)| now.since(*since) > NEWEST_FIRST_AFTER_S);
-                    let next = if crowded {
-                        queue.pop_back()
-                    } else {
-                        queue.pop_front()
+                    let Some(next) = take_next(queue, now) else {
+                        break;
                     };
-                    let Some((_, who)) = next else { break };
                     self.left -= 1;
-                    admission.admitted.push(who);
+                    admitted.push(next.connection);
                 }
             }
         }
-        admission
+        Admission { admitted, expired }
+    }
+
+    fn take_expired(&mut self, now: Time) -> Vec<T> {
+        let mut expired = Vec::new();
+        for queue in &mut self.queues {
+            while queue
+                .front()
+                .is_some_and(|first| first.exceeds(self.patience_s, now))
+            {
+                expired.extend(queue.pop_front().map(|first| first.connection));
+            }
+        }
+        expired
     }
 
     /// How long the longest has waited, in seconds.
@@ -121,7 +132,16 @@
         self.queues
             .iter()
             .filter_map(|q| q.front())
-            .map(|(since, _)| now.since(*since))
+            .map(|first| now.since(first.since))
             .fold(0.0, f64::max)
     }
 }
+
+/// The next of a queue: the oldest, or the newest once the oldest has waited too long.
+fn take_next<T>(queue: &mut VecDeque<Waiting<T>>, now: Time) -> Option<Waiting<T>> {
+    if queue.front()?.exceeds(NEWEST_FIRST_AFTER_S, now) {
+        queue.pop_back()
+    } else {
+        queue.pop_front()
+    }
+}
--- a/crates/overload/src/pressure.rs
+++ b/crates/overload/src/pressure.rs
@@ -160,8 +160,20 @@
 impl Pressure {
     /// Takes in what was measured. True if the level or what binds changed.
     pub fn take(&mut self, sample: Sample, now: Time) -> bool {
-        let before = (self.binds, self.level);
-        let sheds_before = self.sheds.contains(&true);
+        let binds_before = self.binds;
+        let level_before = self.level;
+        let shed_before = self.sheds.contains(&true);
+        self.measure(sample, now);
+        let shed = self.sheds.contains(&true);
+        if shed != shed_before {
+            self.since = Some(now);
+        }
+        self.step_level(shed, now);
+        binds_before != self.binds || level_before != self.level
+    }
+
+    /// Takes the sample into the means, and finds what binds and what is worth shedding for.
+    fn measure(&mut self, sample: Sample, now: Time) {
         let elapsed_s = self.last.map_or(SMOOTHING_S, |t| now.since(t));
         self.last = Some(now);
         let measured = [
@@ -183,21 +195,21 @@
             let still = self.sheds[i] && mean >= 0.5 * shed;
             self.sheds[i] = self.binds[i] && (still || mean >= shed);
         }
-        let bound = self.sheds.contains(&true);
-        if bound != sheds_before {
-            self.since = Some(now);
-        }
+    }
+
+    /// The next level, if shedding was needed, or was not, for long enough.
+    fn step_level(&mut self, shed: bool, now: Time) {
         let since = *self.since.get_or_insert(now);
-        let wait = if bound { RAISE_AFTER_S } else { LOWER_AFTER_S };
-        if now.since(since) >= wait {
-            self.level = if bound {
-                self.level.up()
-            } else {
-                self.level.down()
-            };
-            self.since = Some(now);
+        let wait_s = if shed { RAISE_AFTER_S } else { LOWER_AFTER_S };
+        if now.since(since) < wait_s {
+            return;
         }
-        before != (self.binds, self.level)
+        self.level = if shed {
+            self.level.up()
+        } else {
+            self.level.down()
+        };
+        self.since = Some(now);
     }
 
     /// What is shed now.
--- a/crates/overload/src/sockets.rs
+++ b/crates/overload/src/sockets.rs
@@ -85,6 +85,13 @@
     ending: bool,
 }
 
+/// A connection on which nothing is being answered.
+#[derive(Clone, Copy, Debug)]
+struct IdleConnection {
+    id: ConnId,
+    since: Time,
+}
+
 /// The open connections of users and workers.
 #[derive(Debug)]
 pub struct Sockets {
@@ -92,7 +99,7 @@
     all: HashMap<ConnId, Entry>,
     open_by_class: [usize; CLASSES.len()],
     /// Idle ones by class, the longest idle first.
-    idle: [BTreeMap<u64, (ConnId, Time)>; CLASSES.len()],
+    idle: [BTreeMap<u64, IdleConnection>; CLASSES.len()],
     count: u64,
 }
 
@@ -135,7 +142,7 @@
     /// A connection is idle from now on.
     fn rest(&mut self, id: ConnId, class: Class, kept: bool, now: Time) {
         self.count += 1;
-        self.idle[class as usize].insert(self.count, (id, now));
+        self.idle[class as usize].insert(self.count, IdleConnection { id, since: now });
         let entry = Entry {
             class,
             idle: Some(self.count),
@@ -156,13 +163,13 @@
     fn longest_idle(&mut self, now: Time) -> Option<ConnId> {
         let silent = self.idle[Class::New as usize]
             .first_key_value()
-            .is_some_and(|(_, (_, since))| now.since(*since) >= NEW_CONNECTION_GRACE_S);
+            .is_some_and(|(_, first)| now.since(first.since) >= NEW_CONNECTION_GRACE_S);
         let first = silent.then_some(Class::New);
         let class = first.into_iter().chain(EVICTION_ORDER).find(|c| {
             // One that connected just now did so to ask something.
             (*c != Class::New || silent) && !self.idle[*c as usize].is_empty()
         })?;
-        let (_, (id, _)) = self.idle[class as usize].pop_first()?;
+        let (_, IdleConnection { id, .. }) = self.idle[class as usize].pop_first()?;
         if let Some(entry) = self.all.get_mut(&id) {
             (entry.idle, entry.ending) = (None, true);
         }
--- a/crates/sharding/src/delegation.rs
+++ b/crates/sharding/src/delegation.rs
@@ -19,7 +19,7 @@
 pub const ACCEPTED_S: f64 = 4.0;
 /// A job's tasks are left to others once they have waited so long, in seconds.
 const DELEGATE_AFTER_S: f64 = 0.6;
-/// What is known of another's room is of use for so long, in seconds.
+/// What is known of another shard's free capacity is used for so long, in seconds.
 const FREE_CAPACITY_FRESH_S: f64 = 2.5;
 
 /// A job whose tasks wait.
@@ -46,24 +46,35 @@
     pub tasks: u32,
 }
 
-/// What is known of the other shards' room.
+/// The free capacity that another shard reported.
+#[derive(Clone, Copy, Debug)]
+struct FreeCapacity {
+    /// Thousandths of a CPU, less what was left there since.
+    cpu: i64,
+    reported_at: Time,
+}
+
+/// What is known of the other shards' free capacity.
 #[derive(Debug, Default)]
 pub struct Delegation {
-    /// Thousandths of a CPU that are free there, less what was left there since.
-    free_capacity: BTreeMap<ShardId, (i64, Time)>,
+    free_capacity: BTreeMap<ShardId, FreeCapacity>,
 }
 
 impl Delegation {
     /// A shard said how much free capacity it has beyond its own work, in thousandths of
     /// a CPU.
     pub fn has_capacity(&mut self, shard: ShardId, cpu: i64, now: Time) {
-        self.free_capacity.insert(shard, (cpu.max(0), now));
+        let reported = FreeCapacity {
+            cpu: cpu.max(0),
+            reported_at: now,
+        };
+        self.free_capacity.insert(shard, reported);
     }
 
     /// Which tasks to leave to others, the first of `waiting` first.
     pub fn delegate(&mut self, waiting: &[Waiting], now: Time) -> Vec<Delegated> {
         self.free_capacity
-            .retain(|_, (_, at)| now.since(*at) <= FREE_CAPACITY_FRESH_S);
+            .retain(|_, free| now.since(free.reported_at) <= FREE_CAPACITY_FRESH_S);
         let mut delegated = Vec::new();
         for w in waiting
             .iter()
@@ -75,12 +86,12 @@
                 let max = self
                     .free_capacity
                     .iter_mut()
-                    .max_by_key(|(b, (free, _))| (*free, **b));
-                let Some((to, (free, _))) = max.filter(|(_, (free, _))| *free >= cpu) else {
+                    .max_by_key(|(shard, free)| (free.cpu, **shard));
+                let Some((to, free)) = max.filter(|(_, free)| free.cpu >= cpu) else {
                     break;
                 };
-                let some = u32::try_from(*free / cpu).unwrap_or(u32::MAX).min(tasks);
-                *free -= cpu * i64::from(some);
+                let some = u32::try_from(free.cpu / cpu).unwrap_or(u32::MAX).min(tasks);
+                free.cpu -= cpu * i64::from(some);
                 tasks -= some;
                 delegated.push(Delegated {
                     job: w.job.clone(),
--- a/crates/sharding/src/lib.rs
+++ b/crates/sharding/src/lib.rs
@@ -1,10 +1,10 @@
 //! The machines shared among the controllers, without I/O or clock:
 //!
 //! - [`served`]: what each class and team gets, and who starves;
-//! - [`largest_jobs`]: the largest jobs of each class, told of one by one;
+//! - [`largest_jobs`]: the largest jobs of each class, which are logged one by one;
 //! - [`shard`]: which shard a machine or a job belongs to;
 //! - [`delegation`]: tasks that one shard leaves to another that has free capacity;
-//! - [`fair`]: who is next when what all want is short;
+//! - [`fair`]: who is next when there is less than all need;
 //! - [`isolation`]: whether a controller is left with nothing but its workers;
 //! - [`owners`]: who is granted which shard, and which one moves next;
 //! - [`reach`]: whether an owner still reaches the workers;
--- a/crates/sharding/src/reach.rs
+++ b/crates/sharding/src/reach.rs
@@ -1,6 +1,6 @@
 //! Whether an owner still reaches the workers, by evidence from both sides: what
-//! it hears from them itself, what others hear for it, and what its own commands
-//! come to.
+//! it receives from them itself, what others receive for it, and whether its own commands
+//! get through.
 //!
 //! An owner that is cut off from the workers alone keeps its lease and its view of
 //! the records, so nothing else ends its grant. It went on by way of others for
@@ -11,21 +11,21 @@
 
 use sorrelhinge_protocol::types::{MachineId, Time};
 
-/// So long nothing is heard from any worker itself while others hear them, in
-/// seconds. Counted from what the others hear, so that a pause of this process
+/// For so long no worker heartbeats here itself while others receive heartbeats, in
+/// seconds. Counted from what the others receive, so that a pause of this process
 /// proves nothing.
 pub const CUT_OFF_AFTER_S: f64 = 3.0;
 /// So many heartbeats came by way of others meanwhile, and commands to so many
 /// machines failed: one machine that is away is no cut.
 pub const CUT_OFF_MIN_COUNT: usize = 5;
 /// Commands to so many machines failed, and for so long not one got through, in
-/// seconds: workers that lost an owner need up to ten seconds until others hear
-/// them for it.
+/// seconds: workers that lost an owner need up to ten seconds until others receive
+/// their heartbeats for it.
 pub const FAILED_MIN_MACHINES: usize = 24;
 /// See [`FAILED_MIN_MACHINES`]. Counted from the first that failed, as above.
 pub const FAILED_AFTER_S: f64 = 2.0;
 
-/// The evidence since a worker was last heard directly.
+/// The evidence since a worker last heartbeat here directly.
 #[derive(Clone, Debug, Default)]
 pub struct Reach {
     passed_since: Option<Time>,
@@ -35,7 +35,7 @@
 }
 
 impl Reach {
-    /// A worker reported here itself, or answered a command.
+    /// A worker heartbeat here itself, or answered a command.
     pub fn direct(&mut self) {
         *self = Self::default();
     }
--- a/crates/sharding/src/tally.rs
+++ b/crates/sharding/src/tally.rs
@@ -42,17 +42,17 @@
     }
 }
 
-/// What was told of one of a class's largest jobs.
+/// What the log says of one of a class's largest jobs.
 #[derive(Clone, Debug, Default, PartialEq)]
 struct Large {
     class: String,
     cpus: f64,
     begun: bool,
-    /// Seconds until it began; none: not told, as an earlier owner placed it.
+    /// Seconds until it began; none: not logged, as an earlier owner placed it.
     began_s: Option<f64>,
     late: bool,
     cancelled: bool,
-    /// The shard, and the period, of whoever spoke of it last.
+    /// The shard and the period of the owner that logged it last.
     shard: String,
     period: usize,
 }
@@ -79,11 +79,11 @@
     pub jobs: u64,
     /// Of which tasks were placed.
     pub begun: u64,
-    /// That began after four minutes, or had waited longer when last heard of.
+    /// That began after four minutes, or had waited longer when last logged.
     pub late: u64,
     /// The longest time until one began, in seconds.
     pub longest_s: f64,
-    /// Left out: told of by an owner that ended before they began, and not by a
+    /// Left out: logged by an owner that ended before they began, and not by a
     /// later one.
     pub unknown: u64,
 }
@@ -98,7 +98,7 @@
     }
 }
 
-/// What was told while one controller owned a shard.
+/// What was logged while one controller owned a shard.
 #[derive(Debug)]
 struct Period {
     shard: String,
@@ -110,7 +110,7 @@
 pub struct Tally {
     /// The largest jobs, by id.
     large: HashMap<String, Large>,
-    /// Each controller's period as an owner of a shard, as it speaks.
+    /// Each controller's period as an owner of a shard, in the order of the lines.
     periods: Vec<Period>,
     /// The period that each controller and shard is in.
     present: BTreeMap<String, usize>,
@@ -155,7 +155,7 @@
         }
     }
 
-    /// Takes a line that tells what was served of a class and team.
+    /// Takes a line with what was served of a class and team.
     fn served(&mut self, speaker: &str, line: &str) {
         let text = |key: &str| field(line, key).map(str::to_owned);
         let number = |key: &str| field(line, key).and_then(|n| n.parse().ok());
@@ -185,7 +185,7 @@
         })
     }
 
-    /// Takes a line that tells of one of a class's largest jobs.
+    /// Takes a line about one of a class's largest jobs.
     fn largest_line(&mut self, speaker: &str, line: &str) {
         let number = |key: &str| field(line, key).and_then(|n| n.parse::<f64>().ok());
         let Some((job, class)) = field(line, "job").zip(field(line, "class")) else {
@@ -225,9 +225,9 @@
         let mut parts: BTreeMap<String, LargestPart> = BTreeMap::new();
         for (job, large) in self.large.iter().filter(|(_, l)| !l.cancelled) {
             let part = parts.entry(large.class.clone()).or_default();
-            let gone = last.get(large.shard.as_str()) != Some(&large.period);
+            let owner_ended = last.get(large.shard.as_str()) != Some(&large.period);
             // If it was late before, a later owner makes it no earlier.
-            if !large.begun && !large.late && gone {
+            if !large.begun && !large.late && owner_ended {
                 part.unknown += 1;
             } else {
                 let candidate = Candidate { job, large };
--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -134,15 +134,15 @@
     pub zones: Vec<Zone>,
     /// All teams.
     pub teams: Vec<TeamConfig>,
-    /// The shortest time that an objective allows a class to start in.
+    /// The shortest time that an objective allows a class to start in, in seconds.
     pub start_objectives: HashMap<Arc<str>, f64>,
-    /// The times that objectives allow a class to finish in, the shortest first.
+    /// The times that objectives allow a class to finish in, in seconds, the shortest first.
     pub finish_objectives: HashMap<Arc<str>, Vec<f64>>,
     /// The multiples of its deadline that objectives allow a class.
     pub deadline_objectives: HashMap<Arc<str>, Vec<f64>>,
-    /// Usual time between a worker's heartbeats.
+    /// Usual time between a worker's heartbeats, in seconds.
     pub heartbeat_s: f64,
-    /// A worker's lease.
+    /// A worker's lease, in seconds.
     pub lease_s: f64,
     /// From cancelling a job to the end of its last task, in seconds.
     pub cancel_s: f64,
@@ -152,7 +152,7 @@
     pub state_limits: StateLimits,
     /// Cloud requests per second, all controllers together.
     pub cloud_rps: f64,
-    /// How late the machine list is.
+    /// How late the machine list is, in seconds.
     pub list_lag_s: f64,
     /// Most sockets of this process.
     pub max_sockets: usize,
@@ -212,7 +212,7 @@
     }
 
     /// What a calendar is checked by, but for machine types, which only the cloud
-    /// tells. `now_ms`: the time of day.
+    /// knows. `now_ms`: the time of day, in milliseconds.
     pub fn calendar_known(&self, now_ms: i64) -> Known {
         let teams = self.teams.iter();
         Known {
--- a/src/config/properties.rs
+++ b/src/config/properties.rs
@@ -15,12 +15,12 @@
     /// Life of the leader's lease in the state service, in seconds.
     pub leader_lease_s: f64,
     /// Seconds that a machine may be silent before it is given back; none:
-    /// the lease, for as long as its tasks may run on unheard. One that the
+    /// the lease, for as long as its tasks may run on without contact. One that the
     /// machine list does not show any more is given back earlier.
     pub silent_s: Option<f64>,
     /// Seconds that a machine stays idle before it is given back.
     pub idle_s: f64,
-    /// Room kept free for work to come: this many typical jobs of each class.
+    /// Capacity kept free for work to come: this many typical jobs of each class.
     pub headroom: f64,
     /// Machines are kept for this part of what all teams are guaranteed.
     pub floor: f64,
