--- a/crates/lease-safety/src/heartbeat_order.rs
+++ b/crates/lease-safety/src/heartbeat_order.rs
@@ -26,12 +26,12 @@
 
 /// The newest heartbeat of each machine that came here.
 #[derive(Default)]
-pub struct Order {
+pub struct HeartbeatOrder {
     newest: HashMap<MachineId, Newest>,
     tidied: Option<Time>,
 }
 
-impl Order {
+impl HeartbeatOrder {
     /// Takes note of a heartbeat. False if it is a copy.
     pub fn is_new(
         &mut self,
--- a/crates/lease-safety/src/renewal.rs
+++ b/crates/lease-safety/src/renewal.rs
@@ -14,9 +14,9 @@
 /// A hash of what a heartbeat reports, without when it was made: two with the same content
 /// have nothing new for the owner.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Content(u64);
+pub struct HeartbeatContent(u64);
 
-impl Content {
+impl HeartbeatContent {
     /// Of a heartbeat.
     pub fn of(heartbeat: &Heartbeat) -> Self {
         let mut hasher = DefaultHasher::new();
@@ -45,7 +45,7 @@
 
 /// The last heartbeat of a machine that the owner answered.
 struct OwnerAnswer {
-    content: Content,
+    content: HeartbeatContent,
     answered_at: Time,
     /// When the machine last heartbeat, answered by the owner or not.
     seen_at: Time,
@@ -71,7 +71,7 @@
     pub fn route(
         &mut self,
         machine: &MachineId,
-        content: Content,
+        content: HeartbeatContent,
         relief: bool,
         heartbeat_s: f64,
         now: Time,
@@ -91,7 +91,7 @@
     }
 
     /// The owner answered a heartbeat.
-    pub fn answered(&mut self, machine: &MachineId, content: Content, now: Time) {
+    pub fn answered(&mut self, machine: &MachineId, content: HeartbeatContent, now: Time) {
         let answer = OwnerAnswer {
             content,
             answered_at: now,
--- a/crates/lease-safety/tests/model.rs
+++ b/crates/lease-safety/tests/model.rs
@@ -1,9 +1,9 @@
 //! The decisions against slow plain models, over generated orders of events.
 
 use proptest::prelude::*;
-use sorrelhinge_lease_safety::heartbeat_order::{Order, MACHINE_MEMORY_S, MAX_MACHINES};
+use sorrelhinge_lease_safety::heartbeat_order::{HeartbeatOrder, MACHINE_MEMORY_S, MAX_MACHINES};
 use sorrelhinge_lease_safety::reachability::{Reachability, DOUBT_AFTER_HEARTBEATS};
-use sorrelhinge_lease_safety::renewal::{Content, Renewals, Route};
+use sorrelhinge_lease_safety::renewal::{HeartbeatContent, Renewals, Route};
 use sorrelhinge_protocol::types::{Incarnation, MachineId, SequenceNumber, Time};
 use sorrelhinge_protocol::worker::Heartbeat;
 
@@ -37,7 +37,7 @@
             let sent = heartbeat(machine, tick as u64 + 1, fencing_token, what);
             let same = Heartbeat { sequence: Default::default(), ..sent.clone() };
             let same = serde_json::to_string(&same).expect("text");
-            let content = Content::of(&sent);
+            let content = HeartbeatContent::of(&sent);
             let route = renewals.route(&sent.machine, content, relief, heartbeat_s, Time(now));
             let known = told.get(&machine).is_some_and(|(text, _)| *text == same);
             let lately = told.get(&machine).is_some_and(|(_, at)| now - at < 2.5 * heartbeat_s);
@@ -61,7 +61,7 @@
     fn copies_are_told_by_incarnation_and_tick(
         heartbeats in prop::collection::vec((0..4_u8, 1..4_u64, 0..30_u64), 1..200),
     ) {
-        let mut order = Order::default();
+        let mut order = HeartbeatOrder::default();
         let mut newest = std::collections::BTreeMap::new();
         for (machine, incarnation, tick) in heartbeats {
             let id = MachineId::from(&*format!("vm-{machine}"));
@@ -77,7 +77,7 @@
 /// the ones that are known.
 #[test]
 fn the_order_of_heartbeats_takes_little_memory() {
-    let mut order = Order::default();
+    let mut order = HeartbeatOrder::default();
     let id = |n: usize| MachineId::from(&*format!("vm-{n:07}"));
     let stays = id(9_999_999);
     for n in 0..3 * MAX_MACHINES {
--- a/crates/overload/src/lib.rs
+++ b/crates/overload/src/lib.rs
@@ -4,7 +4,7 @@
 //! - [`admission`]: whose request is read next, so that nothing waits long behind a crowd;
 //! - [`sockets`]: which connections are open, and which one ends when there are no more;
 //! - [`pressure`]: which resource binds, and what is shed while it does;
-//! - [`asked`]: which polls are answered while not all can be;
+//! - [`poll_shedding`]: which polls are answered while not all can be;
 //! - [`heartbeat_offload`]: how many workers heartbeat to other controllers;
 //! - [`relief`]: when an owner asks others to answer heartbeats without anything new;
 //! - [`fleet_limit`]: how many machines can be served;
@@ -16,12 +16,12 @@
 //! renewed is decided in `sorrelhinge_lease_safety`. See `docs/overload.md`.
 
 pub mod admission;
-pub mod asked;
 pub mod claim_rate;
 pub mod decaying_mean;
 pub mod fleet_limit;
 pub mod heartbeat_offload;
 pub mod pace;
+pub mod poll_shedding;
 pub mod pressure;
 pub mod relief;
 pub mod sockets;
--- a/crates/overload/src/asked.rs
+++ b/crates/overload/src/poll_shedding.rs
@@ -25,9 +25,9 @@
 /// An answer that is older, in seconds, is too old to refuse a newer one: users
 /// ask every 5 s, so every second poll is refused.
 pub const STALE_ANSWER_S: f64 = 9.0;
-/// Who did not ask for so long, in seconds, is forgotten: longer than the 75 s
+/// An id that was not asked about for so long, in seconds, is forgotten: longer than the 75 s
 /// after which a job without an answer counts as forgotten.
-pub const ASKED_MEMORY_S: f64 = 120.0;
+pub const POLL_MEMORY_S: f64 = 120.0;
 /// A full table is looked through no more often than this, in seconds.
 const CLEANUP_INTERVAL_S: f64 = 5.0;
 
@@ -54,8 +54,8 @@
 /// Of one id. Times in tenths of a second, to be small.
 #[derive(Clone, Copy, Debug)]
 struct Entry {
-    answered: Option<NonZeroU32>,
-    asked: u32,
+    answered_at: Option<NonZeroU32>,
+    asked_at: u32,
     /// The last poll was refused, or could not be answered.
     refused: bool,
 }
@@ -93,34 +93,34 @@
                 .is_none_or(|t| now.since(t) >= CLEANUP_INTERVAL_S)
         {
             self.tidied = Some(now);
-            let since = tenths(now).saturating_sub((ASKED_MEMORY_S * 10.0) as u32);
-            self.entries.retain(|_, e| e.asked >= since);
+            let since = tenths(now).saturating_sub((POLL_MEMORY_S * 10.0) as u32);
+            self.entries.retain(|_, e| e.asked_at >= since);
         }
         if self.entries.len() >= self.max && !self.entries.contains_key(&key) {
             return None;
         }
         Some(self.entries.entry(key).or_insert(Entry {
-            answered: None,
-            asked: tenths(now),
+            answered_at: None,
+            asked_at: tenths(now),
             refused: false,
         }))
     }
 }
 
-/// Who asked, who was answered when, and who was refused last.
+/// Which polls were answered when, and which were refused last.
 #[derive(Debug)]
-pub struct Asked {
+pub struct PollShedding {
     known: Table,
     unknown: Table,
 }
 
-impl Default for Asked {
+impl Default for PollShedding {
     fn default() -> Self {
         Self::new(MAX_RECORDED_JOBS, MAX_UNRECORDED_JOBS)
     }
 }
 
-impl Asked {
+impl PollShedding {
     /// Remembers at most so many recorded jobs and other ids.
     pub fn new(known: usize, unknown: usize) -> Self {
         Self {
@@ -129,8 +129,8 @@
         }
     }
 
-    /// Decides on a poll. If it is to be answered, [`Asked::answered`] or
-    /// [`Asked::failed`] is called afterwards.
+    /// Decides on a poll. If it is to be answered, [`PollShedding::answered`] or
+    /// [`PollShedding::failed`] is called afterwards.
     pub fn poll(&mut self, poll: Poll<'_>, now: Time) -> Verdict {
         if !poll.shed {
             return Verdict::Answer;
@@ -151,8 +151,8 @@
         let Some(entry) = table.entry(key, now) else {
             return Verdict::Answer;
         };
-        entry.asked = tenths(now);
-        let old = match entry.answered {
+        entry.asked_at = tenths(now);
+        let old = match entry.answered_at {
             Some(at) => tenths(now).saturating_sub(at.get()) >= (STALE_ANSWER_S * 10.0) as u32,
             None => poll.known,
         };
@@ -173,8 +173,8 @@
         }
         if let Some(entry) = self.known.entry(key, now) {
             *entry = Entry {
-                answered: NonZeroU32::new(tenths(now).max(1)),
-                asked: tenths(now),
+                answered_at: NonZeroU32::new(tenths(now).max(1)),
+                asked_at: tenths(now),
                 refused: false,
             };
         }
@@ -188,7 +188,7 @@
             &mut self.unknown
         };
         if let Some(entry) = table.entry(key(job), now) {
-            entry.asked = tenths(now);
+            entry.asked_at = tenths(now);
             entry.refused = true;
         }
     }
--- a/crates/overload/tests/model.rs
+++ b/crates/overload/tests/model.rs
@@ -2,11 +2,13 @@
 
 use proptest::prelude::*;
 use sorrelhinge_overload::admission::{AdmissionQueue, Class, CLASSES};
-use sorrelhinge_overload::asked::{Asked, Poll, Verdict, ASKED_MEMORY_S, STALE_ANSWER_S};
 use sorrelhinge_overload::claim_rate::ClaimRate;
 use sorrelhinge_overload::fleet_limit::FleetLimit;
 use sorrelhinge_overload::heartbeat_offload::{HeartbeatLoad, HeartbeatOffload};
 use sorrelhinge_overload::pace::Pace;
+use sorrelhinge_overload::poll_shedding::{
+    Poll, PollShedding, Verdict, POLL_MEMORY_S, STALE_ANSWER_S,
+};
 use sorrelhinge_overload::pressure::{Level, Pressure, Resource, Sample};
 use sorrelhinge_overload::relief::Relief;
 use sorrelhinge_overload::sockets::{ConnId, Limits, Opened, Sockets};
@@ -452,7 +454,7 @@
     /// the others are not, and their second poll is the first to be answered.
     #[test]
     fn polls_are_shed_by_what_came_of_earlier_ones(polls in polls(9)) {
-        let mut asked = Asked::default();
+        let mut asked = PollShedding::default();
         // Whether the last poll was answered, and when.
         let mut last = std::collections::BTreeMap::new();
         let mut now = 1.0;
@@ -487,7 +489,7 @@
     /// flood changes nothing for recorded jobs.
     #[test]
     fn a_flood_pushes_nobody_out(polls in polls(12), flood in 0_usize..40) {
-        let (mut asked, mut calm) = (Asked::new(8, 5), Asked::new(8, 5));
+        let (mut asked, mut calm) = (PollShedding::new(8, 5), PollShedding::new(8, 5));
         let mut last = std::collections::BTreeMap::new();
         let mut now = 1.0;
         for (turn, (n, pause, shed, can)) in polls.into_iter().enumerate() {
@@ -518,8 +520,8 @@
 /// room, and a job that is over does at once.
 #[test]
 fn who_can_t_be_remembered_is_answered() {
-    let mut asked = Asked::new(2, 2);
-    let poll = |asked: &mut Asked, n: usize, now: f64| {
+    let mut asked = PollShedding::new(2, 2);
+    let poll = |asked: &mut PollShedding, n: usize, now: f64| {
         let poll = Poll {
             job: &run(n),
             known: true,
@@ -531,7 +533,7 @@
         }
         verdict
     };
-    let later = 6.0 + ASKED_MEMORY_S;
+    let later = 6.0 + POLL_MEMORY_S;
     let (answer, refuse) = (Verdict::Answer, Verdict::Refuse);
     for (n, at, verdict) in [
         (0, 1.0, answer),
--- a/src/control/admission.rs
+++ b/src/control/admission.rs
@@ -5,7 +5,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use sorrelhinge_overload::asked::{Asked, Poll, Verdict};
+use sorrelhinge_overload::poll_shedding::{Poll, PollShedding, Verdict};
 use sorrelhinge_priority_lanes::part::Turn as LaneTurn;
 use sorrelhinge_priority_lanes::{LaneId, Lanes};
 use tokio::time::Instant;
@@ -45,7 +45,7 @@
     /// Whose turn it is among submissions while they are shed.
     lane_turns: RefCell<BTreeMap<LaneId, LaneTurn>>,
     /// Who asked about which job, and who was told to come back.
-    asked: RefCell<Asked>,
+    asked: RefCell<PollShedding>,
     /// Polls that other controllers answer at the moment.
     forwarded_queries: Cell<usize>,
     /// Before this instant no poll is passed on, as nobody could answer the last one.
@@ -95,7 +95,7 @@
         jumps.is_some()
     }
 
-    /// Whether a poll is refused for now; see [`sorrelhinge_overload::asked`].
+    /// Whether a poll is refused for now; see [`sorrelhinge_overload::poll_shedding`].
     pub(super) fn refuses_poll(&self, poll: Poll<'_>, now: Time) -> bool {
         self.asked.borrow_mut().poll(poll, now) == Verdict::Refuse
     }
--- a/src/control/core/overflow.rs
+++ b/src/control/core/overflow.rs
@@ -5,7 +5,7 @@
 use sorrelhinge_sharding::shard::ShardId;
 
 use super::Core;
-use crate::peer_messages::LeftTo;
+use crate::peer_messages::DelegatedTasks;
 use crate::scheduler::{Job, Machine};
 use crate::state::record::Phase;
 use crate::state::view::View;
@@ -34,7 +34,7 @@
     }
 
     /// Leaves tasks that found no place to shards that have free capacity.
-    pub fn leave(&mut self, view: &View, now: Time) -> Vec<LeftTo> {
+    pub fn leave(&mut self, view: &View, now: Time) -> Vec<DelegatedTasks> {
         self.end_left(view, now);
         if self.frozen_since.is_some() {
             return Vec::new();
@@ -77,7 +77,12 @@
     }
 
     /// Leaves the last tasks of a job that wait to another shard; none: none waits.
-    fn delegate_tasks(&mut self, delegated: Delegated, view: &View, now: Time) -> Option<LeftTo> {
+    fn delegate_tasks(
+        &mut self,
+        delegated: Delegated,
+        view: &View,
+        now: Time,
+    ) -> Option<DelegatedTasks> {
         let Delegated { job, to, tasks } = delegated;
         let tasks = self.cluster_state.job(&job)?.tasks.last_pending(tasks);
         if tasks.is_empty() {
@@ -88,7 +93,7 @@
         if let Some(entry) = view.job(&job) {
             self.share(&job, entry);
         }
-        Some(LeftTo {
+        Some(DelegatedTasks {
             shard: to,
             job,
             tasks: tasks.into_iter().collect(),
@@ -96,7 +101,13 @@
     }
 
     /// Another shard leaves tasks to this one.
-    pub fn adopt_delegated_tasks(&mut self, view: &View, left: &LeftTo, now: Time, wall_ms: u64) {
+    pub fn adopt_delegated_tasks(
+        &mut self,
+        view: &View,
+        left: &DelegatedTasks,
+        now: Time,
+        wall_ms: u64,
+    ) {
         let Some(entry) = view.job(&left.job) else {
             return;
         };
--- a/src/control/heartbeat_routing.rs
+++ b/src/control/heartbeat_routing.rs
@@ -6,8 +6,8 @@
 use std::collections::HashMap;
 use std::time::Duration;
 
-use sorrelhinge_lease_safety::heartbeat_order::Order;
-use sorrelhinge_lease_safety::renewal::{Content, Renewals, Route};
+use sorrelhinge_lease_safety::heartbeat_order::HeartbeatOrder;
+use sorrelhinge_lease_safety::renewal::{HeartbeatContent, Renewals, Route};
 use sorrelhinge_sharding::isolation::DismissedWorkers;
 use tokio::time::Instant;
 
@@ -54,7 +54,7 @@
 #[derive(Default)]
 pub(super) struct HeartbeatRouting {
     /// The newest heartbeat of each machine, so that copies are known.
-    newest: RefCell<Order>,
+    newest: RefCell<HeartbeatOrder>,
     redirected_agents: RefCell<HashMap<MachineId, RedirectedAgent>>,
     /// Workers that were sent away as this controller is alone.
     dismissed_workers: RefCell<DismissedWorkers>,
@@ -129,7 +129,7 @@
     pub(super) fn route(
         &self,
         machine: &MachineId,
-        content: Content,
+        content: HeartbeatContent,
         relief: bool,
         heartbeat_s: f64,
         now: Time,
@@ -139,7 +139,12 @@
     }
 
     /// The owner answered a heartbeat.
-    pub(super) fn answered_by_owner(&self, machine: &MachineId, content: Content, now: Time) {
+    pub(super) fn answered_by_owner(
+        &self,
+        machine: &MachineId,
+        content: HeartbeatContent,
+        now: Time,
+    ) {
         let mut renewals = self.renewals.borrow_mut();
         renewals.answered(machine, content, now);
     }
--- a/src/control/lease_renewal.rs
+++ b/src/control/lease_renewal.rs
@@ -4,7 +4,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use sorrelhinge_lease_safety::renewal::{Content, Route};
+use sorrelhinge_lease_safety::renewal::{HeartbeatContent, Route};
 use tokio::time::sleep;
 
 use super::lease_delegation::may_renew_for_owner;
@@ -61,7 +61,7 @@
         heartbeat: &Heartbeat,
         body: &[u8],
     ) -> HeartbeatReply {
-        let content = Content::of(heartbeat);
+        let content = HeartbeatContent::of(heartbeat);
         let relief = self.peer_statuses.peer_status_of(&owner).relief;
         let routing = &self.heartbeat_routing;
         let route = routing.route(
--- a/src/control/shard_demand.rs
+++ b/src/control/shard_demand.rs
@@ -9,7 +9,7 @@
 use super::quota_transfers::QUOTA_TRANSFER_INTERVAL;
 use super::{wall_ms, Node};
 use crate::peer_link::Kind;
-use crate::peer_messages::{encode_left, parse_left, LeftTo, Needs, Rented, TeamNeed};
+use crate::peer_messages::{DelegatedTasks, Needs, Rented, TeamNeed};
 use crate::types::{MachineId, NodeId};
 
 /// How often owners tell what they use and want.
@@ -79,7 +79,7 @@
             match self.owner_of(some.shard) {
                 Some(owner) if owner == self.cfg.node => self.receive_delegated_tasks(&some),
                 Some(owner) => {
-                    if let Some(text) = encode_left(&some) {
+                    if let Some(text) = some.encode() {
                         self.peers.share(&owner, Kind::Left, text);
                     }
                 }
@@ -100,7 +100,7 @@
     }
 
     /// Takes up tasks that another shard leaves to an owned one.
-    fn receive_delegated_tasks(&self, left: &LeftTo) {
+    fn receive_delegated_tasks(&self, left: &DelegatedTasks) {
         let now = self.now();
         if let Some(c) = self.shards.owned_mut().get_mut(left.shard) {
             c.adopt_delegated_tasks(&self.store.view(), left, now, wall_ms());
@@ -117,7 +117,7 @@
                 }
             }
             Kind::Left => {
-                if let Some(left) = parse_left(text) {
+                if let Some(left) = DelegatedTasks::parse(text) {
                     self.receive_delegated_tasks(&left);
                 }
             }
--- a/src/control/status_queries.rs
+++ b/src/control/status_queries.rs
@@ -3,7 +3,7 @@
 
 use std::time::Duration;
 
-use sorrelhinge_overload::asked::Poll;
+use sorrelhinge_overload::poll_shedding::Poll;
 use sorrelhinge_overload::pressure::Level;
 use tokio::time::Instant;
 
@@ -38,7 +38,7 @@
 
 impl Node {
     /// Whether a poll is to be told to come back as too much is asked for; see
-    /// [`sorrelhinge_overload::asked`].
+    /// [`sorrelhinge_overload::poll_shedding`].
     pub fn sheds_poll(&self, id: &JobId) -> bool {
         if self.is_over(id) {
             self.admission.job_over(id);
--- a/src/peer_messages.rs
+++ b/src/peer_messages.rs
@@ -184,7 +184,7 @@
 
 #[derive(Clone, Copy, FromBytes, IntoBytes, KnownLayout, Immutable, Unaligned)]
 #[repr(C)]
-struct LeftHead {
+struct DelegatedHead {
     version: U32,
     shard: U32,
     job: WireName,
@@ -192,37 +192,38 @@
 
 /// Tasks that are left to another shard.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct LeftTo {
-    /// To which.
+pub struct DelegatedTasks {
+    /// To which shard.
     pub shard: ShardId,
     /// Of which job.
     pub job: JobId,
-    /// Which tasks.
+    /// Which tasks, by their numbers in the job.
     pub tasks: Vec<u32>,
 }
 
-/// Tasks left to a shard, as they go over the wire; none if the job's name is
-/// too long.
-pub fn encode_left(left: &LeftTo) -> Option<Vec<u8>> {
-    let head = LeftHead {
-        version: U32::new(VERSION),
-        shard: U32::new(left.shard.0),
-        job: encode_name(left.job.as_str())?,
-    };
-    let mut bytes = head.as_bytes().to_vec();
-    for task in &left.tasks {
-        bytes.extend_from_slice(U32::new(*task).as_bytes());
+impl DelegatedTasks {
+    /// As it goes over the wire; none if the job's name is too long.
+    pub fn encode(&self) -> Option<Vec<u8>> {
+        let head = DelegatedHead {
+            version: U32::new(VERSION),
+            shard: U32::new(self.shard.0),
+            job: encode_name(self.job.as_str())?,
+        };
+        let mut bytes = head.as_bytes().to_vec();
+        for task in &self.tasks {
+            bytes.extend_from_slice(U32::new(*task).as_bytes());
+        }
+        Some(bytes)
     }
-    Some(bytes)
-}
 
-/// Reads tasks left to a shard; none if it is of another version or length.
-pub fn parse_left(bytes: &[u8]) -> Option<LeftTo> {
-    let (head, rest) = LeftHead::read_from_prefix(bytes).ok()?;
-    let tasks = <[U32]>::ref_from_bytes(rest).ok()?;
-    (head.version.get() == VERSION).then_some(LeftTo {
-        shard: ShardId(head.shard.get()),
-        job: JobId::from(decode_name(&head.job)?),
-        tasks: tasks.iter().map(|t| t.get()).collect(),
-    })
+    /// Reads it; none if it is of another version or length.
+    pub fn parse(bytes: &[u8]) -> Option<Self> {
+        let (head, rest) = DelegatedHead::read_from_prefix(bytes).ok()?;
+        let tasks = <[U32]>::ref_from_bytes(rest).ok()?;
+        (head.version.get() == VERSION).then_some(Self {
+            shard: ShardId(head.shard.get()),
+            job: JobId::from(decode_name(&head.job)?),
+            tasks: tasks.iter().map(|t| t.get()).collect(),
+        })
+    }
 }
--- a/tests/edges.rs
+++ b/tests/edges.rs
@@ -13,7 +13,7 @@
     listen, Answered, ForwardedHeartbeat, HeartbeatNotice, Kind, Message, MessageHead,
     PeerAnnouncement, PeerRequestHandler, Peers,
 };
-use sorrelhinge::peer_messages::{encode_left, parse_left, LeftTo, Needs, Rented, TeamNeed};
+use sorrelhinge::peer_messages::{DelegatedTasks, Needs, Rented, TeamNeed};
 use sorrelhinge::state::record::{
     chunk_key, chunk_size, job_key, member_key, rollout_key, shard_key, slice_key, ChunkRecord,
     GrantRecord, JobRecord, Key, Phase, RolloutId, ShardedGrantFence,
@@ -603,7 +603,7 @@
         spot: true,
         machines: vec!["vm-000001".into(), "vm-000002".into()],
     };
-    let left = LeftTo {
+    let left = DelegatedTasks {
         shard: ShardId(1),
         job: "run-000412".into(),
         tasks: vec![3, 99_999],
@@ -611,23 +611,23 @@
     let told = [
         needs.encode(),
         rented.encode().expect("short names"),
-        encode_left(&left).expect("a short name"),
+        left.encode().expect("a short name"),
     ];
     assert_eq!(Needs::parse(&told[0]), Some(needs));
     assert_eq!(Rented::parse(&told[1]), Some(rented.clone()));
-    assert_eq!(parse_left(&told[2]), Some(left.clone()));
+    assert_eq!(DelegatedTasks::parse(&told[2]), Some(left.clone()));
     for bytes in &told {
         let mut other = bytes.clone();
         other[0] ^= 1;
         for bytes in [&other[..], &bytes[1..], &bytes[..7], &[]] {
             assert_eq!(Needs::parse(bytes), None);
             assert_eq!(Rented::parse(bytes), None);
-            assert_eq!(parse_left(bytes), None);
+            assert_eq!(DelegatedTasks::parse(bytes), None);
         }
     }
     let long = "x".repeat(65);
     let job = JobId::from(&*long);
-    assert_eq!(encode_left(&LeftTo { job, ..left }), None);
+    assert_eq!(DelegatedTasks { job, ..left }.encode(), None);
     let zone = long.as_str().into();
     assert_eq!(Rented { zone, ..rented }.encode(), None);
 }
--- a/tests/golden_formats/peers.rs
+++ b/tests/golden_formats/peers.rs
@@ -4,7 +4,7 @@
     ForwardedHeartbeat, HeartbeatNotice, Kind, Message, MessageHead, PeerAnnouncement, LIMITS_FELL,
     POLLS, SHARDS,
 };
-use sorrelhinge::peer_messages::{encode_left, parse_left, LeftTo, Needs, Rented, TeamNeed};
+use sorrelhinge::peer_messages::{DelegatedTasks, Needs, Rented, TeamNeed};
 use sorrelhinge::types::{Amount, Incarnation, JobId, MachineId, SequenceNumber, TypeName, Zone};
 use sorrelhinge_sharding::shard::ShardId;
 use sorrelhinge_sharding::slices::Need;
@@ -136,13 +136,13 @@
     assert_eq!(Rented::parse(&bytes).as_ref(), Some(&rented));
     golden.add("rented machines", &hex(&bytes));
 
-    let left = LeftTo {
+    let left = DelegatedTasks {
         shard: ShardId(1),
         job: JobId::from("run-000412"),
         tasks: vec![3, 70_000],
     };
-    let bytes = encode_left(&left).expect("a short name");
-    assert_eq!(parse_left(&bytes).as_ref(), Some(&left));
+    let bytes = left.encode().expect("a short name");
+    assert_eq!(DelegatedTasks::parse(&bytes).as_ref(), Some(&left));
     golden.add("tasks left to a block", &hex(&bytes));
     golden.check("layouts_between_controllers.txt");
 }
--- a/tests/rules/recording.rs
+++ b/tests/rules/recording.rs
@@ -7,7 +7,7 @@
 use serde_json::json;
 use sorrelhinge::control::core::{Core, Places, RecoveryInput, ShardGrant};
 use sorrelhinge::control::write_queue::{Pending, PendingWrite, WritePriority};
-use sorrelhinge::peer_messages::LeftTo;
+use sorrelhinge::peer_messages::DelegatedTasks;
 use sorrelhinge::state::record::chunk_key;
 use sorrelhinge::state::Transaction;
 use sorrelhinge::types::{JobId, MachineId, Time};
@@ -220,7 +220,7 @@
         o.core.jobs_changed(&o.view, &changed, now, 0);
     };
     follow(&mut world);
-    let left = LeftTo {
+    let left = DelegatedTasks {
         shard: other,
         job: id.clone(),
         tasks: vec![0],
--- a/tests/rules/shards.rs
+++ b/tests/rules/shards.rs
@@ -29,7 +29,7 @@
             let o = &mut self.owners[at];
             o.core.refresh_from_view(&o.view);
             for left in o.core.leave(&o.view, now) {
-                let text = sorrelhinge::peer_messages::encode_left(&left).expect("a short name");
+                let text = left.encode().expect("a short name");
                 self.trace.fold_json("left to a block", &text);
                 let taker = self
                     .owners
