--- a/crates/image-distribution/src/plan.rs
+++ b/crates/image-distribution/src/plan.rs
@@ -10,12 +10,15 @@
 //! Every call looks at a bounded number of sources, whatever the fleet's size.
 //!
 //! In parts: what bounds a rollout and the uploads under way (`uploads`), a machine of
-//! it (`node`), the choice of a source (`choice`), the chains (`chains`), and a rollout
+//! it (`node`), the choice of a source (`choice`), the chains (`chains`), the stages
+//! (`stages`), the starts (`starts`), and a rollout
 //! gone on with by a new owner (`takeover`).
 
 mod chains;
 mod choice;
 mod node;
+mod stages;
+mod starts;
 mod takeover;
 mod uploads;
 
@@ -24,19 +27,25 @@
 use sorrelhinge_protocol::types::{Image, MachineId};
 
 use self::node::{Node, State, Up};
+use self::stages::LAST_STAGE;
+pub use self::stages::MIN_STAGE_S;
 pub use self::takeover::{Has, RecentImages};
 pub use self::uploads::{Limits, Source, Uploads};
 use crate::locality::{Domain, Locality, Seat};
-use crate::record::{RolloutRecord, VERSION};
+use crate::record::RolloutRecord;
 
-/// A stage is open for at least so long, and seeds are written no more often: a
-/// rollout of 10,000 machines is six changes.
-pub const MIN_STAGE_S: f64 = 1.0;
-
-/// No stage beyond: more machines than there can be.
-const LAST_STAGE: u32 = 9;
+/// How many machines of a rollout are how far.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct RolloutCounts {
+    /// Wait for the image.
+    pub waiting: u32,
+    /// Fetch it.
+    pub fetching: u32,
+    /// Have it.
+    pub complete: u32,
+}
 
-/// An image that many machines want: who has it, fetches it, wants it.
+/// An image that many machines need: which have it, fetch it or wait for it.
 #[derive(Clone, Debug)]
 pub struct Rollout {
     image: Image,
@@ -53,7 +62,7 @@
     /// Machines that took a copy from outside their zone, and their zones.
     seeds: BTreeMap<MachineId, Domain>,
     heads: BTreeMap<Domain, u32>,
-    wants: u32,
+    waiting: u32,
     fetches: u32,
     complete: u32,
     hand_on: u32,
@@ -78,7 +87,7 @@
             locality: Locality::default(),
             seeds: BTreeMap::new(),
             heads: BTreeMap::new(),
-            wants: 0,
+            waiting: 0,
             fetches: 0,
             complete: 0,
             hand_on: 0,
@@ -102,14 +111,18 @@
         self.written.as_ref()
     }
 
-    /// Machines that want it, that fetch it, that have it.
-    pub fn counts(&self) -> (u32, u32, u32) {
-        (self.wants, self.fetches, self.complete)
+    /// How many machines are how far.
+    pub fn counts(&self) -> RolloutCounts {
+        RolloutCounts {
+            waiting: self.waiting,
+            fetching: self.fetches,
+            complete: self.complete,
+        }
     }
 
-    /// Nobody wants or fetches it any more: its record may be deleted.
+    /// No machine waits for it or fetches it any more: its record may be deleted.
     pub fn over(&self) -> bool {
-        self.wants + self.fetches == 0
+        self.waiting + self.fetches == 0
     }
 
     /// Copies asked of the origin by this owner, those that were gone on with
@@ -133,7 +146,7 @@
         }
     }
 
-    /// A machine that wants the image, or has it (`complete`). Its path: zone, rack,
+    /// Adds a machine that needs the image, or has it (`complete`). Its path: zone, rack,
     /// switch as far as known. One that is in the rollout already stays as it is.
     pub fn join(&mut self, machine: MachineId, path: &[String], complete: bool) {
         if self.seats.contains_key(&machine) {
@@ -147,97 +160,18 @@
             self.complete += 1;
             self.change(seat, |n| n.state = State::Complete);
         } else {
-            self.wants += 1;
-        }
-    }
-
-    /// The record to write, if a step is due at `now` seconds: the rollout's first,
-    /// the next stage's, or one with other seeds. [`Rollout::written`] once it is.
-    pub fn next(&self, now: f64) -> Option<RolloutRecord> {
-        let record = |stage| RolloutRecord {
-            v: VERSION,
-            image: self.image.clone(),
-            stage,
-            seeds: self.seeds.keys().cloned().collect(),
-        };
-        let Some(written) = &self.written else {
-            return Some(record(0));
-        };
-        if now - self.since < MIN_STAGE_S {
-            return None;
-        }
-        // A rollout widens only while somebody has the image to hand on: if all
-        // seeds were refused, each stage more would ask the origin for more.
-        let flows = self.complete > 0 || (self.fetches > 0 && !self.refused(now));
-        let full = self.wants > 0 && self.fetches >= self.allowed();
-        if full && flows && self.stage < LAST_STAGE {
-            return Some(record(self.stage + 1));
-        }
-        let same = written.seeds.len() == self.seeds.len()
-            && written.seeds.iter().all(|m| self.seeds.contains_key(m));
-        (!same).then(|| record(self.stage))
-    }
-
-    /// A record is in shared state since `now` seconds: its stage is open.
-    pub fn written(&mut self, record: RolloutRecord, now: f64) {
-        self.stage = self.stage.max(record.stage);
-        self.since = now;
-        self.written = Some(record);
-    }
-
-    /// Whether a start may be sent to a machine now that will make it fetch the
-    /// image. True also for one that fetches or has it.
-    pub fn may_start(&self, machine: &MachineId, uploads: &Uploads, now: f64) -> bool {
-        let Some(node) = self.node(machine) else {
-            return false;
-        };
-        match node.state {
-            State::Complete | State::Fetches => true,
-            State::Wants => {
-                self.written.is_some()
-                    && self.fetches < self.allowed()
-                    && self.choose(node, uploads, now).is_some()
-            }
+            self.waiting += 1;
         }
     }
 
-    /// The sources of a machine for the start that is sent to it now, the best
-    /// first; what follows the last is the origin. Empty for a machine that has
-    /// it or isn't known. Asked again for one that fetches, it names what is left of its
-    /// sources: the start may be sent twice.
-    pub fn assign(&mut self, machine: &MachineId, uploads: &mut Uploads, now: f64) -> Vec<Source> {
-        let Some(seat) = self.seats.get(machine).copied() else {
-            return Vec::new();
-        };
-        let node = &self.nodes[&seat];
-        match node.state {
-            State::Complete => return Vec::new(),
-            State::Fetches => return self.named(node),
-            State::Wants => {}
-        }
-        let up = self.choose(node, uploads, now).unwrap_or(Up::Origin);
-        let from = match up {
-            Up::From(source) => self.alternatives(node.zone, source),
-            _ => Vec::new(),
-        };
-        self.wants -= 1;
-        self.fetches += 1;
-        self.change(seat, |n| {
-            n.state = State::Fetches;
-            n.from = from;
-        });
-        self.attach(seat, up, uploads);
-        self.named(&self.nodes[&seat])
-    }
-
-    /// A machine has the whole image: a task runs on it.
+    /// A machine has the complete image: a task runs on it.
     pub fn arrived(&mut self, machine: &MachineId, uploads: &mut Uploads) {
         let Some(seat) = self.seats.get(machine).copied() else {
             return;
         };
         match self.nodes[&seat].state {
             State::Complete => return,
-            State::Wants => self.wants -= 1,
+            State::Waits => self.waiting -= 1,
             State::Fetches => self.fetches -= 1,
         }
         self.complete += 1;
@@ -250,8 +184,8 @@
         });
     }
 
-    /// A machine is gone, or doesn't want the image any more. Who took from it
-    /// goes on with the next of its sources, as its agent does.
+    /// A machine was deleted, or doesn't need the image any more. Those that took from it
+    /// go on with the next of their sources, as their agents do.
     pub fn lost(&mut self, machine: &MachineId, uploads: &mut Uploads) {
         let Some(seat) = self.seats.remove(machine) else {
             return;
@@ -269,7 +203,7 @@
             return;
         };
         match node.state {
-            State::Wants => self.wants -= 1,
+            State::Waits => self.waiting -= 1,
             State::Fetches => self.fetches -= 1,
             State::Complete => self.complete -= 1,
         }
@@ -304,13 +238,13 @@
         seat
     }
 
-    /// A machine that wants the image.
+    /// A machine that waits for the image.
     fn node_of(&mut self, id: MachineId, path: &[String]) -> Node {
         let domain = self.locality.domain(path);
         Node {
             domain,
             zone: self.locality.zone(domain),
-            state: State::Wants,
+            state: State::Waits,
             up: Up::None,
             children: BTreeSet::new(),
             assumed: 0,
--- a/crates/overload/src/pressure.rs
+++ b/crates/overload/src/pressure.rs
@@ -6,6 +6,8 @@
 
 use sorrelhinge_protocol::types::Time;
 
+use crate::decaying_mean::DecayingMean;
+
 /// What a controller can run out of.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Resource {
@@ -146,7 +148,7 @@
 /// What is known of the load.
 #[derive(Clone, Debug, Default)]
 pub struct Pressure {
-    means: [f64; RESOURCES.len()],
+    means: [DecayingMean; RESOURCES.len()],
     binds: [bool; RESOURCES.len()],
     sheds: [bool; RESOURCES.len()],
     level: Level,
@@ -158,11 +160,22 @@
 impl Pressure {
     /// Takes in what was measured. True if the level or what binds changed.
     pub fn take(&mut self, sample: Sample, now: Time) -> bool {
-        let before = (self.binds, self.level);
-        let sheds_before = self.sheds.contains(&true);
-        let passed = self.last.map_or(SMOOTHING_S, |t| now.since(t));
+        let binds_before = self.binds;
+        let level_before = self.level;
+        let shed_before = self.sheds.contains(&true);
+        self.measure(sample, now);
+        let shed = self.sheds.contains(&true);
+        if shed != shed_before {
+            self.since = Some(now);
+        }
+        self.step_level(shed, now);
+        binds_before != self.binds || level_before != self.level
+    }
+
+    /// Takes the sample into the means, and finds what binds and what is worth shedding for.
+    fn measure(&mut self, sample: Sample, now: Time) {
+        let elapsed_s = self.last.map_or(SMOOTHING_S, |t| now.since(t));
         self.last = Some(now);
-        let part = 1.0 - (-passed / SMOOTHING_S).exp();
         let measured = [
             sample.wait_s,
             sample.sockets,
@@ -175,27 +188,28 @@
             // One long measurement says no more than a few of the least that
             // would bind: a process that stood still is not overloaded.
             let value = value.clamp(0.0, 3.5 * if shed.is_finite() { shed } else { enter });
-            self.means[i] += (value - self.means[i]) * part;
+            self.means[i].take(value, elapsed_s, SMOOTHING_S);
+            let mean = self.means[i].value();
             let bound = if self.binds[i] { leave } else { enter };
-            self.binds[i] = self.means[i] >= bound;
-            let still = self.sheds[i] && self.means[i] >= 0.5 * shed;
-            self.sheds[i] = self.binds[i] && (still || self.means[i] >= shed);
-        }
-        let bound = self.sheds.contains(&true);
-        if bound != sheds_before {
-            self.since = Some(now);
+            self.binds[i] = mean >= bound;
+            let still = self.sheds[i] && mean >= 0.5 * shed;
+            self.sheds[i] = self.binds[i] && (still || mean >= shed);
         }
+    }
+
+    /// The next level, if shedding was needed, or was not, for long enough.
+    fn step_level(&mut self, shed: bool, now: Time) {
         let since = *self.since.get_or_insert(now);
-        let wait = if bound { RAISE_AFTER_S } else { LOWER_AFTER_S };
-        if now.since(since) >= wait {
-            self.level = if bound {
-                self.level.up()
-            } else {
-                self.level.down()
-            };
-            self.since = Some(now);
+        let wait_s = if shed { RAISE_AFTER_S } else { LOWER_AFTER_S };
+        if now.since(since) < wait_s {
+            return;
         }
-        before != (self.binds, self.level)
+        self.level = if shed {
+            self.level.up()
+        } else {
+            self.level.down()
+        };
+        self.since = Some(now);
     }
 
     /// What is shed now.
--- a/src/control/core/image_distribution.rs
+++ b/src/control/core/image_distribution.rs
@@ -12,8 +12,8 @@
 use sorrelhinge_sharding::shard::{ShardId, ShardScope};
 
 use super::active_rollout::{ActiveRollout, StartingMachine};
-use super::rollout_records::RolloutKey;
 use crate::config::Config;
+use crate::state::record::RolloutId;
 use crate::state::view::{Versioned, View};
 use crate::types::{Image, JobSpec, MachineId, Revision, Time};
 
@@ -27,9 +27,9 @@
     pub(super) uploads: Uploads,
     pub(super) rollouts: BTreeMap<Image, ActiveRollout>,
     /// What the state service has; none: of a later version, which is left alone.
-    pub(super) stored_records: BTreeMap<RolloutKey, Versioned<Option<RolloutRecord>>>,
+    pub(super) stored_records: BTreeMap<RolloutId, Versioned<Option<RolloutRecord>>>,
     /// Of shards that there are no more.
-    pub(super) useless: BTreeMap<RolloutKey, Revision>,
+    pub(super) useless: BTreeMap<RolloutId, Revision>,
 }
 
 impl ImageDistribution {
@@ -46,8 +46,7 @@
             useless: BTreeMap::new(),
         };
         if image_distribution.least_gb.is_some() {
-            for (&(shard, image_hash), stored_record) in &view.rollouts {
-                let key = RolloutKey { shard, image_hash };
+            for (&key, stored_record) in &view.rollouts {
                 image_distribution.load_record(key, stored_record, scope);
             }
         }
@@ -57,7 +56,7 @@
     /// Takes in a record that was found when the grant was taken up.
     fn load_record(
         &mut self,
-        key: RolloutKey,
+        key: RolloutId,
         stored_record: &Versioned<Option<RolloutRecord>>,
         scope: ShardScope,
     ) {
@@ -135,8 +134,8 @@
     }
 
     /// By which an image's record is found.
-    pub(super) fn key(&self, image: &Image) -> RolloutKey {
-        RolloutKey::of(self.shard, image)
+    pub(super) fn key(&self, image: &Image) -> RolloutId {
+        RolloutId::of(self.shard, image)
     }
 
     /// The record as it fits into a value: seeds that are left out cost a copy
--- a/src/control/core/rollout_records.rs
+++ b/src/control/core/rollout_records.rs
@@ -4,11 +4,10 @@
 
 use sorrelhinge_image_distribution::plan::Rollout;
 use sorrelhinge_image_distribution::record::RolloutRecord;
-use sorrelhinge_sharding::shard::ShardId;
 
 use super::active_rollout::ActiveRollout;
 use super::image_distribution::ImageDistribution;
-use crate::state::record::{image_hash, rollout_key};
+use crate::state::record::RolloutId;
 use crate::state::view::{Versioned, View};
 use crate::state::{Change, Condition};
 use crate::types::{Image, MachineId, Revision, Time};
@@ -17,33 +16,6 @@
 /// one after the other, and each would cost two changes.
 pub(super) const DELETION_DELAY_S: f64 = 5.0;
 
-/// What a rollout's record is found by. Ordered by shard, then by the image's hash.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub(super) struct RolloutKey {
-    pub(super) shard: ShardId,
-    pub(super) image_hash: u64,
-}
-
-impl RolloutKey {
-    /// That of an image's rollout in a shard.
-    pub(super) fn of(shard: ShardId, image: &Image) -> Self {
-        Self {
-            shard,
-            image_hash: image_hash(image),
-        }
-    }
-
-    /// The record's name in the state service.
-    fn record_name(self) -> String {
-        rollout_key(self.shard, self.image_hash)
-    }
-
-    /// The record as the view has it.
-    fn recorded_in(self, view: &View) -> Option<&Versioned<Option<RolloutRecord>>> {
-        view.rollouts.get(&(self.shard, self.image_hash))
-    }
-}
-
 /// A rollout's record as it is written.
 #[derive(Debug)]
 struct RecordWrite {
@@ -56,7 +28,7 @@
 /// A rollout's record on its way; `write` is none: it is deleted.
 #[derive(Debug)]
 pub(super) struct Step {
-    key: RolloutKey,
+    key: RolloutId,
     write: Option<RecordWrite>,
 }
 
@@ -94,7 +66,7 @@
         }
         let record = rollout.next(now.0)?;
         let written = self.fitting(&record)?;
-        let name = key.record_name();
+        let name = key.key();
         Some(DueStep {
             change: Change::write(name.clone(), &written, None),
             conditions: Condition {
@@ -136,11 +108,11 @@
 
     /// A rollout's record is deleted. Machines that came meanwhile, which begin another
     /// rollout.
-    fn ended(&mut self, key: RolloutKey) -> BTreeSet<MachineId> {
+    fn ended(&mut self, key: RolloutId) -> BTreeSet<MachineId> {
         self.stored_records.remove(&key);
         let mut waiting_starts = BTreeSet::new();
         self.rollouts.retain(|image, active| {
-            let ends = RolloutKey::of(self.shard, image) == key;
+            let ends = RolloutId::of(self.shard, image) == key;
             if ends {
                 for machine in active.members.keys() {
                     if let Some(rollout) = &mut active.rollout {
@@ -157,7 +129,7 @@
     /// A change was not carried out, or had been before: what the state service
     /// has now tells.
     pub(super) fn undone(&mut self, step: Step, view: &View, now: Time) {
-        let stored_records = step.key.recorded_in(view);
+        let stored_records = view.rollouts.get(&step.key);
         let recorded = stored_records.and_then(|h| h.value.as_ref());
         let same = recorded == step.write.as_ref().map(|write| &write.written);
         match stored_records {
@@ -179,8 +151,8 @@
 }
 
 /// The deletion of a rollout's record.
-fn deletion(key: RolloutKey, mod_revision: Revision) -> DueStep {
-    let name = key.record_name();
+fn deletion(key: RolloutId, mod_revision: Revision) -> DueStep {
+    let name = key.key();
     DueStep {
         change: Change::Delete {
             delete: name.clone(),
@@ -195,14 +167,14 @@
 
 /// Logs a rollout as it was recorded.
 fn log_rollout(rollout: &Rollout, record: &RolloutRecord) {
-    let (wants, fetches, complete) = rollout.counts();
+    let counts = rollout.counts();
     tracing::info!(
         image = %record.image,
         stage = record.stage,
         seeds = record.seeds.len(),
-        wants,
-        fetches,
-        complete,
+        wants = counts.waiting,
+        fetches = counts.fetching,
+        complete = counts.complete,
         copies = rollout.copies(),
         crossings = rollout.crossings(),
         "rollout"
--- a/src/control/core/scaling_state.rs
+++ b/src/control/core/scaling_state.rs
@@ -4,7 +4,7 @@
 
 use std::collections::HashMap;
 
-use sorrelhinge_overload::fleet_limit::ClaimRate;
+use sorrelhinge_overload::claim_rate::ClaimRate;
 
 use super::arrivals::ArrivalLog;
 use crate::cloud::Rental;
--- a/src/control/lease_renewal.rs
+++ b/src/control/lease_renewal.rs
@@ -1,10 +1,10 @@
 //! Leases renewed for an owner that has no time; what may be answered so is
-//! decided in `sorrelhinge_overload::renewal`.
+//! decided in `sorrelhinge_lease_safety::renewal`.
 
 use std::rc::Rc;
 use std::time::Duration;
 
-use sorrelhinge_overload::renewal::{Content, Route};
+use sorrelhinge_lease_safety::renewal::{HeartbeatContent, Route};
 use tokio::time::sleep;
 
 use super::lease_delegation::may_renew_for_owner;
@@ -21,7 +21,7 @@
     /// Whether this controller's view of the records is new enough to answer
     /// workers without the state service: beyond this, a job may have been
     /// cancelled elsewhere, and leases must be able to end its tasks in time
-    /// (`sorrelhinge_overload::freshness`). Asked before each answer, for a heartbeat
+    /// (`sorrelhinge_lease_safety::freshness`). Asked before each answer, for a heartbeat
     /// that has come.
     pub(super) fn knows_all_cancellations(&self) -> bool {
         let (lease_s, cancel_s) = (self.cfg.lease_s, self.cfg.cancel_s);
@@ -61,7 +61,7 @@
         heartbeat: &Heartbeat,
         body: &[u8],
     ) -> HeartbeatReply {
-        let content = Content::of(heartbeat);
+        let content = HeartbeatContent::of(heartbeat);
         let relief = self.peer_statuses.peer_status_of(&owner).relief;
         let routing = &self.heartbeat_routing;
         let route = routing.route(
@@ -112,10 +112,9 @@
     pub fn heartbeats_announced(&self, machines: &[ForwardedHeartbeat]) {
         let now = self.now();
         let mut cores = self.shards.owned_mut();
-        for (machine, incarnation, sequence) in machines.iter().filter_map(ForwardedHeartbeat::read)
-        {
-            if let Some(c) = cores.get_mut(self.shard_of(&machine)) {
-                c.relayed_contact(&machine, incarnation, sequence, now);
+        for notice in machines.iter().filter_map(ForwardedHeartbeat::read) {
+            if let Some(c) = cores.get_mut(self.shard_of(&notice.machine)) {
+                c.relayed_contact(&notice.machine, notice.incarnation, notice.sequence, now);
             }
         }
     }
--- a/src/control/load_monitor.rs
+++ b/src/control/load_monitor.rs
@@ -8,7 +8,7 @@
 use sorrelhinge_overload::fleet_limit::FleetLimit;
 use sorrelhinge_overload::heartbeat_offload::{HeartbeatLoad, HeartbeatOffload};
 use sorrelhinge_overload::pressure::{Level, Pressure, Resource, Sample};
-use sorrelhinge_overload::renewal::Relief;
+use sorrelhinge_overload::relief::Relief;
 use tokio::time::{sleep, Instant};
 
 use super::core::Core;
@@ -191,7 +191,7 @@
             // It may have been seen since the last time.
             self.set_share();
         }
-        self.peers.tell(announcement, limits_fell);
+        self.peers.announce_self(announcement, limits_fell);
     }
 
     /// A new owner goes on where the last one was.
@@ -330,12 +330,12 @@
         let rate = |cell: &Cell<u64>| (cell.replace(0) as f64 / over_s * 10.0).round() / 10.0;
         let counts = &node.load.counts;
         let late = node.connections.late();
-        let (connections, workers) = node.connections.open();
+        let open = node.connections.open();
         tracing::info!(
             wait_s = (sample.wait_s * 100.0).round() / 100.0,
             change_wait_s = (sample.change_wait_s * 10.0).round() / 10.0,
-            connections,
-            workers,
+            connections = open.all,
+            workers = open.workers,
             heartbeats = rate(&counts.heartbeats),
             homed = rate(&counts.homed),
             submissions = rate(&counts.submissions),
--- a/src/control/shard_demand.rs
+++ b/src/control/shard_demand.rs
@@ -10,7 +10,7 @@
 use super::quota_transfers::QUOTA_TRANSFER_INTERVAL;
 use super::{wall_ms, Node};
 use crate::peer_link::Kind;
-use crate::peer_messages::{encode_left, parse_left, LeftTo, Needs, Rented};
+use crate::peer_messages::{DelegatedTasks, Needs, Rented, TeamNeed};
 use crate::types::{MachineId, NodeId};
 
 /// How often owners tell what they use and want.
@@ -58,11 +58,12 @@
         let cores = self.shards.owned();
         let needs = cores.iter().map(|(shard, c)| {
             let teams = self.cfg.teams.iter().map(|t| t.name.to_string());
+            let teams = teams.zip(c.needs());
             Needs {
                 shard: *shard,
                 machines: c.machines() as u32,
                 spare_cpu: c.spare_cpu(),
-                teams: teams.zip(c.needs()).collect(),
+                teams: teams.map(|(team, need)| TeamNeed { team, need }).collect(),
             }
         });
         needs.collect()
@@ -79,7 +80,7 @@
             match self.owner_of(some.shard) {
                 Some(owner) if owner == self.cfg.node => self.receive_delegated_tasks(&some),
                 Some(owner) => {
-                    if let Some(text) = encode_left(&some) {
+                    if let Some(text) = some.encode() {
                         self.peers.share(&owner, Kind::Left, text);
                     }
                 }
@@ -100,7 +101,7 @@
     }
 
     /// Takes up tasks that another shard leaves to an owned one.
-    fn receive_delegated_tasks(&self, left: &LeftTo) {
+    fn receive_delegated_tasks(&self, left: &DelegatedTasks) {
         let now = self.now();
         if let Some(c) = self.shards.owned_mut().get_mut(left.shard) {
             c.adopt_delegated_tasks(&self.store.view(), left, now, wall_ms());
@@ -117,7 +118,7 @@
                 }
             }
             Kind::Left => {
-                if let Some(left) = parse_left(text) {
+                if let Some(left) = DelegatedTasks::parse(text) {
                     self.receive_delegated_tasks(&left);
                 }
             }
--- a/tests/edges.rs
+++ b/tests/edges.rs
@@ -10,13 +10,13 @@
 use sorrelhinge::api::read_job;
 use sorrelhinge::config::{lanes, Config, Tuning};
 use sorrelhinge::peer_link::{
-    listen, Answered, ForwardedHeartbeat, Kind, Message, PeerAnnouncement, PeerRequestHandler,
-    Peers,
+    listen, Answered, ForwardedHeartbeat, HeartbeatNotice, Kind, Message, MessageHead,
+    PeerAnnouncement, PeerRequestHandler, Peers,
 };
-use sorrelhinge::peer_messages::{encode_left, parse_left, LeftTo, Needs, Rented};
+use sorrelhinge::peer_messages::{DelegatedTasks, Needs, Rented, TeamNeed};
 use sorrelhinge::state::record::{
     chunk_key, chunk_size, job_key, member_key, rollout_key, shard_key, slice_key, ChunkRecord,
-    GrantRecord, JobRecord, Key, Phase, ShardedGrantFence,
+    GrantRecord, JobRecord, Key, Phase, RolloutId, ShardedGrantFence,
 };
 use sorrelhinge::state::view::{Versioned, View};
 use sorrelhinge::types::{
@@ -205,7 +205,10 @@
     assert_eq!(Key::parse(&shard_key(shard)), Some(Key::Shard(shard)));
     assert_eq!(Key::parse(&slice_key(shard)), Some(Key::Slice(shard)));
     assert_eq!(Key::parse(&member_key(&node)), Some(Key::Member(node)));
-    let rollout = Some(Key::Rollout(shard, u64::MAX - 1));
+    let rollout = Some(Key::Rollout(RolloutId {
+        shard,
+        image_hash: u64::MAX - 1,
+    }));
     assert_eq!(Key::parse(&rollout_key(shard, u64::MAX - 1)), rollout);
     assert_eq!(Key::parse("h/block/5"), None, "there are never so many");
     assert_eq!(Key::parse("other/run-7"), None);
@@ -293,7 +296,10 @@
     };
     let bytes = message.encode().expect("short enough");
     let (header, text) = bytes.split_at(bytes.len() - 4);
-    let (read, length) = Message::parse(header).expect("a header");
+    let MessageHead {
+        message: read,
+        text_bytes: length,
+    } = Message::parse(header).expect("a header");
     assert_eq!((read.kind, read.number, length), (Kind::Submit, 77, 4));
     assert_eq!(text, b"text");
     // Magic, version, the kind's upper half, the length's upper half.
@@ -367,7 +373,7 @@
         let read = machines.iter().filter_map(ForwardedHeartbeat::read);
         self.0
             .borrow_mut()
-            .extend(read.map(|(machine, ..)| machine));
+            .extend(read.map(|notice| notice.machine));
     }
     fn answer(self: Rc<Self>, _: Kind, text: Vec<u8>) -> Pin<Box<dyn Future<Output = Answered>>> {
         Box::pin(async move { Answered { status: 200, text } })
@@ -425,7 +431,11 @@
         );
         assert_eq!(
             told[0].read(),
-            Some((names[0].clone(), Incarnation(2), SequenceNumber(7)))
+            Some(HeartbeatNotice {
+                machine: names[0].clone(),
+                incarnation: Incarnation(2),
+                sequence: SequenceNumber(7)
+            })
         );
         let long_name = MachineId::from(&*"x".repeat(33));
         assert_eq!(
@@ -580,7 +590,12 @@
         shard: ShardId(2),
         machines: 41,
         spare_cpu: 8000,
-        teams: vec![("red".into(), need), ("blue".into(), need)],
+        teams: ["red", "blue"]
+            .map(|team| TeamNeed {
+                team: team.into(),
+                need,
+            })
+            .to_vec(),
     };
     let rented = Rented {
         kind: "t".into(),
@@ -588,7 +603,7 @@
         spot: true,
         machines: vec!["vm-000001".into(), "vm-000002".into()],
     };
-    let left = LeftTo {
+    let left = DelegatedTasks {
         shard: ShardId(1),
         job: "run-000412".into(),
         tasks: vec![3, 99_999],
@@ -596,23 +611,23 @@
     let told = [
         needs.encode(),
         rented.encode().expect("short names"),
-        encode_left(&left).expect("a short name"),
+        left.encode().expect("a short name"),
     ];
     assert_eq!(Needs::parse(&told[0]), Some(needs));
     assert_eq!(Rented::parse(&told[1]), Some(rented.clone()));
-    assert_eq!(parse_left(&told[2]), Some(left.clone()));
+    assert_eq!(DelegatedTasks::parse(&told[2]), Some(left.clone()));
     for bytes in &told {
         let mut other = bytes.clone();
         other[0] ^= 1;
         for bytes in [&other[..], &bytes[1..], &bytes[..7], &[]] {
             assert_eq!(Needs::parse(bytes), None);
             assert_eq!(Rented::parse(bytes), None);
-            assert_eq!(parse_left(bytes), None);
+            assert_eq!(DelegatedTasks::parse(bytes), None);
         }
     }
     let long = "x".repeat(65);
     let job = JobId::from(&*long);
-    assert_eq!(encode_left(&LeftTo { job, ..left }), None);
+    assert_eq!(DelegatedTasks { job, ..left }.encode(), None);
     let zone = long.as_str().into();
     assert_eq!(Rented { zone, ..rented }.encode(), None);
 }
