--- a/src/api/jobs.rs
+++ b/src/api/jobs.rs
@@ -10,7 +10,7 @@
 
 use super::reply::{later, passed, refuse, reply, Reply};
 use crate::control::load_monitor::count;
-use crate::control::{Node, Polled, Submitted};
+use crate::control::{InvalidJob, Node, Polled, SubmitError, Submitted};
 use crate::peer_link;
 use crate::state::record::{NewJob, Phase};
 use crate::state::view::Summary;
@@ -51,30 +51,47 @@
     let Some(id) = value.get("uid").and_then(Value::as_str).and_then(job_id) else {
         return refuse(400, "uid is missing or invalid");
     };
-    let placement = match node.topology() {
-        Some(_) => PlacementRules::read(&value),
-        // An unknown field, and ignored like any other.
-        None => Ok(None),
+    let new = read_new_job(value, node.topology().is_some());
+    let submitted = node.submit(&id, new).await;
+    if submitted.is_ok() {
+        node.told_of(&id, true);
+    }
+    submission_reply(&id, submitted)
+}
+
+/// Reads a submitted job. Without a topology its placement rules are an unknown field, and
+/// ignored like any other.
+fn read_new_job(value: Value, has_topology: bool) -> Result<NewJob, InvalidJob> {
+    let placement = if has_topology {
+        PlacementRules::read(&value)
+    } else {
+        Ok(None)
     };
-    let needs = read_needs(&value).map_err(String::from);
-    let new = read_job(value).map_err(String::from).and_then(|spec| {
-        let placement = placement.map_err(|e| e.to_string())?.map(Box::new);
-        let spec = JobSpec { placement, ..spec };
-        let needs = needs?;
-        Ok(NewJob { spec, needs })
-    });
-    match node.submit(&id, new).await {
-        Err(why) => refuse(400, &why),
+    let needs = read_needs(&value);
+    let spec = read_job(value).map_err(InvalidJob::Field)?;
+    let placement = placement?.map(Box::new);
+    let spec = JobSpec { placement, ..spec };
+    let needs = needs.map_err(InvalidJob::Field)?;
+    Ok(NewJob { spec, needs })
+}
+
+/// The status and body of what a submission came to.
+fn submission_reply(id: &JobId, submitted: Result<Submitted, SubmitError>) -> Reply {
+    match submitted {
         Ok(Submitted::Accepted(summary)) => {
-            node.told_of(&id, true);
             reply(201, json!({"uid": id, "phase": phase_name(summary)}))
         }
-        Ok(Submitted::Known(summary)) => {
-            node.told_of(&id, true);
-            reply(200, describe(&id, summary))
-        }
-        Ok(Submitted::Never(why)) => refuse(422, &why),
-        Ok(Submitted::Unavailable) => refuse(503, "can't decide now, ask again"),
+        Ok(Submitted::Known(summary)) => reply(200, describe(id, summary)),
+        Err(error) => refuse(submit_error_status(&error), &error.to_string()),
+    }
+}
+
+/// The status of a submission that is not accepted.
+fn submit_error_status(error: &SubmitError) -> u16 {
+    match error {
+        SubmitError::Invalid(_) => 400,
+        SubmitError::Infeasible(_) => 422,
+        SubmitError::Unavailable => 503,
     }
 }
 
--- a/src/control/mod.rs
+++ b/src/control/mod.rs
@@ -13,6 +13,7 @@
 mod cloud_duties;
 pub mod core;
 mod drains;
+mod feasibility;
 mod heartbeat_routing;
 mod heartbeats;
 mod leader;
@@ -36,6 +37,7 @@
 mod store_view;
 mod store_watch;
 mod submissions;
+mod submit_error;
 mod wakeups;
 pub mod write_queue;
 
@@ -61,26 +63,13 @@
 use crate::config::Config;
 use crate::connections::Connections;
 use crate::peer_link::{self, Peers};
-use crate::state::view::Summary;
 use crate::state::StateClient;
 use crate::types::{NodeId, Time};
 
 pub use drains::Refused;
 pub use reservations::{day_ms, CalendarAsked};
 pub use status_queries::Polled;
-
-/// What a submission comes to.
-#[derive(Clone, Debug, PartialEq)]
-pub enum Submitted {
-    /// Newly accepted; its state now.
-    Accepted(Summary),
-    /// Accepted before; its state now.
-    Known(Summary),
-    /// Can never run.
-    Never(String),
-    /// Can't be decided now.
-    Unavailable,
-}
+pub use submit_error::{InvalidJob, SubmitError, Submitted};
 
 /// What a heartbeat's sender is told.
 pub enum HeartbeatReply {
--- a/src/control/submissions.rs
+++ b/src/control/submissions.rs
@@ -7,82 +7,21 @@
 
 use super::drains::Refused;
 use super::store_watch::FRESH_VIEW_TIMEOUT;
-use super::{wall_ms, Node, Submitted};
-use crate::scheduler::ClusterState;
+use super::submit_error::{InvalidJob, SubmitError, Submitted};
+use super::{wall_ms, Node};
 use crate::state::record::{chunk_key, job_key, JobRecord, NewJob, Phase};
 use crate::state::view::{Cancellation, Summary, Versioned};
 use crate::state::{
     Change, Condition, RequestPriority, StateError, Transaction, TransactionOutcome,
 };
-use crate::types::{JobId, JobSpec, Kind, Revision};
+use crate::types::{JobId, JobSpec, Revision};
 
 /// A user's write waits so long for its turn.
 const WRITE_PATIENCE: Duration = Duration::from_millis(800);
 /// How often a cancellation is tried while others write the job's record.
 const CANCEL_ATTEMPTS: usize = 4;
 
-/// A job whose record is over the state service's limit of a value.
-#[derive(Debug, thiserror::Error)]
-#[error("the job's names are too long to be recorded")]
-struct NamesTooLong;
-
-/// Whether a job can ever run here.
-enum Feasibility {
-    /// That can't be told yet: the machine types are not known.
-    Unknown,
-    /// Nothing speaks against it.
-    Possible,
-    /// It can't, for this reason.
-    Never(String),
-}
-
-/// A submission that is well-formed.
-struct JobCandidate {
-    record: JobRecord,
-    feasibility: Feasibility,
-}
-
-/// What a submission is answered without its being recorded, if it is not known.
-fn refusal(candidate: &Result<JobCandidate, String>) -> Option<Result<Submitted, String>> {
-    match candidate {
-        Err(why) => Some(Err(why.clone())),
-        Ok(candidate) => match &candidate.feasibility {
-            Feasibility::Unknown => Some(Ok(Submitted::Unavailable)),
-            Feasibility::Possible => None,
-            Feasibility::Never(why) => Some(Ok(Submitted::Never(why.clone()))),
-        },
-    }
-}
-
 impl Node {
-    /// Whether a job can ever run.
-    fn never(&self, spec: &JobSpec) -> Feasibility {
-        let Some(team) = self.cfg.teams.iter().find(|t| t.name == spec.team) else {
-            return Feasibility::Never("unknown team".into());
-        };
-        if !spec.each.times(spec.at_once()).fits_team(team.limit) {
-            return Feasibility::Never("more than the team's limit".into());
-        }
-        let types = self.catalog.types();
-        if types.is_empty() {
-            return Feasibility::Unknown;
-        }
-        let fits = types.iter().any(|t| {
-            spec.each.fits(t.total)
-                && spec.types.as_ref().is_none_or(|l| l.contains(&t.name))
-                && spec.zone.as_ref().is_none_or(|z| t.zones.contains(z))
-        });
-        if !fits {
-            return Feasibility::Never("a task fits no allowed machine type".into());
-        }
-        let topology = self.catalog.topology();
-        let never = topology.as_ref().and_then(|t| {
-            let policy = ClusterState::policy_of(Some(t), spec);
-            policy.never(t, spec)
-        });
-        never.map_or(Feasibility::Possible, Feasibility::Never)
-    }
-
     /// Devices that a class needs are written into each of its jobs, so that
     /// what a claim may hold does not change with the operator's file.
     fn with_class_devices(&self, mut spec: JobSpec) -> JobSpec {
@@ -104,53 +43,26 @@
         spec
     }
 
-    /// What a submission would become, if it is accepted.
-    fn candidate(&self, new: NewJob) -> Result<JobCandidate, NamesTooLong> {
+    /// The record of a submitted job, if it can run as far as it depends on no other job.
+    fn candidate(&self, new: NewJob) -> Result<JobRecord, SubmitError> {
         let spec = self.with_class_devices(new.spec);
-        let feasibility = self.never(&spec);
         let new = NewJob { spec, ..new };
         let record = self.new_record(&new)?;
-        Ok(JobCandidate {
-            record,
-            feasibility,
-        })
+        self.check_feasible(&new.spec)?;
+        Ok(record)
     }
 
     /// The record of a job that is accepted now. One that would be over the state
     /// service's limit of a value makes the job malformed: it was answered 503 again and
     /// again, as its write was refused.
-    fn new_record(&self, new: &NewJob) -> Result<JobRecord, NamesTooLong> {
+    fn new_record(&self, new: &NewJob) -> Result<JobRecord, InvalidJob> {
         let value_bytes = self.cfg.state_limits.value_bytes;
         let record = JobRecord::accepted(new.clone(), wall_ms(), value_bytes);
         if record.fits(value_bytes) {
             Ok(record)
         } else {
-            Err(NamesTooLong)
-        }
-    }
-
-    /// Whether all jobs that a new one needs are known here. One that is not may have been
-    /// accepted elsewhere a moment ago.
-    fn knows_all(&self, needs: &[JobId]) -> bool {
-        let view = self.store.view();
-        needs.iter().all(|need| view.job(need).is_some())
-    }
-
-    /// Why a job can never wait for those that it names, by a view that is new enough to
-    /// know all that were accepted before it was submitted.
-    fn never_waits(&self, id: &JobId, needs: &[JobId]) -> Option<String> {
-        if needs.contains(id) {
-            return Some("it waits on itself".into());
+            Err(InvalidJob::NamesTooLong)
         }
-        let view = self.store.view();
-        needs.iter().find_map(|need| {
-            let Some(entry) = view.job(need) else {
-                return Some(format!("{need} was never accepted"));
-            };
-            let spec = entry.record.value.spec.as_ref();
-            let service = spec.is_some_and(|s| s.kind == Kind::Service);
-            service.then(|| format!("{need} is a service"))
-        })
     }
 
     /// What a job in a pipeline waits for and inherits, by this controller's view.
@@ -227,42 +139,39 @@
         fresh.then(|| self.store.view().summary(id))
     }
 
-    /// Takes a job.
+    /// Takes a job, or what is wrong with its description: one that was accepted before is
+    /// answered with its state even then.
     pub async fn submit(
         &self,
         id: &JobId,
-        new: Result<NewJob, String>,
-    ) -> Result<Submitted, String> {
-        let candidate = new.and_then(|new| self.candidate(new).map_err(|error| error.to_string()));
-        let refusal = refusal(&candidate);
+        new: Result<NewJob, InvalidJob>,
+    ) -> Result<Submitted, SubmitError> {
+        let candidate = new
+            .map_err(SubmitError::from)
+            .and_then(|new| self.candidate(new));
         let known = self.store.view().job(id).is_some();
-        let needs = candidate.as_ref().map_or(&[][..], |c| c.record.needs());
-        let never_waits = !self.knows_all(needs) || self.never_waits(id, needs).is_some();
-        if known || refusal.is_some() || never_waits {
-            // A job that is known is never refused, so look before refusing; what it
-            // waits on is looked for by the same read.
+        let refused = match &candidate {
+            Ok(record) => self.check_dependencies(id, record.needs()).is_err(),
+            Err(_) => true,
+        };
+        if known || refused {
+            // A job that is known is never refused, so look before refusing; the same read
+            // shows a job that it needs and that was accepted elsewhere a moment ago.
             match self.status(id).await {
-                None => return Ok(Submitted::Unavailable),
+                None => return Err(SubmitError::Unavailable),
                 Some(Some(summary)) => return Ok(Submitted::Known(summary)),
                 Some(None) => {}
             }
         }
-        if let Some(refusal) = refusal {
-            return refusal;
-        }
-        if let Some(why) = self.never_waits(id, needs) {
-            return Ok(Submitted::Never(why));
-        }
-        let Ok(JobCandidate { record, .. }) = candidate else {
-            return Ok(Submitted::Unavailable);
-        };
+        let record = candidate?;
+        self.check_dependencies(id, record.needs())?;
         if !self.admission.has_free_capacity_for_submission() || !self.store.view().loaded {
-            return Ok(Submitted::Unavailable);
+            return Err(SubmitError::Unavailable);
         }
         self.admission.begin_submission();
         let result = self.accept(id, record).await;
         self.admission.end_submission();
-        Ok(result)
+        result
     }
 
     /// A job's record was written by this controller: it and the others see it.
@@ -319,21 +228,24 @@
             .await
     }
 
-    async fn accept(&self, id: &JobId, record: JobRecord) -> Submitted {
+    /// Records a new job.
+    async fn accept(&self, id: &JobId, record: JobRecord) -> Result<Submitted, SubmitError> {
         match self.write_job(id, Revision(0), &record).await {
             Ok(TransactionOutcome::Done(revision)) => {
                 self.recorded(id, revision, record);
                 // It may need a job that is cancelled, and is cancelled with it then.
                 let summary = self.store.view().summary(id);
-                summary.map_or(Submitted::Unavailable, Submitted::Accepted)
+                let summary = summary.ok_or(SubmitError::Unavailable)?;
+                Ok(Submitted::Accepted(summary))
             }
+            // Another request was faster.
             Ok(TransactionOutcome::Failed(_)) => match self.status(id).await {
-                Some(Some(summary)) => Submitted::Known(summary),
-                _ => Submitted::Unavailable,
+                Some(Some(summary)) => Ok(Submitted::Known(summary)),
+                Some(None) | None => Err(SubmitError::Unavailable),
             },
             Err(error) => {
                 tracing::debug!(job = %id, %error, "submission");
-                Submitted::Unavailable
+                Err(SubmitError::Unavailable)
             }
         }
     }
