--- a/src/api/jobs.rs
+++ b/src/api/jobs.rs
@@ -10,7 +10,7 @@
 
 use super::reply::{later, passed, refuse, reply, Reply};
 use crate::control::load_monitor::count;
-use crate::control::{InvalidJob, Node, Polled, SubmitError, Submitted};
+use crate::control::{CancelOutcome, InvalidJob, JobStatus, Node, Polled, SubmitError, Submitted};
 use crate::peer_link;
 use crate::state::record::{NewJob, Phase};
 use crate::state::view::Summary;
@@ -109,9 +109,8 @@
     }
     let asked = Instant::now();
     let answer = match node.poll(&id).await {
-        Polled::Here(summary) => tell(node, &id, summary),
+        Polled::Here(status) => status_reply(node, &id, status),
         Polled::There(answered) => passed(answered),
-        Polled::Unknown => refuse(503, "can't tell now, ask again"),
     };
     // Later than that nobody listens, and the next poll is not to be shed either.
     let told = answer.status() != 503 && asked.elapsed() < WAITED;
@@ -119,22 +118,28 @@
     answer
 }
 
-/// What a user is told of a job.
-fn tell(node: &Node, id: &JobId, summary: Option<Summary>) -> Reply {
-    let Some(summary) = summary else {
-        return refuse(404, "no such job");
-    };
-    let mut told = describe(id, summary);
+/// The status and body of what is known of a job.
+fn status_reply(node: &Node, id: &JobId, status: JobStatus) -> Reply {
+    match status {
+        JobStatus::Recorded(summary) => reply(200, describe_in_full(node, id, summary)),
+        JobStatus::Absent => refuse(404, "no such job"),
+        JobStatus::Unconfirmed => refuse(503, "can't tell now, ask again"),
+    }
+}
+
+/// A job's state, with what it inherits in a pipeline and why it waits, if that is known.
+fn describe_in_full(node: &Node, id: &JobId, summary: Summary) -> Value {
+    let mut shown = describe(id, summary);
     if let Some(status) = node.pipeline_status(id) {
-        told["pipeline"] = json!(status);
+        shown["pipeline"] = json!(status);
     }
     // It looks at all machines, so only where operators asked for it.
     if summary.phase == Phase::Live && node.topology().is_some() {
         if let Some(why) = node.why_waits(id) {
-            told["waits"] = json!(why);
+            shown["waits"] = json!(why);
         }
     }
-    reply(200, told)
+    shown
 }
 
 /// A poll that another controller could not confirm: never shed a second time.
@@ -142,10 +147,8 @@
     let Some(id) = job_id(id) else {
         return refuse(404, "no such job");
     };
-    match node.poll_for_peer(&id).await {
-        None => refuse(503, "can't tell now, ask again"),
-        Some(summary) => tell(node, &id, summary),
-    }
+    let status = node.poll_for_peer(&id).await;
+    status_reply(node, &id, status)
 }
 
 /// Answers a cancellation here.
@@ -154,10 +157,10 @@
         return refuse(404, "no such job");
     };
     match node.cancel(&id).await {
-        None => refuse(503, "can't decide now, ask again"),
-        Some(None) => refuse(404, "no such job"),
-        Some(Some(Phase::Done)) => reply(200, json!({"uid": id, "phase": "done"})),
-        Some(Some(_)) => reply(200, json!({"uid": id, "phase": "cancelled"})),
+        CancelOutcome::Cancelled => reply(200, json!({"uid": id, "phase": "cancelled"})),
+        CancelOutcome::Done => reply(200, json!({"uid": id, "phase": "done"})),
+        CancelOutcome::Absent => refuse(404, "no such job"),
+        CancelOutcome::Undecided => refuse(503, "can't decide now, ask again"),
     }
 }
 
--- /dev/null
+++ b/src/control/lane_queries.rs
@@ -0,0 +1,29 @@
+//! Priority lanes as operators see them.
+
+use sorrelhinge_priority_lanes::shown::LanesShown;
+
+use super::drains::Refused;
+use super::Node;
+
+impl Node {
+    /// The lanes of the shards that are owned here; none: nothing is.
+    pub fn show_lanes(&self) -> Result<LanesShown, Refused> {
+        let cores = self.shards.owned();
+        let mut all: Option<LanesShown> = None;
+        for c in cores.values() {
+            let shown = c.show_lanes(self.now());
+            let Some(sum) = &mut all else {
+                all = Some(shown);
+                continue;
+            };
+            for (sum, lane) in sum.lanes.iter_mut().zip(shown.lanes) {
+                sum.cpus += lane.cpus;
+                sum.of_cpus += lane.of_cpus;
+                sum.waiting.extend(lane.waiting);
+                sum.waiting.sort_by_key(|w| (!w.front, w.place));
+            }
+        }
+        let leader = || self.store.view().leader.value.clone().map(|l| l.node);
+        all.ok_or_else(|| leader().map_or(Refused::Unavailable, Refused::Elsewhere))
+    }
+}
--- a/src/control/mod.rs
+++ b/src/control/mod.rs
@@ -9,6 +9,7 @@
 //! other modules hold its duties, and change state only through these owners.
 
 mod admission;
+mod cancellations;
 mod catalog;
 mod cloud_duties;
 pub mod core;
@@ -16,6 +17,7 @@
 mod feasibility;
 mod heartbeat_routing;
 mod heartbeats;
+mod lane_queries;
 mod leader;
 mod leadership;
 pub mod lease_delegation;
@@ -66,9 +68,10 @@
 use crate::state::StateClient;
 use crate::types::{NodeId, Time};
 
+pub use cancellations::CancelOutcome;
 pub use drains::Refused;
 pub use reservations::{day_ms, CalendarAsked};
-pub use status_queries::Polled;
+pub use status_queries::{JobStatus, Polled};
 pub use submit_error::{InvalidJob, SubmitError, Submitted};
 
 /// What a heartbeat's sender is told.
--- a/src/control/status_queries.rs
+++ b/src/control/status_queries.rs
@@ -1,12 +1,14 @@
-//! Polls: which are answered while not all can be, and who answers one that
-//! this controller can't confirm.
+//! What users see of a job. Polls: which are answered while not all can be, and who answers
+//! one that this controller can't confirm.
 
 use std::time::Duration;
 
 use sorrelhinge_overload::asked::Poll;
 use sorrelhinge_overload::pressure::Level;
+use sorrelhinge_protocol::users::PipelineStatus;
 use tokio::time::Instant;
 
+use super::store_watch::FRESH_VIEW_TIMEOUT;
 use super::Node;
 use crate::peer_link;
 use crate::state::record::Phase;
@@ -26,17 +28,76 @@
 /// With less time left no other is asked.
 const LEAST: Duration = Duration::from_millis(100);
 
+/// What the records say of a job, by a read that began after it was asked about.
+#[derive(Clone, Debug, PartialEq)]
+pub enum JobStatus {
+    /// It was accepted; its state.
+    Recorded(Summary),
+    /// There is no such job.
+    Absent,
+    /// No read confirmed it in time.
+    Unconfirmed,
+}
+
+impl JobStatus {
+    /// Whether the records confirm it.
+    fn is_confirmed(&self) -> bool {
+        match self {
+            Self::Recorded(_) | Self::Absent => true,
+            Self::Unconfirmed => false,
+        }
+    }
+}
+
 /// What came of a poll.
 pub enum Polled {
-    /// Confirmed here; none: there is no such job.
-    Here(Option<Summary>),
+    /// This controller answers; unconfirmed: nobody could confirm it in time.
+    Here(JobStatus),
     /// Another controller answered.
     There(peer_link::Answered),
-    /// Nobody could confirm it in time.
-    Unknown,
 }
 
 impl Node {
+    /// What users see of a job that is known to be over: that never changes.
+    fn final_summary(&self, id: &JobId) -> Option<Summary> {
+        let summary = self.store.view().summary(id);
+        summary.filter(|summary| summary.phase != Phase::Live)
+    }
+
+    /// Whether a job is known to be over.
+    fn is_over(&self, id: &JobId) -> bool {
+        self.final_summary(id).is_some()
+    }
+
+    /// What users see of a job, as of now.
+    pub(super) async fn status(&self, id: &JobId) -> JobStatus {
+        self.status_within(id, FRESH_VIEW_TIMEOUT).await
+    }
+
+    /// The same, for so long at the most.
+    async fn status_within(&self, id: &JobId, patience: Duration) -> JobStatus {
+        if let Some(summary) = self.final_summary(id) {
+            return JobStatus::Recorded(summary);
+        }
+        if !self.fresh_within(patience).await {
+            return JobStatus::Unconfirmed;
+        }
+        let summary = self.store.view().summary(id);
+        summary.map_or(JobStatus::Absent, JobStatus::Recorded)
+    }
+
+    /// What a job in a pipeline waits for and inherits, by this controller's view.
+    pub fn pipeline_status(&self, id: &JobId) -> Option<PipelineStatus> {
+        self.store.view().pipeline_status(id)
+    }
+
+    /// Why a job waits, if this controller places it and knows.
+    pub fn why_waits(&self, id: &JobId) -> Option<String> {
+        let cores = self.shards.owned();
+        let mut here = cores.values().filter(|c| c.scope.homes(id));
+        here.find_map(|c| c.cluster_state.why_waits(id, self.now()))
+    }
+
     /// Whether a poll is to be told to come back as too much is asked for; see
     /// [`sorrelhinge_overload::asked`].
     pub fn sheds_poll(&self, id: &JobId) -> bool {
@@ -85,21 +146,19 @@
         } else {
             LOCAL_RETRY_TIMEOUT
         };
-        if let Some(summary) = self.status_within(id, left().min(patience)).await {
-            return Polled::Here(summary);
+        let status = self.status_within(id, left().min(patience)).await;
+        if status.is_confirmed() {
+            return Polled::Here(status);
         }
         if let Some(polled) = self.poll_there(id, end).await {
             return polled;
         }
         // Nobody else can: what time is left may do here.
-        match self.status_within(id, left()).await {
-            Some(summary) => Polled::Here(summary),
-            None => Polled::Unknown,
-        }
+        Polled::Here(self.status_within(id, left()).await)
     }
 
     /// The same for another controller that could not; it passes nothing on.
-    pub async fn poll_for_peer(&self, id: &JobId) -> Option<Option<Summary>> {
+    pub async fn poll_for_peer(&self, id: &JobId) -> JobStatus {
         self.status_within(id, LOCAL_QUERY_TIMEOUT).await
     }
 
@@ -118,16 +177,14 @@
                 left.min(REMOTE_QUERY_TIMEOUT),
             );
             let answered = asked.await;
-            {
-                let view = self.store.view();
-                if let Some(s) = view.summary(id).filter(|s| s.phase != Phase::Live) {
-                    return Some(Polled::Here(Some(s)));
-                }
-                // What is recorded here was accepted: nobody may be told otherwise.
-                if answered.as_ref().is_some_and(|a| a.status == 404) && view.job(id).is_some() {
-                    tracing::error!(job = %id, by = %other, "an answer older than what is known");
-                    continue;
-                }
+            if let Some(summary) = self.final_summary(id) {
+                return Some(Polled::Here(JobStatus::Recorded(summary)));
+            }
+            // What is recorded here was accepted: nobody may be told otherwise.
+            let absent_there = answered.as_ref().is_some_and(|a| a.status == 404);
+            if absent_there && self.store.view().job(id).is_some() {
+                tracing::error!(job = %id, by = %other, "an answer older than what is known");
+                continue;
             }
             if let Some(answered) = answered.filter(|a| matches!(a.status, 200 | 404)) {
                 return Some(Polled::There(answered));
--- a/src/control/submissions.rs
+++ b/src/control/submissions.rs
@@ -1,25 +1,19 @@
-//! Users' requests: submissions, polls and cancellations.
+//! Users' submissions: whether one is taken, and its record.
 
 use std::time::Duration;
 
-use sorrelhinge_priority_lanes::shown::LanesShown;
-use sorrelhinge_protocol::users::{read_job, PipelineStatus};
+use sorrelhinge_protocol::users::read_job;
 
-use super::drains::Refused;
-use super::store_watch::FRESH_VIEW_TIMEOUT;
+use super::status_queries::JobStatus;
 use super::submit_error::{InvalidJob, SubmitError, Submitted};
 use super::{wall_ms, Node};
-use crate::state::record::{chunk_key, job_key, JobRecord, NewJob, Phase};
-use crate::state::view::{Cancellation, Summary, Versioned};
-use crate::state::{
-    Change, Condition, RequestPriority, StateError, Transaction, TransactionOutcome,
-};
+use crate::state::record::{job_key, JobRecord, NewJob};
+use crate::state::view::Versioned;
+use crate::state::{Change, StateError, TransactionOutcome};
 use crate::types::{JobId, JobSpec, Revision};
 
-/// A user's write waits so long for its turn.
-const WRITE_PATIENCE: Duration = Duration::from_millis(800);
-/// How often a cancellation is tried while others write the job's record.
-const CANCEL_ATTEMPTS: usize = 4;
+/// A user's write waits so long for its turn at the state service.
+pub(super) const WRITE_PATIENCE: Duration = Duration::from_millis(800);
 
 impl Node {
     /// Devices that a class needs are written into each of its jobs, so that
@@ -65,39 +59,6 @@
         }
     }
 
-    /// What a job in a pipeline waits for and inherits, by this controller's view.
-    pub fn pipeline_status(&self, id: &JobId) -> Option<PipelineStatus> {
-        self.store.view().pipeline_status(id)
-    }
-
-    /// Why a job waits, if this controller places it and knows.
-    pub fn why_waits(&self, id: &JobId) -> Option<String> {
-        let cores = self.shards.owned();
-        let mut here = cores.values().filter(|c| c.scope.homes(id));
-        here.find_map(|c| c.cluster_state.why_waits(id, self.now()))
-    }
-
-    /// The lanes of the shards that are owned here; none: nothing is.
-    pub fn show_lanes(&self) -> Result<LanesShown, Refused> {
-        let cores = self.shards.owned();
-        let mut all: Option<LanesShown> = None;
-        for c in cores.values() {
-            let shown = c.show_lanes(self.now());
-            let Some(sum) = &mut all else {
-                all = Some(shown);
-                continue;
-            };
-            for (sum, lane) in sum.lanes.iter_mut().zip(shown.lanes) {
-                sum.cpus += lane.cpus;
-                sum.of_cpus += lane.of_cpus;
-                sum.waiting.extend(lane.waiting);
-                sum.waiting.sort_by_key(|w| (!w.front, w.place));
-            }
-        }
-        let leader = || self.store.view().leader.value.clone().map(|l| l.node);
-        all.ok_or_else(|| leader().map_or(Refused::Unavailable, Refused::Elsewhere))
-    }
-
     /// Whether a submission is taken although submissions are shed: one of a lane, in
     /// the lane's turn. Of all that come while they are shed, a lane has its part.
     pub fn jumps_the_queue(&self, body: &[u8]) -> bool {
@@ -112,33 +73,6 @@
         self.admission.takes_lane_turn(lanes, lane)
     }
 
-    /// Whether a job is known to be over: that never changes.
-    pub fn is_over(&self, id: &JobId) -> bool {
-        let summary = self.store.view().summary(id);
-        summary.is_some_and(|s| s.phase != Phase::Live)
-    }
-
-    /// What users see of a job, as of now; none if that can't be confirmed.
-    pub async fn status(&self, id: &JobId) -> Option<Option<Summary>> {
-        self.status_within(id, FRESH_VIEW_TIMEOUT).await
-    }
-
-    /// The same, for so long at the most.
-    pub(super) async fn status_within(
-        &self,
-        id: &JobId,
-        patience: Duration,
-    ) -> Option<Option<Summary>> {
-        {
-            let view = self.store.view();
-            if let Some(s) = view.summary(id).filter(|s| s.phase != Phase::Live) {
-                return Some(Some(s));
-            }
-        }
-        let fresh = self.fresh_within(patience).await;
-        fresh.then(|| self.store.view().summary(id))
-    }
-
     /// Takes a job, or what is wrong with its description: one that was accepted before is
     /// answered with its state even then.
     pub async fn submit(
@@ -158,9 +92,9 @@
             // A job that is known is never refused, so look before refusing; the same read
             // shows a job that it needs and that was accepted elsewhere a moment ago.
             match self.status(id).await {
-                None => return Err(SubmitError::Unavailable),
-                Some(Some(summary)) => return Ok(Submitted::Known(summary)),
-                Some(None) => {}
+                JobStatus::Recorded(summary) => return Ok(Submitted::Known(summary)),
+                JobStatus::Absent => {}
+                JobStatus::Unconfirmed => return Err(SubmitError::Unavailable),
             }
         }
         let record = candidate?;
@@ -185,7 +119,8 @@
         self.view_changed();
     }
 
-    async fn write_job(
+    /// Writes a job's record, if it is still as of `mod_revision`.
+    pub(super) async fn write_job(
         &self,
         id: &JobId,
         mod_revision: Revision,
@@ -197,37 +132,6 @@
             .await
     }
 
-    async fn write_cancelled(
-        &self,
-        id: &JobId,
-        mod_revision: Revision,
-        cancellation: &Cancellation,
-    ) -> Result<TransactionOutcome, StateError> {
-        let Some(claims) = &cancellation.claims else {
-            return self.write_job(id, mod_revision, &cancellation.record).await;
-        };
-        let (job, chunk) = (job_key(id), chunk_key(id, 0));
-        let transaction = Transaction {
-            conditions: vec![
-                Condition {
-                    key: job.clone(),
-                    mod_revision,
-                },
-                Condition {
-                    key: chunk.clone(),
-                    mod_revision: Revision(0),
-                },
-            ],
-            changes: vec![
-                Change::write(job, &cancellation.record, None),
-                Change::write(chunk, claims, None),
-            ],
-        };
-        self.state
-            .transact(&transaction, RequestPriority::Within(WRITE_PATIENCE))
-            .await
-    }
-
     /// Records a new job.
     async fn accept(&self, id: &JobId, record: JobRecord) -> Result<Submitted, SubmitError> {
         match self.write_job(id, Revision(0), &record).await {
@@ -240,8 +144,8 @@
             }
             // Another request was faster.
             Ok(TransactionOutcome::Failed(_)) => match self.status(id).await {
-                Some(Some(summary)) => Ok(Submitted::Known(summary)),
-                Some(None) | None => Err(SubmitError::Unavailable),
+                JobStatus::Recorded(summary) => Ok(Submitted::Known(summary)),
+                JobStatus::Absent | JobStatus::Unconfirmed => Err(SubmitError::Unavailable),
             },
             Err(error) => {
                 tracing::debug!(job = %id, %error, "submission");
@@ -249,45 +153,4 @@
             }
         }
     }
-
-    /// Cancels a job. Some(None): there is no such job. None: not decided.
-    pub async fn cancel(&self, id: &JobId) -> Option<Option<Phase>> {
-        for _ in 0..CANCEL_ATTEMPTS {
-            let Some(summary) = self.status(id).await? else {
-                return Some(None);
-            };
-            if summary.phase != Phase::Live {
-                return Some(Some(summary.phase));
-            }
-            let (mod_revision, cancellation) = {
-                let view = self.store.view();
-                let entry = view.job(id)?;
-                let in_lane = self.cfg.in_lane(&entry.record.value);
-                let value_bytes = self.cfg.state_limits.value_bytes;
-                (
-                    entry.record.mod_revision,
-                    entry.cancelled(in_lane, value_bytes),
-                )
-            };
-            match self.write_cancelled(id, mod_revision, &cancellation).await {
-                Ok(TransactionOutcome::Done(revision)) => {
-                    tracing::info!(job = %id, "cancelled");
-                    if let Some(value) = cancellation.claims {
-                        let mod_revision = revision;
-                        let claims = Versioned {
-                            mod_revision,
-                            value,
-                        };
-                        self.store.put_chunk(id, 0, claims);
-                    }
-                    self.recorded(id, revision, cancellation.record);
-                    return Some(Some(Phase::Cancelled));
-                }
-                // Done, or cancelled by another request, in the meantime.
-                Ok(TransactionOutcome::Failed(_)) => {}
-                Err(_) => return None,
-            }
-        }
-        None
-    }
 }
