--- a/src/control/drains.rs
+++ b/src/control/drains.rs
@@ -8,19 +8,18 @@
 use sorrelhinge_topology::tree::{Domain, Level, Tree};
 
 use super::core::Core;
+use super::operator_changes::{ChangePlan, RecordWrite};
 use super::{wall_ms, Node};
 use crate::scheduler::Machine;
 use crate::state::record::drain_key;
-use crate::state::{Change, TransactionOutcome};
+use crate::state::{Change, StateError};
 use crate::types::{MachineId, NodeId, Revision};
 
 /// Most drains at a time: each is a key that all controllers hold, in about 300 bytes.
 /// Every machine of a fleet of thousands may have one of its own.
 const MAX_DRAINS: usize = 10_000;
-/// How often a change that an operator asked for is tried while others are faster.
-const CHANGE_ATTEMPTS: usize = 4;
-/// How long a change may take.
-const PATIENCE: Duration = Duration::from_millis(1500);
+/// How long an attempt to change a drain may wait at the state service.
+const DRAIN_WRITE_PATIENCE: Duration = Duration::from_millis(1500);
 
 /// Why a request of an operator was not taken.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -41,14 +40,6 @@
     Unavailable,
 }
 
-/// A drain's record that is about to be written.
-struct DrainWrite {
-    number: u64,
-    /// The revision of the record in its place; 0: there is none.
-    mod_revision: Revision,
-    value: Drain,
-}
-
 impl Node {
     /// What a target's text names: a domain of the file, or a machine.
     fn target(&self, text: &str) -> Result<What, Refused> {
@@ -92,49 +83,35 @@
             away: asked.away,
             keep: asked.keep,
         };
-        for _ in 0..CHANGE_ATTEMPTS {
-            if !self.fresh().await {
-                return Err(Refused::Unavailable);
-            }
-            let DrainWrite {
-                number,
-                mod_revision,
-                value,
-            } = self.drain_write(&drain)?;
-            let key = drain_key(number);
-            let change = Change::write(key.clone(), &value, None);
-            if self.change_drain(key, mod_revision, change).await? {
-                tracing::info!(number, target = %value.target, "draining");
-                return Ok(number);
-            }
-        }
-        Err(Refused::Unavailable)
+        let plan = || self.plan_drain(&drain);
+        let number = self
+            .change_for_operator(DRAIN_WRITE_PATIENCE, plan, log_failure)
+            .await?;
+        // The next look at the view has it.
+        self.fresh().await;
+        tracing::info!(number, target = %drain.target, "draining");
+        Ok(number)
     }
 
-    /// Where a drain is to be recorded: in place of the one of the same target, which
-    /// keeps its start, or under the next number.
-    fn drain_write(&self, drain: &Drain) -> Result<DrainWrite, Refused> {
+    /// Where a drain is to be recorded, with its number: in place of the one of the same
+    /// target, which keeps its start, or under the next number.
+    fn plan_drain(&self, drain: &Drain) -> Result<ChangePlan<u64>, Refused> {
         let view = self.store.view();
         let mut drains = view.drains.iter();
-        if let Some((number, held)) = drains.find(|(_, d)| d.value.target == drain.target) {
-            return Ok(DrainWrite {
-                number: *number,
-                mod_revision: held.mod_revision,
-                value: Drain {
-                    started_ms: held.value.started_ms,
-                    ..drain.clone()
-                },
-            });
+        let same_target = drains.find(|(_, known)| known.value.target == drain.target);
+        if let Some((number, known)) = same_target {
+            let value = Drain {
+                started_ms: known.value.started_ms,
+                ..drain.clone()
+            };
+            return Ok(write_drain(*number, known.mod_revision, &value));
         }
         if view.drains.len() >= MAX_DRAINS {
             return Err(Refused::Wrong("too many drains at a time".into()));
         }
         let last = view.drains.keys().next_back();
-        Ok(DrainWrite {
-            number: last.map_or(1, |n| n + 1),
-            mod_revision: Revision(0),
-            value: drain.clone(),
-        })
+        let number = last.map_or(1, |last| last + 1);
+        Ok(write_drain(number, Revision(0), drain))
     }
 
     /// Ends a drain: machines that are still there may be used again.
@@ -142,54 +119,35 @@
         if self.topology().is_none() {
             return Err(Refused::Off);
         }
-        for _ in 0..CHANGE_ATTEMPTS {
-            if !self.fresh().await {
-                return Err(Refused::Unavailable);
-            }
-            let found = {
-                let view = self.store.view();
-                let mut drains = view.drains.iter();
-                let found = drains.find(|(n, d)| match target {
-                    Target::Number(number) => *n == number,
-                    Target::Text(text) => d.value.target.to_string() == *text,
-                });
-                found.map(|(n, d)| (*n, d.mod_revision))
-            };
-            let Some((number, mod_revision)) = found else {
-                return Err(Refused::NoSuch);
-            };
-            let key = drain_key(number);
-            let delete = Change::Delete {
-                delete: key.clone(),
-            };
-            if self.change_drain(key, mod_revision, delete).await? {
-                tracing::info!(number, "drain ended");
-                return Ok(());
-            }
-        }
-        Err(Refused::Unavailable)
+        let plan = || self.plan_undrain(target);
+        let number = self
+            .change_for_operator(DRAIN_WRITE_PATIENCE, plan, log_failure)
+            .await?;
+        // The next look at the view has it.
+        self.fresh().await;
+        tracing::info!(number, "drain ended");
+        Ok(())
     }
 
-    /// Whether a drain's record was changed; false if another was faster.
-    async fn change_drain(
-        &self,
-        key: String,
-        mod_revision: Revision,
-        change: Change,
-    ) -> Result<bool, Refused> {
-        match self.state.change(key, mod_revision, change, PATIENCE).await {
-            Ok(TransactionOutcome::Done(revision)) => {
-                self.peers.announce(revision);
-                // The next look at the view has it.
-                self.fresh().await;
-                Ok(true)
-            }
-            Ok(TransactionOutcome::Failed(_)) => Ok(false),
-            Err(error) => {
-                tracing::info!(%error, "drain");
-                Err(Refused::Unavailable)
-            }
-        }
+    /// The deletion of the drain with that number or target, with its number.
+    fn plan_undrain(&self, target: &Target) -> Result<ChangePlan<u64>, Refused> {
+        let view = self.store.view();
+        let mut drains = view.drains.iter();
+        let found = drains.find(|(number, drain)| match target {
+            Target::Number(wanted) => *number == wanted,
+            Target::Text(text) => drain.value.target.to_string() == *text,
+        });
+        let (number, drain) = found.ok_or(Refused::NoSuch)?;
+        let key = drain_key(*number);
+        let write = RecordWrite {
+            key: key.clone(),
+            mod_revision: drain.mod_revision,
+            change: Change::Delete { delete: key },
+        };
+        Ok(ChangePlan::Write {
+            write,
+            outcome: *number,
+        })
     }
 
     /// Domains, devices and drains, with what only the owner knows.
@@ -232,6 +190,25 @@
     }
 }
 
+/// The write of a drain's record, with its number.
+fn write_drain(number: u64, mod_revision: Revision, drain: &Drain) -> ChangePlan<u64> {
+    let key = drain_key(number);
+    let write = RecordWrite {
+        key: key.clone(),
+        mod_revision,
+        change: Change::write(key, drain, None),
+    };
+    ChangePlan::Write {
+        write,
+        outcome: number,
+    }
+}
+
+/// A drain's record was not changed, or that is not known.
+fn log_failure(error: StateError) {
+    tracing::info!(%error, "drain");
+}
+
 /// The machines of a topology, as operators see them.
 struct ShownMachines {
     /// By the place in the tree.
--- a/src/control/mod.rs
+++ b/src/control/mod.rs
@@ -23,6 +23,7 @@
 pub mod lease_delegation;
 mod lease_renewal;
 pub mod load_monitor;
+mod operator_changes;
 mod paces;
 mod peer_statuses;
 mod quota_transfers;
--- a/src/control/reservations.rs
+++ b/src/control/reservations.rs
@@ -10,6 +10,7 @@
 use tokio::time::sleep;
 
 use super::drains::Refused;
+use super::operator_changes::{ChangePlan, RecordWrite};
 use super::{core, wall_ms, Node};
 use crate::state::view::Versioned;
 use crate::state::{Change, RequestPriority, StateError, TransactionOutcome};
@@ -20,9 +21,6 @@
 /// How long a change may take.
 const PATIENCE: Duration = Duration::from_millis(1500);
 
-/// How often a change that an operator asked for is tried while others are faster.
-const CHANGE_ATTEMPTS: usize = 4;
-
 /// Why windows are not recorded.
 #[derive(Debug, thiserror::Error)]
 enum CalendarError {
@@ -246,29 +244,35 @@
             let checked = pin.window.check("window");
             checked.map_err(wrong)?;
         }
-        for _ in 0..CHANGE_ATTEMPTS {
-            if !self.fresh().await {
-                return Err(Refused::Unavailable);
-            }
-            let held = self.store.view().calendar.clone();
-            let Some(record) = self.changed_calendar(&held, asked)? else {
-                return Ok(());
-            };
-            match self.write_calendar(held.mod_revision, &record).await {
-                Ok(TransactionOutcome::Done(revision)) => {
-                    tracing::info!(windows = record.entries.len(), "calendar");
-                    self.peers.announce(revision);
-                    self.fresh().await;
-                    return Ok(());
-                }
-                Ok(TransactionOutcome::Failed(_)) => {}
-                Err(error) => {
-                    tracing::info!(%error, "calendar");
-                    return Err(Refused::Unavailable);
-                }
-            }
+        let plan = || self.plan_calendar_change(asked);
+        let failed = |error: StateError| tracing::info!(%error, "calendar");
+        let recorded_windows = self.change_for_operator(PATIENCE, plan, failed).await?;
+        if let Some(windows) = recorded_windows {
+            tracing::info!(windows, "calendar");
+            self.fresh().await;
         }
-        Err(Refused::Unavailable)
+        Ok(())
+    }
+
+    /// The write that an operator asked for, with the number of windows then; none if
+    /// nothing is to be written.
+    fn plan_calendar_change(
+        &self,
+        asked: &CalendarAsked,
+    ) -> Result<ChangePlan<Option<usize>>, Refused> {
+        let view = self.store.view();
+        let Some(record) = self.changed_calendar(&view.calendar, asked)? else {
+            return Ok(ChangePlan::Unchanged(None));
+        };
+        let write = RecordWrite {
+            key: CALENDAR_KEY.into(),
+            mod_revision: view.calendar.mod_revision,
+            change: Change::write(CALENDAR_KEY.into(), &record, None),
+        };
+        Ok(ChangePlan::Write {
+            write,
+            outcome: Some(record.entries.len()),
+        })
     }
 
     /// The record as an operator asked for it; none if it is so already.
--- a/src/control/shard_status.rs
+++ b/src/control/shard_status.rs
@@ -6,16 +6,15 @@
 use sorrelhinge_sharding::shard::ShardId;
 
 use super::drains::Refused;
+use super::operator_changes::{ChangePlan, RecordWrite};
 use super::Node;
 use crate::state::record::{shard_key, ShardRecord};
 use crate::state::view::{Versioned, View};
-use crate::state::{Change, TransactionOutcome};
+use crate::state::Change;
 use crate::types::NodeId;
 
-/// For how long a change that an operator asked for is tried.
-const CHANGE_PATIENCE: Duration = Duration::from_secs(3);
-/// How often it is tried while others are faster.
-const CHANGE_ATTEMPTS: usize = 4;
+/// How long an attempt to pin a shard may wait at the state service.
+const PIN_PATIENCE: Duration = Duration::from_secs(3);
 
 impl Node {
     /// Shards, owners, machines, parts of limits and moves under way.
@@ -96,32 +95,25 @@
                 return Err(Refused::Wrong(format!("there is no controller {to}")));
             }
         }
-        for _ in 0..CHANGE_ATTEMPTS {
-            if !self.fresh().await {
-                return Err(Refused::Unavailable);
-            }
-            let shard = ShardId(asked.block);
-            let held = self.held_shard(shard)?;
-            let record = ShardRecord {
-                pin: to.clone(),
-                ..held.value
-            };
-            let key = shard_key(shard);
-            let change = Change::write(key.clone(), &record, None);
-            let written = self
-                .state
-                .change(key, held.mod_revision, change, CHANGE_PATIENCE);
-            match written.await {
-                Ok(TransactionOutcome::Done(revision)) => {
-                    self.peers.announce(revision);
-                    return Ok(());
-                }
-                // It moved meanwhile.
-                Ok(TransactionOutcome::Failed(_)) => {}
-                Err(_) => return Err(Refused::Unavailable),
-            }
-        }
-        Err(Refused::Unavailable)
+        let plan = || self.plan_pin(ShardId(asked.block), to.as_ref());
+        // A failure is not logged: the operator is answered.
+        self.change_for_operator(PIN_PATIENCE, plan, |_| {}).await
+    }
+
+    /// The write of a shard's record with another pin.
+    fn plan_pin(&self, shard: ShardId, pin: Option<&NodeId>) -> Result<ChangePlan<()>, Refused> {
+        let held = self.held_shard(shard)?;
+        let record = ShardRecord {
+            pin: pin.cloned(),
+            ..held.value
+        };
+        let key = shard_key(shard);
+        let write = RecordWrite {
+            key: key.clone(),
+            mod_revision: held.mod_revision,
+            change: Change::write(key, &record, None),
+        };
+        Ok(ChangePlan::Write { write, outcome: () })
     }
 }
 
