--- a/src/control/lease_renewal.rs
+++ b/src/control/lease_renewal.rs
@@ -72,14 +72,8 @@
             self.now(),
         );
         if route == Route::Renew {
-            let heard = ForwardedHeartbeat::new(
-                &heartbeat.machine,
-                heartbeat.incarnation,
-                heartbeat.sequence,
-            );
-            if let Some((heard, answer)) = heard.and_then(|h| Some((h, self.renewed(heartbeat)?))) {
-                routing.answered_for(owner, heard);
-                return answer;
+            if let Some(reply) = self.answer_for_owner(&owner, heartbeat) {
+                return reply;
             }
         }
         let kind = peer_link::Kind::Adopted;
@@ -97,6 +91,20 @@
         }
     }
 
+    /// Renews a worker's lease in its owner's place, who learns of it by the next
+    /// announcement; none if that may not be done.
+    fn answer_for_owner(&self, owner: &NodeId, heartbeat: &Heartbeat) -> Option<HeartbeatReply> {
+        let announced = ForwardedHeartbeat::new(
+            &heartbeat.machine,
+            heartbeat.incarnation,
+            heartbeat.sequence,
+        )?;
+        let reply = self.renewed(heartbeat)?;
+        self.heartbeat_routing
+            .answered_for(owner.clone(), announced);
+        Some(reply)
+    }
+
     /// Tells owners which machines were heard for them.
     pub(super) async fn announce_heartbeats(self: Rc<Self>) {
         loop {
--- a/src/control/resharding.rs
+++ b/src/control/resharding.rs
@@ -220,15 +220,7 @@
                 key: slice_key(shard),
                 mod_revision: quotas_at,
             });
-            let record = ShardRecord {
-                version: ShardRecord::VERSION,
-                owner: self.cfg.node.clone(),
-                run: self.run,
-                term: division.term,
-                number: division.grant + 1 + u64::from(shard.0),
-                to: None,
-                pin: None,
-            };
+            let record = self.first_shard_record(division, shard);
             changes.push(Change::write(shard_key(shard), &record, None));
         }
         Transaction {
@@ -237,6 +229,20 @@
         }
     }
 
+    /// The record of a shard that begins with a division: this controller owns it, by the
+    /// grant numbers that follow the one grant's.
+    fn first_shard_record(&self, division: &Division, shard: ShardId) -> ShardRecord {
+        ShardRecord {
+            version: ShardRecord::VERSION,
+            owner: self.cfg.node.clone(),
+            run: self.run,
+            term: division.term,
+            number: division.grant + 1 + u64::from(shard.0),
+            to: None,
+            pin: None,
+        }
+    }
+
     /// From several shards to one, once this controller owns all of them and
     /// nothing is under way: its grant is above all of theirs.
     pub(super) async fn merge_shards(&self, of: u32) {
--- a/src/control/shard_grants.rs
+++ b/src/control/shard_grants.rs
@@ -56,16 +56,7 @@
         let Some(lease) = self.leadership.lease() else {
             return;
         };
-        let term = {
-            let view = self.store.view();
-            let terms = view.shards.values().map(|b| b.value.term);
-            terms.max().unwrap_or_default()
-        };
-        let leader = LeaderRecord {
-            node: self.cfg.node.clone(),
-            run: self.run,
-            term: Term(term.0 + 1),
-        };
+        let leader = self.next_leader();
         let transaction = Transaction {
             // The last leader's key went with its lease.
             conditions: vec![Condition {
@@ -94,6 +85,18 @@
         }
     }
 
+    /// This controller as leader, in the term after all that shards were granted in.
+    fn next_leader(&self) -> LeaderRecord {
+        let view = self.store.view();
+        let terms = view.shards.values().map(|shard| shard.value.term);
+        let last_term = terms.max().unwrap_or_default();
+        LeaderRecord {
+            node: self.cfg.node.clone(),
+            run: self.run,
+            term: Term(last_term.0 + 1),
+        }
+    }
+
     /// Takes the next step of who owns what, if one is due.
     async fn assign_shards_once(&self) {
         let Some(step) = self.next_step() else { return };
--- a/src/control/shard_owners.rs
+++ b/src/control/shard_owners.rs
@@ -91,10 +91,7 @@
         let mut new = false;
         for (shard, held) in &view.shards {
             let record = &held.value;
-            let mine = record.owner == self.cfg.node
-                && record.run == self.run
-                && record.version <= ShardRecord::VERSION;
-            if !mine || shard.0 >= of || self.shards.owns(*shard) {
+            if !self.is_granted_here(record) || shard.0 >= of || self.shards.owns(*shard) {
                 continue;
             }
             tracing::info!(%shard, term = %record.term, grant = record.number, "shard ownership acquired");
@@ -103,22 +100,7 @@
                 number: record.number,
                 revision: held.mod_revision,
             };
-            let core = Core::load(
-                &RecoveryInput {
-                    cfg: self.cfg.clone(),
-                    types: &self.catalog.types(),
-                    view,
-                    topology: None,
-                    now: self.now(),
-                    wall_ms: wall_ms(),
-                },
-                grant,
-                self.shards.machine_zones(),
-            );
-            if self.shards.is_empty() {
-                self.leadership.forget_reachability();
-            }
-            self.shards.adopt(*shard, core);
+            self.recover_shard(view, grant);
             new = true;
         }
         if new {
@@ -127,6 +109,35 @@
         new
     }
 
+    /// Whether a shard's record names this run of the controller as its owner.
+    fn is_granted_here(&self, record: &ShardRecord) -> bool {
+        record.owner == self.cfg.node
+            && record.run == self.run
+            && record.version <= ShardRecord::VERSION
+    }
+
+    /// Recovers the state of one of several shards from the records, and owns it from then
+    /// on.
+    fn recover_shard(&self, view: &View, grant: ShardGrant) {
+        let shard = grant.scope.shard;
+        let core = Core::load(
+            &RecoveryInput {
+                cfg: self.cfg.clone(),
+                types: &self.catalog.types(),
+                view,
+                topology: None,
+                now: self.now(),
+                wall_ms: wall_ms(),
+            },
+            grant,
+            self.shards.machine_zones(),
+        );
+        if self.shards.is_empty() {
+            self.leadership.forget_reachability();
+        }
+        self.shards.adopt(shard, core);
+    }
+
     /// A shard that is offered to another is frozen; one whose offer was taken
     /// back goes on.
     pub(super) fn freeze_offered_shards(&self, view: &View) {
