--- a/src/api/operators.rs
+++ b/src/api/operators.rs
@@ -4,8 +4,8 @@
 use serde_json::{json, Value};
 use sorrelhinge_protocol::operators::UndrainAsked;
 
-use super::reply::{refuse, reply, Reply};
-use crate::control::{Node, Refused};
+use super::reply::{reply, Reply};
+use crate::control::{InvalidRequest, Node, OperatorError};
 
 /// What is under an operators' path.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -64,22 +64,22 @@
         change(node, resource, body).await
     };
     match answer {
-        Ok(told) => reply(200, told),
-        Err(refused) => refusal(refused),
+        Ok(shown) => reply(200, shown),
+        Err(error) => refusal(&error),
     }
 }
 
-fn show(node: &Node, resource: Resource) -> Result<Value, Refused> {
+fn show(node: &Node, resource: Resource) -> Result<Value, OperatorError> {
     match resource {
         Resource::Topology => node.show().map(|shown| json!(shown)),
         Resource::Lanes => node.show_lanes().map(|shown| json!(shown)),
         Resource::Shards => Ok(json!(node.show_shards())),
         Resource::Calendar => node.show_calendar().map(|shown| json!(shown)),
-        Resource::Drains | Resource::Undrains => Err(Refused::NoSuch),
+        Resource::Drains | Resource::Undrains => Err(OperatorError::NoSuchDrain),
     }
 }
 
-async fn change(node: &Node, resource: Resource, body: &[u8]) -> Result<Value, Refused> {
+async fn change(node: &Node, resource: Resource, body: &[u8]) -> Result<Value, OperatorError> {
     match resource {
         Resource::Shards => node.pin(&read("blocks", body)?).await.map(|()| json!({})),
         Resource::Calendar => {
@@ -98,19 +98,28 @@
     }
 }
 
-/// Reads what is asked; an error names it by `what`.
-fn read<T: DeserializeOwned>(what: &str, body: &[u8]) -> Result<T, Refused> {
-    serde_json::from_slice(body).map_err(|error| Refused::Wrong(format!("{what}: {error}")))
+/// Reads what is asked; an error names it by `name`.
+fn read<T: DeserializeOwned>(name: &'static str, body: &[u8]) -> Result<T, InvalidRequest> {
+    serde_json::from_slice(body).map_err(|cause| InvalidRequest::Body { name, cause })
 }
 
-fn refusal(refused: Refused) -> Reply {
-    match refused {
-        Refused::Off => refuse(404, "this controller has no topology"),
-        Refused::NoCalendar => refuse(404, "this controller has no calendar"),
-        Refused::NoWindow => refuse(404, "no such window"),
-        Refused::NoSuch => refuse(404, "no such drain"),
-        Refused::Wrong(why) => refuse(400, &why),
-        Refused::Elsewhere(node) => reply(421, json!({ "foreman": node })),
-        Refused::Unavailable => refuse(503, "can't tell now, ask again"),
+/// The status and body of a request that is not carried out.
+fn refusal(error: &OperatorError) -> Reply {
+    let body = match error {
+        OperatorError::Elsewhere(node) => json!({ "foreman": node }),
+        _ => json!({ "error": error.to_string() }),
+    };
+    reply(status(error), body)
+}
+
+fn status(error: &OperatorError) -> u16 {
+    match error {
+        OperatorError::NoTopology
+        | OperatorError::NoCalendar
+        | OperatorError::NoSuchDrain
+        | OperatorError::NoSuchWindow => 404,
+        OperatorError::Invalid(_) => 400,
+        OperatorError::Elsewhere(_) => 421,
+        OperatorError::Unavailable => 503,
     }
 }
--- a/src/control/drains.rs
+++ b/src/control/drains.rs
@@ -9,11 +9,12 @@
 
 use super::core::Core;
 use super::operator_changes::{ChangePlan, RecordWrite};
+use super::operator_error::{InvalidRequest, OperatorError};
 use super::{wall_ms, Node};
 use crate::scheduler::Machine;
 use crate::state::record::drain_key;
 use crate::state::{Change, StateError};
-use crate::types::{MachineId, NodeId, Revision};
+use crate::types::{MachineId, Revision};
 
 /// Most drains at a time: each is a key that all controllers hold, in about 300 bytes.
 /// Every machine of a fleet of thousands may have one of its own.
@@ -21,29 +22,10 @@
 /// How long an attempt to change a drain may wait at the state service.
 const DRAIN_WRITE_PATIENCE: Duration = Duration::from_millis(1500);
 
-/// Why a request of an operator was not taken.
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Refused {
-    /// The feature is off.
-    Off,
-    /// The request is wrong.
-    Wrong(String),
-    /// There is no such drain.
-    NoSuch,
-    /// This controller has no calendar.
-    NoCalendar,
-    /// There is no such window.
-    NoWindow,
-    /// The answer is with another controller.
-    Elsewhere(NodeId),
-    /// It can't be decided now.
-    Unavailable,
-}
-
 impl Node {
     /// What a target's text names: a domain of the file, or a machine.
-    fn target(&self, text: &str) -> Result<What, Refused> {
-        let topology = self.topology().ok_or(Refused::Off)?;
+    fn target(&self, text: &str) -> Result<What, OperatorError> {
+        let topology = self.topology().ok_or(OperatorError::NoTopology)?;
         if topology.tree.find(text).is_some() {
             return Ok(What::Domain(text.to_owned()));
         }
@@ -54,25 +36,23 @@
         };
         match self.shards.owned().first() {
             Some(c) if known(c) => Ok(What::Machine(text.to_owned())),
-            Some(_) => Err(Refused::Wrong(format!(
-                "there is no domain {text:?} in the file, and no machine of that name"
-            ))),
+            Some(_) => Err(InvalidRequest::UnknownTarget(text.to_owned()).into()),
             // Only the owner knows the machines.
             None => Err(self.elsewhere()),
         }
     }
 
-    fn elsewhere(&self) -> Refused {
+    fn elsewhere(&self) -> OperatorError {
         match &self.store.view().leader.value {
-            Some(l) if l.node != self.cfg.node => Refused::Elsewhere(l.node.clone()),
-            _ => Refused::Unavailable,
+            Some(l) if l.node != self.cfg.node => OperatorError::Elsewhere(l.node.clone()),
+            _ => OperatorError::Unavailable,
         }
     }
 
     /// Begins a drain, or changes the one of the same target. The answer comes
     /// once it is recorded, so a takeover can't lose it.
-    pub async fn drain(&self, asked: &DrainAsked) -> Result<u64, Refused> {
-        asked.check().map_err(|e| Refused::Wrong(e.to_string()))?;
+    pub async fn drain(&self, asked: &DrainAsked) -> Result<u64, OperatorError> {
+        asked.check().map_err(InvalidRequest::from)?;
         let what = self.target(&asked.target)?;
         let started_ms = wall_ms();
         let drain = Drain {
@@ -95,7 +75,7 @@
 
     /// Where a drain is to be recorded, with its number: in place of the one of the same
     /// target, which keeps its start, or under the next number.
-    fn plan_drain(&self, drain: &Drain) -> Result<ChangePlan<u64>, Refused> {
+    fn plan_drain(&self, drain: &Drain) -> Result<ChangePlan<u64>, OperatorError> {
         let view = self.store.view();
         let mut drains = view.drains.iter();
         let same_target = drains.find(|(_, known)| known.value.target == drain.target);
@@ -107,7 +87,7 @@
             return Ok(write_drain(*number, known.mod_revision, &value));
         }
         if view.drains.len() >= MAX_DRAINS {
-            return Err(Refused::Wrong("too many drains at a time".into()));
+            return Err(InvalidRequest::TooManyDrains.into());
         }
         let last = view.drains.keys().next_back();
         let number = last.map_or(1, |last| last + 1);
@@ -115,9 +95,9 @@
     }
 
     /// Ends a drain: machines that are still there may be used again.
-    pub async fn undrain(&self, target: &Target) -> Result<(), Refused> {
+    pub async fn undrain(&self, target: &Target) -> Result<(), OperatorError> {
         if self.topology().is_none() {
-            return Err(Refused::Off);
+            return Err(OperatorError::NoTopology);
         }
         let plan = || self.plan_undrain(target);
         let number = self
@@ -130,14 +110,14 @@
     }
 
     /// The deletion of the drain with that number or target, with its number.
-    fn plan_undrain(&self, target: &Target) -> Result<ChangePlan<u64>, Refused> {
+    fn plan_undrain(&self, target: &Target) -> Result<ChangePlan<u64>, OperatorError> {
         let view = self.store.view();
         let mut drains = view.drains.iter();
         let found = drains.find(|(number, drain)| match target {
             Target::Number(wanted) => *number == wanted,
             Target::Text(text) => drain.value.target.to_string() == *text,
         });
-        let (number, drain) = found.ok_or(Refused::NoSuch)?;
+        let (number, drain) = found.ok_or(OperatorError::NoSuchDrain)?;
         let key = drain_key(*number);
         let write = RecordWrite {
             key: key.clone(),
@@ -151,8 +131,8 @@
     }
 
     /// Domains, devices and drains, with what only the owner knows.
-    pub fn show(&self) -> Result<TopologyShown, Refused> {
-        let topology = self.topology().ok_or(Refused::Off)?;
+    pub fn show(&self) -> Result<TopologyShown, OperatorError> {
+        let topology = self.topology().ok_or(OperatorError::NoTopology)?;
         let cores = self.shards.owned();
         // With a topology all machines are one shard.
         let Some(core) = cores.first() else {
--- a/src/control/lane_queries.rs
+++ b/src/control/lane_queries.rs
@@ -2,12 +2,12 @@
 
 use sorrelhinge_priority_lanes::shown::LanesShown;
 
-use super::drains::Refused;
+use super::operator_error::OperatorError;
 use super::Node;
 
 impl Node {
     /// The lanes of the shards that are owned here; none: nothing is.
-    pub fn show_lanes(&self) -> Result<LanesShown, Refused> {
+    pub fn show_lanes(&self) -> Result<LanesShown, OperatorError> {
         let cores = self.shards.owned();
         let mut all: Option<LanesShown> = None;
         for c in cores.values() {
@@ -24,6 +24,6 @@
             }
         }
         let leader = || self.store.view().leader.value.clone().map(|l| l.node);
-        all.ok_or_else(|| leader().map_or(Refused::Unavailable, Refused::Elsewhere))
+        all.ok_or_else(|| leader().map_or(OperatorError::Unavailable, OperatorError::Elsewhere))
     }
 }
--- a/src/control/mod.rs
+++ b/src/control/mod.rs
@@ -24,6 +24,7 @@
 mod lease_renewal;
 pub mod load_monitor;
 mod operator_changes;
+mod operator_error;
 mod paces;
 mod peer_statuses;
 mod quota_transfers;
@@ -70,10 +71,10 @@
 use crate::types::{NodeId, Time};
 
 pub use cancellations::CancelOutcome;
-pub use drains::Refused;
+pub use operator_error::{InvalidRequest, OperatorError};
 pub use reservations::{day_ms, CalendarAsked};
 pub use status_queries::{JobStatus, Polled};
-pub use submit_error::{InvalidJob, SubmitError, Submitted};
+pub use submit_error::{Infeasible, InvalidJob, SubmitError, Submitted};
 
 /// What a heartbeat's sender is told.
 pub enum HeartbeatReply {
--- a/src/control/operator_changes.rs
+++ b/src/control/operator_changes.rs
@@ -3,7 +3,7 @@
 
 use std::time::Duration;
 
-use super::drains::Refused;
+use super::operator_error::OperatorError;
 use super::Node;
 use crate::state::{Change, StateError, TransactionOutcome};
 use crate::types::Revision;
@@ -42,12 +42,12 @@
     pub(super) async fn change_for_operator<T>(
         &self,
         patience: Duration,
-        plan: impl Fn() -> Result<ChangePlan<T>, Refused>,
+        plan: impl Fn() -> Result<ChangePlan<T>, OperatorError>,
         failed: impl FnOnce(StateError),
-    ) -> Result<T, Refused> {
+    ) -> Result<T, OperatorError> {
         for _ in 0..CHANGE_ATTEMPTS {
             if !self.fresh().await {
-                return Err(Refused::Unavailable);
+                return Err(OperatorError::Unavailable);
             }
             let (write, outcome) = match plan()? {
                 ChangePlan::Unchanged(outcome) => return Ok(outcome),
@@ -67,10 +67,10 @@
                 Ok(TransactionOutcome::Failed(_)) => {}
                 Err(error) => {
                     failed(error);
-                    return Err(Refused::Unavailable);
+                    return Err(OperatorError::Unavailable);
                 }
             }
         }
-        Err(Refused::Unavailable)
+        Err(OperatorError::Unavailable)
     }
 }
--- a/src/control/reservations.rs
+++ b/src/control/reservations.rs
@@ -3,14 +3,14 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use sorrelhinge_reservations::record::{CalendarRecord, RecordError, Taken, CALENDAR_KEY};
-use sorrelhinge_reservations::settings::{check_windows, Calendar, Known, WindowError};
+use sorrelhinge_reservations::record::{CalendarRecord, Taken, CALENDAR_KEY};
+use sorrelhinge_reservations::settings::{check_windows, Calendar, Known};
 use sorrelhinge_reservations::shown::{CalendarShown, PinWindow, UnpinWindow};
 use sorrelhinge_sharding::shard::ShardId;
 use tokio::time::sleep;
 
-use super::drains::Refused;
 use super::operator_changes::{ChangePlan, RecordWrite};
+use super::operator_error::{InvalidRequest, OperatorError};
 use super::{core, wall_ms, Node};
 use crate::state::view::Versioned;
 use crate::state::{Change, RequestPriority, StateError, TransactionOutcome};
@@ -21,17 +21,6 @@
 /// How long a change may take.
 const PATIENCE: Duration = Duration::from_millis(1500);
 
-/// Why windows are not recorded.
-#[derive(Debug, thiserror::Error)]
-enum CalendarError {
-    /// A window names what there is not, or asks for too much.
-    #[error(transparent)]
-    Window(#[from] WindowError),
-    /// The record would be too long.
-    #[error(transparent)]
-    Record(#[from] RecordError),
-}
-
 /// The file's windows as they are to be recorded.
 struct NewerCalendar {
     /// The held record's revision.
@@ -166,7 +155,7 @@
     }
 
     /// Whether windows may be recorded: the teams, types and sizes that they name.
-    fn check_calendar(&self, record: &CalendarRecord) -> Result<(), CalendarError> {
+    fn check_calendar(&self, record: &CalendarRecord) -> Result<(), InvalidRequest> {
         let known = Known {
             types: self.catalog.types().clone(),
             ..self.cfg.calendar_known(day_ms())
@@ -214,9 +203,9 @@
     }
 
     /// What operators are shown; only the owner of shard 0 knows all of it.
-    pub fn show_calendar(&self) -> Result<CalendarShown, Refused> {
+    pub fn show_calendar(&self) -> Result<CalendarShown, OperatorError> {
         if self.cfg.calendar.is_none() {
-            return Err(Refused::NoCalendar);
+            return Err(OperatorError::NoCalendar);
         }
         let view = self.store.view();
         let cores = self.shards.owned();
@@ -226,7 +215,7 @@
                 _ => view.shards.get(&ShardId(0)).map(|b| b.value.owner.clone()),
             };
             let other = owner.filter(|o| *o != self.cfg.node);
-            return Err(other.map_or(Refused::Unavailable, Refused::Elsewhere));
+            return Err(other.map_or(OperatorError::Unavailable, OperatorError::Elsewhere));
         };
         Ok(CalendarShown {
             number: view.calendar.value.as_ref().map_or(0, |c| c.number),
@@ -236,13 +225,13 @@
     }
 
     /// Pins a window, or takes one out. The answer comes once it is recorded.
-    pub async fn change_calendar(&self, asked: &CalendarAsked) -> Result<(), Refused> {
+    pub async fn change_calendar(&self, asked: &CalendarAsked) -> Result<(), OperatorError> {
         if self.cfg.calendar.is_none() {
-            return Err(Refused::NoCalendar);
+            return Err(OperatorError::NoCalendar);
         }
         if let CalendarAsked::Pin(pin) = asked {
             let checked = pin.window.check("window");
-            checked.map_err(wrong)?;
+            checked.map_err(InvalidRequest::from)?;
         }
         let plan = || self.plan_calendar_change(asked);
         let failed = |error: StateError| tracing::info!(%error, "calendar");
@@ -259,7 +248,7 @@
     fn plan_calendar_change(
         &self,
         asked: &CalendarAsked,
-    ) -> Result<ChangePlan<Option<usize>>, Refused> {
+    ) -> Result<ChangePlan<Option<usize>>, OperatorError> {
         let view = self.store.view();
         let Some(record) = self.changed_calendar(&view.calendar, asked)? else {
             return Ok(ChangePlan::Unchanged(None));
@@ -280,29 +269,24 @@
         &self,
         held: &Versioned<Option<CalendarRecord>>,
         asked: &CalendarAsked,
-    ) -> Result<Option<CalendarRecord>, Refused> {
+    ) -> Result<Option<CalendarRecord>, OperatorError> {
         if held.mod_revision > Revision(0) && held.value.is_none() {
-            return Err(Refused::Wrong("the calendar's record can't be read".into()));
+            return Err(InvalidRequest::UnreadableCalendar.into());
         }
         match asked {
             CalendarAsked::Pin(pin) => {
                 let changed = CalendarRecord::pin(held.value.as_ref(), &pin.window);
-                let Some(record) = changed.map_err(wrong)? else {
+                let Some(record) = changed.map_err(InvalidRequest::from)? else {
                     return Ok(None);
                 };
-                self.check_calendar(&record).map_err(wrong)?;
+                self.check_calendar(&record)?;
                 Ok(Some(record))
             }
             CalendarAsked::Unpin(unpin) => {
-                let record = held.value.as_ref().ok_or(Refused::NoWindow)?;
-                let changed = record.unpin(&unpin.name).map_err(wrong)?;
-                Ok(Some(changed.ok_or(Refused::NoWindow)?))
+                let record = held.value.as_ref().ok_or(OperatorError::NoSuchWindow)?;
+                let changed = record.unpin(&unpin.name).map_err(InvalidRequest::from)?;
+                Ok(Some(changed.ok_or(OperatorError::NoSuchWindow)?))
             }
         }
     }
 }
-
-/// An operator's request is wrong for this reason.
-fn wrong(error: impl std::fmt::Display) -> Refused {
-    Refused::Wrong(error.to_string())
-}
--- a/src/control/shard_status.rs
+++ b/src/control/shard_status.rs
@@ -5,8 +5,8 @@
 use sorrelhinge_protocol::operators::{PinAsked, ShardShown, ShardsShown, TeamShown};
 use sorrelhinge_sharding::shard::ShardId;
 
-use super::drains::Refused;
 use super::operator_changes::{ChangePlan, RecordWrite};
+use super::operator_error::{InvalidRequest, OperatorError};
 use super::Node;
 use crate::state::record::{shard_key, ShardRecord};
 use crate::state::view::{Versioned, View};
@@ -75,24 +75,23 @@
     }
 
     /// The record of one of several shards.
-    fn held_shard(&self, shard: ShardId) -> Result<Versioned<ShardRecord>, Refused> {
+    fn held_shard(&self, shard: ShardId) -> Result<Versioned<ShardRecord>, OperatorError> {
         let view = self.store.view();
         let held = view.shards.get(&shard).filter(|_| view.shard_count() > 1);
-        held.cloned().ok_or_else(|| {
-            let n = view.shard_count();
-            Refused::Wrong(format!("there is no block {shard}: there are {n}, from 0"))
-        })
+        let shards = view.shard_count();
+        let unknown = InvalidRequest::UnknownShard { shard, shards };
+        Ok(held.cloned().ok_or(unknown)?)
     }
 
     /// Pins a shard to a controller, or takes its pin off. The answer comes once
     /// it is recorded; the leader does the rest.
-    pub async fn pin(&self, asked: &PinAsked) -> Result<(), Refused> {
-        asked.check().map_err(|e| Refused::Wrong(e.to_string()))?;
+    pub async fn pin(&self, asked: &PinAsked) -> Result<(), OperatorError> {
+        asked.check().map_err(InvalidRequest::from)?;
         let to = asked.to.as_deref().map(NodeId::from);
         let all = self.cfg.others.iter().map(|o| &o.node);
         if let Some(to) = &to {
             if !all.chain([&self.cfg.node]).any(|n| n == to) {
-                return Err(Refused::Wrong(format!("there is no controller {to}")));
+                return Err(InvalidRequest::UnknownController(to.clone()).into());
             }
         }
         let plan = || self.plan_pin(ShardId(asked.block), to.as_ref());
@@ -101,7 +100,11 @@
     }
 
     /// The write of a shard's record with another pin.
-    fn plan_pin(&self, shard: ShardId, pin: Option<&NodeId>) -> Result<ChangePlan<()>, Refused> {
+    fn plan_pin(
+        &self,
+        shard: ShardId,
+        pin: Option<&NodeId>,
+    ) -> Result<ChangePlan<()>, OperatorError> {
         let held = self.held_shard(shard)?;
         let record = ShardRecord {
             pin: pin.cloned(),
