--- a/src/api/for_peers.rs
+++ b/src/api/for_peers.rs
@@ -32,7 +32,7 @@
         flags: u16,
     ) {
         self.0.hinted(revision);
-        self.0.stands(from, announcement, flags);
+        self.0.receive_peer_status(from, announcement, flags);
     }
 
     fn homed(&self, text: &[u8]) -> Answered {
@@ -73,7 +73,9 @@
         match kind {
             peer_link::Kind::Submit => jobs::submit(node, text).await,
             peer_link::Kind::Withdraw => jobs::withdraw(node, &String::from_utf8_lossy(text)).await,
-            peer_link::Kind::Poll => jobs::poll_passed(node, &String::from_utf8_lossy(text)).await,
+            peer_link::Kind::Poll => {
+                jobs::answer_peer_poll(node, &String::from_utf8_lossy(text)).await
+            }
             peer_link::Kind::Heartbeat => match serde_json::from_slice::<Heartbeat>(text) {
                 Ok(heartbeat) => {
                     agent::heartbeat_response(node.own_heartbeat(&heartbeat, Source::Passed))
--- a/src/api/jobs.rs
+++ b/src/api/jobs.rs
@@ -16,8 +16,8 @@
 use crate::state::view::Summary;
 use crate::types::{JobId, JobSpec};
 
-/// A user waits so long for an answer (PROTOCOL).
-const WAITED: Duration = Duration::from_secs(2);
+/// How long a user waits for an answer (PROTOCOL).
+const USER_PATIENCE: Duration = Duration::from_secs(2);
 /// A poll that is shed comes back after so many seconds.
 const SHED_POLL_S: u32 = 2;
 /// A submission that is shed comes back after so many seconds.
@@ -25,19 +25,19 @@
 
 /// Takes a user's submission, unless too much is asked for.
 pub(super) async fn take_submission(node: &Node, body: &[u8]) -> Reply {
-    if node.load().level() >= Level::Submissions && !node.jumps_the_queue(body) {
+    if node.load().level() >= Level::Submissions && !node.takes_lane_turn(body) {
         count(&node.load().counts.shed);
         return later(SHED_SUBMISSION_S, "too much is asked for now");
     }
     count(&node.load().counts.submissions);
-    here_or_there(node, peer_link::Kind::Submit, body, submit(node, body)).await
+    answer_or_forward(node, peer_link::Kind::Submit, body, submit(node, body)).await
 }
 
 /// Takes a user's cancellation.
 pub(super) async fn take_cancellation(node: &Node, id: &str) -> Reply {
     count(&node.load().counts.cancellations);
     let here = withdraw(node, id);
-    here_or_there(node, peer_link::Kind::Withdraw, id.as_bytes(), here).await
+    answer_or_forward(node, peer_link::Kind::Withdraw, id.as_bytes(), here).await
 }
 
 /// Answers a submission here.
@@ -54,7 +54,7 @@
     let new = read_new_job(value, node.topology().is_some());
     let submitted = node.submit(&id, new).await;
     if submitted.is_ok() {
-        node.told_of(&id, true);
+        node.record_answer(&id, true);
     }
     submission_reply(&id, submitted)
 }
@@ -109,12 +109,12 @@
     }
     let asked = Instant::now();
     let answer = match node.poll(&id).await {
-        Polled::Here(status) => status_reply(node, &id, status),
-        Polled::There(answered) => passed(answered),
+        Polled::Local(status) => status_reply(node, &id, status),
+        Polled::Peer(answered) => passed(answered),
     };
     // Later than that nobody listens, and the next poll is not to be shed either.
-    let told = answer.status() != 503 && asked.elapsed() < WAITED;
-    node.told_of(&id, told);
+    let answered_in_time = answer.status() != 503 && asked.elapsed() < USER_PATIENCE;
+    node.record_answer(&id, answered_in_time);
     answer
 }
 
@@ -143,7 +143,7 @@
 }
 
 /// A poll that another controller could not confirm: never shed a second time.
-pub(super) async fn poll_passed(node: &Node, id: &str) -> Reply {
+pub(super) async fn answer_peer_poll(node: &Node, id: &str) -> Reply {
     let Some(id) = job_id(id) else {
         return refuse(404, "no such job");
     };
@@ -166,7 +166,7 @@
 
 /// Answers a user's request here, or passes it on: at once if the state
 /// service is known to serve others only, else if it did not serve this one.
-async fn here_or_there(
+async fn answer_or_forward(
     node: &Node,
     kind: peer_link::Kind,
     text: &[u8],
--- a/src/api/mod.rs
+++ b/src/api/mod.rs
@@ -7,7 +7,7 @@
 //! | `/v1/jobs` | POST | `jobs` |
 //! | `/v1/jobs/ID` | GET | `jobs` |
 //! | `/v1/jobs/ID/withdraw` | POST | `jobs` |
-//! | `/agent/heartbeat` | POST | `agent` |
+//! | `/agent/beat` | POST | `agent` |
 //! | `/v1/topology`, `/v1/lanes` | GET | `operators` |
 //! | `/v1/shards`, `/v1/calendar` | GET, POST | `operators` |
 //! | `/v1/drains`, `/v1/undrains` | POST | `operators` |
@@ -47,7 +47,7 @@
     /// A job that is cancelled, by its id.
     Withdraw(&'a str),
     /// Workers' heartbeats.
-    HeartbeatReply,
+    Heartbeat,
     /// What operators ask for.
     Operators(Resource),
 }
@@ -58,7 +58,7 @@
         match path {
             "/healthz" => Some(Self::Health),
             "/v1/jobs" => Some(Self::Jobs),
-            "/agent/beat" => Some(Self::HeartbeatReply),
+            "/agent/beat" => Some(Self::Heartbeat),
             _ => Self::of_job(path).or_else(|| Resource::at(path).map(Self::Operators)),
         }
     }
@@ -97,13 +97,13 @@
         }
         Route::Operators(resource) if !resource.is_changed() => refuse(404, "no such path"),
         Route::Health | Route::Job(_) => refuse(405, "no such method here"),
-        Route::Jobs | Route::Withdraw(_) | Route::HeartbeatReply | Route::Operators(_) if post => {
+        Route::Jobs | Route::Withdraw(_) | Route::Heartbeat | Route::Operators(_) if post => {
             match read_body(request.into_body()).await {
                 Ok(body) => answer_post(node, conn, route, &body).await,
                 Err(error) => refuse(400, &error.to_string()),
             }
         }
-        Route::Jobs | Route::Withdraw(_) | Route::HeartbeatReply | Route::Operators(_) => {
+        Route::Jobs | Route::Withdraw(_) | Route::Heartbeat | Route::Operators(_) => {
             refuse(405, "no such method here")
         }
     }
@@ -111,11 +111,11 @@
 
 /// Answers a request whose body is here.
 async fn answer_post(node: &Rc<Node>, conn: &Conn, route: Route<'_>, body: &[u8]) -> Reply {
-    if route != Route::HeartbeatReply {
+    if route != Route::Heartbeat {
         conn.asked(Class::User);
     }
     match route {
-        Route::HeartbeatReply => agent::heartbeat(node, conn, body).await,
+        Route::Heartbeat => agent::heartbeat(node, conn, body).await,
         Route::Jobs => jobs::take_submission(node, body).await,
         Route::Withdraw(id) => jobs::take_cancellation(node, id).await,
         Route::Operators(resource) => operate(node, resource, body).await,
--- a/src/cli/calendar.rs
+++ b/src/cli/calendar.rs
@@ -80,12 +80,12 @@
 
 /// Pins a file's windows one by one, in its order; those before one that is refused stay.
 async fn pin(file: &Path, controllers: &Controllers) -> Result<String, CliError> {
-    let mut told = String::new();
+    let mut printed = String::new();
     for window in read_calendar(file)?.windows {
         let name = window.name.clone();
         let _: Value = controllers.post(PATH, &PinWindow { window }).await?;
         // Writing to a string does not fail.
-        let _ = writeln!(told, "window {name} is pinned");
+        let _ = writeln!(printed, "window {name} is pinned");
     }
-    Ok(told)
+    Ok(printed)
 }
--- a/src/cli/shards.rs
+++ b/src/cli/shards.rs
@@ -60,12 +60,12 @@
             to,
             controllers,
         } => {
-            let told = format!("block {shard} goes to {to}, and stays there\n");
-            pin(&controllers, shard, Some(to)).await.map(|()| told)
+            let printed = format!("block {shard} goes to {to}, and stays there\n");
+            pin(&controllers, shard, Some(to)).await.map(|()| printed)
         }
         ShardsCommand::Free { shard, controllers } => {
-            let told = format!("block {shard} goes wherever balance takes it\n");
-            pin(&controllers, shard, None).await.map(|()| told)
+            let printed = format!("block {shard} goes wherever balance takes it\n");
+            pin(&controllers, shard, None).await.map(|()| printed)
         }
     }
 }
@@ -79,7 +79,7 @@
 
 fn shards_table(shown: &ShardsShown) -> String {
     let mut out = String::new();
-    let told = |n: Option<f64>| n.map_or("?".into(), |n| format!("{n:.1}"));
+    let cell = |n: Option<f64>| n.map_or("?".into(), |n| format!("{n:.1}"));
     // Writing to a string does not fail.
     let _ = writeln!(out, "leader: {}", shown.leader.as_deref().unwrap_or("none"));
     for b in &shown.shards {
@@ -99,8 +99,8 @@
                 "  {:<24} part {:>8.1} CPUs, used {:>8}, waiting {:>8}",
                 t.team,
                 t.part_cpus,
-                told(t.used_cpus),
-                told(t.waiting_cpus)
+                cell(t.used_cpus),
+                cell(t.waiting_cpus)
             );
         }
     }
--- a/src/control/admission.rs
+++ b/src/control/admission.rs
@@ -20,19 +20,19 @@
 /// service is away for all, each would else go through two controllers in vain.
 const FORWARD_BACKOFF: Duration = Duration::from_secs(1);
 
-/// One poll that is with another controller; its user may go away meanwhile.
-pub(super) struct Passed<'a> {
+/// A poll that another controller answers; counted until dropped, as its user may disconnect.
+pub(super) struct ForwardedQuery<'a> {
     count: &'a Cell<usize>,
 }
 
-impl<'a> Passed<'a> {
+impl<'a> ForwardedQuery<'a> {
     fn new(count: &'a Cell<usize>) -> Self {
         count.set(count.get() + 1);
         Self { count }
     }
 }
 
-impl Drop for Passed<'_> {
+impl Drop for ForwardedQuery<'_> {
     fn drop(&mut self) {
         self.count.set(self.count.get().saturating_sub(1));
     }
@@ -44,7 +44,7 @@
     submissions: Cell<usize>,
     /// Whose turn it is among submissions while they are shed.
     lane_turns: RefCell<BTreeMap<LaneId, LaneTurn>>,
-    /// Who asked about which job, and who was told to come back.
+    /// Who asked about which job, and who was refused for now.
     asked: RefCell<Asked>,
     /// Polls that other controllers answer at the moment.
     forwarded_queries: Cell<usize>,
@@ -100,12 +100,12 @@
         self.asked.borrow_mut().poll(poll, now) == Verdict::Refuse
     }
 
-    /// A user was told about a job; `known`: it is recorded.
+    /// A poll for a job was answered; `known`: it is recorded.
     pub(super) fn poll_answered(&self, job: &JobId, known: bool, now: Time) {
         self.asked.borrow_mut().answered(job, known, now);
     }
 
-    /// A user could not be told about a job.
+    /// A poll for a job could not be answered.
     pub(super) fn poll_failed(&self, job: &JobId, known: bool, now: Time) {
         self.asked.borrow_mut().failed(job, known, now);
     }
@@ -117,27 +117,27 @@
 
     /// A poll goes to another controller, counted until the result is dropped; none if
     /// that is not to be done now.
-    pub(super) fn pass_poll(&self) -> Option<Passed<'_>> {
+    pub(super) fn begin_forwarded_query(&self) -> Option<ForwardedQuery<'_>> {
         let stays = Instant::now() < self.queries_stay_local_until.get();
         if stays || self.forwarded_queries.get() >= MAX_FORWARDED_QUERIES {
             return None;
         }
-        Some(Passed::new(&self.forwarded_queries))
+        Some(ForwardedQuery::new(&self.forwarded_queries))
     }
 
     /// No other controller could answer a poll.
-    pub(super) fn polls_passed_in_vain(&self) {
+    pub(super) fn no_peer_answered_poll(&self) {
         self.queries_stay_local_until
             .set(Instant::now() + FORWARD_BACKOFF);
     }
 
     /// Whether submissions and cancellations may be passed on.
-    pub(super) fn passes_changes(&self) -> bool {
+    pub(super) fn may_forward_changes(&self) -> bool {
         Instant::now() >= self.changes_stay_local_until.get()
     }
 
     /// No other controller could decide a submission or cancellation.
-    pub(super) fn changes_passed_in_vain(&self) {
+    pub(super) fn no_peer_decided_change(&self) {
         self.changes_stay_local_until
             .set(Instant::now() + FORWARD_BACKOFF);
     }
--- a/src/control/heartbeat_routing.rs
+++ b/src/control/heartbeat_routing.rs
@@ -45,9 +45,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Redirect {
     /// Its sender is told whom to heartbeat to.
-    Tell,
+    SendToOwner,
     /// It was told and came back: the heartbeat is passed on.
-    PassOn,
+    Forward,
 }
 
 /// What is remembered of workers that heartbeat here, whoever owns their machines.
@@ -93,7 +93,7 @@
     pub(super) fn sends_home(&self, machine: &MachineId, home: &NodeId) -> bool {
         let now = Instant::now();
         let mut redirected_agents = self.redirected_agents.borrow_mut();
-        evict_stale(&mut redirected_agents, now, RETURN_WINDOW);
+        evict_expired(&mut redirected_agents, now, RETURN_WINDOW);
         let came_back = redirected_agents
             .get(machine)
             .is_some_and(|s| now.duration_since(s.last) < RETURN_WINDOW);
@@ -109,7 +109,7 @@
     pub(super) fn redirect(&self, machine: &MachineId, owner: &NodeId, back: Duration) -> Redirect {
         let now = Instant::now();
         let mut redirected_agents = self.redirected_agents.borrow_mut();
-        evict_stale(&mut redirected_agents, now, back);
+        evict_expired(&mut redirected_agents, now, back);
         let known = redirected_agents
             .get_mut(machine)
             .filter(|s| s.to == *owner && now.duration_since(s.last) < back);
@@ -117,11 +117,11 @@
             known.last = now;
             let since = *known.forwarding_since.get_or_insert(now);
             if now.duration_since(since) < FORWARDING_PERIOD {
-                return Redirect::PassOn;
+                return Redirect::Forward;
             }
         }
         redirected_agents.insert(machine.clone(), RedirectedAgent::new(owner.clone(), now));
-        Redirect::Tell
+        Redirect::SendToOwner
     }
 
     /// Whether a heartbeat goes to its owner or, if that asked for `relief` and the heartbeat
@@ -145,22 +145,24 @@
     }
 
     /// A heartbeat was answered for its owner, who is to be told.
-    pub(super) fn answered_for(&self, owner: NodeId, heard: ForwardedHeartbeat) {
-        self.heartbeats_for_owners.borrow_mut().push((owner, heard));
+    pub(super) fn answered_for(&self, owner: NodeId, heartbeat: ForwardedHeartbeat) {
+        self.heartbeats_for_owners
+            .borrow_mut()
+            .push((owner, heartbeat));
     }
 
     /// What owners are to be told since the last call.
     pub(super) fn take_answered_for(&self) -> HashMap<NodeId, Vec<ForwardedHeartbeat>> {
         let mut by_owner: HashMap<NodeId, Vec<ForwardedHeartbeat>> = HashMap::new();
-        for (owner, heard) in self.heartbeats_for_owners.borrow_mut().drain(..) {
-            by_owner.entry(owner).or_default().push(heard);
+        for (owner, heartbeat) in self.heartbeats_for_owners.borrow_mut().drain(..) {
+            by_owner.entry(owner).or_default().push(heartbeat);
         }
         by_owner
     }
 }
 
 /// Forgets workers that were not sent anywhere for `kept`, once there are too many.
-fn evict_stale(
+fn evict_expired(
     redirected_agents: &mut HashMap<MachineId, RedirectedAgent>,
     now: Instant,
     kept: Duration,
--- a/src/control/heartbeats.rs
+++ b/src/control/heartbeats.rs
@@ -35,7 +35,7 @@
         if !self.heartbeat_routing.is_new(heartbeat, self.now()) {
             return HeartbeatReply::Unavailable;
         }
-        if self.lets_go(&heartbeat.machine) {
+        if self.dismisses_worker(&heartbeat.machine) {
             return HeartbeatReply::Unavailable;
         }
         if let Some(home) = self.home_of(&heartbeat.machine) {
@@ -58,7 +58,7 @@
 
     /// Whether a worker is sent away, as this controller is alone and certainly owns
     /// nothing any more: it finds the next owner before its lease ends.
-    fn lets_go(&self, machine: &MachineId) -> bool {
+    fn dismisses_worker(&self, machine: &MachineId) -> bool {
         let owns = self.leadership.is_exclusive();
         if owns || !self.peer_contact().is_isolated() {
             return false;
@@ -70,12 +70,12 @@
 
     /// Who is still there besides the workers.
     pub(super) fn peer_contact(&self) -> PeerContact {
-        let last = self.peer_statuses.last_heard_at();
-        let unheard = last.map_or_else(|| self.epoch.elapsed(), |at| at.elapsed());
+        let last = self.peer_statuses.last_received_at();
+        let silence = last.map_or_else(|| self.epoch.elapsed(), |at| at.elapsed());
         PeerContact {
             others: !self.cfg.others.is_empty(),
-            unheard_s: unheard.as_secs_f64(),
-            unserved_s: self.unserved().as_secs_f64(),
+            unheard_s: silence.as_secs_f64(),
+            unserved_s: self.store_silence().as_secs_f64(),
         }
     }
 
@@ -91,7 +91,7 @@
     ) -> HeartbeatReply {
         let back = Duration::from_secs_f64(self.cfg.lease_s / 2.0);
         let routing = &self.heartbeat_routing;
-        if routing.redirect(&heartbeat.machine, &owner, back) == Redirect::Tell {
+        if routing.redirect(&heartbeat.machine, &owner, back) == Redirect::SendToOwner {
             return HeartbeatReply::Elsewhere(owner);
         }
         let passed = self.forward_heartbeat(&owner, body, true).await;
@@ -152,7 +152,7 @@
 
     /// Whether the state service serves others and not this controller.
     pub fn cut_off(&self) -> bool {
-        self.store.is_behind_for(FORWARD_AFTER) && self.unserved() >= FORWARD_AFTER
+        self.store.lags_for(FORWARD_AFTER) && self.store_silence() >= FORWARD_AFTER
     }
 
     /// Whether a submission or cancellation that could not be decided here is passed
@@ -160,7 +160,7 @@
     /// nothing did, whoever the state service refused alone turned all of them away,
     /// so a failed request is reason enough, unless nobody else could help just now.
     pub fn forwards(&self) -> bool {
-        let others_may = self.admission.passes_changes();
+        let others_may = self.admission.may_forward_changes();
         self.cut_off() || self.state.fails() && others_may
     }
 
@@ -175,7 +175,7 @@
                 return Some(answered);
             }
         }
-        self.admission.changes_passed_in_vain();
+        self.admission.no_peer_decided_change();
         None
     }
 
--- a/src/control/leader.rs
+++ b/src/control/leader.rs
@@ -1,4 +1,4 @@
-//! Leadership: standing for it, the grant, and standing down.
+//! Leadership: election, the grant, and stepping down.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -126,8 +126,8 @@
             return;
         };
         let grant = &vacancy.grant.value;
-        let held = self.shards.owned().first().map(|c| c.grant);
-        let kept = held == Some(grant.number);
+        let own_grant = self.shards.owned().first().map(|c| c.grant);
+        let kept = own_grant == Some(grant.number);
         let next = GrantRecord {
             owner: Some(self.cfg.node.clone()),
             term: Term(grant.term.0 + u64::from(!kept)),
@@ -213,7 +213,7 @@
             grant,
             Places::default(),
         );
-        // It gave up at once, by what it had seen as the owner before.
+        // By what it had seen as an earlier owner it would step down at once.
         self.leadership.forget_reachability();
         self.shards.adopt(ShardId(0), core);
         self.set_share();
@@ -285,7 +285,7 @@
 
     /// Stops to act for a shard.
     pub(super) fn step_down(&self, shard: ShardId) {
-        let core = self.shards.give_up(shard);
+        let core = self.shards.release_shard(shard);
         if core.is_some_and(|c| !c.scope.is_part()) {
             self.leadership.release();
         }
--- a/src/control/lease_renewal.rs
+++ b/src/control/lease_renewal.rs
@@ -14,8 +14,8 @@
 use crate::peer_link::ForwardedHeartbeat;
 use crate::types::{NodeId, Time};
 
-/// How often an owner is told which machines were heard.
-const HEARD_NOTICE_INTERVAL: Duration = Duration::from_millis(500);
+/// How often an owner learns of heartbeats that were answered in its place.
+const HEARTBEAT_NOTICE_INTERVAL: Duration = Duration::from_millis(500);
 
 impl Node {
     /// Whether this controller's view of the records is new enough to answer
@@ -105,18 +105,18 @@
         Some(reply)
     }
 
-    /// Tells owners which machines were heard for them.
+    /// Announces to owners the heartbeats that were answered in their place.
     pub(super) async fn announce_heartbeats(self: Rc<Self>) {
         loop {
-            sleep(HEARD_NOTICE_INTERVAL).await;
-            for (owner, heard) in self.heartbeat_routing.take_answered_for() {
-                self.peers.heartbeats_announced(&owner, &heard);
+            sleep(HEARTBEAT_NOTICE_INTERVAL).await;
+            for (owner, heartbeats) in self.heartbeat_routing.take_answered_for() {
+                self.peers.heartbeats_announced(&owner, &heartbeats);
             }
         }
     }
 
-    /// Another controller heard machines of this one's, and they had nothing
-    /// new to tell.
+    /// Another controller answered heartbeats of this one's machines, which had nothing
+    /// new to report.
     pub fn heartbeats_announced(&self, machines: &[ForwardedHeartbeat]) {
         let now = self.now();
         let mut cores = self.shards.owned_mut();
--- a/src/control/load_monitor.rs
+++ b/src/control/load_monitor.rs
@@ -26,7 +26,7 @@
 /// Shorter times between two measurements, in seconds, are not divided by.
 const LEAST_ELAPSED_S: f64 = 1e-3;
 /// How often it is told in the log.
-const LOG: Duration = Duration::from_secs(10);
+const LOG_INTERVAL: Duration = Duration::from_secs(10);
 
 /// Counts since the last line in the log.
 #[derive(Default)]
@@ -145,7 +145,12 @@
 
 impl Node {
     /// Another controller said how it stands.
-    pub fn stands(&self, node: &NodeId, announcement: peer_link::PeerAnnouncement, flags: u16) {
+    pub fn receive_peer_status(
+        &self,
+        node: &NodeId,
+        announcement: peer_link::PeerAnnouncement,
+        flags: u16,
+    ) {
         let known = self.cfg.others.iter().any(|o| o.node == *node);
         if known {
             self.peer_statuses.record(node, announcement, flags);
@@ -164,8 +169,8 @@
             .peers
             .reachable()
             .filter(|n| {
-                let s = self.peer_statuses.peer_status_of(n);
-                s.helps && !(free_capacity && s.crowded)
+                let status = self.peer_statuses.peer_status_of(n);
+                status.helps && !(free_capacity && status.crowded)
             })
             .cloned()
             .collect();
@@ -174,8 +179,8 @@
     }
 
     fn publish_peer_status(&self) {
-        let leading = !self.shards.is_empty();
-        let share = if leading {
+        let owns_shards = !self.shards.is_empty();
+        let share = if owns_shards {
             (self.load.offload_share() * 1000.0).round() as u16
         } else {
             0
@@ -183,7 +188,7 @@
         let announcement = peer_link::PeerAnnouncement {
             helps: true,
             crowded: self.connections.crowded(),
-            relief: leading && self.load.asks_for_relief(),
+            relief: owns_shards && self.load.asks_for_relief(),
             share,
         };
         let limits_fell = self.state.limits_fell();
@@ -225,7 +230,7 @@
             let passed_s = last.elapsed().as_secs_f64().max(LEAST_ELAPSED_S);
             last = Instant::now();
             let now = self.now();
-            self.look_at_peer_contact();
+            self.check_peer_contact();
             let sample = self.sample_load(passed_s, now);
             let changed = self.load.measured(sample, now);
             self.limit_owned_shards(sample, now);
@@ -238,7 +243,7 @@
 
     /// Asks the state service when the others are silent, and takes workers again when
     /// they are not.
-    fn look_at_peer_contact(&self) {
+    fn check_peer_contact(&self) {
         let peer_contact = self.peer_contact();
         if peer_contact.should_probe_state() {
             // A quiet watch says nothing for seconds.
@@ -317,7 +322,7 @@
     }
 
     fn is_due(&self) -> bool {
-        self.written_at.elapsed() >= LOG
+        self.written_at.elapsed() >= LOG_INTERVAL
     }
 
     /// Writes what was counted since the last time, and starts to count anew.
--- a/src/control/mod.rs
+++ b/src/control/mod.rs
@@ -76,7 +76,7 @@
 pub use status_queries::{JobStatus, Polled};
 pub use submit_error::{Infeasible, InvalidJob, SubmitError, Submitted};
 
-/// What a heartbeat's sender is told.
+/// How a heartbeat is answered.
 pub enum HeartbeatReply {
     /// The shard's owner answers.
     Reply(Reply),
@@ -84,12 +84,12 @@
     Passed(peer_link::Answered),
     /// Another controller owns the shard.
     Elsewhere(NodeId),
-    /// Nobody is known to.
+    /// Nobody is known to own the shard, or only the records could tell the answer.
     Unavailable,
 }
 
 /// One controller: its settings, its connections, and the owners of its state. Each
-/// owner has private fields, so its module tells who may change them, and when.
+/// owner has private fields: only its module changes them.
 pub struct Node {
     cfg: Rc<Config>,
     state: Rc<StateClient>,
--- a/src/control/peer_statuses.rs
+++ b/src/control/peer_statuses.rs
@@ -17,7 +17,7 @@
 
 /// What one controller last said.
 struct PeerStatus {
-    heard_at: Instant,
+    received_at: Instant,
     announcement: PeerAnnouncement,
     /// What its version knows: the flags of a hint.
     capabilities: u16,
@@ -33,7 +33,7 @@
     /// A controller said how it stands, and what its version knows.
     pub(super) fn record(&self, node: &NodeId, announcement: PeerAnnouncement, capabilities: u16) {
         let status = PeerStatus {
-            heard_at: Instant::now(),
+            received_at: Instant::now(),
             announcement,
             capabilities,
         };
@@ -45,7 +45,7 @@
         let by_node = self.by_node.borrow();
         let fresh = by_node
             .get(node)
-            .filter(|status| status.heard_at.elapsed() < ANNOUNCEMENT_VALID_FOR);
+            .filter(|status| status.received_at.elapsed() < ANNOUNCEMENT_VALID_FOR);
         fresh.map(|status| status.announcement).unwrap_or_default()
     }
 
@@ -58,9 +58,9 @@
     }
 
     /// When any controller was last heard; none: never.
-    pub(super) fn last_heard_at(&self) -> Option<Instant> {
+    pub(super) fn last_received_at(&self) -> Option<Instant> {
         let by_node = self.by_node.borrow();
-        by_node.values().map(|status| status.heard_at).max()
+        by_node.values().map(|status| status.received_at).max()
     }
 
     /// Whether a controller's version knows several shards.
@@ -75,7 +75,7 @@
         let by_node = self.by_node.borrow();
         let status = by_node.get(node);
         status.is_some_and(|s| {
-            s.heard_at.elapsed() < CAPABILITIES_VALID_FOR && s.capabilities & POLLS != 0
+            s.received_at.elapsed() < CAPABILITIES_VALID_FOR && s.capabilities & POLLS != 0
         })
     }
 }
--- a/src/control/reservations.rs
+++ b/src/control/reservations.rs
@@ -28,17 +28,17 @@
     record: CalendarRecord,
 }
 
-/// What is wrong with the file is told in the log once.
+/// What is wrong with the file is logged once.
 #[derive(Default)]
-struct Complaint {
-    made: bool,
+struct LoggedOnce {
+    logged: bool,
 }
 
-impl Complaint {
-    fn make(&mut self, tell: impl FnOnce()) {
-        if !self.made {
-            self.made = true;
-            tell();
+impl LoggedOnce {
+    fn log_once(&mut self, log: impl FnOnce()) {
+        if !self.logged {
+            self.logged = true;
+            log();
         }
     }
 }
@@ -64,7 +64,7 @@
         let Some(file) = self.cfg.calendar.clone() else {
             return;
         };
-        let mut complaint = Complaint::default();
+        let mut complaint = LoggedOnce::default();
         loop {
             sleep(CALENDAR_INTERVAL).await;
             if !self.store.view().loaded {
@@ -90,7 +90,7 @@
 
     /// Writes the file's windows if they are newer than those recorded. Of several
     /// controllers with files the largest number wins, whoever starts when.
-    async fn take_file(&self, file: &Calendar, complaint: &mut Complaint) {
+    async fn take_file(&self, file: &Calendar, complaint: &mut LoggedOnce) {
         let Some(newer) = self.newer_calendar(file, complaint) else {
             return;
         };
@@ -99,7 +99,7 @@
             return;
         }
         if let Err(error) = self.check_calendar(&newer.record) {
-            complaint.make(|| {
+            complaint.log_once(|| {
                 let why = error.to_string();
                 tracing::error!(why, "calendar: the file is not taken");
             });
@@ -124,20 +124,20 @@
     }
 
     /// The record by the file, if that is newer than the one that is held.
-    fn newer_calendar(&self, file: &Calendar, complaint: &mut Complaint) -> Option<NewerCalendar> {
+    fn newer_calendar(&self, file: &Calendar, complaint: &mut LoggedOnce) -> Option<NewerCalendar> {
         let view = self.store.view();
-        let held = &view.calendar;
+        let recorded = &view.calendar;
         // A record that can't be read at all is not written over.
-        if held.mod_revision > Revision(0) && held.value.is_none() {
+        if recorded.mod_revision > Revision(0) && recorded.value.is_none() {
             return None;
         }
-        match CalendarRecord::take(held.value.as_ref(), file) {
+        match CalendarRecord::take(recorded.value.as_ref(), file) {
             Taken::Newer(record) => Some(NewerCalendar {
-                mod_revision: held.mod_revision,
+                mod_revision: recorded.mod_revision,
                 record,
             }),
             Taken::Differs => {
-                complaint.make(|| {
+                complaint.log_once(|| {
                     let number = file.number;
                     tracing::error!(
                         number,
@@ -147,7 +147,8 @@
                 None
             }
             Taken::Later => {
-                complaint.make(|| tracing::error!("calendar: its record is of a later version"));
+                complaint
+                    .log_once(|| tracing::error!("calendar: its record is of a later version"));
                 None
             }
             Taken::Same | Taken::Older => None,
@@ -267,15 +268,15 @@
     /// The record as an operator asked for it; none if it is so already.
     fn changed_calendar(
         &self,
-        held: &Versioned<Option<CalendarRecord>>,
+        recorded: &Versioned<Option<CalendarRecord>>,
         asked: &CalendarAsked,
     ) -> Result<Option<CalendarRecord>, OperatorError> {
-        if held.mod_revision > Revision(0) && held.value.is_none() {
+        if recorded.mod_revision > Revision(0) && recorded.value.is_none() {
             return Err(InvalidRequest::UnreadableCalendar.into());
         }
         match asked {
             CalendarAsked::Pin(pin) => {
-                let changed = CalendarRecord::pin(held.value.as_ref(), &pin.window);
+                let changed = CalendarRecord::pin(recorded.value.as_ref(), &pin.window);
                 let Some(record) = changed.map_err(InvalidRequest::from)? else {
                     return Ok(None);
                 };
@@ -283,7 +284,7 @@
                 Ok(Some(record))
             }
             CalendarAsked::Unpin(unpin) => {
-                let record = held.value.as_ref().ok_or(OperatorError::NoSuchWindow)?;
+                let record = recorded.value.as_ref().ok_or(OperatorError::NoSuchWindow)?;
                 let changed = record.unpin(&unpin.name).map_err(InvalidRequest::from)?;
                 Ok(Some(changed.ok_or(OperatorError::NoSuchWindow)?))
             }
--- a/src/control/resharding.rs
+++ b/src/control/resharding.rs
@@ -251,8 +251,8 @@
         }
         let (transaction, grant) = {
             let view = self.store.view();
-            let grant = self.united_grant(&view);
-            (united_transaction(&view, &grant), grant)
+            let grant = self.merged_grant(&view);
+            (merge_transaction(&view, &grant), grant)
         };
         match self
             .state
@@ -285,14 +285,15 @@
         let now = self.now();
         let view = self.store.view();
         let mut cores = self.shards.owned_mut();
-        let whole = (0..of).all(|b| {
-            let held = view.shards.get(&ShardId(b));
+        let all_owned = (0..of).all(|b| {
+            let recorded = view.shards.get(&ShardId(b));
             let core = cores.get(ShardId(b));
-            let held = held.filter(|h| h.value.to.is_none());
-            held.zip(core)
+            let recorded = recorded.filter(|h| h.value.to.is_none());
+            recorded
+                .zip(core)
                 .is_some_and(|(h, c)| h.value.number == c.grant)
         });
-        if !whole {
+        if !all_owned {
             return false;
         }
         for c in cores.values_mut() {
@@ -303,7 +304,7 @@
     }
 
     /// The grant of the one scope that is to be.
-    fn united_grant(&self, view: &View) -> GrantRecord {
+    fn merged_grant(&self, view: &View) -> GrantRecord {
         GrantRecord {
             owner: Some(self.cfg.node.clone()),
             term: view.leader.value.as_ref().map_or(Term(0), |l| l.term),
@@ -314,7 +315,7 @@
 
 /// The map and the grant of one scope in place of all shards' records; only if this
 /// controller still leads and none of them changed.
-fn united_transaction(view: &View, grant: &GrantRecord) -> Transaction {
+fn merge_transaction(view: &View, grant: &GrantRecord) -> Transaction {
     let map = ShardMapRecord {
         version: ShardMapRecord::VERSION,
         shards: 1,
@@ -327,10 +328,10 @@
         Change::write(MAP.into(), &map, None),
         Change::write(GRANT.into(), grant, None),
     ];
-    for (shard, held) in &view.shards {
+    for (shard, recorded) in &view.shards {
         conditions.push(Condition {
             key: shard_key(*shard),
-            mod_revision: held.mod_revision,
+            mod_revision: recorded.mod_revision,
         });
         changes.push(Change::Delete {
             delete: shard_key(*shard),
--- a/src/control/shard_demand.rs
+++ b/src/control/shard_demand.rs
@@ -1,4 +1,4 @@
-//! What the owners of shards tell each other: what each uses and wants, tasks left to
+//! What the owners of shards publish to each other: what each uses and wants, tasks left to
 //! another shard, and machines that were rented. All of it is a hint.
 
 use std::rc::Rc;
@@ -12,7 +12,7 @@
 use crate::peer_messages::{encode_left, parse_left, LeftTo, Needs, Rented};
 use crate::types::{MachineId, NodeId};
 
-/// How often owners tell what they use and want.
+/// How often owners publish what they use and want.
 const NEEDS_INTERVAL: Duration = Duration::from_millis(700);
 
 impl Node {
@@ -23,7 +23,7 @@
         knowing.cloned().collect()
     }
 
-    /// Tells the others what this controller's shards use and want, leaves tasks
+    /// Publishes to the others what this controller's shards use and want, leaves tasks
     /// to shards that have free capacity, and gives away parts of limits.
     pub(super) async fn publish_demand(self: Rc<Self>) {
         let mut gave = Instant::now();
@@ -32,7 +32,7 @@
             if self.view_shards() == 1 || self.shards.is_empty() {
                 continue;
             }
-            self.tell_own_needs();
+            self.publish_own_needs();
             self.leave_tasks();
             if gave.elapsed() >= QUOTA_TRANSFER_INTERVAL {
                 gave = Instant::now();
@@ -41,8 +41,8 @@
         }
     }
 
-    /// Tells the others what this controller's shards use and want.
-    fn tell_own_needs(&self) {
+    /// Publishes to the others what this controller's shards use and want.
+    fn publish_own_needs(&self) {
         let others = self.others_known();
         for needs in self.own_needs() {
             for other in &others {
@@ -107,7 +107,7 @@
         self.wakeups.wake_owner();
     }
 
-    /// What another owner told; it may be wrong or late.
+    /// What another owner published; it may be wrong or late.
     pub fn receive_peer_message(&self, kind: Kind, text: &[u8]) {
         match kind {
             Kind::Needs => {
@@ -122,7 +122,7 @@
             }
             Kind::Rented => {
                 if let Some(rented) = Rented::parse(text) {
-                    self.take_rented(&rented);
+                    self.receive_rented_machines(&rented);
                 }
             }
             _ => {}
@@ -130,7 +130,7 @@
     }
 
     /// Takes up machines that were rented: their zones, and that those of owned shards come.
-    fn take_rented(&self, rented: &Rented) {
+    fn receive_rented_machines(&self, rented: &Rented) {
         let now = self.now();
         let sort = (&rented.kind, &rented.zone, rented.spot);
         let zones = rented.machines.iter();
--- a/src/control/shard_grants.rs
+++ b/src/control/shard_grants.rs
@@ -119,7 +119,7 @@
 
     /// The step that is due by the records.
     fn next_step(&self) -> Option<Step> {
-        let wish = ShardPreference {
+        let preference = ShardPreference {
             gather: (self.cfg.tuning.shards_least == 1).then(|| self.cfg.node.clone()),
             move_every_s: self.cfg.tuning.move_every_s,
         };
@@ -137,7 +137,7 @@
         let members = view.members.iter();
         let alive = members.map(|(node, m)| (node.clone(), Member { run: m.value.run }));
         self.shards
-            .next_assignment(&shards.collect(), &alive.collect(), &wish, now)
+            .next_assignment(&shards.collect(), &alive.collect(), &preference, now)
     }
 
     /// The change that takes a step. Also on the leader's record: a step of one that
@@ -145,7 +145,7 @@
     fn step_transaction(&self, step: &Step) -> Option<Transaction> {
         let view = self.store.view();
         let (Step::Grant(shard, _) | Step::Offer(shard, _) | Step::TakeBack(shard)) = step;
-        let held = view.shards.get(shard)?;
+        let recorded = view.shards.get(shard)?;
         let record = match step {
             Step::Grant(_, to) => ShardRecord {
                 version: ShardRecord::VERSION,
@@ -154,22 +154,22 @@
                 term: view.leader.value.as_ref().map_or(Term(0), |l| l.term),
                 number: view.newest_grant() + 1,
                 to: None,
-                pin: held.value.pin.clone(),
+                pin: recorded.value.pin.clone(),
             },
             Step::Offer(_, to) => ShardRecord {
                 to: Some(to.clone()),
-                ..held.value.clone()
+                ..recorded.value.clone()
             },
             Step::TakeBack(_) => ShardRecord {
                 to: None,
-                ..held.value.clone()
+                ..recorded.value.clone()
             },
         };
         Some(Transaction {
             conditions: vec![
                 Condition {
                     key: shard_key(*shard),
-                    mod_revision: held.mod_revision,
+                    mod_revision: recorded.mod_revision,
                 },
                 Condition {
                     key: LEADER.into(),
--- a/src/control/shard_owners.rs
+++ b/src/control/shard_owners.rs
@@ -35,10 +35,10 @@
         if view.shard_count() == 1 {
             return view.leader.value.as_ref().map(|l| l.node.clone());
         }
-        let held = view.shards.get(&shard)?;
-        let member = view.members.get(&held.value.owner);
-        let lives = member.is_some_and(|m| m.value.run == held.value.run);
-        lives.then(|| held.value.owner.clone())
+        let recorded = view.shards.get(&shard)?;
+        let member = view.members.get(&recorded.value.owner);
+        let lives = member.is_some_and(|m| m.value.run == recorded.value.run);
+        lives.then(|| recorded.value.owner.clone())
     }
 
     /// How many controllers own shards.
@@ -89,8 +89,8 @@
             return false;
         }
         let mut new = false;
-        for (shard, held) in &view.shards {
-            let record = &held.value;
+        for (shard, recorded) in &view.shards {
+            let record = &recorded.value;
             if !self.is_granted_here(record) || shard.0 >= of || self.shards.owns(*shard) {
                 continue;
             }
@@ -98,7 +98,7 @@
             let grant = ShardGrant {
                 scope: ShardScope { shard: *shard, of },
                 number: record.number,
-                revision: held.mod_revision,
+                revision: recorded.mod_revision,
             };
             self.recover_shard(view, grant);
             new = true;
@@ -201,22 +201,22 @@
 /// The change that hands a shard on, if it is still held by that grant and is offered
 /// to a controller that lives.
 fn handover(view: &View, shard: ShardId, grant: u64) -> Option<Handover> {
-    let held = view.shards.get(&shard);
-    let held = held.filter(|b| b.value.number == grant)?;
-    let to = held.value.to.clone()?;
+    let recorded = view.shards.get(&shard);
+    let recorded = recorded.filter(|b| b.value.number == grant)?;
+    let to = recorded.value.to.clone()?;
     let record = ShardRecord {
         version: ShardRecord::VERSION,
         run: view.members.get(&to)?.value.run,
         owner: to,
-        term: held.value.term,
+        term: recorded.value.term,
         number: view.newest_grant() + 1,
         to: None,
-        pin: held.value.pin.clone(),
+        pin: recorded.value.pin.clone(),
     };
     let transaction = Transaction {
         conditions: vec![Condition {
             key: shard_key(shard),
-            mod_revision: held.mod_revision,
+            mod_revision: recorded.mod_revision,
         }],
         changes: vec![Change::write(shard_key(shard), &record, None)],
     };
--- a/src/control/shard_ownership.rs
+++ b/src/control/shard_ownership.rs
@@ -2,7 +2,7 @@
 //! zones, what other owners use and want, and, as leader, when shards were assigned.
 //!
 //! A shard comes in by [`ShardOwnership::adopt`] and goes out by
-//! [`ShardOwnership::give_up`] or [`ShardOwnership::retain_granted`]; everything else
+//! [`ShardOwnership::release_shard`] or [`ShardOwnership::retain_granted`]; everything else
 //! only works on shards that are owned. No borrow is held across an await.
 
 use std::cell::{Ref, RefCell, RefMut};
@@ -88,9 +88,9 @@
     }
 }
 
-/// What the owner of a shard last told of it.
-struct ToldNeeds {
-    told_at: Instant,
+/// What the owner of a shard last published of it.
+struct PublishedNeeds {
+    received_at: Instant,
     needs: Rc<Needs>,
 }
 
@@ -101,7 +101,7 @@
     /// Where machines are, of all shards; the owned ones read it too.
     places: Places,
     /// What each shard uses and wants.
-    needs: RefCell<HashMap<ShardId, ToldNeeds>>,
+    needs: RefCell<HashMap<ShardId, PublishedNeeds>>,
     /// What this controller remembers as leader of who owns what.
     assignments: RefCell<Owners>,
 }
@@ -144,7 +144,7 @@
     }
 
     /// Stops to act for a shard at once.
-    pub(super) fn give_up(&self, shard: ShardId) -> Option<Core> {
+    pub(super) fn release_shard(&self, shard: ShardId) -> Option<Core> {
         self.owned.borrow_mut().cores.remove(&shard)
     }
 
@@ -186,21 +186,21 @@
         places.extend(zones);
     }
 
-    /// A shard's owner told what it uses and wants.
+    /// A shard's owner published what it uses and wants.
     pub(super) fn record_needs(&self, needs: Needs) {
         let shard = needs.shard;
-        let told = ToldNeeds {
-            told_at: Instant::now(),
+        let published = PublishedNeeds {
+            received_at: Instant::now(),
             needs: Rc::new(needs),
         };
-        self.needs.borrow_mut().insert(shard, told);
+        self.needs.borrow_mut().insert(shard, published);
     }
 
-    /// What a shard uses and wants; none if that was not told lately.
+    /// What a shard uses and wants; none if that was not published lately.
     pub(super) fn needs_of(&self, shard: ShardId) -> Option<Rc<Needs>> {
         let needs = self.needs.borrow();
-        let told = needs.get(&shard)?;
-        (told.told_at.elapsed() < NEEDS_VALID_FOR).then(|| told.needs.clone())
+        let published = needs.get(&shard)?;
+        (published.received_at.elapsed() < NEEDS_VALID_FOR).then(|| published.needs.clone())
     }
 
     /// As leader: the next step of who owns what, if one is due.
@@ -208,10 +208,12 @@
         &self,
         shards: &BTreeMap<ShardId, Held>,
         alive: &BTreeMap<NodeId, Member>,
-        wish: &ShardPreference,
+        preference: &ShardPreference,
         now: Time,
     ) -> Option<Step> {
-        self.assignments.borrow_mut().next(shards, alive, wish, now)
+        self.assignments
+            .borrow_mut()
+            .next(shards, alive, preference, now)
     }
 
     /// A new leader remembers nothing of earlier assignments.
--- a/src/control/shard_status.rs
+++ b/src/control/shard_status.rs
@@ -24,7 +24,7 @@
         let shards = if view.shard_count() > 1 {
             let shards = view.shards.iter();
             shards
-                .map(|(shard, held)| self.shown_shard(&view, *shard, &held.value))
+                .map(|(shard, recorded)| self.shown_shard(&view, *shard, &recorded.value))
                 .collect()
         } else {
             Vec::new()
@@ -49,10 +49,12 @@
     fn shown_shard(&self, view: &View, shard: ShardId, record: &ShardRecord) -> ShardShown {
         let member = view.members.get(&record.owner);
         let alive = member.is_some_and(|m| m.value.run == record.run);
-        let told = self.shards.needs_of(shard);
+        let published = self.shards.needs_of(shard);
         let teams = self.cfg.teams.iter().map(|t| {
             let slice = view.slices.get(&shard).map(|s| s.value.of(&t.name));
-            let needs = told.as_ref().map_or(&[][..], |told| &told.teams);
+            let needs = published
+                .as_ref()
+                .map_or(&[][..], |published| &published.teams);
             let need = needs.iter().find(|(name, _)| **name == *t.name);
             TeamShown {
                 team: t.name.to_string(),
@@ -68,19 +70,19 @@
             grant: record.number,
             to: record.to.as_ref().map(|to| to.to_string()),
             pin: record.pin.as_ref().map(|pin| pin.to_string()),
-            machines: told.as_ref().map(|n| n.machines),
+            machines: published.as_ref().map(|n| n.machines),
             why: why_there(record, alive),
             teams: teams.collect(),
         }
     }
 
     /// The record of one of several shards.
-    fn held_shard(&self, shard: ShardId) -> Result<Versioned<ShardRecord>, OperatorError> {
+    fn recorded_shard(&self, shard: ShardId) -> Result<Versioned<ShardRecord>, OperatorError> {
         let view = self.store.view();
-        let held = view.shards.get(&shard).filter(|_| view.shard_count() > 1);
+        let recorded = view.shards.get(&shard).filter(|_| view.shard_count() > 1);
         let shards = view.shard_count();
         let unknown = InvalidRequest::UnknownShard { shard, shards };
-        Ok(held.cloned().ok_or(unknown)?)
+        Ok(recorded.cloned().ok_or(unknown)?)
     }
 
     /// Pins a shard to a controller, or takes its pin off. The answer comes once
@@ -105,15 +107,15 @@
         shard: ShardId,
         pin: Option<&NodeId>,
     ) -> Result<ChangePlan<()>, OperatorError> {
-        let held = self.held_shard(shard)?;
+        let recorded = self.recorded_shard(shard)?;
         let record = ShardRecord {
             pin: pin.cloned(),
-            ..held.value
+            ..recorded.value
         };
         let key = shard_key(shard);
         let write = RecordWrite {
             key: key.clone(),
-            mod_revision: held.mod_revision,
+            mod_revision: recorded.mod_revision,
             change: Change::write(key, &record, None),
         };
         Ok(ChangePlan::Write { write, outcome: () })
--- a/src/control/status_queries.rs
+++ b/src/control/status_queries.rs
@@ -16,7 +16,7 @@
 use crate::types::{JobId, NodeId};
 
 /// A user waits 2 s: an answer after this comes too late.
-const ANSWERED: Duration = Duration::from_millis(1900);
+const ANSWER_DEADLINE: Duration = Duration::from_millis(1900);
 /// This controller tries for so long alone, so that another has time left. One
 /// read takes its turn of at most 0.3 s and an answer's way.
 const LOCAL_QUERY_TIMEOUT: Duration = Duration::from_millis(1200);
@@ -26,7 +26,7 @@
 /// Another one has so long, so that a second can be asked.
 const REMOTE_QUERY_TIMEOUT: Duration = Duration::from_millis(950);
 /// With less time left no other is asked.
-const LEAST: Duration = Duration::from_millis(100);
+const MIN_REMOTE_TIMEOUT: Duration = Duration::from_millis(100);
 
 /// What the records say of a job, by a read that began after it was asked about.
 #[derive(Clone, Debug, PartialEq)]
@@ -52,9 +52,9 @@
 /// What came of a poll.
 pub enum Polled {
     /// This controller answers; unconfirmed: nobody could confirm it in time.
-    Here(JobStatus),
+    Local(JobStatus),
     /// Another controller answered.
-    There(peer_link::Answered),
+    Peer(peer_link::Answered),
 }
 
 impl Node {
@@ -113,8 +113,8 @@
         self.admission.refuses_poll(poll, self.now())
     }
 
-    /// A user was told about a job, or `answered` is false and it could not be.
-    pub fn told_of(&self, id: &JobId, answered: bool) {
+    /// A user's request about a job was answered, or `answered` is false and it could not be.
+    pub fn record_answer(&self, id: &JobId, answered: bool) {
         if self.is_over(id) {
             return self.admission.job_over(id);
         }
@@ -134,9 +134,9 @@
     /// after everything this controller had told by then, which was recorded
     /// before it was told. What this one learnt meanwhile goes before it below.
     pub async fn poll(&self, id: &JobId) -> Polled {
-        let end = Instant::now() + ANSWERED;
+        let end = Instant::now() + ANSWER_DEADLINE;
         if self.cut_off() {
-            if let Some(polled) = self.poll_there(id, end).await {
+            if let Some(polled) = self.poll_peers(id, end).await {
                 return polled;
             }
         }
@@ -148,13 +148,13 @@
         };
         let status = self.status_within(id, left().min(patience)).await;
         if status.is_confirmed() {
-            return Polled::Here(status);
+            return Polled::Local(status);
         }
-        if let Some(polled) = self.poll_there(id, end).await {
+        if let Some(polled) = self.poll_peers(id, end).await {
             return polled;
         }
         // Nobody else can: what time is left may do here.
-        Polled::Here(self.status_within(id, left()).await)
+        Polled::Local(self.status_within(id, left()).await)
     }
 
     /// The same for another controller that could not; it passes nothing on.
@@ -162,11 +162,11 @@
         self.status_within(id, LOCAL_QUERY_TIMEOUT).await
     }
 
-    async fn poll_there(&self, id: &JobId, end: Instant) -> Option<Polled> {
-        let _passed = self.admission.pass_poll()?;
-        for other in self.who_answers_polls(id).iter().take(2) {
+    async fn poll_peers(&self, id: &JobId, end: Instant) -> Option<Polled> {
+        let _passed = self.admission.begin_forwarded_query()?;
+        for other in self.peers_answering_polls(id).iter().take(2) {
             let left = end.saturating_duration_since(Instant::now());
-            if left < LEAST {
+            if left < MIN_REMOTE_TIMEOUT {
                 return None;
             }
             let text = id.as_str().as_bytes().to_vec();
@@ -178,7 +178,7 @@
             );
             let answered = asked.await;
             if let Some(summary) = self.final_summary(id) {
-                return Some(Polled::Here(JobStatus::Recorded(summary)));
+                return Some(Polled::Local(JobStatus::Recorded(summary)));
             }
             // What is recorded here was accepted: nobody may be told otherwise.
             let absent_there = answered.as_ref().is_some_and(|a| a.status == 404);
@@ -187,16 +187,16 @@
                 continue;
             }
             if let Some(answered) = answered.filter(|a| matches!(a.status, 200 | 404)) {
-                return Some(Polled::There(answered));
+                return Some(Polled::Peer(answered));
             }
         }
-        self.admission.polls_passed_in_vain();
+        self.admission.no_peer_answered_poll();
         None
     }
 
     /// Other controllers that can be reached and know polls, in an order of each
     /// job's own; the leader last, as it has the most to do.
-    fn who_answers_polls(&self, id: &JobId) -> Vec<NodeId> {
+    fn peers_answering_polls(&self, id: &JobId) -> Vec<NodeId> {
         let leader = self.store.view().leader.value.clone().map(|l| l.node);
         let knows = |n: &&NodeId| self.peer_statuses.answers_polls(n);
         let mut others: Vec<NodeId> = self.peers.reachable().filter(knows).cloned().collect();
--- a/src/control/store_view.rs
+++ b/src/control/store_view.rs
@@ -83,11 +83,11 @@
     /// was so at its end, but it may have been held up on the way. It too shows all that
     /// was so when it was sent; what does not fit the copy shows nothing.
     pub(super) fn apply(&self, since: Revision, events: Events, asked_at: Time) -> bool {
-        let whole = self.view.borrow_mut().apply(since, events);
-        if whole {
+        let continuous = self.view.borrow_mut().apply(since, events);
+        if continuous {
             self.read_sent_at(asked_at);
         }
-        whole
+        continuous
     }
 
     /// Takes up all records, which were asked for at `asked_at`. One that was sent
@@ -123,7 +123,7 @@
     }
 
     /// Whether the copy has been older than an announced revision for `at_least`.
-    pub(super) fn is_behind_for(&self, at_least: Duration) -> bool {
+    pub(super) fn lags_for(&self, at_least: Duration) -> bool {
         let since = self.lagging_since.get();
         since.is_some_and(|t| t.elapsed() >= at_least)
     }
--- a/src/control/store_watch.rs
+++ b/src/control/store_watch.rs
@@ -42,8 +42,8 @@
             return false;
         }
         let view = self.store.view();
-        let served = self.unserved() < STORE_SILENCE_LIMIT;
-        let behind = self.store.is_behind_for(WATCH_LAG_LIMIT);
+        let served = self.store_silence() < STORE_SILENCE_LIMIT;
+        let behind = self.store.lags_for(WATCH_LAG_LIMIT);
         view.loaded && (served || !behind)
     }
 
@@ -90,8 +90,8 @@
         let wait = Duration::from_secs_f64(watch_s(self.cfg.lease_s, self.cfg.cancel_s));
         loop {
             let ok = self.read_new(wait).await;
-            let leading = !self.shards.is_empty();
-            let pause = match (ok, leading) {
+            let owns_shards = !self.shards.is_empty();
+            let pause = match (ok, owns_shards) {
                 (false, _) => WATCH_RETRY_PAUSE,
                 (true, true) => OWNER_WATCH_PAUSE,
                 (true, false) => FOLLOWER_WATCH_PAUSE,
@@ -101,7 +101,7 @@
     }
 
     /// For how long the state service has not served this controller.
-    pub(super) fn unserved(&self) -> Duration {
+    pub(super) fn store_silence(&self) -> Duration {
         self.store.age(self.now())
     }
 
@@ -117,9 +117,9 @@
             .await
         {
             Ok(events) => {
-                let whole = self.store.apply(since, events, asked);
+                let continuous = self.store.apply(since, events, asked);
                 self.view_changed();
-                whole
+                continuous
             }
             Err(StateError::TooOld) => self.read_all().await,
             Err(error) => {
--- a/src/control/submissions.rs
+++ b/src/control/submissions.rs
@@ -61,7 +61,7 @@
 
     /// Whether a submission is taken although submissions are shed: one of a lane, in
     /// the lane's turn. Of all that come while they are shed, a lane has its part.
-    pub fn jumps_the_queue(&self, body: &[u8]) -> bool {
+    pub fn takes_lane_turn(&self, body: &[u8]) -> bool {
         let lanes = &self.cfg.lanes;
         if lanes.is_empty() {
             // Not even parsed: nothing costs less.
