--- a/src/api/agent.rs
+++ b/src/api/agent.rs
@@ -8,7 +8,7 @@
 use super::reply::{passed, refuse, reply, Reply};
 use crate::agent_client::{Heartbeat, TaskPhase};
 use crate::connections::Conn;
-use crate::control::load_monitor::count;
+use crate::control::load_counts::count;
 use crate::control::{HeartbeatReply, Node};
 
 /// How a heartbeat is answered over HTTP.
--- a/src/api/for_peers.rs
+++ b/src/api/for_peers.rs
@@ -8,7 +8,7 @@
 use super::{agent, jobs};
 use crate::agent_client::Heartbeat;
 use crate::control::core::Source;
-use crate::control::load_monitor::count;
+use crate::control::load_counts::count;
 use crate::control::{HeartbeatReply, Node};
 use crate::peer_link::{self, Answered, Answering, PeerRequestHandler};
 use crate::types::{NodeId, Revision};
--- a/src/api/jobs.rs
+++ b/src/api/jobs.rs
@@ -9,7 +9,7 @@
 use sorrelhinge_protocol::users::{job_id, read_job, read_needs};
 
 use super::reply::{later, passed, refuse, reply, Reply};
-use crate::control::load_monitor::count;
+use crate::control::load_counts::count;
 use crate::control::{CancelOutcome, InvalidJob, JobStatus, Node, Polled, SubmitError, Submitted};
 use crate::peer_link;
 use crate::state::record::{NewJob, Phase};
--- a/src/api/mod.rs
+++ b/src/api/mod.rs
@@ -32,7 +32,7 @@
 use self::operators::{operate, Resource};
 use self::reply::{refuse, reply, Reply};
 use crate::connections::Conn;
-use crate::control::load_monitor::count;
+use crate::control::load_counts::count;
 use crate::control::Node;
 
 /// What a path leads to.
--- a/src/control/lease_renewal.rs
+++ b/src/control/lease_renewal.rs
@@ -8,7 +8,7 @@
 use tokio::time::sleep;
 
 use super::lease_delegation::may_renew_for_owner;
-use super::{load_monitor, HeartbeatReply, Node};
+use super::{load_counts, HeartbeatReply, Node};
 use crate::agent_client::{Heartbeat, Reply};
 use crate::peer_link;
 use crate::peer_link::ForwardedHeartbeat;
@@ -44,7 +44,7 @@
     /// The answer that only renews the lease, if that may be given.
     pub(super) fn renewed(&self, heartbeat: &Heartbeat) -> Option<HeartbeatReply> {
         self.renewed_for_owner(heartbeat).then(|| {
-            load_monitor::count(&self.load.counts.renewed);
+            load_counts::count(&self.load.counts.renewed);
             HeartbeatReply::Reply(Reply {
                 fencing_token: heartbeat.fencing_token,
                 commands: Vec::new(),
--- /dev/null
+++ b/src/control/load_log.rs
@@ -0,0 +1,70 @@
+//! The line of the log that shows the load, every few seconds.
+
+use std::cell::Cell;
+use std::time::Duration;
+
+use sorrelhinge_overload::pressure::Sample;
+use tokio::time::Instant;
+
+use super::Node;
+
+/// How often the load is logged.
+const LOG_INTERVAL: Duration = Duration::from_secs(10);
+/// Shorter times between two measurements, in seconds, are not divided by.
+pub(super) const MIN_ELAPSED_S: f64 = 1e-3;
+
+/// When the load was last logged, and what had been counted by then.
+pub(super) struct LoadLog {
+    written_at: Instant,
+    /// Requests that were answered late, when it was last written.
+    late_before: u64,
+}
+
+impl LoadLog {
+    /// Written just now.
+    pub(super) fn new() -> Self {
+        Self {
+            written_at: Instant::now(),
+            late_before: 0,
+        }
+    }
+
+    /// Whether the line is to be written again.
+    pub(super) fn is_due(&self) -> bool {
+        self.written_at.elapsed() >= LOG_INTERVAL
+    }
+
+    /// Writes what was counted since the last time, and starts to count anew.
+    pub(super) fn write(&mut self, node: &Node, sample: Sample) {
+        let over_s = self.written_at.elapsed().as_secs_f64();
+        let over_s = over_s.max(MIN_ELAPSED_S);
+        self.written_at = Instant::now();
+        let rate = |cell: &Cell<u64>| (cell.replace(0) as f64 / over_s * 10.0).round() / 10.0;
+        let counts = &node.load.counts;
+        let late = node.connections.late();
+        let (connections, workers) = node.connections.open();
+        tracing::info!(
+            wait_s = (sample.wait_s * 100.0).round() / 100.0,
+            change_wait_s = (sample.change_wait_s * 10.0).round() / 10.0,
+            connections,
+            workers,
+            heartbeats = rate(&counts.heartbeats),
+            homed = rate(&counts.homed),
+            submissions = rate(&counts.submissions),
+            polls = rate(&counts.polls),
+            cancellations = rate(&counts.cancellations),
+            renewed = rate(&counts.renewed),
+            shed = rate(&counts.shed),
+            duties = (counts.spent.replace(0.0) / over_s * 100.0).round() / 100.0,
+            longest_s = (counts.longest.replace(0.0) * 100.0).round() / 100.0,
+            late = late - self.late_before,
+            spread = node.load.offload_share(),
+            relief = node.load.asks_for_relief(),
+            max_machines = node.load.max_machines(),
+            binding = node.load.binding_resources(),
+            shedding = node.load.level().name(),
+            "load"
+        );
+        self.late_before = late;
+    }
+}
--- a/src/control/load_monitor.rs
+++ b/src/control/load_monitor.rs
@@ -12,6 +12,8 @@
 use tokio::time::{sleep, Instant};
 
 use super::core::Core;
+use super::load_counts::Counts;
+use super::load_log::{LoadLog, MIN_ELAPSED_S};
 use super::Node;
 use crate::peer_link;
 use crate::types::{MachineId, NodeId, Time};
@@ -23,46 +25,6 @@
 const CLAIMS_S: f64 = 2.5;
 /// A timer may fire so late, in seconds, without that being a wait.
 const TIMER_LATENESS_S: f64 = 0.02;
-/// Shorter times between two measurements, in seconds, are not divided by.
-const LEAST_ELAPSED_S: f64 = 1e-3;
-/// How often it is told in the log.
-const LOG_INTERVAL: Duration = Duration::from_secs(10);
-
-/// Counts since the last line in the log.
-#[derive(Default)]
-pub struct Counts {
-    /// Workers' heartbeats.
-    pub heartbeats: Cell<u64>,
-    /// Heartbeats that other controllers took for this one.
-    pub homed: Cell<u64>,
-    /// Submissions.
-    pub submissions: Cell<u64>,
-    /// Polls.
-    pub polls: Cell<u64>,
-    /// Cancellations.
-    pub cancellations: Cell<u64>,
-    /// Seconds that duties over the whole fleet took.
-    pub spent: Cell<f64>,
-    /// Leases renewed for owners that were short of time, or not there.
-    pub renewed: Cell<u64>,
-    /// The longest that a duty over the whole fleet took, in seconds.
-    pub longest: Cell<f64>,
-    /// Answered with 503 because of the load.
-    pub shed: Cell<u64>,
-}
-
-impl Counts {
-    /// A duty over the whole fleet took so many seconds.
-    pub(super) fn duty_took(&self, cost_s: f64) {
-        self.spent.set(self.spent.get() + cost_s);
-        self.longest.set(self.longest.get().max(cost_s));
-    }
-}
-
-/// One more.
-pub fn count(cell: &Cell<u64>) {
-    cell.set(cell.get() + 1);
-}
 
 /// What is known of the load.
 #[derive(Default)]
@@ -98,13 +60,20 @@
         self.pressure.borrow().binds(resource)
     }
 
+    /// The names of the resources that are short, separated by commas.
+    pub(super) fn binding_resources(&self) -> String {
+        let pressure = self.pressure.borrow();
+        let names: Vec<&str> = pressure.binding().map(Resource::name).collect();
+        names.join(",")
+    }
+
     /// The part of workers that heartbeat to other controllers, from 0 to 1.
-    fn offload_share(&self) -> f64 {
+    pub(super) fn offload_share(&self) -> f64 {
         self.heartbeat_offload.borrow().share()
     }
 
     /// Whether other controllers are asked to answer reports that tell nothing new.
-    fn asks_for_relief(&self) -> bool {
+    pub(super) fn asks_for_relief(&self) -> bool {
         self.relief.borrow().asked()
     }
 
@@ -227,7 +196,7 @@
         let mut log = LoadLog::new();
         loop {
             sleep(LOAD_SAMPLE_INTERVAL).await;
-            let passed_s = last.elapsed().as_secs_f64().max(LEAST_ELAPSED_S);
+            let passed_s = last.elapsed().as_secs_f64().max(MIN_ELAPSED_S);
             last = Instant::now();
             let now = self.now();
             self.check_peer_contact();
@@ -305,59 +274,3 @@
         }
     }
 }
-
-/// The line of the log that tells the load.
-struct LoadLog {
-    written_at: Instant,
-    /// Requests that were answered late, when it was last written.
-    late_before: u64,
-}
-
-impl LoadLog {
-    fn new() -> Self {
-        Self {
-            written_at: Instant::now(),
-            late_before: 0,
-        }
-    }
-
-    fn is_due(&self) -> bool {
-        self.written_at.elapsed() >= LOG_INTERVAL
-    }
-
-    /// Writes what was counted since the last time, and starts to count anew.
-    fn write(&mut self, node: &Node, sample: Sample) {
-        let over_s = self.written_at.elapsed().as_secs_f64();
-        let over_s = over_s.max(LEAST_ELAPSED_S);
-        self.written_at = Instant::now();
-        let pressure = node.load.pressure.borrow();
-        let binding: Vec<&str> = pressure.binding().map(Resource::name).collect();
-        let rate = |cell: &Cell<u64>| (cell.replace(0) as f64 / over_s * 10.0).round() / 10.0;
-        let counts = &node.load.counts;
-        let late = node.connections.late();
-        let (connections, workers) = node.connections.open();
-        tracing::info!(
-            wait_s = (sample.wait_s * 100.0).round() / 100.0,
-            change_wait_s = (sample.change_wait_s * 10.0).round() / 10.0,
-            connections,
-            workers,
-            heartbeats = rate(&counts.heartbeats),
-            homed = rate(&counts.homed),
-            submissions = rate(&counts.submissions),
-            polls = rate(&counts.polls),
-            cancellations = rate(&counts.cancellations),
-            renewed = rate(&counts.renewed),
-            shed = rate(&counts.shed),
-            duties = (counts.spent.replace(0.0) / over_s * 100.0).round() / 100.0,
-            longest_s = (counts.longest.replace(0.0) * 100.0).round() / 100.0,
-            late = late - self.late_before,
-            spread = node.load.offload_share(),
-            relief = node.load.asks_for_relief(),
-            max_machines = node.load.max_machines(),
-            binding = binding.join(","),
-            shedding = pressure.level().name(),
-            "load"
-        );
-        self.late_before = late;
-    }
-}
--- /dev/null
+++ b/src/control/shard_merge.rs
@@ -0,0 +1,112 @@
+//! From several shards to one.
+
+use sorrelhinge_sharding::shard::ShardId;
+
+use super::Node;
+use crate::state::record::{shard_key, GrantRecord, ShardMapRecord, GRANT, LEADER, MAP};
+use crate::state::view::View;
+use crate::state::{
+    Change, Condition, RequestPriority, StateError, Transaction, TransactionOutcome,
+};
+use crate::types::Term;
+
+impl Node {
+    /// From several shards to one, once this controller owns all of them and
+    /// nothing is under way: its grant is above all of theirs.
+    pub(super) async fn merge_shards(&self, of: u32) {
+        if !self.settle_all(of) {
+            return;
+        }
+        let (transaction, grant) = {
+            let view = self.store.view();
+            let grant = self.merged_grant(&view);
+            (merge_transaction(&view, &grant), grant)
+        };
+        match self
+            .state
+            .transact(&transaction, RequestPriority::First)
+            .await
+        {
+            Ok(TransactionOutcome::Done(revision)) => {
+                tracing::info!("shards merged");
+                self.peers.announce(revision);
+                self.begin_leadership(grant, revision).await;
+            }
+            // If it was carried out after all, nobody owns the shard: the lease
+            // ends, and whoever leads next takes it.
+            Err(StateError::Unknown(_)) => {
+                self.leadership.release();
+            }
+            other => {
+                tracing::info!(?other, "shard merge failed");
+                self.fresh().await;
+                for c in self.shards.owned_mut().values_mut() {
+                    c.thaw();
+                }
+            }
+        }
+    }
+
+    /// Freezes all shards if this controller owns them and none is moving; true once
+    /// nothing is under way in any.
+    fn settle_all(&self, of: u32) -> bool {
+        let now = self.now();
+        let view = self.store.view();
+        let mut cores = self.shards.owned_mut();
+        let all_owned = (0..of).all(|b| {
+            let recorded = view.shards.get(&ShardId(b));
+            let core = cores.get(ShardId(b));
+            let recorded = recorded.filter(|h| h.value.to.is_none());
+            recorded
+                .zip(core)
+                .is_some_and(|(h, c)| h.value.number == c.grant)
+        });
+        if !all_owned {
+            return false;
+        }
+        for c in cores.values_mut() {
+            c.freeze(now);
+        }
+        let settled = cores.values().all(|c| c.settled(now));
+        settled
+    }
+
+    /// The grant of the one scope that is to be.
+    fn merged_grant(&self, view: &View) -> GrantRecord {
+        GrantRecord {
+            owner: Some(self.cfg.node.clone()),
+            term: view.leader.value.as_ref().map_or(Term(0), |l| l.term),
+            number: view.newest_grant() + 1,
+        }
+    }
+}
+
+/// The map and the grant of one scope in place of all shards' records; only if this
+/// controller still leads and none of them changed.
+fn merge_transaction(view: &View, grant: &GrantRecord) -> Transaction {
+    let map = ShardMapRecord {
+        version: ShardMapRecord::VERSION,
+        shards: 1,
+    };
+    let mut conditions = vec![Condition {
+        key: LEADER.into(),
+        mod_revision: view.leader.mod_revision,
+    }];
+    let mut changes = vec![
+        Change::write(MAP.into(), &map, None),
+        Change::write(GRANT.into(), grant, None),
+    ];
+    for (shard, recorded) in &view.shards {
+        conditions.push(Condition {
+            key: shard_key(*shard),
+            mod_revision: recorded.mod_revision,
+        });
+        changes.push(Change::Delete {
+            delete: shard_key(*shard),
+        });
+    }
+    Transaction {
+        conditions,
+        changes,
+    }
+}
--- a/tests/refusal_texts.rs
+++ b/tests/refusal_texts.rs
@@ -20,105 +20,91 @@
     }
 }
 
+fn assert_submission_refused(error: impl Into<SubmitError>, text: &str) {
+    assert_eq!(error.into().to_string(), text);
+}
+
+fn assert_operator_refused(error: impl Into<OperatorError>, text: &str) {
+    assert_eq!(error.into().to_string(), text);
+}
+
 #[test]
-fn submissions_are_refused_in_these_words() {
-    let texts: [(SubmitError, &str); 12] = [
-        (InvalidJob::Field("unknown rank").into(), "unknown rank"),
-        (
-            InvalidJob::PlacementRules(field()).into(),
-            "topology.spread[0].max: is 0",
-        ),
-        (
-            InvalidJob::NamesTooLong.into(),
-            "the job's names are too long to be recorded",
-        ),
-        (Infeasible::UnknownTeam.into(), "unknown team"),
-        (
-            Infeasible::OverTeamLimit.into(),
-            "more than the team's limit",
-        ),
-        (
-            Infeasible::FitsNoMachineType.into(),
-            "a task fits no allowed machine type",
-        ),
-        (
-            Infeasible::PlacementRules("no such level".into()).into(),
-            "no such level",
-        ),
-        (Infeasible::DependsOnItself.into(), "it waits on itself"),
-        (
-            Infeasible::UnknownDependency(job("run-1")).into(),
-            "run-1 was never accepted",
-        ),
-        (
-            Infeasible::DependsOnService(job("run-2")).into(),
-            "run-2 is a service",
-        ),
-        (SubmitError::Unavailable, "can't decide now, ask again"),
-        (
-            SubmitError::from(InvalidJob::Field("pieces is not within 1 to 100000")),
-            "pieces is not within 1 to 100000",
-        ),
-    ];
-    for (error, text) in texts {
-        assert_eq!(error.to_string(), text);
-    }
+fn malformed_submissions_are_refused_in_these_words() {
+    assert_submission_refused(InvalidJob::Field("unknown rank"), "unknown rank");
+    let text = "pieces is not within 1 to 100000";
+    assert_submission_refused(InvalidJob::Field(text), text);
+    let rules = InvalidJob::PlacementRules(field());
+    assert_submission_refused(rules, "topology.spread[0].max: is 0");
+    let text = "the job's names are too long to be recorded";
+    assert_submission_refused(InvalidJob::NamesTooLong, text);
+}
+
+#[test]
+fn infeasible_submissions_are_refused_in_these_words() {
+    assert_submission_refused(Infeasible::UnknownTeam, "unknown team");
+    let text = "more than the team's limit";
+    assert_submission_refused(Infeasible::OverTeamLimit, text);
+    let text = "a task fits no allowed machine type";
+    assert_submission_refused(Infeasible::FitsNoMachineType, text);
+    let rules = Infeasible::PlacementRules("no such level".into());
+    assert_submission_refused(rules, "no such level");
+    assert_submission_refused(Infeasible::DependsOnItself, "it waits on itself");
+    let unknown = Infeasible::UnknownDependency(job("run-1"));
+    assert_submission_refused(unknown, "run-1 was never accepted");
+    let service = Infeasible::DependsOnService(job("run-2"));
+    assert_submission_refused(service, "run-2 is a service");
+}
+
+#[test]
+fn submissions_that_cannot_be_decided_are_refused_in_these_words() {
+    let text = "can't decide now, ask again";
+    assert_submission_refused(SubmitError::Unavailable, text);
 }
 
 #[test]
 fn operators_are_refused_in_these_words() {
+    let text = "this controller has no topology";
+    assert_operator_refused(OperatorError::NoTopology, text);
+    let text = "this controller has no calendar";
+    assert_operator_refused(OperatorError::NoCalendar, text);
+    assert_operator_refused(OperatorError::NoSuchDrain, "no such drain");
+    assert_operator_refused(OperatorError::NoSuchWindow, "no such window");
+    let text = "can't tell now, ask again";
+    assert_operator_refused(OperatorError::Unavailable, text);
+}
+
+#[test]
+fn wrong_requests_of_operators_are_refused_in_these_words() {
     let malformed = u32::deserialize(serde_json::json!("x")).expect_err("not a number");
-    let cause = malformed.to_string();
+    let text = format!("drain: {malformed}");
     let body = InvalidRequest::Body {
         name: "drain",
         cause: malformed,
     };
-    assert_eq!(body.to_string(), format!("drain: {cause}"));
-    let texts: [(OperatorError, &str); 12] = [
-        (OperatorError::NoTopology, "this controller has no topology"),
-        (OperatorError::NoCalendar, "this controller has no calendar"),
-        (OperatorError::NoSuchDrain, "no such drain"),
-        (OperatorError::NoSuchWindow, "no such window"),
-        (OperatorError::Unavailable, "can't tell now, ask again"),
-        (
-            InvalidRequest::Field(field()).into(),
-            "topology.spread[0].max: is 0",
-        ),
-        (
-            InvalidRequest::UnknownTarget("rack \"7\"".into()).into(),
-            "there is no domain \"rack \\\"7\\\"\" in the file, and no machine of that name",
-        ),
-        (
-            InvalidRequest::TooManyDrains.into(),
-            "too many drains at a time",
-        ),
-        (
-            InvalidRequest::UnknownShard {
-                shard: ShardId(7),
-                shards: 3,
-            }
-            .into(),
-            "there is no block 7: there are 3, from 0",
-        ),
-        (
-            InvalidRequest::UnknownController(NodeId::from("node-9")).into(),
-            "there is no controller node-9",
-        ),
-        (
-            InvalidRequest::UnreadableCalendar.into(),
-            "the calendar's record can't be read",
-        ),
-        (
-            InvalidRequest::Window(WindowError {
-                window: "launch".into(),
-                field: "team",
-                reason: "unknown".into(),
-            })
-            .into(),
-            "window \"launch\": team: unknown",
-        ),
-    ];
-    for (error, text) in texts {
-        assert_eq!(error.to_string(), text);
-    }
+    assert_operator_refused(body, &text);
+    let text = "topology.spread[0].max: is 0";
+    assert_operator_refused(InvalidRequest::Field(field()), text);
+    let target = InvalidRequest::UnknownTarget("rack \"7\"".into());
+    let text = "there is no domain \"rack \\\"7\\\"\" in the file, and no machine of that name";
+    assert_operator_refused(target, text);
+    assert_operator_refused(InvalidRequest::TooManyDrains, "too many drains at a time");
+    let shard = InvalidRequest::UnknownShard {
+        shard: ShardId(7),
+        shards: 3,
+    };
+    assert_operator_refused(shard, "there is no block 7: there are 3, from 0");
+    let controller = InvalidRequest::UnknownController(NodeId::from("node-9"));
+    assert_operator_refused(controller, "there is no controller node-9");
+}
+
+#[test]
+fn wrong_calendars_are_refused_in_these_words() {
+    let text = "the calendar's record can't be read";
+    assert_operator_refused(InvalidRequest::UnreadableCalendar, text);
+    let window = InvalidRequest::Window(WindowError {
+        window: "launch".into(),
+        field: "team",
+        reason: "unknown".into(),
+    });
+    assert_operator_refused(window, "window \"launch\": team: unknown");
 }
