--- a/src/control/resharding.rs
+++ b/src/control/resharding.rs
@@ -46,7 +46,7 @@
     of: u32,
     /// The number of the one grant that they replace.
     grant: u64,
-    /// Each scope's part of each team's limit.
+    /// Each shard's part of each team's limit.
     quotas: Vec<Vec<Amount>>,
     /// Nothing is written if the grant is another by then.
     guard: Condition,
@@ -128,7 +128,7 @@
         }
     }
 
-    /// What each scope would use, and its part of the limits by that.
+    /// What each shard would use, and its part of the limits by that.
     fn plan_division(&self, of: u32, grant: u64) -> Result<Division, DivideError> {
         let (now, wall) = (self.now(), wall_ms());
         let shards = (0..of).map(|b| ShardScope {
@@ -169,7 +169,7 @@
         })
     }
 
-    /// Writes each scope's part of the limits; returns the revision that has them.
+    /// Writes each shard's part of the limits; returns the revision that has them.
     async fn record_quotas(&self, division: &Division) -> Result<Revision, DivideError> {
         let names = || self.cfg.teams.iter().map(|t| t.name.to_string());
         let parts = division.quotas.iter().enumerate().map(|(b, part)| {
@@ -191,7 +191,7 @@
     }
 
     /// The map, the fence in the grant's place, this controller as a member, and a
-    /// record for each scope; only if the quotas are as written at `quotas_at`.
+    /// record for each shard; only if the quotas are as written at `quotas_at`.
     fn division_transaction(
         &self,
         division: &Division,
--- a/src/control/shard_merge.rs
+++ b/src/control/shard_merge.rs
@@ -71,7 +71,7 @@
         settled
     }
 
-    /// The grant of the one scope that is to be.
+    /// The grant of the only shard after the merge.
     fn merged_grant(&self, view: &View) -> GrantRecord {
         GrantRecord {
             owner: Some(self.cfg.node.clone()),
@@ -81,7 +81,7 @@
     }
 }
 
-/// The map and the grant of one scope in place of all shards' records; only if this
+/// The map and the grant of one shard in place of all shards' records; only if this
 /// controller still leads and none of them changed.
 fn merge_transaction(view: &View, grant: &GrantRecord) -> Transaction {
     let map = ShardMapRecord {
--- a/src/control/store_watch.rs
+++ b/src/control/store_watch.rs
@@ -23,7 +23,7 @@
 const SYNC_GAP_MAX: Duration = Duration::from_millis(300);
 /// The pause after a watch that failed.
 const WATCH_RETRY_PAUSE: Duration = Duration::from_millis(250);
-/// The pause after a watch of a controller that owns a scope.
+/// The pause after a watch of a controller that owns a shard.
 const OWNER_WATCH_PAUSE: Duration = Duration::from_millis(50);
 /// The pause after a watch of one that owns none.
 const FOLLOWER_WATCH_PAUSE: Duration = Duration::from_millis(200);
--- a/src/control/wakeups.rs
+++ b/src/control/wakeups.rs
@@ -35,7 +35,7 @@
         let _ = timeout(at_max, self.recording.notified()).await;
     }
 
-    /// Who owns which scope, or who leads, has changed.
+    /// Who owns which shard, or who leads, has changed.
     pub(super) fn wake_assignments(&self) {
         self.assignments.notify_one();
     }
--- a/src/control/write_queue.rs
+++ b/src/control/write_queue.rs
@@ -1,5 +1,5 @@
 //! What waits to be recorded, by urgency. The state service takes few changes
-//! a second, so they go where they are missed most: claims, as no task starts
+//! a second, so they go where they are needed most: claims, as no task starts
 //! before its claim is recorded; jobs that are done, as their users wait for
 //! it; results and releases of single tasks, which a worker's heartbeat proves
 //! again at any time and which therefore wait for others of their chunk; and
@@ -16,14 +16,14 @@
 /// Part of a job's tasks.
 pub type ChunkId = (JobId, u32);
 
-/// A result may wait this long for company.
+/// How long a result may wait, in seconds, to be recorded with others of its chunk.
 const RESULT_DELAY_S: f64 = 12.0;
-/// If changes are to spare, a result waits only this long.
+/// The same while more changes may be sent than urgent ones need.
 const RESULT_DELAY_SPARE_S: f64 = 1.5;
-/// A deletion may wait this long.
+/// How long a deletion may wait, in seconds.
 const DELETION_DELAY_S: f64 = 30.0;
 
-/// How much what is to be recorded hurries.
+/// How urgent it is to record something; the most urgent first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum WritePriority {
     /// Its users wait for the start.
@@ -49,7 +49,7 @@
     }
 }
 
-/// A claim's place: by haste, then in the order they came.
+/// A claim's place in the queue: by priority, then in the order they came.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct Place {
     write_priority: WritePriority,
@@ -78,24 +78,24 @@
     job: JobId,
 }
 
-/// The queues.
+/// The queues of writes, each of its own urgency.
 #[derive(Debug, Default)]
 pub struct Pending {
-    /// By haste, then in the order they came.
+    /// By priority, then in the order they came.
     claims: BTreeMap<Place, WaitingClaim>,
     claimed: BTreeMap<ChunkId, ClaimPlace>,
     /// The same by class and team, which have turns once they wait for long.
     sorts: BTreeMap<Sort, BTreeSet<Place>>,
     turns: Turns<Sort>,
-    count: u64,
-    /// How often something was taken.
+    last_number: u64,
+    /// How many writes were taken.
     taken: u64,
     /// Those of idle priority last.
     finished: BTreeMap<FinishedJob, Time>,
-    /// A claim was taken last.
-    claim_last: bool,
+    /// Whether the last urgent write that was taken was a claim.
+    last_was_claim: bool,
     results: BTreeMap<ChunkId, Time>,
-    trash: BTreeMap<ChunkId, Time>,
+    deletions: BTreeMap<ChunkId, Time>,
 }
 
 /// Something to record.
@@ -118,10 +118,10 @@
     ) {
         self.results.remove(&chunk);
         if !self.claimed.contains_key(&chunk) {
-            self.count += 1;
+            self.last_number += 1;
             let place = Place {
                 write_priority,
-                number: self.count,
+                number: self.last_number,
             };
             let claim = WaitingClaim {
                 chunk: chunk.clone(),
@@ -132,18 +132,21 @@
             self.claimed.insert(chunk, ClaimPlace { place, sort });
         }
     }
+
     /// A claim was released, or its task ended.
     pub fn released(&mut self, chunk: ChunkId, now: Time) {
         if !self.claimed.contains_key(&chunk) {
             self.results.entry(chunk).or_insert(now);
         }
     }
+
     /// All tasks of a job are done.
     pub fn finished(&mut self, job: JobId, write_priority: WritePriority, now: Time) {
         let idle = write_priority == WritePriority::Idle;
         let key = FinishedJob { idle, job };
         self.finished.entry(key).or_insert(now);
     }
+
     /// A job is not to be recorded as done.
     pub fn not_finished(&mut self, job: &JobId) {
         for idle in [false, true] {
@@ -151,21 +154,25 @@
             self.finished.remove(&FinishedJob { idle, job });
         }
     }
+
     /// A chunk is of no use any more.
     pub fn useless(&mut self, chunk: ChunkId, now: Time) {
-        self.drop_claim(&chunk);
+        self.remove_claim(&chunk);
         self.results.remove(&chunk);
-        self.trash.entry(chunk).or_insert(now);
+        self.deletions.entry(chunk).or_insert(now);
     }
+
     /// Whether claims of a chunk wait to be recorded.
     pub fn claims(&self, chunk: &ChunkId) -> bool {
         self.claimed.contains_key(chunk)
     }
+
     /// Whether any claims wait to be recorded.
     pub fn claims_any(&self) -> bool {
         !self.claims.is_empty()
     }
-    fn drop_claim(&mut self, chunk: &ChunkId) -> bool {
+
+    fn remove_claim(&mut self, chunk: &ChunkId) -> bool {
         let Some(ClaimPlace { place, sort }) = self.claimed.remove(chunk) else {
             return false;
         };
@@ -178,8 +185,9 @@
         }
         true
     }
+
     /// The claim whose class and team have their turn, if it has waited for long.
-    fn by_turns(&mut self, now: Time) -> Option<ChunkId> {
+    fn next_in_turn(&mut self, now: Time) -> Option<ChunkId> {
         let claims = &self.claims;
         let first = |places: &BTreeSet<Place>| {
             let claim = claims.get(places.first()?)?;
@@ -189,8 +197,10 @@
         let sort = self.turns.next(waiting.map(|(sort, _)| sort))?;
         first(self.sorts.get(&sort)?)
     }
-    /// A job that is done and whose users have waited for long.
-    fn long_done(&mut self, now: Time) -> Option<JobId> {
+
+    /// Takes the job that has been done for longest, if its users have waited for
+    /// [`TURN_AFTER_S`].
+    fn take_overdue_job(&mut self, now: Time) -> Option<JobId> {
         let (job, since) = self
             .finished
             .iter()
@@ -199,58 +209,61 @@
         self.finished.remove(&key);
         Some(key.job)
     }
+
     /// How long the claim has waited that is recorded next, in seconds.
     pub fn claims_wait(&self, now: Time) -> f64 {
         let next = self.claims.first_key_value();
         next.map_or(0.0, |(_, claim)| now.since(claim.since))
     }
+
     /// Whether something is due that should not wait for the next tick.
     pub fn urgent(&self) -> bool {
         !self.claims.is_empty() || !self.finished.is_empty()
     }
+
     /// Takes what is most urgent, if anything is due. `spare`: there are more
     /// changes left than urgent ones need.
     pub fn take(&mut self, spare: bool, now: Time) -> Option<PendingWrite> {
         // Urgency goes first, but not alone.
         self.taken += 1;
         if self.taken % SERVED_PER_DONE_JOB == 0 {
-            if let Some(job) = self.long_done(now) {
+            if let Some(job) = self.take_overdue_job(now) {
                 return Some(PendingWrite::Finished(job));
             }
         }
         if self.taken % SERVED_PER_TURN == 1 {
-            if let Some(chunk) = self.by_turns(now) {
-                self.drop_claim(&chunk);
+            if let Some(chunk) = self.next_in_turn(now) {
+                self.remove_claim(&chunk);
                 return Some(PendingWrite::Chunk(chunk));
             }
         }
-        self.take_urgent().or_else(|| self.take_late(spare, now))
+        self.take_urgent().or_else(|| self.take_overdue(spare, now))
     }
 
     /// A claim or a job that is done.
     fn take_urgent(&mut self) -> Option<PendingWrite> {
         // Claims that no user waits for take turns with jobs that are done:
-        // while there are more claims than changes, nothing else would be told.
-        let hurry = self
+        // while there are more claims than changes, nothing else would be recorded.
+        let awaited = self
             .claims
             .first_key_value()
             .is_some_and(|(place, _)| place.write_priority == WritePriority::Awaited);
-        let turn = hurry || !self.claim_last || self.finished.is_empty();
+        let turn = awaited || !self.last_was_claim || self.finished.is_empty();
         let first = turn.then(|| self.claims.first_key_value()).flatten();
         if let Some(chunk) = first.map(|(_, claim)| claim.chunk.clone()) {
-            self.drop_claim(&chunk);
-            self.claim_last = true;
+            self.remove_claim(&chunk);
+            self.last_was_claim = true;
             return Some(PendingWrite::Chunk(chunk));
         }
-        self.claim_last = false;
+        self.last_was_claim = false;
         if let Some((FinishedJob { job, .. }, _)) = self.finished.pop_first() {
             return Some(PendingWrite::Finished(job));
         }
         None
     }
 
-    /// What waits for company, once it has waited for long enough.
-    fn take_late(&mut self, spare: bool, now: Time) -> Option<PendingWrite> {
+    /// Takes a result or a deletion that has waited for long enough.
+    fn take_overdue(&mut self, spare: bool, now: Time) -> Option<PendingWrite> {
         let oldest = |queue: &BTreeMap<ChunkId, Time>, wait: f64| {
             queue
                 .iter()
@@ -268,8 +281,8 @@
             return Some(PendingWrite::Chunk(chunk));
         }
         let wait = if spare { 0.0 } else { DELETION_DELAY_S };
-        let chunk = oldest(&self.trash, wait)?;
-        self.trash.remove(&chunk);
+        let chunk = oldest(&self.deletions, wait)?;
+        self.deletions.remove(&chunk);
         Some(PendingWrite::Chunk(chunk))
     }
 }
