--- a/src/api/jobs.rs
+++ b/src/api/jobs.rs
@@ -9,15 +9,15 @@
 use sorrelhinge_protocol::users::{job_id, read_job, read_needs};
 
 use super::reply::{later, passed, refuse, reply, Reply};
-use crate::control::load_monitor::count;
-use crate::control::{Node, Polled, Submitted};
+use crate::control::load_counts::count;
+use crate::control::{CancelOutcome, InvalidJob, JobStatus, Node, Polled, SubmitError, Submitted};
 use crate::peer_link;
 use crate::state::record::{NewJob, Phase};
 use crate::state::view::Summary;
 use crate::types::{JobId, JobSpec};
 
-/// A user waits so long for an answer (PROTOCOL).
-const WAITED: Duration = Duration::from_secs(2);
+/// How long a user waits for an answer (PROTOCOL).
+const USER_PATIENCE: Duration = Duration::from_secs(2);
 /// A poll that is shed comes back after so many seconds.
 const SHED_POLL_S: u32 = 2;
 /// A submission that is shed comes back after so many seconds.
@@ -25,19 +25,19 @@
 
 /// Takes a user's submission, unless too much is asked for.
 pub(super) async fn take_submission(node: &Node, body: &[u8]) -> Reply {
-    if node.load().level() >= Level::Submissions && !node.jumps_the_queue(body) {
+    if node.load().level() >= Level::Submissions && !node.takes_lane_turn(body) {
         count(&node.load().counts.shed);
         return later(SHED_SUBMISSION_S, "too much is asked for now");
     }
     count(&node.load().counts.submissions);
-    here_or_there(node, peer_link::Kind::Submit, body, submit(node, body)).await
+    answer_or_forward(node, peer_link::Kind::Submit, body, submit(node, body)).await
 }
 
 /// Takes a user's cancellation.
 pub(super) async fn take_cancellation(node: &Node, id: &str) -> Reply {
     count(&node.load().counts.cancellations);
     let here = withdraw(node, id);
-    here_or_there(node, peer_link::Kind::Withdraw, id.as_bytes(), here).await
+    answer_or_forward(node, peer_link::Kind::Withdraw, id.as_bytes(), here).await
 }
 
 /// Answers a submission here.
@@ -51,30 +51,47 @@
     let Some(id) = value.get("uid").and_then(Value::as_str).and_then(job_id) else {
         return refuse(400, "uid is missing or invalid");
     };
-    let placement = match node.topology() {
-        Some(_) => PlacementRules::read(&value),
-        // An unknown field, and ignored like any other.
-        None => Ok(None),
+    let new = read_new_job(value, node.topology().is_some());
+    let submitted = node.submit(&id, new).await;
+    if submitted.is_ok() {
+        node.record_answer(&id, true);
+    }
+    submission_reply(&id, submitted)
+}
+
+/// Reads a submitted job. Without a topology its placement rules are an unknown field, and
+/// ignored like any other.
+fn read_new_job(value: Value, has_topology: bool) -> Result<NewJob, InvalidJob> {
+    let placement = if has_topology {
+        PlacementRules::read(&value)
+    } else {
+        Ok(None)
     };
-    let needs = read_needs(&value).map_err(String::from);
-    let new = read_job(value).map_err(String::from).and_then(|spec| {
-        let placement = placement.map_err(|e| e.to_string())?.map(Box::new);
-        let spec = JobSpec { placement, ..spec };
-        let needs = needs?;
-        Ok(NewJob { spec, needs })
-    });
-    match node.submit(&id, new).await {
-        Err(why) => refuse(400, &why),
+    let needs = read_needs(&value);
+    let spec = read_job(value).map_err(InvalidJob::Field)?;
+    let placement = placement?.map(Box::new);
+    let spec = JobSpec { placement, ..spec };
+    let needs = needs.map_err(InvalidJob::Field)?;
+    Ok(NewJob { spec, needs })
+}
+
+/// The status and body of what a submission came to.
+fn submission_reply(id: &JobId, submitted: Result<Submitted, SubmitError>) -> Reply {
+    match submitted {
         Ok(Submitted::Accepted(summary)) => {
-            node.told_of(&id, true);
             reply(201, json!({"uid": id, "phase": phase_name(summary)}))
         }
-        Ok(Submitted::Known(summary)) => {
-            node.told_of(&id, true);
-            reply(200, describe(&id, summary))
-        }
-        Ok(Submitted::Never(why)) => refuse(422, &why),
-        Ok(Submitted::Unavailable) => refuse(503, "can't decide now, ask again"),
+        Ok(Submitted::Known(summary)) => reply(200, describe(id, summary)),
+        Err(error) => refuse(submit_error_status(&error), &error.to_string()),
+    }
+}
+
+/// The status of a submission that is not accepted.
+fn submit_error_status(error: &SubmitError) -> u16 {
+    match error {
+        SubmitError::Invalid(_) => 400,
+        SubmitError::Infeasible(_) => 422,
+        SubmitError::Unavailable => 503,
     }
 }
 
@@ -92,43 +109,46 @@
     }
     let asked = Instant::now();
     let answer = match node.poll(&id).await {
-        Polled::Here(summary) => tell(node, &id, summary),
-        Polled::There(answered) => passed(answered),
-        Polled::Unknown => refuse(503, "can't tell now, ask again"),
+        Polled::Local(status) => status_reply(node, &id, status),
+        Polled::Peer(answered) => passed(answered),
     };
     // Later than that nobody listens, and the next poll is not to be shed either.
-    let told = answer.status() != 503 && asked.elapsed() < WAITED;
-    node.told_of(&id, told);
+    let answered_in_time = answer.status() != 503 && asked.elapsed() < USER_PATIENCE;
+    node.record_answer(&id, answered_in_time);
     answer
 }
 
-/// What a user is told of a job.
-fn tell(node: &Node, id: &JobId, summary: Option<Summary>) -> Reply {
-    let Some(summary) = summary else {
-        return refuse(404, "no such job");
-    };
-    let mut told = describe(id, summary);
+/// The status and body of what is known of a job.
+fn status_reply(node: &Node, id: &JobId, status: JobStatus) -> Reply {
+    match status {
+        JobStatus::Recorded(summary) => reply(200, describe_in_full(node, id, summary)),
+        JobStatus::Absent => refuse(404, "no such job"),
+        JobStatus::Unconfirmed => refuse(503, "can't tell now, ask again"),
+    }
+}
+
+/// A job's state, with what it inherits in a pipeline and why it waits, if that is known.
+fn describe_in_full(node: &Node, id: &JobId, summary: Summary) -> Value {
+    let mut shown = describe(id, summary);
     if let Some(status) = node.pipeline_status(id) {
-        told["pipeline"] = json!(status);
+        shown["pipeline"] = json!(status);
     }
     // It looks at all machines, so only where operators asked for it.
     if summary.phase == Phase::Live && node.topology().is_some() {
         if let Some(why) = node.why_waits(id) {
-            told["waits"] = json!(why.to_string());
+            shown["waits"] = json!(why.to_string());
         }
     }
-    reply(200, told)
+    shown
 }
 
 /// A poll that another controller could not confirm: never shed a second time.
-pub(super) async fn poll_passed(node: &Node, id: &str) -> Reply {
+pub(super) async fn answer_peer_poll(node: &Node, id: &str) -> Reply {
     let Some(id) = job_id(id) else {
         return refuse(404, "no such job");
     };
-    match node.poll_for_peer(&id).await {
-        None => refuse(503, "can't tell now, ask again"),
-        Some(summary) => tell(node, &id, summary),
-    }
+    let status = node.poll_for_peer(&id).await;
+    status_reply(node, &id, status)
 }
 
 /// Answers a cancellation here.
@@ -137,16 +157,16 @@
         return refuse(404, "no such job");
     };
     match node.cancel(&id).await {
-        None => refuse(503, "can't decide now, ask again"),
-        Some(None) => refuse(404, "no such job"),
-        Some(Some(Phase::Done)) => reply(200, json!({"uid": id, "phase": "done"})),
-        Some(Some(_)) => reply(200, json!({"uid": id, "phase": "cancelled"})),
+        CancelOutcome::Cancelled => reply(200, json!({"uid": id, "phase": "cancelled"})),
+        CancelOutcome::Done => reply(200, json!({"uid": id, "phase": "done"})),
+        CancelOutcome::Absent => refuse(404, "no such job"),
+        CancelOutcome::Undecided => refuse(503, "can't decide now, ask again"),
     }
 }
 
 /// Answers a user's request here, or passes it on: at once if the state
 /// service is known to serve others only, else if it did not serve this one.
-async fn here_or_there(
+async fn answer_or_forward(
     node: &Node,
     kind: peer_link::Kind,
     text: &[u8],
--- a/src/control/drains.rs
+++ b/src/control/drains.rs
@@ -8,51 +8,24 @@
 use sorrelhinge_topology::tree::{Domain, Level, Tree};
 
 use super::core::Core;
+use super::operator_changes::{ChangePlan, RecordWrite};
+use super::operator_error::{InvalidRequest, OperatorError};
 use super::{wall_ms, Node};
 use crate::scheduler::Machine;
 use crate::state::record::drain_key;
-use crate::state::{Change, TransactionOutcome};
-use crate::types::{MachineId, NodeId, Revision};
+use crate::state::{Change, StateError};
+use crate::types::{MachineId, Revision};
 
 /// Most drains at a time: each is a key that all controllers hold, in about 300 bytes.
 /// Every machine of a fleet of thousands may have one of its own.
 const MAX_DRAINS: usize = 10_000;
-/// How often a change that an operator asked for is tried while others are faster.
-const CHANGE_ATTEMPTS: usize = 4;
-/// How long a change may take.
-const PATIENCE: Duration = Duration::from_millis(1500);
-
-/// Why a request of an operator was not taken.
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Refused {
-    /// The feature is off.
-    Off,
-    /// The request is wrong.
-    Wrong(String),
-    /// There is no such drain.
-    NoSuch,
-    /// This controller has no calendar.
-    NoCalendar,
-    /// There is no such window.
-    NoWindow,
-    /// The answer is with another controller.
-    Elsewhere(NodeId),
-    /// It can't be decided now.
-    Unavailable,
-}
-
-/// A drain's record that is about to be written.
-struct DrainWrite {
-    number: u64,
-    /// The revision of the record in its place; 0: there is none.
-    mod_revision: Revision,
-    value: Drain,
-}
+/// How long an attempt to change a drain may wait at the state service.
+const DRAIN_WRITE_PATIENCE: Duration = Duration::from_millis(1500);
 
 impl Node {
     /// What a target's text names: a domain of the file, or a machine.
-    fn target(&self, text: &str) -> Result<What, Refused> {
-        let topology = self.topology().ok_or(Refused::Off)?;
+    fn target(&self, text: &str) -> Result<What, OperatorError> {
+        let topology = self.topology().ok_or(OperatorError::NoTopology)?;
         if topology.tree.find(text).is_some() {
             return Ok(What::Domain(text.to_owned()));
         }
@@ -63,25 +36,23 @@
         };
         match self.shards.owned().first() {
             Some(c) if known(c) => Ok(What::Machine(text.to_owned())),
-            Some(_) => Err(Refused::Wrong(format!(
-                "there is no domain {text:?} in the file, and no machine of that name"
-            ))),
+            Some(_) => Err(InvalidRequest::UnknownTarget(text.to_owned()).into()),
             // Only the owner knows the machines.
             None => Err(self.elsewhere()),
         }
     }
 
-    fn elsewhere(&self) -> Refused {
+    fn elsewhere(&self) -> OperatorError {
         match &self.store.view().leader.value {
-            Some(l) if l.node != self.cfg.node => Refused::Elsewhere(l.node.clone()),
-            _ => Refused::Unavailable,
+            Some(l) if l.node != self.cfg.node => OperatorError::Elsewhere(l.node.clone()),
+            _ => OperatorError::Unavailable,
         }
     }
 
     /// Begins a drain, or changes the one of the same target. The answer comes
     /// once it is recorded, so a takeover can't lose it.
-    pub async fn drain(&self, asked: &DrainAsked) -> Result<u64, Refused> {
-        asked.check().map_err(|e| Refused::Wrong(e.to_string()))?;
+    pub async fn drain(&self, asked: &DrainAsked) -> Result<u64, OperatorError> {
+        asked.check().map_err(InvalidRequest::from)?;
         let what = self.target(&asked.target)?;
         let started_ms = wall_ms();
         let drain = Drain {
@@ -92,109 +63,76 @@
             away: asked.away,
             keep: asked.keep,
         };
-        for _ in 0..CHANGE_ATTEMPTS {
-            if !self.fresh().await {
-                return Err(Refused::Unavailable);
-            }
-            let DrainWrite {
-                number,
-                mod_revision,
-                value,
-            } = self.drain_write(&drain)?;
-            let key = drain_key(number);
-            let change = Change::write(key.clone(), &value, None);
-            if self.change_drain(key, mod_revision, change).await? {
-                tracing::info!(number, target = %value.target, "draining");
-                return Ok(number);
-            }
-        }
-        Err(Refused::Unavailable)
+        let plan = || self.plan_drain(&drain);
+        let number = self
+            .change_for_operator(DRAIN_WRITE_PATIENCE, plan, log_failure)
+            .await?;
+        // The next look at the view has it.
+        self.fresh().await;
+        tracing::info!(number, target = %drain.target, "draining");
+        Ok(number)
     }
 
-    /// Where a drain is to be recorded: in place of the one of the same target, which
-    /// keeps its start, or under the next number.
-    fn drain_write(&self, drain: &Drain) -> Result<DrainWrite, Refused> {
+    /// Where a drain is to be recorded, with its number: in place of the one of the same
+    /// target, which keeps its start, or under the next number.
+    fn plan_drain(&self, drain: &Drain) -> Result<ChangePlan<u64>, OperatorError> {
         let view = self.store.view();
         let mut drains = view.drains.iter();
-        if let Some((number, held)) = drains.find(|(_, d)| d.value.target == drain.target) {
-            return Ok(DrainWrite {
-                number: *number,
-                mod_revision: held.mod_revision,
-                value: Drain {
-                    started_ms: held.value.started_ms,
-                    ..drain.clone()
-                },
-            });
+        let same_target = drains.find(|(_, known)| known.value.target == drain.target);
+        if let Some((number, known)) = same_target {
+            let value = Drain {
+                started_ms: known.value.started_ms,
+                ..drain.clone()
+            };
+            return Ok(write_drain(*number, known.mod_revision, &value));
         }
         if view.drains.len() >= MAX_DRAINS {
-            return Err(Refused::Wrong("too many drains at a time".into()));
+            return Err(InvalidRequest::TooManyDrains.into());
         }
         let last = view.drains.keys().next_back();
-        Ok(DrainWrite {
-            number: last.map_or(1, |n| n + 1),
-            mod_revision: Revision(0),
-            value: drain.clone(),
-        })
+        let number = last.map_or(1, |last| last + 1);
+        Ok(write_drain(number, Revision(0), drain))
     }
 
     /// Ends a drain: machines that are still there may be used again.
-    pub async fn undrain(&self, target: &Target) -> Result<(), Refused> {
+    pub async fn undrain(&self, target: &Target) -> Result<(), OperatorError> {
         if self.topology().is_none() {
-            return Err(Refused::Off);
-        }
-        for _ in 0..CHANGE_ATTEMPTS {
-            if !self.fresh().await {
-                return Err(Refused::Unavailable);
-            }
-            let found = {
-                let view = self.store.view();
-                let mut drains = view.drains.iter();
-                let found = drains.find(|(n, d)| match target {
-                    Target::Number(number) => *n == number,
-                    Target::Text(text) => d.value.target.to_string() == *text,
-                });
-                found.map(|(n, d)| (*n, d.mod_revision))
-            };
-            let Some((number, mod_revision)) = found else {
-                return Err(Refused::NoSuch);
-            };
-            let key = drain_key(number);
-            let delete = Change::Delete {
-                delete: key.clone(),
-            };
-            if self.change_drain(key, mod_revision, delete).await? {
-                tracing::info!(number, "drain ended");
-                return Ok(());
-            }
+            return Err(OperatorError::NoTopology);
         }
-        Err(Refused::Unavailable)
+        let plan = || self.plan_undrain(target);
+        let number = self
+            .change_for_operator(DRAIN_WRITE_PATIENCE, plan, log_failure)
+            .await?;
+        // The next look at the view has it.
+        self.fresh().await;
+        tracing::info!(number, "drain ended");
+        Ok(())
     }
 
-    /// Whether a drain's record was changed; false if another was faster.
-    async fn change_drain(
-        &self,
-        key: String,
-        mod_revision: Revision,
-        change: Change,
-    ) -> Result<bool, Refused> {
-        match self.state.change(key, mod_revision, change, PATIENCE).await {
-            Ok(TransactionOutcome::Done(revision)) => {
-                self.peers.announce(revision);
-                // The next look at the view has it.
-                self.fresh().await;
-                Ok(true)
-            }
-            Ok(TransactionOutcome::Failed(_)) => Ok(false),
-            Err(error) => {
-                tracing::info!(%error, "drain");
-                Err(Refused::Unavailable)
-            }
-        }
+    /// The deletion of the drain with that number or target, with its number.
+    fn plan_undrain(&self, target: &Target) -> Result<ChangePlan<u64>, OperatorError> {
+        let view = self.store.view();
+        let mut drains = view.drains.iter();
+        let found = drains.find(|(number, drain)| match target {
+            Target::Number(wanted) => *number == wanted,
+            Target::Text(text) => drain.value.target.to_string() == *text,
+        });
+        let (number, drain) = found.ok_or(OperatorError::NoSuchDrain)?;
+        let key = drain_key(*number);
+        let write = RecordWrite {
+            key: key.clone(),
+            mod_revision: drain.mod_revision,
+            change: Change::Delete { delete: key },
+        };
+        Ok(ChangePlan::Write {
+            write,
+            outcome: *number,
+        })
     }
 
     /// Domains, devices and drains, with what only the owner knows.
-    pub fn show(&self) -> Result<TopologyShown, Refused> {
-        let topology = self.topology().ok_or(Refused::Off)?;
+    pub fn show(&self) -> Result<TopologyShown, OperatorError> {
+        let topology = self.topology().ok_or(OperatorError::NoTopology)?;
         let cores = self.shards.owned();
         // With a topology all machines are one shard.
         let Some(core) = cores.first() else {
@@ -232,6 +170,25 @@
     }
 }
 
+/// The write of a drain's record, with its number.
+fn write_drain(number: u64, mod_revision: Revision, drain: &Drain) -> ChangePlan<u64> {
+    let key = drain_key(number);
+    let write = RecordWrite {
+        key: key.clone(),
+        mod_revision,
+        change: Change::write(key, drain, None),
+    };
+    ChangePlan::Write {
+        write,
+        outcome: number,
+    }
+}
+
+/// A drain's record was not changed, or that is not known.
+fn log_failure(error: StateError) {
+    tracing::info!(%error, "drain");
+}
+
 /// The machines of a topology, as operators see them.
 struct ShownMachines {
     /// By the place in the tree.
--- a/src/control/lease_renewal.rs
+++ b/src/control/lease_renewal.rs
@@ -8,14 +8,14 @@
 use tokio::time::sleep;
 
 use super::lease_delegation::may_renew_for_owner;
-use super::{load_monitor, HeartbeatReply, Node};
+use super::{load_counts, HeartbeatReply, Node};
 use crate::agent_client::{Heartbeat, Reply};
 use crate::peer_link;
 use crate::peer_link::ForwardedHeartbeat;
 use crate::types::{NodeId, Time};
 
-/// How often an owner is told which machines were heard.
-const HEARD_NOTICE_INTERVAL: Duration = Duration::from_millis(500);
+/// How often an owner learns of heartbeats that were answered in its place.
+const HEARTBEAT_NOTICE_INTERVAL: Duration = Duration::from_millis(500);
 
 impl Node {
     /// Whether this controller's view of the records is new enough to answer
@@ -44,7 +44,7 @@
     /// The answer that only renews the lease, if that may be given.
     pub(super) fn renewed(&self, heartbeat: &Heartbeat) -> Option<HeartbeatReply> {
         self.renewed_for_owner(heartbeat).then(|| {
-            load_monitor::count(&self.load.counts.renewed);
+            load_counts::count(&self.load.counts.renewed);
             HeartbeatReply::Reply(Reply {
                 fencing_token: heartbeat.fencing_token,
                 commands: Vec::new(),
@@ -72,14 +72,8 @@
             self.now(),
         );
         if route == Route::Renew {
-            let heard = ForwardedHeartbeat::new(
-                &heartbeat.machine,
-                heartbeat.incarnation,
-                heartbeat.sequence,
-            );
-            if let Some((heard, answer)) = heard.and_then(|h| Some((h, self.renewed(heartbeat)?))) {
-                routing.answered_for(owner, heard);
-                return answer;
+            if let Some(reply) = self.answer_for_owner(&owner, heartbeat) {
+                return reply;
             }
         }
         let kind = peer_link::Kind::Adopted;
@@ -97,18 +91,32 @@
         }
     }
 
-    /// Tells owners which machines were heard for them.
+    /// Renews a worker's lease in its owner's place, who learns of it by the next
+    /// announcement; none if that may not be done.
+    fn answer_for_owner(&self, owner: &NodeId, heartbeat: &Heartbeat) -> Option<HeartbeatReply> {
+        let announced = ForwardedHeartbeat::new(
+            &heartbeat.machine,
+            heartbeat.incarnation,
+            heartbeat.sequence,
+        )?;
+        let reply = self.renewed(heartbeat)?;
+        self.heartbeat_routing
+            .answered_for(owner.clone(), announced);
+        Some(reply)
+    }
+
+    /// Announces to owners the heartbeats that were answered in their place.
     pub(super) async fn announce_heartbeats(self: Rc<Self>) {
         loop {
-            sleep(HEARD_NOTICE_INTERVAL).await;
-            for (owner, heard) in self.heartbeat_routing.take_answered_for() {
-                self.peers.heartbeats_announced(&owner, &heard);
+            sleep(HEARTBEAT_NOTICE_INTERVAL).await;
+            for (owner, heartbeats) in self.heartbeat_routing.take_answered_for() {
+                self.peers.heartbeats_announced(&owner, &heartbeats);
             }
         }
     }
 
-    /// Another controller heard machines of this one's, and they had nothing
-    /// new to tell.
+    /// Another controller answered heartbeats of this one's machines, which had nothing
+    /// new to report.
     pub fn heartbeats_announced(&self, machines: &[ForwardedHeartbeat]) {
         let now = self.now();
         let mut cores = self.shards.owned_mut();
--- a/src/control/mod.rs
+++ b/src/control/mod.rs
@@ -9,17 +9,24 @@
 //! other modules hold its duties, and change state only through these owners.
 
 mod admission;
+mod cancellations;
 mod catalog;
 mod cloud_duties;
 pub mod core;
 mod drains;
+mod feasibility;
 mod heartbeat_routing;
 mod heartbeats;
+mod lane_queries;
 mod leader;
 mod leadership;
 pub mod lease_delegation;
 mod lease_renewal;
+pub mod load_counts;
+mod load_log;
 pub mod load_monitor;
+mod operator_changes;
+mod operator_error;
 mod paces;
 mod peer_statuses;
 mod quota_transfers;
@@ -28,6 +35,7 @@
 mod resharding;
 mod shard_demand;
 mod shard_grants;
+mod shard_merge;
 mod shard_owner;
 mod shard_owners;
 mod shard_ownership;
@@ -36,6 +44,7 @@
 mod store_view;
 mod store_watch;
 mod submissions;
+mod submit_error;
 mod wakeups;
 pub mod write_queue;
 
@@ -61,28 +70,16 @@
 use crate::config::Config;
 use crate::connections::Connections;
 use crate::peer_link::{self, Peers};
-use crate::state::view::Summary;
 use crate::state::StateClient;
 use crate::types::{NodeId, Time};
 
-pub use drains::Refused;
+pub use cancellations::CancelOutcome;
+pub use operator_error::{InvalidRequest, OperatorError};
 pub use reservations::{day_ms, CalendarAsked};
-pub use status_queries::Polled;
-
-/// What a submission comes to.
-#[derive(Clone, Debug, PartialEq)]
-pub enum Submitted {
-    /// Newly accepted; its state now.
-    Accepted(Summary),
-    /// Accepted before; its state now.
-    Known(Summary),
-    /// Can never run.
-    Never(String),
-    /// Can't be decided now.
-    Unavailable,
-}
+pub use status_queries::{JobStatus, Polled};
+pub use submit_error::{Infeasible, InvalidJob, SubmitError, Submitted};
 
-/// What a heartbeat's sender is told.
+/// How a heartbeat is answered.
 pub enum HeartbeatReply {
     /// The shard's owner answers.
     Reply(Reply),
@@ -90,12 +87,12 @@
     Passed(peer_link::Answered),
     /// Another controller owns the shard.
     Elsewhere(NodeId),
-    /// Nobody is known to.
+    /// Nobody is known to own the shard, or only the records could tell the answer.
     Unavailable,
 }
 
 /// One controller: its settings, its connections, and the owners of its state. Each
-/// owner has private fields, so its module tells who may change them, and when.
+/// owner has private fields: only its module changes them.
 pub struct Node {
     cfg: Rc<Config>,
     state: Rc<StateClient>,
--- a/src/control/reservations.rs
+++ b/src/control/reservations.rs
@@ -3,13 +3,14 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use sorrelhinge_reservations::record::{CalendarRecord, RecordError, Taken, CALENDAR_KEY};
-use sorrelhinge_reservations::settings::{check_windows, Calendar, Known, WindowError};
+use sorrelhinge_reservations::record::{CalendarRecord, Taken, CALENDAR_KEY};
+use sorrelhinge_reservations::settings::{check_windows, Calendar, Known};
 use sorrelhinge_reservations::shown::{CalendarShown, PinWindow, UnpinWindow};
 use sorrelhinge_sharding::shard::ShardId;
 use tokio::time::sleep;
 
-use super::drains::Refused;
+use super::operator_changes::{ChangePlan, RecordWrite};
+use super::operator_error::{InvalidRequest, OperatorError};
 use super::{core, wall_ms, Node};
 use crate::state::view::Versioned;
 use crate::state::{Change, RequestPriority, StateError, TransactionOutcome};
@@ -20,20 +21,6 @@
 /// How long a change may take.
 const PATIENCE: Duration = Duration::from_millis(1500);
 
-/// How often a change that an operator asked for is tried while others are faster.
-const CHANGE_ATTEMPTS: usize = 4;
-
-/// Why windows are not recorded.
-#[derive(Debug, thiserror::Error)]
-enum CalendarError {
-    /// A window names what there is not, or asks for too much.
-    #[error(transparent)]
-    Window(#[from] WindowError),
-    /// The record would be too long.
-    #[error(transparent)]
-    Record(#[from] RecordError),
-}
-
 /// The file's windows as they are to be recorded.
 struct NewerCalendar {
     /// The held record's revision.
@@ -41,17 +28,17 @@
     record: CalendarRecord,
 }
 
-/// What is wrong with the file is told in the log once.
+/// What is wrong with the file is logged once.
 #[derive(Default)]
-struct Complaint {
-    made: bool,
+struct LoggedOnce {
+    logged: bool,
 }
 
-impl Complaint {
-    fn make(&mut self, tell: impl FnOnce()) {
-        if !self.made {
-            self.made = true;
-            tell();
+impl LoggedOnce {
+    fn log_once(&mut self, log: impl FnOnce()) {
+        if !self.logged {
+            self.logged = true;
+            log();
         }
     }
 }
@@ -77,7 +64,7 @@
         let Some(file) = self.cfg.calendar.clone() else {
             return;
         };
-        let mut complaint = Complaint::default();
+        let mut complaint = LoggedOnce::default();
         loop {
             sleep(CALENDAR_INTERVAL).await;
             if !self.store.view().loaded {
@@ -103,7 +90,7 @@
 
     /// Writes the file's windows if they are newer than those recorded. Of several
     /// controllers with files the largest number wins, whoever starts when.
-    async fn take_file(&self, file: &Calendar, complaint: &mut Complaint) {
+    async fn take_file(&self, file: &Calendar, complaint: &mut LoggedOnce) {
         let Some(newer) = self.newer_calendar(file, complaint) else {
             return;
         };
@@ -112,7 +99,7 @@
             return;
         }
         if let Err(error) = self.check_calendar(&newer.record) {
-            complaint.make(|| {
+            complaint.log_once(|| {
                 let why = error.to_string();
                 tracing::error!(why, "calendar: the file is not taken");
             });
@@ -137,20 +124,20 @@
     }
 
     /// The record by the file, if that is newer than the one that is held.
-    fn newer_calendar(&self, file: &Calendar, complaint: &mut Complaint) -> Option<NewerCalendar> {
+    fn newer_calendar(&self, file: &Calendar, complaint: &mut LoggedOnce) -> Option<NewerCalendar> {
         let view = self.store.view();
-        let held = &view.calendar;
+        let recorded = &view.calendar;
         // A record that can't be read at all is not written over.
-        if held.mod_revision > Revision(0) && held.value.is_none() {
+        if recorded.mod_revision > Revision(0) && recorded.value.is_none() {
             return None;
         }
-        match CalendarRecord::take(held.value.as_ref(), file) {
+        match CalendarRecord::take(recorded.value.as_ref(), file) {
             Taken::Newer(record) => Some(NewerCalendar {
-                mod_revision: held.mod_revision,
+                mod_revision: recorded.mod_revision,
                 record,
             }),
             Taken::Differs => {
-                complaint.make(|| {
+                complaint.log_once(|| {
                     let number = file.number;
                     tracing::error!(
                         number,
@@ -160,7 +147,8 @@
                 None
             }
             Taken::Later => {
-                complaint.make(|| tracing::error!("calendar: its record is of a later version"));
+                complaint
+                    .log_once(|| tracing::error!("calendar: its record is of a later version"));
                 None
             }
             Taken::Same | Taken::Older => None,
@@ -168,7 +156,7 @@
     }
 
     /// Whether windows may be recorded: the teams, types and sizes that they name.
-    fn check_calendar(&self, record: &CalendarRecord) -> Result<(), CalendarError> {
+    fn check_calendar(&self, record: &CalendarRecord) -> Result<(), InvalidRequest> {
         let known = Known {
             types: self.catalog.types().clone(),
             ..self.cfg.calendar_known(day_ms())
@@ -216,9 +204,9 @@
     }
 
     /// What operators are shown; only the owner of shard 0 knows all of it.
-    pub fn show_calendar(&self) -> Result<CalendarShown, Refused> {
+    pub fn show_calendar(&self) -> Result<CalendarShown, OperatorError> {
         if self.cfg.calendar.is_none() {
-            return Err(Refused::NoCalendar);
+            return Err(OperatorError::NoCalendar);
         }
         let view = self.store.view();
         let cores = self.shards.owned();
@@ -228,7 +216,7 @@
                 _ => view.shards.get(&ShardId(0)).map(|b| b.value.owner.clone()),
             };
             let other = owner.filter(|o| *o != self.cfg.node);
-            return Err(other.map_or(Refused::Unavailable, Refused::Elsewhere));
+            return Err(other.map_or(OperatorError::Unavailable, OperatorError::Elsewhere));
         };
         Ok(CalendarShown {
             number: view.calendar.value.as_ref().map_or(0, |c| c.number),
@@ -238,67 +226,68 @@
     }
 
     /// Pins a window, or takes one out. The answer comes once it is recorded.
-    pub async fn change_calendar(&self, asked: &CalendarAsked) -> Result<(), Refused> {
+    pub async fn change_calendar(&self, asked: &CalendarAsked) -> Result<(), OperatorError> {
         if self.cfg.calendar.is_none() {
-            return Err(Refused::NoCalendar);
+            return Err(OperatorError::NoCalendar);
         }
         if let CalendarAsked::Pin(pin) = asked {
             let checked = pin.window.check("window");
-            checked.map_err(wrong)?;
+            checked.map_err(InvalidRequest::from)?;
         }
-        for _ in 0..CHANGE_ATTEMPTS {
-            if !self.fresh().await {
-                return Err(Refused::Unavailable);
-            }
-            let held = self.store.view().calendar.clone();
-            let Some(record) = self.changed_calendar(&held, asked)? else {
-                return Ok(());
-            };
-            match self.write_calendar(held.mod_revision, &record).await {
-                Ok(TransactionOutcome::Done(revision)) => {
-                    tracing::info!(windows = record.entries.len(), "calendar");
-                    self.peers.announce(revision);
-                    self.fresh().await;
-                    return Ok(());
-                }
-                Ok(TransactionOutcome::Failed(_)) => {}
-                Err(error) => {
-                    tracing::info!(%error, "calendar");
-                    return Err(Refused::Unavailable);
-                }
-            }
+        let plan = || self.plan_calendar_change(asked);
+        let failed = |error: StateError| tracing::info!(%error, "calendar");
+        let recorded_windows = self.change_for_operator(PATIENCE, plan, failed).await?;
+        if let Some(windows) = recorded_windows {
+            tracing::info!(windows, "calendar");
+            self.fresh().await;
         }
-        Err(Refused::Unavailable)
+        Ok(())
+    }
+
+    /// The write that an operator asked for, with the number of windows then; none if
+    /// nothing is to be written.
+    fn plan_calendar_change(
+        &self,
+        asked: &CalendarAsked,
+    ) -> Result<ChangePlan<Option<usize>>, OperatorError> {
+        let view = self.store.view();
+        let Some(record) = self.changed_calendar(&view.calendar, asked)? else {
+            return Ok(ChangePlan::Unchanged(None));
+        };
+        let write = RecordWrite {
+            key: CALENDAR_KEY.into(),
+            mod_revision: view.calendar.mod_revision,
+            change: Change::write(CALENDAR_KEY.into(), &record, None),
+        };
+        Ok(ChangePlan::Write {
+            write,
+            outcome: Some(record.entries.len()),
+        })
     }
 
     /// The record as an operator asked for it; none if it is so already.
     fn changed_calendar(
         &self,
-        held: &Versioned<Option<CalendarRecord>>,
+        recorded: &Versioned<Option<CalendarRecord>>,
         asked: &CalendarAsked,
-    ) -> Result<Option<CalendarRecord>, Refused> {
-        if held.mod_revision > Revision(0) && held.value.is_none() {
-            return Err(Refused::Wrong("the calendar's record can't be read".into()));
+    ) -> Result<Option<CalendarRecord>, OperatorError> {
+        if recorded.mod_revision > Revision(0) && recorded.value.is_none() {
+            return Err(InvalidRequest::UnreadableCalendar.into());
         }
         match asked {
             CalendarAsked::Pin(pin) => {
-                let changed = CalendarRecord::pin(held.value.as_ref(), &pin.window);
-                let Some(record) = changed.map_err(wrong)? else {
+                let changed = CalendarRecord::pin(recorded.value.as_ref(), &pin.window);
+                let Some(record) = changed.map_err(InvalidRequest::from)? else {
                     return Ok(None);
                 };
-                self.check_calendar(&record).map_err(wrong)?;
+                self.check_calendar(&record)?;
                 Ok(Some(record))
             }
             CalendarAsked::Unpin(unpin) => {
-                let record = held.value.as_ref().ok_or(Refused::NoWindow)?;
-                let changed = record.unpin(&unpin.name).map_err(wrong)?;
-                Ok(Some(changed.ok_or(Refused::NoWindow)?))
+                let record = recorded.value.as_ref().ok_or(OperatorError::NoSuchWindow)?;
+                let changed = record.unpin(&unpin.name).map_err(InvalidRequest::from)?;
+                Ok(Some(changed.ok_or(OperatorError::NoSuchWindow)?))
             }
         }
     }
 }
-
-/// An operator's request is wrong for this reason.
-fn wrong(error: impl std::fmt::Display) -> Refused {
-    Refused::Wrong(error.to_string())
-}
--- a/src/control/resharding.rs
+++ b/src/control/resharding.rs
@@ -1,4 +1,4 @@
-//! From one shard to several, and back.
+//! From one shard to several: the machines and the teams' limits are divided.
 
 use sorrelhinge_sharding::owners::how_many;
 use sorrelhinge_sharding::shard::{ShardId, ShardScope};
@@ -7,10 +7,9 @@
 use super::core::{Core, RecoveryInput, ShardGrant};
 use super::{wall_ms, Node};
 use crate::state::record::{
-    member_key, shard_key, slice_key, GrantRecord, MemberRecord, ShardMapRecord, ShardRecord,
-    ShardedGrantFence, SliceRecord, GRANT, LEADER, MAP,
+    member_key, shard_key, slice_key, MemberRecord, ShardMapRecord, ShardRecord, ShardedGrantFence,
+    SliceRecord, GRANT, MAP,
 };
-use crate::state::view::View;
 use crate::state::{
     Change, Condition, RequestPriority, StateError, Transaction, TransactionOutcome,
 };
@@ -47,7 +46,7 @@
     of: u32,
     /// The number of the one grant that they replace.
     grant: u64,
-    /// Each scope's part of each team's limit.
+    /// Each shard's part of each team's limit.
     quotas: Vec<Vec<Amount>>,
     /// Nothing is written if the grant is another by then.
     guard: Condition,
@@ -129,7 +128,7 @@
         }
     }
 
-    /// What each scope would use, and its part of the limits by that.
+    /// What each shard would use, and its part of the limits by that.
     fn plan_division(&self, of: u32, grant: u64) -> Result<Division, DivideError> {
         let (now, wall) = (self.now(), wall_ms());
         let shards = (0..of).map(|b| ShardScope {
@@ -170,7 +169,7 @@
         })
     }
 
-    /// Writes each scope's part of the limits; returns the revision that has them.
+    /// Writes each shard's part of the limits; returns the revision that has them.
     async fn record_quotas(&self, division: &Division) -> Result<Revision, DivideError> {
         let names = || self.cfg.teams.iter().map(|t| t.name.to_string());
         let parts = division.quotas.iter().enumerate().map(|(b, part)| {
@@ -192,7 +191,7 @@
     }
 
     /// The map, the fence in the grant's place, this controller as a member, and a
-    /// record for each scope; only if the quotas are as written at `quotas_at`.
+    /// record for each shard; only if the quotas are as written at `quotas_at`.
     fn division_transaction(
         &self,
         division: &Division,
@@ -220,15 +219,7 @@
                 key: slice_key(shard),
                 mod_revision: quotas_at,
             });
-            let record = ShardRecord {
-                version: ShardRecord::VERSION,
-                owner: self.cfg.node.clone(),
-                run: self.run,
-                term: division.term,
-                number: division.grant + 1 + u64::from(shard.0),
-                to: None,
-                pin: None,
-            };
+            let record = self.first_shard_record(division, shard);
             changes.push(Change::write(shard_key(shard), &record, None));
         }
         Transaction {
@@ -237,101 +228,17 @@
         }
     }
 
-    /// From several shards to one, once this controller owns all of them and
-    /// nothing is under way: its grant is above all of theirs.
-    pub(super) async fn merge_shards(&self, of: u32) {
-        if !self.settle_all(of) {
-            return;
-        }
-        let (transaction, grant) = {
-            let view = self.store.view();
-            let grant = self.united_grant(&view);
-            (united_transaction(&view, &grant), grant)
-        };
-        match self
-            .state
-            .transact(&transaction, RequestPriority::First)
-            .await
-        {
-            Ok(TransactionOutcome::Done(revision)) => {
-                tracing::info!("shards merged");
-                self.peers.announce(revision);
-                self.begin_leadership(grant, revision).await;
-            }
-            // If it was carried out after all, nobody owns the shard: the lease
-            // ends, and whoever leads next takes it.
-            Err(StateError::Unknown(_)) => {
-                self.leadership.release();
-            }
-            other => {
-                tracing::info!(?other, "shard merge failed");
-                self.fresh().await;
-                for c in self.shards.owned_mut().values_mut() {
-                    c.thaw();
-                }
-            }
+    /// The record of a shard that begins with a division: this controller owns it, by the
+    /// grant numbers that follow the one grant's.
+    fn first_shard_record(&self, division: &Division, shard: ShardId) -> ShardRecord {
+        ShardRecord {
+            version: ShardRecord::VERSION,
+            owner: self.cfg.node.clone(),
+            run: self.run,
+            term: division.term,
+            number: division.grant + 1 + u64::from(shard.0),
+            to: None,
+            pin: None,
         }
     }
-
-    /// Freezes all shards if this controller owns them and none is moving; true once
-    /// nothing is under way in any.
-    fn settle_all(&self, of: u32) -> bool {
-        let now = self.now();
-        let view = self.store.view();
-        let mut cores = self.shards.owned_mut();
-        let whole = (0..of).all(|b| {
-            let held = view.shards.get(&ShardId(b));
-            let core = cores.get(ShardId(b));
-            let held = held.filter(|h| h.value.to.is_none());
-            held.zip(core)
-                .is_some_and(|(h, c)| h.value.number == c.grant)
-        });
-        if !whole {
-            return false;
-        }
-        for c in cores.values_mut() {
-            c.freeze(now);
-        }
-        let settled = cores.values().all(|c| c.settled(now));
-        settled
-    }
-
-    /// The grant of the one scope that is to be.
-    fn united_grant(&self, view: &View) -> GrantRecord {
-        GrantRecord {
-            owner: Some(self.cfg.node.clone()),
-            term: view.leader.value.as_ref().map_or(Term(0), |l| l.term),
-            number: view.newest_grant() + 1,
-        }
-    }
-}
-
-/// The map and the grant of one scope in place of all shards' records; only if this
-/// controller still leads and none of them changed.
-fn united_transaction(view: &View, grant: &GrantRecord) -> Transaction {
-    let map = ShardMapRecord {
-        version: ShardMapRecord::VERSION,
-        shards: 1,
-    };
-    let mut conditions = vec![Condition {
-        key: LEADER.into(),
-        mod_revision: view.leader.mod_revision,
-    }];
-    let mut changes = vec![
-        Change::write(MAP.into(), &map, None),
-        Change::write(GRANT.into(), grant, None),
-    ];
-    for (shard, held) in &view.shards {
-        conditions.push(Condition {
-            key: shard_key(*shard),
-            mod_revision: held.mod_revision,
-        });
-        changes.push(Change::Delete {
-            delete: shard_key(*shard),
-        });
-    }
-    Transaction {
-        conditions,
-        changes,
-    }
 }
--- a/src/control/shard_status.rs
+++ b/src/control/shard_status.rs
@@ -5,17 +5,16 @@
 use sorrelhinge_protocol::operators::{PinAsked, ShardShown, ShardsShown, TeamShown};
 use sorrelhinge_sharding::shard::ShardId;
 
-use super::drains::Refused;
+use super::operator_changes::{ChangePlan, RecordWrite};
+use super::operator_error::{InvalidRequest, OperatorError};
 use super::Node;
 use crate::state::record::{shard_key, ShardRecord};
 use crate::state::view::{Versioned, View};
-use crate::state::{Change, TransactionOutcome};
+use crate::state::Change;
 use crate::types::NodeId;
 
-/// For how long a change that an operator asked for is tried.
-const CHANGE_PATIENCE: Duration = Duration::from_secs(3);
-/// How often it is tried while others are faster.
-const CHANGE_ATTEMPTS: usize = 4;
+/// How long an attempt to pin a shard may wait at the state service.
+const PIN_PATIENCE: Duration = Duration::from_secs(3);
 
 impl Node {
     /// Shards, owners, machines, parts of limits and moves under way.
@@ -25,7 +24,7 @@
         let shards = if view.shard_count() > 1 {
             let shards = view.shards.iter();
             shards
-                .map(|(shard, held)| self.shown_shard(&view, *shard, &held.value))
+                .map(|(shard, recorded)| self.shown_shard(&view, *shard, &recorded.value))
                 .collect()
         } else {
             Vec::new()
@@ -50,10 +49,12 @@
     fn shown_shard(&self, view: &View, shard: ShardId, record: &ShardRecord) -> ShardShown {
         let member = view.members.get(&record.owner);
         let alive = member.is_some_and(|m| m.value.run == record.run);
-        let told = self.shards.needs_of(shard);
+        let published = self.shards.needs_of(shard);
         let teams = self.cfg.teams.iter().map(|t| {
             let slice = view.slices.get(&shard).map(|s| s.value.of(&t.name));
-            let needs = told.as_ref().map_or(&[][..], |told| &told.teams);
+            let needs = published
+                .as_ref()
+                .map_or(&[][..], |published| &published.teams);
             let need = needs.iter().find(|of| *of.team == *t.name);
             TeamShown {
                 team: t.name.to_string(),
@@ -69,59 +70,55 @@
             grant: record.number,
             to: record.to.as_ref().map(|to| to.to_string()),
             pin: record.pin.as_ref().map(|pin| pin.to_string()),
-            machines: told.as_ref().map(|n| n.machines),
+            machines: published.as_ref().map(|n| n.machines),
             why: why_there(record, alive),
             teams: teams.collect(),
         }
     }
 
     /// The record of one of several shards.
-    fn held_shard(&self, shard: ShardId) -> Result<Versioned<ShardRecord>, Refused> {
+    fn recorded_shard(&self, shard: ShardId) -> Result<Versioned<ShardRecord>, OperatorError> {
         let view = self.store.view();
-        let held = view.shards.get(&shard).filter(|_| view.shard_count() > 1);
-        held.cloned().ok_or_else(|| {
-            let n = view.shard_count();
-            Refused::Wrong(format!("there is no block {shard}: there are {n}, from 0"))
-        })
+        let recorded = view.shards.get(&shard).filter(|_| view.shard_count() > 1);
+        let shards = view.shard_count();
+        let unknown = InvalidRequest::UnknownShard { shard, shards };
+        Ok(recorded.cloned().ok_or(unknown)?)
     }
 
     /// Pins a shard to a controller, or takes its pin off. The answer comes once
     /// it is recorded; the leader does the rest.
-    pub async fn pin(&self, asked: &PinAsked) -> Result<(), Refused> {
-        asked.check().map_err(|e| Refused::Wrong(e.to_string()))?;
+    pub async fn pin(&self, asked: &PinAsked) -> Result<(), OperatorError> {
+        asked.check().map_err(InvalidRequest::from)?;
         let to = asked.to.as_deref().map(NodeId::from);
         let all = self.cfg.others.iter().map(|o| &o.node);
         if let Some(to) = &to {
             if !all.chain([&self.cfg.node]).any(|n| n == to) {
-                return Err(Refused::Wrong(format!("there is no controller {to}")));
+                return Err(InvalidRequest::UnknownController(to.clone()).into());
             }
         }
-        for _ in 0..CHANGE_ATTEMPTS {
-            if !self.fresh().await {
-                return Err(Refused::Unavailable);
-            }
-            let shard = ShardId(asked.block);
-            let held = self.held_shard(shard)?;
-            let record = ShardRecord {
-                pin: to.clone(),
-                ..held.value
-            };
-            let key = shard_key(shard);
-            let change = Change::write(key.clone(), &record, None);
-            let written = self
-                .state
-                .change(key, held.mod_revision, change, CHANGE_PATIENCE);
-            match written.await {
-                Ok(TransactionOutcome::Done(revision)) => {
-                    self.peers.announce(revision);
-                    return Ok(());
-                }
-                // It moved meanwhile.
-                Ok(TransactionOutcome::Failed(_)) => {}
-                Err(_) => return Err(Refused::Unavailable),
-            }
-        }
-        Err(Refused::Unavailable)
+        let plan = || self.plan_pin(ShardId(asked.block), to.as_ref());
+        // A failure is not logged: the operator is answered.
+        self.change_for_operator(PIN_PATIENCE, plan, |_| {}).await
+    }
+
+    /// The write of a shard's record with another pin.
+    fn plan_pin(
+        &self,
+        shard: ShardId,
+        pin: Option<&NodeId>,
+    ) -> Result<ChangePlan<()>, OperatorError> {
+        let recorded = self.recorded_shard(shard)?;
+        let record = ShardRecord {
+            pin: pin.cloned(),
+            ..recorded.value
+        };
+        let key = shard_key(shard);
+        let write = RecordWrite {
+            key: key.clone(),
+            mod_revision: recorded.mod_revision,
+            change: Change::write(key, &record, None),
+        };
+        Ok(ChangePlan::Write { write, outcome: () })
     }
 }
 
--- a/src/control/status_queries.rs
+++ b/src/control/status_queries.rs
@@ -1,20 +1,23 @@
-//! Polls: which are answered while not all can be, and who answers one that
-//! this controller can't confirm.
+//! What users see of a job. Polls: which are answered while not all can be, and who answers
+//! one that this controller can't confirm.
 
 use std::time::Duration;
 
 use sorrelhinge_overload::poll_shedding::Poll;
 use sorrelhinge_overload::pressure::Level;
+use sorrelhinge_protocol::users::PipelineStatus;
 use tokio::time::Instant;
 
+use super::store_watch::FRESH_VIEW_TIMEOUT;
 use super::Node;
 use crate::peer_link;
+use crate::scheduler::WaitingReason;
 use crate::state::record::Phase;
 use crate::state::view::Summary;
 use crate::types::{JobId, NodeId};
 
 /// A user waits 2 s: an answer after this comes too late.
-const ANSWERED: Duration = Duration::from_millis(1900);
+const ANSWER_DEADLINE: Duration = Duration::from_millis(1900);
 /// This controller tries for so long alone, so that another has time left. One
 /// read takes its turn of at most 0.3 s and an answer's way.
 const LOCAL_QUERY_TIMEOUT: Duration = Duration::from_millis(1200);
@@ -24,19 +27,78 @@
 /// Another one has so long, so that a second can be asked.
 const REMOTE_QUERY_TIMEOUT: Duration = Duration::from_millis(950);
 /// With less time left no other is asked.
-const LEAST: Duration = Duration::from_millis(100);
+const MIN_REMOTE_TIMEOUT: Duration = Duration::from_millis(100);
+
+/// What the records say of a job, by a read that began after it was asked about.
+#[derive(Clone, Debug, PartialEq)]
+pub enum JobStatus {
+    /// It was accepted; its state.
+    Recorded(Summary),
+    /// There is no such job.
+    Absent,
+    /// No read confirmed it in time.
+    Unconfirmed,
+}
+
+impl JobStatus {
+    /// Whether the records confirm it.
+    fn is_confirmed(&self) -> bool {
+        match self {
+            Self::Recorded(_) | Self::Absent => true,
+            Self::Unconfirmed => false,
+        }
+    }
+}
 
 /// What came of a poll.
 pub enum Polled {
-    /// Confirmed here; none: there is no such job.
-    Here(Option<Summary>),
+    /// This controller answers; unconfirmed: nobody could confirm it in time.
+    Local(JobStatus),
     /// Another controller answered.
-    There(peer_link::Answered),
-    /// Nobody could confirm it in time.
-    Unknown,
+    Peer(peer_link::Answered),
 }
 
 impl Node {
+    /// What users see of a job that is known to be over: that never changes.
+    fn final_summary(&self, id: &JobId) -> Option<Summary> {
+        let summary = self.store.view().summary(id);
+        summary.filter(|summary| summary.phase != Phase::Live)
+    }
+
+    /// Whether a job is known to be over.
+    fn is_over(&self, id: &JobId) -> bool {
+        self.final_summary(id).is_some()
+    }
+
+    /// What users see of a job, as of now.
+    pub(super) async fn status(&self, id: &JobId) -> JobStatus {
+        self.status_within(id, FRESH_VIEW_TIMEOUT).await
+    }
+
+    /// The same, for so long at the most.
+    async fn status_within(&self, id: &JobId, patience: Duration) -> JobStatus {
+        if let Some(summary) = self.final_summary(id) {
+            return JobStatus::Recorded(summary);
+        }
+        if !self.fresh_within(patience).await {
+            return JobStatus::Unconfirmed;
+        }
+        let summary = self.store.view().summary(id);
+        summary.map_or(JobStatus::Absent, JobStatus::Recorded)
+    }
+
+    /// What a job in a pipeline waits for and inherits, by this controller's view.
+    pub fn pipeline_status(&self, id: &JobId) -> Option<PipelineStatus> {
+        self.store.view().pipeline_status(id)
+    }
+
+    /// Why a job waits, if this controller places it and knows.
+    pub fn why_waits(&self, id: &JobId) -> Option<WaitingReason> {
+        let cores = self.shards.owned();
+        let mut here = cores.values().filter(|c| c.scope.homes(id));
+        here.find_map(|c| c.cluster_state.why_waits(id, self.now()))
+    }
+
     /// Whether a poll is to be told to come back as too much is asked for; see
     /// [`sorrelhinge_overload::poll_shedding`].
     pub fn sheds_poll(&self, id: &JobId) -> bool {
@@ -52,8 +114,8 @@
         self.admission.refuses_poll(poll, self.now())
     }
 
-    /// A user was told about a job, or `answered` is false and it could not be.
-    pub fn told_of(&self, id: &JobId, answered: bool) {
+    /// A user's request about a job was answered, or `answered` is false and it could not be.
+    pub fn record_answer(&self, id: &JobId, answered: bool) {
         if self.is_over(id) {
             return self.admission.job_over(id);
         }
@@ -73,9 +135,9 @@
     /// after everything this controller had told by then, which was recorded
     /// before it was told. What this one learnt meanwhile goes before it below.
     pub async fn poll(&self, id: &JobId) -> Polled {
-        let end = Instant::now() + ANSWERED;
+        let end = Instant::now() + ANSWER_DEADLINE;
         if self.cut_off() {
-            if let Some(polled) = self.poll_there(id, end).await {
+            if let Some(polled) = self.poll_peers(id, end).await {
                 return polled;
             }
         }
@@ -85,29 +147,27 @@
         } else {
             LOCAL_RETRY_TIMEOUT
         };
-        if let Some(summary) = self.status_within(id, left().min(patience)).await {
-            return Polled::Here(summary);
+        let status = self.status_within(id, left().min(patience)).await;
+        if status.is_confirmed() {
+            return Polled::Local(status);
         }
-        if let Some(polled) = self.poll_there(id, end).await {
+        if let Some(polled) = self.poll_peers(id, end).await {
             return polled;
         }
         // Nobody else can: what time is left may do here.
-        match self.status_within(id, left()).await {
-            Some(summary) => Polled::Here(summary),
-            None => Polled::Unknown,
-        }
+        Polled::Local(self.status_within(id, left()).await)
     }
 
     /// The same for another controller that could not; it passes nothing on.
-    pub async fn poll_for_peer(&self, id: &JobId) -> Option<Option<Summary>> {
+    pub async fn poll_for_peer(&self, id: &JobId) -> JobStatus {
         self.status_within(id, LOCAL_QUERY_TIMEOUT).await
     }
 
-    async fn poll_there(&self, id: &JobId, end: Instant) -> Option<Polled> {
-        let _passed = self.admission.pass_poll()?;
-        for other in self.who_answers_polls(id).iter().take(2) {
+    async fn poll_peers(&self, id: &JobId, end: Instant) -> Option<Polled> {
+        let _passed = self.admission.begin_forwarded_query()?;
+        for other in self.peers_answering_polls(id).iter().take(2) {
             let left = end.saturating_duration_since(Instant::now());
-            if left < LEAST {
+            if left < MIN_REMOTE_TIMEOUT {
                 return None;
             }
             let text = id.as_str().as_bytes().to_vec();
@@ -118,28 +178,26 @@
                 left.min(REMOTE_QUERY_TIMEOUT),
             );
             let answered = asked.await;
-            {
-                let view = self.store.view();
-                if let Some(s) = view.summary(id).filter(|s| s.phase != Phase::Live) {
-                    return Some(Polled::Here(Some(s)));
-                }
-                // What is recorded here was accepted: nobody may be told otherwise.
-                if answered.as_ref().is_some_and(|a| a.status == 404) && view.job(id).is_some() {
-                    tracing::error!(job = %id, by = %other, "an answer older than what is known");
-                    continue;
-                }
+            if let Some(summary) = self.final_summary(id) {
+                return Some(Polled::Local(JobStatus::Recorded(summary)));
+            }
+            // What is recorded here was accepted: nobody may be told otherwise.
+            let absent_there = answered.as_ref().is_some_and(|a| a.status == 404);
+            if absent_there && self.store.view().job(id).is_some() {
+                tracing::error!(job = %id, by = %other, "an answer older than what is known");
+                continue;
             }
             if let Some(answered) = answered.filter(|a| matches!(a.status, 200 | 404)) {
-                return Some(Polled::There(answered));
+                return Some(Polled::Peer(answered));
             }
         }
-        self.admission.polls_passed_in_vain();
+        self.admission.no_peer_answered_poll();
         None
     }
 
     /// Other controllers that can be reached and know polls, in an order of each
     /// job's own; the leader last, as it has the most to do.
-    fn who_answers_polls(&self, id: &JobId) -> Vec<NodeId> {
+    fn peers_answering_polls(&self, id: &JobId) -> Vec<NodeId> {
         let leader = self.store.view().leader.value.clone().map(|l| l.node);
         let knows = |n: &&NodeId| self.peer_statuses.answers_polls(n);
         let mut others: Vec<NodeId> = self.peers.reachable().filter(knows).cloned().collect();
