--- a/crates/agent/examples/measure.rs
+++ b/crates/agent/examples/measure.rs
@@ -58,7 +58,7 @@
         tasks: (0..tasks).map(|n| (key(n), known(n))).collect(),
         ..Recovered::default()
     };
-    Core::new(machine, found, Time(0.0)).0
+    Core::recover(machine, found, Time(0.0)).core
 }
 
 /// How large a heartbeat is, and how long one takes.
@@ -67,8 +67,8 @@
     let mut bytes = 0;
     let begun = Instant::now();
     for _ in 0..HEARTBEATS {
-        let (told, _) = core.status(Time(1.0));
-        if let sorrelhinge_agent::core::CommandOutcome::Heartbeat(_, heartbeat) = told {
+        let outcome = core.status(Time(1.0)).outcome;
+        if let sorrelhinge_agent::core::CommandOutcome::Heartbeat { heartbeat, .. } = outcome {
             bytes = serde_json::to_vec(&heartbeat).expect("JSON").len();
         }
     }
--- a/crates/agent/src/agent.rs
+++ b/crates/agent/src/agent.rs
@@ -34,7 +34,7 @@
 use self::tasks::Watched;
 use crate::attempt::Folder;
 use crate::clock;
-use crate::core::{Action, Core, Key, Note};
+use crate::core::{Action, Core, Key, Note, StartedCore};
 use crate::describe::{Description, Source};
 use crate::images::Cache;
 use crate::journal::{Journal, JournalError};
@@ -131,7 +131,7 @@
             .map_err(failed)?;
         let now = clock::now();
         tracing::info!(tasks = found.tasks.len(), running = watched.len(), incarnation = %found.incarnation, fencing_token = %found.fencing_token, "found");
-        let (core, actions) = Core::new(settings.machine(), found, now);
+        let StartedCore { core, actions } = Core::recover(settings.machine(), found, now);
         let agent = Rc::new(Self {
             source: settings.source(),
             settings,
--- a/crates/agent/src/agent/server.rs
+++ b/crates/agent/src/agent/server.rs
@@ -18,7 +18,7 @@
 
 use super::{Agent, MAX_BODY_BYTES};
 use crate::clock;
-use crate::core::{Action, CommandOutcome};
+use crate::core::{CommandOutcome, Reaction};
 use crate::peer_transfer;
 
 /// How long the body of a command may take.
@@ -30,19 +30,15 @@
 
 impl Agent {
     /// Carries out what a command came to, and answers it.
-    fn outcome(
-        self: &Rc<Self>,
-        outcome: CommandOutcome,
-        actions: Vec<Action>,
-    ) -> peer_transfer::Answer {
+    fn outcome(self: &Rc<Self>, reaction: Reaction) -> peer_transfer::Answer {
         // What is answered is on disk before it is said.
-        self.do_all(actions);
-        match outcome {
-            CommandOutcome::Heartbeat(taken, heartbeat) if !*self.failed.borrow() => {
+        self.do_all(reaction.actions);
+        match reaction.outcome {
+            CommandOutcome::Heartbeat { taken, heartbeat } if !*self.failed.borrow() => {
                 let body = serde_json::to_vec(&heartbeat).unwrap_or_default();
                 peer_transfer::plain(if taken { 200 } else { 409 }, body)
             }
-            CommandOutcome::Heartbeat(..) => error(503, "the disk fails"),
+            CommandOutcome::Heartbeat { .. } => error(503, "the disk fails"),
             CommandOutcome::NotNow => error(503, "tasks are being killed"),
         }
     }
@@ -70,8 +66,8 @@
         let (method, path) = (request.method().clone(), request.uri().path().to_owned());
         match (method, path.as_str()) {
             (Method::GET, "/status") => {
-                let (outcome, actions) = self.core.borrow_mut().status(clock::now());
-                self.outcome(outcome, actions)
+                let reaction = self.core.borrow_mut().status(clock::now());
+                self.outcome(reaction)
             }
             (Method::POST, "/orders") => {
                 let body = Limited::new(request.into_body(), MAX_BODY_BYTES).collect();
@@ -83,8 +79,8 @@
                     Ok(commands) => commands,
                     Err(why) => return error(400, &why.to_string()),
                 };
-                let (outcome, actions) = self.core.borrow_mut().commands(&commands, clock::now());
-                self.outcome(outcome, actions)
+                let reaction = self.core.borrow_mut().commands(&commands, clock::now());
+                self.outcome(reaction)
             }
             _ => error(404, "no such path"),
         }
--- a/crates/agent/src/agent/tasks.rs
+++ b/crates/agent/src/agent/tasks.rs
@@ -154,7 +154,7 @@
             let core = self.core.borrow();
             let running = core
                 .tasks()
-                .any(|(k, phase, _)| *k == key && phase != TaskPhase::Ended);
+                .any(|attempt| *attempt.key == key && attempt.phase != TaskPhase::Ended);
             running || core.is_dying(&key)
         };
         if running {
--- a/crates/agent/src/checksums.rs
+++ b/crates/agent/src/checksums.rs
@@ -26,11 +26,11 @@
 const VERSION: u32 = 1;
 
 /// Why a file of sums can't be used.
-#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
+#[derive(Debug, thiserror::Error)]
 pub enum ChecksumsError {
     /// It is not JSON, or not of the format.
     #[error("sums: {0}")]
-    Malformed(String),
+    Malformed(#[source] serde_json::Error),
     /// Another version wrote it.
     #[error("sums: version {}, not {}", .0, VERSION)]
     Version(u32),
@@ -79,8 +79,7 @@
     /// What is wrong with it: malformed, of a later version, or its numbers
     /// don't go together.
     pub fn read(text: &[u8]) -> Result<Self, ChecksumsError> {
-        let checksums: Self =
-            serde_json::from_slice(text).map_err(|e| ChecksumsError::Malformed(e.to_string()))?;
+        let checksums: Self = serde_json::from_slice(text).map_err(ChecksumsError::Malformed)?;
         if checksums.version != VERSION {
             return Err(ChecksumsError::Version(checksums.version));
         }
--- a/crates/agent/src/core.rs
+++ b/crates/agent/src/core.rs
@@ -14,12 +14,13 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use sorrelhinge_protocol::types::{Amount, FencingToken, Incarnation, Time};
-use sorrelhinge_protocol::worker::{ExitReason, ReportedImage, TaskPhase};
+use sorrelhinge_protocol::worker::{ReportedImage, TaskPhase};
 
 use self::attempts::{has_process, AttemptEntry};
 pub use self::heartbeats::ANSWER_TIMEOUT_S;
 pub use self::messages::{
-    Action, Answer, CommandOutcome, Ending, Exit, Key, Known, Machine, Needs, Note, Recovered,
+    Action, Answer, AttemptState, CommandOutcome, Ending, Exit, Key, Known, Machine, Needs, Note,
+    Reaction, Recovered,
 };
 
 /// A report that was sent and not answered yet.
@@ -56,18 +57,42 @@
     images: Vec<ReportedImage>,
 }
 
+/// A worker that has just started.
+#[derive(Clone, Debug)]
+pub struct StartedCore {
+    /// The worker.
+    pub core: Core,
+    /// What has to be carried out before anything else, in this order.
+    pub actions: Vec<Action>,
+}
+
 impl Core {
     /// A worker that has just started, or started again. If the lease ran out
     /// in the meantime, its tasks are killed before anything else is done.
-    pub fn new(machine: Machine, found: Recovered, now: Time) -> (Self, Vec<Action>) {
-        let mut core = Self {
+    pub fn recover(machine: Machine, found: Recovered, now: Time) -> StartedCore {
+        let first_start = found.answered.is_none();
+        let mut core = Self::without_tasks(machine, &found, now);
+        core.add_tasks(found.tasks, &found.needs);
+        let mut actions = vec![Action::Note(Note::Incarnation(core.incarnation))];
+        core.kill_dying(found.dying, &found.needs, &mut actions);
+        if first_start {
+            // A machine that has just started: its lease begins now.
+            actions.push(Action::Lease(now));
+        }
+        core.check_lease(now, &mut actions);
+        StartedCore { core, actions }
+    }
+
+    /// A worker with the numbers that were found, and without tasks.
+    fn without_tasks(machine: Machine, found: &Recovered, now: Time) -> Self {
+        Self {
             fencing_token: found.fencing_token,
             incarnation: Incarnation(found.incarnation.0.max(1)),
             sequence: found.sequence,
             sequences_noted: found.sequence,
             tasks: BTreeMap::new(),
             dying: BTreeMap::new(),
-            results: found.results,
+            results: found.results.clone(),
             answered: found.answered.unwrap_or(now),
             target: 0,
             flying: None,
@@ -78,28 +103,38 @@
             closed: false,
             images: Vec::new(),
             machine,
-        };
-        for (key, known) in found.tasks {
-            let attempt_entry = AttemptEntry::recovered(known, found.needs.get(&key).copied());
-            core.tasks.insert(key, attempt_entry);
         }
-        let mut actions = vec![Action::Note(Note::Incarnation(core.incarnation))];
-        for key in found.dying {
-            let each = found.needs.get(&key).map_or(Amount::default(), |n| n.each);
-            actions.push(Action::Kill(key.clone()));
-            core.dying.insert(key, each);
+    }
+
+    /// Takes in the attempts that were taken on and not forgotten.
+    fn add_tasks(&mut self, tasks: BTreeMap<Key, Known>, needs: &BTreeMap<Key, Needs>) {
+        for (key, known) in tasks {
+            let attempt_entry = AttemptEntry::recovered(known, needs.get(&key).copied());
+            self.tasks.insert(key, attempt_entry);
         }
-        if found.answered.is_none() {
-            // A machine that has just started: its lease begins now.
-            actions.push(Action::Lease(now));
+    }
+
+    /// Kills the attempts of an ended incarnation that are not known to be gone.
+    fn kill_dying(
+        &mut self,
+        dying: BTreeSet<Key>,
+        needs: &BTreeMap<Key, Needs>,
+        actions: &mut Vec<Action>,
+    ) {
+        for key in dying {
+            let each = needs.get(&key).map_or(Amount::default(), |n| n.each);
+            actions.push(Action::Kill(key.clone()));
+            self.dying.insert(key, each);
         }
-        core.check_lease(now, &mut actions);
-        (core, actions)
     }
 
     /// The tasks, for those who look at the machine.
-    pub fn tasks(&self) -> impl Iterator<Item = (&Key, TaskPhase, Option<ExitReason>)> {
-        self.tasks.iter().map(|(k, h)| (k, h.phase, h.exit_reason))
+    pub fn tasks(&self) -> impl Iterator<Item = AttemptState<'_>> {
+        self.tasks.iter().map(|(key, entry)| AttemptState {
+            key,
+            phase: entry.phase,
+            exit_reason: entry.exit_reason,
+        })
     }
 
     /// Whether an attempt was killed with its incarnation and is not gone yet.
--- a/crates/agent/src/core/commands.rs
+++ b/crates/agent/src/core/commands.rs
@@ -7,7 +7,7 @@
 use sorrelhinge_protocol::worker::{Command, DirectCommands, ExitReason, TaskPhase};
 
 use super::attempts::{has_process, AttemptEntry};
-use super::{Action, CommandOutcome, Core, Key, Note};
+use super::{Action, CommandOutcome, Core, Key, Note, Reaction};
 
 /// Bytes of a heartbeat from which on nothing more is taken on.
 const FULL_HEARTBEAT_BYTES: usize = 48 << 10;
@@ -23,15 +23,14 @@
 
 impl Core {
     /// Direct commands.
-    pub fn commands(
-        &mut self,
-        commands: &DirectCommands,
-        now: Time,
-    ) -> (CommandOutcome, Vec<Action>) {
+    pub fn commands(&mut self, commands: &DirectCommands, now: Time) -> Reaction {
         let mut actions = Vec::new();
         self.check_lease(now, &mut actions);
         if !self.dying.is_empty() {
-            return (CommandOutcome::NotNow, actions);
+            return Reaction {
+                outcome: CommandOutcome::NotNow,
+                actions,
+            };
         }
         let taken = commands.fencing_token >= self.fencing_token
             && commands.incarnation == self.incarnation;
@@ -40,24 +39,33 @@
             self.execute(&commands.commands, now, &mut actions);
         }
         let heartbeat = self.heartbeat(&mut actions);
-        (
-            CommandOutcome::Heartbeat(taken, Box::new(heartbeat)),
+        Reaction {
+            outcome: CommandOutcome::Heartbeat {
+                taken,
+                heartbeat: Box::new(heartbeat),
+            },
             actions,
-        )
+        }
     }
 
     /// `GET /status`.
-    pub fn status(&mut self, now: Time) -> (CommandOutcome, Vec<Action>) {
+    pub fn status(&mut self, now: Time) -> Reaction {
         let mut actions = Vec::new();
         self.check_lease(now, &mut actions);
         if !self.dying.is_empty() {
-            return (CommandOutcome::NotNow, actions);
+            return Reaction {
+                outcome: CommandOutcome::NotNow,
+                actions,
+            };
         }
         let heartbeat = self.heartbeat(&mut actions);
-        (
-            CommandOutcome::Heartbeat(true, Box::new(heartbeat)),
+        Reaction {
+            outcome: CommandOutcome::Heartbeat {
+                taken: true,
+                heartbeat: Box::new(heartbeat),
+            },
             actions,
-        )
+        }
     }
 
     /// Carries out commands in their order.
--- a/crates/agent/src/core/messages.rs
+++ b/crates/agent/src/core/messages.rs
@@ -8,7 +8,7 @@
 use sorrelhinge_protocol::types::{
     Amount, Attempt, FencingToken, Incarnation, MachineId, Time, TypeName, Zone,
 };
-use sorrelhinge_protocol::worker::{ExitReason, Heartbeat, Reply};
+use sorrelhinge_protocol::worker::{ExitReason, Heartbeat, Reply, TaskPhase};
 
 /// A task's attempt: `run-000412/3` and its number.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
@@ -175,11 +175,37 @@
     None,
 }
 
+/// What an answer to a direct command or to `GET /status` is, and what has to be done
+/// for it.
+#[derive(Clone, Debug, PartialEq)]
+pub struct Reaction {
+    /// The answer.
+    pub outcome: CommandOutcome,
+    /// What has to be carried out first, in this order.
+    pub actions: Vec<Action>,
+}
+
+/// One attempt, as those see it who look at the machine.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct AttemptState<'a> {
+    /// Which attempt.
+    pub key: &'a Key,
+    /// Its phase.
+    pub phase: TaskPhase,
+    /// Why it ended, once it has.
+    pub exit_reason: Option<ExitReason>,
+}
+
 /// What a direct command is answered.
 #[derive(Clone, Debug, PartialEq)]
 pub enum CommandOutcome {
-    /// Carried out, or refused with 409: the heartbeat.
-    Heartbeat(bool, Box<Heartbeat>),
+    /// The heartbeat.
+    Heartbeat {
+        /// The commands were carried out; else they are refused with 409.
+        taken: bool,
+        /// What the machine is now.
+        heartbeat: Box<Heartbeat>,
+    },
     /// Tasks of an ended incarnation are still being killed: nothing may be said
     /// of what is here.
     NotNow,
--- a/crates/agent/src/describe.rs
+++ b/crates/agent/src/describe.rs
@@ -26,14 +26,14 @@
 const FETCH_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// Why a description can't be used.
-#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
+#[derive(Debug, thiserror::Error)]
 pub enum DescriptionError {
     /// It has more bytes than are read.
     #[error("longer than {} bytes", MAX_DESCRIPTION_BYTES)]
     TooLong,
     /// Something follows it.
-    #[error("{0}")]
-    Trailing(String),
+    #[error(transparent)]
+    Trailing(serde_json::Error),
     /// A field is not valid.
     #[error(transparent)]
     Field(#[from] InvalidField),
@@ -170,8 +170,7 @@
                 path: format!("job.{}", e.path()),
                 reason: e.inner().to_string(),
             })?;
-        json.end()
-            .map_err(|e| DescriptionError::Trailing(e.to_string()))?;
+        json.end().map_err(DescriptionError::Trailing)?;
         description
             .validate()
             .map_err(|report| InvalidField::first(&report, "job"))?;
--- a/crates/agent/src/supervise.rs
+++ b/crates/agent/src/supervise.rs
@@ -90,38 +90,56 @@
         return Err(SuperviseError::Over);
     }
     let task = folder.task().ok_or(SuperviseError::NoTask)?;
-    // Whatever the task leaves behind becomes this process's child.
+    let pid = become_subreaper()?;
+    folder.runs(&pid).map_err(failed)?;
+    let exit = run(&folder, &task, pid);
+    folder.ended(exit).map_err(failed)
+}
+
+/// Makes whatever the task leaves behind this process's child; this process, for those
+/// who look for it.
+fn become_subreaper() -> Result<Pid, SuperviseError> {
     set_child_subreaper(Some(rustix::process::getpid())).map_err(SuperviseError::Subreaper)?;
     let own = rustix::process::getpid().as_raw_nonzero().get();
-    let mut pid = Pid {
+    Ok(Pid {
         boot: clock::boot_id(),
         supervisor: Process::find(own).ok_or(SuperviseError::NoProcess)?,
         task: None,
-    };
-    folder.runs(&pid).map_err(failed)?;
-    let exit = match spawn(&folder, &task) {
-        Ok((child, keepers)) => {
-            pid.task = Process::find(child.id() as i32);
-            // It is known before anything else happens; without it the task
-            // could not be found again.
-            let known = folder.runs(&pid);
-            let exit = watch(&folder, &task, child, known.is_ok());
-            // The last of the output; nobody is left who could write more.
-            for keeper in keepers {
-                let _ = keeper.join();
-            }
-            exit
-        }
+    })
+}
+
+/// Starts the task and waits until none of its processes is left; `pid` is this
+/// process.
+fn run(folder: &Folder, task: &Task, mut pid: Pid) -> Exit {
+    let Spawned { child, writers } = match spawn(folder, task) {
+        Ok(spawned) => spawned,
         Err(error) => {
             eprintln!("{}: {error}", task.description.command[0]);
-            Exit::Failed
+            return Exit::Failed;
         }
     };
-    folder.ended(exit).map_err(failed)
+    pid.task = Process::find(child.id() as i32);
+    // It is known before anything else happens; without it the task
+    // could not be found again.
+    let known = folder.runs(&pid);
+    let exit = watch(folder, task, child, known.is_ok());
+    // The last of the output; nobody is left who could write more.
+    for writer in writers {
+        let _ = writer.join();
+    }
+    exit
+}
+
+/// A task that was started.
+struct Spawned {
+    /// Its first process, which leads its process group.
+    child: Child,
+    /// What writes its output down, until the output ends.
+    writers: Vec<JoinHandle<()>>,
 }
 
 /// Starts the task as a process group of its own, with what keeps its output.
-fn spawn(folder: &Folder, task: &Task) -> std::io::Result<(Child, Vec<JoinHandle<()>>)> {
+fn spawn(folder: &Folder, task: &Task) -> std::io::Result<Spawned> {
     let mut child = Command::new(std::env::current_exe()?)
         .arg("become")
         .arg(&folder.0)
@@ -131,14 +149,14 @@
         .process_group(0)
         .spawn()?;
     let max = task.description.log_kb * 1024;
-    let mut keepers = Vec::new();
+    let mut writers = Vec::new();
     if let Some(out) = child.stdout.take() {
-        keepers.push(keep(out, folder.0.join("out"), max));
+        writers.push(keep(out, folder.0.join("out"), max));
     }
     if let Some(err) = child.stderr.take() {
-        keepers.push(keep(err, folder.0.join("err"), max));
+        writers.push(keep(err, folder.0.join("err"), max));
     }
-    Ok((child, keepers))
+    Ok(Spawned { child, writers })
 }
 
 /// Keeps a stream's latest `max` bytes, in two files of half of them each. If
--- a/crates/agent/tests/checksums.rs
+++ b/crates/agent/tests/checksums.rs
@@ -6,10 +6,8 @@
 fn checksums_that_do_not_go_together_are_refused() {
     let bytes: Vec<u8> = (0..10_000_u32).map(|n| n as u8).collect();
     let checksums = Checksums::of(&bytes[..], 4096).expect("sums");
-    assert_eq!(
-        Checksums::read(checksums.text().as_bytes()),
-        Ok(checksums.clone())
-    );
+    let read = Checksums::read(checksums.text().as_bytes());
+    assert_eq!(read.expect("the text is valid"), checksums);
     assert_eq!((checksums.chunks(), checksums.span(2)), (3, 8192..10_000));
     assert_eq!(checksums.within(4095, 4097), 0..2);
     assert_eq!(checksums.within(4096, 8192), 1..2);
--- a/crates/agent/tests/worker_model.rs
+++ b/crates/agent/tests/worker_model.rs
@@ -7,7 +7,8 @@
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 use sorrelhinge_agent::core::{
-    Action, Answer, CommandOutcome, Core, Exit, Key, Machine, Needs, Note, Recovered,
+    Action, Answer, CommandOutcome, Core, Exit, Key, Machine, Needs, Note, Reaction, Recovered,
+    StartedCore,
 };
 use sorrelhinge_agent::journal::State;
 use sorrelhinge_protocol::types::{
@@ -403,16 +404,19 @@
             commands: commands.clone(),
         };
         self.model.lease(self.now);
-        let (told, actions) = self.core.commands(&direct, Time(self.now));
+        let Reaction { outcome, actions } = self.core.commands(&direct, Time(self.now));
         let taken = matches && fencing_token >= self.model.fencing_token && !self.model.dying();
         if taken && incarnation == self.model.incarnation {
             self.model.fencing_token = fencing_token;
             self.model.execute(&commands);
         }
         self.act(actions)?;
-        match told {
+        match outcome {
             CommandOutcome::NotNow => prop_assert!(self.model.dying()),
-            CommandOutcome::Heartbeat(did, heartbeat) => {
+            CommandOutcome::Heartbeat {
+                taken: did,
+                heartbeat,
+            } => {
                 prop_assert_eq!(did, taken);
                 self.said(&heartbeat)?;
             }
@@ -531,7 +535,7 @@
         self.model
             .restart(found.results.iter().cloned().collect(), &unborn);
         self.flying = None;
-        let (core, actions) = Core::new(machine(), found, Time(self.now));
+        let StartedCore { core, actions } = Core::recover(machine(), found, Time(self.now));
         self.core = core;
         let before: Vec<_> = self.model.tasks.keys().cloned().collect();
         self.model.lease(self.now);
@@ -580,7 +584,7 @@
 
     #[test]
     fn the_core_is_protocols_worker(steps in prop::collection::vec(step(), 1..80)) {
-        let (core, actions) = Core::new(machine(), Recovered::default(), Time(0.0));
+        let StartedCore { core, actions } = Core::recover(machine(), Recovered::default(), Time(0.0));
         let mut world = World {
             core,
             model: Model { incarnation: 1, ..Model::default() },
