--- a/crates/agent/examples/measure.rs
+++ b/crates/agent/examples/measure.rs
@@ -13,7 +13,7 @@
 
 use serde_json::{json, Value};
 use sorrelhinge_agent::core::{Core, Ending, Key, Known, Machine, Recovered};
-use sorrelhinge_emulators::{ask, run, serve};
+use sorrelhinge_emulators::{ask, run, serve, HttpResponse};
 use sorrelhinge_protocol::types::{Amount, Attempt, MachineId, Time, TypeName, Zone};
 use sorrelhinge_protocol::worker::ExitReason;
 use tokio::net::TcpListener;
@@ -102,7 +102,7 @@
 async fn all_ended(listen: SocketAddr, tasks: usize) {
     loop {
         let told = ask(listen, hyper::Method::GET, "/status", &Value::Null).await;
-        if told.is_some_and(|(_, heartbeat)| pieces(&heartbeat, "ended") == tasks) {
+        if told.is_some_and(|response| pieces(&response.body, "ended") == tasks) {
             return;
         }
         sleep(Duration::from_millis(20)).await;
@@ -118,7 +118,7 @@
         let tell = tell.clone();
         Box::pin(async move {
             let _ = tell.send(serde_json::from_slice(&body).unwrap_or(Value::Null));
-            (200, json!({"baton": 1, "orders": []}))
+            HttpResponse::new(200, json!({"baton": 1, "orders": []}))
         })
     });
     (address, told)
--- a/crates/agent/tests/cut_sockets.rs
+++ b/crates/agent/tests/cut_sockets.rs
@@ -23,7 +23,7 @@
 use sorrelhinge_agent::attempt::Folder;
 use sorrelhinge_agent::settings::Settings;
 use sorrelhinge_emulators::place::Place;
-use sorrelhinge_emulators::{ask, run, serve, store};
+use sorrelhinge_emulators::{ask, run, serve, store, HttpResponse};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::tcp::{OwnedReadHalf, OwnedWriteHalf};
 use tokio::net::{TcpListener, TcpStream};
@@ -162,7 +162,7 @@
         Box::pin(async move {
             let body: Value = serde_json::from_slice(&body).unwrap_or(Value::Null);
             match path.split('?').next().unwrap_or_default() {
-                "/machine_types" => (
+                "/machine_types" => HttpResponse::new(
                     200,
                     json!({"builds": [{"label": "t", "cpus": 4.0, "cards": 0.0, "ram_gb": 16.0,
                         "cache_gb": 20.0, "pull_gb_per_s": 1.0, "rate": 1.0, "market_price": 0.4,
@@ -175,9 +175,11 @@
                             machine.switch_off();
                         }
                     }
-                    (200, json!({}))
+                    HttpResponse::new(200, json!({}))
+                }
+                "/rentals" if body.is_object() => {
+                    HttpResponse::new(503, json!({"error": "no capacity"}))
                 }
-                "/rentals" if body.is_object() => (503, json!({"error": "no capacity"})),
                 _ => {
                     let machines = machines.borrow();
                     let boxes: Vec<Value> = machines
@@ -188,7 +190,7 @@
                                 "loaners": false, "phase": "running", "held_s": 60.0})
                         })
                         .collect();
-                    (200, json!({"boxes": boxes, "truncated": false}))
+                    HttpResponse::new(200, json!({"boxes": boxes, "truncated": false}))
                 }
             }
         })
@@ -492,7 +494,7 @@
         loop {
             let users = self.place.users(n % 3);
             let told = ask(users, Method::POST, "/v1/jobs", &job).await;
-            if told.is_some_and(|(status, _)| status < 300) {
+            if told.is_some_and(|response| response.status < 300) {
                 break;
             }
             assert!(Instant::now() < end, "{uid} is not accepted");
@@ -529,7 +531,7 @@
             for uid in open {
                 let path = format!("/v1/jobs/{uid}");
                 let told = ask(users, Method::GET, &path, &Value::Null).await;
-                if told.is_none_or(|(_, body)| body["phase"] != "done") {
+                if told.is_none_or(|response| response.body["phase"] != "done") {
                     left.push(uid);
                 }
             }
--- a/crates/agent/tests/peer_transfer.rs
+++ b/crates/agent/tests/peer_transfer.rs
@@ -17,7 +17,7 @@
 use sorrelhinge_agent::agent::Agent;
 use sorrelhinge_agent::checksums::{sha256, Checksums};
 use sorrelhinge_agent::settings::Settings;
-use sorrelhinge_emulators::{ask, run, serve};
+use sorrelhinge_emulators::{ask, run, serve, HttpResponse};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpSocket, TcpStream};
 use tokio::sync::oneshot;
@@ -248,7 +248,7 @@
         serve(listener, move |_, _, body| {
             let heartbeat = serde_json::from_slice(&body).unwrap_or(Value::Null);
             heard.borrow_mut().push(heartbeat);
-            Box::pin(async { (200, json!({"baton": 1, "orders": []})) })
+            Box::pin(async { HttpResponse::new(200, json!({"baton": 1, "orders": []})) })
         });
         Self {
             root,
@@ -338,12 +338,12 @@
         let commands = json!({"baton": 1, "shift": 1, "orders": [
             {"verb": "start", "piece": task, "try": attempt, "from": from}]});
         let told = ask(self.addr, Method::POST, "/orders", &commands).await;
-        assert_eq!(told.expect("an answer").0, 200);
+        assert_eq!(told.expect("an answer").status, 200);
     }
 
     async fn heartbeat(&self) -> Value {
         let told = ask(self.addr, Method::GET, "/status", &Value::Null).await;
-        told.map_or(Value::Null, |(_, heartbeat)| heartbeat)
+        told.map_or(Value::Null, |response| response.body)
     }
 
     /// Why a task ended, once it has.
--- a/crates/agent/tests/stopped_agent.rs
+++ b/crates/agent/tests/stopped_agent.rs
@@ -13,7 +13,7 @@
 use serde_json::{json, Value};
 use sorrelhinge_agent::attempt::Process;
 use sorrelhinge_emulators::place::Place;
-use sorrelhinge_emulators::{ask, run, serve};
+use sorrelhinge_emulators::{ask, run, serve, HttpResponse};
 use tokio::net::TcpListener;
 use tokio::time::sleep;
 
@@ -27,7 +27,7 @@
     serve(listener, move |_, _, body| {
         let heartbeat = serde_json::from_slice(&body).unwrap_or(Value::Null);
         heartbeats.borrow_mut().push(heartbeat);
-        Box::pin(async { (200, json!({"baton": 1, "orders": []})) })
+        Box::pin(async { HttpResponse::new(200, json!({"baton": 1, "orders": []})) })
     });
     address
 }
@@ -90,7 +90,7 @@
         }
     }
 
-    async fn order(&self, verb: &str, n: u32) -> (u16, Value) {
+    async fn order(&self, verb: &str, n: u32) -> HttpResponse {
         let commands = json!({"baton": 1, "shift": 1, "orders": [
             {"verb": verb, "piece": format!("run-1/{n}"), "try": 1, "mercy_s": 0.0}]});
         let told = ask(self.listen, Method::POST, "/orders", &commands).await;
@@ -128,7 +128,7 @@
 fn an_agent_stopped_past_its_lease_begins_anew() {
     run(async {
         let agent = Agent::start("signal").await;
-        assert_eq!(agent.order("start", 0).await.0, 200);
+        assert_eq!(agent.order("start", 0).await.status, 200);
         let task = agent.process(0).await;
         let running = |a: &Agent| {
             let heartbeats = a.heartbeats.borrow();
@@ -158,7 +158,7 @@
         let old = heartbeats.iter().skip(before).filter(|r| r["shift"] == 1);
         assert_eq!(old.count(), 0, "nothing is said of the old session");
         // Commands of the old incarnation are refused.
-        assert_eq!(agent.order("start", 1).await.0, 409);
+        assert_eq!(agent.order("start", 1).await.status, 409);
     });
 }
 
@@ -168,7 +168,8 @@
 fn commands_repeated_and_after_forget() {
     run(async {
         let agent = Agent::start("repeat").await;
-        let tasks = |told: &(u16, Value)| told.1["pieces"].as_array().cloned().unwrap_or_default();
+        let tasks =
+            |told: &HttpResponse| told.body["pieces"].as_array().cloned().unwrap_or_default();
         assert_eq!(tasks(&agent.order("start", 0).await).len(), 1);
         let task = agent.process(0).await;
         assert_eq!(tasks(&agent.order("start", 0).await).len(), 1);
--- a/crates/emulators/src/asking.rs
+++ b/crates/emulators/src/asking.rs
@@ -11,6 +11,20 @@
 use crate::history::{check, InvariantViolation, Limits};
 use crate::{ask, HttpResponse, World, CANCEL_S};
 
+/// What became of copies of heartbeats that were delivered.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct Replayed {
+    /// Copies that were sent.
+    pub sent: usize,
+    /// Those of them that were answered with 200.
+    pub accepted: usize,
+}
+
+/// Whether a response tells anything but to ask again, or elsewhere.
+fn is_final(response: &HttpResponse) -> bool {
+    response.status < 500 && response.status != 421 && response.status != 429
+}
+
 impl World {
     /// Asks any controller, again and again until one answers with less than
     /// 500 and not 421.
@@ -22,8 +36,7 @@
                     .recorder
                     .ask(i, c.users, method.clone(), path, body)
                     .await;
-                if let Some(response) = response.filter(|(s, _)| *s < 500 && *s != 421 && *s != 429)
-                {
+                if let Some(response) = response.filter(is_final) {
                     return response;
                 }
             }
@@ -68,17 +81,17 @@
     /// Submits a job; `more` overrides the usual fields.
     pub async fn submit(&self, uid: &str, more: Value) -> HttpResponse {
         let job = self.job(uid, more);
-        let (status, response) = self.ask(Method::POST, "/v1/jobs", &job).await;
-        if [200, 201].contains(&status) {
+        let mut response = self.ask(Method::POST, "/v1/jobs", &job).await;
+        if [200, 201].contains(&response.status) {
             let now = Instant::now();
             self.answered.borrow_mut().insert(uid.to_owned(), now);
         }
-        match (status, response) {
+        if response.status == 200 {
             // The id is new: an earlier try of this very call was accepted, and
             // its answer came too late.
-            (200, response) => (201, response),
-            response => response,
+            response.status = 201;
         }
+        response
     }
 
     /// Users ask for all accepted jobs from now on, again and again, of one
@@ -100,11 +113,13 @@
                 let node = turn % users.len();
                 let asked = recorder.ask(node, users[node], Method::GET, &path, &Value::Null);
                 let response = asked.await;
-                let gone = response.as_ref().is_some_and(|(status, _)| *status == 404);
+                let gone = response
+                    .as_ref()
+                    .is_some_and(|response| response.status == 404);
                 if gone {
                     nodes.borrow_mut().wrong.push(format!("forgotten: {uid}"));
                 }
-                if response.is_some_and(|(status, _)| status == 200) {
+                if response.is_some_and(|response| response.status == 200) {
                     let last = answered.borrow_mut().insert(uid, Instant::now());
                     let waited = last.map_or(Duration::ZERO, |at| at.elapsed());
                     longest.set(longest.get().max(waited));
@@ -134,14 +149,17 @@
 
     /// Delivers copies of heartbeats to one controller alone: how many, and how many of
     /// them it answered with 200.
-    pub async fn replay_to(&self, i: usize, age_s: f64, max: usize) -> (usize, usize) {
+    pub async fn replay_to(&self, i: usize, age_s: f64, max: usize) -> Replayed {
         let copies = self.nodes.borrow().old_heartbeats(age_s, max);
-        let mut taken = 0;
+        let mut accepted = 0;
         for heartbeat in &copies {
             let response = ask(self.address(i), Method::POST, "/agent/beat", heartbeat).await;
-            taken += usize::from(response.is_some_and(|(status, _)| status == 200));
+            accepted += usize::from(response.is_some_and(|response| response.status == 200));
+        }
+        Replayed {
+            sent: copies.len(),
+            accepted,
         }
-        (copies.len(), taken)
     }
 
     /// Which rules the history breaks so far; the bounds are the world's own.
@@ -167,9 +185,9 @@
     /// What users are told of a job.
     pub async fn phase(&self, uid: &str) -> Value {
         let path = format!("/v1/jobs/{uid}");
-        let (status, response) = self.ask(Method::GET, &path, &Value::Null).await;
-        assert_eq!(status, 200, "{response}");
-        response["phase"].clone()
+        let HttpResponse { status, body } = self.ask(Method::GET, &path, &Value::Null).await;
+        assert_eq!(status, 200, "{body}");
+        body["phase"].clone()
     }
 
     /// Whether no task of these jobs is on a machine any more.
--- a/crates/emulators/src/cloud.rs
+++ b/crates/emulators/src/cloud.rs
@@ -57,18 +57,20 @@
     /// The answer to a request by its path.
     fn answer(&self, path: &str, body: &Value) -> HttpResponse {
         match path {
-            "/machine_types" => (200, machine_types()),
-            "/rentals" if self.nodes.borrow().full => (503, json!({"error": "no capacity"})),
-            "/rentals" => (200, json!({ "boxes": self.rent(body) })),
+            "/machine_types" => HttpResponse::new(200, machine_types()),
+            "/rentals" if self.nodes.borrow().full => {
+                HttpResponse::new(503, json!({"error": "no capacity"}))
+            }
+            "/rentals" => HttpResponse::new(200, json!({ "boxes": self.rent(body) })),
             "/rentals/delete" => {
                 for id in body["boxes"].as_array().into_iter().flatten() {
                     self.give_back(id.as_str().unwrap_or_default());
                 }
-                (200, json!({}))
+                HttpResponse::new(200, json!({}))
             }
             _ => {
                 let boxes = self.list();
-                (200, json!({"boxes": boxes, "truncated": false}))
+                HttpResponse::new(200, json!({"boxes": boxes, "truncated": false}))
             }
         }
     }
--- a/crates/emulators/src/history/record.rs
+++ b/crates/emulators/src/history/record.rs
@@ -72,9 +72,9 @@
 
     /// Notes what the user is told now.
     pub fn answered(&self, request: RequestId, response: Option<&HttpResponse>) {
-        let answer = response.map_or(Answer::Nothing, |(status, body)| {
-            let phase = body["phase"].as_str().and_then(JobPhase::parse);
-            Answer::Status(*status, phase)
+        let answer = response.map_or(Answer::Nothing, |response| {
+            let phase = response.body["phase"].as_str().and_then(JobPhase::parse);
+            Answer::Status(response.status, phase)
         });
         self.note(Event::Answered { request, answer });
     }
--- a/crates/emulators/src/lib.rs
+++ b/crates/emulators/src/lib.rs
@@ -54,8 +54,22 @@
 /// How long a cancellation may take there, in seconds.
 pub const CANCEL_S: f64 = 12.0;
 
-/// An answer of a stand-in: status and body.
-pub type HttpResponse = (u16, Value);
+/// A response over HTTP, as a stand-in gives it or as a test gets it.
+#[derive(Clone, Debug, PartialEq)]
+pub struct HttpResponse {
+    /// The status code.
+    pub status: u16,
+    /// The body as JSON; `null` where there is none, or one that is no JSON.
+    pub body: Value,
+}
+
+impl HttpResponse {
+    /// A response of this status and body.
+    pub fn new(status: u16, body: Value) -> Self {
+        Self { status, body }
+    }
+}
+
 type Answer = Pin<Box<dyn Future<Output = HttpResponse>>>;
 
 /// Serves `answer` on a listener until dropped with its task.
@@ -75,12 +89,8 @@
                         let method = request.method().clone();
                         let path = request.uri().to_string();
                         let body = request.into_body().collect().await?.to_bytes();
-                        let (status, response) = answer(method, path, body).await;
-                        let mut response =
-                            Response::new(Full::new(Bytes::from(response.to_string())));
-                        *response.status_mut() =
-                            hyper::StatusCode::from_u16(status).unwrap_or_default();
-                        Ok::<_, hyper::Error>(response)
+                        let response = answer(method, path, body).await;
+                        Ok::<_, hyper::Error>(encode(&response))
                     }
                 });
                 let _ = hyper::server::conn::http1::Builder::new()
@@ -91,6 +101,14 @@
     });
 }
 
+/// A response as it goes over the connection.
+fn encode(response: &HttpResponse) -> Response<Full<Bytes>> {
+    let text = response.body.to_string();
+    let mut encoded = Response::new(Full::new(Bytes::from(text)));
+    *encoded.status_mut() = hyper::StatusCode::from_u16(response.status).unwrap_or_default();
+    encoded
+}
+
 const LIMITS: Limits = Limits {
     connect: Duration::from_millis(500),
     answer: Duration::from_secs(2),
@@ -107,8 +125,8 @@
 /// An answer as a status and JSON; none without one.
 fn response(answer: Result<http::Answer, CallError>) -> Option<HttpResponse> {
     let answer = answer.ok()?;
-    let response = serde_json::from_slice(&answer.body).unwrap_or(Value::Null);
-    Some((answer.status.as_u16(), response))
+    let body = serde_json::from_slice(&answer.body).unwrap_or(Value::Null);
+    Some(HttpResponse::new(answer.status.as_u16(), body))
 }
 
 /// Asks over HTTP; none without an answer.
--- a/crates/emulators/src/nodes/worker.rs
+++ b/crates/emulators/src/nodes/worker.rs
@@ -135,7 +135,7 @@
     if nodes.borrow().is_unreached(&id, commands.as_ref().ok()) {
         // No answer: the client gives up by itself.
         sleep(NO_ANSWER).await;
-        return (503, Value::Null);
+        return HttpResponse::new(503, Value::Null);
     }
     let held = match &commands {
         Ok(commands) => nodes.borrow_mut().holds(&id, commands),
@@ -147,15 +147,15 @@
     }
     let mut nodes = nodes.borrow_mut();
     if path == "/status" {
-        return (200, nodes.heartbeat(&id));
+        return HttpResponse::new(200, nodes.heartbeat(&id));
     }
     let Ok(commands) = commands else {
-        return (400, Value::Null);
+        return HttpResponse::new(400, Value::Null);
     };
     if nodes.obey(&id, &commands) {
-        (200, nodes.heartbeat(&id))
+        HttpResponse::new(200, nodes.heartbeat(&id))
     } else {
-        (409, nodes.heartbeat(&id))
+        HttpResponse::new(409, nodes.heartbeat(&id))
     }
 }
 
@@ -225,7 +225,7 @@
         (nodes.rejected_connections.contains(id), apart || mute)
     };
     match (away, lost) {
-        (true, _) => Some((503, Value::Null)),
+        (true, _) => Some(HttpResponse::new(503, Value::Null)),
         (_, true) => None,
         (false, false) => ask_over(pool, Method::POST, "/agent/beat", &heartbeat.body).await,
     }
@@ -286,11 +286,13 @@
             return;
         }
         let response = response.filter(|_| !self.is_deaf(id, |(c, _)| c == heartbeat.target));
-        let refused = response.as_ref().is_some_and(|(status, _)| *status == 503);
+        let refused = response
+            .as_ref()
+            .is_some_and(|response| response.status == 503);
         self.refused_heartbeats += usize::from(refused);
         match response {
-            Some((200, body)) => self.replied(id, heartbeat, body),
-            Some((421, body)) => {
+            Some(HttpResponse { status: 200, body }) => self.replied(id, heartbeat, body),
+            Some(HttpResponse { status: 421, body }) => {
                 let named = body["foreman"].as_str().and_then(|f| f.strip_prefix("c-"));
                 self.turn_to(id, named.and_then(|f| f.parse().ok()));
             }
--- a/crates/emulators/src/store.rs
+++ b/crates/emulators/src/store.rs
@@ -161,8 +161,8 @@
     /// An outage keeps nothing of it: it had reached the service before.
     pub fn release_late(&mut self) -> Vec<u16> {
         let late = std::mem::take(&mut self.faults.late);
-        let response = late.iter().map(|txn| self.txn(txn).0);
-        response.collect()
+        let statuses = late.iter().map(|txn| self.txn(txn).status);
+        statuses.collect()
     }
 
     /// Whether a controller is served; none: whoever asks at the common address.
@@ -223,16 +223,16 @@
         let when = txn["when"].as_array().unwrap_or(&none);
         let failed = self.failed_conditions(when);
         if !failed.is_empty() {
-            return (409, json!({"failed": failed, "ledger": self.revision}));
+            return HttpResponse::new(409, json!({"failed": failed, "ledger": self.revision}));
         }
         let apply = txn["apply"].as_array().unwrap_or(&none);
         if !self.limits.allow(when, apply) {
             self.rejected += 1;
-            return (400, json!({"error": "too large"}));
+            return HttpResponse::new(400, json!({"error": "too large"}));
         }
         let mut leases = apply.iter().filter_map(|change| change["ticket"].as_u64());
         if leases.any(|lease| !self.leases.contains_key(&lease)) {
-            return (400, json!({"error": "no such lease"}));
+            return HttpResponse::new(400, json!({"error": "no such lease"}));
         }
         self.revision += 1;
         self.changes += apply.len() as u64;
@@ -244,7 +244,7 @@
             }
         }
         self.changed.notify_waiters();
-        (200, json!({"ledger": self.revision}))
+        HttpResponse::new(200, json!({"ledger": self.revision}))
     }
 
     /// Keys that were changed since the revision which a condition names.
@@ -295,7 +295,7 @@
         let life = Duration::from_millis(body["life_ms"].as_u64().unwrap_or(1000));
         let end = Instant::now() + life;
         self.leases.insert(id, Lease { life, end });
-        (200, json!({"ticket": id}))
+        HttpResponse::new(200, json!({"ticket": id}))
     }
 
     /// Renews or ends a lease: `rest` is its number, and what follows.
@@ -304,14 +304,14 @@
         let id: u64 = id.unwrap_or(0);
         if *method == Method::DELETE {
             self.end(id);
-            return (200, json!({}));
+            return HttpResponse::new(200, json!({}));
         }
         match self.leases.get_mut(&id) {
             Some(lease) => {
                 lease.renew();
-                (200, json!({}))
+                HttpResponse::new(200, json!({}))
             }
-            None => (404, json!({})),
+            None => HttpResponse::new(404, json!({})),
         }
     }
 
@@ -325,7 +325,7 @@
             .filter(|(k, _)| k.starts_with(&under) && **k > since)
             .map(|(k, h)| json!({"key": k, "value": h.value, "stamp": h.mod_revision}))
             .collect();
-        (
+        HttpResponse::new(
             200,
             json!({"items": items, "truncated": false, "ledger": self.revision}),
         )
@@ -374,7 +374,7 @@
         let left = end.saturating_duration_since(Instant::now());
         if !events.is_empty() || left.is_zero() {
             let store_revision = store.borrow().revision;
-            return (200, json!({"ledger": store_revision, "events": events}));
+            return HttpResponse::new(200, json!({"ledger": store_revision, "events": events}));
         }
         let _ = timeout(left, wait).await;
     }
@@ -414,7 +414,7 @@
         let store = served.clone();
         Box::pin(async move {
             if !store.borrow().serves(from) {
-                return (503, json!({"error": "trouble"}));
+                return HttpResponse::new(503, json!({"error": "trouble"}));
             }
             if path.starts_with("/follow") {
                 return follow(store, from, path).await;
--- a/crates/emulators/src/users.rs
+++ b/crates/emulators/src/users.rs
@@ -104,7 +104,7 @@
         uid: &str,
         question: Question,
         asked: Instant,
-        (status, body): &HttpResponse,
+        HttpResponse { status, body }: &HttpResponse,
         tasks_done: bool,
     ) {
         let known = self.known.entry(uid.to_owned()).or_default();
@@ -199,7 +199,8 @@
         let to = self.controllers[controller % self.controllers.len()];
         let asked = Instant::now();
         let response = ask(to, method, &path, &body).await;
-        let response = response.filter(|(status, _)| *status < 500 && *status != 429)?;
+        let response =
+            response.filter(|response| response.status < 500 && response.status != 429)?;
         let done = self.tasks_done(uid);
         let mut answers = self.answers.borrow_mut();
         answers.note(uid, question, asked, &response, done);
--- a/examples/mixed_versions.rs
+++ b/examples/mixed_versions.rs
@@ -12,7 +12,7 @@
 use hyper::Method;
 use serde_json::{json, Value};
 use sorrelhinge_emulators::store::Limits;
-use sorrelhinge_emulators::{run, Plan, World};
+use sorrelhinge_emulators::{run, HttpResponse, Plan, World};
 use tokio::time::sleep;
 
 /// Orders in which three controllers are upgraded.
@@ -62,7 +62,7 @@
         world.submit(&format!("run-{rollout}-{n}"), job).await;
     }
     let path = format!("/v1/jobs/run-{rollout}-3/withdraw");
-    let (status, told) = world.ask(Method::POST, &path, &Value::Null).await;
+    let HttpResponse { status, body: told } = world.ask(Method::POST, &path, &Value::Null).await;
     assert_eq!(
         (status, &told["phase"]),
         (200, &json!("cancelled")),
--- a/tests/addition.rs
+++ b/tests/addition.rs
@@ -50,7 +50,7 @@
     for n in from..from + count {
         let uid = format!("run-{n:06}");
         let job = json!({"pieces": 4, "guess_s": 0.3});
-        assert_eq!(world.submit(&uid, job).await.0, 201);
+        assert_eq!(world.submit(&uid, job).await.status, 201);
         uids.push(uid);
     }
     uids
@@ -269,7 +269,7 @@
 
 async fn healthy(world: &World, i: usize) -> bool {
     let told = world.ask_one(i, "/healthz").await;
-    told.is_some_and(|(status, _)| status == 200)
+    told.is_some_and(|response| response.status == 200)
 }
 
 /// The owner ends; whoever stands, has just won, or reads, ends too; all are back
@@ -305,7 +305,10 @@
             }
             let last = Instant::now();
             let first = format!("run-9{round:05}");
-            assert_eq!(world.submit(&first, json!({"guess_s": 0.1})).await.0, 201);
+            assert_eq!(
+                world.submit(&first, json!({"guess_s": 0.1})).await.status,
+                201
+            );
             let accepted = last.elapsed();
             world
                 .until("the first task", 40, |w| w.done(&first, 1))
--- a/tests/answers.rs
+++ b/tests/answers.rs
@@ -14,7 +14,7 @@
 use serde_json::{json, Value};
 use sorrelhinge_emulators::lines::LinkFault;
 use sorrelhinge_emulators::users::{one_task, Answers, Question, Users};
-use sorrelhinge_emulators::{run, Plan, World, CANCEL_S};
+use sorrelhinge_emulators::{run, HttpResponse, Plan, World, CANCEL_S};
 use tokio::task::{spawn_local, JoinHandle};
 use tokio::time::sleep;
 
@@ -31,7 +31,8 @@
 /// One job's user: submits it, cancels one in three at once and one in three as its
 /// task ends, and looks closely after each answer.
 async fn user(users: Users, uid: String, nth: usize) {
-    let (status, told) = users.ask_until_answered(nth, &uid, Question::Submit).await;
+    let HttpResponse { status, body: told } =
+        users.ask_until_answered(nth, &uid, Question::Submit).await;
     assert!(matches!(status, 200 | 201), "{uid}: {told}");
     users.poll_closely(&uid, 2).await;
     match nth % 3 {
@@ -209,7 +210,7 @@
                 let told = world
                     .ask_once(refused, method.clone(), path, body)
                     .await
-                    .filter(|(status, _)| *status < 500);
+                    .filter(|response| response.status < 500);
                 if let Some(told) = told {
                     return told;
                 }
@@ -218,11 +219,11 @@
             }
         };
         let path = "/v1/jobs/run-none/withdraw";
-        assert_eq!(ask(Method::POST, path, &Value::Null).await.0, 404);
+        assert_eq!(ask(Method::POST, path, &Value::Null).await.status, 404);
         let body = world.job("run-000002", json!({"crew": "nobody"}));
-        assert_eq!(ask(Method::POST, "/v1/jobs", &body).await.0, 422);
+        assert_eq!(ask(Method::POST, "/v1/jobs", &body).await.status, 422);
         let path = "/v1/jobs/run-000001/withdraw";
-        let (status, told) = ask(Method::POST, path, &Value::Null).await;
+        let HttpResponse { status, body: told } = ask(Method::POST, path, &Value::Null).await;
         assert_eq!((status, &told["phase"]), (200, &json!("cancelled")));
         world.rules_hold();
     });
@@ -232,7 +233,8 @@
 #[test]
 fn the_comparison_of_answers_rejects_each_bad_history() {
     const UID: &str = "run-1";
-    let status = |status: u16, phase: &str| (status, json!({"uid": UID, "phase": phase}));
+    let status =
+        |status: u16, phase: &str| HttpResponse::new(status, json!({"uid": UID, "phase": phase}));
     // The rule that is broken, the answers in order, and whether the tasks are done.
     let histories = [
         (
@@ -265,7 +267,10 @@
         ("no phase", vec![status(200, "lost")], true),
         (
             "another job",
-            vec![(200, json!({"uid": "run-2", "phase": "pending"}))],
+            vec![HttpResponse::new(
+                200,
+                json!({"uid": "run-2", "phase": "pending"}),
+            )],
             true,
         ),
     ];
--- a/tests/bad_requests.rs
+++ b/tests/bad_requests.rs
@@ -236,7 +236,8 @@
     let end = Instant::now() + Duration::from_secs(30);
     loop {
         let told = send_body(to, "/v1/jobs", body.clone()).await;
-        if let Some(told) = told.filter(|(status, _)| *status < 500 && *status != 429) {
+        if let Some(told) = told.filter(|response| response.status < 500 && response.status != 429)
+        {
             return told;
         }
         let text = String::from_utf8_lossy(&body);
@@ -249,7 +250,8 @@
     let end = Instant::now() + Duration::from_secs(30);
     loop {
         let told = ask(to, method.clone(), path, &Value::Null).await;
-        if let Some(told) = told.filter(|(status, _)| *status < 500 && *status != 429) {
+        if let Some(told) = told.filter(|response| response.status < 500 && response.status != 429)
+        {
             return told;
         }
         assert!(Instant::now() < end, "no answer: {path}");
@@ -265,33 +267,33 @@
 async fn refuses_unknown(to: SocketAddr, tag: &str) {
     let uid = format!("run-x{tag}");
     for body in no_objects() {
-        let (status, told) = submit(to, body.clone()).await;
+        let HttpResponse { status, body: told } = submit(to, body.clone()).await;
         let text = String::from_utf8_lossy(&body);
         assert_eq!(status, 400, "{tag}: {text:.200}: {told}");
     }
     for (what, body) in nameless().into_iter().chain(malformed(&uid)) {
-        let (status, told) = submit(to, text(&body)).await;
+        let HttpResponse { status, body: told } = submit(to, text(&body)).await;
         assert_eq!(status, 400, "{tag}: {what}: {told}");
     }
     for (what, body) in impossible(&uid) {
-        let (status, told) = submit(to, text(&body)).await;
+        let HttpResponse { status, body: told } = submit(to, text(&body)).await;
         assert_eq!(status, 422, "{tag}: {what}: {told}");
     }
     for path in ["run-x", "nothing", "run-%00", "run-\u{7e}", "withdraw"] {
         let path = format!("/v1/jobs/{path}");
-        let (status, told) = ask_until(to, Method::GET, &path).await;
+        let HttpResponse { status, body: told } = ask_until(to, Method::GET, &path).await;
         assert_eq!(status, 404, "{tag}: {path}: {told}");
         let cancel = format!("{path}/withdraw");
-        let (status, told) = ask_until(to, Method::POST, &cancel).await;
+        let HttpResponse { status, body: told } = ask_until(to, Method::POST, &cancel).await;
         assert_eq!(status, 404, "{tag}: {cancel}: {told}");
     }
-    let (status, _) = ask_until(to, Method::GET, &format!("/v1/jobs/{uid}")).await;
+    let HttpResponse { status, .. } = ask_until(to, Method::GET, &format!("/v1/jobs/{uid}")).await;
     assert_eq!(status, 404, "{tag}: none of them was accepted");
     for (what, body) in possible(&uid) {
-        let (status, told) = submit(to, text(&body)).await;
+        let HttpResponse { status, body: told } = submit(to, text(&body)).await;
         assert!(matches!(status, 200 | 201), "{tag}: {what}: {told}");
         let path = format!("/v1/jobs/{}/withdraw", body["uid"].as_str().expect("a uid"));
-        let (status, told) = ask_until(to, Method::POST, &path).await;
+        let HttpResponse { status, body: told } = ask_until(to, Method::POST, &path).await;
         assert_eq!((status, &told["phase"]), (200, &json!("cancelled")));
     }
 }
@@ -300,13 +302,13 @@
 async fn knows(to: SocketAddr, uid: &str, phases: &[&str]) {
     let repeats = malformed(uid).into_iter().chain(impossible(uid));
     for (what, body) in repeats {
-        let (status, told) = submit(to, text(&body)).await;
+        let HttpResponse { status, body: told } = submit(to, text(&body)).await;
         assert_eq!(status, 200, "{what}: {told}");
         let phase = told["phase"].as_str().unwrap_or_default();
         assert!(phases.contains(&phase), "{what}: {told}");
     }
     let only_uid = json!({ "uid": uid });
-    let (status, told) = submit(to, text(&only_uid)).await;
+    let HttpResponse { status, body: told } = submit(to, text(&only_uid)).await;
     assert_eq!(status, 200, "{told}");
 }
 
@@ -367,7 +369,7 @@
             for nth in 0..TRIES {
                 let body = Bytes::from(vec![b'x'; size]);
                 let told = send_body(world.address(0), "/v1/jobs", body).await;
-                let status = told.map(|(status, _)| status);
+                let status = told.map(|response| response.status);
                 assert_eq!(status, Some(400), "{size} bytes, try {nth}");
             }
         }
@@ -387,7 +389,7 @@
         world.submit("run-done", json!({"guess_s": 0.1})).await;
         world.submit("run-over", json!({"shape": "standing"})).await;
         let path = "/v1/jobs/run-over/withdraw";
-        let (_, told) = world.ask(Method::POST, path, &Value::Null).await;
+        let HttpResponse { body: told, .. } = world.ask(Method::POST, path, &Value::Null).await;
         assert_eq!(told["phase"], "cancelled");
         let path = "/v1/jobs/run-done/withdraw";
         let end = Instant::now() + Duration::from_secs(30);
@@ -407,14 +409,15 @@
             knows(to, "run-runs", &["pending", "running"]).await;
             knows(to, "run-done", &["done"]).await;
             knows(to, "run-over", &["cancelled"]).await;
-            let (status, told) = ask_until(to, Method::POST, path).await;
+            let HttpResponse { status, body: told } = ask_until(to, Method::POST, path).await;
             assert_eq!((status, &told["phase"]), (200, &json!("done")), "{told}");
             for (request, may) in odd_requests() {
                 let status = send_bytes(to, request.as_bytes()).await.unwrap_or(0);
                 assert!(may.contains(&status), "{request:.100}: {status}");
             }
             // What was told of others is told still.
-            let (status, told) = ask_until(to, Method::GET, "/v1/jobs/run-runs").await;
+            let HttpResponse { status, body: told } =
+                ask_until(to, Method::GET, "/v1/jobs/run-runs").await;
             assert_eq!(status, 200, "{told}");
         }
         world.until("all run", 1, |_| true).await;
--- a/tests/calendar.rs
+++ b/tests/calendar.rs
@@ -109,12 +109,12 @@
 async fn flood(world: &World) {
     let job = json!({"jobclass": "bulk", "crew": "guest", "pieces": 30, "cpus": 4.0,
         "guess_s": 900.0});
-    assert_eq!(world.submit("run-flood", job).await.0, 201);
+    assert_eq!(world.submit("run-flood", job).await.status, 201);
 }
 
 async fn begin(world: &World, tasks: usize) {
     let job = json!({"pieces": tasks, "cpus": 4.0, "guess_s": 4.0});
-    assert_eq!(world.submit("run-drop", job).await.0, 201);
+    assert_eq!(world.submit("run-drop", job).await.status, 201);
     let runs = |w: &World| w.nodes.borrow().copies("run-drop") == tasks;
     world.until("its work runs at once", 20, runs).await;
 }
--- a/tests/comeback.rs
+++ b/tests/comeback.rs
@@ -11,7 +11,7 @@
 
 use hyper::Method;
 use serde_json::json;
-use sorrelhinge_emulators::{run, Plan, World, CANCEL_S, LEASE_S};
+use sorrelhinge_emulators::{run, HttpResponse, Plan, World, CANCEL_S, LEASE_S};
 use tokio::time::sleep;
 
 use self::cancellation::cancel;
@@ -117,7 +117,7 @@
         for (n, uid) in came.iter().enumerate() {
             let (same, more) = job(10 + n as u32);
             assert_eq!(*uid, same);
-            let (status, told) = world.submit(uid, more).await;
+            let HttpResponse { status, body: told } = world.submit(uid, more).await;
             assert!(matches!(status, 200 | 201), "{told}");
         }
         world.until("replicas are back", 60, up).await;
--- a/tests/drains.rs
+++ b/tests/drains.rs
@@ -7,7 +7,7 @@
 
 use hyper::Method;
 use serde_json::{json, Value};
-use sorrelhinge_emulators::{file, run, Plan, World};
+use sorrelhinge_emulators::{file, run, HttpResponse, Plan, World};
 use sorrelhinge_protocol::operators::TopologyShown;
 use tokio::time::sleep;
 
@@ -41,11 +41,11 @@
         for uid in &services {
             let job = json!({"jobclass": "live", "shape": "standing", "rank": "critical",
                 "pieces": 4, "cpus": 1.0});
-            assert_eq!(world.submit(uid, job).await.0, 201);
+            assert_eq!(world.submit(uid, job).await.status, 201);
         }
         // An array whose tasks run on while the drain waits for them.
         let long = json!({"pieces": 6, "guess_s": 6.0});
-        assert_eq!(world.submit("run-long", long).await.0, 201);
+        assert_eq!(world.submit("run-long", long).await.status, 201);
         let all_run = |w: &World| {
             let nodes = w.nodes.borrow();
             services.iter().all(|s| nodes.copies(s) == 4)
@@ -131,26 +131,26 @@
                 "topology": {"devices": [{"kind": "encoder"}]}})
         };
         // Two machines have one encoder each: both are taken for a while.
-        assert_eq!(world.submit("run-hold", bake(6.0, 2)).await.0, 201);
+        assert_eq!(world.submit("run-hold", bake(6.0, 2)).await.status, 201);
         let holds = |w: &World| w.nodes.borrow().places("run-hold").len() == 2;
         world.until("the encoders are taken", 30, holds).await;
-        assert_eq!(world.submit("run-wait", bake(0.3, 1)).await.0, 201);
+        assert_eq!(world.submit("run-wait", bake(0.3, 1)).await.status, 201);
         sleep(Duration::from_millis(1500)).await;
         assert_eq!(world.nodes.borrow().places("run-wait").len(), 0, "taken");
         let path = "/v1/jobs/run-wait";
         let mut why = String::new();
         for _ in 0..40 {
             // The one that places it knows why it waits.
-            let (_, told) = world.ask(Method::GET, path, &Value::Null).await;
+            let HttpResponse { body: told, .. } = world.ask(Method::GET, path, &Value::Null).await;
             if let Some(text) = told["waits"].as_str() {
                 why = text.to_owned();
                 break;
             }
             let leader = world.leader().expect("a leader");
-            let (_, told) = world
+            let HttpResponse { body: told, .. } = world
                 .ask_one(leader, path)
                 .await
-                .unwrap_or((0, Value::Null));
+                .unwrap_or(HttpResponse::new(0, Value::Null));
             why = told["waits"].as_str().unwrap_or_default().to_owned();
             if !why.is_empty() {
                 break;
@@ -176,7 +176,7 @@
         assert!(holds(&world), "while the old one is held still");
         // Back again: it is not given out twice.
         world.reload(&file(60, SWITCHES, &device("\"enc0\"")));
-        assert_eq!(world.submit("run-last", bake(0.3, 2)).await.0, 201);
+        assert_eq!(world.submit("run-last", bake(0.3, 2)).await.status, 201);
         let all = |w: &World| w.nodes.borrow().done.len() >= 5;
         world.until("all bakes are done", 40, all).await;
         assert_eq!(world.nodes.borrow().wrong, Vec::<String>::new());
@@ -192,7 +192,7 @@
         // Twelve machines of four CPUs, and each gang wants 32 of the 48.
         let gang = json!({"shape": "ensemble", "pieces": 16, "cpus": 2.0, "guess_s": 3.0});
         for uid in ["run-gang-a", "run-gang-b"] {
-            assert_eq!(world.submit(uid, gang.clone()).await.0, 201);
+            assert_eq!(world.submit(uid, gang.clone()).await.status, 201);
         }
         let runs = |w: &World, uid: &str| w.nodes.borrow().copies(uid);
         let one = |w: &World| runs(w, "run-gang-a") == 16 || runs(w, "run-gang-b") == 16;
@@ -216,7 +216,8 @@
             let path = format!("/v1/jobs/{uid}");
             let mut phase = Value::Null;
             for _ in 0..100 {
-                let (_, told) = world.ask(Method::GET, &path, &Value::Null).await;
+                let HttpResponse { body: told, .. } =
+                    world.ask(Method::GET, &path, &Value::Null).await;
                 phase = told["phase"].clone();
                 if phase == "done" {
                     break;
--- a/tests/fleet_limits.rs
+++ b/tests/fleet_limits.rs
@@ -314,7 +314,7 @@
     };
     let transaction = json!({"when": [], "apply": (1..=drains).map(write).collect::<Vec<_>>()});
     let told = ask(place.state(), Method::POST, "/txn", &transaction).await;
-    assert_eq!(told.map(|(status, _)| status), Some(200));
+    assert_eq!(told.map(|response| response.status), Some(200));
     held.borrow_mut().set_limits(Limits {
         value_bytes: VALUE_BYTES,
         changes: TXN_OPS,
@@ -326,7 +326,7 @@
     let end = Instant::now() + Duration::from_secs(40);
     loop {
         let told = ask(place.users(0), method.clone(), path, &body).await;
-        if let Some(told) = told.filter(|(status, _)| *status != 503) {
+        if let Some(told) = told.filter(|response| response.status != 503) {
             return told;
         }
         assert!(Instant::now() < end, "no answer");
@@ -351,17 +351,20 @@
         *why.borrow_mut() = Some(format!("{end:?}"));
     });
     let drain = json!({"target": "za/r0", "keep": true});
-    let (status, told) = asked(&place, Method::POST, "/v1/drains", drain).await;
+    let HttpResponse { status, body: told } =
+        asked(&place, Method::POST, "/v1/drains", drain).await;
     assert_eq!(
         (status, &told["number"]),
         (200, &json!(drains + 1)),
         "{told}"
     );
-    let (status, told) = asked(&place, Method::GET, "/v1/topology", Value::Null).await;
+    let HttpResponse { status, body: told } =
+        asked(&place, Method::GET, "/v1/topology", Value::Null).await;
     assert_eq!(status, 200, "{told}");
     assert_eq!(told["drains"].as_array().map(Vec::len), Some(drains + 1));
     let undrain = json!({"target": drains});
-    let (status, told) = asked(&place, Method::POST, "/v1/undrains", undrain).await;
+    let HttpResponse { status, body: told } =
+        asked(&place, Method::POST, "/v1/undrains", undrain).await;
     assert_eq!(status, 200, "{told}");
     assert_eq!(*ended.borrow(), None, "the controller runs on");
 }
--- a/tests/joined.rs
+++ b/tests/joined.rs
@@ -8,7 +8,7 @@
 
 use serde_json::json;
 use sorrelhinge::control::day_ms;
-use sorrelhinge_emulators::{run, Plan, World};
+use sorrelhinge_emulators::{run, HttpResponse, Plan, World};
 use tokio::time::sleep;
 
 const PROPERTIES: &str = "lane.urgent.classes=fix\nlane.urgent.part=0.4\nstaging.least.gb=0.5\n";
@@ -49,7 +49,8 @@
         let fix = json!({"jobclass": "fix", "crew": "guest", "cpus": 4.0, "guess_s": 1.0,
             "rank": "high", "due_s": 60.0});
         for n in 0..FIXES {
-            let (status, _) = world.submit(&format!("run-{n:06}"), fix.clone()).await;
+            let HttpResponse { status, .. } =
+                world.submit(&format!("run-{n:06}"), fix.clone()).await;
             assert_eq!(status, 201);
         }
         let owner = world.leader().unwrap_or(0);
@@ -59,7 +60,7 @@
             .await;
         let table = json!({"jobclass": "table", "shape": "standing", "pieces": TABLES,
             "cpus": 4.0, "bundle": "weights-1", "pull_gb": 2.0});
-        assert_eq!(world.submit("run-tables", table).await.0, 201);
+        assert_eq!(world.submit("run-tables", table).await.status, 201);
         let owner = world.leader().unwrap_or(0);
         end(&mut world, &[owner]).await;
         end(&mut world, &[0, 1, 2]).await;
--- a/tests/lanes.rs
+++ b/tests/lanes.rs
@@ -18,7 +18,7 @@
 use sorrelhinge::state::record::{job_key, JobRecord};
 use sorrelhinge::state::view::View;
 use sorrelhinge::types::{Amount, JobId, JobSpec, Revision, TaskId, Time};
-use sorrelhinge_emulators::{run, Plan, World};
+use sorrelhinge_emulators::{run, HttpResponse, Plan, World};
 use sorrelhinge_priority_lanes::{LaneId, Lanes};
 use tokio::time::sleep;
 
@@ -82,13 +82,13 @@
     for round in 0..rounds {
         let other = format!("run-1{round:05}");
         let bake = json!({"pieces": 2, "cpus": 4.0, "guess_s": 0.6});
-        assert_eq!(world.submit(&other, bake).await.0, 201);
+        assert_eq!(world.submit(&other, bake).await.status, 201);
         others.push(other);
         for n in 0..EACH {
             // The later the lower, so that an order by id would be noticed.
             let uid = format!("run-0{:05}", 900 - uids.len());
             if n + 1 < EACH {
-                assert_eq!(world.submit(&uid, lane.clone()).await.0, 201);
+                assert_eq!(world.submit(&uid, lane.clone()).await.status, 201);
             }
             uids.push(uid);
         }
@@ -125,11 +125,11 @@
             world.start_controller(*i);
         }
         let told = world.submit(last, lane.clone()).await;
-        assert_eq!(told.0, 201, "{told:?}");
+        assert_eq!(told.status, 201, "{told:?}");
         let job = world.job(last, lane.clone());
         for i in 0..controllers {
             let again = world.ask_once(i, Method::POST, "/v1/jobs", &job).await;
-            let again = again.map(|(status, _)| status);
+            let again = again.map(|response| response.status);
             assert_ne!(again, Some(201), "{last} was accepted twice");
         }
     }
@@ -210,15 +210,15 @@
         let world = begin("shown", 122, 3, LANE).await;
         for (uid, tasks) in [("run-000002", MACHINES), ("run-000001", 1)] {
             let lane = json!({"jobclass": "fix", "cpus": 4.0, "guess_s": 60.0, "pieces": tasks});
-            assert_eq!(world.submit(uid, lane).await.0, 201);
+            assert_eq!(world.submit(uid, lane).await.status, 201);
         }
         let owner = world.leader().expect("a leader");
         let end = Instant::now() + Duration::from_secs(20);
         // On a busy machine an answer may be too late, and the controller that is asked may
         // not have read the leader's record yet: it says so with 503.
-        let (status, told) = loop {
+        let HttpResponse { status, body: told } = loop {
             let answer = world.ask_one((owner + 1) % 3, "/v1/lanes").await;
-            if let Some(answer) = answer.filter(|(status, _)| *status != 503) {
+            if let Some(answer) = answer.filter(|response| response.status != 503) {
                 break answer;
             }
             assert!(Instant::now() < end, "no answer");
--- a/tests/late_reads.rs
+++ b/tests/late_reads.rs
@@ -94,10 +94,10 @@
             }
             let store_revision = if nth == 0 { LATE } else { NEWER };
             let page = json!({"items": [], "truncated": false, "ledger": store_revision});
-            return (200, page);
+            return HttpResponse::new(200, page);
         }
         if !path.starts_with("/follow?") {
-            return (503, json!({"error": "trouble"}));
+            return HttpResponse::new(503, json!({"error": "trouble"}));
         }
         if !path.contains("block_ms=0") {
             self.watched.notify_one();
@@ -109,7 +109,7 @@
             self.release.notify_one();
             self.watched.notified().await;
         }
-        (
+        HttpResponse::new(
             200,
             json!({"ledger": ACCEPTED, "events": [accepted_event()]}),
         )
@@ -139,7 +139,7 @@
     let end = Instant::now() + Duration::from_secs(20);
     loop {
         let told = ask(controller, Method::GET, &path, &Value::Null).await;
-        if let Some(told) = told.filter(|(status, _)| *status != 503) {
+        if let Some(told) = told.filter(|response| response.status != 503) {
             return told;
         }
         assert!(Instant::now() < end, "no answer");
@@ -170,9 +170,9 @@
             sleep(Duration::from_millis(5)).await;
             assert_eq!(*failed.borrow(), None);
         }
-        let (status, told) = poll(place.users(0)).await;
+        let HttpResponse { status, body: told } = poll(place.users(0)).await;
         assert_eq!(status, 404, "nobody has submitted it yet: {told}");
-        let (status, told) = poll(place.users(0)).await;
+        let HttpResponse { status, body: told } = poll(place.users(0)).await;
         assert_eq!((status, &told["phase"]), (200, &json!("pending")), "{told}");
     });
 }
--- a/tests/meetings_loopback.rs
+++ b/tests/meetings_loopback.rs
@@ -77,7 +77,7 @@
 async fn told(world: &World, i: usize, uid: &str) -> HttpResponse {
     for _ in 0..PATIENCE_S * 10 {
         let told = world.ask_one(i, &path(uid)).await;
-        if let Some(told) = told.filter(|(s, _)| [200, 404].contains(s)) {
+        if let Some(told) = told.filter(|response| [200, 404].contains(&response.status)) {
             return told;
         }
         sleep(Duration::from_millis(100)).await;
@@ -90,7 +90,11 @@
     let path = withdraw(uid);
     for _ in 0..PATIENCE_S * 10 {
         let told = world.ask_once(i, Method::POST, &path, &Value::Null);
-        if let Some((200, told)) = told.await {
+        if let Some(HttpResponse {
+            status: 200,
+            body: told,
+        }) = told.await
+        {
             assert_eq!(told["phase"], "cancelled", "{uid}");
             return;
         }
@@ -124,7 +128,7 @@
 async fn all_is_well(world: &World, controllers: usize, in_flight: usize) {
     world.recorder.note(Event::TroublesOver);
     for i in 0..controllers {
-        assert_eq!(told(world, i, SERVICE).await.0, 200);
+        assert_eq!(told(world, i, SERVICE).await.status, 200);
     }
     world.rules_hold();
     world.history_holds(in_flight);
@@ -145,7 +149,7 @@
     }
     let uid = "run-000002";
     let long = json!({"pieces": 3, "guess_s": 600.0});
-    assert_eq!(world.submit(uid, long).await.0, 201);
+    assert_eq!(world.submit(uid, long).await.status, 201);
     let run = |w: &World| w.nodes.borrow().places(uid).len() == 3;
     world.until("its tasks run", PATIENCE_S, run).await;
     let old = leader(&world);
@@ -172,7 +176,7 @@
     world.store.borrow_mut().set_refused(old, false);
     world.store.borrow_mut().set_down(false);
     for i in 0..controllers {
-        assert_eq!(told(&world, i, uid).await.1["phase"], "cancelled");
+        assert_eq!(told(&world, i, uid).await.body["phase"], "cancelled");
     }
     all_is_well(&world, controllers, 0).await;
 }
@@ -209,7 +213,7 @@
         everybody_knows(&world, controllers, writer, &uid, None).await;
         let _ = accepted.await;
         let repeated = world.ask_once(writer, Method::POST, "/v1/jobs", &body);
-        if let Some((status, said)) = repeated.await {
+        if let Some(HttpResponse { status, body: said }) = repeated.await {
             assert!([200, 201, 503].contains(&status), "{status} {said}");
         }
         lose_answer(&world, writer, |v| v["p"] == "c");
@@ -230,12 +234,12 @@
         };
         let before = world.store.borrow().faults_met();
         lose_answer(&world, owner, phase);
-        assert_eq!(world.submit(&uid, body).await.0, 201);
+        assert_eq!(world.submit(&uid, body).await.status, 201);
         let met = |w: &World| w.store.borrow().faults_met() > before;
         world.until("an answer is lost", PATIENCE_S, met).await;
         ends(&world, &uid, 3).await;
         for i in 0..controllers {
-            assert_eq!(told(&world, i, &uid).await.1["phase"], "done");
+            assert_eq!(told(&world, i, &uid).await.body["phase"], "done");
         }
     }
     all_is_well(&world, controllers, 5).await;
@@ -266,7 +270,8 @@
     phase: Option<&str>,
 ) {
     for turn in 1..=controllers {
-        let (status, said) = told(world, (writer + turn) % controllers, uid).await;
+        let HttpResponse { status, body: said } =
+            told(world, (writer + turn) % controllers, uid).await;
         assert_eq!(status, 200, "{uid}: {said}");
         if let Some(phase) = phase {
             assert_eq!(said["phase"], phase, "{uid}");
@@ -306,7 +311,7 @@
         .until("a submission is held", PATIENCE_S, held(1))
         .await;
     let again = world.ask_once(elsewhere, Method::POST, "/v1/jobs", &body);
-    let again = again.await.map(|(status, _)| status);
+    let again = again.await.map(|response| response.status);
     assert!(matches!(again, Some(200 | 201)), "{again:?}");
     let _ = submitted.await;
     hold(&world, user_at, |v| v["p"] == "c");
@@ -318,7 +323,10 @@
     let _ = cancelled.await;
     // The owner's claims, and that a job is done: held, and it ends.
     assert_eq!(
-        world.submit("run-000003", json!({"guess_s": 1.0})).await.0,
+        world
+            .submit("run-000003", json!({"guess_s": 1.0}))
+            .await
+            .status,
         201
     );
     let runs = |w: &World| !machines_of(&w.nodes, "run-000003").is_empty();
@@ -327,7 +335,7 @@
     world.until("its end is held", PATIENCE_S, held(3)).await;
     hold(&world, old, has_claims);
     let job = json!({"pieces": 3, "guess_s": 1.0});
-    assert_eq!(world.submit("run-000004", job).await.0, 201);
+    assert_eq!(world.submit("run-000004", job).await.status, 201);
     world.until("a claim is held", PATIENCE_S, held(4)).await;
     world.kill_controller(old);
     let _ = next_leader(&world, old).await;
@@ -346,7 +354,7 @@
             ("run-000003", "done"),
             ("run-000004", "done"),
         ] {
-            assert_eq!(told(&world, i, uid).await.1["phase"], phase, "{uid}");
+            assert_eq!(told(&world, i, uid).await.body["phase"], phase, "{uid}");
         }
     }
     all_is_well(&world, controllers, 1).await;
@@ -367,11 +375,14 @@
     let mut world = begin("kept_reports", net, controllers, "").await;
     world.nodes.borrow_mut().sent = Some(Default::default());
     assert_eq!(
-        world.submit("run-000002", json!({"pieces": 3})).await.0,
+        world
+            .submit("run-000002", json!({"pieces": 3}))
+            .await
+            .status,
         201
     );
     let long = json!({"pieces": 2, "guess_s": 600.0});
-    assert_eq!(world.submit("run-000003", long).await.0, 201);
+    assert_eq!(world.submit("run-000003", long).await.status, 201);
     let run = |w: &World| w.nodes.borrow().places("run-000003").len() == 2;
     world.until("its tasks run", PATIENCE_S, run).await;
     // Two machines reach nobody for a while: what they say is kept.
@@ -388,10 +399,10 @@
             cancel_at(&world, (old + 1) % controllers, "run-000003").await;
         }
         let new = next_leader(&world, old).await;
-        let (copies, _) = world.replay_to(new, 0.0, 4).await;
+        let copies = world.replay_to(new, 0.0, 4).await.sent;
         assert!(copies > 0, "reports were kept");
         let uid = format!("run-{:06}", 10 + round);
-        assert_eq!(world.submit(&uid, json!({"pieces": 3})).await.0, 201);
+        assert_eq!(world.submit(&uid, json!({"pieces": 3})).await.status, 201);
         let acted = |w: &World| !machines_of(&w.nodes, &uid).is_empty();
         world
             .until("the next leader acted", PATIENCE_S, acted)
@@ -444,7 +455,7 @@
     for n in 2..6 {
         let job = json!({"pieces": 3, "guess_s": 1.0});
         let uid = format!("run-{n:06}");
-        assert_eq!(world.submit(&uid, job).await.0, 201);
+        assert_eq!(world.submit(&uid, job).await.status, 201);
     }
     until_held(&world).await;
     world.kill_controller(old);
@@ -472,7 +483,7 @@
     let world = begin("held_by_the_same", net, controllers, LONG_LEASE).await;
     hold_starts(&world);
     let job = json!({"pieces": 4, "guess_s": 1.0});
-    assert_eq!(world.submit("run-000002", job).await.0, 201);
+    assert_eq!(world.submit("run-000002", job).await.status, 201);
     until_held(&world).await;
     world.nodes.borrow_mut().faults.hold = None;
     ends(&world, "run-000002", 4).await;
--- a/tests/overload.rs
+++ b/tests/overload.rs
@@ -16,7 +16,7 @@
 use std::time::{Duration, Instant};
 
 use serde_json::{json, Value};
-use sorrelhinge_emulators::{run, Plan, World, CANCEL_S, HEARTBEAT_S, LEASE_S};
+use sorrelhinge_emulators::{run, HttpResponse, Plan, World, CANCEL_S, HEARTBEAT_S, LEASE_S};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 use tokio::task::{spawn_local, JoinHandle};
@@ -143,7 +143,7 @@
 fn more_workers_users_and_slow_clients_than_sockets() {
     run(async {
         let world = start_led(plan("crowd", 70, 40)).await;
-        let (status, _) = world
+        let HttpResponse { status, .. } = world
             .submit("run-000001", json!({"shape": "standing", "pieces": 3}))
             .await;
         assert_eq!(status, 201);
@@ -167,7 +167,7 @@
         let mut n = 10;
         while Instant::now() < until {
             let uid = format!("run-{n:06}");
-            let (status, _) = world
+            let HttpResponse { status, .. } = world
                 .submit(&uid, json!({"pieces": 6, "guess_s": 0.5}))
                 .await;
             assert_eq!(status, 201);
@@ -199,7 +199,7 @@
         drop(crowd);
 
         let ended = Instant::now();
-        let (status, _) = world
+        let HttpResponse { status, .. } = world
             .submit("run-000900", json!({"pieces": 12, "guess_s": 0.2}))
             .await;
         assert_eq!(status, 201);
--- a/tests/peer_transfer.rs
+++ b/tests/peer_transfer.rs
@@ -27,7 +27,7 @@
 use sorrelhinge_agent::checksums::{sha256, Checksums};
 use sorrelhinge_agent::settings::Settings;
 use sorrelhinge_agent::supervise;
-use sorrelhinge_emulators::{ask, run, World, HEARTBEAT_S, LEASE_S, ZONES};
+use sorrelhinge_emulators::{ask, run, HttpResponse, World, HEARTBEAT_S, LEASE_S, ZONES};
 use sorrelhinge_sharding::shard::ShardId;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
@@ -242,7 +242,7 @@
             return 0;
         }
         let told = ask(self.addr, Method::GET, "/status", &Value::Null).await;
-        let (_, heartbeat) = told.unwrap_or_default();
+        let heartbeat = told.map_or(Value::Null, |response| response.body);
         let tasks = heartbeat["pieces"].as_array().cloned().unwrap_or_default();
         tasks.iter().filter(|p| which(p)).count()
     }
@@ -290,7 +290,7 @@
     std::fs::write(root.join(format!("jobs/{uid}.json")), text.to_string()).expect("written");
     let job = json!({"shape": "standing", "rank": "critical", "pieces": replicas, "cpus": 3.0,
         "bundle": WEIGHTS, "pull_gb": 10.0});
-    assert_eq!(world.submit(uid, job).await.0, 201);
+    assert_eq!(world.submit(uid, job).await.status, 201);
 }
 
 async fn the_origin_gives_few_copies_whoever_ends() {
@@ -367,7 +367,7 @@
     // Tasks are processes: none is to outlive the test.
     for uid in ["run-000001", "run-000002"] {
         let path = format!("/v1/jobs/{uid}/withdraw");
-        let (status, _) = world.ask(Method::POST, &path, &Value::Null).await;
+        let HttpResponse { status, .. } = world.ask(Method::POST, &path, &Value::Null).await;
         assert_eq!(status, 200);
     }
     until(&machines, 0, "running", &origin).await;
--- a/tests/pipelines_loopback.rs
+++ b/tests/pipelines_loopback.rs
@@ -10,7 +10,7 @@
 use hyper::Method;
 use serde_json::{json, Value};
 use sorrelhinge_emulators::store::{Limits, ScriptedOutcome, TransactionFault};
-use sorrelhinge_emulators::{run, Plan, World, CANCEL_S};
+use sorrelhinge_emulators::{run, HttpResponse, Plan, World, CANCEL_S};
 use tokio::time::{sleep, Instant};
 
 use self::leader::start_led;
@@ -28,7 +28,11 @@
     for i in 0..3 {
         let end = Instant::now() + Duration::from_secs(20);
         loop {
-            if let Some((200, told)) = world.ask_one(i, &path).await {
+            if let Some(HttpResponse {
+                status: 200,
+                body: told,
+            }) = world.ask_one(i, &path).await
+            {
                 phases.push(told["phase"].clone());
                 break;
             }
@@ -41,7 +45,7 @@
 
 async fn cancel(world: &World, uid: &str) -> Value {
     let path = format!("/v1/jobs/{uid}/withdraw");
-    let (status, told) = world.ask(Method::POST, &path, &Value::Null).await;
+    let HttpResponse { status, body: told } = world.ask(Method::POST, &path, &Value::Null).await;
     assert_eq!(status, 200, "{told}");
     told["phase"].clone()
 }
@@ -72,7 +76,7 @@
             ("run-d", vec!["run-b", "run-c", "run-b"]),
             ("run-e", vec!["run-d", "run-a"]),
         ] {
-            let (status, told) = world.submit(uid, needs(&before)).await;
+            let HttpResponse { status, body: told } = world.submit(uid, needs(&before)).await;
             assert_eq!((status, &told["phase"]), (201, &json!("pending")), "{told}");
         }
         let leader = world.leader().expect("a leader");
@@ -83,7 +87,7 @@
         sleep(Duration::from_millis(300)).await;
         world.start_controller(leader);
         until_phase(&world, "run-e", "done", 60).await;
-        let (status, _) = world.submit("run-f", needs(&["run-e", "run-a"])).await;
+        let HttpResponse { status, .. } = world.submit("run-f", needs(&["run-e", "run-a"])).await;
         assert_eq!(status, 201);
         until_phase(&world, "run-f", "done", 20).await;
         world.rules_hold();
@@ -119,7 +123,7 @@
         for uid in ["run-b", "run-c", "run-d"] {
             assert_eq!(told_by_all(&world, uid).await, ["cancelled"; 3], "{uid}");
         }
-        let (status, told) = world.submit("run-e", long(&["run-d"])).await;
+        let HttpResponse { status, body: told } = world.submit("run-e", long(&["run-d"])).await;
         assert_eq!(
             (status, &told["phase"]),
             (201, &json!("cancelled")),
@@ -187,7 +191,10 @@
                 let told = world
                     .ask_once((n + again) % 3, Method::POST, "/v1/jobs", &body)
                     .await;
-                if let Some((200 | 201, _)) = told {
+                if let Some(HttpResponse {
+                    status: 200 | 201, ..
+                }) = told
+                {
                     accepted = told;
                     break;
                 }
@@ -198,7 +205,7 @@
             let told = world
                 .ask_once((n + 1) % 3, Method::POST, "/v1/jobs", &submit(&next, &root))
                 .await;
-            let (status, told) = told.expect("an answer");
+            let HttpResponse { status, body: told } = told.expect("an answer");
             assert!(matches!(status, 200 | 201 | 503), "{next}: {status} {told}");
             world
                 .submit(&next, json!({"guess_s": 1.0, "waits_on": [root]}))
@@ -209,7 +216,13 @@
                 .await;
             // The acceptance is by a view that may not have the cancellation yet; the
             // first question is answered by one that has.
-            if matches!(told, Some((200 | 201, _))) {
+            if matches!(
+                told,
+                Some(HttpResponse {
+                    status: 200 | 201,
+                    ..
+                })
+            ) {
                 assert_eq!(told_by_all(&world, &last).await, ["cancelled"; 3], "{last}");
             }
         }
@@ -243,7 +256,7 @@
             ] {
                 let body = world.job("run-x", json!({"waits_on": named}));
                 let told = world.ask_once(i, Method::POST, "/v1/jobs", &body).await;
-                let (status, told) = told.expect("an answer");
+                let HttpResponse { status, body: told } = told.expect("an answer");
                 assert_eq!(status, expected, "{named}: {told}");
             }
             let again = world.job(
@@ -251,25 +264,25 @@
                 json!({"guess_s": 0.1, "waits_on": ["run-unknown"]}),
             );
             let told = world.ask_once(i, Method::POST, "/v1/jobs", &again).await;
-            assert_eq!(told.map(|(status, _)| status), Some(200));
+            assert_eq!(told.map(|response| response.status), Some(200));
             let uid = format!("run-ok{i}");
             let body = world.job(
                 &uid,
                 json!({"guess_s": 0.1, "waits_on": ["run-a", "run-a"]}),
             );
             let told = world.ask_once(i, Method::POST, "/v1/jobs", &body).await;
-            assert_eq!(told.map(|(status, _)| status), Some(201));
+            assert_eq!(told.map(|response| response.status), Some(201));
         }
         for none in [json!(null), json!([])] {
             let uid = format!("run-none{}", none.is_null());
-            let (status, _) = world.submit(&uid, json!({"waits_on": none})).await;
+            let HttpResponse { status, .. } = world.submit(&uid, json!({"waits_on": none})).await;
             assert_eq!(status, 201);
         }
         // Nobody knows whether it was accepted a moment ago.
         world.store.borrow_mut().set_down(true);
         let body = world.job("run-y", json!({"waits_on": ["run-z"]}));
         let told = world.ask_once(0, Method::POST, "/v1/jobs", &body).await;
-        assert!(told.is_none_or(|(status, _)| status == 503));
+        assert!(told.is_none_or(|response| response.status == 503));
         world.store.borrow_mut().set_down(false);
         until_phase(&world, "run-ok0", "done", 20).await;
     });
--- a/tests/polls.rs
+++ b/tests/polls.rs
@@ -11,7 +11,7 @@
 use hyper::Method;
 use serde_json::{json, Value};
 use sorrelhinge_emulators::lines::LinkFault;
-use sorrelhinge_emulators::{ask, run, Plan, World};
+use sorrelhinge_emulators::{ask, run, HttpResponse, Plan, World};
 use tokio::task::spawn_local;
 use tokio::time::sleep;
 
@@ -27,7 +27,7 @@
         let world = start_led(loopback::plan("polls_shed", 190, 4)).await;
         let jobs: Vec<String> = (1..=JOBS).map(|n| format!("run-{n:06}")).collect();
         for uid in &jobs {
-            let (status, _) = world.submit(uid, json!({"guess_s": 600.0})).await;
+            let HttpResponse { status, .. } = world.submit(uid, json!({"guess_s": 600.0})).await;
             assert_eq!(status, 201);
         }
         let slow = (world.leader().expect("a leader") + 1) % 3;
@@ -52,12 +52,15 @@
             for (uid, told) in jobs.iter().zip(asked) {
                 let refused = in_a_row.entry(uid).or_default();
                 match told.await.expect("it ends") {
-                    Some((503, why)) if why["error"] == "too much is asked for now" => {
+                    Some(HttpResponse {
+                        status: 503,
+                        body: why,
+                    }) if why["error"] == "too much is asked for now" => {
                         *refused += 1;
                         shed += 1;
                         max = max.max(*refused);
                     }
-                    Some((503, _)) => {}
+                    Some(HttpResponse { status: 503, .. }) => {}
                     _ => *refused = 0,
                 }
             }
@@ -92,7 +95,10 @@
             async move { world.ask_one(cut, &path).await }
         };
         let end = Instant::now() + Duration::from_secs(20);
-        while !matches!(answered("run-000001").await, Some((200, _))) {
+        while !matches!(
+            answered("run-000001").await,
+            Some(HttpResponse { status: 200, .. })
+        ) {
             assert!(Instant::now() < end, "it answers by itself first");
             sleep(Duration::from_millis(100)).await;
         }
@@ -103,25 +109,33 @@
             for _ in 0..6 {
                 // As often as a user may ask; on a busy machine one may be late.
                 match answered("run-000001").await {
-                    Some((200, told)) => {
+                    Some(HttpResponse {
+                        status: 200,
+                        body: told,
+                    }) => {
                         assert_eq!(told["phase"], json!("running"), "{told}");
                         missed = 0;
                     }
-                    Some((404, _)) => panic!("an accepted job is not known"),
+                    Some(HttpResponse { status: 404, .. }) => {
+                        panic!("an accepted job is not known")
+                    }
                     _ => missed += 1,
                 }
                 assert!(missed < 3, "three polls in a row were not answered");
                 sleep(Duration::from_millis(300)).await;
             }
         }
-        assert_eq!(answered("run-000999").await.map(|(s, _)| s), Some(404));
+        assert_eq!(
+            answered("run-000999").await.map(|response| response.status),
+            Some(404)
+        );
         // What happens while it knows nothing of it is told as it is.
         world.submit("run-000002", json!({"guess_s": 0.2})).await;
         world
             .until("it is done", 20, |w| w.done("run-000002", 1))
             .await;
         sleep(Duration::from_secs(3)).await;
-        let (status, told) = answered("run-000002").await.expect("an answer");
+        let HttpResponse { status, body: told } = answered("run-000002").await.expect("an answer");
         assert_eq!((status, &told["phase"]), (200, &json!("done")), "{told}");
         world.rules_hold();
     });
--- a/tests/restarts.rs
+++ b/tests/restarts.rs
@@ -12,7 +12,7 @@
 
 use hyper::Method;
 use serde_json::{json, Value};
-use sorrelhinge_emulators::{run, Plan, World, CANCEL_S};
+use sorrelhinge_emulators::{run, HttpResponse, Plan, World, CANCEL_S};
 use tokio::time::sleep;
 
 use self::cancellation::cancel;
@@ -62,7 +62,7 @@
             for _ in 0..2 {
                 let uid = format!("run-{:06}", 10 + uids.len());
                 let job = json!({"pieces": 5, "guess_s": 0.4});
-                assert_eq!(world.submit(&uid, job).await.0, 201);
+                assert_eq!(world.submit(&uid, job).await.status, 201);
                 uids.push(uid);
             }
             let owner = world.leader().unwrap_or(round % 3);
@@ -84,7 +84,8 @@
                     let path = format!("/v1/jobs/{}", uids[round % uids.len()]);
                     let told = world.ask_one(i, &path).await;
                     assert!(
-                        told.as_ref().is_none_or(|(s, _)| [200, 503].contains(s)),
+                        told.as_ref()
+                            .is_none_or(|response| [200, 503].contains(&response.status)),
                         "{told:?}"
                     );
                 }
@@ -139,13 +140,17 @@
             let told = world
                 .ask_once(other, Method::POST, &path, &Value::Null)
                 .await;
-            let known = told.is_some_and(|(status, _)| status == 200);
+            let known = told.is_some_and(|response| response.status == 200);
             let left = Duration::from_millis(frozen_ms).saturating_sub(asked.elapsed());
             sleep(left).await;
             world.freeze_controller(owner, false);
             for _ in 0..20 {
                 let told = world.ask_one(owner, &format!("/v1/jobs/{cancelled}")).await;
-                if let Some((200, told)) = told.filter(|_| known) {
+                if let Some(HttpResponse {
+                    status: 200,
+                    body: told,
+                }) = told.filter(|_| known)
+                {
                     assert_eq!(told["phase"], "cancelled", "after {frozen_ms} ms");
                 }
                 sleep(Duration::from_millis(25)).await;
@@ -248,13 +253,13 @@
     run(async {
         let mut world = begin(plan("guest", 102, 6)).await;
         let job = world.job("run-000002", json!({"crew": "nobody"}));
-        let (status, told) = world.ask(Method::POST, "/v1/jobs", &job).await;
+        let HttpResponse { status, body: told } = world.ask(Method::POST, "/v1/jobs", &job).await;
         assert_eq!(status, 422, "{told}");
         let before = world.store.borrow().changes;
         let tasks = 3000;
         let huge = json!({"crew": "guest", "rank": "idle", "pieces": tasks, "cpus": 0.25,
             "ram_gb": 0.1, "guess_s": 0.2, "jobclass": "sweep"});
-        assert_eq!(world.submit("run-000003", huge).await.0, 201);
+        assert_eq!(world.submit("run-000003", huge).await.status, 201);
         let part = |w: &World, n: usize| {
             let nodes = w.nodes.borrow();
             let of = |t: &&String| t.starts_with("run-000003/");
--- a/tests/shards.rs
+++ b/tests/shards.rs
@@ -10,7 +10,7 @@
 use std::time::{Duration, Instant};
 
 use serde_json::{json, Value};
-use sorrelhinge_emulators::{run, Plan, World, CANCEL_S};
+use sorrelhinge_emulators::{run, HttpResponse, Plan, World, CANCEL_S};
 use tokio::time::sleep;
 
 use self::cancellation::cancel;
@@ -57,7 +57,7 @@
     let mut n = from;
     while Instant::now() < until {
         let uid = format!("run-{n:06}");
-        let (status, _) = world
+        let HttpResponse { status, .. } = world
             .submit(
                 &uid,
                 json!({"pieces": 5, "guess_s": 0.4,
--- a/tests/single_tasks.rs
+++ b/tests/single_tasks.rs
@@ -7,7 +7,7 @@
 use std::time::{Duration, Instant};
 
 use sorrelhinge_emulators::users::{one_task, Question, Users};
-use sorrelhinge_emulators::{run, Plan, World, CANCEL_S};
+use sorrelhinge_emulators::{run, HttpResponse, Plan, World, CANCEL_S};
 use tokio::task::{spawn_local, JoinHandle};
 use tokio::time::sleep;
 
@@ -23,7 +23,8 @@
 /// One job's user: a quarter of them cancel soon after the acceptance, at another moment
 /// each; the others ask until their job is over.
 async fn user(users: Users, uid: String, nth: usize) -> String {
-    let (status, told) = users.ask_until_answered(nth, &uid, Question::Submit).await;
+    let HttpResponse { status, body: told } =
+        users.ask_until_answered(nth, &uid, Question::Submit).await;
     assert!(matches!(status, 200 | 201), "{uid}: {told}");
     if nth % CANCELLED_ONE_IN == 0 {
         sleep(Duration::from_millis(
--- a/tests/switch_loss.rs
+++ b/tests/switch_loss.rs
@@ -11,7 +11,7 @@
 use std::time::{Duration, Instant};
 
 use serde_json::json;
-use sorrelhinge_emulators::{file, run, Plan, World};
+use sorrelhinge_emulators::{file, run, HttpResponse, Plan, World};
 use tokio::task::spawn_local;
 use tokio::time::sleep;
 
@@ -63,7 +63,7 @@
     for uid in &services {
         let job = json!({"jobclass": "live", "shape": "standing", "rank": "critical",
             "pieces": REPLICAS, "cpus": 1.0, "spread": mode == Mode::Zone});
-        assert_eq!(world.submit(uid, job).await.0, 201);
+        assert_eq!(world.submit(uid, job).await.status, 201);
     }
     (world, services)
 }
@@ -78,11 +78,11 @@
     for n in 0..12 {
         let job = json!({"pieces": 4, "guess_s": 0.6,
             "topology": {"devices": [{"kind": "encoder", "count": 1}]}});
-        let (status, told) = world.submit(&format!("run-bake-{n}"), job).await;
+        let HttpResponse { status, body: told } = world.submit(&format!("run-bake-{n}"), job).await;
         assert_eq!(status, 201, "{told}");
     }
     let missing = json!({"topology": {"devices": [{"kind": "encoder", "count": 4}]}});
-    let (status, told) = world.submit("run-never", missing).await;
+    let HttpResponse { status, body: told } = world.submit("run-never", missing).await;
     assert_eq!(status, 422, "{told}");
 }
 
