--- a/crates/emulators/src/lib.rs
+++ b/crates/emulators/src/lib.rs
@@ -193,7 +193,7 @@
         Cloud::start(nodes.clone(), place.cloud(), plan.net, plan.switches).await;
         add_machines(&nodes, &plan);
         let topology = write_topology(&plan);
-        let (cuts, state_cuts) = (whole_lines(count), whole_lines(count));
+        let (cuts, state_cuts) = (intact_lines(count), intact_lines(count));
         if plan.lines {
             start_lines(&place, &cuts, &state_cuts).await;
         }
@@ -396,7 +396,7 @@
 }
 
 /// What lines are cut by, one for each controller; none is cut yet.
-fn whole_lines(controllers: usize) -> Vec<watch::Sender<LinkFault>> {
+fn intact_lines(controllers: usize) -> Vec<watch::Sender<LinkFault>> {
     (0..controllers)
         .map(|_| watch::Sender::new(LinkFault::None))
         .collect()
--- a/crates/emulators/src/lines.rs
+++ b/crates/emulators/src/lines.rs
@@ -1,5 +1,5 @@
 //! Lines between a controller and what it talks to, which can be cut: ended and
-//! refused, or with packets held, to be delivered in order when the cut ends.
+//! refused, or with packets delayed, to be delivered in order when the cut ends.
 
 use std::net::SocketAddr;
 
@@ -16,8 +16,8 @@
     None,
     /// Connections end, and new ones are ended at once.
     Refused,
-    /// What is sent waits.
-    Held,
+    /// What is sent is buffered, and delivered once the fault ends.
+    Stalled,
 }
 
 /// Carries connections from `at` on to `to`, as long as the line is whole.
@@ -32,7 +32,7 @@
             spawn_local(async move {
                 if cut
                     .clone()
-                    .wait_for(|c| *c != LinkFault::Held)
+                    .wait_for(|c| *c != LinkFault::Stalled)
                     .await
                     .is_err()
                     || *cut.borrow() == LinkFault::Refused
@@ -67,7 +67,7 @@
             read = from.read(&mut buffer) => read.unwrap_or(0),
             _ = end.wait_for(|c| *c == LinkFault::Refused) => 0,
         };
-        if read == 0 || cut.wait_for(|c| *c != LinkFault::Held).await.is_err() {
+        if read == 0 || cut.wait_for(|c| *c != LinkFault::Stalled).await.is_err() {
             return;
         }
         let refused = *cut.borrow() == LinkFault::Refused;
--- a/crates/emulators/src/nodes.rs
+++ b/crates/emulators/src/nodes.rs
@@ -13,7 +13,7 @@
 
 use crate::history::{AttemptId, Event, Reason, Recorder, TaskName};
 use crate::{LEASE_S, ZONES};
-pub use faults::{machines_of, Faults, Hold, Released};
+pub use faults::{machines_of, CommandDelay, Faults, Released};
 pub use worker::add;
 
 /// A task on a machine.
--- a/crates/emulators/src/nodes/faults.rs
+++ b/crates/emulators/src/nodes/faults.rs
@@ -1,5 +1,5 @@
 //! Faults of machines and of the lines to them: mute and hanging machines, and
-//! commands that are held back and carried out once, later.
+//! commands that are delayed and carried out once, later.
 
 use std::cell::RefCell;
 use std::collections::BTreeSet;
@@ -11,9 +11,9 @@
 use super::Nodes;
 use crate::history::Event;
 
-/// Which direct commands are held back.
+/// Which direct commands are delayed.
 #[derive(Clone, Debug, Default)]
-pub struct Hold {
+pub struct CommandDelay {
     /// Those of a grant, by its number in the fencing token; none: any.
     pub grant: Option<u64>,
     /// Those to a machine; none: any.
@@ -22,8 +22,8 @@
     pub starts: bool,
 }
 
-impl Hold {
-    /// Whether these commands to a machine are held back.
+impl CommandDelay {
+    /// Whether these commands to a machine are delayed.
     fn concerns(&self, machine: &str, commands: &DirectCommands) -> bool {
         let start = |o: &_| matches!(o, sorrelhinge_protocol::worker::Command::Start { .. });
         self.grant
@@ -33,7 +33,7 @@
     }
 }
 
-/// What became of commands that were held back.
+/// What became of commands that were delayed.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Released {
     /// Carried out: fencing token and incarnation still matched.
@@ -47,26 +47,26 @@
 pub struct Faults {
     /// Machines that reach no controller, while direct commands reach them.
     pub mute: BTreeSet<String>,
-    /// Direct commands that are held back from now on.
-    pub hold: Option<Hold>,
-    /// Those that are held back, by machine.
-    held: Vec<(String, DirectCommands)>,
+    /// Direct commands that are delayed from now on.
+    pub command_delay: Option<CommandDelay>,
+    /// Those that are delayed, by machine.
+    delayed: Vec<(String, DirectCommands)>,
 }
 
 impl Nodes {
-    /// How many direct commands are held back.
-    pub fn held_commands(&self) -> usize {
-        self.faults.held.len()
+    /// How many direct commands are delayed.
+    pub fn delayed_commands(&self) -> usize {
+        self.faults.delayed.len()
     }
 
-    /// Holds a direct command back if the faults say so.
-    pub(super) fn holds(&mut self, id: &str, commands: &DirectCommands) -> bool {
-        let hold = self.faults.hold.as_ref();
-        let held = hold.is_some_and(|h| h.concerns(id, commands)) || self.is_hung(id);
-        if held {
-            self.faults.held.push((id.to_owned(), commands.clone()));
+    /// Keeps a direct command back if the faults say so: whether it does.
+    pub(super) fn delays(&mut self, id: &str, commands: &DirectCommands) -> bool {
+        let delay = self.faults.command_delay.as_ref();
+        let delayed = delay.is_some_and(|d| d.concerns(id, commands)) || self.is_hung(id);
+        if delayed {
+            self.faults.delayed.push((id.to_owned(), commands.clone()));
         }
-        held
+        delayed
     }
 
     /// Whether a machine hangs.
@@ -97,18 +97,18 @@
         self.release(|machine| machine == id)
     }
 
-    /// Carries out the commands that were held back, each once, on machines that
+    /// Carries out the commands that were delayed, each once, on machines that
     /// don't hang. Nobody hears the answers.
     pub fn release_commands(&mut self) -> Released {
         self.release(|_| true)
     }
 
-    /// Carries out what was held back for these machines.
+    /// Carries out what was delayed for these machines.
     fn release(&mut self, of: impl Fn(&str) -> bool) -> Released {
         let mut released = Released::default();
-        for (id, commands) in std::mem::take(&mut self.faults.held) {
+        for (id, commands) in std::mem::take(&mut self.faults.delayed) {
             if !of(&id) || self.is_hung(&id) {
-                self.faults.held.push((id, commands));
+                self.faults.delayed.push((id, commands));
                 continue;
             }
             if !self.all[&id].gone && self.obey(&id, &commands) {
--- a/crates/emulators/src/nodes/worker.rs
+++ b/crates/emulators/src/nodes/worker.rs
@@ -137,11 +137,11 @@
         sleep(NO_ANSWER).await;
         return HttpResponse::new(503, Value::Null);
     }
-    let held = match &commands {
-        Ok(commands) => nodes.borrow_mut().holds(&id, commands),
+    let delayed = match &commands {
+        Ok(commands) => nodes.borrow_mut().delays(&id, commands),
         Err(_) => nodes.borrow().is_hung(&id),
     };
-    if held {
+    if delayed {
         // The controller gives up by itself.
         return std::future::pending().await;
     }
--- a/crates/emulators/src/store.rs
+++ b/crates/emulators/src/store.rs
@@ -19,7 +19,8 @@
 use crate::{serve, HttpResponse};
 pub use faults::{Faults, ScriptedOutcome, TransactionFault};
 
-struct Held {
+/// What a key has at present.
+struct VersionedValue {
     mod_revision: u64,
     value: Value,
     lease: Option<u64>,
@@ -49,7 +50,7 @@
 /// Keys, their history, and leases.
 pub struct Store {
     revision: u64,
-    keys: BTreeMap<String, Held>,
+    keys: BTreeMap<String, VersionedValue>,
     /// All changes, in their order.
     log: Vec<Change>,
     leases: BTreeMap<u64, Lease>,
@@ -152,12 +153,12 @@
         self.faults.met
     }
 
-    /// How many transactions are held back.
+    /// How many transactions are delayed.
     pub fn late(&self) -> usize {
         self.faults.late.len()
     }
 
-    /// Carries out what was held back, in its order, and says with which statuses.
+    /// Carries out what was delayed, in its order, and says with which statuses.
     /// An outage keeps nothing of it: it had reached the service before.
     pub fn release_late(&mut self) -> Vec<u16> {
         let late = std::mem::take(&mut self.faults.late);
@@ -251,7 +252,7 @@
     fn failed_conditions<'a>(&self, when: &'a [Value]) -> Vec<&'a str> {
         let failed = when.iter().filter_map(|condition| {
             let key = condition["key"].as_str()?;
-            let mod_revision = self.keys.get(key).map_or(0, |held| held.mod_revision);
+            let mod_revision = self.keys.get(key).map_or(0, |entry| entry.mod_revision);
             (condition["stamp"] != json!(mod_revision)).then_some(key)
         });
         failed.collect()
@@ -266,12 +267,12 @@
             key,
             json!({"write": key, "value": value, "stamp": mod_revision}),
         );
-        let held = Held {
+        let entry = VersionedValue {
             mod_revision,
             value,
             lease: change["ticket"].as_u64(),
         };
-        self.keys.insert(key.into(), held);
+        self.keys.insert(key.into(), entry);
     }
 
     /// Deletes a key at the present revision.
--- a/crates/emulators/src/store/faults.rs
+++ b/crates/emulators/src/store/faults.rs
@@ -1,5 +1,5 @@
 //! Faults of the state service, injected at named steps: a test says which
-//! transactions they meet, and when what was held back is carried out.
+//! transactions they meet, and when what was delayed is carried out.
 
 use std::collections::BTreeSet;
 
@@ -64,7 +64,7 @@
 #[derive(Default)]
 pub struct Faults {
     armed: Vec<Armed>,
-    /// Transactions that are held back, in the order in which they came.
+    /// Transactions that are delayed, in the order in which they came.
     pub(super) late: Vec<Value>,
     /// Controllers that are refused alone.
     pub(super) refused: BTreeSet<usize>,
--- a/tests/addition.rs
+++ b/tests/addition.rs
@@ -229,9 +229,9 @@
         let world = begin(plan("alone", 42, 3)).await;
         let mut uids = Vec::new();
         for (round, (cut, owner)) in [
-            (LinkFault::Held, true),
+            (LinkFault::Stalled, true),
             (LinkFault::Refused, true),
-            (LinkFault::Held, false),
+            (LinkFault::Stalled, false),
         ]
         .into_iter()
         .enumerate()
@@ -338,7 +338,7 @@
             uids.extend(jobs(&world, 10 + 10 * round, 3).await);
             let (alone, ended) = (round % 5, (round + 2) % 5);
             let cut = if round % 2 == 0 {
-                LinkFault::Held
+                LinkFault::Stalled
             } else {
                 LinkFault::Refused
             };
--- a/tests/answers.rs
+++ b/tests/answers.rs
@@ -145,7 +145,7 @@
         let day = Day::begin(&world, 3, 64);
         let mut came = 0;
         for round in 0..2 {
-            for how in [LinkFault::Refused, LinkFault::Held] {
+            for how in [LinkFault::Refused, LinkFault::Stalled] {
                 let leader = world.leader().unwrap_or(0);
                 let at = (leader + round) % 3;
                 came += 7;
--- a/tests/meetings_loopback.rs
+++ b/tests/meetings_loopback.rs
@@ -12,7 +12,7 @@
 use hyper::Method;
 use serde_json::{json, Value};
 use sorrelhinge_emulators::history::Event;
-use sorrelhinge_emulators::nodes::{machines_of, Hold, Released};
+use sorrelhinge_emulators::nodes::{machines_of, CommandDelay, Released};
 use sorrelhinge_emulators::store::{ScriptedOutcome, TransactionFault};
 use sorrelhinge_emulators::{run, HttpResponse, Plan, World, CANCEL_S};
 use tokio::task::{spawn_local, JoinHandle};
@@ -427,20 +427,22 @@
 }
 
 /// Commands that start tasks are held back on their way from now on.
-fn hold_starts(world: &World) {
-    world.nodes.borrow_mut().faults.hold = Some(Hold {
+fn delay_starts(world: &World) {
+    world.nodes.borrow_mut().faults.command_delay = Some(CommandDelay {
         starts: true,
-        ..Hold::default()
+        ..CommandDelay::default()
     });
 }
 
-async fn until_held(world: &World) {
-    let held = |w: &World| w.nodes.borrow().held_commands() > 0;
-    world.until("commands are held", PATIENCE_S, held).await;
+async fn until_commands_delayed(world: &World) {
+    let delayed = |w: &World| w.nodes.borrow().delayed_commands() > 0;
+    world
+        .until("commands are delayed", PATIENCE_S, delayed)
+        .await;
 }
 
 /// The commands that were held back arrive, and no machine takes one.
-fn held_ones_start_nothing(world: &World) {
+fn delayed_commands_start_nothing(world: &World) {
     let released: Released = world.nodes.borrow_mut().release_commands();
     assert_eq!(released.carried_out, 0, "{released:?}");
     assert!(released.dropped > 0, "{released:?}");
@@ -448,54 +450,54 @@
 
 /// Direct commands of a leader are held back, and it is killed. The next one places
 /// the same tasks, also elsewhere; then the commands arrive.
-async fn held_commands(net: u8, controllers: usize) {
+async fn delays_across_leaders(net: u8, controllers: usize) {
     let mut world = begin("held_commands", net, controllers, STEADY_LEASE).await;
     let old = leader(&world);
-    hold_starts(&world);
+    delay_starts(&world);
     for n in 2..6 {
         let job = json!({"pieces": 3, "guess_s": 1.0});
         let uid = format!("run-{n:06}");
         assert_eq!(world.submit(&uid, job).await.status, 201);
     }
-    until_held(&world).await;
+    until_commands_delayed(&world).await;
     world.kill_controller(old);
     next_leader(&world, old).await;
-    world.nodes.borrow_mut().faults.hold = None;
+    world.nodes.borrow_mut().faults.command_delay = None;
     world.start_controller(old);
     for n in 2..6 {
         ends(&world, &format!("run-{n:06}"), 3).await;
     }
-    held_ones_start_nothing(&world);
+    delayed_commands_start_nothing(&world);
     all_is_well(&world, controllers, 0).await;
 }
 
 #[test]
 fn held_commands_of_a_deposed_leader_start_nothing() {
     run(async {
-        held_commands(178, 3).await;
-        held_commands(182, 5).await;
+        delays_across_leaders(178, 3).await;
+        delays_across_leaders(182, 5).await;
     });
 }
 
 /// Commands that a machine did not answer are held back while their sender goes on: it
 /// raises the fencing token before it gives the tasks to others.
-async fn held_by_the_same(net: u8, controllers: usize) {
+async fn delays_under_one_leader(net: u8, controllers: usize) {
     let world = begin("held_by_the_same", net, controllers, LONG_LEASE).await;
-    hold_starts(&world);
+    delay_starts(&world);
     let job = json!({"pieces": 4, "guess_s": 1.0});
     assert_eq!(world.submit("run-000002", job).await.status, 201);
-    until_held(&world).await;
-    world.nodes.borrow_mut().faults.hold = None;
+    until_commands_delayed(&world).await;
+    world.nodes.borrow_mut().faults.command_delay = None;
     ends(&world, "run-000002", 4).await;
     // The job is over, so every machine that had a command has taken a higher fencing token.
-    held_ones_start_nothing(&world);
+    delayed_commands_start_nothing(&world);
     all_is_well(&world, controllers, 0).await;
 }
 
 #[test]
 fn held_commands_of_the_same_leader_start_nothing_twice() {
     run(async {
-        held_by_the_same(186, 3).await;
-        held_by_the_same(54, 5).await;
+        delays_under_one_leader(186, 3).await;
+        delays_under_one_leader(54, 5).await;
     });
 }
--- a/tests/polls.rs
+++ b/tests/polls.rs
@@ -103,7 +103,7 @@
             sleep(Duration::from_millis(100)).await;
         }
         sleep(Duration::from_secs(2)).await;
-        for how in [LinkFault::Refused, LinkFault::Held] {
+        for how in [LinkFault::Refused, LinkFault::Stalled] {
             world.cut_state(cut, how);
             let mut missed = 0;
             for _ in 0..6 {
