--- a/tests/edges.rs
+++ b/tests/edges.rs
@@ -1,11 +1,15 @@
 //! What comes in from outside: settings, jobs, records, peer messages.
 
+#[path = "settings/controller.rs"]
+mod controller;
+
 use std::cell::RefCell;
 use std::future::Future;
 use std::pin::Pin;
 use std::rc::Rc;
 use std::time::Duration;
 
+use controller::{ControllerSettings, Team};
 use serde_json::{json, Value};
 use sorrelhinge::api::read_job;
 use sorrelhinge::config::{lanes, Config, Tuning};
@@ -29,42 +33,27 @@
 use tokio::task::spawn_local;
 use zerocopy::IntoBytes;
 
-const SETTINGS: &str = r#"
-node = "n-0"
-area = "za"
-bind = "127.0.0.1:1"
-peer_bind = "127.0.0.1:2"
-later_field = [1, 2]
-[outside]
-cloud = "127.0.0.1:3"
-state = "127.0.0.1:4"
-[params]
-zones = ["za"]
-[[params.teams]]
-name = "red"
-cpus = 6.0
-cpus_max = 10.0
-[[params.objectives]]
-kind = "wait"
-class = "live"
-within_s = 2.0
-[params.workers]
-report_s = 1.0
-lease_s = 20.0
-cancel_s = 40.0
-[params.state]
-rps = 100.0
-write_rps = 100.0
-value_kb = 4.0
-txn_ops = 4
-[params.cloud]
-rps = 10.0
-list_lag_s = 2.0
-"#;
+/// Valid settings with one team, one objective and a field that this version does not
+/// know.
+fn settings_text() -> String {
+    let red = Team {
+        name: "red",
+        guarantee_cpus: 6.0,
+        limit_cpus: 10.0,
+    };
+    let mut settings = ControllerSettings {
+        teams: vec![red],
+        more: "later_field = [1, 2]\n",
+        more_params: "[[params.objectives]]\nkind = \"wait\"\nclass = \"live\"\nwithin_s = 2.0\n",
+        ..ControllerSettings::small("n-0")
+    };
+    settings.state.value_kb = 4.0;
+    settings.text()
+}
 
 #[test]
 fn settings_ignore_unknown_fields_and_name_wrong_ones() {
-    let config = Config::parse(SETTINGS).expect("valid");
+    let config = Config::parse(&settings_text()).expect("valid");
     assert_eq!(config.start_objectives.get("live"), Some(&2.0));
     for (from, to, named) in [
         ("rps = 100.0", "rps = -1.0", "params.state.rps"),
@@ -75,7 +64,9 @@
         ("zones = [\"za\"]", "zones = []", "params.zones"),
         ("bind = \"127.0.0.1:1\"", "bind = \"nowhere\"", "bind"),
     ] {
-        let error = Config::parse(&SETTINGS.replacen(from, to, 1))
+        let valid = settings_text();
+        assert!(valid.contains(from), "{from} is not in the settings");
+        let error = Config::parse(&valid.replacen(from, to, 1))
             .expect_err(to)
             .to_string();
         assert!(error.contains(named), "{error:?} does not name {named}");
@@ -99,7 +90,7 @@
 cpus_max = 0.0
 gpus_max = 1.5
 [[params.objectives]]"#;
-    let config = Config::parse(&SETTINGS.replacen("[[params.objectives]]", teams, 1));
+    let config = Config::parse(&settings_text().replacen("[[params.objectives]]", teams, 1));
     let config = config.expect("valid");
     let amount = |cpu, gpu| Amount { cpu, gpu, ram: 0 };
     let none = Amount::NO_LIMIT;
--- a/tests/fleet_limits.rs
+++ b/tests/fleet_limits.rs
@@ -1,6 +1,8 @@
 //! Fixed limits that depend on the number of machines hold for a fleet of 4,000, and just
 //! beyond their earlier values (`docs/overload.md`, "Fixed limits").
 
+#[path = "settings/loopback.rs"]
+mod loopback_settings;
 mod settings;
 
 use std::cell::{Cell, RefCell};
@@ -13,6 +15,7 @@
 
 use hyper::Method;
 use serde_json::{json, Value};
+use settings::controller;
 use sorrelhinge::config::Config;
 use sorrelhinge::control::core::{Core, Places, RecoveryInput, ShardGrant};
 use sorrelhinge::peer_link::{
@@ -284,20 +287,11 @@
 
 // ---- drains -------------------------------------------------------------------
 
+/// The controller's settings, with the limits of the operators' state service.
 fn controller_settings(place: &Place) -> Config {
-    let text = format!(
-        "node = \"c-0\"\narea = \"za\"\nbind = \"{}\"\npeer_bind = \"{}\"\nothers = []\n\
-         [outside]\ncloud = \"{}\"\nstate = \"{}\"\n\
-         [params]\nzones = [\"za\"]\n\
-         [params.workers]\nreport_s = 0.5\nlease_s = 3.0\ncancel_s = 12.0\n\
-         [params.state]\nrps = 500.0\nwrite_rps = 300.0\nvalue_kb = 4.0\ntxn_ops = 8\n\
-         [params.cloud]\nrps = 50.0\nlist_lag_s = 0.2\n",
-        place.users(0),
-        place.peers(0),
-        place.cloud(),
-        place.state(),
-    );
-    Config::parse(&text).expect("settings")
+    let value_kb = VALUE_BYTES as f64 / 1024.0;
+    let settings = loopback_settings::only_controller(place, value_kb, TXN_OPS);
+    Config::parse(&settings.text()).expect("settings")
 }
 
 /// A state service that holds the drains of so many machines.
--- a/tests/late_reads.rs
+++ b/tests/late_reads.rs
@@ -1,11 +1,17 @@
 //! Reads of the state service that are answered late or out of order: what a
 //! controller knows never goes back, and no user's answer rests on such a read.
 
+#[path = "settings/controller.rs"]
+mod controller;
+#[path = "settings/loopback.rs"]
+mod loopback_settings;
+
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
+use controller::{ControllerSettings, Team};
 use hyper::Method;
 use serde_json::{json, Value};
 use sorrelhinge::config::Config;
@@ -117,20 +123,16 @@
 }
 
 fn config(place: &Place) -> Config {
-    let text = format!(
-        "node = \"c-0\"\narea = \"za\"\nbind = \"{}\"\npeer_bind = \"{}\"\nothers = []\n\
-         [outside]\ncloud = \"{}\"\nstate = \"{}\"\n\
-         [params]\nzones = [\"za\"]\n\
-         [[params.teams]]\nname = \"crew\"\ncpus = 200.0\ncpus_max = 400.0\n\
-         [params.workers]\nreport_s = 0.5\nlease_s = 3.0\ncancel_s = 12.0\n\
-         [params.state]\nrps = 500.0\nwrite_rps = 300.0\nvalue_kb = 8.0\ntxn_ops = 16\n\
-         [params.cloud]\nrps = 50.0\nlist_lag_s = 0.2\n",
-        place.users(0),
-        place.peers(0),
-        place.cloud(),
-        place.state(),
-    );
-    Config::parse(&text).expect("settings")
+    let crew = Team {
+        name: "crew",
+        guarantee_cpus: 200.0,
+        limit_cpus: 400.0,
+    };
+    let settings = ControllerSettings {
+        teams: vec![crew],
+        ..loopback_settings::only_controller(place, 8.0, 16)
+    };
+    Config::parse(&settings.text()).expect("settings")
 }
 
 /// Asks until the controller answers with another status than 503.
