--- a/tests/answers.rs
+++ b/tests/answers.rs
@@ -235,6 +235,7 @@
     const UID: &str = "run-1";
     let status =
         |status: u16, phase: &str| HttpResponse::new(status, json!({"uid": UID, "phase": phase}));
+    let other = json!({"uid": "run-2", "phase": "pending"});
     // The rule that is broken, the answers in order, and whether the tasks are done.
     let histories = [
         (
@@ -265,14 +266,7 @@
         ("not done", vec![status(200, "done")], false),
         ("nobody cancelled it", vec![status(200, "cancelled")], true),
         ("no phase", vec![status(200, "lost")], true),
-        (
-            "another job",
-            vec![HttpResponse::new(
-                200,
-                json!({"uid": "run-2", "phase": "pending"}),
-            )],
-            true,
-        ),
+        ("another job", vec![HttpResponse::new(200, other)], true),
     ];
     for (rule, told, done) in histories {
         let mut answers = Answers::default();
--- a/tests/bad_requests.rs
+++ b/tests/bad_requests.rs
@@ -32,35 +32,52 @@
 }
 
 /// A field and a value that it must not have.
-fn invalid_fields() -> Vec<(&'static str, Value)> {
-    let mut all = Vec::new();
+type InvalidField = (&'static str, Value);
+
+/// Each of the fields with each of the values.
+fn each_with(fields: &[&'static str], wrong: &[Value]) -> Vec<InvalidField> {
+    let pairs = fields
+        .iter()
+        .flat_map(|field| wrong.iter().map(|value| (*field, value.clone())));
+    pairs.collect()
+}
+
+/// Fields that are names, and what is no name.
+fn invalid_names() -> Vec<InvalidField> {
     let names = ["jobclass", "crew", "bundle"];
-    for field in names {
-        for wrong in [json!(""), json!(7), json!(null), json!(["x"])] {
-            all.push((field, wrong));
-        }
-        all.push((field, json!("x".repeat(300))));
-    }
-    for field in ["shape", "rank"] {
-        for wrong in [json!(""), json!("other"), json!(null), json!(1), json!({})] {
-            all.push((field, wrong));
-        }
-    }
-    for wrong in [
-        json!(0),
-        json!(-1),
-        json!(1.5),
-        json!(100_001),
-        json!(u64::MAX),
-        json!(1e300),
-        json!("1"),
-        json!(null),
-    ] {
-        all.push(("pieces", wrong));
-    }
-    let amounts = ["cpus", "cards", "ram_gb", "pull_gb"];
-    for field in amounts.into_iter().chain(["guess_s", "mark_s", "stash_s"]) {
-        for wrong in [
+    let long = json!("x".repeat(300));
+    let mut all = each_with(
+        &names,
+        &[json!(""), json!(7), json!(null), json!(["x"]), long],
+    );
+    all.extend(each_with(
+        &["shape", "rank"],
+        &[json!(""), json!("other"), json!(null), json!(1), json!({})],
+    ));
+    all.extend(each_with(&["rack"], &[json!(""), json!(1), json!(["za"])]));
+    all
+}
+
+/// Fields that are numbers, and what is no number, or out of bounds.
+fn invalid_numbers() -> Vec<InvalidField> {
+    let mut all = each_with(
+        &["pieces"],
+        &[
+            json!(0),
+            json!(-1),
+            json!(1.5),
+            json!(100_001),
+            json!(u64::MAX),
+            json!(1e300),
+            json!("1"),
+            json!(null),
+        ],
+    );
+    all.extend(each_with(
+        &[
+            "cpus", "cards", "ram_gb", "pull_gb", "guess_s", "mark_s", "stash_s",
+        ],
+        &[
             json!(-0.5),
             json!(1e300),
             json!("1.0"),
@@ -68,31 +85,32 @@
             json!(null),
             json!(true),
             json!([1.0]),
-        ] {
-            all.push((field, wrong));
-        }
-    }
-    for wrong in [json!(-0.5), json!(1e300), json!("soon"), json!(false)] {
-        all.push(("due_s", wrong));
-    }
-    for field in ["together", "spread", "loaners"] {
-        for wrong in [json!(0), json!("true"), json!(null), json!([])] {
-            all.push((field, wrong));
-        }
-    }
-    for wrong in [
-        json!([]),
-        json!("t"),
-        json!([1]),
-        json!([""]),
-        json!([null]),
-        json!({"t": 1}),
-    ] {
-        all.push(("builds", wrong));
-    }
-    for wrong in [json!(""), json!(1), json!(["za"])] {
-        all.push(("rack", wrong));
-    }
+        ],
+    ));
+    let no_deadlines = [json!(-0.5), json!(1e300), json!("soon"), json!(false)];
+    all.extend(each_with(&["due_s"], &no_deadlines));
+    all
+}
+
+/// All fields with what they must not have.
+fn invalid_fields() -> Vec<InvalidField> {
+    let mut all = invalid_names();
+    all.extend(invalid_numbers());
+    all.extend(each_with(
+        &["together", "spread", "loaners"],
+        &[json!(0), json!("true"), json!(null), json!([])],
+    ));
+    all.extend(each_with(
+        &["builds"],
+        &[
+            json!([]),
+            json!("t"),
+            json!([1]),
+            json!([""]),
+            json!([null]),
+            json!({"t": 1}),
+        ],
+    ));
     all
 }
 
--- a/tests/comeback.rs
+++ b/tests/comeback.rs
@@ -10,7 +10,7 @@
 use std::time::{Duration, Instant};
 
 use hyper::Method;
-use serde_json::json;
+use serde_json::{json, Value};
 use sorrelhinge_emulators::{run, HttpResponse, Plan, World, CANCEL_S, LEASE_S};
 use tokio::time::sleep;
 
@@ -69,6 +69,37 @@
     });
 }
 
+/// The job of this number: its id and its fields, of one class after the other.
+fn job_of_class(n: u32) -> (String, Value) {
+    let classes = [("bake", "normal"), ("check", "high")];
+    let (class, rank) = classes[n as usize % 2];
+    let job = json!({"jobclass": class, "rank": rank, "pieces": 6, "guess_s": 0.5});
+    (format!("run-{n:06}"), job)
+}
+
+/// For two leases all controllers get a twentieth of their time, while jobs come. Returns
+/// the jobs.
+async fn starve_controllers(world: &World) -> Vec<String> {
+    let begun = Instant::now();
+    let mut came = Vec::new();
+    while begun.elapsed() < Duration::from_secs(2 * LEASE_S as u64) {
+        for i in 0..3 {
+            world.freeze_controller(i, true);
+        }
+        sleep(Duration::from_millis(190)).await;
+        for i in 0..3 {
+            world.freeze_controller(i, false);
+        }
+        let (uid, more) = job_of_class(10 + came.len() as u32);
+        // It may be told to come back: then it comes again below.
+        let body = world.job(&uid, more);
+        let asked = world.ask_once(came.len() % 3, Method::POST, "/v1/jobs", &body);
+        let _ = tokio::time::timeout(Duration::from_millis(10), asked).await;
+        came.push(uid);
+    }
+    came
+}
+
 /// All controllers get a twentieth of their time for so long that leases end and
 /// tasks with them, while work of every class comes. Once they have it back, all
 /// classes are served again, with what came meanwhile, within a minute.
@@ -87,35 +118,10 @@
         }
         let up = |w: &World| services.iter().all(|s| w.nodes.borrow().copies(s) == 8);
         world.until("replicas run", 20, up).await;
-        let classes = [("bake", "normal"), ("check", "high")];
-        let job = |n: u32| {
-            let (class, rank) = classes[n as usize % 2];
-            let uid = format!("run-{n:06}");
-            (
-                uid,
-                json!({"jobclass": class, "rank": rank, "pieces": 6, "guess_s": 0.5}),
-            )
-        };
-        let begun = Instant::now();
-        let mut came = Vec::new();
-        while begun.elapsed() < Duration::from_secs(2 * LEASE_S as u64) {
-            for i in 0..3 {
-                world.freeze_controller(i, true);
-            }
-            sleep(Duration::from_millis(190)).await;
-            for i in 0..3 {
-                world.freeze_controller(i, false);
-            }
-            let (uid, more) = job(10 + came.len() as u32);
-            // It may be told to come back: then it comes again below.
-            let body = world.job(&uid, more);
-            let asked = world.ask_once(came.len() % 3, Method::POST, "/v1/jobs", &body);
-            let _ = tokio::time::timeout(Duration::from_millis(10), asked).await;
-            came.push(uid);
-        }
+        let came = starve_controllers(&world).await;
         let over = Instant::now();
         for (n, uid) in came.iter().enumerate() {
-            let (same, more) = job(10 + n as u32);
+            let (same, more) = job_of_class(10 + n as u32);
             assert_eq!(*uid, same);
             let HttpResponse { status, body: told } = world.submit(uid, more).await;
             assert!(matches!(status, 200 | 201), "{told}");
--- a/tests/drains.rs
+++ b/tests/drains.rs
@@ -31,74 +31,102 @@
 const LIVE: &str = "[[policy]]\nclass = \"live\"\n[[policy.wishes.spread]]\nlevel = \"switch\"\n\
     most = 1\n[repair]\nevery_s = 1.0\nsettle_s = 4.0\n";
 
+/// Submits services of four replicas each, and an array whose tasks run on while a drain
+/// waits for them. Returns the services.
+async fn submit_services_and_array(world: &World) -> Vec<String> {
+    let services: Vec<String> = (0..4).map(|n| format!("run-live-{n}")).collect();
+    for uid in &services {
+        let job = json!({"jobclass": "live", "shape": "standing", "rank": "critical",
+            "pieces": 4, "cpus": 1.0});
+        assert_eq!(world.submit(uid, job).await.status, 201);
+    }
+    let long = json!({"pieces": 6, "guess_s": 6.0});
+    assert_eq!(world.submit("run-long", long).await.status, 201);
+    services
+}
+
+/// Drains the first zone's first rack; a rack that does not exist is refused.
+async fn drain_rack(world: &World) {
+    let (ok, text) = world.command(&["drain", "zq/r9"]).await;
+    assert!(!ok && text.contains("zq/r9"), "{text}");
+    let (ok, text) = world
+        .command(&["drain", "za/r0", "--deadline", "60s"])
+        .await;
+    assert!(ok, "{text}");
+    let drains = shown(world).await.drains;
+    assert_eq!(drains.len(), 1);
+    assert_eq!(drains[0].target, "za/r0");
+}
+
+/// Waits until no task is in the first zone, for half a minute at the most. Returns the
+/// fewest replicas that a service had meanwhile.
+async fn fewest_replicas_while_draining(world: &World, services: &[String]) -> usize {
+    let mut fewest = 4;
+    for _ in 0..3000 {
+        sleep(Duration::from_millis(10)).await;
+        let nodes = world.nodes.borrow();
+        let copies = services.iter().map(|s| nodes.copies(s)).min();
+        fewest = fewest.min(copies.unwrap_or(0));
+        let left = services.iter().chain([&"run-long".to_owned()]).any(|s| {
+            let places = nodes.places(s);
+            places.iter().any(|(zone, _)| *zone == 0)
+        });
+        if !left {
+            break;
+        }
+    }
+    fewest
+}
+
+/// The drain is shown as done, once its last results have come in.
+async fn drain_is_done(world: &World) {
+    let mut drain = shown(world).await.drains.remove(0);
+    for _ in 0..200 {
+        if drain.done {
+            break;
+        }
+        // The last results are still on their way.
+        sleep(Duration::from_millis(100)).await;
+        drain = shown(world).await.drains.remove(0);
+    }
+    assert!(drain.done && drain.tasks == 0, "{drain:?}");
+}
+
+/// The drained rack is shown as empty; its drain ends once, and a second time is refused.
+async fn end_drain(world: &World) {
+    let (ok, text) = world.command(&["topology", "show"]).await;
+    assert!(
+        ok && text.contains("empty") && text.contains("za/r0"),
+        "{text}"
+    );
+    let (ok, text) = world.command(&["undrain", "za/r0"]).await;
+    assert!(ok, "{text}");
+    let (ok, text) = world.command(&["undrain", "za/r0"]).await;
+    assert!(!ok && text.contains("no such drain"), "{text}");
+}
+
 /// A drain goes on over a takeover in its middle, never with more than one
 /// replica of a service away, and is seen with its progress.
 #[test]
 fn a_drain_survives_a_takeover() {
     run(async {
         let mut world = world(50, "drain", LIVE).await;
-        let services: Vec<String> = (0..4).map(|n| format!("run-live-{n}")).collect();
-        for uid in &services {
-            let job = json!({"jobclass": "live", "shape": "standing", "rank": "critical",
-                "pieces": 4, "cpus": 1.0});
-            assert_eq!(world.submit(uid, job).await.status, 201);
-        }
-        // An array whose tasks run on while the drain waits for them.
-        let long = json!({"pieces": 6, "guess_s": 6.0});
-        assert_eq!(world.submit("run-long", long).await.status, 201);
+        let services = submit_services_and_array(&world).await;
         let all_run = |w: &World| {
             let nodes = w.nodes.borrow();
             services.iter().all(|s| nodes.copies(s) == 4)
         };
         world.until("all replicas run", 40, all_run).await;
-        let (ok, text) = world.command(&["drain", "zq/r9"]).await;
-        assert!(!ok && text.contains("zq/r9"), "{text}");
-        let (ok, text) = world
-            .command(&["drain", "za/r0", "--deadline", "60s"])
-            .await;
-        assert!(ok, "{text}");
-        let drains = shown(&world).await.drains;
-        assert_eq!(drains.len(), 1);
-        assert_eq!(drains[0].target, "za/r0");
+        drain_rack(&world).await;
         let leader = world.leader().expect("a leader");
         world.kill_controller(leader);
         world.start_controller(leader);
-        let mut fewest = 4;
-        for _ in 0..3000 {
-            sleep(Duration::from_millis(10)).await;
-            let nodes = world.nodes.borrow();
-            let copies = services.iter().map(|s| nodes.copies(s)).min();
-            fewest = fewest.min(copies.unwrap_or(0));
-            let left = services.iter().chain([&"run-long".to_owned()]).any(|s| {
-                let places = nodes.places(s);
-                places.iter().any(|(zone, _)| *zone == 0)
-            });
-            if !left {
-                break;
-            }
-        }
+        let fewest = fewest_replicas_while_draining(&world, &services).await;
         assert!(fewest >= 3, "{fewest} replicas of a service were left");
         world.until("all replicas run elsewhere", 40, all_run).await;
-        let mut drain = shown(&world).await.drains.remove(0);
-        for _ in 0..200 {
-            if drain.done {
-                break;
-            }
-            // The last results are still on their way.
-            sleep(Duration::from_millis(100)).await;
-            drain = shown(&world).await.drains.remove(0);
-        }
-        assert!(drain.done && drain.tasks == 0, "{drain:?}");
+        drain_is_done(&world).await;
         assert_eq!(world.nodes.borrow().wrong, Vec::<String>::new());
-        let (ok, text) = world.command(&["topology", "show"]).await;
-        assert!(
-            ok && text.contains("empty") && text.contains("za/r0"),
-            "{text}"
-        );
-        let (ok, text) = world.command(&["undrain", "za/r0"]).await;
-        assert!(ok, "{text}");
-        let (ok, text) = world.command(&["undrain", "za/r0"]).await;
-        assert!(!ok && text.contains("no such drain"), "{text}");
+        end_drain(&world).await;
         // Where none of them was on the drained rack, the drain may end before.
         world
             .until("the array's tasks end by themselves", 20, |w| {
@@ -108,17 +136,64 @@
     });
 }
 
+/// The operator's file with these units behind the first zone's first switch.
+fn with_encoders(units: &str) -> String {
+    format!(
+        "{LIVE}[[device]]\nkind = \"encoder\"\nnetworks = [\"127.60.0.0/24\"]\nunits = [{units}]\n"
+    )
+}
+
+/// A job whose tasks need an encoder each.
+fn bake(guess: f64, tasks: u32) -> Value {
+    json!({"pieces": tasks, "guess_s": guess, "cpus": 1.0,
+        "topology": {"devices": [{"kind": "encoder"}]}})
+}
+
+/// Why a job waits, as soon as a controller knows, or nothing after four seconds.
+async fn why_it_waits(world: &World, path: &str) -> String {
+    let mut why = String::new();
+    for _ in 0..40 {
+        // The one that places it knows why it waits.
+        let HttpResponse { body: told, .. } = world.ask(Method::GET, path, &Value::Null).await;
+        if let Some(text) = told["waits"].as_str() {
+            why = text.to_owned();
+            break;
+        }
+        let leader = world.leader().expect("a leader");
+        let HttpResponse { body: told, .. } = world
+            .ask_one(leader, path)
+            .await
+            .unwrap_or(HttpResponse::new(0, Value::Null));
+        why = told["waits"].as_str().unwrap_or_default().to_owned();
+        if !why.is_empty() {
+            break;
+        }
+        sleep(Duration::from_millis(100)).await;
+    }
+    why
+}
+
+/// A bad file is named in a log, and the one before it goes on to be used.
+async fn reload_bad_file(world: &World) {
+    world.reload("version = 1\n[[place]]\ndomain = \"za/r0/s0/m/x\"\n");
+    sleep(Duration::from_millis(500)).await;
+    let logs = world.logs();
+    assert!(
+        logs.contains("the earlier one stays") && logs.contains("place[0].domain"),
+        "a bad file is named"
+    );
+    assert!(
+        !shown(world).await.domains.is_empty(),
+        "and changes nothing"
+    );
+}
+
 /// A bad file changes nothing and is named; a good one that takes a device away
 /// leaves it with the task that holds it until that is gone.
 #[test]
 fn a_reload_keeps_what_is_held() {
     run(async {
-        let device = |units: &str| {
-            format!(
-                "{LIVE}[[device]]\nkind = \"encoder\"\nnetworks = [\"127.60.0.0/24\"]\nunits = [{units}]\n"
-            )
-        };
-        let world = world(60, "reload", &device("\"enc0\"")).await;
+        let world = world(60, "reload", &with_encoders("\"enc0\"")).await;
         world.nodes.borrow_mut().full = true;
         let encoders = |works: bool| vec![("enc0".to_owned(), works), ("enc1".to_owned(), true)];
         world
@@ -126,10 +201,6 @@
             .borrow_mut()
             .encoders
             .insert((0, 0), encoders(true));
-        let bake = |guess: f64, tasks: u32| {
-            json!({"pieces": tasks, "guess_s": guess, "cpus": 1.0,
-                "topology": {"devices": [{"kind": "encoder"}]}})
-        };
         // Two machines have one encoder each: both are taken for a while.
         assert_eq!(world.submit("run-hold", bake(6.0, 2)).await.status, 201);
         let holds = |w: &World| w.nodes.borrow().places("run-hold").len() == 2;
@@ -137,45 +208,16 @@
         assert_eq!(world.submit("run-wait", bake(0.3, 1)).await.status, 201);
         sleep(Duration::from_millis(1500)).await;
         assert_eq!(world.nodes.borrow().places("run-wait").len(), 0, "taken");
-        let path = "/v1/jobs/run-wait";
-        let mut why = String::new();
-        for _ in 0..40 {
-            // The one that places it knows why it waits.
-            let HttpResponse { body: told, .. } = world.ask(Method::GET, path, &Value::Null).await;
-            if let Some(text) = told["waits"].as_str() {
-                why = text.to_owned();
-                break;
-            }
-            let leader = world.leader().expect("a leader");
-            let HttpResponse { body: told, .. } = world
-                .ask_one(leader, path)
-                .await
-                .unwrap_or(HttpResponse::new(0, Value::Null));
-            why = told["waits"].as_str().unwrap_or_default().to_owned();
-            if !why.is_empty() {
-                break;
-            }
-            sleep(Duration::from_millis(100)).await;
-        }
+        let why = why_it_waits(&world, "/v1/jobs/run-wait").await;
         assert!(why.contains("devices are taken"), "{why:?}");
-        world.reload("version = 1\n[[place]]\ndomain = \"za/r0/s0/m/x\"\n");
-        sleep(Duration::from_millis(500)).await;
-        let logs = world.logs();
-        assert!(
-            logs.contains("the earlier one stays") && logs.contains("place[0].domain"),
-            "a bad file is named"
-        );
-        assert!(
-            !shown(&world).await.domains.is_empty(),
-            "and changes nothing"
-        );
+        reload_bad_file(&world).await;
         // enc0 goes while it is held, and enc1 comes.
-        world.reload(&file(60, SWITCHES, &device("\"enc1\"")));
+        world.reload(&file(60, SWITCHES, &with_encoders("\"enc1\"")));
         let done = |w: &World| w.nodes.borrow().done.contains("run-wait/0");
         world.until("the new encoder is used", 20, done).await;
         assert!(holds(&world), "while the old one is held still");
         // Back again: it is not given out twice.
-        world.reload(&file(60, SWITCHES, &device("\"enc0\"")));
+        world.reload(&file(60, SWITCHES, &with_encoders("\"enc0\"")));
         assert_eq!(world.submit("run-last", bake(0.3, 2)).await.status, 201);
         let all = |w: &World| w.nodes.borrow().done.len() >= 5;
         world.until("all bakes are done", 40, all).await;
--- a/tests/edges.rs
+++ b/tests/edges.rs
@@ -365,6 +365,66 @@
     }
 }
 
+/// Requests are answered with their own text, whatever their length.
+async fn requests_are_answered(peers: &Peers, other: &NodeId) {
+    for text in [b"one".to_vec(), vec![7; 60_000]] {
+        let answered = peers.forward(other, Kind::Heartbeat, text.clone()).await;
+        assert_eq!(answered, Some(Answered { status: 200, text }));
+    }
+}
+
+/// Heartbeats taken for the owner go in batches, each with its answer.
+async fn batched_heartbeats_are_answered(peers: &Rc<Peers>, other: &NodeId) {
+    let many = (0..200_u32).map(|n| {
+        let (peers, other, text) = (peers.clone(), other.clone(), n.to_string().into_bytes());
+        spawn_local(async move {
+            let answered = peers.forward(&other, Kind::Adopted, text.clone()).await;
+            assert_eq!(answered, Some(Answered { status: 200, text }));
+        })
+    });
+    for one in many.collect::<Vec<_>>() {
+        one.await.expect("its own answer");
+    }
+}
+
+/// Heartbeats of these machines as they are announced to their owner.
+fn announced(names: &[MachineId]) -> Vec<ForwardedHeartbeat> {
+    let told: Vec<ForwardedHeartbeat> = names
+        .iter()
+        .filter_map(|m| ForwardedHeartbeat::new(m, Incarnation(2), SequenceNumber(7)))
+        .collect();
+    assert_eq!(
+        ForwardedHeartbeat::parse(told.as_bytes()).map(<[ForwardedHeartbeat]>::len),
+        Some(300)
+    );
+    assert_eq!(
+        ForwardedHeartbeat::parse(&told.as_bytes()[1..]),
+        None,
+        "of another length"
+    );
+    assert_eq!(
+        told[0].read(),
+        Some((names[0].clone(), Incarnation(2), SequenceNumber(7)))
+    );
+    let long_name = MachineId::from(&*"x".repeat(33));
+    assert_eq!(
+        ForwardedHeartbeat::new(&long_name, Incarnation(1), SequenceNumber(1)),
+        None
+    );
+    told
+}
+
+/// Neither a controller that nobody knows answers, nor one a request that is too long.
+async fn dead_lines_answer_nothing(peers: &Peers, other: &NodeId) {
+    let nobody = NodeId::from("n-2");
+    assert_eq!(
+        peers.forward(&nobody, Kind::Heartbeat, Vec::new()).await,
+        None
+    );
+    let long = vec![0; 1 << 20];
+    assert_eq!(peers.forward(other, Kind::Heartbeat, long).await, None);
+}
+
 #[test]
 fn requests_are_passed_on_and_a_dead_line_answers_nothing() {
     let runtime = tokio::runtime::Builder::new_current_thread()
@@ -375,66 +435,25 @@
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
         let address = listener.local_addr().expect("an address");
         let echo = Echo::default();
-        let heard = echo.0.clone();
+        let reported = echo.0.clone();
         let listening = spawn_local(listen(listener, 8, Rc::new(echo)));
         let other = NodeId::from("n-1");
         let peers = Peers::start(&NodeId::from("n-0"), [(other.clone(), address)].into_iter());
         while peers.reachable().next().is_none() {
             tokio::time::sleep(Duration::from_millis(5)).await;
         }
-        for text in [b"one".to_vec(), vec![7; 60_000]] {
-            let answered = peers.forward(&other, Kind::Heartbeat, text.clone()).await;
-            assert_eq!(answered, Some(Answered { status: 200, text }));
-        }
-        // Heartbeats taken for the owner go in batches, each with its answer.
-        let many = (0..200_u32).map(|n| {
-            let (peers, other, text) = (peers.clone(), other.clone(), n.to_string().into_bytes());
-            spawn_local(async move {
-                let answered = peers.forward(&other, Kind::Adopted, text.clone()).await;
-                assert_eq!(answered, Some(Answered { status: 200, text }));
-            })
-        });
-        for one in many.collect::<Vec<_>>() {
-            one.await.expect("its own answer");
-        }
+        requests_are_answered(&peers, &other).await;
+        batched_heartbeats_are_answered(&peers, &other).await;
         // Machines heard for their owner, more than one message takes.
         let names: Vec<MachineId> = (0..300)
             .map(|n| MachineId::from(&*format!("vm-{n:06}")))
             .collect();
-        let told: Vec<ForwardedHeartbeat> = names
-            .iter()
-            .filter_map(|m| ForwardedHeartbeat::new(m, Incarnation(2), SequenceNumber(7)))
-            .collect();
-        assert_eq!(
-            ForwardedHeartbeat::parse(told.as_bytes()).map(<[ForwardedHeartbeat]>::len),
-            Some(300)
-        );
-        assert_eq!(
-            ForwardedHeartbeat::parse(&told.as_bytes()[1..]),
-            None,
-            "of another length"
-        );
-        assert_eq!(
-            told[0].read(),
-            Some((names[0].clone(), Incarnation(2), SequenceNumber(7)))
-        );
-        let long_name = MachineId::from(&*"x".repeat(33));
-        assert_eq!(
-            ForwardedHeartbeat::new(&long_name, Incarnation(1), SequenceNumber(1)),
-            None
-        );
-        peers.heartbeats_announced(&other, &told);
-        while heard.borrow().len() < names.len() {
+        peers.heartbeats_announced(&other, &announced(&names));
+        while reported.borrow().len() < names.len() {
             tokio::time::sleep(Duration::from_millis(5)).await;
         }
-        assert_eq!(*heard.borrow(), names);
-        let nobody = NodeId::from("n-2");
-        assert_eq!(
-            peers.forward(&nobody, Kind::Heartbeat, Vec::new()).await,
-            None
-        );
-        let long = vec![0; 1 << 20];
-        assert_eq!(peers.forward(&other, Kind::Heartbeat, long).await, None);
+        assert_eq!(*reported.borrow(), names);
+        dead_lines_answer_nothing(&peers, &other).await;
         listening.abort();
     });
 }
@@ -473,6 +492,26 @@
     assert!(lost.without_extension().placement.is_some_and(|w| w.lost));
 }
 
+/// A job's place is not what makes its record too large.
+fn place_fits_in_record(spec: &JobSpec) {
+    for name in 1..900 {
+        let mut spec = spec.clone();
+        spec.image = types::Image::from(&*"i".repeat(name));
+        let mut record = JobRecord::accepted(spec, u64::MAX, 1024);
+        if record.inline.is_none() {
+            assert!(name > 400, "a small job keeps its claims");
+            return;
+        }
+        record.place = Some(Revision(u64::MAX));
+        let chunk = record.inline.as_mut().expect("claims");
+        (chunk.next_attempt, chunk.done) = (u64::MAX, u64::MAX);
+        let claim = |n| (n, Attempt(9), MachineId::from("vm-000001")).into();
+        chunk.claims = (0..record.tasks).map(claim).collect();
+        assert!(serde_json::to_vec(&record).expect("record").len() <= 1024);
+    }
+    panic!("all of them fit");
+}
+
 /// A job's place, over all versions of its record that come by: those of the
 /// version before, which drop it, those that come late, and a whole new reading.
 #[test]
@@ -534,23 +573,7 @@
     put(&mut successor, 14, &back);
     assert_eq!(place(&successor), 7);
     assert_eq!(back.done(6).place, None);
-    // It is not what makes a record too large.
-    for name in 1..900 {
-        let mut spec = spec.clone();
-        spec.image = types::Image::from(&*"i".repeat(name));
-        let mut record = JobRecord::accepted(spec, u64::MAX, 1024);
-        if record.inline.is_none() {
-            assert!(name > 400, "a small job keeps its claims");
-            return;
-        }
-        record.place = Some(Revision(u64::MAX));
-        let chunk = record.inline.as_mut().expect("claims");
-        (chunk.next_attempt, chunk.done) = (u64::MAX, u64::MAX);
-        let claim = |n| (n, Attempt(9), MachineId::from("vm-000001")).into();
-        chunk.claims = (0..record.tasks).map(claim).collect();
-        assert!(serde_json::to_vec(&record).expect("record").len() <= 1024);
-    }
-    panic!("all of them fit");
+    place_fits_in_record(&spec);
 }
 
 /// What owners of shards tell each other reads back, and what is of another
--- a/tests/lanes.rs
+++ b/tests/lanes.rs
@@ -71,67 +71,91 @@
     }
 }
 
+/// The lane jobs of these tests.
+fn lane_job() -> Value {
+    json!({"jobclass": "fix", "cpus": 4.0, "guess_s": 0.6})
+}
+
+/// Submits another job and a round's lane jobs, whose ids are returned: all but the last.
+async fn submit_round(world: &World, other: &str, before: usize) -> Vec<String> {
+    let bake = json!({"pieces": 2, "cpus": 4.0, "guess_s": 0.6});
+    assert_eq!(world.submit(other, bake).await.status, 201);
+    // The later the lower, so that an order by id would be noticed.
+    let uids = (before..before + EACH).map(|n| format!("run-0{:05}", 900 - n));
+    let uids: Vec<String> = uids.collect();
+    for uid in &uids[..EACH - 1] {
+        assert_eq!(world.submit(uid, lane_job()).await.status, 201);
+    }
+    uids
+}
+
+/// Submits the last lane job of a round, and waits until the watched one has come to a
+/// step; for the first step without waiting for the answer.
+async fn submit_until_step(world: &World, last: &str, watched: &str, step: usize) {
+    let at_step = async {
+        let end = Instant::now() + Duration::from_secs(20);
+        // Closely: the answer follows the write within milliseconds.
+        while !reached(world, watched, step.saturating_sub(1)) {
+            assert!(Instant::now() < end, "{watched} in step {step}");
+            sleep(Duration::from_millis(1)).await;
+        }
+    };
+    if step == 0 {
+        tokio::select! {
+            _ = world.submit(last, lane_job()) => {}
+            () = at_step => {}
+        }
+    } else {
+        world.submit(last, lane_job()).await;
+        at_step.await;
+    }
+}
+
+/// The owner, or each third round all controllers, end at once and are back at once.
+fn restart_at_once(world: &mut World, controllers: usize, round: usize) {
+    let owner = world.leader().unwrap_or(round % controllers);
+    let which = match round % 3 {
+        2 => (0..controllers).collect(),
+        _ => vec![owner],
+    };
+    for i in &which {
+        world.kill_controller(*i);
+    }
+    for i in &which {
+        world.start_controller(*i);
+    }
+}
+
+/// A job that was sent before is accepted, and no controller accepts it a second time.
+async fn accepted_once(world: &World, controllers: usize, last: &str) {
+    let told = world.submit(last, lane_job()).await;
+    assert_eq!(told.status, 201, "{told:?}");
+    let job = world.job(last, lane_job());
+    for i in 0..controllers {
+        let again = world.ask_once(i, Method::POST, "/v1/jobs", &job).await;
+        let again = again.map(|response| response.status);
+        assert_ne!(again, Some(201), "{last} was accepted twice");
+    }
+}
+
 /// In each round lane jobs and others come, and at a step of one of them (its first
 /// write, its answer, its claim, its end) the owner or all controllers end and are back
 /// at once; then it is sent again, to all of them.
 async fn ends_in_each_step(world: &mut World, controllers: usize, rounds: usize) {
-    let lane = json!({"jobclass": "fix", "cpus": 4.0, "guess_s": 0.6});
     // Enough that lane jobs wait all the time, and others beside them.
     let mut uids: Vec<String> = Vec::new();
     let mut others: Vec<String> = Vec::new();
     for round in 0..rounds {
         let other = format!("run-1{round:05}");
-        let bake = json!({"pieces": 2, "cpus": 4.0, "guess_s": 0.6});
-        assert_eq!(world.submit(&other, bake).await.status, 201);
+        uids.extend(submit_round(world, &other, uids.len()).await);
         others.push(other);
-        for n in 0..EACH {
-            // The later the lower, so that an order by id would be noticed.
-            let uid = format!("run-0{:05}", 900 - uids.len());
-            if n + 1 < EACH {
-                assert_eq!(world.submit(&uid, lane.clone()).await.status, 201);
-            }
-            uids.push(uid);
-        }
         let last = &uids[uids.len() - 1];
         let step = round % 4;
         // An older one for the later steps: the last has to wait for its turn.
         let watched = &uids[uids.len() - if step < 2 { 1 } else { EACH }];
-        let at_step = async {
-            let end = Instant::now() + Duration::from_secs(20);
-            // Closely: the answer follows the write within milliseconds.
-            while !reached(world, watched, step.saturating_sub(1)) {
-                assert!(Instant::now() < end, "{watched} in step {step}");
-                sleep(Duration::from_millis(1)).await;
-            }
-        };
-        if step == 0 {
-            tokio::select! {
-                _ = world.submit(last, lane.clone()) => {}
-                () = at_step => {}
-            }
-        } else {
-            world.submit(last, lane.clone()).await;
-            at_step.await;
-        }
-        let owner = world.leader().unwrap_or(round % controllers);
-        let which = match round % 3 {
-            2 => (0..controllers).collect(),
-            _ => vec![owner],
-        };
-        for i in &which {
-            world.kill_controller(*i);
-        }
-        for i in &which {
-            world.start_controller(*i);
-        }
-        let told = world.submit(last, lane.clone()).await;
-        assert_eq!(told.status, 201, "{told:?}");
-        let job = world.job(last, lane.clone());
-        for i in 0..controllers {
-            let again = world.ask_once(i, Method::POST, "/v1/jobs", &job).await;
-            let again = again.map(|response| response.status);
-            assert_ne!(again, Some(201), "{last} was accepted twice");
-        }
+        submit_until_step(world, last, watched, step).await;
+        restart_at_once(world, controllers, round);
+        accepted_once(world, controllers, last).await;
     }
     for uid in uids.iter().chain(&others) {
         let tasks = if uid.starts_with("run-1") { 2 } else { 1 };
--- a/tests/meetings_loopback.rs
+++ b/tests/meetings_loopback.rs
@@ -1,5 +1,5 @@
 //! Two troubles at once, with real controllers on loopback, three and five of them.
-//! Faults are injected at named steps: a write is held back or its answer is lost,
+//! Faults are injected at named steps: a write is delayed or its answer is lost,
 //! one controller is refused, commands and heartbeats are kept for the next leader. The
 //! verdict is the history's: no rule is broken.
 
@@ -287,41 +287,44 @@
     });
 }
 
-/// Transactions of the owner are held back until it has ended and the next one has
-/// acted; those of the users' requests until they were repeated elsewhere. Carried out
-/// then, none changes anything.
-async fn late_writes(net: u8, controllers: usize) {
-    let mut world = begin("late_writes", net, controllers, STEADY_LEASE).await;
-    let old = leader(&world);
-    let user_at = (old + 1) % controllers;
-    let elsewhere = (old + 2) % controllers;
-    let hold = |world: &World, controller, value: fn(&Value) -> bool| {
-        world.store.borrow_mut().inject(TransactionFault {
-            controller: Some(controller),
-            value,
-            ..TransactionFault::next(ScriptedOutcome::Late, JOBS)
-        });
-    };
-    let held = |n: usize| move |w: &World| w.store.borrow().late() == n;
-    // A submission, accepted elsewhere meanwhile and then cancelled.
+/// Delays the next transaction of a controller that writes a job's record which is so.
+fn delay_write(world: &World, controller: usize, value: fn(&Value) -> bool) {
+    world.store.borrow_mut().inject(TransactionFault {
+        controller: Some(controller),
+        value,
+        ..TransactionFault::next(ScriptedOutcome::Late, JOBS)
+    });
+}
+
+/// Whether so many transactions are delayed.
+fn delayed_writes(count: usize) -> impl Fn(&World) -> bool {
+    move |w| w.store.borrow().late() == count
+}
+
+/// The writes of a user's requests at one controller are delayed: a submission, accepted
+/// elsewhere meanwhile, and a cancellation, confirmed elsewhere meanwhile.
+async fn delay_users_writes(world: &World, user_at: usize, elsewhere: usize) {
     let body = world.job("run-000002", json!({"guess_s": 600.0}));
-    hold(&world, user_at, |v| v["p"] == "l");
-    let submitted = send(&world, user_at, "/v1/jobs", &body);
+    delay_write(world, user_at, |v| v["p"] == "l");
+    let submitted = send(world, user_at, "/v1/jobs", &body);
     world
-        .until("a submission is held", PATIENCE_S, held(1))
+        .until("a submission is delayed", PATIENCE_S, delayed_writes(1))
         .await;
     let again = world.ask_once(elsewhere, Method::POST, "/v1/jobs", &body);
     let again = again.await.map(|response| response.status);
     assert!(matches!(again, Some(200 | 201)), "{again:?}");
     let _ = submitted.await;
-    hold(&world, user_at, |v| v["p"] == "c");
-    let cancelled = send(&world, user_at, &withdraw("run-000002"), &Value::Null);
+    delay_write(world, user_at, |v| v["p"] == "c");
+    let cancelled = send(world, user_at, &withdraw("run-000002"), &Value::Null);
     world
-        .until("a cancellation is held", PATIENCE_S, held(2))
+        .until("a cancellation is delayed", PATIENCE_S, delayed_writes(2))
         .await;
-    cancel_at(&world, elsewhere, "run-000002").await;
+    cancel_at(world, elsewhere, "run-000002").await;
     let _ = cancelled.await;
-    // The owner's claims, and that a job is done: held, and it ends.
+}
+
+/// The owner's writes are delayed: that a job is done, and another job's claims.
+async fn delay_owners_writes(world: &World, owner: usize) {
     assert_eq!(
         world
             .submit("run-000003", json!({"guess_s": 1.0}))
@@ -331,20 +334,39 @@
     );
     let runs = |w: &World| !machines_of(&w.nodes, "run-000003").is_empty();
     world.until("it runs", PATIENCE_S, runs).await;
-    hold(&world, old, |v| v["p"] == "d");
-    world.until("its end is held", PATIENCE_S, held(3)).await;
-    hold(&world, old, has_claims);
+    delay_write(world, owner, |v| v["p"] == "d");
+    world
+        .until("its end is delayed", PATIENCE_S, delayed_writes(3))
+        .await;
+    delay_write(world, owner, has_claims);
     let job = json!({"pieces": 3, "guess_s": 1.0});
     assert_eq!(world.submit("run-000004", job).await.status, 201);
-    world.until("a claim is held", PATIENCE_S, held(4)).await;
+    world
+        .until("a claim is delayed", PATIENCE_S, delayed_writes(4))
+        .await;
+}
+
+/// The owner ends and is back, and the next one does what it had begun.
+async fn replace_owner(world: &mut World, old: usize) {
     world.kill_controller(old);
-    let _ = next_leader(&world, old).await;
+    let _ = next_leader(world, old).await;
     world.start_controller(old);
-    ends(&world, "run-000003", 1).await;
+    ends(world, "run-000003", 1).await;
     let runs = |w: &World| !machines_of(&w.nodes, "run-000004").is_empty();
     world
         .until("the next leader places it", PATIENCE_S, runs)
         .await;
+}
+
+/// Transactions of the owner are delayed until it has ended and the next one has
+/// acted; those of the users' requests until they were repeated elsewhere. Carried out
+/// then, none changes anything.
+async fn late_writes(net: u8, controllers: usize) {
+    let mut world = begin("late_writes", net, controllers, STEADY_LEASE).await;
+    let old = leader(&world);
+    delay_users_writes(&world, (old + 1) % controllers, (old + 2) % controllers).await;
+    delay_owners_writes(&world, old).await;
+    replace_owner(&mut world, old).await;
     let released = world.store.borrow_mut().release_late();
     assert_eq!(released, [409; 4], "conditions keep late writes out");
     ends(&world, "run-000004", 3).await;
@@ -426,7 +448,7 @@
     });
 }
 
-/// Commands that start tasks are held back on their way from now on.
+/// Commands that start tasks are delayed on their way from now on.
 fn delay_starts(world: &World) {
     world.nodes.borrow_mut().faults.command_delay = Some(CommandDelay {
         starts: true,
@@ -441,14 +463,14 @@
         .await;
 }
 
-/// The commands that were held back arrive, and no machine takes one.
+/// The commands that were delayed arrive, and no machine takes one.
 fn delayed_commands_start_nothing(world: &World) {
     let released: Released = world.nodes.borrow_mut().release_commands();
     assert_eq!(released.carried_out, 0, "{released:?}");
     assert!(released.dropped > 0, "{released:?}");
 }
 
-/// Direct commands of a leader are held back, and it is killed. The next one places
+/// Direct commands of a leader are delayed, and it is killed. The next one places
 /// the same tasks, also elsewhere; then the commands arrive.
 async fn delays_across_leaders(net: u8, controllers: usize) {
     let mut world = begin("held_commands", net, controllers, STEADY_LEASE).await;
@@ -479,7 +501,7 @@
     });
 }
 
-/// Commands that a machine did not answer are held back while their sender goes on: it
+/// Commands that a machine did not answer are delayed while their sender goes on: it
 /// raises the fencing token before it gives the tasks to others.
 async fn delays_under_one_leader(net: u8, controllers: usize) {
     let world = begin("held_by_the_same", net, controllers, LONG_LEASE).await;
--- a/tests/overload.rs
+++ b/tests/overload.rs
@@ -139,6 +139,47 @@
         .await;
 }
 
+/// Submits jobs one after the other for eight seconds, each to its end.
+async fn jobs_are_done_for_a_while(world: &World) {
+    let until = Instant::now() + Duration::from_secs(8);
+    let mut n = 10;
+    while Instant::now() < until {
+        let uid = format!("run-{n:06}");
+        let HttpResponse { status, .. } = world
+            .submit(&uid, json!({"pieces": 6, "guess_s": 0.5}))
+            .await;
+        assert_eq!(status, 201);
+        world.until("a job's tasks", 20, |w| w.done(&uid, 6)).await;
+        n += 1;
+    }
+}
+
+/// The crowd's users were answered, and not only told to come back.
+fn users_were_served(crowd: &Crowd) {
+    let (told, refused) = (crowd.count(404), crowd.count(503));
+    println!(
+        "polls answered {told}, told to come back {refused}, dropped {}",
+        crowd.dropped.get()
+    );
+    assert!(told > 500, "users were served meanwhile: {told}");
+}
+
+/// Without a crowd a job is done soon.
+async fn service_is_back(world: &World) {
+    let ended = Instant::now();
+    let HttpResponse { status, .. } = world
+        .submit("run-000900", json!({"pieces": 12, "guess_s": 0.2}))
+        .await;
+    assert_eq!(status, 201);
+    world
+        .until("service is back", 10, |w| w.done("run-000900", 12))
+        .await;
+    println!(
+        "back {:.2} s after the crowd, a report round is {HEARTBEAT_S} s",
+        ended.elapsed().as_secs_f64()
+    );
+}
+
 #[test]
 fn more_workers_users_and_slow_clients_than_sockets() {
     run(async {
@@ -163,17 +204,7 @@
             crowd.polls(world.address(i), SOCKETS + 50);
             crowd.slow(world.address(i), 30);
         }
-        let until = Instant::now() + Duration::from_secs(8);
-        let mut n = 10;
-        while Instant::now() < until {
-            let uid = format!("run-{n:06}");
-            let HttpResponse { status, .. } = world
-                .submit(&uid, json!({"pieces": 6, "guess_s": 0.5}))
-                .await;
-            assert_eq!(status, 201);
-            world.until("a job's tasks", 20, |w| w.done(&uid, 6)).await;
-            n += 1;
-        }
+        jobs_are_done_for_a_while(&world).await;
         cancel_until_gone(&world, "run-000002").await;
         assert_eq!(
             leader(&world),
@@ -185,12 +216,7 @@
             3,
             "no worker was kept from reporting"
         );
-        let (told, refused) = (crowd.count(404), crowd.count(503));
-        println!(
-            "polls answered {told}, told to come back {refused}, dropped {}",
-            crowd.dropped.get()
-        );
-        assert!(told > 500, "users were served meanwhile: {told}");
+        users_were_served(&crowd);
 
         // The cancellation in the last instant before the crowd's like: the
         // answer stands whatever comes after it.
@@ -198,18 +224,7 @@
         cancel_until_gone(&world, "run-000003").await;
         drop(crowd);
 
-        let ended = Instant::now();
-        let HttpResponse { status, .. } = world
-            .submit("run-000900", json!({"pieces": 12, "guess_s": 0.2}))
-            .await;
-        assert_eq!(status, 201);
-        world
-            .until("service is back", 10, |w| w.done("run-000900", 12))
-            .await;
-        println!(
-            "back {:.2} s after the crowd, a report round is {HEARTBEAT_S} s",
-            ended.elapsed().as_secs_f64()
-        );
+        service_is_back(&world).await;
         sleep(Duration::from_secs(1)).await;
         assert_eq!(world.phase("run-000900").await, json!("done"));
         for uid in services {
--- a/tests/peer_transfer.rs
+++ b/tests/peer_transfer.rs
@@ -293,7 +293,8 @@
     assert_eq!(world.submit(uid, job).await.status, 201);
 }
 
-async fn the_origin_gives_few_copies_whoever_ends() {
+/// An empty folder for the agents, which log to a file in it.
+fn agents_folder() -> PathBuf {
     let root = Path::new(AT.1).join("hand_on_agents");
     let _ = std::fs::remove_dir_all(&root);
     std::fs::create_dir_all(root.join("jobs")).expect("a folder");
@@ -302,6 +303,62 @@
         .with_writer(std::sync::Mutex::new(log))
         .with_ansi(false)
         .init();
+    root
+}
+
+/// The machines that have the image from the origin, as the rollout's record names them.
+fn seeds(world: &World) -> Vec<String> {
+    let key = rollout_key(ShardId(0), image_hash(&Image::from(WEIGHTS)));
+    let record = world.store.borrow().get(&key).unwrap_or(Value::Null);
+    let seeds = record["m"].as_array().cloned().unwrap_or_default();
+    let seeds = seeds.iter().filter_map(|m| m.as_str().map(str::to_owned));
+    seeds.collect()
+}
+
+/// The owner ends, and is back when another has taken over.
+async fn replace_owner(world: &mut World) {
+    let owner = world.leader().expect("a leader");
+    world.kill_controller(owner);
+    let another = |w: &World| w.leader().is_some_and(|l| l != owner);
+    world.until("another leader", 20, another).await;
+    world.start_controller(owner);
+}
+
+/// A machine that others take from ends, and never comes back. (The one that
+/// takes it from the origin ends in the agents' own test.)
+async fn kill_second_hand_source(machines: &mut [Machine]) {
+    let second = |p: &Value| {
+        p["piece"]
+            .as_str()
+            .is_some_and(|p| p.starts_with("run-000002/"))
+    };
+    let mut lost = 0;
+    while machines[lost].count(second).await == 0 {
+        lost = (lost + 1) % AGENTS;
+    }
+    machines[lost].kill();
+}
+
+/// All machines that are left have the image as it is at the origin.
+fn images_are_right(machines: &[Machine], sum: &str, weights: &[u8]) {
+    for m in machines.iter().filter(|m| m.life.is_some()) {
+        let there = m.folder.join("images").join(sum).join("weights");
+        let there = std::fs::read(there).expect("the image is there");
+        assert!(there == weights, "{}: other bytes", m.id);
+    }
+}
+
+/// Ends both jobs. Tasks are processes: none is to outlive the test.
+async fn cancel_jobs(world: &World) {
+    for uid in ["run-000001", "run-000002"] {
+        let path = format!("/v1/jobs/{uid}/withdraw");
+        let HttpResponse { status, .. } = world.ask(Method::POST, &path, &Value::Null).await;
+        assert_eq!(status, 200);
+    }
+}
+
+async fn the_origin_gives_few_copies_whoever_ends() {
+    let root = agents_folder();
     let mut weights = vec![0; BYTES];
     StdRng::seed_from_u64(7).fill_bytes(&mut weights);
     let tar = archive(&weights);
@@ -320,56 +377,24 @@
     // Half of them begin; the origin holds back two thirds of the image.
     submit(&world, &root, "run-000001", 6, &sum).await;
     until(&machines, 6, "fetching", &origin).await;
-    let key = rollout_key(ShardId(0), image_hash(&Image::from(WEIGHTS)));
-    let seeds = |w: &World| {
-        let record = w.store.borrow().get(&key).unwrap_or(Value::Null);
-        let seeds = record["m"].as_array().cloned().unwrap_or_default();
-        let seeds = seeds.iter().filter_map(|m| m.as_str().map(str::to_owned));
-        seeds.collect::<Vec<_>>()
-    };
     world
         .until("the seeds are recorded", 20, |w| !seeds(w).is_empty())
         .await;
 
-    // The owner ends, and is back when another has taken over.
-    let owner = world.leader().expect("a leader");
-    world.kill_controller(owner);
-    let another = |w: &World| w.leader().is_some_and(|l| l != owner);
-    world.until("another leader", 20, another).await;
-    world.start_controller(owner);
+    replace_owner(&mut world).await;
     submit(&world, &root, "run-000002", 5, &sum).await;
     until(&machines, 11, "fetching", &origin).await;
     // Three copies are what a zone may take.
     assert!(seeds(&world).len() <= 3, "{:?}", seeds(&world));
 
-    // A machine that others take from ends, and never comes back. (The one that
-    // takes it from the origin ends in the agents' own test.)
-    let second = |p: &Value| {
-        p["piece"]
-            .as_str()
-            .is_some_and(|p| p.starts_with("run-000002/"))
-    };
-    let mut lost = 0;
-    while machines[lost].count(second).await == 0 {
-        lost = (lost + 1) % AGENTS;
-    }
-    machines[lost].kill();
+    kill_second_hand_source(&mut machines).await;
     origin.hold.set(u64::MAX);
     until(&machines, 11, "running", &origin).await;
     let copies = origin.copies();
     // One is what it takes. Without sources it would be one each.
     assert!(copies < 4.0, "{copies} copies for {AGENTS} machines");
-    for m in machines.iter().filter(|m| m.life.is_some()) {
-        let there = m.folder.join("images").join(&sum).join("weights");
-        let there = std::fs::read(there).expect("the image is there");
-        assert!(there == weights, "{}: other bytes", m.id);
-    }
-    // Tasks are processes: none is to outlive the test.
-    for uid in ["run-000001", "run-000002"] {
-        let path = format!("/v1/jobs/{uid}/withdraw");
-        let HttpResponse { status, .. } = world.ask(Method::POST, &path, &Value::Null).await;
-        assert_eq!(status, 200);
-    }
+    images_are_right(&machines, &sum, &weights);
+    cancel_jobs(&world).await;
     until(&machines, 0, "running", &origin).await;
     world.rules_hold();
 }
--- a/tests/polls.rs
+++ b/tests/polls.rs
@@ -70,6 +70,29 @@
     });
 }
 
+/// Polls of a running job at a controller are answered, never three in a row late.
+async fn polls_are_answered(world: &World, controller: usize) {
+    let mut missed = 0;
+    for _ in 0..6 {
+        // As often as a user may ask; on a busy machine one may be late.
+        match world.ask_one(controller, "/v1/jobs/run-000001").await {
+            Some(HttpResponse {
+                status: 200,
+                body: told,
+            }) => {
+                assert_eq!(told["phase"], json!("running"), "{told}");
+                missed = 0;
+            }
+            Some(HttpResponse { status: 404, .. }) => {
+                panic!("an accepted job is not known")
+            }
+            _ => missed += 1,
+        }
+        assert!(missed < 3, "three polls in a row were not answered");
+        sleep(Duration::from_millis(300)).await;
+    }
+}
+
 /// The state service refuses one controller, which is not the leader, then holds
 /// all that it asks, and nothing new happens that others could hint at: a poll to it is answered all the same,
 /// within what its user waits, as is the first one after the job has ended.
@@ -105,25 +128,7 @@
         sleep(Duration::from_secs(2)).await;
         for how in [LinkFault::Refused, LinkFault::Stalled] {
             world.cut_state(cut, how);
-            let mut missed = 0;
-            for _ in 0..6 {
-                // As often as a user may ask; on a busy machine one may be late.
-                match answered("run-000001").await {
-                    Some(HttpResponse {
-                        status: 200,
-                        body: told,
-                    }) => {
-                        assert_eq!(told["phase"], json!("running"), "{told}");
-                        missed = 0;
-                    }
-                    Some(HttpResponse { status: 404, .. }) => {
-                        panic!("an accepted job is not known")
-                    }
-                    _ => missed += 1,
-                }
-                assert!(missed < 3, "three polls in a row were not answered");
-                sleep(Duration::from_millis(300)).await;
-            }
+            polls_are_answered(&world, cut).await;
         }
         assert_eq!(
             answered("run-000999").await.map(|response| response.status),
