--- a/crates/agent/src/agent.rs
+++ b/crates/agent/src/agent.rs
@@ -32,7 +32,7 @@
 use self::recovery::{cache_found, recover, Leftover};
 pub use self::status::{status, StatusError};
 use self::tasks::Watched;
-use crate::attempt::Folder;
+use crate::attempt::{Folder, StopRequest};
 use crate::clock;
 use crate::core::{Action, Core, Key, Note, StartedCore};
 use crate::describe::{Description, Source};
@@ -45,7 +45,7 @@
 /// The largest body that is read, in bytes.
 const MAX_BODY_BYTES: usize = 4 << 20;
 
-/// How often time passes for the core, and processes are looked at.
+/// How often time passes for the core, and supervisors are checked.
 const TICK_INTERVAL: Duration = Duration::from_millis(50);
 
 /// The folder of archives that are handed on, whole or in part.
@@ -66,7 +66,7 @@
     images: RefCell<Cache>,
     fetches: RefCell<BTreeMap<String, Fetching>>,
     /// Handing on, if the settings say so.
-    hands: Option<Rc<ImageServer>>,
+    image_server: Option<Rc<ImageServer>>,
     unpacking: Arc<Mutex<()>>,
     /// The disk failed: nothing is taken on, and nothing is said any more,
     /// since what is said could not be kept.
@@ -123,12 +123,17 @@
         })?;
         let journal = Journal::open(&root)?;
         let Leftover { found, watched } = recover(&root, &journal);
-        let hands = settings
+        let image_server = settings
             .hand_on
             .clone()
             .map(|s| Rc::new(ImageServer::new(s)));
-        let cache = cache_found(&root, settings.cache_bytes(), hands.as_deref(), &watched)
-            .map_err(failed)?;
+        let cache = cache_found(
+            &root,
+            settings.cache_bytes(),
+            image_server.as_deref(),
+            &watched,
+        )
+        .map_err(failed)?;
         let now = clock::now();
         tracing::info!(tasks = found.tasks.len(), running = watched.len(), incarnation = %found.incarnation, fencing_token = %found.fencing_token, "found");
         let StartedCore { core, actions } = Core::recover(settings.machine(), found, now);
@@ -144,7 +149,7 @@
             lines: RefCell::default(),
             images: RefCell::new(cache),
             fetches: RefCell::default(),
-            hands,
+            image_server,
             unpacking: Arc::default(),
             failed: RefCell::new(false),
             _only: only,
@@ -188,20 +193,20 @@
         }
     }
 
-    /// Lets time pass for the core, and looks at processes, for ever.
+    /// Lets time pass for the core, and checks supervisors, for ever.
     async fn time(self: Rc<Self>) {
         loop {
             // The lease first: a machine that has slept must not do anything
             // else before its tasks are killed.
             let jitter = rand::rng().random_range(-0.25..0.25);
-            if let Some(hands) = &self.hands {
+            if let Some(image_server) = &self.image_server {
                 self.core
                     .borrow_mut()
-                    .serves_images(hands.told().into_iter());
+                    .serves_images(image_server.reported_images().into_iter());
             }
             let actions = self.core.borrow_mut().tick(jitter, clock::now());
             self.do_all(actions);
-            self.look();
+            self.check_supervisors();
             sleep(TICK_INTERVAL).await;
         }
     }
@@ -237,8 +242,8 @@
         match action {
             Action::Note(_) => {}
             Action::Lease(since) => self.keep_lease(since),
-            Action::Save(key) => self.stop(&key, true),
-            Action::Kill(key) => self.stop(&key, false),
+            Action::Save(key) => self.stop(&key, StopRequest::Save),
+            Action::Kill(key) => self.stop(&key, StopRequest::Kill),
             // Without a journal nothing new is begun, and nothing is said.
             _ if failed => {}
             Action::Describe(key) => self.describe(key),
--- a/crates/agent/src/agent/images.rs
+++ b/crates/agent/src/agent/images.rs
@@ -62,10 +62,10 @@
     fn near_agents(&self, from: Vec<SocketAddr>) -> Vec<SocketAddr> {
         // Where nothing is handed on, nothing is taken; and of any other network
         // nothing is, whoever names it. Itself is no source either.
-        match &self.hands {
-            Some(hands) => {
+        match &self.image_server {
+            Some(image_server) => {
                 let own = self.settings.machine().addr;
-                let near = |a: &SocketAddr| *a != own && hands.is_near(a.ip());
+                let near = |a: &SocketAddr| *a != own && image_server.is_near(a.ip());
                 from.into_iter().filter(near).collect()
             }
             None => Vec::new(),
@@ -95,8 +95,10 @@
         if let Some(fetch) = self.fetches.borrow_mut().remove(sum) {
             fetch.abort.abort();
         }
-        let Some(hands) = &self.hands else { return };
-        match hands.part(sum) {
+        let Some(image_server) = &self.image_server else {
+            return;
+        };
+        match image_server.part(sum) {
             Some(part) => self.images.borrow_mut().leave(sum, part.checksums().bytes),
             None => self.remove_part(sum),
         }
@@ -104,8 +106,10 @@
 
     /// Hands an image's archive on no more, and removes it.
     fn remove_part(&self, sum: &str) {
-        let Some(hands) = &self.hands else { return };
-        hands.drop_part(sum);
+        let Some(image_server) = &self.image_server else {
+            return;
+        };
+        image_server.drop_part(sum);
         if let Err(error) = part::remove(&self.settings.folder.join(PARTS_FOLDER), sum) {
             tracing::error!(image = sum, %error, "its part stays");
         }
@@ -129,8 +133,11 @@
 
     /// Fetches an image, and tells whoever waits for it how that ended.
     async fn fetch(self: Rc<Self>, source: Source, image: Image, sources: Rc<RefCell<Sources>>) {
-        let fetched = match self.hands.clone() {
-            Some(hands) => self.fetch_from_all(source, &image, sources, hands).await,
+        let fetched = match self.image_server.clone() {
+            Some(image_server) => {
+                self.fetch_from_all(source, &image, sources, image_server)
+                    .await
+            }
             None => self.fetch_alone(&source, &image).await,
         };
         self.fetches.borrow_mut().remove(&image.sha256);
@@ -149,7 +156,7 @@
         source: Source,
         image: &Image,
         sources: Rc<RefCell<Sources>>,
-        hands: Rc<ImageServer>,
+        image_server: Rc<ImageServer>,
     ) -> Result<u64, Failed> {
         let agent = Rc::downgrade(self);
         let sum = image.sha256.clone();
@@ -157,7 +164,7 @@
             image: image.clone(),
             origin: source,
             sources,
-            hands,
+            image_server,
             images: self.settings.folder.join("images"),
             parts: self.settings.folder.join(PARTS_FOLDER),
             max: self.settings.cache_bytes(),
@@ -176,7 +183,10 @@
     fn fetch_failed(&self, image: &Image, failed: &Failed) {
         let error = failed.to_string();
         tracing::error!(image = image.name, error, "image");
-        let part = self.hands.as_ref().and_then(|h| h.part(&image.sha256));
+        let part = self
+            .image_server
+            .as_ref()
+            .and_then(|h| h.part(&image.sha256));
         match part.filter(|_| failed.keep) {
             Some(part) => {
                 let bytes = part.checksums().bytes;
--- a/crates/agent/src/agent/recovery.rs
+++ b/crates/agent/src/agent/recovery.rs
@@ -22,7 +22,7 @@
 pub(super) struct Leftover {
     /// What the journal and the attempts' folders tell.
     pub(super) found: Recovered,
-    /// The supervisors that are to be looked at.
+    /// The supervisors that are to be checked.
     pub(super) watched: BTreeMap<Key, Watched>,
 }
 
@@ -62,12 +62,12 @@
 pub(super) fn cache_found(
     root: &Path,
     max_bytes: u64,
-    hands: Option<&ImageServer>,
+    image_server: Option<&ImageServer>,
     watched: &BTreeMap<Key, Watched>,
 ) -> std::io::Result<Cache> {
     let there = images::there(&root.join("images"))?;
     let mut cache = Cache::new(max_bytes, there.iter().cloned());
-    find_parts(root, hands, &there, &mut cache)?;
+    find_parts(root, image_server, &there, &mut cache)?;
     for (key, watched) in watched {
         let image = watched.folder.task().and_then(|t| t.description.image);
         if let Some(image) = image {
@@ -82,12 +82,12 @@
 /// is of no use is removed.
 fn find_parts(
     root: &Path,
-    hands: Option<&ImageServer>,
+    image_server: Option<&ImageServer>,
     there: &[CachedImage],
     cache: &mut Cache,
 ) -> std::io::Result<()> {
     let folder = root.join(PARTS_FOLDER);
-    let Some(hands) = hands else {
+    let Some(image_server) = image_server else {
         return match std::fs::remove_dir_all(folder) {
             Err(e) if e.kind() != std::io::ErrorKind::NotFound => Err(e),
             _ => Ok(()),
@@ -103,7 +103,7 @@
                 if !is_there {
                     cache.leave(&sum, part.checksums().bytes);
                 }
-                hands.keep(Rc::new(part));
+                image_server.keep(Rc::new(part));
             }
             _ => part::remove(&folder, &sum)?,
         }
--- a/crates/agent/src/agent/server.rs
+++ b/crates/agent/src/agent/server.rs
@@ -49,13 +49,13 @@
         from: IpAddr,
         request: Request<Incoming>,
     ) -> peer_transfer::Answer {
-        if let Some(hands) = &self.hands {
+        if let Some(image_server) = &self.image_server {
             if request.uri().path().starts_with("/images/") {
                 let range = request.headers().get("range");
                 // A range that can't be read is one that can't be had.
                 let range = range.map(|r| r.to_str().unwrap_or_default());
                 let (method, uri) = (request.method(), request.uri());
-                return hands.answer(from, method, uri, range).await;
+                return image_server.answer(from, method, uri, range).await;
             }
         }
         self.command(request).await
--- a/crates/agent/src/agent/tasks.rs
+++ b/crates/agent/src/agent/tasks.rs
@@ -1,4 +1,4 @@
-//! Supervisors: they are started, told to stop, and looked at until all of a task's
+//! Supervisors: they are started, told to stop, and checked until all of a task's
 //! processes are gone.
 
 use std::fs::File;
@@ -13,7 +13,7 @@
 use tokio::time::sleep;
 
 use super::Agent;
-use crate::attempt::{Folder, Found, Task};
+use crate::attempt::{Folder, Found, StopRequest, Task};
 use crate::clock;
 use crate::core::Key;
 use crate::describe::Description;
@@ -21,7 +21,7 @@
 /// A supervisor that has not ended its task by then is killed with it.
 const KILL_TIMEOUT_S: f64 = 3.0;
 
-/// A supervisor that is to be looked at.
+/// A supervisor that is to be checked.
 pub(super) struct Watched {
     pub(super) folder: Folder,
     /// Since when it has been told to kill.
@@ -30,11 +30,11 @@
 
 impl Agent {
     /// Which tasks have ended.
-    pub(super) fn look(self: &Rc<Self>) {
+    pub(super) fn check_supervisors(self: &Rc<Self>) {
         let now = clock::now();
         let mut gone = Vec::new();
         for (key, watched) in self.watched.borrow().iter() {
-            match watched.folder.look() {
+            match watched.folder.check() {
                 Found::Exited(exit) => gone.push((key.clone(), exit)),
                 Found::Runs
                     if watched
@@ -54,20 +54,21 @@
         }
     }
 
-    /// Tells a supervisor to end its task, and to save first if `save`.
-    pub(super) fn stop(&self, key: &Key, save: bool) {
+    /// Asks a supervisor to end its task.
+    pub(super) fn stop(&self, key: &Key, request: StopRequest) {
+        let save = request == StopRequest::Save;
         tracing::info!(task = %key.task_name, attempt = %key.attempt, save, "stopping");
         // Also of one that has not shown itself yet: it finds the word there.
         let folder = Folder::of(&self.settings.folder, key);
-        let told = folder.stop(save);
+        let written = folder.stop(request);
         let mut watched = self.watched.borrow_mut();
         let watched = watched.get_mut(key);
-        if let Err(error) = &told {
+        if let Err(error) = &written {
             // A full disk must not keep a task alive.
             tracing::error!(task = %key.task_name, %error, "the supervisor can't be told");
             folder.kill_hard();
         }
-        if let Some(watched) = watched.filter(|_| !save || told.is_err()) {
+        if let Some(watched) = watched.filter(|_| !save || written.is_err()) {
             watched.killing.get_or_insert(clock::now());
         }
     }
@@ -149,7 +150,7 @@
 
     /// Looks at a supervisor from now on, if its attempt is still to end.
     fn watch(&self, key: Key, folder: Folder) {
-        let stopping = folder.stopped() == Some(false);
+        let stopping = folder.stop_request() == Some(StopRequest::Kill);
         let running = {
             let core = self.core.borrow();
             let running = core
--- a/crates/agent/src/attempt.rs
+++ b/crates/agent/src/attempt.rs
@@ -12,14 +12,17 @@
 //! | `work/` | the task | its working directory: not among what is above, which it could overwrite |
 //! | `out`, `err`, `out.1`, `err.1` | the supervisor | output, the latest last |
 
+mod process;
+
 use std::fs::{File, OpenOptions};
 use std::io::Write;
 use std::path::{Path, PathBuf};
 
 use rustix::fs::{flock, FlockOperation};
-use rustix::process::{kill_process, kill_process_group, Signal};
+use rustix::process::{kill_process, Signal};
 use serde::{Deserialize, Serialize};
 
+pub use self::process::{kill_group, Process};
 use crate::clock;
 use crate::core::{Exit, Key};
 use crate::describe::Description;
@@ -44,13 +47,13 @@
     pub lease_s: f64,
 }
 
-/// A process, told from any other that has had its number.
-#[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Process {
-    /// Its number.
-    pub pid: i32,
-    /// When it started, in the kernel's ticks.
-    pub start: u64,
+/// How a task is to be ended.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum StopRequest {
+    /// It saves its progress and ends.
+    Save,
+    /// It ends at once.
+    Kill,
 }
 
 /// A supervisor and its task, in one start of the machine.
@@ -64,26 +67,6 @@
     pub task: Option<Process>,
 }
 
-impl Process {
-    /// This number's process as it is now; none if there is none, or only what
-    /// is left to be reaped.
-    pub fn find(pid: i32) -> Option<Self> {
-        let stat = std::fs::read_to_string(format!("/proc/{pid}/stat")).ok()?;
-        // The name may hold anything, and ends with the last parenthesis.
-        let rest = stat.rsplit_once(") ")?.1;
-        let mut fields = rest.split(' ');
-        if matches!(fields.next()?, "Z" | "X") {
-            return None;
-        }
-        let start = fields.nth(18)?.parse().ok()?;
-        Some(Self { pid, start })
-    }
-    /// Whether it still is the process that it was.
-    pub fn lives(&self) -> bool {
-        Self::find(self.pid).as_ref() == Some(self)
-    }
-}
-
 /// What is known of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Found {
@@ -199,26 +182,33 @@
         write_whole(&self.file("pid"), &serde_json::to_vec(pid)?)
     }
 
-    /// Tells the supervisor to save and end, or to end at once.
+    /// Asks the supervisor to end the task.
     ///
     /// # Errors
     /// The disk's.
-    pub fn stop(&self, save: bool) -> std::io::Result<()> {
-        let word: &[u8] = if save { b"save" } else { b"kill" };
+    pub fn stop(&self, request: StopRequest) -> std::io::Result<()> {
+        let word: &[u8] = match request {
+            StopRequest::Save => b"save",
+            StopRequest::Kill => b"kill",
+        };
         write_whole(&self.file("stop"), word)
     }
 
-    /// What the supervisor was told: whether to save first.
-    pub fn stopped(&self) -> Option<bool> {
+    /// What the supervisor was asked last, if anything.
+    pub fn stop_request(&self) -> Option<StopRequest> {
         let word = std::fs::read(self.file("stop")).ok()?;
-        Some(word == b"save")
+        Some(if word == b"save" {
+            StopRequest::Save
+        } else {
+            StopRequest::Kill
+        })
     }
 
     /// Whether it still runs. If nobody holds the lock and no end was written,
     /// the supervisor is gone, or was never there: then the attempt is made
     /// void under the lock, so that one which comes late runs nothing, and
     /// whatever is left of the task is killed.
-    pub fn look(&self) -> Found {
+    pub fn check(&self) -> Found {
         if let Some(exit) = self.exit() {
             return Found::Exited(exit);
         }
@@ -279,14 +269,3 @@
         }
     }
 }
-
-/// Kills a task's process group; whether there was anything to kill. A number
-/// that has gone to another process is not its group's any more: the kernel gives
-/// none out again while a group has it.
-pub fn kill_group(task: &Process) -> bool {
-    if Process::find(task.pid).is_some_and(|p| p != *task) {
-        return false;
-    }
-    let group = rustix::process::Pid::from_raw(task.pid);
-    group.is_some_and(|g| kill_process_group(g, Signal::KILL).is_ok())
-}
--- a/crates/agent/src/core.rs
+++ b/crates/agent/src/core.rs
@@ -50,7 +50,7 @@
     reported: Time,
     next: Time,
     changed: bool,
-    fencing_token_told: Time,
+    fencing_token_announced: Time,
     /// Nothing new is taken on: the disk fails, or the agent is to end.
     closed: bool,
     /// Images that are handed on, as many as a heartbeat has free capacity for.
@@ -99,7 +99,7 @@
             reported: Time(f64::NEG_INFINITY),
             next: now,
             changed: true,
-            fencing_token_told: Time(f64::NEG_INFINITY),
+            fencing_token_announced: Time(f64::NEG_INFINITY),
             closed: false,
             images: Vec::new(),
             machine,
--- a/crates/agent/src/core/heartbeats.rs
+++ b/crates/agent/src/core/heartbeats.rs
@@ -191,8 +191,8 @@
             self.fencing_token = fencing_token;
             actions.push(Action::Note(Note::FencingToken(fencing_token)));
             // A higher fencing token counts as a change at most once in half a lease.
-            if now.since(self.fencing_token_told) >= self.machine.lease_s / 2.0 {
-                self.fencing_token_told = now;
+            if now.since(self.fencing_token_announced) >= self.machine.lease_s / 2.0 {
+                self.fencing_token_announced = now;
                 self.changed = true;
             }
         }
--- a/crates/agent/src/fetch.rs
+++ b/crates/agent/src/fetch.rs
@@ -139,7 +139,7 @@
     /// The agents of the starts that need it.
     pub sources: Rc<RefCell<Sources>>,
     /// What is handed on.
-    pub hands: Rc<ImageServer>,
+    pub image_server: Rc<ImageServer>,
     /// The folder of images.
     pub images: PathBuf,
     /// The folder of parts.
@@ -208,7 +208,7 @@
     /// Forgets the part, and begins anew with all agents but those whose sums
     /// proved wrong.
     fn restart_without(&self, liars: &[SocketAddr]) {
-        self.hands.drop_part(&self.image.sha256);
+        self.image_server.drop_part(&self.image.sha256);
         let all = self.sources.borrow().all_agents();
         let mut anew = self.anew(all);
         for liar in liars {
@@ -219,7 +219,7 @@
 
     /// Sources of which none has been asked yet.
     fn anew(&self, agents: impl IntoIterator<Item = SocketAddr>) -> Sources {
-        let wait = self.hands.settings().origin_after_s;
+        let wait = self.image_server.settings().origin_after_s;
         Sources::new(agents, wait, jitter(), clock::now())
     }
 
@@ -227,10 +227,10 @@
     /// nobody has sums of it.
     async fn part(&self) -> Result<Option<Begun>, Failed> {
         let sha256 = &self.image.sha256;
-        let there = self.hands.part(sha256);
+        let there = self.image_server.part(sha256);
         if let Some(part) = there.clone().filter(|p| p.serves_images()) {
             (self.free_capacity)(part.checksums().bytes);
-            self.look(&part).await?;
+            self.check(&part).await?;
             return Ok(Some(Begun { part, giver: None }));
         }
         let Some(found) = self.find_checksums().await? else {
@@ -244,23 +244,23 @@
         }
         (self.free_capacity)(bytes);
         if let Some(part) = there.filter(|p| p.text() == known.text && !known.trusted) {
-            self.look(&part).await?;
+            self.check(&part).await?;
             return Ok(Some(Begun { part, giver }));
         }
         let part = Part::begin(&self.parts, &self.image, known);
         let part = Rc::new(part.map_err(disk)?);
-        self.hands.keep(part.clone());
+        self.image_server.keep(part.clone());
         Ok(Some(Begun { part, giver }))
     }
 
     /// Goes on with the chunks that an earlier run left.
-    async fn look(&self, part: &Rc<Part>) -> Result<(), Failed> {
-        if part.is_complete() || part.is_looked_at() {
+    async fn check(&self, part: &Rc<Part>) -> Result<(), Failed> {
+        if part.is_complete() || part.is_checked() {
             return Ok(());
         }
         let (archive, checksums) = (part.archive(), part.checksums().clone());
-        let looked = spawn_blocking(move || Part::look(&archive, &checksums)).await;
-        let have = looked.map_err(lost)?;
+        let checked = spawn_blocking(move || Part::check(&archive, &checksums)).await;
+        let have = checked.map_err(lost)?;
         part.resume(have.map_err(disk)?);
         tracing::info!(
             image = self.image.name,
@@ -278,7 +278,9 @@
             let agents = self.agents();
             *self.sources.borrow_mut() = self.anew(agents);
         }
-        let _coming = self.hands.comes(&self.image.sha256, &self.image.name);
+        let _coming = self
+            .image_server
+            .comes(&self.image.sha256, &self.image.name);
         let lanes = Rc::new(Lanes {
             fetch: self.clone(),
             part: part.clone(),
@@ -288,7 +290,7 @@
         });
         // With this dropped, they all end.
         let mut all = JoinSet::new();
-        for _ in 0..self.hands.settings().downloads {
+        for _ in 0..self.image_server.settings().downloads {
             let lanes = lanes.clone();
             all.spawn_local(async move { lanes.lane().await });
         }
@@ -335,7 +337,9 @@
     /// The image from the origin at once, where nobody has sums of it. It is
     /// handed on once it is unpacked: only then is it known to be right.
     async fn in_one_piece(&self) -> Result<u64, Failed> {
-        let _coming = self.hands.comes(&self.image.sha256, &self.image.name);
+        let _coming = self
+            .image_server
+            .comes(&self.image.sha256, &self.image.name);
         let sha256 = &self.image.sha256;
         let folder = part::folder_of(&self.parts, sha256);
         part::remove(&self.parts, sha256).map_err(disk)?;
@@ -352,7 +356,7 @@
         let part =
             checksums.and_then(|checksums| Part::of_whole(&self.parts, &self.image, checksums));
         match part {
-            Ok(part) => self.hands.keep(Rc::new(part)),
+            Ok(part) => self.image_server.keep(Rc::new(part)),
             // It is there, and is only not handed on.
             Err(error) => tracing::error!(image = self.image.name, %error, "not handed on"),
         }
--- a/crates/agent/src/fetch/find.rs
+++ b/crates/agent/src/fetch/find.rs
@@ -122,8 +122,8 @@
     /// An agent's word, until the whole has proven it. Those that have begun with
     /// the image are waited for; nobody is that has not.
     async fn unproven_checksums_of_agents(&self, begun: Time) -> Option<Found> {
-        let patience = self.hands.settings().origin_after_s * (1.0 + jitter());
-        let mut heard = begun;
+        let patience = self.image_server.settings().origin_after_s * (1.0 + jitter());
+        let mut last_answer = begun;
         loop {
             for agent in self.agents() {
                 match self.checksums_of_agent(agent).await {
@@ -131,11 +131,11 @@
                         Ok(found) => return Some(found),
                         Err(failed) => self.drop_agent(agent, &failed),
                     },
-                    Err(Outcome::NotYet(_)) => heard = clock::now(),
+                    Err(Outcome::NotYet(_)) => last_answer = clock::now(),
                     Err(_) => {}
                 }
             }
-            if self.agents().is_empty() || clock::now().since(heard) > patience {
+            if self.agents().is_empty() || clock::now().since(last_answer) > patience {
                 return None;
             }
             sleep(Duration::from_secs_f64(0.5 + jitter())).await;
@@ -186,7 +186,7 @@
 
     /// A file of sums from a server, within the time that a source may be silent.
     async fn file_of_checksums(&self, server: SocketAddr, path: &str) -> Result<Bytes, Outcome> {
-        let patience = Duration::from_secs_f64(self.hands.settings().stall_s);
+        let patience = Duration::from_secs_f64(self.image_server.settings().stall_s);
         let asked = timeout(patience, async {
             let line = client::connect(server).await;
             let mut line = line.map_err(|_| Outcome::Failed)?;
--- a/crates/agent/src/fetch/lanes.rs
+++ b/crates/agent/src/fetch/lanes.rs
@@ -68,9 +68,13 @@
 
     /// Fails once nobody is left who could give a chunk.
     fn check_given_up(&self) -> Result<(), Failed> {
-        let patience = self.fetch.hands.settings().patience_s;
-        let hopeless = self.fetch.sources.borrow().hopeless(patience, clock::now());
-        hopeless.map_or(Ok(()), |why| {
+        let patience = self.fetch.image_server.settings().patience_s;
+        let abort_reason = self
+            .fetch
+            .sources
+            .borrow()
+            .abort_reason(patience, clock::now());
+        abort_reason.map_or(Ok(()), |why| {
             let last = self.last.borrow().clone();
             Err(keep(FetchFailure::GivenUp { why, last }))
         })
@@ -164,7 +168,7 @@
     async fn over_http(&self, at: SocketAddr, path: &str, chunk: usize) -> Taken {
         let span = self.part.checksums().span(chunk);
         let length = span.end - span.start;
-        let stall = Duration::from_secs_f64(self.fetch.hands.settings().stall_s);
+        let stall = Duration::from_secs_f64(self.fetch.image_server.settings().stall_s);
         // One that drips must not hold a chunk for ever either.
         let patience = stall + Duration::from_secs_f64(length as f64 / MIN_RATE_BYTES_PER_S);
         let got = timeout(patience, async {
@@ -197,7 +201,7 @@
     /// A server that gives the whole whatever is asked: every chunk that misses
     /// is taken as it passes.
     async fn all_as_it_passes(&self, response: Response<Incoming>) -> Result<Outcome, Failed> {
-        let stall = Duration::from_secs_f64(self.fetch.hands.settings().stall_s);
+        let stall = Duration::from_secs_f64(self.fetch.image_server.settings().stall_s);
         let mut body = response.into_body();
         let mut buffer = BytesMut::new();
         for chunk in 0..self.part.checksums().chunks() {
--- a/crates/agent/src/part.rs
+++ b/crates/agent/src/part.rs
@@ -60,7 +60,7 @@
     have: RefCell<Vec<bool>>,
     complete: Cell<bool>,
     /// Whether it is known which chunks are there.
-    looked_at: Cell<bool>,
+    checked: Cell<bool>,
 }
 
 /// The folder of an image's part.
@@ -115,7 +115,7 @@
             checksums: Arc::new(checksums),
             have: RefCell::new(have),
             complete: Cell::new(false),
-            looked_at: Cell::new(true),
+            checked: Cell::new(true),
         }
     }
 
@@ -130,7 +130,7 @@
         write_whole(&self.folder.join("about"), &serde_json::to_vec(&about)?)
     }
 
-    /// What an earlier run left of an image, its chunks not looked at yet
+    /// What an earlier run left of an image, its chunks not checked yet
     /// unless it was whole.
     ///
     /// # Errors
@@ -154,7 +154,7 @@
         };
         let part = Self::new(folder, &about.image, known, have);
         part.complete.set(complete);
-        part.looked_at.set(complete);
+        part.checked.set(complete);
         Ok(part)
     }
 
@@ -245,7 +245,7 @@
     ///
     /// # Errors
     /// The disk's.
-    pub fn look(archive: &Path, checksums: &Checksums) -> Result<Vec<bool>> {
+    pub fn check(archive: &Path, checksums: &Checksums) -> Result<Vec<bool>> {
         let file = File::open(archive)?;
         let look = |chunk| {
             let span = checksums.span(chunk);
@@ -256,12 +256,12 @@
         (0..checksums.chunks()).map(look).collect()
     }
     /// Whether it is known which chunks are there.
-    pub fn is_looked_at(&self) -> bool {
-        self.looked_at.get()
+    pub fn is_checked(&self) -> bool {
+        self.checked.get()
     }
     /// Goes on with the chunks that were found right.
     pub fn resume(&self, have: Vec<bool>) {
-        self.looked_at.set(true);
+        self.checked.set(true);
         if have.len() == self.checksums.chunks() {
             *self.have.borrow_mut() = have;
         }
--- a/crates/agent/src/peer_transfer.rs
+++ b/crates/agent/src/peer_transfer.rs
@@ -153,25 +153,25 @@
         let mut coming = self.coming.borrow_mut();
         coming.insert(sha256.to_owned(), name.to_owned());
         Coming {
-            hands: self.clone(),
+            image_server: self.clone(),
             sha256: sha256.to_owned(),
         }
     }
 
-    /// What a heartbeat tells of images, those on their way first.
-    pub fn told(&self) -> Vec<ReportedImage> {
+    /// The images that a heartbeat reports, those that are still being fetched first.
+    pub fn reported_images(&self) -> Vec<ReportedImage> {
         let parts = self.parts.borrow();
         let mut all: Vec<&Rc<Part>> = parts
             .values()
             .filter(|p| p.serves_images() && p.count() > 0)
             .collect();
         all.sort_by_key(|p| p.is_complete());
-        let told = all.into_iter().map(|p| ReportedImage {
+        let reported = all.into_iter().map(|p| ReportedImage {
             image: p.about().image.name.clone(),
             parts: p.count() as u64,
             of: p.checksums().chunks() as u64,
         });
-        told.collect()
+        reported.collect()
     }
 
     /// The answer to a request below `/images/`.
@@ -302,12 +302,12 @@
 
 /// An image is on its way, as long as this is there.
 pub struct Coming {
-    hands: Rc<ImageServer>,
+    image_server: Rc<ImageServer>,
     sha256: String,
 }
 
 impl Drop for Coming {
     fn drop(&mut self) {
-        self.hands.coming.borrow_mut().remove(&self.sha256);
+        self.image_server.coming.borrow_mut().remove(&self.sha256);
     }
 }
--- a/crates/agent/src/sources.rs
+++ b/crates/agent/src/sources.rs
@@ -196,7 +196,7 @@
 
     /// Why the fetch is to be given up, if it is: nobody is left, or nobody has
     /// given anything for `patience_s`.
-    pub fn hopeless(&self, patience_s: f64, now: Time) -> Option<GiveUpReason> {
+    pub fn abort_reason(&self, patience_s: f64, now: Time) -> Option<GiveUpReason> {
         if self.all.iter().all(|s| s.dropped) {
             return Some(GiveUpReason::NobodyLeft);
         }
--- a/crates/agent/src/supervise.rs
+++ b/crates/agent/src/supervise.rs
@@ -2,6 +2,8 @@
 //! when it is told to or when the lease has run out, and writes down how it
 //! ended once none of its processes is left.
 
+mod exec;
+
 use std::fs::{File, OpenOptions};
 use std::io::{Read, Write};
 use std::os::unix::process::{CommandExt, ExitStatusExt};
@@ -11,14 +13,13 @@
 use std::time::{Duration, Instant};
 
 use rustix::process::{
-    kill_process, kill_process_group, set_child_subreaper, set_parent_process_death_signal,
-    setrlimit, wait, Pid as Number, Resource, Rlimit, Signal, WaitOptions,
+    kill_process, kill_process_group, set_child_subreaper, wait, Pid as Number, Signal, WaitOptions,
 };
 
-use crate::attempt::{Folder, Pid, Process, Task};
+pub use self::exec::{become_task, BecomeError};
+use crate::attempt::{Folder, Pid, Process, StopRequest, Task};
 use crate::clock;
 use crate::core::Exit;
-use crate::describe::Limits;
 
 /// How often it looks at what it is told, and at the lease.
 const POLL_INTERVAL: Duration = Duration::from_millis(50);
@@ -201,18 +202,24 @@
         }
         // A lease that can't be read is one that nobody renews.
         let since = read_lease(&task.lease).unwrap_or(started);
-        let told = folder.stopped();
-        if clock::now().0 - since > task.lease_s || told == Some(false) || killed {
+        let request = folder.stop_request();
+        if clock::now().0 - since > task.lease_s || request == Some(StopRequest::Kill) || killed {
             killed = true;
             let _ = kill_process_group(group, Signal::KILL);
-        } else if told == Some(true) && !saving {
+        } else if request == Some(StopRequest::Save) && !saving {
             saving = true;
             save(task, group);
         }
         std::thread::sleep(POLL_INTERVAL);
     };
     end_all(group);
-    let code = status.and_then(|s: ExitStatus| s.code());
+    exit_of(status, killed, saving)
+}
+
+/// How a task ended: by its status, none if it is not known, and by whether it was killed
+/// or asked to save before.
+fn exit_of(status: Option<ExitStatus>, killed: bool, saving: bool) -> Exit {
+    let code = status.and_then(|s| s.code());
     match (code, killed, saving) {
         (Some(0), _, false) => Exit::Done,
         (Some(0), _, true) => Exit::Saved,
@@ -280,98 +287,3 @@
         })
         .collect()
 }
-
-/// What keeps a process from becoming its task.
-#[derive(Debug, thiserror::Error)]
-pub enum BecomeError {
-    /// What there is to run is not known.
-    #[error("task.json can't be read")]
-    NoTask,
-    /// The task would outlive its supervisor.
-    #[error(transparent)]
-    DeathSignal(rustix::io::Errno),
-    /// The operating system does not take a limit.
-    #[error("limit {resource:?}: {source}")]
-    Limit {
-        /// Of what.
-        resource: Resource,
-        /// Why.
-        source: rustix::io::Errno,
-    },
-    /// The program can't be run.
-    #[error("{program}: {source}")]
-    Exec {
-        /// The program.
-        program: String,
-        /// Why.
-        source: std::io::Error,
-    },
-}
-
-/// Becomes the task: limits, working directory and environment, then its
-/// program in this process's place. Returns only if that failed.
-pub fn become_task(path: PathBuf) -> BecomeError {
-    let folder = Folder(path);
-    let Some(task) = folder.task() else {
-        return BecomeError::NoTask;
-    };
-    // If the supervisor goes, nobody would end the task any more.
-    if let Err(error) = set_parent_process_death_signal(Some(Signal::KILL)) {
-        return BecomeError::DeathSignal(error);
-    }
-    if let Err(error) = set_limits(&task.description.limits) {
-        return error;
-    }
-    BecomeError::Exec {
-        program: task.description.command[0].clone(),
-        source: task_command(&folder, &task).exec(),
-    }
-}
-
-/// Sets the limits that a description names; no task leaves a core file.
-fn set_limits(limits: &Limits) -> Result<(), BecomeError> {
-    let mega = |n: Option<u64>| n.map(|n| n.saturating_mul(1 << 20));
-    for (resource, max) in [
-        (Resource::As, mega(limits.address_mb)),
-        (Resource::Fsize, mega(limits.file_mb)),
-        (Resource::Nofile, limits.open_files),
-        (Resource::Cpu, limits.cpu_s),
-        (Resource::Core, Some(0)),
-    ] {
-        let Some(max) = max else { continue };
-        let limit = Rlimit {
-            current: Some(max),
-            maximum: Some(max),
-        };
-        setrlimit(resource, limit).map_err(|source| BecomeError::Limit { resource, source })?;
-    }
-    Ok(())
-}
-
-/// A task's program with its arguments, environment and working directory.
-fn task_command(folder: &Folder, task: &Task) -> Command {
-    let description = &task.description;
-    let index = task.key.task_name.rsplit_once('/').map_or("", |(_, i)| i);
-    let units: Vec<String> = task
-        .units
-        .iter()
-        .map(|(kind, name)| format!("{kind}:{name}"))
-        .collect();
-    let cwd = description
-        .cwd
-        .as_ref()
-        .map_or(folder.work(), PathBuf::from);
-    let mut command = Command::new(&description.command[0]);
-    command
-        .args(&description.command[1..])
-        .env_clear()
-        .env("PATH", std::env::var_os("PATH").unwrap_or_default())
-        .envs(&description.env)
-        .env("TASK", &task.key.task_name)
-        .env("TASK_INDEX", index)
-        .env("TASK_ATTEMPT", task.key.attempt.to_string())
-        .env("TASK_UNITS", units.join(","))
-        .envs(task.image.iter().map(|path| ("TASK_IMAGE", path)))
-        .current_dir(cwd);
-    command
-}
--- a/crates/agent/tests/sources.rs
+++ b/crates/agent/tests/sources.rs
@@ -138,17 +138,17 @@
 
     /// To its end: why it was given up, and when, in seconds.
     fn run(&mut self, jitters: &[f64]) -> Result<(Option<GiveUpReason>, f64), TestCaseError> {
-        let (mut now, mut hopeless, mut steps) = (0.0, None, 0);
-        while !self.missing.is_empty() && hopeless.is_none() {
+        let (mut now, mut abort_reason, mut steps) = (0.0, None, 0);
+        while !self.missing.is_empty() && abort_reason.is_none() {
             for lane in 0..LANES {
                 self.receive(lane, jitters[steps % jitters.len()], now);
                 self.ask(lane, now)?;
             }
             steps += 1;
             now = steps as f64 * STEP_S;
-            hopeless = self.sources.hopeless(PATIENCE_S, Time(now));
+            abort_reason = self.sources.abort_reason(PATIENCE_S, Time(now));
         }
-        Ok((hopeless, now))
+        Ok((abort_reason, now))
     }
 
     fn count(&self, whom: Whom) -> usize {
@@ -168,10 +168,10 @@
         // The origin has an image from the beginning or not at all.
         let origin = Kind { from_s: 0.0, ..origin };
         let mut fetch = Fetch::new(agents, origin, drawn);
-        let (hopeless, now) = fetch.run(&jitters)?;
+        let (abort_reason, now) = fetch.run(&jitters)?;
         let agents = &fetch.agents;
         let good = origin.good() || agents.iter().any(Kind::good);
-        prop_assert_eq!(fetch.missing.is_empty(), good, "{:?} after {} s", hopeless, now);
+        prop_assert_eq!(fetch.missing.is_empty(), good, "{:?} after {} s", abort_reason, now);
         for (n, kind) in agents.iter().enumerate() {
             let times = fetch.count(Whom::Agent(address(n)));
             prop_assert!(kind.gives != Outcome::Wrong || times <= 1, "wrong, asked {times} times");
@@ -236,19 +236,23 @@
 fn a_fetch_ends_when_nobody_is_left_or_nothing_comes() {
     let mut s = Sources::new([at(1)], 10.0, 0.0, Time(0.0));
     came_at_once(&mut s, Whom::Origin, Outcome::Nothing, Time(1.0));
-    assert_eq!(s.hopeless(60.0, Time(1.0)), None);
-    assert!(s.hopeless(60.0, Time(61.0)).is_some(), "nothing came");
+    assert_eq!(s.abort_reason(60.0, Time(1.0)), None);
+    assert!(s.abort_reason(60.0, Time(61.0)).is_some(), "nothing came");
     came_at_once(&mut s, Whom::Agent(at(1)), Outcome::Nothing, Time(1.0));
-    assert_eq!(s.hopeless(60.0, Time(2.0)), None, "it may have it later");
+    assert_eq!(
+        s.abort_reason(60.0, Time(2.0)),
+        None,
+        "it may have it later"
+    );
     came_at_once(&mut s, Whom::Agent(at(1)), Outcome::Wrong, Time(2.0));
-    assert!(s.hopeless(60.0, Time(2.0)).is_some(), "nobody is left");
+    assert!(s.abort_reason(60.0, Time(2.0)).is_some(), "nobody is left");
     s.add([at(2)], Time(3.0));
-    assert_eq!(s.hopeless(60.0, Time(3.0)), None);
+    assert_eq!(s.abort_reason(60.0, Time(3.0)), None);
     assert_eq!(s.pick(Time(3.0)), Some(Whom::Agent(at(2))));
     let mut s = Sources::new([], 10.0, 0.0, Time(0.0));
     for n in 0..MAX_ORIGIN_FAILURES {
-        assert_eq!(s.hopeless(60.0, Time(0.0)), None, "{n} failures");
+        assert_eq!(s.abort_reason(60.0, Time(0.0)), None, "{n} failures");
         came_at_once(&mut s, Whom::Origin, Outcome::Failed, Time(0.0));
     }
-    assert!(s.hopeless(60.0, Time(0.0)).is_some());
+    assert!(s.abort_reason(60.0, Time(0.0)).is_some());
 }
--- a/crates/agent/tests/supervisor.rs
+++ b/crates/agent/tests/supervisor.rs
@@ -7,7 +7,7 @@
 use std::time::{Duration, Instant};
 
 use serde_json::json;
-use sorrelhinge_agent::attempt::{Folder, Found, Process, Task};
+use sorrelhinge_agent::attempt::{Folder, Found, Process, StopRequest, Task};
 use sorrelhinge_agent::clock;
 use sorrelhinge_agent::core::{Exit, Key};
 use sorrelhinge_agent::describe::Description;
@@ -100,7 +100,7 @@
         self.until("it ends", |f| f.exit().is_some());
         let _ = self.supervisor.wait();
         assert_eq!(
-            self.folder.look(),
+            self.folder.check(),
             Found::Exited(self.folder.exit().expect("ended"))
         );
         self.folder.exit().expect("ended")
@@ -154,17 +154,17 @@
     let more = json!({"save": {"seconds": 5.0}});
     let run = start("saves", saves, more.clone(), 60.0);
     std::thread::sleep(Duration::from_millis(200));
-    run.folder.stop(true).expect("told");
+    run.folder.stop(StopRequest::Save).expect("told");
     let folder = run.folder.clone();
     assert_eq!(run.end(), Exit::Saved);
     assert!(folder.work().join("saved").exists());
     let ignores = "trap '' TERM; while :; do sleep 0.05; done";
     let run = start("ignores", ignores, more, 60.0);
     std::thread::sleep(Duration::from_millis(200));
-    run.folder.stop(true).expect("told");
+    run.folder.stop(StopRequest::Save).expect("told");
     std::thread::sleep(Duration::from_millis(300));
-    assert_eq!(run.folder.look(), Found::Runs, "it ignores the signal");
-    run.folder.stop(false).expect("told");
+    assert_eq!(run.folder.check(), Found::Runs, "it ignores the signal");
+    run.folder.stop(StopRequest::Kill).expect("told");
     assert_eq!(run.end(), Exit::Killed);
 }
 
@@ -204,7 +204,7 @@
     run.supervisor.kill().expect("killed");
     run.supervisor.wait().expect("gone");
     run.until("nothing is left", |f| {
-        f.look() == Found::Exited(Exit::Failed)
+        f.check() == Found::Exited(Exit::Failed)
     });
     run.until("they are gone", |_| processes.iter().all(|p| !p.lives()));
     let mut pid = run.folder.pid().expect("written");
@@ -219,7 +219,7 @@
 #[test]
 fn a_supervisor_that_comes_late_runs_nothing() {
     let folder = prepare("late", "echo ran > ran", json!({}), 60.0);
-    assert_eq!(folder.look(), Found::Exited(Exit::Never));
+    assert_eq!(folder.check(), Found::Exited(Exit::Never));
     let status = supervise(&folder).wait().expect("it ends");
     assert!(!status.success());
     assert!(!folder.work().join("ran").exists());
@@ -232,7 +232,7 @@
     assert_eq!(ends.filter(|ok| *ok).count(), 1);
     let ran = std::fs::read_to_string(folder.work().join("ran")).expect("it ran");
     assert_eq!(ran, "ran\n");
-    assert_eq!(folder.look(), Found::Exited(Exit::Done));
+    assert_eq!(folder.check(), Found::Exited(Exit::Done));
 }
 
 /// What users upload is read strictly, and never breaks anything.
