--- a/crates/emulators/src/lib.rs
+++ b/crates/emulators/src/lib.rs
@@ -144,6 +144,15 @@
     response(pool.call(method, path, text(body), LIMITS).await)
 }
 
+/// What an operator's command came to.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct CommandOutput {
+    /// It exited with 0.
+    pub success: bool,
+    /// What it printed: standard output, then standard error.
+    pub text: String,
+}
+
 /// Everything outside the controllers, and the controllers.
 pub struct World {
     /// The state service.
@@ -341,7 +350,7 @@
     }
 
     /// An operator's command, as the program carries it out.
-    pub async fn command(&self, args: &[&str]) -> (bool, String) {
+    pub async fn command(&self, args: &[&str]) -> CommandOutput {
         let mut all: Vec<String> = args.iter().map(|name| name.to_string()).collect();
         for c in &self.controllers {
             all.push("--controller".into());
@@ -354,7 +363,10 @@
         let output = output.await.expect("it ends");
         let mut text = String::from_utf8_lossy(&output.stdout).into_owned();
         text += &String::from_utf8_lossy(&output.stderr);
-        (output.status.success(), text)
+        CommandOutput {
+            success: output.status.success(),
+            text,
+        }
     }
 }
 
--- a/tests/calendar.rs
+++ b/tests/calendar.rs
@@ -9,7 +9,7 @@
 use serde_json::{json, Value};
 use sorrelhinge::control::day_ms;
 use sorrelhinge::types::MachineId;
-use sorrelhinge_emulators::{run, Plan, World};
+use sorrelhinge_emulators::{run, CommandOutput, Plan, World};
 use sorrelhinge_reservations::shown::{CalendarShown, WindowShown};
 use sorrelhinge_sharding::shard::of_machine;
 use tokio::time::sleep;
@@ -61,19 +61,19 @@
 
 /// Runs a command that succeeds.
 async fn done(world: &World, words: &[&str]) {
-    let (ok, text) = world.command(words).await;
-    assert!(ok, "{text}");
+    let CommandOutput { success, text } = world.command(words).await;
+    assert!(success, "{text}");
 }
 
 /// Runs a command that fails and says why.
 async fn refused(world: &World, words: &[&str], why: &str) {
-    let (ok, text) = world.command(words).await;
-    assert!(!ok && text.contains(why), "{text}");
+    let CommandOutput { success, text } = world.command(words).await;
+    assert!(!success && text.contains(why), "{text}");
 }
 
 async fn shown(world: &World, name: &str) -> Option<WindowShown> {
-    let (ok, text) = world.command(&["calendar", "show", "--json"]).await;
-    if !ok {
+    let CommandOutput { success, text } = world.command(&["calendar", "show", "--json"]).await;
+    if !success {
         return None;
     }
     let shown: CalendarShown = serde_json::from_str(&text).expect("JSON");
--- a/tests/drains.rs
+++ b/tests/drains.rs
@@ -7,7 +7,7 @@
 
 use hyper::Method;
 use serde_json::{json, Value};
-use sorrelhinge_emulators::{file, run, HttpResponse, Plan, World};
+use sorrelhinge_emulators::{file, run, CommandOutput, HttpResponse, Plan, World};
 use sorrelhinge_protocol::operators::TopologyShown;
 use tokio::time::sleep;
 
@@ -23,8 +23,8 @@
 }
 
 async fn shown(world: &World) -> TopologyShown {
-    let (ok, text) = world.command(&["topology", "show", "--json"]).await;
-    assert!(ok, "{text}");
+    let CommandOutput { success, text } = world.command(&["topology", "show", "--json"]).await;
+    assert!(success, "{text}");
     serde_json::from_str(&text).expect("JSON")
 }
 
@@ -47,12 +47,12 @@
 
 /// Drains the first zone's first rack; a rack that does not exist is refused.
 async fn drain_rack(world: &World) {
-    let (ok, text) = world.command(&["drain", "zq/r9"]).await;
-    assert!(!ok && text.contains("zq/r9"), "{text}");
-    let (ok, text) = world
+    let CommandOutput { success, text } = world.command(&["drain", "zq/r9"]).await;
+    assert!(!success && text.contains("zq/r9"), "{text}");
+    let CommandOutput { success, text } = world
         .command(&["drain", "za/r0", "--deadline", "60s"])
         .await;
-    assert!(ok, "{text}");
+    assert!(success, "{text}");
     let drains = shown(world).await.drains;
     assert_eq!(drains.len(), 1);
     assert_eq!(drains[0].target, "za/r0");
@@ -94,15 +94,15 @@
 
 /// The drained rack is shown as empty; its drain ends once, and a second time is refused.
 async fn end_drain(world: &World) {
-    let (ok, text) = world.command(&["topology", "show"]).await;
+    let CommandOutput { success, text } = world.command(&["topology", "show"]).await;
     assert!(
-        ok && text.contains("empty") && text.contains("za/r0"),
+        success && text.contains("empty") && text.contains("za/r0"),
         "{text}"
     );
-    let (ok, text) = world.command(&["undrain", "za/r0"]).await;
-    assert!(ok, "{text}");
-    let (ok, text) = world.command(&["undrain", "za/r0"]).await;
-    assert!(!ok && text.contains("no such drain"), "{text}");
+    let CommandOutput { success, text } = world.command(&["undrain", "za/r0"]).await;
+    assert!(success, "{text}");
+    let CommandOutput { success, text } = world.command(&["undrain", "za/r0"]).await;
+    assert!(!success && text.contains("no such drain"), "{text}");
 }
 
 /// A drain goes on over a takeover in its middle, never with more than one
--- a/tests/lanes.rs
+++ b/tests/lanes.rs
@@ -18,7 +18,7 @@
 use sorrelhinge::state::record::{job_key, JobRecord};
 use sorrelhinge::state::view::View;
 use sorrelhinge::types::{Amount, JobId, JobSpec, Revision, TaskId, Time};
-use sorrelhinge_emulators::{run, HttpResponse, Plan, World};
+use sorrelhinge_emulators::{run, CommandOutput, HttpResponse, Plan, World};
 use sorrelhinge_priority_lanes::{LaneId, Lanes};
 use tokio::time::sleep;
 
@@ -255,8 +255,8 @@
         // Until it was looked at, which is once a second.
         let end = Instant::now() + Duration::from_secs(20);
         let shown = loop {
-            let (ok, text) = world.command(&["lanes", "show", "--json"]).await;
-            assert!(ok, "{text}");
+            let CommandOutput { success, text } = world.command(&["lanes", "show", "--json"]).await;
+            assert!(success, "{text}");
             let shown: Value = serde_json::from_str(&text).expect("JSON");
             let lane = &shown["lanes"][0];
             let one = lane["waiting"].as_array().is_some_and(|w| w.len() == 1);
@@ -270,10 +270,13 @@
         assert!(lane["name"] == "urgent" && lane["part"] == 0.5, "{lane}");
         let place = versions(&world, "run-000001")[0].0;
         assert!(waits["job"] == "run-000001" && waits["place"] == place);
-        let (ok, text) = world.command(&["lanes", "show"]).await;
+        let CommandOutput { success, text } = world.command(&["lanes", "show"]).await;
         let line = format!("1. run-000001 (fix, crew), place {place}, waits");
         let why = waits["why"].as_str().expect("a reason");
-        assert!(ok && text.contains(&line) && text.contains(why), "{text}");
+        assert!(
+            success && text.contains(&line) && text.contains(why),
+            "{text}"
+        );
     });
 }
 
--- a/tests/pipelines_loopback.rs
+++ b/tests/pipelines_loopback.rs
@@ -10,7 +10,7 @@
 use hyper::Method;
 use serde_json::{json, Value};
 use sorrelhinge_emulators::store::{Limits, ScriptedOutcome, TransactionFault};
-use sorrelhinge_emulators::{run, HttpResponse, Plan, World, CANCEL_S};
+use sorrelhinge_emulators::{run, CommandOutput, HttpResponse, Plan, World, CANCEL_S};
 use tokio::time::{sleep, Instant};
 
 use self::leader::start_led;
@@ -107,12 +107,9 @@
         world.submit("run-b", long(&["run-a"])).await;
         world.submit("run-c", long(&["run-b"])).await;
         world.submit("run-d", long(&["run-c", "run-a"])).await;
-        let (ok, shown) = world.command(&["pipeline", "show", "run-d"]).await;
-        assert!(ok && shown.contains("run-c"), "{shown}");
-        assert!(
-            shown.contains("run-a") && shown.contains("Normal"),
-            "{shown}"
-        );
+        let CommandOutput { success, text } = world.command(&["pipeline", "show", "run-d"]).await;
+        assert!(success && text.contains("run-c"), "{text}");
+        assert!(text.contains("run-a") && text.contains("Normal"), "{text}");
         assert_eq!(cancel(&world, "run-b").await, "cancelled");
         world.store.borrow_mut().set_down(true);
         let leader = world.leader().expect("a leader");
--- a/tests/shards.rs
+++ b/tests/shards.rs
@@ -10,7 +10,7 @@
 use std::time::{Duration, Instant};
 
 use serde_json::{json, Value};
-use sorrelhinge_emulators::{run, HttpResponse, Plan, World, CANCEL_S};
+use sorrelhinge_emulators::{run, CommandOutput, HttpResponse, Plan, World, CANCEL_S};
 use tokio::time::sleep;
 
 use self::cancellation::cancel;
@@ -128,16 +128,22 @@
     run(async {
         let world = World::start(plan("pinned", 94, 3, "blocks.least=3\n")).await;
         world.until("each owns a block", 30, each_owns_one).await;
-        let (ok, told) = world.command(&["blocks", "move", "7", "--to", "c-1"]).await;
-        assert!(!ok && told.contains("there is no block 7"), "{told}");
-        let (ok, told) = world.command(&["blocks", "move", "0", "--to", "c-9"]).await;
-        assert!(!ok && told.contains("there is no controller c-9"), "{told}");
+        let CommandOutput { success, text } =
+            world.command(&["blocks", "move", "7", "--to", "c-1"]).await;
+        assert!(!success && text.contains("there is no block 7"), "{text}");
+        let CommandOutput { success, text } =
+            world.command(&["blocks", "move", "0", "--to", "c-9"]).await;
+        assert!(
+            !success && text.contains("there is no controller c-9"),
+            "{text}"
+        );
         let to = match owners(&world)[&0].as_str() {
             "c-1" => "c-2",
             _ => "c-1",
         };
-        let (ok, told) = world.command(&["blocks", "move", "0", "--to", to]).await;
-        assert!(ok, "{told}");
+        let CommandOutput { success, text } =
+            world.command(&["blocks", "move", "0", "--to", to]).await;
+        assert!(success, "{text}");
         world
             .until("it is there", 20, |w| owners(w)[&0] == to)
             .await;
@@ -148,14 +154,17 @@
         world.until("a job's tasks", 20, |w| w.done(uid, 12)).await;
         sleep(Duration::from_secs(2)).await;
         assert_eq!(owners(&world)[&0], to, "it was not moved away for balance");
-        let (ok, told) = world.command(&["blocks", "show"]).await;
-        assert!(ok && told.contains("an operator pinned it there"), "{told}");
-        let (ok, told) = world.command(&["blocks", "free", "0"]).await;
-        assert!(ok, "{told}");
+        let CommandOutput { success, text } = world.command(&["blocks", "show"]).await;
+        assert!(
+            success && text.contains("an operator pinned it there"),
+            "{text}"
+        );
+        let CommandOutput { success, text } = world.command(&["blocks", "free", "0"]).await;
+        assert!(success, "{text}");
         world.until("all are balanced", 20, each_owns_one).await;
-        let (ok, told) = world.command(&["blocks", "show", "--json"]).await;
-        let shown: Value = serde_json::from_str(&told).expect("JSON");
-        assert!(ok && shown["blocks"].as_array().is_some_and(|b| b.len() == 3));
+        let CommandOutput { success, text } = world.command(&["blocks", "show", "--json"]).await;
+        let shown: Value = serde_json::from_str(&text).expect("JSON");
+        assert!(success && shown["blocks"].as_array().is_some_and(|b| b.len() == 3));
         world.rules_hold();
     });
 }
