--- a/crates/agent/src/agent.rs
+++ b/crates/agent/src/agent.rs
@@ -16,7 +16,7 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::fs::File;
 use std::net::SocketAddr;
-use std::path::PathBuf;
+use std::path::{Path, PathBuf};
 use std::rc::Rc;
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
@@ -104,6 +104,22 @@
     },
 }
 
+/// Makes an agent's folder, and takes its lock, which is the file that is returned.
+///
+/// # Errors
+/// The folder can't be used, or another agent uses it.
+fn take_folder(root: &Path) -> Result<File, StartError> {
+    let failed = |source| StartError::Folder {
+        folder: root.to_owned(),
+        source,
+    };
+    std::fs::create_dir_all(root.join("attempts")).map_err(failed)?;
+    let lock = Folder(root.to_owned()).lock().map_err(failed)?;
+    lock.ok_or_else(|| StartError::Taken {
+        folder: root.to_owned(),
+    })
+}
+
 impl Agent {
     /// Takes the folder, reads what an earlier agent left, and finds the tasks
     /// that still run. If the lease ran out meanwhile, they are killed first.
@@ -112,15 +128,7 @@
     /// The folder or its journal can't be used, or another agent uses it.
     pub fn open(settings: Settings, program: PathBuf) -> Result<Rc<Self>, StartError> {
         let root = settings.folder.clone();
-        let failed = |source| StartError::Folder {
-            folder: root.clone(),
-            source,
-        };
-        std::fs::create_dir_all(root.join("attempts")).map_err(failed)?;
-        let own = Folder(root.clone());
-        let only = own.lock().map_err(failed)?.ok_or(StartError::Taken {
-            folder: root.clone(),
-        })?;
+        let only = take_folder(&root)?;
         let journal = Journal::open(&root)?;
         let Leftover { found, watched } = recover(&root, &journal);
         let image_server = settings
@@ -133,7 +141,10 @@
             image_server.as_deref(),
             &watched,
         )
-        .map_err(failed)?;
+        .map_err(|source| StartError::Folder {
+            folder: root,
+            source,
+        })?;
         let now = clock::now();
         tracing::info!(tasks = found.tasks.len(), running = watched.len(), incarnation = %found.incarnation, fencing_token = %found.fencing_token, "found");
         let StartedCore { core, actions } = Core::recover(settings.machine(), found, now);
--- a/crates/emulators/src/history/check/silence.rs
+++ b/crates/emulators/src/history/check/silence.rs
@@ -59,6 +59,24 @@
     answered.len() > failed.len()
 }
 
+/// All polls about a job failed while others were answered.
+fn all_polls_failed(uid: &str, spell: &SilentPeriod, limits: &Limits) -> InvariantViolation {
+    InvariantViolation {
+        rule: Rule::Forgotten,
+        at: spell.from + limits.polls_fail,
+        what: format!("{uid}: all polls failed for {:?}", spell.length()),
+    }
+}
+
+/// A job's users had no answer for too long after the troubles.
+fn unanswered(uid: &str, spell: &SilentPeriod, limits: &Limits) -> InvariantViolation {
+    InvariantViolation {
+        rule: Rule::Unanswered,
+        at: spell.from + limits.unanswered,
+        what: format!("{uid}: unanswered for {:?}", spell.length()),
+    }
+}
+
 /// The rules of this module.
 pub(super) fn check(
     entries: &[Entry],
@@ -79,11 +97,7 @@
         for spell in spells(polls(), *accepted) {
             let long = spell.length() >= limits.polls_fail;
             if long && others_are_answered(uid, &spell, exchanges) {
-                violations.push(InvariantViolation {
-                    rule: Rule::Forgotten,
-                    at: spell.from + limits.polls_fail,
-                    what: format!("{uid}: all polls failed for {:?}", spell.length()),
-                });
+                violations.push(all_polls_failed(uid, &spell, limits));
             }
         }
         let Some(over) = over else {
@@ -91,11 +105,7 @@
         };
         for spell in spells(polls(), over.max(*accepted)) {
             if spell.length() >= limits.unanswered {
-                violations.push(InvariantViolation {
-                    rule: Rule::Unanswered,
-                    at: spell.from + limits.unanswered,
-                    what: format!("{uid}: unanswered for {:?}", spell.length()),
-                });
+                violations.push(unanswered(uid, &spell, limits));
             }
         }
     }
--- a/crates/emulators/src/lib.rs
+++ b/crates/emulators/src/lib.rs
@@ -194,13 +194,9 @@
         let count = plan.controllers;
         let place = Place::claim(count);
         let store = start_store(&place, count).await;
-        let users = (0..count).map(|i| place.users(i)).collect();
         let recorder = Recorder::new(site::site());
         store.borrow_mut().recorder = Some(recorder.clone());
-        let nodes = Nodes::new(users, recorder.clone());
-        let nodes = Rc::new(RefCell::new(nodes));
-        Cloud::start(nodes.clone(), place.cloud(), plan.net, plan.switches).await;
-        add_machines(&nodes, &plan);
+        let nodes = start_machines(&plan, &place, &recorder).await;
         let topology = write_topology(&plan);
         let (cuts, state_cuts) = (intact_lines(count), intact_lines(count));
         if plan.lines {
@@ -388,6 +384,16 @@
     store
 }
 
+/// The cloud, and the machines that a plan begins with.
+async fn start_machines(plan: &Plan, place: &Place, recorder: &Recorder) -> Rc<RefCell<Nodes>> {
+    let users = (0..plan.controllers).map(|i| place.users(i)).collect();
+    let nodes = Nodes::new(users, recorder.clone());
+    let nodes = Rc::new(RefCell::new(nodes));
+    Cloud::start(nodes.clone(), place.cloud(), plan.net, plan.switches).await;
+    add_machines(&nodes, plan);
+    nodes
+}
+
 /// The machines that a plan begins with, up at once.
 fn add_machines(nodes: &Rc<RefCell<Nodes>>, plan: &Plan) {
     for zone in 0..3 {
