--- a/crates/agent/examples/measure.rs
+++ b/crates/agent/examples/measure.rs
@@ -13,7 +13,7 @@
 
 use serde_json::{json, Value};
 use sorrelhinge_agent::core::{Core, Ending, Key, Known, Machine, Recovered};
-use sorrelhinge_emulators::{ask, run, serve};
+use sorrelhinge_emulators::{ask, run, serve, HttpResponse};
 use sorrelhinge_protocol::types::{Amount, Attempt, MachineId, Time, TypeName, Zone};
 use sorrelhinge_protocol::worker::ExitReason;
 use tokio::net::TcpListener;
@@ -58,7 +58,7 @@
         tasks: (0..tasks).map(|n| (key(n), known(n))).collect(),
         ..Recovered::default()
     };
-    Core::new(machine, found, Time(0.0)).0
+    Core::recover(machine, found, Time(0.0)).core
 }
 
 /// How large a heartbeat is, and how long one takes.
@@ -67,8 +67,8 @@
     let mut bytes = 0;
     let begun = Instant::now();
     for _ in 0..HEARTBEATS {
-        let (told, _) = core.status(Time(1.0));
-        if let sorrelhinge_agent::core::CommandOutcome::Heartbeat(_, heartbeat) = told {
+        let outcome = core.status(Time(1.0)).outcome;
+        if let sorrelhinge_agent::core::CommandOutcome::Heartbeat { heartbeat, .. } = outcome {
             bytes = serde_json::to_vec(&heartbeat).expect("JSON").len();
         }
     }
@@ -102,7 +102,7 @@
 async fn all_ended(listen: SocketAddr, tasks: usize) {
     loop {
         let told = ask(listen, hyper::Method::GET, "/status", &Value::Null).await;
-        if told.is_some_and(|(_, heartbeat)| pieces(&heartbeat, "ended") == tasks) {
+        if told.is_some_and(|response| pieces(&response.body, "ended") == tasks) {
             return;
         }
         sleep(Duration::from_millis(20)).await;
@@ -118,7 +118,7 @@
         let tell = tell.clone();
         Box::pin(async move {
             let _ = tell.send(serde_json::from_slice(&body).unwrap_or(Value::Null));
-            (200, json!({"baton": 1, "orders": []}))
+            HttpResponse::new(200, json!({"baton": 1, "orders": []}))
         })
     });
     (address, told)
--- a/crates/emulators/src/lib.rs
+++ b/crates/emulators/src/lib.rs
@@ -54,8 +54,22 @@
 /// How long a cancellation may take there, in seconds.
 pub const CANCEL_S: f64 = 12.0;
 
-/// An answer of a stand-in: status and body.
-pub type HttpResponse = (u16, Value);
+/// A response over HTTP, as a stand-in gives it or as a test gets it.
+#[derive(Clone, Debug, PartialEq)]
+pub struct HttpResponse {
+    /// The status code.
+    pub status: u16,
+    /// The body as JSON; `null` where there is none, or one that is no JSON.
+    pub body: Value,
+}
+
+impl HttpResponse {
+    /// A response of this status and body.
+    pub fn new(status: u16, body: Value) -> Self {
+        Self { status, body }
+    }
+}
+
 type Answer = Pin<Box<dyn Future<Output = HttpResponse>>>;
 
 /// Serves `answer` on a listener until dropped with its task.
@@ -75,12 +89,8 @@
                         let method = request.method().clone();
                         let path = request.uri().to_string();
                         let body = request.into_body().collect().await?.to_bytes();
-                        let (status, response) = answer(method, path, body).await;
-                        let mut response =
-                            Response::new(Full::new(Bytes::from(response.to_string())));
-                        *response.status_mut() =
-                            hyper::StatusCode::from_u16(status).unwrap_or_default();
-                        Ok::<_, hyper::Error>(response)
+                        let response = answer(method, path, body).await;
+                        Ok::<_, hyper::Error>(encode(&response))
                     }
                 });
                 let _ = hyper::server::conn::http1::Builder::new()
@@ -91,6 +101,14 @@
     });
 }
 
+/// A response as it goes over the connection.
+fn encode(response: &HttpResponse) -> Response<Full<Bytes>> {
+    let text = response.body.to_string();
+    let mut encoded = Response::new(Full::new(Bytes::from(text)));
+    *encoded.status_mut() = hyper::StatusCode::from_u16(response.status).unwrap_or_default();
+    encoded
+}
+
 const LIMITS: Limits = Limits {
     connect: Duration::from_millis(500),
     answer: Duration::from_secs(2),
@@ -107,8 +125,8 @@
 /// An answer as a status and JSON; none without one.
 fn response(answer: Result<http::Answer, CallError>) -> Option<HttpResponse> {
     let answer = answer.ok()?;
-    let response = serde_json::from_slice(&answer.body).unwrap_or(Value::Null);
-    Some((answer.status.as_u16(), response))
+    let body = serde_json::from_slice(&answer.body).unwrap_or(Value::Null);
+    Some(HttpResponse::new(answer.status.as_u16(), body))
 }
 
 /// Asks over HTTP; none without an answer.
@@ -126,6 +144,15 @@
     response(pool.call(method, path, text(body), LIMITS).await)
 }
 
+/// What an operator's command came to.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct CommandOutput {
+    /// It exited with 0.
+    pub success: bool,
+    /// What it printed: standard output, then standard error.
+    pub text: String,
+}
+
 /// Everything outside the controllers, and the controllers.
 pub struct World {
     /// The state service.
@@ -167,15 +194,11 @@
         let count = plan.controllers;
         let place = Place::claim(count);
         let store = start_store(&place, count).await;
-        let users = (0..count).map(|i| place.users(i)).collect();
         let recorder = Recorder::new(site::site());
         store.borrow_mut().recorder = Some(recorder.clone());
-        let nodes = Nodes::new(users, recorder.clone());
-        let nodes = Rc::new(RefCell::new(nodes));
-        Cloud::start(nodes.clone(), place.cloud(), plan.net, plan.switches).await;
-        add_machines(&nodes, &plan);
+        let nodes = start_machines(&plan, &place, &recorder).await;
         let topology = write_topology(&plan);
-        let (cuts, state_cuts) = (whole_lines(count), whole_lines(count));
+        let (cuts, state_cuts) = (intact_lines(count), intact_lines(count));
         if plan.lines {
             start_lines(&place, &cuts, &state_cuts).await;
         }
@@ -323,7 +346,7 @@
     }
 
     /// An operator's command, as the program carries it out.
-    pub async fn command(&self, args: &[&str]) -> (bool, String) {
+    pub async fn command(&self, args: &[&str]) -> CommandOutput {
         let mut all: Vec<String> = args.iter().map(|name| name.to_string()).collect();
         for c in &self.controllers {
             all.push("--controller".into());
@@ -336,7 +359,10 @@
         let output = output.await.expect("it ends");
         let mut text = String::from_utf8_lossy(&output.stdout).into_owned();
         text += &String::from_utf8_lossy(&output.stderr);
-        (output.status.success(), text)
+        CommandOutput {
+            success: output.status.success(),
+            text,
+        }
     }
 }
 
@@ -358,6 +384,16 @@
     store
 }
 
+/// The cloud, and the machines that a plan begins with.
+async fn start_machines(plan: &Plan, place: &Place, recorder: &Recorder) -> Rc<RefCell<Nodes>> {
+    let users = (0..plan.controllers).map(|i| place.users(i)).collect();
+    let nodes = Nodes::new(users, recorder.clone());
+    let nodes = Rc::new(RefCell::new(nodes));
+    Cloud::start(nodes.clone(), place.cloud(), plan.net, plan.switches).await;
+    add_machines(&nodes, plan);
+    nodes
+}
+
 /// The machines that a plan begins with, up at once.
 fn add_machines(nodes: &Rc<RefCell<Nodes>>, plan: &Plan) {
     for zone in 0..3 {
@@ -378,7 +414,7 @@
 }
 
 /// What lines are cut by, one for each controller; none is cut yet.
-fn whole_lines(controllers: usize) -> Vec<watch::Sender<LinkFault>> {
+fn intact_lines(controllers: usize) -> Vec<watch::Sender<LinkFault>> {
     (0..controllers)
         .map(|_| watch::Sender::new(LinkFault::None))
         .collect()
--- a/crates/emulators/src/store.rs
+++ b/crates/emulators/src/store.rs
@@ -19,7 +19,8 @@
 use crate::{serve, HttpResponse};
 pub use faults::{Faults, ScriptedOutcome, TransactionFault};
 
-struct Held {
+/// What a key has at present.
+struct VersionedValue {
     mod_revision: u64,
     value: Value,
     lease: Option<u64>,
@@ -49,7 +50,7 @@
 /// Keys, their history, and leases.
 pub struct Store {
     revision: u64,
-    keys: BTreeMap<String, Held>,
+    keys: BTreeMap<String, VersionedValue>,
     /// All changes, in their order.
     log: Vec<Change>,
     leases: BTreeMap<u64, Lease>,
@@ -152,17 +153,17 @@
         self.faults.met
     }
 
-    /// How many transactions are held back.
+    /// How many transactions are delayed.
     pub fn late(&self) -> usize {
         self.faults.late.len()
     }
 
-    /// Carries out what was held back, in its order, and says with which statuses.
+    /// Carries out what was delayed, in its order, and says with which statuses.
     /// An outage keeps nothing of it: it had reached the service before.
     pub fn release_late(&mut self) -> Vec<u16> {
         let late = std::mem::take(&mut self.faults.late);
-        let response = late.iter().map(|txn| self.txn(txn).0);
-        response.collect()
+        let statuses = late.iter().map(|txn| self.txn(txn).status);
+        statuses.collect()
     }
 
     /// Whether a controller is served; none: whoever asks at the common address.
@@ -223,16 +224,16 @@
         let when = txn["when"].as_array().unwrap_or(&none);
         let failed = self.failed_conditions(when);
         if !failed.is_empty() {
-            return (409, json!({"failed": failed, "ledger": self.revision}));
+            return HttpResponse::new(409, json!({"failed": failed, "ledger": self.revision}));
         }
         let apply = txn["apply"].as_array().unwrap_or(&none);
         if !self.limits.allow(when, apply) {
             self.rejected += 1;
-            return (400, json!({"error": "too large"}));
+            return HttpResponse::new(400, json!({"error": "too large"}));
         }
         let mut leases = apply.iter().filter_map(|change| change["ticket"].as_u64());
         if leases.any(|lease| !self.leases.contains_key(&lease)) {
-            return (400, json!({"error": "no such lease"}));
+            return HttpResponse::new(400, json!({"error": "no such lease"}));
         }
         self.revision += 1;
         self.changes += apply.len() as u64;
@@ -244,14 +245,14 @@
             }
         }
         self.changed.notify_waiters();
-        (200, json!({"ledger": self.revision}))
+        HttpResponse::new(200, json!({"ledger": self.revision}))
     }
 
     /// Keys that were changed since the revision which a condition names.
     fn failed_conditions<'a>(&self, when: &'a [Value]) -> Vec<&'a str> {
         let failed = when.iter().filter_map(|condition| {
             let key = condition["key"].as_str()?;
-            let mod_revision = self.keys.get(key).map_or(0, |held| held.mod_revision);
+            let mod_revision = self.keys.get(key).map_or(0, |entry| entry.mod_revision);
             (condition["stamp"] != json!(mod_revision)).then_some(key)
         });
         failed.collect()
@@ -266,12 +267,12 @@
             key,
             json!({"write": key, "value": value, "stamp": mod_revision}),
         );
-        let held = Held {
+        let entry = VersionedValue {
             mod_revision,
             value,
             lease: change["ticket"].as_u64(),
         };
-        self.keys.insert(key.into(), held);
+        self.keys.insert(key.into(), entry);
     }
 
     /// Deletes a key at the present revision.
@@ -295,7 +296,7 @@
         let life = Duration::from_millis(body["life_ms"].as_u64().unwrap_or(1000));
         let end = Instant::now() + life;
         self.leases.insert(id, Lease { life, end });
-        (200, json!({"ticket": id}))
+        HttpResponse::new(200, json!({"ticket": id}))
     }
 
     /// Renews or ends a lease: `rest` is its number, and what follows.
@@ -304,14 +305,14 @@
         let id: u64 = id.unwrap_or(0);
         if *method == Method::DELETE {
             self.end(id);
-            return (200, json!({}));
+            return HttpResponse::new(200, json!({}));
         }
         match self.leases.get_mut(&id) {
             Some(lease) => {
                 lease.renew();
-                (200, json!({}))
+                HttpResponse::new(200, json!({}))
             }
-            None => (404, json!({})),
+            None => HttpResponse::new(404, json!({})),
         }
     }
 
@@ -325,7 +326,7 @@
             .filter(|(k, _)| k.starts_with(&under) && **k > since)
             .map(|(k, h)| json!({"key": k, "value": h.value, "stamp": h.mod_revision}))
             .collect();
-        (
+        HttpResponse::new(
             200,
             json!({"items": items, "truncated": false, "ledger": self.revision}),
         )
@@ -374,7 +375,7 @@
         let left = end.saturating_duration_since(Instant::now());
         if !events.is_empty() || left.is_zero() {
             let store_revision = store.borrow().revision;
-            return (200, json!({"ledger": store_revision, "events": events}));
+            return HttpResponse::new(200, json!({"ledger": store_revision, "events": events}));
         }
         let _ = timeout(left, wait).await;
     }
@@ -414,7 +415,7 @@
         let store = served.clone();
         Box::pin(async move {
             if !store.borrow().serves(from) {
-                return (503, json!({"error": "trouble"}));
+                return HttpResponse::new(503, json!({"error": "trouble"}));
             }
             if path.starts_with("/follow") {
                 return follow(store, from, path).await;
--- a/tests/calendar.rs
+++ b/tests/calendar.rs
@@ -9,7 +9,7 @@
 use serde_json::{json, Value};
 use sorrelhinge::control::day_ms;
 use sorrelhinge::types::MachineId;
-use sorrelhinge_emulators::{run, Plan, World};
+use sorrelhinge_emulators::{run, CommandOutput, Plan, World};
 use sorrelhinge_reservations::shown::{CalendarShown, WindowShown};
 use sorrelhinge_sharding::shard::of_machine;
 use tokio::time::sleep;
@@ -61,19 +61,19 @@
 
 /// Runs a command that succeeds.
 async fn done(world: &World, words: &[&str]) {
-    let (ok, text) = world.command(words).await;
-    assert!(ok, "{text}");
+    let CommandOutput { success, text } = world.command(words).await;
+    assert!(success, "{text}");
 }
 
 /// Runs a command that fails and says why.
 async fn refused(world: &World, words: &[&str], why: &str) {
-    let (ok, text) = world.command(words).await;
-    assert!(!ok && text.contains(why), "{text}");
+    let CommandOutput { success, text } = world.command(words).await;
+    assert!(!success && text.contains(why), "{text}");
 }
 
 async fn shown(world: &World, name: &str) -> Option<WindowShown> {
-    let (ok, text) = world.command(&["calendar", "show", "--json"]).await;
-    if !ok {
+    let CommandOutput { success, text } = world.command(&["calendar", "show", "--json"]).await;
+    if !success {
         return None;
     }
     let shown: CalendarShown = serde_json::from_str(&text).expect("JSON");
@@ -109,12 +109,12 @@
 async fn flood(world: &World) {
     let job = json!({"jobclass": "bulk", "crew": "guest", "pieces": 30, "cpus": 4.0,
         "guess_s": 900.0});
-    assert_eq!(world.submit("run-flood", job).await.0, 201);
+    assert_eq!(world.submit("run-flood", job).await.status, 201);
 }
 
 async fn begin(world: &World, tasks: usize) {
     let job = json!({"pieces": tasks, "cpus": 4.0, "guess_s": 4.0});
-    assert_eq!(world.submit("run-drop", job).await.0, 201);
+    assert_eq!(world.submit("run-drop", job).await.status, 201);
     let runs = |w: &World| w.nodes.borrow().copies("run-drop") == tasks;
     world.until("its work runs at once", 20, runs).await;
 }
--- a/tests/fleet_limits.rs
+++ b/tests/fleet_limits.rs
@@ -1,6 +1,8 @@
 //! Fixed limits that depend on the number of machines hold for a fleet of 4,000, and just
 //! beyond their earlier values (`docs/overload.md`, "Fixed limits").
 
+#[path = "settings/loopback.rs"]
+mod loopback_settings;
 mod settings;
 
 use std::cell::{Cell, RefCell};
@@ -13,6 +15,7 @@
 
 use hyper::Method;
 use serde_json::{json, Value};
+use settings::controller;
 use sorrelhinge::config::Config;
 use sorrelhinge::control::core::{Core, Places, RecoveryInput, ShardGrant};
 use sorrelhinge::peer_link::{
@@ -289,20 +292,11 @@
 
 // ---- drains -------------------------------------------------------------------
 
+/// The controller's settings, with the limits of the operators' state service.
 fn controller_settings(place: &Place) -> Config {
-    let text = format!(
-        "node = \"c-0\"\narea = \"za\"\nbind = \"{}\"\npeer_bind = \"{}\"\nothers = []\n\
-         [outside]\ncloud = \"{}\"\nstate = \"{}\"\n\
-         [params]\nzones = [\"za\"]\n\
-         [params.workers]\nreport_s = 0.5\nlease_s = 3.0\ncancel_s = 12.0\n\
-         [params.state]\nrps = 500.0\nwrite_rps = 300.0\nvalue_kb = 4.0\ntxn_ops = 8\n\
-         [params.cloud]\nrps = 50.0\nlist_lag_s = 0.2\n",
-        place.users(0),
-        place.peers(0),
-        place.cloud(),
-        place.state(),
-    );
-    Config::parse(&text).expect("settings")
+    let value_kb = VALUE_BYTES as f64 / 1024.0;
+    let settings = loopback_settings::only_controller(place, value_kb, TXN_OPS);
+    Config::parse(&settings.text()).expect("settings")
 }
 
 /// A state service that holds the drains of so many machines.
@@ -319,7 +313,7 @@
     };
     let transaction = json!({"when": [], "apply": (1..=drains).map(write).collect::<Vec<_>>()});
     let told = ask(place.state(), Method::POST, "/txn", &transaction).await;
-    assert_eq!(told.map(|(status, _)| status), Some(200));
+    assert_eq!(told.map(|response| response.status), Some(200));
     held.borrow_mut().set_limits(Limits {
         value_bytes: VALUE_BYTES,
         changes: TXN_OPS,
@@ -331,7 +325,7 @@
     let end = Instant::now() + Duration::from_secs(40);
     loop {
         let told = ask(place.users(0), method.clone(), path, &body).await;
-        if let Some(told) = told.filter(|(status, _)| *status != 503) {
+        if let Some(told) = told.filter(|response| response.status != 503) {
             return told;
         }
         assert!(Instant::now() < end, "no answer");
@@ -356,17 +350,20 @@
         *why.borrow_mut() = Some(format!("{end:?}"));
     });
     let drain = json!({"target": "za/r0", "keep": true});
-    let (status, told) = asked(&place, Method::POST, "/v1/drains", drain).await;
+    let HttpResponse { status, body: told } =
+        asked(&place, Method::POST, "/v1/drains", drain).await;
     assert_eq!(
         (status, &told["number"]),
         (200, &json!(drains + 1)),
         "{told}"
     );
-    let (status, told) = asked(&place, Method::GET, "/v1/topology", Value::Null).await;
+    let HttpResponse { status, body: told } =
+        asked(&place, Method::GET, "/v1/topology", Value::Null).await;
     assert_eq!(status, 200, "{told}");
     assert_eq!(told["drains"].as_array().map(Vec::len), Some(drains + 1));
     let undrain = json!({"target": drains});
-    let (status, told) = asked(&place, Method::POST, "/v1/undrains", undrain).await;
+    let HttpResponse { status, body: told } =
+        asked(&place, Method::POST, "/v1/undrains", undrain).await;
     assert_eq!(status, 200, "{told}");
     assert_eq!(*ended.borrow(), None, "the controller runs on");
 }
--- a/tests/meetings_loopback.rs
+++ b/tests/meetings_loopback.rs
@@ -1,5 +1,5 @@
 //! Two troubles at once, with real controllers on loopback, three and five of them.
-//! Faults are injected at named steps: a write is held back or its answer is lost,
+//! Faults are injected at named steps: a write is delayed or its answer is lost,
 //! one controller is refused, commands and heartbeats are kept for the next leader. The
 //! verdict is the history's: no rule is broken.
 
@@ -12,7 +12,7 @@
 use hyper::Method;
 use serde_json::{json, Value};
 use sorrelhinge_emulators::history::Event;
-use sorrelhinge_emulators::nodes::{machines_of, Hold, Released};
+use sorrelhinge_emulators::nodes::{machines_of, CommandDelay, Released};
 use sorrelhinge_emulators::store::{ScriptedOutcome, TransactionFault};
 use sorrelhinge_emulators::{run, HttpResponse, Plan, World, CANCEL_S};
 use tokio::task::{spawn_local, JoinHandle};
@@ -77,7 +77,7 @@
 async fn told(world: &World, i: usize, uid: &str) -> HttpResponse {
     for _ in 0..PATIENCE_S * 10 {
         let told = world.ask_one(i, &path(uid)).await;
-        if let Some(told) = told.filter(|(s, _)| [200, 404].contains(s)) {
+        if let Some(told) = told.filter(|response| [200, 404].contains(&response.status)) {
             return told;
         }
         sleep(Duration::from_millis(100)).await;
@@ -90,7 +90,11 @@
     let path = withdraw(uid);
     for _ in 0..PATIENCE_S * 10 {
         let told = world.ask_once(i, Method::POST, &path, &Value::Null);
-        if let Some((200, told)) = told.await {
+        if let Some(HttpResponse {
+            status: 200,
+            body: told,
+        }) = told.await
+        {
             assert_eq!(told["phase"], "cancelled", "{uid}");
             return;
         }
@@ -124,7 +128,7 @@
 async fn all_is_well(world: &World, controllers: usize, in_flight: usize) {
     world.recorder.note(Event::TroublesOver);
     for i in 0..controllers {
-        assert_eq!(told(world, i, SERVICE).await.0, 200);
+        assert_eq!(told(world, i, SERVICE).await.status, 200);
     }
     world.rules_hold();
     world.history_holds(in_flight);
@@ -145,7 +149,7 @@
     }
     let uid = "run-000002";
     let long = json!({"pieces": 3, "guess_s": 600.0});
-    assert_eq!(world.submit(uid, long).await.0, 201);
+    assert_eq!(world.submit(uid, long).await.status, 201);
     let run = |w: &World| w.nodes.borrow().places(uid).len() == 3;
     world.until("its tasks run", PATIENCE_S, run).await;
     let old = leader(&world);
@@ -172,7 +176,7 @@
     world.store.borrow_mut().set_refused(old, false);
     world.store.borrow_mut().set_down(false);
     for i in 0..controllers {
-        assert_eq!(told(&world, i, uid).await.1["phase"], "cancelled");
+        assert_eq!(told(&world, i, uid).await.body["phase"], "cancelled");
     }
     all_is_well(&world, controllers, 0).await;
 }
@@ -209,7 +213,7 @@
         everybody_knows(&world, controllers, writer, &uid, None).await;
         let _ = accepted.await;
         let repeated = world.ask_once(writer, Method::POST, "/v1/jobs", &body);
-        if let Some((status, said)) = repeated.await {
+        if let Some(HttpResponse { status, body: said }) = repeated.await {
             assert!([200, 201, 503].contains(&status), "{status} {said}");
         }
         lose_answer(&world, writer, |v| v["p"] == "c");
@@ -230,12 +234,12 @@
         };
         let before = world.store.borrow().faults_met();
         lose_answer(&world, owner, phase);
-        assert_eq!(world.submit(&uid, body).await.0, 201);
+        assert_eq!(world.submit(&uid, body).await.status, 201);
         let met = |w: &World| w.store.borrow().faults_met() > before;
         world.until("an answer is lost", PATIENCE_S, met).await;
         ends(&world, &uid, 3).await;
         for i in 0..controllers {
-            assert_eq!(told(&world, i, &uid).await.1["phase"], "done");
+            assert_eq!(told(&world, i, &uid).await.body["phase"], "done");
         }
     }
     all_is_well(&world, controllers, 5).await;
@@ -266,7 +270,8 @@
     phase: Option<&str>,
 ) {
     for turn in 1..=controllers {
-        let (status, said) = told(world, (writer + turn) % controllers, uid).await;
+        let HttpResponse { status, body: said } =
+            told(world, (writer + turn) % controllers, uid).await;
         assert_eq!(status, 200, "{uid}: {said}");
         if let Some(phase) = phase {
             assert_eq!(said["phase"], phase, "{uid}");
@@ -282,61 +287,86 @@
     });
 }
 
-/// Transactions of the owner are held back until it has ended and the next one has
-/// acted; those of the users' requests until they were repeated elsewhere. Carried out
-/// then, none changes anything.
-async fn late_writes(net: u8, controllers: usize) {
-    let mut world = begin("late_writes", net, controllers, STEADY_LEASE).await;
-    let old = leader(&world);
-    let user_at = (old + 1) % controllers;
-    let elsewhere = (old + 2) % controllers;
-    let hold = |world: &World, controller, value: fn(&Value) -> bool| {
-        world.store.borrow_mut().inject(TransactionFault {
-            controller: Some(controller),
-            value,
-            ..TransactionFault::next(ScriptedOutcome::Late, JOBS)
-        });
-    };
-    let held = |n: usize| move |w: &World| w.store.borrow().late() == n;
-    // A submission, accepted elsewhere meanwhile and then cancelled.
+/// Delays the next transaction of a controller that writes a job's record which is so.
+fn delay_write(world: &World, controller: usize, value: fn(&Value) -> bool) {
+    world.store.borrow_mut().inject(TransactionFault {
+        controller: Some(controller),
+        value,
+        ..TransactionFault::next(ScriptedOutcome::Late, JOBS)
+    });
+}
+
+/// Whether so many transactions are delayed.
+fn delayed_writes(count: usize) -> impl Fn(&World) -> bool {
+    move |w| w.store.borrow().late() == count
+}
+
+/// The writes of a user's requests at one controller are delayed: a submission, accepted
+/// elsewhere meanwhile, and a cancellation, confirmed elsewhere meanwhile.
+async fn delay_users_writes(world: &World, user_at: usize, elsewhere: usize) {
     let body = world.job("run-000002", json!({"guess_s": 600.0}));
-    hold(&world, user_at, |v| v["p"] == "l");
-    let submitted = send(&world, user_at, "/v1/jobs", &body);
+    delay_write(world, user_at, |v| v["p"] == "l");
+    let submitted = send(world, user_at, "/v1/jobs", &body);
     world
-        .until("a submission is held", PATIENCE_S, held(1))
+        .until("a submission is delayed", PATIENCE_S, delayed_writes(1))
         .await;
     let again = world.ask_once(elsewhere, Method::POST, "/v1/jobs", &body);
-    let again = again.await.map(|(status, _)| status);
+    let again = again.await.map(|response| response.status);
     assert!(matches!(again, Some(200 | 201)), "{again:?}");
     let _ = submitted.await;
-    hold(&world, user_at, |v| v["p"] == "c");
-    let cancelled = send(&world, user_at, &withdraw("run-000002"), &Value::Null);
+    delay_write(world, user_at, |v| v["p"] == "c");
+    let cancelled = send(world, user_at, &withdraw("run-000002"), &Value::Null);
     world
-        .until("a cancellation is held", PATIENCE_S, held(2))
+        .until("a cancellation is delayed", PATIENCE_S, delayed_writes(2))
         .await;
-    cancel_at(&world, elsewhere, "run-000002").await;
+    cancel_at(world, elsewhere, "run-000002").await;
     let _ = cancelled.await;
-    // The owner's claims, and that a job is done: held, and it ends.
+}
+
+/// The owner's writes are delayed: that a job is done, and another job's claims.
+async fn delay_owners_writes(world: &World, owner: usize) {
     assert_eq!(
-        world.submit("run-000003", json!({"guess_s": 1.0})).await.0,
+        world
+            .submit("run-000003", json!({"guess_s": 1.0}))
+            .await
+            .status,
         201
     );
     let runs = |w: &World| !machines_of(&w.nodes, "run-000003").is_empty();
     world.until("it runs", PATIENCE_S, runs).await;
-    hold(&world, old, |v| v["p"] == "d");
-    world.until("its end is held", PATIENCE_S, held(3)).await;
-    hold(&world, old, has_claims);
+    delay_write(world, owner, |v| v["p"] == "d");
+    world
+        .until("its end is delayed", PATIENCE_S, delayed_writes(3))
+        .await;
+    delay_write(world, owner, has_claims);
     let job = json!({"pieces": 3, "guess_s": 1.0});
-    assert_eq!(world.submit("run-000004", job).await.0, 201);
-    world.until("a claim is held", PATIENCE_S, held(4)).await;
+    assert_eq!(world.submit("run-000004", job).await.status, 201);
+    world
+        .until("a claim is delayed", PATIENCE_S, delayed_writes(4))
+        .await;
+}
+
+/// The owner ends and is back, and the next one does what it had begun.
+async fn replace_owner(world: &mut World, old: usize) {
     world.kill_controller(old);
-    let _ = next_leader(&world, old).await;
+    let _ = next_leader(world, old).await;
     world.start_controller(old);
-    ends(&world, "run-000003", 1).await;
+    ends(world, "run-000003", 1).await;
     let runs = |w: &World| !machines_of(&w.nodes, "run-000004").is_empty();
     world
         .until("the next leader places it", PATIENCE_S, runs)
         .await;
+}
+
+/// Transactions of the owner are delayed until it has ended and the next one has
+/// acted; those of the users' requests until they were repeated elsewhere. Carried out
+/// then, none changes anything.
+async fn late_writes(net: u8, controllers: usize) {
+    let mut world = begin("late_writes", net, controllers, STEADY_LEASE).await;
+    let old = leader(&world);
+    delay_users_writes(&world, (old + 1) % controllers, (old + 2) % controllers).await;
+    delay_owners_writes(&world, old).await;
+    replace_owner(&mut world, old).await;
     let released = world.store.borrow_mut().release_late();
     assert_eq!(released, [409; 4], "conditions keep late writes out");
     ends(&world, "run-000004", 3).await;
@@ -346,7 +376,7 @@
             ("run-000003", "done"),
             ("run-000004", "done"),
         ] {
-            assert_eq!(told(&world, i, uid).await.1["phase"], phase, "{uid}");
+            assert_eq!(told(&world, i, uid).await.body["phase"], phase, "{uid}");
         }
     }
     all_is_well(&world, controllers, 1).await;
@@ -367,11 +397,14 @@
     let mut world = begin("kept_reports", net, controllers, "").await;
     world.nodes.borrow_mut().sent = Some(Default::default());
     assert_eq!(
-        world.submit("run-000002", json!({"pieces": 3})).await.0,
+        world
+            .submit("run-000002", json!({"pieces": 3}))
+            .await
+            .status,
         201
     );
     let long = json!({"pieces": 2, "guess_s": 600.0});
-    assert_eq!(world.submit("run-000003", long).await.0, 201);
+    assert_eq!(world.submit("run-000003", long).await.status, 201);
     let run = |w: &World| w.nodes.borrow().places("run-000003").len() == 2;
     world.until("its tasks run", PATIENCE_S, run).await;
     // Two machines reach nobody for a while: what they say is kept.
@@ -388,10 +421,10 @@
             cancel_at(&world, (old + 1) % controllers, "run-000003").await;
         }
         let new = next_leader(&world, old).await;
-        let (copies, _) = world.replay_to(new, 0.0, 4).await;
+        let copies = world.replay_to(new, 0.0, 4).await.sent;
         assert!(copies > 0, "reports were kept");
         let uid = format!("run-{:06}", 10 + round);
-        assert_eq!(world.submit(&uid, json!({"pieces": 3})).await.0, 201);
+        assert_eq!(world.submit(&uid, json!({"pieces": 3})).await.status, 201);
         let acted = |w: &World| !machines_of(&w.nodes, &uid).is_empty();
         world
             .until("the next leader acted", PATIENCE_S, acted)
@@ -415,76 +448,78 @@
     });
 }
 
-/// Commands that start tasks are held back on their way from now on.
-fn hold_starts(world: &World) {
-    world.nodes.borrow_mut().faults.hold = Some(Hold {
+/// Commands that start tasks are delayed on their way from now on.
+fn delay_starts(world: &World) {
+    world.nodes.borrow_mut().faults.command_delay = Some(CommandDelay {
         starts: true,
-        ..Hold::default()
+        ..CommandDelay::default()
     });
 }
 
-async fn until_held(world: &World) {
-    let held = |w: &World| w.nodes.borrow().held_commands() > 0;
-    world.until("commands are held", PATIENCE_S, held).await;
+async fn until_commands_delayed(world: &World) {
+    let delayed = |w: &World| w.nodes.borrow().delayed_commands() > 0;
+    world
+        .until("commands are delayed", PATIENCE_S, delayed)
+        .await;
 }
 
-/// The commands that were held back arrive, and no machine takes one.
-fn held_ones_start_nothing(world: &World) {
+/// The commands that were delayed arrive, and no machine takes one.
+fn delayed_commands_start_nothing(world: &World) {
     let released: Released = world.nodes.borrow_mut().release_commands();
     assert_eq!(released.carried_out, 0, "{released:?}");
     assert!(released.dropped > 0, "{released:?}");
 }
 
-/// Direct commands of a leader are held back, and it is killed. The next one places
+/// Direct commands of a leader are delayed, and it is killed. The next one places
 /// the same tasks, also elsewhere; then the commands arrive.
-async fn held_commands(net: u8, controllers: usize) {
+async fn delays_across_leaders(net: u8, controllers: usize) {
     let mut world = begin("held_commands", net, controllers, STEADY_LEASE).await;
     let old = leader(&world);
-    hold_starts(&world);
+    delay_starts(&world);
     for n in 2..6 {
         let job = json!({"pieces": 3, "guess_s": 1.0});
         let uid = format!("run-{n:06}");
-        assert_eq!(world.submit(&uid, job).await.0, 201);
+        assert_eq!(world.submit(&uid, job).await.status, 201);
     }
-    until_held(&world).await;
+    until_commands_delayed(&world).await;
     world.kill_controller(old);
     next_leader(&world, old).await;
-    world.nodes.borrow_mut().faults.hold = None;
+    world.nodes.borrow_mut().faults.command_delay = None;
     world.start_controller(old);
     for n in 2..6 {
         ends(&world, &format!("run-{n:06}"), 3).await;
     }
-    held_ones_start_nothing(&world);
+    delayed_commands_start_nothing(&world);
     all_is_well(&world, controllers, 0).await;
 }
 
 #[test]
 fn held_commands_of_a_deposed_leader_start_nothing() {
     run(async {
-        held_commands(178, 3).await;
-        held_commands(182, 5).await;
+        delays_across_leaders(178, 3).await;
+        delays_across_leaders(182, 5).await;
     });
 }
 
-/// Commands that a machine did not answer are held back while their sender goes on: it
+/// Commands that a machine did not answer are delayed while their sender goes on: it
 /// raises the fencing token before it gives the tasks to others.
-async fn held_by_the_same(net: u8, controllers: usize) {
+async fn delays_under_one_leader(net: u8, controllers: usize) {
     let world = begin("held_by_the_same", net, controllers, LONG_LEASE).await;
-    hold_starts(&world);
+    delay_starts(&world);
     let job = json!({"pieces": 4, "guess_s": 1.0});
-    assert_eq!(world.submit("run-000002", job).await.0, 201);
-    until_held(&world).await;
-    world.nodes.borrow_mut().faults.hold = None;
+    assert_eq!(world.submit("run-000002", job).await.status, 201);
+    until_commands_delayed(&world).await;
+    world.nodes.borrow_mut().faults.command_delay = None;
     ends(&world, "run-000002", 4).await;
     // The job is over, so every machine that had a command has taken a higher fencing token.
-    held_ones_start_nothing(&world);
+    delayed_commands_start_nothing(&world);
     all_is_well(&world, controllers, 0).await;
 }
 
 #[test]
 fn held_commands_of_the_same_leader_start_nothing_twice() {
     run(async {
-        held_by_the_same(186, 3).await;
-        held_by_the_same(54, 5).await;
+        delays_under_one_leader(186, 3).await;
+        delays_under_one_leader(54, 5).await;
     });
 }
