--- a/crates/agent/src/agent.rs
+++ b/crates/agent/src/agent.rs
@@ -146,7 +146,7 @@
             source,
         })?;
         let now = clock::now();
-        tracing::info!(tasks = found.tasks.len(), running = watched.len(), incarnation = %found.incarnation, fencing_token = %found.fencing_token, "found");
+        tracing::info!(tasks = found.tasks.len(), running = watched.len(), incarnation = %found.incarnation, fencing_token = %found.fencing_token, "agent state recovered");
         let StartedCore { core, actions } = Core::recover(settings.machine(), found, now);
         let agent = Rc::new(Self {
             source: settings.source(),
@@ -236,7 +236,7 @@
             };
             if !notes.is_empty() && !*self.failed.borrow() {
                 if let Err(error) = self.journal.borrow_mut().note(&notes) {
-                    tracing::error!(%error, "the journal can't be written: nothing new is taken on");
+                    tracing::error!(%error, "journal write failed; no new tasks accepted");
                     *self.failed.borrow_mut() = true;
                     self.core.borrow_mut().close(true);
                 }
@@ -273,14 +273,14 @@
     fn keep_lease(&self, since: Time) {
         if let Err(error) = write_lease(&self.settings.folder.join("lease"), since.0) {
             // Those who run tasks end them when the old one is over.
-            tracing::error!(%error, "the lease can't be written");
+            tracing::error!(%error, "lease write failed");
         }
     }
 
     /// Removes an attempt's folder.
     fn clean(&self, key: &Key) {
         if let Err(error) = Folder::of(&self.settings.folder, key).remove() {
-            tracing::error!(task = %key.task_name, %error, "the attempt's folder stays");
+            tracing::error!(task = %key.task_name, %error, "attempt folder removal failed");
         }
     }
 
--- a/crates/agent/src/agent/heartbeats.rs
+++ b/crates/agent/src/agent/heartbeats.rs
@@ -88,7 +88,7 @@
         match connect(controller.address).await {
             Ok(line) => Some(line),
             Err(error) => {
-                tracing::debug!(controller = %controller.node, %error, "no connection");
+                tracing::debug!(controller = %controller.node, %error, "controller unreachable");
                 None
             }
         }
--- a/crates/agent/src/agent/images.rs
+++ b/crates/agent/src/agent/images.rs
@@ -35,7 +35,7 @@
             .get(key)
             .and_then(|d| d.image.clone());
         let (Some(image), Some(source)) = (image, self.settings.image_source()) else {
-            tracing::error!(task = %key.task_name, "agent.images: not set, and the job needs one");
+            tracing::error!(task = %key.task_name, "agent.images not set, and the job needs an image");
             self.imaged(vec![key.clone()], false);
             return;
         };
@@ -90,7 +90,7 @@
     }
 
     /// Nobody waits for an image any more: its fetch ends. The chunks that have
-    /// come stay for the next one that wants it, as long as there is free capacity.
+    /// come stay for the next one that wants it, as long as there is disk space.
     pub(super) fn give_up(&self, sum: &str) {
         if let Some(fetch) = self.fetches.borrow_mut().remove(sum) {
             fetch.abort.abort();
@@ -111,12 +111,12 @@
         };
         image_server.drop_part(sum);
         if let Err(error) = part::remove(&self.settings.folder.join(PARTS_FOLDER), sum) {
-            tracing::error!(image = sum, %error, "its part stays");
+            tracing::error!(image = sum, %error, "partial image removal failed");
         }
     }
 
     /// Keeps the cache's bound.
-    fn plan_preemption(&self) {
+    fn evict_unused_images(&self) {
         let out = self.images.borrow_mut().evict();
         for sum in out {
             tracing::info!(image = sum, "removed from the cache");
@@ -124,7 +124,7 @@
             let place = self.settings.folder.join("images").join(&sum);
             match std::fs::remove_dir_all(place) {
                 Err(error) if error.kind() != std::io::ErrorKind::NotFound => {
-                    tracing::error!(image = sum, %error, "it stays");
+                    tracing::error!(image = sum, %error, "image removal failed");
                 }
                 _ => {}
             }
@@ -146,7 +146,7 @@
         if let Err(failed) = fetched {
             self.fetch_failed(&image, &failed);
         }
-        self.plan_preemption();
+        self.evict_unused_images();
         self.imaged(waiting, bytes.is_some());
     }
 
@@ -172,7 +172,7 @@
             free_capacity: Box::new(move |bytes| {
                 if let Some(agent) = agent.upgrade() {
                     agent.images.borrow_mut().comes(&sum, bytes);
-                    agent.plan_preemption();
+                    agent.evict_unused_images();
                 }
             }),
         };
@@ -182,7 +182,7 @@
     /// A fetch failed: what has come of it stays only if it may be of use.
     fn fetch_failed(&self, image: &Image, failed: &Failed) {
         let error = failed.to_string();
-        tracing::error!(image = image.name, error, "image");
+        tracing::error!(image = image.name, error, "image fetch failed");
         let part = self
             .image_server
             .as_ref()
--- a/crates/agent/src/agent/recovery.rs
+++ b/crates/agent/src/agent/recovery.rs
@@ -57,7 +57,7 @@
     Leftover { found, watched }
 }
 
-/// The images that are there, with the free capacity that archives take, wanted by the
+/// The images that are there, with the disk space that archives take, wanted by the
 /// attempts that run.
 pub(super) fn cache_found(
     root: &Path,
@@ -98,7 +98,7 @@
         let sum = entry?.file_name().to_string_lossy().into_owned();
         let is_there = there.iter().any(|image| image.sha256 == sum);
         match Part::found(&folder, &sum) {
-            // Without the image beside it, its free capacity is not counted otherwise.
+            // Without the image beside it, its disk space is not counted otherwise.
             Ok(part) if part.is_complete() || !is_there => {
                 if !is_there {
                     cache.leave(&sum, part.checksums().bytes);
--- a/crates/agent/src/agent/server.rs
+++ b/crates/agent/src/agent/server.rs
@@ -113,7 +113,7 @@
                 .serve_connection(TokioIo::new(stream), service)
                 .await;
             if let Err(error) = served {
-                tracing::debug!(%error, "connection");
+                tracing::debug!(%error, "connection failed");
             }
         });
     }
--- a/crates/agent/src/agent/tasks.rs
+++ b/crates/agent/src/agent/tasks.rs
@@ -48,7 +48,7 @@
         }
         for (key, exit) in gone {
             self.watched.borrow_mut().remove(&key);
-            tracing::info!(task = %key.task_name, attempt = %key.attempt, ?exit, "ended");
+            tracing::info!(task = %key.task_name, attempt = %key.attempt, ?exit, "task ended");
             let actions = self.core.borrow_mut().gone(&key, exit, now);
             self.do_all(actions);
         }
@@ -57,7 +57,7 @@
     /// Asks a supervisor to end its task.
     pub(super) fn stop(&self, key: &Key, request: StopRequest) {
         let save = request == StopRequest::Save;
-        tracing::info!(task = %key.task_name, attempt = %key.attempt, save, "stopping");
+        tracing::info!(task = %key.task_name, attempt = %key.attempt, save, "task stopping");
         // Also of one that has not shown itself yet: it finds the word there.
         let folder = Folder::of(&self.settings.folder, key);
         let written = folder.stop(request);
@@ -65,7 +65,7 @@
         let watched = watched.get_mut(key);
         if let Err(error) = &written {
             // A full disk must not keep a task alive.
-            tracing::error!(task = %key.task_name, %error, "the supervisor can't be told");
+            tracing::error!(task = %key.task_name, %error, "supervisor unreachable");
             folder.kill_hard();
         }
         if let Some(watched) = watched.filter(|_| !save || written.is_err()) {
@@ -81,7 +81,7 @@
         let begun = self.spawn_supervisor(&key, units, description, &folder);
         match begun {
             Ok(mut child) => {
-                tracing::info!(task = %key.task_name, attempt = %key.attempt, "started");
+                tracing::info!(task = %key.task_name, attempt = %key.attempt, "task started");
                 let (agent, done) = (self.clone(), key.clone());
                 spawn_local(async move {
                     let _ = child.wait().await;
@@ -90,7 +90,7 @@
                 });
             }
             Err(error) => {
-                tracing::error!(task = %key.task_name, %error, "not started");
+                tracing::error!(task = %key.task_name, %error, "task start failed");
                 self.watch(key, folder);
                 return;
             }
--- a/crates/agent/src/attempt.rs
+++ b/crates/agent/src/attempt.rs
@@ -219,7 +219,7 @@
             Ok(Some(lock)) => lock,
             Ok(None) => return Found::Runs,
             Err(error) => {
-                tracing::error!(folder = %self.0.display(), %error, "lock");
+                tracing::error!(folder = %self.0.display(), %error, "attempt lock failed");
                 return Found::Runs;
             }
         };
@@ -228,7 +228,7 @@
             return Found::Exited(exit);
         }
         if let Err(error) = write_whole(&self.file("void"), b"") {
-            tracing::error!(folder = %self.0.display(), %error, "void");
+            tracing::error!(folder = %self.0.display(), %error, "attempt can't be marked as void");
             return Found::Runs;
         }
         let began = self.pid();
--- a/crates/agent/src/core.rs
+++ b/crates/agent/src/core.rs
@@ -23,7 +23,7 @@
     Reaction, Recovered,
 };
 
-/// A report that was sent and not answered yet.
+/// A heartbeat that was sent and not answered yet.
 #[derive(Clone, Copy, Debug)]
 struct SentHeartbeat {
     sent: Time,
@@ -53,7 +53,7 @@
     fencing_token_announced: Time,
     /// Nothing new is taken on: the disk fails, or the agent is to end.
     closed: bool,
-    /// Images that are handed on, as many as a heartbeat has free capacity for.
+    /// Images that are handed on, as many as fit into a heartbeat.
     images: Vec<ReportedImage>,
 }
 
--- a/crates/agent/src/core/heartbeats.rs
+++ b/crates/agent/src/core/heartbeats.rs
@@ -21,7 +21,7 @@
 /// An answer that takes longer does not come.
 pub const ANSWER_TIMEOUT_S: f64 = 4.0;
 
-/// Bytes of a report that tell of images: beside those of tasks (see `commands`) they
+/// Bytes of a heartbeat that tell of images: beside those of tasks (see `commands`) they
 /// keep it below 64 KiB.
 const MAX_IMAGES_BYTES: usize = 3 << 10;
 
@@ -171,7 +171,7 @@
                 self.flying = None;
                 self.target = at;
                 self.changed = true;
-                // A report that was sent on is not another one.
+                // A heartbeat that was sent on is not another one.
                 self.reported = Time(f64::NEG_INFINITY);
                 // Two that name each other are not asked all the time.
                 self.next = now.after(REDIRECT_DELAY_S);
--- a/crates/agent/src/describe.rs
+++ b/crates/agent/src/describe.rs
@@ -231,7 +231,7 @@
             job_id(job)
         });
         let Some(job) = job else {
-            tracing::error!(task = task_name, "not the name of a task");
+            tracing::error!(task = task_name, "malformed task name");
             return Err(ExitReason::NoSuch);
         };
         let bytes = match self {
@@ -246,19 +246,19 @@
             tracing::error!(
                 task = task_name,
                 error = error.to_string(),
-                "job description"
+                "job description unusable"
             );
             ExitReason::Error
         })?;
         let Some(bytes) = bytes else {
-            tracing::info!(task = task_name, "no job description");
+            tracing::info!(task = task_name, "job description not found");
             return Err(ExitReason::NoSuch);
         };
         Description::read(&bytes).map_err(|error| {
             tracing::error!(
                 task = task_name,
                 error = error.to_string(),
-                "job description"
+                "job description unusable"
             );
             ExitReason::Error
         })
--- a/crates/agent/src/download.rs
+++ b/crates/agent/src/download.rs
@@ -50,7 +50,7 @@
     /// Nothing came for too long.
     #[error(transparent)]
     Stalled(#[from] tokio::time::error::Elapsed),
-    /// It has more bytes than there is free capacity for.
+    /// It has more bytes than there is disk space for.
     #[error("larger than the cache")]
     TooLarge,
 }
--- a/crates/agent/src/fetch.rs
+++ b/crates/agent/src/fetch.rs
@@ -52,7 +52,7 @@
 /// What is wrong with a fetch.
 #[derive(Debug, thiserror::Error)]
 pub enum FetchFailure {
-    /// The image has more bytes than there is free capacity for.
+    /// The image has more bytes than there is disk space for.
     #[error("larger than the cache: {bytes} bytes of {max}")]
     TooLarge {
         /// The archive's bytes.
@@ -172,7 +172,7 @@
             };
             // The sums were an agent's word, which proves nothing: it may be
             // wrong, and those who gave other bytes than it says right.
-            tracing::error!(image = fetch.image.name, source = ?giver, why, "wrong sums");
+            tracing::error!(image = fetch.image.name, source = ?giver, why, "image checksum mismatch");
             liars.extend(giver);
             fetch.restart_without(&liars);
         }
@@ -266,7 +266,7 @@
             image = self.image.name,
             chunks = part.count(),
             of = part.checksums().chunks(),
-            "goes on"
+            "image fetch resumed"
         );
         Ok(())
     }
@@ -316,7 +316,7 @@
             match self.ask_origin_for_checksums().await {
                 Ok(text) if text == part.text() => {
                     if let Err(error) = part.trust() {
-                        tracing::error!(image = self.image.name, %error, "not handed on");
+                        tracing::error!(image = self.image.name, %error, "image not served to other agents");
                     }
                 }
                 Ok(text) => match self.found(text, true, None) {
@@ -358,7 +358,9 @@
         match part {
             Ok(part) => self.image_server.keep(Rc::new(part)),
             // It is there, and is only not handed on.
-            Err(error) => tracing::error!(image = self.image.name, %error, "not handed on"),
+            Err(error) => {
+                tracing::error!(image = self.image.name, %error, "image not served to other agents");
+            }
         }
         Ok(bytes)
     }
@@ -373,7 +375,7 @@
                 // A busy origin is not asked again by all at the same moment.
                 Err(failed) if tries < MAX_WHOLE_TRIES && failed.again => {
                     let why = failed.to_string();
-                    tracing::info!(image = self.image.name, why, "again");
+                    tracing::info!(image = self.image.name, why, "image fetch retried");
                     sleep(Duration::from_secs_f64(f64::from(tries) * (0.5 + jitter()))).await;
                 }
                 Err(failed) => return Err(lost(failed)),
--- a/crates/agent/src/fetch/find.rs
+++ b/crates/agent/src/fetch/find.rs
@@ -75,7 +75,7 @@
                     if checksums::sha256(&text) == known {
                         return self.found(text, true, None).map(Some);
                     }
-                    tracing::error!(image = self.image.name, %agent, "other sums than the job names");
+                    tracing::error!(image = self.image.name, %agent, "checksums differ from the job's");
                 }
             }
             let waited = clock::now().since(begun);
@@ -96,7 +96,7 @@
             Ok(None) => return Ok(None),
             Err(why) => {
                 let why = why.to_string();
-                tracing::error!(image = self.image.name, why, "the origin's sums");
+                tracing::error!(image = self.image.name, why, "origin's checksums unusable");
                 return Ok(None);
             }
         };
@@ -107,13 +107,17 @@
             Ok(_) => {
                 tracing::error!(
                     image = self.image.name,
-                    "the origin has other sums than the job names"
+                    "origin's checksums differ from the job's"
                 );
                 Ok(None)
             }
             Err(Failed { why, keep }) => {
                 let text = why.to_string();
-                tracing::error!(image = self.image.name, why = text, "the origin's sums");
+                tracing::error!(
+                    image = self.image.name,
+                    why = text,
+                    "origin's checksums unusable"
+                );
                 keep.then_some(why).map_or(Ok(None), Err)
             }
         }
@@ -144,7 +148,7 @@
 
     /// An agent gave sums that can't be used: it is not asked again.
     fn drop_agent(&self, agent: SocketAddr, failed: &Failed) {
-        tracing::error!(image = self.image.name, %agent, error = failed.to_string(), "sums");
+        tracing::error!(image = self.image.name, %agent, error = failed.to_string(), "agent's checksums unusable");
         let mut sources = self.sources.borrow_mut();
         sources.came(Whom::Agent(agent), Outcome::Wrong, 0.0, clock::now());
     }
--- a/crates/agent/src/fetch/lanes.rs
+++ b/crates/agent/src/fetch/lanes.rs
@@ -98,7 +98,7 @@
         let outcome = outcome?;
         if !matches!(outcome, Outcome::Right | Outcome::NotYet(_)) {
             *self.last.borrow_mut() = format!("{whom:?}: chunk {chunk} {outcome:?}");
-            tracing::info!(image = self.fetch.image.name, source = ?whom, chunk, ?outcome, "chunk");
+            tracing::info!(image = self.fetch.image.name, source = ?whom, chunk, ?outcome, "image chunk not taken");
         }
         let mut sources = self.fetch.sources.borrow_mut();
         sources.came(whom, outcome, jitter(), clock::now());
--- a/crates/agent/src/images.rs
+++ b/crates/agent/src/images.rs
@@ -191,7 +191,7 @@
 
     /// Images to remove so that the cache keeps its bound: parts that nobody
     /// waits for, then the least recently used of those that nobody uses. One
-    /// on its way has its free capacity already.
+    /// on its way has its disk space already.
     pub fn evict(&mut self) -> Vec<String> {
         let of = |e: &Entry| e.bytes.unwrap_or(e.coming);
         let mut total: u64 = self.entries.values().map(of).sum();
--- a/crates/agent/src/journal.rs
+++ b/crates/agent/src/journal.rs
@@ -113,7 +113,7 @@
                 self.fencing_token = self.fencing_token.max(*fencing_token);
             }
             Note::Incarnation(incarnation) if *incarnation > self.incarnation => {
-                // A incarnation takes its tasks along.
+                // An incarnation takes its tasks along.
                 self.incarnation = *incarnation;
                 let tasks = std::mem::take(&mut self.tasks);
                 self.dying.extend(tasks.into_keys());
--- a/crates/agent/src/settings.rs
+++ b/crates/agent/src/settings.rs
@@ -47,7 +47,7 @@
     /// Its name, as in its settings: others call it by that.
     #[garde(length(bytes, min = 1, max = 200))]
     pub node: String,
-    /// Where it takes reports.
+    /// Where it takes heartbeats.
     #[garde(skip)]
     pub address: SocketAddr,
 }
@@ -170,7 +170,7 @@
     /// Memory that tasks may take.
     #[garde(range(min = 0.0, max = 1e6))]
     pub ram_gb: f64,
-    /// Seconds between reports, as in the controllers' settings.
+    /// Seconds between heartbeats, as in the controllers' settings.
     #[garde(range(min = 0.5, max = 600.0))]
     pub report_s: f64,
     /// Seconds that a lease lasts, as in the controllers' settings.
--- a/crates/agent/tests/stopped_agent.rs
+++ b/crates/agent/tests/stopped_agent.rs
@@ -17,7 +17,7 @@
 use tokio::net::TcpListener;
 use tokio::time::sleep;
 
-/// All reports that came.
+/// All heartbeats that came.
 type Heartbeats = Rc<RefCell<Vec<Value>>>;
 
 /// A controller that keeps each heartbeat and answers it with no command.
@@ -147,7 +147,7 @@
         let goes_on = |a: &Agent| a.heartbeats.borrow().len() > before;
         agent.until("it goes on", goes_on).await;
         let heartbeats = agent.heartbeats.borrow().clone();
-        // At most the report that was on its way when it was stopped is old.
+        // At most the heartbeat that was on its way when it was stopped is old.
         let new = heartbeats.iter().skip(before).find(|r| r["shift"] != 1);
         if let Some(heartbeat) = new {
             assert_eq!(
--- a/crates/agent/tests/worker_model.rs
+++ b/crates/agent/tests/worker_model.rs
@@ -38,7 +38,7 @@
 enum Step {
     /// Time passes.
     Wait(u8),
-    /// Direct commands with this fencing token, and a incarnation that matches or not.
+    /// Direct commands with this fencing token, and an incarnation that matches or not.
     Direct(u8, bool, Vec<(u8, u8, u8)>),
     /// The heartbeat under way is answered, with this fencing token.
     Answer(u8, Vec<(u8, u8, u8)>),
--- a/crates/emulators/src/asking.rs
+++ b/crates/emulators/src/asking.rs
@@ -135,7 +135,7 @@
         self.unanswered.get().max(waits.unwrap_or_default())
     }
 
-    /// Delivers copies of reports that are older than so many seconds, a few of
+    /// Delivers copies of heartbeats that are older than so many seconds, a few of
     /// each machine, to all controllers.
     pub async fn replay(&self, age_s: f64, max: usize) -> usize {
         let copies = self.nodes.borrow().old_heartbeats(age_s, max);
--- a/crates/emulators/src/nodes/worker.rs
+++ b/crates/emulators/src/nodes/worker.rs
@@ -177,7 +177,7 @@
     Heartbeat(DueHeartbeat),
 }
 
-/// A report that is to go out.
+/// A heartbeat that is to go out.
 struct DueHeartbeat {
     /// The controller that it goes to, by its number.
     target: usize,
--- a/crates/lease-safety/src/freshness.rs
+++ b/crates/lease-safety/src/freshness.rs
@@ -14,7 +14,7 @@
 //!
 //! 1. The read is linearizable and a cancellation is confirmed only once it is
 //!    recorded, so a cancellation that the view misses has `c > r`.
-//! 2. The check is made for a report that has arrived: `s < a`, however long the
+//! 2. The check is made for a heartbeat that has arrived: `s < a`, however long the
 //!    heartbeat was on its way and by whom it was passed on.
 //! 3. The worker counts its lease from the *sending* of the heartbeat (PROTOCOL,
 //!    "Leases"), so it ends by `s + lease_s < a + lease_s` of the worker's clock. An
@@ -37,7 +37,7 @@
 /// Kept between the end of the last lease and `cancel_s`, in seconds: the worker has
 /// to notice that the lease has ended, and to end its tasks.
 const MARGIN_S: f64 = 3.0;
-/// While `cancel_s` leaves no free capacity for the whole margin, workers are answered for this
+/// While `cancel_s` is too short for the whole margin, workers are answered for this
 /// long if that is safe, in seconds: usually a read is not older.
 const LEAST_S: f64 = 1.0;
 
@@ -96,7 +96,7 @@
         now.since(self.read_sent_at)
     }
 
-    /// Whether a report that has arrived may be answered by the view.
+    /// Whether a heartbeat that has arrived may be answered by the view.
     pub fn may_answer_workers(self, now: Time, lease_s: f64, cancel_s: f64) -> bool {
         self.age_s(now) <= horizon_s(lease_s, cancel_s)
     }
--- a/crates/lease-safety/src/reachability.rs
+++ b/crates/lease-safety/src/reachability.rs
@@ -7,7 +7,7 @@
 
 use sorrelhinge_protocol::types::Time;
 
-/// So many reports that show no effect make a machine one that may be unreachable: the
+/// So many heartbeats that show no effect make a machine one that may be unreachable: the
 /// first may have been on its way already, the second been made before the answer.
 pub const DOUBT_AFTER_HEARTBEATS: u32 = 3;
 /// After an effect was seen, one command that fails proves nothing for so many
--- a/crates/overload/src/fleet_limit.rs
+++ b/crates/overload/src/fleet_limit.rs
@@ -4,7 +4,7 @@
 //! for its controllers though there is work for each machine. How many they can serve is
 //! not computed from constants, which would be those of one installation, but
 //! found: while requests wait too long for the processor the bound falls, and
-//! with free capacity to spare it rises again.
+//! with processor time to spare it rises again.
 
 use sorrelhinge_protocol::types::Time;
 
--- a/crates/overload/src/poll_shedding.rs
+++ b/crates/overload/src/poll_shedding.rs
@@ -9,7 +9,7 @@
 //! [`MAX_UNRECORDED_JOBS`] ids that are not, apart, so that a flood of made-up ids pushes
 //! no real job out. An entry takes 25 bytes of a table that may be a little more
 //! than half empty once entries were removed: less than 2 MB for both. What there is
-//! no free capacity for is not refused.
+//! no free slot for is not refused.
 
 use std::collections::HashMap;
 use std::hash::{DefaultHasher, Hash, Hasher};
@@ -84,7 +84,7 @@
         }
     }
 
-    /// The entry of an id, new if there is free capacity for it.
+    /// The entry of an id, new if there is a free slot for it.
     fn entry(&mut self, key: u64, now: Time) -> Option<&mut Entry> {
         let full = self.entries.len() >= self.max && !self.entries.contains_key(&key);
         if full
@@ -146,7 +146,7 @@
         } else {
             &mut self.unknown
         };
-        // A job that was never answered here, or that there is no free capacity to
+        // A job that was never answered here, or that there is no free slot to
         // remember as refused, is answered.
         let Some(entry) = table.entry(key, now) else {
             return Verdict::Answer;
--- a/crates/overload/tests/model.rs
+++ b/crates/overload/tests/model.rs
@@ -330,7 +330,7 @@
 }
 
 /// The bound on machines falls while requests wait, a step at a time, rises
-/// with free capacity to spare, and is forgotten once the fleet is far below it.
+/// with processor time to spare, and is forgotten once the fleet is far below it.
 #[test]
 fn the_bound_on_machines_is_found_and_forgotten() {
     let mut fleet_limit = FleetLimit::default();
@@ -364,7 +364,7 @@
 }
 
 /// Workers are sent elsewhere before the sockets are full, always the same
-/// ones first, evenly over the helpers, and come back once there is free capacity.
+/// ones first, evenly over the helpers, and come back once the owner has time.
 #[test]
 fn workers_are_spread_before_the_sockets_are_full() {
     let heartbeat_load = |machines: usize, wait_s: f64, helpers: usize| HeartbeatLoad {
@@ -449,7 +449,7 @@
 }
 
 proptest! {
-    /// Against the whole history, with free capacity for all: a poll is refused only if
+    /// Against the whole history, with slots for all: a poll is refused only if
     /// the last one was answered, and lately. The first six jobs are recorded,
     /// the others are not, and their second poll is the first to be answered.
     #[test]
@@ -484,8 +484,8 @@
         }
     }
 
-    /// With little free capacity, and a flood of ids that nobody submitted: never more is
-    /// kept than there is free capacity for, nobody is refused twice in a row, and the
+    /// With few slots, and a flood of ids that nobody submitted: never more is
+    /// kept than there are slots for, nobody is refused twice in a row, and the
     /// flood changes nothing for recorded jobs.
     #[test]
     fn a_flood_pushes_nobody_out(polls in polls(12), flood in 0_usize..40) {
@@ -541,7 +541,7 @@
         (2, 1.0, answer),
         (2, 3.0, answer),
         (0, 3.0, refuse),
-        // After job 1 is over there is free capacity.
+        // After job 1 is over there is a free slot.
         (2, 4.0, answer),
         (2, 5.0, refuse),
         (7, later, answer),
--- a/crates/pipelines/src/graph.rs
+++ b/crates/pipelines/src/graph.rs
@@ -165,7 +165,7 @@
             }
         }
         if self.needs(need, id) {
-            tracing::error!(job = %id, needs = %need, "jobs that need each other: they never start");
+            tracing::error!(job = %id, needs = %need, "dependency cycle; its jobs never start");
         } else if let Some(node) = self.nodes.get_mut(need) {
             node.dependents.insert(id.clone());
         }
--- a/crates/protocol/src/types/mod.rs
+++ b/crates/protocol/src/types/mod.rs
@@ -94,7 +94,7 @@
     Incarnation
 );
 counter!(
-    /// Order of a worker's messages within a incarnation.
+    /// Order of a worker's messages within an incarnation.
     SequenceNumber
 );
 counter!(
--- a/src/agent_client.rs
+++ b/src/agent_client.rs
@@ -43,7 +43,7 @@
                 (409, Ok(heartbeat)) => Sending::Refused(heartbeat),
                 (400..=499, _) => Sending::NotSent,
                 (status, heartbeat) => {
-                    tracing::error!(%address, status, malformed = heartbeat.is_err(), "commands");
+                    tracing::error!(%address, status, malformed = heartbeat.is_err(), "malformed command response");
                     Sending::Unknown
                 }
             }
--- a/src/api/mod.rs
+++ b/src/api/mod.rs
@@ -9,7 +9,7 @@
 //! | `/v1/jobs/ID/withdraw` | POST | `jobs` |
 //! | `/agent/beat` | POST | `agent` |
 //! | `/v1/topology`, `/v1/lanes` | GET | `operators` |
-//! | `/v1/shards`, `/v1/calendar` | GET, POST | `operators` |
+//! | `/v1/blocks`, `/v1/calendar` | GET, POST | `operators` |
 //! | `/v1/drains`, `/v1/undrains` | POST | `operators` |
 
 mod agent;
--- a/src/autoscaler/demand.rs
+++ b/src/autoscaler/demand.rs
@@ -42,7 +42,7 @@
         .collect();
     let mut pending = PendingTasks::new();
     // Nor is a job that fails wherever it runs: nothing is rented for it.
-    let asks = |job: &Job| job.needs_placement(now) && !job.suspected_one_way;
+    let asks = |job: &Job| job.needs_placement(now) && !job.suspected_faulty;
     for (id, job) in cluster_state.jobs_to_place().filter(|(_, j)| asks(j)) {
         // What is reserved waits for it already.
         let covered = if reserved.is_empty() {
--- a/src/autoscaler/outcome.rs
+++ b/src/autoscaler/outcome.rs
@@ -28,7 +28,7 @@
     /// Capacity on ordinary machines for work to come that can't use spot ones.
     pub kept: BTreeMap<MachineId, Amount>,
     /// For how many tasks of each window capacity is on its way.
-    pub pending_machines: BTreeMap<String, u32>,
+    pub pending_tasks: BTreeMap<String, u32>,
 }
 
 /// The plan that a packing comes to.
@@ -43,7 +43,7 @@
                 count,
             })
             .collect(),
-        pending_machines: packing.pending_machines,
+        pending_tasks: packing.pending_tasks,
         ..Plan::default()
     };
     for free_capacity in packing.free_capacities {
--- a/src/autoscaler/packing.rs
+++ b/src/autoscaler/packing.rs
@@ -82,7 +82,7 @@
     /// Machines from here on are rented by this plan.
     pub(super) new_from: usize,
     /// For how many tasks of each window machines on their way have capacity.
-    pub(super) pending_machines: BTreeMap<String, u32>,
+    pub(super) pending_tasks: BTreeMap<String, u32>,
 }
 
 impl<'a> Packing<'a> {
@@ -98,7 +98,7 @@
             rent: BTreeMap::new(),
             hoped: 0,
             new_from: usize::MAX,
-            pending_machines: BTreeMap::new(),
+            pending_tasks: BTreeMap::new(),
         }
     }
 }
@@ -242,7 +242,7 @@
         free_capacity.used = true;
         match &item.window {
             Some(window) if free_capacity.id.is_none() && at < self.new_from => {
-                *self.pending_machines.entry(window.clone()).or_insert(0) += count;
+                *self.pending_tasks.entry(window.clone()).or_insert(0) += count;
             }
             None if item.expected && !item.spec.spot => free_capacity.kept += taken,
             _ => {}
--- a/src/autoscaler/placed.rs
+++ b/src/autoscaler/placed.rs
@@ -137,9 +137,9 @@
         let spec = &placed.item.spec;
         let barred = |zone: &Zone| placed.bars_zone(zone);
         let known = |r: &FreeCapacity| placed.allows(r) && placed.units(r, &r.reserved).is_some();
-        let pending_machines = |r: &FreeCapacity| r.place.is_none() && !r.hoped;
+        let to_be_rented = |r: &FreeCapacity| r.place.is_none() && !r.hoped;
         self.fitting(spec, false, &barred, &known)
-            .or_else(|| self.fitting(spec, false, &barred, &pending_machines))
+            .or_else(|| self.fitting(spec, false, &barred, &to_be_rented))
             .or_else(|| self.scale_out_speculatively(placed, left))
     }
 
--- a/src/connections/mod.rs
+++ b/src/connections/mod.rs
@@ -44,7 +44,7 @@
     ends: RefCell<HashMap<ConnId, Rc<Notify>>>,
     /// The next connection's id.
     next: Cell<u64>,
-    /// Those that are being answered that there is no free capacity.
+    /// Connections that are being rejected with 503.
     rejected_connections: Cell<usize>,
     /// Requests so far that waited too long to be read.
     late: Cell<u64>,
@@ -81,7 +81,7 @@
         self.sockets.borrow().limits()
     }
 
-    /// Whether there is no free capacity for more workers.
+    /// Whether no more workers are accepted.
     pub fn crowded(&self) -> bool {
         let sockets = self.sockets.borrow();
         sockets.open() > sockets.limits().workers
@@ -106,7 +106,7 @@
         self.admission.borrow().longest_s(self.now())
     }
 
-    /// A connection was accepted: it counts as open. None if there is no free capacity.
+    /// A connection was accepted: it counts as open. None if there is no free socket.
     pub(crate) fn accepted(self: &Rc<Self>) -> Option<Accepted> {
         let id = ConnId(self.next.get());
         self.next.set(id.0 + 1);
@@ -130,18 +130,18 @@
         Some(Accepted { open, end })
     }
 
-    /// How many are being answered that there is no free capacity.
+    /// How many connections are being rejected with 503.
     pub(crate) fn rejected_connections(&self) -> usize {
         self.rejected_connections.get()
     }
 
-    /// One more is being answered that there is no free capacity.
+    /// One more connection is being rejected with 503.
     pub(crate) fn begin_rejection(&self) {
         self.rejected_connections
             .set(self.rejected_connections.get() + 1);
     }
 
-    /// One was answered that there is no free capacity.
+    /// A rejected connection has had its answer.
     pub(crate) fn end_rejection(&self) {
         self.rejected_connections
             .set(self.rejected_connections.get() - 1);
--- a/src/control/cancellations.rs
+++ b/src/control/cancellations.rs
@@ -53,7 +53,7 @@
             };
             match self.write_cancelled(id, &planned).await {
                 Ok(TransactionOutcome::Done(revision)) => {
-                    tracing::info!(job = %id, "cancelled");
+                    tracing::info!(job = %id, "job cancelled");
                     self.cancellation_recorded(id, revision, planned.cancellation);
                     return CancelOutcome::Cancelled;
                 }
--- a/src/control/cloud_duties.rs
+++ b/src/control/cloud_duties.rs
@@ -44,7 +44,7 @@
                     sleep(TYPES_INTERVAL).await;
                 }
                 Err(error) => {
-                    tracing::info!(%error, "machine types");
+                    tracing::info!(%error, "machine type list failed");
                     let pause = if self.catalog.has_types() {
                         TYPES_RETRY_PAUSE
                     } else {
@@ -75,7 +75,7 @@
                     self.machines_listed(&list);
                     self.drive();
                 }
-                Err(error) => tracing::info!(%error, "machine list"),
+                Err(error) => tracing::info!(%error, "machine list failed"),
             }
         }
     }
@@ -135,7 +135,7 @@
         for machines in to_delete.chunks(DELETED_TOGETHER) {
             match self.cloud.delete(machines).await {
                 Ok(()) => {
-                    tracing::info!(?machines, "deleted");
+                    tracing::info!(?machines, "machines deleted");
                     let now = self.now();
                     for c in self.shards.owned_mut().values_mut() {
                         let own = machines.iter().filter(|m| c.scope.covers(m));
@@ -143,7 +143,7 @@
                     }
                     self.drive();
                 }
-                Err(error) => tracing::info!(%error, "delete"),
+                Err(error) => tracing::info!(%error, "machine deletion failed"),
             }
         }
     }
@@ -154,7 +154,7 @@
         let rental = &order.rental;
         let result = match self.cloud.rent(rental).await {
             Ok(machines) => {
-                tracing::info!(request_id = rental.request_id, kind = %rental.machine_type, zone = %rental.zone, spot = rental.spot, asked = rental.count, got = machines.len(), "rented");
+                tracing::info!(request_id = rental.request_id, kind = %rental.machine_type, zone = %rental.zone, spot = rental.spot, asked = rental.count, got = machines.len(), "machines rented");
                 self.announce_rented_machines(rental, &machines);
                 Ok(machines)
             }
--- a/src/control/core/agent.rs
+++ b/src/control/core/agent.rs
@@ -34,7 +34,7 @@
     seen: FencingToken,
     /// When its last heartbeat came, to this controller or, as a hint, to another one.
     last_contact: Time,
-    /// The newest report that another controller spoke of.
+    /// The newest heartbeat that another controller spoke of.
     relayed_sequence: SequenceNumber,
     /// Whether anything that is sent there has an effect.
     pub(super) reachability: Reachability,
@@ -98,7 +98,7 @@
         self.tasks = tasks.collect();
     }
 
-    /// Takes in a report that is newer than the last one.
+    /// Takes in a heartbeat that is newer than the last one.
     pub(super) fn take_in(
         &mut self,
         heartbeat: &Heartbeat,
--- a/src/control/core/batch.rs
+++ b/src/control/core/batch.rs
@@ -252,7 +252,7 @@
     if entry.record.value.phase == Phase::Live && !view.is_ready(id) {
         // Not reached: a job that waits is not in the cluster state. A claim of
         // it must not be recorded, whatever brought it about.
-        tracing::error!(job = %id, "a job that waits for others has something to record");
+        tracing::error!(job = %id, "job waiting for dependencies has a pending write");
         return None;
     }
     Some(entry)
--- a/src/control/core/demand.rs
+++ b/src/control/core/demand.rs
@@ -20,7 +20,7 @@
 /// More of it for replicas: the more there is, the more likely some of it has
 /// the image, and a fetch takes longer than their users wait.
 const SERVICE_CAPACITY: f64 = 1.7;
-/// Tasks of arrays and gangs end and preempts work: only this share of a burst is kept for.
+/// Tasks of arrays and gangs end and make room: only this share of a burst is kept for.
 const BURST_SHARE: f64 = 0.6;
 /// At most one such part of a team's limit is reserved.
 const RESERVE_DIVISOR: i64 = 10;
@@ -57,7 +57,7 @@
         let come = f64::from(sum) / span_s * boot_s;
         let burst = (come * mean).sqrt();
         match arrivals.spec().kind {
-            // Replicas stay: none preempts work for the next.
+            // Replicas stay: none makes room for the next.
             Kind::Service => SERVICE_CAPACITY * (come + burst),
             Kind::Array | Kind::Gang => BURST_SHARE * burst * self.headroom_weight(arrivals.spec()),
         }
--- a/src/control/core/drains.rs
+++ b/src/control/core/drains.rs
@@ -99,7 +99,7 @@
         if was_draining != draining {
             self.cluster_state
                 .edit_machine(id, |m| m.draining = draining);
-            tracing::info!(machine = %id, draining, "drain");
+            tracing::info!(machine = %id, draining, "machine drain changed");
             self.refresh_machine(id, now);
         }
         if covered == Some(WhenEmpty::Delete) && empty {
--- a/src/control/core/evictions.rs
+++ b/src/control/core/evictions.rs
@@ -35,7 +35,7 @@
         }
         for m in moves {
             let to = m.to.as_ref().map_or("-", |id| id.as_str());
-            tracing::info!(task = %m.task, to, "moved");
+            tracing::info!(task = %m.task, to, "task moved");
             self.settle_stopped(&m.task.job, now);
         }
     }
--- a/src/control/core/failures.rs
+++ b/src/control/core/failures.rs
@@ -68,7 +68,7 @@
     fn succeeded(&mut self, id: &MachineId, task: &TaskId, now: Time) {
         let all_done = self.cluster_state.edit_job(&task.job, |job| {
             job.tasks.set_done(task.index);
-            (job.failures, job.suspected_one_way) = (0, false);
+            (job.failures, job.suspected_faulty) = (0, false);
             job.tasks.all_done()
         });
         // Another shard's jobs are done when that has read so.
@@ -142,19 +142,19 @@
     job.avoid.retain(|_, until| now < *until);
     job.avoid.insert(id.clone(), now.after(AVOIDED_S));
     let mistaken = job.failures >= MISTAKEN_FAILURES && job.avoid.len() >= MISTAKEN_MACHINES;
-    let suspected_one_way = job.suspected_one_way;
-    if mistaken && !suspected_one_way && job.spec.kind == Kind::Array {
+    let suspected_faulty = job.suspected_faulty;
+    if mistaken && !suspected_faulty && job.spec.kind == Kind::Array {
         // However many of its tasks failed at once.
-        (job.suspected_one_way, job.failures) = (true, MISTAKEN_FAILURES);
-    } else if suspected_one_way && !job.tasks.claims().is_empty() {
+        (job.suspected_faulty, job.failures) = (true, MISTAKEN_FAILURES);
+    } else if suspected_faulty && !job.tasks.claims().is_empty() {
         // Of those that were started before it was doubted.
         job.failures -= 1;
     }
-    if mistaken || suspected_one_way {
+    if mistaken || suspected_faulty {
         let wait = f64::from(job.failures.min(6) - 2).exp2();
         job.hold_until = now.after((MISTAKEN_PAUSE_S * wait).min(MAX_MISTAKEN_PAUSE_S));
     }
-    match (suspected_one_way, mistaken) {
+    match (suspected_faulty, mistaken) {
         (true, _) => Blame::Job,
         (false, true) => Blame::JobFromNowOn,
         (false, false) => Blame::Machine,
--- a/src/control/core/objectives.rs
+++ b/src/control/core/objectives.rs
@@ -41,7 +41,7 @@
 
     /// How soon a class's jobs are to start, if that is sooner than a machine
     /// that is rented for them could be up: their users wait for the start.
-    /// Others with a start objective have time, as those with a finish aim have.
+    /// Others with a start objective have time, as those with a finish objective have.
     pub(super) fn starts_within(&self, class: &str) -> Option<f64> {
         let within = self.cfg.start_objectives.get(class).copied();
         within.filter(|s| *s < self.boot_s())
--- a/src/control/core/placement.rs
+++ b/src/control/core/placement.rs
@@ -23,7 +23,7 @@
             tracing::info!(after_s, "first task placed");
         }
         for launch in launches {
-            tracing::debug!(task = %launch.task, machine = %launch.machine, cached = launch.cached, "claim");
+            tracing::debug!(task = %launch.task, machine = %launch.machine, cached = launch.cached, "task claimed");
             self.job_began(&launch.task.job, now);
             let Some(job) = self.cluster_state.job(&launch.task.job) else {
                 continue;
@@ -126,7 +126,7 @@
                 None => PREEMPT_SLACK * job.patience_s,
             };
             for task in self.cluster_state.preempt(patience, now) {
-                tracing::info!(task = %task, "preempted");
+                tracing::info!(task = %task, "task preempted");
                 self.settle_stopped(&task.job, now);
             }
         }
--- a/src/control/core/recorded_job.rs
+++ b/src/control/core/recorded_job.rs
@@ -227,17 +227,17 @@
         };
         let team = self.team_of(id, &spec)?;
         let spec = Rc::new(spec);
-        tracing::debug!(job = %id, class = %spec.class, team = %spec.team, tasks = spec.tasks, image = %spec.image.as_str(), "job");
-        let suspected_one_way = found.casts_doubt_on(&spec);
+        tracing::debug!(job = %id, class = %spec.class, team = %spec.team, tasks = spec.tasks, image = %spec.image.as_str(), "job added");
+        let suspected_faulty = found.casts_doubt_on(&spec);
         let topology = self.cluster_state.topology().map(|t| &**t);
-        let failures = if suspected_one_way {
+        let failures = if suspected_faulty {
             DOUBTED_FAILURES
         } else {
             0
         };
         let mut job = Job {
             lane: self.lane_of(&spec, entry),
-            suspected_one_way,
+            suspected_faulty,
             failures,
             cancelled: record.phase == Phase::Cancelled,
             start_within: self.starts_within(&spec.class),
--- a/src/control/core/reservation_refresh.rs
+++ b/src/control/core/reservation_refresh.rs
@@ -93,9 +93,7 @@
         let supply = self.supply(window, each);
         let gb: f64 = window.map_or(0.0, |w| w.images.iter().map(|i| self.image_gb(i)).sum());
         Seen {
-            asked: used
-                + in_all_shards(here.reserved_tasks)
-                + in_all_shards(watch.pending_machines),
+            asked: used + in_all_shards(here.reserved_tasks) + in_all_shards(watch.pending_tasks),
             ready: used + in_all_shards(here.free),
             used,
             waiting,
@@ -106,7 +104,7 @@
             slow_boot_s: SLOW_BOOTS * supply.slowest_boot_s,
             fetch_s: gb / supply.fetch_gb_per_s.max(MIN_FETCH_GB_PER_S),
             rent_per_s: f64::from(supply.tasks_per_machine) * REQUESTED_AT_ONCE,
-            refused: window.and_then(|w| self.refused_for(w, &here, watch.pending_machines, now)),
+            refused: window.and_then(|w| self.refused_for(w, &here, watch.pending_tasks, now)),
         }
     }
 
--- a/src/control/core/reservation_supply.rs
+++ b/src/control/core/reservation_supply.rs
@@ -105,10 +105,10 @@
         &self,
         window: &Window,
         here: &ReservationStatus,
-        pending_machines: u32,
+        pending_tasks: u32,
         now: Time,
     ) -> Option<Refused> {
-        if here.reserved_tasks.saturating_add(pending_machines) >= here.open {
+        if here.reserved_tasks.saturating_add(pending_tasks) >= here.open {
             return None;
         }
         if self.windows.failing_until.is_some_and(|until| now < until) {
--- a/src/control/core/reservation_usage.rs
+++ b/src/control/core/reservation_usage.rs
@@ -109,7 +109,7 @@
     /// Adds the jobs that this owner knows.
     fn add_known_work(&self, usage: &mut ReservationUsage) {
         for job in self.cluster_state.jobs().values() {
-            let waiting = if job.cancelled || job.suspected_one_way {
+            let waiting = if job.cancelled || job.suspected_faulty {
                 0
             } else {
                 job.tasks.pending()
--- a/src/control/core/reservations.rs
+++ b/src/control/core/reservations.rs
@@ -24,7 +24,7 @@
     /// When its work last ran or waited, as far as this owner saw.
     pub(super) busy_at: Time,
     /// How many tasks' capacity is on its way for it.
-    pub(super) pending_machines: u32,
+    pub(super) pending_tasks: u32,
     /// What was last seen of it.
     pub(super) seen: Option<Seen>,
     /// What is due for all its occurrences.
@@ -49,7 +49,7 @@
             entry: None,
             records: BTreeMap::new(),
             busy_at: now,
-            pending_machines: 0,
+            pending_tasks: 0,
             seen: None,
             plan: WindowPlan {
                 each: BTreeMap::new(),
@@ -97,9 +97,9 @@
     }
 
     /// What was packed into machines on their way.
-    pub(super) fn set_coming(&mut self, pending_machines: &BTreeMap<String, u32>) {
+    pub(super) fn set_pending_tasks(&mut self, pending_tasks: &BTreeMap<String, u32>) {
         for (name, watch) in &mut self.watched {
-            watch.pending_machines = pending_machines.get(name).copied().unwrap_or(0);
+            watch.pending_tasks = pending_tasks.get(name).copied().unwrap_or(0);
         }
     }
 }
--- a/src/control/core/scale_in.rs
+++ b/src/control/core/scale_in.rs
@@ -181,7 +181,7 @@
         retiring: &BTreeSet<MachineId>,
         now: Time,
     ) -> Vec<MachineId> {
-        let mut mark_for_scale_in = Vec::new();
+        let mut to_scale_in = Vec::new();
         for Disuse { machine, share, .. } in disuse {
             let kept = plan.kept.get(&machine).copied().unwrap_or_default();
             let retires = retiring.contains(&machine);
@@ -190,11 +190,11 @@
                 m.kept = kept;
                 m.retiring = retires;
                 if retires && m.claims.is_empty() && now.since(m.idle_since) > EMPTY_S {
-                    mark_for_scale_in.push(machine.clone());
+                    to_scale_in.push(machine.clone());
                 }
             });
         }
-        mark_for_scale_in
+        to_scale_in
     }
 }
 
--- a/src/control/core/scaling.rs
+++ b/src/control/core/scaling.rs
@@ -46,7 +46,7 @@
         let idle = self.is_idle(now);
         let expected = if idle { Vec::new() } else { self.expected(now) };
         let plan = self.plan_fleet(&expected, &to_delete, now);
-        self.windows.set_coming(&plan.pending_machines);
+        self.windows.set_pending_tasks(&plan.pending_tasks);
         self.scale_in(&plan, idle, now);
         ScalingDecision {
             to_delete,
--- a/src/control/core/waiting_log.rs
+++ b/src/control/core/waiting_log.rs
@@ -48,7 +48,7 @@
         };
         if let Some(why) = self.cluster_state.why_waits(&id, now) {
             let why = why.to_string();
-            tracing::info!(job = %id, why, "waits");
+            tracing::info!(job = %id, why, "job unschedulable");
         }
         self.waiting_log.logged(id, now);
     }
--- a/src/control/drains.rs
+++ b/src/control/drains.rs
@@ -69,7 +69,7 @@
             .await?;
         // The next look at the view has it.
         self.fresh().await;
-        tracing::info!(number, target = %drain.target, "draining");
+        tracing::info!(number, target = %drain.target, "drain started");
         Ok(number)
     }
 
@@ -186,7 +186,7 @@
 
 /// A drain's record was not changed, or that is not known.
 fn log_failure(error: StateError) {
-    tracing::info!(%error, "drain");
+    tracing::info!(%error, "drain not recorded");
 }
 
 /// The machines of a topology, as operators see them.
--- a/src/control/load_monitor.rs
+++ b/src/control/load_monitor.rs
@@ -131,7 +131,7 @@
     }
 
     /// Controllers that take heartbeats for this one; if `free_capacity`, only those that
-    /// have free capacity for more workers. Who is crowded goes on with those it has: if
+    /// can take more workers. Who is crowded goes on with those it has: if
     /// they all came back here, this one would be crowded and send them again.
     fn helpers(&self, free_capacity: bool) -> Vec<NodeId> {
         let mut helpers: Vec<NodeId> = self
--- a/src/control/recording.rs
+++ b/src/control/recording.rs
@@ -79,13 +79,13 @@
                 }
                 Err(StateError::Rejected(why)) => {
                     let changes = next.batch.transaction.changes.len();
-                    tracing::error!(%why, changes, "a transaction was rejected");
+                    tracing::error!(%why, changes, "store rejected a transaction");
                     return self.batch_rejected(next);
                 }
                 // The same transaction again: if an earlier try is carried out
                 // after all, its conditions or ours fail, and the view tells.
                 Err(error) => {
-                    tracing::debug!(%error, "recording");
+                    tracing::debug!(%error, "store transaction failed");
                     sleep(RECORD_RETRY_PAUSE).await;
                 }
             }
--- a/src/control/reservations.rs
+++ b/src/control/reservations.rs
@@ -101,7 +101,7 @@
         if let Err(error) = self.check_calendar(&newer.record) {
             complaint.log_once(|| {
                 let why = error.to_string();
-                tracing::error!(why, "calendar: the file is not taken");
+                tracing::error!(why, "calendar file rejected");
             });
             return;
         }
@@ -139,16 +139,12 @@
             Taken::Differs => {
                 complaint.log_once(|| {
                     let number = file.number;
-                    tracing::error!(
-                        number,
-                        "calendar: the file differs at the same number: raise it"
-                    );
+                    tracing::error!(number, "calendar file differs at the same number; raise it");
                 });
                 None
             }
             Taken::Later => {
-                complaint
-                    .log_once(|| tracing::error!("calendar: its record is of a later version"));
+                complaint.log_once(|| tracing::error!("calendar record of a later version"));
                 None
             }
             Taken::Same | Taken::Older => None,
--- a/src/control/resharding.rs
+++ b/src/control/resharding.rs
@@ -204,14 +204,14 @@
             version: ShardMapRecord::VERSION,
             shards: of,
         };
-        let mark_incompatible = ShardedGrantFence {
+        let incompatible_marker = ShardedGrantFence {
             version: 2,
             shards: of,
         };
         let member = MemberRecord { run: self.run };
         let mut changes = vec![
             Change::write(MAP.into(), &map, None),
-            Change::write(GRANT.into(), &mark_incompatible, None),
+            Change::write(GRANT.into(), &incompatible_marker, None),
             Change::write(member_key(&self.cfg.node), &member, Some(lease)),
         ];
         for shard in (0..of).map(ShardId) {
--- a/src/control/status_queries.rs
+++ b/src/control/status_queries.rs
@@ -184,7 +184,7 @@
             // What is recorded here was accepted: nobody may be told otherwise.
             let absent_there = answered.as_ref().is_some_and(|a| a.status == 404);
             if absent_there && self.store.view().job(id).is_some() {
-                tracing::error!(job = %id, by = %other, "an answer older than what is known");
+                tracing::error!(job = %id, by = %other, "stale status answer discarded");
                 continue;
             }
             if let Some(answered) = answered.filter(|a| matches!(a.status, 200 | 404)) {
--- a/src/control/store_watch.rs
+++ b/src/control/store_watch.rs
@@ -123,7 +123,7 @@
             }
             Err(StateError::TooOld) => self.read_all().await,
             Err(error) => {
-                tracing::debug!(%error, "follow");
+                tracing::debug!(%error, "store watch failed");
                 false
             }
         }
@@ -136,7 +136,7 @@
                 store_revision,
                 items,
             }) => {
-                tracing::info!(%store_revision, keys = items.len(), "full read failed");
+                tracing::info!(%store_revision, keys = items.len(), "all records read");
                 self.store.replace(store_revision, items, asked);
                 self.view_changed();
                 true
--- a/src/control/submissions.rs
+++ b/src/control/submissions.rs
@@ -148,7 +148,7 @@
                 JobStatus::Absent | JobStatus::Unconfirmed => Err(SubmitError::Unavailable),
             },
             Err(error) => {
-                tracing::debug!(job = %id, %error, "submission");
+                tracing::debug!(job = %id, %error, "submission not recorded");
                 Err(SubmitError::Unavailable)
             }
         }
--- a/src/peer_link/line.rs
+++ b/src/peer_link/line.rs
@@ -21,10 +21,10 @@
 /// come while a line stands still. A place takes no memory until there is a message.
 const MAX_PENDING_REQUESTS: usize = 10_000;
 /// For how long a line that gave no answer is not used for requests.
-const DOUBTED: Duration = Duration::from_secs(5);
+const LINE_BACKOFF: Duration = Duration::from_secs(5);
 /// The same where only heartbeats wait too long, as their owner has too many of
 /// them, or a poll did.
-const DOUBTED_HEARTBEAT: Duration = Duration::from_millis(700);
+const HEARTBEAT_LINE_BACKOFF: Duration = Duration::from_millis(700);
 /// Heartbeats and their answers wait so long for others to be sent with: one packet then
 /// takes many, and it is the packets that cost most.
 const LINGER: Duration = Duration::from_millis(30);
@@ -52,7 +52,7 @@
     /// Messages that wait to be sent.
     out: mpsc::Sender<Message>,
     state: Rc<LineState>,
-    doubted_until: Cell<Option<Instant>>,
+    unused_until: Cell<Option<Instant>>,
 }
 
 impl Line {
@@ -64,11 +64,11 @@
         Self {
             out,
             state,
-            doubted_until: Cell::new(None),
+            unused_until: Cell::new(None),
         }
     }
 
-    /// Sends a message that asks for no answer. One that finds no free capacity is lost.
+    /// Sends a message that asks for no answer. One that finds the queue full is lost.
     pub(super) fn send(&self, message: Message) {
         let _ = self.out.try_send(message);
     }
@@ -80,8 +80,8 @@
 
     /// Whether requests go over it.
     pub(super) fn open(&self) -> bool {
-        let doubted_until = self.doubted_until.get();
-        self.connected() && doubted_until.is_none_or(|t| Instant::now() >= t)
+        let unused_until = self.unused_until.get();
+        self.connected() && unused_until.is_none_or(|t| Instant::now() >= t)
     }
 
     /// Sends a request and waits for its answer.
@@ -98,13 +98,13 @@
     }
 
     /// A request of this kind was not answered: others are not sent this way for some time.
-    pub(super) fn doubt(&self, kind: Kind) {
+    pub(super) fn back_off(&self, kind: Kind) {
         let unused_for = match kind {
             // A poll may have had next to no time left.
-            Kind::Adopted | Kind::Poll => DOUBTED_HEARTBEAT,
-            _ => DOUBTED,
+            Kind::Adopted | Kind::Poll => HEARTBEAT_LINE_BACKOFF,
+            _ => LINE_BACKOFF,
         };
-        self.doubted_until.set(Some(Instant::now() + unused_for));
+        self.unused_until.set(Some(Instant::now() + unused_for));
     }
 }
 
--- a/src/peer_link/message.rs
+++ b/src/peer_link/message.rs
@@ -88,7 +88,7 @@
 pub struct PeerAnnouncement {
     /// Takes heartbeats for the owner of the machines.
     pub helps: bool,
-    /// Has no free capacity for more workers.
+    /// Takes no more workers.
     pub crowded: bool,
     /// As their owner, asks others to answer heartbeats without anything new.
     pub relief: bool,
--- a/src/peer_link/mod.rs
+++ b/src/peer_link/mod.rs
@@ -103,7 +103,7 @@
             0
         };
         for line in self.lines.values().filter(|l| l.connected()) {
-            // A hint that finds no free capacity is replaced by the next one.
+            // A hint that finds the queue full is replaced by the next one.
             line.send(Message {
                 number: self.newest.get().0,
                 status: self.announcement.get().encode(),
@@ -121,7 +121,7 @@
             .map(|(node, _)| node)
     }
 
-    /// Sends another controller a message about shards. What finds no free capacity is lost.
+    /// Sends another controller a message about shards. What finds the queue full is lost.
     pub fn share(&self, node: &NodeId, kind: Kind, text: Vec<u8>) {
         if let Some(line) = self.lines.get(node).filter(|l| l.connected()) {
             line.send(Message::new(kind, text));
@@ -173,7 +173,7 @@
         };
         let answered = line.ask(message, patience).await;
         if answered.is_none() {
-            line.doubt(kind);
+            line.back_off(kind);
         }
         answered
     }
--- a/src/scheduler/idle.rs
+++ b/src/scheduler/idle.rs
@@ -13,7 +13,7 @@
 const LATE_S: f64 = 60.0;
 /// Idle work has this part of all machines in any case: it is to end, too.
 const FLOOR: f64 = 0.3;
-/// Tasks that are shorter, in seconds, free their free capacity soon enough by themselves.
+/// Tasks that are shorter, in seconds, free their capacity soon enough by themselves.
 const SHORT_S: f64 = 10.0;
 
 /// Idle work, and the peak of all other.
--- a/src/scheduler/job.rs
+++ b/src/scheduler/job.rs
@@ -21,7 +21,7 @@
 /// 90 s beside capacity that fits it, below its team's limit. The rest is for a takeover.
 const RESERVATION_WAIT_S: f64 = 60.0;
 
-/// Aims that differ by less, in seconds, are the same.
+/// Objectives that differ by less, in seconds, are the same.
 const SAME_OBJECTIVE_S: f64 = 0.5;
 
 /// A job that is not over, or whose tasks are not known to have ended.
@@ -53,7 +53,7 @@
     pub failures: u32,
     /// Its tasks fail wherever they run and none has ended well: the job itself
     /// is mistaken, most likely, until its user withdraws it. See [`Job::open`].
-    pub suspected_one_way: bool,
+    pub suspected_faulty: bool,
     /// How soon its users expect it to start, if an objective says so.
     pub start_within: Option<f64>,
     /// How long it may wait before that endangers its objectives.
@@ -93,7 +93,7 @@
             avoid: BTreeMap::new(),
             hold_until: Time(0.0),
             failures: 0,
-            suspected_one_way: false,
+            suspected_faulty: false,
             start_within: None,
             patience_s: 5.0,
             late_s: 60.0,
@@ -111,7 +111,7 @@
     /// and then: all its tasks came back at each try once, hundreds at a time.
     pub fn open(&self) -> u32 {
         let pending = self.tasks.pending();
-        if self.suspected_one_way {
+        if self.suspected_faulty {
             pending.min(u32::from(self.tasks.claims().is_empty()))
         } else {
             pending
--- a/src/scheduler/machine.rs
+++ b/src/scheduler/machine.rs
@@ -19,7 +19,7 @@
     ready: bool,
 }
 
-/// Images on a machine, modelled: workers don't heartbeat them. Least recently
+/// Images on a machine, modelled: heartbeats don't name them. Least recently
 /// used first.
 #[derive(Clone, Debug, Default)]
 pub struct Cache {
@@ -49,7 +49,7 @@
             Nearness::Absent
         }
     }
-    /// An image is used; the oldest ones leave if there is no free capacity. `ran`: a
+    /// An image is used; the oldest ones leave if there is no disk space. `ran`: a
     /// task runs on it, so it is there.
     pub fn touch(&mut self, image: &Image, gb: f64, free_capacity: f64, ran: bool) {
         let at = self.cached_images.iter().position(|c| c.image == *image);
@@ -74,7 +74,7 @@
     }
     /// The same for an image of minutes: what tasks here need, and what is being
     /// fetched, stays. An upgrade that evicts the version that serves leaves no
-    /// way back. If there is no free capacity beside it, the worker says so.
+    /// way back. If there is no disk space beside it, the worker says so.
     pub fn touch_beside(
         &mut self,
         spec: &JobSpec,
--- a/src/scheduler/preempt/victims.rs
+++ b/src/scheduler/preempt/victims.rs
@@ -187,7 +187,7 @@
         let FreeCapacityRequest { id, job, made, now } = *request;
         let team = &self.teams[job.team];
         let more = job.spec.each.times(i64::from(made + 1));
-        // At the team's limit only the team's own work can preempts work. It is the
+        // At the team's limit only the team's own work can be preempted for it. It is the
         // limit that the walk keeps to: beyond it nobody takes the free capacity, and
         // tasks were stopped for it again and again.
         let used = team.used - stopping.leaving[job.team] + more;
--- a/src/scheduler/tasks.rs
+++ b/src/scheduler/tasks.rs
@@ -71,7 +71,7 @@
     claimed_elsewhere: BTreeSet<u32>,
     /// Those that this shard may place, if another places the job: what that
     /// one leaves to it.
-    adopt_delegated_tasks: Option<BTreeSet<u32>>,
+    delegated_here: Option<BTreeSet<u32>>,
 }
 
 impl Tasks {
@@ -87,7 +87,7 @@
             next_attempt: BTreeMap::new(),
             cursor: 0,
             claimed_elsewhere: BTreeSet::new(),
-            adopt_delegated_tasks: None,
+            delegated_here: None,
         }
     }
     /// The chunk of task `index`.
@@ -131,7 +131,7 @@
     /// How many tasks are neither done nor claimed, of those that this shard
     /// places.
     pub fn pending(&self) -> u32 {
-        if let Some(left) = &self.adopt_delegated_tasks {
+        if let Some(left) = &self.delegated_here {
             return left.iter().filter(|i| self.is_free(**i)).count() as u32;
         }
         let taken =
@@ -161,15 +161,15 @@
     /// Another shard places the job, and leaves these to this one; none: this
     /// shard places it.
     pub(super) fn set_adopted(&mut self, left: Option<BTreeSet<u32>>) {
-        self.adopt_delegated_tasks = left;
+        self.delegated_here = left;
     }
     /// Whether this shard places the job.
     pub fn at_home(&self) -> bool {
-        self.adopt_delegated_tasks.is_none()
+        self.delegated_here.is_none()
     }
     /// The lowest task that is neither done nor claimed.
     pub fn next_pending(&mut self) -> Option<u32> {
-        if let Some(left) = &self.adopt_delegated_tasks {
+        if let Some(left) = &self.delegated_here {
             return left.iter().copied().find(|i| self.is_free(*i));
         }
         while self.cursor < self.count {
--- a/src/scheduler/topology_rules.rs
+++ b/src/scheduler/topology_rules.rs
@@ -102,7 +102,7 @@
             Some(t) => {
                 let place = t.place(id.as_str(), addr, &machine.zone);
                 if place.conflict {
-                    tracing::error!(machine = %id, zone = %machine.zone, "topology: placed in another zone than the cloud says; its place counts as unknown");
+                    tracing::error!(machine = %id, zone = %machine.zone, "topology zone differs from the cloud's; machine's place unknown");
                 }
                 (
                     place.domain,
--- a/src/server.rs
+++ b/src/server.rs
@@ -23,7 +23,7 @@
 const END: Duration = Duration::from_secs(1);
 /// An idle connection ends after this time.
 const IDLE: Duration = Duration::from_secs(60);
-/// How many at a time are answered that there is no free capacity.
+/// Connections that are rejected with 503 at a time.
 const MAX_REJECTED_CONNECTIONS: usize = 32;
 /// While so many are, no connection is accepted; after this time it is tried again.
 const REJECTION_PAUSE: Duration = Duration::from_millis(20);
@@ -44,7 +44,7 @@
         let stream = match listener.accept().await {
             Ok((stream, _)) => stream,
             Err(error) => {
-                tracing::debug!(%error, "accept");
+                tracing::debug!(%error, "accepting a connection failed");
                 sleep(ACCEPT_PAUSE).await;
                 continue;
             }
@@ -93,11 +93,11 @@
         }
     };
     if let Err(error) = result {
-        tracing::debug!(%error, "connection");
+        tracing::debug!(%error, "connection failed");
     }
 }
 
-/// Answers a client for which there is no free capacity that it should come back.
+/// Rejects a connection: the client is to come back later.
 fn reject_connection(all: Rc<Connections>, mut stream: TcpStream) -> impl Future<Output = ()> {
     const WHY: &str = "{\"error\":\"no room for a connection now\"}";
     // Counted, not written down: it was two too few once, users got half a
--- a/src/state/client/mod.rs
+++ b/src/state/client/mod.rs
@@ -88,7 +88,7 @@
             Err(StateError::Refused(_) | StateError::Unknown(_))
         ));
         if let Err(error) = &result {
-            tracing::debug!(path, %error, "state call");
+            tracing::debug!(path, %error, "store request failed");
         }
         result
     }
--- a/src/state/view/apply.rs
+++ b/src/state/view/apply.rs
@@ -219,7 +219,7 @@
             tracing::error!(
                 key = write.key,
                 version = drain.version,
-                "a drain of a later version is left to those who know it"
+                "drain record of a later version ignored"
             );
             return;
         }
--- a/src/topology_file.rs
+++ b/src/topology_file.rs
@@ -34,7 +34,7 @@
     let mut hangups = match signal(SignalKind::hangup()) {
         Ok(hangups) => hangups,
         Err(error) => {
-            tracing::error!(%error, "SIGHUP can't be had: the topology stays as it is");
+            tracing::error!(%error, "SIGHUP handler failed; topology can't be reloaded");
             return;
         }
     };
@@ -46,9 +46,9 @@
 fn reload(node: &Node, path: &Path) {
     match check_topology(path) {
         Ok(topology) => {
-            tracing::info!(domains = topology.tree.len() - 1, "topology read again");
+            tracing::info!(domains = topology.tree.len() - 1, "topology reloaded");
             node.set_topology(Rc::new(topology));
         }
-        Err(error) => tracing::error!(%error, "topology: the earlier one stays"),
+        Err(error) => tracing::error!(%error, "topology reload failed; the earlier one stays"),
     }
 }
--- a/tests/calendar.rs
+++ b/tests/calendar.rs
@@ -262,7 +262,7 @@
     });
 }
 
-/// A zone of a hold is cut and another is drained: its free capacity is rented elsewhere.
+/// A zone of a hold is cut and another is drained: its capacity is rented elsewhere.
 #[test]
 fn free_capacity_that_is_lost_is_rented_elsewhere() {
     run(async {
--- a/tests/edges.rs
+++ b/tests/edges.rs
@@ -213,12 +213,12 @@
 /// shards are united the grant again.
 #[test]
 fn several_shards_keep_out_who_knows_one() {
-    let mark_incompatible = serde_json::to_string(&ShardedGrantFence {
+    let incompatible_marker = serde_json::to_string(&ShardedGrantFence {
         version: 2,
         shards: 3,
     });
-    let mark_incompatible = mark_incompatible.expect("JSON");
-    assert!(serde_json::from_str::<GrantRecord>(&mark_incompatible).is_err());
+    let incompatible_marker = incompatible_marker.expect("JSON");
+    assert!(serde_json::from_str::<GrantRecord>(&incompatible_marker).is_err());
     let write = |key: &str, value: Value, mod_revision: u64| json!({"write": key, "value": value, "stamp": mod_revision});
     let grant = |number: u64| json!({"owner": "n-0", "term": 1, "number": number});
     let owned = json!({"v": 1, "owner": "n-1", "run": 7, "term": 1, "number": 5});
--- a/tests/held_back.rs
+++ b/tests/held_back.rs
@@ -1,5 +1,5 @@
 //! The part of a team's limit that is left to jobs whose users wait for the start:
-//! no task is stopped to preempts work that this part then forbids to take.
+//! no task is preempted for capacity that this part then forbids to take.
 
 mod array_jobs;
 mod cluster_states;
@@ -51,7 +51,7 @@
     }
 
     /// Makes room, lets what is stopped go, and places: which jobs' tasks were stopped.
-    fn plan_preemption(&mut self) -> Vec<JobId> {
+    fn preempt(&mut self) -> Vec<JobId> {
         let stopped = self.cluster_state.preempt(|_| PATIENCE_S, Time(20.0));
         for task in &stopped {
             self.cluster_state.release(task, Time(20.5));
@@ -77,11 +77,7 @@
 #[test]
 fn nothing_is_stopped_for_free_capacity_that_the_limit_leaves_to_others() {
     let mut case = Case::new("high");
-    assert_eq!(
-        case.plan_preemption(),
-        vec![],
-        "run-3 could not take the room"
-    );
+    assert_eq!(case.preempt(), vec![], "run-3 could not take the room");
     assert_eq!(case.used(&case.guest), 8);
 }
 
@@ -90,7 +86,7 @@
 fn free_capacity_inside_the_limit_is_made_and_taken() {
     let mut case = Case::new("high");
     case.cluster_state.hold_back(HOUSE, Amount::default());
-    let stopped = case.plan_preemption();
+    let stopped = case.preempt();
     assert_eq!(stopped, vec![case.guest.clone(); 2]);
     assert_eq!(case.used(&case.waiting), 2);
 }
@@ -102,16 +98,16 @@
     let waiting = case.waiting.clone();
     case.cluster_state
         .edit_job(&waiting, |job| job.start_within = Some(1.0));
-    let stopped = case.plan_preemption();
+    let stopped = case.preempt();
     assert_eq!(stopped, vec![case.guest.clone(); 2]);
     assert_eq!(case.used(&waiting), 2);
 }
 
-/// At what the limit allows, the team's own lower work preempts work, nobody else's.
+/// At what the limit allows, only the team's own lower work is preempted, nobody else's.
 #[test]
 fn beside_the_part_left_to_others_only_own_work_gives_way() {
     let mut case = Case::new("normal");
-    let stopped = case.plan_preemption();
+    let stopped = case.preempt();
     assert_eq!(stopped, vec![case.first.clone(); 2]);
     assert_eq!(case.used(&case.waiting), 2);
     assert_eq!(case.used(&case.guest), 8);
--- a/tests/overload.rs
+++ b/tests/overload.rs
@@ -254,7 +254,7 @@
             crowd.polls(world.address(i), SOCKETS);
         }
         // More workers than sockets from here on: two controllers are left,
-        // and each may believe that the other has free capacity.
+        // and each may believe that the other has free sockets.
         let first = world.leader().expect("a leader");
         world.kill_controller(first);
         world
--- a/tests/place_model.rs
+++ b/tests/place_model.rs
@@ -564,7 +564,7 @@
     launches
 }
 
-/// Tasks run, as their machines heartbeat, and are recorded.
+/// Tasks run, as their machines' heartbeats say, and are recorded.
 fn run_all(cluster_state: &mut ClusterState, launches: &[Launch], now: f64) {
     for launch in launches {
         cluster_state.ran(&launch.task);
--- a/tests/reserved_capacity.rs
+++ b/tests/reserved_capacity.rs
@@ -187,7 +187,7 @@
     assert!(first.unused.is_empty(), "a machine with held room stays");
     let second = plan_of(&idle, &shortfalls, &[one]);
     assert_eq!(rented(&second), 0, "it is on its way");
-    assert_eq!(second.pending_machines["drop"], 1);
+    assert_eq!(second.pending_tasks["drop"], 1);
     let waits = plan_of(&cluster_state, &[], &[]);
     assert_eq!(rented(&waits), 1, "one task runs, one waits");
 }
--- a/tests/rules/commands.rs
+++ b/tests/rules/commands.rs
@@ -177,7 +177,7 @@
 }
 
 /// A view that was not renewed for long may lack a cancellation that another
-/// controller confirmed. A incarnation begins with a full lease although no heartbeat is
+/// controller confirmed. An incarnation begins with a full lease although no heartbeat is
 /// answered, so what is started then is on its machine for long after `cancel_s`:
 /// nothing is started until the view is renewed, and then at once.
 #[test]
@@ -230,15 +230,15 @@
         Some(Sent::Flying),
         "absent, but the start may still come"
     );
-    let mark_incompatible = core
+    let fencing_reply = core
         .dispatch(view, Time(9.0))
         .pop()
         .expect("the raised token goes out");
     assert!(
-        mark_incompatible.commands.fencing_token.0 > w.fencing_token
-            && mark_incompatible.commands.commands.is_empty()
+        fencing_reply.commands.fencing_token.0 > w.fencing_token
+            && fencing_reply.commands.commands.is_empty()
     );
-    w.fencing_token = mark_incompatible.commands.fencing_token.0;
+    w.fencing_token = fencing_reply.commands.fencing_token.0;
     core.dispatched(&id, Sending::NotSent, Time(9.0));
     core.heartbeat(&w.heartbeat(), Source::Heartbeat, Time(10.0));
     assert_eq!(
--- a/tests/rules/meetings/partition.rs
+++ b/tests/rules/meetings/partition.rs
@@ -1,4 +1,4 @@
-//! Zones apart, machines that don't hear, hang or heartbeat to nobody, no controllers.
+//! Zones apart, machines that don't hear, hang or send heartbeats to nobody, no controllers.
 
 use rand::Rng;
 use serde_json::json;
--- a/tests/topology_cases.rs
+++ b/tests/topology_cases.rs
@@ -677,12 +677,12 @@
     let mut memory = Memory::default();
     let wanted = rent(&w, &memory, &[]);
     assert_eq!(wanted.iter().map(|r| r.count).sum::<u32>(), 2, "{wanted:?}");
-    let pending_machines = autoscaler::PendingMachine {
+    let pending_machine = autoscaler::PendingMachine {
         kind: kind(),
         zone: Zone::from("za"),
         spot: true,
     };
-    let two = [pending_machines.clone(), pending_machines];
+    let two = [pending_machine.clone(), pending_machine];
     assert_eq!(rent(&w, &memory, &two), [], "two are on their way");
     // Zone a's spot machines all come up behind the switch that has one.
     let used = t.tree.find("za/s0").expect("a domain");
@@ -708,7 +708,7 @@
 
 // ---- with the owner's core ----------------------------------------------
 
-/// An owner with a job in its record, and what its machines heartbeat.
+/// An owner with a job in its record, and what its machines report.
 struct Owner {
     core: Core,
     view: View,
--- a/tests/topology_steps.rs
+++ b/tests/topology_steps.rs
@@ -5,7 +5,7 @@
 mod placing;
 
 #[test]
-fn domains_cost_a_fifth_more_steps_at_max() {
+fn domains_cost_at_most_a_fifth_more_steps() {
     for every in [4, 1] {
         let off = placing::place(2000, 200, every, false);
         let on = placing::place(2000, 200, every, true);
