--- a/tests/pages.rs
+++ b/tests/pages.rs
@@ -1,7 +1,7 @@
 //! What the pages name in the sources is there: files, and constants by their names. So a
 //! rename that forgets a page is found here.
 
-use std::collections::BTreeSet;
+use std::collections::{BTreeMap, BTreeSet};
 use std::path::{Path, PathBuf};
 
 use sorrelhinge::config::Config;
@@ -69,6 +69,66 @@
     own.chain(inner).collect()
 }
 
+/// The last module or type of a path of the code, and what it is to have.
+fn item(text: &str) -> Option<(&str, &str)> {
+    let plain = |c: char| c.is_ascii_alphanumeric() || c == '_' || c == ':';
+    if !text.chars().all(plain) {
+        return None;
+    }
+    let (owner, name) = text.rsplit_once("::")?;
+    let owner = owner.rsplit("::").next()?;
+    Some((owner.trim_start_matches("sorrelhinge_"), name))
+}
+
+fn words(source: &str) -> impl Iterator<Item = &str> {
+    source.split(|c: char| !c.is_ascii_alphanumeric() && c != '_')
+}
+
+/// What each module, package and type has: the words of its files.
+struct Items {
+    of_owner: BTreeMap<String, BTreeSet<String>>,
+}
+
+impl Items {
+    fn of_the_sources() -> Self {
+        let mut items = Self {
+            of_owner: BTreeMap::new(),
+        };
+        for file in ["src", "tests", "crates"]
+            .iter()
+            .flat_map(|folder| rust_files(&root().join(folder)))
+        {
+            items.read(&file);
+        }
+        items
+    }
+
+    /// Files what stands in a file under its modules and the types that it declares.
+    fn read(&mut self, file: &Path) {
+        let source = std::fs::read_to_string(file).expect("a source file");
+        let path = file.strip_prefix(root()).expect("below the root");
+        let modules = path.with_extension("");
+        let modules = modules.iter().map(|part| part.to_string_lossy());
+        let modules: Vec<String> = modules.map(|part| part.replace('-', "_")).collect();
+        let before = source
+            .split_whitespace()
+            .zip(source.split_whitespace().skip(1));
+        let declared =
+            before.filter(|(kind, _)| ["struct", "enum", "trait", "impl"].contains(kind));
+        let types = declared.filter_map(|(_, name)| words(name).next().map(str::to_owned));
+        for owner in modules.iter().cloned().chain(types) {
+            let known = self.of_owner.entry(owner).or_default();
+            known.extend(words(&source).map(str::to_owned));
+            known.extend(modules.iter().cloned());
+        }
+    }
+
+    fn has(&self, owner: &str, name: &str) -> bool {
+        let known = self.of_owner.get(owner);
+        known.is_some_and(|words| words.contains(name))
+    }
+}
+
 /// Names of all constants of the sources, and all texts in them: a variable of the
 /// environment is one.
 fn constants() -> BTreeSet<String> {
@@ -120,6 +180,26 @@
     assert!(named >= 40, "{named} constants are named");
 }
 
+#[test]
+fn every_item_that_the_pages_name_is_in_its_module() {
+    let items = Items::of_the_sources();
+    let mut named = 0;
+    let mut missing = Vec::new();
+    for (name, page) in pages() {
+        for text in quoted(&page) {
+            let Some((owner, item)) = item(text) else {
+                continue;
+            };
+            named += 1;
+            if !items.has(owner, item) {
+                missing.push(format!("{name}: {text}"));
+            }
+        }
+    }
+    assert_eq!(missing, [] as [String; 0]);
+    assert!(named >= 100, "{named} items are named");
+}
+
 #[test]
 fn the_example_of_the_settings_is_valid() {
     let text = std::fs::read_to_string(root().join("deploy/settings.toml")).expect("a file");
@@ -137,4 +217,10 @@
     assert_eq!(paths, ["src/main.rs"]);
     let constants: Vec<&str> = all.into_iter().filter(|t| is_constant(t)).collect();
     assert_eq!(constants, ["MAX_X"]);
+    assert_eq!(item("control::leader::lead"), Some(("leader", "lead")));
+    assert_eq!(
+        item("sorrelhinge_overload::pace"),
+        Some(("overload", "pace"))
+    );
+    assert_eq!(item("a::b(c)"), None);
 }
