--- a/src/control/core/batch.rs
+++ b/src/control/core/batch.rs
@@ -7,7 +7,8 @@
 
 use super::draft::{Draft, DraftBounds, Written};
 use super::{Batch, Core};
-use crate::control::write_queue::{ChunkId, PendingWrite, WritePriority};
+use crate::control::write_queue::{PendingWrite, WritePriority};
+use crate::state::record::ChunkId;
 use crate::state::record::{encoded_bytes, ChunkRecord, JobRecord, Phase};
 use crate::state::view::{JobEntry, View};
 use crate::types::{JobId, Time};
@@ -48,7 +49,7 @@
             let Some(due) = self.pending.take(spare, now) else {
                 break;
             };
-            let (PendingWrite::Finished(id) | PendingWrite::Chunk((id, _))) = &due;
+            let (PendingWrite::Finished(id) | PendingWrite::Chunk(ChunkId { job: id, .. })) = &due;
             let id = id.clone();
             self.cluster_state.claimed_all(&id);
             if draft.writes_job(&id) || self.rejected_changes.defers(&due, now) {
@@ -91,7 +92,9 @@
             PendingWrite::Chunk(_) if entry.inline().is_some() => {
                 self.written_inline(id, entry, now)
             }
-            PendingWrite::Chunk((_, chunk)) => self.written_chunk(id, entry, *chunk, now),
+            PendingWrite::Chunk(ChunkId { chunk, .. }) => {
+                self.written_chunk(id, entry, *chunk, now)
+            }
         }
     }
 
@@ -203,7 +206,7 @@
             shortened = true;
         }
         if shortened {
-            self.pending.released((id.clone(), chunk), now);
+            self.pending.released(ChunkId::new(id, chunk), now);
         }
         record
     }
@@ -221,7 +224,7 @@
     /// A chunk is to be recorded again. It has waited already; what is awaited is not
     /// before it.
     pub(super) fn claim_again(&mut self, chunk: ChunkId, now: Time) {
-        match self.cluster_state.job(&chunk.0) {
+        match self.cluster_state.job(&chunk.job) {
             Some(job) => {
                 let (write_priority, sort) =
                     (WritePriority::of(job).max(WritePriority::Usual), job.sort());
--- a/src/control/core/draft.rs
+++ b/src/control/core/draft.rs
@@ -7,7 +7,7 @@
 use std::collections::BTreeSet;
 
 use super::rollout_records::{DueStep, Step};
-use crate::control::write_queue::ChunkId;
+use crate::state::record::ChunkId;
 use crate::state::record::{chunk_key, job_key, ChunkRecord, JobRecord};
 use crate::state::view::JobEntry;
 use crate::state::{Change, Condition, Transaction};
@@ -83,7 +83,7 @@
 impl Batch {
     /// What it records; a job's own record by the key of its first chunk.
     pub(super) fn written_keys(&self) -> BTreeSet<ChunkId> {
-        let jobs = self.jobs.iter().map(|write| (write.job.clone(), 0));
+        let jobs = self.jobs.iter().map(|write| ChunkId::new(&write.job, 0));
         let chunks = self.chunks.iter().map(|write| write.chunk.clone());
         jobs.chain(chunks).collect()
     }
@@ -225,7 +225,7 @@
             .push(Condition { key, mod_revision });
         self.batch.transaction.changes.push(change);
         self.batch.chunks.push(ChunkWrite {
-            chunk: (id.clone(), chunk),
+            chunk: ChunkId::new(id, chunk),
             record: keep,
         });
     }
--- a/src/control/core/job_changes.rs
+++ b/src/control/core/job_changes.rs
@@ -5,8 +5,8 @@
 use super::objectives::JobTimes;
 use super::recorded_job::job_times;
 use super::Core;
-use crate::control::write_queue::ChunkId;
 use crate::scheduler::{Claim, Sent};
+use crate::state::record::ChunkId;
 use crate::state::record::Phase;
 use crate::state::view::{JobEntry, View};
 use crate::types::{JobId, TaskId, Time};
@@ -111,7 +111,7 @@
         }
         // The job's own record is not to claim anything for ever.
         if entry.inline().is_some() && self.claims_here(entry) {
-            self.pending.released((id.clone(), 0), now);
+            self.pending.released(ChunkId::new(id, 0), now);
             return;
         }
         self.drop_chunks(id, entry, now);
@@ -121,7 +121,7 @@
     /// Nothing needs the chunks of a job that is over.
     pub(super) fn drop_chunks(&mut self, id: &JobId, entry: &JobEntry, now: Time) {
         for &chunk in entry.chunks.keys() {
-            self.pending.useless((id.clone(), chunk), now);
+            self.pending.useless(ChunkId::new(id, chunk), now);
         }
     }
 
@@ -161,7 +161,7 @@
     pub(super) fn chunk_of(&self, task: &TaskId) -> ChunkId {
         let job = self.cluster_state.job(&task.job);
         let chunk = job.map_or(0, |j| j.tasks.chunk_of(task.index));
-        (task.job.clone(), chunk)
+        ChunkId::new(&task.job, chunk)
     }
 
     /// Gives up a task's claim, which is to be recorded; its free capacity is there for others.
--- a/src/control/core/outcomes.rs
+++ b/src/control/core/outcomes.rs
@@ -5,6 +5,7 @@
 use super::{Batch, Core};
 use crate::control::write_queue::WritePriority;
 use crate::scheduler::Job;
+use crate::state::record::ChunkId;
 use crate::state::record::{ChunkRecord, Phase, RecordedClaim, RecordedUnits};
 use crate::state::view::{JobEntry, Versioned, View};
 use crate::types::{Attempt, JobId, Kind, Revision, TaskId, Time};
@@ -90,7 +91,7 @@
         view: &mut View,
         now: Time,
     ) {
-        let (id, chunk) = write.chunk;
+        let ChunkId { job: id, chunk } = write.chunk;
         match write.record {
             Some(value) => {
                 self.confirm(&id, chunk, &value, now);
@@ -182,7 +183,7 @@
             } else if write.record.inline.is_some() {
                 // Claims that were to be moved are among the chunks.
                 chunks.push(ChunkWrite {
-                    chunk: (write.job, 0),
+                    chunk: ChunkId::new(&write.job, 0),
                     record: write.record.inline,
                 });
             }
@@ -207,7 +208,7 @@
 
     /// A chunk was not recorded, or had been already.
     fn chunk_conflicted(&mut self, write: ChunkWrite, view: &View, now: Time) {
-        let (id, chunk) = &write.chunk;
+        let ChunkId { job: id, chunk } = &write.chunk;
         let stored = view.job(id).and_then(|e| e.chunk(*chunk));
         match (&write.record, stored) {
             (Some(ours), Some(stored)) if ours == stored => self.confirm(id, *chunk, ours, now),
--- a/src/control/core/recorded_job.rs
+++ b/src/control/core/recorded_job.rs
@@ -6,6 +6,7 @@
 use super::objectives::JobTimes;
 use super::Core;
 use crate::scheduler::{Claim, ClusterState, Job, Laned, Progress, Sent, Tasks};
+use crate::state::record::ChunkId;
 use crate::state::record::{ChunkRecord, JobRecord, Phase, RecordedClaim};
 use crate::state::view::{JobEntry, View};
 use crate::types::{Attempt, JobId, JobSpec, Kind, MachineId, TaskId, Time};
@@ -202,7 +203,7 @@
             for claim in here {
                 let index = chunk * record.chunk + claim.place;
                 if self.tombstones.is_inherited(&claim.machine) {
-                    self.pending.released((id.clone(), chunk), now);
+                    self.pending.released(ChunkId::new(id, chunk), now);
                 } else if index < record.tasks {
                     found.claims.push(FoundClaim::new(index, claim, stored));
                 }
--- a/src/control/core/rejected_changes.rs
+++ b/src/control/core/rejected_changes.rs
@@ -5,7 +5,8 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use crate::control::write_queue::{ChunkId, PendingWrite};
+use crate::control::write_queue::PendingWrite;
+use crate::state::record::ChunkId;
 use crate::types::Time;
 
 /// After a transaction that the state service rejected, each change is tried alone for so
@@ -73,7 +74,7 @@
     pub(super) fn defers(&mut self, due: &PendingWrite, now: Time) -> bool {
         self.waiting.retain(|_, until| now < *until);
         match due {
-            PendingWrite::Finished(id) => self.waiting.contains_key(&(id.clone(), 0)),
+            PendingWrite::Finished(id) => self.waiting.contains_key(&ChunkId::new(id, 0)),
             PendingWrite::Chunk(chunk) => self.waiting.contains_key(chunk),
         }
     }
--- a/src/control/write_queue.rs
+++ b/src/control/write_queue.rs
@@ -11,11 +11,9 @@
 use sorrelhinge_sharding::served::Sort;
 
 use crate::scheduler::Job;
+use crate::state::record::ChunkId;
 use crate::types::{JobId, Priority, Time};
 
-/// Part of a job's tasks.
-pub type ChunkId = (JobId, u32);
-
 /// How long a result may wait, in seconds, to be recorded with others of its chunk.
 const RESULT_DELAY_S: f64 = 12.0;
 /// The same while more changes may be sent than urgent ones need.
--- a/src/state/record.rs
+++ b/src/state/record.rs
@@ -33,7 +33,7 @@
 pub use self::deleted_machines::{RetiredMachinesRecord, RETIRED_MACHINE_SLOTS};
 pub use self::keys::{
     chunk_key, drain_key, image_hash, job_key, member_key, retired_machines_key, rollout_key,
-    shard_key, slice_key, Key, RolloutId, WindowOccurrence, GRANT, LEADER, MAP, ROOT,
+    shard_key, slice_key, ChunkId, Key, RolloutId, WindowOccurrence, GRANT, LEADER, MAP, ROOT,
 };
 pub use self::leadership::{GrantRecord, LeaderRecord, ShardedGrantFence};
 pub use self::members::MemberRecord;
--- a/src/state/record/keys.rs
+++ b/src/state/record/keys.rs
@@ -97,6 +97,25 @@
     }
 }
 
+/// Part of a job's tasks. Ordered by job, then by chunk.
+#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub struct ChunkId {
+    /// The job.
+    pub job: JobId,
+    /// Its number in the job, from 0.
+    pub chunk: u32,
+}
+
+impl ChunkId {
+    /// A chunk of a job.
+    pub fn new(job: &JobId, chunk: u32) -> Self {
+        Self {
+            job: job.clone(),
+            chunk,
+        }
+    }
+}
+
 /// Which record a key names.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Key {
@@ -107,7 +126,7 @@
     /// A job.
     Job(JobId),
     /// A chunk of tasks.
-    Chunk(JobId, u32),
+    Chunk(ChunkId),
     /// A drain.
     Drain(u64),
     /// Machines that the cloud has deleted.
@@ -173,7 +192,10 @@
             }
             "task" => {
                 let (job, chunk) = which.rsplit_once('/')?;
-                Some(Self::Chunk(JobId::from(job), chunk.parse().ok()?))
+                Some(Self::Chunk(ChunkId {
+                    job: JobId::from(job),
+                    chunk: chunk.parse().ok()?,
+                }))
             }
             _ => None,
         }
--- a/src/state/view/apply.rs
+++ b/src/state/view/apply.rs
@@ -142,7 +142,7 @@
             Key::Job(id) => self.write_job(&id, write),
             Key::Drain(number) => self.write_drain(number, write),
             Key::DeletedMachines(slot) => self.write_deleted_machines(slot, write),
-            Key::Chunk(id, chunk) => self.write_chunk(&id, chunk, write),
+            Key::Chunk(id) => self.write_chunk(&id.job, id.chunk, write),
         }
     }
 
@@ -248,7 +248,7 @@
                     value: None,
                 };
             }
-            Some(Key::Chunk(id, chunk)) => self.drop_chunk(&id, chunk, mod_revision),
+            Some(Key::Chunk(id)) => self.drop_chunk(&id.job, id.chunk, mod_revision),
             Some(Key::Window(occurrence)) => remove(&mut self.windows, &occurrence, mod_revision),
             Some(Key::Drain(number)) => remove(&mut self.drains, &number, mod_revision),
             Some(Key::Member(node)) => remove(&mut self.members, &node, mod_revision),
--- a/tests/edges.rs
+++ b/tests/edges.rs
@@ -19,8 +19,8 @@
 };
 use sorrelhinge::peer_messages::{DelegatedTasks, Needs, Rented, TeamNeed};
 use sorrelhinge::state::record::{
-    chunk_key, chunk_size, job_key, member_key, rollout_key, shard_key, slice_key, ChunkRecord,
-    GrantRecord, JobRecord, Key, Phase, RolloutId, ShardedGrantFence,
+    chunk_key, chunk_size, job_key, member_key, rollout_key, shard_key, slice_key, ChunkId,
+    ChunkRecord, GrantRecord, JobRecord, Key, Phase, RolloutId, ShardedGrantFence,
 };
 use sorrelhinge::state::view::{Versioned, View};
 use sorrelhinge::types::{
@@ -190,7 +190,7 @@
     assert_eq!(Key::parse(&job_key(&job)), Some(Key::Job(job.clone())));
     assert_eq!(
         Key::parse(&chunk_key(&job, 12)),
-        Some(Key::Chunk(job.clone(), 12))
+        Some(Key::Chunk(ChunkId::new(&job, 12)))
     );
     let (shard, node) = (ShardId(3), NodeId::from("n-1"));
     assert_eq!(Key::parse(&shard_key(shard)), Some(Key::Shard(shard)));
--- a/tests/golden_formats/records.rs
+++ b/tests/golden_formats/records.rs
@@ -3,8 +3,8 @@
 use sorrelhinge::state::job_entry::JobEntry;
 use sorrelhinge::state::record::{
     chunk_key, drain_key, image_hash, job_key, member_key, retired_machines_key, rollout_key,
-    shard_key, slice_key, ChunkRecord, GrantRecord, JobRecord, Key, LeaderRecord, MemberRecord,
-    NewJob, Phase, RetiredMachinesRecord, RolloutId, ShardMapRecord, ShardRecord,
+    shard_key, slice_key, ChunkId, ChunkRecord, GrantRecord, JobRecord, Key, LeaderRecord,
+    MemberRecord, NewJob, Phase, RetiredMachinesRecord, RolloutId, ShardMapRecord, ShardRecord,
     ShardedGrantFence, SliceRecord, WaitsRecord, WindowOccurrence, GRANT, LEADER, MAP,
 };
 use sorrelhinge::state::view::Versioned;
@@ -267,7 +267,11 @@
         ("map", MAP.to_owned(), Key::Map),
         ("calendar", CALENDAR_KEY.to_owned(), Key::Calendar),
         ("job", job_key(&job), Key::Job(job.clone())),
-        ("chunk", chunk_key(&job, 7), Key::Chunk(job, 7)),
+        (
+            "chunk",
+            chunk_key(&job, 7),
+            Key::Chunk(ChunkId::new(&job, 7)),
+        ),
         ("block", shard_key(shard), Key::Shard(shard)),
         ("slice", slice_key(shard), Key::Slice(shard)),
         (
--- a/tests/rules/recording.rs
+++ b/tests/rules/recording.rs
@@ -8,7 +8,7 @@
 use sorrelhinge::control::core::{Core, Places, RecoveryInput, ShardGrant};
 use sorrelhinge::control::write_queue::{Pending, PendingWrite, WritePriority};
 use sorrelhinge::peer_messages::DelegatedTasks;
-use sorrelhinge::state::record::chunk_key;
+use sorrelhinge::state::record::{chunk_key, ChunkId};
 use sorrelhinge::state::Transaction;
 use sorrelhinge::types::{JobId, MachineId, Time};
 use sorrelhinge_sharding::served::Sort;
@@ -55,21 +55,21 @@
 /// its turns, and whatever is urgent or ordinary goes first.
 #[test]
 fn a_swarm_of_idle_jobs_keeps_no_other_claim_waiting() {
-    let chunk = |n: u32| (JobId::from(format!("run-{n:04}").as_str()), 0);
+    let chunk = |n: u32| ChunkId::new(&JobId::from(format!("run-{n:04}").as_str()), 0);
     let mut pending = Pending::default();
     for n in 0..100 {
         pending.claimed(chunk(n), WritePriority::Idle, sort("ping"), Time(0.0));
-        pending.finished(chunk(100 + n).0, WritePriority::Idle, Time(0.0));
+        pending.finished(chunk(100 + n).job, WritePriority::Idle, Time(0.0));
     }
     pending.claimed(chunk(300), WritePriority::Usual, sort("check"), Time(1.0));
-    pending.finished(chunk(301).0, WritePriority::Usual, Time(1.0));
+    pending.finished(chunk(301).job, WritePriority::Usual, Time(1.0));
     let taken = [(); 3].map(|()| pending.take(false, Time(1.0)));
     assert!(
         taken.contains(&Some(PendingWrite::Chunk(chunk(300)))),
         "{taken:?}"
     );
     assert!(
-        taken.contains(&Some(PendingWrite::Finished(chunk(301).0))),
+        taken.contains(&Some(PendingWrite::Finished(chunk(301).job))),
         "{taken:?}"
     );
     let mut idle = 0;
@@ -93,7 +93,7 @@
 /// minutes.
 #[test]
 fn what_is_urgent_does_not_starve_the_rest() {
-    let chunk = |n: u32| (JobId::from(format!("run-{n:04}").as_str()), 0);
+    let chunk = |n: u32| ChunkId::new(&JobId::from(format!("run-{n:04}").as_str()), 0);
     let mut pending = Pending::default();
     for n in 0..10 {
         pending.claimed(chunk(n), WritePriority::Usual, sort("bake"), Time(0.0));
@@ -103,7 +103,7 @@
             sort("check"),
             Time(0.0),
         );
-        pending.finished(chunk(200 + n).0, WritePriority::Usual, Time(0.0));
+        pending.finished(chunk(200 + n).job, WritePriority::Usual, Time(0.0));
     }
     let mut taken: BTreeMap<&str, usize> = BTreeMap::new();
     for n in 0..100 {
@@ -123,8 +123,8 @@
         );
         let what = match pending.take(false, now) {
             Some(PendingWrite::Finished(_)) => "done",
-            Some(PendingWrite::Chunk((id, _))) if id >= chunk(1000).0 => "live",
-            Some(PendingWrite::Chunk((id, _))) if id >= chunk(100).0 => "check",
+            Some(PendingWrite::Chunk(id)) if id.job >= chunk(1000).job => "live",
+            Some(PendingWrite::Chunk(id)) if id.job >= chunk(100).job => "check",
             Some(PendingWrite::Chunk(_)) => "bake",
             None => "nothing",
         };
@@ -138,11 +138,11 @@
 
 #[test]
 fn changes_go_where_they_are_missed_max() {
-    let chunk = |n: u32| (JobId::from(format!("run-{n}").as_str()), 0);
+    let chunk = |n: u32| ChunkId::new(&JobId::from(format!("run-{n}").as_str()), 0);
     let mut pending = Pending::default();
     pending.useless(chunk(1), Time(0.0));
     pending.released(chunk(2), Time(0.0));
-    pending.finished(chunk(3).0, WritePriority::Usual, Time(0.0));
+    pending.finished(chunk(3).job, WritePriority::Usual, Time(0.0));
     pending.claimed(chunk(4), WritePriority::Usual, sort("batch"), Time(0.0));
     pending.claimed(chunk(5), WritePriority::Awaited, sort("live"), Time(0.0));
     pending.claimed(chunk(2), WritePriority::Usual, sort("batch"), Time(0.5));
@@ -154,7 +154,7 @@
     );
     assert_eq!(
         taken(false, 1.0),
-        Some(PendingWrite::Finished(chunk(3).0)),
+        Some(PendingWrite::Finished(chunk(3).job)),
         "in turn with claims that no user waits for"
     );
     assert_eq!(taken(false, 1.0), Some(PendingWrite::Chunk(chunk(4))));
