--- a/src/control/heartbeat_routing.rs
+++ b/src/control/heartbeat_routing.rs
@@ -61,7 +61,7 @@
     /// What owners were told, and which heartbeats need not be told to them.
     renewals: RefCell<Renewals>,
     /// Machines that were answered for their owners, who don't know of it yet.
-    heartbeats_for_owners: RefCell<Vec<(NodeId, ForwardedHeartbeat)>>,
+    heartbeats_for_owners: RefCell<HashMap<NodeId, Vec<ForwardedHeartbeat>>>,
 }
 
 impl HeartbeatRouting {
@@ -151,18 +151,13 @@
 
     /// A heartbeat was answered for its owner, who is to be told.
     pub(super) fn answered_for(&self, owner: NodeId, heartbeat: ForwardedHeartbeat) {
-        self.heartbeats_for_owners
-            .borrow_mut()
-            .push((owner, heartbeat));
+        let mut by_owner = self.heartbeats_for_owners.borrow_mut();
+        by_owner.entry(owner).or_default().push(heartbeat);
     }
 
     /// What owners are to be told since the last call.
     pub(super) fn take_answered_for(&self) -> HashMap<NodeId, Vec<ForwardedHeartbeat>> {
-        let mut by_owner: HashMap<NodeId, Vec<ForwardedHeartbeat>> = HashMap::new();
-        for (owner, heartbeat) in self.heartbeats_for_owners.borrow_mut().drain(..) {
-            by_owner.entry(owner).or_default().push(heartbeat);
-        }
-        by_owner
+        self.heartbeats_for_owners.take()
     }
 }
 
