--- a/crates/emulators/src/history/job.rs
+++ b/crates/emulators/src/history/job.rs
@@ -182,6 +182,10 @@
 
 impl Job {
     /// Reads a body (PROTOCOL, "POST /v1/jobs").
+    ///
+    /// # Errors
+    ///
+    /// The first thing that a controller must refuse about it.
     pub fn read(body: &Value) -> Result<Self, RejectReason> {
         for field in ["uid", "jobclass", "bundle"] {
             text(body, field)?;
@@ -223,6 +227,10 @@
     }
 
     /// Reads a body and asks whether the job can ever run at the site.
+    ///
+    /// # Errors
+    ///
+    /// As [`Job::read`], or why it can never run at the site.
     pub fn read_fit(body: &Value, site: &Site) -> Result<Self, RejectReason> {
         let job = Self::read(body)?;
         let team = site.team(&job.team).ok_or(RejectReason::UnknownTeam)?;
--- a/crates/priority-lanes/src/lanes.rs
+++ b/crates/priority-lanes/src/lanes.rs
@@ -192,6 +192,10 @@
     /// (`true`: also all jobs of rank `high` with a deadline). Keys that don't
     /// begin with [`PREFIX`] are not looked at. The error is one line that names
     /// the key.
+    ///
+    /// # Errors
+    ///
+    /// The first key that is unknown, or whose value is not valid.
     pub fn read<'a>(
         pairs: impl IntoIterator<Item = (&'a str, &'a str)>,
     ) -> Result<Self, LanesError> {
--- a/crates/protocol/src/operators.rs
+++ b/crates/protocol/src/operators.rs
@@ -41,6 +41,10 @@
 
 impl DrainAsked {
     /// Whether all values are within their ranges.
+    ///
+    /// # Errors
+    ///
+    /// The first field that is out of range, by its path.
     pub fn check(&self) -> Result<(), InvalidField> {
         self.validate()
             .map_err(|report| InvalidField::first(&report, "drain"))
@@ -199,6 +203,10 @@
 
 impl PinAsked {
     /// Whether all values are within their ranges.
+    ///
+    /// # Errors
+    ///
+    /// The first field that is out of range, by its path.
     pub fn check(&self) -> Result<(), InvalidField> {
         self.validate()
             .map_err(|report| InvalidField::first(&report, "blocks"))
--- a/crates/protocol/src/placement.rs
+++ b/crates/protocol/src/placement.rs
@@ -131,6 +131,10 @@
     }
 
     /// Reads the field `topology` of a job's body; the error names the place.
+    ///
+    /// # Errors
+    ///
+    /// The first field that is malformed or out of range, by its path.
     pub fn read(value: &serde_json::Value) -> Result<Option<Self>, InvalidField> {
         let Some(field) = value.get("topology").filter(|v| !v.is_null()) else {
             return Ok(None);
@@ -144,6 +148,10 @@
     }
 
     /// Whether all values are within their ranges; `at` is where they stand.
+    ///
+    /// # Errors
+    ///
+    /// The first field that is out of range, by its path.
     pub fn check(&self, at: &str) -> Result<(), InvalidField> {
         self.validate()
             .map_err(|report| InvalidField::first(&report, at))?;
--- a/crates/protocol/src/users.rs
+++ b/crates/protocol/src/users.rs
@@ -104,6 +104,10 @@
 
 /// Reads the ids of the jobs that a job needs (`waits_on`), each once; none if the field
 /// is missing or null. The error names what is wrong.
+///
+/// # Errors
+///
+/// `waits_on` is no list, or has something that is no job id.
 pub fn read_needs(value: &Value) -> Result<Vec<JobId>, &'static str> {
     let Some(listed) = value.get("waits_on").filter(|listed| !listed.is_null()) else {
         return Ok(Vec::new());
@@ -125,6 +129,10 @@
 const MAX_ALLOWED_TYPES: usize = 32;
 
 /// Reads a job; the error names what is wrong.
+///
+/// # Errors
+///
+/// A field is missing, of the wrong type or out of range.
 pub fn read_job(value: Value) -> Result<JobSpec, &'static str> {
     let wire: WireJob =
         serde_json::from_value(value).map_err(|_| "a field is missing or of the wrong type")?;
--- a/crates/reservations/src/record/calendar.rs
+++ b/crates/reservations/src/record/calendar.rs
@@ -136,6 +136,10 @@
 
     /// An operator's window added, or put in the place of one of its name;
     /// `None` if nothing changes. The error says why it can't be.
+    ///
+    /// # Errors
+    ///
+    /// The record is of a later version, or its windows are refused.
     pub fn pin(
         recorded: Option<&CalendarRecord>,
         window: &Window,
@@ -164,6 +168,10 @@
 
     /// A window taken out, an operator's or the file's, until a newer file has
     /// it; `None` if there is none of the name.
+    ///
+    /// # Errors
+    ///
+    /// The record is of a later version.
     pub fn unpin(&self, name: &str) -> Result<Option<CalendarRecord>, RecordError> {
         self.changeable()?;
         let mut record = self.clone();
@@ -182,6 +190,10 @@
     /// Whether it fits into one value of the state service, `value_kb` of the
     /// settings. It is one record so that all windows change at once; more
     /// than fits is refused rather than cut.
+    ///
+    /// # Errors
+    ///
+    /// It is larger than a value may be.
     pub fn fits(&self, value_kb: u64) -> Result<(), RecordError> {
         let bytes = serde_json::to_vec(self).map_or(usize::MAX, |text| text.len());
         if bytes as u64 <= value_kb.saturating_mul(1024) {
--- a/crates/reservations/src/settings.rs
+++ b/crates/reservations/src/settings.rs
@@ -121,6 +121,10 @@
     }
 
     /// What is wrong with it by itself.
+    ///
+    /// # Errors
+    ///
+    /// The first field that is not valid, by its path below `at`.
     pub fn check(&self, at: &str) -> Result<(), InvalidField> {
         self.validate()
             .map_err(|report| InvalidField::first(&report, at))?;
@@ -197,6 +201,10 @@
 }
 
 /// Reads the file; the error is one line that names the place.
+///
+/// # Errors
+///
+/// The line or the field that is wrong.
 pub fn read(text: &str) -> Result<Calendar, FileError> {
     let at_line = |e: toml::de::Error| MalformedToml::new(text, &e);
     let file = toml::Deserializer::parse(text).map_err(at_line)?;
--- a/crates/reservations/src/settings/checks.rs
+++ b/crates/reservations/src/settings/checks.rs
@@ -65,11 +65,19 @@
 }
 
 /// What can't be, by the controllers' settings; one line that names the window.
+///
+/// # Errors
+///
+/// The first window that these settings do not allow, and why.
 pub fn check(calendar: &Calendar, known: &Known) -> Result<(), WindowError> {
     check_windows(&calendar.windows, known)
 }
 
 /// The same for windows that are pinned one by one.
+///
+/// # Errors
+///
+/// As [`check`].
 pub fn check_windows(windows: &[Window], known: &Known) -> Result<(), WindowError> {
     for window in windows {
         check_window(window, known)?;
@@ -160,6 +168,10 @@
 
 /// The first window that won't happen any more; for whoever has just written
 /// the file, as [`check`] lets it pass.
+///
+/// # Errors
+///
+/// The first window that never happens again.
 pub fn past(calendar: &Calendar, now_ms: i64) -> Result<(), WindowError> {
     let over = |w: &&Window| w.current_or_next(now_ms).is_none();
     match calendar.windows.iter().find(over) {
--- a/crates/topology/src/lib.rs
+++ b/crates/topology/src/lib.rs
@@ -45,6 +45,10 @@
 impl Topology {
     /// Reads the file's text. The error names the line or the path of what is
     /// wrong.
+    ///
+    /// # Errors
+    ///
+    /// The line that is no TOML, or the field that is wrong.
     pub fn parse(text: &str) -> Result<Self, SettingsError> {
         let settings = Settings::parse(text)?;
         let tree = settings.tree()?;
--- a/crates/topology/src/settings.rs
+++ b/crates/topology/src/settings.rs
@@ -221,6 +221,10 @@
 impl Settings {
     /// Reads and validates; the tree and the rules are checked by what is
     /// built from them.
+    ///
+    /// # Errors
+    ///
+    /// The line that is no TOML, or the first field that is out of range.
     pub fn parse(text: &str) -> Result<Self, SettingsError> {
         let settings: Self = toml::from_str(text).map_err(|e| MalformedToml::new(text, &e))?;
         settings
--- a/src/cli.rs
+++ b/src/cli.rs
@@ -47,6 +47,10 @@
 }
 
 /// Carries out a command; returns what goes to standard output.
+///
+/// # Errors
+///
+/// The command was refused, no controller answered, or a file is wrong.
 pub async fn run(command: Command) -> Result<String, CliError> {
     match command {
         Command::Drain(args) => drain::drain(args).await,
--- a/src/cloud.rs
+++ b/src/cloud.rs
@@ -132,6 +132,10 @@
     }
 
     /// All machine types, at current prices.
+    ///
+    /// # Errors
+    ///
+    /// The cloud did not answer, refused, or answered what can't be read.
     pub async fn types(&self) -> Result<Vec<MachineType>, CloudError> {
         let body = self
             .call(Method::GET, "/machine_types", Bytes::new())
@@ -141,6 +145,10 @@
     }
 
     /// All machines, as of some seconds ago.
+    ///
+    /// # Errors
+    ///
+    /// The cloud did not answer, refused, or answered what can't be read.
     pub async fn list(&self) -> Result<Vec<ListedMachine>, CloudError> {
         let mut all: Vec<ListedMachine> = Vec::new();
         loop {
@@ -159,12 +167,20 @@
     }
 
     /// Rents machines; returns the names of those that it got, which may be fewer.
+    ///
+    /// # Errors
+    ///
+    /// The cloud has none, refused, or did not answer; then some may have been rented.
     pub async fn rent(&self, rental: &Rental) -> Result<Vec<MachineId>, CloudError> {
         let body = self.post("/rentals", rental).await?;
         Ok(Self::read::<MachineNames>(&body)?.machines)
     }
 
     /// Gives machines back; once this succeeds, they and their tasks are gone.
+    ///
+    /// # Errors
+    ///
+    /// The cloud refused or did not answer; then nothing is known of the machines.
     pub async fn delete(&self, machines: &[MachineId]) -> Result<(), CloudError> {
         let machines = MachineNames {
             machines: machines.to_vec(),
--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -195,6 +195,10 @@
 
 impl Config {
     /// Reads and checks the platform's file and, if given, the properties.
+    ///
+    /// # Errors
+    ///
+    /// A file can't be read, or the setting that is missing, malformed or out of range.
     pub fn load(path: &Path, properties: Option<&Path>) -> Result<Self, ConfigError> {
         let mut config = Self::parse(&read_text(path)?).map_err(|e| match e {
             ConfigError::Toml { source, .. } => ConfigError::Toml {
@@ -225,6 +229,10 @@
 
     /// Reads and checks the operators' file of windows, and turns the feature on.
     /// The error is one line that names the file.
+    ///
+    /// # Errors
+    ///
+    /// The file can't be read, or the window that is wrong.
     pub fn with_calendar(mut self, path: &Path, now_ms: i64) -> Result<Self, ConfigError> {
         let text = read_text(path)?;
         let calendar = self
--- a/src/config/platform.rs
+++ b/src/config/platform.rs
@@ -225,6 +225,10 @@
 
 impl Config {
     /// Reads and checks the platform's settings.
+    ///
+    /// # Errors
+    ///
+    /// The line that is no TOML, or the setting that is missing or out of range.
     pub fn parse(text: &str) -> Result<Self, ConfigError> {
         let raw: Raw = toml::from_str(text).map_err(|e| ConfigError::Toml {
             path: PathBuf::new(),
--- a/src/config/properties.rs
+++ b/src/config/properties.rs
@@ -66,6 +66,10 @@
 impl Tuning {
     /// Reads the operators' properties, but for those of lanes; a key that is not
     /// known is refused.
+    ///
+    /// # Errors
+    ///
+    /// The first key that is unknown or has a wrong value.
     pub fn parse(text: &[u8]) -> Result<Self, ConfigError> {
         let pairs = java_properties::read(text).map_err(|e| field("properties", e.to_string()))?;
         let mut tuning = Self::default();
@@ -118,6 +122,10 @@
 }
 
 /// Reads the lanes in the operators' properties.
+///
+/// # Errors
+///
+/// The first key of a lane that is unknown or has a wrong value.
 pub fn lanes(text: &[u8]) -> Result<Lanes, ConfigError> {
     let pairs = java_properties::read(text).map_err(|e| field("properties", e.to_string()))?;
     let pairs = pairs.iter().map(|(k, v)| (k.as_str(), v.as_str()));
--- a/src/control/drains.rs
+++ b/src/control/drains.rs
@@ -51,6 +51,10 @@
 
     /// Begins a drain, or changes the one of the same target. The answer comes
     /// once it is recorded, so a takeover can't lose it.
+    ///
+    /// # Errors
+    ///
+    /// There is no topology here, the request is not valid, or it could not be recorded.
     pub async fn drain(&self, asked: &DrainAsked) -> Result<u64, OperatorError> {
         asked.check().map_err(InvalidRequest::from)?;
         let what = self.target(&asked.target)?;
@@ -95,6 +99,10 @@
     }
 
     /// Ends a drain: machines that are still there may be used again.
+    ///
+    /// # Errors
+    ///
+    /// There is no topology here, no such drain, or it could not be recorded.
     pub async fn undrain(&self, target: &Target) -> Result<(), OperatorError> {
         if self.topology().is_none() {
             return Err(OperatorError::NoTopology);
@@ -131,6 +139,10 @@
     }
 
     /// Domains, devices and drains, with what only the owner knows.
+    ///
+    /// # Errors
+    ///
+    /// There is no topology here.
     pub fn show(&self) -> Result<TopologyShown, OperatorError> {
         let topology = self.topology().ok_or(OperatorError::NoTopology)?;
         let cores = self.shards.owned();
--- a/src/control/lane_queries.rs
+++ b/src/control/lane_queries.rs
@@ -7,6 +7,10 @@
 
 impl Node {
     /// The lanes of the shards that are owned here; none: nothing is.
+    ///
+    /// # Errors
+    ///
+    /// No shard is owned here; the leader is named, if it is known.
     pub fn show_lanes(&self) -> Result<LanesShown, OperatorError> {
         let cores = self.shards.owned();
         let mut all: Option<LanesShown> = None;
--- a/src/control/reservations.rs
+++ b/src/control/reservations.rs
@@ -200,6 +200,10 @@
     }
 
     /// What operators are shown; only the owner of shard 0 knows all of it.
+    ///
+    /// # Errors
+    ///
+    /// There is no calendar here, or shard 0 is owned elsewhere.
     pub fn show_calendar(&self) -> Result<CalendarShown, OperatorError> {
         if self.cfg.calendar.is_none() {
             return Err(OperatorError::NoCalendar);
@@ -222,6 +226,10 @@
     }
 
     /// Pins a window, or takes one out. The answer comes once it is recorded.
+    ///
+    /// # Errors
+    ///
+    /// There is no calendar here, the window is refused, or it could not be recorded.
     pub async fn change_calendar(&self, asked: &CalendarAsked) -> Result<(), OperatorError> {
         if self.cfg.calendar.is_none() {
             return Err(OperatorError::NoCalendar);
--- a/src/control/shard_status.rs
+++ b/src/control/shard_status.rs
@@ -87,6 +87,10 @@
 
     /// Pins a shard to a controller, or takes its pin off. The answer comes once
     /// it is recorded; the leader does the rest.
+    ///
+    /// # Errors
+    ///
+    /// There is no such shard or controller, or it could not be recorded.
     pub async fn pin(&self, asked: &PinAsked) -> Result<(), OperatorError> {
         asked.check().map_err(InvalidRequest::from)?;
         let to = asked.to.as_deref().map(NodeId::from);
--- a/src/control/submissions.rs
+++ b/src/control/submissions.rs
@@ -75,6 +75,10 @@
 
     /// Takes a job, or what is wrong with its description: one that was accepted before is
     /// answered with its state even then.
+    ///
+    /// # Errors
+    ///
+    /// The description is not valid, the job can never run, or that can't be decided now.
     pub async fn submit(
         &self,
         id: &JobId,
--- a/src/controller.rs
+++ b/src/controller.rs
@@ -21,6 +21,10 @@
 const SPARE_PEER_CONNECTIONS: usize = 8;
 
 /// Runs one controller until `stop` resolves. The error is that of a listener.
+///
+/// # Errors
+///
+/// A listener could not be opened.
 pub async fn run(
     config: Config,
     topology: Option<TopologyFile>,
--- a/src/http.rs
+++ b/src/http.rs
@@ -129,6 +129,10 @@
 
 /// One call over a connection of its own. If that can't be made, nothing was
 /// sent, and nothing can arrive late.
+///
+/// # Errors
+///
+/// No connection, no answer in time, or one that is no HTTP.
 pub async fn call_once(
     address: SocketAddr,
     method: Method,
@@ -170,6 +174,10 @@
 
     /// One call. A connection that fails takes the idle ones with it: they
     /// lead to the same place.
+    ///
+    /// # Errors
+    ///
+    /// No connection, no answer in time, or one that is no HTTP.
     pub async fn call(
         &self,
         method: Method,
--- a/src/operator_file.rs
+++ b/src/operator_file.rs
@@ -46,6 +46,10 @@
 }
 
 /// Reads and checks a topology file, for `--topology` and `topology check`.
+///
+/// # Errors
+///
+/// The file can't be read, or the line or field that is wrong.
 pub fn check_topology(path: &Path) -> Result<Topology, OperatorFileError> {
     let read = || -> Result<Topology, OperatorFileCause> {
         let text = std::fs::read_to_string(path)?;
--- a/src/state/client/leases.rs
+++ b/src/state/client/leases.rs
@@ -19,6 +19,10 @@
 
 impl StateClient {
     /// A new lease, which ends `life` after it was last renewed.
+    ///
+    /// # Errors
+    ///
+    /// The store refused or did not answer; a lease may have been made, and ends by itself.
     pub async fn lease(&self, life: Duration) -> Result<LeaseId, StateError> {
         let request = StateRequest {
             method: Method::POST,
@@ -32,6 +36,10 @@
     }
 
     /// Ends a lease, and what is attached to it, at once.
+    ///
+    /// # Errors
+    ///
+    /// The store refused or did not answer; the lease ends by itself at the latest.
     pub async fn end(&self, lease: LeaseId) -> Result<(), StateError> {
         let request = StateRequest {
             method: Method::DELETE,
@@ -44,6 +52,10 @@
     }
 
     /// Renews a lease.
+    ///
+    /// # Errors
+    ///
+    /// The lease has ended, or the store refused or did not answer.
     pub async fn renew(&self, lease: LeaseId) -> Result<(), StateError> {
         let request = StateRequest {
             method: Method::POST,
--- a/src/state/client/mod.rs
+++ b/src/state/client/mod.rs
@@ -2,7 +2,7 @@
 //! "Controller nodes -> state service"). It paces requests and changes by two budgets and
 //! learns from refusals how many changes the service takes.
 //!
-//! This file has the client's state and the way of every request; [`request`] what is sent
+//! This file has the client's state and the way of every request; `request` what is sent
 //! and answered; `transactions`, `reads` and `leases` a kind of request each.
 
 mod leases;
--- a/src/state/client/reads.rs
+++ b/src/state/client/reads.rs
@@ -31,6 +31,10 @@
 
 impl StateClient {
     /// Changes under [`record::ROOT`] after `since`, waiting up to `wait` for one.
+    ///
+    /// # Errors
+    ///
+    /// The revision is too old, or the store refused or did not answer.
     pub async fn follow(
         &self,
         since: Revision,
@@ -57,6 +61,10 @@
     }
 
     /// All keys under [`record::ROOT`].
+    ///
+    /// # Errors
+    ///
+    /// The store refused or did not answer.
     pub async fn read_all(&self) -> Result<StoreSnapshot, StateError> {
         let mut items: Vec<Item> = Vec::new();
         let mut first: Option<Revision> = None;
--- a/src/state/client/transactions.rs
+++ b/src/state/client/transactions.rs
@@ -19,6 +19,10 @@
 impl StateClient {
     /// Carries out a transaction. If all controllers together ask too much of
     /// the service, it is tried again as long as `urgency` allows.
+    ///
+    /// # Errors
+    ///
+    /// The store rejected it, or nothing is known of it: it may still be carried out.
     pub async fn transact(
         &self,
         transaction: &Transaction,
@@ -118,6 +122,10 @@
     }
 
     /// Changes one key, if it still has this version.
+    ///
+    /// # Errors
+    ///
+    /// As [`StateClient::transact`].
     pub async fn change(
         &self,
         key: String,
--- a/src/topology_file.rs
+++ b/src/topology_file.rs
@@ -20,6 +20,10 @@
 
 impl TopologyFile {
     /// Reads and checks the file. The error names it, and the line or field.
+    ///
+    /// # Errors
+    ///
+    /// The file can't be read, or the line or field that is wrong.
     pub fn load(path: &Path) -> Result<Self, OperatorFileError> {
         Ok(Self {
             first: Rc::new(check_topology(path)?),
