--- a/src/control/core/agent.rs
+++ b/src/control/core/agent.rs
@@ -196,23 +196,8 @@
         self.leaving
     }
 
-    /// Its machine is drained, not to be kept, and has no tasks left.
-    pub(super) fn drained_empty(&mut self) {
-        self.leaving = true;
-    }
-
-    /// No plan has use for its machine, and it is empty.
-    pub(super) fn chosen_for_scale_in(&mut self) {
-        self.leaving = true;
-    }
-
-    /// Several sound jobs failed on its machine.
-    pub(super) fn proved_faulty(&mut self) {
-        self.leaving = true;
-    }
-
-    /// Its leases end again and again though its heartbeats are answered.
-    pub(super) fn loses_leases(&mut self) {
+    /// Its machine is given back once it is empty.
+    pub(super) fn leave(&mut self) {
         self.leaving = true;
     }
 
--- a/src/control/core/drains.rs
+++ b/src/control/core/drains.rs
@@ -104,7 +104,7 @@
         }
         if covered == Some(WhenEmpty::Delete) && empty {
             if let Some(agent) = self.agents.get_mut(id) {
-                agent.drained_empty();
+                agent.leave();
             }
         }
     }
--- a/src/control/core/heartbeats.rs
+++ b/src/control/core/heartbeats.rs
@@ -62,7 +62,7 @@
             && agent.reachability.incarnation_ended(lease_s, now)
             && !silence_ignored
         {
-            agent.loses_leases();
+            agent.leave();
         }
         let fenced = heartbeat.fencing_token >= agent.fencing_token;
         self.record_served_images(heartbeat);
--- a/src/control/core/scale_in.rs
+++ b/src/control/core/scale_in.rs
@@ -101,7 +101,7 @@
         let retiring = self.above_guarantees(candidates, idle);
         for id in self.mark_machines(plan, disuse, &retiring, now) {
             if let Some(agent) = self.agents.get_mut(&id) {
-                agent.chosen_for_scale_in();
+                agent.leave();
             }
             self.refresh_machine(&id, now);
         }
--- a/tests/log_lines.rs
+++ b/tests/log_lines.rs
@@ -4,8 +4,11 @@
 //! A page quotes them in tables: in columns headed "log line" everything in backquotes is
 //! the message of a `tracing` event, in columns headed "field" one of its fields.
 
+mod sources;
+
 use std::collections::BTreeSet;
-use std::path::{Path, PathBuf};
+
+use self::sources::{root, source_files};
 
 /// What `tracing` events in the sources say.
 #[derive(Default)]
@@ -80,33 +83,14 @@
     }
 
     fn of_the_sources() -> Self {
-        let root = Path::new(env!("CARGO_MANIFEST_DIR"));
         let mut events = Self::default();
-        let packages = entries(&root.join("crates")).into_iter();
-        let folders = packages.map(|package| package.join("src"));
-        for folder in folders.chain([root.join("src")]) {
-            for file in rust_files(&folder) {
-                events.read(&std::fs::read_to_string(&file).expect("a source file"));
-            }
+        for file in source_files() {
+            events.read(&std::fs::read_to_string(file).expect("a source file"));
         }
         events
     }
 }
 
-fn entries(folder: &Path) -> Vec<PathBuf> {
-    let read = std::fs::read_dir(folder).expect("a folder");
-    read.map(|entry| entry.expect("an entry").path()).collect()
-}
-
-fn rust_files(folder: &Path) -> Vec<PathBuf> {
-    let (folders, files): (Vec<_>, Vec<_>) = entries(folder).into_iter().partition(|p| p.is_dir());
-    let own = files
-        .into_iter()
-        .filter(|f| f.extension().is_some_and(|e| e == "rs"));
-    let inner = folders.iter().flat_map(|f| rust_files(f));
-    own.chain(inner).collect()
-}
-
 /// The cells of a row of a table; none: the line is no row.
 fn cells(line: &str) -> Option<Vec<&str>> {
     let row = line.trim().strip_prefix('|')?.strip_suffix('|')?;
@@ -137,10 +121,7 @@
 }
 
 fn page(name: &str) -> String {
-    let path = Path::new(env!("CARGO_MANIFEST_DIR"))
-        .join("docs")
-        .join(name);
-    std::fs::read_to_string(path).expect("a page")
+    std::fs::read_to_string(root().join("docs").join(name)).expect("a page")
 }
 
 /// What pages quote and no event has, and how much they quote.
--- a/tests/pages.rs
+++ b/tests/pages.rs
@@ -1,25 +1,20 @@
 //! What the pages name in the sources is there: files, and constants by their names. So a
 //! rename that forgets a page is found here.
 
+mod sources;
+
 use std::collections::{BTreeMap, BTreeSet};
 use std::path::{Path, PathBuf};
 
 use sorrelhinge::config::Config;
 
+use self::sources::{entries, root, rust_files, source_files};
+
 /// Pages of what was: they name files and constants as they were.
 const HISTORY: [&str; 1] = ["results.md"];
 /// Folders that a path in a page begins with.
 const FOLDERS: [&str; 5] = ["src/", "crates/", "tests/", "deploy/", "docs/"];
 
-fn root() -> &'static Path {
-    Path::new(env!("CARGO_MANIFEST_DIR"))
-}
-
-fn entries(folder: &Path) -> Vec<PathBuf> {
-    let read = std::fs::read_dir(folder).expect("a folder");
-    read.map(|entry| entry.expect("an entry").path()).collect()
-}
-
 /// README and the pages, with their names.
 fn pages() -> Vec<(String, String)> {
     let mut paths = vec![root().join("README.md")];
@@ -60,15 +55,6 @@
         && text.chars().all(plain)
 }
 
-fn rust_files(folder: &Path) -> Vec<PathBuf> {
-    let (folders, files): (Vec<_>, Vec<_>) = entries(folder).into_iter().partition(|p| p.is_dir());
-    let own = files
-        .into_iter()
-        .filter(|f| f.extension().is_some_and(|e| e == "rs"));
-    let inner = folders.iter().flat_map(|f| rust_files(f));
-    own.chain(inner).collect()
-}
-
 /// The last module or type of a path of the code, and what it is to have.
 fn item(text: &str) -> Option<(&str, &str)> {
     let plain = |c: char| c.is_ascii_alphanumeric() || c == '_' || c == ':';
@@ -132,11 +118,8 @@
 /// Names of all constants of the sources, and all texts in them: a variable of the
 /// environment is one.
 fn constants() -> BTreeSet<String> {
-    let mut folders = vec![root().join("src")];
-    let packages = entries(&root().join("crates")).into_iter();
-    folders.extend(packages.map(|package| package.join("src")));
     let mut names = BTreeSet::new();
-    for file in folders.iter().flat_map(|folder| rust_files(folder)) {
+    for file in source_files() {
         let source = std::fs::read_to_string(file).expect("a source file");
         for declared in source.split("const ").skip(1) {
             let name = declared.split(':').next().unwrap_or_default();
--- a/tests/topology_cases.rs
+++ b/tests/topology_cases.rs
@@ -15,8 +15,8 @@
 use sorrelhinge::autoscaler;
 use sorrelhinge::control::core::{Core, Places, RecoveryInput, ShardGrant, Source};
 use sorrelhinge::scheduler::{
-    ActiveDrain, Claim, ClusterState, DelayRule, Job, Launch, Machine, MachineExclusion, Moving,
-    Progress, Sent, Tasks, WaitingReason,
+    ActiveDrain, Claim, ClusterState, DelayRule, Job, Launch, Machine, MachineExclusion, Move,
+    Moving, Progress, Sent, Tasks, WaitingReason,
 };
 use sorrelhinge::state::record::{job_key, JobRecord, GRANT};
 use sorrelhinge::state::view::View;
@@ -481,6 +481,30 @@
     );
 }
 
+/// What a drain of the first two switches moves now, `left_s` seconds before its deadline;
+/// one replica of a service may be away at a time.
+fn drain_step(w: &mut World, left_s: f64) -> Vec<Move> {
+    let drain = Drain {
+        version: 1,
+        target: Target::Domain("za".into()),
+        started_ms: 0,
+        deadline_ms: 0,
+        away: 1,
+        keep: false,
+    };
+    let ids: Vec<MachineId> = w.cluster_state.machines().keys().cloned().collect();
+    for id in ids.iter().filter(|id| id.as_str() < "vm-a2") {
+        w.cluster_state
+            .edit_machine(id, |m| (m.draining, m.usable) = (true, false));
+    }
+    let drains = [ActiveDrain { drain, left_s }];
+    let moving = Moving {
+        drains: &drains,
+        stability: &w.stability,
+    };
+    w.cluster_state.drain(&moving, Time(w.now))
+}
+
 /// The deadline and the limit of replicas away, task by task.
 #[test]
 fn drains_wait_move_and_stop() {
@@ -498,35 +522,13 @@
     let endless = w.add("run-3", spec(long));
     let saver = w.add("run-4", spec(saves));
     w.place();
-    let drain = Drain {
-        version: 1,
-        target: Target::Domain("za".into()),
-        started_ms: 0,
-        deadline_ms: 0,
-        away: 1,
-        keep: false,
-    };
-    let step = |w: &mut World, left_s: f64| {
-        let ids: Vec<MachineId> = w.cluster_state.machines().keys().cloned().collect();
-        for id in ids.iter().filter(|id| id.as_str() < "vm-a2") {
-            w.cluster_state
-                .edit_machine(id, |m| (m.draining, m.usable) = (true, false));
-        }
-        let drain = drain.clone();
-        let drains = [ActiveDrain { drain, left_s }];
-        let moving = Moving {
-            drains: &drains,
-            stability: &w.stability,
-        };
-        w.cluster_state.drain(&moving, Time(w.now))
-    };
     let on_drained = |w: &World, id: &JobId| {
         let drained = |s: &&String| s.as_str() < "a2";
         w.switches(id).iter().filter(drained).count()
     };
     let before = on_drained(&w, &live);
     assert!(before >= 2, "the rules put two of four there at least");
-    let moves = step(&mut w, 60.0);
+    let moves = drain_step(&mut w, 60.0);
     let of = |id: &JobId| moves.iter().filter(|m| m.task.job == *id).count();
     assert!(of(&live) <= 1, "one replica away at a time");
     assert!(moves.iter().all(|m| m.task.job != live || m.to.is_some()));
@@ -543,11 +545,11 @@
     // Where there is no place for a replica it stays, until the deadline.
     w.now = 10.0;
     w.usable("vm-a2", false);
-    let moves = step(&mut w, 50.0);
+    let moves = drain_step(&mut w, 50.0);
     assert!(moves.iter().all(|m| m.task.job != live), "{moves:?}");
     w.now = 60.0;
     let left = on_drained(&w, &live);
-    let moves = step(&mut w, 0.0);
+    let moves = drain_step(&mut w, 0.0);
     assert_eq!(moves.iter().filter(|m| m.task.job == live).count(), left);
 }
 
@@ -559,29 +561,9 @@
     }
 }
 
-/// The replicas of a service of four that a drain of the first two switches moves now, of
-/// which one may be away at a time.
+/// How many replicas of a job a drain moves now, long before its deadline.
 fn drained_replicas(w: &mut World, job: &JobId) -> usize {
-    let drain = Drain {
-        version: 1,
-        target: Target::Domain("za".into()),
-        started_ms: 0,
-        deadline_ms: 0,
-        away: 1,
-        keep: false,
-    };
-    let ids: Vec<MachineId> = w.cluster_state.machines().keys().cloned().collect();
-    for id in ids.iter().filter(|id| id.as_str() < "vm-a2") {
-        w.cluster_state
-            .edit_machine(id, |m| (m.draining, m.usable) = (true, false));
-    }
-    let left_s = 60.0;
-    let drains = [ActiveDrain { drain, left_s }];
-    let moving = Moving {
-        drains: &drains,
-        stability: &w.stability,
-    };
-    let moves = w.cluster_state.drain(&moving, Time(w.now));
+    let moves = drain_step(w, 60.0);
     moves.iter().filter(|m| m.task.job == *job).count()
 }
 
