--- a/src/control/core/arrivals.rs
+++ b/src/control/core/arrivals.rs
@@ -1,4 +1,4 @@
-//! Which jobs came of late, by what they have in common.
+//! Log of the jobs that arrived recently, grouped by class and machine type.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::rc::Rc;
@@ -6,35 +6,34 @@
 use super::Core;
 use crate::types::{JobSpec, Time, TypeName};
 
-/// Of so many jobs of one sort it is kept when they came.
+/// Most arrivals that the log keeps of one group of jobs.
 const MAX_ARRIVALS: usize = 2000;
 
-/// What jobs have in common whose arrivals are counted together: those of one class may
-/// need different machine types.
+/// Properties that the jobs of one group share. The jobs of one class may need different machine
+/// types, so the class alone does not make a group.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct ArrivalSort {
     class: Rc<str>,
-    /// The smallest machine type that a task fits; none if no type is known that it does.
+    /// The smallest machine type that a task fits on. `None` if a task fits on no known type.
     smallest_type: Option<TypeName>,
 }
 
-/// Jobs of one sort that came of late.
+/// Recent arrivals of one group of jobs.
 pub(super) struct Arrivals {
-    /// The latest one's description.
+    /// Description of the latest job.
     spec: Rc<JobSpec>,
-    /// The latest last.
+    /// Arrivals in order of time, the latest last.
     recent: VecDeque<Arrival>,
 }
 
-/// A job that came.
+/// Arrival of one job.
 struct Arrival {
     at: Time,
-    /// How many tasks it has.
     tasks: u32,
 }
 
 impl Arrivals {
-    /// None came yet of those that are like this job.
+    /// Returns an empty log for jobs like this one.
     fn new(spec: &Rc<JobSpec>) -> Self {
         Self {
             spec: spec.clone(),
@@ -42,7 +41,7 @@
         }
     }
 
-    /// A job came.
+    /// Adds the arrival of a job.
     fn add(&mut self, spec: &Rc<JobSpec>, at: Time) {
         self.spec = spec.clone();
         self.recent.push_back(Arrival {
@@ -54,35 +53,35 @@
         }
     }
 
-    /// The latest one's description.
+    /// Returns the description of the latest job.
     pub(super) fn spec(&self) -> &Rc<JobSpec> {
         &self.spec
     }
 
-    /// How many tasks each has, the latest last.
+    /// Returns the number of tasks of each job, the latest job last.
     pub(super) fn task_counts(&self) -> impl ExactSizeIterator<Item = u32> + '_ {
         self.recent.iter().map(|arrival| arrival.tasks)
     }
 
-    /// How many tasks the largest has.
+    /// Returns the number of tasks of the largest job.
     pub(super) fn largest_task_count(&self) -> u32 {
         self.task_counts().max().unwrap_or(0)
     }
 
-    /// When the earliest came that still counts.
+    /// Returns the time of the earliest arrival that has not expired.
     fn first_at(&self) -> Option<Time> {
         self.recent.front().map(|arrival| arrival.at)
     }
 }
 
-/// All jobs that came of late, by their sort.
+/// Recent arrivals of all groups of jobs.
 #[derive(Default)]
 pub(super) struct ArrivalLog {
     by_sort: BTreeMap<ArrivalSort, Arrivals>,
 }
 
 impl ArrivalLog {
-    /// A job of a sort came.
+    /// Adds the arrival of a job to its group.
     fn add(&mut self, sort: ArrivalSort, spec: &Rc<JobSpec>, at: Time) {
         let arrivals = self.by_sort.entry(sort);
         arrivals
@@ -90,7 +89,7 @@
             .add(spec, at);
     }
 
-    /// Drops arrivals that are older than so many seconds, and sorts of which none is left.
+    /// Removes arrivals that are at least `age_s` seconds old, and groups without arrivals.
     pub(super) fn expire(&mut self, age_s: f64, now: Time) {
         for arrivals in self.by_sort.values_mut() {
             arrivals
@@ -100,12 +99,13 @@
         self.by_sort.retain(|_, a| !a.recent.is_empty());
     }
 
-    /// Each sort's arrivals, in the order of the sorts.
+    /// Returns the arrivals of each group, in the order of the groups.
     pub(super) fn iter(&self) -> impl Iterator<Item = &Arrivals> {
         self.by_sort.values()
     }
 
-    /// When the earliest came that still counts, or `now` if none does.
+    /// Returns the time of the earliest arrival that has not expired, or `now` if the log is
+    /// empty.
     pub(super) fn first_at(&self, now: Time) -> Time {
         let firsts = self.by_sort.values().filter_map(Arrivals::first_at);
         Time(firsts.map(|at| at.0).fold(now.0, f64::min))
@@ -113,7 +113,7 @@
 }
 
 impl Core {
-    /// A job came: others of its sort may follow.
+    /// Records the arrival of a job, because more jobs of its group may follow.
     pub(super) fn arrived(&mut self, spec: &Rc<JobSpec>, at: Time) {
         let sort = ArrivalSort {
             class: Rc::from(&*spec.class),
--- a/src/control/core/batch.rs
+++ b/src/control/core/batch.rs
@@ -1,9 +1,9 @@
-//! The next transaction: which changes go into it, in which form and size.
+//! Composition of the next transaction: which changes it contains, in which form and size.
 //!
-//! Every transaction is guarded by the grant, the jobs' records and the chunks. Values are
-//! made for the smaller limits of the state service (`state.next`) from the start. A
-//! record that an earlier version wrote by the larger ones has its claims moved to keys of
-//! their own, in one transaction and in a form that every version reads.
+//! The grant, the jobs' records and the chunks guard every transaction. Values respect the
+//! smaller limits of the state service (`state.next`) from the start. An earlier version may
+//! have written a record under the larger limits. One transaction then moves the claims of that
+//! record to keys of their own, in a form that every version reads.
 
 use super::draft::{Draft, DraftBounds, Written};
 use super::{Batch, Core};
@@ -14,8 +14,8 @@
 use crate::types::{JobId, Time};
 
 impl Core {
-    /// The next transaction, if anything is to be recorded, of at most `max_ops` changes.
-    /// `spare`: there are more changes left than urgent ones need.
+    /// Returns the next transaction, with at most `max_ops` changes. Returns `None` if nothing
+    /// is to be recorded. `spare` is true if more changes are left than urgent writes need.
     pub fn next_batch(
         &mut self,
         view: &View,
@@ -28,7 +28,7 @@
             single_change: self.rejected_changes.isolates(now),
         };
         let mut draft = Draft::new(self.grant_key(), self.grant_revision, bounds);
-        // First: starts wait for it.
+        // The rollout goes first, because task starts wait for it.
         if let Some(due) = self.image_distribution.next(now) {
             draft.add_rollout(due);
         }
@@ -42,7 +42,7 @@
         draft.finish()
     }
 
-    /// Adds what waits to be recorded, the most urgent first, as far as they fit.
+    /// Adds pending writes to the transaction, the most urgent first, until it is full.
     fn add_pending(&mut self, draft: &mut Draft, view: &View, spare: bool, now: Time) {
         let mut again = Vec::new();
         while draft.takes_more() {
@@ -61,7 +61,7 @@
             };
             let written = self.written(&id, entry, &due, now);
             if !draft.fits(&written) {
-                // It goes first into the next one.
+                // The chunk goes first into the next transaction.
                 if let PendingWrite::Chunk(chunk) = due {
                     self.claim_again(chunk, now);
                 }
@@ -74,7 +74,7 @@
         }
     }
 
-    /// Something is to be recorded later.
+    /// Puts a write back into the queues, to be recorded later.
     fn put_back(&mut self, due: PendingWrite, now: Time) {
         match due {
             PendingWrite::Finished(id) => self.finished(id, now),
@@ -82,12 +82,12 @@
         }
     }
 
-    /// What one entry of the queues comes to.
+    /// Returns the record update that a pending write results in.
     fn written(&mut self, id: &JobId, entry: &JobEntry, due: &PendingWrite, now: Time) -> Written {
         let stored = &entry.record.value;
         match due {
             PendingWrite::Finished(_) if stored.phase != Phase::Live => Written::Nothing,
-            // A completed job's record alone says it; its chunks can go.
+            // The record of a completed job is enough, so its chunks can be deleted.
             PendingWrite::Finished(_) => Written::Job(stored.done(self.wall_ms(now))),
             PendingWrite::Chunk(_) if entry.inline().is_some() => {
                 self.written_inline(id, entry, now)
@@ -98,7 +98,7 @@
         }
     }
 
-    /// A job that keeps its claims in its own record.
+    /// Returns the record update of a job that keeps its claims in its own record.
     fn written_inline(&mut self, id: &JobId, entry: &JobEntry, now: Time) -> Written {
         let stored = &entry.record.value;
         let Some(inline) = self.snapshot(id, 0, entry.inline()) else {
@@ -124,9 +124,10 @@
                 job: record,
             };
         }
-        // The description alone is larger. While that can still be written, it is, as
-        // earlier versions read no other form; then the claims' own key goes before the
-        // claims in the record.
+        // The description alone exceeds the smaller limit. The update keeps the claims inline
+        // while the state service still takes such a record, because earlier versions read no
+        // other form. Under the smaller limits the claims go to a key of their own, which takes
+        // precedence over the claims in the record.
         if self.rejected_changes.limits_fell() {
             Written::Chunk {
                 chunk: 0,
@@ -140,14 +141,14 @@
         }
     }
 
-    /// A chunk under its own key.
+    /// Returns the record update of a chunk that has its own key.
     fn written_chunk(&mut self, id: &JobId, entry: &JobEntry, chunk: u32, now: Time) -> Written {
         let over = entry.record.value.phase != Phase::Live;
         let cancelled = entry.record.value.phase == Phase::Cancelled;
         let stored = entry.chunks.get(&chunk);
         let homed = self.scope.homes(id);
-        // Another shard takes what it claimed out of the record, and the job's own shard
-        // then deletes that.
+        // Another shard removes its own claims from the record. The job's own shard then deletes
+        // the record.
         let still_claimed_here = !homed && stored.is_some_and(|h| self.claims_in(&h.value, true));
         let keep = self
             .snapshot(id, chunk, stored.map(|h| &h.value))
@@ -163,14 +164,14 @@
                 }
             };
         }
-        // Only once the job is over, and by the shard that places it. Another one, that
-        // had no task of it left, deleted what others still claimed in the chunk, and
-        // they were started twice (hunt, day `apart`).
+        // Only the shard that places the job deletes a chunk, and only once the job is over.
+        // Another shard without any task of the job once deleted a chunk that other shards still
+        // had claims in. Their tasks were started twice (hunt, day `apart`).
         if stored.is_none() || !over || !homed {
             return Written::Nothing;
         }
-        // Nor while another shard's tasks of a cancelled job are not provably gone: its
-        // next owner would not count them.
+        // A cancelled job's chunk also stays until all tasks of other shards are proven to have
+        // ended. Otherwise the next owner of such a shard would not count them.
         if cancelled && stored.is_some_and(|h| self.claims_in(&h.value, false)) {
             Written::Nothing
         } else {
@@ -181,9 +182,9 @@
         }
     }
 
-    /// A chunk as it fits into a value: of one that an earlier version made for larger
-    /// values the last claims wait until others have ended. They are not recorded, so
-    /// nothing of them was sent.
+    /// Shortens a chunk so that it fits into a value. A chunk that an earlier version made for
+    /// larger values may be too large. Its last unrecorded claims then wait until other claims
+    /// of the chunk have ended. No command was sent for them, because they are not recorded.
     fn fitting(
         &mut self,
         id: &JobId,
@@ -211,7 +212,7 @@
         record
     }
 
-    /// Whether the claim at a place of a chunk is not recorded yet.
+    /// Returns whether the claim at a place of a chunk is not recorded yet.
     fn is_unrecorded(&self, id: &JobId, chunk: u32, place: u32) -> bool {
         let job = self.cluster_state.job(id);
         job.is_some_and(|job| {
@@ -221,8 +222,8 @@
         })
     }
 
-    /// A chunk is to be recorded again. It has waited already; what is awaited is not
-    /// before it.
+    /// Queues a chunk to be recorded again. It has waited already; what is awaited is not before
+    /// it.
     pub(super) fn claim_again(&mut self, chunk: ChunkId, now: Time) {
         match self.cluster_state.job(&chunk.job) {
             Some(job) => {
@@ -234,10 +235,11 @@
         }
     }
 
-    /// The state service does not take a transaction as it is. If that tells that its
-    /// smaller limits are in force, all is tried again in the form for these. Else the
-    /// changes are tried one by one, so that one that can't be recorded stops no other;
-    /// that one waits. False if the grant is no longer ours.
+    /// Handles a transaction that the state service rejected. If the rejection shows that the
+    /// smaller limits are in force, all changes are retried in the form for these limits.
+    /// Otherwise the changes are retried one by one, so that a change that cannot be recorded
+    /// blocks no other change. A change that was rejected alone waits before its retry. Returns
+    /// false if this owner no longer holds the grant.
     pub fn rejected(&mut self, batch: Batch, limits_fell: bool, view: &View, now: Time) -> bool {
         if !self.rejected_changes.learn_limits(limits_fell) {
             let with_rollout = batch.rollout.is_some();
@@ -249,12 +251,12 @@
     }
 }
 
-/// A job's records, if anything of it may be recorded.
+/// Returns the records of a job, or `None` if nothing of the job may be recorded.
 fn recordable<'a>(view: &'a View, id: &JobId) -> Option<&'a JobEntry> {
     let entry = view.job(id)?;
     if entry.record.value.phase == Phase::Live && !view.is_ready(id) {
-        // Not reached: a job that waits is not in the cluster state. A claim of
-        // it must not be recorded, whatever brought it about.
+        // This point should be unreachable, because the cluster state holds no job that waits
+        // for dependencies. A claim of such a job must not be recorded, whatever caused it.
         tracing::error!(job = %id, "job waiting for dependencies has a pending write");
         return None;
     }
--- a/src/control/core/draft.rs
+++ b/src/control/core/draft.rs
@@ -1,8 +1,9 @@
-//! A transaction while it is put together: its conditions, its changes, and what it
-//! records.
+//! A transaction under construction: its conditions, its changes and the records that they
+//! write.
 //!
-//! Invariant: every transaction is on the condition of the grant, and each change of a
-//! job or a chunk on the conditions of the job's record and of the chunk's.
+//! Invariant: every transaction is conditional on the grant. Each change of a job is conditional
+//! on the job's record. Each change of a chunk is conditional on the records of the job and of
+//! the chunk.
 
 use std::collections::BTreeSet;
 
@@ -13,36 +14,37 @@
 use crate::state::{Change, Condition, Transaction};
 use crate::types::{JobId, Revision};
 
-/// Bytes of a transaction's values, about.
+/// Approximate limit of the bytes of a transaction's values.
 const TXN_BYTES: usize = 48 << 10;
-/// Bytes of the rest of a change that writes a job, and of one that writes a chunk, about.
+/// Approximate bytes of a change that writes a job, without the claims.
 const JOB_CHANGE_BYTES: usize = 400;
+/// Approximate bytes of a change that writes a chunk, without the claims.
 const CHUNK_CHANGE_BYTES: usize = 200;
 
-/// What one entry of the queues comes to.
+/// Record update that a pending write results in.
 pub(super) enum Written {
-    /// Nothing: the record says it already, or nobody needs it.
+    /// No update, because the record is up to date or nobody needs it.
     Nothing,
-    /// The job's record, with all its claims if it keeps them.
+    /// The job's record, with all its claims if it stores them inline.
     Job(JobRecord),
     /// A chunk under its own key.
     Chunk {
-        /// Which one.
+        /// Number of the chunk in its job.
         chunk: u32,
-        /// None: it is deleted.
+        /// `None` deletes the chunk.
         record: Option<ChunkRecord>,
     },
-    /// The job's record without its claims, and these under a key of their own.
+    /// The job's record without claims, and the claims under a key of their own.
     Moved {
-        /// The job's record.
+        /// Record of the job, without claims.
         job: JobRecord,
-        /// Its claims.
+        /// Claims of the job's first chunk.
         claims: ChunkRecord,
     },
 }
 
 impl Written {
-    /// How many changes of the transaction it makes.
+    /// Returns the number of changes that the update adds to the transaction.
     fn changes(&self) -> usize {
         match self {
             Self::Nothing => 0,
@@ -52,28 +54,28 @@
     }
 }
 
-/// A transaction under way, with what it records.
+/// A transaction in flight, with the records that it writes.
 #[derive(Debug)]
 pub struct Batch {
-    /// The transaction.
+    /// Conditions and changes that are sent to the state service.
     pub transaction: Transaction,
-    /// Chunks under keys of their own.
+    /// Chunks that are written or deleted under keys of their own.
     pub(super) chunks: Vec<ChunkWrite>,
-    /// Jobs' own records: completed ones, and those that hold their claims.
+    /// Written job records: those of completed jobs, and those with inline claims.
     pub(super) jobs: Vec<JobWrite>,
-    /// An image's rollout.
+    /// Step of an image's rollout, if the transaction contains one.
     pub(super) rollout: Option<Step>,
 }
 
-/// A chunk that a transaction writes under its own key.
+/// Write or deletion of a chunk under its own key.
 #[derive(Debug)]
 pub(super) struct ChunkWrite {
     pub(super) chunk: ChunkId,
-    /// None: it is deleted.
+    /// `None` deletes the chunk.
     pub(super) record: Option<ChunkRecord>,
 }
 
-/// A job's own record that a transaction writes.
+/// Write of a job's own record.
 #[derive(Debug)]
 pub(super) struct JobWrite {
     pub(super) job: JobId,
@@ -81,7 +83,7 @@
 }
 
 impl Batch {
-    /// What it records; a job's own record by the key of its first chunk.
+    /// Returns the written chunks. A job's own record counts as the job's first chunk.
     pub(super) fn written_keys(&self) -> BTreeSet<ChunkId> {
         let jobs = self.jobs.iter().map(|write| ChunkId::new(&write.job, 0));
         let chunks = self.chunks.iter().map(|write| write.chunk.clone());
@@ -89,28 +91,28 @@
     }
 }
 
-/// How large a transaction may be.
+/// Limits on the size of a transaction.
 pub(super) struct DraftBounds {
-    /// Most changes.
+    /// Most changes in the transaction.
     pub(super) max_ops: usize,
-    /// Each change has a transaction of its own now.
+    /// Whether each change gets a transaction of its own.
     pub(super) single_change: bool,
 }
 
-/// A transaction while it is put together.
+/// A transaction under construction.
 pub(super) struct Draft {
     batch: Batch,
     /// Jobs whose records are among the conditions.
     guarded: BTreeSet<JobId>,
-    /// Jobs whose records are written.
+    /// Jobs whose records the transaction writes.
     written: BTreeSet<JobId>,
-    /// Bytes of the values, about.
+    /// Approximate bytes of the values.
     bytes: usize,
     bounds: DraftBounds,
 }
 
 impl Draft {
-    /// An empty one, on the condition of the grant.
+    /// Returns an empty draft that is conditional on the grant.
     pub(super) fn new(grant_key: String, grant_revision: Revision, bounds: DraftBounds) -> Self {
         let guard = Condition {
             key: grant_key,
@@ -133,27 +135,27 @@
         }
     }
 
-    /// How many changes it has.
+    /// Returns the number of changes.
     fn len(&self) -> usize {
         self.batch.transaction.changes.len()
     }
 
-    /// Whether one more change may go into it.
+    /// Returns whether one more change may be added.
     pub(super) fn takes_change(&self) -> bool {
         self.len() < self.bounds.max_ops && !(self.bounds.single_change && self.len() > 0)
     }
 
-    /// Whether more of what waits to be recorded may go into it.
+    /// Returns whether another pending write may be added.
     pub(super) fn takes_more(&self) -> bool {
         self.takes_change() && self.bytes <= TXN_BYTES
     }
 
-    /// Whether this may go into it in whole.
+    /// Returns whether all changes of an update may be added.
     pub(super) fn fits(&self, written: &Written) -> bool {
         self.len() + written.changes() <= self.bounds.max_ops
     }
 
-    /// Whether a job's record is written by it.
+    /// Returns whether the transaction writes a job's record.
     pub(super) fn writes_job(&self, id: &JobId) -> bool {
         self.written.contains(id)
     }
@@ -170,12 +172,12 @@
         self.batch.transaction.changes.push(change);
     }
 
-    /// The transaction; none: nothing is to be recorded.
+    /// Returns the transaction, or `None` if it has no changes.
     pub(super) fn finish(self) -> Option<Batch> {
         (self.len() > 0).then_some(self.batch)
     }
 
-    /// Adds what one entry of the queues comes to, on the condition of its job's record.
+    /// Adds the changes of a record update, conditional on the job's record.
     pub(super) fn add(&mut self, id: &JobId, entry: &JobEntry, written: Written) {
         match written {
             Written::Nothing => return,
@@ -194,7 +196,7 @@
         }
     }
 
-    /// Adds the writing of a job's own record.
+    /// Adds the write of a job's own record.
     fn add_job(&mut self, id: &JobId, record: JobRecord) {
         let claims = record.inline.as_ref().map_or(0, ChunkRecord::weight);
         self.bytes += JOB_CHANGE_BYTES + claims;
@@ -205,7 +207,8 @@
         self.batch.jobs.push(JobWrite { job, record });
     }
 
-    /// Adds the writing of a chunk, on the condition of what is there; none: its deletion.
+    /// Adds the write of a chunk, conditional on the chunk's present record. `None` deletes the
+    /// chunk.
     fn add_chunk(&mut self, id: &JobId, entry: &JobEntry, chunk: u32, keep: Option<ChunkRecord>) {
         self.bytes += CHUNK_CHANGE_BYTES + keep.as_ref().map_or(0, ChunkRecord::weight);
         let key = chunk_key(id, chunk);
--- a/src/control/core/outcomes.rs
+++ b/src/control/core/outcomes.rs
@@ -1,4 +1,5 @@
-//! Claims and results on their way into the record.
+//! Recording of claims and results, and the handling of transactions that were committed or had
+//! conflicts.
 
 use super::draft::{ChunkWrite, JobWrite};
 use super::largest_jobs::JobEvent;
@@ -11,7 +12,7 @@
 use crate::types::{Attempt, JobId, Kind, Revision, TaskId, Time};
 
 impl Core {
-    /// All tasks of a job are done: that is to be recorded.
+    /// Queues the record that all tasks of a job are done.
     pub(super) fn finished(&mut self, id: JobId, now: Time) {
         let write_priority = self
             .cluster_state
@@ -20,18 +21,18 @@
         self.pending.finished(id, write_priority, now);
     }
 
-    /// Whether something is to be recorded that should not wait.
+    /// Returns whether a write is pending that should not wait for the next tick.
     pub fn has_urgent(&self) -> bool {
         self.pending.urgent()
     }
 
-    /// How long the claim has waited that is recorded next, in seconds.
+    /// Returns how many seconds the claim has waited that is recorded next.
     pub fn claims_wait(&self, now: Time) -> f64 {
         self.pending.claims_wait(now)
     }
 
-    /// A chunk as it should be recorded: what other shards claim of it, as in
-    /// `stored`, stays as it is.
+    /// Returns the record to write for a chunk. Claims of other shards in `stored` stay
+    /// unchanged.
     pub(super) fn snapshot(
         &self,
         id: &JobId,
@@ -45,7 +46,7 @@
         Some(record)
     }
 
-    /// Leaves in a chunk's record what other shards wrote into it.
+    /// Adds the claims and results that other shards stored in a chunk's record.
     fn merge_other_shards(&self, record: &mut ChunkRecord, stored: &ChunkRecord) {
         let theirs = stored.claims.iter();
         let theirs = theirs.filter(|claim| !self.scope.covers(&claim.machine));
@@ -60,14 +61,14 @@
         record.done |= stored.done;
     }
 
-    /// Whether a chunk's record claims tasks on machines of this shard, or, if not
-    /// `here`, of other shards.
+    /// Returns whether a chunk's record claims tasks on machines of this shard, or, if `here` is
+    /// false, on machines of other shards.
     pub(super) fn claims_in(&self, chunk: &ChunkRecord, here: bool) -> bool {
         let mut claims = chunk.claims.iter();
         claims.any(|c| self.scope.covers(&c.machine) == here)
     }
 
-    /// A transaction was carried out.
+    /// Handles a transaction that was committed.
     pub fn committed(&mut self, batch: Batch, revision: Revision, view: &mut View, now: Time) {
         for write in batch.chunks {
             self.chunk_committed(write, revision, view, now);
@@ -83,7 +84,7 @@
         }
     }
 
-    /// A chunk is recorded, or deleted, under its own key.
+    /// Updates the view after a chunk was written or deleted under its own key.
     fn chunk_committed(
         &mut self,
         write: ChunkWrite,
@@ -108,7 +109,7 @@
         }
     }
 
-    /// A job's own record is written.
+    /// Updates the view after a job's own record was written.
     fn job_committed(
         &mut self,
         write: JobWrite,
@@ -137,7 +138,8 @@
         self.forget_job(view, &id, now);
     }
 
-    /// A chunk is in the record: its claims are committed, and starts may be due.
+    /// Marks the claims of a recorded chunk as committed. The machines of new claims are
+    /// contacted, because starts may be due.
     pub(super) fn confirm(&mut self, id: &JobId, chunk: u32, record: &ChunkRecord, now: Time) {
         let Some(size) = self.cluster_state.job(id).map(|j| j.tasks.chunk_size()) else {
             return;
@@ -161,7 +163,7 @@
         }
         let job = self.cluster_state.job(id);
         if let Some(job) = job.filter(|j| j.spec.kind == Kind::Gang) {
-            // Its last claim is recorded: all start together.
+            // The last claim of a gang may be recorded now, and all its tasks start together.
             let machines = job.tasks.claims().values().map(|c| c.machine.clone());
             for machine in machines.collect::<Vec<_>>() {
                 self.wake(&machine);
@@ -170,8 +172,9 @@
         self.settle_stopped(id, now);
     }
 
-    /// A transaction was not carried out, or already had been in an earlier
-    /// try; the view is newer than it. False if the grant is no longer ours.
+    /// Handles a transaction that was not committed, or that an earlier attempt had already
+    /// committed. The view is newer than the transaction. Returns false if this owner no longer
+    /// holds the grant.
     pub fn conflicted(&mut self, batch: Batch, view: &View, now: Time) -> bool {
         if let Some(step) = batch.rollout {
             self.image_distribution.undone(step, view, now);
@@ -181,7 +184,7 @@
             if write.record.phase == Phase::Done {
                 self.done_conflicted(&write.job, view, now);
             } else if write.record.inline.is_some() {
-                // Claims that were to be moved are among the chunks.
+                // The list of chunks already has claims that were to be moved to their own key.
                 chunks.push(ChunkWrite {
                     chunk: ChunkId::new(&write.job, 0),
                     record: write.record.inline,
@@ -194,7 +197,7 @@
         self.still_granted(view)
     }
 
-    /// That a job is done was not recorded.
+    /// Retries the record that a job is done, after its transaction was not committed.
     fn done_conflicted(&mut self, id: &JobId, view: &View, now: Time) {
         let entry = view.job(id);
         let live = entry.is_some_and(|e| e.record.value.phase == Phase::Live);
@@ -206,7 +209,7 @@
         }
     }
 
-    /// A chunk was not recorded, or had been already.
+    /// Retries the write of a chunk, unless the view shows that it was already committed.
     fn chunk_conflicted(&mut self, write: ChunkWrite, view: &View, now: Time) {
         let ChunkId { job: id, chunk } = &write.chunk;
         let stored = view.job(id).and_then(|e| e.chunk(*chunk));
@@ -218,7 +221,7 @@
     }
 }
 
-/// A chunk of a job as this shard has it.
+/// Returns the record of a job's chunk from this shard's cluster state.
 fn chunk_record(job: &Job, chunk: u32) -> ChunkRecord {
     let size = job.tasks.chunk_size();
     let from = chunk * size;
@@ -227,8 +230,8 @@
         let place = index - from;
         RecordedClaim::from((place, claim.attempt, claim.machine.clone()))
     });
-    // Also of claims that hold none: a claim that is not named here was
-    // written by an earlier version, and may hold anything.
+    // Claims without units are named too. An earlier version wrote the claims that are not named
+    // here, and such claims may hold any units.
     let placement = job.spec.placement.as_ref();
     let devices = placement.is_some_and(|w| !w.devices.is_empty());
     let named = claims_of_chunk().filter(|(_, c)| devices && !c.unnamed);
@@ -244,7 +247,7 @@
     }
 }
 
-/// Whether an attempt of a task is claimed by the records, for a job that is not done.
+/// Returns whether the records claim an attempt of a task, for a job that is not done.
 pub(super) fn recorded_claim(view: &View, task: &TaskId, attempt: Attempt) -> bool {
     let live = |entry: &&JobEntry| entry.record.value.phase != Phase::Done;
     view.job(&task.job).filter(live).is_some_and(|entry| {
--- a/src/control/core/rejected_changes.rs
+++ b/src/control/core/rejected_changes.rs
@@ -1,7 +1,6 @@
-//! Changes that the state service did not take as they were, and how the next ones are
-//! made because of that.
+//! Changes that the state service rejected, and how they affect the next transactions.
 //!
-//! Invariant: a change that can't be recorded stops no other one.
+//! Invariant: a change that cannot be recorded blocks no other change.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -9,26 +8,26 @@
 use crate::state::record::ChunkId;
 use crate::types::Time;
 
-/// After a transaction that the state service rejected, each change is tried alone for so
-/// long, in seconds: what is wrong with one must not stop the others.
+/// Seconds after a rejected transaction in which each change is sent alone. Otherwise one faulty
+/// change would block the others.
 const SINGLE_CHANGE_PERIOD_S: f64 = 10.0;
-/// A change that was rejected alone is tried again after so long, in seconds.
+/// Seconds until a change that was rejected alone is retried.
 const REJECTED_S: f64 = 20.0;
 
-/// What follows from rejected transactions for the next ones.
+/// Consequences of rejected transactions for the next transactions.
 #[derive(Debug)]
 pub(super) struct RejectedChanges {
-    /// The state service has its smaller limits (`state.next`).
+    /// Whether the smaller limits of the state service (`state.next`) are in force.
     limits_fell: bool,
-    /// Until then each change has a transaction of its own.
+    /// Each change gets a transaction of its own until this time.
     isolated_until: Time,
-    /// Changes that were rejected alone, until when they wait. A job's own record has
+    /// Changes that were rejected alone, and when they may be retried. A job's own record has
     /// the key of its first chunk.
     waiting: BTreeMap<ChunkId, Time>,
 }
 
 impl RejectedChanges {
-    /// Nothing was rejected yet.
+    /// Returns the state before any rejection.
     pub(super) fn none(now: Time) -> Self {
         Self {
             limits_fell: false,
@@ -37,25 +36,27 @@
         }
     }
 
-    /// Whether the state service is known to have its smaller limits.
+    /// Returns whether the state service is known to apply its smaller limits.
     pub(super) fn limits_fell(&self) -> bool {
         self.limits_fell
     }
 
-    /// A rejection shows whether the smaller limits are in force. True if that is news.
+    /// Records whether a rejection shows that the smaller limits are in force. Returns true if
+    /// this was not known before.
     pub(super) fn learn_limits(&mut self, fell: bool) -> bool {
         let new = fell && !self.limits_fell;
         self.limits_fell |= fell;
         new
     }
 
-    /// Whether each change has a transaction of its own now.
+    /// Returns whether each change gets a transaction of its own now.
     pub(super) fn isolates(&self, now: Time) -> bool {
         now < self.isolated_until
     }
 
-    /// A transaction with these changes, and with an image's rollout if `with_rollout`, was
-    /// rejected: its changes are tried one by one, and one that was alone waits.
+    /// Handles a rejected transaction with these changes, and with an image's rollout if
+    /// `with_rollout` is true. Several changes are retried one by one. A single change waits
+    /// before its retry.
     pub(super) fn isolate_batch(
         &mut self,
         changes: BTreeSet<ChunkId>,
@@ -70,7 +71,7 @@
         }
     }
 
-    /// Whether a change was rejected alone and still waits.
+    /// Returns whether a change was rejected alone and still waits for its retry.
     pub(super) fn defers(&mut self, due: &PendingWrite, now: Time) -> bool {
         self.waiting.retain(|_, until| now < *until);
         match due {
--- a/src/control/core/rollout_records.rs
+++ b/src/control/core/rollout_records.rs
@@ -1,4 +1,5 @@
-//! The records of rollouts: which change is due, and what became of one that was sent.
+//! Records of rollouts: the next change to write, and the handling of changes that were
+//! committed or had conflicts.
 
 use std::collections::BTreeSet;
 
@@ -12,27 +13,27 @@
 use crate::state::{Change, Condition};
 use crate::types::{Image, MachineId, Revision, Time};
 
-/// A rollout's record stays so long after its last fetch, in seconds: replicas come
-/// one after the other, and each would cost two changes.
+/// Seconds that a rollout's record remains after its last fetch. Replicas start one after the
+/// other, and without the delay each would cost two changes.
 pub(super) const DELETION_DELAY_S: f64 = 5.0;
 
-/// A rollout's record as it is written.
+/// A rollout's record that is to be written.
 #[derive(Debug)]
 struct RecordWrite {
-    /// As the rollout has it.
+    /// The full record of the rollout.
     record: RolloutRecord,
-    /// As it fits into a value.
+    /// The record after it was shortened to the value limit.
     written: RolloutRecord,
 }
 
-/// A rollout's record on its way; `write` is none: it is deleted.
+/// Write of a rollout's record that is in flight. `write` is `None` if the record is deleted.
 #[derive(Debug)]
 pub(super) struct Step {
     key: RolloutId,
     write: Option<RecordWrite>,
 }
 
-/// A step as a change, and the condition that it is made on.
+/// A step with its change and the condition of that change.
 pub(super) struct DueStep {
     pub(super) conditions: Condition,
     pub(super) change: Change,
@@ -40,7 +41,7 @@
 }
 
 impl ImageDistribution {
-    /// The next change that is due.
+    /// Returns the next change that is due.
     pub(super) fn next(&self, now: Time) -> Option<DueStep> {
         if let Some((key, mod_revision)) = self.useless.first_key_value() {
             return Some(deletion(*key, *mod_revision));
@@ -49,7 +50,8 @@
         rollouts.find_map(|(image, active)| self.next_of(image, active, now))
     }
 
-    /// What is due of a rollout: its next record, or its deletion once it is over.
+    /// Returns the next change of a rollout. This is its next record, or the deletion of its
+    /// record once the rollout is over.
     fn next_of(&self, image: &Image, active: &ActiveRollout, now: Time) -> Option<DueStep> {
         let rollout = active.rollout.as_ref()?;
         let key = self.key(image);
@@ -80,7 +82,7 @@
         })
     }
 
-    /// A change is in the state service. Machines whose start may be sent now.
+    /// Handles a committed change. Returns the machines that may receive their task starts now.
     pub(super) fn done(
         &mut self,
         step: Step,
@@ -106,8 +108,8 @@
         BTreeSet::new()
     }
 
-    /// A rollout's record is deleted. Machines that came meanwhile, which begin another
-    /// rollout.
+    /// Handles the deletion of a rollout's record. Returns the machines that arrived in the
+    /// meantime, because they begin another rollout.
     fn ended(&mut self, key: RolloutId) -> BTreeSet<MachineId> {
         self.stored_records.remove(&key);
         let mut waiting_starts = BTreeSet::new();
@@ -126,8 +128,8 @@
         waiting_starts
     }
 
-    /// A change was not carried out, or had been before: what the state service
-    /// has now tells.
+    /// Handles a change that was not committed, or that an earlier attempt had already
+    /// committed. The view shows which of the two happened.
     pub(super) fn undone(&mut self, step: Step, view: &View, now: Time) {
         let stored_records = view.rollouts.get(&step.key);
         let recorded = stored_records.and_then(|h| h.value.as_ref());
@@ -150,7 +152,7 @@
     }
 }
 
-/// The deletion of a rollout's record.
+/// Returns the deletion of a rollout's record.
 fn deletion(key: RolloutId, mod_revision: Revision) -> DueStep {
     let name = key.key();
     DueStep {
@@ -165,7 +167,7 @@
     }
 }
 
-/// Logs a rollout as it was recorded.
+/// Logs a rollout whose record was written.
 fn log_rollout(rollout: &Rollout, record: &RolloutRecord) {
     let counts = rollout.counts();
     tracing::info!(
