--- a/src/control/core/drain_progress.rs
+++ b/src/control/core/drain_progress.rs
@@ -1,11 +1,12 @@
-//! How far drains are, as operators are shown it.
+//! Progress of drains, for the operators' status.
 
 use sorrelhinge_topology::drain::{Drain, Progress};
 
 use super::Core;
 
 impl Core {
-    /// How far a drain is.
+    /// Returns the progress of a drain: its machines, empty machines, and tasks that remain or
+    /// are stopping.
     pub fn drain_progress(&self, drain: &Drain) -> Progress {
         let mut progress = Progress::default();
         for id in self.cluster_state.drained(drain) {
--- a/src/control/core/drains.rs
+++ b/src/control/core/drains.rs
@@ -1,4 +1,4 @@
-//! Operators' drains: which are recorded, and which machines they cover now.
+//! Operators' drains: the recorded drains, and the machines that they cover now.
 
 use std::collections::BTreeMap;
 
@@ -8,16 +8,16 @@
 use crate::state::view::View;
 use crate::types::{MachineId, Time, Zone};
 
-/// The drains that are recorded, in the order of their numbers.
+/// Recorded drains, in the order of their numbers.
 #[derive(Default)]
 pub(super) struct RecordedDrains {
     drains: Vec<Drain>,
 }
 
 impl RecordedDrains {
-    /// Takes in what the records show. True if that differs from before.
+    /// Updates the drains from the records. Returns true if they changed.
     fn update(&mut self, view: &View) -> bool {
-        // Asked at every change of the view: nothing is copied unless it is news.
+        // Every change of the view calls this, so it copies the drains only if they changed.
         let recorded = || view.drains.values().map(|d| &d.value);
         let changed = !recorded().eq(&self.drains);
         if changed {
@@ -26,44 +26,45 @@
         changed
     }
 
-    /// Whether nothing is drained.
+    /// Returns whether no drain is recorded.
     fn is_empty(&self) -> bool {
         self.drains.is_empty()
     }
 
-    /// Whether a whole zone is drained. Nothing is rented there: what came up was
-    /// drained at once, and rented again and again.
+    /// Returns whether a drain covers a whole zone. No machine is rented in such a zone. Without
+    /// this check a machine that came up there was drained at once, and machines were rented
+    /// again and again.
     pub(super) fn covers_zone(&self, zone: &Zone) -> bool {
         let covers_zone =
             |d: &Drain| matches!(&d.target, Target::Domain(path) if path == zone.as_str());
         self.drains.iter().any(covers_zone)
     }
 
-    /// All of them, in the order of their numbers.
+    /// Returns all drains, in the order of their numbers.
     pub(super) fn iter(&self) -> impl Iterator<Item = &Drain> {
         self.drains.iter()
     }
 }
 
-/// Whether the machines that a drain covers are given back once they are empty.
+/// Whether the machines that a drain covers are deleted once they are empty.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum WhenEmpty {
-    /// They are given back.
+    /// Empty machines are deleted.
     Delete,
-    /// They stay: at least one drain asks for that.
+    /// Empty machines stay, because at least one drain asks to keep them.
     Keep,
 }
 
 impl Core {
-    /// Drains as recorded now.
+    /// Updates the drains from the records.
     pub fn set_drains(&mut self, view: &View, now: Time) {
         if self.drains.update(view) {
             self.refresh_drains(now);
         }
     }
 
-    /// Which machines are drained now: their place, or the drains, may have
-    /// changed. An empty one is given back, unless it is to be kept.
+    /// Updates which machines are draining, after a change of the drains or of a machine's place
+    /// in the topology. Empty draining machines are deleted unless a drain keeps them.
     pub(super) fn refresh_drains(&mut self, now: Time) {
         if self.drains.is_empty() && !self.cluster_state.machines().values().any(|m| m.draining) {
             return;
@@ -75,7 +76,7 @@
         }
     }
 
-    /// The machines that drains cover.
+    /// Returns the machines that drains cover.
     fn covered_by_drains(&self) -> BTreeMap<MachineId, WhenEmpty> {
         let mut covered = BTreeMap::new();
         for drain in self.drains.iter() {
@@ -89,8 +90,8 @@
         covered
     }
 
-    /// Notes whether a machine is drained. `covered`: what its drains ask for; none: no
-    /// drain covers it.
+    /// Updates whether a machine is draining. `covered` states what happens once it is empty. It
+    /// is `None` if no drain covers the machine.
     fn refresh_drain_of(&mut self, id: &MachineId, covered: Option<WhenEmpty>, now: Time) {
         let draining = covered.is_some();
         let machine = self.cluster_state.machines().get(id);
--- a/src/control/core/evictions.rs
+++ b/src/control/core/evictions.rs
@@ -1,12 +1,13 @@
-//! Moves of running tasks to other machines: off draining machines, and for repair.
+//! Moves of running tasks to other machines, for drains and for repair of the spread over
+//! domains.
 
 use super::Core;
 use crate::scheduler::{ActiveDrain, Moving};
 use crate::types::Time;
 
 impl Core {
-    /// Moves tasks off draining machines, and now and then one task of a
-    /// service that has too many in a domain.
+    /// Moves tasks off draining machines. If a repair is due, it also moves a task of a service
+    /// that has too many tasks in one domain.
     pub(super) fn continue_moves(&mut self, now: Time) {
         let Some(topology) = self.cluster_state.topology().cloned() else {
             return;
--- a/src/control/core/failed_jobs.rs
+++ b/src/control/core/failed_jobs.rs
@@ -1,22 +1,22 @@
-//! Jobs that failed on one machine, and what that says of the machine.
+//! Jobs that failed on one machine, and the quarantine that follows for the machine.
 
 use std::collections::BTreeSet;
 
 use crate::types::{JobId, Time};
 
-/// A machine is not used for so long for each job that failed there, in seconds.
+/// Seconds that a machine is quarantined for each job that failed there.
 const SHUNNED_S: f64 = 20.0;
 
-/// Failures that are held against a machine.
+/// Failures that count against a machine.
 #[derive(Debug)]
 pub(super) struct FailedJobs {
     jobs: BTreeSet<JobId>,
-    /// The machine is not used until then.
+    /// End of the machine's quarantine.
     quarantined_until: Time,
 }
 
 impl FailedJobs {
-    /// Nothing failed there yet.
+    /// Returns an empty set of failures.
     pub(super) fn none() -> Self {
         Self {
             jobs: BTreeSet::new(),
@@ -24,30 +24,30 @@
         }
     }
 
-    /// A job failed there: the machine is not used for a while, the longer the more jobs
-    /// did.
+    /// Records that a job failed on the machine, and quarantines the machine. The quarantine
+    /// grows with the number of failed jobs.
     pub(super) fn add(&mut self, job: &JobId, now: Time) {
         self.jobs.insert(job.clone());
         self.quarantined_until = now.after(SHUNNED_S * self.jobs.len() as f64);
     }
 
-    /// Whether the machine is not to be used now.
+    /// Returns whether the machine is quarantined now.
     pub(super) fn is_shunned(&self, now: Time) -> bool {
         now < self.quarantined_until
     }
 
-    /// The jobs that failed there, by name.
+    /// Returns the jobs that failed on the machine, ordered by name.
     pub(super) fn jobs(&self) -> impl Iterator<Item = &JobId> {
         self.jobs.iter()
     }
 
-    /// A task had its result there: no failure is held against the machine; a pause that
-    /// has begun goes on.
+    /// Removes all failures, because a task had its result on the machine. A quarantine that has
+    /// begun continues.
     pub(super) fn succeeded(&mut self) {
         self.jobs.clear();
     }
 
-    /// A job's failures are not held against the machine any more.
+    /// Removes a job's failure. The quarantine ends if no other failure remains.
     pub(super) fn forgive(&mut self, job: &JobId) {
         if self.jobs.remove(job) && self.jobs.is_empty() {
             self.quarantined_until = Time(0.0);
--- a/src/control/core/gang_restarts.rs
+++ b/src/control/core/gang_restarts.rs
@@ -1,31 +1,32 @@
-//! Gangs that lost a task: all their tasks are stopped, and then placed anew together.
+//! Restarts of gangs that lost a task: all their tasks are stopped, and then placed together
+//! again.
 
 use std::collections::BTreeSet;
 
 use super::Core;
 use crate::types::{JobId, Kind, Time};
 
-/// Jobs that lost a claim, or were found in the records: a gang among them may be broken.
+/// Jobs that lost a claim or were found in the records. A gang among them may be broken.
 #[derive(Default)]
 pub(super) struct JobsToCheck {
     jobs: BTreeSet<JobId>,
 }
 
 impl JobsToCheck {
-    /// A job is looked at with the next check.
+    /// Adds a job to the next check.
     pub(super) fn add(&mut self, job: JobId) {
         self.jobs.insert(job);
     }
 
-    /// The jobs to look at now, by name.
+    /// Removes and returns the jobs to check, ordered by name.
     fn take(&mut self) -> BTreeSet<JobId> {
         std::mem::take(&mut self.jobs)
     }
 }
 
 impl Core {
-    /// A gang runs as one: if a task of it is lost before it was done, the
-    /// others are stopped, and it is placed anew once they have ended too.
+    /// Stops the remaining tasks of each gang that lost a task before that task was done. The
+    /// gang is placed again once all its tasks have ended.
     pub(super) fn restart_broken_gangs(&mut self, now: Time) {
         for id in self.gangs_to_check.take() {
             if self.is_broken_gang(&id) && !self.cluster_state.stop_gang(&id).is_empty() {
@@ -35,7 +36,7 @@
         }
     }
 
-    /// Whether a job is a gang of which some tasks are claimed and others are not.
+    /// Returns whether a job is a gang that has both claimed and pending tasks.
     fn is_broken_gang(&self, id: &JobId) -> bool {
         self.cluster_state.job(id).is_some_and(|j| {
             j.spec.kind == Kind::Gang
--- a/src/control/core/job_changes.rs
+++ b/src/control/core/job_changes.rs
@@ -1,4 +1,4 @@
-//! Changes of jobs: new and cancelled ones, and claims that are given up.
+//! Changes of jobs: arrivals, cancellations and the release of claims.
 
 use super::command_queue::ContactOrder;
 use super::largest_jobs::JobEvent;
@@ -12,7 +12,8 @@
 use crate::types::{JobId, TaskId, Time};
 
 impl Core {
-    /// Jobs changed in the state service: new ones, and cancelled ones.
+    /// Updates the cluster state after job records changed, for example because a job arrived or
+    /// was cancelled.
     pub fn jobs_changed(&mut self, view: &View, changed: &[JobId], now: Time, wall_ms: u64) {
         for id in changed {
             let Some(entry) = view.job(id) else { continue };
@@ -25,7 +26,7 @@
         }
     }
 
-    /// A job that is in the cluster state changed.
+    /// Updates a job that is in the cluster state.
     fn job_changed(&mut self, view: &View, id: &JobId, now: Time, wall_ms: u64) {
         let (Some(job), Some(entry)) = (self.cluster_state.job(id), view.job(id)) else {
             return;
@@ -38,7 +39,7 @@
         }
     }
 
-    /// A job was cancelled: its tasks end, and nothing it did is held against machines.
+    /// Stops the tasks of a cancelled job. The job's failures no longer count against machines.
     fn job_cancelled(&mut self, id: &JobId, now: Time) {
         self.cluster_state.edit_job(id, |job| job.cancelled = true);
         self.largest_over(id, JobEvent::Cancelled, now);
@@ -47,7 +48,8 @@
         self.settle_stopped(id, now);
     }
 
-    /// A job came, or became ready, or is cancelled with another one.
+    /// Adds a job that arrived or became ready. Skips a job that waits for dependencies or is
+    /// cancelled with one.
     fn job_arrived(&mut self, view: &View, id: &JobId, now: Time, wall_ms: u64) {
         let pipelines = view.pipelines();
         if pipelines.is_cancelled(id) {
@@ -69,7 +71,7 @@
         }
     }
 
-    /// Jobs that need this one may have come or gone.
+    /// Updates the urgency of a job, because jobs that depend on it may have arrived or ended.
     fn refresh_urgency(&mut self, view: &View, id: &JobId, now: Time, wall_ms: u64) {
         let Some(inherited) = view.pipelines().urgency(id) else {
             return;
@@ -78,7 +80,8 @@
             return;
         };
         let times = job_times(view, id, &entry.record.value, now, wall_ms);
-        // Since it came here, so that clocks don't move it.
+        // The job's arrival at this owner counts, so that differences between clocks don't move
+        // it.
         let ready = job.submitted;
         let urgency = self.urgency(&job.spec, &JobTimes { ready, ..times }, Some(inherited));
         if !urgency.is_of(job) {
@@ -87,12 +90,13 @@
         }
     }
 
-    /// Removes a job that is over and leaves nothing behind.
+    /// Removes a job that is over once no claim of it remains and its records claim nothing
+    /// here.
     pub(super) fn forget_job(&mut self, view: &View, id: &JobId, now: Time) {
         let Some(entry) = view.job(id) else { return };
         let over = entry.record.value.phase != Phase::Live;
         let Some(job) = self.cluster_state.job(id) else {
-            // Other shards may have taken out the last that kept its chunks.
+            // Other shards may have removed the last claims that kept the job's chunks.
             if over && self.scope.is_part() && self.scope.homes(id) {
                 self.drop_chunks(id, entry, now);
             }
@@ -103,13 +107,13 @@
             return;
         }
         if !homed {
-            // What it claimed here is first taken out of the record.
+            // This shard's claims are removed from the record before the job is removed.
             if !self.claims_here(entry) {
                 self.cluster_state.remove_job(id);
             }
             return;
         }
-        // The job's own record is not to claim anything for ever.
+        // The job's own record must not keep claims forever.
         if entry.inline().is_some() && self.claims_here(entry) {
             self.pending.released(ChunkId::new(id, 0), now);
             return;
@@ -118,15 +122,16 @@
         self.cluster_state.remove_job(id);
     }
 
-    /// Nothing needs the chunks of a job that is over.
+    /// Queues the deletion of all chunks of a job that is over.
     pub(super) fn drop_chunks(&mut self, id: &JobId, entry: &JobEntry, now: Time) {
         for &chunk in entry.chunks.keys() {
             self.pending.useless(ChunkId::new(id, chunk), now);
         }
     }
 
-    /// Drops claims of a cancelled job, or of tasks to be stopped, whose start
-    /// was certainly never sent; the others are stopped.
+    /// Releases claims that are no longer needed and whose start was certainly never sent. These
+    /// are claims of cancelled jobs and of tasks to be stopped. Other tasks of a cancelled job
+    /// are stopped.
     pub(super) fn settle_stopped(&mut self, id: &JobId, now: Time) {
         let Some(job) = self.cluster_state.job(id) else {
             return;
@@ -135,7 +140,7 @@
         let mut unsent = Vec::new();
         let mut started = Vec::new();
         for (&index, claim) in job.tasks.claims() {
-            // Whatever is to happen there, its machine is sent it.
+            // The machine is contacted, because it must receive any command for this task.
             self.command_queue
                 .add(claim.machine.clone(), ContactOrder::First);
             let task = TaskId {
@@ -157,14 +162,15 @@
         }
     }
 
-    /// The chunk that a task is recorded in.
+    /// Returns the chunk that a task is recorded in.
     pub(super) fn chunk_of(&self, task: &TaskId) -> ChunkId {
         let job = self.cluster_state.job(&task.job);
         let chunk = job.map_or(0, |j| j.tasks.chunk_of(task.index));
         ChunkId::new(&task.job, chunk)
     }
 
-    /// Gives up a task's claim, which is to be recorded; its free capacity is there for others.
+    /// Releases a task's claim and queues the release to be recorded. Other tasks may use the
+    /// freed capacity.
     pub(super) fn release(&mut self, task: &TaskId, now: Time) -> Option<Claim> {
         let claim = self.cluster_state.release(task, now)?;
         self.gangs_to_check.add(task.job.clone());
--- a/src/control/core/largest_jobs.rs
+++ b/src/control/core/largest_jobs.rs
@@ -1,5 +1,5 @@
-//! What the log says of the largest jobs of each class; which they are is
-//! decided in [`sorrelhinge_sharding::largest_jobs`].
+//! Log lines about the largest jobs of each class. [`sorrelhinge_sharding::largest_jobs`]
+//! decides which jobs these are.
 
 use std::fmt;
 
@@ -9,18 +9,18 @@
 use super::Core;
 use crate::types::{JobId, Time};
 
-/// What the log says of a job.
+/// Event of a job, as the log prints it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum JobEvent {
-    /// It came, or was found by this owner.
+    /// The job arrived, or this owner found it in the records.
     Arrived,
-    /// Its first task was placed.
+    /// The job's first task was placed.
     Begun,
-    /// It has waited for too long.
+    /// The job has waited longer than [`BEGIN_WITHIN_S`] for its first task.
     Late,
-    /// It is done.
+    /// The job is done.
     Done,
-    /// It was cancelled.
+    /// The job was cancelled.
     Cancelled,
 }
 
@@ -37,7 +37,8 @@
 }
 
 impl Core {
-    /// A job came, or was found by this owner.
+    /// Logs a job that arrived or that this owner found in the records, if it is among the
+    /// largest.
     pub(super) fn largest_arrived(&mut self, id: &JobId, now: Time) {
         let Some(job) = self.cluster_state.job(id) else {
             return;
@@ -46,7 +47,7 @@
         let (class, _) = job.sort();
         let begun = job.started;
         if self.largest_jobs.came(id, &class, cpu) {
-            // When it began was logged by the owner that placed it.
+            // The owner that placed the job has logged when it began.
             let event = if begun {
                 JobEvent::Begun
             } else {
@@ -56,22 +57,22 @@
         }
     }
 
-    /// A job's first task was placed here, after so many seconds.
+    /// Logs that the first task of a largest job was placed here after `wait_s` seconds.
     pub(super) fn largest_began(&self, id: &JobId, wait_s: f64, now: Time) {
         if self.largest_jobs.is(id) {
             self.log_largest_job(id, JobEvent::Begun, Some(wait_s), now);
         }
     }
 
-    /// A job is over.
+    /// Logs that a largest job is over.
     pub(super) fn largest_over(&mut self, id: &JobId, event: JobEvent, now: Time) {
         if self.largest_jobs.over(id) {
             self.log_largest_job(id, event, None, now);
         }
     }
 
-    /// Those that have waited for too long, once each: if the log ends before
-    /// they begin, nothing else would say so.
+    /// Logs each largest job that has waited too long, once per job. If the log ends before such
+    /// a job begins, no other line reports it.
     pub(super) fn largest_late(&mut self, now: Time) {
         let waits = self
             .cluster_state
@@ -87,7 +88,8 @@
         }
     }
 
-    /// Says in the log what became of a job. `began_s`: how long it waited for that.
+    /// Logs an event of a job. `began_s` is the number of seconds that the job waited for its
+    /// first task.
     fn log_largest_job(&self, id: &JobId, event: JobEvent, began_s: Option<f64>, now: Time) {
         let Some(job) = self.cluster_state.job(id) else {
             return;
--- a/src/control/core/objectives.rs
+++ b/src/control/core/objectives.rs
@@ -1,4 +1,4 @@
-//! What jobs need by the objectives of their class (settings, `objectives`).
+//! Urgency of jobs by the objectives of their class (settings, `objectives`).
 
 use sorrelhinge_pipelines::urgency::Urgency;
 
@@ -9,46 +9,47 @@
 /// Bounds of [`Core::headroom_weight`].
 const MIN_HEADROOM_WEIGHT: f64 = 0.2;
 const MAX_HEADROOM_WEIGHT: f64 = 2.0;
-/// A job is patient for this part of the time that its objectives leave, and for so many seconds
-/// at the least and at the most.
+/// Fraction of a job's slack that the job may wait before its objectives are in danger. The
+/// result lies between the minimum and the maximum below, in seconds.
 const PATIENT_PART: f64 = 0.3;
 const MIN_PATIENCE_S: f64 = 1.0;
 const MAX_PATIENCE_S: f64 = 30.0;
-/// A job is late once less than so many boots are left to it.
+/// A job is late once its remaining slack is shorter than this many boots of a machine.
 const LATE_BOOTS: f64 = 1.5;
 
-/// From when a job's times count, on this process's clock.
+/// Times that a job's objectives count from, on this process's clock.
 pub(super) struct JobTimes {
-    /// Its submission.
+    /// Submission of the job.
     pub(super) accepted: Time,
-    /// When the last job that it needs was done, or its submission.
+    /// Completion of the job's last dependency, or the submission of a job without dependencies.
     pub(super) ready: Time,
-    /// The latest finish that it has by itself or inherits, if it is in a pipeline.
+    /// Latest finish of the job if it is in a pipeline, either its own or inherited.
     pub(super) latest_finish: Option<Time>,
 }
 
 impl Core {
-    /// How much a class depends on free capacity that is there already: what a new
-    /// machine takes to boot, against the time that its objectives leave.
+    /// Returns how much a class depends on free capacity that already exists. The weight is the
+    /// boot time of a new machine divided by the slack that the class's objectives leave.
     pub(super) fn headroom_weight(&self, spec: &JobSpec) -> f64 {
         (self.boot_s() / self.slack(spec).max(1.0)).clamp(MIN_HEADROOM_WEIGHT, MAX_HEADROOM_WEIGHT)
     }
 
-    /// The shortest usual boot.
+    /// Returns the shortest usual boot time of a machine, in seconds.
     pub(super) fn boot_s(&self) -> f64 {
         self.types.shortest_boot_s()
     }
 
-    /// How soon a class's jobs are to start, if that is sooner than a machine
-    /// that is rented for them could be up: their users wait for the start.
-    /// Others with a start objective have time, as those with a finish objective have.
+    /// Returns the start objective of a class in seconds, if it is shorter than the boot of a
+    /// rented machine. Users wait for the start of such jobs. Other jobs with a start objective
+    /// have time, like jobs with a finish objective.
     pub(super) fn starts_within(&self, class: &str) -> Option<f64> {
         let within = self.cfg.start_objectives.get(class).copied();
         within.filter(|s| *s < self.boot_s())
     }
 
-    /// When a job should be done: by its class's objectives, from when it was ready; by its
-    /// deadline, from its submission; and in time for the jobs that need it.
+    /// Returns the times at which a job should be done, the earliest first. The finish
+    /// objectives of its class count from the time it was ready, and its deadline counts from
+    /// its submission. A job must also finish in time for the jobs that depend on it.
     fn objectives(&self, spec: &JobSpec, since: &JobTimes) -> Vec<Time> {
         let within = self.cfg.finish_objectives.get(&spec.class);
         let within = within.into_iter().flatten();
@@ -65,7 +66,8 @@
         objectives
     }
 
-    /// How urgent a job is, by itself and for the jobs that need it.
+    /// Returns the urgency of a job, by its own objectives and by those of the jobs that depend
+    /// on it.
     pub(super) fn urgency(
         &self,
         spec: &JobSpec,
@@ -91,7 +93,7 @@
         }
     }
 
-    /// How long a job of this sort may wait before it misses an objective.
+    /// Returns how many seconds a job like this one may wait before it misses an objective.
     pub(super) fn slack(&self, spec: &JobSpec) -> f64 {
         let start = self.cfg.start_objectives.get(&spec.class).copied();
         let finish = self.cfg.finish_objectives.get(&spec.class);
--- a/src/control/core/recorded_job.rs
+++ b/src/control/core/recorded_job.rs
@@ -1,5 +1,5 @@
-//! Jobs as they are recorded, taken into the cluster state: at a takeover, when they come,
-//! when they become ready, and when another shard leaves tasks of them to this one.
+//! Conversion of recorded jobs into jobs of the cluster state. It happens at a takeover, when a
+//! job arrives or becomes ready, and when another shard delegates tasks of a job to this shard.
 
 use std::rc::Rc;
 
@@ -12,7 +12,8 @@
 use crate::types::{Attempt, JobId, JobSpec, Kind, MachineId, TaskId, Time};
 use sorrelhinge_topology::devices::Unit;
 
-/// From when a job's times count, by the time of day in the records.
+/// Returns the times that a job's objectives count from, converted from the wall-clock times in
+/// the records.
 pub(super) fn job_times(
     view: &View,
     id: &JobId,
@@ -23,8 +24,9 @@
     let pipelines = view.pipelines();
     let seconds_ago = |at_ms: u64| (wall_ms as f64 - at_ms as f64) / 1000.0;
     let accepted = Time(now.0 - seconds_ago(record.accepted_ms).max(0.0));
-    // An earlier version's record of a done job does not say when; whatever names such a
-    // job was submitted later, so it counts as ready since then.
+    // An earlier version's record of a done job does not contain the completion time. Any job
+    // that depends on such a job was submitted after it was done, so the dependent job counts as
+    // ready since its own submission.
     let ready_ms = pipelines.ready_ms(id).max(record.accepted_ms);
     let finish_ms = pipelines.urgency(id).and_then(|u| u.finish_ms);
     JobTimes {
@@ -34,24 +36,26 @@
     }
 }
 
-/// After as many attempts without a result as it has tasks a new owner takes a job for
-/// mistaken, but not after fewer than the first of these, nor later than after the second.
+/// A new owner suspects a job to be faulty after as many attempts without a result as the job
+/// has tasks. These constants bound that number of attempts.
 const MIN_FAILED_ATTEMPTS: u64 = 3;
 const MAX_FAILED_ATTEMPTS: u64 = 8;
-/// So many failures are counted for such a job.
+/// Failures that a suspected job starts with.
 const DOUBTED_FAILURES: u32 = 2;
 
-/// A claim in a record.
+/// A claim that was found in a record.
 struct FoundClaim {
     index: u32,
     attempt: Attempt,
     machine: MachineId,
-    /// None: the record names none, as an earlier version wrote it.
+    /// Units of devices that the task holds. `None` if the record names none, because an earlier
+    /// version wrote it.
     units: Option<Vec<Unit>>,
 }
 
 impl FoundClaim {
-    /// The claim of the task `index`, with the units that its chunk's record names for it.
+    /// Returns the claim of the task `index`, with the units that the chunk's record names for
+    /// it.
     fn new(index: u32, claim: &RecordedClaim, chunk: &ChunkRecord) -> Self {
         let units = chunk.units.iter().find(|u| u.place == claim.place);
         Self {
@@ -62,7 +66,8 @@
         }
     }
 
-    /// `uses_devices`: the job's tasks have some, named or not.
+    /// Converts to a claim of the cluster state. `uses_devices` is true if the job's tasks hold
+    /// devices, whether the record names them or not.
     fn into_claim(self, uses_devices: bool, now: Time) -> Claim {
         Claim {
             attempt: self.attempt,
@@ -78,31 +83,31 @@
     }
 }
 
-/// A job's tasks, as its records have them.
+/// Tasks of a job, as its records state them.
 struct FoundTasks {
     tasks: Tasks,
     /// Claims on this shard's machines.
     claims: Vec<FoundClaim>,
-    /// Attempts that came to nothing.
+    /// Attempts that ended without a result.
     wasted: u64,
 }
 
 impl FoundTasks {
-    /// Whether so many attempts came to nothing, while none has ended well, that one
-    /// task is to tell whether the job is mistaken, rather than all.
+    /// Returns whether a job is suspected to be faulty, because many attempts had no result and
+    /// no task is done. One task then tests the job before its other tasks start.
     fn casts_doubt_on(&self, spec: &JobSpec) -> bool {
         spec.kind == Kind::Array
             && self.tasks.done() == 0
             && self.wasted >= u64::from(spec.tasks).clamp(MIN_FAILED_ATTEMPTS, MAX_FAILED_ATTEMPTS)
     }
 
-    /// Whether one of them was ever placed, as far as the records tell.
+    /// Returns whether any task was ever placed, as far as the records show.
     fn started(&self) -> bool {
         !self.claims.is_empty() || self.tasks.done() > 0
     }
 }
 
-/// A job for the cluster state, as it is recorded.
+/// A recorded job, converted for the cluster state.
 struct RecordedJob {
     job: Job,
     /// Claims on this shard's machines.
@@ -110,9 +115,9 @@
 }
 
 impl Core {
-    /// Takes a job into the cluster state. One that waits for others is not taken: so it
-    /// has no part in limits, shares, queues, aging or renting until the committed records
-    /// of all jobs that it needs say done, and nothing of it is claimed before.
+    /// Adds a recorded job to the cluster state, unless it waits for dependencies. A waiting job
+    /// therefore does not count in limits, shares, queues, aging or renting. None of its tasks
+    /// is claimed until the committed records of all its dependencies state that these are done.
     pub(super) fn add_known(&mut self, view: &View, id: &JobId, now: Time, wall_ms: u64) {
         let Some(entry) = view.job(id) else { return };
         let record = &entry.record.value;
@@ -120,8 +125,8 @@
             return;
         }
         let over = record.phase != Phase::Live;
-        // A done job's tasks have all ended, whatever a chunk that was not
-        // deleted yet still claims.
+        // All tasks of a done job have ended, even if a chunk that is not deleted yet still has
+        // claims.
         if record.phase == Phase::Done || over && !self.claims_here(entry) {
             if self.scope.homes(id) {
                 self.drop_chunks(id, entry, now);
@@ -141,13 +146,13 @@
         if all_done && placed_here {
             self.finished(id.clone(), now);
         }
-        // A gang that was claimed in part, or lost a part, starts anew.
+        // A gang with only some of its tasks claimed starts again.
         self.gangs_to_check.add(id.clone());
         self.placement_queue.request_full_walk();
     }
 
-    /// A job goes into the cluster state. `placed_here`: this shard places it, and it is
-    /// not over.
+    /// Puts a job into the cluster state. `placed_here` is true if this shard places the job and
+    /// the job is not over.
     fn put_job(&mut self, id: &JobId, job: Job, placed_here: bool, now: Time) {
         if placed_here {
             let counts = self.served_log.counts();
@@ -164,9 +169,9 @@
         }
     }
 
-    /// The claims of a job that was just put into the cluster state go there too.
+    /// Puts the claims of a job that was just added into the cluster state.
     fn put_claims(&mut self, id: &JobId, claims: Vec<FoundClaim>, now: Time) {
-        // An earlier version's record names no units.
+        // A record that an earlier version wrote names no units.
         let job = self.cluster_state.job(id);
         let placement = job.and_then(|j| j.spec.placement.as_ref());
         let uses_devices = placement.is_some_and(|w| w.lost || !w.devices.is_empty());
@@ -180,8 +185,8 @@
         }
     }
 
-    /// Reads a job's tasks. What is claimed on deleted machines is released: its
-    /// task went with its machine, recorded or not.
+    /// Reads a job's tasks from its records. Claims on deleted machines are released, because
+    /// their tasks ended with the machine whether the records say so or not.
     fn found_tasks(&mut self, id: &JobId, entry: &JobEntry, now: Time) -> FoundTasks {
         let record = &entry.record.value;
         let mut found = FoundTasks {
@@ -212,7 +217,8 @@
         found
     }
 
-    /// The job for the cluster state, and its claims; none: it can't be served here.
+    /// Returns the job for the cluster state and its claims. Returns `None` if its record has no
+    /// description or its team is unknown.
     fn recorded_job(
         &self,
         view: &View,
@@ -254,14 +260,15 @@
         })
     }
 
-    /// A job's priority lane and its place there, if its class has lanes.
+    /// Returns a job's priority lane and its place there, or `None` if its class has no lanes.
     fn lane_of(&self, spec: &JobSpec, entry: &JobEntry) -> Option<Laned> {
         let lanes = &self.cfg.lanes;
         let lane = lanes.of(&spec.class, spec.priority, spec.deadline_s.is_some());
         lane.map(|lane| Laned::new(lane, entry.place))
     }
 
-    /// The place of a job's team among those of the settings; none: it is not among them.
+    /// Returns the index of a job's team in the settings, or `None` if the settings have no such
+    /// team.
     fn team_of(&self, id: &JobId, spec: &JobSpec) -> Option<usize> {
         let mut teams = self.cfg.teams.iter();
         let team = teams.position(|t| t.name == spec.team);
