--- a/src/control/core/overflow.rs
+++ b/src/control/core/overflow.rs
@@ -1,5 +1,5 @@
-//! Tasks that find no place in their shard: they are left to shards that have free capacity, for a
-//! time.
+//! Delegation of tasks that find no place in their shard. Shards with free capacity may place
+//! them for a limited time.
 
 use sorrelhinge_sharding::delegation::{Delegated, Waiting, ACCEPTED_S, DELEGATED_S};
 use sorrelhinge_sharding::shard::ShardId;
@@ -11,13 +11,15 @@
 use crate::state::view::View;
 use crate::types::{Kind, Time};
 
-/// At the most so many tasks are left in one message.
+/// Most tasks in one delegation message.
 const MAX_DELEGATED_TASKS: u32 = 64;
-/// At the most so many jobs are looked at for that.
+/// Most jobs that one pass considers for delegation.
 const MAX_JOBS_PER_PASS: usize = 16;
 
 impl Core {
-    /// Thousandths of a CPU that are free beyond this shard's own work.
+    /// Returns the thousandths of a CPU that this shard offers to other shards. The offer is
+    /// half of the capacity that is neither used nor kept. It is 0 while the shard has work of
+    /// its own or is frozen.
     pub fn spare_cpu(&self) -> i64 {
         if self.cluster_state.has_work() || self.is_frozen() {
             return 0;
@@ -28,19 +30,20 @@
         (self.cluster_state.capacity().cpu - used - kept).max(0) / 2
     }
 
-    /// Another shard has so much free capacity beyond its own work.
+    /// Records another shard's free capacity beyond its own work, in thousandths of a CPU.
     pub fn has_capacity(&mut self, shard: ShardId, cpu: i64, now: Time) {
         self.sharing.delegation.has_capacity(shard, cpu, now);
     }
 
-    /// Leaves tasks that found no place to shards that have free capacity.
+    /// Delegates tasks that found no place to shards with free capacity. Returns the messages to
+    /// send.
     pub fn leave(&mut self, view: &View, now: Time) -> Vec<DelegatedTasks> {
         self.end_left(view, now);
         if self.is_frozen() {
             return Vec::new();
         }
         let waiting = self.jobs_without_place();
-        // A window's work finds the free capacity that other shards hold for it.
+        // Tasks of a reservation window go to the shards that hold capacity for the window.
         let mut all = self.leave_to_reservations(&waiting);
         all.extend(self.sharing.delegation.delegate(&waiting, now));
         let left = all.into_iter();
@@ -48,8 +51,9 @@
             .collect()
     }
 
-    /// Jobs of which tasks found no place, those that have waited longest first. Not
-    /// jobs whose zones count together: one shard must see where all of them are.
+    /// Returns jobs with tasks that found no place, the longest wait first. Jobs with rules on
+    /// the zones or domains of their tasks are left out, because one shard must see where all
+    /// these tasks are.
     fn jobs_without_place(&self) -> Vec<Waiting> {
         let may_leave = |job: &Job| {
             job.tasks.at_home()
@@ -76,7 +80,8 @@
         waiting
     }
 
-    /// Leaves the last tasks of a job that wait to another shard; none: none waits.
+    /// Delegates the last pending tasks of a job to another shard. Returns `None` if no task is
+    /// pending.
     fn delegate_tasks(
         &mut self,
         delegated: Delegated,
@@ -100,7 +105,7 @@
         })
     }
 
-    /// Another shard leaves tasks to this one.
+    /// Accepts tasks that another shard delegates to this one.
     pub fn adopt_delegated_tasks(
         &mut self,
         view: &View,
@@ -126,7 +131,7 @@
         self.placement_queue.request_full_walk();
     }
 
-    /// Ends what was left for long enough.
+    /// Ends delegations whose time has expired.
     fn end_left(&mut self, view: &View, now: Time) {
         let mut ended = self.sharing.left.end(now);
         ended.extend(self.sharing.taken.end(now));
--- a/src/control/core/service_levels.rs
+++ b/src/control/core/service_levels.rs
@@ -1,4 +1,4 @@
-//! What the log says of who is served, and of the takeover.
+//! Log lines about the service that classes and teams get, and about recovery after a failover.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -8,22 +8,22 @@
 use super::Core;
 use crate::types::Time;
 
-/// How often it is logged who is served, in seconds, and how often at the most if
-/// that changes.
+/// Seconds between two log reports of the service levels.
 const SERVED_S: f64 = 30.0;
+/// Least seconds between two reports if the set of starving classes and teams changes.
 const SERVED_LEAST_S: f64 = 5.0;
 
-/// Counts of what classes and teams got, and what the log said of them last.
+/// Counts of the jobs of each class and team, and the state of the last log report.
 pub(super) struct ServedLog {
     counts: Served,
-    /// When it was last logged.
+    /// Time of the last report.
     logged_at: Time,
-    /// Who starved then.
+    /// Classes and teams that starved in the last report.
     starved: BTreeSet<Sort>,
 }
 
 impl ServedLog {
-    /// Nothing was counted yet.
+    /// Returns an empty log.
     pub(super) fn new(now: Time) -> Self {
         Self {
             counts: Served::default(),
@@ -32,12 +32,13 @@
         }
     }
 
-    /// Counts what becomes of jobs.
+    /// Returns the counts for update.
     pub(super) fn counts(&mut self) -> &mut Served {
         &mut self.counts
     }
 
-    /// What is to be logged now: now and then, and sooner if it changed who starves.
+    /// Returns the lines of a report if one is due. A report is due sooner if the set of
+    /// starving classes and teams changed.
     fn take_due(&mut self, waits: &BTreeMap<Sort, Waits>, now: Time) -> Option<Vec<Line>> {
         let lines = self.counts.lines(waits);
         let starving = lines.iter().filter(|l| l.starves);
@@ -57,7 +58,7 @@
 }
 
 impl Core {
-    /// Logs how long it took until all machines had reported.
+    /// Logs once how long after a failover at least 98% of the machines had reported.
     pub(super) fn log_recovery_time(&mut self, now: Time) {
         let unfenced = self.agents.count_unfenced();
         let missing = self.cluster_state.unknown_machines().count();
@@ -69,7 +70,7 @@
         }
     }
 
-    /// By class and team: jobs that wait for their first start.
+    /// Returns the waits of jobs without a first start, by class and team.
     fn waits_by_sort(&self, now: Time) -> BTreeMap<Sort, Waits> {
         let mut waits: BTreeMap<Sort, Waits> = BTreeMap::new();
         for (_, job) in self
@@ -84,8 +85,7 @@
         waits
     }
 
-    /// Says in the log what each class and team gets, now and then and when it
-    /// changes who starves.
+    /// Logs the service that each class and team gets, if a report is due.
     pub(super) fn log_service_levels(&mut self, now: Time) {
         let waits = self.waits_by_sort(now);
         self.largest_late(now);
--- a/src/control/core/shard_freeze.rs
+++ b/src/control/core/shard_freeze.rs
@@ -1,5 +1,5 @@
-//! Whether the shard is still granted to this owner, and handing it on: it claims
-//! nothing more, and what is under way settles.
+//! Checks that this owner still holds the shard's grant, and the freeze of a shard before its
+//! handover. A frozen shard claims no tasks, and its commands and writes in flight settle.
 
 use super::Core;
 use crate::scheduler::Sent;
@@ -7,42 +7,42 @@
 use crate::state::view::View;
 use crate::types::{TaskId, Time};
 
-/// For so long commands may settle before a shard is handed on, in seconds: an
-/// unanswered one is in doubt for the next owner, as after any takeover.
+/// Longest time in seconds that a handover waits for unanswered commands. Such a command is in
+/// doubt for the next owner, like after any takeover.
 const SETTLE_S: f64 = 1.0;
 
-/// Since when the shard is frozen for its handover.
+/// Time at which the shard was frozen for its handover, if it is frozen.
 #[derive(Default)]
 pub(super) struct HandoverFreeze {
     since: Option<Time>,
 }
 
 impl HandoverFreeze {
-    /// Freezes the shard. False if it was frozen before.
+    /// Freezes the shard. Returns false if the shard was already frozen.
     fn begin(&mut self, now: Time) -> bool {
         let begins = self.since.is_none();
         self.since.get_or_insert(now);
         begins
     }
 
-    /// Ends it. False if the shard was not frozen.
+    /// Ends the freeze. Returns false if the shard was not frozen.
     fn end(&mut self) -> bool {
         self.since.take().is_some()
     }
 
-    /// Whether the shard is frozen.
+    /// Returns whether the shard is frozen.
     fn is_on(&self) -> bool {
         self.since.is_some()
     }
 
-    /// Whether it began less than so many seconds ago.
+    /// Returns whether the freeze began less than `age_s` seconds ago.
     fn is_younger_than(&self, age_s: f64, now: Time) -> bool {
         self.since.is_some_and(|t| now.since(t) < age_s)
     }
 }
 
 impl Core {
-    /// The key of this shard's grant.
+    /// Returns the key of this shard's grant.
     pub(super) fn grant_key(&self) -> String {
         if self.scope.is_part() {
             shard_key(self.scope.shard)
@@ -51,8 +51,8 @@
         }
     }
 
-    /// Whether the shard is still granted to this owner. An offer changes the
-    /// record, and not the grant.
+    /// Returns whether this owner still holds the grant. The offer of a handover changes the
+    /// grant's record, but not the grant.
     pub fn still_granted(&mut self, view: &View) -> bool {
         if !self.scope.is_part() {
             return view.shard_count() == 1 && view.grant.mod_revision == self.grant_revision;
@@ -67,9 +67,9 @@
         }
     }
 
-    /// Claims nothing more; what is under way settles. Claims that still wait to
-    /// be recorded are dropped: nothing was sent for them, and with changes short
-    /// they would keep the shard frozen for seconds.
+    /// Freezes the shard before a handover, so that it claims no more tasks. Claims that still
+    /// wait to be recorded are released, because no command was sent for them. Otherwise they
+    /// would keep the shard frozen for seconds while the state service takes few changes.
     pub fn freeze(&mut self, now: Time) {
         if !self.freeze.begin(now) {
             return;
@@ -80,7 +80,7 @@
         }
     }
 
-    /// Tasks whose claims still wait to be recorded, and of which nothing was sent.
+    /// Returns tasks whose claims still wait to be recorded and for which no command was sent.
     fn unsent_claims(&self) -> Vec<TaskId> {
         let mut unsent = Vec::new();
         for (id, job) in self.cluster_state.jobs() {
@@ -98,7 +98,7 @@
         unsent
     }
 
-    /// The offer was taken back.
+    /// Ends the freeze after the handover was withdrawn.
     pub fn thaw(&mut self) {
         if self.freeze.end() {
             tracing::info!(shard = %self.scope.shard, "shard handover withdrawn");
@@ -106,14 +106,14 @@
         }
     }
 
-    /// Whether it is frozen.
+    /// Returns whether the shard is frozen for a handover.
     pub fn is_frozen(&self) -> bool {
         self.freeze.is_on()
     }
 
-    /// Whether what is under way has settled: what was claimed is recorded, and
-    /// no command is unanswered, or it has taken long enough. Results that wait
-    /// to be recorded are not waited for: workers repeat them to the next owner.
+    /// Returns whether the shard has settled: all claims are recorded, and no command is
+    /// unanswered or the time limit for answers has passed. Results that wait to be recorded
+    /// don't delay the handover, because workers repeat them to the next owner.
     pub fn settled(&self, now: Time) -> bool {
         let patient = self.freeze.is_younger_than(SETTLE_S, now);
         !(self.pending.claims_any() || patient && self.command_queue.awaits_answers())
--- a/src/control/core/shard_quota.rs
+++ b/src/control/core/shard_quota.rs
@@ -1,4 +1,4 @@
-//! This shard's part of the teams' limits, and what its teams need of them.
+//! This shard's part of the teams' quotas, and the demand of its teams.
 
 use sorrelhinge_sharding::slices::Need;
 
@@ -8,16 +8,15 @@
 use crate::state::view::View;
 use crate::types::Amount;
 
-/// A team's limit and guarantee of one resource in this shard, in thousandths, as
-/// amounts are.
+/// Limit and guarantee of a team for one resource in this shard, in thousandths like [`Amount`].
 struct ResourcePart {
     limit: i64,
     guarantee: i64,
 }
 
 impl Core {
-    /// Takes up this shard's part of the limits, as recorded, less what is being
-    /// given away. Guarantees are divided in the same proportion.
+    /// Applies this shard's recorded part of the limits, less the amounts that are being
+    /// transferred to other shards. Guarantees are divided in the same proportion.
     pub fn refresh_quotas(&mut self, view: &View) {
         if !self.scope.is_part() {
             return;
@@ -39,8 +38,8 @@
         }
     }
 
-    /// What each team uses here, and what of it waits; the recorded part is
-    /// not among it.
+    /// Returns what each team uses here and what its pending work needs. `slice` stays empty,
+    /// because the recorded part is not included.
     pub fn needs(&self) -> Vec<Need> {
         let teams = self
             .cluster_state
@@ -56,18 +55,18 @@
             .collect()
     }
 
-    /// Lowers what is placed up to, before a part of the limits is given away;
-    /// nothing given: takes up what is recorded.
+    /// Lowers the limits before a part of them is transferred to another shard. An empty `given`
+    /// restores the recorded limits.
     pub fn giving(&mut self, given: Vec<Amount>, view: &View) {
         self.sharing.given = given;
         self.refresh_quotas(view);
     }
 }
 
-/// A team's part of its limit, by the record, less what is being given
-/// away; its guarantee in the same proportion. RAM has no limit.
+/// Returns a team's part of its limit from the record, less the amount that is being
+/// transferred. The guarantee is divided in the same proportion. RAM has no limit.
 fn team_part(team: &TeamConfig, recorded: Amount, given: Amount, shards: i64) -> TeamLimits {
-    // Of no limit there are no parts, whatever is recorded.
+    // A team without a limit has no parts of it, so the record does not count.
     let part = |recorded: i64, given: i64, total_limit: i64, guarantee: i64| {
         if total_limit == Amount::NO_LIMIT {
             return ResourcePart {
--- a/src/control/core/topology_repair.rs
+++ b/src/control/core/topology_repair.rs
@@ -1,4 +1,5 @@
-//! The operators' topology: a changed file, and when tasks are moved for its sake.
+//! Changes of the operators' topology file, and the schedule of repairs that move tasks to
+//! restore the spread.
 
 use std::rc::Rc;
 
@@ -8,16 +9,16 @@
 use super::Core;
 use crate::types::Time;
 
-/// When a task was last moved to repair the spread of services over domains.
+/// Time of the last repair of the spread of services over domains.
 #[derive(Default)]
 pub(super) struct RepairSchedule {
-    /// None: no repair was due yet.
+    /// Time of that repair, or `None` if no repair was due yet.
     last_repair: Option<Time>,
 }
 
 impl RepairSchedule {
-    /// Whether the next repair is due by the topology's settings. If so, the interval to
-    /// the one after it begins now.
+    /// Returns whether a repair is due by the topology's settings. If one is due, the interval
+    /// to the next repair begins now.
     pub(super) fn take_due(&mut self, settings: &Repair, now: Time) -> bool {
         let due = repair::due(self.last_repair, settings.every_s, now);
         if due {
@@ -28,8 +29,8 @@
 }
 
 impl Core {
-    /// The operator's file changed. Running tasks stay, and keep what they have until
-    /// they end.
+    /// Applies a changed topology file. Running tasks stay and keep their resources until they
+    /// end.
     pub fn set_topology(&mut self, topology: Option<Rc<Topology>>, now: Time) {
         let agents = &self.agents;
         self.cluster_state
