--- a/src/control/core/arrivals.rs
+++ b/src/control/core/arrivals.rs
@@ -12,7 +12,7 @@
 /// Properties that the jobs of one group share. The jobs of one class may need different machine
 /// types, so the class alone does not make a group.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub(super) struct ArrivalSort {
+pub(super) struct ArrivalGroup {
     class: Rc<str>,
     /// The smallest machine type that a task fits on. `None` if a task fits on no known type.
     smallest_type: Option<TypeName>,
@@ -77,13 +77,13 @@
 /// Recent arrivals of all groups of jobs.
 #[derive(Default)]
 pub(super) struct ArrivalLog {
-    by_sort: BTreeMap<ArrivalSort, Arrivals>,
+    by_group: BTreeMap<ArrivalGroup, Arrivals>,
 }
 
 impl ArrivalLog {
     /// Adds the arrival of a job to its group.
-    fn add(&mut self, sort: ArrivalSort, spec: &Rc<JobSpec>, at: Time) {
-        let arrivals = self.by_sort.entry(sort);
+    fn add(&mut self, group: ArrivalGroup, spec: &Rc<JobSpec>, at: Time) {
+        let arrivals = self.by_group.entry(group);
         arrivals
             .or_insert_with(|| Arrivals::new(spec))
             .add(spec, at);
@@ -91,23 +91,23 @@
 
     /// Removes arrivals that are at least `age_s` seconds old, and groups without arrivals.
     pub(super) fn expire(&mut self, age_s: f64, now: Time) {
-        for arrivals in self.by_sort.values_mut() {
+        for arrivals in self.by_group.values_mut() {
             arrivals
                 .recent
                 .retain(|arrival| now.since(arrival.at) < age_s);
         }
-        self.by_sort.retain(|_, a| !a.recent.is_empty());
+        self.by_group.retain(|_, a| !a.recent.is_empty());
     }
 
     /// Returns the arrivals of each group, in the order of the groups.
     pub(super) fn iter(&self) -> impl Iterator<Item = &Arrivals> {
-        self.by_sort.values()
+        self.by_group.values()
     }
 
     /// Returns the time of the earliest arrival that has not expired, or `now` if the log is
     /// empty.
     pub(super) fn first_at(&self, now: Time) -> Time {
-        let firsts = self.by_sort.values().filter_map(Arrivals::first_at);
+        let firsts = self.by_group.values().filter_map(Arrivals::first_at);
         Time(firsts.map(|at| at.0).fold(now.0, f64::min))
     }
 }
@@ -115,10 +115,10 @@
 impl Core {
     /// Records the arrival of a job, because more jobs of its group may follow.
     pub(super) fn arrived(&mut self, spec: &Rc<JobSpec>, at: Time) {
-        let sort = ArrivalSort {
+        let group = ArrivalGroup {
             class: Rc::from(&*spec.class),
             smallest_type: self.types.smallest_for(spec.each).cloned(),
         };
-        self.scaling.arrivals.add(sort, spec, at);
+        self.scaling.arrivals.add(group, spec, at);
     }
 }
--- a/src/control/core/failed_jobs.rs
+++ b/src/control/core/failed_jobs.rs
@@ -5,7 +5,7 @@
 use crate::types::{JobId, Time};
 
 /// Seconds that a machine is quarantined for each job that failed there.
-const SHUNNED_S: f64 = 20.0;
+const QUARANTINE_S: f64 = 20.0;
 
 /// Failures that count against a machine.
 #[derive(Debug)]
@@ -28,7 +28,7 @@
     /// grows with the number of failed jobs.
     pub(super) fn add(&mut self, job: &JobId, now: Time) {
         self.jobs.insert(job.clone());
-        self.quarantined_until = now.after(SHUNNED_S * self.jobs.len() as f64);
+        self.quarantined_until = now.after(QUARANTINE_S * self.jobs.len() as f64);
     }
 
     /// Returns whether the machine is quarantined now.
--- a/src/control/core/job_changes.rs
+++ b/src/control/core/job_changes.rs
@@ -42,7 +42,7 @@
     /// Stops the tasks of a cancelled job. The job's failures no longer count against machines.
     fn job_cancelled(&mut self, id: &JobId, now: Time) {
         self.cluster_state.edit_job(id, |job| job.cancelled = true);
-        self.largest_over(id, JobEvent::Cancelled, now);
+        self.log_largest_over(id, JobEvent::Cancelled, now);
         self.clear(id);
         self.pending.not_finished(id);
         self.settle_stopped(id, now);
--- a/src/control/core/largest_jobs.rs
+++ b/src/control/core/largest_jobs.rs
@@ -39,7 +39,7 @@
 impl Core {
     /// Logs a job that arrived or that this owner found in the records, if it is among the
     /// largest.
-    pub(super) fn largest_arrived(&mut self, id: &JobId, now: Time) {
+    pub(super) fn log_largest_arrived(&mut self, id: &JobId, now: Time) {
         let Some(job) = self.cluster_state.job(id) else {
             return;
         };
@@ -65,7 +65,7 @@
     }
 
     /// Logs that a largest job is over.
-    pub(super) fn largest_over(&mut self, id: &JobId, event: JobEvent, now: Time) {
+    pub(super) fn log_largest_over(&mut self, id: &JobId, event: JobEvent, now: Time) {
         if self.largest_jobs.over(id) {
             self.log_largest_job(id, event, None, now);
         }
@@ -73,7 +73,7 @@
 
     /// Logs each largest job that has waited too long, once per job. If the log ends before such
     /// a job begins, no other line reports it.
-    pub(super) fn largest_late(&mut self, now: Time) {
+    pub(super) fn log_largest_late(&mut self, now: Time) {
         let waits = self
             .cluster_state
             .jobs_to_place()
--- a/src/control/core/objectives.rs
+++ b/src/control/core/objectives.rs
@@ -11,11 +11,11 @@
 const MAX_HEADROOM_WEIGHT: f64 = 2.0;
 /// Fraction of a job's slack that the job may wait before its objectives are in danger. The
 /// result lies between the minimum and the maximum below, in seconds.
-const PATIENT_PART: f64 = 0.3;
+const PATIENCE_FRACTION: f64 = 0.3;
 const MIN_PATIENCE_S: f64 = 1.0;
 const MAX_PATIENCE_S: f64 = 30.0;
 /// A job is late once its remaining slack is shorter than this many boots of a machine.
-const LATE_BOOTS: f64 = 1.5;
+const LATE_SLACK_BOOTS: f64 = 1.5;
 
 /// Times that a job's objectives count from, on this process's clock.
 pub(super) struct JobTimes {
@@ -86,9 +86,9 @@
         JobUrgency {
             priority: inherited.map_or(spec.priority, |u| u.priority),
             objectives,
-            patience_s: (PATIENT_PART * slack).clamp(MIN_PATIENCE_S, MAX_PATIENCE_S),
-            late_s: (slack - LATE_BOOTS * self.boot_s())
-                .max(PATIENT_PART * slack)
+            patience_s: (PATIENCE_FRACTION * slack).clamp(MIN_PATIENCE_S, MAX_PATIENCE_S),
+            late_s: (slack - LATE_SLACK_BOOTS * self.boot_s())
+                .max(PATIENCE_FRACTION * slack)
                 .max(MIN_PATIENCE_S),
         }
     }
--- a/src/control/core/outcomes.rs
+++ b/src/control/core/outcomes.rs
@@ -122,7 +122,7 @@
             if let Some(sort) = self.cluster_state.job(&id).map(Job::sort) {
                 self.served_log.counts().done(&sort);
             }
-            self.largest_over(&id, JobEvent::Done, now);
+            self.log_largest_over(&id, JobEvent::Done, now);
             tracing::info!(job = %id, "done");
         }
         if let Some(inline) = &value.inline {
--- a/src/control/core/overflow.rs
+++ b/src/control/core/overflow.rs
@@ -38,7 +38,7 @@
     /// Delegates tasks that found no place to shards with free capacity. Returns the messages to
     /// send.
     pub fn leave(&mut self, view: &View, now: Time) -> Vec<DelegatedTasks> {
-        self.end_left(view, now);
+        self.expire_delegations(view, now);
         if self.is_frozen() {
             return Vec::new();
         }
@@ -132,7 +132,7 @@
     }
 
     /// Ends delegations whose time has expired.
-    fn end_left(&mut self, view: &View, now: Time) {
+    fn expire_delegations(&mut self, view: &View, now: Time) {
         let mut ended = self.sharing.left.end(now);
         ended.extend(self.sharing.taken.end(now));
         for job in ended {
--- a/src/control/core/recorded_job.rs
+++ b/src/control/core/recorded_job.rs
@@ -165,7 +165,7 @@
         let job = Job { last_placed, ..job };
         self.cluster_state.add_job(id.clone(), job);
         if placed_here {
-            self.largest_arrived(id, now);
+            self.log_largest_arrived(id, now);
         }
     }
 
--- a/src/control/core/service_levels.rs
+++ b/src/control/core/service_levels.rs
@@ -9,9 +9,9 @@
 use crate::types::Time;
 
 /// Seconds between two log reports of the service levels.
-const SERVED_S: f64 = 30.0;
+const REPORT_INTERVAL_S: f64 = 30.0;
 /// Least seconds between two reports if the set of starving classes and teams changes.
-const SERVED_LEAST_S: f64 = 5.0;
+const MIN_REPORT_INTERVAL_S: f64 = 5.0;
 
 /// Counts of the jobs of each class and team, and the state of the last log report.
 pub(super) struct ServedLog {
@@ -44,9 +44,9 @@
         let starving = lines.iter().filter(|l| l.starves);
         let starving: BTreeSet<Sort> = starving.map(|l| l.sort.clone()).collect();
         let due_s = if starving == self.starved {
-            SERVED_S
+            REPORT_INTERVAL_S
         } else {
-            SERVED_LEAST_S
+            MIN_REPORT_INTERVAL_S
         };
         if now.since(self.logged_at) < due_s {
             return None;
@@ -88,7 +88,7 @@
     /// Logs the service that each class and team gets, if a report is due.
     pub(super) fn log_service_levels(&mut self, now: Time) {
         let waits = self.waits_by_sort(now);
-        self.largest_late(now);
+        self.log_largest_late(now);
         let Some(lines) = self.served_log.take_due(&waits, now) else {
             return;
         };
--- a/src/control/core/shard_freeze.rs
+++ b/src/control/core/shard_freeze.rs
@@ -9,7 +9,7 @@
 
 /// Longest time in seconds that a handover waits for unanswered commands. Such a command is in
 /// doubt for the next owner, like after any takeover.
-const SETTLE_S: f64 = 1.0;
+const SETTLE_TIMEOUT_S: f64 = 1.0;
 
 /// Time at which the shard was frozen for its handover, if it is frozen.
 #[derive(Default)]
@@ -20,9 +20,9 @@
 impl HandoverFreeze {
     /// Freezes the shard. Returns false if the shard was already frozen.
     fn begin(&mut self, now: Time) -> bool {
-        let begins = self.since.is_none();
+        let newly_frozen = self.since.is_none();
         self.since.get_or_insert(now);
-        begins
+        newly_frozen
     }
 
     /// Ends the freeze. Returns false if the shard was not frozen.
@@ -115,7 +115,7 @@
     /// unanswered or the time limit for answers has passed. Results that wait to be recorded
     /// don't delay the handover, because workers repeat them to the next owner.
     pub fn settled(&self, now: Time) -> bool {
-        let patient = self.freeze.is_younger_than(SETTLE_S, now);
-        !(self.pending.claims_any() || patient && self.command_queue.awaits_answers())
+        let within_timeout = self.freeze.is_younger_than(SETTLE_TIMEOUT_S, now);
+        !(self.pending.claims_any() || within_timeout && self.command_queue.awaits_answers())
     }
 }
--- a/src/control/core/shard_quota.rs
+++ b/src/control/core/shard_quota.rs
@@ -31,8 +31,8 @@
             team_part(team, recorded, given, shards)
         });
         let parts: Vec<TeamLimits> = parts.collect();
-        let now = self.cluster_state.teams().iter().map(Team::limits);
-        if !now.eq(parts.iter().copied()) {
+        let current = self.cluster_state.teams().iter().map(Team::limits);
+        if !current.eq(parts.iter().copied()) {
             self.cluster_state.set_limits(parts.into_iter());
             self.placement_queue.request_full_walk();
         }
