--- a/src/control/core/batch.rs
+++ b/src/control/core/batch.rs
@@ -5,7 +5,7 @@
 //! have written a record under the larger limits. One transaction then moves the claims of that
 //! record to keys of their own, in a form that every version reads.
 
-use super::draft::{Draft, DraftBounds, Written};
+use super::draft::{Draft, DraftBounds, RecordUpdate};
 use super::{Batch, Core};
 use crate::control::write_queue::{PendingWrite, WritePriority};
 use crate::state::record::ChunkId;
@@ -33,7 +33,7 @@
             draft.add_rollout(due);
         }
         self.add_pending(&mut draft, view, spare, now);
-        if draft.takes_change() {
+        if draft.accepts_change() {
             let value_bytes = self.cfg.state_limits.value_bytes;
             if let Some(change) = self.tombstones.change(value_bytes, now) {
                 draft.add_change(change);
@@ -44,8 +44,8 @@
 
     /// Adds pending writes to the transaction, the most urgent first, until it is full.
     fn add_pending(&mut self, draft: &mut Draft, view: &View, spare: bool, now: Time) {
-        let mut again = Vec::new();
-        while draft.takes_more() {
+        let mut deferred = Vec::new();
+        while draft.accepts_more() {
             let Some(due) = self.pending.take(spare, now) else {
                 break;
             };
@@ -53,29 +53,29 @@
             let id = id.clone();
             self.cluster_state.claimed_all(&id);
             if draft.writes_job(&id) || self.rejected_changes.defers(&due, now) {
-                again.push(due);
+                deferred.push(due);
                 continue;
             }
-            let Some(entry) = recordable(view, &id) else {
+            let Some(entry) = recordable_entry(view, &id) else {
                 continue;
             };
-            let written = self.written(&id, entry, &due, now);
-            if !draft.fits(&written) {
+            let update = self.record_update(&id, entry, &due, now);
+            if !draft.fits(&update) {
                 // The chunk goes first into the next transaction.
                 if let PendingWrite::Chunk(chunk) = due {
-                    self.claim_again(chunk, now);
+                    self.requeue_claims(chunk, now);
                 }
                 break;
             }
-            draft.add(&id, entry, written);
+            draft.add(&id, entry, update);
         }
-        for due in again {
-            self.put_back(due, now);
+        for due in deferred {
+            self.requeue(due, now);
         }
     }
 
     /// Puts a write back into the queues, to be recorded later.
-    fn put_back(&mut self, due: PendingWrite, now: Time) {
+    fn requeue(&mut self, due: PendingWrite, now: Time) {
         match due {
             PendingWrite::Finished(id) => self.finished(id, now),
             PendingWrite::Chunk(chunk) => self.pending.released(chunk, now),
@@ -83,29 +83,33 @@
     }
 
     /// Returns the record update that a pending write results in.
-    fn written(&mut self, id: &JobId, entry: &JobEntry, due: &PendingWrite, now: Time) -> Written {
+    fn record_update(
+        &mut self,
+        id: &JobId,
+        entry: &JobEntry,
+        due: &PendingWrite,
+        now: Time,
+    ) -> RecordUpdate {
         let stored = &entry.record.value;
         match due {
-            PendingWrite::Finished(_) if stored.phase != Phase::Live => Written::Nothing,
+            PendingWrite::Finished(_) if stored.phase != Phase::Live => RecordUpdate::Nothing,
             // The record of a completed job is enough, so its chunks can be deleted.
-            PendingWrite::Finished(_) => Written::Job(stored.done(self.wall_ms(now))),
+            PendingWrite::Finished(_) => RecordUpdate::Job(stored.done(self.wall_ms(now))),
             PendingWrite::Chunk(_) if entry.inline().is_some() => {
-                self.written_inline(id, entry, now)
-            }
-            PendingWrite::Chunk(ChunkId { chunk, .. }) => {
-                self.written_chunk(id, entry, *chunk, now)
+                self.inline_update(id, entry, now)
             }
+            PendingWrite::Chunk(ChunkId { chunk, .. }) => self.chunk_update(id, entry, *chunk, now),
         }
     }
 
     /// Returns the record update of a job that keeps its claims in its own record.
-    fn written_inline(&mut self, id: &JobId, entry: &JobEntry, now: Time) -> Written {
+    fn inline_update(&mut self, id: &JobId, entry: &JobEntry, now: Time) -> RecordUpdate {
         let stored = &entry.record.value;
         let Some(inline) = self.snapshot(id, 0, entry.inline()) else {
-            return Written::Nothing;
+            return RecordUpdate::Nothing;
         };
         if entry.inline() == Some(&inline) || stored.phase == Phase::Done {
-            return Written::Nothing;
+            return RecordUpdate::Nothing;
         }
         let value_bytes = self.cfg.state_limits.value_bytes;
         let mut record = JobRecord {
@@ -113,14 +117,14 @@
             ..entry.rewritten(self.cfg.in_lane(stored))
         };
         if encoded_bytes(&record) <= value_bytes {
-            return Written::Job(record);
+            return RecordUpdate::Job(record);
         }
         let Some(claims) = record.inline.take() else {
-            return Written::Nothing;
+            return RecordUpdate::Nothing;
         };
         if encoded_bytes(&record) <= value_bytes {
-            return Written::Moved {
-                claims: self.fitting(id, 0, claims, now),
+            return RecordUpdate::Moved {
+                claims: self.shorten_to_limit(id, 0, claims, now),
                 job: record,
             };
         }
@@ -129,12 +133,12 @@
         // other form. Under the smaller limits the claims go to a key of their own, which takes
         // precedence over the claims in the record.
         if self.rejected_changes.limits_fell() {
-            Written::Chunk {
+            RecordUpdate::Chunk {
                 chunk: 0,
-                record: Some(self.fitting(id, 0, claims, now)),
+                record: Some(self.shorten_to_limit(id, 0, claims, now)),
             }
         } else {
-            Written::Job(JobRecord {
+            RecordUpdate::Job(JobRecord {
                 inline: Some(claims),
                 ..record
             })
@@ -142,23 +146,30 @@
     }
 
     /// Returns the record update of a chunk that has its own key.
-    fn written_chunk(&mut self, id: &JobId, entry: &JobEntry, chunk: u32, now: Time) -> Written {
+    fn chunk_update(
+        &mut self,
+        id: &JobId,
+        entry: &JobEntry,
+        chunk: u32,
+        now: Time,
+    ) -> RecordUpdate {
         let over = entry.record.value.phase != Phase::Live;
         let cancelled = entry.record.value.phase == Phase::Cancelled;
         let stored = entry.chunks.get(&chunk);
-        let homed = self.scope.homes(id);
+        let placed_here = self.scope.homes(id);
         // Another shard removes its own claims from the record. The job's own shard then deletes
         // the record.
-        let still_claimed_here = !homed && stored.is_some_and(|h| self.claims_in(&h.value, true));
+        let still_claimed_here =
+            !placed_here && stored.is_some_and(|h| self.claims_in(&h.value, true));
         let keep = self
             .snapshot(id, chunk, stored.map(|h| &h.value))
             .filter(|r| !over || !r.claims.is_empty() || still_claimed_here);
         if let Some(record) = keep {
-            let record = self.fitting(id, chunk, record, now);
+            let record = self.shorten_to_limit(id, chunk, record, now);
             return if stored.is_some_and(|h| h.value == record) {
-                Written::Nothing
+                RecordUpdate::Nothing
             } else {
-                Written::Chunk {
+                RecordUpdate::Chunk {
                     chunk,
                     record: Some(record),
                 }
@@ -167,15 +178,15 @@
         // Only the shard that places the job deletes a chunk, and only once the job is over.
         // Another shard without any task of the job once deleted a chunk that other shards still
         // had claims in. Their tasks were started twice (hunt, day `apart`).
-        if stored.is_none() || !over || !homed {
-            return Written::Nothing;
+        if stored.is_none() || !over || !placed_here {
+            return RecordUpdate::Nothing;
         }
         // A cancelled job's chunk also stays until all tasks of other shards are proven to have
         // ended. Otherwise the next owner of such a shard would not count them.
         if cancelled && stored.is_some_and(|h| self.claims_in(&h.value, false)) {
-            Written::Nothing
+            RecordUpdate::Nothing
         } else {
-            Written::Chunk {
+            RecordUpdate::Chunk {
                 chunk,
                 record: None,
             }
@@ -185,7 +196,7 @@
     /// Shortens a chunk so that it fits into a value. A chunk that an earlier version made for
     /// larger values may be too large. Its last unrecorded claims then wait until other claims
     /// of the chunk have ended. No command was sent for them, because they are not recorded.
-    fn fitting(
+    fn shorten_to_limit(
         &mut self,
         id: &JobId,
         chunk: u32,
@@ -224,7 +235,7 @@
 
     /// Queues a chunk to be recorded again. It has waited already; what is awaited is not before
     /// it.
-    pub(super) fn claim_again(&mut self, chunk: ChunkId, now: Time) {
+    pub(super) fn requeue_claims(&mut self, chunk: ChunkId, now: Time) {
         match self.cluster_state.job(&chunk.job) {
             Some(job) => {
                 let (write_priority, sort) =
@@ -241,7 +252,7 @@
     /// blocks no other change. A change that was rejected alone waits before its retry. Returns
     /// false if this owner no longer holds the grant.
     pub fn rejected(&mut self, batch: Batch, limits_fell: bool, view: &View, now: Time) -> bool {
-        if !self.rejected_changes.learn_limits(limits_fell) {
+        if !self.rejected_changes.observe_limits(limits_fell) {
             let with_rollout = batch.rollout.is_some();
             let changes = batch.written_keys();
             self.rejected_changes
@@ -252,7 +263,7 @@
 }
 
 /// Returns the records of a job, or `None` if nothing of the job may be recorded.
-fn recordable<'a>(view: &'a View, id: &JobId) -> Option<&'a JobEntry> {
+fn recordable_entry<'a>(view: &'a View, id: &JobId) -> Option<&'a JobEntry> {
     let entry = view.job(id)?;
     if entry.record.value.phase == Phase::Live && !view.is_ready(id) {
         // This point should be unreachable, because the cluster state holds no job that waits
--- a/src/control/core/draft.rs
+++ b/src/control/core/draft.rs
@@ -15,14 +15,14 @@
 use crate::types::{JobId, Revision};
 
 /// Approximate limit of the bytes of a transaction's values.
-const TXN_BYTES: usize = 48 << 10;
+const MAX_VALUE_BYTES: usize = 48 << 10;
 /// Approximate bytes of a change that writes a job, without the claims.
-const JOB_CHANGE_BYTES: usize = 400;
+const JOB_CHANGE_OVERHEAD_BYTES: usize = 400;
 /// Approximate bytes of a change that writes a chunk, without the claims.
-const CHUNK_CHANGE_BYTES: usize = 200;
+const CHUNK_CHANGE_OVERHEAD_BYTES: usize = 200;
 
 /// Record update that a pending write results in.
-pub(super) enum Written {
+pub(super) enum RecordUpdate {
     /// No update, because the record is up to date or nobody needs it.
     Nothing,
     /// The job's record, with all its claims if it stores them inline.
@@ -43,7 +43,7 @@
     },
 }
 
-impl Written {
+impl RecordUpdate {
     /// Returns the number of changes that the update adds to the transaction.
     fn changes(&self) -> usize {
         match self {
@@ -103,9 +103,9 @@
 pub(super) struct Draft {
     batch: Batch,
     /// Jobs whose records are among the conditions.
-    guarded: BTreeSet<JobId>,
+    guarded_jobs: BTreeSet<JobId>,
     /// Jobs whose records the transaction writes.
-    written: BTreeSet<JobId>,
+    written_jobs: BTreeSet<JobId>,
     /// Approximate bytes of the values.
     bytes: usize,
     bounds: DraftBounds,
@@ -128,8 +128,8 @@
                 jobs: Vec::new(),
                 rollout: None,
             },
-            guarded: BTreeSet::new(),
-            written: BTreeSet::new(),
+            guarded_jobs: BTreeSet::new(),
+            written_jobs: BTreeSet::new(),
             bytes: 0,
             bounds,
         }
@@ -141,23 +141,23 @@
     }
 
     /// Returns whether one more change may be added.
-    pub(super) fn takes_change(&self) -> bool {
+    pub(super) fn accepts_change(&self) -> bool {
         self.len() < self.bounds.max_ops && !(self.bounds.single_change && self.len() > 0)
     }
 
     /// Returns whether another pending write may be added.
-    pub(super) fn takes_more(&self) -> bool {
-        self.takes_change() && self.bytes <= TXN_BYTES
+    pub(super) fn accepts_more(&self) -> bool {
+        self.accepts_change() && self.bytes <= MAX_VALUE_BYTES
     }
 
     /// Returns whether all changes of an update may be added.
-    pub(super) fn fits(&self, written: &Written) -> bool {
-        self.len() + written.changes() <= self.bounds.max_ops
+    pub(super) fn fits(&self, update: &RecordUpdate) -> bool {
+        self.len() + update.changes() <= self.bounds.max_ops
     }
 
     /// Returns whether the transaction writes a job's record.
     pub(super) fn writes_job(&self, id: &JobId) -> bool {
-        self.written.contains(id)
+        self.written_jobs.contains(id)
     }
 
     /// Adds a step of an image's rollout.
@@ -178,17 +178,17 @@
     }
 
     /// Adds the changes of a record update, conditional on the job's record.
-    pub(super) fn add(&mut self, id: &JobId, entry: &JobEntry, written: Written) {
-        match written {
-            Written::Nothing => return,
-            Written::Job(record) => self.add_job(id, record),
-            Written::Chunk { chunk, record } => self.add_chunk(id, entry, chunk, record),
-            Written::Moved { job, claims } => {
+    pub(super) fn add(&mut self, id: &JobId, entry: &JobEntry, update: RecordUpdate) {
+        match update {
+            RecordUpdate::Nothing => return,
+            RecordUpdate::Job(record) => self.add_job(id, record),
+            RecordUpdate::Chunk { chunk, record } => self.add_chunk(id, entry, chunk, record),
+            RecordUpdate::Moved { job, claims } => {
                 self.add_job(id, job);
                 self.add_chunk(id, entry, 0, Some(claims));
             }
         }
-        if self.guarded.insert(id.clone()) {
+        if self.guarded_jobs.insert(id.clone()) {
             self.batch.transaction.conditions.push(Condition {
                 key: job_key(id),
                 mod_revision: entry.record.mod_revision,
@@ -199,10 +199,10 @@
     /// Adds the write of a job's own record.
     fn add_job(&mut self, id: &JobId, record: JobRecord) {
         let claims = record.inline.as_ref().map_or(0, ChunkRecord::weight);
-        self.bytes += JOB_CHANGE_BYTES + claims;
+        self.bytes += JOB_CHANGE_OVERHEAD_BYTES + claims;
         let change = Change::write(job_key(id), &record, None);
         self.batch.transaction.changes.push(change);
-        self.written.insert(id.clone());
+        self.written_jobs.insert(id.clone());
         let job = id.clone();
         self.batch.jobs.push(JobWrite { job, record });
     }
@@ -210,7 +210,7 @@
     /// Adds the write of a chunk, conditional on the chunk's present record. `None` deletes the
     /// chunk.
     fn add_chunk(&mut self, id: &JobId, entry: &JobEntry, chunk: u32, keep: Option<ChunkRecord>) {
-        self.bytes += CHUNK_CHANGE_BYTES + keep.as_ref().map_or(0, ChunkRecord::weight);
+        self.bytes += CHUNK_CHANGE_OVERHEAD_BYTES + keep.as_ref().map_or(0, ChunkRecord::weight);
         let key = chunk_key(id, chunk);
         let mod_revision = entry
             .chunks
--- a/src/control/core/job_changes.rs
+++ b/src/control/core/job_changes.rs
@@ -102,11 +102,11 @@
             }
             return;
         };
-        let homed = job.tasks.at_home();
-        if !over && (homed || job.tasks.pending() > 0) || !job.tasks.claims().is_empty() {
+        let placed_here = job.tasks.at_home();
+        if !over && (placed_here || job.tasks.pending() > 0) || !job.tasks.claims().is_empty() {
             return;
         }
-        if !homed {
+        if !placed_here {
             // This shard's claims are removed from the record before the job is removed.
             if !self.claims_here(entry) {
                 self.cluster_state.remove_job(id);
--- a/src/control/core/outcomes.rs
+++ b/src/control/core/outcomes.rs
@@ -48,14 +48,14 @@
 
     /// Adds the claims and results that other shards stored in a chunk's record.
     fn merge_other_shards(&self, record: &mut ChunkRecord, stored: &ChunkRecord) {
-        let theirs = stored.claims.iter();
-        let theirs = theirs.filter(|claim| !self.scope.covers(&claim.machine));
-        let theirs: Vec<_> = theirs.cloned().collect();
-        let of = |place: u32| theirs.iter().any(|claim| claim.place == place);
-        let units = stored.units.iter().filter(|units| of(units.place));
+        let foreign_claims = stored.claims.iter();
+        let foreign_claims = foreign_claims.filter(|claim| !self.scope.covers(&claim.machine));
+        let foreign_claims: Vec<_> = foreign_claims.cloned().collect();
+        let is_foreign = |place: u32| foreign_claims.iter().any(|claim| claim.place == place);
+        let units = stored.units.iter().filter(|units| is_foreign(units.place));
         record.units.extend(units.cloned());
         record.units.sort_by_key(|units| units.place);
-        record.claims.extend(theirs);
+        record.claims.extend(foreign_claims);
         record.claims.sort_by_key(|claim| claim.place);
         record.next_attempt = record.next_attempt.max(stored.next_attempt);
         record.done |= stored.done;
@@ -214,8 +214,8 @@
         let ChunkId { job: id, chunk } = &write.chunk;
         let stored = view.job(id).and_then(|e| e.chunk(*chunk));
         match (&write.record, stored) {
-            (Some(ours), Some(stored)) if ours == stored => self.confirm(id, *chunk, ours, now),
-            (Some(_), _) => self.claim_again(write.chunk, now),
+            (Some(sent), Some(stored)) if sent == stored => self.confirm(id, *chunk, sent, now),
+            (Some(_), _) => self.requeue_claims(write.chunk, now),
             (None, _) => self.pending.useless(write.chunk, now),
         }
     }
--- a/src/control/core/rejected_changes.rs
+++ b/src/control/core/rejected_changes.rs
@@ -12,7 +12,7 @@
 /// change would block the others.
 const SINGLE_CHANGE_PERIOD_S: f64 = 10.0;
 /// Seconds until a change that was rejected alone is retried.
-const REJECTED_S: f64 = 20.0;
+const REJECTED_RETRY_S: f64 = 20.0;
 
 /// Consequences of rejected transactions for the next transactions.
 #[derive(Debug)]
@@ -43,7 +43,7 @@
 
     /// Records whether a rejection shows that the smaller limits are in force. Returns true if
     /// this was not known before.
-    pub(super) fn learn_limits(&mut self, fell: bool) -> bool {
+    pub(super) fn observe_limits(&mut self, fell: bool) -> bool {
         let new = fell && !self.limits_fell;
         self.limits_fell |= fell;
         new
@@ -66,7 +66,7 @@
         if changes.len() + usize::from(with_rollout) > 1 {
             self.isolated_until = now.after(SINGLE_CHANGE_PERIOD_S);
         } else {
-            let until = now.after(REJECTED_S);
+            let until = now.after(REJECTED_RETRY_S);
             self.waiting.extend(changes.into_iter().map(|c| (c, until)));
         }
     }
