--- a/src/control/core/batch.rs
+++ b/src/control/core/batch.rs
@@ -29,7 +29,7 @@
         };
         let mut draft = Draft::new(self.grant_key(), self.grant_revision, bounds);
         // The rollout goes first, because task starts wait for it.
-        if let Some(due) = self.image_distribution.next(now) {
+        if let Some(due) = self.image_distribution.next_step(now) {
             draft.add_rollout(due);
         }
         self.add_pending(&mut draft, view, spare, now);
--- a/src/control/core/draft.rs
+++ b/src/control/core/draft.rs
@@ -162,7 +162,7 @@
 
     /// Adds a step of an image's rollout.
     pub(super) fn add_rollout(&mut self, due: DueStep) {
-        self.batch.transaction.conditions.push(due.conditions);
+        self.batch.transaction.conditions.push(due.condition);
         self.batch.transaction.changes.push(due.change);
         self.batch.rollout = Some(due.step);
     }
--- a/src/control/core/outcomes.rs
+++ b/src/control/core/outcomes.rs
@@ -74,7 +74,7 @@
             self.chunk_committed(write, revision, view, now);
         }
         if let Some(step) = batch.rollout {
-            for machine in self.image_distribution.done(step, revision, now) {
+            for machine in self.image_distribution.step_committed(step, revision, now) {
                 self.wake(&machine);
             }
             self.wake_staged(now);
@@ -177,7 +177,7 @@
     /// holds the grant.
     pub fn conflicted(&mut self, batch: Batch, view: &View, now: Time) -> bool {
         if let Some(step) = batch.rollout {
-            self.image_distribution.undone(step, view, now);
+            self.image_distribution.step_conflicted(step, view, now);
         }
         let mut chunks = batch.chunks;
         for write in batch.jobs {
--- a/src/control/core/recorded_job.rs
+++ b/src/control/core/recorded_job.rs
@@ -41,7 +41,7 @@
 const MIN_FAILED_ATTEMPTS: u64 = 3;
 const MAX_FAILED_ATTEMPTS: u64 = 8;
 /// Failures that a suspected job starts with.
-const DOUBTED_FAILURES: u32 = 2;
+const SUSPECTED_FAILURES: u32 = 2;
 
 /// A claim that was found in a record.
 struct FoundClaim {
@@ -89,16 +89,17 @@
     /// Claims on this shard's machines.
     claims: Vec<FoundClaim>,
     /// Attempts that ended without a result.
-    wasted: u64,
+    failed_attempts: u64,
 }
 
 impl FoundTasks {
     /// Returns whether a job is suspected to be faulty, because many attempts had no result and
     /// no task is done. One task then tests the job before its other tasks start.
-    fn casts_doubt_on(&self, spec: &JobSpec) -> bool {
+    fn suggests_faulty(&self, spec: &JobSpec) -> bool {
         spec.kind == Kind::Array
             && self.tasks.done() == 0
-            && self.wasted >= u64::from(spec.tasks).clamp(MIN_FAILED_ATTEMPTS, MAX_FAILED_ATTEMPTS)
+            && self.failed_attempts
+                >= u64::from(spec.tasks).clamp(MIN_FAILED_ATTEMPTS, MAX_FAILED_ATTEMPTS)
     }
 
     /// Returns whether any task was ever placed, as far as the records show.
@@ -192,12 +193,12 @@
         let mut found = FoundTasks {
             tasks: Tasks::new(record.tasks, record.chunk),
             claims: Vec::new(),
-            wasted: 0,
+            failed_attempts: 0,
         };
         for (chunk, stored) in entry.all_chunks() {
             found.tasks.set_next_attempt(chunk, stored.next_attempt);
-            let of_use = stored.claims.len() as u64 + u64::from(stored.done.count_ones());
-            found.wasted += stored.next_attempt.saturating_sub(1 + of_use);
+            let useful_attempts = stored.claims.len() as u64 + u64::from(stored.done.count_ones());
+            found.failed_attempts += stored.next_attempt.saturating_sub(1 + useful_attempts);
             for bit in (0..found.tasks.chunk_size()).filter(|bit| stored.done >> bit & 1 == 1) {
                 found.tasks.set_done(chunk * record.chunk + bit);
             }
@@ -235,10 +236,10 @@
         let team = self.team_of(id, &spec)?;
         let spec = Rc::new(spec);
         tracing::debug!(job = %id, class = %spec.class, team = %spec.team, tasks = spec.tasks, image = %spec.image.as_str(), "job added");
-        let suspected_faulty = found.casts_doubt_on(&spec);
+        let suspected_faulty = found.suggests_faulty(&spec);
         let topology = self.cluster_state.topology().map(|t| &**t);
         let failures = if suspected_faulty {
-            DOUBTED_FAILURES
+            SUSPECTED_FAILURES
         } else {
             0
         };
--- a/src/control/core/rollout_records.rs
+++ b/src/control/core/rollout_records.rs
@@ -35,43 +35,44 @@
 
 /// A step with its change and the condition of that change.
 pub(super) struct DueStep {
-    pub(super) conditions: Condition,
+    pub(super) condition: Condition,
     pub(super) change: Change,
     pub(super) step: Step,
 }
 
 impl ImageDistribution {
     /// Returns the next change that is due.
-    pub(super) fn next(&self, now: Time) -> Option<DueStep> {
+    pub(super) fn next_step(&self, now: Time) -> Option<DueStep> {
         if let Some((key, mod_revision)) = self.useless.first_key_value() {
             return Some(deletion(*key, *mod_revision));
         }
         let mut rollouts = self.rollouts.iter();
-        rollouts.find_map(|(image, active)| self.next_of(image, active, now))
+        rollouts.find_map(|(image, active)| self.next_step_of(image, active, now))
     }
 
     /// Returns the next change of a rollout. This is its next record, or the deletion of its
     /// record once the rollout is over.
-    fn next_of(&self, image: &Image, active: &ActiveRollout, now: Time) -> Option<DueStep> {
+    fn next_step_of(&self, image: &Image, active: &ActiveRollout, now: Time) -> Option<DueStep> {
         let rollout = active.rollout.as_ref()?;
         let key = self.key(image);
-        let stored_records = self.stored_records.get(&key);
-        if stored_records.is_some_and(|h| h.value.is_none()) {
+        let stored_record = self.stored_records.get(&key);
+        if stored_record.is_some_and(|h| h.value.is_none()) {
             return None;
         }
-        let mod_revision = stored_records.map_or(Revision(0), |h| h.mod_revision);
+        let mod_revision = stored_record.map_or(Revision(0), |h| h.mod_revision);
         if rollout.over() {
-            let long = active
+            let delay_over = active
                 .over_since
                 .is_some_and(|t| now.since(t) >= DELETION_DELAY_S);
-            return (long && mod_revision != Revision(0)).then(|| deletion(key, mod_revision));
+            return (delay_over && mod_revision != Revision(0))
+                .then(|| deletion(key, mod_revision));
         }
         let record = rollout.next(now.0)?;
         let written = self.fitting(&record)?;
         let name = key.key();
         Some(DueStep {
             change: Change::write(name.clone(), &written, None),
-            conditions: Condition {
+            condition: Condition {
                 key: name,
                 mod_revision,
             },
@@ -83,7 +84,7 @@
     }
 
     /// Handles a committed change. Returns the machines that may receive their task starts now.
-    pub(super) fn done(
+    pub(super) fn step_committed(
         &mut self,
         step: Step,
         mod_revision: Revision,
@@ -91,7 +92,7 @@
     ) -> BTreeSet<MachineId> {
         self.useless.remove(&step.key);
         let Some(RecordWrite { record, written }) = step.write else {
-            return self.ended(step.key);
+            return self.record_deleted(step.key);
         };
         let value = Some(written);
         self.stored_records.insert(
@@ -110,7 +111,7 @@
 
     /// Handles the deletion of a rollout's record. Returns the machines that arrived in the
     /// meantime, because they begin another rollout.
-    fn ended(&mut self, key: RolloutId) -> BTreeSet<MachineId> {
+    fn record_deleted(&mut self, key: RolloutId) -> BTreeSet<MachineId> {
         self.stored_records.remove(&key);
         let mut waiting_starts = BTreeSet::new();
         self.rollouts.retain(|image, active| {
@@ -130,20 +131,20 @@
 
     /// Handles a change that was not committed, or that an earlier attempt had already
     /// committed. The view shows which of the two happened.
-    pub(super) fn undone(&mut self, step: Step, view: &View, now: Time) {
-        let stored_records = view.rollouts.get(&step.key);
-        let recorded = stored_records.and_then(|h| h.value.as_ref());
+    pub(super) fn step_conflicted(&mut self, step: Step, view: &View, now: Time) {
+        let stored_record = view.rollouts.get(&step.key);
+        let recorded = stored_record.and_then(|h| h.value.as_ref());
         let same = recorded == step.write.as_ref().map(|write| &write.written);
-        match stored_records {
+        match stored_record {
             _ if same => {
-                let mod_revision = stored_records.map_or(Revision(0), |h| h.mod_revision);
-                self.done(step, mod_revision, now);
+                let mod_revision = stored_record.map_or(Revision(0), |h| h.mod_revision);
+                self.step_committed(step, mod_revision, now);
             }
-            Some(stored_records) if step.key.shard == self.shard => {
-                self.stored_records.insert(step.key, stored_records.clone());
+            Some(stored_record) if step.key.shard == self.shard => {
+                self.stored_records.insert(step.key, stored_record.clone());
             }
-            Some(stored_records) => {
-                self.useless.insert(step.key, stored_records.mod_revision);
+            Some(stored_record) => {
+                self.useless.insert(step.key, stored_record.mod_revision);
             }
             None => {
                 self.stored_records.remove(&step.key);
@@ -159,7 +160,7 @@
         change: Change::Delete {
             delete: name.clone(),
         },
-        conditions: Condition {
+        condition: Condition {
             key: name,
             mod_revision,
         },
