--- a/src/control/core/batch.rs
+++ b/src/control/core/batch.rs
@@ -93,7 +93,8 @@
         let stored = &entry.record.value;
         match due {
             PendingWrite::Finished(_) if stored.phase != Phase::Live => RecordUpdate::Nothing,
-            // The record of a completed job is enough, so its chunks can be deleted.
+            // The job's record alone states that the job is completed, so its chunks can be
+            // deleted.
             PendingWrite::Finished(_) => RecordUpdate::Job(stored.done(self.wall_ms(now))),
             PendingWrite::Chunk(_) if entry.inline().is_some() => {
                 self.inline_update(id, entry, now)
--- a/src/control/core/job_changes.rs
+++ b/src/control/core/job_changes.rs
@@ -80,8 +80,8 @@
             return;
         };
         let times = job_times(view, id, &entry.record.value, now, wall_ms);
-        // The job's arrival at this owner counts, so that differences between clocks don't move
-        // it.
+        // Readiness counts from the job's arrival at this owner, so that differences between
+        // clocks don't shift it.
         let ready = job.submitted;
         let urgency = self.urgency(&job.spec, &JobTimes { ready, ..times }, Some(inherited));
         if !urgency.is_of(job) {
@@ -90,7 +90,8 @@
         }
     }
 
-    /// Removes a job that is over once no claim of it remains and its records claim nothing
+    /// Removes a job that is over, once no claim of it remains and its records claim nothing
+    /// here. A job of another shard is also removed once none of its tasks is pending or claimed
     /// here.
     pub(super) fn forget_job(&mut self, view: &View, id: &JobId, now: Time) {
         let Some(entry) = view.job(id) else { return };
--- a/src/control/core/recorded_job.rs
+++ b/src/control/core/recorded_job.rs
@@ -37,7 +37,7 @@
 }
 
 /// A new owner suspects a job to be faulty after as many attempts without a result as the job
-/// has tasks. These constants bound that number of attempts.
+/// has tasks. This number of attempts has these two bounds.
 const MIN_FAILED_ATTEMPTS: u64 = 3;
 const MAX_FAILED_ATTEMPTS: u64 = 8;
 /// Failures that a suspected job starts with.
@@ -172,7 +172,8 @@
 
     /// Puts the claims of a job that was just added into the cluster state.
     fn put_claims(&mut self, id: &JobId, claims: Vec<FoundClaim>, now: Time) {
-        // A record that an earlier version wrote names no units.
+        // A record that an earlier version wrote names no units, so the job's placement tells
+        // whether its tasks hold devices.
         let job = self.cluster_state.job(id);
         let placement = job.and_then(|j| j.spec.placement.as_ref());
         let uses_devices = placement.is_some_and(|w| w.lost || !w.devices.is_empty());
--- a/src/control/core/shard_quota.rs
+++ b/src/control/core/shard_quota.rs
@@ -66,7 +66,7 @@
 /// Returns a team's part of its limit from the record, less the amount that is being
 /// transferred. The guarantee is divided in the same proportion. RAM has no limit.
 fn team_part(team: &TeamConfig, recorded: Amount, given: Amount, shards: i64) -> TeamLimits {
-    // A team without a limit has no parts of it, so the record does not count.
+    // A missing limit is not divided, whatever amounts the record states.
     let part = |recorded: i64, given: i64, total_limit: i64, guarantee: i64| {
         if total_limit == Amount::NO_LIMIT {
             return ResourcePart {
