--- a/src/control/core/active_rollout.rs
+++ b/src/control/core/active_rollout.rs
@@ -1,4 +1,5 @@
-//! One image's rollout: which machines are in it, and which starts wait for their stage.
+//! This module tracks the staged rollout of one image. It records which machines take part and
+//! which task starts wait for their stage.
 
 use std::collections::btree_map::Entry;
 use std::collections::{BTreeMap, BTreeSet};
@@ -9,22 +10,23 @@
 use crate::scheduler::{Claim, Progress, Sent};
 use crate::types::{MachineId, Time};
 
-/// Starts that wait are looked at so many at a time: with thousands of them, and
-/// no upload free, all at once would hold up everything else.
+/// Maximum number of machines with a waiting start that one pass scans. With thousands of them
+/// and no free upload slot, a full scan would delay all other work.
 const MACHINES_SCANNED_PER_PASS: usize = 64;
 
-/// What a machine does with an image, by the claims there.
+/// Progress of a machine with an image, derived from the claims on the machine. The variants
+/// are ordered by progress.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum ImageState {
-    /// Its start was not sent.
+    /// The start command was not sent yet.
     StartPending,
-    /// It was, and the task doesn't run yet.
+    /// The start command was sent, and the task does not run yet.
     Fetches,
-    /// A task runs on it.
+    /// A task runs with the image.
     Runs,
 }
 
-/// What a claim's task does with its image.
+/// Returns the progress of a claim's task with its image.
 pub(super) fn image_state(claim: &Claim) -> ImageState {
     match (claim.progress, claim.sent) {
         (Progress::Running(_) | Progress::Saving, _) => ImageState::Runs,
@@ -33,48 +35,49 @@
     }
 }
 
-/// A machine in a rollout.
+/// Machine that takes part in a rollout.
 pub(super) struct Member {
-    /// It has all of the image.
+    /// Whether the machine has the complete image.
     pub(super) complete: bool,
-    /// Since when its start is pending, or it is known to fetch the image.
+    /// Time since which the machine's start is pending, or since which the machine is known to
+    /// fetch the image.
     pub(super) since: Time,
 }
 
-/// A machine on which a task is to be started.
+/// Machine on which the controller is about to start a task.
 pub(super) struct StartingMachine<'a> {
     pub(super) id: &'a MachineId,
-    /// Its failure domains, the zone first.
+    /// Failure domains of the machine, the zone first.
     pub(super) path: &'a [String],
-    /// It has all of the image.
+    /// Whether the machine has the complete image.
     pub(super) complete: bool,
 }
 
-/// A machine that has all of an image when its rollout begins.
+/// Machine that already has the complete image when its rollout begins.
 pub(super) struct CompleteMachine {
     pub(super) id: MachineId,
-    /// Its failure domains, the zone first.
+    /// Failure domains of the machine, the zone first.
     pub(super) path: Vec<String>,
 }
 
-/// An image's rollout here.
+/// Rollout of one image in this shard.
 pub(super) struct ActiveRollout {
-    /// None: a predecessor's, which is continued once it is known what was
-    /// started. Until then no start is sent: without that wait the origin would
-    /// be asked for copies that are on their way.
+    /// `None` for a rollout of the shard's previous owner. It resumes once the new owner knows
+    /// which starts the previous owner sent. No start is sent until then, because the origin
+    /// would be asked for copies that are already in flight.
     pub(super) rollout: Option<Rollout>,
-    /// Its size, in GB.
+    /// Size of the image in GB.
     pub(super) gb: f64,
     pub(super) members: BTreeMap<MachineId, Member>,
-    /// Machines whose start waits, and which of them was looked at last.
+    /// Machines whose start waits for its stage.
     pub(super) waiting: BTreeSet<MachineId>,
     scanned_to: MachineId,
-    /// Since when no start is pending and nobody fetches it.
+    /// Time since which no start is pending and no machine fetches the image.
     pub(super) over_since: Option<Time>,
 }
 
 impl ActiveRollout {
-    /// A rollout without members; none: a predecessor's.
+    /// Creates a rollout without members. `None` stands for a rollout of the previous owner.
     pub(super) fn of(rollout: Option<Rollout>) -> Self {
         Self {
             rollout,
@@ -86,7 +89,7 @@
         }
     }
 
-    /// A new rollout, with the machines that have all of the image.
+    /// Creates a new rollout whose members are the machines that have the complete image.
     pub(super) fn begin(
         mut rollout: Rollout,
         complete: impl Iterator<Item = CompleteMachine>,
@@ -106,7 +109,7 @@
         }
     }
 
-    /// A machine of the rollout has all of the image.
+    /// Records that a member has the complete image.
     pub(super) fn arrived(&mut self, machine: &MachineId, uploads: &mut Uploads) {
         let member = self.members.get_mut(machine);
         if let (Some(rollout), Some(member)) = (&mut self.rollout, member) {
@@ -115,8 +118,8 @@
         }
     }
 
-    /// Scans some of the machines whose start waits, from where the last scan ended; those
-    /// that may be sent it now wait no longer.
+    /// Scans some of the machines whose start waits, from where the last scan ended. Removes
+    /// those whose start may be sent now from the waiting machines, and returns them.
     pub(super) fn take_due_starts(&mut self, uploads: &Uploads, now: Time) -> Vec<MachineId> {
         let mut due = Vec::new();
         let Some(rollout) = &self.rollout else {
@@ -128,7 +131,7 @@
             let Some(id) = next.or_else(|| self.waiting.first()).cloned() else {
                 break;
             };
-            // One that is not in it yet joins with its start.
+            // A machine that is not a member yet joins when its start is sent.
             let joins = !self.members.contains_key(&id);
             if joins || rollout.may_start(&id, uploads, now.0) {
                 self.waiting.remove(&id);
@@ -139,8 +142,8 @@
         due
     }
 
-    /// Whom a machine takes the image from if its start is sent now, the best first. None:
-    /// the start has to wait for its stage.
+    /// Returns the sources from which a machine fetches the image if its start is sent now, the
+    /// best first. Returns `None` if the start has to wait for its stage.
     pub(super) fn start_on(
         &mut self,
         machine: &StartingMachine<'_>,
@@ -156,8 +159,8 @@
         sources
     }
 
-    /// The sources of a machine, which joins the rollout if it was not in it; none: its
-    /// start is not due.
+    /// Returns the sources of a machine and adds the machine to the rollout if it is not a
+    /// member. Returns `None` if its start is not due.
     fn sources_if_due(
         &mut self,
         machine: &StartingMachine<'_>,
--- a/src/control/core/delegated_tasks.rs
+++ b/src/control/core/delegated_tasks.rs
@@ -1,35 +1,35 @@
-//! Tasks that one shard leaves to another, each for a time.
+//! This module holds tasks that one shard delegates to another until they expire.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use crate::types::{JobId, Time};
 
-/// Tasks of one job, until a time.
+/// Delegated tasks of one job with a common expiry time.
 struct TimedTasks {
     tasks: BTreeSet<u32>,
     end: Time,
 }
 
-/// Tasks by job that may be placed by another shard than the job's own, each for a time.
+/// Tasks by job that a shard other than the job's own may place, each until its expiry time.
 #[derive(Default)]
 pub(super) struct DelegatedTasks {
     by_job: BTreeMap<JobId, Vec<TimedTasks>>,
 }
 
 impl DelegatedTasks {
-    /// Those of a job.
+    /// Returns the delegated tasks of a job.
     pub(super) fn of(&self, job: &JobId) -> impl Iterator<Item = u32> + '_ {
         let left = self.by_job.get(job).into_iter().flatten();
         left.flat_map(|t| t.tasks.iter().copied())
     }
 
-    /// Adds tasks of a job, until a time.
+    /// Adds tasks of a job that expire at `end`.
     pub(super) fn add(&mut self, job: &JobId, tasks: BTreeSet<u32>, end: Time) {
         let left = self.by_job.entry(job.clone()).or_default();
         left.push(TimedTasks { tasks, end });
     }
 
-    /// Drops those whose time is over; their jobs.
+    /// Removes the expired tasks and returns their jobs.
     pub(super) fn end(&mut self, now: Time) -> BTreeSet<JobId> {
         let mut ended = BTreeSet::new();
         for (job, left) in &mut self.by_job {
--- a/src/control/core/demand.rs
+++ b/src/control/core/demand.rs
@@ -1,5 +1,5 @@
-//! Free capacity that is kept for work to come: what arrived of late, and what that lets
-//! expect while a new machine boots.
+//! This module computes the free capacity to keep for future work. It derives the expected work
+//! from the jobs that arrived recently and from the boot time of a machine.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -9,24 +9,27 @@
 use crate::autoscaler;
 use crate::types::{Amount, Kind, Priority, Time};
 
-/// For how long an arrival counts, in seconds.
+/// Time for which an arrival counts, in seconds.
 const ARRIVAL_WINDOW_S: f64 = 180.0;
-/// Arrivals are taken to have come within no less than this, in seconds.
+/// Minimum time span over which the arrivals are averaged, in seconds.
 const MIN_ARRIVAL_SPAN_S: f64 = 30.0;
-/// Of a larger job only so many tasks count.
+/// Maximum number of tasks of a job that count.
 const MAX_COUNTED_TASKS: u32 = 1000;
-/// Free capacity is kept for what comes in so many usual boots.
+/// Free capacity covers the arrivals of this many usual boots.
 const BOOTS_COVERED: f64 = 1.5;
-/// More of it for replicas: the more there is, the more likely some of it has
-/// the image, and a fetch takes longer than their users wait.
+/// Factor on the free capacity for replicas of services. With more free capacity, it is more
+/// likely that some of it has the image already, and fetching an image takes longer than the
+/// users of replicas wait.
 const SERVICE_CAPACITY: f64 = 1.7;
-/// Tasks of arrays and gangs end and make room: only this share of a burst is kept for.
+/// Share of a burst of array or gang tasks for which capacity is kept. Such tasks end and free
+/// their capacity for the next ones.
 const BURST_SHARE: f64 = 0.6;
-/// At most one such part of a team's limit is reserved.
+/// A team's reserve is at most its limit divided by this number.
 const RESERVE_DIVISOR: i64 = 10;
 
 impl Core {
-    /// Free capacity to keep for each class that came of late: a typical job of it.
+    /// Returns the free capacity to keep for each class that arrived recently, as a typical job
+    /// of that class.
     pub(super) fn expected(&mut self, now: Time) -> Vec<autoscaler::Expected> {
         self.scaling.arrivals.expire(ARRIVAL_WINDOW_S, now);
         let arrivals = self.scaling.arrivals.iter();
@@ -37,7 +40,7 @@
         let span_s = now.since(first).clamp(MIN_ARRIVAL_SPAN_S, ARRIVAL_WINDOW_S);
         let arrivals = self.scaling.arrivals.iter();
         arrivals
-            // Work of idle priority takes what is left.
+            // Work of idle priority uses only left-over capacity.
             .filter(|a| a.spec().priority > Priority::Idle)
             .map(|a| autoscaler::Expected {
                 spec: a.spec().clone(),
@@ -46,8 +49,9 @@
             .collect()
     }
 
-    /// Tasks of a class that come while a machine boots, and how much that varies
-    /// when they come in jobs. All classes' arrivals came within `span_s` seconds.
+    /// Returns the number of tasks of a class that are expected while a machine boots, with a
+    /// margin for the variance of arrivals in whole jobs. The arrivals of all classes came
+    /// within `span_s` seconds.
     fn tasks_while_booting(&self, arrivals: &Arrivals, span_s: f64) -> f64 {
         let sizes = arrivals.task_counts();
         let count = sizes.len();
@@ -57,28 +61,28 @@
         let come = f64::from(sum) / span_s * boot_s;
         let burst = (come * mean).sqrt();
         match arrivals.spec().kind {
-            // Replicas stay: none makes room for the next.
+            // Replicas run on, so no replica frees capacity for the next one.
             Kind::Service => SERVICE_CAPACITY * (come + burst),
             Kind::Array | Kind::Gang => BURST_SHARE * burst * self.headroom_weight(arrivals.spec()),
         }
     }
 
-    /// Within each team's limit, a reserve for a job of the classes whose users
-    /// wait for its start: other work of the team must not take the last.
+    /// Sets a reserve within each team's limit for one job of the classes whose users wait for
+    /// its start. Other work of the team must not use up the limit.
     pub(super) fn reserve_for_urgent_classes(&mut self) {
         let largest = self.largest_urgent_jobs();
         for (i, team) in self.cfg.teams.iter().enumerate() {
             let job = largest.get(&team.name).copied().unwrap_or_default();
             let limit = self.cluster_state.teams()[i].limit;
-            // A small part of the limit only.
+            // The reserve may take only a small part of the limit.
             let small = job.cpu * RESERVE_DIVISOR <= limit.cpu;
             let reserve = if small { job } else { Amount::default() };
             self.cluster_state.hold_back(i, reserve);
         }
     }
 
-    /// By team: what the largest job takes, by its CPUs, of those that came of late and
-    /// whose users wait for the start.
+    /// Returns, by team, the resources of the largest job by CPUs among the recent jobs whose
+    /// users wait for the start.
     fn largest_urgent_jobs(&self) -> HashMap<Arc<str>, Amount> {
         let mut by_team: HashMap<Arc<str>, Amount> = HashMap::new();
         let arrivals = self.scaling.arrivals.iter();
--- a/src/control/core/image_distribution.rs
+++ b/src/control/core/image_distribution.rs
@@ -1,9 +1,11 @@
-//! Images that many machines want, see `docs/image_distribution.md`: which starts wait for
-//! their stage, and whom the others take their image from. One image's rollout is in
-//! [`super::active_rollout`], what is recorded in [`super::rollout_records`]. Off unless the operators' settings say from which size on.
+//! This module manages staged rollouts of images that many machines need, see
+//! `docs/image_distribution.md`. It decides which starts wait for their stage and from which
+//! machines the others fetch the image. [`super::active_rollout`] holds the rollout of one
+//! image, and [`super::rollout_records`] holds its record. Rollouts are off unless the
+//! operators' settings give a minimum image size.
 //!
-//! Each owner plans for the machines of its shard, so nothing is agreed on
-//! between owners; of several each has its part of what is asked of the origin.
+//! Each owner plans for the machines of its own shard, so owners need no agreement. With
+//! several shards, each owner has its part of the request limit of the origin.
 
 use std::collections::BTreeMap;
 
@@ -17,23 +19,24 @@
 use crate::state::view::{Versioned, View};
 use crate::types::{Image, JobSpec, MachineId, Revision, Time};
 
-/// All rollouts of a shard.
+/// All image rollouts of a shard.
 pub(super) struct ImageDistribution {
-    /// Images of at least so many GB go by rollouts; none: no image.
+    /// Minimum size in GB of an image that is rolled out in stages. `None` turns rollouts off.
     pub(super) least_gb: Option<f64>,
     pub(super) shard: ShardId,
     value_bytes: usize,
     pub(super) limits: Limits,
     pub(super) uploads: Uploads,
     pub(super) rollouts: BTreeMap<Image, ActiveRollout>,
-    /// What the state service has; none: of a later version, which is left alone.
+    /// Records in the state service. The value is `None` for a record of a later version, which
+    /// this owner leaves unchanged.
     pub(super) stored_records: BTreeMap<RolloutId, Versioned<Option<RolloutRecord>>>,
-    /// Of shards that there are no more.
+    /// Records of shards that no longer exist, which are to be deleted.
     pub(super) useless: BTreeMap<RolloutId, Revision>,
 }
 
 impl ImageDistribution {
-    /// What is recorded of a shard's rollouts; each is continued later.
+    /// Loads the recorded rollouts of a shard. Each rollout resumes later.
     pub(super) fn load(cfg: &Config, scope: ShardScope, view: &View) -> Self {
         let mut image_distribution = Self {
             least_gb: cfg.tuning.staging_least_gb,
@@ -53,7 +56,7 @@
         image_distribution
     }
 
-    /// Takes in a record that was found when the grant was taken up.
+    /// Loads one record that existed when the owner acquired its grant.
     fn load_record(
         &mut self,
         key: RolloutId,
@@ -68,29 +71,31 @@
             }
             return;
         }
-        // Shard 0 deletes the records of shards that there are no more, unless a later
-        // version wrote them.
+        // The owner of shard 0 deletes the records of shards that no longer exist, unless a
+        // later version wrote them.
         let obsolete = key.shard.0 >= scope.of && stored_record.value.is_some();
         if scope.shard == ShardId(0) && obsolete {
             self.useless.insert(key, stored_record.mod_revision);
         }
     }
 
-    /// Whether a job's image goes by a rollout.
+    /// Returns whether a job's image is rolled out in stages.
     pub(super) fn stages(&self, spec: &JobSpec) -> bool {
         self.least_gb.is_some_and(|least| spec.image_gb >= least)
     }
 
-    /// Whether an image has a rollout here, perhaps a predecessor's.
+    /// Returns whether an image has a rollout here, including one that the previous owner
+    /// recorded.
     pub(super) fn has_rollout(&self, image: &Image) -> bool {
         self.rollouts.contains_key(image)
     }
 
-    /// A rollout for an image that has none; none: it has to do without one.
+    /// Returns a new rollout for an image that has none. Returns `None` if the image has to be
+    /// distributed without a rollout.
     pub(super) fn new_rollout(&self, image: &Image) -> Option<Rollout> {
         if let Some(stored_record) = self.stored_records.get(&self.key(image)) {
-            // A later version's is left alone, and one of another image whose
-            // name has the same hash too.
+            // A record of a later version stays unchanged. So does a record of another image
+            // whose name has the same hash.
             let ours = stored_record.value.as_ref().filter(|r| r.known());
             ours.filter(|r| r.image == *image)?;
         }
@@ -100,13 +105,13 @@
         Some(rollout)
     }
 
-    /// A rollout begins for an image that had none.
+    /// Adds the rollout of an image that had none.
     pub(super) fn begin(&mut self, image: &Image, rollout: ActiveRollout) {
         self.rollouts.insert(image.clone(), rollout);
     }
 
-    /// Whom a machine takes an image from if its start is sent now, the best first. None:
-    /// the start has to wait for its stage.
+    /// Returns the sources from which a machine fetches an image if its start is sent now, the
+    /// best first. Returns `None` if the start has to wait for its stage.
     pub(super) fn start_on(
         &mut self,
         image: &Image,
@@ -117,14 +122,14 @@
         rollout.start_on(machine, &mut self.uploads, now)
     }
 
-    /// A machine has all of an image.
+    /// Records that a machine has the complete image.
     pub(super) fn arrived(&mut self, image: &Image, machine: &MachineId) {
         if let Some(rollout) = self.rollouts.get_mut(image) {
             rollout.arrived(machine, &mut self.uploads);
         }
     }
 
-    /// Machines whose start waited and may be sent now, a few of each rollout.
+    /// Returns machines whose start waited and may be sent now, a few of each rollout.
     pub(super) fn take_due_starts(&mut self, now: Time) -> Vec<MachineId> {
         let uploads = &self.uploads;
         let rollouts = self.rollouts.values_mut();
@@ -133,14 +138,14 @@
             .collect()
     }
 
-    /// By which an image's record is found.
+    /// Returns the identifier of an image's record.
     pub(super) fn key(&self, image: &Image) -> RolloutId {
         RolloutId::of(self.shard, image)
     }
 
-    /// The record as it fits into a value: seeds that are left out cost a copy
-    /// more, and one that is too large would never be written, nor what is in
-    /// its transaction.
+    /// Returns the record, shortened by seeds until it fits into a value. Each omitted seed
+    /// costs one more copy. A record that is too large would never be written, nor would the
+    /// other changes of its transaction.
     pub(super) fn fitting(&self, record: &RolloutRecord) -> Option<RolloutRecord> {
         let mut record = record.clone();
         loop {
@@ -152,13 +157,14 @@
         }
     }
 
-    /// An image's rollout, unless it is a predecessor's.
+    /// Returns an image's rollout. Returns `None` for a rollout of the previous owner that has
+    /// not resumed.
     pub(super) fn rollout_mut(&mut self, image: &Image) -> Option<&mut Rollout> {
         self.rollouts.get_mut(image)?.rollout.as_mut()
     }
 }
 
-/// A shard's part of what may be asked of the origin, at least one copy at a time.
+/// Returns a shard's part of the request limits of the origin, at least one copy at a time.
 fn limits_of(scope: ShardScope) -> Limits {
     let complete = Limits::default();
     let part = |all: u32| (all / scope.of.max(1)).max(1);
--- a/src/control/core/image_rollout.rs
+++ b/src/control/core/image_rollout.rs
@@ -1,6 +1,7 @@
-//! Images that many machines want: which starts wait for their stage, and whom the
-//! others take their image from. What is known and recorded of it is in
-//! [`super::image_distribution`]; it is compared with the claims in [`super::rollout_refresh`].
+//! This module connects task starts with staged image rollouts. It decides which starts wait
+//! for their stage and from which machines the others fetch the image.
+//! [`super::image_distribution`] holds the state and the records of rollouts, and
+//! [`super::rollout_refresh`] reconciles them with the claims.
 
 use std::net::SocketAddr;
 
@@ -14,9 +15,9 @@
 use crate::types::{Image, JobSpec, MachineId, TaskId, Time};
 
 impl Core {
-    /// Whom a machine takes a job's image from if it is started now, the best
-    /// first, and nobody: from the origin. None: the start has to wait for its
-    /// stage; the machine is woken as soon as it may go.
+    /// Returns the sources from which a machine fetches a job's image if a task starts there
+    /// now, the best first. An empty list means the origin. Returns `None` if the start has to
+    /// wait for its stage. The machine is woken as soon as its start may be sent.
     pub(super) fn sources_for(
         &mut self,
         id: &MachineId,
@@ -43,7 +44,7 @@
         Some(from.iter().filter_map(addr).collect())
     }
 
-    /// A task runs, so its machine has the image.
+    /// Records that the machine of a running task has the task's image.
     pub(super) fn image_ran(&mut self, task: &TaskId) {
         let Some(spec) = self.cluster_state.job(&task.job).map(|j| j.spec.clone()) else {
             return;
@@ -57,7 +58,8 @@
         self.image_distribution.arrived(&spec.image, &machine);
     }
 
-    /// Has a rollout for an image; false if it has to do without one.
+    /// Creates a rollout for an image if it has none. Returns `false` if the image has to be
+    /// distributed without a rollout.
     pub(super) fn keep_rollout(&mut self, image: &Image) -> bool {
         if self.image_distribution.has_rollout(image) {
             return true;
@@ -77,7 +79,7 @@
         true
     }
 
-    /// Whether a machine has tasks that need an image, and none that runs on it.
+    /// Returns whether a machine has tasks that need an image, and none of them runs.
     fn awaits(&self, id: &MachineId, image: &Image) -> bool {
         let needs = |task: &TaskId| {
             let job = self.cluster_state.job(&task.job);
@@ -90,7 +92,7 @@
         any && furthest.map(image_state).max() < Some(ImageState::Runs)
     }
 
-    /// A machine's failure domains, its zone first.
+    /// Returns the failure domains of a machine, its zone first.
     pub(super) fn path_of(&self, id: &MachineId) -> Vec<String> {
         let Some(machine) = self.cluster_state.machines().get(id) else {
             return Vec::new();
@@ -106,8 +108,9 @@
         std::iter::once(zone).chain(inner).collect()
     }
 
-    /// A machine says that it has all of an image, which is believed of one that
-    /// is expected there: if it isn't so, who is sent to it asks the next one.
+    /// Records the complete images that a heartbeat reports. A report counts only for an image
+    /// that is expected on the machine. If the report is wrong, a machine that is sent there
+    /// for the image asks its next source.
     pub(super) fn record_served_images(&mut self, heartbeat: &Heartbeat) {
         if self.image_distribution.least_gb.is_none() {
             return;
--- a/src/control/core/placement.rs
+++ b/src/control/core/placement.rs
@@ -1,22 +1,23 @@
-//! When the scheduler places tasks, and what follows from each placement. Which
-//! machine a task gets is decided in [`crate::scheduler`].
+//! This module decides when the scheduler places tasks, and it applies the effects of each
+//! placement. [`crate::scheduler`] decides which machine a task gets.
 
 use super::Core;
 use crate::control::write_queue::WritePriority;
 use crate::scheduler::{DelayRule, Job, Launch};
 use crate::types::{JobId, MachineId, Time};
 
-/// Part of its start objective after which other tasks are preempted for a job.
+/// Share of a job's start objective after which the scheduler preempts other tasks for the job.
 const PREEMPT_START: f64 = 0.15;
-/// The same for other jobs, as a multiple of their patience.
+/// Multiple of a job's patience after which the scheduler preempts other tasks for a job
+/// without a start objective.
 const PREEMPT_SLACK: f64 = 2.0;
-/// For so long after a failover nothing is preempted, in seconds.
+/// Time after a failover during which nothing is preempted, in seconds.
 const PREEMPT_SETTLE_S: f64 = 3.0;
-/// Steps of the walks in one turn: jobs and places that are looked at.
+/// Maximum number of steps of the placement walks in one turn. A step visits one job or place.
 const WALK_STEPS: u64 = 4000;
 
 impl Core {
-    /// Tasks were placed: their claims are to be recorded.
+    /// Queues the claims of placed tasks for recording.
     fn launched(&mut self, launches: Vec<Launch>, now: Time) {
         if !launches.is_empty() && self.failover.placed() {
             let after_s = self.failover.logged_age_s(now);
@@ -35,8 +36,8 @@
         }
     }
 
-    /// A task of a job was placed. If it is the first one, that is counted, by the shard
-    /// that places the job.
+    /// Counts a job's start when the first task of the job is placed. Only the shard that
+    /// places the job counts it.
     fn job_began(&mut self, id: &JobId, now: Time) {
         let job = self.cluster_state.job(id);
         let Some(job) = job.filter(|j| !j.started && j.tasks.at_home()) else {
@@ -48,7 +49,7 @@
         self.cluster_state.edit_job(id, |j| j.started = true);
     }
 
-    /// For how long a task waits for a machine that has its image.
+    /// Returns the rule for how long a task waits for a machine that has its image.
     fn rule(&self) -> DelayRule {
         DelayRule {
             fetches: self.cfg.tuning.delay_fetches,
@@ -56,14 +57,14 @@
         }
     }
 
-    /// Walks one machine, after its heartbeat.
+    /// Places tasks on one machine after its heartbeat.
     pub fn walk(&mut self, id: &MachineId, now: Time) {
         if self.is_frozen() {
             return;
         }
         self.placement_queue.refresh_pass(now);
-        // A new owner's first heartbeat of a machine walks it at once: others' work
-        // had a part of what was held.
+        // A new owner places tasks on a machine at the machine's first heartbeat. Other work took a part
+        // of the reserved capacity, so the reservations are refilled first.
         if self.windows.any_reserved() {
             self.cluster_state.refill_reservations(id, now);
         }
@@ -72,7 +73,7 @@
         self.launched(launches, now);
     }
 
-    /// Where capacity became free, windows have what they lack before anybody else.
+    /// Reserves freed capacity for windows that lack capacity, before other work can take it.
     fn refill_windows(&mut self, now: Time) {
         if self.windows.any_reserved() {
             for id in self.placement_queue.iter() {
@@ -81,10 +82,9 @@
         }
     }
 
-    /// Places what can be placed on machines where capacity became free, one after the
-    /// other by name, as far as one turn allows: with thousands of them and a
-    /// long queue all walks together took eight seconds once, and the leader's
-    /// lease was lost meanwhile.
+    /// Places tasks on machines where capacity became free, in order of their names, up to the
+    /// step limit of one turn. Without the limit, a pass over thousands of machines with a long
+    /// queue once took eight seconds, and the leader lost its lease meanwhile.
     pub fn place(&mut self, now: Time) {
         self.refill_windows(now);
         let begun = self.cluster_state.capacity_index.steps.get();
@@ -96,13 +96,13 @@
         }
     }
 
-    /// Whether work arrived or waits may have passed since the last [`Self::place_all`].
+    /// Returns whether work arrived or a waiting time may have ended since the last
+    /// [`Self::place_all`].
     pub fn place_all_is_due(&self) -> bool {
         self.placement_queue.full_walk_is_due()
     }
 
-    /// Places what can be placed anywhere, if work arrived or waits may have
-    /// passed.
+    /// Places tasks on any machine if work arrived or a waiting time may have ended.
     pub fn place_all(&mut self, now: Time) {
         let due = !self.is_frozen() && self.placement_queue.take_full_walk();
         if due && self.cluster_state.has_work() {
@@ -112,15 +112,15 @@
         }
     }
 
-    /// Stops tasks for others that have waited too long.
+    /// Preempts tasks for jobs that have waited too long.
     pub fn preempt(&mut self, now: Time) {
         if self.cfg.tuning.preempt
             && self.failover.age_s(now) > PREEMPT_SETTLE_S
             && !self.is_frozen()
         {
-            // Stopping costs more than it brings unless the wait is long for
-            // the job's own objectives: whoever is stopped waits in turn, and its
-            // image may have to be fetched again.
+            // Preemption costs more than it gains unless the wait is long for the job's own
+            // objectives. A preempted task waits in turn, and its image may have to be fetched
+            // again.
             let patience = |job: &Job| match job.start_within {
                 Some(within) => PREEMPT_START * within,
                 None => PREEMPT_SLACK * job.patience_s,
--- a/src/control/core/placement_limits.rs
+++ b/src/control/core/placement_limits.rs
@@ -1,11 +1,12 @@
-//! What bounds placing beside free capacity and quotas: work that is held back under load, and how
-//! many jobs may have claims that wait to be recorded.
+//! This module sets the limits of placement beside free capacity and quotas. One limit holds
+//! back low-priority work under load. The other limit is the number of jobs with claims that
+//! wait to be recorded.
 
 use super::Core;
 
 impl Core {
-    /// Whether no work of the lowest rank that waits is placed, while work of a
-    /// higher rank waits too. A team below its guarantee is not held back.
+    /// Sets whether the scheduler skips waiting work of the lowest rank while work of a higher
+    /// rank waits too. A team below its guarantee is not held back.
     pub fn shed_placements(&mut self, shed: bool) {
         let lowest = if shed {
             self.cluster_state.lowest_of_ranks()
@@ -18,7 +19,7 @@
         }
     }
 
-    /// How many jobs may have claims that wait to be recorded.
+    /// Sets the maximum number of jobs with claims that wait to be recorded.
     pub fn set_max_claiming(&mut self, max: usize) {
         self.cluster_state.max_claiming = Some(max);
     }
--- a/src/control/core/placement_queue.rs
+++ b/src/control/core/placement_queue.rs
@@ -1,4 +1,5 @@
-//! Machines on which capacity became free, to be walked one after the other by name.
+//! This module queues the machines on which capacity became free. The scheduler visits them in
+//! order of their names.
 
 use std::collections::BTreeSet;
 use std::ops::Bound;
@@ -6,23 +7,23 @@
 use crate::scheduler::Pass;
 use crate::types::{MachineId, Time};
 
-/// For so long walks share what they have in common, in seconds.
+/// Time for which placement walks share a pass, in seconds.
 const PASS_S: f64 = 0.2;
 
-/// Machines where tasks may find a place now.
+/// Machines that may have capacity for tasks now.
 pub(super) struct PlacementQueue {
-    /// Machines where capacity became free.
+    /// Machines on which capacity became free.
     machines: BTreeSet<MachineId>,
-    /// The one that was taken last: the next one is behind it by name, so that none
-    /// waits for ever while capacity becomes free on others.
+    /// Machine that was taken last. The next machine is the one after it by name, so no machine
+    /// waits forever while capacity becomes free on others.
     last: MachineId,
-    /// Waiting jobs are to be offered all machines.
+    /// Whether the next walk offers all machines to the waiting jobs.
     full_walk: bool,
-    /// None: no walk was begun yet.
+    /// `None` before the first walk.
     pass: Option<CurrentPass>,
 }
 
-/// What the walks of a short time share.
+/// State that placement walks share for a short time.
 struct CurrentPass {
     begun: Time,
     pass: Pass,
@@ -40,17 +41,18 @@
 }
 
 impl PlacementQueue {
-    /// Capacity became free on a machine.
+    /// Adds a machine on which capacity became free.
     pub(super) fn add(&mut self, machine: MachineId) {
         self.machines.insert(machine);
     }
 
-    /// The machines that wait to be walked, by name.
+    /// Returns the queued machines in order of their names.
     pub(super) fn iter(&self) -> impl Iterator<Item = &MachineId> {
         self.machines.iter()
     }
 
-    /// The next machine to walk: by name after the last one, then from the first.
+    /// Removes and returns the next machine. This is the first one by name after the last one
+    /// taken, or else the first one of all.
     pub(super) fn take_next(&mut self) -> Option<MachineId> {
         let after = (Bound::Excluded(&self.last), Bound::Unbounded);
         let next = self.machines.range(after).next().cloned();
@@ -60,22 +62,22 @@
         Some(machine)
     }
 
-    /// Work arrived or free capacity appeared: all machines are to be walked.
+    /// Requests a walk over all machines, because work arrived or capacity became free.
     pub(super) fn request_full_walk(&mut self) {
         self.full_walk = true;
     }
 
-    /// Whether all machines are to be walked.
+    /// Returns whether a walk over all machines is due.
     pub(super) fn full_walk_is_due(&self) -> bool {
         self.full_walk
     }
 
-    /// Whether all machines are to be walked; they are now.
+    /// Returns whether a walk over all machines is due, and clears the request.
     pub(super) fn take_full_walk(&mut self) -> bool {
         std::mem::take(&mut self.full_walk)
     }
 
-    /// Begins a new pass if the present one is too old.
+    /// Begins a new pass if the current one is too old.
     pub(super) fn refresh_pass(&mut self, now: Time) {
         let begun = self.pass.as_ref().map(|current| current.begun);
         if begun.is_none_or(|at| now.since(at) >= PASS_S) {
@@ -86,7 +88,7 @@
         }
     }
 
-    /// What walks share in the present pass.
+    /// Returns the state that walks share in the current pass.
     pub(super) fn pass(&self) -> Option<&Pass> {
         self.pass.as_ref().map(|current| &current.pass)
     }
--- a/src/control/core/priority_lanes.rs
+++ b/src/control/core/priority_lanes.rs
@@ -1,4 +1,4 @@
-//! The lanes as their owner sees them: for operators and the log.
+//! This module reports the priority lanes of a shard to operators and in the log.
 
 use sorrelhinge_priority_lanes::order::may_wait_ms;
 use sorrelhinge_priority_lanes::shown::{LaneShown, LanesShown, WaitShown};
@@ -7,11 +7,11 @@
 use super::Core;
 use crate::types::Time;
 
-/// Most jobs of a lane that operators are shown.
+/// Maximum number of jobs of a lane that operators are shown.
 const MAX_JOBS_SHOWN: usize = 100;
 
 impl Core {
-    /// What each lane holds, and who waits in it.
+    /// Returns the usage of each lane and the jobs that wait in it.
     pub fn show_lanes(&self, now: Time) -> LanesShown {
         let cpus = |milli: i64| milli as f64 / 1000.0;
         let lanes = self.cfg.lanes.iter().map(|(id, lane)| {
@@ -47,7 +47,7 @@
         }
     }
 
-    /// Says in the log who waits in which lane.
+    /// Logs how many jobs wait in each lane, and which one is next.
     pub(super) fn log_lanes(&self, now: Time) {
         for (id, lane) in self.cfg.lanes.iter() {
             let mut waits = self
