--- a/src/control/core/reservation_demand.rs
+++ b/src/control/core/reservation_demand.rs
@@ -1,5 +1,6 @@
-//! What windows of the release calendar lack: what is rented for them, left to them
-//! and said of them.
+//! This module handles the capacity that windows of the release calendar lack. It rents the
+//! missing capacity, delegates waiting tasks to shards that hold reservations, and reports
+//! shortages.
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -17,25 +18,26 @@
 use crate::scheduler::MissingTasks;
 use crate::types::{Image, JobSpec, Kind, Priority, Time, Zone};
 
-/// The same shortage is said again in the log after so many seconds.
+/// Interval at which an unchanged shortage is logged again, in seconds.
 const SHORT_AGAIN_S: f64 = 30.0;
-/// One whose cause reads otherwise is, after so many: a number that changes is not said
-/// each second.
+/// Minimum interval between log events of a shortage whose cause changes, in seconds. It keeps
+/// a number that changes in the cause from being logged each second.
 const SHORT_CHANGED_S: f64 = 5.0;
 
-/// What a window lacks in one zone.
+/// Tasks for which a window lacks capacity in one zone.
 struct ZoneShortfall {
-    /// The zone; none: any.
+    /// The zone. `None` stands for any zone.
     zone: Option<Zone>,
-    /// How many tasks it is for.
+    /// Number of tasks without capacity.
     tasks: u32,
-    /// What to ask for.
+    /// Machine type to request.
     kind: TypeChoice,
 }
 
 impl Core {
-    /// Of several shards each holds its part, and a job is homed in one: what waits
-    /// of a window's work is left to the others, to each as much as it holds.
+    /// Delegates waiting tasks of windows to the other shards, to each shard as many as its
+    /// part of the reservation. With several shards, each shard reserves its part of the
+    /// capacity, while a job belongs to one shard.
     pub(super) fn leave_to_reservations(&self, waiting: &[Waiting]) -> Vec<Delegated> {
         let mut leaves = Vec::new();
         for waits in waiting {
@@ -66,7 +68,7 @@
         leaves
     }
 
-    /// Says in the log what windows lack, when that changes and now and then.
+    /// Logs the shortages of windows when they change, and repeats them at an interval.
     pub(super) fn log_shortage(&mut self, now: Time) {
         if !self.keeps_calendar() {
             return;
@@ -94,7 +96,7 @@
         }
     }
 
-    /// What operators are shown.
+    /// Returns the windows for display to operators.
     pub fn windows_shown(&self, now_ms: i64) -> Vec<WindowShown> {
         let mut shown = Vec::new();
         for (name, watch) in &self.windows.watched {
@@ -112,7 +114,7 @@
         shown
     }
 
-    /// What windows lack that is to be rented.
+    /// Returns the capacity to rent for windows.
     pub(super) fn shortfalls(&self, now: Time) -> Vec<autoscaler::Shortfall> {
         if self.windows.watched.is_empty() || !self.knows_machines(now) {
             return Vec::new();
@@ -122,18 +124,18 @@
         windows.flat_map(|w| self.shortfalls_of(w, now)).collect()
     }
 
-    /// Whether it is known which machines there are: what a former owner rented would be
-    /// rented again before.
+    /// Returns whether the list of existing machines is complete. Before that, this owner would
+    /// rent again what a former owner rented.
     fn knows_machines(&self, now: Time) -> bool {
-        // A list is late by twice its usual lag at most (PROTOCOL).
+        // A machine list lags by at most twice its usual lag (PROTOCOL).
         let listed = self.failover.age_s(now) > 2.0 * self.cfg.list_lag_s + 2.0;
         let recovering = self.failover.age_s(now) <= self.cfg.silent_s();
         let unfenced = recovering && self.agents.any_staying_unfenced();
         listed && !unfenced
     }
 
-    /// What a window lacks, by zone. Where nothing is to be had, other zones have it
-    /// meanwhile.
+    /// Returns the missing capacity of a window by zone. Other zones take over meanwhile for a
+    /// zone in which the cloud offers no machine.
     fn shortfalls_of(&self, window: &Window, now: Time) -> Vec<autoscaler::Shortfall> {
         let mut spare = 0;
         let mut open = Vec::new();
@@ -155,7 +157,7 @@
     }
 }
 
-/// What a window's task takes, for the plan of the fleet.
+/// Returns a job description for a window's tasks, which the fleet plan packs.
 fn spec_of(window: &Window, zone: Option<Zone>, kind: TypeChoice) -> Rc<JobSpec> {
     Rc::new(JobSpec {
         class: Arc::from(window.classes.first().map_or("", |c| c.as_str())),
@@ -173,7 +175,7 @@
         zone,
         one_zone: false,
         spread: false,
-        // Reserved capacity is on machines that stay.
+        // Reserved capacity must be on machines that the cloud does not reclaim.
         spot: false,
         estimate_s: f64::from(window.lasts_s),
         checkpoint_s: 0.0,
--- a/src/control/core/reservation_refresh.rs
+++ b/src/control/core/reservation_refresh.rs
@@ -1,5 +1,5 @@
-//! Brings windows of the release calendar up to date: their entries and records, what is
-//! seen of them, and what this owner holds for them.
+//! This module refreshes the windows of the release calendar: their entries, their records, the
+//! observed capacity, and the capacity that this owner reserves for them.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
@@ -17,23 +17,22 @@
 use crate::state::view::View;
 use crate::types::{Amount, Time};
 
-/// A machine that takes this many usual boots is slow, and one that takes longer
-/// is given up.
+/// Multiple of the usual boot time that a slow machine takes. A machine that takes longer is
+/// deleted.
 const SLOW_BOOTS: f64 = 2.5;
-/// A task that is to stop is told within two heartbeats at the worst.
+/// Number of heartbeats within which a task receives its stop command in the worst case.
 const STOP_HEARTBEATS: f64 = 2.0;
-/// How many machines of a type and zone are asked for a second.
+/// Number of machines of one type and zone that are requested per second.
 const REQUESTED_AT_ONCE: f64 = 50.0;
-/// A machine that fetches more slowly, in GB a second, is taken to fetch at this rate.
+/// Lower bound of a machine's fetch rate in planning, in GB per second.
 const MIN_FETCH_GB_PER_S: f64 = 1e-3;
-/// Milliseconds in a second.
 const MS_PER_S: i64 = 1000;
 
 impl Core {
-    /// Looks at all windows: their records, what is there, what is to be held.
-    /// Without a calendar, and while its record is of a later version, nothing
-    /// differs. A new owner does this before its first decision, so it gives back
-    /// no warm machine and lends no reserved capacity.
+    /// Refreshes all windows: their records, their observed capacity and their reservations.
+    /// Without a calendar, or with a calendar record of a later version, nothing changes. A new
+    /// owner calls this before its first decision, so it neither deletes a warm machine nor
+    /// lends reserved capacity.
     pub fn refresh_windows(&mut self, view: &View, wall_ms: i64, now: Time) {
         if self.cfg.calendar.is_none() {
             return;
@@ -50,7 +49,7 @@
         self.log_shortage(now);
     }
 
-    /// Sees what there is for each window, and holds what is to be held here.
+    /// Observes the capacity of each window and sets the reservations of this shard.
     fn reserve_windows(&mut self, view: &View, clock: Clock, now: Time) {
         let mut watched = std::mem::take(&mut self.windows.watched);
         let usage = self.reservation_usage(watched.values(), view);
@@ -68,7 +67,8 @@
         self.cluster_state.set_reservations(reservations, now);
     }
 
-    /// What there is for a window now; none: it was taken out of the calendar.
+    /// Returns the observed state of a window. `window` is `None` if the calendar no longer
+    /// lists it.
     fn see(
         &self,
         watch: &mut Watch,
@@ -85,7 +85,8 @@
         }
         let name = window.map_or("", |w| &w.name);
         let here = self.cluster_state.reservation_of(name).unwrap_or_default();
-        // Of several shards each has about the same.
+        // Each of several shards has about the same capacity, so this shard's numbers are
+        // extrapolated to all.
         let shards = self.scope.of.max(1);
         let in_all_shards = |tasks: u32| tasks.saturating_mul(shards);
         let headroom =
@@ -108,7 +109,7 @@
         }
     }
 
-    /// What of a window is to be held by this shard.
+    /// Returns this shard's part of a window's reservation.
     fn reserve_here(
         &self,
         watch: &Watch,
@@ -128,8 +129,8 @@
         })
     }
 
-    /// This shard's part of the tasks whose capacity is reserved, never beyond its part of the
-    /// team's limit.
+    /// Returns this shard's part of the tasks whose capacity is reserved, at most what its part
+    /// of the team's limit allows.
     fn tasks_reserved_here(&self, window: &Window, team: usize, tasks: u32) -> u32 {
         if !self.scope.is_part() {
             return tasks;
@@ -147,13 +148,13 @@
         part.unwrap_or(0).min(limit)
     }
 
-    /// What reserved capacity may be lent to until the window begins.
+    /// Returns the rule for lending reserved capacity until the window begins.
     fn lending(&self, window: &Window, start_ms: i64, clock: Clock, now: Time) -> Lending {
         let early_ms = i64::from(window.early_s) * MS_PER_S;
         let left_s = (start_ms - early_ms - clock.latest_ms()) as f64 / MS_PER_S as f64;
         let classes = window.classes.iter();
         let objectives = classes.map(|c| self.cfg.start_objectives.get(c.as_str()).copied());
-        // A class without an objective may not wait at all.
+        // Work of a class without a start objective may not wait at all.
         let wait_s = objectives
             .map(|a| a.unwrap_or(0.0))
             .fold(f64::INFINITY, f64::min);
@@ -165,8 +166,8 @@
     }
 }
 
-/// Takes in the calendar's entries and the recorded occurrences; a window of which
-/// neither is left is forgotten.
+/// Updates the windows from the calendar's entries and the recorded occurrences. Removes a
+/// window that has neither.
 fn update_watches(
     watched: &mut BTreeMap<String, Watch>,
     calendar: &CalendarRecord,
@@ -195,7 +196,7 @@
     }
 }
 
-/// How many tasks that take `each` use so much, rounded up.
+/// Returns the number of tasks of size `each` that use the amount `used`, rounded up.
 fn tasks_of(used: Amount, each: Amount) -> u32 {
     let of = |used: i64, each: i64| match each {
         0 => 0,
--- a/src/control/core/reservation_supply.rs
+++ b/src/control/core/reservation_supply.rs
@@ -1,5 +1,5 @@
-//! What can be had for a window of the release calendar: machine types, what is free in its
-//! team's limit, and whether the cloud refuses more.
+//! This module determines the supply for a window of the release calendar: machine types, free
+//! capacity in the team's limit, and whether the cloud refuses more machines.
 
 use std::rc::Rc;
 
@@ -11,37 +11,38 @@
 use crate::scheduler::ReservationStatus;
 use crate::types::{Amount, MachineType, Time, TypeName, Zone};
 
-/// A machine type to ask for.
+/// Machine type to request.
 pub(super) enum TypeChoice {
-    /// Any that fits: the window names none.
+    /// Any type that fits, because the window names none.
     Any,
-    /// This one.
+    /// This type, which the window names.
     Named(TypeName),
 }
 
-/// What machines that a window's tasks may run on have in common.
+/// Common properties of the machines on which a window's tasks may run.
 pub(super) struct Supply {
-    /// The shortest usual boot, in seconds; 0: there is no such machine type.
+    /// Shortest usual boot time in seconds. 0 if no machine type is suitable.
     pub(super) boot_s: f64,
-    /// The longest usual boot, in seconds.
+    /// Longest usual boot time in seconds.
     pub(super) slowest_boot_s: f64,
-    /// The lowest rate at which one fetches images; infinite: there is no such type.
+    /// Lowest rate at which one of the machines fetches images, in GB per second. Infinite if
+    /// no machine type is suitable.
     pub(super) fetch_gb_per_s: f64,
-    /// How many tasks fit on the largest.
+    /// Number of tasks that fit on the largest machine.
     pub(super) tasks_per_machine: u32,
 }
 
-/// What is free for a window in its team's limit.
+/// Free capacity for a window in its team's limit.
 #[derive(Default)]
 pub(super) struct QuotaHeadroom {
-    /// How many tasks fit.
+    /// Number of tasks that fit.
     pub(super) tasks: u32,
-    /// The window that has what is missing.
+    /// Window with precedence that takes the missing capacity.
     pub(super) gives_way_to: Option<String>,
 }
 
 impl Core {
-    /// What the machine types that a window allows offer for tasks that take `each`.
+    /// Returns the supply of the machine types that a window allows, for tasks of size `each`.
     pub(super) fn supply(&self, window: Option<&Rc<Window>>, each: Amount) -> Supply {
         let may_use = |t: &MachineType, window: &Window| {
             let mut zones = t.zones.iter();
@@ -65,7 +66,8 @@
         }
     }
 
-    /// The size of an image in GB, as jobs of late say.
+    /// Returns the size of an image in GB, taken from a current or recent job. Returns 0 if no
+    /// such job uses the image.
     pub(super) fn image_gb(&self, image: &str) -> f64 {
         let jobs = self.cluster_state.jobs().values().map(|j| &j.spec);
         let late = self.scaling.arrivals.iter().map(|a| a.spec());
@@ -73,8 +75,9 @@
         found.map_or(0.0, |s| s.image_gb)
     }
 
-    /// The type to ask for in a zone: of those named the first that is to be had,
-    /// else any. None: there is none that may be had now.
+    /// Returns the machine type to request in a zone: the first available one of the types that
+    /// the window names, or any type if it names none. Returns `None` if no suitable type is
+    /// available now.
     pub(super) fn type_for(
         &self,
         window: &Window,
@@ -100,7 +103,8 @@
             .map(TypeChoice::Named)
     }
 
-    /// Why a window's capacity is not asked of the cloud, if it isn't.
+    /// Returns why a window's missing capacity is not requested from the cloud. Returns `None`
+    /// if nothing is missing or the request is possible.
     pub(super) fn refused_for(
         &self,
         window: &Window,
@@ -129,8 +133,8 @@
         (any && closed).then_some(Refused::Capacity)
     }
 
-    /// How many tasks of a window fit into its team's limit, beside the
-    /// team's other work and windows that come first.
+    /// Returns how many tasks of a window fit into its team's limit, beside the team's other
+    /// work and the windows with precedence.
     pub(super) fn quota_headroom(
         &self,
         window: &Window,
--- a/src/control/core/reservation_usage.rs
+++ b/src/control/core/reservation_usage.rs
@@ -1,5 +1,5 @@
-//! What work of the calendar's windows, and other work of their teams, takes and waits
-//! for.
+//! This module counts the used capacity and the waiting tasks of each window of the release
+//! calendar, and the other usage of the teams.
 
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -12,36 +12,35 @@
 use crate::state::view::View;
 use crate::types::{Amount, JobSpec};
 
-/// A window that the calendar has now.
+/// Window that the calendar lists now.
 pub(super) struct ActiveWindow {
-    /// The window.
     pub(super) window: Rc<Window>,
-    /// Capacity is reserved for it, by its records.
+    /// Whether capacity is reserved for the window, by its records.
     pub(super) reserved: bool,
 }
 
-/// Work of one window.
+/// Usage and waiting tasks of one window.
 #[derive(Default)]
 pub(super) struct WindowWork {
-    /// What it uses.
+    /// Resources that the window's tasks use.
     pub(super) used: Amount,
-    /// How many of its tasks wait.
+    /// Number of the window's tasks that wait.
     pub(super) waiting: u32,
 }
 
-/// Work by the window that it is for, in all shards.
+/// Work in all shards, grouped by window.
 #[derive(Default)]
 pub(super) struct ReservationUsage {
-    /// The windows by which it was counted.
+    /// Windows by which the work is grouped.
     pub(super) active: Vec<ActiveWindow>,
-    /// Work of each window by its name.
+    /// Work of each window by the window's name.
     by_window: BTreeMap<String, WindowWork>,
-    /// What each team's other work uses.
+    /// Resources that each team uses for work outside of windows.
     outside: BTreeMap<String, Amount>,
 }
 
 impl ReservationUsage {
-    /// Nothing counted yet, for the windows that the calendar has now.
+    /// Creates an empty count for the windows that the calendar lists now.
     fn new<'a>(watched: impl Iterator<Item = &'a Watch>) -> Self {
         let active = watched.filter_map(|watch| {
             Some(ActiveWindow {
@@ -55,23 +54,23 @@
         }
     }
 
-    /// The window of a name, if the calendar has it now.
+    /// Returns the window of a name, if the calendar lists it now.
     pub(super) fn window(&self, name: &str) -> Option<&Rc<Window>> {
         let mut active = self.active.iter().map(|a| &a.window);
         active.find(|w| w.name == name)
     }
 
-    /// Work of a window; none: it has none.
+    /// Returns the work of a window. Returns `None` if the window has no work.
     pub(super) fn of_window(&self, window: &Window) -> Option<&WindowWork> {
         self.by_window.get(&window.name)
     }
 
-    /// What a team uses for work of no window.
+    /// Returns the resources that a team uses for work outside of windows.
     pub(super) fn outside(&self, team: &str) -> Amount {
         self.outside.get(team).copied().unwrap_or_default()
     }
 
-    /// Adds a job's claims, and how many of its tasks wait, to each window that it is for.
+    /// Adds a job's claims and waiting tasks to each window that matches the job.
     fn add(&mut self, spec: &JobSpec, claims: u32, waiting: u32) {
         let used = spec.each.times(i64::from(claims));
         let mut among = false;
@@ -89,9 +88,8 @@
 }
 
 impl Core {
-    /// Counts what each window's work takes and how much of it waits, and what each
-    /// team's other work uses. Of several shards by the records, as one owner sees its
-    /// own claims only.
+    /// Counts the usage and the waiting tasks of each window, and the other usage of each team.
+    /// With several shards it counts the records, because one owner sees only its own claims.
     pub(super) fn reservation_usage<'a>(
         &self,
         watched: impl Iterator<Item = &'a Watch>,
@@ -106,7 +104,7 @@
         usage
     }
 
-    /// Adds the jobs that this owner knows.
+    /// Adds the jobs that this owner has in memory.
     fn add_known_work(&self, usage: &mut ReservationUsage) {
         for job in self.cluster_state.jobs().values() {
             let waiting = if job.cancelled || job.suspected_faulty {
@@ -119,7 +117,7 @@
     }
 }
 
-/// Adds the jobs as recorded.
+/// Adds the jobs of all shards from their records.
 fn add_recorded(usage: &mut ReservationUsage, view: &View) {
     for (id, entry) in view.jobs() {
         let record = &entry.record.value;
--- a/src/control/core/reservations.rs
+++ b/src/control/core/reservations.rs
@@ -1,7 +1,8 @@
-//! Windows of the release calendar: what the owner knows of each, and which steps are
-//! due. Steps and their records are of [`sorrelhinge_reservations::plan`]; where capacity is
-//! reserved, of [`crate::scheduler::Reservation`]. What is seen of windows and held for them is brought
-//! up to date by [`super::reservation_refresh`].
+//! This module holds the owner's state of each window of the release calendar and returns the
+//! steps that are due. [`sorrelhinge_reservations::plan`] plans the steps and their records.
+//! [`crate::scheduler::Reservation`] describes where capacity is reserved.
+//! [`super::reservation_refresh`] refreshes the observed state of windows and their
+//! reservations.
 
 use std::collections::BTreeMap;
 
@@ -14,36 +15,36 @@
 use crate::state::{Change, Condition, Transaction};
 use crate::types::{Revision, Time};
 
-/// A window, or what is left of one.
+/// Window of the calendar, or the remaining records of a removed window.
 #[derive(Debug)]
 pub(super) struct Watch {
-    /// The calendar's entry; none: it was taken out.
+    /// Entry of the calendar. `None` if the calendar no longer lists the window.
     pub(super) entry: Option<Entry>,
-    /// Its occurrences' records and their stamps, by their beginning in milliseconds.
+    /// Records of the window's occurrences with their revisions, by start in milliseconds.
     pub(super) records: BTreeMap<i64, Versioned<WindowRecord>>,
-    /// When its work last ran or waited, as far as this owner saw.
+    /// Time at which the window's work last ran or waited, as far as this owner observed.
     pub(super) busy_at: Time,
-    /// How many tasks' capacity is on its way for it.
+    /// Number of tasks whose capacity is on machines that still boot.
     pub(super) pending_tasks: u32,
-    /// What was last seen of it.
+    /// State of the window at the last refresh.
     pub(super) seen: Option<Seen>,
-    /// What is due for all its occurrences.
+    /// Planned steps of all occurrences of the window.
     pub(super) plan: WindowPlan,
-    /// What was last logged of a shortage.
+    /// Shortage that was last logged. `None` if the window lacks nothing.
     pub(super) logged: Option<LoggedShortage>,
 }
 
-/// A shortage as it was logged.
+/// Last shortage in the log, kept to suppress repeated log events.
 #[derive(Debug)]
 pub(super) struct LoggedShortage {
-    /// Its cause.
+    /// Cause of the shortage.
     pub(super) why: String,
-    /// When it was logged.
+    /// Time of the log event.
     pub(super) at: Time,
 }
 
 impl Watch {
-    /// A window that was not known before.
+    /// Creates the state of a window that was not known before.
     pub(super) fn new(now: Time) -> Self {
         Self {
             entry: None,
@@ -59,7 +60,7 @@
         }
     }
 
-    /// Its occurrences' records, without their stamps.
+    /// Returns the records of the window's occurrences, without their revisions.
     pub(super) fn record_values(&self) -> BTreeMap<i64, WindowRecord> {
         let records = self.records.iter();
         records
@@ -67,8 +68,8 @@
             .collect()
     }
 
-    /// The first beginning, in milliseconds, of those occurrences for which capacity is reserved
-    /// by their records.
+    /// Returns the earliest start, in milliseconds, of the occurrences whose records reserve
+    /// capacity.
     pub(super) fn first_reserved_ms(&self) -> Option<i64> {
         let is_reserved =
             |r: &Versioned<WindowRecord>| matches!(r.value.step, Step::Warming | Step::Held);
@@ -77,26 +78,28 @@
     }
 }
 
-/// All windows that this owner knows.
+/// All windows that this owner tracks.
 #[derive(Debug, Default)]
 pub(super) struct Windows {
     pub(super) watched: BTreeMap<String, Watch>,
-    /// Requests of the cloud fail until then, for another reason than capacity.
+    /// Time until which requests to the cloud count as failing for a reason other than
+    /// capacity.
     pub(super) failing_until: Option<Time>,
 }
 
 impl Windows {
-    /// Whether free capacity is reserved for any.
+    /// Returns whether free capacity is reserved for any window.
     pub(super) fn any_reserved(&self) -> bool {
         self.watched.values().any(|w| w.plan.reserved_tasks > 0)
     }
 
-    /// A request of the cloud failed.
+    /// Records that a request to the cloud failed, with effect until `until`.
     pub(super) fn failed(&mut self, until: Time) {
         self.failing_until = Some(until);
     }
 
-    /// What was packed into machines on their way.
+    /// Sets the number of each window's tasks that the plan packed into machines that still
+    /// boot.
     pub(super) fn set_pending_tasks(&mut self, pending_tasks: &BTreeMap<String, u32>) {
         for (name, watch) in &mut self.watched {
             watch.pending_tasks = pending_tasks.get(name).copied().unwrap_or(0);
@@ -104,27 +107,28 @@
     }
 }
 
-/// A step to record.
+/// Step of a window's occurrence that is to be recorded.
 #[derive(Debug)]
 pub struct WindowStep {
-    /// The window.
+    /// Name of the window that the step belongs to.
     pub window: String,
-    /// The occurrence's beginning, in milliseconds of the time of day.
+    /// Start of the occurrence, in milliseconds of the time of day.
     pub start_ms: i64,
-    /// The step; none: the record goes.
+    /// Step to record. `None` if the record is to be deleted.
     pub step: Option<Step>,
-    /// The change, on the conditions that the grant and the record are the same.
+    /// Transaction that writes the change if neither the grant nor the record has changed.
     pub transaction: Transaction,
 }
 
 impl Core {
-    /// Whether this owner takes the windows' steps, and speaks of them in the log: only
-    /// that of shard 0 does.
+    /// Returns whether this owner records the windows' steps and logs their shortages. Only the
+    /// owner of shard 0 does.
     pub(super) fn keeps_calendar(&self) -> bool {
         self.scope.shard == ShardId(0)
     }
 
-    /// Steps that are due, each with its change, if this owner takes them.
+    /// Returns the due steps with their transactions. Returns none if another owner records
+    /// them, or while the shard is frozen.
     pub fn window_steps(&self) -> Vec<WindowStep> {
         if !self.keeps_calendar() || self.is_frozen() {
             return Vec::new();
@@ -142,8 +146,8 @@
         due
     }
 
-    /// A step as a transaction on the conditions that the grant and the occurrence's
-    /// record are the same; none: nothing changes.
+    /// Returns a step with a transaction that requires the grant and the occurrence's record to
+    /// be unchanged. Returns `None` if nothing changes.
     fn window_step(
         &self,
         window: &str,
