--- a/src/control/core/rollout_refresh.rs
+++ b/src/control/core/rollout_refresh.rs
@@ -1,6 +1,6 @@
-//! Compares the images that many machines want with the claims and the machines that
-//! there are: who came, who was deleted, whose image left the cache. Also continues what
-//! a former owner recorded.
+//! This module reconciles image rollouts with the claims and the existing machines. It adds new
+//! machines and removes deleted ones and those whose cache evicted the image. It also resumes
+//! the rollouts that a former owner recorded.
 
 use std::collections::BTreeMap;
 
@@ -14,24 +14,24 @@
 use crate::scheduler::{Machine, Sent};
 use crate::types::{Image, MachineId, Time};
 
-/// A successor waits for what its predecessor started for so many heartbeats: a machine
-/// that is silent doesn't hold up all others.
+/// Number of heartbeats for which a new owner waits to learn which starts the previous owner
+/// sent. The bound keeps a silent machine from delaying all others.
 const SETTLE_HEARTBEATS: f64 = 3.0;
-/// And for so many seconds more.
+/// Additional time of that wait, in seconds.
 const SETTLE_S: f64 = 2.0;
 
-/// What is done with an image, by the claims.
+/// Use of an image, derived from the claims.
 struct ImageUse {
-    /// By the machines on which it is.
+    /// Progress with the image by machine.
     machines: BTreeMap<MachineId, ImageState>,
-    /// Of each claim that was found it is known whether its start was sent.
+    /// Whether it is known for each recovered claim if its start was sent.
     settled: bool,
-    /// The image's size, in GB.
+    /// Size of the image in GB.
     gb: f64,
 }
 
 impl ImageUse {
-    /// Nothing is done with an image of this size, in GB.
+    /// Creates the empty use of an image of a size in GB.
     fn of_size(gb: f64) -> Self {
         Self {
             machines: BTreeMap::new(),
@@ -41,15 +41,15 @@
     }
 }
 
-/// A machine that has an image, or a part of it.
+/// Machine that has an image or a part of it.
 struct Found {
     machine: MachineId,
-    /// Its failure domains, its zone first.
+    /// Failure domains of the machine, its zone first.
     path: Vec<String>,
     has: Has,
 }
 
-/// A rollout whose members are compared with the claims.
+/// State for reconciling the members of one rollout with the claims.
 struct RolloutUpdate<'a> {
     image: &'a Image,
     gb: f64,
@@ -59,8 +59,8 @@
 }
 
 impl RolloutUpdate<'_> {
-    /// Notes what a machine does with the image, if there still is such a machine; whether
-    /// it stays in the rollout.
+    /// Updates a member from its progress with the image. Returns whether the machine still
+    /// exists and stays in the rollout.
     fn keeps(
         &mut self,
         id: &MachineId,
@@ -78,7 +78,8 @@
                 member.complete = true;
             }
             Some(ImageState::Fetches) if !member.complete => {
-                // It may go on; but who takes from it waits with it.
+                // A slow machine may continue its fetch, but machines that fetch from it would
+                // wait with it.
                 let rate = machine.kind.fetch_gb_per_s;
                 let allowed_s = fetch_timeout::fetch_allowance_s(self.gb, rate);
                 if self.now.since(member.since) > allowed_s {
@@ -95,9 +96,9 @@
         true
     }
 
-    /// Joins a machine that was started by a predecessor that kept no rollout, or found
-    /// late: from whom it takes the image is not known, so it is planned as if it began
-    /// now.
+    /// Adds a machine that a previous owner started without a rollout, or that this owner
+    /// discovered late. The sources of its image are unknown, so the plan treats it as if it
+    /// began to fetch now.
     fn join(&mut self, id: &MachineId, path: &[String], complete: bool) -> Member {
         self.rollout.join(id.clone(), path, complete);
         if !complete {
@@ -111,8 +112,8 @@
 }
 
 impl ActiveRollout {
-    /// Notes since when nobody wants or fetches the image; whether that is long enough
-    /// for the rollout to go, with nothing of it recorded.
+    /// Tracks since when no machine needs or fetches the image. Returns whether that is long
+    /// enough to remove the rollout and no record of it remains.
     fn is_over(&mut self, now: Time) -> bool {
         let Some(rollout) = &self.rollout else {
             return false;
@@ -129,7 +130,7 @@
 }
 
 impl Core {
-    /// Compares all rollouts with the claims and the machines that there are.
+    /// Reconciles all rollouts with the claims and the existing machines.
     pub(super) fn refresh_rollouts(&mut self, now: Time) {
         if self.image_distribution.least_gb.is_none() {
             return;
@@ -161,7 +162,7 @@
         }
     }
 
-    /// What the claims do with each image that goes by a rollout.
+    /// Returns the use of each image that is rolled out in stages, derived from the claims.
     fn images_in_use(&self) -> BTreeMap<Image, ImageUse> {
         let mut in_use: BTreeMap<Image, ImageUse> = BTreeMap::new();
         let jobs = self.cluster_state.jobs().values();
@@ -184,7 +185,8 @@
         in_use
     }
 
-    /// Compares an image's rollout with what machines do with it; a rollout that is over goes.
+    /// Reconciles an image's rollout with the progress of the machines, and removes a rollout
+    /// that is over.
     fn refresh_rollout(&mut self, image: &Image, on: &BTreeMap<MachineId, ImageState>, now: Time) {
         let joining = self.paths_of_new(image, on);
         let ImageDistribution {
@@ -218,8 +220,8 @@
         }
     }
 
-    /// Machines that fetch or run an image and are not in its rollout, with their failure
-    /// domains.
+    /// Returns the machines that fetch or run an image and are not in its rollout, with their
+    /// failure domains.
     fn paths_of_new(
         &self,
         image: &Image,
@@ -233,7 +235,7 @@
         new.map(|(id, _)| (id.clone(), self.path_of(id))).collect()
     }
 
-    /// Continues a predecessor's rollout: who fetches goes on, and its seeds
+    /// Resumes a rollout of the previous owner. Fetches in flight continue, and the seeds
     /// count, so the origin is not asked for their copies again.
     fn resume_rollout(&mut self, image: &Image, on: &BTreeMap<MachineId, ImageState>, now: Time) {
         let found = self.machines_with(image, on);
@@ -274,14 +276,14 @@
         }
     }
 
-    /// Machines that have an image or fetch it.
+    /// Returns the machines that have an image or fetch it.
     fn machines_with(&self, image: &Image, on: &BTreeMap<MachineId, ImageState>) -> Vec<Found> {
         let mut found = Vec::new();
         for (id, machine) in self.cluster_state.machines() {
             let has = match on.get(id) {
                 Some(ImageState::Runs) => Has::Complete,
                 Some(ImageState::Fetches) => Has::Part(self.part_of(id, image)),
-                // Its start waits here, and is joined then.
+                // The machine joins when its waiting start is sent.
                 Some(ImageState::StartPending) => continue,
                 None if machine.cache.has(image) => Has::Complete,
                 None => continue,
@@ -295,7 +297,7 @@
         found
     }
 
-    /// How much of an image a machine says that it has, 0 to 1: a hint.
+    /// Returns the share of an image that a machine reports, from 0 to 1. The share is a hint.
     fn part_of(&self, id: &MachineId, image: &Image) -> f64 {
         let said = self.agents.get(id).map_or(&[][..], |l| &l.images);
         let of = said.iter().find(|i| i.image == image.as_str());
--- a/src/control/core/scale_in.rs
+++ b/src/control/core/scale_in.rs
@@ -1,5 +1,5 @@
-//! Scale-in: machines to delete because they are lost, and those to empty and give
-//! back because no plan has use for them.
+//! This module decides the scale-in of the fleet. It selects lost machines to delete, and
+//! machines without use in any plan to empty and give back to the cloud.
 
 use std::collections::BTreeSet;
 
@@ -11,40 +11,42 @@
 use crate::scheduler::Machine;
 use crate::types::{MachineId, Time};
 
-/// A machine that was asked directly so often in vain hangs.
+/// Number of unanswered direct connections after which a machine counts as unresponsive.
 const HANGS: u32 = 2;
-/// So does one that was asked once and is silent for so many heartbeat intervals.
+/// Number of heartbeat intervals without a heartbeat after which a machine with one unanswered
+/// direct connection counts as unresponsive.
 const HANGS_HEARTBEATS: f64 = 2.2;
-/// A machine never comes if it takes longer than so many usual boots and a margin.
+/// Multiple of the usual boot time after which a booting machine counts as failed.
 const STUCK_BOOTS: f64 = 2.5;
-/// The margin, in seconds: a usual boot may be short.
+/// Margin on that time in seconds, because a usual boot may be short.
 const STUCK_MARGIN_S: f64 = 10.0;
-/// The boot of a machine of an unknown type, in seconds.
+/// Assumed boot time of an unknown machine type, in seconds.
 const DEFAULT_BOOT_S: f64 = 30.0;
-/// A machine may go once plans had no use for it for this share of the time.
+/// Share of the time without use in plans after which a machine may be given back.
 const UNUSED_SHARE: f64 = 0.6;
-/// An empty machine is given back only after so many seconds.
+/// Minimum time for which a machine is empty before it is given back, in seconds.
 const EMPTY_S: f64 = 2.0;
-/// Once nothing has run for so many seconds, and nothing waits, machines go.
+/// Time without running or waiting work after which the whole fleet counts as idle and its
+/// machines may be given back, in seconds.
 const IDLE_S: f64 = 20.0;
 
-/// How long plans had no use for a machine.
+/// Share of the time during which plans had no use for a machine.
 struct Disuse {
     machine: MachineId,
-    /// The present plan has none.
+    /// Whether the current plan has no use for the machine.
     now: bool,
-    /// The share of the time, 0 to 1, the last plans counting most.
+    /// Share of the time without use, from 0 to 1. Recent plans have the highest weight.
     share: f64,
 }
 
-/// A machine that no plan has use for.
+/// Machine that no plan has use for.
 struct ScaleInCandidate<'a> {
     machine: &'a MachineId,
     price_per_cpu: f64,
 }
 
 impl Core {
-    /// Gives back machines that heartbeat and that no command reaches.
+    /// Marks machines for scale-in that send heartbeats but that no command reaches.
     pub(super) fn scale_in_unreachable(&mut self, now: Time) {
         for id in self.unreachable_machines(now) {
             tracing::info!(machine = %id, "machine sends heartbeats but is unreachable; scaling in");
@@ -52,8 +54,8 @@
         }
     }
 
-    /// Machines to delete now: those that were chosen to go and are empty, those that
-    /// are lost, and those that never came.
+    /// Returns the machines to delete now: empty machines that were chosen for scale-in, lost
+    /// machines, and machines whose boot failed.
     pub(super) fn machines_to_delete(&mut self, trusts_silence: bool, now: Time) -> Vec<MachineId> {
         let mut to_delete = Vec::new();
         for (id, agent) in self.agents.iter_mut() {
@@ -79,22 +81,24 @@
         to_delete
     }
 
-    /// Whether a machine that was rented is not to be waited for any longer.
+    /// Returns whether a rented machine took too long to boot or is missing from the cloud's
+    /// list.
     fn never_comes(&self, id: &MachineId, pending: &PendingMachine, now: Time) -> bool {
         let boot_s = self.types.get(&pending.kind).map(|t| t.boot_s);
         let limit_s = STUCK_BOOTS * boot_s.unwrap_or(DEFAULT_BOOT_S) + STUCK_MARGIN_S;
         now.since(pending.since) > limit_s || self.inventory.is_missing(id)
     }
 
-    /// Whether nothing is to be done and nothing was asked for: the next job finds a
-    /// new machine, rather than its like all being paid for until it comes.
+    /// Returns whether no job has a task to place and all machines have been empty for a while.
+    /// An idle fleet is given back, and the next job gets a new machine. Paying for the
+    /// machines until the next such job arrives would cost more.
     pub(super) fn is_idle(&self, now: Time) -> bool {
         let mut machines = self.cluster_state.machines().values();
         !self.cluster_state.has_work()
             && machines.all(|m| m.claims.is_empty() && now.since(m.idle_since) > IDLE_S)
     }
 
-    /// Chooses the machines to go, by the plan, and gives back those that are empty.
+    /// Chooses the machines to retire by the plan, and gives back the empty ones.
     pub(super) fn scale_in(&mut self, plan: &autoscaler::Plan, idle: bool, now: Time) {
         let disuse = self.measure_disuse(plan, now);
         let candidates = self.scale_in_candidates(&disuse, idle);
@@ -107,8 +111,9 @@
         }
     }
 
-    /// Only what had no use for long falls idle on purpose: a machine with a warm
-    /// cache is worth more than a new one.
+    /// Returns for each machine how long plans had no use for it. A machine is emptied on
+    /// purpose only after a long time without use, because a machine with a warm cache is worth
+    /// more than a new one.
     fn measure_disuse(&mut self, plan: &autoscaler::Plan, now: Time) -> Vec<Disuse> {
         let passed_s = self.scaling.planned(now);
         let weight = 1.0 - (-passed_s / self.cfg.tuning.idle_s.max(1.0)).exp();
@@ -126,9 +131,10 @@
             .collect()
     }
 
-    /// Machines without use, the dearest first.
+    /// Returns the machines without use, the most expensive per CPU first.
     fn scale_in_candidates(&self, disuse: &[Disuse], idle: bool) -> Vec<MachineId> {
-        // What can't be served goes as soon as it has no use.
+        // Machines above the limit that the controllers can serve are removed as soon as they
+        // have no use.
         let max = self.scaling.requests.max_machines();
         let excess = max.is_some_and(|max| self.machines() > max);
         let mut candidates: Vec<ScaleInCandidate> = disuse
@@ -150,9 +156,8 @@
         ids.collect()
     }
 
-    /// Of the candidates, in their order, those without which the teams' guarantees
-    /// still have their machines: what is guaranteed stays there, the cheapest part
-    /// of it.
+    /// Returns the candidates, in their order, that may be retired while the capacity for the
+    /// teams' guarantees stays. The cheapest part of the guaranteed capacity stays.
     fn above_guarantees(&self, candidates: Vec<MachineId>, idle: bool) -> BTreeSet<MachineId> {
         let mut left = self.cluster_state.capacity().cpu;
         let floor = if idle {
@@ -173,7 +178,8 @@
         retiring
     }
 
-    /// Notes on each machine what the plan says of it; those to give back now.
+    /// Records on each machine what the plan decides about it. Returns the machines to give
+    /// back now.
     fn mark_machines(
         &mut self,
         plan: &autoscaler::Plan,
@@ -198,14 +204,14 @@
     }
 }
 
-/// Whether nothing is claimed on a machine, and nothing runs that it reported.
+/// Returns whether a machine has no claims and reports no running task.
 fn is_empty(agent: &AgentState, machine: Option<&Machine>) -> bool {
     machine.is_none_or(|m| m.claims.is_empty())
         && agent.tasks.values().all(|t| t.phase == TaskPhase::Ended)
 }
 
-/// Whether a machine takes connections and doesn't answer. Its last heartbeat came
-/// `quiet_s` seconds ago.
+/// Returns whether a machine accepts connections and does not answer. `quiet_s` is the age of
+/// its last heartbeat in seconds.
 fn unanswered_connections(agent: &AgentState, quiet_s: f64, heartbeat_s: f64) -> bool {
     let long =
         agent.direct.unanswered_connections() == 1 && quiet_s > HANGS_HEARTBEATS * heartbeat_s;
--- a/src/control/core/scale_out.rs
+++ b/src/control/core/scale_out.rs
@@ -1,5 +1,6 @@
-//! Scale-out: which machines are asked of the cloud, and what came of it. Whether ordinary
-//! machines or spot ones are asked for, of which type and where, is of [`crate::autoscaler`].
+//! This module decides which machines to request from the cloud, and applies the outcomes.
+//! [`crate::autoscaler`] chooses between ordinary and spot machines, their types and their
+//! zones.
 
 use super::inventory::PendingMachine;
 use super::scaling_state::MachineOffer;
@@ -8,24 +9,26 @@
 use crate::cloud::{CloudError, Rental};
 use crate::types::{MachineId, Time, TypeName, Zone};
 
-/// What the cloud had too little of is not asked for again for so many seconds.
+/// Time for which an offer is not requested again after the cloud lacked capacity for it, in
+/// seconds.
 const NO_CAPACITY_S: f64 = 10.0;
-/// Nor is that for so many seconds for which a call failed.
+/// Time for which an offer is not requested again after a call for it failed, in seconds.
 const FAILED_S: f64 = 3.0;
 
 impl Core {
-    /// How many machines there are, up and on their way.
+    /// Returns the number of machines that are up or pending.
     pub fn machines(&self) -> usize {
         self.agents.len() + self.inventory.pending_machines().len()
     }
 
-    /// How many machines can be served; none: no bound is known.
+    /// Sets the maximum number of machines that the controllers can serve. `None` means that no
+    /// limit is known.
     pub fn set_max_machines(&mut self, max: Option<usize>) {
         self.scaling.requests.set_max_machines(max);
     }
 
-    /// Whether a machine may be asked for: the cloud has not just refused such a one,
-    /// and its zone is not drained.
+    /// Returns whether a machine may be requested: the cloud has not refused the offer
+    /// recently, and the zone is not drained.
     pub(super) fn may_request(&self, kind: &TypeName, zone: &Zone, spot: bool, now: Time) -> bool {
         let offer = MachineOffer {
             kind: kind.clone(),
@@ -35,7 +38,7 @@
         !self.scaling.requests.is_refused(&offer, now) && !self.drains.covers_zone(zone)
     }
 
-    /// The requests to send, as far as the machines can be served and used.
+    /// Returns the requests to send, limited to the machines that can be served and used.
     pub(super) fn scale_out(
         &mut self,
         requests: Vec<autoscaler::ScaleOutRequest>,
@@ -61,8 +64,9 @@
         rentals
     }
 
-    /// How many machines may be added: no more than can be served, and none for work
-    /// that can't be claimed meanwhile.
+    /// Returns how many machines may be added. The result respects the limit that the
+    /// controllers can serve. It is 0 if claims are limited by the rate of recording and the
+    /// free capacity lasts until a new machine is up.
     fn machines_to_add(&mut self, now: Time) -> usize {
         let teams = self.cluster_state.teams().iter();
         let used = teams.map(|t| t.used.cpu).sum::<i64>();
@@ -79,8 +83,9 @@
             .map_or(usize::MAX, |max| max.saturating_sub(self.machines()))
     }
 
-    /// A request's name. Unique: the grant's number was written before, and
-    /// this owner counts its own requests. Two shards' grants may have the same number.
+    /// Returns the identifier of a request. It is unique because the grant's number was
+    /// recorded before, and because this owner counts its own requests. The shard is part of
+    /// the identifier because the grants of two shards may have the same number.
     fn request_id(&self, number: u64) -> String {
         if self.scope.is_part() {
             format!("r-{}-{}-{number}", self.grant, self.scope.shard)
@@ -89,7 +94,7 @@
         }
     }
 
-    /// A request's outcome: the machines, or why there are none.
+    /// Applies the outcome of a request: the machines, or the reason of the failure.
     pub fn scale_out_finished(
         &mut self,
         rental: &Rental,
@@ -124,8 +129,8 @@
         }
     }
 
-    /// A machine that another owner asked the cloud for is on its way: it may belong to this
-    /// shard.
+    /// Adds a pending machine that another owner requested from the cloud, if the machine
+    /// belongs to this shard.
     pub fn expect_machine(&mut self, machine: &MachineId, offer: &MachineOffer, now: Time) {
         let known = self.agents.contains(machine) || self.tombstones.is_recent(machine);
         if self.scope.covers(machine) && !known {
--- a/src/control/core/scaling.rs
+++ b/src/control/core/scaling.rs
@@ -1,6 +1,6 @@
-//! What is decided of the fleet in one pass. The steps are of modules of their own: the
-//! free capacity to keep for work to come of [`super::demand`], machines to delete and to empty of
-//! [`super::scale_in`], requests to the cloud of [`super::scale_out`].
+//! This module decides the scaling of the fleet in one pass. [`super::demand`] computes the
+//! free capacity to keep for future work, [`super::scale_in`] selects machines to empty and
+//! delete, and [`super::scale_out`] makes requests to the cloud.
 
 use std::rc::Rc;
 
@@ -9,11 +9,11 @@
 use crate::cloud::Rental;
 use crate::types::{JobSpec, MachineId, MachineType, Time, TypeName, Zone};
 
-/// Nothing is asked for until so many heartbeat intervals after the start: which machines
-/// there are is not known before.
+/// Number of heartbeat intervals after the start before which no machine is requested, because
+/// the existing machines are not known until then.
 const SETTLED_HEARTBEATS: f64 = 2.0;
 
-/// What is to be done about the fleet now.
+/// Changes of the fleet to carry out now.
 #[derive(Debug, Default)]
 pub struct ScalingDecision {
     /// Machines to delete.
@@ -23,9 +23,9 @@
 }
 
 impl Core {
-    /// Plans the fleet: machines to delete now, and requests to send. Each
-    /// request is under way until its outcome comes to [`Core::scale_out_finished`]. Nothing is
-    /// decided while the scope is handed on.
+    /// Plans the fleet and returns the machines to delete now and the requests to send. Each
+    /// request is in flight until its outcome is passed to [`Core::scale_out_finished`].
+    /// Nothing is decided while the shard is frozen for handover.
     pub fn fleet(&mut self, now: Time) -> ScalingDecision {
         if self.is_frozen() {
             return ScalingDecision::default();
@@ -54,8 +54,8 @@
         }
     }
 
-    /// Packs what runs, waits and is expected into the machines that there are and
-    /// those on their way, less those that are to be deleted.
+    /// Packs the running, waiting and expected work into the existing and the pending machines,
+    /// except for those to be deleted.
     fn plan_fleet(
         &self,
         expected: &[autoscaler::Expected],
@@ -79,14 +79,14 @@
         autoscaler::plan(&input, now)
     }
 
-    /// The cloud's machine types by name.
+    /// Returns the cloud's machine types in order of their names.
     fn offered_types(&self) -> Vec<Rc<MachineType>> {
         let mut offered: Vec<Rc<MachineType>> = self.types.values().cloned().collect();
         offered.sort_by(|a, b| a.name.cmp(&b.name));
         offered
     }
 
-    /// Machines on their way that are not to be deleted.
+    /// Returns the pending machines that are not to be deleted.
     fn coming_except(&self, to_delete: &[MachineId]) -> Vec<autoscaler::PendingMachine> {
         self.inventory
             .pending_machines()
--- a/src/control/core/scaling_state.rs
+++ b/src/control/core/scaling_state.rs
@@ -1,6 +1,6 @@
-//! What is remembered between looks at the fleet: the work that arrived, and the
-//! requests to the cloud. Changed by arrivals ([`super::arrivals`]), by claims
-//! ([`super::placement`]) and by the steps of a look ([`super::scaling`]).
+//! This module holds the state that scaling keeps between passes: the recent arrivals and the
+//! requests to the cloud. Arrivals ([`super::arrivals`]), claims ([`super::placement`]) and the
+//! steps of a scaling pass ([`super::scaling`]) update it.
 
 use std::collections::HashMap;
 
@@ -10,12 +10,12 @@
 use crate::cloud::Rental;
 use crate::types::{Time, TypeName, Zone};
 
-/// A sort of machine that the cloud is asked for.
+/// Kind of machine that can be requested from the cloud.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct MachineOffer {
-    /// The machine type.
+    /// Name of the machine type.
     pub kind: TypeName,
-    /// The zone.
+    /// Zone in which the machine is requested.
     pub zone: Zone,
     /// Whether it is a spot machine.
     pub spot: bool,
@@ -31,20 +31,19 @@
     }
 }
 
-/// What is remembered between looks at the fleet.
+/// State that scaling keeps between passes.
 pub(super) struct ScalingState {
-    /// Jobs that arrived of late.
+    /// Jobs that arrived recently.
     pub(super) arrivals: ArrivalLog,
-    /// Requests to the cloud.
     pub(super) requests: ScaleOutRequests,
-    /// When the totals were last logged.
+    /// Time at which the totals were last logged.
     last_log: Time,
-    /// When the last plan was made.
+    /// Time at which the last plan was made.
     last_plan: Time,
 }
 
 impl ScalingState {
-    /// Of an owner that starts now.
+    /// Creates the state of an owner that starts now.
     pub(super) fn new(now: Time) -> Self {
         Self {
             arrivals: ArrivalLog::default(),
@@ -54,8 +53,8 @@
         }
     }
 
-    /// Whether the totals were last logged at least so many seconds ago; if so, they are
-    /// logged now.
+    /// Returns whether the totals were last logged at least `interval_s` seconds ago. If so, it
+    /// counts them as logged now.
     pub(super) fn take_log_due(&mut self, interval_s: f64, now: Time) -> bool {
         let due = now.since(self.last_log) >= interval_s;
         if due {
@@ -64,7 +63,7 @@
         due
     }
 
-    /// A plan is made now. Seconds since the one before it.
+    /// Records that a plan is made now, and returns the seconds since the previous plan.
     pub(super) fn planned(&mut self, now: Time) -> f64 {
         let passed_s = now.since(self.last_plan);
         self.last_plan = now;
@@ -72,67 +71,68 @@
     }
 }
 
-/// Requests to the cloud for machines, and what bounds them.
+/// Requests to the cloud for machines, and the limits on them.
 #[derive(Default)]
 pub(super) struct ScaleOutRequests {
-    /// How many were made: the number of the latest.
+    /// Number of requests made, which is also the number of the latest request.
     made: u64,
-    /// How many have no outcome yet.
+    /// Number of requests without an outcome.
     in_flight: u32,
-    /// What the cloud refused, until when it is not asked for that again.
+    /// Refused offers, each with the time until which it is not requested again.
     refused: HashMap<MachineOffer, Time>,
-    /// How many machines can be served, if that was found to be a bound.
+    /// Maximum number of machines that the controllers can serve. `None` if no limit is known.
     max_machines: Option<usize>,
-    /// How much is claimed a second.
+    /// Rate of claimed CPUs per second.
     claim_rate: ClaimRate,
-    /// What was claimed since that was last looked at, in thousandths of a CPU.
+    /// CPUs claimed since the last rate update, in thousandths of a CPU.
     claimed_cpu: i64,
 }
 
 impl ScaleOutRequests {
-    /// Begins a request; its number, from 1.
+    /// Begins a request and returns its number, starting at 1.
     pub(super) fn begin(&mut self) -> u64 {
         self.made += 1;
         self.in_flight += 1;
         self.made
     }
 
-    /// A request has its outcome.
+    /// Records that a request has an outcome.
     pub(super) fn end(&mut self) {
         self.in_flight = self.in_flight.saturating_sub(1);
     }
 
-    /// Whether any request has no outcome yet.
+    /// Returns whether any request has no outcome yet.
     pub(super) fn any_in_flight(&self) -> bool {
         self.in_flight > 0
     }
 
-    /// The cloud is not asked for such a machine until then.
+    /// Records that an offer is not requested again until `until`.
     pub(super) fn refuse(&mut self, offer: MachineOffer, until: Time) {
         self.refused.insert(offer, until);
     }
 
-    /// Whether the cloud has just refused such a machine.
+    /// Returns whether the offer was refused recently and must not be requested yet.
     pub(super) fn is_refused(&self, offer: &MachineOffer, now: Time) -> bool {
         self.refused.get(offer).is_some_and(|until| now < *until)
     }
 
-    /// How many machines can be served; none: no bound is known.
+    /// Returns the maximum number of machines that the controllers can serve. Returns `None` if
+    /// no limit is known.
     pub(super) fn max_machines(&self) -> Option<usize> {
         self.max_machines
     }
 
-    /// Sets how many machines can be served.
+    /// Sets the maximum number of machines that the controllers can serve.
     pub(super) fn set_max_machines(&mut self, max: Option<usize>) {
         self.max_machines = max;
     }
 
-    /// So much was claimed, in thousandths of a CPU.
+    /// Adds claimed CPUs, in thousandths of a CPU.
     pub(super) fn claimed(&mut self, cpu: i64) {
         self.claimed_cpu += cpu;
     }
 
-    /// The rate of claims up to now.
+    /// Updates and returns the rate of claims.
     pub(super) fn claim_rate(&mut self, now: Time) -> &ClaimRate {
         self.claim_rate
             .take(std::mem::take(&mut self.claimed_cpu), now);
--- a/src/control/core/task_delegation.rs
+++ b/src/control/core/task_delegation.rs
@@ -1,6 +1,6 @@
-//! Several shards: what of a job others have claimed, by its record, and what of that is taken
-//! up. What is left to other shards is of [`super::overflow`], the shard's part of the
-//! limits of [`super::shard_quota`], and handing it on of [`super::shard_freeze`].
+//! This module reconciles a job with the claims that other shards recorded for it.
+//! [`super::overflow`] delegates tasks to other shards, [`super::shard_quota`] holds the
+//! shard's part of the limits, and [`super::shard_freeze`] freezes a shard for handover.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::rc::Rc;
@@ -13,56 +13,57 @@
 use crate::state::view::{JobEntry, View};
 use crate::types::{Amount, Attempt, JobId, JobSpec, Kind, MachineId, TaskId, Time, Zone};
 
-/// In which zone machines of all shards are, as far as it is known.
+/// Known zones of the machines of all shards.
 pub type Places = Rc<std::cell::RefCell<HashMap<MachineId, Zone>>>;
 
-/// What goes between this shard and others.
+/// Tasks and quota that this shard exchanges with others.
 #[derive(Default)]
 pub(super) struct Sharing {
-    /// Tasks of this shard's jobs that others may place.
+    /// Tasks of this shard's jobs that other shards may place.
     pub(super) left: DelegatedTasks,
-    /// Tasks of others' jobs that this shard may place.
+    /// Tasks of other shards' jobs that this shard may place.
     pub(super) taken: DelegatedTasks,
-    /// Given away of each team's part of the limit, in a transaction whose
-    /// outcome is not known yet.
+    /// Amount of each team's part of the limit that a transaction in flight gives to other
+    /// shards. The outcome of the transaction is not known yet.
     pub(super) given: Vec<Amount>,
-    /// Which shard gets which tasks.
+    /// Rule that decides which shard gets which tasks.
     pub(super) delegation: Delegation,
 }
 
-/// A chunk of a job's record.
+/// Chunk of a job's record.
 struct RecordedChunk<'a> {
     job: &'a JobId,
     number: u32,
-    /// The first of its tasks.
+    /// Index in the job of the chunk's first task.
     from: u32,
-    /// How many tasks it has.
+    /// Number of tasks in the chunk.
     size: u32,
     record: &'a ChunkRecord,
 }
 
-/// A claim of this shard that was not recorded as far as it knew.
+/// Claim of this shard without a confirmed record.
 struct UnrecordedClaim {
-    /// The task's place in the job.
+    /// Index of the task in the job.
     index: u32,
     attempt: Attempt,
 }
 
 impl RecordedChunk<'_> {
-    /// Whether the task at a place of the chunk is done, by the record.
+    /// Returns whether the record marks the task at a place of the chunk as done.
     fn is_done(&self, place: u32) -> bool {
         self.record.done >> place & 1 == 1
     }
 }
 
 impl Core {
-    /// Whether a record claims tasks on this shard's machines.
+    /// Returns whether a record claims tasks on this shard's machines.
     pub(super) fn claims_here(&self, entry: &JobEntry) -> bool {
         let mut chunks = entry.all_chunks();
         chunks.any(|(_, chunk)| self.claims_in(chunk, true))
     }
 
-    /// What others have claimed of a job, by its record, and what is left to whom.
+    /// Updates the job with the claims that its record has for other shards, and with the tasks
+    /// that are delegated between shards.
     pub(super) fn share(&mut self, id: &JobId, entry: &JobEntry) {
         if !self.scope.is_part() {
             return;
@@ -88,8 +89,9 @@
         self.cluster_state.set_elsewhere(id, zones);
     }
 
-    /// In which zones other shards have claims of a job whose zones count together; none:
-    /// that is not known of all.
+    /// Returns the number of other shards' claims by zone for a job with a spread or one-zone
+    /// rule, and an empty map for other jobs. Returns `None` if the zone of any claim is
+    /// unknown.
     fn zones_elsewhere(&self, spec: &JobSpec, entry: &JobEntry) -> Option<BTreeMap<Zone, u32>> {
         let mut zones = BTreeMap::new();
         if !spec.spread && !spec.one_zone {
@@ -105,7 +107,8 @@
         Some(zones)
     }
 
-    /// More is known of where other shards' machines are.
+    /// Updates the jobs whose claims in other shards had unknown zones, once more zones may be
+    /// known.
     pub fn refresh_from_view(&mut self, view: &View) {
         let jobs: Vec<JobId> = self.cluster_state.unknown_elsewhere().cloned().collect();
         for id in jobs {
@@ -115,22 +118,23 @@
         }
     }
 
-    /// Whether tasks of a gang are claimed: the machines are not divided then,
-    /// as one core must see all of a gang.
+    /// Returns whether tasks of a gang are claimed. The machines must not be divided into
+    /// shards then, because one core must see all tasks of a gang.
     pub fn reserves_for_gangs(&self) -> bool {
         let mut jobs = self.cluster_state.jobs().values();
         jobs.any(|j| j.spec.kind == Kind::Gang && !j.tasks.claims().is_empty())
     }
 
-    /// In which zone each machine is.
+    /// Returns the zone of each machine of this shard.
     pub fn zones(&self) -> impl Iterator<Item = (&MachineId, &Zone)> {
         let machines = self.cluster_state.machines().iter();
         machines.map(|(id, m)| (id, &m.zone))
     }
 
-    /// A job's record changed: another shard may have claimed or done some of
-    /// its tasks. What is claimed here and not recorded gives way; whoever wrote
-    /// first has the task, as each write is on the condition of the one before.
+    /// Reconciles a job with its changed record, in which another shard may have claimed or
+    /// finished some tasks. A local claim without a record yields to a recorded claim. The
+    /// first writer gets the task, because each write requires the revision of the previous
+    /// one.
     pub(super) fn catch_up(&mut self, id: &JobId, entry: &JobEntry, now: Time) {
         if !self.scope.is_part() {
             return;
@@ -160,7 +164,7 @@
         self.placement_queue.request_full_walk();
     }
 
-    /// Takes up a chunk: the next attempt's number, who has which task, what is done.
+    /// Applies a chunk's record: the next attempt's number, the claims and the finished tasks.
     fn catch_up_chunk(&mut self, chunk: &RecordedChunk, now: Time) {
         let unrecorded = self.unrecorded_claims(chunk);
         self.cluster_state.edit_job(chunk.job, |job| {
@@ -171,7 +175,7 @@
         for claim in unrecorded {
             self.settle_claim(chunk, &claim, now);
         }
-        // A record has one bit for each of 64 tasks.
+        // A record has one bit for each of at most 64 tasks.
         let places = (0..chunk.size.min(u64::BITS)).filter(|p| chunk.is_done(*p));
         self.cluster_state.edit_job(chunk.job, |job| {
             for index in places.map(|p| chunk.from + p) {
@@ -182,7 +186,7 @@
         });
     }
 
-    /// Claims of this shard that were not recorded as far as it knew.
+    /// Returns the claims of this shard in a chunk that have no confirmed record.
     fn unrecorded_claims(&self, chunk: &RecordedChunk) -> Vec<UnrecordedClaim> {
         let Some(job) = self.cluster_state.job(chunk.job) else {
             return Vec::new();
@@ -197,8 +201,8 @@
             .collect()
     }
 
-    /// A claim gives way to one that is recorded, and to a result; one whose attempt's
-    /// number was used by another shard gets another number.
+    /// Releases a claim if the record has another claim or a result for the task. Renumbers the
+    /// claim if another shard used its attempt number.
     fn settle_claim(&mut self, chunk: &RecordedChunk, claim: &UnrecordedClaim, now: Time) {
         let UnrecordedClaim { index, attempt } = *claim;
         let place = index - chunk.from;
