--- a/src/control/core/demand.rs
+++ b/src/control/core/demand.rs
@@ -20,7 +20,7 @@
 /// Factor on the free capacity for replicas of services. With more free capacity, it is more
 /// likely that some of it has the image already, and fetching an image takes longer than the
 /// users of replicas wait.
-const SERVICE_CAPACITY: f64 = 1.7;
+const SERVICE_CAPACITY_FACTOR: f64 = 1.7;
 /// Share of a burst of array or gang tasks for which capacity is kept. Such tasks end and free
 /// their capacity for the next ones.
 const BURST_SHARE: f64 = 0.6;
@@ -62,7 +62,7 @@
         let burst = (come * mean).sqrt();
         match arrivals.spec().kind {
             // Replicas run on, so no replica frees capacity for the next one.
-            Kind::Service => SERVICE_CAPACITY * (come + burst),
+            Kind::Service => SERVICE_CAPACITY_FACTOR * (come + burst),
             Kind::Array | Kind::Gang => BURST_SHARE * burst * self.headroom_weight(arrivals.spec()),
         }
     }
--- a/src/control/core/placement.rs
+++ b/src/control/core/placement.rs
@@ -7,14 +7,14 @@
 use crate::types::{JobId, MachineId, Time};
 
 /// Share of a job's start objective after which the scheduler preempts other tasks for the job.
-const PREEMPT_START: f64 = 0.15;
+const PREEMPT_START_SHARE: f64 = 0.15;
 /// Multiple of a job's patience after which the scheduler preempts other tasks for a job
 /// without a start objective.
-const PREEMPT_SLACK: f64 = 2.0;
+const PREEMPT_PATIENCE_FACTOR: f64 = 2.0;
 /// Time after a failover during which nothing is preempted, in seconds.
-const PREEMPT_SETTLE_S: f64 = 3.0;
+const PREEMPT_FAILOVER_DELAY_S: f64 = 3.0;
 /// Maximum number of steps of the placement walks in one turn. A step visits one job or place.
-const WALK_STEPS: u64 = 4000;
+const MAX_WALK_STEPS_PER_TURN: u64 = 4000;
 
 impl Core {
     /// Queues the claims of placed tasks for recording.
@@ -88,7 +88,7 @@
     pub fn place(&mut self, now: Time) {
         self.refill_windows(now);
         let begun = self.cluster_state.capacity_index.steps.get();
-        while self.cluster_state.capacity_index.steps.get() - begun < WALK_STEPS {
+        while self.cluster_state.capacity_index.steps.get() - begun < MAX_WALK_STEPS_PER_TURN {
             let Some(id) = self.placement_queue.take_next() else {
                 return;
             };
@@ -115,15 +115,15 @@
     /// Preempts tasks for jobs that have waited too long.
     pub fn preempt(&mut self, now: Time) {
         if self.cfg.tuning.preempt
-            && self.failover.age_s(now) > PREEMPT_SETTLE_S
+            && self.failover.age_s(now) > PREEMPT_FAILOVER_DELAY_S
             && !self.is_frozen()
         {
             // Preemption costs more than it gains unless the wait is long for the job's own
             // objectives. A preempted task waits in turn, and its image may have to be fetched
             // again.
             let patience = |job: &Job| match job.start_within {
-                Some(within) => PREEMPT_START * within,
-                None => PREEMPT_SLACK * job.patience_s,
+                Some(within) => PREEMPT_START_SHARE * within,
+                None => PREEMPT_PATIENCE_FACTOR * job.patience_s,
             };
             for task in self.cluster_state.preempt(patience, now) {
                 tracing::info!(task = %task, "task preempted");
--- a/src/control/core/placement_queue.rs
+++ b/src/control/core/placement_queue.rs
@@ -8,7 +8,7 @@
 use crate::types::{MachineId, Time};
 
 /// Time for which placement walks share a pass, in seconds.
-const PASS_S: f64 = 0.2;
+const PASS_LIFETIME_S: f64 = 0.2;
 
 /// Machines that may have capacity for tasks now.
 pub(super) struct PlacementQueue {
@@ -80,7 +80,7 @@
     /// Begins a new pass if the current one is too old.
     pub(super) fn refresh_pass(&mut self, now: Time) {
         let begun = self.pass.as_ref().map(|current| current.begun);
-        if begun.is_none_or(|at| now.since(at) >= PASS_S) {
+        if begun.is_none_or(|at| now.since(at) >= PASS_LIFETIME_S) {
             self.pass = Some(CurrentPass {
                 begun: now,
                 pass: Pass::default(),
--- a/src/control/core/reservation_demand.rs
+++ b/src/control/core/reservation_demand.rs
@@ -19,10 +19,10 @@
 use crate::types::{Image, JobSpec, Kind, Priority, Time, Zone};
 
 /// Interval at which an unchanged shortage is logged again, in seconds.
-const SHORT_AGAIN_S: f64 = 30.0;
+const SHORTAGE_LOG_INTERVAL_S: f64 = 30.0;
 /// Minimum interval between log events of a shortage whose cause changes, in seconds. It keeps
 /// a number that changes in the cause from being logged each second.
-const SHORT_CHANGED_S: f64 = 5.0;
+const CHANGED_SHORTAGE_LOG_INTERVAL_S: f64 = 5.0;
 
 /// Tasks for which a window lacks capacity in one zone.
 struct ZoneShortfall {
@@ -81,7 +81,8 @@
             };
             let again = watch.logged.as_ref().is_none_or(|logged| {
                 let passed_s = now.since(logged.at);
-                passed_s >= SHORT_AGAIN_S || logged.why != next.why && passed_s >= SHORT_CHANGED_S
+                passed_s >= SHORTAGE_LOG_INTERVAL_S
+                    || logged.why != next.why && passed_s >= CHANGED_SHORTAGE_LOG_INTERVAL_S
             });
             if !again {
                 continue;
--- a/src/control/core/reservation_refresh.rs
+++ b/src/control/core/reservation_refresh.rs
@@ -19,11 +19,11 @@
 
 /// Multiple of the usual boot time that a slow machine takes. A machine that takes longer is
 /// deleted.
-const SLOW_BOOTS: f64 = 2.5;
+const SLOW_BOOT_FACTOR: f64 = 2.5;
 /// Number of heartbeats within which a task receives its stop command in the worst case.
-const STOP_HEARTBEATS: f64 = 2.0;
+const STOP_DELIVERY_HEARTBEATS: f64 = 2.0;
 /// Number of machines of one type and zone that are requested per second.
-const REQUESTED_AT_ONCE: f64 = 50.0;
+const MACHINES_REQUESTED_PER_S: f64 = 50.0;
 /// Lower bound of a machine's fetch rate in planning, in GB per second.
 const MIN_FETCH_GB_PER_S: f64 = 1e-3;
 const MS_PER_S: i64 = 1000;
@@ -102,9 +102,9 @@
             gives_way_to: headroom.gives_way_to,
             idle_s: now.since(watch.busy_at),
             boot_s: supply.boot_s,
-            slow_boot_s: SLOW_BOOTS * supply.slowest_boot_s,
+            slow_boot_s: SLOW_BOOT_FACTOR * supply.slowest_boot_s,
             fetch_s: gb / supply.fetch_gb_per_s.max(MIN_FETCH_GB_PER_S),
-            rent_per_s: f64::from(supply.tasks_per_machine) * REQUESTED_AT_ONCE,
+            rent_per_s: f64::from(supply.tasks_per_machine) * MACHINES_REQUESTED_PER_S,
             refused: window.and_then(|w| self.refused_for(w, &here, watch.pending_tasks, now)),
         }
     }
@@ -160,7 +160,7 @@
             .fold(f64::INFINITY, f64::min);
         Lending {
             until: now.after(left_s),
-            stop_s: STOP_HEARTBEATS * self.cfg.heartbeat_s,
+            stop_s: STOP_DELIVERY_HEARTBEATS * self.cfg.heartbeat_s,
             wait_s: if wait_s.is_finite() { wait_s } else { 0.0 },
         }
     }
--- a/src/control/core/scale_in.rs
+++ b/src/control/core/scale_in.rs
@@ -12,23 +12,23 @@
 use crate::types::{MachineId, Time};
 
 /// Number of unanswered direct connections after which a machine counts as unresponsive.
-const HANGS: u32 = 2;
+const MAX_UNANSWERED_CONNECTIONS: u32 = 2;
 /// Number of heartbeat intervals without a heartbeat after which a machine with one unanswered
 /// direct connection counts as unresponsive.
-const HANGS_HEARTBEATS: f64 = 2.2;
+const UNANSWERED_SILENCE_HEARTBEATS: f64 = 2.2;
 /// Multiple of the usual boot time after which a booting machine counts as failed.
-const STUCK_BOOTS: f64 = 2.5;
+const BOOT_TIMEOUT_FACTOR: f64 = 2.5;
 /// Margin on that time in seconds, because a usual boot may be short.
-const STUCK_MARGIN_S: f64 = 10.0;
+const BOOT_TIMEOUT_MARGIN_S: f64 = 10.0;
 /// Assumed boot time of an unknown machine type, in seconds.
 const DEFAULT_BOOT_S: f64 = 30.0;
 /// Share of the time without use in plans after which a machine may be given back.
-const UNUSED_SHARE: f64 = 0.6;
+const MIN_UNUSED_SHARE: f64 = 0.6;
 /// Minimum time for which a machine is empty before it is given back, in seconds.
-const EMPTY_S: f64 = 2.0;
+const MIN_EMPTY_S: f64 = 2.0;
 /// Time without running or waiting work after which the whole fleet counts as idle and its
 /// machines may be given back, in seconds.
-const IDLE_S: f64 = 20.0;
+const FLEET_IDLE_S: f64 = 20.0;
 
 /// Share of the time during which plans had no use for a machine.
 struct Disuse {
@@ -85,7 +85,8 @@
     /// list.
     fn never_comes(&self, id: &MachineId, pending: &PendingMachine, now: Time) -> bool {
         let boot_s = self.types.get(&pending.kind).map(|t| t.boot_s);
-        let limit_s = STUCK_BOOTS * boot_s.unwrap_or(DEFAULT_BOOT_S) + STUCK_MARGIN_S;
+        let limit_s =
+            BOOT_TIMEOUT_FACTOR * boot_s.unwrap_or(DEFAULT_BOOT_S) + BOOT_TIMEOUT_MARGIN_S;
         now.since(pending.since) > limit_s || self.inventory.is_missing(id)
     }
 
@@ -95,7 +96,7 @@
     pub(super) fn is_idle(&self, now: Time) -> bool {
         let mut machines = self.cluster_state.machines().values();
         !self.cluster_state.has_work()
-            && machines.all(|m| m.claims.is_empty() && now.since(m.idle_since) > IDLE_S)
+            && machines.all(|m| m.claims.is_empty() && now.since(m.idle_since) > FLEET_IDLE_S)
     }
 
     /// Chooses the machines to retire by the plan, and gives back the empty ones.
@@ -139,7 +140,7 @@
         let excess = max.is_some_and(|max| self.machines() > max);
         let mut candidates: Vec<ScaleInCandidate> = disuse
             .iter()
-            .filter(|d| d.now && (d.share > UNUSED_SHARE || idle || excess))
+            .filter(|d| d.now && (d.share > MIN_UNUSED_SHARE || idle || excess))
             .filter_map(|d| {
                 let machine = self.cluster_state.machines().get(&d.machine)?;
                 Some(ScaleInCandidate {
@@ -195,7 +196,7 @@
                 m.unused = share;
                 m.kept = kept;
                 m.retiring = retires;
-                if retires && m.claims.is_empty() && now.since(m.idle_since) > EMPTY_S {
+                if retires && m.claims.is_empty() && now.since(m.idle_since) > MIN_EMPTY_S {
                     to_scale_in.push(machine.clone());
                 }
             });
@@ -213,7 +214,8 @@
 /// Returns whether a machine accepts connections and does not answer. `quiet_s` is the age of
 /// its last heartbeat in seconds.
 fn unanswered_connections(agent: &AgentState, quiet_s: f64, heartbeat_s: f64) -> bool {
-    let long =
-        agent.direct.unanswered_connections() == 1 && quiet_s > HANGS_HEARTBEATS * heartbeat_s;
-    agent.direct.is_suspect() && (agent.direct.unanswered_connections() >= HANGS || long)
+    let long = agent.direct.unanswered_connections() == 1
+        && quiet_s > UNANSWERED_SILENCE_HEARTBEATS * heartbeat_s;
+    agent.direct.is_suspect()
+        && (agent.direct.unanswered_connections() >= MAX_UNANSWERED_CONNECTIONS || long)
 }
--- a/src/control/core/scale_out.rs
+++ b/src/control/core/scale_out.rs
@@ -11,9 +11,9 @@
 
 /// Time for which an offer is not requested again after the cloud lacked capacity for it, in
 /// seconds.
-const NO_CAPACITY_S: f64 = 10.0;
+const NO_CAPACITY_RETRY_S: f64 = 10.0;
 /// Time for which an offer is not requested again after a call for it failed, in seconds.
-const FAILED_S: f64 = 3.0;
+const FAILED_CALL_RETRY_S: f64 = 3.0;
 
 impl Core {
     /// Returns the number of machines that are up or pending.
@@ -109,7 +109,7 @@
                 if machines.len() < rental.count as usize {
                     self.scaling
                         .requests
-                        .refuse(offer, now.after(NO_CAPACITY_S));
+                        .refuse(offer, now.after(NO_CAPACITY_RETRY_S));
                 }
                 for id in machines.into_iter().filter(|m| self.scope.covers(m)) {
                     if !self.agents.contains(&id) {
@@ -120,11 +120,13 @@
             Err(CloudError::NoCapacity) => {
                 self.scaling
                     .requests
-                    .refuse(offer, now.after(NO_CAPACITY_S));
+                    .refuse(offer, now.after(NO_CAPACITY_RETRY_S));
             }
             Err(CloudError::Failed(_)) => {
-                self.windows.failed(now.after(FAILED_S));
-                self.scaling.requests.refuse(offer, now.after(FAILED_S));
+                self.windows.failed(now.after(FAILED_CALL_RETRY_S));
+                self.scaling
+                    .requests
+                    .refuse(offer, now.after(FAILED_CALL_RETRY_S));
             }
         }
     }
