--- a/src/control/core/demand.rs
+++ b/src/control/core/demand.rs
@@ -30,7 +30,7 @@
 impl Core {
     /// Returns the free capacity to keep for each class that arrived recently, as a typical job
     /// of that class.
-    pub(super) fn expected(&mut self, now: Time) -> Vec<autoscaler::Expected> {
+    pub(super) fn expected_arrivals(&mut self, now: Time) -> Vec<autoscaler::Expected> {
         self.scaling.arrivals.expire(ARRIVAL_WINDOW_S, now);
         let arrivals = self.scaling.arrivals.iter();
         self.cluster_state.shapes = arrivals.map(|a| a.spec().each).collect();
--- a/src/control/core/image_distribution.rs
+++ b/src/control/core/image_distribution.rs
@@ -80,7 +80,7 @@
     }
 
     /// Returns whether a job's image is rolled out in stages.
-    pub(super) fn stages(&self, spec: &JobSpec) -> bool {
+    pub(super) fn is_staged(&self, spec: &JobSpec) -> bool {
         self.least_gb.is_some_and(|least| spec.image_gb >= least)
     }
 
--- a/src/control/core/image_rollout.rs
+++ b/src/control/core/image_rollout.rs
@@ -24,7 +24,7 @@
         spec: &JobSpec,
         now: Time,
     ) -> Option<Vec<SocketAddr>> {
-        if !self.image_distribution.stages(spec) || !self.keep_rollout(&spec.image) {
+        if !self.image_distribution.is_staged(spec) || !self.ensure_rollout(&spec.image) {
             return Some(Vec::new());
         }
         let path = self.path_of(id);
@@ -49,7 +49,7 @@
         let Some(spec) = self.cluster_state.job(&task.job).map(|j| j.spec.clone()) else {
             return;
         };
-        if !self.image_distribution.stages(&spec) {
+        if !self.image_distribution.is_staged(&spec) {
             return;
         }
         let Some(machine) = self.cluster_state.claim_of(task).map(|c| c.machine.clone()) else {
@@ -60,7 +60,7 @@
 
     /// Creates a rollout for an image if it has none. Returns `false` if the image has to be
     /// distributed without a rollout.
-    pub(super) fn keep_rollout(&mut self, image: &Image) -> bool {
+    pub(super) fn ensure_rollout(&mut self, image: &Image) -> bool {
         if self.image_distribution.has_rollout(image) {
             return true;
         }
@@ -69,7 +69,7 @@
         };
         let machines = self.cluster_state.machines().iter();
         let complete = machines
-            .filter(|(id, machine)| machine.cache.has(image) && !self.awaits(id, image))
+            .filter(|(id, machine)| machine.cache.has(image) && !self.awaits_image(id, image))
             .map(|(id, _)| CompleteMachine {
                 id: id.clone(),
                 path: self.path_of(id),
@@ -80,7 +80,7 @@
     }
 
     /// Returns whether a machine has tasks that need an image, and none of them runs.
-    fn awaits(&self, id: &MachineId, image: &Image) -> bool {
+    fn awaits_image(&self, id: &MachineId, image: &Image) -> bool {
         let needs = |task: &TaskId| {
             let job = self.cluster_state.job(&task.job);
             job.is_some_and(|j| j.spec.image == *image)
--- a/src/control/core/placement.rs
+++ b/src/control/core/placement.rs
@@ -18,18 +18,18 @@
 
 impl Core {
     /// Queues the claims of placed tasks for recording.
-    fn launched(&mut self, launches: Vec<Launch>, now: Time) {
+    fn queue_claims(&mut self, launches: Vec<Launch>, now: Time) {
         if !launches.is_empty() && self.failover.placed() {
             let after_s = self.failover.logged_age_s(now);
             tracing::info!(after_s, "first task placed");
         }
         for launch in launches {
             tracing::debug!(task = %launch.task, machine = %launch.machine, cached = launch.cached, "task claimed");
-            self.job_began(&launch.task.job, now);
+            self.count_job_start(&launch.task.job, now);
             let Some(job) = self.cluster_state.job(&launch.task.job) else {
                 continue;
             };
-            self.scaling.requests.claimed(job.spec.each.cpu);
+            self.scaling.requests.add_claimed_cpu(job.spec.each.cpu);
             let (write_priority, sort) = (WritePriority::of(job), job.sort());
             let chunk = self.chunk_of(&launch.task);
             self.pending.claimed(chunk, write_priority, sort, now);
@@ -38,7 +38,7 @@
 
     /// Counts a job's start when the first task of the job is placed. Only the shard that
     /// places the job counts it.
-    fn job_began(&mut self, id: &JobId, now: Time) {
+    fn count_job_start(&mut self, id: &JobId, now: Time) {
         let job = self.cluster_state.job(id);
         let Some(job) = job.filter(|j| !j.started && j.tasks.at_home()) else {
             return;
@@ -50,7 +50,7 @@
     }
 
     /// Returns the rule for how long a task waits for a machine that has its image.
-    fn rule(&self) -> DelayRule {
+    fn delay_rule(&self) -> DelayRule {
         DelayRule {
             fetches: self.cfg.tuning.delay_fetches,
             max_s: self.cfg.tuning.delay_max_s,
@@ -69,8 +69,8 @@
             self.cluster_state.refill_reservations(id, now);
         }
         let pass = self.placement_queue.pass();
-        let launches = self.cluster_state.walk_in(pass, id, self.rule(), now);
-        self.launched(launches, now);
+        let launches = self.cluster_state.walk_in(pass, id, self.delay_rule(), now);
+        self.queue_claims(launches, now);
     }
 
     /// Reserves freed capacity for windows that lack capacity, before other work can take it.
@@ -107,8 +107,8 @@
         let due = !self.is_frozen() && self.placement_queue.take_full_walk();
         if due && self.cluster_state.has_work() {
             self.refill_windows(now);
-            let launches = self.cluster_state.place(self.rule(), now);
-            self.launched(launches, now);
+            let launches = self.cluster_state.place(self.delay_rule(), now);
+            self.queue_claims(launches, now);
         }
     }
 
--- a/src/control/core/reservation_demand.rs
+++ b/src/control/core/reservation_demand.rs
@@ -70,7 +70,7 @@
 
     /// Logs the shortages of windows when they change, and repeats them at an interval.
     pub(super) fn log_shortage(&mut self, now: Time) {
-        if !self.keeps_calendar() {
+        if !self.records_calendar_steps() {
             return;
         }
         for (name, watch) in &mut self.windows.watched {
@@ -117,7 +117,7 @@
 
     /// Returns the capacity to rent for windows.
     pub(super) fn shortfalls(&self, now: Time) -> Vec<autoscaler::Shortfall> {
-        if self.windows.watched.is_empty() || !self.knows_machines(now) {
+        if self.windows.watched.is_empty() || !self.machines_are_known(now) {
             return Vec::new();
         }
         let entries = self.windows.watched.values().map(|w| w.entry.as_ref());
@@ -127,7 +127,7 @@
 
     /// Returns whether the list of existing machines is complete. Before that, this owner would
     /// rent again what a former owner rented.
-    fn knows_machines(&self, now: Time) -> bool {
+    fn machines_are_known(&self, now: Time) -> bool {
         // A machine list lags by at most twice its usual lag (PROTOCOL).
         let listed = self.failover.age_s(now) > 2.0 * self.cfg.list_lag_s + 2.0;
         let recovering = self.failover.age_s(now) <= self.cfg.silent_s();
@@ -152,14 +152,14 @@
         open.map(|(shortfall, more)| autoscaler::Shortfall {
             window: window.name.clone(),
             tasks: shortfall.tasks + more,
-            spec: spec_of(window, shortfall.zone, shortfall.kind),
+            spec: window_spec(window, shortfall.zone, shortfall.kind),
         })
         .collect()
     }
 }
 
 /// Returns a job description for a window's tasks, which the fleet plan packs.
-fn spec_of(window: &Window, zone: Option<Zone>, kind: TypeChoice) -> Rc<JobSpec> {
+fn window_spec(window: &Window, zone: Option<Zone>, kind: TypeChoice) -> Rc<JobSpec> {
     Rc::new(JobSpec {
         class: Arc::from(window.classes.first().map_or("", |c| c.as_str())),
         team: Arc::from(window.team.as_str()),
--- a/src/control/core/reservation_refresh.rs
+++ b/src/control/core/reservation_refresh.rs
@@ -40,7 +40,7 @@
         let Some(calendar) = view.calendar.value.as_ref().filter(|c| c.known()) else {
             return;
         };
-        update_watches(&mut self.windows.watched, calendar, view, now);
+        update_windows(&mut self.windows.watched, calendar, view, now);
         let clock = Clock {
             now_ms: wall_ms,
             off_ms: self.cfg.clock_off_ms as i64,
@@ -56,7 +56,7 @@
         let mut reservations = Vec::new();
         for (name, watch) in &mut watched {
             let window = usage.window(name);
-            let seen = self.see(watch, window, &usage, now);
+            let seen = self.observe(watch, window, &usage, now);
             let records = watch.record_values();
             watch.plan = steps(window.map(|w| &**w), &records, &seen, clock);
             let hold = self.reserve_here(watch, window, clock, now);
@@ -69,7 +69,7 @@
 
     /// Returns the observed state of a window. `window` is `None` if the calendar no longer
     /// lists it.
-    fn see(
+    fn observe(
         &self,
         watch: &mut Watch,
         window: Option<&Rc<Window>>,
@@ -77,7 +77,7 @@
         now: Time,
     ) -> Seen {
         let each = window.map_or(Amount::default(), |w| w.each());
-        let work = window.and_then(|w| usage.of_window(w));
+        let work = window.and_then(|w| usage.work_of(w));
         let used = work.map_or(0, |w| tasks_of(w.used, each));
         let waiting = work.map_or(0, |w| w.waiting);
         if used > 0 || waiting > 0 {
@@ -168,7 +168,7 @@
 
 /// Updates the windows from the calendar's entries and the recorded occurrences. Removes a
 /// window that has neither.
-fn update_watches(
+fn update_windows(
     watched: &mut BTreeMap<String, Watch>,
     calendar: &CalendarRecord,
     view: &View,
--- a/src/control/core/reservation_supply.rs
+++ b/src/control/core/reservation_supply.rs
@@ -151,7 +151,7 @@
             })
             .collect();
         let teams = self.cfg.teams.iter().map(|t| {
-            let used = usage.outside(&t.name);
+            let used = usage.used_outside_windows(&t.name);
             let free_capacity = TeamFreeCapacity {
                 guarantee: t.guarantee - used,
                 limit: t.limit - used,
--- a/src/control/core/reservation_usage.rs
+++ b/src/control/core/reservation_usage.rs
@@ -61,12 +61,12 @@
     }
 
     /// Returns the work of a window. Returns `None` if the window has no work.
-    pub(super) fn of_window(&self, window: &Window) -> Option<&WindowWork> {
+    pub(super) fn work_of(&self, window: &Window) -> Option<&WindowWork> {
         self.by_window.get(&window.name)
     }
 
     /// Returns the resources that a team uses for work outside of windows.
-    pub(super) fn outside(&self, team: &str) -> Amount {
+    pub(super) fn used_outside_windows(&self, team: &str) -> Amount {
         self.outside.get(team).copied().unwrap_or_default()
     }
 
--- a/src/control/core/reservations.rs
+++ b/src/control/core/reservations.rs
@@ -94,7 +94,7 @@
     }
 
     /// Records that a request to the cloud failed, with effect until `until`.
-    pub(super) fn failed(&mut self, until: Time) {
+    pub(super) fn record_failure(&mut self, until: Time) {
         self.failing_until = Some(until);
     }
 
@@ -123,14 +123,14 @@
 impl Core {
     /// Returns whether this owner records the windows' steps and logs their shortages. Only the
     /// owner of shard 0 does.
-    pub(super) fn keeps_calendar(&self) -> bool {
+    pub(super) fn records_calendar_steps(&self) -> bool {
         self.scope.shard == ShardId(0)
     }
 
     /// Returns the due steps with their transactions. Returns none if another owner records
     /// them, or while the shard is frozen.
     pub fn window_steps(&self) -> Vec<WindowStep> {
-        if !self.keeps_calendar() || self.is_frozen() {
+        if !self.records_calendar_steps() || self.is_frozen() {
             return Vec::new();
         }
         let mut due = Vec::new();
--- a/src/control/core/rollout_refresh.rs
+++ b/src/control/core/rollout_refresh.rs
@@ -61,7 +61,7 @@
 impl RolloutUpdate<'_> {
     /// Updates a member from its progress with the image. Returns whether the machine still
     /// exists and stays in the rollout.
-    fn keeps(
+    fn update_member(
         &mut self,
         id: &MachineId,
         member: &mut Member,
@@ -144,7 +144,7 @@
                 .values()
                 .any(|d| *d == ImageState::Fetches)
             {
-                self.keep_rollout(image);
+                self.ensure_rollout(image);
             }
         }
         let images: Vec<Image> = self.image_distribution.rollouts.keys().cloned().collect();
@@ -166,7 +166,7 @@
     fn images_in_use(&self) -> BTreeMap<Image, ImageUse> {
         let mut in_use: BTreeMap<Image, ImageUse> = BTreeMap::new();
         let jobs = self.cluster_state.jobs().values();
-        for job in jobs.filter(|j| self.image_distribution.stages(&j.spec)) {
+        for job in jobs.filter(|j| self.image_distribution.is_staged(&j.spec)) {
             for claim in job.tasks.claims().values() {
                 let image_use = in_use
                     .entry(job.spec.image.clone())
@@ -188,7 +188,7 @@
     /// Reconciles an image's rollout with the progress of the machines, and removes a rollout
     /// that is over.
     fn refresh_rollout(&mut self, image: &Image, on: &BTreeMap<MachineId, ImageState>, now: Time) {
-        let joining = self.paths_of_new(image, on);
+        let joining = self.joining_machines(image, on);
         let ImageDistribution {
             rollouts, uploads, ..
         } = &mut self.image_distribution;
@@ -206,9 +206,9 @@
             now,
         };
         let machines = self.cluster_state.machines();
-        active
-            .members
-            .retain(|id, member| update.keeps(id, member, machines.get(id), on.get(id).copied()));
+        active.members.retain(|id, member| {
+            update.update_member(id, member, machines.get(id), on.get(id).copied())
+        });
         for (id, path) in joining {
             let complete = on.get(&id) == Some(&ImageState::Runs);
             let member = update.join(&id, &path, complete);
@@ -222,7 +222,7 @@
 
     /// Returns the machines that fetch or run an image and are not in its rollout, with their
     /// failure domains.
-    fn paths_of_new(
+    fn joining_machines(
         &self,
         image: &Image,
         on: &BTreeMap<MachineId, ImageState>,
@@ -282,7 +282,7 @@
         for (id, machine) in self.cluster_state.machines() {
             let has = match on.get(id) {
                 Some(ImageState::Runs) => Has::Complete,
-                Some(ImageState::Fetches) => Has::Part(self.part_of(id, image)),
+                Some(ImageState::Fetches) => Has::Part(self.reported_share(id, image)),
                 // The machine joins when its waiting start is sent.
                 Some(ImageState::StartPending) => continue,
                 None if machine.cache.has(image) => Has::Complete,
@@ -298,7 +298,7 @@
     }
 
     /// Returns the share of an image that a machine reports, from 0 to 1. The share is a hint.
-    fn part_of(&self, id: &MachineId, image: &Image) -> f64 {
+    fn reported_share(&self, id: &MachineId, image: &Image) -> f64 {
         let said = self.agents.get(id).map_or(&[][..], |l| &l.images);
         let of = said.iter().find(|i| i.image == image.as_str());
         of.map_or(0.0, |i| i.parts as f64 / i.of.max(1) as f64)
--- a/src/control/core/scale_in.rs
+++ b/src/control/core/scale_in.rs
@@ -75,15 +75,15 @@
                 to_delete.push(id.clone());
             }
         }
-        let never_came = self.inventory.pending_machines().iter();
-        let never_came = never_came.filter(|(id, pending)| self.never_comes(id, pending, now));
-        to_delete.extend(never_came.map(|(id, _)| id.clone()));
+        let failed_boots = self.inventory.pending_machines().iter();
+        let failed_boots = failed_boots.filter(|(id, pending)| self.boot_failed(id, pending, now));
+        to_delete.extend(failed_boots.map(|(id, _)| id.clone()));
         to_delete
     }
 
     /// Returns whether a rented machine took too long to boot or is missing from the cloud's
     /// list.
-    fn never_comes(&self, id: &MachineId, pending: &PendingMachine, now: Time) -> bool {
+    fn boot_failed(&self, id: &MachineId, pending: &PendingMachine, now: Time) -> bool {
         let boot_s = self.types.get(&pending.kind).map(|t| t.boot_s);
         let limit_s =
             BOOT_TIMEOUT_FACTOR * boot_s.unwrap_or(DEFAULT_BOOT_S) + BOOT_TIMEOUT_MARGIN_S;
@@ -116,7 +116,7 @@
     /// purpose only after a long time without use, because a machine with a warm cache is worth
     /// more than a new one.
     fn measure_disuse(&mut self, plan: &autoscaler::Plan, now: Time) -> Vec<Disuse> {
-        let passed_s = self.scaling.planned(now);
+        let passed_s = self.scaling.record_plan(now);
         let weight = 1.0 - (-passed_s / self.cfg.tuning.idle_s.max(1.0)).exp();
         let machines = self.cluster_state.machines().iter();
         machines
--- a/src/control/core/scale_out.rs
+++ b/src/control/core/scale_out.rs
@@ -123,7 +123,7 @@
                     .refuse(offer, now.after(NO_CAPACITY_RETRY_S));
             }
             Err(CloudError::Failed(_)) => {
-                self.windows.failed(now.after(FAILED_CALL_RETRY_S));
+                self.windows.record_failure(now.after(FAILED_CALL_RETRY_S));
                 self.scaling
                     .requests
                     .refuse(offer, now.after(FAILED_CALL_RETRY_S));
--- a/src/control/core/scaling.rs
+++ b/src/control/core/scaling.rs
@@ -44,7 +44,11 @@
             };
         }
         let idle = self.is_idle(now);
-        let expected = if idle { Vec::new() } else { self.expected(now) };
+        let expected = if idle {
+            Vec::new()
+        } else {
+            self.expected_arrivals(now)
+        };
         let plan = self.plan_fleet(&expected, &to_delete, now);
         self.windows.set_pending_tasks(&plan.pending_tasks);
         self.scale_in(&plan, idle, now);
@@ -68,7 +72,7 @@
             boot_s,
             cluster_state: &self.cluster_state,
             types: &self.offered_types(),
-            pending_machines: &self.coming_except(to_delete),
+            pending_machines: &self.pending_machines_except(to_delete),
             expected,
             shortfalls: &self.shortfalls(now),
             open: &|kind: &TypeName, zone: &Zone, spot: bool| {
@@ -87,7 +91,7 @@
     }
 
     /// Returns the pending machines that are not to be deleted.
-    fn coming_except(&self, to_delete: &[MachineId]) -> Vec<autoscaler::PendingMachine> {
+    fn pending_machines_except(&self, to_delete: &[MachineId]) -> Vec<autoscaler::PendingMachine> {
         self.inventory
             .pending_machines()
             .iter()
--- a/src/control/core/scaling_state.rs
+++ b/src/control/core/scaling_state.rs
@@ -64,7 +64,7 @@
     }
 
     /// Records that a plan is made now, and returns the seconds since the previous plan.
-    pub(super) fn planned(&mut self, now: Time) -> f64 {
+    pub(super) fn record_plan(&mut self, now: Time) -> f64 {
         let passed_s = now.since(self.last_plan);
         self.last_plan = now;
         passed_s
@@ -128,7 +128,7 @@
     }
 
     /// Adds claimed CPUs, in thousandths of a CPU.
-    pub(super) fn claimed(&mut self, cpu: i64) {
+    pub(super) fn add_claimed_cpu(&mut self, cpu: i64) {
         self.claimed_cpu += cpu;
     }
 
--- a/src/control/core/task_delegation.rs
+++ b/src/control/core/task_delegation.rs
@@ -152,7 +152,7 @@
                 size,
                 record,
             };
-            self.catch_up_chunk(&chunk, now);
+            self.apply_chunk_record(&chunk, now);
         }
         self.share(id, entry);
         let live = entry.record.value.phase == Phase::Live;
@@ -165,7 +165,7 @@
     }
 
     /// Applies a chunk's record: the next attempt's number, the claims and the finished tasks.
-    fn catch_up_chunk(&mut self, chunk: &RecordedChunk, now: Time) {
+    fn apply_chunk_record(&mut self, chunk: &RecordedChunk, now: Time) {
         let unrecorded = self.unrecorded_claims(chunk);
         self.cluster_state.edit_job(chunk.job, |job| {
             let next = job.tasks.next_attempt(chunk.number);
@@ -173,7 +173,7 @@
             job.tasks.set_next_attempt(chunk.number, next);
         });
         for claim in unrecorded {
-            self.settle_claim(chunk, &claim, now);
+            self.resolve_claim(chunk, &claim, now);
         }
         // A record has one bit for each of at most 64 tasks.
         let places = (0..chunk.size.min(u64::BITS)).filter(|p| chunk.is_done(*p));
@@ -203,7 +203,7 @@
 
     /// Releases a claim if the record has another claim or a result for the task. Renumbers the
     /// claim if another shard used its attempt number.
-    fn settle_claim(&mut self, chunk: &RecordedChunk, claim: &UnrecordedClaim, now: Time) {
+    fn resolve_claim(&mut self, chunk: &RecordedChunk, claim: &UnrecordedClaim, now: Time) {
         let UnrecordedClaim { index, attempt } = *claim;
         let place = index - chunk.from;
         let task = TaskId {
