--- a/src/control/core/active_rollout.rs
+++ b/src/control/core/active_rollout.rs
@@ -21,17 +21,17 @@
     /// The start command was not sent yet.
     StartPending,
     /// The start command was sent, and the task does not run yet.
-    Fetches,
+    Fetching,
     /// A task runs with the image.
-    Runs,
+    Running,
 }
 
 /// Returns the progress of a claim's task with its image.
 pub(super) fn image_state(claim: &Claim) -> ImageState {
     match (claim.progress, claim.sent) {
-        (Progress::Running(_) | Progress::Saving, _) => ImageState::Runs,
+        (Progress::Running(_) | Progress::Saving, _) => ImageState::Running,
         (_, Sent::No) => ImageState::StartPending,
-        _ => ImageState::Fetches,
+        _ => ImageState::Fetching,
     }
 }
 
@@ -71,7 +71,7 @@
     pub(super) members: BTreeMap<MachineId, Member>,
     /// Machines whose start waits for its stage.
     pub(super) waiting: BTreeSet<MachineId>,
-    scanned_to: MachineId,
+    last_scanned: MachineId,
     /// Time since which no start is pending and no machine fetches the image.
     pub(super) over_since: Option<Time>,
 }
@@ -84,7 +84,7 @@
             gb: 0.0,
             members: BTreeMap::new(),
             waiting: BTreeSet::new(),
-            scanned_to: MachineId::from(""),
+            last_scanned: MachineId::from(""),
             over_since: None,
         }
     }
@@ -126,7 +126,7 @@
             return due;
         };
         for _ in 0..MACHINES_SCANNED_PER_PASS.min(self.waiting.len()) {
-            let after = (Bound::Excluded(&self.scanned_to), Bound::Unbounded);
+            let after = (Bound::Excluded(&self.last_scanned), Bound::Unbounded);
             let next = self.waiting.range(after).next();
             let Some(id) = next.or_else(|| self.waiting.first()).cloned() else {
                 break;
@@ -137,7 +137,7 @@
                 self.waiting.remove(&id);
                 due.push(id.clone());
             }
-            self.scanned_to = id;
+            self.last_scanned = id;
         }
         due
     }
@@ -171,9 +171,9 @@
         self.over_since = None;
         let member = match self.members.entry(machine.id.clone()) {
             Entry::Occupied(member) => member.into_mut(),
-            Entry::Vacant(seat) => {
+            Entry::Vacant(entry) => {
                 rollout.join(machine.id.clone(), machine.path, machine.complete);
-                seat.insert(Member {
+                entry.insert(Member {
                     complete: machine.complete,
                     since: now,
                 })
--- a/src/control/core/image_distribution.rs
+++ b/src/control/core/image_distribution.rs
@@ -22,7 +22,7 @@
 /// All image rollouts of a shard.
 pub(super) struct ImageDistribution {
     /// Minimum size in GB of an image that is rolled out in stages. `None` turns rollouts off.
-    pub(super) least_gb: Option<f64>,
+    pub(super) min_image_gb: Option<f64>,
     pub(super) shard: ShardId,
     value_bytes: usize,
     pub(super) limits: Limits,
@@ -39,7 +39,7 @@
     /// Loads the recorded rollouts of a shard. Each rollout resumes later.
     pub(super) fn load(cfg: &Config, scope: ShardScope, view: &View) -> Self {
         let mut image_distribution = Self {
-            least_gb: cfg.tuning.staging_least_gb,
+            min_image_gb: cfg.tuning.staging_least_gb,
             shard: scope.shard,
             value_bytes: cfg.state_limits.value_bytes,
             limits: limits_of(scope),
@@ -48,7 +48,7 @@
             stored_records: BTreeMap::new(),
             useless: BTreeMap::new(),
         };
-        if image_distribution.least_gb.is_some() {
+        if image_distribution.min_image_gb.is_some() {
             for (&key, stored_record) in &view.rollouts {
                 image_distribution.load_record(key, stored_record, scope);
             }
@@ -81,7 +81,8 @@
 
     /// Returns whether a job's image is rolled out in stages.
     pub(super) fn is_staged(&self, spec: &JobSpec) -> bool {
-        self.least_gb.is_some_and(|least| spec.image_gb >= least)
+        self.min_image_gb
+            .is_some_and(|least| spec.image_gb >= least)
     }
 
     /// Returns whether an image has a rollout here, including one that the previous owner
--- a/src/control/core/image_rollout.rs
+++ b/src/control/core/image_rollout.rs
@@ -5,7 +5,7 @@
 
 use std::net::SocketAddr;
 
-use sorrelhinge_image_distribution::plan::Source as From;
+use sorrelhinge_image_distribution::plan::Source as ImageSource;
 
 use super::active_rollout::{
     image_state, ActiveRollout, CompleteMachine, ImageState, StartingMachine,
@@ -37,9 +37,9 @@
         };
         let image = &spec.image;
         let from = self.image_distribution.start_on(image, &starting, now)?;
-        let addr = |source: &From| match source {
-            From::Origin => None,
-            From::Machine(id) => self.agents.addr(id),
+        let addr = |source: &ImageSource| match source {
+            ImageSource::Origin => None,
+            ImageSource::Machine(id) => self.agents.addr(id),
         };
         Some(from.iter().filter_map(addr).collect())
     }
@@ -89,7 +89,7 @@
         let mut needing = claims.iter().filter(|t| needs(t)).peekable();
         let any = needing.peek().is_some();
         let furthest = needing.filter_map(|t| self.cluster_state.claim_of(t));
-        any && furthest.map(image_state).max() < Some(ImageState::Runs)
+        any && furthest.map(image_state).max() < Some(ImageState::Running)
     }
 
     /// Returns the failure domains of a machine, its zone first.
@@ -112,7 +112,7 @@
     /// that is expected on the machine. If the report is wrong, a machine that is sent there
     /// for the image asks its next source.
     pub(super) fn record_served_images(&mut self, heartbeat: &Heartbeat) {
-        if self.image_distribution.least_gb.is_none() {
+        if self.image_distribution.min_image_gb.is_none() {
             return;
         }
         let machine = self.cluster_state.machines().get(&heartbeat.machine);
--- a/src/control/core/placement_queue.rs
+++ b/src/control/core/placement_queue.rs
@@ -16,7 +16,7 @@
     machines: BTreeSet<MachineId>,
     /// Machine that was taken last. The next machine is the one after it by name, so no machine
     /// waits forever while capacity becomes free on others.
-    last: MachineId,
+    last_taken: MachineId,
     /// Whether the next walk offers all machines to the waiting jobs.
     full_walk: bool,
     /// `None` before the first walk.
@@ -33,7 +33,7 @@
     fn default() -> Self {
         Self {
             machines: BTreeSet::new(),
-            last: MachineId::from(""),
+            last_taken: MachineId::from(""),
             full_walk: true,
             pass: None,
         }
@@ -54,11 +54,11 @@
     /// Removes and returns the next machine. This is the first one by name after the last one
     /// taken, or else the first one of all.
     pub(super) fn take_next(&mut self) -> Option<MachineId> {
-        let after = (Bound::Excluded(&self.last), Bound::Unbounded);
+        let after = (Bound::Excluded(&self.last_taken), Bound::Unbounded);
         let next = self.machines.range(after).next().cloned();
         let machine = next.or_else(|| self.machines.first().cloned())?;
         self.machines.remove(&machine);
-        self.last = machine.clone();
+        self.last_taken = machine.clone();
         Some(machine)
     }
 
--- a/src/control/core/reservation_refresh.rs
+++ b/src/control/core/reservation_refresh.rs
@@ -10,7 +10,7 @@
 
 use super::reservation_supply::QuotaHeadroom;
 use super::reservation_usage::ReservationUsage;
-use super::reservations::Watch;
+use super::reservations::WatchedWindow;
 use super::Core;
 use crate::scheduler::{Lending, Reservation};
 use crate::state::record::WindowOccurrence;
@@ -71,7 +71,7 @@
     /// lists it.
     fn observe(
         &self,
-        watch: &mut Watch,
+        watch: &mut WatchedWindow,
         window: Option<&Rc<Window>>,
         usage: &ReservationUsage,
         now: Time,
@@ -81,7 +81,7 @@
         let used = work.map_or(0, |w| tasks_of(w.used, each));
         let waiting = work.map_or(0, |w| w.waiting);
         if used > 0 || waiting > 0 {
-            watch.busy_at = now;
+            watch.last_busy_at = now;
         }
         let name = window.map_or("", |w| &w.name);
         let here = self.cluster_state.reservation_of(name).unwrap_or_default();
@@ -100,7 +100,7 @@
             waiting,
             fits: headroom.tasks,
             gives_way_to: headroom.gives_way_to,
-            idle_s: now.since(watch.busy_at),
+            idle_s: now.since(watch.last_busy_at),
             boot_s: supply.boot_s,
             slow_boot_s: SLOW_BOOT_FACTOR * supply.slowest_boot_s,
             fetch_s: gb / supply.fetch_gb_per_s.max(MIN_FETCH_GB_PER_S),
@@ -112,7 +112,7 @@
     /// Returns this shard's part of a window's reservation.
     fn reserve_here(
         &self,
-        watch: &Watch,
+        watch: &WatchedWindow,
         window: Option<&Rc<Window>>,
         clock: Clock,
         now: Time,
@@ -169,7 +169,7 @@
 /// Updates the windows from the calendar's entries and the recorded occurrences. Removes a
 /// window that has neither.
 fn update_windows(
-    watched: &mut BTreeMap<String, Watch>,
+    watched: &mut BTreeMap<String, WatchedWindow>,
     calendar: &CalendarRecord,
     view: &View,
     now: Time,
@@ -181,7 +181,7 @@
     for name in names {
         let watch = watched
             .entry(name.clone())
-            .or_insert_with(|| Watch::new(now));
+            .or_insert_with(|| WatchedWindow::new(now));
         let mut entries = calendar.entries.iter();
         watch.entry = entries.find(|e| e.window.name == *name).cloned();
         let from = WindowOccurrence {
--- a/src/control/core/reservation_supply.rs
+++ b/src/control/core/reservation_supply.rs
@@ -70,8 +70,8 @@
     /// such job uses the image.
     pub(super) fn image_gb(&self, image: &str) -> f64 {
         let jobs = self.cluster_state.jobs().values().map(|j| &j.spec);
-        let late = self.scaling.arrivals.iter().map(|a| a.spec());
-        let found = jobs.chain(late).find(|s| s.image.as_str() == image);
+        let recent = self.scaling.arrivals.iter().map(|a| a.spec());
+        let found = jobs.chain(recent).find(|s| s.image.as_str() == image);
         found.map_or(0.0, |s| s.image_gb)
     }
 
@@ -118,12 +118,12 @@
         if self.windows.failing_until.is_some_and(|until| now < until) {
             return Some(Refused::Changes);
         }
-        let mut sorts = self
+        let mut offers = self
             .types
             .values()
             .flat_map(|t| t.zones.iter().map(move |z| (t, z)));
         let mut any = false;
-        let closed = sorts.all(|(t, z)| {
+        let closed = offers.all(|(t, z)| {
             if !window.allows(t.name.as_str(), z.as_str()) || !window.each().fits(t.total) {
                 return true;
             }
--- a/src/control/core/reservation_usage.rs
+++ b/src/control/core/reservation_usage.rs
@@ -6,7 +6,7 @@
 
 use sorrelhinge_reservations::settings::Window;
 
-use super::reservations::Watch;
+use super::reservations::WatchedWindow;
 use super::Core;
 use crate::state::record::Phase;
 use crate::state::view::View;
@@ -41,7 +41,7 @@
 
 impl ReservationUsage {
     /// Creates an empty count for the windows that the calendar lists now.
-    fn new<'a>(watched: impl Iterator<Item = &'a Watch>) -> Self {
+    fn new<'a>(watched: impl Iterator<Item = &'a WatchedWindow>) -> Self {
         let active = watched.filter_map(|watch| {
             Some(ActiveWindow {
                 window: Rc::new(watch.entry.as_ref()?.window.clone()),
@@ -73,15 +73,15 @@
     /// Adds a job's claims and waiting tasks to each window that matches the job.
     fn add(&mut self, spec: &JobSpec, claims: u32, waiting: u32) {
         let used = spec.each.times(i64::from(claims));
-        let mut among = false;
+        let mut matched = false;
         let active = self.active.iter().map(|a| &a.window);
         for window in active.filter(|w| w.is_for(&spec.team, &spec.class)) {
-            among = true;
+            matched = true;
             let work = self.by_window.entry(window.name.clone()).or_default();
             work.used += used;
             work.waiting += waiting;
         }
-        if !among {
+        if !matched {
             *self.outside.entry(spec.team.to_string()).or_default() += used;
         }
     }
@@ -92,7 +92,7 @@
     /// With several shards it counts the records, because one owner sees only its own claims.
     pub(super) fn reservation_usage<'a>(
         &self,
-        watched: impl Iterator<Item = &'a Watch>,
+        watched: impl Iterator<Item = &'a WatchedWindow>,
         view: &View,
     ) -> ReservationUsage {
         let mut usage = ReservationUsage::new(watched);
--- a/src/control/core/reservations.rs
+++ b/src/control/core/reservations.rs
@@ -17,13 +17,13 @@
 
 /// Window of the calendar, or the remaining records of a removed window.
 #[derive(Debug)]
-pub(super) struct Watch {
+pub(super) struct WatchedWindow {
     /// Entry of the calendar. `None` if the calendar no longer lists the window.
     pub(super) entry: Option<Entry>,
     /// Records of the window's occurrences with their revisions, by start in milliseconds.
     pub(super) records: BTreeMap<i64, Versioned<WindowRecord>>,
     /// Time at which the window's work last ran or waited, as far as this owner observed.
-    pub(super) busy_at: Time,
+    pub(super) last_busy_at: Time,
     /// Number of tasks whose capacity is on machines that still boot.
     pub(super) pending_tasks: u32,
     /// State of the window at the last refresh.
@@ -43,13 +43,13 @@
     pub(super) at: Time,
 }
 
-impl Watch {
+impl WatchedWindow {
     /// Creates the state of a window that was not known before.
     pub(super) fn new(now: Time) -> Self {
         Self {
             entry: None,
             records: BTreeMap::new(),
-            busy_at: now,
+            last_busy_at: now,
             pending_tasks: 0,
             seen: None,
             plan: WindowPlan {
@@ -81,7 +81,7 @@
 /// All windows that this owner tracks.
 #[derive(Debug, Default)]
 pub(super) struct Windows {
-    pub(super) watched: BTreeMap<String, Watch>,
+    pub(super) watched: BTreeMap<String, WatchedWindow>,
     /// Time until which requests to the cloud count as failing for a reason other than
     /// capacity.
     pub(super) failing_until: Option<Time>,
--- a/src/control/core/rollout_refresh.rs
+++ b/src/control/core/rollout_refresh.rs
@@ -42,7 +42,7 @@
 }
 
 /// Machine that has an image or a part of it.
-struct Found {
+struct ImageHolder {
     machine: MachineId,
     /// Failure domains of the machine, its zone first.
     path: Vec<String>,
@@ -73,11 +73,11 @@
             return false;
         };
         match does {
-            Some(ImageState::Runs) => {
+            Some(ImageState::Running) => {
                 self.rollout.arrived(id, self.uploads);
                 member.complete = true;
             }
-            Some(ImageState::Fetches) if !member.complete => {
+            Some(ImageState::Fetching) if !member.complete => {
                 // A slow machine may continue its fetch, but machines that fetch from it would
                 // wait with it.
                 let rate = machine.kind.fetch_gb_per_s;
@@ -132,7 +132,7 @@
 impl Core {
     /// Reconciles all rollouts with the claims and the existing machines.
     pub(super) fn refresh_rollouts(&mut self, now: Time) {
-        if self.image_distribution.least_gb.is_none() {
+        if self.image_distribution.min_image_gb.is_none() {
             return;
         }
         let in_use = self.images_in_use();
@@ -142,7 +142,7 @@
             if image_use
                 .machines
                 .values()
-                .any(|d| *d == ImageState::Fetches)
+                .any(|d| *d == ImageState::Fetching)
             {
                 self.ensure_rollout(image);
             }
@@ -210,7 +210,7 @@
             update.update_member(id, member, machines.get(id), on.get(id).copied())
         });
         for (id, path) in joining {
-            let complete = on.get(&id) == Some(&ImageState::Runs);
+            let complete = on.get(&id) == Some(&ImageState::Running);
             let member = update.join(&id, &path, complete);
             active.members.insert(id, member);
         }
@@ -277,18 +277,22 @@
     }
 
     /// Returns the machines that have an image or fetch it.
-    fn machines_with(&self, image: &Image, on: &BTreeMap<MachineId, ImageState>) -> Vec<Found> {
+    fn machines_with(
+        &self,
+        image: &Image,
+        on: &BTreeMap<MachineId, ImageState>,
+    ) -> Vec<ImageHolder> {
         let mut found = Vec::new();
         for (id, machine) in self.cluster_state.machines() {
             let has = match on.get(id) {
-                Some(ImageState::Runs) => Has::Complete,
-                Some(ImageState::Fetches) => Has::Part(self.reported_share(id, image)),
+                Some(ImageState::Running) => Has::Complete,
+                Some(ImageState::Fetching) => Has::Part(self.reported_share(id, image)),
                 // The machine joins when its waiting start is sent.
                 Some(ImageState::StartPending) => continue,
                 None if machine.cache.has(image) => Has::Complete,
                 None => continue,
             };
-            found.push(Found {
+            found.push(ImageHolder {
                 machine: id.clone(),
                 path: self.path_of(id),
                 has,
@@ -299,8 +303,8 @@
 
     /// Returns the share of an image that a machine reports, from 0 to 1. The share is a hint.
     fn reported_share(&self, id: &MachineId, image: &Image) -> f64 {
-        let said = self.agents.get(id).map_or(&[][..], |l| &l.images);
-        let of = said.iter().find(|i| i.image == image.as_str());
+        let reported = self.agents.get(id).map_or(&[][..], |l| &l.images);
+        let of = reported.iter().find(|i| i.image == image.as_str());
         of.map_or(0.0, |i| i.parts as f64 / i.of.max(1) as f64)
     }
 }
