--- a/src/control/core/placement_queue.rs
+++ b/src/control/core/placement_queue.rs
@@ -19,7 +19,7 @@
     last_taken: MachineId,
     /// Whether the next walk offers all machines to the waiting jobs.
     full_walk: bool,
-    /// `None` before the first walk.
+    /// State of the current pass. `None` before the first walk.
     pass: Option<CurrentPass>,
 }
 
--- a/src/control/core/rollout_refresh.rs
+++ b/src/control/core/rollout_refresh.rs
@@ -17,14 +17,16 @@
 /// Number of heartbeats for which a new owner waits to learn which starts the previous owner
 /// sent. The bound keeps a silent machine from delaying all others.
 const SETTLE_HEARTBEATS: f64 = 3.0;
-/// Additional time of that wait, in seconds.
+/// Time in seconds that is added to the heartbeats for which a new owner waits before it
+/// resumes rollouts.
 const SETTLE_S: f64 = 2.0;
 
 /// Use of an image, derived from the claims.
 struct ImageUse {
     /// Progress with the image by machine.
     machines: BTreeMap<MachineId, ImageState>,
-    /// Whether it is known for each recovered claim if its start was sent.
+    /// Whether this owner knows, for each claim recovered from the records, if the start was
+    /// sent.
     settled: bool,
     /// Size of the image in GB.
     gb: f64,
--- a/src/control/core/scale_in.rs
+++ b/src/control/core/scale_in.rs
@@ -16,9 +16,11 @@
 /// Number of heartbeat intervals without a heartbeat after which a machine with one unanswered
 /// direct connection counts as unresponsive.
 const UNANSWERED_SILENCE_HEARTBEATS: f64 = 2.2;
-/// Multiple of the usual boot time after which a booting machine counts as failed.
+/// Multiple of the usual boot time after which a booting machine counts as failed. A fixed
+/// margin is added.
 const BOOT_TIMEOUT_FACTOR: f64 = 2.5;
-/// Margin on that time in seconds, because a usual boot may be short.
+/// Margin that is added to the boot timeout of a machine, in seconds, because a usual boot may
+/// be short.
 const BOOT_TIMEOUT_MARGIN_S: f64 = 10.0;
 /// Assumed boot time of an unknown machine type, in seconds.
 const DEFAULT_BOOT_S: f64 = 30.0;
