--- a/src/control/core/reservation_demand.rs
+++ b/src/control/core/reservation_demand.rs
@@ -1,5 +1,6 @@
-//! What windows of the release calendar lack: what is rented for them, left to them
-//! and said of them.
+//! This module handles the capacity that windows of the release calendar lack. It rents the
+//! missing capacity, delegates waiting tasks to shards that hold reservations, and reports
+//! shortages.
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -17,25 +18,26 @@
 use crate::scheduler::MissingTasks;
 use crate::types::{Image, JobSpec, Kind, Priority, Time, Zone};
 
-/// The same shortage is said again in the log after so many seconds.
-const SHORT_AGAIN_S: f64 = 30.0;
-/// One whose cause reads otherwise is, after so many: a number that changes is not said
-/// each second.
-const SHORT_CHANGED_S: f64 = 5.0;
+/// Interval at which an unchanged shortage is logged again, in seconds.
+const SHORTAGE_LOG_INTERVAL_S: f64 = 30.0;
+/// Minimum interval between log events of a shortage whose cause changes, in seconds. It keeps
+/// a number that changes in the cause from being logged each second.
+const CHANGED_SHORTAGE_LOG_INTERVAL_S: f64 = 5.0;
 
-/// What a window lacks in one zone.
+/// Tasks for which a window lacks capacity in one zone.
 struct ZoneShortfall {
-    /// The zone; none: any.
+    /// The zone. `None` stands for any zone.
     zone: Option<Zone>,
-    /// How many tasks it is for.
+    /// Number of tasks without capacity.
     tasks: u32,
-    /// What to ask for.
+    /// Machine type to request.
     kind: TypeChoice,
 }
 
 impl Core {
-    /// Of several shards each holds its part, and a job is homed in one: what waits
-    /// of a window's work is left to the others, to each as much as it holds.
+    /// Delegates waiting tasks of windows to the other shards, to each shard as many as its
+    /// part of the reservation. With several shards, each shard reserves its part of the
+    /// capacity, while a job belongs to one shard.
     pub(super) fn leave_to_reservations(&self, waiting: &[Waiting]) -> Vec<Delegated> {
         let mut leaves = Vec::new();
         for waits in waiting {
@@ -66,9 +68,9 @@
         leaves
     }
 
-    /// Says in the log what windows lack, when that changes and now and then.
+    /// Logs the shortages of windows when they change, and repeats them at an interval.
     pub(super) fn log_shortage(&mut self, now: Time) {
-        if !self.keeps_calendar() {
+        if !self.records_calendar_steps() {
             return;
         }
         for (name, watch) in &mut self.windows.watched {
@@ -79,7 +81,8 @@
             };
             let again = watch.logged.as_ref().is_none_or(|logged| {
                 let passed_s = now.since(logged.at);
-                passed_s >= SHORT_AGAIN_S || logged.why != next.why && passed_s >= SHORT_CHANGED_S
+                passed_s >= SHORTAGE_LOG_INTERVAL_S
+                    || logged.why != next.why && passed_s >= CHANGED_SHORTAGE_LOG_INTERVAL_S
             });
             if !again {
                 continue;
@@ -94,7 +97,7 @@
         }
     }
 
-    /// What operators are shown.
+    /// Returns the windows for display to operators.
     pub fn windows_shown(&self, now_ms: i64) -> Vec<WindowShown> {
         let mut shown = Vec::new();
         for (name, watch) in &self.windows.watched {
@@ -112,9 +115,9 @@
         shown
     }
 
-    /// What windows lack that is to be rented.
+    /// Returns the capacity to rent for windows.
     pub(super) fn shortfalls(&self, now: Time) -> Vec<autoscaler::Shortfall> {
-        if self.windows.watched.is_empty() || !self.knows_machines(now) {
+        if self.windows.watched.is_empty() || !self.machines_are_known(now) {
             return Vec::new();
         }
         let entries = self.windows.watched.values().map(|w| w.entry.as_ref());
@@ -122,18 +125,18 @@
         windows.flat_map(|w| self.shortfalls_of(w, now)).collect()
     }
 
-    /// Whether it is known which machines there are: what a former owner rented would be
-    /// rented again before.
-    fn knows_machines(&self, now: Time) -> bool {
-        // A list is late by twice its usual lag at most (PROTOCOL).
+    /// Returns whether the list of existing machines is complete. Before that, this owner would
+    /// rent again what a former owner rented.
+    fn machines_are_known(&self, now: Time) -> bool {
+        // A machine list lags by at most twice its usual lag (PROTOCOL).
         let listed = self.failover.age_s(now) > 2.0 * self.cfg.list_lag_s + 2.0;
         let recovering = self.failover.age_s(now) <= self.cfg.silent_s();
         let unfenced = recovering && self.agents.any_staying_unfenced();
         listed && !unfenced
     }
 
-    /// What a window lacks, by zone. Where nothing is to be had, other zones have it
-    /// meanwhile.
+    /// Returns the missing capacity of a window by zone. Other zones take over meanwhile for a
+    /// zone in which the cloud offers no machine.
     fn shortfalls_of(&self, window: &Window, now: Time) -> Vec<autoscaler::Shortfall> {
         let mut spare = 0;
         let mut open = Vec::new();
@@ -149,14 +152,14 @@
         open.map(|(shortfall, more)| autoscaler::Shortfall {
             window: window.name.clone(),
             tasks: shortfall.tasks + more,
-            spec: spec_of(window, shortfall.zone, shortfall.kind),
+            spec: window_spec(window, shortfall.zone, shortfall.kind),
         })
         .collect()
     }
 }
 
-/// What a window's task takes, for the plan of the fleet.
-fn spec_of(window: &Window, zone: Option<Zone>, kind: TypeChoice) -> Rc<JobSpec> {
+/// Returns a job description for a window's tasks, which the fleet plan packs.
+fn window_spec(window: &Window, zone: Option<Zone>, kind: TypeChoice) -> Rc<JobSpec> {
     Rc::new(JobSpec {
         class: Arc::from(window.classes.first().map_or("", |c| c.as_str())),
         team: Arc::from(window.team.as_str()),
@@ -173,7 +176,7 @@
         zone,
         one_zone: false,
         spread: false,
-        // Reserved capacity is on machines that stay.
+        // Reserved capacity must be on machines that the cloud does not reclaim.
         spot: false,
         estimate_s: f64::from(window.lasts_s),
         checkpoint_s: 0.0,
