--- a/src/control/admission.rs
+++ b/src/control/admission.rs
@@ -1,5 +1,6 @@
-//! Which requests of users are taken here: how many submissions are recorded at a time,
-//! whose turn it is while requests are shed, and whether another controller is asked.
+//! Admission control for user requests. It bounds how many submissions are recorded at a
+//! time, picks submissions by lane turns while the controller sheds load, and decides
+//! whether a request is forwarded to another controller.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -12,15 +13,17 @@
 
 use crate::types::{JobId, Time};
 
-/// Submissions that are recorded at a time.
+/// Maximum number of submissions that are being recorded at a time.
 const MAX_CONCURRENT_SUBMISSIONS: usize = 64;
-/// Polls that may be with other controllers at a time.
+/// Maximum number of polls that are forwarded to other controllers at a time.
 const MAX_FORWARDED_QUERIES: usize = 128;
-/// If no other could answer one, none is passed on for so long: while the state
-/// service is away for all, each would else go through two controllers in vain.
+/// Time without forwarding after no other controller could answer a request. While the
+/// state service is unavailable to all controllers, each request would otherwise pass
+/// through two controllers in vain.
 const FORWARD_BACKOFF: Duration = Duration::from_secs(1);
 
-/// A poll that another controller answers; counted until dropped, as its user may disconnect.
+/// Poll that another controller answers. The poll counts against the limit until this value
+/// is dropped, because the user may disconnect at any time.
 pub(super) struct ForwardedQuery<'a> {
     count: &'a Cell<usize>,
 }
@@ -38,24 +41,27 @@
     }
 }
 
-/// What was taken, shed and passed on.
+/// State of admission control: submissions in flight, lane turns, poll history and
+/// forwarding backoff.
 pub(super) struct RequestAdmission {
-    /// Submissions that are being recorded.
+    /// Number of submissions that are being recorded.
     submissions: Cell<usize>,
-    /// Whose turn it is among submissions while they are shed.
+    /// Turns of each lane, which decide which submissions are admitted while the controller
+    /// sheds submissions.
     lane_turns: RefCell<BTreeMap<LaneId, LaneTurn>>,
-    /// Who asked about which job, and who was refused for now.
+    /// Recent polls by job, with their answers and refusals.
     asked: RefCell<PollShedding>,
-    /// Polls that other controllers answer at the moment.
+    /// Number of forwarded polls that are in flight.
     forwarded_queries: Cell<usize>,
-    /// Before this instant no poll is passed on, as nobody could answer the last one.
+    /// Polls are not forwarded before this instant, because no other controller could
+    /// answer the last one.
     queries_stay_local_until: Cell<Instant>,
-    /// The same for submissions and cancellations.
+    /// Submissions and cancellations are not forwarded before this instant.
     changes_stay_local_until: Cell<Instant>,
 }
 
 impl RequestAdmission {
-    /// Nothing is under way, and everything may be passed on.
+    /// Creates a state with no request in flight and no forwarding backoff.
     pub(super) fn new() -> Self {
         let now = Instant::now();
         Self {
@@ -68,23 +74,23 @@
         }
     }
 
-    /// Whether one more submission may be recorded now.
+    /// Returns whether the limit allows one more submission to be recorded now.
     pub(super) fn has_free_capacity_for_submission(&self) -> bool {
         self.submissions.get() < MAX_CONCURRENT_SUBMISSIONS
     }
 
-    /// A submission is about to be recorded.
+    /// Counts a submission that is about to be recorded.
     pub(super) fn begin_submission(&self) {
         self.submissions.set(self.submissions.get() + 1);
     }
 
-    /// It is recorded, or was refused.
+    /// Stops counting a submission that was recorded or refused.
     pub(super) fn end_submission(&self) {
         self.submissions.set(self.submissions.get() - 1);
     }
 
-    /// Whether a submission is taken in its lane's turn, while submissions are shed.
-    /// Also counts it for the turns of all lanes.
+    /// Returns whether a submission is admitted by its lane's turn while the controller
+    /// sheds submissions. The call also counts the submission for the turns of all lanes.
     pub(super) fn takes_lane_turn(&self, lanes: &Lanes, lane: Option<LaneId>) -> bool {
         let mut turns = self.lane_turns.borrow_mut();
         let jumps = lane.filter(|id| turns.entry(*id).or_default().allows(true));
@@ -95,28 +101,32 @@
         jumps.is_some()
     }
 
-    /// Whether a poll is refused for now; see [`sorrelhinge_overload::poll_shedding`].
+    /// Returns whether the controller refuses a poll for now; see
+    /// [`sorrelhinge_overload::poll_shedding`].
     pub(super) fn refuses_poll(&self, poll: Poll<'_>, now: Time) -> bool {
         self.asked.borrow_mut().poll(poll, now) == Verdict::Refuse
     }
 
-    /// A poll for a job was answered; `known`: it is recorded.
+    /// Records that a poll for a job was answered. `known` says whether the job is
+    /// recorded.
     pub(super) fn poll_answered(&self, job: &JobId, known: bool, now: Time) {
         self.asked.borrow_mut().answered(job, known, now);
     }
 
-    /// A poll for a job could not be answered.
+    /// Records that a poll for a job could not be answered. `known` says whether the job is
+    /// recorded.
     pub(super) fn poll_failed(&self, job: &JobId, known: bool, now: Time) {
         self.asked.borrow_mut().failed(job, known, now);
     }
 
-    /// A job is over: polls for it cost nothing from now on.
+    /// Removes an ended job from the poll history, because polls for it cost nothing from
+    /// now on.
     pub(super) fn job_over(&self, job: &JobId) {
         self.asked.borrow_mut().over(job);
     }
 
-    /// A poll goes to another controller, counted until the result is dropped; none if
-    /// that is not to be done now.
+    /// Starts forwarding a poll, which counts until the result is dropped. Returns `None`
+    /// during the backoff or if too many forwarded polls are in flight.
     pub(super) fn begin_forwarded_query(&self) -> Option<ForwardedQuery<'_>> {
         let stays = Instant::now() < self.queries_stay_local_until.get();
         if stays || self.forwarded_queries.get() >= MAX_FORWARDED_QUERIES {
@@ -125,18 +135,19 @@
         Some(ForwardedQuery::new(&self.forwarded_queries))
     }
 
-    /// No other controller could answer a poll.
+    /// Starts the backoff of forwarded polls after no other controller could answer one.
     pub(super) fn no_peer_answered_poll(&self) {
         self.queries_stay_local_until
             .set(Instant::now() + FORWARD_BACKOFF);
     }
 
-    /// Whether submissions and cancellations may be passed on.
+    /// Returns whether submissions and cancellations may be forwarded now.
     pub(super) fn may_forward_changes(&self) -> bool {
         Instant::now() >= self.changes_stay_local_until.get()
     }
 
-    /// No other controller could decide a submission or cancellation.
+    /// Starts the backoff of forwarded changes after no other controller could decide a
+    /// submission or cancellation.
     pub(super) fn no_peer_decided_change(&self) {
         self.changes_stay_local_until
             .set(Instant::now() + FORWARD_BACKOFF);
--- a/src/control/cancellations.rs
+++ b/src/control/cancellations.rs
@@ -1,4 +1,4 @@
-//! Users' cancellations.
+//! Cancels jobs on behalf of users.
 
 use super::status_queries::JobStatus;
 use super::submissions::WRITE_PATIENCE;
@@ -10,32 +10,33 @@
 };
 use crate::types::{JobId, Revision};
 
-/// How often a cancellation is tried while others write the job's record.
+/// Maximum number of attempts to write a cancellation while other writers change the job's
+/// record.
 const CANCEL_ATTEMPTS: usize = 4;
 
-/// What a cancellation comes to.
+/// Outcome of a cancellation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CancelOutcome {
-    /// The job is cancelled, by this request or by one before.
+    /// The job is cancelled, by this request or an earlier one.
     Cancelled,
-    /// The job was done before.
+    /// The job was done before the cancellation.
     Done,
-    /// There is no such job.
+    /// No job with this id is recorded.
     Absent,
-    /// Not decided: the records can't be read or written now, or others were faster each
-    /// time.
+    /// The cancellation could not be decided. Either the records can't be read or written
+    /// now, or another writer changed the job's record at each attempt.
     Undecided,
 }
 
-/// A cancellation that is about to be written.
+/// Cancellation that is about to be written.
 struct PlannedCancellation {
-    /// The revision of the job's record that it replaces.
+    /// Revision of the job's record that the cancellation replaces.
     mod_revision: Revision,
     cancellation: Cancellation,
 }
 
 impl Node {
-    /// Cancels a job.
+    /// Cancels a job. Retries while other writers change the job's record.
     pub async fn cancel(&self, id: &JobId) -> CancelOutcome {
         for _ in 0..CANCEL_ATTEMPTS {
             let summary = match self.status(id).await {
@@ -57,7 +58,8 @@
                     self.cancellation_recorded(id, revision, planned.cancellation);
                     return CancelOutcome::Cancelled;
                 }
-                // Done, or cancelled by another request, in the meantime.
+                // The job was done or cancelled by another request in the meantime. The
+                // next attempt reads its new state.
                 Ok(TransactionOutcome::Failed(_)) => {}
                 Err(_) => return CancelOutcome::Undecided,
             }
@@ -65,7 +67,8 @@
         CancelOutcome::Undecided
     }
 
-    /// The records of a job that is cancelled now; none if the view does not know the job.
+    /// Returns the records of a job that is cancelled now. Returns `None` if the view does
+    /// not contain the job.
     fn plan_cancellation(&self, id: &JobId) -> Option<PlannedCancellation> {
         let view = self.store.view();
         let entry = view.job(id)?;
@@ -77,7 +80,8 @@
         })
     }
 
-    /// Writes the records of a cancelled job, if its record did not change meanwhile.
+    /// Writes the records of a cancelled job, on condition that its record has not changed
+    /// since the plan.
     async fn write_cancelled(
         &self,
         id: &JobId,
@@ -113,7 +117,8 @@
             .await
     }
 
-    /// A cancellation was written by this controller: it and the others see it.
+    /// Applies a cancellation that this controller has written to the local view, and
+    /// announces it to the other controllers.
     fn cancellation_recorded(&self, id: &JobId, revision: Revision, cancellation: Cancellation) {
         if let Some(value) = cancellation.claims {
             let claims = Versioned {
--- a/src/control/cloud_duties.rs
+++ b/src/control/cloud_duties.rs
@@ -1,4 +1,5 @@
-//! What is asked of the cloud: machine types, the list of machines, and scaling out and in.
+//! Periodic requests to the cloud: reading machine types and the machine list, and scaling
+//! out and in.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -12,27 +13,31 @@
 use crate::cloud::{ListedMachine, Rental};
 use crate::types::MachineId;
 
-/// How often the fleet is planned.
+/// Interval between two plans of the fleet.
 const AUTOSCALE_INTERVAL: Duration = Duration::from_millis(700);
-/// Machines that are read from the list a second.
+/// Maximum rate at which machines are read from the list, in machines per second.
 const MACHINES_LISTED_PER_S: f64 = 350.0;
-/// The pause, in seconds, before the first list, and after one that failed.
+/// Pause before the first list request and after a failed one, in seconds.
 const LIST_RETRY_S: f64 = 0.5;
-/// The shortest pause between two lists, in seconds.
+/// Lower bound of the minimum pause between two list requests, in seconds.
 const LIST_PAUSE_LEAST_S: f64 = 1.0;
-/// The shortest pause that a late list asks for is no longer than this, in seconds.
+/// Upper bound of the minimum pause between two list requests, in seconds. The minimum
+/// pause follows the lag of the list within these two bounds.
 const LIST_PAUSE_MAX_S: f64 = 5.0;
-/// How often machine types are read: prices change; the rest hardly does.
+/// Interval between two reads of the machine types. Prices change; the other properties
+/// hardly do.
 const TYPES_INTERVAL: Duration = Duration::from_secs(45);
-/// The pause after types could not be read, while earlier ones are known.
+/// Pause after a failed read of the machine types, while earlier ones are known.
 const TYPES_RETRY_PAUSE: Duration = Duration::from_secs(10);
-/// The same while none are known: nothing can be accepted before.
+/// Pause after a failed read of the machine types while none are known. The controller
+/// can't accept any job before it knows them.
 const FIRST_TYPES_RETRY_PAUSE: Duration = Duration::from_secs(1);
-/// Machines that are given back with one request.
+/// Maximum number of machines that one request deletes.
 const DELETED_TOGETHER: usize = 100;
 
 impl Node {
-    /// Keeps the machine types up to date.
+    /// Reads the machine types periodically and passes them to the catalog and the owned
+    /// shards.
     pub(super) async fn learn_types(self: Rc<Self>) {
         loop {
             match self.cloud.types().await {
@@ -56,8 +61,8 @@
         }
     }
 
-    /// Reads the machine list. It is late in any case, and longer with more
-    /// machines, so then it is read less often.
+    /// Reads the machine list periodically. The list always lags behind the cloud, and the
+    /// lag grows with the number of machines, so a longer list is read less often.
     pub(super) async fn list_machines(self: Rc<Self>) {
         let least = (self.cfg.list_lag_s / 2.0).clamp(LIST_PAUSE_LEAST_S, LIST_PAUSE_MAX_S);
         let mut pause = LIST_RETRY_S;
@@ -69,7 +74,8 @@
             }
             match self.cloud.list().await {
                 Ok(list) => {
-                    // Of several owners each reads it, so each less often.
+                    // Each owner of shards reads the list, so each one reads it less often
+                    // if there are several.
                     let owners = self.owners_of_shards() as f64;
                     pause = least.max(list.len() as f64 / MACHINES_LISTED_PER_S) * owners.sqrt();
                     self.machines_listed(&list);
@@ -80,7 +86,7 @@
         }
     }
 
-    /// Tells each owned shard which of its machines are listed.
+    /// Passes the listed machines of each owned shard to that shard.
     fn machines_listed(&self, list: &[ListedMachine]) {
         let now = self.now();
         if self.view_shards() > 1 {
@@ -99,12 +105,12 @@
         }
     }
 
-    /// Plans the fleet, and rents and gives back by it.
+    /// Plans the fleet periodically, and rents and deletes machines by the plan.
     pub(super) async fn run_autoscaler(self: Rc<Self>) {
         loop {
             sleep(AUTOSCALE_INTERVAL).await;
-            // Without the lease another controller may own the shard: its
-            // machines would look silent here, and must not be given back.
+            // Without the lease another controller may own the shard. The machines of the
+            // shard would then look silent here, and this controller must not delete them.
             if !self.leadership.is_exclusive() {
                 continue;
             }
@@ -130,7 +136,7 @@
         }
     }
 
-    /// Gives machines back to the cloud.
+    /// Deletes machines in the cloud and removes them from the owned shards.
     async fn mark_for_scale_in(self: &Rc<Self>, to_delete: &[MachineId]) {
         for machines in to_delete.chunks(DELETED_TOGETHER) {
             match self.cloud.delete(machines).await {
@@ -148,8 +154,8 @@
         }
     }
 
-    /// Rents machines, and tells all who may own them. The shard that asked learns the
-    /// outcome if it is still owned by the same grant.
+    /// Rents machines and announces them to all controllers that may own them. The shard
+    /// that asked gets the outcome if this controller still owns it by the same grant.
     async fn rent(self: Rc<Self>, order: ShardRental) {
         let rental = &order.rental;
         let result = match self.cloud.rent(rental).await {
@@ -172,10 +178,10 @@
     }
 }
 
-/// Machines that an owned shard asks for.
+/// Rental that an owned shard asks for.
 struct ShardRental {
     shard: ShardId,
-    /// The grant that it asked under.
+    /// Grant by which this controller owned the shard when it asked.
     grant: u64,
     rental: Rental,
 }
--- a/src/control/feasibility.rs
+++ b/src/control/feasibility.rs
@@ -1,5 +1,4 @@
-//! Whether a submitted job can ever run: its team, the machine types, the topology, and the
-//! jobs that it needs.
+//! Feasibility checks of submitted jobs, by team, machine types, topology and dependencies.
 
 use super::submit_error::{Infeasible, SubmitError};
 use super::Node;
@@ -7,7 +6,7 @@
 use crate::types::{JobId, JobSpec, Kind};
 
 impl Node {
-    /// Checks that a job can run, as far as it depends on no other job.
+    /// Checks that a job can run, leaving aside the jobs that it depends on.
     pub(super) fn check_feasible(&self, spec: &JobSpec) -> Result<(), SubmitError> {
         self.check_team_limit(spec)?;
         self.check_machine_types(spec)?;
@@ -15,7 +14,8 @@
         Ok(())
     }
 
-    /// The job's team is known, and its limit covers what the job needs at once.
+    /// Checks that the job's team is known and that its limit covers what the job needs at
+    /// once.
     fn check_team_limit(&self, spec: &JobSpec) -> Result<(), Infeasible> {
         let mut teams = self.cfg.teams.iter();
         let team = teams.find(|team| team.name == spec.team);
@@ -26,8 +26,8 @@
         Ok(())
     }
 
-    /// A machine type that the job allows is large enough for a task of it. Unavailable
-    /// until the cloud's machine types are known.
+    /// Checks that one task of the job fits a machine type that the job allows. Returns
+    /// [`SubmitError::Unavailable`] until the cloud's machine types are known.
     fn check_machine_types(&self, spec: &JobSpec) -> Result<(), SubmitError> {
         let types = self.catalog.types();
         if types.is_empty() {
@@ -46,7 +46,7 @@
         Ok(())
     }
 
-    /// The topology, if there is one, can meet the job's placement rules.
+    /// Checks that the topology, if there is one, can meet the job's placement rules.
     fn check_topology(&self, spec: &JobSpec) -> Result<(), Infeasible> {
         let Some(topology) = self.catalog.topology() else {
             return Ok(());
@@ -58,9 +58,9 @@
         }
     }
 
-    /// Checks that all jobs which a new one needs were accepted and come to an end. Certain
-    /// only by a view that is new enough to know all that were accepted before the new one
-    /// was submitted.
+    /// Checks that all jobs which a new one needs were accepted and can end. The result is
+    /// certain only if the view contains all jobs that were accepted before the new one was
+    /// submitted.
     pub(super) fn check_dependencies(&self, id: &JobId, needs: &[JobId]) -> Result<(), Infeasible> {
         if needs.contains(id) {
             return Err(Infeasible::DependsOnItself);
--- a/src/control/heartbeat_routing.rs
+++ b/src/control/heartbeat_routing.rs
@@ -1,6 +1,6 @@
-//! Where a worker's heartbeat goes: which heartbeats are copies, which workers heartbeat to
-//! another controller than the one that they know, and which answers were given for an
-//! owner that has no time.
+//! Routing of workers' heartbeats. This module detects duplicate heartbeats, remembers
+//! which workers were redirected to another controller, and keeps the heartbeats that were
+//! answered on behalf of an overloaded owner.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -15,19 +15,21 @@
 use crate::peer_link::ForwardedHeartbeat;
 use crate::types::{MachineId, NodeId, Time};
 
-/// For how long a worker's heartbeats are passed on before it is told again whom
-/// to heartbeat to.
+/// Time for which a worker's heartbeats are forwarded before the worker is redirected
+/// again.
 const FORWARDING_PERIOD: Duration = Duration::from_secs(45);
-/// Workers remembered as told whom to heartbeat to.
+/// Number of remembered redirected workers above which old entries are evicted.
 const MAX_REDIRECTED_AGENTS: usize = 8192;
-/// A worker that was sent elsewhere and came back is kept for so long.
+/// Time after a redirect within which a worker that comes back is not redirected to a
+/// helper again.
 const RETURN_WINDOW: Duration = Duration::from_secs(30);
 
-/// A worker that was told which controller to heartbeat to.
+/// Worker that was redirected to another controller.
 struct RedirectedAgent {
     to: NodeId,
     last: Instant,
-    /// It came back, as it can't reach that one: its heartbeats are passed on.
+    /// Start of forwarding. The worker came back because it can't reach `to`, so its
+    /// heartbeats are forwarded.
     forwarding_since: Option<Instant>,
 }
 
@@ -41,31 +43,35 @@
     }
 }
 
-/// What is done with a report that belongs to another controller.
+/// Action for a heartbeat that belongs to another controller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Redirect {
-    /// Its sender is told whom to heartbeat to.
+    /// The reply names the owner, and the worker heartbeats there from now on.
     SendToOwner,
-    /// It was told and came back: the heartbeat is passed on.
+    /// The worker was redirected and came back, so this controller forwards the heartbeat
+    /// to the owner.
     Forward,
 }
 
-/// What is remembered of workers that heartbeat here, whoever owns their machines.
+/// State about workers that heartbeat to this controller, whoever owns their machines.
 #[derive(Default)]
 pub(super) struct HeartbeatRouting {
-    /// The newest heartbeat of each machine, so that copies are known.
+    /// Newest heartbeat of each machine, by which duplicates are detected.
     newest: RefCell<HeartbeatOrder>,
     redirected_agents: RefCell<HashMap<MachineId, RedirectedAgent>>,
-    /// Workers that were sent away as this controller is alone.
+    /// Workers that this controller refused while it was isolated.
     dismissed_workers: RefCell<DismissedWorkers>,
-    /// What owners were told, and which heartbeats need not be told to them.
+    /// Last heartbeat of each machine that its owner answered. It decides which later
+    /// heartbeats need not reach the owner.
     renewals: RefCell<Renewals>,
-    /// Machines that were answered for their owners, who don't know of it yet.
+    /// Heartbeats that were answered on behalf of their owners and are not yet sent to
+    /// them.
     heartbeats_for_owners: RefCell<HashMap<NodeId, Vec<ForwardedHeartbeat>>>,
 }
 
 impl HeartbeatRouting {
-    /// Whether a heartbeat is newer than all others of its machine; it is the newest then.
+    /// Returns whether a heartbeat is newer than all earlier ones of its machine, and if so
+    /// records it as the newest.
     pub(super) fn is_new(&self, heartbeat: &Heartbeat, now: Time) -> bool {
         let mut newest = self.newest.borrow_mut();
         newest.is_new(
@@ -76,20 +82,21 @@
         )
     }
 
-    /// Whether a worker is refused so that it looks for another controller; not again
-    /// within its lease of `lease_s` seconds.
+    /// Returns whether an isolated controller refuses a worker, so that the worker looks
+    /// for another controller. A worker is not refused again within its lease of `lease_s`
+    /// seconds.
     pub(super) fn dismisses(&self, machine: &MachineId, lease_s: f64, now: Time) -> bool {
         let mut dismissed = self.dismissed_workers.borrow_mut();
         dismissed.refuses(machine, lease_s, now)
     }
 
-    /// Forgets whom it dismissed, as this controller is not alone any more.
+    /// Clears the refused workers once this controller is no longer isolated.
     pub(super) fn forget_dismissed(&self) {
         self.dismissed_workers.borrow_mut().clear();
     }
 
-    /// Sends a worker of this controller's to `home`; false if it was sent elsewhere and
-    /// has come back, and is kept.
+    /// Redirects a worker of this controller to the controller `home`. Returns false if the
+    /// worker was redirected lately and has come back; its heartbeats are then taken here.
     pub(super) fn sends_home(&self, machine: &MachineId, home: &NodeId) -> bool {
         let now = Instant::now();
         let mut redirected_agents = self.redirected_agents.borrow_mut();
@@ -103,9 +110,10 @@
         !came_back
     }
 
-    /// What is done with a heartbeat for `owner`. Its sender is told to go there; one that
-    /// is `back` within that time can't reach it. It is told again after `FORWARDING_PERIOD`, as
-    /// the way may be open by then.
+    /// Decides what to do with a heartbeat for `owner`. The first time, the worker is
+    /// redirected to the owner. A worker that returns within `back` can't reach the owner,
+    /// so its heartbeats are forwarded. After `FORWARDING_PERIOD` the worker is redirected
+    /// again, because the network path may be restored by then.
     pub(super) fn redirect(&self, machine: &MachineId, owner: &NodeId, back: Duration) -> Redirect {
         let now = Instant::now();
         let mut redirected_agents = self.redirected_agents.borrow_mut();
@@ -124,8 +132,9 @@
         Redirect::SendToOwner
     }
 
-    /// Whether a heartbeat goes to its owner or, if that asked for `relief` and the heartbeat
-    /// tells nothing new, is answered for it. `heartbeat_s`: seconds between heartbeats.
+    /// Returns whether a heartbeat goes to its owner or is answered on the owner's behalf.
+    /// It is answered here if the owner asked for `relief` and the heartbeat reports
+    /// nothing new. `heartbeat_s` is the number of seconds between heartbeats.
     pub(super) fn route(
         &self,
         machine: &MachineId,
@@ -138,7 +147,7 @@
         renewals.route(machine, content, relief, heartbeat_s, now)
     }
 
-    /// The owner answered a heartbeat.
+    /// Records that the owner answered a heartbeat.
     pub(super) fn answered_by_owner(
         &self,
         machine: &MachineId,
@@ -149,19 +158,20 @@
         renewals.answered(machine, content, now);
     }
 
-    /// A heartbeat was answered for its owner, who is to be told.
+    /// Queues a heartbeat that was answered on behalf of its owner, to be sent to the
+    /// owner.
     pub(super) fn answered_for(&self, owner: NodeId, heartbeat: ForwardedHeartbeat) {
         let mut by_owner = self.heartbeats_for_owners.borrow_mut();
         by_owner.entry(owner).or_default().push(heartbeat);
     }
 
-    /// What owners are to be told since the last call.
+    /// Takes the queued heartbeats of each owner since the last call.
     pub(super) fn take_answered_for(&self) -> HashMap<NodeId, Vec<ForwardedHeartbeat>> {
         self.heartbeats_for_owners.take()
     }
 }
 
-/// Forgets workers that were not sent anywhere for `kept`, once there are too many.
+/// Evicts workers whose last redirect is at least `kept` ago, once too many are remembered.
 fn evict_expired(
     redirected_agents: &mut HashMap<MachineId, RedirectedAgent>,
     now: Instant,
