--- a/src/control/heartbeats.rs
+++ b/src/control/heartbeats.rs
@@ -1,4 +1,5 @@
-//! Workers' heartbeats: taken as the owner, or passed on.
+//! Handles workers' heartbeats: processes them as the shard's owner, or redirects or
+//! forwards them to the owner.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -13,25 +14,28 @@
 use crate::peer_link;
 use crate::types::{MachineId, NodeId};
 
-/// While others are served for this long, requests are passed on to them.
+/// Time without service here, while the state service serves other controllers, after which
+/// requests are forwarded to those.
 const FORWARD_AFTER: Duration = Duration::from_millis(300);
 
-/// What came of a heartbeat for an owned shard.
+/// Outcome of a heartbeat for an owned shard.
 enum HeartbeatOutcome {
-    /// It is an old one: nothing was taken.
+    /// The heartbeat is a duplicate of an older one and was ignored.
     Copy,
-    /// Its worker has the fencing token of a newer grant.
+    /// The worker has the fencing token of a newer grant.
     Superseded,
-    /// It was taken, with the answer; none: only the records could tell it.
+    /// The heartbeat was processed. The reply is `None` if the controller needs the latest
+    /// records to answer.
     Taken(Option<Reply>),
 }
 
 impl Node {
-    /// Takes a worker's heartbeat, `body` as it came.
+    /// Handles a worker's heartbeat. `body` holds the request body as received, for
+    /// forwarding.
     pub async fn heartbeat(self: &Rc<Self>, heartbeat: &Heartbeat, body: &[u8]) -> HeartbeatReply {
-        // A copy that came late: nobody waits for its answer, and what it says was
-        // said before. It moved machines to other controllers, and was passed on as
-        // a sign of life.
+        // A late duplicate has no worker that waits for its reply, and its content was
+        // reported before. Without this check duplicates moved machines to other
+        // controllers, and were forwarded as a sign that the worker is alive.
         if !self.heartbeat_routing.is_new(heartbeat, self.now()) {
             return HeartbeatReply::Unavailable;
         }
@@ -48,7 +52,8 @@
             HeartbeatReply::Elsewhere(owner) => {
                 self.heartbeat_elsewhere(heartbeat, owner, body).await
             }
-            // While nobody owns the machines, nobody's tasks are to end for it.
+            // While no controller owns the machines, their tasks must not end because a
+            // lease expires.
             HeartbeatReply::Unavailable => self
                 .renewed(heartbeat)
                 .unwrap_or(HeartbeatReply::Unavailable),
@@ -56,8 +61,9 @@
         }
     }
 
-    /// Whether a worker is sent away, as this controller is alone and certainly owns
-    /// nothing any more: it finds the next owner before its lease ends.
+    /// Returns whether this controller refuses a worker because it is isolated and
+    /// certainly owns no shard any more. The worker then finds the next owner before its
+    /// lease expires.
     fn dismisses_worker(&self, machine: &MachineId) -> bool {
         let owns = self.leadership.is_exclusive();
         if owns || !self.peer_contact().is_isolated() {
@@ -68,7 +74,7 @@
             .dismisses(machine, lease_s, self.now())
     }
 
-    /// Who is still there besides the workers.
+    /// Returns how long the other controllers and the state service have been silent.
     pub(super) fn peer_contact(&self) -> PeerContact {
         let last = self.peer_statuses.last_received_at();
         let silence = last.map_or_else(|| self.epoch.elapsed(), |at| at.elapsed());
@@ -79,10 +85,11 @@
         }
     }
 
-    /// A heartbeat for another controller: its sender is told so. If it comes
-    /// back soon it can't reach that one, and its heartbeat is passed on: its
-    /// tasks must not end with its lease because two zones are apart. It is
-    /// told again now and then, as the way may be open.
+    /// Handles a heartbeat for another controller. The worker is redirected to the owner.
+    /// If the worker comes back soon, it can't reach the owner, so its heartbeat is
+    /// forwarded: the worker's tasks must not end with its lease because two zones are
+    /// partitioned. The worker is redirected again now and then, because the network path
+    /// may be restored.
     pub(super) async fn heartbeat_elsewhere(
         &self,
         heartbeat: &Heartbeat,
@@ -103,9 +110,9 @@
         }
     }
 
-    /// Passes a heartbeat on to the owner, or if `via`, and if that can't be
-    /// reached from here either, to one that may reach it: where two of three
-    /// zones are apart, the third has a way.
+    /// Forwards a heartbeat to the owner. If this controller can't reach the owner and
+    /// `via` is set, it sends the heartbeat to another controller that may reach the owner.
+    /// If two of three zones are partitioned from each other, the third can still relay.
     pub(super) async fn forward_heartbeat(
         &self,
         owner: &NodeId,
@@ -131,7 +138,7 @@
             .filter(|n| *n != owner)
             .cloned()
             .collect();
-        // Not one that shares this controller's place, if there is another.
+        // Prefer a controller in another zone.
         others.sort_by_key(|n| (zone_of(n).is_none_or(|z| z == self.cfg.zone), n.clone()));
         let other = others.first()?;
         self.peers
@@ -139,7 +146,7 @@
             .await
     }
 
-    /// Takes a report that another controller could not pass on to the owner.
+    /// Handles a heartbeat that another controller could not forward to the owner itself.
     pub async fn passed_via(self: &Rc<Self>, heartbeat: &Heartbeat, body: &[u8]) -> HeartbeatReply {
         match self.own_heartbeat(heartbeat, Source::Passed) {
             HeartbeatReply::Elsewhere(owner) => self
@@ -150,21 +157,23 @@
         }
     }
 
-    /// Whether the state service serves others and not this controller.
+    /// Returns whether the state service serves other controllers but not this one.
     pub fn cut_off(&self) -> bool {
         self.store.lags_for(FORWARD_AFTER) && self.store_silence() >= FORWARD_AFTER
     }
 
-    /// Whether a submission or cancellation that could not be decided here is passed
-    /// on. Hints tell that others are served only when something changes: while
-    /// nothing did, whoever the state service refused alone turned all of them away,
-    /// so a failed request is reason enough, unless nobody else could help just now.
+    /// Returns whether a submission or cancellation that could not be decided here is
+    /// forwarded. Hints from other controllers show that they are served only when a record
+    /// changes. While none changed, a controller that the state service alone refused used
+    /// to reject every request. So a failed request to the state service is reason enough
+    /// to forward, unless no other controller could help a moment ago.
     pub fn forwards(&self) -> bool {
         let others_may = self.admission.may_forward_changes();
         self.cut_off() || self.state.fails() && others_may
     }
 
-    /// Passes a submission or cancellation on to a controller that may be served.
+    /// Forwards a submission or cancellation to a controller that the state service may
+    /// serve. Returns `None` if neither of the first two candidates decided it.
     pub async fn forward(&self, kind: peer_link::Kind, text: &[u8]) -> Option<peer_link::Answered> {
         let leader = self.store.view().leader.value.clone().map(|l| l.node);
         let mut others: Vec<NodeId> = self.peers.reachable().cloned().collect();
@@ -179,7 +188,8 @@
         None
     }
 
-    /// Takes a worker's heartbeat as the shard's owner.
+    /// Processes a worker's heartbeat if this controller owns its shard. Otherwise returns
+    /// the owner, if one is known.
     pub fn own_heartbeat(self: &Rc<Self>, heartbeat: &Heartbeat, source: Source) -> HeartbeatReply {
         let shard = self.shard_of(&heartbeat.machine);
         let outcome = {
@@ -204,7 +214,7 @@
         }
     }
 
-    /// Takes a heartbeat for an owned shard, and answers it if that is safe.
+    /// Processes a heartbeat for an owned shard, and answers it if that is safe.
     fn take_heartbeat(
         &self,
         core: &mut Core,
@@ -212,13 +222,15 @@
         source: Source,
     ) -> HeartbeatOutcome {
         let now = self.now();
-        // Before it can depose, and without an answer, which would have commands
-        // that nobody takes count as sent.
+        // Ignore a duplicate before it can make this owner step down. It gets no answer,
+        // because commands in that answer would count as sent although no worker receives
+        // them.
         if core.is_copy(heartbeat) && heartbeat.fencing_token.grant() <= core.grant {
             return HeartbeatOutcome::Copy;
         }
-        // A heartbeat of one that hears nothing shows no way to the workers: while
-        // none heard this owner, its heartbeats kept it one.
+        // A heartbeat from a worker that receives nothing from this owner does not prove a
+        // path to the workers. Such heartbeats used to keep a controller owner although it
+        // reached no worker.
         let is_reachable = core.is_reachable(&heartbeat.machine);
         match source {
             Source::Heartbeat | Source::Direct if is_reachable => self.leadership.worker_reached(),
--- a/src/control/lane_queries.rs
+++ b/src/control/lane_queries.rs
@@ -1,4 +1,4 @@
-//! Priority lanes as operators see them.
+//! Reports priority lanes to operators.
 
 use sorrelhinge_priority_lanes::shown::LanesShown;
 
@@ -6,11 +6,12 @@
 use super::Node;
 
 impl Node {
-    /// The lanes of the shards that are owned here; none: nothing is.
+    /// Returns the priority lanes, summed over the shards that this controller owns.
     ///
     /// # Errors
     ///
-    /// No shard is owned here; the leader is named, if it is known.
+    /// Returns [`OperatorError::Elsewhere`] with the leader if this controller owns no
+    /// shard, or [`OperatorError::Unavailable`] if no leader is known.
     pub fn show_lanes(&self) -> Result<LanesShown, OperatorError> {
         let cores = self.shards.owned();
         let mut all: Option<LanesShown> = None;
--- a/src/control/load_counts.rs
+++ b/src/control/load_counts.rs
@@ -1,39 +1,39 @@
-//! What is counted between two lines of the log that show the load.
+//! Counters behind the periodic log line that shows the load.
 
 use std::cell::Cell;
 
-/// Counts since the last line in the log.
+/// Counters since the last load log line.
 #[derive(Default)]
 pub struct Counts {
-    /// Workers' heartbeats.
+    /// Heartbeats that workers sent to this controller.
     pub heartbeats: Cell<u64>,
-    /// Heartbeats that other controllers took for this one.
+    /// Heartbeats that other controllers received for machines of this controller.
     pub homed: Cell<u64>,
-    /// Submissions.
+    /// Submissions that users sent.
     pub submissions: Cell<u64>,
-    /// Polls.
+    /// Polls of job states that users sent.
     pub polls: Cell<u64>,
-    /// Cancellations.
+    /// Cancellations that users sent.
     pub cancellations: Cell<u64>,
-    /// Seconds that duties over the whole fleet took.
+    /// Total time spent on duties over the whole fleet, in seconds.
     pub spent: Cell<f64>,
-    /// Leases renewed for owners that were short of time, or not there.
+    /// Leases renewed on behalf of owners that were overloaded or absent.
     pub renewed: Cell<u64>,
-    /// The longest that a duty over the whole fleet took, in seconds.
+    /// Longest time that one duty over the whole fleet took, in seconds.
     pub longest: Cell<f64>,
-    /// Answered with 503 because of the load.
+    /// Requests answered with 503 because of the load.
     pub shed: Cell<u64>,
 }
 
 impl Counts {
-    /// A duty over the whole fleet took so many seconds.
+    /// Records a duty over the whole fleet that took `cost_s` seconds.
     pub(super) fn duty_took(&self, cost_s: f64) {
         self.spent.set(self.spent.get() + cost_s);
         self.longest.set(self.longest.get().max(cost_s));
     }
 }
 
-/// One more.
+/// Increments a counter.
 pub fn count(cell: &Cell<u64>) {
     cell.set(cell.get() + 1);
 }
--- a/src/control/load_log.rs
+++ b/src/control/load_log.rs
@@ -1,4 +1,4 @@
-//! The line of the log that shows the load, every few seconds.
+//! Periodic log line that shows the load.
 
 use std::cell::Cell;
 use std::time::Duration;
@@ -8,20 +8,21 @@
 
 use super::Node;
 
-/// How often the load is logged.
+/// Interval between two log lines, unless the shedding level changes earlier.
 const LOG_INTERVAL: Duration = Duration::from_secs(10);
-/// Shorter times between two measurements, in seconds, are not divided by.
+/// Lower bound of the time between two measurements, in seconds. Rates are never divided by
+/// a shorter time.
 pub(super) const MIN_ELAPSED_S: f64 = 1e-3;
 
-/// When the load was last logged, and what had been counted by then.
+/// Time of the last log line, and counters at that time.
 pub(super) struct LoadLog {
     written_at: Instant,
-    /// Requests that were answered late, when it was last written.
+    /// Total number of late answers at the time of the last log line.
     late_before: u64,
 }
 
 impl LoadLog {
-    /// Written just now.
+    /// Creates a log whose next line is due after a full interval.
     pub(super) fn new() -> Self {
         Self {
             written_at: Instant::now(),
@@ -29,12 +30,12 @@
         }
     }
 
-    /// Whether the line is to be written again.
+    /// Returns whether the next log line is due.
     pub(super) fn is_due(&self) -> bool {
         self.written_at.elapsed() >= LOG_INTERVAL
     }
 
-    /// Writes what was counted since the last time, and starts to count anew.
+    /// Writes the counts since the last log line, and resets the counters.
     pub(super) fn write(&mut self, node: &Node, sample: Sample) {
         let over_s = self.written_at.elapsed().as_secs_f64();
         let over_s = over_s.max(MIN_ELAPSED_S);
--- a/src/control/load_monitor.rs
+++ b/src/control/load_monitor.rs
@@ -1,5 +1,5 @@
-//! What this controller is asked for, what it serves, and which resource
-//! binds; what follows is decided in `sorrelhinge-overload`.
+//! Measures the load of this controller and applies the resulting limits. The
+//! `sorrelhinge-overload` crate makes the decisions.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -18,20 +18,20 @@
 use crate::peer_link;
 use crate::types::{MachineId, NodeId, Time};
 
-/// How often it is measured.
+/// Interval between two samples of the load.
 const LOAD_SAMPLE_INTERVAL: Duration = Duration::from_millis(500);
-/// Claims may wait for so long to be recorded, in seconds, before no more are
-/// made.
+/// Maximum time that claims may wait to be recorded, in seconds. The limit on claims
+/// follows from this time and the write rate.
 const CLAIMS_S: f64 = 2.5;
-/// A timer may fire so late, in seconds, without that being a wait.
+/// Lateness of a timer that does not count as a wait, in seconds.
 const TIMER_LATENESS_S: f64 = 0.02;
 
-/// What is known of the load.
+/// Load of this controller, and the limits that follow from it.
 #[derive(Default)]
 pub struct Load {
-    /// What is asked for.
+    /// Counters of requests and duties.
     pub counts: Counts,
-    /// How long requests wait to be read, in seconds, when last measured.
+    /// Time that requests waited to be read at the last sample, in seconds.
     wait_s: Cell<f64>,
     pressure: RefCell<Pressure>,
     fleet_limit: RefCell<FleetLimit>,
@@ -40,70 +40,71 @@
 }
 
 impl Load {
-    /// What is shed now.
+    /// Returns the level of requests that the controller sheds now.
     pub fn level(&self) -> Level {
         self.pressure.borrow().level()
     }
 
-    /// How many machines there may be.
+    /// Returns the maximum number of machines, or `None` if there is no limit.
     pub fn max_machines(&self) -> Option<usize> {
         self.fleet_limit.borrow().max()
     }
 
-    /// How long requests wait to be read, in seconds, when last measured.
+    /// Returns how long requests waited to be read at the last sample, in seconds.
     pub(super) fn wait_s(&self) -> f64 {
         self.wait_s.get()
     }
 
-    /// Whether a resource is short.
+    /// Returns whether a resource is short.
     fn binds(&self, resource: Resource) -> bool {
         self.pressure.borrow().binds(resource)
     }
 
-    /// The names of the resources that are short, separated by commas.
+    /// Returns the names of the resources that are short, separated by commas.
     pub(super) fn binding_resources(&self) -> String {
         let pressure = self.pressure.borrow();
         let names: Vec<&str> = pressure.binding().map(Resource::name).collect();
         names.join(",")
     }
 
-    /// The part of workers that heartbeat to other controllers, from 0 to 1.
+    /// Returns the share of workers that heartbeat to other controllers, from 0 to 1.
     pub(super) fn offload_share(&self) -> f64 {
         self.heartbeat_offload.borrow().share()
     }
 
-    /// Whether other controllers are asked to answer reports that tell nothing new.
+    /// Returns whether other controllers are asked to answer heartbeats that report nothing
+    /// new.
     pub(super) fn asks_for_relief(&self) -> bool {
         self.relief.borrow().asked()
     }
 
-    /// A new owner begins with the part of workers that reported elsewhere before.
+    /// Starts a new owner with the share of workers that its predecessor had offloaded.
     fn begin_with_share(&self, share: f64) {
         *self.heartbeat_offload.borrow_mut() = HeartbeatOffload::from_share(share);
     }
 
-    /// The one of `helpers` that a worker is to heartbeat to, if it is among those that
-    /// heartbeat elsewhere.
+    /// Returns the controller of `helpers` that a worker is to heartbeat to. Returns `None`
+    /// if the worker is not among the offloaded ones.
     fn home<'a>(&self, machine: &MachineId, helpers: &'a [NodeId]) -> Option<&'a NodeId> {
         self.heartbeat_offload
             .borrow()
             .home(machine, helpers.iter())
     }
 
-    /// Takes a sample; true if what is shed has changed.
+    /// Takes a sample. Returns true if the shedding level has changed.
     fn measured(&self, sample: Sample, now: Time) -> bool {
         self.wait_s.set(sample.wait_s.max(0.0));
         self.pressure.borrow_mut().take(sample, now)
     }
 
-    /// Takes the load of an owner of shards; returns how many machines there may be.
+    /// Takes the load of an owner of shards. Returns the maximum number of machines.
     fn measured_as_owner(&self, load: HeartbeatLoad, now: Time) -> Option<usize> {
         let mut heartbeat_offload = self.heartbeat_offload.borrow_mut();
         heartbeat_offload.take(load, now);
         let all_offloaded = heartbeat_offload.share() >= 1.0;
         let mut relief = self.relief.borrow_mut();
         relief.take(all_offloaded, load.wait_s, now);
-        // The others' help comes first.
+        // Offload to the other controllers before limiting the fleet.
         let helpers_exhausted = load.helpers == 0 || all_offloaded;
         let overloaded = self.binds(Resource::Processor) && helpers_exhausted;
         let mut fleet_limit = self.fleet_limit.borrow_mut();
@@ -113,7 +114,7 @@
 }
 
 impl Node {
-    /// Another controller said how it stands.
+    /// Handles a status announcement of another controller.
     pub fn receive_peer_status(
         &self,
         node: &NodeId,
@@ -130,9 +131,10 @@
         }
     }
 
-    /// Controllers that take heartbeats for this one; if `free_capacity`, only those that
-    /// can take more workers. Who is crowded goes on with those it has: if
-    /// they all came back here, this one would be crowded and send them again.
+    /// Returns the reachable controllers that take heartbeats for this one. With
+    /// `free_capacity`, returns only those that can take more workers. A crowded helper
+    /// keeps its workers: if they all came back here, this controller would be crowded and
+    /// would redirect them again.
     fn helpers(&self, free_capacity: bool) -> Vec<NodeId> {
         let mut helpers: Vec<NodeId> = self
             .peers
@@ -162,24 +164,27 @@
         };
         let limits_fell = self.state.limits_fell();
         if limits_fell {
-            // It may have been seen since the last time.
+            // The state client may have detected lower limits since the last announcement.
             self.set_share();
         }
         self.peers.announce_self(announcement, limits_fell);
     }
 
-    /// A new owner goes on where the last one was.
+    /// Starts a new owner with the share of offloaded workers that the last owner
+    /// announced.
     pub(super) fn inherit_spread(&self) {
         let share = self.peer_statuses.greatest_share();
         self.load.begin_with_share(f64::from(share) / 1000.0);
     }
 
-    /// Whether a report that came here is taken for its owner.
+    /// Returns whether this controller takes heartbeats for `owner`, which offloads
+    /// workers.
     pub(super) fn accepts_heartbeats_for(&self, owner: &NodeId) -> bool {
         self.peer_statuses.peer_status_of(owner).share > 0
     }
 
-    /// The controller that a worker of ours is to heartbeat to instead.
+    /// Returns the controller that a worker of an owned shard must heartbeat to instead.
+    /// Returns `None` if it stays here.
     pub(super) fn home_of(&self, machine: &MachineId) -> Option<NodeId> {
         if !self.owns(machine) || self.load.offload_share() == 0.0 {
             return None;
@@ -190,7 +195,7 @@
         sent.then(|| home.clone())
     }
 
-    /// Measures the load again and again.
+    /// Samples the load periodically, and applies and logs the results.
     pub(super) async fn watch_load(self: Rc<Self>) {
         let mut last = Instant::now();
         let mut log = LoadLog::new();
@@ -210,12 +215,13 @@
         }
     }
 
-    /// Asks the state service when the others are silent, and takes workers again when
-    /// they are not.
+    /// Probes the state service while the other controllers are silent, and accepts workers
+    /// again once the controller is no longer isolated.
     fn check_peer_contact(&self) {
         let peer_contact = self.peer_contact();
         if peer_contact.should_probe_state() {
-            // A quiet watch says nothing for seconds.
+            // A watch without changes delivers nothing for seconds, so silence alone proves
+            // no outage.
             self.store.request_refresh();
         }
         if !peer_contact.is_isolated() {
@@ -223,10 +229,10 @@
         }
     }
 
-    /// The waits and the sockets in use now; the last sample is `passed_s` seconds old.
+    /// Returns the waits and the sockets in use. The last sample is `passed_s` seconds old.
     fn sample_load(&self, passed_s: f64, now: Time) -> Sample {
         Sample {
-            // A timer that fires late waited like a request.
+            // A timer that fires late has waited as long as a request would.
             wait_s: self
                 .connections
                 .wait_s()
@@ -242,8 +248,8 @@
         }
     }
 
-    /// Limits machines, placements and claims of the owned shards to what this
-    /// controller can serve.
+    /// Limits machines, placements and claims of the owned shards to what this controller
+    /// can serve.
     fn limit_owned_shards(&self, sample: Sample, now: Time) {
         let mut cores = self.shards.owned_mut();
         if cores.is_empty() {
@@ -256,7 +262,7 @@
             helpers: self.helpers(false).len(),
         };
         let max = self.load.measured_as_owner(heartbeat_load, now);
-        // Nor more than all controllers together have sockets for.
+        // The sockets of all controllers together limit the machines too.
         let here = cores.len();
         let shards = cores.first().map_or(1, |c| c.scope.of as usize);
         let sockets =
--- a/src/control/paces.rs
+++ b/src/control/paces.rs
@@ -1,5 +1,5 @@
-//! How often duties that look at the whole fleet are done: the more they cost and the
-//! longer requests wait, the less often.
+//! Paces of the duties that scan the whole fleet. The interval of a duty grows with its
+//! cost and with the time that requests wait.
 
 use std::cell::RefCell;
 
@@ -7,22 +7,23 @@
 
 use crate::types::Time;
 
-/// A duty that looks at the whole fleet.
+/// Duty that scans the whole fleet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Duty {
-    /// Filling a machine at its heartbeat. Under load a heartbeat may do without:
-    /// offering all waiting jobs the best machine comes to the same.
+    /// Fills a machine with tasks at its heartbeat. Under load heartbeats may skip this
+    /// duty, because `Place` offers all waiting jobs the best machine and has the same
+    /// result.
     Walk,
-    /// Offering all waiting jobs the best machine.
+    /// Offers the best machine to each waiting job.
     Place,
-    /// Making room.
+    /// Preempts tasks to free capacity for waiting jobs.
     Preempt,
-    /// Planning the fleet.
+    /// Plans which machines to rent and delete.
     Fleet,
 }
 
 impl Duty {
-    /// As the log calls it.
+    /// Returns the name that the log shows.
     pub(super) fn name(self) -> &'static str {
         match self {
             Self::Walk => "walk",
@@ -33,7 +34,7 @@
     }
 }
 
-/// The pace of each duty.
+/// Pace of each duty.
 pub(super) struct Paces {
     walk: RefCell<Pace>,
     place: RefCell<Pace>,
@@ -62,12 +63,13 @@
         }
     }
 
-    /// Whether a duty is due.
+    /// Returns whether a duty is due.
     pub(super) fn due(&self, duty: Duty, now: Time) -> bool {
         self.of(duty).borrow().due(now)
     }
 
-    /// A duty was done, and took `cost_s` seconds; requests wait for `wait_s`.
+    /// Records that a duty ran and took `cost_s` seconds while requests waited for `wait_s`
+    /// seconds.
     pub(super) fn done(&self, duty: Duty, cost_s: f64, wait_s: f64, now: Time) {
         self.of(duty).borrow_mut().done(cost_s, wait_s, now);
     }
--- a/src/control/peer_statuses.rs
+++ b/src/control/peer_statuses.rs
@@ -1,5 +1,5 @@
-//! What the other controllers last said of themselves. All of it is a hint: it decides
-//! whom to ask first, never what holds.
+//! Last status of each other controller. Every status is a hint: it decides which
+//! controller to ask first, and never decides which state is valid.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -10,27 +10,28 @@
 use crate::peer_link::{PeerAnnouncement, POLLS, SHARDS};
 use crate::types::NodeId;
 
-/// What is known of another controller's standing is of use for so long.
+/// Time for which an announcement of another controller is used.
 const ANNOUNCEMENT_VALID_FOR: Duration = Duration::from_secs(3);
-/// Who has not said for so long what it knows may be another version by now.
+/// Time for which announced capabilities are used to choose who answers polls. A controller
+/// that was silent for longer may run another version by now.
 const CAPABILITIES_VALID_FOR: Duration = Duration::from_secs(3);
 
-/// What one controller last said.
+/// Last status that one controller announced.
 struct PeerStatus {
     received_at: Instant,
     announcement: PeerAnnouncement,
-    /// What its version knows: the flags of a hint.
+    /// Flags of the hint, which name the features that the controller's version supports.
     capabilities: u16,
 }
 
-/// The last status of each controller that was heard since the start.
+/// Last status of each controller that announced one since this process started.
 #[derive(Default)]
 pub(super) struct PeerStatuses {
     by_node: RefCell<HashMap<NodeId, PeerStatus>>,
 }
 
 impl PeerStatuses {
-    /// A controller said how it stands, and what its version knows.
+    /// Records the status and the capabilities that a controller announced.
     pub(super) fn record(&self, node: &NodeId, announcement: PeerAnnouncement, capabilities: u16) {
         let status = PeerStatus {
             received_at: Instant::now(),
@@ -40,7 +41,8 @@
         self.by_node.borrow_mut().insert(node.clone(), status);
     }
 
-    /// How a controller stands; the default if it has not said so lately.
+    /// Returns the last announcement of a controller, or the default if there is no recent
+    /// one.
     pub(super) fn peer_status_of(&self, node: &NodeId) -> PeerAnnouncement {
         let by_node = self.by_node.borrow();
         let fresh = by_node
@@ -49,28 +51,29 @@
         fresh.map(|status| status.announcement).unwrap_or_default()
     }
 
-    /// The largest part of heartbeats, in thousandths, that any controller passed to others
-    /// when it was last heard, however long ago.
+    /// Returns the largest share of workers, in thousandths, that any controller offloaded
+    /// to others at its last announcement, however old that is.
     pub(super) fn greatest_share(&self) -> u16 {
         let by_node = self.by_node.borrow();
         let shares = by_node.values().map(|status| status.announcement.share);
         shares.max().unwrap_or(0)
     }
 
-    /// When any controller was last heard; none: never.
+    /// Returns when the last status of any controller arrived. Returns `None` if none ever
+    /// did.
     pub(super) fn last_received_at(&self) -> Option<Instant> {
         let by_node = self.by_node.borrow();
         by_node.values().map(|status| status.received_at).max()
     }
 
-    /// Whether a controller's version knows several shards.
+    /// Returns whether a controller's version supports several shards.
     pub(super) fn knows_shards(&self, node: &NodeId) -> bool {
         let by_node = self.by_node.borrow();
         let status = by_node.get(node);
         status.is_some_and(|status| status.capabilities & SHARDS != 0)
     }
 
-    /// Whether a controller said lately that it answers polls for others.
+    /// Returns whether a controller announced lately that it answers polls for others.
     pub(super) fn answers_polls(&self, node: &NodeId) -> bool {
         let by_node = self.by_node.borrow();
         let status = by_node.get(node);
