--- a/src/control/recording.rs
+++ b/src/control/recording.rs
@@ -1,4 +1,5 @@
-//! Claims and results are recorded: one transaction at a time, the owned shards in turns.
+//! Records claims and results in the state service. One transaction is in flight at a time,
+//! and the owned shards take turns.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -12,27 +13,27 @@
 use crate::state::{RequestPriority, StateError, TransactionOutcome};
 use crate::types::Revision;
 
-/// A transaction waits for its turn at the state service so long.
+/// Maximum time that a transaction waits for the write budget of the state service.
 const RECORD_PATIENCE: Duration = Duration::from_secs(3);
-/// The pause after a transaction whose outcome is not known.
+/// Pause after a transaction whose outcome is unknown.
 const RECORD_RETRY_PAUSE: Duration = Duration::from_millis(150);
-/// The pause after a read that failed, while a conflict is looked for.
+/// Pause after a failed read while the cause of a conflict is looked up.
 const CATCH_UP_PAUSE: Duration = Duration::from_millis(100);
 
-/// What a shard has to record.
+/// Next batch that a shard has to record.
 struct ShardBatch {
     shard: ShardId,
-    /// The grant that it was claimed under.
+    /// Grant by which this controller owned the shard when it built the batch.
     grant: u64,
     batch: Batch,
 }
 
 impl Node {
-    /// Records claims and results, one transaction at a time.
+    /// Records claims and results of the owned shards, one transaction at a time.
     pub(super) async fn pump(self: Rc<Self>) {
         let mut last = ShardId(0);
         loop {
-            // Also now and then for what is not urgent.
+            // The timeout records writes that are not urgent.
             self.wakeups.recording_woken(TICK).await;
             while let Some(next) = self.next_shard_batch(last) {
                 last = next.shard;
@@ -43,7 +44,8 @@
         }
     }
 
-    /// What is recorded next: the shards take turns, and `last` was the last one's.
+    /// Returns the next batch to record. The shards take turns, and `last` is the shard of
+    /// the previous batch.
     fn next_shard_batch(&self, last: ShardId) -> Option<ShardBatch> {
         let mut cores = self.shards.owned_mut();
         let view = self.store.view();
@@ -62,7 +64,8 @@
         })
     }
 
-    /// Sends a transaction until its outcome is known, or the shard is not owned any more.
+    /// Sends a transaction until its outcome is known or this controller no longer owns the
+    /// shard.
     async fn record_batch(&self, next: ShardBatch) {
         loop {
             let urgency = RequestPriority::Within(RECORD_PATIENCE);
@@ -82,8 +85,9 @@
                     tracing::error!(%why, changes, "store rejected a transaction");
                     return self.batch_rejected(next);
                 }
-                // The same transaction again: if an earlier try is carried out
-                // after all, its conditions or ours fail, and the view tells.
+                // Retry the same transaction. If the state service commits an earlier
+                // attempt after all, either that attempt's conditions or those of this one
+                // fail, and the view shows which.
                 Err(error) => {
                     tracing::debug!(%error, "store transaction failed");
                     sleep(RECORD_RETRY_PAUSE).await;
@@ -92,7 +96,7 @@
         }
     }
 
-    /// The transaction was carried out.
+    /// Applies a committed transaction to the shard and the view.
     fn batch_committed(&self, done: ShardBatch, revision: Revision) {
         if let Some(c) = self.shards.owned_mut().get_mut(done.shard) {
             let mut view = self.store.view_for_commit();
@@ -101,7 +105,8 @@
         self.peers.announce(revision);
     }
 
-    /// A condition of the transaction failed: the records at `revision` tell why.
+    /// Handles a transaction whose condition failed. Waits until the view contains
+    /// `revision`, whose records show the cause.
     async fn batch_conflicted(&self, failed: ShardBatch, revision: Revision) {
         let (shard, grant) = (failed.shard, failed.grant);
         while self.store.view().store_revision < revision {
@@ -123,7 +128,7 @@
         }
     }
 
-    /// The state service refuses the transaction as it is.
+    /// Handles a transaction that the state service rejects in its present form.
     fn batch_rejected(&self, refused: ShardBatch) {
         if let Some(c) = self.shards.owned_mut().get_mut(refused.shard) {
             let limits_fell = self.state.limits_fell();
--- a/src/control/status_queries.rs
+++ b/src/control/status_queries.rs
@@ -1,5 +1,5 @@
-//! What users see of a job. Polls: which are answered while not all can be, and who answers
-//! one that this controller can't confirm.
+//! Answers users' polls of job states. Decides which polls are answered while the
+//! controller sheds load, and which controller answers a poll that this one can't confirm.
 
 use std::time::Duration;
 
@@ -16,32 +16,32 @@
 use crate::state::view::Summary;
 use crate::types::{JobId, NodeId};
 
-/// A user waits 2 s: an answer after this comes too late.
+/// Deadline of an answer. A user waits 2 s, so a later answer is useless.
 const ANSWER_DEADLINE: Duration = Duration::from_millis(1900);
-/// This controller tries for so long alone, so that another has time left. One
-/// read takes its turn of at most 0.3 s and an answer's way.
+/// Time for which this controller tries alone, so that another controller has time left.
+/// One read takes its turn of at most 0.3 s plus the time of a response.
 const LOCAL_QUERY_TIMEOUT: Duration = Duration::from_millis(1200);
-/// The same after a read that failed: the state service may hold what is asked of
-/// it here for long, and serve others.
+/// Time for which this controller tries alone after a failed read. The state service may
+/// delay requests of this controller for long while it serves others.
 const LOCAL_RETRY_TIMEOUT: Duration = Duration::from_millis(500);
-/// Another one has so long, so that a second can be asked.
+/// Time that one other controller has to answer, so that a second one can be asked.
 const REMOTE_QUERY_TIMEOUT: Duration = Duration::from_millis(950);
-/// With less time left no other is asked.
+/// Minimum time left to ask another controller.
 const MIN_REMOTE_TIMEOUT: Duration = Duration::from_millis(100);
 
-/// What the records say of a job, by a read that began after it was asked about.
+/// State of a job by a read that began after the request for it.
 #[derive(Clone, Debug, PartialEq)]
 pub enum JobStatus {
-    /// It was accepted; its state.
+    /// The job was accepted and has this state.
     Recorded(Summary),
-    /// There is no such job.
+    /// No job with this id is recorded.
     Absent,
-    /// No read confirmed it in time.
+    /// No read confirmed the state in time.
     Unconfirmed,
 }
 
 impl JobStatus {
-    /// Whether the records confirm it.
+    /// Returns whether the records confirm this state.
     fn is_confirmed(&self) -> bool {
         match self {
             Self::Recorded(_) | Self::Absent => true,
@@ -50,32 +50,34 @@
     }
 }
 
-/// What came of a poll.
+/// Outcome of a poll.
 pub enum Polled {
-    /// This controller answers; unconfirmed: nobody could confirm it in time.
+    /// This controller answers. The status is unconfirmed if no controller could confirm it
+    /// in time.
     Local(JobStatus),
-    /// Another controller answered.
+    /// Another controller answered, and its response goes to the user.
     Peer(peer_link::Answered),
 }
 
 impl Node {
-    /// What users see of a job that is known to be over: that never changes.
+    /// Returns the state of a job that is known to have ended. Such a state never changes.
     fn final_summary(&self, id: &JobId) -> Option<Summary> {
         let summary = self.store.view().summary(id);
         summary.filter(|summary| summary.phase != Phase::Live)
     }
 
-    /// Whether a job is known to be over.
+    /// Returns whether a job is known to have ended.
     fn is_over(&self, id: &JobId) -> bool {
         self.final_summary(id).is_some()
     }
 
-    /// What users see of a job, as of now.
+    /// Returns the current state of a job.
     pub(super) async fn status(&self, id: &JobId) -> JobStatus {
         self.status_within(id, FRESH_VIEW_TIMEOUT).await
     }
 
-    /// The same, for so long at the most.
+    /// Returns the current state of a job, or [`JobStatus::Unconfirmed`] if no read
+    /// succeeds within `patience`.
     async fn status_within(&self, id: &JobId, patience: Duration) -> JobStatus {
         if let Some(summary) = self.final_summary(id) {
             return JobStatus::Recorded(summary);
@@ -87,19 +89,19 @@
         summary.map_or(JobStatus::Absent, JobStatus::Recorded)
     }
 
-    /// What a job in a pipeline waits for and inherits, by this controller's view.
+    /// Returns what a job in a pipeline waits for and inherits, by this controller's view.
     pub fn pipeline_status(&self, id: &JobId) -> Option<PipelineStatus> {
         self.store.view().pipeline_status(id)
     }
 
-    /// Why a job waits, if this controller places it and knows.
+    /// Returns why a job waits, if this controller places the job and knows the reason.
     pub fn why_waits(&self, id: &JobId) -> Option<WaitingReason> {
         let cores = self.shards.owned();
         let mut here = cores.values().filter(|c| c.scope.homes(id));
         here.find_map(|c| c.cluster_state.why_waits(id, self.now()))
     }
 
-    /// Whether a poll is to be told to come back as too much is asked for; see
+    /// Returns whether the controller sheds this poll because of the load; see
     /// [`sorrelhinge_overload::poll_shedding`].
     pub fn sheds_poll(&self, id: &JobId) -> bool {
         if self.is_over(id) {
@@ -114,7 +116,7 @@
         self.admission.refuses_poll(poll, self.now())
     }
 
-    /// A user's request about a job was answered, or `answered` is false and it could not be.
+    /// Records whether a user's request about a job could be answered.
     pub fn record_answer(&self, id: &JobId, answered: bool) {
         if self.is_over(id) {
             return self.admission.job_over(id);
@@ -127,13 +129,14 @@
         }
     }
 
-    /// Answers a poll within the time that its user waits: here, or if that can't
-    /// be, by way of another controller.
+    /// Answers a poll before its user stops waiting. If this controller can't answer,
+    /// another controller does.
     ///
-    /// An answer from there is never older than what was told here before: it
-    /// rests on a read that the other one began after the question came to it, so
-    /// after everything this controller had told by then, which was recorded
-    /// before it was told. What this one learnt meanwhile goes before it below.
+    /// An answer of another controller is never older than what this controller told users
+    /// before. It rests on a read that the other controller began after the poll reached
+    /// it. All that this controller had told users by then was recorded before it was told,
+    /// so the read contains it. If this controller learns the job's final state while it
+    /// waits, that state takes precedence.
     pub async fn poll(&self, id: &JobId) -> Polled {
         let end = Instant::now() + ANSWER_DEADLINE;
         if self.cut_off() {
@@ -154,11 +157,11 @@
         if let Some(polled) = self.poll_peers(id, end).await {
             return polled;
         }
-        // Nobody else can: what time is left may do here.
+        // No other controller can answer, so spend the time left on another try here.
         Polled::Local(self.status_within(id, left()).await)
     }
 
-    /// The same for another controller that could not; it passes nothing on.
+    /// Answers a poll for another controller that could not. Never forwards the poll again.
     pub async fn poll_for_peer(&self, id: &JobId) -> JobStatus {
         self.status_within(id, LOCAL_QUERY_TIMEOUT).await
     }
@@ -181,7 +184,8 @@
             if let Some(summary) = self.final_summary(id) {
                 return Some(Polled::Local(JobStatus::Recorded(summary)));
             }
-            // What is recorded here was accepted: nobody may be told otherwise.
+            // A job that is recorded here was accepted, so no user may be told that it does
+            // not exist.
             let absent_there = answered.as_ref().is_some_and(|a| a.status == 404);
             if absent_there && self.store.view().job(id).is_some() {
                 tracing::error!(job = %id, by = %other, "stale status answer discarded");
@@ -195,8 +199,8 @@
         None
     }
 
-    /// Other controllers that can be reached and know polls, in an order of each
-    /// job's own; the leader last, as it has the most to do.
+    /// Returns the reachable controllers that answer polls. The order differs from job to
+    /// job, and the leader comes last because it has the highest load.
     fn peers_answering_polls(&self, id: &JobId) -> Vec<NodeId> {
         let leader = self.store.view().leader.value.clone().map(|l| l.node);
         let knows = |n: &&NodeId| self.peer_statuses.answers_polls(n);
--- a/src/control/submissions.rs
+++ b/src/control/submissions.rs
@@ -1,4 +1,4 @@
-//! Users' submissions: whether one is taken, and its record.
+//! Accepts or refuses users' submissions, and writes the records of accepted jobs.
 
 use std::time::Duration;
 
@@ -12,12 +12,12 @@
 use crate::state::{Change, StateError, TransactionOutcome};
 use crate::types::{JobId, JobSpec, Revision};
 
-/// A user's write waits so long for its turn at the state service.
+/// Maximum time that a user's write waits for the write budget of the state service.
 pub(super) const WRITE_PATIENCE: Duration = Duration::from_millis(800);
 
 impl Node {
-    /// Devices that a class needs are written into each of its jobs, so that
-    /// what a claim may hold does not change with the operator's file.
+    /// Adds the devices that the job's class needs to the job itself, so that the devices
+    /// which a claim may hold don't change with the operator's topology file.
     fn with_class_devices(&self, mut spec: JobSpec) -> JobSpec {
         let Some(topology) = self.catalog.topology() else {
             return spec;
@@ -37,7 +37,8 @@
         spec
     }
 
-    /// The record of a submitted job, if it can run as far as it depends on no other job.
+    /// Returns the record of a submitted job if the job can run, leaving aside the jobs
+    /// that it depends on.
     fn candidate(&self, new: NewJob) -> Result<JobRecord, SubmitError> {
         let spec = self.with_class_devices(new.spec);
         let new = NewJob { spec, ..new };
@@ -46,9 +47,9 @@
         Ok(record)
     }
 
-    /// The record of a job that is accepted now. One that would be over the state
-    /// service's limit of a value makes the job malformed: it was answered 503 again and
-    /// again, as its write was refused.
+    /// Returns the record of a job that is accepted now. A job whose record would exceed
+    /// the state service's limit of a value is malformed: without this check its users got
+    /// 503 again and again, because the state service refused the write.
     fn new_record(&self, new: &NewJob) -> Result<JobRecord, InvalidJob> {
         let value_bytes = self.cfg.state_limits.value_bytes;
         let record = JobRecord::accepted(new.clone(), wall_ms(), value_bytes);
@@ -59,12 +60,14 @@
         }
     }
 
-    /// Whether a submission is taken although submissions are shed: one of a lane, in
-    /// the lane's turn. Of all that come while they are shed, a lane has its part.
+    /// Returns whether a submission is admitted although the controller sheds submissions.
+    /// A lane has a share of all submissions that arrive meanwhile, and a job of that lane
+    /// is admitted in the lane's turn.
     pub fn takes_lane_turn(&self, body: &[u8]) -> bool {
         let lanes = &self.cfg.lanes;
         if lanes.is_empty() {
-            // Not even parsed: nothing costs less.
+            // Without lanes the body is not even parsed, which is the cheapest way to
+            // refuse.
             return false;
         }
         let spec = serde_json::from_slice(body).ok();
@@ -73,12 +76,13 @@
         self.admission.takes_lane_turn(lanes, lane)
     }
 
-    /// Takes a job, or what is wrong with its description: one that was accepted before is
-    /// answered with its state even then.
+    /// Accepts a job, or refuses it with the reason. A job that was accepted before is
+    /// answered with its state, even if `new` is an error now.
     ///
     /// # Errors
     ///
-    /// The description is not valid, the job can never run, or that can't be decided now.
+    /// Returns an error if the description is invalid, the job can never run, or the
+    /// controller can't decide now.
     pub async fn submit(
         &self,
         id: &JobId,
@@ -93,8 +97,9 @@
             Err(_) => true,
         };
         if known || refused {
-            // A job that is known is never refused, so look before refusing; the same read
-            // shows a job that it needs and that was accepted elsewhere a moment ago.
+            // A recorded job is never refused, so read the records before refusing. The
+            // same read also shows a dependency that another controller accepted a moment
+            // ago.
             match self.status(id).await {
                 JobStatus::Recorded(summary) => return Ok(Submitted::Known(summary)),
                 JobStatus::Absent => {}
@@ -112,7 +117,8 @@
         result
     }
 
-    /// A job's record was written by this controller: it and the others see it.
+    /// Applies a job's record that this controller has written to the local view, and
+    /// announces it to the other controllers.
     pub(super) fn recorded(&self, id: &JobId, revision: Revision, record: JobRecord) {
         let record = Versioned {
             mod_revision: revision,
@@ -123,7 +129,7 @@
         self.view_changed();
     }
 
-    /// Writes a job's record, if it is still as of `mod_revision`.
+    /// Writes a job's record, on condition that its revision is still `mod_revision`.
     pub(super) async fn write_job(
         &self,
         id: &JobId,
@@ -136,17 +142,17 @@
             .await
     }
 
-    /// Records a new job.
+    /// Writes the record of a new job.
     async fn accept(&self, id: &JobId, record: JobRecord) -> Result<Submitted, SubmitError> {
         match self.write_job(id, Revision(0), &record).await {
             Ok(TransactionOutcome::Done(revision)) => {
                 self.recorded(id, revision, record);
-                // It may need a job that is cancelled, and is cancelled with it then.
+                // The job may depend on a cancelled job, and is then cancelled with it.
                 let summary = self.store.view().summary(id);
                 let summary = summary.ok_or(SubmitError::Unavailable)?;
                 Ok(Submitted::Accepted(summary))
             }
-            // Another request was faster.
+            // Another request recorded the job first.
             Ok(TransactionOutcome::Failed(_)) => match self.status(id).await {
                 JobStatus::Recorded(summary) => Ok(Submitted::Known(summary)),
                 JobStatus::Absent | JobStatus::Unconfirmed => Err(SubmitError::Unavailable),
--- a/src/control/submit_error.rs
+++ b/src/control/submit_error.rs
@@ -1,4 +1,4 @@
-//! What a submission comes to, and why one is not accepted.
+//! Outcomes of submissions, and the reasons for refusals.
 
 use sorrelhinge_protocol::invalid::InvalidField;
 use sorrelhinge_topology::policy::InfeasiblePolicy;
@@ -6,66 +6,67 @@
 use crate::state::view::Summary;
 use crate::types::JobId;
 
-/// A submission that is accepted, with the job's state now.
+/// Accepted submission, with the current state of the job.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Submitted {
-    /// Newly accepted.
+    /// This request created the job.
     Accepted(Summary),
-    /// Accepted before.
+    /// An earlier request created the job.
     Known(Summary),
 }
 
-/// Why a submission is not accepted. The text is what its user reads.
+/// Reason why a submission is not accepted. The user reads this text.
 #[derive(Debug, thiserror::Error)]
 pub enum SubmitError {
-    /// The job is not described as it has to be.
+    /// The description of the job is invalid.
     #[error(transparent)]
     Invalid(#[from] InvalidJob),
-    /// The job can never run.
+    /// The job can never run here.
     #[error(transparent)]
     Infeasible(#[from] Infeasible),
-    /// It can't be decided now: the records can't be read or written, the machine types
-    /// are not known yet, or too many submissions are being recorded.
+    /// The controller can't decide now. The records can't be read or written, the machine
+    /// types are not known yet, or too many submissions are being recorded.
     #[error("can't decide now, ask again")]
     Unavailable,
 }
 
-/// What is wrong with a job's description.
+/// Reason why a job's description is invalid.
 #[derive(Debug, thiserror::Error)]
 pub enum InvalidJob {
-    /// A field of the job itself, or of the jobs that it needs; the text names it.
+    /// A field of the job itself or of its dependencies is invalid. The text names the
+    /// field.
     #[error("{0}")]
     Field(&'static str),
-    /// A field of its placement rules.
+    /// A field of the job's placement rules is invalid.
     #[error(transparent)]
     PlacementRules(#[from] InvalidField),
-    /// Its record is over the state service's limit of a value.
+    /// The job's record exceeds the state service's limit of a value.
     #[error("the job's names are too long to be recorded")]
     NamesTooLong,
 }
 
-/// Why a job can never run here.
+/// Reason why a job can never run in this cluster.
 #[derive(Debug, thiserror::Error)]
 pub enum Infeasible {
-    /// The settings name no such team.
+    /// The settings don't contain the job's team.
     #[error("unknown team")]
     UnknownTeam,
-    /// What it needs at once is over its team's limit.
+    /// The resources that the job needs at once exceed its team's limit.
     #[error("more than the team's limit")]
     OverTeamLimit,
-    /// No machine type that it allows is large enough for one of its tasks.
+    /// No machine type that the job allows is large enough for one of its tasks.
     #[error("a task fits no allowed machine type")]
     FitsNoMachineType,
-    /// Its placement rules can't be met in this topology, for this reason.
+    /// The topology can't meet the job's placement rules, for this reason.
     #[error("{0}")]
     PlacementRules(InfeasiblePolicy),
-    /// It needs itself.
+    /// The job depends on itself.
     #[error("it waits on itself")]
     DependsOnItself,
-    /// It needs a job that there is not.
+    /// The job depends on a job that is not recorded.
     #[error("{0} was never accepted")]
     UnknownDependency(JobId),
-    /// It needs a service, which is never done.
+    /// The job depends on a service, which never ends.
     #[error("{0} is a service")]
     DependsOnService(JobId),
 }
--- a/src/control/write_queue.rs
+++ b/src/control/write_queue.rs
@@ -1,9 +1,10 @@
-//! What waits to be recorded, by urgency. The state service takes few changes
-//! a second, so they go where they are needed most: claims, as no task starts
-//! before its claim is recorded; jobs that are done, as their users wait for
-//! it; results and releases of single tasks, which a worker's heartbeat proves
-//! again at any time and which therefore wait for others of their chunk; and
-//! last the deletion of what nobody needs.
+//! Queue of writes that wait to be recorded, by urgency. The state service takes few
+//! changes a second, so the queue orders them by need.
+//!
+//! Claims come first, because no task starts before its claim is recorded. Jobs that are
+//! done come next, because their users wait for that. Results and releases of single tasks
+//! follow: a worker's heartbeat proves them again at any time, so they wait for others of
+//! their chunk. Deletions of unused records come last.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -14,29 +15,30 @@
 use crate::state::record::ChunkId;
 use crate::types::{JobId, Priority, Time};
 
-/// How long a result may wait, in seconds, to be recorded with others of its chunk.
+/// Maximum time that a result waits for other changes of its chunk, in seconds.
 const RESULT_DELAY_S: f64 = 12.0;
-/// The same while more changes may be sent than urgent ones need.
+/// Maximum time that a result waits while the write budget exceeds the needs of urgent
+/// writes, in seconds.
 const RESULT_DELAY_SPARE_S: f64 = 1.5;
-/// How long a deletion may wait, in seconds.
+/// Maximum time that a deletion waits, in seconds.
 const DELETION_DELAY_S: f64 = 30.0;
 
-/// How urgent it is to record something; the most urgent first.
+/// Urgency of a write. The most urgent level comes first in the order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum WritePriority {
-    /// Its users wait for the start.
+    /// Writes of jobs whose users wait for the start.
     Awaited,
-    /// Work of a lane.
+    /// Writes of jobs in a priority lane.
     Lane,
-    /// Ordinary work.
+    /// Writes of ordinary jobs.
     Usual,
-    /// Work of idle priority: a swarm of single tasks costs three changes each,
-    /// and kept claims of urgent work waiting for half a minute.
+    /// Writes of jobs of idle priority. Many jobs of a single task cost three changes each,
+    /// and once kept claims of urgent jobs waiting for half a minute.
     Idle,
 }
 
 impl WritePriority {
-    /// Of a job.
+    /// Returns the urgency of a job's writes.
     pub fn of(job: &Job) -> Self {
         match (job.start_within.is_some(), job.priority) {
             (true, _) => Self::Awaited,
@@ -47,66 +49,67 @@
     }
 }
 
-/// A claim's place in the queue: by priority, then in the order they came.
+/// Position of a claim in the queue, by priority and then by arrival.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct Place {
     write_priority: WritePriority,
     number: u64,
 }
 
-/// A claim that waits to be recorded.
+/// Claim that waits to be recorded.
 #[derive(Debug)]
 struct WaitingClaim {
     chunk: ChunkId,
     since: Time,
 }
 
-/// Where a chunk's claim waits.
+/// Position of a chunk's claim in the queue.
 #[derive(Debug)]
 struct ClaimPlace {
     place: Place,
-    /// Class and team.
+    /// Class and team of the job.
     sort: Sort,
 }
 
-/// A job that is done: those of idle priority last, then by name.
+/// Key of a finished job. Jobs of idle priority sort last, then by id.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct FinishedJob {
     idle: bool,
     job: JobId,
 }
 
-/// The queues of writes, each of its own urgency.
+/// Writes that wait to be recorded, with one queue for each kind.
 #[derive(Debug, Default)]
 pub struct Pending {
-    /// By priority, then in the order they came.
+    /// Claims by priority and then by arrival.
     claims: BTreeMap<Place, WaitingClaim>,
     claimed: BTreeMap<ChunkId, ClaimPlace>,
-    /// The same by class and team, which have turns once they wait for long.
+    /// Positions of claims by class and team. Each class and team gets turns once its
+    /// claims have waited for [`TURN_AFTER_S`].
     sorts: BTreeMap<Sort, BTreeSet<Place>>,
     turns: Turns<Sort>,
     last_number: u64,
-    /// How many writes were taken.
+    /// Number of calls of [`Pending::take`], which decides whether a call serves a turn.
     taken: u64,
-    /// Those of idle priority last.
+    /// Finished jobs with the time since when they wait. Jobs of idle priority come last.
     finished: BTreeMap<FinishedJob, Time>,
-    /// Whether the last urgent write that was taken was a claim.
+    /// Whether the last urgent write that was taken is a claim.
     last_was_claim: bool,
     results: BTreeMap<ChunkId, Time>,
     deletions: BTreeMap<ChunkId, Time>,
 }
 
-/// Something to record.
+/// Write that is due to be recorded.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum PendingWrite {
-    /// A job is done.
+    /// The job is done.
     Finished(JobId),
-    /// A chunk changed.
+    /// The chunk's claims or results changed, or its record can be deleted.
     Chunk(ChunkId),
 }
 
 impl Pending {
-    /// A task was claimed. `sort`: the job's class and team.
+    /// Queues the claim of a task. `sort` names the job's class and team.
     pub fn claimed(
         &mut self,
         chunk: ChunkId,
@@ -131,21 +134,21 @@
         }
     }
 
-    /// A claim was released, or its task ended.
+    /// Queues a released claim or an ended task, unless a claim of the chunk already waits.
     pub fn released(&mut self, chunk: ChunkId, now: Time) {
         if !self.claimed.contains_key(&chunk) {
             self.results.entry(chunk).or_insert(now);
         }
     }
 
-    /// All tasks of a job are done.
+    /// Queues a job whose tasks are all done.
     pub fn finished(&mut self, job: JobId, write_priority: WritePriority, now: Time) {
         let idle = write_priority == WritePriority::Idle;
         let key = FinishedJob { idle, job };
         self.finished.entry(key).or_insert(now);
     }
 
-    /// A job is not to be recorded as done.
+    /// Removes a job from the queue of finished jobs.
     pub fn not_finished(&mut self, job: &JobId) {
         for idle in [false, true] {
             let job = job.clone();
@@ -153,19 +156,19 @@
         }
     }
 
-    /// A chunk is of no use any more.
+    /// Queues the deletion of a chunk's record, and removes all other writes of the chunk.
     pub fn useless(&mut self, chunk: ChunkId, now: Time) {
         self.remove_claim(&chunk);
         self.results.remove(&chunk);
         self.deletions.entry(chunk).or_insert(now);
     }
 
-    /// Whether claims of a chunk wait to be recorded.
+    /// Returns whether claims of a chunk wait to be recorded.
     pub fn claims(&self, chunk: &ChunkId) -> bool {
         self.claimed.contains_key(chunk)
     }
 
-    /// Whether any claims wait to be recorded.
+    /// Returns whether any claims wait to be recorded.
     pub fn claims_any(&self) -> bool {
         !self.claims.is_empty()
     }
@@ -184,7 +187,8 @@
         true
     }
 
-    /// The claim whose class and team have their turn, if it has waited for long.
+    /// Returns the first claim of the class and team whose turn it is, if that claim has
+    /// waited for at least [`TURN_AFTER_S`].
     fn next_in_turn(&mut self, now: Time) -> Option<ChunkId> {
         let claims = &self.claims;
         let first = |places: &BTreeSet<Place>| {
@@ -196,8 +200,8 @@
         first(self.sorts.get(&sort)?)
     }
 
-    /// Takes the job that has been done for longest, if its users have waited for
-    /// [`TURN_AFTER_S`].
+    /// Removes and returns the job that has been done for longest, if its users have waited
+    /// for at least [`TURN_AFTER_S`].
     fn take_overdue_job(&mut self, now: Time) -> Option<JobId> {
         let (job, since) = self
             .finished
@@ -208,21 +212,22 @@
         Some(key.job)
     }
 
-    /// How long the claim has waited that is recorded next, in seconds.
+    /// Returns how long the next claim in the queue has waited, in seconds.
     pub fn claims_wait(&self, now: Time) -> f64 {
         let next = self.claims.first_key_value();
         next.map_or(0.0, |(_, claim)| now.since(claim.since))
     }
 
-    /// Whether something is due that should not wait for the next tick.
+    /// Returns whether a write is queued that must not wait for the next tick.
     pub fn urgent(&self) -> bool {
         !self.claims.is_empty() || !self.finished.is_empty()
     }
 
-    /// Takes what is most urgent, if anything is due. `spare`: there are more
-    /// changes left than urgent ones need.
+    /// Removes and returns the most urgent write that is due. `spare` says that the write
+    /// budget exceeds the needs of urgent writes.
     pub fn take(&mut self, spare: bool, now: Time) -> Option<PendingWrite> {
-        // Urgency goes first, but not alone.
+        // The most urgent write usually goes first, but overdue writes get a share of the
+        // turns.
         self.taken += 1;
         if self.taken % SERVED_PER_DONE_JOB == 0 {
             if let Some(job) = self.take_overdue_job(now) {
@@ -238,10 +243,10 @@
         self.take_urgent().or_else(|| self.take_overdue(spare, now))
     }
 
-    /// A claim or a job that is done.
+    /// Removes and returns a claim or a finished job.
     fn take_urgent(&mut self) -> Option<PendingWrite> {
-        // Claims that no user waits for take turns with jobs that are done:
-        // while there are more claims than changes, nothing else would be recorded.
+        // Claims that no user waits for alternate with finished jobs. Otherwise nothing
+        // else would be recorded while there are more claims than changes.
         let awaited = self
             .claims
             .first_key_value()
@@ -260,7 +265,7 @@
         None
     }
 
-    /// Takes a result or a deletion that has waited for long enough.
+    /// Removes and returns a result or a deletion that has waited for long enough.
     fn take_overdue(&mut self, spare: bool, now: Time) -> Option<PendingWrite> {
         let oldest = |queue: &BTreeMap<ChunkId, Time>, wait: f64| {
             queue
