--- a/src/control/cancellations.rs
+++ b/src/control/cancellations.rs
@@ -1,7 +1,7 @@
 //! Cancels jobs on behalf of users.
 
 use super::status_queries::JobStatus;
-use super::submissions::WRITE_PATIENCE;
+use super::submissions::USER_WRITE_TIMEOUT;
 use super::Node;
 use crate::state::record::{chunk_key, job_key, Phase};
 use crate::state::view::{Cancellation, Versioned};
@@ -113,7 +113,7 @@
             ],
         };
         self.state
-            .transact(&transaction, RequestPriority::Within(WRITE_PATIENCE))
+            .transact(&transaction, RequestPriority::Within(USER_WRITE_TIMEOUT))
             .await
     }
 
--- a/src/control/cloud_duties.rs
+++ b/src/control/cloud_duties.rs
@@ -20,10 +20,10 @@
 /// Pause before the first list request and after a failed one, in seconds.
 const LIST_RETRY_S: f64 = 0.5;
 /// Lower bound of the minimum pause between two list requests, in seconds.
-const LIST_PAUSE_LEAST_S: f64 = 1.0;
+const LIST_PAUSE_FLOOR_S: f64 = 1.0;
 /// Upper bound of the minimum pause between two list requests, in seconds. The minimum
 /// pause follows the lag of the list within these two bounds.
-const LIST_PAUSE_MAX_S: f64 = 5.0;
+const LIST_PAUSE_CEILING_S: f64 = 5.0;
 /// Interval between two reads of the machine types. Prices change; the other properties
 /// hardly do.
 const TYPES_INTERVAL: Duration = Duration::from_secs(45);
@@ -33,7 +33,7 @@
 /// can't accept any job before it knows them.
 const FIRST_TYPES_RETRY_PAUSE: Duration = Duration::from_secs(1);
 /// Maximum number of machines that one request deletes.
-const DELETED_TOGETHER: usize = 100;
+const MAX_DELETIONS_PER_REQUEST: usize = 100;
 
 impl Node {
     /// Reads the machine types periodically and passes them to the catalog and the owned
@@ -64,7 +64,7 @@
     /// Reads the machine list periodically. The list always lags behind the cloud, and the
     /// lag grows with the number of machines, so a longer list is read less often.
     pub(super) async fn list_machines(self: Rc<Self>) {
-        let least = (self.cfg.list_lag_s / 2.0).clamp(LIST_PAUSE_LEAST_S, LIST_PAUSE_MAX_S);
+        let min_pause = (self.cfg.list_lag_s / 2.0).clamp(LIST_PAUSE_FLOOR_S, LIST_PAUSE_CEILING_S);
         let mut pause = LIST_RETRY_S;
         loop {
             sleep(Duration::from_secs_f64(pause)).await;
@@ -77,8 +77,9 @@
                     // Each owner of shards reads the list, so each one reads it less often
                     // if there are several.
                     let owners = self.owners_of_shards() as f64;
-                    pause = least.max(list.len() as f64 / MACHINES_LISTED_PER_S) * owners.sqrt();
-                    self.machines_listed(&list);
+                    pause =
+                        min_pause.max(list.len() as f64 / MACHINES_LISTED_PER_S) * owners.sqrt();
+                    self.apply_machine_list(&list);
                     self.drive();
                 }
                 Err(error) => tracing::info!(%error, "machine list failed"),
@@ -87,7 +88,7 @@
     }
 
     /// Passes the listed machines of each owned shard to that shard.
-    fn machines_listed(&self, list: &[ListedMachine]) {
+    fn apply_machine_list(&self, list: &[ListedMachine]) {
         let now = self.now();
         if self.view_shards() > 1 {
             let zones = list.iter().map(|m| (m.id.clone(), m.zone.clone()));
@@ -129,7 +130,7 @@
                     rental,
                 }));
             }
-            self.mark_for_scale_in(&to_delete).await;
+            self.delete_machines(&to_delete).await;
             for rental in rentals {
                 spawn_local(self.clone().rent(rental));
             }
@@ -137,8 +138,8 @@
     }
 
     /// Deletes machines in the cloud and removes them from the owned shards.
-    async fn mark_for_scale_in(self: &Rc<Self>, to_delete: &[MachineId]) {
-        for machines in to_delete.chunks(DELETED_TOGETHER) {
+    async fn delete_machines(self: &Rc<Self>, to_delete: &[MachineId]) {
+        for machines in to_delete.chunks(MAX_DELETIONS_PER_REQUEST) {
             match self.cloud.delete(machines).await {
                 Ok(()) => {
                     tracing::info!(?machines, "machines deleted");
--- a/src/control/recording.rs
+++ b/src/control/recording.rs
@@ -14,7 +14,7 @@
 use crate::types::Revision;
 
 /// Maximum time that a transaction waits for the write budget of the state service.
-const RECORD_PATIENCE: Duration = Duration::from_secs(3);
+const RECORD_TIMEOUT: Duration = Duration::from_secs(3);
 /// Pause after a transaction whose outcome is unknown.
 const RECORD_RETRY_PAUSE: Duration = Duration::from_millis(150);
 /// Pause after a failed read while the cause of a conflict is looked up.
@@ -68,7 +68,7 @@
     /// shard.
     async fn record_batch(&self, next: ShardBatch) {
         loop {
-            let urgency = RequestPriority::Within(RECORD_PATIENCE);
+            let urgency = RequestPriority::Within(RECORD_TIMEOUT);
             let result = self.state.transact(&next.batch.transaction, urgency).await;
             if !self.shards.owns_by_grant(next.shard, next.grant) {
                 return;
@@ -117,12 +117,12 @@
                 return;
             }
         }
-        let kept = self
+        let grant_kept = self
             .shards
             .owned_mut()
             .get_mut(shard)
             .is_none_or(|c| c.conflicted(failed.batch, &self.store.view(), self.now()));
-        if !kept {
+        if !grant_kept {
             tracing::info!(%shard, "shard grant lost; stepping down");
             self.step_down(shard);
         }
--- a/src/control/submissions.rs
+++ b/src/control/submissions.rs
@@ -13,7 +13,7 @@
 use crate::types::{JobId, JobSpec, Revision};
 
 /// Maximum time that a user's write waits for the write budget of the state service.
-pub(super) const WRITE_PATIENCE: Duration = Duration::from_millis(800);
+pub(super) const USER_WRITE_TIMEOUT: Duration = Duration::from_millis(800);
 
 impl Node {
     /// Adds the devices that the job's class needs to the job itself, so that the devices
@@ -138,7 +138,7 @@
     ) -> Result<TransactionOutcome, StateError> {
         let change = Change::write(job_key(id), record, None);
         self.state
-            .change(job_key(id), mod_revision, change, WRITE_PATIENCE)
+            .change(job_key(id), mod_revision, change, USER_WRITE_TIMEOUT)
             .await
     }
 
