--- a/src/control/heartbeat_routing.rs
+++ b/src/control/heartbeat_routing.rs
@@ -91,13 +91,13 @@
     }
 
     /// Clears the refused workers once this controller is no longer isolated.
-    pub(super) fn forget_dismissed(&self) {
+    pub(super) fn clear_dismissed(&self) {
         self.dismissed_workers.borrow_mut().clear();
     }
 
-    /// Redirects a worker of this controller to the controller `home`. Returns false if the
+    /// Redirects a worker of this controller to `helper`. Returns false if the
     /// worker was redirected lately and has come back; its heartbeats are then taken here.
-    pub(super) fn sends_home(&self, machine: &MachineId, home: &NodeId) -> bool {
+    pub(super) fn redirect_to_helper(&self, machine: &MachineId, helper: &NodeId) -> bool {
         let now = Instant::now();
         let mut redirected_agents = self.redirected_agents.borrow_mut();
         evict_expired(&mut redirected_agents, now, RETURN_WINDOW);
@@ -105,22 +105,27 @@
             .get(machine)
             .is_some_and(|s| now.duration_since(s.last) < RETURN_WINDOW);
         if !came_back {
-            redirected_agents.insert(machine.clone(), RedirectedAgent::new(home.clone(), now));
+            redirected_agents.insert(machine.clone(), RedirectedAgent::new(helper.clone(), now));
         }
         !came_back
     }
 
     /// Decides what to do with a heartbeat for `owner`. The first time, the worker is
-    /// redirected to the owner. A worker that returns within `back` can't reach the owner,
-    /// so its heartbeats are forwarded. After `FORWARDING_PERIOD` the worker is redirected
-    /// again, because the network path may be restored by then.
-    pub(super) fn redirect(&self, machine: &MachineId, owner: &NodeId, back: Duration) -> Redirect {
+    /// redirected to the owner. A worker that comes back within `return_window` can't reach
+    /// the owner, so its heartbeats are forwarded. After `FORWARDING_PERIOD` the worker is
+    /// redirected again, because the network path may be restored by then.
+    pub(super) fn redirect(
+        &self,
+        machine: &MachineId,
+        owner: &NodeId,
+        return_window: Duration,
+    ) -> Redirect {
         let now = Instant::now();
         let mut redirected_agents = self.redirected_agents.borrow_mut();
-        evict_expired(&mut redirected_agents, now, back);
+        evict_expired(&mut redirected_agents, now, return_window);
         let known = redirected_agents
             .get_mut(machine)
-            .filter(|s| s.to == *owner && now.duration_since(s.last) < back);
+            .filter(|s| s.to == *owner && now.duration_since(s.last) < return_window);
         if let Some(known) = known {
             known.last = now;
             let since = *known.forwarding_since.get_or_insert(now);
@@ -171,13 +176,14 @@
     }
 }
 
-/// Evicts workers whose last redirect is at least `kept` ago, once too many are remembered.
+/// Evicts workers whose last redirect is at least `max_age` ago, once too many are
+/// remembered.
 fn evict_expired(
     redirected_agents: &mut HashMap<MachineId, RedirectedAgent>,
     now: Instant,
-    kept: Duration,
+    max_age: Duration,
 ) {
     if redirected_agents.len() >= MAX_REDIRECTED_AGENTS {
-        redirected_agents.retain(|_, s| now.duration_since(s.last) < kept);
+        redirected_agents.retain(|_, s| now.duration_since(s.last) < max_age);
     }
 }
--- a/src/control/heartbeats.rs
+++ b/src/control/heartbeats.rs
@@ -21,12 +21,12 @@
 /// Outcome of a heartbeat for an owned shard.
 enum HeartbeatOutcome {
     /// The heartbeat is a duplicate of an older one and was ignored.
-    Copy,
+    Duplicate,
     /// The worker has the fencing token of a newer grant.
     Superseded,
     /// The heartbeat was processed. The reply is `None` if the controller needs the latest
     /// records to answer.
-    Taken(Option<Reply>),
+    Processed(Option<Reply>),
 }
 
 impl Node {
@@ -42,15 +42,15 @@
         if self.dismisses_worker(&heartbeat.machine) {
             return HeartbeatReply::Unavailable;
         }
-        if let Some(home) = self.home_of(&heartbeat.machine) {
-            return HeartbeatReply::Elsewhere(home);
+        if let Some(helper) = self.offload_target(&heartbeat.machine) {
+            return HeartbeatReply::Elsewhere(helper);
         }
         match self.own_heartbeat(heartbeat, Source::Heartbeat) {
             HeartbeatReply::Elsewhere(owner) if self.accepts_heartbeats_for(&owner) => {
                 self.heartbeat_for(owner, heartbeat, body).await
             }
             HeartbeatReply::Elsewhere(owner) => {
-                self.heartbeat_elsewhere(heartbeat, owner, body).await
+                self.redirect_or_forward(heartbeat, owner, body).await
             }
             // While no controller owns the machines, their tasks must not end because a
             // lease expires.
@@ -90,19 +90,19 @@
     /// forwarded: the worker's tasks must not end with its lease because two zones are
     /// partitioned. The worker is redirected again now and then, because the network path
     /// may be restored.
-    pub(super) async fn heartbeat_elsewhere(
+    pub(super) async fn redirect_or_forward(
         &self,
         heartbeat: &Heartbeat,
         owner: NodeId,
         body: &[u8],
     ) -> HeartbeatReply {
-        let back = Duration::from_secs_f64(self.cfg.lease_s / 2.0);
+        let return_window = Duration::from_secs_f64(self.cfg.lease_s / 2.0);
         let routing = &self.heartbeat_routing;
-        if routing.redirect(&heartbeat.machine, &owner, back) == Redirect::SendToOwner {
+        if routing.redirect(&heartbeat.machine, &owner, return_window) == Redirect::SendToOwner {
             return HeartbeatReply::Elsewhere(owner);
         }
-        let passed = self.forward_heartbeat(&owner, body, true).await;
-        match passed.filter(|answered| answered.status == 200) {
+        let forwarded = self.forward_heartbeat(&owner, body, true).await;
+        match forwarded.filter(|answered| answered.status == 200) {
             Some(answered) => HeartbeatReply::Passed(answered),
             None => self
                 .renewed(heartbeat)
@@ -111,13 +111,13 @@
     }
 
     /// Forwards a heartbeat to the owner. If this controller can't reach the owner and
-    /// `via` is set, it sends the heartbeat to another controller that may reach the owner.
+    /// `allow_relay` is set, it sends the heartbeat to another controller that may reach the owner.
     /// If two of three zones are partitioned from each other, the third can still relay.
     pub(super) async fn forward_heartbeat(
         &self,
         owner: &NodeId,
         body: &[u8],
-        via: bool,
+        allow_relay: bool,
     ) -> Option<peer_link::Answered> {
         let direct = self
             .peers
@@ -125,7 +125,7 @@
         if let Some(answered) = direct.await {
             return Some(answered);
         }
-        if !via {
+        if !allow_relay {
             return None;
         }
         let zone_of = |node: &NodeId| {
@@ -195,15 +195,15 @@
         let outcome = {
             let mut cores = self.shards.owned_mut();
             let core = cores.get_mut(shard);
-            core.map(|core| self.take_heartbeat(core, heartbeat, source))
+            core.map(|core| self.process_heartbeat(core, heartbeat, source))
         };
         match outcome {
-            Some(HeartbeatOutcome::Copy) => HeartbeatReply::Unavailable,
+            Some(HeartbeatOutcome::Duplicate) => HeartbeatReply::Unavailable,
             Some(HeartbeatOutcome::Superseded) => {
                 self.superseded(shard);
                 HeartbeatReply::Unavailable
             }
-            Some(HeartbeatOutcome::Taken(reply)) => {
+            Some(HeartbeatOutcome::Processed(reply)) => {
                 self.drive();
                 reply.map_or(HeartbeatReply::Unavailable, HeartbeatReply::Reply)
             }
@@ -215,7 +215,7 @@
     }
 
     /// Processes a heartbeat for an owned shard, and answers it if that is safe.
-    fn take_heartbeat(
+    fn process_heartbeat(
         &self,
         core: &mut Core,
         heartbeat: &Heartbeat,
@@ -226,7 +226,7 @@
         // because commands in that answer would count as sent although no worker receives
         // them.
         if core.is_copy(heartbeat) && heartbeat.fencing_token.grant() <= core.grant {
-            return HeartbeatOutcome::Copy;
+            return HeartbeatOutcome::Duplicate;
         }
         // A heartbeat from a worker that receives nothing from this owner does not prove a
         // path to the workers. Such heartbeats used to keep a controller owner although it
@@ -241,11 +241,11 @@
             return HeartbeatOutcome::Superseded;
         }
         if !self.knows_all_cancellations() {
-            return HeartbeatOutcome::Taken(None);
+            return HeartbeatOutcome::Processed(None);
         }
         if self.paces.due(Duty::Walk, now) {
             self.timed(Duty::Walk, || core.walk(&heartbeat.machine, now));
         }
-        HeartbeatOutcome::Taken(Some(core.answer(heartbeat, &self.store.view(), now)))
+        HeartbeatOutcome::Processed(Some(core.answer(heartbeat, &self.store.view(), now)))
     }
 }
--- a/src/control/load_monitor.rs
+++ b/src/control/load_monitor.rs
@@ -22,7 +22,7 @@
 const LOAD_SAMPLE_INTERVAL: Duration = Duration::from_millis(500);
 /// Maximum time that claims may wait to be recorded, in seconds. The limit on claims
 /// follows from this time and the write rate.
-const CLAIMS_S: f64 = 2.5;
+const MAX_CLAIM_WAIT_S: f64 = 2.5;
 /// Lateness of a timer that does not count as a wait, in seconds.
 const TIMER_LATENESS_S: f64 = 0.02;
 
@@ -79,26 +79,26 @@
     }
 
     /// Starts a new owner with the share of workers that its predecessor had offloaded.
-    fn begin_with_share(&self, share: f64) {
+    fn start_with_offload_share(&self, share: f64) {
         *self.heartbeat_offload.borrow_mut() = HeartbeatOffload::from_share(share);
     }
 
     /// Returns the controller of `helpers` that a worker is to heartbeat to. Returns `None`
     /// if the worker is not among the offloaded ones.
-    fn home<'a>(&self, machine: &MachineId, helpers: &'a [NodeId]) -> Option<&'a NodeId> {
+    fn helper_for<'a>(&self, machine: &MachineId, helpers: &'a [NodeId]) -> Option<&'a NodeId> {
         self.heartbeat_offload
             .borrow()
             .home(machine, helpers.iter())
     }
 
     /// Takes a sample. Returns true if the shedding level has changed.
-    fn measured(&self, sample: Sample, now: Time) -> bool {
+    fn take_sample(&self, sample: Sample, now: Time) -> bool {
         self.wait_s.set(sample.wait_s.max(0.0));
         self.pressure.borrow_mut().take(sample, now)
     }
 
     /// Takes the load of an owner of shards. Returns the maximum number of machines.
-    fn measured_as_owner(&self, load: HeartbeatLoad, now: Time) -> Option<usize> {
+    fn update_owner_limits(&self, load: HeartbeatLoad, now: Time) -> Option<usize> {
         let mut heartbeat_offload = self.heartbeat_offload.borrow_mut();
         heartbeat_offload.take(load, now);
         let all_offloaded = heartbeat_offload.share() >= 1.0;
@@ -173,8 +173,9 @@
     /// Starts a new owner with the share of offloaded workers that the last owner
     /// announced.
     pub(super) fn inherit_spread(&self) {
-        let share = self.peer_statuses.greatest_share();
-        self.load.begin_with_share(f64::from(share) / 1000.0);
+        let share = self.peer_statuses.max_offload_share();
+        self.load
+            .start_with_offload_share(f64::from(share) / 1000.0);
     }
 
     /// Returns whether this controller takes heartbeats for `owner`, which offloads
@@ -185,14 +186,14 @@
 
     /// Returns the controller that a worker of an owned shard must heartbeat to instead.
     /// Returns `None` if it stays here.
-    pub(super) fn home_of(&self, machine: &MachineId) -> Option<NodeId> {
+    pub(super) fn offload_target(&self, machine: &MachineId) -> Option<NodeId> {
         if !self.owns(machine) || self.load.offload_share() == 0.0 {
             return None;
         }
         let helpers = self.helpers(true);
-        let home = self.load.home(machine, &helpers)?;
-        let sent = self.heartbeat_routing.sends_home(machine, home);
-        sent.then(|| home.clone())
+        let helper = self.load.helper_for(machine, &helpers)?;
+        let redirected = self.heartbeat_routing.redirect_to_helper(machine, helper);
+        redirected.then(|| helper.clone())
     }
 
     /// Samples the load periodically, and applies and logs the results.
@@ -201,12 +202,12 @@
         let mut log = LoadLog::new();
         loop {
             sleep(LOAD_SAMPLE_INTERVAL).await;
-            let passed_s = last.elapsed().as_secs_f64().max(MIN_ELAPSED_S);
+            let elapsed_s = last.elapsed().as_secs_f64().max(MIN_ELAPSED_S);
             last = Instant::now();
             let now = self.now();
             self.check_peer_contact();
-            let sample = self.sample_load(passed_s, now);
-            let changed = self.load.measured(sample, now);
+            let sample = self.sample_load(elapsed_s, now);
+            let changed = self.load.take_sample(sample, now);
             self.limit_owned_shards(sample, now);
             self.publish_peer_status();
             if changed || log.is_due() {
@@ -225,18 +226,18 @@
             self.store.request_refresh();
         }
         if !peer_contact.is_isolated() {
-            self.heartbeat_routing.forget_dismissed();
+            self.heartbeat_routing.clear_dismissed();
         }
     }
 
-    /// Returns the waits and the sockets in use. The last sample is `passed_s` seconds old.
-    fn sample_load(&self, passed_s: f64, now: Time) -> Sample {
+    /// Returns the waits and the sockets in use. The last sample is `elapsed_s` seconds old.
+    fn sample_load(&self, elapsed_s: f64, now: Time) -> Sample {
         Sample {
             // A timer that fires late has waited as long as a request would.
             wait_s: self
                 .connections
                 .wait_s()
-                .max(passed_s - LOAD_SAMPLE_INTERVAL.as_secs_f64() - TIMER_LATENESS_S),
+                .max(elapsed_s - LOAD_SAMPLE_INTERVAL.as_secs_f64() - TIMER_LATENESS_S),
             sockets: self.connections.used(),
             change_wait_s: self
                 .shards
@@ -261,14 +262,14 @@
             wait_s: sample.wait_s,
             helpers: self.helpers(false).len(),
         };
-        let max = self.load.measured_as_owner(heartbeat_load, now);
+        let max = self.load.update_owner_limits(heartbeat_load, now);
         // The sockets of all controllers together limit the machines too.
         let here = cores.len();
         let shards = cores.first().map_or(1, |c| c.scope.of as usize);
         let sockets =
             heartbeat_load.free_capacity * (self.cfg.others.len() + 1) * here / shards.max(1);
         let max = max.unwrap_or(usize::MAX).min(sockets);
-        let claims = (self.state.writes.rate() * CLAIMS_S) as usize / here;
+        let claims = (self.state.writes.rate() * MAX_CLAIM_WAIT_S) as usize / here;
         let processor_binds = self.load.binds(Resource::Processor);
         for c in cores.values_mut() {
             c.set_max_machines(Some(max / here));
--- a/src/control/peer_statuses.rs
+++ b/src/control/peer_statuses.rs
@@ -53,7 +53,7 @@
 
     /// Returns the largest share of workers, in thousandths, that any controller offloaded
     /// to others at its last announcement, however old that is.
-    pub(super) fn greatest_share(&self) -> u16 {
+    pub(super) fn max_offload_share(&self) -> u16 {
         let by_node = self.by_node.borrow();
         let shares = by_node.values().map(|status| status.announcement.share);
         shares.max().unwrap_or(0)
