--- a/src/control/admission.rs
+++ b/src/control/admission.rs
@@ -50,7 +50,7 @@
     /// sheds submissions.
     lane_turns: RefCell<BTreeMap<LaneId, LaneTurn>>,
     /// Recent polls by job, with their answers and refusals.
-    asked: RefCell<PollShedding>,
+    poll_shedding: RefCell<PollShedding>,
     /// Number of forwarded polls that are in flight.
     forwarded_queries: Cell<usize>,
     /// Polls are not forwarded before this instant, because no other controller could
@@ -67,7 +67,7 @@
         Self {
             submissions: Cell::new(0),
             lane_turns: RefCell::default(),
-            asked: RefCell::default(),
+            poll_shedding: RefCell::default(),
             forwarded_queries: Cell::new(0),
             queries_stay_local_until: Cell::new(now),
             changes_stay_local_until: Cell::new(now),
@@ -93,43 +93,43 @@
     /// sheds submissions. The call also counts the submission for the turns of all lanes.
     pub(super) fn takes_lane_turn(&self, lanes: &Lanes, lane: Option<LaneId>) -> bool {
         let mut turns = self.lane_turns.borrow_mut();
-        let jumps = lane.filter(|id| turns.entry(*id).or_default().allows(true));
+        let admitted = lane.filter(|id| turns.entry(*id).or_default().allows(true));
         for (id, lane) in lanes.iter() {
             let turn = turns.entry(id).or_default();
-            turn.taken(lane.bound, jumps == Some(id));
+            turn.taken(lane.bound, admitted == Some(id));
         }
-        jumps.is_some()
+        admitted.is_some()
     }
 
     /// Returns whether the controller refuses a poll for now; see
     /// [`sorrelhinge_overload::poll_shedding`].
     pub(super) fn refuses_poll(&self, poll: Poll<'_>, now: Time) -> bool {
-        self.asked.borrow_mut().poll(poll, now) == Verdict::Refuse
+        self.poll_shedding.borrow_mut().poll(poll, now) == Verdict::Refuse
     }
 
     /// Records that a poll for a job was answered. `known` says whether the job is
     /// recorded.
     pub(super) fn poll_answered(&self, job: &JobId, known: bool, now: Time) {
-        self.asked.borrow_mut().answered(job, known, now);
+        self.poll_shedding.borrow_mut().answered(job, known, now);
     }
 
     /// Records that a poll for a job could not be answered. `known` says whether the job is
     /// recorded.
     pub(super) fn poll_failed(&self, job: &JobId, known: bool, now: Time) {
-        self.asked.borrow_mut().failed(job, known, now);
+        self.poll_shedding.borrow_mut().failed(job, known, now);
     }
 
     /// Removes an ended job from the poll history, because polls for it cost nothing from
     /// now on.
-    pub(super) fn job_over(&self, job: &JobId) {
-        self.asked.borrow_mut().over(job);
+    pub(super) fn job_ended(&self, job: &JobId) {
+        self.poll_shedding.borrow_mut().over(job);
     }
 
     /// Starts forwarding a poll, which counts until the result is dropped. Returns `None`
     /// during the backoff or if too many forwarded polls are in flight.
     pub(super) fn begin_forwarded_query(&self) -> Option<ForwardedQuery<'_>> {
-        let stays = Instant::now() < self.queries_stay_local_until.get();
-        if stays || self.forwarded_queries.get() >= MAX_FORWARDED_QUERIES {
+        let backing_off = Instant::now() < self.queries_stay_local_until.get();
+        if backing_off || self.forwarded_queries.get() >= MAX_FORWARDED_QUERIES {
             return None;
         }
         Some(ForwardedQuery::new(&self.forwarded_queries))
--- a/src/control/load_log.rs
+++ b/src/control/load_log.rs
@@ -37,10 +37,10 @@
 
     /// Writes the counts since the last log line, and resets the counters.
     pub(super) fn write(&mut self, node: &Node, sample: Sample) {
-        let over_s = self.written_at.elapsed().as_secs_f64();
-        let over_s = over_s.max(MIN_ELAPSED_S);
+        let elapsed_s = self.written_at.elapsed().as_secs_f64();
+        let elapsed_s = elapsed_s.max(MIN_ELAPSED_S);
         self.written_at = Instant::now();
-        let rate = |cell: &Cell<u64>| (cell.replace(0) as f64 / over_s * 10.0).round() / 10.0;
+        let rate = |cell: &Cell<u64>| (cell.replace(0) as f64 / elapsed_s * 10.0).round() / 10.0;
         let counts = &node.load.counts;
         let late = node.connections.late();
         let open = node.connections.open();
@@ -56,7 +56,7 @@
             cancellations = rate(&counts.cancellations),
             renewed = rate(&counts.renewed),
             shed = rate(&counts.shed),
-            duties = (counts.spent.replace(0.0) / over_s * 100.0).round() / 100.0,
+            duties = (counts.spent.replace(0.0) / elapsed_s * 100.0).round() / 100.0,
             longest_s = (counts.longest.replace(0.0) * 100.0).round() / 100.0,
             late = late - self.late_before,
             spread = node.load.offload_share(),
--- a/src/control/status_queries.rs
+++ b/src/control/status_queries.rs
@@ -67,7 +67,7 @@
     }
 
     /// Returns whether a job is known to have ended.
-    fn is_over(&self, id: &JobId) -> bool {
+    fn has_ended(&self, id: &JobId) -> bool {
         self.final_summary(id).is_some()
     }
 
@@ -77,12 +77,12 @@
     }
 
     /// Returns the current state of a job, or [`JobStatus::Unconfirmed`] if no read
-    /// succeeds within `patience`.
-    async fn status_within(&self, id: &JobId, patience: Duration) -> JobStatus {
+    /// succeeds within `timeout`.
+    async fn status_within(&self, id: &JobId, timeout: Duration) -> JobStatus {
         if let Some(summary) = self.final_summary(id) {
             return JobStatus::Recorded(summary);
         }
-        if !self.fresh_within(patience).await {
+        if !self.fresh_within(timeout).await {
             return JobStatus::Unconfirmed;
         }
         let summary = self.store.view().summary(id);
@@ -104,8 +104,8 @@
     /// Returns whether the controller sheds this poll because of the load; see
     /// [`sorrelhinge_overload::poll_shedding`].
     pub fn sheds_poll(&self, id: &JobId) -> bool {
-        if self.is_over(id) {
-            self.admission.job_over(id);
+        if self.has_ended(id) {
+            self.admission.job_ended(id);
             return false;
         }
         let poll = Poll {
@@ -118,8 +118,8 @@
 
     /// Records whether a user's request about a job could be answered.
     pub fn record_answer(&self, id: &JobId, answered: bool) {
-        if self.is_over(id) {
-            return self.admission.job_over(id);
+        if self.has_ended(id) {
+            return self.admission.job_ended(id);
         }
         let known = self.store.view().job(id).is_some();
         if answered {
@@ -138,23 +138,23 @@
     /// so the read contains it. If this controller learns the job's final state while it
     /// waits, that state takes precedence.
     pub async fn poll(&self, id: &JobId) -> Polled {
-        let end = Instant::now() + ANSWER_DEADLINE;
+        let deadline = Instant::now() + ANSWER_DEADLINE;
         if self.cut_off() {
-            if let Some(polled) = self.poll_peers(id, end).await {
+            if let Some(polled) = self.poll_peers(id, deadline).await {
                 return polled;
             }
         }
-        let left = || end.saturating_duration_since(Instant::now());
-        let patience = if self.store.last_refresh_succeeded() {
+        let left = || deadline.saturating_duration_since(Instant::now());
+        let timeout = if self.store.last_refresh_succeeded() {
             LOCAL_QUERY_TIMEOUT
         } else {
             LOCAL_RETRY_TIMEOUT
         };
-        let status = self.status_within(id, left().min(patience)).await;
+        let status = self.status_within(id, left().min(timeout)).await;
         if status.is_confirmed() {
             return Polled::Local(status);
         }
-        if let Some(polled) = self.poll_peers(id, end).await {
+        if let Some(polled) = self.poll_peers(id, deadline).await {
             return polled;
         }
         // No other controller can answer, so spend the time left on another try here.
@@ -166,21 +166,21 @@
         self.status_within(id, LOCAL_QUERY_TIMEOUT).await
     }
 
-    async fn poll_peers(&self, id: &JobId, end: Instant) -> Option<Polled> {
-        let _passed = self.admission.begin_forwarded_query()?;
+    async fn poll_peers(&self, id: &JobId, deadline: Instant) -> Option<Polled> {
+        let _in_flight = self.admission.begin_forwarded_query()?;
         for other in self.peers_answering_polls(id).iter().take(2) {
-            let left = end.saturating_duration_since(Instant::now());
+            let left = deadline.saturating_duration_since(Instant::now());
             if left < MIN_REMOTE_TIMEOUT {
                 return None;
             }
             let text = id.as_str().as_bytes().to_vec();
-            let asked = self.peers.forward_within(
+            let request = self.peers.forward_within(
                 other,
                 peer_link::Kind::Poll,
                 text,
                 left.min(REMOTE_QUERY_TIMEOUT),
             );
-            let answered = asked.await;
+            let answered = request.await;
             if let Some(summary) = self.final_summary(id) {
                 return Some(Polled::Local(JobStatus::Recorded(summary)));
             }
@@ -203,12 +203,12 @@
     /// job, and the leader comes last because it has the highest load.
     fn peers_answering_polls(&self, id: &JobId) -> Vec<NodeId> {
         let leader = self.store.view().leader.value.clone().map(|l| l.node);
-        let knows = |n: &&NodeId| self.peer_statuses.answers_polls(n);
-        let mut others: Vec<NodeId> = self.peers.reachable().filter(knows).cloned().collect();
+        let answers = |n: &&NodeId| self.peer_statuses.answers_polls(n);
+        let mut others: Vec<NodeId> = self.peers.reachable().filter(answers).cloned().collect();
         others.sort();
         if !others.is_empty() {
-            let turn = id.as_str().bytes().map(usize::from).sum::<usize>() % others.len();
-            others.rotate_left(turn);
+            let offset = id.as_str().bytes().map(usize::from).sum::<usize>() % others.len();
+            others.rotate_left(offset);
         }
         others.sort_by_key(|n| Some(n) == leader.as_ref());
         others
--- a/src/control/write_queue.rs
+++ b/src/control/write_queue.rs
@@ -51,7 +51,7 @@
 
 /// Position of a claim in the queue, by priority and then by arrival.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-struct Place {
+struct QueuePosition {
     write_priority: WritePriority,
     number: u64,
 }
@@ -65,8 +65,8 @@
 
 /// Position of a chunk's claim in the queue.
 #[derive(Debug)]
-struct ClaimPlace {
-    place: Place,
+struct QueuedClaim {
+    position: QueuePosition,
     /// Class and team of the job.
     sort: Sort,
 }
@@ -82,15 +82,15 @@
 #[derive(Debug, Default)]
 pub struct Pending {
     /// Claims by priority and then by arrival.
-    claims: BTreeMap<Place, WaitingClaim>,
-    claimed: BTreeMap<ChunkId, ClaimPlace>,
+    claims: BTreeMap<QueuePosition, WaitingClaim>,
+    claimed: BTreeMap<ChunkId, QueuedClaim>,
     /// Positions of claims by class and team. Each class and team gets turns once its
     /// claims have waited for [`TURN_AFTER_S`].
-    sorts: BTreeMap<Sort, BTreeSet<Place>>,
+    by_sort: BTreeMap<Sort, BTreeSet<QueuePosition>>,
     turns: Turns<Sort>,
     last_number: u64,
     /// Number of calls of [`Pending::take`], which decides whether a call serves a turn.
-    taken: u64,
+    take_calls: u64,
     /// Finished jobs with the time since when they wait. Jobs of idle priority come last.
     finished: BTreeMap<FinishedJob, Time>,
     /// Whether the last urgent write that was taken is a claim.
@@ -120,7 +120,7 @@
         self.results.remove(&chunk);
         if !self.claimed.contains_key(&chunk) {
             self.last_number += 1;
-            let place = Place {
+            let position = QueuePosition {
                 write_priority,
                 number: self.last_number,
             };
@@ -128,9 +128,12 @@
                 chunk: chunk.clone(),
                 since: now,
             };
-            self.claims.insert(place, claim);
-            self.sorts.entry(sort.clone()).or_default().insert(place);
-            self.claimed.insert(chunk, ClaimPlace { place, sort });
+            self.claims.insert(position, claim);
+            self.by_sort
+                .entry(sort.clone())
+                .or_default()
+                .insert(position);
+            self.claimed.insert(chunk, QueuedClaim { position, sort });
         }
     }
 
@@ -174,14 +177,14 @@
     }
 
     fn remove_claim(&mut self, chunk: &ChunkId) -> bool {
-        let Some(ClaimPlace { place, sort }) = self.claimed.remove(chunk) else {
+        let Some(QueuedClaim { position, sort }) = self.claimed.remove(chunk) else {
             return false;
         };
-        self.claims.remove(&place);
-        if let Some(places) = self.sorts.get_mut(&sort) {
-            places.remove(&place);
-            if places.is_empty() {
-                self.sorts.remove(&sort);
+        self.claims.remove(&position);
+        if let Some(positions) = self.by_sort.get_mut(&sort) {
+            positions.remove(&position);
+            if positions.is_empty() {
+                self.by_sort.remove(&sort);
             }
         }
         true
@@ -191,13 +194,13 @@
     /// waited for at least [`TURN_AFTER_S`].
     fn next_in_turn(&mut self, now: Time) -> Option<ChunkId> {
         let claims = &self.claims;
-        let first = |places: &BTreeSet<Place>| {
-            let claim = claims.get(places.first()?)?;
+        let first = |positions: &BTreeSet<QueuePosition>| {
+            let claim = claims.get(positions.first()?)?;
             (now.since(claim.since) >= TURN_AFTER_S).then(|| claim.chunk.clone())
         };
-        let waiting = self.sorts.iter().filter(|(_, p)| first(p).is_some());
+        let waiting = self.by_sort.iter().filter(|(_, p)| first(p).is_some());
         let sort = self.turns.next(waiting.map(|(sort, _)| sort))?;
-        first(self.sorts.get(&sort)?)
+        first(self.by_sort.get(&sort)?)
     }
 
     /// Removes and returns the job that has been done for longest, if its users have waited
@@ -228,13 +231,13 @@
     pub fn take(&mut self, spare: bool, now: Time) -> Option<PendingWrite> {
         // The most urgent write usually goes first, but overdue writes get a share of the
         // turns.
-        self.taken += 1;
-        if self.taken % SERVED_PER_DONE_JOB == 0 {
+        self.take_calls += 1;
+        if self.take_calls % SERVED_PER_DONE_JOB == 0 {
             if let Some(job) = self.take_overdue_job(now) {
                 return Some(PendingWrite::Finished(job));
             }
         }
-        if self.taken % SERVED_PER_TURN == 1 {
+        if self.take_calls % SERVED_PER_TURN == 1 {
             if let Some(chunk) = self.next_in_turn(now) {
                 self.remove_claim(&chunk);
                 return Some(PendingWrite::Chunk(chunk));
@@ -250,7 +253,7 @@
         let awaited = self
             .claims
             .first_key_value()
-            .is_some_and(|(place, _)| place.write_priority == WritePriority::Awaited);
+            .is_some_and(|(position, _)| position.write_priority == WritePriority::Awaited);
         let turn = awaited || !self.last_was_claim || self.finished.is_empty();
         let first = turn.then(|| self.claims.first_key_value()).flatten();
         if let Some(chunk) = first.map(|(_, claim)| claim.chunk.clone()) {
