--- a/src/control/cloud_duties.rs
+++ b/src/control/cloud_duties.rs
@@ -166,7 +166,7 @@
                 Ok(machines)
             }
             Err(error) => {
-                tracing::info!(request_id = rental.request_id, kind = %rental.machine_type, zone = %rental.zone, spot = rental.spot, %error, "rental refused");
+                tracing::info!(request_id = rental.request_id, kind = %rental.machine_type, zone = %rental.zone, spot = rental.spot, %error, "rental failed");
                 Err(error)
             }
         };
--- a/src/control/load_monitor.rs
+++ b/src/control/load_monitor.rs
@@ -125,7 +125,7 @@
         if known {
             self.peer_statuses.record(node, announcement, flags);
             if flags & peer_link::LIMITS_FELL != 0 && self.state.note_lower_limits() {
-                tracing::info!(by = %node, "store write rate lowered, as another controller found");
+                tracing::info!(by = %node, "store write rate lowered on the hint of another controller");
                 self.set_share();
             }
         }
--- a/src/control/submissions.rs
+++ b/src/control/submissions.rs
@@ -158,7 +158,7 @@
                 JobStatus::Absent | JobStatus::Unconfirmed => Err(SubmitError::Unavailable),
             },
             Err(error) => {
-                tracing::debug!(job = %id, %error, "submission not recorded");
+                tracing::debug!(job = %id, %error, "submission write failed");
                 Err(SubmitError::Unavailable)
             }
         }
