--- a/src/control/cloud_duties.rs
+++ b/src/control/cloud_duties.rs
@@ -22,7 +22,7 @@
 /// Lower bound of the minimum pause between two list requests, in seconds.
 const LIST_PAUSE_FLOOR_S: f64 = 1.0;
 /// Upper bound of the minimum pause between two list requests, in seconds. The minimum
-/// pause follows the lag of the list within these two bounds.
+/// pause is half the lag of the list, within these two bounds.
 const LIST_PAUSE_CEILING_S: f64 = 5.0;
 /// Interval between two reads of the machine types. Prices change; the other properties
 /// hardly do.
--- a/src/control/heartbeat_routing.rs
+++ b/src/control/heartbeat_routing.rs
@@ -95,8 +95,8 @@
         self.dismissed_workers.borrow_mut().clear();
     }
 
-    /// Redirects a worker of this controller to `helper`. Returns false if the
-    /// worker was redirected lately and has come back; its heartbeats are then taken here.
+    /// Redirects a worker of this controller to `helper`. Returns false if the worker was
+    /// redirected lately and has come back; this controller then keeps its heartbeats.
     pub(super) fn redirect_to_helper(&self, machine: &MachineId, helper: &NodeId) -> bool {
         let now = Instant::now();
         let mut redirected_agents = self.redirected_agents.borrow_mut();
@@ -170,7 +170,8 @@
         by_owner.entry(owner).or_default().push(heartbeat);
     }
 
-    /// Takes the queued heartbeats of each owner since the last call.
+    /// Removes and returns the heartbeats that were queued for each owner since the last
+    /// call.
     pub(super) fn take_answered_for(&self) -> HashMap<NodeId, Vec<ForwardedHeartbeat>> {
         self.heartbeats_for_owners.take()
     }
--- a/src/control/heartbeats.rs
+++ b/src/control/heartbeats.rs
@@ -111,8 +111,9 @@
     }
 
     /// Forwards a heartbeat to the owner. If this controller can't reach the owner and
-    /// `allow_relay` is set, it sends the heartbeat to another controller that may reach the owner.
-    /// If two of three zones are partitioned from each other, the third can still relay.
+    /// `allow_relay` is set, it sends the heartbeat to another controller that may reach
+    /// the owner. If two of three zones are partitioned from each other, the third can
+    /// still relay.
     pub(super) async fn forward_heartbeat(
         &self,
         owner: &NodeId,
@@ -163,10 +164,10 @@
     }
 
     /// Returns whether a submission or cancellation that could not be decided here is
-    /// forwarded. Hints from other controllers show that they are served only when a record
-    /// changes. While none changed, a controller that the state service alone refused used
-    /// to reject every request. So a failed request to the state service is reason enough
-    /// to forward, unless no other controller could help a moment ago.
+    /// forwarded. Without changes of the records, hints don't show whether the state
+    /// service serves other controllers. A controller that the state service refused alone
+    /// then rejected every request. So a failed request to the state service is reason
+    /// enough to forward, unless no other controller could help a moment ago.
     pub fn forwards(&self) -> bool {
         let others_may = self.admission.may_forward_changes();
         self.cut_off() || self.state.fails() && others_may
--- a/src/control/recording.rs
+++ b/src/control/recording.rs
@@ -33,7 +33,7 @@
     pub(super) async fn pump(self: Rc<Self>) {
         let mut last = ShardId(0);
         loop {
-            // The timeout records writes that are not urgent.
+            // The timeout lets writes that are not urgent be recorded now and then.
             self.wakeups.recording_woken(TICK).await;
             while let Some(next) = self.next_shard_batch(last) {
                 last = next.shard;
