--- a/src/control/load_counts.rs
+++ b/src/control/load_counts.rs
@@ -16,11 +16,11 @@
     /// Cancellations that users sent.
     pub cancellations: Cell<u64>,
     /// Total time spent on duties over the whole fleet, in seconds.
-    pub spent: Cell<f64>,
+    pub duty_s: Cell<f64>,
     /// Leases renewed on behalf of owners that were overloaded or absent.
     pub renewed: Cell<u64>,
     /// Longest time that one duty over the whole fleet took, in seconds.
-    pub longest: Cell<f64>,
+    pub longest_duty_s: Cell<f64>,
     /// Requests answered with 503 because of the load.
     pub shed: Cell<u64>,
 }
@@ -28,8 +28,9 @@
 impl Counts {
     /// Records a duty over the whole fleet that took `cost_s` seconds.
     pub(super) fn duty_took(&self, cost_s: f64) {
-        self.spent.set(self.spent.get() + cost_s);
-        self.longest.set(self.longest.get().max(cost_s));
+        self.duty_s.set(self.duty_s.get() + cost_s);
+        self.longest_duty_s
+            .set(self.longest_duty_s.get().max(cost_s));
     }
 }
 
