--- a/src/control/load_log.rs
+++ b/src/control/load_log.rs
@@ -1,4 +1,4 @@
-//! The line of the log that shows the load, every few seconds.
+//! Periodic log line that shows the load.
 
 use std::cell::Cell;
 use std::time::Duration;
@@ -8,20 +8,21 @@
 
 use super::Node;
 
-/// How often the load is logged.
+/// Interval between two log lines, unless the shedding level changes earlier.
 const LOG_INTERVAL: Duration = Duration::from_secs(10);
-/// Shorter times between two measurements, in seconds, are not divided by.
+/// Lower bound of the time between two measurements, in seconds. Rates are never divided by
+/// a shorter time.
 pub(super) const MIN_ELAPSED_S: f64 = 1e-3;
 
-/// When the load was last logged, and what had been counted by then.
+/// Time of the last log line, and counters at that time.
 pub(super) struct LoadLog {
     written_at: Instant,
-    /// Requests that were answered late, when it was last written.
+    /// Total number of late answers at the time of the last log line.
     late_before: u64,
 }
 
 impl LoadLog {
-    /// Written just now.
+    /// Creates a log whose next line is due after a full interval.
     pub(super) fn new() -> Self {
         Self {
             written_at: Instant::now(),
@@ -29,17 +30,17 @@
         }
     }
 
-    /// Whether the line is to be written again.
+    /// Returns whether the next log line is due.
     pub(super) fn is_due(&self) -> bool {
         self.written_at.elapsed() >= LOG_INTERVAL
     }
 
-    /// Writes what was counted since the last time, and starts to count anew.
+    /// Writes the counts since the last log line, and resets the counters.
     pub(super) fn write(&mut self, node: &Node, sample: Sample) {
-        let over_s = self.written_at.elapsed().as_secs_f64();
-        let over_s = over_s.max(MIN_ELAPSED_S);
+        let elapsed_s = self.written_at.elapsed().as_secs_f64();
+        let elapsed_s = elapsed_s.max(MIN_ELAPSED_S);
         self.written_at = Instant::now();
-        let rate = |cell: &Cell<u64>| (cell.replace(0) as f64 / over_s * 10.0).round() / 10.0;
+        let rate = |cell: &Cell<u64>| (cell.replace(0) as f64 / elapsed_s * 10.0).round() / 10.0;
         let counts = &node.load.counts;
         let late = node.connections.late();
         let open = node.connections.open();
@@ -55,8 +56,8 @@
             cancellations = rate(&counts.cancellations),
             renewed = rate(&counts.renewed),
             shed = rate(&counts.shed),
-            duties = (counts.spent.replace(0.0) / over_s * 100.0).round() / 100.0,
-            longest_s = (counts.longest.replace(0.0) * 100.0).round() / 100.0,
+            duties = (counts.duty_s.replace(0.0) / elapsed_s * 100.0).round() / 100.0,
+            longest_s = (counts.longest_duty_s.replace(0.0) * 100.0).round() / 100.0,
             late = late - self.late_before,
             spread = node.load.offload_share(),
             relief = node.load.asks_for_relief(),
