--- a/src/control/core/agent.rs
+++ b/src/control/core/agent.rs
@@ -1,4 +1,4 @@
-//! What an owner knows of one worker.
+//! State that a shard owner keeps of one agent.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -12,54 +12,56 @@
 use crate::agent_client::{Command, DirectCommands, Heartbeat, ReportedImage, ReportedTask};
 use crate::types::{FencingToken, Incarnation, SequenceNumber, Time};
 
-/// What a heartbeat shows that the one before it did not.
+/// Differences between a heartbeat and the one before it.
 pub(super) struct HeartbeatNews {
-    /// The worker's incarnation ended, and all its tasks with it.
+    /// The agent's incarnation ended, and all tasks of that incarnation ended with it.
     pub(super) incarnation_ended: bool,
-    /// The worker has another address.
+    /// The agent's address changed.
     pub(super) moved: bool,
 }
 
-/// What is known of one worker.
+/// State of one machine's agent, as its heartbeats and the answers to its commands show it.
 #[derive(Debug)]
 pub(super) struct AgentState {
-    /// Where its worker listens.
+    /// Address on which the agent listens.
     pub(super) addr: SocketAddr,
-    /// The incarnation, and the number in it, of its last heartbeat.
+    /// Incarnation of the last heartbeat. `sequence` is the heartbeat's number in it.
     incarnation: Incarnation,
     sequence: SequenceNumber,
-    /// The fencing token that commands to this machine carry now.
+    /// Fencing token that commands to this machine carry now.
     pub(super) fencing_token: FencingToken,
-    /// The highest fencing token that the worker has reported.
+    /// Highest fencing token that the agent has reported.
     seen: FencingToken,
-    /// When its last heartbeat came, to this controller or, as a hint, to another one.
+    /// Time of the last heartbeat, received by this controller or, as a hint, by another one.
     last_contact: Time,
-    /// The newest heartbeat that another controller spoke of.
+    /// Sequence number of the newest heartbeat that another controller mentioned.
     relayed_sequence: SequenceNumber,
-    /// Whether anything that is sent there has an effect.
+    /// Evidence that commands to this machine take effect.
     pub(super) reachability: Reachability,
-    /// What its last heartbeat said of its tasks.
+    /// Tasks in the last heartbeat.
     pub(super) tasks: BTreeMap<TaskAttempt, TaskStatus>,
-    /// Whether direct commands get through.
+    /// State of direct commands to this agent.
     pub(super) direct: DirectLine,
-    /// A direct command failed: no new tasks until a heartbeat shows that one arrived.
+    /// A direct command failed. The machine gets no new tasks until a heartbeat shows that a
+    /// command arrived.
     suspected_one_way: bool,
-    /// Its last heartbeat was passed on by another controller.
+    /// Another controller forwarded the last heartbeat.
     passed: bool,
-    /// The cloud takes it, or it was chosen to go.
+    /// The cloud is about to preempt the machine, or the owner chose to return it.
     leaving: bool,
-    /// Being deleted: nothing may count on it again.
+    /// The machine is being deleted, so nothing may rely on it again.
     deleting: bool,
-    /// Jobs that failed here.
+    /// Jobs that failed on this machine.
     pub(super) failed_jobs: FailedJobs,
-    /// What it was sent the command to stop.
+    /// Stop commands that were sent to the agent.
     pub(super) sent_kills: SentKills,
-    /// Images that it said it hands on.
+    /// Images that the agent offers to other machines.
     pub(super) images: Vec<ReportedImage>,
 }
 
 impl AgentState {
-    /// Of a machine that has sent no heartbeat yet. `fencing_token`: the grant's lowest one.
+    /// Returns the state of an agent that has sent no heartbeat yet. `fencing_token` is the
+    /// lowest one of the grant.
     pub(super) fn new(addr: SocketAddr, fencing_token: FencingToken, now: Time) -> Self {
         Self {
             addr,
@@ -82,7 +84,7 @@
         }
     }
 
-    /// Takes in what a heartbeat says of its tasks; one whose name can't be read is left out.
+    /// Replaces the tasks by those of a heartbeat. Tasks with an unreadable name are skipped.
     fn set_tasks(&mut self, reported: &[ReportedTask]) {
         let tasks = reported.iter().filter_map(|reported| {
             let key = TaskAttempt {
@@ -98,7 +100,7 @@
         self.tasks = tasks.collect();
     }
 
-    /// Takes in a heartbeat that is newer than the last one.
+    /// Applies a heartbeat that is newer than the last one.
     pub(super) fn take_in(
         &mut self,
         heartbeat: &Heartbeat,
@@ -120,9 +122,9 @@
         self.relayed_sequence = SequenceNumber(0);
         self.direct.contact_confirmed();
         self.passed = source == Source::Passed;
-        // Only what comes from the worker itself shows that there is a way. Heartbeats
-        // that others took did too once: while the owner was cut off from all
-        // workers, commands were tried directly after each of them.
+        // Only a heartbeat that the agent itself sent here shows that the network path works.
+        // Heartbeats received by other controllers once counted too. While the owner was cut
+        // off from all agents, it then retried direct commands after each of them.
         if source == Source::Heartbeat {
             self.direct.reported(now);
         }
@@ -131,8 +133,8 @@
         }
         self.set_tasks(&heartbeat.tasks);
         self.images.clone_from(&heartbeat.images);
-        // That it heartbeats is no sign that commands reach it: each heartbeat made a machine
-        // usable again that no command reached.
+        // A heartbeat is no evidence that commands reach the agent. Counting heartbeats as such
+        // made an unreachable machine usable again at each of them.
         self.reachability.reported(now);
         if took_up {
             self.reachability.proved(now);
@@ -140,13 +142,13 @@
         news
     }
 
-    /// Whether a heartbeat is not newer than the last one.
+    /// Returns whether a heartbeat is not newer than the last one.
     pub(super) fn is_copy(&self, heartbeat: &Heartbeat) -> bool {
         (heartbeat.incarnation, heartbeat.sequence) <= (self.incarnation, self.sequence)
     }
 
-    /// Another controller received its heartbeat. Each counts once: relayed again and again, a
-    /// copy kept a dead machine alive.
+    /// Records that another controller received a heartbeat of this agent. Each heartbeat
+    /// counts once: a copy that was relayed again and again made a dead machine look up.
     pub(super) fn relayed_contact(
         &mut self,
         incarnation: Incarnation,
@@ -160,14 +162,15 @@
         }
     }
 
-    /// Whether its starts go in the answers to its heartbeats: direct commands don't get there
-    /// for now.
+    /// Returns whether start commands go in the answers to the agent's heartbeats because
+    /// direct commands don't reach it for now.
     pub(super) fn takes_starts_in_replies(&self, now: Time) -> bool {
         let pauses = self.direct.is_failing() && now < self.direct.retry_at();
         !self.direct.is_in_flight() && (self.passed || pauses)
     }
 
-    /// Direct commands for the incarnation that reported last, under the present fencing token.
+    /// Returns direct commands for the incarnation that reported last, under the current
+    /// fencing token.
     pub(super) fn commands(&self, commands: Vec<Command>) -> DirectCommands {
         DirectCommands {
             fencing_token: self.fencing_token,
@@ -176,87 +179,90 @@
         }
     }
 
-    /// Seconds since its last heartbeat came here or, as a hint, to another controller.
+    /// Returns the seconds since the last heartbeat, received here or, as a hint, by another
+    /// controller.
     pub(super) fn silence_s(&self, now: Time) -> f64 {
         now.since(self.last_contact)
     }
 
-    /// Whether a direct command failed, and no heartbeat shows yet that one arrived.
+    /// Returns whether a direct command failed and no heartbeat has shown since that one
+    /// arrived.
     pub(super) fn is_suspected_one_way(&self) -> bool {
         self.suspected_one_way
     }
 
-    /// Whether its last heartbeat was passed on by another controller.
+    /// Returns whether another controller forwarded the last heartbeat.
     pub(super) fn is_passed_on(&self) -> bool {
         self.passed
     }
 
-    /// Whether its machine is given back, or the cloud takes it.
+    /// Returns whether the owner returns the machine, or the cloud preempts it.
     pub(super) fn is_leaving(&self) -> bool {
         self.leaving
     }
 
-    /// Its machine is given back once it is empty.
+    /// Marks the machine to be returned to the cloud once it is empty.
     pub(super) fn leave(&mut self) {
         self.leaving = true;
     }
 
-    /// Whether its machine is being deleted.
+    /// Returns whether the machine is being deleted.
     pub(super) fn is_deleting(&self) -> bool {
         self.deleting
     }
 
-    /// Its machine is to be deleted from now on.
+    /// Marks the machine as being deleted.
     pub(super) fn begin_deletion(&mut self) {
         self.deleting = true;
     }
 
-    /// It has reported the present fencing token, and is no longer doubted unless nothing
-    /// that is sent there has an effect.
+    /// Records that the agent reported the current fencing token. The agent is no longer
+    /// suspected unless nothing that is sent to it takes effect.
     pub(super) fn reported_fencing_token(&mut self) {
         self.suspected_one_way = self.reachability.in_doubt();
         if self.suspected_one_way {
-            // It has the present fencing token and does nothing: a higher one has
-            // to be taken up before anything more goes there.
+            // The agent has the current fencing token but executes nothing. It has to adopt a
+            // higher token before it gets more commands.
             self.raise_fencing_token();
         }
     }
 
-    /// It carried a direct command out.
+    /// Records that the agent executed a direct command.
     pub(super) fn command_executed(&mut self, now: Time) {
         self.direct.executed(now);
         self.reachability.proved(now);
         self.passed = false;
     }
 
-    /// It answered that it did not carry a direct command out.
+    /// Records that the agent refused a direct command.
     pub(super) fn command_refused(&mut self, now: Time) {
         self.direct.refused(now);
         self.reachability.proved(now);
     }
 
-    /// A direct command may have reached it, and no answer came.
+    /// Records that a direct command may have reached the agent but got no answer.
     pub(super) fn command_unanswered(&mut self, now: Time) {
         self.direct.failed(true, now);
         self.raise_fencing_token();
     }
 
-    /// A direct command did not get through, or no answer to it: it is in doubt.
+    /// Records that a direct command or its answer was lost. The machine is suspected from then
+    /// on.
     pub(super) fn command_failed(&mut self, now: Time) {
         self.suspected_one_way = true;
-        // Its heartbeats have to show the fencing token.
+        // The next heartbeats have to show the fencing token.
         if !self.fenced() {
             self.reachability.asked(now);
         }
     }
 
-    /// Fences all commands that were sent to it so far.
+    /// Fences all commands that were sent to the agent so far.
     pub(super) fn raise_fencing_token(&mut self) {
         self.fencing_token = self.fencing_token.raised();
     }
 
-    /// Whether the last heartbeat was made after the worker had learnt the fencing token
-    /// that now fences every earlier command to it.
+    /// Returns whether the agent created its last heartbeat after it had received the fencing
+    /// token that now fences all earlier commands to it.
     pub(super) fn fenced(&self) -> bool {
         self.seen >= self.fencing_token
     }
--- a/src/control/core/agent_table.rs
+++ b/src/control/core/agent_table.rs
@@ -1,4 +1,4 @@
-//! The states of all agents that are up, by the names of their machines.
+//! States of all agents whose machines are up, by machine name.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -6,85 +6,90 @@
 use super::agent::AgentState;
 use crate::types::{JobId, MachineId, Time};
 
-/// The states of the agents of all machines that are up.
+/// States of all agents whose machines are up, by machine name.
 #[derive(Default)]
 pub(super) struct AgentTable {
     agents: BTreeMap<MachineId, AgentState>,
 }
 
 impl AgentTable {
-    /// An agent's state; none: its machine is not up, as far as is known.
+    /// Returns the state of a machine's agent. Returns `None` if the machine is not known to be
+    /// up.
     pub(super) fn get(&self, id: &MachineId) -> Option<&AgentState> {
         self.agents.get(id)
     }
 
-    /// The same, to be changed.
+    /// Returns the mutable state of a machine's agent. Returns `None` if the machine is not
+    /// known to be up.
     pub(super) fn get_mut(&mut self, id: &MachineId) -> Option<&mut AgentState> {
         self.agents.get_mut(id)
     }
 
-    /// Whether a machine is up.
+    /// Returns whether a machine is up.
     pub(super) fn contains(&self, id: &MachineId) -> bool {
         self.agents.contains_key(id)
     }
 
-    /// How many machines are up.
+    /// Returns the number of machines that are up.
     pub(super) fn len(&self) -> usize {
         self.agents.len()
     }
 
-    /// The names of all machines that are up, in their order.
+    /// Returns the names of all machines that are up, in ascending order.
     pub(super) fn ids(&self) -> impl Iterator<Item = &MachineId> {
         self.agents.keys()
     }
 
-    /// All states, by name, to be changed.
+    /// Returns all states for changes, in the order of the machine names.
     pub(super) fn iter_mut(&mut self) -> impl Iterator<Item = (&MachineId, &mut AgentState)> {
         self.agents.iter_mut()
     }
 
-    /// A machine came up.
+    /// Adds the agent of a machine that came up.
     pub(super) fn came_up(&mut self, id: MachineId, agent: AgentState) {
         self.agents.insert(id, agent);
     }
 
-    /// A machine was deleted.
+    /// Removes the agent of a deleted machine.
     pub(super) fn deleted(&mut self, id: &MachineId) {
         self.agents.remove(id);
     }
 
-    /// Where an agent listens.
+    /// Returns the address on which an agent listens.
     pub(super) fn addr(&self, id: &MachineId) -> Option<SocketAddr> {
         self.agents.get(id).map(|agent| agent.addr)
     }
 
-    /// How many agents have not reported their present fencing token.
+    /// Returns the number of agents that have not reported their current fencing token.
     pub(super) fn count_unfenced(&self) -> usize {
         let unfenced = self.agents.values().filter(|agent| !agent.fenced());
         unfenced.count()
     }
 
-    /// Whether an agent of a machine that stays has not reported its present fencing token.
+    /// Returns whether any agent has not reported its current fencing token. Machines that are
+    /// being deleted don't count.
     pub(super) fn any_staying_unfenced(&self) -> bool {
         let mut agents = self.agents.values();
         agents.any(|agent| !agent.fenced() && !agent.is_deleting())
     }
 
-    /// Whether more than half of all agents sent a heartbeat in the last `limit_s` seconds.
+    /// Returns whether more than half of all agents sent a heartbeat in the last `limit_s`
+    /// seconds.
     pub(super) fn most_reported_within(&self, limit_s: f64, now: Time) -> bool {
         let agents = self.agents.values();
         let reported = agents.filter(|agent| agent.silence_s(now) < limit_s);
         reported.count() * 2 > self.agents.len()
     }
 
-    /// Whether it is in doubt of more than half of all agents that commands reach them.
+    /// Returns whether more than half of all agents may be unreachable for commands.
     pub(super) fn most_in_doubt(&self) -> bool {
         let agents = self.agents.values();
         let in_doubt = agents.filter(|agent| agent.reachability.in_doubt());
         in_doubt.count() * 2 > self.agents.len()
     }
 
-    /// Machines that stay and that no command has reached for `patience_s` seconds, by name.
+    /// Returns the names of machines that no command has reached for `patience_s` seconds, in
+    /// ascending order. Machines that are being deleted are left out.
     pub(super) fn unreachable(&self, patience_s: f64, now: Time) -> Vec<MachineId> {
         let is_unreachable = |agent: &AgentState| {
             !agent.is_deleting() && agent.reachability.is_unreachable(patience_s, now)
@@ -94,7 +99,7 @@
         unreachable.map(|(id, _)| id.clone()).collect()
     }
 
-    /// A job's failures are held against no machine any more.
+    /// Discards a job's failures on all machines.
     pub(super) fn forgive(&mut self, job: &JobId) {
         for agent in self.agents.values_mut() {
             agent.failed_jobs.forgive(job);
--- a/src/control/core/agents.rs
+++ b/src/control/core/agents.rs
@@ -1,4 +1,4 @@
-//! What a machine's first heartbeat adds, and which machines can be used.
+//! Adds machines on their first heartbeat, and decides which machines are usable.
 
 use std::rc::Rc;
 
@@ -13,45 +13,47 @@
 use crate::state::history::CachedImage;
 use crate::types::{Kind, MachineId, MachineType, Time};
 
-/// A machine with tasks that is silent for this many heartbeat intervals is asked
-/// directly. One that takes the connection and does not answer hangs, and its
-/// tasks with it, while one that can't be reached may only be cut off.
+/// Number of heartbeat intervals of silence after which the owner sends a direct command to a
+/// machine with tasks. An agent that accepts the connection and does not answer hangs, and its
+/// tasks hang with it. An agent that can't be reached may only be cut off.
 const SUSPECT_HEARTBEATS: f64 = 1.6;
-/// But not before this, in seconds: anything may stand still for a moment.
+/// Shortest silence before the owner contacts a machine, in seconds. Any process may stall for
+/// a moment.
 const SUSPECT_LEAST_S: f64 = 5.0;
-/// A machine that is silent for so many heartbeat intervals, and so many seconds more, gets
-/// no new tasks.
+/// Silence after which a machine gets no new tasks, in heartbeat intervals
+/// (`SILENT_HEARTBEATS`) plus seconds (`SILENT_S`).
 const SILENT_HEARTBEATS: f64 = 2.5;
 const SILENT_S: f64 = 1.0;
 
-/// How far a machine can be used, by what its agent reported.
+/// Usability of a machine, derived from its agent's reports.
 struct AgentUsability {
-    /// Tasks may be placed there.
+    /// The owner may place tasks on the machine.
     usable: bool,
-    /// Commands go there only in replies to its heartbeats.
+    /// Commands reach the machine only in the answers to its heartbeats.
     slow: bool,
-    /// Its last heartbeat came too long ago.
+    /// The last heartbeat is too old.
     silent: bool,
-    /// It is given back, or the cloud takes it.
+    /// The owner returns or deletes the machine, or the cloud preempts it.
     leaving: bool,
-    /// A direct command failed, and no heartbeat shows yet what reached it.
+    /// A direct command failed, and no heartbeat has shown yet what reached the agent.
     suspected_one_way: bool,
-    /// An operator drains it.
+    /// An operator drains the machine.
     draining: bool,
 }
 
 impl Core {
-    /// The cloud's machine types.
+    /// Replaces the cloud's machine types.
     pub fn set_types(&mut self, types: &[MachineType]) {
         self.types = MachineTypes::new(types);
     }
 
-    /// Whether the machine types are known.
+    /// Returns whether the cloud's machine types are known.
     pub fn has_types(&self) -> bool {
         !self.types.is_empty()
     }
 
-    /// The agent of a machine, which is new if it was not known; none: its type is not.
+    /// Returns the agent of a machine and adds the machine if it is new. Returns `None` if a
+    /// new machine's type is unknown.
     pub(super) fn agent(&mut self, seen: &SeenMachine<'_>, now: Time) -> Option<&mut AgentState> {
         if !self.agents.contains(seen.id) {
             let kind = self.types.get(seen.kind)?.clone();
@@ -64,15 +66,16 @@
         self.agents.get_mut(seen.id)
     }
 
-    /// A machine came up: it goes into the cluster state, with what it is known to have
-    /// in its cache.
+    /// Adds a machine that came up to the cluster state, with the images that its cache is
+    /// known to hold.
     fn add_machine(&mut self, seen: &SeenMachine<'_>, kind: Rc<MachineType>, now: Time) {
         let id = seen.id;
         let mut machine = Machine::new(kind, seen.zone.clone(), seen.spot, now);
         for CachedImage { image, gb } in self.failover.take_cached_images(id) {
-            // That a task was placed there proves no fetch of minutes: taken
-            // for one, the next start there named no source, and all that
-            // had waited for their stage went to the origin after a takeover.
+            // A placed task does not prove that a fetch of several minutes finished. When
+            // placement counted as proof, the next start on the machine named no source. After
+            // a takeover, all tasks that waited for their distribution stage then fetched from
+            // the origin.
             let ran = !self.cluster_state.is_distributed(gb);
             machine.cache.touch(&image, gb, machine.kind.cache_gb, ran);
         }
@@ -90,13 +93,13 @@
         }
     }
 
-    /// Whether tasks are claimed on a machine.
+    /// Returns whether any task is claimed on a machine.
     fn has_tasks(&self, id: &MachineId) -> bool {
         let machine = self.cluster_state.machines().get(id);
         machine.is_some_and(|m| !m.claims.is_empty())
     }
 
-    /// Whether tasks of services are on a machine.
+    /// Returns whether any replica of a service is claimed on a machine.
     fn has_replicas(&self, id: &MachineId) -> bool {
         let machine = self.cluster_state.machines().get(id);
         machine.is_some_and(|m| {
@@ -107,9 +110,9 @@
         })
     }
 
-    /// Commands may have to go to a machine. After a takeover thousands are to
-    /// be asked at once, so then those with replicas come first, then those
-    /// with other tasks.
+    /// Queues a machine that may need commands. After a takeover the owner has to contact
+    /// thousands of machines at once. It contacts those with replicas first, then those with
+    /// other tasks, then empty ones.
     pub(super) fn wake(&mut self, id: &MachineId) {
         let order = match self.cluster_state.machines().get(id) {
             Some(m) if self.failover.is_recent() => {
@@ -124,15 +127,15 @@
         self.command_queue.add(id.clone(), order);
     }
 
-    /// Whether nothing speaks against commands reaching a machine.
+    /// Returns whether commands reach a machine as far as is known.
     pub fn is_reachable(&self, id: &MachineId) -> bool {
         self.agents
             .get(id)
             .is_none_or(|l| l.fenced() && !l.reachability.in_doubt())
     }
 
-    /// Looks whether tasks may be placed on a machine, and what becomes of those that are
-    /// there: its agent's reports, or the time, may have changed that.
+    /// Updates whether tasks may be placed on a machine, and what happens to tasks that are
+    /// there. The agent's reports or the passage of time may have changed both.
     pub(super) fn refresh_machine(&mut self, id: &MachineId, now: Time) {
         self.suspect_if_silent(id, now);
         let Some(status) = self.usability(id, now) else {
@@ -145,7 +148,7 @@
         }
     }
 
-    /// A machine with tasks that is silent for long enough is asked directly.
+    /// Queues a machine for a direct command if it has tasks and has been silent for too long.
     fn suspect_if_silent(&mut self, id: &MachineId, now: Time) {
         let Some(agent) = self.agents.get(id) else {
             return;
@@ -161,7 +164,7 @@
         self.wake(id);
     }
 
-    /// How far a machine can be used now.
+    /// Returns how the machine can be used now. Returns `None` if its agent is unknown.
     fn usability(&self, id: &MachineId, now: Time) -> Option<AgentUsability> {
         let agent = self.agents.get(id)?;
         let machine = self.cluster_state.machines().get(id);
@@ -185,7 +188,7 @@
         })
     }
 
-    /// Tells the cluster state, if that has it otherwise.
+    /// Writes the usability to the cluster state if it differs there.
     fn apply_status(&mut self, id: &MachineId, status: &AgentUsability, now: Time) {
         let (usable, slow) = (status.usable, status.slow);
         let known = self.cluster_state.machines().get(id);
@@ -204,13 +207,13 @@
         }
     }
 
-    /// On a machine that can't be used, what was not sent is placed anew; on one that
-    /// leaves, the rest is stopped.
+    /// Releases claims on an unusable machine whose start was not sent, so that their tasks are
+    /// placed elsewhere. If the machine is leaving, its other tasks are stopped.
     fn settle_claims(&mut self, id: &MachineId, leaving: bool, now: Time) {
         for task in self.cluster_state.claims_on(id) {
             let claim = self.cluster_state.claim_of(&task);
             if claim.is_some_and(|c| c.sent == Sent::No) {
-                // It has a better place where commands get through.
+                // The task does better on a machine that commands reach.
                 self.release(&task, now);
                 self.placement_queue.request_full_walk();
             } else if leaving {
--- a/src/control/core/mod.rs
+++ b/src/control/core/mod.rs
@@ -1,36 +1,37 @@
-//! What the owner of the shard knows and decides, without I/O: time, heartbeats
-//! and outcomes come in, transactions, commands and cloud calls go out.
+//! Scheduling core of a shard owner, without I/O. Callers pass in the time, heartbeats and
+//! outcomes. The core returns transactions, commands and cloud calls.
 //!
-//! [`Core`] composes the owners of its state. Each is a struct in a module of its own
-//! whose fields nothing else changes; the methods of `Core`, by subject in the other
-//! modules, are the steps in which several of them take part:
+//! [`Core`] composes structs that each own one part of its state. Each struct is in a module of
+//! its own, and no other code changes its fields. The methods of `Core` are in the other
+//! modules, sorted by subject. They are the steps that involve several of these structs:
 //!
 //! | state | owner | main users |
 //! | --- | --- | --- |
-//! | machines that commands are due to, commands in flight | `command_queue` | `dispatch`, `agents` |
-//! | until when tasks may be started | `start_permission` | `commands` |
-//! | machines to walk for free capacity, one by one or all | `placement_queue` | `placement` |
-//! | time since the failover, what is open from it | `failover` | all |
+//! | machines to contact, commands in flight | `command_queue` | `dispatch`, `agents` |
+//! | time until which the owner may start tasks | `start_permission` | `commands` |
+//! | machines to scan for free capacity, one by one or all | `placement_queue` | `placement` |
+//! | time since the failover, recovery steps still pending | `failover` | all |
 //! | the cloud's machine list | `inventory` | `machine_list`, `scale_in`, `scale_out` |
 //! | deleted machines | `tombstones`, `deleted_machines` | `machine_list`, `heartbeats` |
 //! | the cloud's machine types | `machine_types` | `agents`, `objectives`, `scaling`, `reservation_supply` |
-//! | the agents of all machines that are up | `agent_table` | all |
-//! | a worker's last heartbeat, its fencing token and commands | `agent`, `direct_line` | `heartbeats`, `dispatch` |
-//! | a transaction while it is put together | `draft` | `batch`, `outcomes` |
-//! | jobs that arrived, requests to the cloud | `scaling_state`, `arrivals` | `demand`, `scale_in`, `scale_out` |
-//! | losses and new machines by failure domain | `topology_history` | `agents`, `evictions`, `scaling` |
-//! | drains as recorded | `drains` | `evictions`, `scale_out` |
-//! | when the spread of services was last repaired | `topology_repair` | `evictions` |
-//! | jobs among which may be broken gangs | `gang_restarts` | `job_changes`, `recorded_job` |
-//! | whether the shard is frozen for its handover | `shard_freeze` | all that claims |
-//! | until when silence means nothing | `silence` | `heartbeats`, `scaling` |
-//! | when waiting jobs were last logged | `waiting_log` | `tick` |
-//! | changes that were rejected | `rejected_changes` | `batch` |
-//! | what the log says of who is served | `service_levels` | `placement`, `outcomes` |
+//! | agents of all machines that are up | `agent_table` | all |
+//! | an agent's last heartbeat, its fencing token and commands | `agent`, `direct_line` | `heartbeats`, `dispatch` |
+//! | a transaction while it is built | `draft` | `batch`, `outcomes` |
+//! | recent job arrivals, requests to the cloud | `scaling_state`, `arrivals` | `demand`, `scale_in`, `scale_out` |
+//! | lost and new machines by failure domain | `topology_history` | `agents`, `evictions`, `scaling` |
+//! | recorded drains | `drains` | `evictions`, `scale_out` |
+//! | time of the last repair of the spread of services | `topology_repair` | `evictions` |
+//! | jobs to check for broken gangs | `gang_restarts` | `job_changes`, `recorded_job` |
+//! | whether the shard is frozen for its handover | `shard_freeze` | all that claim |
+//! | time until which the owner ignores silent machines | `silence` | `heartbeats`, `scaling` |
+//! | time at which each waiting job was last logged | `waiting_log` | `tick` |
+//! | rejected changes | `rejected_changes` | `batch` |
+//! | service levels for the log | `service_levels` | `placement`, `outcomes` |
 //!
-//! Invariants: no task is started before its claim is recorded; nothing is concluded
-//! about a machine's tasks before one of its heartbeats carries the fencing token that fences all
-//! earlier commands; the time of every step is handed in, and no clock is read.
+//! Invariants: The owner starts no task before its claim is recorded. It concludes nothing
+//! about a machine's tasks before one of the machine's heartbeats carries the fencing token
+//! that fences all earlier commands. Each step gets the time as an argument, and no step reads
+//! a clock.
 
 mod active_rollout;
 mod agent;
@@ -133,98 +134,100 @@
 use crate::scheduler::ClusterState;
 use crate::types::{MachineId, Revision, Time};
 
-/// Where a heartbeat came from.
+/// Path by which a heartbeat reached this controller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Source {
-    /// The worker's own reporting.
+    /// The agent sent the heartbeat to this controller.
     Heartbeat,
-    /// The same, taken by another controller that was asked to.
+    /// Another controller received the heartbeat because the owner had asked it to.
     Adopted,
-    /// The same, passed on by another controller: it can't reach this one.
+    /// Another controller forwarded the heartbeat because the agent can't reach this one.
     Passed,
-    /// The answer to a direct command.
+    /// The heartbeat is the answer to a direct command.
     Direct,
 }
 
-/// Direct commands to send.
+/// Direct commands to send to one machine.
 #[derive(Debug)]
 pub struct Dispatch {
-    /// To which machine.
+    /// Machine whose agent receives the commands.
     pub machine: MachineId,
-    /// Where it is.
+    /// Address on which the agent listens.
     pub addr: SocketAddr,
-    /// What to send.
+    /// Commands with the fencing token and the incarnation that they are for.
     pub commands: DirectCommands,
 }
 
-/// The shard owner's knowledge.
+/// State of a shard owner, from which it places tasks and commands agents.
 pub struct Core {
-    /// Settings; they don't change while the grant is held.
+    /// Settings. They don't change while the grant is held.
     cfg: Rc<Config>,
-    /// The jobs, machines and shares.
+    /// Jobs, machines and team shares of this shard.
     pub cluster_state: ClusterState,
-    /// The grant's number and the revision that wrote it.
+    /// Number of the grant. Fencing tokens of this owner begin with it.
     pub grant: u64,
+    /// Store revision that wrote the grant.
     grant_revision: Revision,
-    /// Which shard it is.
+    /// Shard that the grant is for.
     pub scope: ShardScope,
-    /// It is handed on: nothing more is claimed, and what is under way settles.
+    /// Freeze before a handover. While it is on, the owner claims nothing more, and claims in
+    /// flight settle.
     freeze: HandoverFreeze,
-    /// Capacity that others' tasks may take, and what was left to others.
+    /// Tasks delegated to and taken from other shards, and quota given to them.
     sharing: task_delegation::Sharing,
-    /// Zones of all shards' machines.
+    /// Zones of the machines of all shards.
     places: Places,
-    /// What classes and teams got, for the log.
+    /// Service levels of classes and teams, for the log.
     served_log: ServedLog,
-    /// The largest jobs of each class, for the log.
+    /// Largest jobs of each class, for the log.
     largest_jobs: Largest,
-    /// The cloud's machine types.
     types: MachineTypes,
-    /// The agents of all machines that are up.
+    /// Agents of all machines that are up.
     agents: AgentTable,
-    /// What the cloud's machine lists show.
+    /// Machines in the cloud's lists.
     inventory: CloudInventory,
-    /// What waits to be recorded.
+    /// Changes that are not recorded yet.
     pending: Pending,
-    /// The time since the grant was taken up, and what is still open from then.
+    /// Time since this owner took the grant, and the recovery steps that are still pending.
     failover: Failover,
-    /// Machines that commands may have to go to.
+    /// Machines that may need commands.
     command_queue: CommandQueue,
-    /// Machines where tasks may find a place now.
+    /// Machines that may have free capacity for tasks.
     placement_queue: PlacementQueue,
-    /// Jobs that arrived of late, and requests to the cloud.
+    /// Recent job arrivals, and requests to the cloud.
     scaling: scaling_state::ScalingState,
-    /// For how long silence means nothing: requests waited too long to be read.
+    /// Time until which the owner ignores silent machines because requests waited too long to
+    /// be read.
     ignored_silence: IgnoredSilence,
-    /// Until when tasks may be started.
+    /// Time until which the owner may start tasks.
     start_permission: StartPermission,
     /// Deleted machines, which late lists and heartbeats may still show.
     tombstones: MachineTombstones,
-    /// Windows of the release calendar.
+    /// Windows of the reservation calendar.
     windows: reservations::Windows,
-    /// What operators drain.
+    /// Drains that operators requested.
     drains: RecordedDrains,
-    /// Images that go from machine to machine.
+    /// Images that machines copy from each other.
     image_distribution: image_distribution::ImageDistribution,
-    /// Where machines were lost and came up of late.
+    /// Failure domains in which machines were recently lost or came up.
     topology_history: topology_history::TopologyHistory,
-    /// Jobs that lost a claim: a gang among them may have to start anew.
+    /// Jobs that lost a claim. A gang among them may need a restart.
     gangs_to_check: JobsToCheck,
-    /// When tasks were last moved to repair their spread.
+    /// Time at which tasks were last moved to repair their spread.
     repair_schedule: RepairSchedule,
-    /// When each job that waits was last logged.
+    /// Time at which each waiting job was last logged.
     waiting_log: WaitingLog,
-    /// What follows from rejected transactions for the next ones.
+    /// Consequences of rejected transactions for the next ones.
     rejected_changes: RejectedChanges,
-    /// When all was last looked at that only time changes.
+    /// Time of the last rescan.
     last_rescan: Time,
 }
 
-/// How often all machines are looked at for what only time changes.
+/// Interval of the rescan, in seconds. The rescan updates state that changes only with time.
 const RESCAN_INTERVAL_S: f64 = 1.0;
 
 impl Core {
-    /// Regular work: look at what only time changes, and place.
+    /// Runs the periodic work: updates state that changes only with time, and places tasks.
     pub fn tick(&mut self, now: Time) {
         for id in self.command_queue.take_due_retries(now) {
             self.wake(&id);
@@ -242,12 +245,13 @@
         self.place(now);
     }
 
-    /// The time of day in milliseconds, by the clock that was read at the start.
+    /// Returns the time of day in milliseconds. The owner reads the wall clock once, when it
+    /// takes the grant.
     fn wall_ms(&self, now: Time) -> u64 {
         self.failover.wall_ms(now)
     }
 
-    /// Brings all up to date that only time changes.
+    /// Updates all state that changes only with time.
     fn rescan(&mut self, now: Time) {
         self.cluster_state.refresh_due_times(now);
         let wall_ms = self.wall_ms(now);
