--- a/src/control/core/command_queue.rs
+++ b/src/control/core/command_queue.rs
@@ -1,62 +1,63 @@
-//! Which machines direct commands are due to, and how many of these are under way.
+//! Queue of machines that need direct commands, and the number of commands in flight.
 //!
-//! Invariant: at most [`MAX_COMMANDS_IN_FLIGHT`] direct commands are in flight, so that neither
-//! sockets nor the processor are short for the heartbeats that answer them.
+//! Invariant: at most [`MAX_COMMANDS_IN_FLIGHT`] direct commands are in flight, so that enough
+//! sockets and CPU time remain for the heartbeats that answer them.
 
 use std::collections::BTreeSet;
 
 use crate::types::{MachineId, Time};
 
-/// Direct commands under way at a time.
+/// Maximum number of direct commands in flight.
 pub const MAX_COMMANDS_IN_FLIGHT: usize = 48;
-/// After so long a machine that may hang is tried again if there were too many of its
-/// kind, in seconds.
+/// Delay before the owner retries a machine that may hang, if too many commands were in flight,
+/// in seconds.
 const UNREACHABLE_RETRY_S: f64 = 0.5;
 
-/// In which order machines are contacted.
+/// Order in which machines are contacted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum ContactOrder {
-    /// In ordinary times every machine; after a failover one that runs services.
+    /// Any machine in normal operation. After a failover, a machine that runs services.
     First,
-    /// After a failover: one with tasks of other kinds.
+    /// After a failover, a machine with tasks of other kinds.
     WithTasks,
-    /// After a failover: one without tasks.
+    /// After a failover, a machine without tasks.
     Empty,
 }
 
-/// A machine that is to be contacted now.
+/// Machine to contact now. Contacts are sorted by order, then by machine.
 #[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct Contact {
     order: ContactOrder,
     machine: MachineId,
 }
 
-/// A machine that is to be contacted again. Ordered by time.
+/// Machine to contact at a later time. Retries are sorted by time.
 #[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct Retry {
-    /// When, in milliseconds on this process's clock.
+    /// Time of the contact, in milliseconds on this process's clock.
     at_ms: u64,
     machine: MachineId,
 }
 
-/// Machines that commands may have to go to.
+/// Machines that may need commands.
 #[derive(Debug, Default)]
 pub(super) struct CommandQueue {
-    /// To be contacted now; each turn takes the first.
+    /// Machines to contact now. The queue removes the first one each time.
     ready: BTreeSet<Contact>,
-    /// To be contacted at a time.
+    /// Machines to contact at a later time.
     retries: BTreeSet<Retry>,
-    /// Direct commands that were sent and are not answered.
+    /// Number of direct commands that were sent and are not answered.
     in_flight: usize,
 }
 
 impl CommandQueue {
-    /// Commands may have to go to a machine.
+    /// Queues a machine that may need commands.
     pub(super) fn add(&mut self, machine: MachineId, order: ContactOrder) {
         self.ready.insert(Contact { order, machine });
     }
 
-    /// The next machine to contact; none while too many commands are in flight.
+    /// Removes and returns the next machine to contact. Returns `None` while too many commands
+    /// are in flight.
     pub(super) fn take_next(&mut self) -> Option<MachineId> {
         if self.in_flight >= MAX_COMMANDS_IN_FLIGHT {
             return None;
@@ -64,8 +65,9 @@
         self.ready.pop_first().map(|contact| contact.machine)
     }
 
-    /// Whether a machine that commands did not reach may be tried now: those that may
-    /// hang must not keep the others waiting. `suspect`: it has tasks and is silent.
+    /// Returns whether the owner may contact a machine now that earlier commands did not reach.
+    /// Machines that may hang must not delay the others. `suspect` tells that the machine has
+    /// tasks and is silent.
     pub(super) fn may_try_unreachable(&self, suspect: bool) -> bool {
         let max = if suspect {
             MAX_COMMANDS_IN_FLIGHT * 3 / 4
@@ -75,24 +77,25 @@
         self.in_flight < max
     }
 
-    /// Contact a machine not before a time.
+    /// Schedules a contact of a machine at a time or later.
     pub(super) fn retry_at(&mut self, machine: MachineId, at: Time) {
         let at_ms = (at.0 * 1000.0).ceil().max(0.0) as u64;
         self.retries.insert(Retry { at_ms, machine });
     }
 
-    /// Contact a machine again after so many seconds.
+    /// Schedules a contact of a machine after `delay_s` seconds.
     pub(super) fn retry_after(&mut self, machine: MachineId, delay_s: f64, now: Time) {
         let at_ms = (now.after(delay_s).0 * 1000.0) as u64;
         self.retries.insert(Retry { at_ms, machine });
     }
 
-    /// Contact a machine that may hang again when others of its kind were answered.
+    /// Schedules another contact of a machine that may hang, after others of its kind have had
+    /// time to answer.
     pub(super) fn retry_unreachable(&mut self, machine: MachineId, now: Time) {
         self.retry_after(machine, UNREACHABLE_RETRY_S, now);
     }
 
-    /// Machines whose time to be contacted again has come, the earliest first.
+    /// Removes and returns the machines whose retry time has come, the earliest first.
     pub(super) fn take_due_retries(&mut self, now: Time) -> Vec<MachineId> {
         let first_later = Retry {
             at_ms: (now.0 * 1000.0) as u64 + 1,
@@ -103,17 +106,17 @@
         retries.into_iter().map(|retry| retry.machine).collect()
     }
 
-    /// A direct command was sent.
+    /// Counts a direct command that was sent.
     pub(super) fn sent(&mut self) {
         self.in_flight += 1;
     }
 
-    /// A direct command was answered, or failed.
+    /// Counts a direct command that was answered or failed.
     pub(super) fn settled(&mut self) {
         self.in_flight = self.in_flight.saturating_sub(1);
     }
 
-    /// Whether any direct command is unanswered.
+    /// Returns whether any direct command is in flight.
     pub(super) fn awaits_answers(&self) -> bool {
         self.in_flight > 0
     }
--- a/src/control/core/commands.rs
+++ b/src/control/core/commands.rs
@@ -1,4 +1,4 @@
-//! Commands for a machine: what is started, stopped and forgotten there.
+//! Builds the commands that start, stop and forget tasks on a machine.
 
 use super::command_queue::ContactOrder;
 use super::outcomes::recorded_claim;
@@ -10,8 +10,8 @@
 use crate::types::{Kind, MachineId, TaskId, Time};
 
 impl Core {
-    /// The answer to a heartbeat: fencing token and commands that need no hurry, and the
-    /// starts if they can't be sent directly.
+    /// Returns the answer to a heartbeat. It carries the fencing token, commands that are not
+    /// urgent, and start commands if these can't be sent directly.
     pub fn reply(&mut self, id: &MachineId, view: &View, now: Time) -> Reply {
         let agent = self.agents.get(id);
         let starts = agent.filter(|l| l.takes_starts_in_replies(now));
@@ -21,7 +21,7 @@
         let lease_s = self.cfg.lease_s;
         if let Some(agent) = self.agents.get_mut(id) {
             agent.reachability.answered(lease_s, now);
-            // Its next heartbeats have to show that.
+            // The next heartbeats have to show that the command or the token arrived.
             if starts || !agent.fenced() {
                 agent.reachability.asked(now);
             }
@@ -36,15 +36,14 @@
         }
     }
 
-    /// Commands for a machine. Starts are included, and marked sent, if
-    /// `starts` says how.
+    /// Returns the commands for a machine. Start commands are included only if `starts` is set,
+    /// and their claims are marked as sent in that way.
     ///
-    /// Before a heartbeat carries the machine's present fencing token nothing can be
-    /// concluded from its list, so nothing is started or forgotten. What must
-    /// not run is killed all the same: an answer without the kill would renew
-    /// the lease of a cancelled job's task, and on a machine whose direct
-    /// commands keep failing each failure raises the fencing token again, so that no
-    /// heartbeat ever carries it (`docs/incidents/fleet-x3-cancelled.md`).
+    /// Before a heartbeat carries the machine's current fencing token, its task list proves
+    /// nothing. So no task is started or forgotten. Tasks that must not run are killed all the
+    /// same. An answer without the kill would renew the lease of a cancelled job's task. If
+    /// direct commands to the machine keep failing, each failure also raises the fencing token
+    /// again, so that no heartbeat ever carries it (`docs/incidents/fleet-x3-cancelled.md`).
     pub(super) fn commands(
         &mut self,
         id: &MachineId,
@@ -64,8 +63,8 @@
         commands
     }
 
-    /// The commands for the machine's reported tasks: those that must not run, and those that
-    /// have ended. `in_reply`: they go in the answer to a heartbeat, which renews its lease.
+    /// Returns the commands that stop or forget tasks that the machine reported. `in_reply`
+    /// tells that they go in the answer to a heartbeat, which renews the machine's lease.
     fn stops_and_forgets(
         &mut self,
         id: &MachineId,
@@ -93,8 +92,8 @@
                 continue;
             };
             let saving = status.phase == TaskPhase::Saving && grace_s > 0.0;
-            // An answer renews the lease of a task that must not run, so it always
-            // has the kill: the direct command that had it last may be lost.
+            // An answer renews the lease of a task that must not run. So it always carries the
+            // kill, because the direct command that carried it last may be lost.
             let renews = in_reply && grace_s == 0.0;
             if !saving && (renews || agent.sent_kills.is_due(key, now)) {
                 agent.sent_kills.sent(key, now);
@@ -104,7 +103,8 @@
         commands
     }
 
-    /// Whether a task is claimed on its machine, recorded, and not started yet.
+    /// Returns whether a task is claimed, its claim is recorded, and its start was not sent
+    /// yet.
     fn start_is_due(&self, task: &TaskId) -> bool {
         let job = self.cluster_state.job(&task.job);
         let starts = job.is_some_and(|j| !j.cancelled && starts_now(j));
@@ -112,7 +112,8 @@
         starts && self.cluster_state.claim_of(task).is_some_and(due)
     }
 
-    /// The starts that are due on a machine, marked as sent in this way.
+    /// Returns the start commands that are due on a machine, and marks their claims as sent in
+    /// the given way.
     fn start_commands(&mut self, id: &MachineId, sent: Sent, now: Time) -> Vec<Command> {
         let mut tasks = self.cluster_state.claims_on(id);
         tasks.retain(|task| self.start_is_due(task));
@@ -128,8 +129,8 @@
             .collect()
     }
 
-    /// The start of a task; none while it waits for its stage, which keeps nobody
-    /// else waiting.
+    /// Returns the start command of a task. Returns `None` while the task waits for its image
+    /// distribution stage. A waiting task does not delay others.
     fn start_command(
         &mut self,
         id: &MachineId,
@@ -150,9 +151,9 @@
         })
     }
 
-    /// Until when tasks may be started by what is known of the records: a task that
-    /// starts later could be on its machine after `cancel_s`, if its job was
-    /// cancelled through another controller meanwhile.
+    /// Sets the time until which tasks may be started by the records that this owner has read.
+    /// A task that starts later could still be on its machine after `cancel_s` if its job was
+    /// cancelled through another controller in the meantime.
     pub fn allow_starts_until(&mut self, until: Time, now: Time) {
         for id in self.start_permission.set(until, now) {
             self.command_queue.add(id, ContactOrder::First);
@@ -160,26 +161,26 @@
     }
 }
 
-/// Whether a worker may forget a task that ended: only once the result is recorded, and
-/// while no start of this attempt can still arrive: it would run again.
+/// Returns whether an agent may forget a task that ended. The result must be recorded, and no
+/// start command of this attempt may still arrive, because it would run the task again.
 fn is_settled(claim: Option<&Claim>, ended: &TaskAttempt, view: &View) -> bool {
     claim.is_none() && !recorded_claim(view, &ended.task, ended.attempt)
 }
 
-/// For how long a reported task may save its state before it ends, in seconds; none: it
-/// may run on.
+/// Returns how many seconds a reported task gets to save its state before it ends. Returns
+/// `None` if the task may keep running.
 fn stop_grace_s(job: Option<&Job>, claim: Option<&Claim>) -> Option<f64> {
     match claim {
-        // Nobody claims it any more: it must not run on.
+        // No claim is left, so the task must not keep running.
         None => Some(0.0),
-        // Also when the cancellation was found in the record at a
-        // takeover, and no change of the job was ever seen.
+        // This covers a cancellation that was found in the record at a takeover, of which no
+        // change of the job was ever seen.
         Some(_) if job.is_some_and(|j| j.cancelled) => Some(0.0),
         Some(claim) => claim.stop,
     }
 }
 
-/// The command to forget a task that ended.
+/// Returns the command to forget a task that ended.
 fn forget(ended: &TaskAttempt) -> Command {
     Command::Forget {
         task_name: ended.task.to_string(),
@@ -187,7 +188,7 @@
     }
 }
 
-/// The command to stop a task, with time to save its state, in seconds.
+/// Returns the command to stop a task that may save its state for `grace_s` seconds.
 fn kill(running: &TaskAttempt, grace_s: f64) -> Command {
     Command::Kill {
         task_name: running.task.to_string(),
@@ -196,8 +197,8 @@
     }
 }
 
-/// Whether a job's claimed tasks may be started: those of a gang only once all
-/// of them are claimed, and each claim is recorded.
+/// Returns whether a job's claimed tasks may be started. Tasks of a gang start only once all of
+/// them are claimed and all claims are recorded.
 fn starts_now(job: &Job) -> bool {
     job.spec.kind != Kind::Gang
         || job.tasks.pending() == 0
--- a/src/control/core/direct_line.rs
+++ b/src/control/core/direct_line.rs
@@ -1,35 +1,35 @@
-//! Whether direct commands get through to one worker.
+//! State of direct commands to one agent.
 
 use crate::types::Time;
 
-/// The first pause after a direct command failed, in seconds; it doubles with each
-/// failure in a row, so many times at the most.
+/// Base of the retry delay after a failed direct command, in seconds. The delay doubles with
+/// each failure in a row, at most `MAX_DOUBLINGS` times.
 const FIRST_PAUSE_S: f64 = 0.25;
 const MAX_DOUBLINGS: u32 = 5;
-/// Within so long of a heartbeat of the worker's own the next direct command is tried, in
-/// seconds, however many have failed.
+/// Longest wait before the next direct command after a heartbeat from the agent itself, in
+/// seconds. It applies after any number of failures.
 const RETRY_AFTER_HEARTBEAT_S: f64 = 1.0;
-/// So long after a worker refused a command it is tried again, in seconds: a report that
-/// was overtaken leaves the incarnation as it was.
+/// Delay before a retry after an agent refused a command, in seconds. An overtaken report does
+/// not change the incarnation.
 const RETRY_AFTER_REFUSAL_S: f64 = 0.02;
 
-/// Direct commands to one worker.
+/// State of direct commands to one agent.
 #[derive(Debug)]
 pub(super) struct DirectLine {
-    /// A command is under way.
+    /// A command is in flight.
     in_flight: bool,
-    /// No command is sent before this.
+    /// Earliest time of the next command.
     retry_at: Time,
-    /// How many in a row did not get through.
+    /// Number of commands in a row that did not get through.
     failures: u32,
-    /// It is silent and has tasks: it is asked directly.
+    /// The agent is silent and has tasks, so the owner contacts it directly.
     suspect: bool,
-    /// How often in a row it took a connection and did not answer.
+    /// Number of times in a row that the agent accepted a connection and did not answer.
     unanswered_connections: u32,
 }
 
 impl DirectLine {
-    /// Nothing was sent yet.
+    /// Returns the state before the first command.
     pub(super) fn new(now: Time) -> Self {
         Self {
             in_flight: false,
@@ -40,70 +40,71 @@
         }
     }
 
-    /// Whether a command is under way.
+    /// Returns whether a command is in flight.
     pub(super) fn is_in_flight(&self) -> bool {
         self.in_flight
     }
 
-    /// When the next command may be sent.
+    /// Returns the earliest time of the next command.
     pub(super) fn retry_at(&self) -> Time {
         self.retry_at
     }
 
-    /// Whether the last command did not get through.
+    /// Returns whether the last command did not get through.
     pub(super) fn is_failing(&self) -> bool {
         self.failures > 0
     }
 
-    /// Whether the worker is silent and has tasks.
+    /// Returns whether the agent is silent and has tasks.
     pub(super) fn is_suspect(&self) -> bool {
         self.suspect
     }
 
-    /// How often in a row the worker took a connection and did not answer.
+    /// Returns how many times in a row the agent accepted a connection and did not answer.
     pub(super) fn unanswered_connections(&self) -> u32 {
         self.unanswered_connections
     }
 
-    /// The worker is silent and has tasks: it is to be asked.
+    /// Marks the agent as silent with tasks, so that the owner contacts it directly.
     pub(super) fn suspect(&mut self) {
         self.suspect = true;
     }
 
-    /// A heartbeat of the worker came, on whatever way.
+    /// Records a heartbeat that arrived by any path.
     pub(super) fn contact_confirmed(&mut self) {
         (self.suspect, self.unanswered_connections) = (false, 0);
     }
 
-    /// A heartbeat came from the worker itself: there is a way.
+    /// Records a heartbeat that the agent itself sent here, which shows that the network path
+    /// works.
     pub(super) fn reported(&mut self, now: Time) {
         self.retry_at = Time(self.retry_at.0.min(now.0 + RETRY_AFTER_HEARTBEAT_S));
     }
 
-    /// A command is sent.
+    /// Records that a command was sent.
     pub(super) fn sent(&mut self) {
         self.in_flight = true;
     }
 
-    /// It is known what became of the command that was under way.
+    /// Records that the outcome of the command in flight is known.
     pub(super) fn settled(&mut self) {
         self.in_flight = false;
     }
 
-    /// A command was carried out.
+    /// Records that the agent executed a command.
     pub(super) fn executed(&mut self, now: Time) {
         self.failures = 0;
         self.retry_at = now;
     }
 
-    /// The worker answered and refused a command.
+    /// Records that the agent refused a command.
     pub(super) fn refused(&mut self, now: Time) {
         self.failures = 0;
         self.retry_at = now.after(RETRY_AFTER_REFUSAL_S);
     }
 
-    /// A command did not get through. `hung`: the connection was taken, and no answer
-    /// came.
+    /// Records that a command did not get through. `hung` tells that the agent accepted the
+    /// connection and did not answer.
     pub(super) fn failed(&mut self, hung: bool, now: Time) {
         self.unanswered_connections = if hung {
             self.unanswered_connections + 1
--- a/src/control/core/dispatch.rs
+++ b/src/control/core/dispatch.rs
@@ -1,5 +1,4 @@
-//! Commands sent to workers directly, and what became of them (PROTOCOL,
-//! "Controller nodes -> workers").
+//! Direct commands to agents and their outcomes (PROTOCOL, "Controller nodes -> workers").
 
 use super::command_queue::ContactOrder;
 use super::task_attempt::KILL_RETRY_S;
@@ -10,8 +9,8 @@
 use crate::types::{MachineId, Time};
 
 impl Core {
-    /// Direct commands that should go out now, so many at a time that neither
-    /// sockets nor the processor are short for the reports that answer them.
+    /// Returns the direct commands to send now. Their number is limited so that enough sockets
+    /// and CPU time remain for the heartbeats that answer them.
     pub fn dispatch(&mut self, view: &View, now: Time) -> Vec<Dispatch> {
         let mut out = Vec::new();
         while let Some(id) = self.command_queue.take_next() {
@@ -22,14 +21,14 @@
         out
     }
 
-    /// Whether a machine may be sent a direct command now. If only later, it is queued
-    /// for then.
+    /// Returns whether a machine may be sent a direct command now. If it may only later, the
+    /// machine is queued for that time.
     fn may_contact(&mut self, id: &MachineId, now: Time) -> bool {
         let Some(agent) = self.agents.get(id) else {
             return false;
         };
         if agent.direct.is_in_flight() || agent.is_deleting() {
-            // The answer brings it back.
+            // The outcome of the command in flight queues the machine again.
             return false;
         }
         if now < agent.direct.retry_at() {
@@ -42,19 +41,18 @@
             self.command_queue.retry_unreachable(id.clone(), now);
             return false;
         }
-        // Else the reply to its next heartbeat takes the commands there.
+        // Other machines get their commands in the reply to the next heartbeat.
         !(agent.is_passed_on() && agent.fenced())
     }
 
-    /// The commands for a machine that may be contacted; none if there is nothing that
-    /// does not wait for its next heartbeat.
+    /// Returns the commands for a machine that may be contacted. Returns `None` if all of them
+    /// can wait for its next heartbeat.
     fn dispatch_to(&mut self, id: MachineId, view: &View, now: Time) -> Option<Dispatch> {
         let commands = self.commands(&id, view, Some(Sent::Flying), now);
         let agent = self.agents.get_mut(&id)?;
         let forgets_only = commands.iter().all(|o| matches!(o, Command::Forget { .. }));
-        // Forgetting waits for the next heartbeat; a worker that does not
-        // know our fencing token is contacted at once, and one that a command did not
-        // reach is tried again.
+        // Forget commands wait for the next heartbeat. An agent that does not have the current
+        // fencing token is contacted at once. An agent that a command did not reach is retried.
         let to_be_asked = !agent.fenced() || agent.direct.is_failing() || agent.direct.is_suspect();
         if forgets_only && !to_be_asked {
             if !agent.sent_kills.is_empty() {
@@ -71,7 +69,8 @@
         })
     }
 
-    /// What became of direct commands. False if we are deposed.
+    /// Applies the outcome of direct commands. Returns `false` if a newer grant has superseded
+    /// this one.
     pub fn dispatched(&mut self, id: &MachineId, outcome: Sending, now: Time) -> bool {
         self.command_queue.settled();
         let Some(agent) = self.agents.get_mut(id) else {
@@ -101,18 +100,18 @@
         }
     }
 
-    /// The worker carried a command out.
+    /// Records that the agent executed a command.
     fn command_executed(&mut self, id: &MachineId, now: Time) {
         let Some(agent) = self.agents.get_mut(id) else {
             return;
         };
         agent.command_executed(now);
-        // The incarnation that took the command may end right after it;
-        // the heartbeat decides what is there.
+        // The incarnation that received the command may end right after it. So the next
+        // heartbeat decides which tasks are on the machine.
         self.mark_flying(id, Sent::Answered);
     }
 
-    /// The worker answered that it did not carry a command out.
+    /// Records that the agent refused a command.
     fn command_refused(&mut self, id: &MachineId, now: Time) {
         let Some(agent) = self.agents.get_mut(id) else {
             return;
@@ -124,35 +123,35 @@
         }
     }
 
-    /// A command certainly did not reach the worker.
+    /// Records that a command certainly did not reach the agent.
     fn command_not_sent(&mut self, id: &MachineId, now: Time) {
         let Some(agent) = self.agents.get_mut(id) else {
             return;
         };
         agent.direct.failed(false, now);
-        // Claims found at the takeover stay in doubt until a
-        // heartbeat carries our fencing token.
+        // Claims found at the takeover stay undecided until a heartbeat carries the fencing
+        // token of this grant.
         if !agent.fenced() {
             return;
         }
-        // It may heartbeat on and receive no command. Whether it does,
-        // the fencing token shows, by whatever way it gets there.
+        // The agent may keep sending heartbeats and receive no command. The fencing token shows
+        // whether it receives commands, whichever path carries them.
         if !agent.reachability.is_confirmed(self.cfg.heartbeat_s, now) {
             agent.raise_fencing_token();
         }
         self.mark_flying(id, Sent::No);
     }
 
-    /// A command may have reached the worker, and no answer came: it may be carried out
-    /// minutes late, unless a higher fencing token gets there first. Until a heartbeat carries that,
-    /// nothing on this machine is settled.
+    /// Records that a command may have reached the agent but got no answer. The agent may
+    /// execute the command minutes later unless a higher fencing token arrives first. Until a
+    /// heartbeat carries that token, nothing on this machine is settled.
     fn command_unanswered(&mut self, id: &MachineId, now: Time) {
         if let Some(agent) = self.agents.get_mut(id) {
             agent.command_unanswered(now);
         }
     }
 
-    /// A command did not get through: the machine is in doubt.
+    /// Records that a command did not get through, and suspects the machine from then on.
     fn command_failed(&mut self, id: &MachineId, now: Time) {
         let Some(agent) = self.agents.get_mut(id) else {
             return;
@@ -162,7 +161,7 @@
         self.refresh_machine(id, now);
     }
 
-    /// It is known what became of the starts that were under way to a machine.
+    /// Records the outcome of the start commands that were in flight to a machine.
     fn mark_flying(&mut self, id: &MachineId, to: Sent) {
         for task in self.cluster_state.claims_on(id) {
             if let Some(claim) = self.cluster_state.claim_mut(&task) {
--- a/src/control/core/start_permission.rs
+++ b/src/control/core/start_permission.rs
@@ -1,23 +1,23 @@
-//! Until when tasks may be started by what is known of the records.
+//! Time until which an owner may start tasks, given the records that it has read.
 //!
-//! Invariant: no task is started at or after the bound. One that starts later could be
-//! on its machine after `cancel_s`, if its job was cancelled through another controller
-//! meanwhile.
+//! Invariant: no task is started at or after the bound. A task that starts later could be on
+//! its machine after `cancel_s` if its job was cancelled through another controller in the
+//! meantime.
 
 use std::collections::BTreeSet;
 
 use crate::types::{MachineId, Time};
 
-/// The bound on starts, and where starts wait for a later one.
+/// Bound on start commands, and the machines whose start commands wait for a later bound.
 #[derive(Debug)]
 pub(super) struct StartPermission {
     until: Time,
-    /// Machines on which starts were due after it.
+    /// Machines on which start commands were due after the bound.
     withheld: BTreeSet<MachineId>,
 }
 
 impl StartPermission {
-    /// No bound, until one is set.
+    /// Returns a permission without a bound.
     pub(super) fn unbounded() -> Self {
         Self {
             until: Time(f64::INFINITY),
@@ -25,17 +25,18 @@
         }
     }
 
-    /// Whether tasks may be started now.
+    /// Returns whether tasks may be started now.
     pub(super) fn is_valid(&self, now: Time) -> bool {
         now < self.until
     }
 
-    /// Starts are due on a machine and may not be sent.
+    /// Records a machine on which start commands are due and may not be sent.
     pub(super) fn withhold(&mut self, machine: MachineId) {
         self.withheld.insert(machine);
     }
 
-    /// Sets the bound. The machines on which starts were withheld, if they may be sent.
+    /// Sets the bound. Returns the machines on which start commands were withheld if they may
+    /// be sent now.
     pub(super) fn set(&mut self, until: Time, now: Time) -> BTreeSet<MachineId> {
         self.until = until;
         if self.is_valid(now) {
--- a/src/control/core/unknown_agent.rs
+++ b/src/control/core/unknown_agent.rs
@@ -1,10 +1,10 @@
-//! Answers to workers whose machine this owner has no state of yet.
+//! Answers to agents of which this owner has no state yet.
 //!
-//! That needs the machine's type, which a controller learns from the cloud, and
-//! a report that certainly is no late copy. Until then the answer still renews the
-//! worker's lease (PROTOCOL, "Leases"), so it has to stop what must not run: while
-//! the cloud was away and all controllers had just begun, tasks of cancelled jobs
-//! were kept alive by answers without a command for as long as that lasted.
+//! The owner can add such a machine only when it has the machine's type, which it gets from the
+//! cloud, and a heartbeat that is certainly no late copy. Until then the answer still renews
+//! the agent's lease (PROTOCOL, "Leases"), so it has to stop tasks that must not run. In one
+//! outage the cloud was unreachable and all controllers had just started. Answers without
+//! commands then kept tasks of cancelled jobs running as long as the outage lasted.
 
 use super::Core;
 use crate::agent_client::{Command, Heartbeat, Reply, ReportedTask, TaskPhase};
@@ -12,7 +12,7 @@
 use crate::types::{MachineId, Time};
 
 impl Core {
-    /// The answer to a worker's heartbeat.
+    /// Returns the answer to an agent's heartbeat.
     pub fn answer(&mut self, heartbeat: &Heartbeat, view: &View, now: Time) -> Reply {
         if self.agents.contains(&heartbeat.machine) {
             return self.reply(&heartbeat.machine, view, now);
@@ -26,7 +26,8 @@
         }
     }
 
-    /// Whether a reported task is claimed there, for a job that is not cancelled.
+    /// Returns whether a reported task is claimed on the machine for a job that is not
+    /// cancelled.
     fn may_run_on(&self, machine: &MachineId, reported: &ReportedTask) -> bool {
         let Some(task) = reported.id() else {
             return false;
@@ -39,7 +40,7 @@
     }
 }
 
-/// The command that ends a task without time to save.
+/// Returns the command that ends a task without time to save its state.
 fn kill_at_once(task: &ReportedTask) -> Command {
     Command::Kill {
         task_name: task.task_name.clone(),
