--- a/src/control/core/failures.rs
+++ b/src/control/core/failures.rs
@@ -1,4 +1,4 @@
-//! Tasks that ended, well or not, and what a failure says about its machine and its
+//! Handles tasks that ended, and decides whether a failure counts against the machine or the
 //! job.
 
 use super::Core;
@@ -6,33 +6,35 @@
 use crate::scheduler::Job;
 use crate::types::{JobId, JobSpec, Kind, MachineId, TaskId, Time};
 
-/// A machine that refused a task is avoided for so many heartbeat intervals.
+/// Number of heartbeat intervals for which a job avoids a machine that refused one of its
+/// tasks.
 const REFUSED_HEARTBEATS: f64 = 2.0;
-/// The longest pause of a job whose tasks machines do not know, in seconds.
+/// Longest pause of a job whose tasks machines don't find, in seconds.
 const MAX_UNKNOWN_PAUSE_S: f64 = 30.0;
-/// A job avoids a machine where it failed for so long, in seconds.
+/// Time for which a job avoids a machine on which it failed, in seconds.
 const AVOIDED_S: f64 = 60.0;
-/// A job that failed so often, and on so many machines, is mistaken.
+/// A job counts as faulty once it has at least this many failures, on at least this many
+/// machines.
 const MISTAKEN_FAILURES: u32 = 3;
 const MISTAKEN_MACHINES: usize = 3;
-/// The first pause of a mistaken job, in seconds, and the longest one.
+/// First and longest pause of a faulty job, in seconds.
 const MISTAKEN_PAUSE_S: f64 = 2.0;
 const MAX_MISTAKEN_PAUSE_S: f64 = 40.0;
-/// A machine on which so many sound jobs failed is faulty.
+/// Number of sound jobs whose failures on a machine make the machine count as faulty.
 const FAULTY_JOBS: usize = 2;
 
-/// What a failure is held against.
+/// Culprit of a failure.
 enum Blame {
-    /// The machine.
+    /// The machine counts as the cause.
     Machine,
-    /// The job, which was taken for mistaken before.
+    /// The job counts as the cause, and it was suspected before.
     Job,
-    /// The job, and so were all its failures.
+    /// The job counts as the cause from this failure on, and for all its earlier failures.
     JobFromNowOn,
 }
 
 impl Core {
-    /// A task ended on its machine, and for which reason.
+    /// Handles the end of a task on its machine, for the given reason.
     pub(super) fn ended(
         &mut self,
         id: &MachineId,
@@ -58,20 +60,20 @@
             | ExitReason::Other => {}
         }
         if why != ExitReason::Done {
-            // Its task may have a place elsewhere.
+            // Another machine may have free capacity for the task.
             self.placement_queue.request_full_walk();
             tracing::info!(task = %task, machine = %id, ?why, "task ended");
         }
     }
 
-    /// A task has its result.
+    /// Records that a task succeeded.
     fn succeeded(&mut self, id: &MachineId, task: &TaskId, now: Time) {
         let all_done = self.cluster_state.edit_job(&task.job, |job| {
             job.tasks.set_done(task.index);
             (job.failures, job.suspected_faulty) = (0, false);
             job.tasks.all_done()
         });
-        // Another shard's jobs are done when that has read so.
+        // A job of another shard is done only when that shard has read the result.
         if all_done == Some(true) && self.scope.homes(&task.job) {
             self.finished(task.job.clone(), now);
         }
@@ -80,7 +82,8 @@
         }
     }
 
-    /// A machine refused a task: it had no free capacity, or still has another attempt of it.
+    /// Makes a job avoid a machine for a short time after the machine refused a task. The
+    /// machine had no free capacity, or still has another attempt of the task.
     fn avoid_for_now(&mut self, id: &MachineId, job: &JobId, now: Time) {
         let until = now.after(REFUSED_HEARTBEATS * self.cfg.heartbeat_s);
         self.cluster_state.edit_job(job, |job| {
@@ -88,8 +91,8 @@
         });
     }
 
-    /// A machine refused a task because there is none of that name: the job is tried less
-    /// and less often.
+    /// Delays a job after a machine refused a task because it found no task of that name. The
+    /// delay grows with each refusal.
     fn back_off_unknown(&mut self, job: &JobId, now: Time) {
         self.cluster_state.edit_job(job, |job| {
             job.failures += 1;
@@ -98,11 +101,10 @@
         });
     }
 
-    /// A task failed. Mostly the machine is faulty (PROTOCOL), so it is shunned,
-    /// and given back once jobs that are sound failed there. A job that fails on
-    /// several machines, and of which nothing ends well, is itself mistaken: it is
-    /// held against no machine, and tried less and less often, until its user
-    /// withdraws it.
+    /// Handles a failed task. In most cases the machine is faulty (PROTOCOL). So the owner
+    /// avoids the machine, and returns it once sound jobs failed there. A job that fails on
+    /// several machines and of which no task ends well is itself faulty. Its failures count
+    /// against no machine, and it is retried at growing intervals until its user cancels it.
     pub(super) fn failed(&mut self, id: &MachineId, task: &TaskId, now: Time) {
         let blame = self
             .cluster_state
@@ -114,14 +116,14 @@
         }
     }
 
-    /// A machine is not used for a while, as a job failed there.
+    /// Counts a job's failure against a machine, which is then avoided for a while.
     fn shun(&mut self, id: &MachineId, job: &JobId, now: Time) {
         let Some(agent) = self.agents.get_mut(id) else {
             return;
         };
         agent.failed_jobs.add(job, now);
-        // A job that is not shown to be sound proves nothing: two
-        // mistaken ones that met on a machine cost the machine once.
+        // A job that is not known to be sound proves nothing. Two faulty jobs that met on a
+        // machine once cost the machine.
         let cluster_state = &self.cluster_state;
         let sound = |job: &&JobId| cluster_state.job(job).is_none_or(Job::is_sound);
         if agent.failed_jobs.jobs().filter(sound).count() >= FAULTY_JOBS {
@@ -129,14 +131,13 @@
         }
     }
 
-    /// A job's failures are held against no machine any more: it is mistaken, or
-    /// was withdrawn.
+    /// Discards a job's failures on all machines because the job is faulty or was cancelled.
     pub(super) fn clear(&mut self, job: &JobId) {
         self.agents.forgive(job);
     }
 }
 
-/// Counts a failure of a job on a machine.
+/// Counts a failure of a job on a machine, and returns the culprit.
 fn count_failure(job: &mut Job, id: &MachineId, now: Time) -> Blame {
     job.failures += 1;
     job.avoid.retain(|_, until| now < *until);
@@ -144,10 +145,10 @@
     let mistaken = job.failures >= MISTAKEN_FAILURES && job.avoid.len() >= MISTAKEN_MACHINES;
     let suspected_faulty = job.suspected_faulty;
     if mistaken && !suspected_faulty && job.spec.kind == Kind::Array {
-        // However many of its tasks failed at once.
+        // The count starts at the threshold, however many of the job's tasks failed at once.
         (job.suspected_faulty, job.failures) = (true, MISTAKEN_FAILURES);
     } else if suspected_faulty && !job.tasks.claims().is_empty() {
-        // Of those that were started before it was doubted.
+        // The failed task was started before the job was suspected.
         job.failures -= 1;
     }
     if mistaken || suspected_faulty {
--- a/src/control/core/heartbeats.rs
+++ b/src/control/core/heartbeats.rs
@@ -1,4 +1,4 @@
-//! Workers' heartbeats: which of them count, and what they prove about the claims on a
+//! Agents' heartbeats: decides which of them count, and what they prove about the claims on a
 //! machine.
 
 use super::seen_machine::SeenMachine;
@@ -9,9 +9,9 @@
 use crate::types::{Incarnation, MachineId, SequenceNumber, TaskId, Time};
 
 impl Core {
-    /// Whether a heartbeat is a copy that came late: not newer than what is known, or
-    /// of a deleted machine, whose name is never used again. Copies of a dead
-    /// machine's last heartbeat made a machine of it again, and kept it.
+    /// Returns whether a heartbeat is a late copy. Such a heartbeat is not newer than the last
+    /// one, or it comes from a deleted machine, whose name is never used again. Copies of a
+    /// dead machine's last heartbeat once added that machine again, and kept it.
     pub fn is_copy(&self, heartbeat: &Heartbeat) -> bool {
         if let Some(agent) = self.agents.get(&heartbeat.machine) {
             return agent.is_copy(heartbeat);
@@ -19,9 +19,9 @@
         self.tombstones.contains(&heartbeat.machine)
     }
 
-    /// Takes in a worker's heartbeat. False if a newer grant than ours commands
-    /// the worker: that is so however late the heartbeat is, since only who has
-    /// the newer grant sends its fencing tokens.
+    /// Applies an agent's heartbeat. Returns `false` if a newer grant commands the agent. That
+    /// holds for any late heartbeat too, because only the holder of the newer grant sends its
+    /// fencing tokens.
     pub fn heartbeat(&mut self, heartbeat: &Heartbeat, source: Source, now: Time) -> bool {
         if heartbeat.fencing_token.grant() > self.grant {
             return false;
@@ -32,14 +32,15 @@
         true
     }
 
-    /// Whether a heartbeat is of a machine of this shard, and certainly no late copy.
+    /// Returns whether a heartbeat is from a machine of this shard and is certainly no late
+    /// copy.
     fn counts(&self, heartbeat: &Heartbeat) -> bool {
         if !self.scope.covers(&heartbeat.machine) || self.is_copy(heartbeat) {
             return false;
         }
-        // Only a heartbeat with our fencing token was certainly made under this grant. Any
-        // other may be a copy from before of a machine that is long gone: once the
-        // list tells what machines there are it makes none. The answer has the
+        // Only a heartbeat with a fencing token of this grant was certainly created under this
+        // grant. Any other may be an earlier copy from a machine that is long gone. Once the
+        // machine list is read, such a heartbeat does not add a machine. The answer carries the
         // fencing token, and the next heartbeat shows it.
         let id = &heartbeat.machine;
         let shown =
@@ -47,8 +48,8 @@
         !self.inventory.was_listed() || shown || self.agents.contains(id)
     }
 
-    /// What follows from a report that counts: for its agent's state, for the tasks
-    /// that it names, and for those that it does not.
+    /// Applies a heartbeat that counts: updates the agent's state, the tasks that it names and
+    /// the claims that it does not name.
     fn take_in(&mut self, heartbeat: &Heartbeat, source: Source, now: Time) {
         let id = &heartbeat.machine;
         let (lease_s, silence_ignored) = (self.cfg.lease_s, self.ignored_silence.is_on(now));
@@ -56,8 +57,8 @@
             return;
         };
         let news = agent.take_in(heartbeat, source, now);
-        // Its leases end though its heartbeats are answered: whatever runs there is
-        // lost each time. While requests wait too long, answers may be too late.
+        // The leases end although the heartbeats are answered, so every task there is lost each
+        // time. While requests wait too long, answers may be too late.
         if news.incarnation_ended
             && agent.reachability.incarnation_ended(lease_s, now)
             && !silence_ignored
@@ -81,8 +82,8 @@
         self.refresh_machine(id, now);
     }
 
-    /// A machine that has the present fencing token is no longer doubted, unless nothing that is
-    /// sent there has an effect.
+    /// Clears the suspicion of a machine that has the current fencing token, unless nothing
+    /// that is sent to it takes effect.
     fn settle_doubt(&mut self, id: &MachineId) {
         let Some(agent) = self.agents.get_mut(id).filter(|l| l.fenced()) else {
             return;
@@ -90,7 +91,8 @@
         agent.reported_fencing_token();
     }
 
-    /// A task that we started is in the heartbeat: commands reach the machine.
+    /// Records that commands reach the machine if a task that this owner started is in the
+    /// heartbeat.
     fn see_starts(&mut self, id: &MachineId, now: Time) {
         let Some(agent) = self
             .agents
@@ -113,10 +115,11 @@
         }
     }
 
-    /// A machine's incarnation ended, and its tasks with it. What this owner sent there
-    /// before was for that incarnation, so it is gone, whatever fencing token the worker has:
-    /// on a machine that no command reaches no heartbeat ever carries the present one. What a former
-    /// owner started may belong to the new incarnation, and waits for the fencing token.
+    /// Releases the claims that ended with a machine's incarnation. The owner sent these starts
+    /// to the old incarnation, so their tasks are gone whatever fencing token the agent has. On
+    /// a machine that no command reaches, no heartbeat ever carries the current token. Tasks
+    /// that a former owner started may belong to the new incarnation. They wait for the fencing
+    /// token.
     fn incarnation_ended(&mut self, id: &MachineId, now: Time) {
         for task in self.cluster_state.claims_on(id) {
             let ours = self
@@ -131,8 +134,8 @@
         }
     }
 
-    /// Another controller received a heartbeat, and there was nothing new. A hint:
-    /// it only spares the question whether the machine still answers.
+    /// Records that another controller received a heartbeat that shows nothing new. This is a
+    /// hint: it only saves a direct command that would test whether the machine still answers.
     pub fn relayed_contact(
         &mut self,
         id: &MachineId,
@@ -145,8 +148,8 @@
         }
     }
 
-    /// Compares the claims on a machine with an authoritative heartbeat: one
-    /// that carries the fencing token which fences all earlier commands.
+    /// Compares the claims on a machine with an authoritative heartbeat. Such a heartbeat
+    /// carries the fencing token that fences all earlier commands.
     pub(super) fn reconcile(&mut self, id: &MachineId, source: Source, now: Time) {
         if !self.cluster_state.machines().contains_key(id) {
             return;
@@ -180,7 +183,7 @@
         }
     }
 
-    /// A claimed task is on its machine, and has not ended.
+    /// Records that a claimed task is on its machine and has not ended.
     fn claim_runs(&mut self, task: &TaskId, phase: TaskPhase, now: Time) {
         let Some(claim) = self.cluster_state.claim_mut(task) else {
             return;
@@ -203,8 +206,8 @@
         }
     }
 
-    /// A claimed task is not on its machine: it never was, or it is over, or its start is
-    /// still to arrive.
+    /// Handles a claimed task that is not on its machine. The task never started, has ended, or
+    /// its start has still to arrive.
     fn claim_not_reported(&mut self, id: &MachineId, task: &TaskId, source: Source, now: Time) {
         let in_flight = self.agents.get(id).is_some_and(|l| l.direct.is_in_flight());
         let job = self.cluster_state.job(&task.job);
@@ -214,17 +217,17 @@
         };
         match claim.sent {
             Sent::No => {}
-            // Never started, or over. Its owner may have dropped it and
-            // given its limit, place or devices to another claim, and
-            // only that one may be in the record yet: so it is placed
-            // anew rather than started.
+            // The task never started, or it has ended. The former owner may have dropped the
+            // claim and given its quota, capacity or devices to another claim. Perhaps only
+            // that other claim is in the record so far. So the task is placed again instead of
+            // started.
             Sent::Found => {
                 self.release(task, now);
             }
-            // Only the next heartbeat of the worker's own shows whether
-            // it took a reply: a direct answer may overtake it.
+            // Only the next heartbeat that the agent sends itself shows whether a reply
+            // arrived. A direct answer may overtake the reply.
             Sent::InReply if source == Source::Direct => {}
-            // An answer is still to come, and shows it.
+            // The answer that is still to come shows the task.
             Sent::Flying if in_flight => {}
             Sent::Flying | Sent::InReply => {
                 claim.sent = Sent::No;
--- a/src/control/core/silence.rs
+++ b/src/control/core/silence.rs
@@ -1,43 +1,47 @@
-//! Whether a machine's silence means anything, or may be this controller's own fault.
+//! Decides whether a silent machine is evidence of a failure, or whether this controller may be
+//! the cause.
 
 use super::Core;
 use crate::types::Time;
 
-/// A machine reported of late if that is less than so many heartbeat intervals ago.
+/// Age of the last heartbeat, in heartbeat intervals, below which a machine counts as
+/// reporting.
 const RECENT_HEARTBEATS: f64 = 2.5;
 
-/// Until when silence means nothing, as requests waited too long to be read.
+/// Time until which the owner ignores silent machines because requests waited too long to be
+/// read.
 pub(super) struct IgnoredSilence {
     until: Time,
 }
 
 impl IgnoredSilence {
-    /// Silence counts from now on.
+    /// Returns a state in which silence counts from now on.
     pub(super) fn none(now: Time) -> Self {
         Self { until: now }
     }
 
-    /// It means nothing until then.
+    /// Ignores silence until the given time.
     fn extend(&mut self, until: Time) {
         self.until = until;
     }
 
-    /// Whether it means nothing now.
+    /// Returns whether silence is ignored now.
     pub(super) fn is_on(&self, now: Time) -> bool {
         now < self.until
     }
 }
 
 impl Core {
-    /// Requests wait too long to be read: heartbeats may be missing.
+    /// Ignores silent machines for a while. Requests wait too long to be read, so heartbeats
+    /// may be missing.
     pub fn ignore_silence(&mut self, now: Time) {
         self.ignored_silence.extend(now.after(self.cfg.silent_s()));
     }
 
-    /// Whether a machine's silence means anything. If most are silent it is this
-    /// controller that nothing reaches. Nor does silence mean anything where requests
-    /// wait too long to be read: giving machines back then, and renting others, is
-    /// how a fleet that is too large for its controllers would be kept so.
+    /// Returns whether a machine's silence counts as evidence. If most machines are silent,
+    /// nothing reaches this controller. Silence is also no evidence while requests wait too
+    /// long to be read. If the owner returned silent machines then and rented others, it would
+    /// keep a fleet that is too large for its controllers too large.
     pub(super) fn trusts_silence(&self, now: Time) -> bool {
         let limit_s = RECENT_HEARTBEATS * self.cfg.heartbeat_s;
         self.agents.most_reported_within(limit_s, now)
