--- a/src/control/core/deleted_machines.rs
+++ b/src/control/core/deleted_machines.rs
@@ -1,8 +1,9 @@
-//! Deleted machines, noted for the owners to come.
+//! Records of deleted machines for later owners.
 //!
-//! While changes are short, results wait, and records claim tasks on machines
-//! that were given back long ago. A new owner would count them against limits
-//! until the machine list and the cloud have told it what this owner knew.
+//! While the write budget of the state service is short, results wait to be recorded. Records
+//! then claim tasks on machines that were returned long before. A new owner would count these
+//! claims against limits until the machine list and the cloud had shown that the machines are
+//! gone.
 
 use sorrelhinge_sharding::shard::ShardScope;
 
@@ -11,12 +12,13 @@
 use crate::state::Change;
 use crate::types::{MachineId, Time};
 
-/// Names wait so long for company, in seconds.
+/// Maximum delay before names are recorded, in seconds. The delay lets several names share one
+/// record.
 const WAIT_S: f64 = 3.0;
-/// But so many are written at once.
+/// Number of names that are recorded without that delay.
 const DELETED_MACHINES_PER_RECORD: usize = 60;
 
-/// The names to write, and where.
+/// Names to record, and the slot to record them in.
 pub(super) struct DeletedMachines {
     step: u32,
     slot: u32,
@@ -26,8 +28,8 @@
 }
 
 impl DeletedMachines {
-    /// Goes on where the last owner was: in the list that was written last.
-    /// Each of several owners has slots of its own.
+    /// Continues with the list that the previous owner wrote last. Each of several owners has
+    /// its own slots.
     pub(super) fn load(view: &View, scope: ShardScope) -> Self {
         let own = |slot: &u32| slot % scope.of == scope.shard.0;
         let last = view.retired_machines.iter().filter(|(slot, _)| own(slot));
@@ -47,7 +49,7 @@
         }
     }
 
-    /// A machine was deleted.
+    /// Adds a deleted machine to the names to record.
     pub(super) fn add(&mut self, machine: &MachineId, now: Time) {
         if self.unwritten.is_empty() {
             self.since = now;
@@ -55,8 +57,8 @@
         self.unwritten.push(machine.clone());
     }
 
-    /// The change to make, if it is time: a list with the new names, in the
-    /// next slot if this one is full.
+    /// Returns the change that records the new names, or `None` if it is not due. The names go
+    /// to the next slot if this one is full.
     pub(super) fn change(&mut self, value_bytes: usize, now: Time) -> Option<Change> {
         let due =
             self.unwritten.len() >= DELETED_MACHINES_PER_RECORD || now.since(self.since) >= WAIT_S;
--- a/src/control/core/inventory.rs
+++ b/src/control/core/inventory.rs
@@ -1,17 +1,17 @@
-//! What the cloud's machine lists show: machines that are on their way, and those that
-//! the lists no longer show.
+//! Contents of the cloud's machine lists: pending machines, and machines that the lists no
+//! longer show.
 
 use std::collections::BTreeMap;
 
 use super::scaling_state::MachineOffer;
 use crate::types::{MachineId, Time, TypeName, Zone};
 
-/// A machine that so many lists in a row did not show is probably gone.
+/// A machine is probably gone after it was missing from this many lists in a row.
 const MISSING_LISTS: u32 = 2;
-/// Counts for a machine that is to be deleted whatever lists show.
+/// Missing count of a machine that is to be deleted, whatever the lists show.
 const GIVEN_BACK: u32 = u32::MAX / 2;
 
-/// A machine that is on its way.
+/// Machine that the cloud granted and that has not reported yet.
 #[derive(Clone, Debug)]
 pub(super) struct PendingMachine {
     pub(super) kind: TypeName,
@@ -21,7 +21,7 @@
 }
 
 impl PendingMachine {
-    /// The cloud granted it now.
+    /// Returns a machine that the cloud granted now.
     pub(super) fn requested(offer: &MachineOffer, now: Time) -> Self {
         Self {
             kind: offer.kind.clone(),
@@ -32,74 +32,75 @@
     }
 }
 
-/// Machines by the cloud's lists, apart from those that reported.
+/// Machines in the cloud's lists that have not reported, and machines that are missing from the
+/// lists.
 #[derive(Debug, Default)]
 pub(super) struct CloudInventory {
     pending_machines: BTreeMap<MachineId, PendingMachine>,
-    /// In how many lists in a row a machine was missing.
+    /// Number of lists in a row in which a machine was missing.
     missing: BTreeMap<MachineId, u32>,
-    /// A list was read under this grant.
+    /// The owner has read a list under this grant.
     listed: bool,
 }
 
 impl CloudInventory {
-    /// Machines that are on their way, by name.
+    /// Returns the pending machines, by name.
     pub(super) fn pending_machines(&self) -> &BTreeMap<MachineId, PendingMachine> {
         &self.pending_machines
     }
 
-    /// Whether a machine is on its way.
+    /// Returns whether a machine is pending.
     pub(super) fn is_coming(&self, machine: &MachineId) -> bool {
         self.pending_machines.contains_key(machine)
     }
 
-    /// A machine is on its way, whatever was known of it.
+    /// Records a machine as pending, and replaces an earlier entry.
     pub(super) fn requested(&mut self, machine: MachineId, pending: PendingMachine) {
         self.pending_machines.insert(machine, pending);
     }
 
-    /// A machine is on its way, unless that is known already.
+    /// Records a machine as pending unless it already is.
     pub(super) fn expect(&mut self, machine: &MachineId, pending: impl FnOnce() -> PendingMachine) {
         self.pending_machines
             .entry(machine.clone())
             .or_insert_with(pending);
     }
 
-    /// A machine is up.
+    /// Removes a machine that came up from the pending ones.
     pub(super) fn came_up(&mut self, machine: &MachineId) {
         self.pending_machines.remove(machine);
     }
 
-    /// Whether a list was read under this grant.
+    /// Returns whether a list was read under this grant.
     pub(super) fn was_listed(&self) -> bool {
         self.listed
     }
 
-    /// A list was read.
+    /// Records that a list was read.
     pub(super) fn list_read(&mut self) {
         self.listed = true;
     }
 
-    /// A list shows a machine.
+    /// Records that a list shows a machine.
     pub(super) fn seen(&mut self, machine: &MachineId) {
         self.missing.remove(machine);
     }
 
-    /// A list does not show a machine. True once it is probably gone.
+    /// Records that a list does not show a machine. Returns `true` once the machine is probably
+    /// gone.
     pub(super) fn not_seen(&mut self, machine: &MachineId) -> bool {
         let count = self.missing.entry(machine.clone()).or_insert(0);
         *count += 1;
         *count >= MISSING_LISTS
     }
 
-    /// Whether a machine is probably gone, or is to be deleted.
+    /// Returns whether a machine is probably gone or is to be deleted.
     pub(super) fn is_missing(&self, machine: &MachineId) -> bool {
         let count = self.missing.get(machine);
         count.is_some_and(|n| *n >= MISSING_LISTS)
     }
 
-    /// A machine that never reported is to be deleted; nothing may be known of it but
-    /// its name.
+    /// Marks a machine that never reported for deletion. Perhaps only its name is known.
     pub(super) fn mark_for_scale_in(&mut self, machine: &MachineId) {
         self.expect(machine, || PendingMachine {
             kind: TypeName::from(""),
@@ -110,7 +111,7 @@
         self.missing.insert(machine.clone(), GIVEN_BACK);
     }
 
-    /// A machine was deleted.
+    /// Removes a deleted machine.
     pub(super) fn forget(&mut self, machine: &MachineId) {
         self.pending_machines.remove(machine);
         self.missing.remove(machine);
--- a/src/control/core/machine_list.rs
+++ b/src/control/core/machine_list.rs
@@ -1,5 +1,5 @@
-//! What machines there are, by the cloud's list and by what was deleted: which are new,
-//! which were deleted, and which are given back.
+//! Applies the cloud's machine list: adds new machines, and decides which machines were deleted
+//! and which to return.
 
 use std::collections::BTreeSet;
 
@@ -9,58 +9,60 @@
 use crate::cloud::{ListedMachine, MachinePhase};
 use crate::types::{MachineId, Time};
 
-/// Clocks drift apart by 0.05% (PROTOCOL).
+/// Factor for clock drift. Clocks drift apart by 0.05% (PROTOCOL).
 const DRIFT: f64 = 1.001;
-/// A machine that missed so many heartbeats may be gone.
+/// Number of missed heartbeats after which a machine may be gone.
 const MISSED_HEARTBEATS: f64 = 1.5;
-/// A machine that was rented less than so many usual lags of the list, and so many seconds,
-/// ago may not be listed yet.
+/// Age below which the list may not show a rented machine yet, in usual list lags
+/// (`FRESH_LAGS`) plus seconds (`FRESH_S`).
 const FRESH_LAGS: f64 = 3.0;
 const FRESH_S: f64 = 5.0;
-/// So many usual lags, and so many seconds, after a failover the list is certainly not
-/// from before it (PROTOCOL: it is late by twice its usual lag at most).
+/// Time after a failover from which the list certainly shows a moment after it, in usual list
+/// lags (`LATEST_LAGS`) plus seconds (`LATEST_S`). The list is late by at most twice its usual
+/// lag (PROTOCOL).
 const LATEST_LAGS: f64 = 2.0;
 const LATEST_S: f64 = 2.0;
-/// How many times longer machines may be unreachable if most are.
+/// Factor by which the owner waits longer for unreachable machines if most machines are
+/// unreachable.
 const MAX_ONE_WAY_REACHABLE_FACTOR: f64 = 3.0;
 
 impl Core {
-    /// The machine list arrived: learn of machines, and of those that were deleted.
+    /// Applies a machine list: adds new machines, and marks missing ones for deletion.
     pub fn listed(&mut self, list: &[ListedMachine], now: Time) {
         let names: BTreeSet<&MachineId> = list.iter().map(|m| &m.id).collect();
         self.inventory.list_read();
         self.tombstones.expire(&self.cfg, now);
         for machine in list {
-            // The list is late: a deleted machine must not come back as
-            // one to be asked, or waited for.
+            // The list is late. A deleted machine must not come back as one to contact or to
+            // wait for.
             if !self.tombstones.contains(&machine.id) {
                 self.machine_listed(machine, now);
             }
         }
         self.give_back_missing(&names, now);
-        // A list is late by twice its usual lag at most (PROTOCOL), so by now it
-        // shows a time at which every machine that a former owner claimed
-        // was there.
+        // A list is late by at most twice its usual lag (PROTOCOL). So the list now shows a
+        // time at which all machines existed that a former owner claimed.
         if self.failover.age_s(now) > LATEST_LAGS * self.cfg.list_lag_s + LATEST_S {
             self.give_back_unknown(&names);
         }
     }
 
-    /// The list shows a machine that is not known to be deleted.
+    /// Applies an entry for a machine that is not known to be deleted.
     fn machine_listed(&mut self, machine: &ListedMachine, now: Time) {
         let id = &machine.id;
         self.inventory.seen(id);
         if self.agents.contains(id) {
             if machine.phase == MachinePhase::Failed {
-                // It stopped by itself. That proves nothing about its
-                // tasks; the answer to deleting it will.
+                // The machine stopped without a request. That proves nothing about its tasks.
+                // The answer to its deletion request does.
                 self.mark_for_scale_in(id);
             }
             return;
         }
         if machine.phase == MachinePhase::Running {
             if let Some(addr) = machine.addr {
-                // Up, and perhaps running tasks that a record claims: ask it.
+                // The machine is up and may run tasks that a record claims, so the owner
+                // contacts it.
                 self.agent(&SeenMachine::by_list(machine, addr), now);
                 return;
             }
@@ -76,8 +78,8 @@
         }
     }
 
-    /// A machine that was known before and is missing from several lists in a row is
-    /// probably gone; deleting it proves that.
+    /// Marks machines for deletion that were known before and are missing from several lists in
+    /// a row. They are probably gone, and their deletion proves that.
     fn give_back_missing(&mut self, listed: &BTreeSet<&MachineId>, now: Time) {
         let known = self
             .agents
@@ -100,8 +102,8 @@
         }
     }
 
-    /// Claims can name machines that neither list nor heartbeat shows. Until these are gone
-    /// their claims count against limits.
+    /// Marks machines for deletion that claims name but neither the list nor a heartbeat shows.
+    /// Until these machines are gone, their claims count against limits.
     fn give_back_unknown(&mut self, listed: &BTreeSet<&MachineId>) {
         let unknown = self.cluster_state.unknown_machines();
         let unknown = unknown.filter(|id| !listed.contains(id));
@@ -111,13 +113,15 @@
         }
     }
 
-    /// Machines that heartbeat and that no command reaches, to be given back. Their answers renew
-    /// no lease, so what ran there has ended by then: before, a cut that heals would
+    /// Returns the machines that the owner should delete because they send heartbeats but no
+    /// command reaches them. The answers to their heartbeats renew no lease, so their tasks
+    /// have ended by then. If the owner deleted them earlier, a network cut that heals would
     /// cost their tasks.
     pub(super) fn unreachable_machines(&self, now: Time) -> Vec<MachineId> {
         let patience_s = self.cfg.lease_s * DRIFT + 2.0 * self.cfg.heartbeat_s;
-        // If most are unreachable it may be this controller's network. Another
-        // may then be the owner before long; if none is, they go all the same.
+        // If most machines are unreachable, this controller's network may be the cause. Another
+        // controller may then become the owner soon. If none does, the machines are deleted all
+        // the same.
         let patience_s = if self.agents.most_in_doubt() {
             MAX_ONE_WAY_REACHABLE_FACTOR * patience_s
         } else {
@@ -126,7 +130,7 @@
         self.agents.unreachable(patience_s, now)
     }
 
-    /// A machine is to be deleted, whether it ever reported or not.
+    /// Marks a machine for deletion, whether or not it ever reported.
     pub(super) fn mark_for_scale_in(&mut self, id: &MachineId) {
         match self.agents.get_mut(id) {
             Some(agent) => agent.begin_deletion(),
@@ -134,7 +138,7 @@
         }
     }
 
-    /// Machines were deleted: they and their tasks are gone.
+    /// Removes deleted machines and releases the claims of their tasks.
     pub fn deleted(&mut self, machines: &[MachineId], now: Time) {
         for id in machines {
             for task in self.cluster_state.claims_on(id) {
--- a/src/control/core/seen_machine.rs
+++ b/src/control/core/seen_machine.rs
@@ -1,4 +1,4 @@
-//! A machine as the cloud's list or its worker's heartbeat shows it.
+//! Machine as the cloud's list or an agent's heartbeat shows it.
 
 use std::net::SocketAddr;
 
@@ -6,7 +6,7 @@
 use crate::cloud::ListedMachine;
 use crate::types::{MachineId, TypeName, Zone};
 
-/// A machine as a list or a heartbeat shows it.
+/// Machine as the cloud's list or an agent's heartbeat shows it.
 pub(super) struct SeenMachine<'a> {
     pub(super) id: &'a MachineId,
     pub(super) addr: SocketAddr,
@@ -16,7 +16,7 @@
 }
 
 impl<'a> SeenMachine<'a> {
-    /// By the cloud's list, at the address that this names.
+    /// Returns a machine of the cloud's list. `addr` is the address in that entry.
     pub(super) fn by_list(listed: &'a ListedMachine, addr: SocketAddr) -> Self {
         Self {
             id: &listed.id,
@@ -27,7 +27,7 @@
         }
     }
 
-    /// By its worker's heartbeat.
+    /// Returns the machine that an agent's heartbeat describes.
     pub(super) fn by_heartbeat(heartbeat: &'a Heartbeat) -> Self {
         Self {
             id: &heartbeat.machine,
--- a/src/control/core/tombstones.rs
+++ b/src/control/core/tombstones.rs
@@ -1,5 +1,5 @@
-//! Deleted machines. Their names are never used again, so a late machine
-//! list, or a late copy of a heartbeat, must not bring one back.
+//! Names of deleted machines. These names are never used again, so a late machine list or a
+//! late copy of a heartbeat must not bring a deleted machine back.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -11,22 +11,23 @@
 use crate::state::Change;
 use crate::types::{MachineId, Time};
 
-/// Names of deleted machines are kept for so many leases, and so many of them.
+/// Number of leases for which names of deleted machines are kept, and the maximum number of
+/// names.
 const DELETED_LEASES: f64 = 12.0;
 const MAX_DELETED_MACHINES: usize = 20_000;
 
-/// The names of deleted machines.
+/// Names of deleted machines.
 pub(super) struct MachineTombstones {
-    /// Deleted under this grant, and when.
+    /// Machines that were deleted under this grant, and the time of each deletion.
     deleted: BTreeMap<MachineId, Time>,
-    /// Those to note for later owners.
+    /// Names to record for later owners.
     to_record: DeletedMachines,
-    /// Those that earlier owners noted.
+    /// Names that earlier owners recorded.
     inherited: BTreeSet<MachineId>,
 }
 
 impl MachineTombstones {
-    /// What earlier owners noted.
+    /// Loads the names that earlier owners recorded.
     pub(super) fn load(view: &View, scope: ShardScope) -> Self {
         let recorded = view.retired_machines.values();
         Self {
@@ -38,30 +39,30 @@
         }
     }
 
-    /// Whether a machine was deleted.
+    /// Returns whether a machine was deleted.
     pub(super) fn contains(&self, machine: &MachineId) -> bool {
         self.is_recent(machine) || self.is_inherited(machine)
     }
 
-    /// Whether a machine was deleted under this grant, and not long ago.
+    /// Returns whether a machine was recently deleted under this grant.
     pub(super) fn is_recent(&self, machine: &MachineId) -> bool {
         self.deleted.contains_key(machine)
     }
 
-    /// Whether an earlier owner noted a machine as deleted.
+    /// Returns whether an earlier owner recorded a machine as deleted.
     pub(super) fn is_inherited(&self, machine: &MachineId) -> bool {
         self.inherited.contains(machine)
     }
 
-    /// A machine was deleted.
+    /// Adds a deleted machine.
     pub(super) fn add(&mut self, machine: &MachineId, now: Time) {
         self.deleted.insert(machine.clone(), now);
         self.to_record.add(machine, now);
     }
 
-    /// Names are kept for longer than a late list shows them: copies of their heartbeats
-    /// come well over a lease late. They are few enough, and beyond a bound the oldest go
-    /// first.
+    /// Removes old names. Names are kept for longer than a late list shows them, because copies
+    /// of their heartbeats arrive well over a lease late. The names are few enough for that.
+    /// Beyond the maximum, the oldest names are removed first.
     pub(super) fn expire(&mut self, cfg: &Config, now: Time) {
         let mut keep_s = (4.0 * cfg.list_lag_s + 10.0).max(DELETED_LEASES * cfg.lease_s);
         self.deleted.retain(|_, at| now.since(*at) < keep_s);
@@ -71,7 +72,8 @@
         }
     }
 
-    /// The change that notes the latest names for later owners, if it is time.
+    /// Returns the change that records the latest names for later owners, or `None` if it is
+    /// not due.
     pub(super) fn change(&mut self, value_bytes: usize, now: Time) -> Option<Change> {
         self.to_record.change(value_bytes, now)
     }
