--- a/src/control/core/fleet_log.rs
+++ b/src/control/core/fleet_log.rs
@@ -1,16 +1,16 @@
-//! What is used and free on all machines, for the log.
+//! Logs the used and free capacity of all machines.
 
 use super::Core;
 use crate::scheduler::TypeUsage;
 use crate::types::Time;
 
-/// How often that is logged, in seconds.
+/// Interval of the log line, in seconds.
 const FLEET_LOG_INTERVAL_S: f64 = 10.0;
 
-/// Amounts of CPU are counted in thousandths.
+/// Amount units per CPU. Amounts count thousandths of a CPU.
 const CPU: i64 = 1000;
 
-/// Machines of one sort, ordinary or spot, and whole CPUs on them.
+/// Totals of all ordinary machines or of all spot machines, in machines and whole CPUs.
 #[derive(Default)]
 struct MachineTotals {
     machines: i64,
@@ -19,7 +19,7 @@
 }
 
 impl Core {
-    /// Logs the totals if that is due.
+    /// Logs the totals if the interval has passed.
     pub(super) fn log_fleet_if_due(&mut self, now: Time) {
         if self.scaling.take_log_due(FLEET_LOG_INTERVAL_S, now) {
             self.log_fleet();
@@ -50,7 +50,7 @@
         );
     }
 
-    /// The totals of ordinary machines, or of spot ones.
+    /// Returns the totals of ordinary machines, or of spot machines.
     fn machine_totals(&self, spot: bool) -> MachineTotals {
         let mut totals = MachineTotals::default();
         let machines = self.cluster_state.machines().values();
@@ -62,7 +62,7 @@
         totals
     }
 
-    /// Each team with the whole CPUs that it uses.
+    /// Returns each team with its usage in whole CPUs, as text.
     fn team_usage(&self) -> String {
         let teams = self.cluster_state.teams().iter();
         let usage: Vec<String> = teams
@@ -71,7 +71,8 @@
         usage.join(",")
     }
 
-    /// Each machine type with its machines, and whole CPUs there, used and needed.
+    /// Returns each machine type with its number of machines and its total, used and needed
+    /// whole CPUs, as text.
     fn use_by_type(&self) -> String {
         let usage: Vec<String> = self
             .cluster_state
--- a/src/control/core/log_format.rs
+++ b/src/control/core/log_format.rs
@@ -1,6 +1,6 @@
-//! How figures are written in the log.
+//! Formats figures for the log.
 
-/// Seconds in tenths.
+/// Returns seconds rounded to tenths.
 pub(super) fn tenths(seconds: f64) -> f64 {
     (seconds * 10.0).round() / 10.0
 }
--- a/src/control/core/recovery.rs
+++ b/src/control/core/recovery.rs
@@ -1,5 +1,5 @@
-//! Taking up a grant: everything that is recorded of the shard goes into the
-//! cluster state.
+//! Recovery when a controller takes a grant: loads all records of the shard into the cluster
+//! state.
 
 use std::rc::Rc;
 
@@ -33,35 +33,35 @@
 use crate::state::view::{JobEntry, View};
 use crate::types::{Amount, FencingToken, JobId, MachineType, Revision, Time};
 
-/// What an owner starts from, besides its grant.
+/// Input of a recovery, apart from the grant.
 pub struct RecoveryInput<'a> {
-    /// Settings.
+    /// Settings of the controller. They stay the same while the grant is held.
     pub cfg: Rc<Config>,
-    /// The cloud's machine types; none are known: the owner waits for them.
+    /// Machine types of the cloud. If the list is empty, the owner waits for them.
     pub types: &'a [MachineType],
-    /// What is recorded, at least up to the grant.
+    /// Records of the store, read at or after the revision that wrote the grant.
     pub view: &'a View,
-    /// The operators' topology file.
+    /// Topology file of the operators.
     pub topology: Option<Rc<Topology>>,
-    /// Now, on this process's clock.
+    /// Current time on this process's clock.
     pub now: Time,
-    /// The time of day, in milliseconds.
+    /// Time of day, in milliseconds.
     pub wall_ms: u64,
 }
 
-/// A grant as it is recorded.
+/// Shard grant as recorded.
 #[derive(Clone, Copy, Debug)]
 pub struct ShardGrant {
-    /// The machines and jobs that it is for.
+    /// Machines and jobs that the grant covers.
     pub scope: ShardScope,
-    /// Its number, which the fencing tokens of its commands begin with.
+    /// Number of the grant. The fencing tokens of its commands begin with it.
     pub number: u64,
-    /// The revision that wrote it.
+    /// Store revision that wrote the grant.
     pub revision: Revision,
 }
 
 impl ShardGrant {
-    /// The grant of all machines.
+    /// Returns a grant of all machines.
     pub fn whole(number: u64, revision: Revision) -> Self {
         Self {
             scope: ShardScope::WHOLE,
@@ -72,10 +72,9 @@
 }
 
 impl Core {
-    /// Takes up a grant: everything recorded of its scope is on the cluster state,
-    /// and every claim counts until a report that carries the new fencing token says
-    /// otherwise. `places` is where machines of all shards are; of the grant of all
-    /// machines it is empty.
+    /// Builds the core of a new owner from the records of its scope. Every claim counts until a
+    /// heartbeat that carries the new fencing token shows otherwise. `places` holds the zones
+    /// of the machines of all shards. It is empty for the grant of all machines.
     pub fn load(input: &RecoveryInput, grant: ShardGrant, places: Places) -> Self {
         let (view, now, wall_ms) = (input.view, input.now, input.wall_ms);
         let mut core = Self::without_records(input, grant, places);
@@ -83,14 +82,15 @@
         core.recover_arrivals(view, now, wall_ms);
         core.recover_jobs(view, now, wall_ms);
         core.refresh_windows(view, wall_ms as i64, now);
-        // Else nobody would go ahead after a takeover until the first look, and the
-        // order would be that of the acceptors' clocks.
+        // Without this refresh no job would get ahead of others between a takeover and the
+        // first rescan. The order would then follow the clocks of the controllers that accepted
+        // the jobs.
         core.cluster_state
             .refresh_lanes(&core.cfg.lanes, now, wall_ms);
         core
     }
 
-    /// An owner that knows no job and no machine yet.
+    /// Returns a core without jobs or machines.
     fn without_records(input: &RecoveryInput, grant: ShardGrant, places: Places) -> Self {
         let (view, now, scope) = (input.view, input.now, grant.scope);
         let image_distribution =
@@ -129,7 +129,7 @@
         }
     }
 
-    /// Machine types, zones, topology, drains and limits.
+    /// Sets machine types, zones, topology, drains and limits.
     fn set_up_cluster(&mut self, input: &RecoveryInput) {
         let others = self.cfg.others.iter().map(|o| o.zone.clone());
         self.cluster_state.staged_gb = self.cfg.tuning.staging_least_gb;
@@ -141,8 +141,8 @@
         self.refresh_quotas(input.view);
     }
 
-    /// Jobs that arrived of late. Of several shards each places an equal part of what
-    /// comes.
+    /// Adds recent job arrivals. If there are several shards, each places an equal part of new
+    /// jobs.
     fn recover_arrivals(&mut self, view: &View, now: Time, wall_ms: u64) {
         let ShardScope { shard, of } = self.scope;
         let all = view.history.arrivals().enumerate();
@@ -153,7 +153,7 @@
         }
     }
 
-    /// Jobs that this scope homes or has claims of, by their names.
+    /// Adds the jobs that this shard is home to or has claims of, in the order of their names.
     fn recover_jobs(&mut self, view: &View, now: Time, wall_ms: u64) {
         let mut jobs: Vec<&JobId> = view.jobs().map(|(id, _)| id).collect();
         jobs.sort();
@@ -162,12 +162,12 @@
         }
     }
 
-    /// The grant's lowest fencing token.
+    /// Returns the lowest fencing token of the grant.
     pub(super) fn base_fencing_token(&self) -> FencingToken {
         FencingToken::of_grant(self.grant)
     }
 
-    /// Takes up a job if this scope homes it or has claims of it.
+    /// Adds a job if this shard is its home or has claims of it.
     pub(super) fn add_job(&mut self, view: &View, id: &JobId, now: Time, wall_ms: u64) {
         let claimed_here = |entry: &JobEntry| self.claims_here(entry);
         if self.scope.homes(id) || view.job(id).is_some_and(claimed_here) {
@@ -176,8 +176,8 @@
     }
 }
 
-/// The teams with their whole limits. Of several shards each has its part of them, see
-/// `refresh_quotas`.
+/// Returns the teams with their whole limits. If there are several shards, each has a part of
+/// the limits; see `refresh_quotas`.
 fn teams(cfg: &Config) -> Vec<Team> {
     cfg.teams
         .iter()
--- a/src/control/core/waiting_log.rs
+++ b/src/control/core/waiting_log.rs
@@ -1,4 +1,4 @@
-//! Why jobs wait, for the log.
+//! Logs why jobs wait.
 
 use std::collections::BTreeMap;
 
@@ -6,39 +6,40 @@
 use crate::scheduler::Job;
 use crate::types::{JobId, Kind, Time};
 
-/// How often the log says why the same job waits, in seconds.
+/// Interval at which the log repeats why the same job waits, in seconds.
 const LOG_INTERVAL_S: f64 = 60.0;
-/// A job is logged only after it has waited for this long, in seconds.
+/// Time that a job has to wait before it is logged, in seconds.
 const LOG_AFTER_S: f64 = 15.0;
 
-/// When each waiting job was last logged.
+/// Time at which each waiting job was last logged.
 #[derive(Default)]
 pub(super) struct WaitingLog {
     logged_at: BTreeMap<JobId, Time>,
 }
 
 impl WaitingLog {
-    /// Forgets the jobs that may be logged again.
+    /// Removes the jobs that may be logged again.
     fn expire(&mut self, now: Time) {
         self.logged_at
             .retain(|_, at| now.since(*at) < LOG_INTERVAL_S);
     }
 
-    /// Whether a job was logged of late, as of the last expiry.
+    /// Returns whether a job was recently logged, as of the last expiry.
     fn is_recent(&self, job: &JobId) -> bool {
         self.logged_at.contains_key(job)
     }
 
-    /// A job is logged now.
+    /// Records that a job is logged now.
     fn logged(&mut self, job: JobId, now: Time) {
         self.logged_at.insert(job, now);
     }
 }
 
 impl Core {
-    /// Says in the log why a job waits: one job a call, each job once a minute.
+    /// Logs why a job waits. Each call logs at most one job, and each job at most once a
+    /// minute.
     pub(super) fn log_waiting_jobs(&mut self, now: Time) {
-        // Only clusters with a topology have these lines.
+        // Only clusters with a topology log these lines.
         if self.cluster_state.topology().is_none() {
             return;
         }
@@ -53,7 +54,7 @@
         self.waiting_log.logged(id, now);
     }
 
-    /// The first job that has waited for long and was not logged of late.
+    /// Returns the first job that has waited for long and was not logged recently.
     fn next_waiting_to_log(&self, now: Time) -> Option<JobId> {
         let mut waiting = self.cluster_state.jobs_to_place();
         let to_log = waiting.find(|(id, job)| {
@@ -63,14 +64,14 @@
     }
 }
 
-/// Whether a job has waited for so long that the log says why.
+/// Returns whether a job has waited so long that the log gives the reason.
 fn waits_for_long(job: &Job, now: Time) -> bool {
     job.blocked_since
         .is_some_and(|t| now.since(t) > LOG_AFTER_S)
 }
 
-/// Whether a job waits for more than free capacity: for certain places, or for all of its
-/// tasks' places at once.
+/// Returns whether a job needs more than free capacity: certain domains, or capacity for all of
+/// its tasks at once.
 fn is_constrained(job: &Job) -> bool {
     !job.policy.is_empty() || job.spec.kind == Kind::Gang
 }
