--- a/src/control/core/failures.rs
+++ b/src/control/core/failures.rs
@@ -8,29 +8,29 @@
 
 /// Number of heartbeat intervals for which a job avoids a machine that refused one of its
 /// tasks.
-const REFUSED_HEARTBEATS: f64 = 2.0;
+const AVOID_AFTER_REFUSAL_HEARTBEATS: f64 = 2.0;
 /// Longest pause of a job whose tasks machines don't find, in seconds.
-const MAX_UNKNOWN_PAUSE_S: f64 = 30.0;
+const MAX_NOT_FOUND_PAUSE_S: f64 = 30.0;
 /// Time for which a job avoids a machine on which it failed, in seconds.
-const AVOIDED_S: f64 = 60.0;
+const AVOID_AFTER_FAILURE_S: f64 = 60.0;
 /// A job counts as faulty once it has at least this many failures, on at least this many
 /// machines.
-const MISTAKEN_FAILURES: u32 = 3;
-const MISTAKEN_MACHINES: usize = 3;
+const FAULTY_JOB_FAILURES: u32 = 3;
+const FAULTY_JOB_MACHINES: usize = 3;
 /// First and longest pause of a faulty job, in seconds.
-const MISTAKEN_PAUSE_S: f64 = 2.0;
-const MAX_MISTAKEN_PAUSE_S: f64 = 40.0;
+const FAULTY_JOB_PAUSE_S: f64 = 2.0;
+const MAX_FAULTY_JOB_PAUSE_S: f64 = 40.0;
 /// Number of sound jobs whose failures on a machine make the machine count as faulty.
-const FAULTY_JOBS: usize = 2;
+const FAULTY_MACHINE_JOBS: usize = 2;
 
-/// Culprit of a failure.
-enum Blame {
-    /// The machine counts as the cause.
+/// Likely cause of a failure.
+enum FailureCause {
+    /// The machine is the likely cause.
     Machine,
-    /// The job counts as the cause, and it was suspected before.
-    Job,
-    /// The job counts as the cause from this failure on, and for all its earlier failures.
-    JobFromNowOn,
+    /// The job is the likely cause, and it was suspected before.
+    SuspectedJob,
+    /// The job is the likely cause of this failure and of all its earlier ones.
+    NewlySuspectedJob,
 }
 
 impl Core {
@@ -51,8 +51,8 @@
         match why {
             ExitReason::Done if spec.kind != Kind::Service => self.succeeded(id, task, now),
             ExitReason::Error => self.failed(id, task, now),
-            ExitReason::Full | ExitReason::InUse => self.avoid_for_now(id, &task.job, now),
-            ExitReason::NoSuch => self.back_off_unknown(&task.job, now),
+            ExitReason::Full | ExitReason::InUse => self.avoid_after_refusal(id, &task.job, now),
+            ExitReason::NoSuch => self.back_off_not_found(&task.job, now),
             ExitReason::Done
             | ExitReason::Stopped
             | ExitReason::Peers
@@ -84,8 +84,8 @@
 
     /// Makes a job avoid a machine for a short time after the machine refused a task. The
     /// machine had no free capacity, or still has another attempt of the task.
-    fn avoid_for_now(&mut self, id: &MachineId, job: &JobId, now: Time) {
-        let until = now.after(REFUSED_HEARTBEATS * self.cfg.heartbeat_s);
+    fn avoid_after_refusal(&mut self, id: &MachineId, job: &JobId, now: Time) {
+        let until = now.after(AVOID_AFTER_REFUSAL_HEARTBEATS * self.cfg.heartbeat_s);
         self.cluster_state.edit_job(job, |job| {
             job.avoid.insert(id.clone(), until);
         });
@@ -93,11 +93,11 @@
 
     /// Delays a job after a machine refused a task because it found no task of that name. The
     /// delay grows with each refusal.
-    fn back_off_unknown(&mut self, job: &JobId, now: Time) {
+    fn back_off_not_found(&mut self, job: &JobId, now: Time) {
         self.cluster_state.edit_job(job, |job| {
             job.failures += 1;
             let pause_s = f64::from(job.failures).exp2();
-            job.hold_until = now.after(pause_s.min(MAX_UNKNOWN_PAUSE_S));
+            job.hold_until = now.after(pause_s.min(MAX_NOT_FOUND_PAUSE_S));
         });
     }
 
@@ -106,18 +106,18 @@
     /// several machines and of which no task ends well is itself faulty. Its failures count
     /// against no machine, and it is retried at growing intervals until its user cancels it.
     pub(super) fn failed(&mut self, id: &MachineId, task: &TaskId, now: Time) {
-        let blame = self
+        let cause = self
             .cluster_state
             .edit_job(&task.job, |job| count_failure(job, id, now));
-        match blame {
-            Some(Blame::JobFromNowOn) => self.clear(&task.job),
-            Some(Blame::Job) | None => {}
-            Some(Blame::Machine) => self.shun(id, &task.job, now),
+        match cause {
+            Some(FailureCause::NewlySuspectedJob) => self.clear(&task.job),
+            Some(FailureCause::SuspectedJob) | None => {}
+            Some(FailureCause::Machine) => self.count_against_machine(id, &task.job, now),
         }
     }
 
     /// Counts a job's failure against a machine, which is then avoided for a while.
-    fn shun(&mut self, id: &MachineId, job: &JobId, now: Time) {
+    fn count_against_machine(&mut self, id: &MachineId, job: &JobId, now: Time) {
         let Some(agent) = self.agents.get_mut(id) else {
             return;
         };
@@ -126,7 +126,7 @@
         // machine once cost the machine.
         let cluster_state = &self.cluster_state;
         let sound = |job: &&JobId| cluster_state.job(job).is_none_or(Job::is_sound);
-        if agent.failed_jobs.jobs().filter(sound).count() >= FAULTY_JOBS {
+        if agent.failed_jobs.jobs().filter(sound).count() >= FAULTY_MACHINE_JOBS {
             agent.leave();
         }
     }
@@ -137,27 +137,28 @@
     }
 }
 
-/// Counts a failure of a job on a machine, and returns the culprit.
-fn count_failure(job: &mut Job, id: &MachineId, now: Time) -> Blame {
+/// Counts a failure of a job on a machine, and returns its likely cause.
+fn count_failure(job: &mut Job, id: &MachineId, now: Time) -> FailureCause {
     job.failures += 1;
     job.avoid.retain(|_, until| now < *until);
-    job.avoid.insert(id.clone(), now.after(AVOIDED_S));
-    let mistaken = job.failures >= MISTAKEN_FAILURES && job.avoid.len() >= MISTAKEN_MACHINES;
+    job.avoid
+        .insert(id.clone(), now.after(AVOID_AFTER_FAILURE_S));
+    let faulty = job.failures >= FAULTY_JOB_FAILURES && job.avoid.len() >= FAULTY_JOB_MACHINES;
     let suspected_faulty = job.suspected_faulty;
-    if mistaken && !suspected_faulty && job.spec.kind == Kind::Array {
+    if faulty && !suspected_faulty && job.spec.kind == Kind::Array {
         // The count starts at the threshold, however many of the job's tasks failed at once.
-        (job.suspected_faulty, job.failures) = (true, MISTAKEN_FAILURES);
+        (job.suspected_faulty, job.failures) = (true, FAULTY_JOB_FAILURES);
     } else if suspected_faulty && !job.tasks.claims().is_empty() {
         // The failed task was started before the job was suspected.
         job.failures -= 1;
     }
-    if mistaken || suspected_faulty {
+    if faulty || suspected_faulty {
         let wait = f64::from(job.failures.min(6) - 2).exp2();
-        job.hold_until = now.after((MISTAKEN_PAUSE_S * wait).min(MAX_MISTAKEN_PAUSE_S));
+        job.hold_until = now.after((FAULTY_JOB_PAUSE_S * wait).min(MAX_FAULTY_JOB_PAUSE_S));
     }
-    match (suspected_faulty, mistaken) {
-        (true, _) => Blame::Job,
-        (false, true) => Blame::JobFromNowOn,
-        (false, false) => Blame::Machine,
+    match (suspected_faulty, faulty) {
+        (true, _) => FailureCause::SuspectedJob,
+        (false, true) => FailureCause::NewlySuspectedJob,
+        (false, false) => FailureCause::Machine,
     }
 }
