--- a/src/control/core/agent.rs
+++ b/src/control/core/agent.rs
@@ -13,11 +13,11 @@
 use crate::types::{FencingToken, Incarnation, SequenceNumber, Time};
 
 /// Differences between a heartbeat and the one before it.
-pub(super) struct HeartbeatNews {
+pub(super) struct HeartbeatChanges {
     /// The agent's incarnation ended, and all tasks of that incarnation ended with it.
     pub(super) incarnation_ended: bool,
     /// The agent's address changed.
-    pub(super) moved: bool,
+    pub(super) address_changed: bool,
 }
 
 /// State of one machine's agent, as its heartbeats and the answers to its commands show it.
@@ -31,7 +31,7 @@
     /// Fencing token that commands to this machine carry now.
     pub(super) fencing_token: FencingToken,
     /// Highest fencing token that the agent has reported.
-    seen: FencingToken,
+    highest_fencing_token: FencingToken,
     /// Time of the last heartbeat, received by this controller or, as a hint, by another one.
     last_contact: Time,
     /// Sequence number of the newest heartbeat that another controller mentioned.
@@ -46,7 +46,7 @@
     /// command arrived.
     suspected_one_way: bool,
     /// Another controller forwarded the last heartbeat.
-    passed: bool,
+    forwarded: bool,
     /// The cloud is about to preempt the machine, or the owner chose to return it.
     leaving: bool,
     /// The machine is being deleted, so nothing may rely on it again.
@@ -68,14 +68,14 @@
             incarnation: Incarnation(1),
             sequence: SequenceNumber(0),
             fencing_token,
-            seen: FencingToken(0),
+            highest_fencing_token: FencingToken(0),
             last_contact: now,
             relayed_sequence: SequenceNumber(0),
             reachability: Reachability::default(),
             tasks: BTreeMap::new(),
             direct: DirectLine::new(now),
             suspected_one_way: false,
-            passed: false,
+            forwarded: false,
             leaving: false,
             deleting: false,
             failed_jobs: FailedJobs::none(),
@@ -101,27 +101,27 @@
     }
 
     /// Applies a heartbeat that is newer than the last one.
-    pub(super) fn take_in(
+    pub(super) fn apply_heartbeat(
         &mut self,
         heartbeat: &Heartbeat,
         source: Source,
         now: Time,
-    ) -> HeartbeatNews {
-        let news = HeartbeatNews {
+    ) -> HeartbeatChanges {
+        let changes = HeartbeatChanges {
             incarnation_ended: heartbeat.incarnation > self.incarnation
                 && self.sequence > SequenceNumber(0),
-            moved: self.addr != heartbeat.addr,
+            address_changed: self.addr != heartbeat.addr,
         };
         self.addr = heartbeat.addr;
         self.incarnation = heartbeat.incarnation;
         self.sequence = heartbeat.sequence;
-        let took_up = heartbeat.fencing_token > self.seen
+        let token_adopted = heartbeat.fencing_token > self.highest_fencing_token
             && heartbeat.fencing_token.grant() == self.fencing_token.grant();
-        self.seen = self.seen.max(heartbeat.fencing_token);
+        self.highest_fencing_token = self.highest_fencing_token.max(heartbeat.fencing_token);
         self.last_contact = now;
         self.relayed_sequence = SequenceNumber(0);
         self.direct.contact_confirmed();
-        self.passed = source == Source::Passed;
+        self.forwarded = source == Source::Passed;
         // Only a heartbeat that the agent itself sent here shows that the network path works.
         // Heartbeats received by other controllers once counted too. While the owner was cut
         // off from all agents, it then retried direct commands after each of them.
@@ -136,10 +136,10 @@
         // A heartbeat is no evidence that commands reach the agent. Counting heartbeats as such
         // made an unreachable machine usable again at each of them.
         self.reachability.reported(now);
-        if took_up {
+        if token_adopted {
             self.reachability.proved(now);
         }
-        news
+        changes
     }
 
     /// Returns whether a heartbeat is not newer than the last one.
@@ -166,7 +166,7 @@
     /// direct commands don't reach it for now.
     pub(super) fn takes_starts_in_replies(&self, now: Time) -> bool {
         let pauses = self.direct.is_failing() && now < self.direct.retry_at();
-        !self.direct.is_in_flight() && (self.passed || pauses)
+        !self.direct.is_in_flight() && (self.forwarded || pauses)
     }
 
     /// Returns direct commands for the incarnation that reported last, under the current
@@ -192,8 +192,8 @@
     }
 
     /// Returns whether another controller forwarded the last heartbeat.
-    pub(super) fn is_passed_on(&self) -> bool {
-        self.passed
+    pub(super) fn is_forwarded(&self) -> bool {
+        self.forwarded
     }
 
     /// Returns whether the owner returns the machine, or the cloud preempts it.
@@ -231,7 +231,7 @@
     pub(super) fn command_executed(&mut self, now: Time) {
         self.direct.executed(now);
         self.reachability.proved(now);
-        self.passed = false;
+        self.forwarded = false;
     }
 
     /// Records that the agent refused a direct command.
@@ -264,6 +264,6 @@
     /// Returns whether the agent created its last heartbeat after it had received the fencing
     /// token that now fences all earlier commands to it.
     pub(super) fn fenced(&self) -> bool {
-        self.seen >= self.fencing_token
+        self.highest_fencing_token >= self.fencing_token
     }
 }
--- a/src/control/core/agents.rs
+++ b/src/control/core/agents.rs
@@ -180,7 +180,7 @@
             && !silent;
         Some(AgentUsability {
             usable,
-            slow: agent.is_passed_on() || agent.direct.is_failing(),
+            slow: agent.is_forwarded() || agent.direct.is_failing(),
             silent,
             leaving,
             suspected_one_way: agent.is_suspected_one_way(),
--- a/src/control/core/dispatch.rs
+++ b/src/control/core/dispatch.rs
@@ -42,7 +42,7 @@
             return false;
         }
         // Other machines get their commands in the reply to the next heartbeat.
-        !(agent.is_passed_on() && agent.fenced())
+        !(agent.is_forwarded() && agent.fenced())
     }
 
     /// Returns the commands for a machine that may be contacted. Returns `None` if all of them
--- a/src/control/core/heartbeats.rs
+++ b/src/control/core/heartbeats.rs
@@ -1,4 +1,4 @@
-//! Agents' heartbeats: decides which of them count, and what they prove about the claims on a
+//! Agents' heartbeats: decides which of them to accept, and what they prove about the claims on a
 //! machine.
 
 use super::seen_machine::SeenMachine;
@@ -26,15 +26,15 @@
         if heartbeat.fencing_token.grant() > self.grant {
             return false;
         }
-        if self.counts(heartbeat) {
-            self.take_in(heartbeat, source, now);
+        if self.accepts(heartbeat) {
+            self.apply_heartbeat(heartbeat, source, now);
         }
         true
     }
 
     /// Returns whether a heartbeat is from a machine of this shard and is certainly no late
     /// copy.
-    fn counts(&self, heartbeat: &Heartbeat) -> bool {
+    fn accepts(&self, heartbeat: &Heartbeat) -> bool {
         if !self.scope.covers(&heartbeat.machine) || self.is_copy(heartbeat) {
             return false;
         }
@@ -48,18 +48,18 @@
         !self.inventory.was_listed() || shown || self.agents.contains(id)
     }
 
-    /// Applies a heartbeat that counts: updates the agent's state, the tasks that it names and
+    /// Applies an accepted heartbeat: updates the agent's state, the tasks that it names and
     /// the claims that it does not name.
-    fn take_in(&mut self, heartbeat: &Heartbeat, source: Source, now: Time) {
+    fn apply_heartbeat(&mut self, heartbeat: &Heartbeat, source: Source, now: Time) {
         let id = &heartbeat.machine;
         let (lease_s, silence_ignored) = (self.cfg.lease_s, self.ignored_silence.is_on(now));
         let Some(agent) = self.agent(&SeenMachine::by_heartbeat(heartbeat), now) else {
             return;
         };
-        let news = agent.take_in(heartbeat, source, now);
+        let changes = agent.apply_heartbeat(heartbeat, source, now);
         // The leases end although the heartbeats are answered, so every task there is lost each
         // time. While requests wait too long, answers may be too late.
-        if news.incarnation_ended
+        if changes.incarnation_ended
             && agent.reachability.incarnation_ended(lease_s, now)
             && !silence_ignored
         {
@@ -67,24 +67,24 @@
         }
         let fenced = heartbeat.fencing_token >= agent.fencing_token;
         self.record_served_images(heartbeat);
-        if news.moved {
+        if changes.address_changed {
             self.cluster_state.locate(id, Some(heartbeat.addr.ip()));
         }
-        self.see_starts(id, now);
-        if news.incarnation_ended {
+        self.check_started_tasks(id, now);
+        if changes.incarnation_ended {
             self.incarnation_ended(id, now);
         }
         if fenced {
             self.reconcile(id, source, now);
         }
-        self.settle_doubt(id);
+        self.clear_suspicion(id);
         self.wake(id);
         self.refresh_machine(id, now);
     }
 
     /// Clears the suspicion of a machine that has the current fencing token, unless nothing
     /// that is sent to it takes effect.
-    fn settle_doubt(&mut self, id: &MachineId) {
+    fn clear_suspicion(&mut self, id: &MachineId) {
         let Some(agent) = self.agents.get_mut(id).filter(|l| l.fenced()) else {
             return;
         };
@@ -93,7 +93,7 @@
 
     /// Records that commands reach the machine if a task that this owner started is in the
     /// heartbeat.
-    fn see_starts(&mut self, id: &MachineId, now: Time) {
+    fn check_started_tasks(&mut self, id: &MachineId, now: Time) {
         let Some(agent) = self
             .agents
             .get_mut(id)
@@ -178,13 +178,13 @@
                 let spec = job.spec.clone();
                 self.ended(id, task, &spec, why.unwrap_or(ExitReason::Other), now);
             }
-            Some(TaskStatus { phase, .. }) => self.claim_runs(task, phase, now),
+            Some(TaskStatus { phase, .. }) => self.claim_reported(task, phase, now),
             None => self.claim_not_reported(id, task, source, now),
         }
     }
 
     /// Records that a claimed task is on its machine and has not ended.
-    fn claim_runs(&mut self, task: &TaskId, phase: TaskPhase, now: Time) {
+    fn claim_reported(&mut self, task: &TaskId, phase: TaskPhase, now: Time) {
         let Some(claim) = self.cluster_state.claim_mut(task) else {
             return;
         };
