--- a/src/control/core/agent_table.rs
+++ b/src/control/core/agent_table.rs
@@ -46,12 +46,12 @@
     }
 
     /// Adds the agent of a machine that came up.
-    pub(super) fn came_up(&mut self, id: MachineId, agent: AgentState) {
+    pub(super) fn insert(&mut self, id: MachineId, agent: AgentState) {
         self.agents.insert(id, agent);
     }
 
     /// Removes the agent of a deleted machine.
-    pub(super) fn deleted(&mut self, id: &MachineId) {
+    pub(super) fn remove(&mut self, id: &MachineId) {
         self.agents.remove(id);
     }
 
--- a/src/control/core/agents.rs
+++ b/src/control/core/agents.rs
@@ -57,10 +57,10 @@
     pub(super) fn agent(&mut self, seen: &SeenMachine<'_>, now: Time) -> Option<&mut AgentState> {
         if !self.agents.contains(seen.id) {
             let kind = self.types.get(seen.kind)?.clone();
-            self.inventory.came_up(seen.id);
+            self.inventory.remove_pending(seen.id);
             self.add_machine(seen, kind, now);
             let agent = AgentState::new(seen.addr, self.base_fencing_token(), now);
-            self.agents.came_up(seen.id.clone(), agent);
+            self.agents.insert(seen.id.clone(), agent);
             self.wake(seen.id);
         }
         self.agents.get_mut(seen.id)
@@ -89,7 +89,7 @@
             self.cluster_state.locate(id, Some(seen.addr.ip()));
             let place = self.cluster_state.machines().get(id).map(|m| m.place);
             self.topology_history
-                .came_up(pool, place.unwrap_or_default(), now);
+                .record_arrival(pool, place.unwrap_or_default(), now);
         }
     }
 
@@ -203,7 +203,7 @@
         let place = self.cluster_state.machines().get(id).map(|m| m.place);
         let topology = self.cluster_state.topology();
         if let (true, Some(t), Some(place)) = (status.silent, topology, place) {
-            self.topology_history.lost(&t.tree, place, now);
+            self.topology_history.record_loss(&t.tree, place, now);
         }
     }
 
--- a/src/control/core/heartbeats.rs
+++ b/src/control/core/heartbeats.rs
@@ -44,7 +44,7 @@
         // fencing token, and the next heartbeat shows it.
         let id = &heartbeat.machine;
         let shown =
-            heartbeat.fencing_token >= self.base_fencing_token() || self.inventory.is_coming(id);
+            heartbeat.fencing_token >= self.base_fencing_token() || self.inventory.is_pending(id);
         !self.inventory.was_listed() || shown || self.agents.contains(id)
     }
 
--- a/src/control/core/inventory.rs
+++ b/src/control/core/inventory.rs
@@ -9,7 +9,7 @@
 /// A machine is probably gone after it was missing from this many lists in a row.
 const MISSING_LISTS: u32 = 2;
 /// Missing count of a machine that is to be deleted, whatever the lists show.
-const GIVEN_BACK: u32 = u32::MAX / 2;
+const MARKED_FOR_DELETION: u32 = u32::MAX / 2;
 
 /// Machine that the cloud granted and that has not reported yet.
 #[derive(Clone, Debug)]
@@ -50,7 +50,7 @@
     }
 
     /// Returns whether a machine is pending.
-    pub(super) fn is_coming(&self, machine: &MachineId) -> bool {
+    pub(super) fn is_pending(&self, machine: &MachineId) -> bool {
         self.pending_machines.contains_key(machine)
     }
 
@@ -67,7 +67,7 @@
     }
 
     /// Removes a machine that came up from the pending ones.
-    pub(super) fn came_up(&mut self, machine: &MachineId) {
+    pub(super) fn remove_pending(&mut self, machine: &MachineId) {
         self.pending_machines.remove(machine);
     }
 
@@ -77,18 +77,18 @@
     }
 
     /// Records that a list was read.
-    pub(super) fn list_read(&mut self) {
+    pub(super) fn record_list_read(&mut self) {
         self.listed = true;
     }
 
     /// Records that a list shows a machine.
-    pub(super) fn seen(&mut self, machine: &MachineId) {
+    pub(super) fn record_listed(&mut self, machine: &MachineId) {
         self.missing.remove(machine);
     }
 
     /// Records that a list does not show a machine. Returns `true` once the machine is probably
     /// gone.
-    pub(super) fn not_seen(&mut self, machine: &MachineId) -> bool {
+    pub(super) fn record_missing(&mut self, machine: &MachineId) -> bool {
         let count = self.missing.entry(machine.clone()).or_insert(0);
         *count += 1;
         *count >= MISSING_LISTS
@@ -108,7 +108,7 @@
             spot: false,
             since: Time(f64::NEG_INFINITY),
         });
-        self.missing.insert(machine.clone(), GIVEN_BACK);
+        self.missing.insert(machine.clone(), MARKED_FOR_DELETION);
     }
 
     /// Removes a deleted machine.
--- a/src/control/core/machine_list.rs
+++ b/src/control/core/machine_list.rs
@@ -10,27 +10,27 @@
 use crate::types::{MachineId, Time};
 
 /// Factor for clock drift. Clocks drift apart by 0.05% (PROTOCOL).
-const DRIFT: f64 = 1.001;
+const CLOCK_DRIFT_FACTOR: f64 = 1.001;
 /// Number of missed heartbeats after which a machine may be gone.
 const MISSED_HEARTBEATS: f64 = 1.5;
 /// Age below which the list may not show a rented machine yet, in usual list lags
-/// (`FRESH_LAGS`) plus seconds (`FRESH_S`).
-const FRESH_LAGS: f64 = 3.0;
-const FRESH_S: f64 = 5.0;
+/// (`MAYBE_UNLISTED_LAGS`) plus seconds (`MAYBE_UNLISTED_S`).
+const MAYBE_UNLISTED_LAGS: f64 = 3.0;
+const MAYBE_UNLISTED_S: f64 = 5.0;
 /// Time after a failover from which the list certainly shows a moment after it, in usual list
-/// lags (`LATEST_LAGS`) plus seconds (`LATEST_S`). The list is late by at most twice its usual
-/// lag (PROTOCOL).
-const LATEST_LAGS: f64 = 2.0;
-const LATEST_S: f64 = 2.0;
+/// lags (`MAX_LIST_DELAY_LAGS`) plus seconds (`MAX_LIST_DELAY_S`). The list is late by at most
+/// twice its usual lag (PROTOCOL).
+const MAX_LIST_DELAY_LAGS: f64 = 2.0;
+const MAX_LIST_DELAY_S: f64 = 2.0;
 /// Factor by which the owner waits longer for unreachable machines if most machines are
 /// unreachable.
-const MAX_ONE_WAY_REACHABLE_FACTOR: f64 = 3.0;
+const MOST_UNREACHABLE_FACTOR: f64 = 3.0;
 
 impl Core {
     /// Applies a machine list: adds new machines, and marks missing ones for deletion.
     pub fn listed(&mut self, list: &[ListedMachine], now: Time) {
         let names: BTreeSet<&MachineId> = list.iter().map(|m| &m.id).collect();
-        self.inventory.list_read();
+        self.inventory.record_list_read();
         self.tombstones.expire(&self.cfg, now);
         for machine in list {
             // The list is late. A deleted machine must not come back as one to contact or to
@@ -39,18 +39,18 @@
                 self.machine_listed(machine, now);
             }
         }
-        self.give_back_missing(&names, now);
+        self.mark_missing_machines(&names, now);
         // A list is late by at most twice its usual lag (PROTOCOL). So the list now shows a
         // time at which all machines existed that a former owner claimed.
-        if self.failover.age_s(now) > LATEST_LAGS * self.cfg.list_lag_s + LATEST_S {
-            self.give_back_unknown(&names);
+        if self.failover.age_s(now) > MAX_LIST_DELAY_LAGS * self.cfg.list_lag_s + MAX_LIST_DELAY_S {
+            self.mark_unknown_machines(&names);
         }
     }
 
     /// Applies an entry for a machine that is not known to be deleted.
     fn machine_listed(&mut self, machine: &ListedMachine, now: Time) {
         let id = &machine.id;
-        self.inventory.seen(id);
+        self.inventory.record_listed(id);
         if self.agents.contains(id) {
             if machine.phase == MachinePhase::Failed {
                 // The machine stopped without a request. That proves nothing about its tasks.
@@ -80,7 +80,7 @@
 
     /// Marks machines for deletion that were known before and are missing from several lists in
     /// a row. They are probably gone, and their deletion proves that.
-    fn give_back_missing(&mut self, listed: &BTreeSet<&MachineId>, now: Time) {
+    fn mark_missing_machines(&mut self, listed: &BTreeSet<&MachineId>, now: Time) {
         let known = self
             .agents
             .ids()
@@ -94,9 +94,10 @@
             let agent = self.agents.get(&id);
             let silent = agent.is_none_or(|a| a.silence_s(now) > limit_s);
             let pending = self.inventory.pending_machines().get(&id);
-            let fresh = pending
-                .is_some_and(|c| now.since(c.since) < FRESH_LAGS * self.cfg.list_lag_s + FRESH_S);
-            if silent && !fresh && self.inventory.not_seen(&id) {
+            let fresh = pending.is_some_and(|c| {
+                now.since(c.since) < MAYBE_UNLISTED_LAGS * self.cfg.list_lag_s + MAYBE_UNLISTED_S
+            });
+            if silent && !fresh && self.inventory.record_missing(&id) {
                 self.mark_for_scale_in(&id);
             }
         }
@@ -104,7 +105,7 @@
 
     /// Marks machines for deletion that claims name but neither the list nor a heartbeat shows.
     /// Until these machines are gone, their claims count against limits.
-    fn give_back_unknown(&mut self, listed: &BTreeSet<&MachineId>) {
+    fn mark_unknown_machines(&mut self, listed: &BTreeSet<&MachineId>) {
         let unknown = self.cluster_state.unknown_machines();
         let unknown = unknown.filter(|id| !listed.contains(id));
         let unknown: Vec<MachineId> = unknown.cloned().collect();
@@ -118,12 +119,12 @@
     /// have ended by then. If the owner deleted them earlier, a network cut that heals would
     /// cost their tasks.
     pub(super) fn unreachable_machines(&self, now: Time) -> Vec<MachineId> {
-        let patience_s = self.cfg.lease_s * DRIFT + 2.0 * self.cfg.heartbeat_s;
+        let patience_s = self.cfg.lease_s * CLOCK_DRIFT_FACTOR + 2.0 * self.cfg.heartbeat_s;
         // If most machines are unreachable, this controller's network may be the cause. Another
         // controller may then become the owner soon. If none does, the machines are deleted all
         // the same.
         let patience_s = if self.agents.most_in_doubt() {
-            MAX_ONE_WAY_REACHABLE_FACTOR * patience_s
+            MOST_UNREACHABLE_FACTOR * patience_s
         } else {
             patience_s
         };
@@ -147,7 +148,7 @@
             }
             self.placement_queue.request_full_walk();
             self.tombstones.add(id, now);
-            self.agents.deleted(id);
+            self.agents.remove(id);
             self.inventory.forget(id);
             self.cluster_state.remove_machine(id);
         }
--- a/src/control/core/topology_history.rs
+++ b/src/control/core/topology_history.rs
@@ -17,12 +17,12 @@
 
 impl TopologyHistory {
     /// Records that a machine of a pool came up in a domain.
-    pub(super) fn came_up(&mut self, pool: MachinePool, place: Domain, now: Time) {
+    pub(super) fn record_arrival(&mut self, pool: MachinePool, place: Domain, now: Time) {
         self.placements.came(pool, place, now);
     }
 
     /// Records that a machine in a domain was lost.
-    pub(super) fn lost(&mut self, tree: &Tree, place: Domain, now: Time) {
+    pub(super) fn record_loss(&mut self, tree: &Tree, place: Domain, now: Time) {
         self.losses.lost(tree, place, now);
     }
 
