--- a/src/control/core/agents.rs
+++ b/src/control/core/agents.rs
@@ -19,11 +19,11 @@
 const SUSPECT_HEARTBEATS: f64 = 1.6;
 /// Shortest silence before the owner contacts a machine, in seconds. Any process may stall for
 /// a moment.
-const SUSPECT_LEAST_S: f64 = 5.0;
+const SUSPECT_MIN_S: f64 = 5.0;
 /// Silence after which a machine gets no new tasks, in heartbeat intervals
-/// (`SILENT_HEARTBEATS`) plus seconds (`SILENT_S`).
+/// (`SILENT_HEARTBEATS`) plus seconds (`SILENT_MARGIN_S`).
 const SILENT_HEARTBEATS: f64 = 2.5;
-const SILENT_S: f64 = 1.0;
+const SILENT_MARGIN_S: f64 = 1.0;
 
 /// Usability of a machine, derived from its agent's reports.
 struct AgentUsability {
@@ -131,7 +131,7 @@
     pub fn is_reachable(&self, id: &MachineId) -> bool {
         self.agents
             .get(id)
-            .is_none_or(|l| l.fenced() && !l.reachability.in_doubt())
+            .is_none_or(|agent| agent.fenced() && !agent.reachability.in_doubt())
     }
 
     /// Updates whether tasks may be placed on a machine, and what happens to tasks that are
@@ -141,7 +141,7 @@
         let Some(status) = self.usability(id, now) else {
             return;
         };
-        self.apply_status(id, &status, now);
+        self.apply_usability(id, &status, now);
         if status.leaving || status.suspected_one_way || status.draining {
             self.wake(id);
             self.settle_claims(id, status.leaving, now);
@@ -153,7 +153,7 @@
         let Some(agent) = self.agents.get(id) else {
             return;
         };
-        let patience_s = (SUSPECT_HEARTBEATS * self.cfg.heartbeat_s).max(SUSPECT_LEAST_S);
+        let patience_s = (SUSPECT_HEARTBEATS * self.cfg.heartbeat_s).max(SUSPECT_MIN_S);
         let silent = agent.silence_s(now) >= patience_s;
         if agent.direct.is_suspect() || !silent || !self.has_tasks(id) {
             return;
@@ -169,7 +169,8 @@
         let agent = self.agents.get(id)?;
         let machine = self.cluster_state.machines().get(id);
         let draining = machine.is_some_and(|m| m.draining);
-        let silent = agent.silence_s(now) >= SILENT_HEARTBEATS * self.cfg.heartbeat_s + SILENT_S;
+        let silent =
+            agent.silence_s(now) >= SILENT_HEARTBEATS * self.cfg.heartbeat_s + SILENT_MARGIN_S;
         let leaving = agent.is_leaving() || agent.is_deleting();
         let usable = agent.fenced()
             && !draining
@@ -189,7 +190,7 @@
     }
 
     /// Writes the usability to the cluster state if it differs there.
-    fn apply_status(&mut self, id: &MachineId, status: &AgentUsability, now: Time) {
+    fn apply_usability(&mut self, id: &MachineId, status: &AgentUsability, now: Time) {
         let (usable, slow) = (status.usable, status.slow);
         let known = self.cluster_state.machines().get(id);
         if known.is_none_or(|m| (m.usable, m.slow) == (usable, slow)) {
--- a/src/control/core/deleted_machines.rs
+++ b/src/control/core/deleted_machines.rs
@@ -14,7 +14,7 @@
 
 /// Maximum delay before names are recorded, in seconds. The delay lets several names share one
 /// record.
-const WAIT_S: f64 = 3.0;
+const MAX_RECORD_DELAY_S: f64 = 3.0;
 /// Number of names that are recorded without that delay.
 const DELETED_MACHINES_PER_RECORD: usize = 60;
 
@@ -60,8 +60,8 @@
     /// Returns the change that records the new names, or `None` if it is not due. The names go
     /// to the next slot if this one is full.
     pub(super) fn change(&mut self, value_bytes: usize, now: Time) -> Option<Change> {
-        let due =
-            self.unwritten.len() >= DELETED_MACHINES_PER_RECORD || now.since(self.since) >= WAIT_S;
+        let due = self.unwritten.len() >= DELETED_MACHINES_PER_RECORD
+            || now.since(self.since) >= MAX_RECORD_DELAY_S;
         if self.unwritten.is_empty() || !due {
             return None;
         }
