--- a/src/control/core/agent.rs
+++ b/src/control/core/agent.rs
@@ -5,7 +5,7 @@
 
 use sorrelhinge_lease_safety::reachability::Reachability;
 
-use super::direct_line::DirectLine;
+use super::direct_line::DirectCommandState;
 use super::failed_jobs::FailedJobs;
 use super::task_attempt::{SentKills, TaskAttempt, TaskStatus};
 use super::Source;
@@ -41,7 +41,7 @@
     /// Tasks in the last heartbeat.
     pub(super) tasks: BTreeMap<TaskAttempt, TaskStatus>,
     /// State of direct commands to this agent.
-    pub(super) direct: DirectLine,
+    pub(super) direct: DirectCommandState,
     /// A direct command failed. The machine gets no new tasks until a heartbeat shows that a
     /// command arrived.
     suspected_one_way: bool,
@@ -73,7 +73,7 @@
             relayed_sequence: SequenceNumber(0),
             reachability: Reachability::default(),
             tasks: BTreeMap::new(),
-            direct: DirectLine::new(now),
+            direct: DirectCommandState::new(now),
             suspected_one_way: false,
             forwarded: false,
             leaving: false,
--- a/src/control/core/commands.rs
+++ b/src/control/core/commands.rs
@@ -14,10 +14,12 @@
     /// urgent, and start commands if these can't be sent directly.
     pub fn reply(&mut self, id: &MachineId, view: &View, now: Time) -> Reply {
         let agent = self.agents.get(id);
-        let starts = agent.filter(|l| l.takes_starts_in_replies(now));
+        let starts = agent.filter(|agent| agent.takes_starts_in_replies(now));
         let starts = starts.map(|_| Sent::InReply);
         let commands = self.commands(id, view, starts, now);
-        let starts = commands.iter().any(|o| matches!(o, Command::Start { .. }));
+        let starts = commands
+            .iter()
+            .any(|command| matches!(command, Command::Start { .. }));
         let lease_s = self.cfg.lease_s;
         if let Some(agent) = self.agents.get_mut(id) {
             agent.reachability.answered(lease_s, now);
@@ -29,7 +31,7 @@
         let fencing_token = self
             .agents
             .get(id)
-            .map_or(self.base_fencing_token(), |l| l.fencing_token);
+            .map_or(self.base_fencing_token(), |agent| agent.fencing_token);
         Reply {
             fencing_token,
             commands,
--- a/src/control/core/direct_line.rs
+++ b/src/control/core/direct_line.rs
@@ -15,7 +15,7 @@
 
 /// State of direct commands to one agent.
 #[derive(Debug)]
-pub(super) struct DirectLine {
+pub(super) struct DirectCommandState {
     /// A command is in flight.
     in_flight: bool,
     /// Earliest time of the next command.
@@ -28,7 +28,7 @@
     unanswered_connections: u32,
 }
 
-impl DirectLine {
+impl DirectCommandState {
     /// Returns the state before the first command.
     pub(super) fn new(now: Time) -> Self {
         Self {
--- a/src/control/core/dispatch.rs
+++ b/src/control/core/dispatch.rs
@@ -50,11 +50,13 @@
     fn dispatch_to(&mut self, id: MachineId, view: &View, now: Time) -> Option<Dispatch> {
         let commands = self.commands(&id, view, Some(Sent::Flying), now);
         let agent = self.agents.get_mut(&id)?;
-        let forgets_only = commands.iter().all(|o| matches!(o, Command::Forget { .. }));
+        let forgets_only = commands
+            .iter()
+            .all(|command| matches!(command, Command::Forget { .. }));
         // Forget commands wait for the next heartbeat. An agent that does not have the current
         // fencing token is contacted at once. An agent that a command did not reach is retried.
-        let to_be_asked = !agent.fenced() || agent.direct.is_failing() || agent.direct.is_suspect();
-        if forgets_only && !to_be_asked {
+        let contact_now = !agent.fenced() || agent.direct.is_failing() || agent.direct.is_suspect();
+        if forgets_only && !contact_now {
             if !agent.sent_kills.is_empty() {
                 self.command_queue.retry_after(id, KILL_RETRY_S, now);
             }
@@ -108,7 +110,7 @@
         agent.command_executed(now);
         // The incarnation that received the command may end right after it. So the next
         // heartbeat decides which tasks are on the machine.
-        self.mark_flying(id, Sent::Answered);
+        self.resolve_in_flight(id, Sent::Answered);
     }
 
     /// Records that the agent refused a command.
@@ -117,9 +119,9 @@
             return;
         };
         agent.command_refused(now);
-        let inherited = !agent.fenced();
-        if !inherited {
-            self.mark_flying(id, Sent::No);
+        let unfenced = !agent.fenced();
+        if !unfenced {
+            self.resolve_in_flight(id, Sent::No);
         }
     }
 
@@ -139,7 +141,7 @@
         if !agent.reachability.is_confirmed(self.cfg.heartbeat_s, now) {
             agent.raise_fencing_token();
         }
-        self.mark_flying(id, Sent::No);
+        self.resolve_in_flight(id, Sent::No);
     }
 
     /// Records that a command may have reached the agent but got no answer. The agent may
@@ -162,7 +164,7 @@
     }
 
     /// Records the outcome of the start commands that were in flight to a machine.
-    fn mark_flying(&mut self, id: &MachineId, to: Sent) {
+    fn resolve_in_flight(&mut self, id: &MachineId, to: Sent) {
         for task in self.cluster_state.claims_on(id) {
             if let Some(claim) = self.cluster_state.claim_mut(&task) {
                 if claim.sent == Sent::Flying {
--- a/src/control/core/heartbeats.rs
+++ b/src/control/core/heartbeats.rs
@@ -85,7 +85,7 @@
     /// Clears the suspicion of a machine that has the current fencing token, unless nothing
     /// that is sent to it takes effect.
     fn clear_suspicion(&mut self, id: &MachineId) {
-        let Some(agent) = self.agents.get_mut(id).filter(|l| l.fenced()) else {
+        let Some(agent) = self.agents.get_mut(id).filter(|agent| agent.fenced()) else {
             return;
         };
         agent.reported_fencing_token();
@@ -97,7 +97,7 @@
         let Some(agent) = self
             .agents
             .get_mut(id)
-            .filter(|l| l.reachability.awaits_effect())
+            .filter(|agent| agent.reachability.awaits_effect())
         else {
             return;
         };
@@ -209,7 +209,10 @@
     /// Handles a claimed task that is not on its machine. The task never started, has ended, or
     /// its start has still to arrive.
     fn claim_not_reported(&mut self, id: &MachineId, task: &TaskId, source: Source, now: Time) {
-        let in_flight = self.agents.get(id).is_some_and(|l| l.direct.is_in_flight());
+        let in_flight = self
+            .agents
+            .get(id)
+            .is_some_and(|agent| agent.direct.is_in_flight());
         let job = self.cluster_state.job(&task.job);
         let cancelled = job.is_some_and(|j| j.cancelled);
         let Some(claim) = self.cluster_state.claim_mut(task) else {
