--- a/src/control/core/heartbeats.rs
+++ b/src/control/core/heartbeats.rs
@@ -127,7 +127,7 @@
                 .claim_of(&task)
                 .is_some_and(|c| matches!(c.sent, Sent::Answered | Sent::InReply));
             if ours {
-                tracing::info!(task = %task, machine = %id, "task lost with its agent's incarnation");
+                tracing::info!(task = %task, machine = %id, "task lost because its agent's incarnation ended");
                 self.release(&task, now);
                 self.placement_queue.request_full_walk();
             }
@@ -239,7 +239,7 @@
                 }
             }
             Sent::Answered => {
-                tracing::info!(task = %task, machine = %id, "task gone from heartbeat");
+                tracing::info!(task = %task, machine = %id, "task missing from heartbeat");
                 self.release(task, now);
             }
         }
--- a/src/control/core/machine_list.rs
+++ b/src/control/core/machine_list.rs
@@ -143,7 +143,7 @@
     pub fn deleted(&mut self, machines: &[MachineId], now: Time) {
         for id in machines {
             for task in self.cluster_state.claims_on(id) {
-                tracing::info!(task = %task, machine = %id, "task lost with its machine");
+                tracing::info!(task = %task, machine = %id, "task lost because its machine was deleted");
                 self.release(&task, now);
             }
             self.placement_queue.request_full_walk();
