--- a/src/control/core/agent.rs
+++ b/src/control/core/agent.rs
@@ -148,7 +148,7 @@
     }
 
     /// Records that another controller received a heartbeat of this agent. Each heartbeat
-    /// counts once: a copy that was relayed again and again made a dead machine look up.
+    /// counts once: a copy that was relayed again and again made a dead machine seem up.
     pub(super) fn relayed_contact(
         &mut self,
         incarnation: Incarnation,
--- a/src/control/core/heartbeats.rs
+++ b/src/control/core/heartbeats.rs
@@ -11,7 +11,7 @@
 impl Core {
     /// Returns whether a heartbeat is a late copy. Such a heartbeat is not newer than the last
     /// one, or it comes from a deleted machine, whose name is never used again. Copies of a
-    /// dead machine's last heartbeat once added that machine again, and kept it.
+    /// dead machine's last heartbeat once added that machine again, and kept it in the fleet.
     pub fn is_copy(&self, heartbeat: &Heartbeat) -> bool {
         if let Some(agent) = self.agents.get(&heartbeat.machine) {
             return agent.is_copy(heartbeat);
@@ -39,7 +39,7 @@
             return false;
         }
         // Only a heartbeat with a fencing token of this grant was certainly created under this
-        // grant. Any other may be an earlier copy from a machine that is long gone. Once the
+        // grant. Any other may be an earlier copy from a machine deleted long ago. Once the
         // machine list is read, such a heartbeat does not add a machine. The answer carries the
         // fencing token, and the next heartbeat shows it.
         let id = &heartbeat.machine;
@@ -116,7 +116,7 @@
     }
 
     /// Releases the claims that ended with a machine's incarnation. The owner sent these starts
-    /// to the old incarnation, so their tasks are gone whatever fencing token the agent has. On
+    /// to the old incarnation, so their tasks are lost whatever fencing token the agent has. On
     /// a machine that no command reaches, no heartbeat ever carries the current token. Tasks
     /// that a former owner started may belong to the new incarnation. They wait for the fencing
     /// token.
--- a/src/control/core/inventory.rs
+++ b/src/control/core/inventory.rs
@@ -6,7 +6,7 @@
 use super::scaling_state::MachineOffer;
 use crate::types::{MachineId, Time, TypeName, Zone};
 
-/// A machine is probably gone after it was missing from this many lists in a row.
+/// A machine is probably deleted after it was missing from this many lists in a row.
 const MISSING_LISTS: u32 = 2;
 /// Missing count of a machine that is to be deleted, whatever the lists show.
 const MARKED_FOR_DELETION: u32 = u32::MAX / 2;
@@ -87,14 +87,14 @@
     }
 
     /// Records that a list does not show a machine. Returns `true` once the machine is probably
-    /// gone.
+    /// deleted.
     pub(super) fn record_missing(&mut self, machine: &MachineId) -> bool {
         let count = self.missing.entry(machine.clone()).or_insert(0);
         *count += 1;
         *count >= MISSING_LISTS
     }
 
-    /// Returns whether a machine is probably gone or is to be deleted.
+    /// Returns whether a machine is probably deleted or is to be deleted.
     pub(super) fn is_missing(&self, machine: &MachineId) -> bool {
         let count = self.missing.get(machine);
         count.is_some_and(|n| *n >= MISSING_LISTS)
--- a/src/control/core/machine_list.rs
+++ b/src/control/core/machine_list.rs
@@ -11,7 +11,7 @@
 
 /// Factor for clock drift. Clocks drift apart by 0.05% (PROTOCOL).
 const CLOCK_DRIFT_FACTOR: f64 = 1.001;
-/// Number of missed heartbeats after which a machine may be gone.
+/// Number of missed heartbeats after which a machine may be deleted.
 const MISSED_HEARTBEATS: f64 = 1.5;
 /// Age below which the list may not show a rented machine yet, in usual list lags
 /// (`MAYBE_UNLISTED_LAGS`) plus seconds (`MAYBE_UNLISTED_S`).
@@ -79,7 +79,7 @@
     }
 
     /// Marks machines for deletion that were known before and are missing from several lists in
-    /// a row. They are probably gone, and their deletion proves that.
+    /// a row. They are probably deleted already, and the deletion request proves that.
     fn mark_missing_machines(&mut self, listed: &BTreeSet<&MachineId>, now: Time) {
         let known = self
             .agents
@@ -104,7 +104,7 @@
     }
 
     /// Marks machines for deletion that claims name but neither the list nor a heartbeat shows.
-    /// Until these machines are gone, their claims count against limits.
+    /// Until these machines are deleted, their claims count against limits.
     fn mark_unknown_machines(&mut self, listed: &BTreeSet<&MachineId>) {
         let unknown = self.cluster_state.unknown_machines();
         let unknown = unknown.filter(|id| !listed.contains(id));
