--- a/src/control/core/failures.rs
+++ b/src/control/core/failures.rs
@@ -1,4 +1,4 @@
-//! Tasks that ended, well or not, and what a failure says about its machine and its
+//! Handles tasks that ended, and decides whether a failure counts against the machine or the
 //! job.
 
 use super::Core;
@@ -6,33 +6,35 @@
 use crate::scheduler::Job;
 use crate::types::{JobId, JobSpec, Kind, MachineId, TaskId, Time};
 
-/// A machine that refused a task is avoided for so many heartbeat intervals.
-const REFUSED_HEARTBEATS: f64 = 2.0;
-/// The longest pause of a job whose tasks machines do not know, in seconds.
-const MAX_UNKNOWN_PAUSE_S: f64 = 30.0;
-/// A job avoids a machine where it failed for so long, in seconds.
-const AVOIDED_S: f64 = 60.0;
-/// A job that failed so often, and on so many machines, is mistaken.
-const MISTAKEN_FAILURES: u32 = 3;
-const MISTAKEN_MACHINES: usize = 3;
-/// The first pause of a mistaken job, in seconds, and the longest one.
-const MISTAKEN_PAUSE_S: f64 = 2.0;
-const MAX_MISTAKEN_PAUSE_S: f64 = 40.0;
-/// A machine on which so many sound jobs failed is faulty.
-const FAULTY_JOBS: usize = 2;
+/// Number of heartbeat intervals for which a job avoids a machine that refused one of its
+/// tasks.
+const AVOID_AFTER_REFUSAL_HEARTBEATS: f64 = 2.0;
+/// Longest pause of a job whose tasks machines don't find, in seconds.
+const MAX_NOT_FOUND_PAUSE_S: f64 = 30.0;
+/// Time for which a job avoids a machine on which it failed, in seconds.
+const AVOID_AFTER_FAILURE_S: f64 = 60.0;
+/// A job counts as faulty once it has at least this many failures, on at least this many
+/// machines.
+const FAULTY_JOB_FAILURES: u32 = 3;
+const FAULTY_JOB_MACHINES: usize = 3;
+/// First and longest pause of a faulty job, in seconds.
+const FAULTY_JOB_PAUSE_S: f64 = 2.0;
+const MAX_FAULTY_JOB_PAUSE_S: f64 = 40.0;
+/// Number of sound jobs whose failures on a machine make the machine count as faulty.
+const FAULTY_MACHINE_JOBS: usize = 2;
 
-/// What a failure is held against.
-enum Blame {
-    /// The machine.
+/// Likely cause of a failure.
+enum FailureCause {
+    /// The machine is the likely cause.
     Machine,
-    /// The job, which was taken for mistaken before.
-    Job,
-    /// The job, and so were all its failures.
-    JobFromNowOn,
+    /// The job is the likely cause, and it was suspected before.
+    SuspectedJob,
+    /// The job is the likely cause of this failure and of all its earlier ones.
+    NewlySuspectedJob,
 }
 
 impl Core {
-    /// A task ended on its machine, and for which reason.
+    /// Handles the end of a task on its machine, for the given reason.
     pub(super) fn ended(
         &mut self,
         id: &MachineId,
@@ -49,8 +51,8 @@
         match why {
             ExitReason::Done if spec.kind != Kind::Service => self.succeeded(id, task, now),
             ExitReason::Error => self.failed(id, task, now),
-            ExitReason::Full | ExitReason::InUse => self.avoid_for_now(id, &task.job, now),
-            ExitReason::NoSuch => self.back_off_unknown(&task.job, now),
+            ExitReason::Full | ExitReason::InUse => self.avoid_after_refusal(id, &task.job, now),
+            ExitReason::NoSuch => self.back_off_not_found(&task.job, now),
             ExitReason::Done
             | ExitReason::Stopped
             | ExitReason::Peers
@@ -58,20 +60,20 @@
             | ExitReason::Other => {}
         }
         if why != ExitReason::Done {
-            // Its task may have a place elsewhere.
+            // Another machine may have free capacity for the task.
             self.placement_queue.request_full_walk();
             tracing::info!(task = %task, machine = %id, ?why, "task ended");
         }
     }
 
-    /// A task has its result.
+    /// Records that a task succeeded.
     fn succeeded(&mut self, id: &MachineId, task: &TaskId, now: Time) {
         let all_done = self.cluster_state.edit_job(&task.job, |job| {
             job.tasks.set_done(task.index);
             (job.failures, job.suspected_faulty) = (0, false);
             job.tasks.all_done()
         });
-        // Another shard's jobs are done when that has read so.
+        // A job of another shard is done only when that shard has read the result.
         if all_done == Some(true) && self.scope.homes(&task.job) {
             self.finished(task.job.clone(), now);
         }
@@ -80,83 +82,83 @@
         }
     }
 
-    /// A machine refused a task: it had no free capacity, or still has another attempt of it.
-    fn avoid_for_now(&mut self, id: &MachineId, job: &JobId, now: Time) {
-        let until = now.after(REFUSED_HEARTBEATS * self.cfg.heartbeat_s);
+    /// Makes a job avoid a machine for a short time after the machine refused a task. The
+    /// machine had no free capacity, or still has another attempt of the task.
+    fn avoid_after_refusal(&mut self, id: &MachineId, job: &JobId, now: Time) {
+        let until = now.after(AVOID_AFTER_REFUSAL_HEARTBEATS * self.cfg.heartbeat_s);
         self.cluster_state.edit_job(job, |job| {
             job.avoid.insert(id.clone(), until);
         });
     }
 
-    /// A machine refused a task because there is none of that name: the job is tried less
-    /// and less often.
-    fn back_off_unknown(&mut self, job: &JobId, now: Time) {
+    /// Delays a job after a machine refused a task because it found no task of that name. The
+    /// delay grows with each refusal.
+    fn back_off_not_found(&mut self, job: &JobId, now: Time) {
         self.cluster_state.edit_job(job, |job| {
             job.failures += 1;
             let pause_s = f64::from(job.failures).exp2();
-            job.hold_until = now.after(pause_s.min(MAX_UNKNOWN_PAUSE_S));
+            job.hold_until = now.after(pause_s.min(MAX_NOT_FOUND_PAUSE_S));
         });
     }
 
-    /// A task failed. Mostly the machine is faulty (PROTOCOL), so it is shunned,
-    /// and given back once jobs that are sound failed there. A job that fails on
-    /// several machines, and of which nothing ends well, is itself mistaken: it is
-    /// held against no machine, and tried less and less often, until its user
-    /// withdraws it.
+    /// Handles a failed task. In most cases the machine is faulty (PROTOCOL). So the owner
+    /// avoids the machine, and returns it once sound jobs failed there. A job that fails on
+    /// several machines and of which no task ends well is itself faulty. Its failures count
+    /// against no machine, and it is retried at growing intervals until its user cancels it.
     pub(super) fn failed(&mut self, id: &MachineId, task: &TaskId, now: Time) {
-        let blame = self
+        let cause = self
             .cluster_state
             .edit_job(&task.job, |job| count_failure(job, id, now));
-        match blame {
-            Some(Blame::JobFromNowOn) => self.clear(&task.job),
-            Some(Blame::Job) | None => {}
-            Some(Blame::Machine) => self.shun(id, &task.job, now),
+        match cause {
+            Some(FailureCause::NewlySuspectedJob) => self.clear(&task.job),
+            Some(FailureCause::SuspectedJob) | None => {}
+            Some(FailureCause::Machine) => self.count_against_machine(id, &task.job, now),
         }
     }
 
-    /// A machine is not used for a while, as a job failed there.
-    fn shun(&mut self, id: &MachineId, job: &JobId, now: Time) {
+    /// Counts a job's failure against a machine, which is then avoided for a while.
+    fn count_against_machine(&mut self, id: &MachineId, job: &JobId, now: Time) {
         let Some(agent) = self.agents.get_mut(id) else {
             return;
         };
         agent.failed_jobs.add(job, now);
-        // A job that is not shown to be sound proves nothing: two
-        // mistaken ones that met on a machine cost the machine once.
+        // A job that is not known to be sound proves nothing. Two faulty jobs that met on a
+        // machine once cost the machine.
         let cluster_state = &self.cluster_state;
         let sound = |job: &&JobId| cluster_state.job(job).is_none_or(Job::is_sound);
-        if agent.failed_jobs.jobs().filter(sound).count() >= FAULTY_JOBS {
+        if agent.failed_jobs.jobs().filter(sound).count() >= FAULTY_MACHINE_JOBS {
             agent.leave();
         }
     }
 
-    /// A job's failures are held against no machine any more: it is mistaken, or
-    /// was withdrawn.
+    /// Discards a job's failures on all machines because the job is faulty or was cancelled.
     pub(super) fn clear(&mut self, job: &JobId) {
         self.agents.forgive(job);
     }
 }
 
-/// Counts a failure of a job on a machine.
-fn count_failure(job: &mut Job, id: &MachineId, now: Time) -> Blame {
+/// Counts a failure of a job on a machine, and returns its likely cause.
+fn count_failure(job: &mut Job, id: &MachineId, now: Time) -> FailureCause {
     job.failures += 1;
     job.avoid.retain(|_, until| now < *until);
-    job.avoid.insert(id.clone(), now.after(AVOIDED_S));
-    let mistaken = job.failures >= MISTAKEN_FAILURES && job.avoid.len() >= MISTAKEN_MACHINES;
+    job.avoid
+        .insert(id.clone(), now.after(AVOID_AFTER_FAILURE_S));
+    let faulty = job.failures >= FAULTY_JOB_FAILURES && job.avoid.len() >= FAULTY_JOB_MACHINES;
     let suspected_faulty = job.suspected_faulty;
-    if mistaken && !suspected_faulty && job.spec.kind == Kind::Array {
-        // However many of its tasks failed at once.
-        (job.suspected_faulty, job.failures) = (true, MISTAKEN_FAILURES);
+    if faulty && !suspected_faulty && job.spec.kind == Kind::Array {
+        // The count starts at the threshold, however many of the job's tasks failed at once.
+        (job.suspected_faulty, job.failures) = (true, FAULTY_JOB_FAILURES);
     } else if suspected_faulty && !job.tasks.claims().is_empty() {
-        // Of those that were started before it was doubted.
+        // The failed task was started before the job was suspected.
         job.failures -= 1;
     }
-    if mistaken || suspected_faulty {
+    if faulty || suspected_faulty {
         let wait = f64::from(job.failures.min(6) - 2).exp2();
-        job.hold_until = now.after((MISTAKEN_PAUSE_S * wait).min(MAX_MISTAKEN_PAUSE_S));
+        job.hold_until = now.after((FAULTY_JOB_PAUSE_S * wait).min(MAX_FAULTY_JOB_PAUSE_S));
     }
-    match (suspected_faulty, mistaken) {
-        (true, _) => Blame::Job,
-        (false, true) => Blame::JobFromNowOn,
-        (false, false) => Blame::Machine,
+    match (suspected_faulty, faulty) {
+        (true, _) => FailureCause::SuspectedJob,
+        (false, true) => FailureCause::NewlySuspectedJob,
+        (false, false) => FailureCause::Machine,
     }
 }
