--- a/src/control/leader.rs
+++ b/src/control/leader.rs
@@ -1,4 +1,4 @@
-//! Leadership: election, the grant, and stepping down.
+//! Leadership: election, the grant of the only shard, and stepping down.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -15,50 +15,51 @@
 };
 use crate::types::{LeaseId, Revision, Term};
 
-/// The leader's part of the requests that the state service takes.
+/// Fraction of the state service's request rate that the leader may use.
 const LEADER_REQUEST_SHARE: f64 = 0.5;
-/// The leader's part of the changes that the state service takes.
+/// Fraction of the state service's write rate that the leader may use.
 const LEADER_WRITE_SHARE: f64 = 0.65;
-/// The part of what the state service takes that all controllers together ask for.
+/// Fraction of the state service's rate limits that all controllers together use.
 const RATE_USED: f64 = 0.95;
-/// Requests that may be sent at once after a quiet time.
+/// Requests that a controller may send in one burst after an idle period.
 const REQUEST_BURST: f64 = 4.0;
-/// Changes that may be sent at once after a quiet time: this part of a second's changes.
+/// Divisor that derives the write burst after an idle period from the writes allowed per
+/// second.
 const CHANGE_BURSTS_A_SECOND: f64 = 4.0;
-/// The most changes that may be sent at once.
+/// Upper bound of the write burst.
 const CHANGE_BURST_MAX: f64 = 4.0;
-/// Each controller may send so many changes a second, however few there are.
+/// Writes per second that each controller may send at least, however low its share is.
 const CHANGE_RATE_LEAST: f64 = 0.5;
-/// A controller that lets others go first waits so long before each look whether one
-/// of them has become leader.
+/// Pause of a controller that defers to others before each check whether one of them has become
+/// leader.
 const RESIGNATION_RETRY_INTERVAL: Duration = Duration::from_secs(2);
 
-/// The pause after a read that failed, before a new leader has read all that was
-/// recorded before its grant.
+/// Pause after a failed read, while a new leader reads all records written before its grant.
 const CATCH_UP_PAUSE: Duration = Duration::from_millis(50);
-/// The pause after an election whose outcome is not known.
+/// Pause after an election whose outcome is unknown.
 pub(super) const ELECTION_RETRY_PAUSE: Duration = Duration::from_millis(150);
 
-/// What a controller without a lease may become.
+/// Role that a controller without a lease may take next.
 enum Candidacy {
-    /// Nothing now.
+    /// The controller takes no role now.
     None,
-    /// A member that may own some of several shards.
+    /// The controller may join the members, which can own some of several shards.
     Member,
-    /// The leader, and owner of the only shard.
+    /// The controller may become the leader and owner of the only shard.
     Leader(Vacancy),
 }
 
-/// There is no leader, by these records.
+/// Records that show that there is no leader. An election depends on both of them.
 struct Vacancy {
-    /// The revision of the leader's record; 0: there is none.
+    /// Revision of the leader's record, or 0 if there is no such record.
     leader_revision: Revision,
-    /// The last grant of the shard.
+    /// Last recorded grant of the only shard.
     grant: Versioned<GrantRecord>,
 }
 
 impl Node {
-    /// Becomes leader whenever there is none, and stays it.
+    /// Runs for leader whenever there is no leader, and renews the lease while this controller
+    /// has one.
     pub(super) async fn lead(self: Rc<Self>) {
         let life = Duration::from_secs_f64(self.cfg.tuning.leader_lease_s);
         loop {
@@ -69,7 +70,7 @@
             self.leadership.wait_for_vacancy().await;
             let defers = self.leadership.defers_to_others();
             if defers {
-                // Whoever can do better goes first.
+                // Another controller that reaches the workers may be elected first.
                 sleep(RESIGNATION_RETRY_INTERVAL).await;
             }
             match self.candidacy(defers) {
@@ -80,7 +81,7 @@
         }
     }
 
-    /// Renews the lease, and waits until that is due again.
+    /// Renews the lease, then waits until the next renewal is due.
     async fn keep_lease(&self, lease: LeaseId, life: Duration) {
         let asked = Instant::now();
         match self.state.renew(lease).await {
@@ -95,8 +96,9 @@
         }
     }
 
-    /// What this controller may become now, by its view. `defers`: others go first, as
-    /// long as there is a leader.
+    /// Returns the role that this controller may take now, according to its local view. With
+    /// `defers`, returns [`Candidacy::None`] as long as there is a leader, because other
+    /// controllers go first.
     fn candidacy(&self, defers: bool) -> Candidacy {
         let view = self.store.view();
         let leader = &view.leader;
@@ -106,8 +108,9 @@
         if view.shard_count() > 1 {
             return Candidacy::Member;
         }
-        // The key goes with its lease, unless an earlier run of this very
-        // controller wrote it: that run is over.
+        // The state service deletes the leader's key when its lease ends. A key that an earlier
+        // run of this controller wrote may still exist, but that run is over, so its key
+        // doesn't count.
         let leader_revision = match &leader.value {
             None => Revision(0),
             Some(l) if l.node == self.cfg.node && l.run != self.run => leader.mod_revision,
@@ -119,7 +122,7 @@
         })
     }
 
-    /// Tries to become leader; if the shard is still ours, keeps the grant.
+    /// Runs for leader. Keeps the current grant if this controller still owns the shard by it.
     async fn campaign(&self, vacancy: Vacancy, life: Duration) {
         let asked = Instant::now();
         let Ok(lease) = self.state.lease(life).await else {
@@ -149,15 +152,16 @@
                 self.fresh().await;
             }
             Err(error) => {
-                // If it was carried out after all, the key goes with its lease.
+                // If the transaction was applied after all, the state service deletes the key
+                // when the lease ends.
                 tracing::info!(%error, "leader election failed");
                 sleep(ELECTION_RETRY_PAUSE).await;
             }
         }
     }
 
-    /// The leader's record under the lease and, unless the grant is `kept`, the next
-    /// grant; only if nobody else was faster.
+    /// Returns the transaction that writes the leader's record under the lease and, unless the
+    /// grant is `kept`, the next grant. The transaction fails if another controller was faster.
     fn election_transaction(
         &self,
         vacancy: &Vacancy,
@@ -191,9 +195,9 @@
         transaction
     }
 
-    /// Recovers the one shard's state from the records, and owns it from then on.
+    /// Recovers the state of the only shard from the records, and owns the shard from then on.
     pub(super) async fn begin_leadership(&self, grant: GrantRecord, revision: Revision) {
-        // Everything that earlier owners recorded is older than the grant.
+        // All that earlier owners recorded is older than the grant.
         self.catch_up(revision, CATCH_UP_PAUSE).await;
         if self.store.view().grant.value.number != grant.number {
             self.leadership.release();
@@ -213,7 +217,8 @@
             grant,
             Places::default(),
         );
-        // By what it had seen as an earlier owner it would step down at once.
+        // Evidence from an earlier term of ownership would make this controller step down at
+        // once.
         self.leadership.forget_reachability();
         self.shards.adopt(ShardId(0), core);
         self.set_share();
@@ -221,13 +226,14 @@
         self.wakeups.wake_owner();
     }
 
-    /// Divides what all may ask of the state service: most changes are the
-    /// leader's, who claims and completes; the others accept and cancel, a few
-    /// at a time, so they may ask for some at once. Where that comes to too
-    /// much together, the service says so, and who asked waits.
+    /// Sets this controller's share of the state service's rate limits. The leader gets most of
+    /// the writes because it claims and completes tasks. The other controllers accept and
+    /// cancel a few jobs at a time, so they may send some writes in one burst. If the
+    /// controllers together exceed the limit, the state service reports that, and the sender
+    /// waits.
     ///
-    /// Of several shards, each owner has the leader's part of it for its shard,
-    /// and each controller an equal part of what is left.
+    /// With several shards, each owner gets the leader's share for each of its shards, and all
+    /// controllers get equal parts of the rest.
     pub(super) fn set_share(&self) {
         let others = self.cfg.others.len() as f64;
         let cores = self.shards.owned();
@@ -253,9 +259,10 @@
         );
     }
 
-    /// Gives up all that this controller owns while it can still say so: it stops
-    /// to act first, then ends its lease, so that others need not wait for that.
-    /// What it sent before is fenced as after any other end.
+    /// Resigns all ownership while this controller can still tell the state service: stops
+    /// acting first, then ends its lease, so that other controllers need not wait until the
+    /// lease expires. Commands that this controller sent before are fenced, as after any other
+    /// end of ownership.
     pub async fn resign(&self, why: &'static str) {
         let lease = self.leadership.release();
         let shards: Vec<ShardId> = self.shards.ids();
@@ -268,22 +275,22 @@
             self.step_down(shard);
         }
         if let Some(lease) = lease {
-            // If that gets lost, it ends by itself.
+            // If the request is lost, the lease expires by itself.
             if let Err(error) = self.state.end(lease).await {
                 tracing::info!(%error, "lease release failed");
             }
         }
     }
 
-    /// A worker has seen the fencing token of a newer grant, so there is one, whether
-    /// or not the state service can be asked about it.
+    /// Steps down because a worker has seen the fencing token of a newer grant. A newer grant
+    /// thus exists, whether or not the state service can confirm it.
     pub(super) fn superseded(&self, shard: ShardId) {
         tracing::info!(%shard, "newer shard grant seen; stepping down");
         self.step_down(shard);
         self.store.request_refresh();
     }
 
-    /// Stops to act for a shard.
+    /// Stops acting for a shard.
     pub(super) fn step_down(&self, shard: ShardId) {
         let core = self.shards.release_shard(shard);
         if core.is_some_and(|c| !c.scope.is_part()) {
--- a/src/control/lease_delegation.rs
+++ b/src/control/lease_delegation.rs
@@ -1,19 +1,19 @@
-//! Whether a worker's lease may be renewed by a controller that does not own its
-//! machine: a decision on the records alone.
+//! Decides, from the records alone, whether a controller may renew the lease of a worker whose
+//! machine it does not own.
 
 use crate::agent_client::{Heartbeat, ReportedTask, TaskPhase};
 use crate::state::record::Phase;
 use crate::state::view::View;
 use crate::types::TaskId;
 
-/// Whether all that runs on a machine, or may yet start there, is claimed by the
-/// records for jobs that are neither cancelled nor done.
+/// Returns whether the records claim every task that runs on the machine, or may still start
+/// there, for a job that is neither cancelled nor done.
 ///
-/// A start that its owner sent and that was held back is carried out while fencing token and
-/// incarnation match (PROTOCOL, "Delayed messages"). The owner raises the fencing token, but an
-/// answer given in its stead carries the fencing token that the worker has, and keeps the
-/// incarnation: so a cancelled job's claim on the machine forbids it, also while the task
-/// is not in the heartbeat. A claim stays recorded until its task is provably gone.
+/// A delayed start command of the owner is executed while fencing token and incarnation match
+/// (PROTOCOL, "Delayed messages"). The owner raises the fencing token, but an answer in place
+/// of the owner carries the worker's own fencing token and keeps the incarnation. So a claim of
+/// a cancelled job on the machine forbids such an answer, even while the task is not in the
+/// heartbeat. A claim stays recorded until its task is provably gone.
 pub fn may_renew_for_owner(view: &View, heartbeat: &Heartbeat) -> bool {
     heartbeat.fencing_token.0 > 0
         && !view.may_run_cancelled(&heartbeat.machine)
@@ -22,7 +22,8 @@
         })
 }
 
-/// Whether a reported task is claimed for this machine, for a job that is not over.
+/// Returns whether the records claim a reported task on this machine for a job that is not
+/// over.
 fn is_live_claim(view: &View, heartbeat: &Heartbeat, task_name: &ReportedTask) -> bool {
     let Some(task): Option<TaskId> = task_name.id() else {
         return false;
--- a/src/control/lease_renewal.rs
+++ b/src/control/lease_renewal.rs
@@ -1,5 +1,5 @@
-//! Leases renewed for an owner that has no time; what may be answered so is
-//! decided in `sorrelhinge_lease_safety::renewal`.
+//! Renews leases of workers in place of an overloaded owner. The rules for such answers are in
+//! `sorrelhinge_lease_safety::renewal`.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -14,34 +14,36 @@
 use crate::peer_link::ForwardedHeartbeat;
 use crate::types::{NodeId, Time};
 
-/// How often an owner learns of heartbeats that were answered in its place.
+/// Interval at which owners are notified of heartbeats that were answered in their place.
 const HEARTBEAT_NOTICE_INTERVAL: Duration = Duration::from_millis(500);
 
 impl Node {
-    /// Whether this controller's view of the records is new enough to answer
-    /// workers without the state service: beyond this, a job may have been
-    /// cancelled elsewhere, and leases must be able to end its tasks in time
-    /// (`sorrelhinge_lease_safety::freshness`). Asked before each answer, for a heartbeat
-    /// that has come.
+    /// Returns whether this controller's view of the records is recent enough to answer workers
+    /// without the state service. A job may have been cancelled through another controller
+    /// since an older view was read, and leases must be able to end its tasks in time
+    /// (`sorrelhinge_lease_safety::freshness`). Callers check this before each answer, after
+    /// the heartbeat has arrived.
     pub(super) fn knows_all_cancellations(&self) -> bool {
         let (lease_s, cancel_s) = (self.cfg.lease_s, self.cfg.cancel_s);
         let freshness = self.store.freshness();
         self.store.view().loaded && freshness.may_answer_workers(self.now(), lease_s, cancel_s)
     }
 
-    /// Until when tasks may be started by this controller's view of the records.
+    /// Returns the time until which this controller's view of the records allows task starts.
     pub(super) fn starts_until(&self) -> Time {
         let (lease_s, cancel_s) = (self.cfg.lease_s, self.cfg.cancel_s);
         self.store.freshness().allow_starts_until(lease_s, cancel_s)
     }
 
-    /// Whether a worker's lease may be renewed without its machine's owner. The answer
-    /// carries the fencing token that the worker has, so it commands nothing and fences nobody.
+    /// Returns whether the lease of a worker may be renewed without the machine's owner. The
+    /// answer carries the worker's own fencing token, so it contains no commands and fences no
+    /// controller.
     fn renewed_for_owner(&self, heartbeat: &Heartbeat) -> bool {
         self.knows_all_cancellations() && may_renew_for_owner(&self.store.view(), heartbeat)
     }
 
-    /// The answer that only renews the lease, if that may be given.
+    /// Returns the answer that only renews the lease, or `None` if the lease may not be renewed
+    /// here.
     pub(super) fn renewed(&self, heartbeat: &Heartbeat) -> Option<HeartbeatReply> {
         self.renewed_for_owner(heartbeat).then(|| {
             load_counts::count(&self.load.counts.renewed);
@@ -52,9 +54,9 @@
         })
     }
 
-    /// Takes a heartbeat for `owner`, who asked for it: hands it on, or, if it
-    /// tells nothing new and the owner is short of time, answers it. An owner
-    /// that does not answer in time costs no lease.
+    /// Handles a heartbeat in place of `owner`, at that owner's request. Forwards the
+    /// heartbeat, or answers it if it reports nothing new and the owner is overloaded. An owner
+    /// that does not answer in time does not cause the lease to expire.
     pub(super) async fn heartbeat_for(
         &self,
         owner: NodeId,
@@ -83,16 +85,17 @@
                 routing.answered_by_owner(&heartbeat.machine, content, self.now());
                 HeartbeatReply::Passed(answered)
             }
-            // Not sent to the owner, which would have all come at once; and a
-            // 503 would have them go round the controllers.
+            // The worker is not redirected to the owner, because all such heartbeats would then
+            // reach the owner at once. A 503 would make workers try one controller after the
+            // other.
             None => self
                 .renewed(heartbeat)
                 .unwrap_or(HeartbeatReply::Unavailable),
         }
     }
 
-    /// Renews a worker's lease in its owner's place, who learns of it by the next
-    /// announcement; none if that may not be done.
+    /// Renews a worker's lease in place of the owner, which is notified by the next
+    /// announcement. Returns `None` if the lease may not be renewed here.
     fn answer_for_owner(&self, owner: &NodeId, heartbeat: &Heartbeat) -> Option<HeartbeatReply> {
         let announced = ForwardedHeartbeat::new(
             &heartbeat.machine,
@@ -105,7 +108,7 @@
         Some(reply)
     }
 
-    /// Announces to owners the heartbeats that were answered in their place.
+    /// Notifies owners of heartbeats that were answered in their place.
     pub(super) async fn announce_heartbeats(self: Rc<Self>) {
         loop {
             sleep(HEARTBEAT_NOTICE_INTERVAL).await;
@@ -115,8 +118,8 @@
         }
     }
 
-    /// Another controller answered heartbeats of this one's machines, which had nothing
-    /// new to report.
+    /// Records that another controller answered heartbeats of machines that this controller
+    /// owns. These heartbeats reported nothing new.
     pub fn heartbeats_announced(&self, machines: &[ForwardedHeartbeat]) {
         let now = self.now();
         let mut cores = self.shards.owned_mut();
--- a/src/control/mod.rs
+++ b/src/control/mod.rs
@@ -1,12 +1,12 @@
-//! The controller: leadership, owned shards, claims and recovery. Only it writes the
-//! records.
+//! The controller: leader election, shard ownership, task claims and recovery. Only the
+//! controller writes the records in the state service.
 //!
-//! [`Node`] composes the owners of its state, a module each: `leadership` (the lease),
-//! `store_view` (the local copy of the records), `shard_ownership` (owned shards),
-//! `catalog` (machine types, topology), `admission` (users' requests),
-//! `heartbeat_routing` (workers' heartbeats), `peer_statuses` (the other controllers),
-//! `paces` and `load` (how much it can do), `wakeups` (signals between its loops). The
-//! other modules hold its duties, and change state only through these owners.
+//! [`Node`] consists of components that hold its state, one per module: `leadership` (the
+//! lease), `store_view` (the local copy of the records), `shard_ownership` (owned shards),
+//! `catalog` (machine types and the topology), `admission` (user requests), `heartbeat_routing`
+//! (heartbeats of workers), `peer_statuses` (the other controllers), `paces` and `load` (how
+//! much work the controller can do) and `wakeups` (signals between its loops). The other
+//! modules implement the controller's duties and change state only through these components.
 
 mod admission;
 mod cancellations;
@@ -79,56 +79,59 @@
 pub use status_queries::{JobStatus, Polled};
 pub use submit_error::{Infeasible, InvalidJob, SubmitError, Submitted};
 
-/// How a heartbeat is answered.
+/// Outcome of a heartbeat that this controller received.
 pub enum HeartbeatReply {
-    /// The shard's owner answers.
+    /// This controller answers the heartbeat, as the owner of the shard or in place of the
+    /// owner.
     Reply(Reply),
-    /// The shard's owner answered, and this controller passes it on.
+    /// The owner of the shard answered, and this controller forwards the answer.
     Passed(peer_link::Answered),
-    /// Another controller owns the shard.
+    /// The named controller owns the shard.
     Elsewhere(NodeId),
-    /// Nobody is known to own the shard, or only the records could tell the answer.
+    /// The owner of the shard is unknown, or the answer depends on records that can't be read
+    /// now.
     Unavailable,
 }
 
-/// One controller: its settings, its connections, and the owners of its state. Each
-/// owner has private fields: only its module changes them.
+/// One controller process: its settings, its connections and the components of its state. The
+/// fields of each component are private, so only the component's module changes them.
 pub struct Node {
     cfg: Rc<Config>,
     state: Rc<StateClient>,
     cloud: Rc<CloudClient>,
     peers: Rc<Peers>,
     connections: Rc<Connections>,
-    /// How often duties over the whole fleet are done.
+    /// Intervals between runs of the duties that scan the whole fleet.
     paces: Paces,
-    /// What it is asked for, and what is shed.
+    /// Load monitor: the requests that arrive, and those that are shed.
     load: load_monitor::Load,
-    /// The records as known here.
+    /// Local copy of the records.
     store: StoreView,
-    /// The shards that this controller owns, and hints about the others.
+    /// Shards that this controller owns, and hints about the shards of others.
     shards: ShardOwnership,
-    /// Machine types and the topology.
+    /// Machine types that the cloud offers, and the topology.
     catalog: Catalog,
-    /// Tells this run of the controller from its earlier ones.
+    /// Random number that distinguishes this run of the controller from its earlier runs.
     run: u64,
-    /// When this run began: times are counted from here.
+    /// Start of this run. Times are counted from this instant.
     epoch: Instant,
-    /// The lease that its authority rests on.
+    /// Lease in the state service that entitles this controller to act as leader or shard
+    /// owner.
     leadership: Leadership,
-    /// Signals between its loops.
+    /// Signals between the loops of the controller.
     wakeups: Wakeups,
-    /// Where workers' heartbeats go.
+    /// Controllers that the heartbeats of workers are sent to.
     heartbeat_routing: HeartbeatRouting,
-    /// How the other controllers stand.
+    /// Last known status of each other controller.
     peer_statuses: PeerStatuses,
-    /// Which requests of users are taken.
+    /// Limits on the user requests that this controller accepts.
     admission: RequestAdmission,
 }
 
-/// The part of the requests that the cloud takes that a controller asks for.
+/// Fraction of the cloud's request rate limit that one controller uses.
 const CLOUD_RATE_USED: f64 = 0.8;
 
-/// Milliseconds since 1970 by the wall clock; 0 before that.
+/// Returns the wall clock in milliseconds since 1970, or 0 if the clock is before 1970.
 fn wall_ms() -> u64 {
     SystemTime::now()
         .duration_since(UNIX_EPOCH)
@@ -136,7 +139,7 @@
 }
 
 impl Node {
-    /// A controller that is not running yet.
+    /// Creates a controller without starting its loops.
     pub fn new(cfg: Rc<Config>, peers: Rc<Peers>, topology: Option<Rc<Topology>>) -> Rc<Self> {
         let state = StateClient::new(cfg.state, cfg.state_rps, cfg.state_limits);
         let cloud = CloudClient::new(cfg.cloud, cfg.cloud_rps * CLOUD_RATE_USED);
@@ -168,27 +171,27 @@
         node
     }
 
-    /// The settings.
+    /// Returns the settings that this controller was started with.
     pub fn config(&self) -> &Config {
         &self.cfg
     }
 
-    /// Connections of users and workers.
+    /// Returns the connections of users and workers.
     pub fn connections(&self) -> &Rc<Connections> {
         &self.connections
     }
 
-    /// What is known of the load.
+    /// Returns the load monitor of this controller.
     pub fn load(&self) -> &load_monitor::Load {
         &self.load
     }
 
-    /// Failure domains and devices, if the feature is on.
+    /// Returns the topology (failure domains and devices), or `None` if the feature is off.
     pub fn topology(&self) -> Option<Rc<Topology>> {
         self.catalog.topology()
     }
 
-    /// Takes up the operator's file, new or changed.
+    /// Applies a new or changed topology file of the operator to all owned shards.
     pub fn set_topology(&self, topology: Rc<Topology>) {
         self.catalog.set_topology(topology.clone());
         for c in self.shards.owned_mut().values_mut() {
@@ -197,12 +200,13 @@
         self.wakeups.wake_owner();
     }
 
-    /// Seconds since this run began: monotonic, unlike the wall clock.
+    /// Returns the seconds since this run began. This clock is monotonic, unlike the wall
+    /// clock.
     fn now(&self) -> Time {
         Time(self.epoch.elapsed().as_secs_f64())
     }
 
-    /// Starts all long-lived duties.
+    /// Starts all loops that run for the lifetime of the controller.
     pub fn start(self: &Rc<Self>) {
         spawn_local(self.clone().follow());
         spawn_local(self.clone().sync());
