--- a/src/control/drains.rs
+++ b/src/control/drains.rs
@@ -1,4 +1,4 @@
-//! Operators' requests: drains, and what the topology shows.
+//! Requests of operators to drain machines and to show the topology.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -16,14 +16,14 @@
 use crate::state::{Change, StateError};
 use crate::types::{MachineId, Revision};
 
-/// Most drains at a time: each is a key that all controllers hold, in about 300 bytes.
-/// Every machine of a fleet of thousands may have one of its own.
+/// Maximum number of drains at a time. Each drain is a key of about 300 bytes that all
+/// controllers hold. Every machine in a fleet of thousands may have its own drain.
 const MAX_DRAINS: usize = 10_000;
-/// How long an attempt to change a drain may wait at the state service.
+/// Time that one attempt to change a drain may wait at the state service.
 const DRAIN_WRITE_PATIENCE: Duration = Duration::from_millis(1500);
 
 impl Node {
-    /// What a target's text names: a domain of the file, or a machine.
+    /// Resolves the text of a target to a domain of the topology file or to a machine.
     fn target(&self, text: &str) -> Result<What, OperatorError> {
         let topology = self.topology().ok_or(OperatorError::NoTopology)?;
         if topology.tree.find(text).is_some() {
@@ -37,7 +37,7 @@
         match self.shards.owned().first() {
             Some(c) if known(c) => Ok(What::Machine(text.to_owned())),
             Some(_) => Err(InvalidRequest::UnknownTarget(text.to_owned()).into()),
-            // Only the owner knows the machines.
+            // Only the owner of the shard knows the machines.
             None => Err(self.elsewhere()),
         }
     }
@@ -49,12 +49,12 @@
         }
     }
 
-    /// Begins a drain, or changes the one of the same target. The answer comes
-    /// once it is recorded, so a takeover can't lose it.
+    /// Begins a drain, or changes the drain of the same target. Returns the drain's number once
+    /// the drain is recorded, so a takeover can't lose it.
     ///
     /// # Errors
     ///
-    /// There is no topology here, the request is not valid, or it could not be recorded.
+    /// There is no topology here, the request is not valid, or the drain could not be recorded.
     pub async fn drain(&self, asked: &DrainAsked) -> Result<u64, OperatorError> {
         asked.check().map_err(InvalidRequest::from)?;
         let what = self.target(&asked.target)?;
@@ -71,14 +71,14 @@
         let number = self
             .change_for_operator(DRAIN_WRITE_PATIENCE, plan, log_failure)
             .await?;
-        // The next look at the view has it.
+        // The refreshed view contains the change, so the next read shows it.
         self.fresh().await;
         tracing::info!(number, target = %drain.target, "drain started");
         Ok(number)
     }
 
-    /// Where a drain is to be recorded, with its number: in place of the one of the same
-    /// target, which keeps its start, or under the next number.
+    /// Returns the write that records a drain, with the drain's number. A drain of the same
+    /// target is replaced and keeps its start time. Otherwise the drain gets the next number.
     fn plan_drain(&self, drain: &Drain) -> Result<ChangePlan<u64>, OperatorError> {
         let view = self.store.view();
         let mut drains = view.drains.iter();
@@ -98,11 +98,11 @@
         Ok(write_drain(number, Revision(0), drain))
     }
 
-    /// Ends a drain: machines that are still there may be used again.
+    /// Ends a drain. Machines that still exist may be used again.
     ///
     /// # Errors
     ///
-    /// There is no topology here, no such drain, or it could not be recorded.
+    /// There is no topology here, there is no such drain, or the end could not be recorded.
     pub async fn undrain(&self, target: &Target) -> Result<(), OperatorError> {
         if self.topology().is_none() {
             return Err(OperatorError::NoTopology);
@@ -111,13 +111,14 @@
         let number = self
             .change_for_operator(DRAIN_WRITE_PATIENCE, plan, log_failure)
             .await?;
-        // The next look at the view has it.
+        // The refreshed view contains the change, so the next read shows it.
         self.fresh().await;
         tracing::info!(number, "drain ended");
         Ok(())
     }
 
-    /// The deletion of the drain with that number or target, with its number.
+    /// Returns the write that deletes the drain with this number or target, with the drain's
+    /// number.
     fn plan_undrain(&self, target: &Target) -> Result<ChangePlan<u64>, OperatorError> {
         let view = self.store.view();
         let mut drains = view.drains.iter();
@@ -138,15 +139,15 @@
         })
     }
 
-    /// Domains, devices and drains, with what only the owner knows.
+    /// Returns domains, devices and drains, including the details that only the owner knows.
     ///
     /// # Errors
     ///
-    /// There is no topology here.
+    /// There is no topology here, or another controller owns the machines.
     pub fn show(&self) -> Result<TopologyShown, OperatorError> {
         let topology = self.topology().ok_or(OperatorError::NoTopology)?;
         let cores = self.shards.owned();
-        // With a topology all machines are one shard.
+        // With a topology, all machines belong to one shard.
         let Some(core) = cores.first() else {
             return Err(self.elsewhere());
         };
@@ -159,7 +160,7 @@
         })
     }
 
-    /// Drains and how far they are.
+    /// Returns all drains with their progress.
     fn shown_drains(&self, core: &Core) -> Vec<DrainShown> {
         let now = wall_ms();
         let drains = self.store.view().drains.clone();
@@ -182,7 +183,7 @@
     }
 }
 
-/// The write of a drain's record, with its number.
+/// Returns the write of a drain's record, with the drain's number.
 fn write_drain(number: u64, mod_revision: Revision, drain: &Drain) -> ChangePlan<u64> {
     let key = drain_key(number);
     let write = RecordWrite {
@@ -196,21 +197,20 @@
     }
 }
 
-/// A drain's record was not changed, or that is not known.
+/// Logs that a drain's record was not changed, or that the outcome is unknown.
 fn log_failure(error: StateError) {
     tracing::info!(%error, "drain not recorded");
 }
 
-/// The machines of a topology, as operators see them.
+/// Machines of a topology, as operators see them.
 struct ShownMachines {
-    /// By the place in the tree.
+    /// Domains by their index in the tree.
     domains: BTreeMap<u32, DomainShown>,
-    /// Machines that are not placed as far down as the tree tells.
+    /// Machines that are not placed in a domain of the lowest level.
     unplaced: Vec<MachineId>,
 }
 
-/// The machines and devices of each domain; domains that have no machine now are
-/// shown too.
+/// Counts the machines and devices of each domain. Domains without machines are included.
 fn shown_machines(core: &Core, tree: &Tree) -> ShownMachines {
     let mut shown = ShownMachines {
         domains: BTreeMap::new(),
@@ -238,7 +238,7 @@
     shown
 }
 
-/// A domain without machines.
+/// Returns the status of a domain without machines.
 fn empty_domain(tree: &Tree, domain: Domain, level_name: &str) -> DomainShown {
     DomainShown {
         domain: tree.path(domain).to_owned(),
@@ -247,7 +247,7 @@
     }
 }
 
-/// Counts a machine and its devices in its domain.
+/// Adds a machine and its devices to the counts of its domain.
 fn add_machine(domain: &mut DomainShown, machine: &Machine) {
     domain.machines += 1;
     domain.usable += u32::from(machine.usable);
--- a/src/control/operator_changes.rs
+++ b/src/control/operator_changes.rs
@@ -1,5 +1,6 @@
-//! Changes of single records that operators ask for: each is planned by a fresh view and
-//! written if the record is still the same, a few times while others are faster.
+//! Changes of single records on request of operators. Each change is planned from a fresh view
+//! and written if the record is still the same. A change that loses against a concurrent writer
+//! is planned again, a few times.
 
 use std::time::Duration;
 
@@ -8,37 +9,36 @@
 use crate::state::{Change, StateError, TransactionOutcome};
 use crate::types::Revision;
 
-/// How often a change is tried while others are faster.
+/// Attempts to write a change while concurrent writers are faster.
 const CHANGE_ATTEMPTS: usize = 4;
 
-/// The write of one record.
+/// Conditional write of one record.
 pub(super) struct RecordWrite {
-    /// The record's key.
+    /// Key of the record in the state service.
     pub(super) key: String,
-    /// The record's revision by which the write was planned; 0: there is no record.
+    /// Revision of the record that the write was planned from, or 0 if there was no record.
     pub(super) mod_revision: Revision,
-    /// The new record, or its deletion.
+    /// New value of the record, or its deletion.
     pub(super) change: Change,
 }
 
-/// How a change is to be carried out, by the records as known now. `T` is what the caller
-/// needs to know of it.
+/// Plan of a change, based on the records as known now. `T` is the result for the caller.
 pub(super) enum ChangePlan<T> {
-    /// Nothing is to be written: the records are so already.
+    /// The records already are as requested, so nothing is written.
     Unchanged(T),
-    /// A record is to be written.
+    /// The change needs one write.
     Write {
-        /// The write.
+        /// Write that carries out the change.
         write: RecordWrite,
-        /// What is returned once it is recorded.
+        /// Result for the caller once the write is recorded.
         outcome: T,
     },
 }
 
 impl Node {
-    /// Carries out a change; answers once it is recorded. `plan` makes it anew for each
-    /// attempt, `patience` is the time that one attempt may wait at the state service, and
-    /// `failed` is told why the state service did not carry it out.
+    /// Carries out a change, and returns once it is recorded. `plan` creates the change anew
+    /// for each attempt. `patience` limits the time that one attempt waits at the state
+    /// service. `failed` receives the error if the state service did not carry out the change.
     pub(super) async fn change_for_operator<T>(
         &self,
         patience: Duration,
@@ -63,7 +63,7 @@
                     self.peers.announce(revision);
                     return Ok(outcome);
                 }
-                // Another was faster.
+                // A concurrent writer was faster: plan the change again.
                 Ok(TransactionOutcome::Failed(_)) => {}
                 Err(error) => {
                     failed(error);
--- a/src/control/operator_error.rs
+++ b/src/control/operator_error.rs
@@ -1,4 +1,4 @@
-//! Why a request of an operator is not carried out.
+//! Errors that answer the requests of operators.
 
 use sorrelhinge_protocol::invalid::InvalidField;
 use sorrelhinge_reservations::record::RecordError;
@@ -7,8 +7,8 @@
 
 use crate::types::NodeId;
 
-/// Why a request of an operator is not carried out. The text is what the operator reads,
-/// except of [`OperatorError::Elsewhere`], which is answered with the controller's name.
+/// Reason why the controller does not carry out an operator's request. The operator reads the
+/// text, except for [`OperatorError::Elsewhere`], which is answered with the controller's name.
 #[derive(Debug, thiserror::Error)]
 pub enum OperatorError {
     /// This controller runs without a topology.
@@ -17,63 +17,63 @@
     /// This controller runs without a calendar.
     #[error("this controller has no calendar")]
     NoCalendar,
-    /// There is no such drain.
+    /// No drain has the requested number or target.
     #[error("no such drain")]
     NoSuchDrain,
-    /// There is no such window.
+    /// No window has the requested name.
     #[error("no such window")]
     NoSuchWindow,
-    /// The request is wrong.
+    /// The request is not valid.
     #[error(transparent)]
     Invalid(#[from] InvalidRequest),
-    /// Another controller can answer.
+    /// The named controller can answer the request.
     #[error("controller {0} can answer")]
     Elsewhere(NodeId),
-    /// It can't be decided now: the records can't be read or written, or nobody is known
-    /// to own what it is about.
+    /// The request can't be decided now: the records can't be read or written, or no controller
+    /// is known to own the subject of the request.
     #[error("can't tell now, ask again")]
     Unavailable,
 }
 
-/// What is wrong with a request of an operator.
+/// Reason why an operator's request is not valid.
 #[derive(Debug, thiserror::Error)]
 pub enum InvalidRequest {
-    /// The body can't be read.
+    /// The body can't be parsed.
     #[error("{name}: {cause}")]
     Body {
-        /// What the body is to describe, as operators call it.
+        /// Object that the body should describe, as operators call it.
         name: &'static str,
-        /// What is wrong with it.
+        /// Error of the parser.
         #[source]
         cause: serde_json::Error,
     },
-    /// A field is not valid.
+    /// One field of the request is not valid.
     #[error(transparent)]
     Field(#[from] InvalidField),
-    /// A target names neither a domain nor a machine.
+    /// The target names neither a domain of the topology file nor a machine.
     #[error("there is no domain {0:?} in the file, and no machine of that name")]
     UnknownTarget(String),
-    /// There may be no more drains.
+    /// The number of drains has reached its limit.
     #[error("too many drains at a time")]
     TooManyDrains,
-    /// There is no such shard among several.
+    /// No shard has the requested number.
     #[error("there is no block {shard}: there are {shards}, from 0")]
     UnknownShard {
-        /// The shard that was asked for.
+        /// Number of the requested shard.
         shard: ShardId,
-        /// How many there are.
+        /// Number of shards, counted from 0.
         shards: u32,
     },
-    /// The settings name no such controller.
+    /// The settings name no controller of this name.
     #[error("there is no controller {0}")]
     UnknownController(NodeId),
-    /// The calendar's record is of a version that this controller does not know.
+    /// The calendar's record has a version that this controller does not support.
     #[error("the calendar's record can't be read")]
     UnreadableCalendar,
-    /// A window names what there is not, or asks for too much.
+    /// A window names something that does not exist, or requests too much.
     #[error(transparent)]
     Window(#[from] WindowError),
-    /// The calendar's record can't be changed so, or would be too long.
+    /// The calendar's record can't be changed in this way, or would become too long.
     #[error(transparent)]
     CalendarRecord(#[from] RecordError),
 }
--- a/src/control/reservations.rs
+++ b/src/control/reservations.rs
@@ -1,4 +1,4 @@
-//! The release calendar: the file, the steps of windows, operators' requests.
+//! The release calendar: the calendar file, the steps of windows, and requests of operators.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -16,19 +16,19 @@
 use crate::state::{Change, RequestPriority, StateError, TransactionOutcome};
 use crate::types::Revision;
 
-/// How often windows are looked at.
+/// Interval between checks of the windows.
 const CALENDAR_INTERVAL: Duration = Duration::from_secs(1);
-/// How long a change may take.
+/// Time that a write of the calendar may wait at the state service.
 const PATIENCE: Duration = Duration::from_millis(1500);
 
-/// The file's windows as they are to be recorded.
+/// Record of the file's windows, to be written over the current record.
 struct NewerCalendar {
-    /// The held record's revision.
+    /// Revision of the current record.
     mod_revision: Revision,
     record: CalendarRecord,
 }
 
-/// What is wrong with the file is logged once.
+/// Ensures that an error in the calendar file is logged only once.
 #[derive(Default)]
 struct LoggedOnce {
     logged: bool,
@@ -43,23 +43,23 @@
     }
 }
 
-/// What an operator asks to change.
+/// Change of the calendar that an operator requests.
 #[derive(Debug, serde::Deserialize)]
 #[serde(untagged)]
 pub enum CalendarAsked {
-    /// A window.
+    /// Adds or replaces a window.
     Pin(Box<PinWindow>),
-    /// No window.
+    /// Removes a window.
     Unpin(UnpinWindow),
 }
 
-/// The time of day, in milliseconds since 1970.
+/// Returns the wall clock in milliseconds since 1970.
 pub fn day_ms() -> i64 {
     i64::try_from(wall_ms()).unwrap_or(i64::MAX)
 }
 
 impl Node {
-    /// Keeps the calendar's record and takes the windows' steps.
+    /// Keeps the calendar's record up to date and takes the due steps of the windows.
     pub(super) async fn run_reservations(self: Rc<Self>) {
         let Some(file) = self.cfg.calendar.clone() else {
             return;
@@ -88,13 +88,14 @@
         }
     }
 
-    /// Writes the file's windows if they are newer than those recorded. Of several
-    /// controllers with files the largest number wins, whoever starts when.
+    /// Writes the windows of the file if the file is newer than the record. If several
+    /// controllers have files, the file with the highest number wins, regardless of the order
+    /// in which they start.
     async fn take_file(&self, file: &Calendar, complaint: &mut LoggedOnce) {
         let Some(newer) = self.newer_calendar(file, complaint) else {
             return;
         };
-        // Machine types are known only once the cloud has told.
+        // The machine types are unknown until the cloud has listed them.
         if !self.catalog.has_types() {
             return;
         }
@@ -115,7 +116,7 @@
                 self.peers.announce(revision);
                 self.fresh().await;
             }
-            // Another was faster; the view tells.
+            // Another controller was faster. The refreshed view shows the result.
             Ok(TransactionOutcome::Failed(_)) => {
                 self.fresh().await;
             }
@@ -123,11 +124,11 @@
         }
     }
 
-    /// The record by the file, if that is newer than the one that is held.
+    /// Returns the record made from the file, if it is newer than the current record.
     fn newer_calendar(&self, file: &Calendar, complaint: &mut LoggedOnce) -> Option<NewerCalendar> {
         let view = self.store.view();
         let recorded = &view.calendar;
-        // A record that can't be read at all is not written over.
+        // A record that can't be parsed is never overwritten.
         if recorded.mod_revision > Revision(0) && recorded.value.is_none() {
             return None;
         }
@@ -151,7 +152,7 @@
         }
     }
 
-    /// Whether windows may be recorded: the teams, types and sizes that they name.
+    /// Checks whether windows may be recorded: their teams, machine types and sizes.
     fn check_calendar(&self, record: &CalendarRecord) -> Result<(), InvalidRequest> {
         let known = Known {
             types: self.catalog.types().clone(),
@@ -163,7 +164,7 @@
         Ok(())
     }
 
-    /// Writes the calendar's record, if it is still as of `mod_revision`.
+    /// Writes the calendar's record if its revision still is `mod_revision`.
     async fn write_calendar(
         &self,
         mod_revision: Revision,
@@ -175,7 +176,7 @@
             .await
     }
 
-    /// Records a step, if nobody else has.
+    /// Records a step of a window, unless another controller has recorded it already.
     async fn take_step(&self, step: core::WindowStep) {
         match self
             .state
@@ -193,13 +194,13 @@
                 self.peers.announce(revision);
             }
             Ok(TransactionOutcome::Failed(_)) => {}
-            // If it was carried out after all, the view tells.
+            // If the transaction was applied after all, the refreshed view shows it.
             Err(error) => tracing::debug!(%error, "calendar"),
         }
         self.fresh().await;
     }
 
-    /// What operators are shown; only the owner of shard 0 knows all of it.
+    /// Returns the calendar for operators. Only the owner of shard 0 knows all of it.
     ///
     /// # Errors
     ///
@@ -225,11 +226,11 @@
         })
     }
 
-    /// Pins a window, or takes one out. The answer comes once it is recorded.
+    /// Pins or removes a window, and returns once the change is recorded.
     ///
     /// # Errors
     ///
-    /// There is no calendar here, the window is refused, or it could not be recorded.
+    /// There is no calendar here, the window is refused, or the change could not be recorded.
     pub async fn change_calendar(&self, asked: &CalendarAsked) -> Result<(), OperatorError> {
         if self.cfg.calendar.is_none() {
             return Err(OperatorError::NoCalendar);
@@ -248,8 +249,8 @@
         Ok(())
     }
 
-    /// The write that an operator asked for, with the number of windows then; none if
-    /// nothing is to be written.
+    /// Returns the write that an operator requested, with the number of windows after it, or
+    /// `None` if nothing needs to be written.
     fn plan_calendar_change(
         &self,
         asked: &CalendarAsked,
@@ -269,7 +270,7 @@
         })
     }
 
-    /// The record as an operator asked for it; none if it is so already.
+    /// Returns the record after an operator's change, or `None` if the record does not change.
     fn changed_calendar(
         &self,
         recorded: &Versioned<Option<CalendarRecord>>,
--- a/src/control/shard_status.rs
+++ b/src/control/shard_status.rs
@@ -1,4 +1,4 @@
-//! Shards as operators see them, and pinning one to a controller.
+//! Status of the shards for operators, and pinning a shard to a controller.
 
 use std::time::Duration;
 
@@ -13,11 +13,11 @@
 use crate::state::Change;
 use crate::types::NodeId;
 
-/// How long an attempt to pin a shard may wait at the state service.
+/// Time that one attempt to pin a shard may wait at the state service.
 const PIN_PATIENCE: Duration = Duration::from_secs(3);
 
 impl Node {
-    /// Shards, owners, machines, parts of limits and moves under way.
+    /// Returns the status of all shards: owners, machines, quotas and moves in flight.
     pub fn show_shards(&self) -> ShardsShown {
         let view = self.store.view();
         let leader = view.leader.value.as_ref().map(|l| l.node.to_string());
@@ -45,7 +45,7 @@
         shown
     }
 
-    /// One of several shards.
+    /// Returns the status of one of several shards.
     fn shown_shard(&self, view: &View, shard: ShardId, record: &ShardRecord) -> ShardShown {
         let member = view.members.get(&record.owner);
         let alive = member.is_some_and(|m| m.value.run == record.run);
@@ -76,7 +76,7 @@
         }
     }
 
-    /// The record of one of several shards.
+    /// Returns the record of one of several shards.
     fn recorded_shard(&self, shard: ShardId) -> Result<Versioned<ShardRecord>, OperatorError> {
         let view = self.store.view();
         let recorded = view.shards.get(&shard).filter(|_| view.shard_count() > 1);
@@ -85,12 +85,12 @@
         Ok(recorded.cloned().ok_or(unknown)?)
     }
 
-    /// Pins a shard to a controller, or takes its pin off. The answer comes once
-    /// it is recorded; the leader does the rest.
+    /// Pins a shard to a controller, or removes the pin. Returns once the pin is recorded. The
+    /// leader moves the shard afterwards.
     ///
     /// # Errors
     ///
-    /// There is no such shard or controller, or it could not be recorded.
+    /// There is no such shard or controller, or the pin could not be recorded.
     pub async fn pin(&self, asked: &PinAsked) -> Result<(), OperatorError> {
         asked.check().map_err(InvalidRequest::from)?;
         let to = asked.to.as_deref().map(NodeId::from);
@@ -101,11 +101,11 @@
             }
         }
         let plan = || self.plan_pin(ShardId(asked.block), to.as_ref());
-        // A failure is not logged: the operator is answered.
+        // A failure is not logged because the operator receives it as the answer.
         self.change_for_operator(PIN_PATIENCE, plan, |_| {}).await
     }
 
-    /// The write of a shard's record with another pin.
+    /// Returns the write that changes the pin in a shard's record.
     fn plan_pin(
         &self,
         shard: ShardId,
@@ -126,12 +126,13 @@
     }
 }
 
-/// CPUs of so many thousandths.
+/// Converts thousandths of a CPU to CPUs.
 fn cpus(milli: i64) -> f64 {
     milli as f64 / 1000.0
 }
 
-/// Why a shard is where it is; `alive`: its owner lives.
+/// Returns the reason, for operators, why a shard belongs to its owner. `alive` tells whether
+/// the owner is alive.
 fn why_there(record: &ShardRecord, alive: bool) -> String {
     match (&record.pin, &record.to, alive) {
         (_, Some(to), _) => format!("it moves to {to}"),
