--- a/src/control/quota_transfers.rs
+++ b/src/control/quota_transfers.rs
@@ -1,5 +1,5 @@
-//! Parts of team limits, given to a shard that lacks them. Which and how much is
-//! decided in [`sorrelhinge_sharding::slices`].
+//! Transfers of quota: a shard gives parts of team limits to a shard that lacks them. The rules
+//! that choose the shards and the amounts are in [`sorrelhinge_sharding::slices`].
 
 use std::time::Duration;
 
@@ -13,17 +13,18 @@
 use crate::state::{Change, Condition, RequestPriority, Transaction, TransactionOutcome};
 use crate::types::Revision;
 
-/// A shard gives part of its limits away so often at the most.
+/// Minimum interval between two quota transfers of a controller's shards.
 pub(super) const QUOTA_TRANSFER_INTERVAL: Duration = Duration::from_millis(1500);
-/// A transfer waits for its turn at the state service so long.
+/// Time that a transfer may wait for its turn at the state service.
 const TRANSFER_PATIENCE: Duration = Duration::from_millis(1500);
-/// The pause after a transfer whose outcome is not known.
+/// Pause after a transfer whose outcome is unknown.
 const TRANSFER_RETRY_PAUSE: Duration = Duration::from_millis(200);
-/// The pause after a read that failed, while the outcome is looked for.
+/// Pause after a failed read, while the outcome of a transfer is looked up.
 const CATCH_UP_PAUSE: Duration = Duration::from_millis(100);
 
 impl Node {
-    /// What each shard has and wants of each team's limit, as far as known.
+    /// Returns the quota, the use and the demand of each shard for each team, or `None` if
+    /// these are unknown for at least one shard.
     fn all_needs(&self) -> Option<Vec<Vec<Need>>> {
         let view = self.store.view();
         (0..view.shard_count())
@@ -43,7 +44,7 @@
             .collect()
     }
 
-    /// Gives parts of limits that are not used here to a shard that lacks them.
+    /// Transfers unused quota of the owned shards to shards that lack quota.
     pub(super) async fn transfer_quotas(&self) {
         let Some(needs) = self.all_needs() else {
             return;
@@ -62,8 +63,8 @@
         }
     }
 
-    /// Lowers the shard's own limits by what it gives, and returns the change to send;
-    /// none if it can't give that.
+    /// Lowers the shard's own limits by the amounts of the transfer, and returns the
+    /// transaction to send. Returns `None` if the shard can't spare the amounts.
     fn reserve_transfer(&self, shard: ShardId, transfer: &LimitTransfer) -> Option<Transaction> {
         let view = self.store.view();
         let mut cores = self.shards.owned_mut();
@@ -74,8 +75,8 @@
         if grant.value.number != core.grant || !self.can_spare(core, &mine.value, transfer) {
             return None;
         }
-        // Lowered before the change is sent: while its outcome is not
-        // known, it counts as used on both sides.
+        // The limits are lowered before the transaction is sent. While its outcome is unknown,
+        // the amounts count as used on both sides.
         core.giving(transfer.amounts.clone(), &view);
         let given = self.with_part(&mine.value, transfer, -1);
         let taken = self.with_part(&theirs.value, transfer, 1);
@@ -101,8 +102,8 @@
         })
     }
 
-    /// Whether what is used here fits what is left: what was claimed since the needs
-    /// were told stays covered.
+    /// Returns whether the remaining quota covers the current use, including claims made since
+    /// the shard's needs were published.
     fn can_spare(&self, core: &Core, mine: &SliceRecord, transfer: &LimitTransfer) -> bool {
         let used = core.needs();
         let given = transfer.amounts.iter().zip(&self.cfg.teams);
@@ -111,8 +112,8 @@
             .all(|((give, team), need)| need.used.fits_team(mine.of(&team.name) - *give))
     }
 
-    /// A shard's part of the limits after a transfer; `sign`: 1 of the shard that takes,
-    /// -1 of the one that gives.
+    /// Returns a shard's quota after a transfer. `sign` is 1 for the shard that receives the
+    /// amounts and -1 for the shard that gives them.
     fn with_part(&self, record: &SliceRecord, transfer: &LimitTransfer, sign: i64) -> SliceRecord {
         let teams = self.cfg.teams.iter().zip(&transfer.amounts);
         SliceRecord::new(teams.map(|(t, give)| {
@@ -121,8 +122,8 @@
         }))
     }
 
-    /// Sends a transfer until its outcome is known; returns the revision that tells it,
-    /// or none if the shard is not owned here any more.
+    /// Sends a transfer until its outcome is known, and returns the revision that shows the
+    /// outcome. Returns `None` if this controller does not own the shard any more.
     async fn send_transfer(&self, shard: ShardId, transaction: &Transaction) -> Option<Revision> {
         loop {
             match self
@@ -133,8 +134,8 @@
                 Ok(TransactionOutcome::Done(revision) | TransactionOutcome::Failed(revision)) => {
                     return Some(revision)
                 }
-                // Sent again with the same conditions: whichever try is
-                // carried out, the others fail.
+                // The transaction is retried with the same conditions, so at most one attempt
+                // is applied and the others fail.
                 Err(error) => {
                     tracing::debug!(%error, "quota transfer failed");
                     sleep(TRANSFER_RETRY_PAUSE).await;
@@ -146,7 +147,7 @@
         }
     }
 
-    /// Waits for the records to show the outcome, and lives by them again.
+    /// Waits until the local records show the outcome, then applies the recorded limits again.
     async fn settle_transfer(&self, shard: ShardId, revision: Revision) {
         self.peers.announce(revision);
         self.catch_up(revision, CATCH_UP_PAUSE).await;
--- a/src/control/resharding.rs
+++ b/src/control/resharding.rs
@@ -1,4 +1,4 @@
-//! From one shard to several: the machines and the teams' limits are divided.
+//! Splits the only shard into several: divides the machines and the teams' limits.
 
 use sorrelhinge_sharding::owners::how_many;
 use sorrelhinge_sharding::shard::{ShardId, ShardScope};
@@ -15,60 +15,60 @@
 };
 use crate::types::{Amount, LeaseId, Revision, Term, Time};
 
-/// The machines are divided only by a leader that has led for so long, in seconds.
+/// Time in seconds that a leader must have led before it splits the machines into shards.
 const DIVIDE_AFTER_S: f64 = 1.0;
-/// After a failure they are divided again only so much later, in seconds.
+/// Delay in seconds before the next attempt after a failed split.
 const DIVIDE_AGAIN_S: f64 = 5.0;
 
-/// Why the machines were not divided.
+/// Reason why the machines were not split into shards.
 #[derive(Debug, thiserror::Error)]
 enum DivideError {
-    /// The local copy of the records may be old.
+    /// The local copy of the records may be outdated.
     #[error("the state service can't be asked")]
     Unconfirmed,
-    /// Claims beyond a limit are not released yet.
+    /// Some claims exceed a limit, and their releases are not recorded yet.
     #[error("releases wait to be recorded")]
     ReleasesPending,
-    /// The shards' parts of the limits were not recorded.
+    /// The shards' quotas were not recorded, or the outcome is unknown.
     #[error("parts of the limits: {0:?}")]
     Quotas(Result<TransactionOutcome, StateError>),
-    /// This controller does not lead any more.
+    /// This controller is not the leader any more.
     #[error("the lease ended")]
     LeaseExpired,
-    /// The shards were not recorded, or that is not known.
+    /// The records of the shards were not written, or the outcome is unknown.
     #[error("blocks: {0:?}")]
     Shards(Result<TransactionOutcome, StateError>),
 }
 
-/// A division into several shards that is about to be recorded.
+/// Planned split into several shards that is not recorded yet.
 struct Division {
-    /// How many shards.
+    /// Number of shards after the split.
     of: u32,
-    /// The number of the one grant that they replace.
+    /// Number of the current grant, which the grants of the shards replace.
     grant: u64,
-    /// Each shard's part of each team's limit.
+    /// Quota of each shard for each team.
     quotas: Vec<Vec<Amount>>,
-    /// Nothing is written if the grant is another by then.
+    /// Condition that the current grant is still the same. Otherwise nothing is written.
     guard: Condition,
-    /// The term of the grant.
+    /// Term of the current grant.
     term: Term,
 }
 
 impl Node {
-    /// The other controllers all know that there may be several shards.
+    /// Returns whether all other controllers support several shards.
     fn all_know_shards(&self) -> bool {
         self.others_known().len() == self.cfg.others.len()
     }
 
-    /// From one shard to several: this controller owns all of them at first. Its
-    /// core is frozen until nothing is under way; then each shard's part of the
-    /// limits is what it uses, and an equal part of the rest.
+    /// Splits the only shard into several. This controller owns all of them at first. Its core
+    /// is frozen until nothing is in flight. Then each shard's quota is its current use and an
+    /// equal part of the rest.
     pub(super) async fn split_shards(&self, again: &mut Option<Time>) {
         let of = how_many(self.cfg.tuning.shards_least, self.cfg.others.len() + 1);
         let now = self.now();
-        // With a topology one core must see all places.
+        // With a topology, a single core must see all places.
         if of < 2 || self.topology().is_some() || !self.all_know_shards() {
-            // Also if that has changed since it was frozen.
+            // The core may be frozen from an earlier attempt, before this condition changed.
             if let Some(core) = self.shards.owned_mut().first_mut() {
                 core.thaw();
             }
@@ -101,8 +101,8 @@
         }
     }
 
-    /// Writes the parts of the limits, and then, if nothing changed meanwhile, the
-    /// shards in place of the one grant.
+    /// Writes the shards' quotas and then, if nothing changed meanwhile, the shards in place of
+    /// the only grant.
     async fn split_shards_now(&self, of: u32, grant: u64) -> Result<(), DivideError> {
         if !self.fresh().await {
             return Err(DivideError::Unconfirmed);
@@ -123,12 +123,12 @@
                 self.fresh().await;
                 Ok(())
             }
-            // If it was carried out after all, the view tells.
+            // If the transaction was applied after all, the refreshed view shows it.
             other => Err(DivideError::Shards(other)),
         }
     }
 
-    /// What each shard would use, and its part of the limits by that.
+    /// Computes the use of each shard after the split, and its quota.
     fn plan_division(&self, of: u32, grant: u64) -> Result<Division, DivideError> {
         let (now, wall) = (self.now(), wall_ms());
         let shards = (0..of).map(|b| ShardScope {
@@ -169,7 +169,7 @@
         })
     }
 
-    /// Writes each shard's part of the limits; returns the revision that has them.
+    /// Writes the quota of each shard, and returns the revision of that write.
     async fn record_quotas(&self, division: &Division) -> Result<Revision, DivideError> {
         let names = || self.cfg.teams.iter().map(|t| t.name.to_string());
         let parts = division.quotas.iter().enumerate().map(|(b, part)| {
@@ -190,8 +190,9 @@
         }
     }
 
-    /// The map, the fence in the grant's place, this controller as a member, and a
-    /// record for each shard; only if the quotas are as written at `quotas_at`.
+    /// Returns the transaction that writes the shard map, the fence in place of the grant, this
+    /// controller as a member, and a record for each shard. The transaction fails unless the
+    /// quotas are unchanged since `quotas_at`.
     fn division_transaction(
         &self,
         division: &Division,
@@ -228,8 +229,8 @@
         }
     }
 
-    /// The record of a shard that begins with a division: this controller owns it, by the
-    /// grant numbers that follow the one grant's.
+    /// Returns the first record of a shard after the split. This controller owns the shard, by
+    /// the grant numbers that follow the number of the replaced grant.
     fn first_shard_record(&self, division: &Division, shard: ShardId) -> ShardRecord {
         ShardRecord {
             version: ShardRecord::VERSION,
--- a/src/control/shard_demand.rs
+++ b/src/control/shard_demand.rs
@@ -1,5 +1,5 @@
-//! What the owners of shards publish to each other: what each uses and wants, tasks left to
-//! another shard, and machines that were rented. All of it is a hint.
+//! Messages between the owners of shards: the use and demand of each shard, tasks delegated to
+//! another shard, and rented machines. All of them are hints.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -13,19 +13,19 @@
 use crate::peer_messages::{DelegatedTasks, Needs, Rented, TeamNeed};
 use crate::types::{MachineId, NodeId};
 
-/// How often owners publish what they use and want.
+/// Interval at which owners publish the use and demand of their shards.
 const NEEDS_INTERVAL: Duration = Duration::from_millis(700);
 
 impl Node {
-    /// The other controllers whose versions know several shards.
+    /// Returns the other controllers whose versions support several shards.
     pub(super) fn others_known(&self) -> Vec<NodeId> {
         let others = self.cfg.others.iter().map(|other| &other.node);
         let knowing = others.filter(|node| self.peer_statuses.knows_shards(node));
         knowing.cloned().collect()
     }
 
-    /// Publishes to the others what this controller's shards use and want, leaves tasks
-    /// to shards that have free capacity, and gives away parts of limits.
+    /// Publishes the use and demand of the owned shards, delegates tasks to shards with free
+    /// capacity, and transfers quota.
     pub(super) async fn publish_demand(self: Rc<Self>) {
         let mut gave = Instant::now();
         loop {
@@ -42,7 +42,7 @@
         }
     }
 
-    /// Publishes to the others what this controller's shards use and want.
+    /// Publishes the use and demand of the owned shards to the other controllers.
     fn publish_own_needs(&self) {
         let others = self.others_known();
         for needs in self.own_needs() {
@@ -53,7 +53,7 @@
         }
     }
 
-    /// What each owned shard uses and wants.
+    /// Returns the use and demand of each owned shard.
     fn own_needs(&self) -> Vec<Needs> {
         let cores = self.shards.owned();
         let needs = cores.iter().map(|(shard, c)| {
@@ -69,7 +69,7 @@
         needs.collect()
     }
 
-    /// Leaves tasks to shards that have free capacity.
+    /// Delegates tasks to shards that have free capacity.
     fn leave_tasks(&self) {
         let now = self.now();
         let mut left = Vec::new();
@@ -89,7 +89,7 @@
         }
     }
 
-    /// Takes up what a shard uses and wants.
+    /// Records the use and demand that a shard's owner published.
     fn receive_demand(&self, needs: Needs) {
         let now = self.now();
         for (shard, c) in self.shards.owned_mut().iter_mut() {
@@ -100,7 +100,7 @@
         self.shards.record_needs(needs);
     }
 
-    /// Takes up tasks that another shard leaves to an owned one.
+    /// Adopts tasks that another shard delegated to an owned one.
     fn receive_delegated_tasks(&self, left: &DelegatedTasks) {
         let now = self.now();
         if let Some(c) = self.shards.owned_mut().get_mut(left.shard) {
@@ -109,7 +109,7 @@
         self.wakeups.wake_owner();
     }
 
-    /// What another owner published; it may be wrong or late.
+    /// Handles a message that another owner published. The content may be wrong or late.
     pub fn receive_peer_message(&self, kind: Kind, text: &[u8]) {
         match kind {
             Kind::Needs => {
@@ -131,7 +131,8 @@
         }
     }
 
-    /// Takes up machines that were rented: their zones, and that those of owned shards come.
+    /// Records the zones of rented machines, and lets each owned shard expect the machines that
+    /// may belong to it.
     fn receive_rented_machines(&self, rented: &Rented) {
         let now = self.now();
         let offer = MachineOffer {
@@ -149,7 +150,7 @@
         }
     }
 
-    /// Tells the owners of the other shards of machines that were rented.
+    /// Announces rented machines to the owners of the other shards.
     pub(super) fn announce_rented_machines(
         &self,
         rental: &crate::cloud::Rental,
--- a/src/control/shard_grants.rs
+++ b/src/control/shard_grants.rs
@@ -1,5 +1,5 @@
-//! The leader's part with several shards: granting and moving them. Which step is due
-//! is decided in [`sorrelhinge_sharding::owners`].
+//! Duties of the leader with several shards: it grants shards and moves them. The rules that
+//! choose the next step are in [`sorrelhinge_sharding::owners`].
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -13,11 +13,11 @@
 use crate::state::{Change, Condition, RequestPriority, Transaction, TransactionOutcome};
 use crate::types::{Revision, Term};
 
-/// How often the leader looks at who owns what.
+/// Interval at which the leader checks the ownership of the shards.
 const GRANT_CHECK_INTERVAL: Duration = Duration::from_millis(300);
 
 impl Node {
-    /// Whether this controller leads.
+    /// Returns whether this run of the controller is the recorded leader and has a lease.
     fn leads(&self) -> bool {
         let view = self.store.view();
         let leader = view.leader.value.as_ref();
@@ -25,7 +25,8 @@
             && leader.is_some_and(|l| l.node == self.cfg.node && l.run == self.run)
     }
 
-    /// As leader: divides the machines, grants shards and moves them.
+    /// Runs the leader's loop: splits the machines into shards, grants the shards and moves
+    /// them.
     pub(super) async fn assign_shards(self: Rc<Self>) {
         let mut divide_at = None;
         loop {
@@ -51,14 +52,15 @@
         }
     }
 
-    /// Becomes leader while there are several shards. That grants nothing.
+    /// Runs for leader among the members while there are several shards. The election grants no
+    /// shard.
     async fn campaign_among_members(&self) {
         let Some(lease) = self.leadership.lease() else {
             return;
         };
         let leader = self.next_leader();
         let transaction = Transaction {
-            // The last leader's key went with its lease.
+            // The state service deleted the key of the last leader with its lease.
             conditions: vec![Condition {
                 key: LEADER.into(),
                 mod_revision: Revision(0),
@@ -85,7 +87,8 @@
         }
     }
 
-    /// This controller as leader, in the term after all that shards were granted in.
+    /// Returns the record of this controller as leader. Its term follows the latest term in
+    /// which any shard was granted.
     fn next_leader(&self) -> LeaderRecord {
         let view = self.store.view();
         let terms = view.shards.values().map(|shard| shard.value.term);
@@ -97,7 +100,7 @@
         }
     }
 
-    /// Takes the next step of who owns what, if one is due.
+    /// Carries out the next step of the shard assignment, if one is due.
     async fn assign_shards_once(&self) {
         let Some(step) = self.next_step() else { return };
         let Some(transaction) = self.step_transaction(&step) else {
@@ -113,11 +116,11 @@
             Ok(TransactionOutcome::Failed(_)) => {}
             Err(error) => tracing::info!(%error, "shards"),
         }
-        // Whatever became of it, the view tells.
+        // The refreshed view shows the outcome, whatever the answer was.
         self.fresh().await;
     }
 
-    /// The step that is due by the records.
+    /// Returns the step that is due according to the records.
     fn next_step(&self) -> Option<Step> {
         let preference = ShardPreference {
             gather: (self.cfg.tuning.shards_least == 1).then(|| self.cfg.node.clone()),
@@ -140,8 +143,8 @@
             .next_assignment(&shards.collect(), &alive.collect(), &preference, now)
     }
 
-    /// The change that takes a step. Also on the leader's record: a step of one that
-    /// was deposed meanwhile, and is late, fails.
+    /// Returns the transaction that carries out a step. Its conditions include the leader's
+    /// record, so a late step of a leader that was deposed meanwhile fails.
     fn step_transaction(&self, step: &Step) -> Option<Transaction> {
         let view = self.store.view();
         let (Step::Grant(shard, _) | Step::Offer(shard, _) | Step::TakeBack(shard)) = step;
--- a/src/control/shard_merge.rs
+++ b/src/control/shard_merge.rs
@@ -1,4 +1,4 @@
-//! From several shards to one.
+//! Merges several shards into one.
 
 use sorrelhinge_sharding::shard::ShardId;
 
@@ -11,8 +11,8 @@
 use crate::types::Term;
 
 impl Node {
-    /// From several shards to one, once this controller owns all of them and
-    /// nothing is under way: its grant is above all of theirs.
+    /// Merges all shards into one, once this controller owns all of them and nothing is in
+    /// flight. The number of the new grant is above the numbers of all shards' grants.
     pub(super) async fn merge_shards(&self, of: u32) {
         if !self.settle_all(of) {
             return;
@@ -32,8 +32,8 @@
                 self.peers.announce(revision);
                 self.begin_leadership(grant, revision).await;
             }
-            // If it was carried out after all, nobody owns the shard: the lease
-            // ends, and whoever leads next takes it.
+            // If the transaction was applied after all, no controller owns the shard. Releasing
+            // the lease lets it expire, and the next leader takes the shard.
             Err(StateError::Unknown(_)) => {
                 self.leadership.release();
             }
@@ -47,8 +47,8 @@
         }
     }
 
-    /// Freezes all shards if this controller owns them and none is moving; true once
-    /// nothing is under way in any.
+    /// Freezes all shards if this controller owns all of them and none is moving. Returns
+    /// whether nothing is in flight in any shard.
     fn settle_all(&self, of: u32) -> bool {
         let now = self.now();
         let view = self.store.view();
@@ -71,7 +71,7 @@
         settled
     }
 
-    /// The grant of the only shard after the merge.
+    /// Returns the grant of the only shard after the merge.
     fn merged_grant(&self, view: &View) -> GrantRecord {
         GrantRecord {
             owner: Some(self.cfg.node.clone()),
@@ -81,8 +81,8 @@
     }
 }
 
-/// The map and the grant of one shard in place of all shards' records; only if this
-/// controller still leads and none of them changed.
+/// Returns the transaction that replaces the records of all shards by the map and the grant of
+/// one shard. The transaction fails unless this controller still leads and no record changed.
 fn merge_transaction(view: &View, grant: &GrantRecord) -> Transaction {
     let map = ShardMapRecord {
         version: ShardMapRecord::VERSION,
