--- a/src/control/shard_owner.rs
+++ b/src/control/shard_owner.rs
@@ -1,4 +1,4 @@
-//! The shard owner's duties: the loops that drive the core.
+//! The loops of a shard owner that drive its core.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -13,21 +13,21 @@
 use crate::agent_client::{send_commands, Sending};
 use crate::types::Time;
 
-/// How often what is not urgent is looked at.
+/// Interval between runs of the duties that are not urgent.
 pub(super) const TICK: Duration = Duration::from_millis(200);
-/// A look at the whole fleet that takes so long, in seconds, is told of in the
-/// log: everything else waits for it.
+/// Duration in seconds from which a duty over the whole fleet is logged. All other work of the
+/// controller waits while such a duty runs.
 const LONG_DUTY_S: f64 = 0.4;
 
 impl Node {
-    /// Runs what is due on the core: walks, recording, commands.
+    /// Runs the due work of the owned cores: placement walks, recording and commands.
     pub(super) fn drive(self: &Rc<Self>) {
         let now = self.now();
         let mut cores = self.shards.owned_mut();
         let walks = self.paces.due(Duty::Walk, now);
         let starts_until = self.starts_until();
-        // A lease that nobody renews ends, but the next incarnation takes starts again:
-        // one of a job that was cancelled elsewhere, long ago by then.
+        // An unrenewed lease expires, but the machine's next incarnation accepts starts again.
+        // A start sent then may belong to a job that was cancelled elsewhere long before.
         let may_command = self.knows_all_cancellations();
         let mut sends = Vec::new();
         for (shard, c) in cores.iter_mut() {
@@ -51,7 +51,7 @@
         }
     }
 
-    /// Sends commands to a machine, and takes what came of them.
+    /// Sends commands to a machine, and applies the outcome.
     async fn command(self: Rc<Self>, shard: ShardId, send: Dispatch) {
         let outcome = match send_commands(send.addr, &send.commands).await {
             // The address now belongs to another machine.
@@ -68,8 +68,8 @@
             .get_mut(shard)
             .filter(|c| c.grant == send.commands.fencing_token.grant())
             .map(|c| c.dispatched(&send.machine, outcome, now));
-        // What fails for an owner that is none any more says nothing of
-        // the next time that it is one.
+        // A failure of an earlier grant is no evidence about the next time that this controller
+        // owns the shard.
         match (reached, mine) {
             (true, _) => self.leadership.worker_reached(),
             (false, Some(_)) => self.leadership.command_failed(&send.machine, now),
@@ -81,14 +81,14 @@
         self.drive();
     }
 
-    /// Offers all waiting jobs the best machine, if that is due.
+    /// Tries to place every waiting job on the best machine, if that is due.
     fn place_all(&self, core: &mut Core, now: Time) {
         if core.place_all_is_due() && self.paces.due(Duty::Place, now) {
             self.timed(Duty::Place, || core.place_all(now));
         }
     }
 
-    /// Does a duty that looks at the whole fleet, and notes what it took.
+    /// Runs a duty over the whole fleet, and records its cost.
     pub(super) fn timed<R>(&self, duty: Duty, work: impl FnOnce() -> R) -> R {
         let begun = Instant::now();
         let result = work();
@@ -105,7 +105,7 @@
         result
     }
 
-    /// Lets time pass on the owned shards, and does what is due by it.
+    /// Advances the clock of the owned shards, and runs the duties that become due.
     pub(super) async fn run_placement(self: Rc<Self>) {
         let mut last = Instant::now();
         loop {
@@ -113,8 +113,9 @@
             if last.elapsed() >= TICK {
                 last = Instant::now();
                 let now = self.now();
-                // Who took it up again as no other did keeps it: where nobody
-                // reaches the workers it would go round and round.
+                // A controller that took ownership again, because no other one did, keeps it.
+                // If no controller reaches the workers, ownership would otherwise circulate
+                // among them forever.
                 let fit = !self.leadership.defers_to_others();
                 if fit && self.leadership.is_cut_off(now) {
                     self.resign("workers can't be reached from here").await;
@@ -122,7 +123,7 @@
                 let preempts = self.paces.due(Duty::Preempt, now);
                 for c in self.shards.owned_mut().values_mut() {
                     c.tick(now);
-                    // What has a place needs nobody stopped.
+                    // Placement runs first: a task that has a place needs no preemption.
                     self.place_all(c, now);
                     if preempts {
                         self.timed(Duty::Preempt, || c.preempt(now));
--- a/src/control/shard_owners.rs
+++ b/src/control/shard_owners.rs
@@ -1,4 +1,5 @@
-//! Several shards: who owns which, taking up one that is granted, and handing one on.
+//! Ownership of several shards: looking up owners, adopting granted shards and handing shards
+//! over.
 
 use std::time::Duration;
 
@@ -13,23 +14,24 @@
 use crate::types::{MachineId, NodeId};
 
 impl Node {
-    /// How many shards there are, by the view.
+    /// Returns the number of shards according to the local view.
     pub(super) fn view_shards(&self) -> u32 {
         self.store.try_view().map_or(1, |v| v.shard_count())
     }
 
-    /// The shard of a machine.
+    /// Returns the shard that a machine belongs to.
     pub(super) fn shard_of(&self, machine: &MachineId) -> ShardId {
         of_machine(machine, self.store.view().shard_count())
     }
 
-    /// Whether a machine belongs to a shard of this controller.
+    /// Returns whether this controller owns the shard of a machine.
     pub(super) fn owns(&self, machine: &MachineId) -> bool {
         let shard = self.shard_of(machine);
         self.shards.owns(shard)
     }
 
-    /// Who owns a shard, as recorded.
+    /// Returns the recorded owner of a shard, or `None` if that controller is not alive. The
+    /// leader owns the only shard.
     pub(super) fn owner_of(&self, shard: ShardId) -> Option<NodeId> {
         let view = self.store.view();
         if view.shard_count() == 1 {
@@ -41,7 +43,7 @@
         lives.then(|| recorded.value.owner.clone())
     }
 
-    /// How many controllers own shards.
+    /// Returns how many controllers own shards, at least 1.
     pub(super) fn owners_of_shards(&self) -> usize {
         let view = self.store.view();
         let owners: std::collections::BTreeSet<&NodeId> =
@@ -52,8 +54,8 @@
         }
     }
 
-    /// Says in the records that this controller lives, while there are several
-    /// shards; its lease is what its shards hang on.
+    /// Registers this controller as a member under a new lease, while there are several shards.
+    /// The ownership of its shards depends on this lease.
     pub(super) async fn join_members(&self, life: Duration) {
         let asked = Instant::now();
         let Ok(lease) = self.state.lease(life).await else {
@@ -81,8 +83,8 @@
         }
     }
 
-    /// Takes up the shards that are granted to this controller. True if there
-    /// are any new ones.
+    /// Adopts the shards that the records grant to this controller. Returns whether there are
+    /// new ones.
     pub(super) fn adopt_shards(&self, view: &View) -> bool {
         let of = view.shard_count();
         if of == 1 {
@@ -109,15 +111,15 @@
         new
     }
 
-    /// Whether a shard's record names this run of the controller as its owner.
+    /// Returns whether a shard's record names this run of the controller as the owner.
     fn is_granted_here(&self, record: &ShardRecord) -> bool {
         record.owner == self.cfg.node
             && record.run == self.run
             && record.version <= ShardRecord::VERSION
     }
 
-    /// Recovers the state of one of several shards from the records, and owns it from then
-    /// on.
+    /// Recovers the state of one of several shards from the records, and owns the shard from
+    /// then on.
     fn recover_shard(&self, view: &View, grant: ShardGrant) {
         let shard = grant.scope.shard;
         let core = Core::load(
@@ -138,8 +140,8 @@
         self.shards.adopt(shard, core);
     }
 
-    /// A shard that is offered to another is frozen; one whose offer was taken
-    /// back goes on.
+    /// Freezes owned shards that are offered to another controller, and thaws those whose offer
+    /// was withdrawn.
     pub(super) fn freeze_offered_shards(&self, view: &View) {
         if view.shard_count() == 1 {
             return;
@@ -154,8 +156,8 @@
         }
     }
 
-    /// Hands on what is offered to others and has settled, each with one
-    /// conditional write. Called between two transactions: none is under way.
+    /// Hands over the shards that are offered to others and have settled, each by one
+    /// conditional write. The caller runs this between two transactions, so none is in flight.
     pub(super) async fn hand_over_shards(&self) {
         if self.view_shards() == 1 {
             return;
@@ -178,7 +180,7 @@
         }
     }
 
-    /// Owned shards that are offered to others and have settled.
+    /// Returns handovers of the owned shards that are offered to others and have settled.
     fn due_handovers(&self) -> Vec<Handover> {
         let now = self.now();
         let view = self.store.view();
@@ -192,14 +194,14 @@
     }
 }
 
-/// A shard that goes to the controller that it was offered to.
+/// Handover of a shard to the controller that it was offered to.
 struct Handover {
     shard: ShardId,
     transaction: Transaction,
 }
 
-/// The change that hands a shard on, if it is still held by that grant and is offered
-/// to a controller that lives.
+/// Returns the handover of a shard, if this controller still owns the shard by `grant` and the
+/// shard is offered to a controller that is alive.
 fn handover(view: &View, shard: ShardId, grant: u64) -> Option<Handover> {
     let recorded = view.shards.get(&shard);
     let recorded = recorded.filter(|b| b.value.number == grant)?;
--- a/src/control/shard_ownership.rs
+++ b/src/control/shard_ownership.rs
@@ -1,9 +1,9 @@
-//! Which shards this controller owns, and what it knows of the others: the machines'
-//! zones, what other owners use and want, and, as leader, when shards were assigned.
+//! The shards that this controller owns, and its hints about the others: the zones of machines,
+//! the use and demand that other owners publish, and the leader's memory of past assignments.
 //!
-//! A shard comes in by [`ShardOwnership::adopt`] and goes out by
-//! [`ShardOwnership::release_shard`] or [`ShardOwnership::retain_granted`]; everything else
-//! only works on shards that are owned. No borrow is held across an await.
+//! [`ShardOwnership::adopt`] adds a shard. [`ShardOwnership::release_shard`] and
+//! [`ShardOwnership::retain_granted`] remove shards. Everything else only works on owned
+//! shards. No borrow is held across an await.
 
 use std::cell::{Ref, RefCell, RefMut};
 use std::collections::{BTreeMap, HashMap};
@@ -19,136 +19,136 @@
 use crate::state::view::View;
 use crate::types::{MachineId, NodeId, Time, Zone};
 
-/// What is known of another shard's needs is of use for so long.
+/// Time for which the published needs of a shard are valid.
 const NEEDS_VALID_FOR: Duration = Duration::from_secs(3);
-/// Machines whose place is remembered beyond twice those that are listed.
+/// Number of machine zones that are kept beyond twice the number of listed machines.
 const MACHINE_ZONES_SLACK: usize = 1000;
 
-/// The state of each shard that this controller owns, in the order of their numbers;
-/// while there is one shard, it has number 0.
+/// State of each owned shard, in the order of the shard numbers. The only shard has number 0.
 #[derive(Default)]
 pub(super) struct OwnedShards {
     cores: BTreeMap<ShardId, Core>,
 }
 
 impl OwnedShards {
-    /// Whether none is owned.
+    /// Returns whether no shard is owned.
     pub(super) fn is_empty(&self) -> bool {
         self.cores.is_empty()
     }
 
-    /// How many are owned.
+    /// Returns the number of owned shards.
     pub(super) fn len(&self) -> usize {
         self.cores.len()
     }
 
-    /// Whether a shard is owned.
+    /// Returns whether the shard is owned.
     pub(super) fn contains(&self, shard: ShardId) -> bool {
         self.cores.contains_key(&shard)
     }
 
-    /// A shard's state; none: it is not owned.
+    /// Returns the state of the shard, or `None` if it is not owned.
     pub(super) fn get(&self, shard: ShardId) -> Option<&Core> {
         self.cores.get(&shard)
     }
 
-    /// The same, to be changed.
+    /// Returns the mutable state of the shard, or `None` if it is not owned.
     pub(super) fn get_mut(&mut self, shard: ShardId) -> Option<&mut Core> {
         self.cores.get_mut(&shard)
     }
 
-    /// The one with the lowest number: the only one while there is one shard.
+    /// Returns the owned shard with the lowest number, which is the only one while there is one
+    /// shard.
     pub(super) fn first(&self) -> Option<&Core> {
         self.cores.values().next()
     }
 
-    /// The same, to be changed.
+    /// Returns the owned shard with the lowest number, mutably.
     pub(super) fn first_mut(&mut self) -> Option<&mut Core> {
         self.cores.values_mut().next()
     }
 
-    /// All in the order of their numbers.
+    /// Iterates over the owned shards in the order of their numbers.
     pub(super) fn iter(&self) -> impl Iterator<Item = (&ShardId, &Core)> {
         self.cores.iter()
     }
 
-    /// The same, to be changed.
+    /// Iterates mutably over the owned shards in the order of their numbers.
     pub(super) fn iter_mut(&mut self) -> impl Iterator<Item = (&ShardId, &mut Core)> {
         self.cores.iter_mut()
     }
 
-    /// Their states in that order.
+    /// Iterates over the states of the owned shards in the order of their numbers.
     pub(super) fn values(&self) -> impl Iterator<Item = &Core> {
         self.cores.values()
     }
 
-    /// The same, to be changed.
+    /// Iterates mutably over the states of the owned shards in the order of their numbers.
     pub(super) fn values_mut(&mut self) -> impl Iterator<Item = &mut Core> {
         self.cores.values_mut()
     }
 }
 
-/// What the owner of a shard last published of it.
+/// Needs of a shard that its owner published last.
 struct PublishedNeeds {
     received_at: Instant,
     needs: Rc<Needs>,
 }
 
-/// Owned shards, and hints about the others.
+/// The owned shards, and hints about the others.
 #[derive(Default)]
 pub(super) struct ShardOwnership {
     owned: RefCell<OwnedShards>,
-    /// Where machines are, of all shards; the owned ones read it too.
+    /// Zones of the machines of all shards. The cores of the owned shards share this map.
     places: Places,
-    /// What each shard uses and wants.
+    /// Use and demand of each shard, as its owner published them.
     needs: RefCell<HashMap<ShardId, PublishedNeeds>>,
-    /// What this controller remembers as leader of who owns what.
+    /// The leader's memory of past shard assignments.
     assignments: RefCell<Owners>,
 }
 
 impl ShardOwnership {
-    /// The owned shards, to be read.
+    /// Borrows the owned shards.
     pub(super) fn owned(&self) -> Ref<'_, OwnedShards> {
         self.owned.borrow()
     }
 
-    /// The owned shards, to work on; none is added or removed this way.
+    /// Borrows the owned shards mutably. Callers can't add or remove shards this way.
     pub(super) fn owned_mut(&self) -> RefMut<'_, OwnedShards> {
         self.owned.borrow_mut()
     }
 
-    /// Whether this controller owns no shard.
+    /// Returns whether this controller owns no shard.
     pub(super) fn is_empty(&self) -> bool {
         self.owned.borrow().is_empty()
     }
 
-    /// Whether this controller owns a shard.
+    /// Returns whether this controller owns the shard.
     pub(super) fn owns(&self, shard: ShardId) -> bool {
         self.owned.borrow().contains(shard)
     }
 
-    /// Whether this controller owns a shard by that very grant.
+    /// Returns whether this controller owns the shard by exactly this grant.
     pub(super) fn owns_by_grant(&self, shard: ShardId, grant: u64) -> bool {
         let owned = self.owned.borrow();
         owned.get(shard).is_some_and(|core| core.grant == grant)
     }
 
-    /// The numbers of the owned shards, in order.
+    /// Returns the numbers of the owned shards in ascending order.
     pub(super) fn ids(&self) -> Vec<ShardId> {
         self.owned.borrow().cores.keys().copied().collect()
     }
 
-    /// Owns a shard from now on, with the state recovered from the records.
+    /// Adds an owned shard, with the state recovered from the records.
     pub(super) fn adopt(&self, shard: ShardId, core: Core) {
         self.owned.borrow_mut().cores.insert(shard, core);
     }
 
-    /// Stops to act for a shard at once.
+    /// Stops acting for the shard at once, and returns its state if the shard was owned.
     pub(super) fn release_shard(&self, shard: ShardId) -> Option<Core> {
         self.owned.borrow_mut().cores.remove(&shard)
     }
 
-    /// Gives up the shards that are granted anew by the records; true if any were.
+    /// Removes the shards that the records have granted anew. Returns whether any were removed.
     pub(super) fn retain_granted(&self, view: &View) -> bool {
         let mut owned = self.owned.borrow_mut();
         let before = owned.len();
@@ -162,18 +162,19 @@
         owned.len() < before
     }
 
-    /// The zones of machines of all shards, shared with each owned one.
+    /// Returns the zones of the machines of all shards. Every owned shard shares this map.
     pub(super) fn machine_zones(&self) -> Places {
         self.places.clone()
     }
 
-    /// Machines are in these zones.
+    /// Records the zones of machines.
     pub(super) fn learn_zones(&self, zones: impl Iterator<Item = (MachineId, Zone)>) {
         self.places.borrow_mut().extend(zones);
     }
 
-    /// All machines that are listed, `listed` of them, are in these zones. Forgets the
-    /// others once there are too many: those that were rented since are not listed yet.
+    /// Records the zones of all `listed` machines that the cloud lists. Keeps the zones of
+    /// other machines, because machines rented since are not listed yet, and discards these
+    /// zones only once there are too many.
     pub(super) fn learn_listed_zones(
         &self,
         listed: usize,
@@ -186,7 +187,7 @@
         places.extend(zones);
     }
 
-    /// A shard's owner published what it uses and wants.
+    /// Records the use and demand that a shard's owner published.
     pub(super) fn record_needs(&self, needs: Needs) {
         let shard = needs.shard;
         let published = PublishedNeeds {
@@ -196,14 +197,15 @@
         self.needs.borrow_mut().insert(shard, published);
     }
 
-    /// What a shard uses and wants; none if that was not published lately.
+    /// Returns the use and demand of the shard, or `None` if its owner did not publish them
+    /// lately.
     pub(super) fn needs_of(&self, shard: ShardId) -> Option<Rc<Needs>> {
         let needs = self.needs.borrow();
         let published = needs.get(&shard)?;
         (published.received_at.elapsed() < NEEDS_VALID_FOR).then(|| published.needs.clone())
     }
 
-    /// As leader: the next step of who owns what, if one is due.
+    /// Returns the next step of the shard assignment if one is due. Only the leader calls this.
     pub(super) fn next_assignment(
         &self,
         shards: &BTreeMap<ShardId, RecordedShard>,
@@ -216,13 +218,13 @@
             .next(shards, alive, preference, now)
     }
 
-    /// A new leader remembers nothing of earlier assignments.
+    /// Discards the memory of past assignments, because a new leader starts without it.
     pub(super) fn forget_assignments(&self) {
         *self.assignments.borrow_mut() = Owners::default();
     }
 }
 
-/// Whether the records still grant this shard to this owner.
+/// Returns whether the records still grant the core's shard to this controller.
 fn is_granted(core: &mut Core, view: &View) -> bool {
     if core.scope.is_part() || view.shard_count() > 1 {
         core.still_granted(view)
