--- a/src/control/store_view.rs
+++ b/src/control/store_view.rs
@@ -1,5 +1,5 @@
-//! The local copy of the records and how fresh it is. All changes of the copy go
-//! through [`StoreView`]; every other module only reads it.
+//! The local copy of the records and its freshness. All changes of the copy go through
+//! [`StoreView`]; every other module only reads the copy.
 
 use std::cell::{Cell, Ref, RefCell, RefMut};
 use std::time::Duration;
@@ -13,23 +13,23 @@
 use crate::state::{Events, Item};
 use crate::types::{JobId, Revision, Time};
 
-/// The last refresh that ended.
+/// The last refresh that ended. A refresh reads all that is new in the state service.
 #[derive(Clone, Copy, Default)]
 struct Refresh {
-    /// Refreshes are counted from 1.
+    /// Number of the refresh, counted from 1.
     number: u64,
-    /// Whether the state service answered.
+    /// Whether the state service answered the refresh.
     succeeded: bool,
 }
 
-/// The local copy of the records, and what is known of its age.
+/// The local copy of the records, and its age.
 pub(super) struct StoreView {
     view: RefCell<View>,
-    /// As of when the copy shows all changes.
+    /// Time as of which the copy contains all changes.
     freshness: Cell<Freshness>,
-    /// The newest revision that another controller announced.
+    /// Newest revision that another controller announced.
     newest_hint: Cell<Revision>,
-    /// Since when the copy is known to be older than `newest_hint`.
+    /// Instant since when the copy is known to be older than `newest_hint`.
     lagging_since: Cell<Option<Instant>>,
     refresh_wanted: Notify,
     refreshes_started: Cell<u64>,
@@ -37,7 +37,7 @@
 }
 
 impl StoreView {
-    /// An empty copy, as old as the controller.
+    /// Creates an empty copy, whose age counts from the start of the controller.
     pub(super) fn new() -> Self {
         Self {
             view: RefCell::default(),
@@ -50,38 +50,39 @@
         }
     }
 
-    /// The records as known here. Not to be held across an await.
+    /// Borrows the local copy of the records. Callers must not hold the borrow across an await.
     pub(super) fn view(&self) -> Ref<'_, View> {
         self.view.borrow()
     }
 
-    /// The same, if nobody changes them at the moment.
+    /// Borrows the local copy, or returns `None` while it is borrowed mutably.
     pub(super) fn try_view(&self) -> Option<Ref<'_, View>> {
         self.view.try_borrow().ok()
     }
 
-    /// For the owner of a shard, who writes into the copy what its transaction
-    /// recorded. Not to be held across an await.
+    /// Borrows the copy mutably, so that the owner of a shard can write what its transaction
+    /// recorded. Callers must not hold the borrow across an await.
     pub(super) fn view_for_commit(&self) -> RefMut<'_, View> {
         self.view.borrow_mut()
     }
 
-    /// A job's record was written by this controller.
+    /// Records a job's record that this controller wrote.
     pub(super) fn put_job(&self, id: &JobId, record: Versioned<JobRecord>) {
         self.view.borrow_mut().put_job(id, record);
     }
 
-    /// A chunk's record was written by this controller.
+    /// Records a chunk's record that this controller wrote.
     pub(super) fn put_chunk(&self, id: &JobId, chunk: u32, record: Versioned<ChunkRecord>) {
         self.view.borrow_mut().put_chunk(id, chunk, record);
     }
 
-    /// Takes up the answer to a watch from `since` that was sent at `asked_at`; false if
-    /// it does not continue the copy.
+    /// Applies the answer to a watch from `since` that was sent at `asked_at`. Returns whether
+    /// the answer continues the copy.
     ///
-    /// A watch answers when something changes, or when its time is over: what it says
-    /// was so at its end, but it may have been held up on the way. It too shows all that
-    /// was so when it was sent; what does not fit the copy shows nothing.
+    /// A watch answers when something changes or when it times out. The answer shows the state
+    /// at the end of the watch, but may be delayed on its way. So the answer only proves that
+    /// the copy contains all changes made before the watch was sent. An answer that does not
+    /// continue the copy proves nothing.
     pub(super) fn apply(&self, since: Revision, events: Events, asked_at: Time) -> bool {
         let continuous = self.view.borrow_mut().apply(since, events);
         if continuous {
@@ -90,8 +91,8 @@
         continuous
     }
 
-    /// Takes up all records, which were asked for at `asked_at`. One that was sent
-    /// earlier may be answered last: the copy is newer then.
+    /// Replaces the copy by all records, as the answer to a read that was sent at `asked_at`.
+    /// Reads may be answered out of order, and then the copy already is newer.
     pub(super) fn replace(&self, store_revision: Revision, items: Vec<Item>, asked_at: Time) {
         self.view.borrow_mut().replace(store_revision, items);
         self.read_sent_at(asked_at);
@@ -101,8 +102,8 @@
         self.freshness.set(self.freshness.get().read(asked_at));
     }
 
-    /// Jobs that changed since the last call; notes whether the copy has caught up with
-    /// the announced revision.
+    /// Returns the jobs that changed since the last call. Also records whether the copy has
+    /// reached the announced revision.
     pub(super) fn take_changed(&self) -> Vec<JobId> {
         let mut view = self.view.borrow_mut();
         if view.store_revision >= self.newest_hint.get() {
@@ -111,7 +112,8 @@
         view.take_changed()
     }
 
-    /// Another controller announced a revision.
+    /// Records a revision that another controller announced, and requests a refresh if the copy
+    /// is older.
     pub(super) fn hinted(&self, revision: Revision) {
         if revision > self.view.borrow().store_revision {
             if self.lagging_since.get().is_none() {
@@ -122,52 +124,52 @@
         }
     }
 
-    /// Whether the copy has been older than an announced revision for `at_least`.
+    /// Returns whether the copy has been older than an announced revision for `at_least`.
     pub(super) fn lags_for(&self, at_least: Duration) -> bool {
         let since = self.lagging_since.get();
         since.is_some_and(|t| t.elapsed() >= at_least)
     }
 
-    /// As of when the copy shows all changes.
+    /// Returns the time as of which the copy contains all changes.
     pub(super) fn freshness(&self) -> Freshness {
         self.freshness.get()
     }
 
-    /// For how long the state service has not served this controller.
+    /// Returns how long the state service has not served this controller.
     pub(super) fn age(&self, now: Time) -> Duration {
         Duration::from_secs_f64(self.freshness.get().age_s(now))
     }
 
-    /// Asks for a read of what is new.
+    /// Requests a refresh.
     pub(super) fn request_refresh(&self) {
         self.refresh_wanted.notify_one();
     }
 
-    /// Waits until a read of what is new is asked for.
+    /// Waits until a refresh is requested.
     pub(super) async fn refresh_requested(&self) {
         self.refresh_wanted.notified().await;
     }
 
-    /// A read of what is new begins; returns its number.
+    /// Begins a refresh and returns its number.
     pub(super) fn begin_refresh(&self) -> u64 {
         let number = self.refreshes_started.get() + 1;
         self.refreshes_started.set(number);
         number
     }
 
-    /// The read of that number ended.
+    /// Ends the refresh with this number, and wakes all tasks that wait for it.
     pub(super) fn end_refresh(&self, number: u64, succeeded: bool) {
         self.refreshed.send_replace(Refresh { number, succeeded });
     }
 
-    /// Whether the last read of what is new was answered.
+    /// Returns whether the state service answered the last refresh.
     pub(super) fn last_refresh_succeeded(&self) -> bool {
         self.refreshed.borrow().succeeded
     }
 
-    /// Waits, for `patience` at the most, until the copy is at least as new as the state
-    /// service was when this was called; false if it is not. One read serves all who
-    /// wait.
+    /// Waits, for `patience` at most, until the copy is at least as new as the state service
+    /// was at the time of the call. Returns whether the copy is that new. One refresh serves
+    /// all waiting callers.
     pub(super) async fn refresh_within(&self, patience: Duration) -> bool {
         let need = self.refreshes_started.get() + 1;
         let mut ended = self.refreshed.subscribe();
--- a/src/control/store_watch.rs
+++ b/src/control/store_watch.rs
@@ -1,4 +1,4 @@
-//! The local view: kept fresh, and told apart from what may be old.
+//! Keeps the local view fresh, and detects when it may be outdated.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -10,33 +10,37 @@
 use crate::state::{RequestPriority, StateError, StoreSnapshot};
 use crate::types::Revision;
 
-/// Without news from the state service for this long, and while others have some
-/// for `WATCH_LAG_LIMIT`, a controller is cut off.
+/// A controller counts as cut off if the state service is silent for this long while other
+/// controllers have had news for `WATCH_LAG_LIMIT`.
 const STORE_SILENCE_LIMIT: Duration = Duration::from_millis(2500);
-/// An announced revision that is not read for this long shows that others are served.
+/// An announced revision that stays unread for this long shows that the state service serves
+/// other controllers.
 const WATCH_LAG_LIMIT: Duration = Duration::from_secs(1);
-/// A user's request waits for a new view for so long: users wait 2 s.
+/// Time that a user's request waits for a fresh view. Users wait 2 s for the answer.
 pub(super) const FRESH_VIEW_TIMEOUT: Duration = Duration::from_millis(1400);
-/// The least pause between two reads of what is new.
+/// Minimum pause between two refreshes.
 const SYNC_GAP: Duration = Duration::from_millis(20);
-/// The longest pause between two reads of what is new.
+/// Maximum pause between two refreshes.
 const SYNC_GAP_MAX: Duration = Duration::from_millis(300);
-/// The pause after a watch that failed.
+/// Pause after a failed watch.
 const WATCH_RETRY_PAUSE: Duration = Duration::from_millis(250);
-/// The pause after a watch of a controller that owns a shard.
+/// Pause between two watches of a controller that owns a shard.
 const OWNER_WATCH_PAUSE: Duration = Duration::from_millis(50);
-/// The pause after a watch of one that owns none.
+/// Pause between two watches of a controller that owns no shard.
 const FOLLOWER_WATCH_PAUSE: Duration = Duration::from_millis(200);
-/// A read of what is new waits for its turn so long.
+/// Time that a refresh or watch may wait for its turn at the state service.
 const READ_PATIENCE: Duration = Duration::from_millis(800);
 
 impl Node {
-    /// Whether requests can be taken: not while the others are served by the
-    /// state service and this controller is not. While nobody is, users are
-    /// better told to come back than sent nowhere, and nothing has to be
-    /// marked healthy again once the outage is over. Nor while neither the state
-    /// service nor any other controller is heard: no hint tells then that others
-    /// are served, and it stayed healthy.
+    /// Returns whether this controller can accept requests. It can't while the state service
+    /// serves the other controllers but not this one. While the state service serves no
+    /// controller, this controller stays healthy: users are better asked to retry than left
+    /// without any controller, and no controller needs to be marked healthy again after the
+    /// outage.
+    ///
+    /// This controller also can't accept requests while it reaches neither the state service
+    /// nor any other controller. No hint then shows that others are served, so without this
+    /// rule the controller would stay healthy.
     pub fn healthy(&self) -> bool {
         if self.peer_contact().is_isolated() {
             return false;
@@ -47,23 +51,23 @@
         view.loaded && (served || !behind)
     }
 
-    /// A hint from another controller.
+    /// Records a revision that another controller announced. The announcement is a hint.
     pub fn hinted(&self, revision: Revision) {
         self.store.hinted(revision);
     }
 
-    /// Waits until the view is at least as new as the state service was when
-    /// this was called. One read serves all who wait.
+    /// Waits until the view is at least as new as the state service was at the time of the
+    /// call. Returns whether the view is that new. One refresh serves all waiting callers.
     pub async fn fresh(&self) -> bool {
         self.fresh_within(FRESH_VIEW_TIMEOUT).await
     }
 
-    /// The same, for so long at the most.
+    /// Waits like [`Node::fresh`], for `patience` at most.
     pub(super) async fn fresh_within(&self, patience: Duration) -> bool {
         self.store.refresh_within(patience).await
     }
 
-    /// Reads until the view shows a revision, with a pause after each read that failed.
+    /// Refreshes the view until it contains a revision, with a pause after each failed refresh.
     pub(super) async fn catch_up(&self, revision: Revision, retry_pause: Duration) {
         while self.store.view().store_revision < revision {
             if !self.fresh().await {
@@ -72,20 +76,20 @@
         }
     }
 
-    /// Reads what is new whenever somebody needs to know that it is all.
+    /// Runs a refresh whenever one is requested.
     pub(super) async fn sync(self: Rc<Self>) {
         loop {
             self.store.refresh_requested().await;
             let number = self.store.begin_refresh();
             let succeeded = self.read_new(Duration::ZERO).await;
             self.store.end_refresh(number, succeeded);
-            // Not more than half of this controller's requests.
+            // The pause limits refreshes to half of this controller's requests.
             let gap = Duration::from_secs_f64(2.0 / self.state.requests.rate().max(1.0));
             sleep(gap.clamp(SYNC_GAP, SYNC_GAP_MAX)).await;
         }
     }
 
-    /// Waits for changes, so that the view is never old for long.
+    /// Watches the state service for changes, so that the view is never outdated for long.
     pub(super) async fn follow(self: Rc<Self>) {
         let wait = Duration::from_secs_f64(watch_s(self.cfg.lease_s, self.cfg.cancel_s));
         loop {
@@ -100,7 +104,7 @@
         }
     }
 
-    /// For how long the state service has not served this controller.
+    /// Returns how long the state service has not served this controller.
     pub(super) fn store_silence(&self) -> Duration {
         self.store.age(self.now())
     }
@@ -153,7 +157,7 @@
         let view = self.store.view();
         let mut shares = self.shards.retain_granted(&view);
         if shares && view.shard_count() == 1 {
-            // Without a shard it does not lead either.
+            // A controller without the only shard is not the leader either.
             self.leadership.release();
         }
         let mut cores = self.shards.owned_mut();
--- a/src/control/wakeups.rs
+++ b/src/control/wakeups.rs
@@ -1,5 +1,5 @@
-//! Signals between the controller's loops. A signal that comes while its loop is busy
-//! is kept, several are one.
+//! Signals between the controller's loops. A signal that arrives while its loop is busy is
+//! kept. Several pending signals count as one.
 
 use std::time::Duration;
 
@@ -15,32 +15,32 @@
 }
 
 impl Wakeups {
-    /// There may be something to place or to command.
+    /// Wakes the owner's loop because there may be tasks to place or commands to send.
     pub(super) fn wake_owner(&self) {
         self.owner.notify_one();
     }
 
-    /// Waits for that, for `at_max`.
+    /// Waits until the owner's loop is woken, for `at_max` at most.
     pub(super) async fn owner_woken(&self, at_max: Duration) {
         let _ = timeout(at_max, self.owner.notified()).await;
     }
 
-    /// There is something urgent to record.
+    /// Wakes the recording loop because there is an urgent write.
     pub(super) fn wake_recording(&self) {
         self.recording.notify_one();
     }
 
-    /// Waits for that, for `at_max`.
+    /// Waits until the recording loop is woken, for `at_max` at most.
     pub(super) async fn recording_woken(&self, at_max: Duration) {
         let _ = timeout(at_max, self.recording.notified()).await;
     }
 
-    /// Who owns which shard, or who leads, has changed.
+    /// Wakes the assignment loop because the leader or the owner of a shard has changed.
     pub(super) fn wake_assignments(&self) {
         self.assignments.notify_one();
     }
 
-    /// Waits for that, for `at_max`.
+    /// Waits until the assignment loop is woken, for `at_max` at most.
     pub(super) async fn assignments_woken(&self, at_max: Duration) {
         let _ = timeout(at_max, self.assignments.notified()).await;
     }
