--- a/src/control/drains.rs
+++ b/src/control/drains.rs
@@ -20,7 +20,7 @@
 /// controllers hold. Every machine in a fleet of thousands may have its own drain.
 const MAX_DRAINS: usize = 10_000;
 /// Time that one attempt to change a drain may wait at the state service.
-const DRAIN_WRITE_PATIENCE: Duration = Duration::from_millis(1500);
+const DRAIN_QUEUE_TIMEOUT: Duration = Duration::from_millis(1500);
 
 impl Node {
     /// Resolves the text of a target to a domain of the topology file or to a machine.
@@ -69,7 +69,7 @@
         };
         let plan = || self.plan_drain(&drain);
         let number = self
-            .change_for_operator(DRAIN_WRITE_PATIENCE, plan, log_failure)
+            .change_for_operator(DRAIN_QUEUE_TIMEOUT, plan, log_failure)
             .await?;
         // The refreshed view contains the change, so the next read shows it.
         self.fresh().await;
@@ -109,7 +109,7 @@
         }
         let plan = || self.plan_undrain(target);
         let number = self
-            .change_for_operator(DRAIN_WRITE_PATIENCE, plan, log_failure)
+            .change_for_operator(DRAIN_QUEUE_TIMEOUT, plan, log_failure)
             .await?;
         // The refreshed view contains the change, so the next read shows it.
         self.fresh().await;
--- a/src/control/leader.rs
+++ b/src/control/leader.rs
@@ -20,16 +20,16 @@
 /// Fraction of the state service's write rate that the leader may use.
 const LEADER_WRITE_SHARE: f64 = 0.65;
 /// Fraction of the state service's rate limits that all controllers together use.
-const RATE_USED: f64 = 0.95;
+const STATE_RATE_USED: f64 = 0.95;
 /// Requests that a controller may send in one burst after an idle period.
 const REQUEST_BURST: f64 = 4.0;
 /// Divisor that derives the write burst after an idle period from the writes allowed per
 /// second.
-const CHANGE_BURSTS_A_SECOND: f64 = 4.0;
+const CHANGE_BURSTS_PER_SECOND: f64 = 4.0;
 /// Upper bound of the write burst.
 const CHANGE_BURST_MAX: f64 = 4.0;
 /// Writes per second that each controller may send at least, however low its share is.
-const CHANGE_RATE_LEAST: f64 = 0.5;
+const CHANGE_RATE_MIN: f64 = 0.5;
 /// Pause of a controller that defers to others before each check whether one of them has become
 /// leader.
 const RESIGNATION_RETRY_INTERVAL: Duration = Duration::from_secs(2);
@@ -247,14 +247,14 @@
             (true, true) => leader,
             (false, true) => (1.0 - leader) / others,
         };
-        let rps = self.cfg.state_rps * RATE_USED;
+        let rps = self.cfg.state_rps * STATE_RATE_USED;
         self.state
             .requests
             .set_rate(rps * part(LEADER_REQUEST_SHARE), REQUEST_BURST);
-        let changes = self.state.change_rate() * RATE_USED;
-        let burst = (changes / CHANGE_BURSTS_A_SECOND).min(CHANGE_BURST_MAX);
+        let changes = self.state.change_rate() * STATE_RATE_USED;
+        let burst = (changes / CHANGE_BURSTS_PER_SECOND).min(CHANGE_BURST_MAX);
         self.state.writes.set_rate(
-            (changes * part(LEADER_WRITE_SHARE)).max(CHANGE_RATE_LEAST),
+            (changes * part(LEADER_WRITE_SHARE)).max(CHANGE_RATE_MIN),
             burst,
         );
     }
--- a/src/control/quota_transfers.rs
+++ b/src/control/quota_transfers.rs
@@ -16,7 +16,7 @@
 /// Minimum interval between two quota transfers of a controller's shards.
 pub(super) const QUOTA_TRANSFER_INTERVAL: Duration = Duration::from_millis(1500);
 /// Time that a transfer may wait for its turn at the state service.
-const TRANSFER_PATIENCE: Duration = Duration::from_millis(1500);
+const TRANSFER_QUEUE_TIMEOUT: Duration = Duration::from_millis(1500);
 /// Pause after a transfer whose outcome is unknown.
 const TRANSFER_RETRY_PAUSE: Duration = Duration::from_millis(200);
 /// Pause after a failed read, while the outcome of a transfer is looked up.
@@ -128,7 +128,7 @@
         loop {
             match self
                 .state
-                .transact(transaction, RequestPriority::Within(TRANSFER_PATIENCE))
+                .transact(transaction, RequestPriority::Within(TRANSFER_QUEUE_TIMEOUT))
                 .await
             {
                 Ok(TransactionOutcome::Done(revision) | TransactionOutcome::Failed(revision)) => {
--- a/src/control/reservations.rs
+++ b/src/control/reservations.rs
@@ -19,7 +19,7 @@
 /// Interval between checks of the windows.
 const CALENDAR_INTERVAL: Duration = Duration::from_secs(1);
 /// Time that a write of the calendar may wait at the state service.
-const PATIENCE: Duration = Duration::from_millis(1500);
+const CALENDAR_QUEUE_TIMEOUT: Duration = Duration::from_millis(1500);
 
 /// Record of the file's windows, to be written over the current record.
 struct NewerCalendar {
@@ -172,7 +172,12 @@
     ) -> Result<TransactionOutcome, StateError> {
         let change = Change::write(CALENDAR_KEY.into(), record, None);
         self.state
-            .change(CALENDAR_KEY.into(), mod_revision, change, PATIENCE)
+            .change(
+                CALENDAR_KEY.into(),
+                mod_revision,
+                change,
+                CALENDAR_QUEUE_TIMEOUT,
+            )
             .await
     }
 
@@ -180,7 +185,10 @@
     async fn take_step(&self, step: core::WindowStep) {
         match self
             .state
-            .transact(&step.transaction, RequestPriority::Within(PATIENCE))
+            .transact(
+                &step.transaction,
+                RequestPriority::Within(CALENDAR_QUEUE_TIMEOUT),
+            )
             .await
         {
             Ok(TransactionOutcome::Done(revision)) => {
@@ -241,7 +249,9 @@
         }
         let plan = || self.plan_calendar_change(asked);
         let failed = |error: StateError| tracing::info!(%error, "calendar");
-        let recorded_windows = self.change_for_operator(PATIENCE, plan, failed).await?;
+        let recorded_windows = self
+            .change_for_operator(CALENDAR_QUEUE_TIMEOUT, plan, failed)
+            .await?;
         if let Some(windows) = recorded_windows {
             tracing::info!(windows, "calendar");
             self.fresh().await;
--- a/src/control/resharding.rs
+++ b/src/control/resharding.rs
@@ -16,9 +16,9 @@
 use crate::types::{Amount, LeaseId, Revision, Term, Time};
 
 /// Time in seconds that a leader must have led before it splits the machines into shards.
-const DIVIDE_AFTER_S: f64 = 1.0;
+const SPLIT_DELAY_S: f64 = 1.0;
 /// Delay in seconds before the next attempt after a failed split.
-const DIVIDE_AGAIN_S: f64 = 5.0;
+const SPLIT_RETRY_DELAY_S: f64 = 5.0;
 
 /// Reason why the machines were not split into shards.
 #[derive(Debug, thiserror::Error)]
@@ -74,7 +74,7 @@
             }
             return;
         }
-        let due = *again.get_or_insert(now.after(DIVIDE_AFTER_S));
+        let due = *again.get_or_insert(now.after(SPLIT_DELAY_S));
         let grant = {
             let mut cores = self.shards.owned_mut();
             let Some(core) = cores.first_mut().filter(|_| now >= due) else {
@@ -94,7 +94,7 @@
         if let Err(error) = self.split_shards_now(of, grant).await {
             let why = error.to_string();
             tracing::info!(why, "shard split postponed");
-            *again = Some(self.now().after(DIVIDE_AGAIN_S));
+            *again = Some(self.now().after(SPLIT_RETRY_DELAY_S));
             if let Some(core) = self.shards.owned_mut().first_mut() {
                 core.thaw();
             }
--- a/src/control/shard_owner.rs
+++ b/src/control/shard_owner.rs
@@ -17,7 +17,7 @@
 pub(super) const TICK: Duration = Duration::from_millis(200);
 /// Duration in seconds from which a duty over the whole fleet is logged. All other work of the
 /// controller waits while such a duty runs.
-const LONG_DUTY_S: f64 = 0.4;
+const SLOW_DUTY_S: f64 = 0.4;
 
 impl Node {
     /// Runs the due work of the owned cores: placement walks, recording and commands.
@@ -95,7 +95,7 @@
         let cost = begun.elapsed().as_secs_f64();
         self.paces.done(duty, cost, self.load.wait_s(), self.now());
         self.load.counts.duty_took(cost);
-        if cost >= LONG_DUTY_S {
+        if cost >= SLOW_DUTY_S {
             tracing::info!(
                 duty = duty.name(),
                 cost_s = (cost * 100.0).round() / 100.0,
--- a/src/control/shard_status.rs
+++ b/src/control/shard_status.rs
@@ -14,7 +14,7 @@
 use crate::types::NodeId;
 
 /// Time that one attempt to pin a shard may wait at the state service.
-const PIN_PATIENCE: Duration = Duration::from_secs(3);
+const PIN_QUEUE_TIMEOUT: Duration = Duration::from_secs(3);
 
 impl Node {
     /// Returns the status of all shards: owners, machines, quotas and moves in flight.
@@ -102,7 +102,8 @@
         }
         let plan = || self.plan_pin(ShardId(asked.block), to.as_ref());
         // A failure is not logged because the operator receives it as the answer.
-        self.change_for_operator(PIN_PATIENCE, plan, |_| {}).await
+        self.change_for_operator(PIN_QUEUE_TIMEOUT, plan, |_| {})
+            .await
     }
 
     /// Returns the write that changes the pin in a shard's record.
--- a/src/control/store_watch.rs
+++ b/src/control/store_watch.rs
@@ -19,9 +19,9 @@
 /// Time that a user's request waits for a fresh view. Users wait 2 s for the answer.
 pub(super) const FRESH_VIEW_TIMEOUT: Duration = Duration::from_millis(1400);
 /// Minimum pause between two refreshes.
-const SYNC_GAP: Duration = Duration::from_millis(20);
+const REFRESH_GAP_MIN: Duration = Duration::from_millis(20);
 /// Maximum pause between two refreshes.
-const SYNC_GAP_MAX: Duration = Duration::from_millis(300);
+const REFRESH_GAP_MAX: Duration = Duration::from_millis(300);
 /// Pause after a failed watch.
 const WATCH_RETRY_PAUSE: Duration = Duration::from_millis(250);
 /// Pause between two watches of a controller that owns a shard.
@@ -29,7 +29,7 @@
 /// Pause between two watches of a controller that owns no shard.
 const FOLLOWER_WATCH_PAUSE: Duration = Duration::from_millis(200);
 /// Time that a refresh or watch may wait for its turn at the state service.
-const READ_PATIENCE: Duration = Duration::from_millis(800);
+const READ_QUEUE_TIMEOUT: Duration = Duration::from_millis(800);
 
 impl Node {
     /// Returns whether this controller can accept requests. It can't while the state service
@@ -85,7 +85,7 @@
             self.store.end_refresh(number, succeeded);
             // The pause limits refreshes to half of this controller's requests.
             let gap = Duration::from_secs_f64(2.0 / self.state.requests.rate().max(1.0));
-            sleep(gap.clamp(SYNC_GAP, SYNC_GAP_MAX)).await;
+            sleep(gap.clamp(REFRESH_GAP_MIN, REFRESH_GAP_MAX)).await;
         }
     }
 
@@ -117,7 +117,7 @@
         let since = self.store.view().store_revision;
         match self
             .state
-            .follow(since, wait, RequestPriority::Within(READ_PATIENCE))
+            .follow(since, wait, RequestPriority::Within(READ_QUEUE_TIMEOUT))
             .await
         {
             Ok(events) => {
