--- a/src/control/resharding.rs
+++ b/src/control/resharding.rs
@@ -22,7 +22,7 @@
 
 /// Reason why the machines were not split into shards.
 #[derive(Debug, thiserror::Error)]
-enum DivideError {
+enum SplitError {
     /// The local copy of the records may be outdated.
     #[error("the state service can't be asked")]
     Unconfirmed,
@@ -41,9 +41,9 @@
 }
 
 /// Planned split into several shards that is not recorded yet.
-struct Division {
+struct SplitPlan {
     /// Number of shards after the split.
-    of: u32,
+    shard_count: u32,
     /// Number of the current grant, which the grants of the shards replace.
     grant: u64,
     /// Quota of each shard for each team.
@@ -56,25 +56,25 @@
 
 impl Node {
     /// Returns whether all other controllers support several shards.
-    fn all_know_shards(&self) -> bool {
-        self.others_known().len() == self.cfg.others.len()
+    fn all_peers_support_shards(&self) -> bool {
+        self.peers_supporting_shards().len() == self.cfg.others.len()
     }
 
     /// Splits the only shard into several. This controller owns all of them at first. Its core
     /// is frozen until nothing is in flight. Then each shard's quota is its current use and an
     /// equal part of the rest.
-    pub(super) async fn split_shards(&self, again: &mut Option<Time>) {
-        let of = how_many(self.cfg.tuning.shards_least, self.cfg.others.len() + 1);
+    pub(super) async fn split_shards(&self, next_attempt: &mut Option<Time>) {
+        let shard_count = how_many(self.cfg.tuning.shards_least, self.cfg.others.len() + 1);
         let now = self.now();
         // With a topology, a single core must see all places.
-        if of < 2 || self.topology().is_some() || !self.all_know_shards() {
+        if shard_count < 2 || self.topology().is_some() || !self.all_peers_support_shards() {
             // The core may be frozen from an earlier attempt, before this condition changed.
             if let Some(core) = self.shards.owned_mut().first_mut() {
                 core.thaw();
             }
             return;
         }
-        let due = *again.get_or_insert(now.after(SPLIT_DELAY_S));
+        let due = *next_attempt.get_or_insert(now.after(SPLIT_DELAY_S));
         let grant = {
             let mut cores = self.shards.owned_mut();
             let Some(core) = cores.first_mut().filter(|_| now >= due) else {
@@ -91,10 +91,10 @@
             self.shards.learn_zones(zones);
             core.grant
         };
-        if let Err(error) = self.split_shards_now(of, grant).await {
+        if let Err(error) = self.execute_split(shard_count, grant).await {
             let why = error.to_string();
             tracing::info!(why, "shard split postponed");
-            *again = Some(self.now().after(SPLIT_RETRY_DELAY_S));
+            *next_attempt = Some(self.now().after(SPLIT_RETRY_DELAY_S));
             if let Some(core) = self.shards.owned_mut().first_mut() {
                 core.thaw();
             }
@@ -103,37 +103,37 @@
 
     /// Writes the shards' quotas and then, if nothing changed meanwhile, the shards in place of
     /// the only grant.
-    async fn split_shards_now(&self, of: u32, grant: u64) -> Result<(), DivideError> {
+    async fn execute_split(&self, shard_count: u32, grant: u64) -> Result<(), SplitError> {
         if !self.fresh().await {
-            return Err(DivideError::Unconfirmed);
+            return Err(SplitError::Unconfirmed);
         }
-        let division = self.plan_division(of, grant)?;
-        let quotas_at = self.record_quotas(&division).await?;
+        let plan = self.plan_split(shard_count, grant)?;
+        let quotas_at = self.record_quotas(&plan).await?;
         let lease = self.leadership.lease();
-        let lease = lease.ok_or(DivideError::LeaseExpired)?;
-        let transaction = self.division_transaction(&division, quotas_at, lease);
+        let lease = lease.ok_or(SplitError::LeaseExpired)?;
+        let transaction = self.split_transaction(&plan, quotas_at, lease);
         match self
             .state
             .transact(&transaction, RequestPriority::First)
             .await
         {
             Ok(TransactionOutcome::Done(revision)) => {
-                tracing::info!(shards = of, "machines split into shards");
+                tracing::info!(shards = shard_count, "machines split into shards");
                 self.peers.announce(revision);
                 self.fresh().await;
                 Ok(())
             }
             // If the transaction was applied after all, the refreshed view shows it.
-            other => Err(DivideError::Shards(other)),
+            other => Err(SplitError::Shards(other)),
         }
     }
 
     /// Computes the use of each shard after the split, and its quota.
-    fn plan_division(&self, of: u32, grant: u64) -> Result<Division, DivideError> {
+    fn plan_split(&self, shard_count: u32, grant: u64) -> Result<SplitPlan, SplitError> {
         let (now, wall) = (self.now(), wall_ms());
-        let shards = (0..of).map(|b| ShardScope {
+        let shards = (0..shard_count).map(|b| ShardScope {
             shard: ShardId(b),
-            of,
+            of: shard_count,
         });
         let view = self.store.view();
         let input = RecoveryInput {
@@ -156,9 +156,9 @@
             })
             .collect();
         let limits: Vec<Amount> = self.cfg.teams.iter().map(|t| t.limit).collect();
-        let quotas = divide(&limits, &used).ok_or(DivideError::ReleasesPending)?;
-        Ok(Division {
-            of,
+        let quotas = divide(&limits, &used).ok_or(SplitError::ReleasesPending)?;
+        Ok(SplitPlan {
+            shard_count,
             grant,
             quotas,
             guard: Condition {
@@ -170,14 +170,14 @@
     }
 
     /// Writes the quota of each shard, and returns the revision of that write.
-    async fn record_quotas(&self, division: &Division) -> Result<Revision, DivideError> {
+    async fn record_quotas(&self, plan: &SplitPlan) -> Result<Revision, SplitError> {
         let names = || self.cfg.teams.iter().map(|t| t.name.to_string());
-        let parts = division.quotas.iter().enumerate().map(|(b, part)| {
+        let parts = plan.quotas.iter().enumerate().map(|(b, part)| {
             let record = SliceRecord::new(names().zip(part.iter().copied()));
             Change::write(slice_key(ShardId(b as u32)), &record, None)
         });
         let transaction = Transaction {
-            conditions: vec![division.guard.clone()],
+            conditions: vec![plan.guard.clone()],
             changes: parts.collect(),
         };
         match self
@@ -186,41 +186,41 @@
             .await
         {
             Ok(TransactionOutcome::Done(revision)) => Ok(revision),
-            other => Err(DivideError::Quotas(other)),
+            other => Err(SplitError::Quotas(other)),
         }
     }
 
     /// Returns the transaction that writes the shard map, the fence in place of the grant, this
     /// controller as a member, and a record for each shard. The transaction fails unless the
     /// quotas are unchanged since `quotas_at`.
-    fn division_transaction(
+    fn split_transaction(
         &self,
-        division: &Division,
+        plan: &SplitPlan,
         quotas_at: Revision,
         lease: LeaseId,
     ) -> Transaction {
-        let of = division.of;
-        let mut conditions = vec![division.guard.clone()];
+        let shard_count = plan.shard_count;
+        let mut conditions = vec![plan.guard.clone()];
         let map = ShardMapRecord {
             version: ShardMapRecord::VERSION,
-            shards: of,
+            shards: shard_count,
         };
-        let incompatible_marker = ShardedGrantFence {
+        let grant_fence = ShardedGrantFence {
             version: 2,
-            shards: of,
+            shards: shard_count,
         };
         let member = MemberRecord { run: self.run };
         let mut changes = vec![
             Change::write(MAP.into(), &map, None),
-            Change::write(GRANT.into(), &incompatible_marker, None),
+            Change::write(GRANT.into(), &grant_fence, None),
             Change::write(member_key(&self.cfg.node), &member, Some(lease)),
         ];
-        for shard in (0..of).map(ShardId) {
+        for shard in (0..shard_count).map(ShardId) {
             conditions.push(Condition {
                 key: slice_key(shard),
                 mod_revision: quotas_at,
             });
-            let record = self.first_shard_record(division, shard);
+            let record = self.first_shard_record(plan, shard);
             changes.push(Change::write(shard_key(shard), &record, None));
         }
         Transaction {
@@ -231,13 +231,13 @@
 
     /// Returns the first record of a shard after the split. This controller owns the shard, by
     /// the grant numbers that follow the number of the replaced grant.
-    fn first_shard_record(&self, division: &Division, shard: ShardId) -> ShardRecord {
+    fn first_shard_record(&self, plan: &SplitPlan, shard: ShardId) -> ShardRecord {
         ShardRecord {
             version: ShardRecord::VERSION,
             owner: self.cfg.node.clone(),
             run: self.run,
-            term: division.term,
-            number: division.grant + 1 + u64::from(shard.0),
+            term: plan.term,
+            number: plan.grant + 1 + u64::from(shard.0),
             to: None,
             pin: None,
         }
--- a/src/control/shard_demand.rs
+++ b/src/control/shard_demand.rs
@@ -18,7 +18,7 @@
 
 impl Node {
     /// Returns the other controllers whose versions support several shards.
-    pub(super) fn others_known(&self) -> Vec<NodeId> {
+    pub(super) fn peers_supporting_shards(&self) -> Vec<NodeId> {
         let others = self.cfg.others.iter().map(|other| &other.node);
         let knowing = others.filter(|node| self.peer_statuses.knows_shards(node));
         knowing.cloned().collect()
@@ -44,7 +44,7 @@
 
     /// Publishes the use and demand of the owned shards to the other controllers.
     fn publish_own_needs(&self) {
-        let others = self.others_known();
+        let others = self.peers_supporting_shards();
         for needs in self.own_needs() {
             for other in &others {
                 self.peers.share(other, Kind::Needs, needs.encode());
@@ -167,7 +167,7 @@
         };
         let Some(text) = rented.encode() else { return };
         self.receive_peer_message(Kind::Rented, &text);
-        for other in self.others_known() {
+        for other in self.peers_supporting_shards() {
             self.peers.share(&other, Kind::Rented, text.clone());
         }
     }
--- a/src/control/shard_grants.rs
+++ b/src/control/shard_grants.rs
@@ -28,7 +28,7 @@
     /// Runs the leader's loop: splits the machines into shards, grants the shards and moves
     /// them.
     pub(super) async fn assign_shards(self: Rc<Self>) {
-        let mut divide_at = None;
+        let mut next_split_attempt = None;
         loop {
             self.wakeups.assignments_woken(GRANT_CHECK_INTERVAL).await;
             let (loaded, shards, leaderless) = {
@@ -47,7 +47,7 @@
                     self.merge_shards(shards).await;
                 }
             } else if self.leads() {
-                self.split_shards(&mut divide_at).await;
+                self.split_shards(&mut next_split_attempt).await;
             }
         }
     }
--- a/src/control/shard_merge.rs
+++ b/src/control/shard_merge.rs
@@ -13,8 +13,8 @@
 impl Node {
     /// Merges all shards into one, once this controller owns all of them and nothing is in
     /// flight. The number of the new grant is above the numbers of all shards' grants.
-    pub(super) async fn merge_shards(&self, of: u32) {
-        if !self.settle_all(of) {
+    pub(super) async fn merge_shards(&self, shard_count: u32) {
+        if !self.settle_all(shard_count) {
             return;
         }
         let (transaction, grant) = {
@@ -49,13 +49,13 @@
 
     /// Freezes all shards if this controller owns all of them and none is moving. Returns
     /// whether nothing is in flight in any shard.
-    fn settle_all(&self, of: u32) -> bool {
+    fn settle_all(&self, shard_count: u32) -> bool {
         let now = self.now();
         let view = self.store.view();
         let mut cores = self.shards.owned_mut();
-        let all_owned = (0..of).all(|b| {
-            let recorded = view.shards.get(&ShardId(b));
-            let core = cores.get(ShardId(b));
+        let all_owned = (0..shard_count).all(|number| {
+            let recorded = view.shards.get(&ShardId(number));
+            let core = cores.get(ShardId(number));
             let recorded = recorded.filter(|h| h.value.to.is_none());
             recorded
                 .zip(core)
