--- a/src/control/lease_delegation.rs
+++ b/src/control/lease_delegation.rs
@@ -17,15 +17,15 @@
 pub fn may_renew_for_owner(view: &View, heartbeat: &Heartbeat) -> bool {
     heartbeat.fencing_token.0 > 0
         && !view.may_run_cancelled(&heartbeat.machine)
-        && heartbeat.tasks.iter().all(|task_name| {
-            task_name.phase == TaskPhase::Ended || is_live_claim(view, heartbeat, task_name)
+        && heartbeat.tasks.iter().all(|reported| {
+            reported.phase == TaskPhase::Ended || is_claimed(view, heartbeat, reported)
         })
 }
 
 /// Returns whether the records claim a reported task on this machine for a job that is not
 /// over.
-fn is_live_claim(view: &View, heartbeat: &Heartbeat, task_name: &ReportedTask) -> bool {
-    let Some(task): Option<TaskId> = task_name.id() else {
+fn is_claimed(view: &View, heartbeat: &Heartbeat, reported: &ReportedTask) -> bool {
+    let Some(task): Option<TaskId> = reported.id() else {
         return false;
     };
     let Some(entry) = view.job(&task.job) else {
@@ -39,7 +39,7 @@
     record.phase == Phase::Live
         && chunk.claims.iter().any(|claim| {
             claim.place == task.index % size
-                && claim.attempt == task_name.attempt
+                && claim.attempt == reported.attempt
                 && claim.machine == heartbeat.machine
         })
 }
--- a/src/control/lease_renewal.rs
+++ b/src/control/lease_renewal.rs
@@ -30,7 +30,7 @@
     }
 
     /// Returns the time until which this controller's view of the records allows task starts.
-    pub(super) fn starts_until(&self) -> Time {
+    pub(super) fn starts_allowed_until(&self) -> Time {
         let (lease_s, cancel_s) = (self.cfg.lease_s, self.cfg.cancel_s);
         self.store.freshness().allow_starts_until(lease_s, cancel_s)
     }
@@ -38,14 +38,14 @@
     /// Returns whether the lease of a worker may be renewed without the machine's owner. The
     /// answer carries the worker's own fencing token, so it contains no commands and fences no
     /// controller.
-    fn renewed_for_owner(&self, heartbeat: &Heartbeat) -> bool {
+    fn may_renew(&self, heartbeat: &Heartbeat) -> bool {
         self.knows_all_cancellations() && may_renew_for_owner(&self.store.view(), heartbeat)
     }
 
     /// Returns the answer that only renews the lease, or `None` if the lease may not be renewed
     /// here.
     pub(super) fn renewed(&self, heartbeat: &Heartbeat) -> Option<HeartbeatReply> {
-        self.renewed_for_owner(heartbeat).then(|| {
+        self.may_renew(heartbeat).then(|| {
             load_counts::count(&self.load.counts.renewed);
             HeartbeatReply::Reply(Reply {
                 fencing_token: heartbeat.fencing_token,
--- a/src/control/quota_transfers.rs
+++ b/src/control/quota_transfers.rs
@@ -25,7 +25,7 @@
 impl Node {
     /// Returns the quota, the use and the demand of each shard for each team, or `None` if
     /// these are unknown for at least one shard.
-    fn all_needs(&self) -> Option<Vec<Vec<Need>>> {
+    fn needs_by_shard(&self) -> Option<Vec<Vec<Need>>> {
         let view = self.store.view();
         (0..view.shard_count())
             .map(|b| {
@@ -46,7 +46,7 @@
 
     /// Transfers unused quota of the owned shards to shards that lack quota.
     pub(super) async fn transfer_quotas(&self) {
-        let Some(needs) = self.all_needs() else {
+        let Some(needs) = self.needs_by_shard() else {
             return;
         };
         for shard in self.shards.ids() {
@@ -59,7 +59,7 @@
             let Some(revision) = self.send_transfer(shard, &transaction).await else {
                 return;
             };
-            self.settle_transfer(shard, revision).await;
+            self.apply_transfer_outcome(shard, revision).await;
         }
     }
 
@@ -78,8 +78,8 @@
         // The limits are lowered before the transaction is sent. While its outcome is unknown,
         // the amounts count as used on both sides.
         core.giving(transfer.amounts.clone(), &view);
-        let given = self.with_part(&mine.value, transfer, -1);
-        let taken = self.with_part(&theirs.value, transfer, 1);
+        let given = self.quota_after_transfer(&mine.value, transfer, -1);
+        let taken = self.quota_after_transfer(&theirs.value, transfer, 1);
         Some(Transaction {
             conditions: vec![
                 Condition {
@@ -114,7 +114,12 @@
 
     /// Returns a shard's quota after a transfer. `sign` is 1 for the shard that receives the
     /// amounts and -1 for the shard that gives them.
-    fn with_part(&self, record: &SliceRecord, transfer: &LimitTransfer, sign: i64) -> SliceRecord {
+    fn quota_after_transfer(
+        &self,
+        record: &SliceRecord,
+        transfer: &LimitTransfer,
+        sign: i64,
+    ) -> SliceRecord {
         let teams = self.cfg.teams.iter().zip(&transfer.amounts);
         SliceRecord::new(teams.map(|(t, give)| {
             let part = record.of(&t.name) + give.times(sign);
@@ -148,7 +153,7 @@
     }
 
     /// Waits until the local records show the outcome, then applies the recorded limits again.
-    async fn settle_transfer(&self, shard: ShardId, revision: Revision) {
+    async fn apply_transfer_outcome(&self, shard: ShardId, revision: Revision) {
         self.peers.announce(revision);
         self.catch_up(revision, CATCH_UP_PAUSE).await;
         let view = self.store.view();
--- a/src/control/shard_demand.rs
+++ b/src/control/shard_demand.rs
@@ -27,16 +27,16 @@
     /// Publishes the use and demand of the owned shards, delegates tasks to shards with free
     /// capacity, and transfers quota.
     pub(super) async fn publish_demand(self: Rc<Self>) {
-        let mut gave = Instant::now();
+        let mut last_transfer = Instant::now();
         loop {
             sleep(NEEDS_INTERVAL).await;
             if self.view_shards() == 1 || self.shards.is_empty() {
                 continue;
             }
             self.publish_own_needs();
-            self.leave_tasks();
-            if gave.elapsed() >= QUOTA_TRANSFER_INTERVAL {
-                gave = Instant::now();
+            self.delegate_tasks();
+            if last_transfer.elapsed() >= QUOTA_TRANSFER_INTERVAL {
+                last_transfer = Instant::now();
                 self.transfer_quotas().await;
             }
         }
@@ -70,17 +70,17 @@
     }
 
     /// Delegates tasks to shards that have free capacity.
-    fn leave_tasks(&self) {
+    fn delegate_tasks(&self) {
         let now = self.now();
-        let mut left = Vec::new();
+        let mut delegated = Vec::new();
         for c in self.shards.owned_mut().values_mut() {
-            left.extend(c.leave(&self.store.view(), now));
+            delegated.extend(c.leave(&self.store.view(), now));
         }
-        for some in left {
-            match self.owner_of(some.shard) {
-                Some(owner) if owner == self.cfg.node => self.receive_delegated_tasks(&some),
+        for tasks in delegated {
+            match self.owner_of(tasks.shard) {
+                Some(owner) if owner == self.cfg.node => self.receive_delegated_tasks(&tasks),
                 Some(owner) => {
-                    if let Some(text) = some.encode() {
+                    if let Some(text) = tasks.encode() {
                         self.peers.share(&owner, Kind::Left, text);
                     }
                 }
@@ -101,10 +101,10 @@
     }
 
     /// Adopts tasks that another shard delegated to an owned one.
-    fn receive_delegated_tasks(&self, left: &DelegatedTasks) {
+    fn receive_delegated_tasks(&self, delegated: &DelegatedTasks) {
         let now = self.now();
-        if let Some(c) = self.shards.owned_mut().get_mut(left.shard) {
-            c.adopt_delegated_tasks(&self.store.view(), left, now, wall_ms());
+        if let Some(c) = self.shards.owned_mut().get_mut(delegated.shard) {
+            c.adopt_delegated_tasks(&self.store.view(), delegated, now, wall_ms());
         }
         self.wakeups.wake_owner();
     }
@@ -118,8 +118,8 @@
                 }
             }
             Kind::Left => {
-                if let Some(left) = DelegatedTasks::parse(text) {
-                    self.receive_delegated_tasks(&left);
+                if let Some(delegated) = DelegatedTasks::parse(text) {
+                    self.receive_delegated_tasks(&delegated);
                 }
             }
             Kind::Rented => {
--- a/src/control/shard_grants.rs
+++ b/src/control/shard_grants.rs
@@ -18,7 +18,7 @@
 
 impl Node {
     /// Returns whether this run of the controller is the recorded leader and has a lease.
-    fn leads(&self) -> bool {
+    fn is_leader(&self) -> bool {
         let view = self.store.view();
         let leader = view.leader.value.as_ref();
         self.leadership.lease().is_some()
@@ -41,12 +41,12 @@
             }
             if shards > 1 && leaderless {
                 self.campaign_among_members().await;
-            } else if shards > 1 && self.leads() {
+            } else if shards > 1 && self.is_leader() {
                 self.assign_shards_once().await;
                 if self.cfg.tuning.shards_least == 1 {
                     self.merge_shards(shards).await;
                 }
-            } else if self.leads() {
+            } else if self.is_leader() {
                 self.split_shards(&mut next_split_attempt).await;
             }
         }
@@ -58,7 +58,7 @@
         let Some(lease) = self.leadership.lease() else {
             return;
         };
-        let leader = self.next_leader();
+        let leader = self.own_leader_record();
         let transaction = Transaction {
             // The state service deleted the key of the last leader with its lease.
             conditions: vec![Condition {
@@ -89,7 +89,7 @@
 
     /// Returns the record of this controller as leader. Its term follows the latest term in
     /// which any shard was granted.
-    fn next_leader(&self) -> LeaderRecord {
+    fn own_leader_record(&self) -> LeaderRecord {
         let view = self.store.view();
         let terms = view.shards.values().map(|shard| shard.value.term);
         let last_term = terms.max().unwrap_or_default();
--- a/src/control/shard_owner.rs
+++ b/src/control/shard_owner.rs
@@ -25,13 +25,13 @@
         let now = self.now();
         let mut cores = self.shards.owned_mut();
         let walks = self.paces.due(Duty::Walk, now);
-        let starts_until = self.starts_until();
+        let starts_allowed_until = self.starts_allowed_until();
         // An unrenewed lease expires, but the machine's next incarnation accepts starts again.
         // A start sent then may belong to a job that was cancelled elsewhere long before.
         let may_command = self.knows_all_cancellations();
         let mut sends = Vec::new();
         for (shard, c) in cores.iter_mut() {
-            c.allow_starts_until(starts_until, now);
+            c.allow_starts_until(starts_allowed_until, now);
             if walks {
                 self.timed(Duty::Walk, || c.place(now));
             }
@@ -42,8 +42,8 @@
             if !may_command {
                 continue;
             }
-            let some = c.dispatch(&self.store.view(), now);
-            sends.extend(some.into_iter().map(|send| (*shard, send)));
+            let dispatches = c.dispatch(&self.store.view(), now);
+            sends.extend(dispatches.into_iter().map(|send| (*shard, send)));
         }
         drop(cores);
         for (shard, send) in sends {
@@ -62,7 +62,7 @@
         };
         let now = self.now();
         let reached = matches!(outcome, Sending::Executed(_) | Sending::Refused(_));
-        let mine = self
+        let grant_holds = self
             .shards
             .owned_mut()
             .get_mut(shard)
@@ -70,12 +70,12 @@
             .map(|c| c.dispatched(&send.machine, outcome, now));
         // A failure of an earlier grant is no evidence about the next time that this controller
         // owns the shard.
-        match (reached, mine) {
+        match (reached, grant_holds) {
             (true, _) => self.leadership.worker_reached(),
             (false, Some(_)) => self.leadership.command_failed(&send.machine, now),
             (false, None) => {}
         }
-        if mine == Some(false) {
+        if grant_holds == Some(false) {
             self.superseded(shard);
         }
         self.drive();
@@ -116,8 +116,8 @@
                 // A controller that took ownership again, because no other one did, keeps it.
                 // If no controller reaches the workers, ownership would otherwise circulate
                 // among them forever.
-                let fit = !self.leadership.defers_to_others();
-                if fit && self.leadership.is_cut_off(now) {
+                let may_resign = !self.leadership.defers_to_others();
+                if may_resign && self.leadership.is_cut_off(now) {
                     self.resign("workers can't be reached from here").await;
                 }
                 let preempts = self.paces.due(Duty::Preempt, now);
--- a/src/control/shard_owners.rs
+++ b/src/control/shard_owners.rs
@@ -39,8 +39,8 @@
         }
         let recorded = view.shards.get(&shard)?;
         let member = view.members.get(&recorded.value.owner);
-        let lives = member.is_some_and(|m| m.value.run == recorded.value.run);
-        lives.then(|| recorded.value.owner.clone())
+        let alive = member.is_some_and(|m| m.value.run == recorded.value.run);
+        alive.then(|| recorded.value.owner.clone())
     }
 
     /// Returns how many controllers own shards, at least 1.
