--- a/src/control/drains.rs
+++ b/src/control/drains.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use sorrelhinge_protocol::operators::{DomainShown, DrainAsked, DrainShown, Target, TopologyShown};
-use sorrelhinge_topology::drain::{Drain, Target as What};
+use sorrelhinge_topology::drain::{Drain, Target as DrainTarget};
 use sorrelhinge_topology::tree::{Domain, Level, Tree};
 
 use super::core::Core;
@@ -24,10 +24,10 @@
 
 impl Node {
     /// Resolves the text of a target to a domain of the topology file or to a machine.
-    fn target(&self, text: &str) -> Result<What, OperatorError> {
+    fn resolve_target(&self, text: &str) -> Result<DrainTarget, OperatorError> {
         let topology = self.topology().ok_or(OperatorError::NoTopology)?;
         if topology.tree.find(text).is_some() {
-            return Ok(What::Domain(text.to_owned()));
+            return Ok(DrainTarget::Domain(text.to_owned()));
         }
         let known = |c: &Core| {
             c.cluster_state
@@ -35,14 +35,14 @@
                 .contains_key(&MachineId::from(text))
         };
         match self.shards.owned().first() {
-            Some(c) if known(c) => Ok(What::Machine(text.to_owned())),
+            Some(c) if known(c) => Ok(DrainTarget::Machine(text.to_owned())),
             Some(_) => Err(InvalidRequest::UnknownTarget(text.to_owned()).into()),
             // Only the owner of the shard knows the machines.
-            None => Err(self.elsewhere()),
+            None => Err(self.not_owner_error()),
         }
     }
 
-    fn elsewhere(&self) -> OperatorError {
+    fn not_owner_error(&self) -> OperatorError {
         match &self.store.view().leader.value {
             Some(l) if l.node != self.cfg.node => OperatorError::Elsewhere(l.node.clone()),
             _ => OperatorError::Unavailable,
@@ -57,11 +57,11 @@
     /// There is no topology here, the request is not valid, or the drain could not be recorded.
     pub async fn drain(&self, asked: &DrainAsked) -> Result<u64, OperatorError> {
         asked.check().map_err(InvalidRequest::from)?;
-        let what = self.target(&asked.target)?;
+        let resolved = self.resolve_target(&asked.target)?;
         let started_ms = wall_ms();
         let drain = Drain {
             version: Drain::VERSION,
-            target: what,
+            target: resolved,
             started_ms,
             deadline_ms: started_ms + (asked.deadline_s * 1000.0) as u64,
             away: asked.away,
@@ -149,7 +149,7 @@
         let cores = self.shards.owned();
         // With a topology, all machines belong to one shard.
         let Some(core) = cores.first() else {
-            return Err(self.elsewhere());
+            return Err(self.not_owner_error());
         };
         let machines = shown_machines(core, &topology.tree);
         Ok(TopologyShown {
--- a/src/control/reservations.rs
+++ b/src/control/reservations.rs
@@ -30,11 +30,11 @@
 
 /// Ensures that an error in the calendar file is logged only once.
 #[derive(Default)]
-struct LoggedOnce {
+struct LogOnce {
     logged: bool,
 }
 
-impl LoggedOnce {
+impl LogOnce {
     fn log_once(&mut self, log: impl FnOnce()) {
         if !self.logged {
             self.logged = true;
@@ -64,13 +64,13 @@
         let Some(file) = self.cfg.calendar.clone() else {
             return;
         };
-        let mut complaint = LoggedOnce::default();
+        let mut file_error_log = LogOnce::default();
         loop {
             sleep(CALENDAR_INTERVAL).await;
             if !self.store.view().loaded {
                 continue;
             }
-            self.take_file(&file, &mut complaint).await;
+            self.record_calendar_file(&file, &mut file_error_log).await;
             let steps = {
                 let view = self.store.view();
                 let (wall, now) = (day_ms(), self.now());
@@ -83,7 +83,7 @@
             };
             self.wakeups.wake_owner();
             for step in steps {
-                self.take_step(step).await;
+                self.record_window_step(step).await;
             }
         }
     }
@@ -91,8 +91,8 @@
     /// Writes the windows of the file if the file is newer than the record. If several
     /// controllers have files, the file with the highest number wins, regardless of the order
     /// in which they start.
-    async fn take_file(&self, file: &Calendar, complaint: &mut LoggedOnce) {
-        let Some(newer) = self.newer_calendar(file, complaint) else {
+    async fn record_calendar_file(&self, file: &Calendar, file_error_log: &mut LogOnce) {
+        let Some(newer) = self.newer_calendar(file, file_error_log) else {
             return;
         };
         // The machine types are unknown until the cloud has listed them.
@@ -100,7 +100,7 @@
             return;
         }
         if let Err(error) = self.check_calendar(&newer.record) {
-            complaint.log_once(|| {
+            file_error_log.log_once(|| {
                 let why = error.to_string();
                 tracing::error!(why, "calendar file rejected");
             });
@@ -125,7 +125,11 @@
     }
 
     /// Returns the record made from the file, if it is newer than the current record.
-    fn newer_calendar(&self, file: &Calendar, complaint: &mut LoggedOnce) -> Option<NewerCalendar> {
+    fn newer_calendar(
+        &self,
+        file: &Calendar,
+        file_error_log: &mut LogOnce,
+    ) -> Option<NewerCalendar> {
         let view = self.store.view();
         let recorded = &view.calendar;
         // A record that can't be parsed is never overwritten.
@@ -138,14 +142,14 @@
                 record,
             }),
             Taken::Differs => {
-                complaint.log_once(|| {
+                file_error_log.log_once(|| {
                     let number = file.number;
                     tracing::error!(number, "calendar file differs at the same number; raise it");
                 });
                 None
             }
             Taken::Later => {
-                complaint.log_once(|| tracing::error!("calendar record of a later version"));
+                file_error_log.log_once(|| tracing::error!("calendar record of a later version"));
                 None
             }
             Taken::Same | Taken::Older => None,
@@ -182,7 +186,7 @@
     }
 
     /// Records a step of a window, unless another controller has recorded it already.
-    async fn take_step(&self, step: core::WindowStep) {
+    async fn record_window_step(&self, step: core::WindowStep) {
         match self
             .state
             .transact(
