--- a/src/control/leader.rs
+++ b/src/control/leader.rs
@@ -60,11 +60,11 @@
 impl Node {
     /// Runs for leader whenever there is no leader, and renews the lease while this controller
     /// has one.
-    pub(super) async fn lead(self: Rc<Self>) {
-        let life = Duration::from_secs_f64(self.cfg.tuning.leader_lease_s);
+    pub(super) async fn run_elections(self: Rc<Self>) {
+        let lease_duration = Duration::from_secs_f64(self.cfg.tuning.leader_lease_s);
         loop {
             if let Some(lease) = self.leadership.lease() {
-                self.keep_lease(lease, life).await;
+                self.keep_lease(lease, lease_duration).await;
                 continue;
             }
             self.leadership.wait_for_vacancy().await;
@@ -75,24 +75,24 @@
             }
             match self.candidacy(defers) {
                 Candidacy::None => {}
-                Candidacy::Member => self.join_members(life).await,
-                Candidacy::Leader(vacancy) => self.campaign(vacancy, life).await,
+                Candidacy::Member => self.join_members(lease_duration).await,
+                Candidacy::Leader(vacancy) => self.campaign(vacancy, lease_duration).await,
             }
         }
     }
 
     /// Renews the lease, then waits until the next renewal is due.
-    async fn keep_lease(&self, lease: LeaseId, life: Duration) {
+    async fn keep_lease(&self, lease: LeaseId, lease_duration: Duration) {
         let asked = Instant::now();
         match self.state.renew(lease).await {
             Ok(()) => {
-                self.leadership.renewed(asked, life);
-                sleep(life / 4).await;
+                self.leadership.renewed(asked, lease_duration);
+                sleep(lease_duration / 4).await;
             }
             Err(StateError::LeaseEnded) => {
                 self.leadership.release();
             }
-            Err(_) => sleep(life / 8).await,
+            Err(_) => sleep(lease_duration / 8).await,
         }
     }
 
@@ -123,9 +123,9 @@
     }
 
     /// Runs for leader. Keeps the current grant if this controller still owns the shard by it.
-    async fn campaign(&self, vacancy: Vacancy, life: Duration) {
+    async fn campaign(&self, vacancy: Vacancy, lease_duration: Duration) {
         let asked = Instant::now();
-        let Ok(lease) = self.state.lease(life).await else {
+        let Ok(lease) = self.state.lease(lease_duration).await else {
             return;
         };
         let grant = &vacancy.grant.value;
@@ -143,7 +143,7 @@
             .await
         {
             Ok(TransactionOutcome::Done(revision)) => {
-                self.leadership.acquired(lease, asked, life);
+                self.leadership.acquired(lease, asked, lease_duration);
                 if !kept {
                     self.begin_leadership(next, revision).await;
                 }
--- a/src/control/leadership.rs
+++ b/src/control/leadership.rs
@@ -52,14 +52,14 @@
     /// Records that the lease was granted and is attached to this controller's record. The
     /// lease was requested at `asked_at`, so the state service counts its duration from then or
     /// later.
-    pub(super) fn acquired(&self, lease: LeaseId, asked_at: Instant, life: Duration) {
+    pub(super) fn acquired(&self, lease: LeaseId, asked_at: Instant, lease_duration: Duration) {
         self.lease.set(Some(lease));
-        self.renewed(asked_at, life);
+        self.renewed(asked_at, lease_duration);
     }
 
     /// Records that a request sent at `asked_at` renewed the lease.
-    pub(super) fn renewed(&self, asked_at: Instant, life: Duration) {
-        self.exclusive_until.set(asked_at + life);
+    pub(super) fn renewed(&self, asked_at: Instant, lease_duration: Duration) {
+        self.exclusive_until.set(asked_at + lease_duration);
     }
 
     /// Forgets the lease locally and returns it, so that the caller can end it in the state
--- a/src/control/mod.rs
+++ b/src/control/mod.rs
@@ -208,9 +208,9 @@
 
     /// Starts all loops that run for the lifetime of the controller.
     pub fn start(self: &Rc<Self>) {
-        spawn_local(self.clone().follow());
-        spawn_local(self.clone().sync());
-        spawn_local(self.clone().lead());
+        spawn_local(self.clone().watch_store());
+        spawn_local(self.clone().run_refreshes());
+        spawn_local(self.clone().run_elections());
         spawn_local(self.clone().pump());
         spawn_local(self.clone().run_placement());
         spawn_local(self.clone().run_autoscaler());
--- a/src/control/shard_owners.rs
+++ b/src/control/shard_owners.rs
@@ -56,9 +56,9 @@
 
     /// Registers this controller as a member under a new lease, while there are several shards.
     /// The ownership of its shards depends on this lease.
-    pub(super) async fn join_members(&self, life: Duration) {
+    pub(super) async fn join_members(&self, lease_duration: Duration) {
         let asked = Instant::now();
-        let Ok(lease) = self.state.lease(life).await else {
+        let Ok(lease) = self.state.lease(lease_duration).await else {
             return;
         };
         let key = member_key(&self.cfg.node);
@@ -76,7 +76,7 @@
             .await
         {
             Ok(_) => {
-                self.leadership.acquired(lease, asked, life);
+                self.leadership.acquired(lease, asked, lease_duration);
                 self.store.request_refresh();
             }
             Err(error) => tracing::info!(%error, "membership registration failed"),
--- a/src/control/shard_status.rs
+++ b/src/control/shard_status.rs
@@ -71,7 +71,7 @@
             to: record.to.as_ref().map(|to| to.to_string()),
             pin: record.pin.as_ref().map(|pin| pin.to_string()),
             machines: published.as_ref().map(|n| n.machines),
-            why: why_there(record, alive),
+            why: ownership_reason(record, alive),
             teams: teams.collect(),
         }
     }
@@ -134,7 +134,7 @@
 
 /// Returns the reason, for operators, why a shard belongs to its owner. `alive` tells whether
 /// the owner is alive.
-fn why_there(record: &ShardRecord, alive: bool) -> String {
+fn ownership_reason(record: &ShardRecord, alive: bool) -> String {
     match (&record.pin, &record.to, alive) {
         (_, Some(to), _) => format!("it moves to {to}"),
         (_, None, false) => "its owner is gone: it is granted next".into(),
--- a/src/control/store_view.rs
+++ b/src/control/store_view.rs
@@ -28,10 +28,10 @@
     /// Time as of which the copy contains all changes.
     freshness: Cell<Freshness>,
     /// Newest revision that another controller announced.
-    newest_hint: Cell<Revision>,
-    /// Instant since when the copy is known to be older than `newest_hint`.
+    newest_announced: Cell<Revision>,
+    /// Instant since when the copy is known to be older than `newest_announced`.
     lagging_since: Cell<Option<Instant>>,
-    refresh_wanted: Notify,
+    refresh_signal: Notify,
     refreshes_started: Cell<u64>,
     refreshed: watch::Sender<Refresh>,
 }
@@ -42,9 +42,9 @@
         Self {
             view: RefCell::default(),
             freshness: Cell::new(Freshness::replaced(Time(0.0))),
-            newest_hint: Cell::new(Revision(0)),
+            newest_announced: Cell::new(Revision(0)),
             lagging_since: Cell::new(None),
-            refresh_wanted: Notify::new(),
+            refresh_signal: Notify::new(),
             refreshes_started: Cell::new(0),
             refreshed: watch::Sender::default(),
         }
@@ -86,7 +86,7 @@
     pub(super) fn apply(&self, since: Revision, events: Events, asked_at: Time) -> bool {
         let continuous = self.view.borrow_mut().apply(since, events);
         if continuous {
-            self.read_sent_at(asked_at);
+            self.record_read(asked_at);
         }
         continuous
     }
@@ -95,10 +95,10 @@
     /// Reads may be answered out of order, and then the copy already is newer.
     pub(super) fn replace(&self, store_revision: Revision, items: Vec<Item>, asked_at: Time) {
         self.view.borrow_mut().replace(store_revision, items);
-        self.read_sent_at(asked_at);
+        self.record_read(asked_at);
     }
 
-    fn read_sent_at(&self, asked_at: Time) {
+    fn record_read(&self, asked_at: Time) {
         self.freshness.set(self.freshness.get().read(asked_at));
     }
 
@@ -106,7 +106,7 @@
     /// reached the announced revision.
     pub(super) fn take_changed(&self) -> Vec<JobId> {
         let mut view = self.view.borrow_mut();
-        if view.store_revision >= self.newest_hint.get() {
+        if view.store_revision >= self.newest_announced.get() {
             self.lagging_since.set(None);
         }
         view.take_changed()
@@ -119,7 +119,8 @@
             if self.lagging_since.get().is_none() {
                 self.lagging_since.set(Some(Instant::now()));
             }
-            self.newest_hint.set(self.newest_hint.get().max(revision));
+            self.newest_announced
+                .set(self.newest_announced.get().max(revision));
             self.request_refresh();
         }
     }
@@ -142,12 +143,12 @@
 
     /// Requests a refresh.
     pub(super) fn request_refresh(&self) {
-        self.refresh_wanted.notify_one();
+        self.refresh_signal.notify_one();
     }
 
     /// Waits until a refresh is requested.
     pub(super) async fn refresh_requested(&self) {
-        self.refresh_wanted.notified().await;
+        self.refresh_signal.notified().await;
     }
 
     /// Begins a refresh and returns its number.
@@ -171,13 +172,13 @@
     /// was at the time of the call. Returns whether the copy is that new. One refresh serves
     /// all waiting callers.
     pub(super) async fn refresh_within(&self, patience: Duration) -> bool {
-        let need = self.refreshes_started.get() + 1;
+        let required_number = self.refreshes_started.get() + 1;
         let mut ended = self.refreshed.subscribe();
         self.request_refresh();
         let waited = timeout(patience, async {
             loop {
                 let last = *ended.borrow_and_update();
-                if last.number >= need {
+                if last.number >= required_number {
                     return last.succeeded;
                 }
                 if ended.changed().await.is_err() {
--- a/src/control/store_watch.rs
+++ b/src/control/store_watch.rs
@@ -47,8 +47,8 @@
         }
         let view = self.store.view();
         let served = self.store_silence() < STORE_SILENCE_LIMIT;
-        let behind = self.store.lags_for(WATCH_LAG_LIMIT);
-        view.loaded && (served || !behind)
+        let lagging = self.store.lags_for(WATCH_LAG_LIMIT);
+        view.loaded && (served || !lagging)
     }
 
     /// Records a revision that another controller announced. The announcement is a hint.
@@ -77,20 +77,20 @@
     }
 
     /// Runs a refresh whenever one is requested.
-    pub(super) async fn sync(self: Rc<Self>) {
+    pub(super) async fn run_refreshes(self: Rc<Self>) {
         loop {
             self.store.refresh_requested().await;
             let number = self.store.begin_refresh();
             let succeeded = self.read_new(Duration::ZERO).await;
             self.store.end_refresh(number, succeeded);
             // The pause limits refreshes to half of this controller's requests.
-            let gap = Duration::from_secs_f64(2.0 / self.state.requests.rate().max(1.0));
-            sleep(gap.clamp(REFRESH_GAP_MIN, REFRESH_GAP_MAX)).await;
+            let pause = Duration::from_secs_f64(2.0 / self.state.requests.rate().max(1.0));
+            sleep(pause.clamp(REFRESH_GAP_MIN, REFRESH_GAP_MAX)).await;
         }
     }
 
     /// Watches the state service for changes, so that the view is never outdated for long.
-    pub(super) async fn follow(self: Rc<Self>) {
+    pub(super) async fn watch_store(self: Rc<Self>) {
         let wait = Duration::from_secs_f64(watch_s(self.cfg.lease_s, self.cfg.cancel_s));
         loop {
             let ok = self.read_new(wait).await;
@@ -155,8 +155,8 @@
     pub(super) fn view_changed(&self) {
         let changed = self.store.take_changed();
         let view = self.store.view();
-        let mut shares = self.shards.retain_granted(&view);
-        if shares && view.shard_count() == 1 {
+        let mut shards_changed = self.shards.retain_granted(&view);
+        if shards_changed && view.shard_count() == 1 {
             // A controller without the only shard is not the leader either.
             self.leadership.release();
         }
@@ -169,11 +169,11 @@
             }
         }
         drop(cores);
-        shares |= self.adopt_shards(&view);
+        shards_changed |= self.adopt_shards(&view);
         self.freeze_offered_shards(&view);
         let leaderless = view.leader.value.is_none();
         drop(view);
-        if shares {
+        if shards_changed {
             self.set_share();
             self.wakeups.wake_assignments();
         }
--- a/src/control/wakeups.rs
+++ b/src/control/wakeups.rs
@@ -20,9 +20,9 @@
         self.owner.notify_one();
     }
 
-    /// Waits until the owner's loop is woken, for `at_max` at most.
-    pub(super) async fn owner_woken(&self, at_max: Duration) {
-        let _ = timeout(at_max, self.owner.notified()).await;
+    /// Waits until the owner's loop is woken, for `max_wait` at most.
+    pub(super) async fn owner_woken(&self, max_wait: Duration) {
+        let _ = timeout(max_wait, self.owner.notified()).await;
     }
 
     /// Wakes the recording loop because there is an urgent write.
@@ -30,9 +30,9 @@
         self.recording.notify_one();
     }
 
-    /// Waits until the recording loop is woken, for `at_max` at most.
-    pub(super) async fn recording_woken(&self, at_max: Duration) {
-        let _ = timeout(at_max, self.recording.notified()).await;
+    /// Waits until the recording loop is woken, for `max_wait` at most.
+    pub(super) async fn recording_woken(&self, max_wait: Duration) {
+        let _ = timeout(max_wait, self.recording.notified()).await;
     }
 
     /// Wakes the assignment loop because the leader or the owner of a shard has changed.
@@ -40,8 +40,8 @@
         self.assignments.notify_one();
     }
 
-    /// Waits until the assignment loop is woken, for `at_max` at most.
-    pub(super) async fn assignments_woken(&self, at_max: Duration) {
-        let _ = timeout(at_max, self.assignments.notified()).await;
+    /// Waits until the assignment loop is woken, for `max_wait` at most.
+    pub(super) async fn assignments_woken(&self, max_wait: Duration) {
+        let _ = timeout(max_wait, self.assignments.notified()).await;
     }
 }
