--- a/src/control/shard_owner.rs
+++ b/src/control/shard_owner.rs
@@ -99,7 +99,7 @@
             tracing::info!(
                 duty = duty.name(),
                 cost_s = (cost * 100.0).round() / 100.0,
-                "long duty"
+                "duty took long"
             );
         }
         result
