--- a/src/control/reservations.rs
+++ b/src/control/reservations.rs
@@ -149,9 +149,7 @@
                 None
             }
             Taken::Later => {
-                file_error_log.log_once(|| {
-                    tracing::error!("calendar record has an unsupported later version")
-                });
+                file_error_log.log_once(|| tracing::error!("calendar record has a later version"));
                 None
             }
             Taken::Same | Taken::Older => None,
