--- a/src/control/leader.rs
+++ b/src/control/leader.rs
@@ -49,7 +49,8 @@
     Leader(Vacancy),
 }
 
-/// Records that show that there is no leader. An election depends on both of them.
+/// The leader's record and the grant, as read when there was no leader. An election succeeds
+/// only if both are unchanged.
 struct Vacancy {
     /// Revision of the leader's record, or 0 if there is no such record.
     leader_revision: Revision,
--- a/src/control/operator_error.rs
+++ b/src/control/operator_error.rs
@@ -61,7 +61,7 @@
     UnknownShard {
         /// Number of the requested shard.
         shard: ShardId,
-        /// Number of shards, counted from 0.
+        /// Number of shards. The numbers of the shards start at 0.
         shards: u32,
     },
     /// The settings name no controller of this name.
--- a/src/control/shard_ownership.rs
+++ b/src/control/shard_ownership.rs
@@ -88,7 +88,7 @@
     }
 }
 
-/// Needs of a shard that its owner published last.
+/// The latest needs that a shard's owner published, and the time of their arrival.
 struct PublishedNeeds {
     received_at: Instant,
     needs: Rc<Needs>,
