--- a/src/control/drains.rs
+++ b/src/control/drains.rs
@@ -199,7 +199,7 @@
 
 /// Logs that a drain's record was not changed, or that the outcome is unknown.
 fn log_failure(error: StateError) {
-    tracing::info!(%error, "drain write failed");
+    tracing::info!(%error, "drain not recorded");
 }
 
 /// Machines of a topology, as operators see them.
--- a/src/control/reservations.rs
+++ b/src/control/reservations.rs
@@ -144,12 +144,12 @@
             Taken::Differs => {
                 file_error_log.log_once(|| {
                     let number = file.number;
-                    tracing::error!(number, "calendar file differs from the record of the same number; raise the number");
+                    tracing::error!(number, "calendar file differs at the same number; raise it");
                 });
                 None
             }
             Taken::Later => {
-                file_error_log.log_once(|| tracing::error!("calendar record has a later version"));
+                file_error_log.log_once(|| tracing::error!("calendar record of a later version"));
                 None
             }
             Taken::Same | Taken::Older => None,
--- a/src/control/shard_owner.rs
+++ b/src/control/shard_owner.rs
@@ -99,7 +99,7 @@
             tracing::info!(
                 duty = duty.name(),
                 cost_s = (cost * 100.0).round() / 100.0,
-                "duty took long"
+                "long duty"
             );
         }
         result
