--- a/src/control/shard_demand.rs
+++ b/src/control/shard_demand.rs
@@ -1,5 +1,5 @@
-//! What the owners of shards publish to each other: what each uses and wants, tasks left to
-//! another shard, and machines that were rented. All of it is a hint.
+//! Messages between the owners of shards: the use and demand of each shard, tasks delegated to
+//! another shard, and rented machines. All of them are hints.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -13,38 +13,38 @@
 use crate::peer_messages::{DelegatedTasks, Needs, Rented, TeamNeed};
 use crate::types::{MachineId, NodeId};
 
-/// How often owners publish what they use and want.
+/// Interval at which owners publish the use and demand of their shards.
 const NEEDS_INTERVAL: Duration = Duration::from_millis(700);
 
 impl Node {
-    /// The other controllers whose versions know several shards.
-    pub(super) fn others_known(&self) -> Vec<NodeId> {
+    /// Returns the other controllers whose versions support several shards.
+    pub(super) fn peers_supporting_shards(&self) -> Vec<NodeId> {
         let others = self.cfg.others.iter().map(|other| &other.node);
         let knowing = others.filter(|node| self.peer_statuses.knows_shards(node));
         knowing.cloned().collect()
     }
 
-    /// Publishes to the others what this controller's shards use and want, leaves tasks
-    /// to shards that have free capacity, and gives away parts of limits.
+    /// Publishes the use and demand of the owned shards, delegates tasks to shards with free
+    /// capacity, and transfers quota.
     pub(super) async fn publish_demand(self: Rc<Self>) {
-        let mut gave = Instant::now();
+        let mut last_transfer = Instant::now();
         loop {
             sleep(NEEDS_INTERVAL).await;
             if self.view_shards() == 1 || self.shards.is_empty() {
                 continue;
             }
             self.publish_own_needs();
-            self.leave_tasks();
-            if gave.elapsed() >= QUOTA_TRANSFER_INTERVAL {
-                gave = Instant::now();
+            self.delegate_tasks();
+            if last_transfer.elapsed() >= QUOTA_TRANSFER_INTERVAL {
+                last_transfer = Instant::now();
                 self.transfer_quotas().await;
             }
         }
     }
 
-    /// Publishes to the others what this controller's shards use and want.
+    /// Publishes the use and demand of the owned shards to the other controllers.
     fn publish_own_needs(&self) {
-        let others = self.others_known();
+        let others = self.peers_supporting_shards();
         for needs in self.own_needs() {
             for other in &others {
                 self.peers.share(other, Kind::Needs, needs.encode());
@@ -53,7 +53,7 @@
         }
     }
 
-    /// What each owned shard uses and wants.
+    /// Returns the use and demand of each owned shard.
     fn own_needs(&self) -> Vec<Needs> {
         let cores = self.shards.owned();
         let needs = cores.iter().map(|(shard, c)| {
@@ -69,18 +69,18 @@
         needs.collect()
     }
 
-    /// Leaves tasks to shards that have free capacity.
-    fn leave_tasks(&self) {
+    /// Delegates tasks to shards that have free capacity.
+    fn delegate_tasks(&self) {
         let now = self.now();
-        let mut left = Vec::new();
+        let mut delegated = Vec::new();
         for c in self.shards.owned_mut().values_mut() {
-            left.extend(c.leave(&self.store.view(), now));
+            delegated.extend(c.leave(&self.store.view(), now));
         }
-        for some in left {
-            match self.owner_of(some.shard) {
-                Some(owner) if owner == self.cfg.node => self.receive_delegated_tasks(&some),
+        for tasks in delegated {
+            match self.owner_of(tasks.shard) {
+                Some(owner) if owner == self.cfg.node => self.receive_delegated_tasks(&tasks),
                 Some(owner) => {
-                    if let Some(text) = some.encode() {
+                    if let Some(text) = tasks.encode() {
                         self.peers.share(&owner, Kind::Left, text);
                     }
                 }
@@ -89,7 +89,7 @@
         }
     }
 
-    /// Takes up what a shard uses and wants.
+    /// Records the use and demand that a shard's owner published.
     fn receive_demand(&self, needs: Needs) {
         let now = self.now();
         for (shard, c) in self.shards.owned_mut().iter_mut() {
@@ -100,16 +100,16 @@
         self.shards.record_needs(needs);
     }
 
-    /// Takes up tasks that another shard leaves to an owned one.
-    fn receive_delegated_tasks(&self, left: &DelegatedTasks) {
+    /// Adopts tasks that another shard delegated to an owned one.
+    fn receive_delegated_tasks(&self, delegated: &DelegatedTasks) {
         let now = self.now();
-        if let Some(c) = self.shards.owned_mut().get_mut(left.shard) {
-            c.adopt_delegated_tasks(&self.store.view(), left, now, wall_ms());
+        if let Some(c) = self.shards.owned_mut().get_mut(delegated.shard) {
+            c.adopt_delegated_tasks(&self.store.view(), delegated, now, wall_ms());
         }
         self.wakeups.wake_owner();
     }
 
-    /// What another owner published; it may be wrong or late.
+    /// Handles a message that another owner published. The content may be wrong or late.
     pub fn receive_peer_message(&self, kind: Kind, text: &[u8]) {
         match kind {
             Kind::Needs => {
@@ -118,8 +118,8 @@
                 }
             }
             Kind::Left => {
-                if let Some(left) = DelegatedTasks::parse(text) {
-                    self.receive_delegated_tasks(&left);
+                if let Some(delegated) = DelegatedTasks::parse(text) {
+                    self.receive_delegated_tasks(&delegated);
                 }
             }
             Kind::Rented => {
@@ -131,7 +131,8 @@
         }
     }
 
-    /// Takes up machines that were rented: their zones, and that those of owned shards come.
+    /// Records the zones of rented machines, and lets each owned shard expect the machines that
+    /// may belong to it.
     fn receive_rented_machines(&self, rented: &Rented) {
         let now = self.now();
         let offer = MachineOffer {
@@ -149,7 +150,7 @@
         }
     }
 
-    /// Tells the owners of the other shards of machines that were rented.
+    /// Announces rented machines to the owners of the other shards.
     pub(super) fn announce_rented_machines(
         &self,
         rental: &crate::cloud::Rental,
@@ -166,7 +167,7 @@
         };
         let Some(text) = rented.encode() else { return };
         self.receive_peer_message(Kind::Rented, &text);
-        for other in self.others_known() {
+        for other in self.peers_supporting_shards() {
             self.peers.share(&other, Kind::Rented, text.clone());
         }
     }
