--- a/src/scheduler/aging.rs
+++ b/src/scheduler/aging.rs
@@ -1,19 +1,23 @@
-//! Jobs that waited too long to begin, and jobs whose objectives have passed.
+//! Queue order of jobs that have waited too long to begin, and of jobs whose objectives
+//! have passed.
 
 use super::queue::Place;
 use super::{ClusterState, Job};
 use crate::types::{Amount, JobId, Time};
 
-/// A job that has not begun, with all tasks that its team's limit allows at once, for
-/// so long, in seconds, goes before all others of its team but production: the users'
-/// rule is that the largest jobs begin within four minutes, too.
+/// Wait in seconds after which a job ages if it has not begun, which means that not all the
+/// tasks that its team's limit allows at once are placed. An aged job goes before all other
+/// jobs of its team except production jobs. The users' rule is that even the largest jobs
+/// begin within four minutes.
 const AGED_S: f64 = 150.0;
-/// It has this part of its team's limit at most in this way.
+/// Largest part of its team's limit that an aged job may use before it loses its
+/// precedence.
 const AGED_PART: f64 = 0.5;
 impl ClusterState {
-    /// Jobs whose objectives have passed give way to jobs that can still meet theirs
-    /// (the paper's section 3 leaves the order within a team open), until they
-    /// have waited for so long that nothing may pass them over.
+    /// Updates the due time and the aging of every queued job, and reorders the queues to
+    /// match. Jobs whose objectives have passed give way to jobs that can still meet
+    /// theirs, until they have waited so long that no job may overtake them. The paper's
+    /// section 3 leaves the order within a team open.
     pub fn refresh_due_times(&mut self, now: Time) {
         let moved: Vec<(Place, Time, bool)> = self
             .queues
@@ -34,11 +38,10 @@
         }
     }
 
-    /// How many tasks of a job can be placed at once at most, with the team's
-    /// whole limit to itself.
+    /// Returns how many tasks of a job fit into its team's whole limit at once.
     fn at_once(&self, job: &Job) -> u32 {
         let limit = self.teams[job.team].limit;
-        // Limits say nothing of memory.
+        // Team limits don't cover memory.
         let each = Amount {
             ram: 0,
             ..job.spec.each
@@ -47,19 +50,19 @@
         job.spec.tasks.min(max)
     }
 
-    /// Whether a job has begun: as many of its tasks as its team's limit allows at
-    /// once are placed or done. Tasks that were stopped for others are to begin
-    /// anew: left to their usual turn, they did so after 540 s.
+    /// Returns whether a job has begun. A job has begun once as many of its tasks as its
+    /// team's limit allows at once are placed or done. Tasks that were preempted have to
+    /// begin again: in their usual turn they did so only after 540 s.
     fn has_begun(&self, job: &Job) -> bool {
         job.tasks.claims().len() as u32 + job.tasks.done() >= self.at_once(job)
     }
 
-    /// Whether a job has waited for too long to begin, and nothing may pass it over
-    /// any more. A deadline that can't be met is put off again and again by the jobs
-    /// that come after it, and a lower rank by all of a higher one: on a day of
-    /// bursts such jobs began after 344 to 517 s. It does not take more than
-    /// [`AGED_PART`] of its team's limit so: an array of hours never has all its
-    /// tasks placed, and would keep all other work of the team waiting.
+    /// Returns whether a job has waited too long to begin, so that no other job may
+    /// overtake it. Without aging, jobs that arrive later delay a job whose deadline can't
+    /// be met again and again, and all jobs of a higher priority delay one of a lower
+    /// priority. On a day of bursts such jobs began after 344 to 517 s. Aging stops at
+    /// [`AGED_PART`] of the team's limit, because an array of hours never has all
+    /// its tasks placed and would block all other work of the team.
     fn is_aged(&self, job: &Job, now: Time) -> bool {
         let used = job.spec.each.times(job.tasks.claims().len() as i64);
         now.since(job.submitted) >= AGED_S
@@ -67,8 +70,8 @@
             && used.cpu as f64 <= AGED_PART * self.teams[job.team].limit.cpu as f64
     }
 
-    /// A task of a job was placed: an aged one has its usual turn again once it has
-    /// begun, or has its part.
+    /// Updates the aging of a job after one of its tasks was placed. An aged job returns to
+    /// its usual turn once it has begun or uses more than its share of the team's limit.
     pub(super) fn check_whether_begun(&mut self, id: &JobId, now: Time) {
         let Some(job) = self.jobs.get(id).filter(|j| j.aged) else {
             return;
--- a/src/scheduler/best_machine.rs
+++ b/src/scheduler/best_machine.rs
@@ -1,4 +1,5 @@
-//! The best machine for a job: of those that pass the filters the one with the least score.
+//! Choice of the best machine for a job: the machine with the least score among those that
+//! pass the filters.
 
 use sorrelhinge_topology::policy::Reach;
 
@@ -9,8 +10,10 @@
 use super::ClusterState;
 
 impl ClusterState {
-    /// The best machine for one more task of a job, if any has free capacity: one that
-    /// meets all its placement rules, else one that meets what is required.
+    /// Returns the best machine with free capacity for one more task of a job. Prefers a
+    /// machine that meets all placement rules of the job, and falls back to one that meets
+    /// only the required rules. Returns `None` if the team's limit allows no task or no
+    /// machine fits.
     pub(super) fn best(&self, request: &PlacementRequest) -> Option<Offer> {
         if !self.limit_allows(request.job, request.now) {
             return None;
@@ -25,7 +28,8 @@
         })
     }
 
-    /// The best machine by the rules that `reach` says, whatever the team's limit.
+    /// Returns the best machine by the placement rules that `reach` selects, regardless of
+    /// the team's limit.
     pub(super) fn best_of(
         &self,
         request: &PlacementRequest,
@@ -49,8 +53,8 @@
         best
     }
 
-    /// The best machine of a group, unless what it costs is more than the best found so
-    /// far.
+    /// Returns the best machine of a group, or `None` if its cost exceeds that of `best`,
+    /// the best machine found so far.
     fn best_in_group(
         &self,
         request: &PlacementRequest,
--- a/src/scheduler/bind.rs
+++ b/src/scheduler/bind.rs
@@ -1,22 +1,22 @@
-//! The bind step of a placement: a task is claimed on the machine that was chosen.
+//! The bind step of a placement, which claims a task on the chosen machine.
 
 use super::{ClusterState, Delay};
 use crate::types::{JobId, MachineId, TaskId, Time};
 
-/// A task that the walk placed.
+/// Task that a placement pass has placed on a machine.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Launch {
-    /// The task.
+    /// Task that was placed.
     pub task: TaskId,
-    /// Where.
+    /// Machine that the task is placed on.
     pub machine: MachineId,
-    /// Whether its image was cached there.
+    /// Whether the machine had the task's image cached.
     pub cached: bool,
 }
 
 impl ClusterState {
-    /// Claims a job's next task on a machine, and takes the job's delay scheduling on
-    /// from there; none if the claim can't be made.
+    /// Claims a job's next task on a machine and updates the job's delay scheduling.
+    /// Returns `None` if the claim can't be made.
     pub(super) fn launch(&mut self, id: &JobId, m_id: &MachineId, now: Time) -> Option<Launch> {
         let cached = {
             let job = self.jobs.get(id)?;
@@ -33,8 +33,8 @@
         self.claims_wait(id);
         self.check_whether_begun(id, now);
         let job = self.jobs.get_mut(id)?;
-        // A launch on a cached image takes the job back to waiting for one;
-        // any other leaves it free to launch anywhere.
+        // After a launch on a machine with the image cached, the job again waits for such
+        // machines. After any other launch, the job may launch anywhere.
         job.delay = Delay {
             anywhere: !cached,
             skipped_since: None,
--- a/src/scheduler/capacity_index/mod.rs
+++ b/src/scheduler/capacity_index/mod.rs
@@ -1,5 +1,5 @@
-//! Where there is free capacity: usable machines by kind, zone, images and free capacity,
-//! kept up to date, so that no decision has to look at every machine.
+//! Index of usable machines by type, zone, images and free capacity. Every change of a
+//! machine updates the index, so that no decision has to examine every machine.
 
 mod shelf;
 
@@ -15,27 +15,29 @@
 use super::machine::{Machine, MachineTraits};
 use crate::types::{Amount, Image, MachineId, MachineType, TypeName, Zone};
 
-/// What a group's machines have in common.
+/// Properties that all machines of a [`Group`] have in common.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct GroupKey {
-    /// Spot machines.
+    /// Whether the machines are spot machines.
     pub spot: bool,
-    /// They should fall idle.
+    /// Whether the machines should become idle.
     pub retiring: bool,
-    /// They take commands only now and then.
+    /// Whether the machines receive commands only occasionally.
     pub slow: bool,
-    /// Some of their free capacity is kept for work that can't use spot machines.
+    /// Whether part of the machines' free capacity is kept for work that can't use spot
+    /// machines.
     pub keeps: bool,
-    /// Type.
+    /// Name of the machine type.
     pub kind: TypeName,
-    /// Zone.
+    /// Zone of the machines.
     pub zone: Zone,
-    /// How many units of each kind of device are in order.
+    /// Number of working units of each kind of device.
     pub devices: Rc<[DeviceCount]>,
 }
 
 impl GroupKey {
-    /// What counts for the cost of a start on one of the machines, whose type is `kind`.
+    /// Returns the properties that determine the cost of a start on one of the machines.
+    /// `kind` is the machines' type.
     pub(super) fn traits<'a>(&'a self, kind: &'a MachineType) -> MachineTraits<'a> {
         MachineTraits {
             spot: self.spot,
@@ -47,63 +49,66 @@
     }
 }
 
-/// Whether a machine passes, or up to which place none does.
+/// Check of one machine. Returns `Ok` if the machine passes, or the `Domain` before which
+/// no further machine passes.
 pub(super) type Pass<'a> = &'a dyn Fn(Domain, &MachineId) -> Result<(), Domain>;
 
-/// What machine is looked for in a group.
+/// Requirements on the machine that a search in a group should find.
 pub struct Search<'a> {
-    /// Its free capacity.
+    /// Free capacity that the machine must have.
     pub each: Amount,
-    /// Room that is kept doesn't count.
+    /// Whether capacity that is kept for work that can't use spot machines counts as used.
     pub leaves_kept: bool,
-    /// The image.
+    /// Image that the task runs.
     pub image: &'a Image,
-    /// How far the image is from it.
+    /// How far the image is from being on the machine.
     pub near: Nearness,
 }
 
-/// A machine that was found in a group.
+/// Machine that a search in a group has found.
 pub struct Found {
-    /// What is free there, without what is kept if that doesn't count.
+    /// Free capacity of the machine, less the kept capacity if the search excludes it.
     pub free: Size,
-    /// Where it is.
+    /// Failure domain of the machine.
     pub place: Domain,
-    /// The machine.
+    /// Id of the machine.
     pub machine: MachineId,
 }
 
 /// How far an image is from being on a machine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Nearness {
-    /// It is there.
+    /// The machine has the image.
     Ready,
-    /// It is being fetched.
+    /// The machine is fetching the image.
     Coming,
-    /// It would have to be fetched.
+    /// The machine would have to fetch the image.
     Absent,
 }
 
-/// Usable machines that have the properties of a [`GroupKey`] in common.
+/// Usable machines that share the properties of a [`GroupKey`].
 #[derive(Clone, Debug)]
 pub struct Group {
-    /// Their type.
+    /// Type of the machines.
     pub kind: Rc<MachineType>,
-    /// By their free capacity.
+    /// Machines by their free capacity.
     own: Shelves,
-    /// By the free capacity that is not kept, if any of it is kept.
+    /// Machines by the free capacity that is not kept. Empty if the group keeps no
+    /// capacity.
     open: Shelves,
     count: usize,
 }
 
-/// By what a machine is filed: while none of it changes, it stays where it is.
+/// Properties that determine a machine's position in the index. The position stays as long
+/// as none of them changes.
 #[derive(Clone, Debug, PartialEq)]
 struct Filing {
     group: GroupKey,
     place: Domain,
-    /// What is free, and what of it is not kept.
+    /// All free capacity in `own`, and the part of it that is not kept in `open`.
     own: Size,
     open: Size,
-    /// Of its images.
+    /// Version of the machine's image cache.
     version: u64,
 }
 
@@ -127,47 +132,48 @@
     }
 }
 
-/// An image of a machine in the index.
+/// Image of a machine in the index.
 #[derive(Clone, Debug, PartialEq)]
 struct IndexedImage {
     image: Image,
-    /// It is there; otherwise it is being fetched.
+    /// Whether the machine has the image. Otherwise the machine is fetching it.
     ready: bool,
 }
 
-/// A machine in the index, with its images.
+/// Machine in the index, with the images under which it is indexed.
 #[derive(Clone, Debug, PartialEq)]
 struct Filed {
     filing: Filing,
     images: Vec<IndexedImage>,
 }
 
-/// A type, and how many usable machines there are of it.
+/// Machine type with the number of usable machines of this type.
 #[derive(Clone, Debug)]
 struct CountedType {
     kind: Rc<MachineType>,
     machines: usize,
 }
 
-/// Usable machines by group and free capacity. Kept up to date by
-/// [`CapacityIndex::file`] with every change of a machine, so that a decision looks at a
-/// few places only, however many machines there are.
+/// Usable machines by group and free capacity. [`CapacityIndex::file`] updates the index
+/// with every change of a machine, so that a decision examines only a few entries, no
+/// matter how many machines there are.
 #[derive(Clone, Debug, Default)]
 pub struct CapacityIndex {
     groups: BTreeMap<GroupKey, Group>,
     filed: HashMap<MachineId, Filed>,
     kinds: BTreeMap<TypeName, CountedType>,
-    /// How many places were looked at, for tests of how the work grows.
+    /// Number of entries that decisions examined. Tests check how this number grows.
     pub steps: Cell<u64>,
 }
 
 impl CapacityIndex {
-    /// Counts a place that is looked at.
+    /// Counts one examined entry.
     pub(super) fn count_step(&self) {
         self.steps.set(self.steps.get() + 1);
     }
 
-    /// Files a machine anew after a change.
+    /// Updates the position of a machine after a change. Removes a machine that is not
+    /// usable.
     pub fn file(&mut self, id: &MachineId, machine: &Machine) {
         if !machine.usable {
             self.drop_out(id);
@@ -192,7 +198,7 @@
         self.filed.insert(id.clone(), filed);
     }
 
-    /// Puts a machine into its group, and counts it in its type.
+    /// Adds a machine to its group and counts it for its type.
     fn put_in(&mut self, id: &MachineId, filed: &Filed, kind: &Rc<MachineType>) {
         let key = &filed.filing.group;
         let group = self.groups.entry(key.clone()).or_insert_with(|| Group {
@@ -216,7 +222,7 @@
         counted.machines += 1;
     }
 
-    /// Takes a machine out.
+    /// Removes a machine from the index.
     pub fn drop_out(&mut self, id: &MachineId) {
         let Some(filed) = self.filed.remove(id) else {
             return;
@@ -240,18 +246,18 @@
         }
     }
 
-    /// All groups that have machines.
+    /// Returns all groups that have machines, in order of their keys.
     pub fn groups(&self) -> impl Iterator<Item = (&GroupKey, &Group)> {
         self.groups.iter()
     }
 
-    /// The types of usable machines.
+    /// Returns the types of all usable machines.
     pub fn kinds(&self) -> impl Iterator<Item = &Rc<MachineType>> {
         self.kinds.values().map(|counted| &counted.kind)
     }
 
-    /// The tightest machine of a group with free capacity for `each` whose image is
-    /// this near, and that passes.
+    /// Returns the machine of a group with the least free capacity that meets `search` and
+    /// passes `pass`.
     pub fn first(
         &self,
         key: &GroupKey,
@@ -268,7 +274,8 @@
         shelves.first(search, &self.steps, pass)
     }
 
-    /// Whether a group's machines, free or not, have an image.
+    /// Returns whether any machine of a group has an image, even if the machine has no free
+    /// capacity.
     pub fn has_image(group: &Group, image: &Image) -> bool {
         group.own.has_image(image)
     }
--- a/src/scheduler/capacity_index/shelf.rs
+++ b/src/scheduler/capacity_index/shelf.rs
@@ -8,7 +8,7 @@
 use super::{Filed, Found, IndexedImage, Nearness, Pass, Search};
 use crate::types::{Amount, Image, MachineId};
 
-/// A free amount, in the order of tightness: CPUs before memory before GPUs.
+/// Amount of free capacity. The order compares CPUs first, then memory, then GPUs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Size {
     cpu: i64,
@@ -25,7 +25,7 @@
         }
     }
 
-    /// The least with so many CPUs.
+    /// Returns the least size with this many CPUs, in thousandths.
     fn at_least(cpu: i64) -> Self {
         Self {
             cpu,
@@ -43,7 +43,7 @@
     }
 }
 
-/// A machine, in the order of places.
+/// Machine in the order of its failure domain.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct PlacedMachine {
     place: Domain,
@@ -58,7 +58,7 @@
         }
     }
 
-    /// Before all machines of a place.
+    /// Returns the entry that sorts before all machines of a failure domain.
     fn first_of(place: Domain) -> Self {
         Self {
             place,
@@ -67,8 +67,8 @@
     }
 }
 
-/// Machines by their free capacity, the tightest first, and those of the same by
-/// their place, so that a domain that a rule bars is passed over at once.
+/// Machines in ascending order of free capacity. Machines with the same free capacity are
+/// ordered by failure domain, so that a search skips a domain that a rule bars in one step.
 #[derive(Clone, Debug, Default)]
 struct Shelf {
     by_size: BTreeMap<Size, BTreeSet<PlacedMachine>>,
@@ -117,7 +117,8 @@
     }
 }
 
-/// The machines of a group: all of them, and those that have or expect an image.
+/// Machines of a group: all of them, and for each image those that have it or are fetching
+/// it.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Shelves {
     all: Shelf,
@@ -126,7 +127,7 @@
 }
 
 impl Shelves {
-    /// Puts a machine in, or takes it out, by what is free there.
+    /// Adds a machine with this free capacity if `put` is set, and removes it otherwise.
     pub(super) fn change(&mut self, filed: &Filed, size: Size, id: &MachineId, put: bool) {
         let place = filed.filing.place;
         let on = |shelf: &mut Shelf| {
@@ -151,12 +152,13 @@
         }
     }
 
-    /// Whether any machine has an image.
+    /// Returns whether any machine has an image.
     pub(super) fn has_image(&self, image: &Image) -> bool {
         self.ready.contains_key(image)
     }
 
-    /// The tightest machine with free capacity whose image is as near as asked, and that passes.
+    /// Returns the machine with the least free capacity that meets `search` and passes
+    /// `pass`.
     pub(super) fn first(
         &self,
         search: &Search,
--- a/src/scheduler/claims.rs
+++ b/src/scheduler/claims.rs
@@ -1,4 +1,5 @@
-//! Claims of tasks on machines: made, stopped and released, with all that counts them.
+//! Claims of tasks on machines: making, stopping and releasing them, with the sums that
+//! count them.
 
 use sorrelhinge_topology::devices::Unit;
 
@@ -8,7 +9,7 @@
 use crate::types::{Attempt, Image, JobId, JobSpec, MachineId, TaskId, Time};
 
 impl ClusterState {
-    /// Enters a claim that its job has already on a known machine.
+    /// Adds a claim, which its job already holds, to a known machine.
     pub(super) fn occupy(&mut self, id: &MachineId, task: &TaskId) {
         let Some(job) = self.jobs.get(&task.job) else {
             return;
@@ -32,8 +33,8 @@
         });
     }
 
-    /// Claims a pending task on a machine, and the devices that it needs. False
-    /// if one that it can't do without is not free.
+    /// Claims a machine for a pending task, with the devices that the task needs there.
+    /// Returns `false` if a device that the task requires is not free.
     pub fn claim(&mut self, task: &TaskId, m_id: &MachineId, now: Time) -> bool {
         let Some(units) = self.units_for(&task.job, m_id) else {
             return false;
@@ -46,7 +47,8 @@
         true
     }
 
-    /// Enters the claim of a task that is placed now, and begins its job's wait anew.
+    /// Adds the claim of a task that is placed now, and restarts its job's wait for the
+    /// next placement.
     pub(super) fn enter(
         &mut self,
         task: &TaskId,
@@ -72,7 +74,7 @@
         }
     }
 
-    /// Enters a claim, new or found in the record.
+    /// Adds a claim that is new or was read from the job's record.
     pub fn put_claim(&mut self, task: &TaskId, claim: Claim) {
         let Some(job) = self.jobs.get(&task.job) else {
             return;
@@ -105,14 +107,14 @@
         }
     }
 
-    /// Reserves capacity for a job's next task on a machine, until a time.
+    /// Reserves capacity on a machine for a job's next task, until a time.
     pub(super) fn reserve(&mut self, machine: MachineId, job: &JobId, until: Time) {
         let job = job.clone();
         self.reserved.insert(machine, Reservation { job, until });
     }
 
-    /// Marks a claimed task to be stopped, with time to save if that is of use
-    /// and there is no hurry.
+    /// Marks a claimed task to be stopped. The task gets time to save its state if it takes
+    /// checkpoints, its job is not cancelled and there is no `hurry`.
     pub fn stop(&mut self, task: &TaskId, hurry: bool) {
         let Some(job) = self.jobs.get_mut(&task.job) else {
             return;
@@ -126,7 +128,7 @@
         }
     }
 
-    /// Removes a claim whose task is known to have ended, or was never started.
+    /// Removes and returns a claim whose task is known to have ended or was never started.
     pub fn release(&mut self, task: &TaskId, now: Time) -> Option<Claim> {
         let claim = self.edit_job(&task.job, |job| job.tasks.remove_claim(task.index))??;
         let job = self.jobs.get(&task.job)?;
@@ -151,7 +153,7 @@
         Some(claim)
     }
 
-    /// Takes a claim off its machine. False if that is not known.
+    /// Removes a claim from its machine. Returns `false` if the machine is not known.
     fn vacate(&mut self, task: &TaskId, claim: &Claim, spec: &JobSpec, now: Time) -> bool {
         let awaited = self.awaited_by_others(task, claim, spec);
         let known = self.edit_machine(&claim.machine, |m| {
@@ -175,7 +177,7 @@
         known.is_some()
     }
 
-    /// Whether other tasks on a claim's machine need the image, too.
+    /// Returns whether other tasks on a claim's machine need the same image.
     fn awaited_by_others(&self, task: &TaskId, claim: &Claim, spec: &JobSpec) -> bool {
         let image_of = |t: &TaskId| self.jobs.get(&t.job).map(|j| &j.spec.image);
         self.machines.get(&claim.machine).is_some_and(|m| {
@@ -184,8 +186,8 @@
         })
     }
 
-    /// The other images that tasks on a machine need, if a job's image goes from
-    /// machine to machine; none: it doesn't.
+    /// Returns the other images that tasks on a machine need. Returns `None` if machines
+    /// don't fetch the job's image from each other.
     fn serving_beside(&self, id: &MachineId, spec: &JobSpec) -> Option<Vec<Image>> {
         if !self.stages(spec) {
             return None;
@@ -196,7 +198,8 @@
         Some(images.filter(|i| **i != spec.image).cloned().collect())
     }
 
-    /// A claimed task was seen running, so its image is there.
+    /// Records that a claimed task was seen running, which shows that its image is on the
+    /// machine.
     pub fn ran(&mut self, task: &TaskId) {
         let Some(claim) = self.claim_of(task) else {
             return;
--- a/src/scheduler/cluster_state.rs
+++ b/src/scheduler/cluster_state.rs
@@ -1,4 +1,5 @@
-//! The cluster state: jobs, machines, claims, and the sums and indexes kept of them.
+//! The cluster state: jobs, machines and claims, with the sums and indexes derived from
+//! them.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::rc::Rc;
@@ -12,94 +13,98 @@
 use super::{idle, lanes, reservations, Claim, Job, Machine, Team};
 use crate::types::{Amount, Attempt, JobId, MachineId, Priority, TaskId, Time, TypeName, Zone};
 
-/// Amounts of CPU are counted in thousandths.
+/// [`Amount`] counts CPUs in thousandths.
 const MILLI_PER_CPU: i64 = 1000;
 
-/// Usable machines of a type, and whole CPUs on them.
+/// Usable machines of a type, with their CPUs in whole units.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct TypeUsage {
-    /// Machines.
+    /// Number of usable machines.
     pub machines: i64,
-    /// Their CPUs.
+    /// CPUs that these machines have.
     pub cpus: i64,
-    /// CPUs used by tasks.
+    /// CPUs that tasks use.
     pub used: i64,
     /// CPUs used by tasks that fit no smaller type.
     pub needed: i64,
 }
 
-/// Capacity on a machine that is being freed, or was found, for a job's next task.
+/// Capacity on a machine that is being freed, or was found free, for a job's next task.
 #[derive(Clone, Debug)]
 pub(super) struct Reservation {
-    /// For whom.
+    /// Job that the capacity is reserved for.
     pub job: JobId,
-    /// It is free for all from then on.
+    /// Time from which the capacity is free for all jobs.
     pub until: Time,
 }
 
 /// Capacity on a machine that is reserved for a gang.
 #[derive(Clone, Debug)]
 pub(super) struct GangFreeCapacity {
-    /// The gang.
+    /// Job of the gang.
     pub job: JobId,
-    /// So much.
+    /// Amount that is reserved.
     pub amount: Amount,
 }
 
-/// Everything the scheduler decides from. Jobs and machines are changed
-/// through its methods only, which keep its sums and indexes.
+/// All state that the scheduler bases its decisions on. Jobs and machines change only
+/// through its methods, which update the sums and indexes.
 #[derive(Clone, Debug, Default)]
 pub struct ClusterState {
-    /// Teams.
+    /// Teams, in the order that `Job::team` refers to.
     pub(super) teams: Vec<Team>,
-    /// Sizes of tasks seen of late.
+    /// Task sizes seen recently.
     pub shapes: Vec<Amount>,
-    /// Images of at least so many GB go from machine to machine; none: none does.
+    /// Least size in GB of images that machines fetch from each other. `None` turns this
+    /// off.
     pub staged_gb: Option<f64>,
-    /// Zones with a controller; none known: all count as such. A zone that is
-    /// cut off goes on if a controller there reaches the owner or is it, and
-    /// loses all its tasks with their leases if there is none.
+    /// Zones that have a controller. If the set is empty, every zone counts as having one.
+    /// A zone that is cut off continues if one of its controllers reaches the shard's owner
+    /// or is the owner. A zone without a controller loses all its tasks when their leases
+    /// expire.
     pub served: BTreeSet<Zone>,
-    /// Jobs of this rank are not placed, but for teams below their guarantee.
+    /// Priority whose jobs are not placed, except those of teams below their guarantee.
     pub blocked_rank: Option<Priority>,
-    /// Jobs with claims that wait to be recorded, and how many of each class and
-    /// team.
+    /// Jobs whose claims are not yet recorded in the state service. `claiming_of` counts
+    /// these jobs by class and team.
     pub(super) claiming: BTreeSet<JobId>,
     pub(super) claiming_of: BTreeMap<Sort, usize>,
-    /// How many there may be; none: any number. What is claimed faster than it
-    /// can be recorded only blocks capacity, and its order is decided too early.
+    /// Largest number of jobs in `claiming`. `None` sets no limit. Claims that are made
+    /// faster than they can be recorded only block capacity, and their order is decided too
+    /// early.
     pub max_claiming: Option<usize>,
     pub(super) jobs: BTreeMap<JobId, Job>,
     pub(super) machines: BTreeMap<MachineId, Machine>,
-    /// Per team, the jobs that have tasks to place.
+    /// For each team, the jobs that have tasks to place.
     pub(super) queues: Vec<BTreeSet<Place>>,
-    /// Per team, what their pending tasks need.
+    /// For each team, the amount that its pending tasks need.
     pub(super) demand: Vec<Amount>,
-    /// Where there is free capacity.
+    /// Index of the usable machines by free capacity.
     pub capacity_index: CapacityIndex,
-    /// Room that is being made for a job, until a time.
+    /// Capacity that is reserved for a job until a time, by machine.
     pub(super) reserved: BTreeMap<MachineId, Reservation>,
-    /// What is reserved for a gang, by machine.
+    /// Capacity that is reserved for a gang, by machine.
     pub(super) gang_free_capacity: BTreeMap<MachineId, GangFreeCapacity>,
     pub(super) turn: Turn<JobId>,
-    /// Failure domains, if the feature is on.
+    /// Failure domains, or `None` if the feature is off.
     pub(super) topology: Option<Rc<Topology>>,
-    /// Where other shards have tasks of jobs whose zones count together; none: that
-    /// is not known of all of them.
+    /// For each job whose rules count zones across all shards, the number of its tasks in
+    /// other shards by zone. `None` means that the zones of some of these tasks are not
+    /// known.
     pub(super) elsewhere: HashMap<JobId, Option<BTreeMap<Zone, u32>>>,
-    /// Claims on machines that are not known yet.
+    /// Tasks that claim machines which are not known yet.
     pub(super) homeless: HashMap<MachineId, BTreeSet<TaskId>>,
     pub(super) capacity: Amount,
-    /// What work of idle priority may take.
+    /// Usage and limit of work of idle priority.
     pub(super) idle: idle::Idle,
-    /// Who goes ahead of all others.
+    /// Jobs in priority lanes, which go ahead of all others.
     pub(super) lanes: lanes::Queue,
-    /// What is reserved for windows of the release calendar.
+    /// Capacity that is reserved for windows of the release calendar.
     pub(super) reservations: reservations::Reservations,
 }
 
 impl ClusterState {
-    /// A cluster state without jobs and machines.
+    /// Creates a cluster state without jobs and machines.
     pub fn new(teams: Vec<Team>) -> Self {
         Self {
             queues: vec![BTreeSet::new(); teams.len()],
@@ -109,43 +114,44 @@
         }
     }
 
-    /// The teams.
+    /// Returns the teams in the order that `Job::team` refers to.
     pub fn teams(&self) -> &[Team] {
         &self.teams
     }
 
-    /// All jobs.
+    /// Returns all jobs by id.
     pub fn jobs(&self) -> &BTreeMap<JobId, Job> {
         &self.jobs
     }
 
-    /// One job.
+    /// Returns a job by its id.
     pub fn job(&self, id: &JobId) -> Option<&Job> {
         self.jobs.get(id)
     }
 
-    /// A task's claim.
+    /// Returns a task's claim.
     pub fn claim_of(&self, task: &TaskId) -> Option<&Claim> {
         self.jobs.get(&task.job)?.tasks.claims().get(&task.index)
     }
 
-    /// The claim of a reported attempt: none if nobody claims it on this machine.
+    /// Returns the claim of a reported attempt. Returns `None` if this attempt has no claim
+    /// on this machine.
     pub fn claim_on(&self, machine: &MachineId, task: &TaskId, attempt: Attempt) -> Option<&Claim> {
         let claim = self.claim_of(task);
         claim.filter(|c| c.attempt == attempt && c.machine == *machine)
     }
 
-    /// A task's claim, to change.
+    /// Returns a task's claim for changes.
     pub fn claim_mut(&mut self, task: &TaskId) -> Option<&mut Claim> {
         self.jobs.get_mut(&task.job)?.tasks.claim_mut(task.index)
     }
 
-    /// All machines.
+    /// Returns all known machines by id.
     pub fn machines(&self) -> &BTreeMap<MachineId, Machine> {
         &self.machines
     }
 
-    /// The jobs that have tasks to place, in no order.
+    /// Returns the jobs that have tasks to place, in no particular order.
     pub fn jobs_to_place(&self) -> impl Iterator<Item = (&JobId, &Job)> {
         self.queues
             .iter()
@@ -153,12 +159,12 @@
             .filter_map(|p| Some((&p.id, self.jobs.get(&p.id)?)))
     }
 
-    /// Whether any job has a task to place.
+    /// Returns whether any job has a task to place.
     pub fn has_work(&self) -> bool {
         self.queues.iter().any(|q| !q.is_empty())
     }
 
-    /// Tasks that claim a machine, known or not.
+    /// Returns the tasks that claim a machine, whether the machine is known or not.
     pub fn claims_on(&self, id: &MachineId) -> Vec<TaskId> {
         let known = self.machines.get(id).map(|m| &m.claims);
         known
@@ -167,17 +173,17 @@
             .unwrap_or_default()
     }
 
-    /// Machines that tasks claim and that are not known.
+    /// Returns the machines that tasks claim and that are not known.
     pub fn unknown_machines(&self) -> impl Iterator<Item = &MachineId> {
         self.homeless.keys()
     }
 
-    /// What all usable machines offer.
+    /// Returns the total capacity of all usable machines.
     pub fn capacity(&self) -> Amount {
         self.capacity
     }
 
-    /// What is used of each machine type: what is short may be only one type.
+    /// Returns the usage of each machine type, because a shortage may affect only one type.
     pub fn use_of_types(&self) -> BTreeMap<TypeName, TypeUsage> {
         let mut totals: BTreeMap<TypeName, TypeUsage> = BTreeMap::new();
         for m in self.machines.values().filter(|m| m.usable) {
@@ -193,7 +199,7 @@
         totals
     }
 
-    /// What all teams together are guaranteed.
+    /// Returns the sum of all teams' guarantees.
     pub fn guaranteed(&self) -> Amount {
         let mut sum = Amount::default();
         for team in &self.teams {
