--- a/src/scheduler/delay.rs
+++ b/src/scheduler/delay.rs
@@ -1,5 +1,5 @@
-//! Delay scheduling (section 4.2): a job waits for a machine that has its image, up to
-//! the time that the fetch is worth (section 4.3.1).
+//! Delay scheduling (paper, section 4.2): a job waits for a machine that has its image, for
+//! at most the time that the fetch is worth (section 4.3.1).
 
 use sorrelhinge_image_distribution::fetch_timeout;
 
@@ -8,30 +8,31 @@
 use super::{ClusterState, Job};
 use crate::types::{JobId, JobSpec, MachineId, MachineType, Time};
 
-/// The variables of delay scheduling.
+/// State of a job's delay scheduling.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Delay {
-    /// May launch anywhere until its next cached launch.
+    /// Whether the job may launch on any machine until its next launch on a machine with
+    /// its image.
     pub anywhere: bool,
-    /// Skipped since then: its wait is the time since, so that no walk has to
-    /// add to every job's wait.
+    /// Time since which the job has been skipped. The job's wait is the time since then, so
+    /// that no pass has to add to every job's wait.
     pub skipped_since: Option<Time>,
 }
 
 impl Delay {
-    /// How long the job has been skipped, in seconds.
+    /// Returns how long the job has been skipped, in seconds.
     pub fn wait(&self, now: Time) -> f64 {
         self.skipped_since.map_or(0.0, |t| now.since(t))
     }
 }
 
-/// When waiting for a cached image ends (T1+T2).
+/// Limits of a job's wait for a machine that has its image (T1+T2 in the paper).
 #[derive(Clone, Copy, Debug)]
 pub struct DelayRule {
-    /// As a multiple of the fetch's time (paper 4.3.1: waiting pays only
-    /// while a fetch costs more).
+    /// Limit as a multiple of the image's fetch time. Waiting pays only while a fetch costs
+    /// more (paper, section 4.3.1).
     pub fetches: f64,
-    /// Upper bound in seconds.
+    /// Upper limit in seconds.
     pub max_s: f64,
 }
 
@@ -45,8 +46,8 @@
 }
 
 impl ClusterState {
-    /// Whether delay scheduling lets a job launch on a machine now. Only a
-    /// job that could find its image elsewhere waits.
+    /// Returns whether delay scheduling lets a job launch on a machine now. A job waits
+    /// only if some other suitable machine has its image.
     pub(super) fn may_launch(
         &self,
         job: &Job,
@@ -72,7 +73,7 @@
         }
     }
 
-    /// Whether a machine that would do for a job has its image.
+    /// Returns whether any machine that suits a job has its image.
     pub(super) fn cached_somewhere(&self, spec: &JobSpec) -> bool {
         self.capacity_index.groups().any(|(key, group)| {
             Self::kind_suits(spec, key.spot, &group.kind, &key.zone)
@@ -80,12 +81,12 @@
         })
     }
 
-    /// Whether a job's image goes from machine to machine.
+    /// Returns whether machines fetch a job's image from each other.
     pub(super) fn stages(&self, spec: &JobSpec) -> bool {
         self.is_distributed(spec.image_gb)
     }
 
-    /// Whether an image of this size does.
+    /// Returns whether machines fetch images of this size in GB from each other.
     pub fn is_distributed(&self, gb: f64) -> bool {
         self.staged_gb.is_some_and(|least| gb >= least)
     }
--- a/src/scheduler/job.rs
+++ b/src/scheduler/job.rs
@@ -1,5 +1,5 @@
-//! A job as the scheduler sees it: what it asks, how urgent it is, and how its waits
-//! stand.
+//! Jobs as the scheduler sees them: what they ask for, how urgent they are, and how long
+//! they have waited.
 
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -12,73 +12,80 @@
 use super::tasks::{Claim, Progress, Tasks};
 use crate::types::{Amount, JobSpec, Kind, MachineId, Priority, Time};
 
-/// Part of the estimated run time that a task needs at least.
+/// Least part of its estimated run time that a task needs. A job can still meet an
+/// objective that is at least this far away.
 const DUE_RUN: f64 = 0.8;
-/// A job that met none of its objectives is due at this multiple of the last.
+/// A job that can meet none of its objectives is due at this multiple of the time from its
+/// submission to its last objective.
 const OVERDUE_FACTOR: f64 = 3.0;
-/// A job of which nothing was placed for so long, in seconds, may take capacity that is
-/// reserved for work that is only expected: the users' rule is that no job waits for
-/// 90 s beside capacity that fits it, below its team's limit. The rest is for a takeover.
+/// Time in seconds without a placed task after which a job may use capacity that is
+/// reserved for expected work. The users' rule is that no job below its team's limit waits
+/// 90 s beside capacity that fits it. The remaining 30 s are for a takeover.
 const RESERVATION_WAIT_S: f64 = 60.0;
 
-/// Objectives that differ by less, in seconds, are the same.
+/// Objectives that differ by less than this many seconds count as equal.
 const SAME_OBJECTIVE_S: f64 = 0.5;
 
-/// A job that is not over, or whose tasks are not known to have ended.
+/// Job that is not over, or whose tasks are not all known to have ended.
 #[derive(Clone, Debug)]
 pub struct Job {
-    /// As submitted.
+    /// Specification as submitted.
     pub spec: Rc<JobSpec>,
-    /// Its team's place in `ClusterState::teams`.
+    /// Index of the job's team in `ClusterState::teams`.
     pub team: usize,
-    /// The highest of its own priority and those of the jobs that need it.
+    /// Highest of the job's own priority and those of the jobs that depend on it.
     pub priority: Priority,
-    /// When it was submitted, or the last of the jobs that it needs was done.
+    /// Time when the job was submitted, or when the last of its dependencies was done.
     pub submitted: Time,
-    /// Cancelled: nothing of it may start.
+    /// Whether the job is cancelled. No task of a cancelled job may start.
     pub cancelled: bool,
-    /// Its tasks.
+    /// State of the job's tasks.
     pub tasks: Tasks,
-    /// Delay scheduling.
+    /// State of the job's delay scheduling.
     pub delay: Delay,
-    /// When it should be done, by its objectives or its deadline, earliest first.
+    /// Times by which the job should be done, by its objectives or its deadline, earliest
+    /// first.
     pub objectives: Vec<Time>,
-    /// The earliest of them that it can still meet, see `ClusterState::refresh_due_times`.
+    /// Earliest objective that the job can still meet, see
+    /// `ClusterState::refresh_due_times`.
     pub due: Time,
-    /// Machines that refused it or failed it, until a time.
+    /// Machines that refused or failed the job's tasks, each with the time until which the
+    /// job avoids the machine.
     pub avoid: BTreeMap<MachineId, Time>,
-    /// Nothing starts before this, after failures on several machines.
+    /// Time before which no task of the job starts, after failures on several machines.
     pub hold_until: Time,
-    /// Failures in a row.
+    /// Number of consecutive failures.
     pub failures: u32,
-    /// Its tasks fail wherever they run and none has ended well: the job itself
-    /// is mistaken, most likely, until its user withdraws it. See [`Job::open`].
+    /// Whether the job's tasks fail wherever they run and none has ended well. The job
+    /// itself is then probably faulty until its user withdraws it. See [`Job::open`].
     pub suspected_faulty: bool,
-    /// How soon its users expect it to start, if an objective says so.
+    /// Time in seconds within which the job's users expect it to start, if an objective
+    /// sets one.
     pub start_within: Option<f64>,
-    /// How long it may wait before that endangers its objectives.
+    /// Time in seconds that the job may wait before its objectives are in danger.
     pub patience_s: f64,
-    /// After waiting this long it misses its objectives unless a machine is rented
+    /// Wait in seconds after which the job misses its objectives unless a machine is rented
     /// for it now.
     pub late_s: f64,
-    /// Since when it has had pending tasks that found no place.
+    /// Time since which the job has had pending tasks that could not be placed.
     pub blocked_since: Option<Time>,
-    /// What its placement rules and its class's come to.
+    /// Placement policy that results from the job's own rules and those of its class.
     pub policy: Rc<Policy>,
-    /// A gang that found no free capacity is not tried again before.
+    /// Time before which a gang that found no free capacity is not tried again.
     pub try_at: Time,
-    /// A task of it has been placed.
+    /// Whether any task of the job has been placed.
     pub started: bool,
-    /// When a task of it was placed last, as far as this owner knows.
+    /// Time when a task of the job was last placed, as far as the shard's current owner has
+    /// seen it.
     pub last_placed: Option<Time>,
-    /// It has waited for too long to begin, see `ClusterState::refresh_due_times`.
+    /// Whether the job has waited too long to begin, see `ClusterState::refresh_due_times`.
     pub aged: bool,
-    /// Its standing in its lane, if it is in one.
+    /// State of the job in its priority lane, if it is in one.
     pub lane: Option<Laned>,
 }
 
 impl Job {
-    /// A job that has just come: no objectives, no placement rules, nothing placed.
+    /// Creates a job without objectives, placement rules or placed tasks.
     pub fn new(spec: Rc<JobSpec>, team: usize, submitted: Time, tasks: Tasks) -> Self {
         Self {
             priority: spec.priority,
@@ -106,9 +113,9 @@
             lane: None,
         }
     }
-    /// How many of its tasks may be placed now. Of a job that is mistaken, most
-    /// likely, one is tried at a time, so it costs a start and a few changes now
-    /// and then: all its tasks came back at each try once, hundreds at a time.
+    /// Returns how many of the job's tasks may be placed now. A job that is probably faulty
+    /// tries one task at a time, so that it costs only an occasional start and a few
+    /// changes. When each try started all tasks, hundreds of them came back at a time.
     pub fn open(&self) -> u32 {
         let pending = self.tasks.pending();
         if self.suspected_faulty {
@@ -117,46 +124,46 @@
             pending
         }
     }
-    /// Whether a task of it has ended well, or runs as a service does.
+    /// Returns whether a task of the job has ended well, or runs if the job is a service.
     pub fn is_sound(&self) -> bool {
         let runs = |c: &Claim| matches!(c.progress, Progress::Running(_));
         self.tasks.done() > 0
             || self.spec.kind == Kind::Service && self.tasks.claims().values().any(runs)
     }
-    /// Whether it is in its team's queue.
+    /// Returns whether the job is in its team's queue.
     pub(super) fn is_queued(&self) -> bool {
         self.tasks.pending() > 0 && !self.cancelled
     }
-    /// Whether it has a task to place now.
+    /// Returns whether the job has a task to place now.
     pub fn needs_placement(&self, now: Time) -> bool {
         !self.cancelled && self.open() > 0 && now >= self.hold_until
     }
-    /// What it counts as when what binds is divided: its class and team.
+    /// Returns the job's class and team, by which a binding limit is divided among jobs.
     pub fn sort(&self) -> Sort {
         (self.spec.class.clone(), self.spec.team.clone())
     }
-    /// Whether a machine refused it or failed it of late.
+    /// Returns whether the job avoids a machine that recently refused or failed its tasks.
     pub(super) fn avoids(&self, machine: &MachineId, now: Time) -> bool {
         self.avoid.get(machine).is_some_and(|until| now < *until)
     }
-    /// Whether it has waited so long that its objectives are in danger.
+    /// Returns whether the job has waited so long that its objectives are in danger.
     pub fn late(&self, now: Time) -> bool {
         self.blocked_since
             .is_some_and(|t| now.since(t) > self.late_s)
     }
-    /// Whether it has waited so long for its next task to be placed that capacity reserved
-    /// for expected work is open to it. Placing a task begins the wait anew, so that of
-    /// a large job one task at a time takes such capacity and the others leave it.
+    /// Returns whether the job has waited so long for its next placement that it may use
+    /// capacity reserved for expected work. Each placement restarts this wait, so that a
+    /// large job takes such capacity one task at a time and its other tasks leave it free.
     pub fn may_use_reserved_capacity(&self, now: Time) -> bool {
         now.since(self.last_placed.unwrap_or(self.submitted)) >= RESERVATION_WAIT_S
     }
-    /// Whether capacity kept on ordinary machines for work that can't use spot ones is
-    /// withheld from it.
+    /// Returns whether the job may not use capacity on ordinary machines that is kept for
+    /// work that can't use spot machines.
     pub(super) fn leaves_reserved_capacity(&self, now: Time) -> bool {
         self.spec.spot && !self.may_use_reserved_capacity(now)
     }
-    /// When it should be done: the earliest aim that it can still meet. One
-    /// that can meet none any more waits for those that can, yet not for ever.
+    /// Returns when the job should be done: the earliest objective that it can still meet.
+    /// A job that can meet none waits for jobs that can, but not forever.
     pub(super) fn due_now(&self, now: Time) -> Time {
         let soonest = now.after(DUE_RUN * self.spec.estimate_s);
         let open = self
@@ -171,7 +178,7 @@
             (None, None) => Time(f64::INFINITY),
         }
     }
-    /// What its pending tasks need.
+    /// Returns the amount that the job's pending tasks need.
     pub(super) fn demand(&self) -> Amount {
         if self.cancelled {
             Amount::default()
@@ -181,7 +188,7 @@
     }
 }
 
-/// How urgent a job is, with what it inherits from the jobs that need it.
+/// Urgency of a job, including what it inherits from the jobs that depend on it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct JobUrgency {
     /// See [`Job::priority`].
@@ -195,7 +202,8 @@
 }
 
 impl JobUrgency {
-    /// Has a job be as urgent. It is due at the first of its objectives until it is looked at.
+    /// Sets a job's urgency. The job is due at its first objective until `ClusterState`
+    /// computes its due time again.
     pub fn apply(&self, job: &mut Job) {
         job.priority = self.priority;
         job.objectives.clone_from(&self.objectives);
@@ -207,7 +215,8 @@
         job.patience_s = self.patience_s;
         job.late_s = self.late_s;
     }
-    /// Whether a job is as urgent already: times may differ by what clocks wander.
+    /// Returns whether a job already has this urgency. Objectives may differ slightly
+    /// because clocks drift.
     pub fn is_of(&self, job: &Job) -> bool {
         let same = |&Time(one): &Time, &Time(other): &Time| (one - other).abs() < SAME_OBJECTIVE_S;
         let mut objectives = self.objectives.iter().zip(&job.objectives);
--- a/src/scheduler/job_changes.rs
+++ b/src/scheduler/job_changes.rs
@@ -1,4 +1,4 @@
-//! Changes of jobs, with the queues and the sums that are kept of them.
+//! Changes of jobs, with the queues and sums that depend on them.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -6,7 +6,7 @@
 use crate::types::{JobId, Time, Zone};
 
 impl ClusterState {
-    /// A job appears.
+    /// Adds a job to the cluster state, and to its team's queue if it has tasks to place.
     pub fn add_job(&mut self, id: JobId, job: Job) {
         self.demand[job.team] += job.demand();
         if job.is_queued() {
@@ -16,7 +16,8 @@
         self.jobs.insert(id, job);
     }
 
-    /// Changes a job, other than its claims.
+    /// Changes a job and updates the sums and queues. Claims change through `put_claim` and
+    /// `release` instead, and the job's place in its queue through `refile`.
     pub fn edit_job<R>(&mut self, id: &JobId, change: impl FnOnce(&mut Job) -> R) -> Option<R> {
         let job = self.jobs.get_mut(id)?;
         let (demand, was_queued) = (job.demand(), job.is_queued());
@@ -36,8 +37,8 @@
         Some(result)
     }
 
-    /// Jobs that need this one came or went: it has another priority, and other times by
-    /// which it should be done.
+    /// Updates a job's priority and due times after jobs that depend on it were added or
+    /// removed.
     pub fn set_urgency(&mut self, id: &JobId, urgency: &JobUrgency, now: Time) {
         let Some(bounded) = self.jobs.get(id).map(idle::is_bounded) else {
             return;
@@ -55,7 +56,8 @@
         }
     }
 
-    /// Changes what a job's place in its team's queue depends on.
+    /// Changes properties that determine a job's place in its team's queue, and moves the
+    /// job to its new place.
     pub(super) fn refile(&mut self, id: &JobId, change: impl FnOnce(&mut Job)) {
         let Some(job) = self.jobs.get_mut(id) else {
             return;
@@ -67,8 +69,8 @@
         }
     }
 
-    /// What other shards claim of a job, or is left to them; and what is left to
-    /// this shard, if another places it.
+    /// Sets which tasks of a job other shards claim or were assigned. If another shard
+    /// places the job, `left` are the tasks that it assigned to this shard.
     pub fn share_job(
         &mut self,
         id: &JobId,
@@ -81,7 +83,8 @@
         });
     }
 
-    /// In which zones other shards have tasks of a job; none: that is not known.
+    /// Sets in which zones other shards have tasks of a job. `None` means that the zones
+    /// are not known.
     pub fn set_elsewhere(&mut self, id: &JobId, zones: Option<BTreeMap<Zone, u32>>) {
         if zones.as_ref().is_some_and(BTreeMap::is_empty) {
             self.elsewhere.remove(id);
@@ -90,13 +93,13 @@
         }
     }
 
-    /// Jobs of which it is not known where other shards have their tasks.
+    /// Returns the jobs whose tasks in other shards have unknown zones.
     pub fn unknown_elsewhere(&self) -> impl Iterator<Item = &JobId> {
         let unknown = self.elsewhere.iter().filter(|(_, zones)| zones.is_none());
         unknown.map(|(id, _)| id)
     }
 
-    /// A job goes. It must have no claims.
+    /// Removes a job. The job must have no claims.
     pub fn remove_job(&mut self, id: &JobId) {
         self.edit_job(id, |job| job.cancelled = true);
         self.claimed_all(id);
--- a/src/scheduler/machine.rs
+++ b/src/scheduler/machine.rs
@@ -1,4 +1,4 @@
-//! Machines as the scheduler sees them, with their modelled image caches.
+//! Machines as the scheduler sees them, with a model of their image caches.
 
 use std::collections::BTreeSet;
 use std::rc::Rc;
@@ -15,31 +15,32 @@
 struct Cached {
     image: Image,
     gb: f64,
-    /// A task has run on it; until then it may still be on its way.
+    /// Whether a task has run on the image. Until then the machine may still be fetching
+    /// it.
     ready: bool,
 }
 
-/// Images on a machine, modelled: heartbeats don't name them. Least recently
-/// used first.
+/// Model of the images on a machine, least recently used first. The model is needed because
+/// heartbeats don't name the images.
 #[derive(Clone, Debug, Default)]
 pub struct Cache {
     cached_images: Vec<Cached>,
-    /// Rises with every change of what is there.
+    /// Number that increases with every change of the images or of their `ready` state.
     version: u64,
 }
 
 impl Cache {
-    /// Whether the image should be there.
+    /// Returns whether the machine should have the image.
     pub fn has(&self, image: &Image) -> bool {
         self.cached_images
             .iter()
             .any(|c| c.image == *image && c.ready)
     }
-    /// Whether the image is there or on its way.
+    /// Returns whether the machine has the image or is fetching it.
     pub fn expects(&self, image: &Image) -> bool {
         self.cached_images.iter().any(|c| c.image == *image)
     }
-    /// How far an image is from being there.
+    /// Returns how far an image is from being on the machine.
     pub(super) fn nearness(&self, image: &Image) -> Nearness {
         if self.has(image) {
             Nearness::Ready
@@ -49,8 +50,9 @@
             Nearness::Absent
         }
     }
-    /// An image is used; the oldest ones leave if there is no disk space. `ran`: a
-    /// task runs on it, so it is there.
+    /// Records that a task uses an image, and evicts the least recently used images if the
+    /// disk space `free_capacity` in GB is exceeded. `ran` means that a task runs on the
+    /// image, so the machine has it.
     pub fn touch(&mut self, image: &Image, gb: f64, free_capacity: f64, ran: bool) {
         let at = self.cached_images.iter().position(|c| c.image == *image);
         let ready = ran || at.is_some_and(|i| self.cached_images[i].ready);
@@ -72,9 +74,10 @@
             self.version += 1;
         }
     }
-    /// The same for an image of minutes: what tasks here need, and what is being
-    /// fetched, stays. An upgrade that evicts the version that serves leaves no
-    /// way back. If there is no disk space beside it, the worker says so.
+    /// Records the use of an image that takes minutes to fetch. Unlike `touch`, keeps the
+    /// images in `needed` and those being fetched, because an upgrade that evicts the
+    /// serving version can't be rolled back. If the disk has no space for all of them, the
+    /// worker reports it.
     pub fn touch_beside(
         &mut self,
         spec: &JobSpec,
@@ -97,20 +100,21 @@
         self.version += leave.len() as u64;
         self.touch(&spec.image, spec.image_gb, f64::INFINITY, ran);
     }
-    /// An image that was on its way is there.
+    /// Records that an image which was being fetched has arrived.
     pub fn is_there(&mut self, image: &Image) {
         for c in self.cached_images.iter_mut().filter(|c| c.image == *image) {
             self.version += u64::from(!c.ready);
             c.ready = true;
         }
     }
-    /// No task waits for the image any more: a fetch under way is given up.
+    /// Removes an image that is still being fetched, because no task waits for it any more
+    /// and the fetch is abandoned.
     pub fn give_up(&mut self, image: &Image) {
         let before = self.cached_images.len();
         self.cached_images.retain(|c| c.image != *image || c.ready);
         self.version += u64::from(before != self.cached_images.len());
     }
-    /// All images, and whether they are there already.
+    /// Returns all images, each with whether the machine already has it.
     pub(super) fn images(&self) -> impl Iterator<Item = (&Image, bool)> {
         self.cached_images.iter().map(|c| (&c.image, c.ready))
     }
@@ -119,48 +123,50 @@
     }
 }
 
-/// The rate of a fetch counts as at least so many GB a second, so that a type without one
-/// has a finite fetch time.
+/// Lower bound of the fetch rate in GB/s, so that a type without a rate has a finite fetch
+/// time.
 const MIN_FETCH_GB_PER_S: f64 = 1e-3;
 
-/// The rate at which a machine of a type fetches images, in GB a second.
+/// Returns the rate at which a machine of a type fetches images, in GB/s.
 pub(super) fn fetch_rate(kind: &MachineType) -> f64 {
     kind.fetch_gb_per_s.max(MIN_FETCH_GB_PER_S)
 }
 
-/// How long a machine of a type fetches a job's image, in seconds.
+/// Returns how long a machine of a type takes to fetch a job's image, in seconds.
 pub(super) fn fetch_s(spec: &JobSpec, kind: &MachineType) -> f64 {
     spec.image_gb / fetch_rate(kind)
 }
 
-/// Machines that the cloud offers as one: of a type, in a zone, at one price.
+/// Pool of interchangeable machines that the cloud offers: one type, in one zone, at one
+/// price.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct CapacityPool {
-    /// Spot machines.
+    /// Whether the machines are spot machines.
     pub spot: bool,
-    /// Type.
+    /// Name of the machine type.
     pub kind: TypeName,
-    /// Zone.
+    /// Zone of the machines.
     pub zone: Zone,
 }
 
-/// What of a machine, or of a group of them, counts for the cost of a start there.
+/// Properties of a machine, or of a group of machines, that determine the cost of a start
+/// there.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct MachineTraits<'a> {
-    /// A spot machine.
+    /// Whether the machine is a spot machine.
     pub spot: bool,
-    /// It should fall idle.
+    /// Whether the machine should become idle.
     pub retiring: bool,
-    /// It takes commands only now and then.
+    /// Whether the machine receives commands only occasionally.
     pub slow: bool,
-    /// Its type.
+    /// Machine type.
     pub kind: &'a MachineType,
-    /// Its zone.
+    /// Zone of the machine.
     pub zone: &'a Zone,
 }
 
 impl MachineTraits<'_> {
-    /// The pool that it is of.
+    /// Returns the capacity pool that the machine belongs to.
     pub(super) fn pool(&self) -> CapacityPool {
         CapacityPool {
             spot: self.spot,
@@ -170,49 +176,52 @@
     }
 }
 
-/// A machine as the scheduler sees it.
+/// State of a machine as the scheduler sees it.
 #[derive(Clone, Debug)]
 pub struct Machine {
-    /// Its type.
+    /// Machine type.
     pub kind: Rc<MachineType>,
-    /// Its zone.
+    /// Zone of the machine.
     pub zone: Zone,
-    /// A spot machine.
+    /// Whether the machine is a spot machine.
     pub spot: bool,
-    /// May get new tasks.
+    /// Whether the machine may get new tasks.
     pub usable: bool,
-    /// Takes commands only now and then.
+    /// Whether the machine receives commands only occasionally.
     pub slow: bool,
-    /// Tasks that claim it.
+    /// Tasks that claim the machine.
     pub claims: BTreeSet<TaskId>,
-    /// Sum of their amounts.
+    /// Sum of the amounts that the claims use.
     pub used: Amount,
-    /// The part of it that a spot machine would do for.
+    /// Part of `used` that could run on a spot machine.
     pub movable: Amount,
-    /// Its images.
+    /// Model of the images on the machine.
     pub cache: Cache,
-    /// Room kept for work that can't use spot machines.
+    /// Capacity kept for work that can't use spot machines.
     pub kept: Amount,
-    /// For which share of the time of late the fleet's plans had no use for it.
+    /// Share of the recent past in which the autoscaler's plans had no use for the machine.
     pub unused: f64,
-    /// Should fall idle: its work has a cheaper place.
+    /// Whether the machine should become idle because its work could run at a lower cost
+    /// elsewhere.
     pub retiring: bool,
-    /// Since when it has no claim.
+    /// Time since which no task has claimed the machine.
     pub idle_since: Time,
-    /// Where it is, see [`sorrelhinge_topology::tree`].
+    /// Failure domain of the machine, see [`sorrelhinge_topology::tree`].
     pub place: Domain,
-    /// Devices that it has.
+    /// Devices of the machine.
     pub device_inventory: Rc<DeviceInventory>,
-    /// How many units of each kind are in order: what machines are filed by.
+    /// Number of working units of each kind of device. The capacity index groups machines
+    /// by it.
     pub working: Rc<[DeviceCount]>,
-    /// Devices that its claims use.
+    /// Devices that the machine's claims use.
     pub allocated_devices: AllocatedDevices,
-    /// It is being drained: no new tasks, and what runs there moves off.
+    /// Whether the machine is being drained. A draining machine gets no new tasks, and its
+    /// running tasks move to other machines.
     pub draining: bool,
 }
 
 impl Machine {
-    /// A machine without tasks.
+    /// Creates a machine that has no tasks and is not usable yet.
     pub fn new(kind: Rc<MachineType>, zone: Zone, spot: bool, now: Time) -> Self {
         Self {
             kind,
@@ -235,13 +244,14 @@
             draining: false,
         }
     }
-    /// Gives it the devices that the operator's file names.
+    /// Sets the devices that the operator's topology file names for the machine.
     pub fn equip(&mut self, device_inventory: DeviceInventory) {
         self.working = device_inventory.working().into();
         self.device_inventory = Rc::new(device_inventory);
     }
-    /// A task uses its image here, and `ran` on it or has yet to. `serving` are the other
-    /// images that tasks here need, if the image goes from machine to machine.
+    /// Records that a task uses its job's image here. `ran` tells whether the task has
+    /// already run. `serving` are the other images that tasks here need, if machines fetch
+    /// the job's image from each other, and `None` otherwise.
     pub(super) fn use_image(&mut self, spec: &JobSpec, serving: Option<&[Image]>, ran: bool) {
         let free_capacity = self.kind.cache_gb;
         match serving {
@@ -251,8 +261,8 @@
                 .touch(&spec.image, spec.image_gb, free_capacity, ran),
         }
     }
-    /// Whether it has enough units of all required kinds in order, taken or
-    /// not.
+    /// Returns whether `working` contains enough units of all required kinds of device,
+    /// allocated or not.
     pub fn could(working: &[DeviceCount], needs: &[Device]) -> bool {
         needs.iter().filter(|d| d.must).all(|d| {
             working
@@ -260,7 +270,7 @@
                 .any(|there| there.kind == d.kind && there.count >= d.count)
         })
     }
-    /// What counts for the cost of a start here.
+    /// Returns the properties that determine the cost of a start on the machine.
     pub(super) fn traits(&self) -> MachineTraits<'_> {
         MachineTraits {
             spot: self.spot,
@@ -270,7 +280,7 @@
             zone: &self.zone,
         }
     }
-    /// Price an hour of a thousandth of a CPU.
+    /// Returns the price per hour of a thousandth of a CPU.
     pub fn price_per_cpu(&self) -> f64 {
         let price = if self.spot {
             self.kind.spot_price
@@ -279,7 +289,7 @@
         };
         price / self.kind.total.cpu.max(1) as f64
     }
-    /// What is free.
+    /// Returns the free capacity of the machine.
     pub fn free(&self) -> Amount {
         self.kind.total - self.used
     }
--- a/src/scheduler/machine_changes.rs
+++ b/src/scheduler/machine_changes.rs
@@ -1,10 +1,11 @@
-//! Changes of machines, with the index of free capacity and the sums that are kept of them.
+//! Changes of machines, with the capacity index and the sums that depend on them.
 
 use super::{ClusterState, Machine};
 use crate::types::MachineId;
 
 impl ClusterState {
-    /// Changes a machine, other than its claims.
+    /// Changes a machine and updates the total capacity and the capacity index. Claims
+    /// change through `put_claim` and `release` instead.
     pub fn edit_machine<R>(
         &mut self,
         id: &MachineId,
@@ -22,7 +23,7 @@
         Some(result)
     }
 
-    /// A machine appears; claims found earlier on it are entered.
+    /// Adds a machine, with the claims on it that were found before the machine was known.
     pub fn add_machine(&mut self, id: MachineId, machine: Machine) {
         if machine.usable {
             self.capacity += machine.kind.total;
@@ -34,7 +35,7 @@
         self.edit_machine(&id, |_| ());
     }
 
-    /// Removes a machine. Nothing may claim it any more.
+    /// Removes a machine. No task may claim it any more.
     pub fn remove_machine(&mut self, id: &MachineId) {
         self.edit_machine(id, |m| m.usable = false);
         self.machines.remove(id);
