--- a/src/scheduler/mod.rs
+++ b/src/scheduler/mod.rs
@@ -1,26 +1,27 @@
-//! Scheduling without I/O or clock: fair shares, delay scheduling, placement
-//! rules and preemption over a plain [`ClusterState`].
+//! Scheduling without I/O or clock: fair shares, delay scheduling, placement rules and
+//! preemption over a plain [`ClusterState`].
 //!
-//! The walk follows Algorithm 1 of the paper (section 4.2) with the changes
-//! that `docs/design.md` lists. No decision looks at every machine or every
-//! job: the cluster state keeps its sums, its queues and an index of free capacity up to
-//! date.
+//! The placement pass follows Algorithm 1 of the paper (section 4.2) with the changes that
+//! `docs/design.md` lists. No decision examines every machine or every job, because the
+//! cluster state keeps its sums, its queues and an index of free capacity up to date.
 //!
-//! A task is placed in these steps:
+//! Placing a task takes these steps:
 //!
-//! 1. `order`, `queue`, `lanes`, `aging`: which team and job is next;
-//! 2. `filter`, `topology_rules`: on which machines it may start, with `quota` and
-//!    `write_limit` for whether it may start at all now;
-//! 3. `score`, `best_machine`: which of them costs least, found by `capacity_index`;
-//! 4. `delay`: whether it waits for a machine that has its image;
-//! 5. `bind`, `claims`: the task is claimed there.
+//! 1. `order`, `queue`, `lanes` and `aging` choose the next team and job.
+//! 2. `filter` and `topology_rules` choose the machines on which the job may start. `quota`
+//!    and `write_limit` decide whether the job may start at all now.
+//! 3. `score` and `best_machine` choose the machine with the least cost, which
+//!    `capacity_index` finds.
+//! 4. `delay` decides whether the job waits for a machine that has its image.
+//! 5. `bind` and `claims` claim the task on the machine.
 //!
-//! `placement_pass` takes these steps for one machine or for all jobs, `gangs` for all
-//! tasks of a gang at once. Where too little capacity is free, `preempt` frees it and `reservations` keeps
-//! it for windows of the release calendar; `rebalance` moves what runs.
+//! `placement_pass` takes these steps for one machine or for all jobs. `gangs` takes them
+//! for all tasks of a gang at once. If too little capacity is free, `preempt` frees it.
+//! `reservations` keeps capacity for windows of the release calendar. `rebalance` moves
+//! running tasks.
 //!
-//! Decisions are the same for the same state and time: all iteration is in order of
-//! keys, and ties are broken by id.
+//! Decisions are the same for the same state and time: every iteration follows the order of
+//! keys, and ids break ties.
 
 mod aging;
 mod best_machine;
--- a/src/scheduler/order.rs
+++ b/src/scheduler/order.rs
@@ -1,5 +1,5 @@
-//! The order of teams and jobs in a placement pass: by guarantee and fair share
-//! (section 4.2), lanes first.
+//! Order of teams and jobs in a placement pass: priority lanes first, then by guarantee and
+//! fair share (paper, section 4.2).
 
 use std::collections::HashSet;
 
@@ -7,11 +7,12 @@
 use super::{ClusterState, Job};
 use crate::types::{Amount, JobId, Time};
 
-/// Shares of everything that differ by less are the same but for rounding.
+/// Shares of the total capacity that differ by less than this count as equal, because such
+/// differences come from rounding.
 const ROUNDING: f64 = 1e-9;
 
 impl ClusterState {
-    /// Every team's standing now.
+    /// Returns every team's standing: how far it is below its guarantee and its fair share.
     pub fn standings(&self) -> Vec<Standing> {
         let capacity = self.capacity;
         let size = |a: Amount| {
@@ -44,7 +45,7 @@
             .collect()
     }
 
-    /// The teams in the order of the walk.
+    /// Returns the teams in the order in which a placement pass considers them.
     pub(super) fn team_order(&self) -> Vec<usize> {
         let standings = self.standings();
         let mut order: Vec<usize> = (0..self.teams.len()).collect();
@@ -58,8 +59,8 @@
         order
     }
 
-    /// The jobs that have a task to place, in the order of the walk: those that are
-    /// ahead in their lane, then the others.
+    /// Returns the jobs that have a task to place, in the order of a placement pass: lane
+    /// jobs that go ahead of all others, then the other jobs.
     pub(super) fn in_order(&self, now: Time) -> impl Iterator<Item = (&JobId, &Job)> {
         let first = self.lanes_first(now);
         let ahead: HashSet<&JobId> = first.iter().map(|first| first.id).collect();
@@ -68,7 +69,8 @@
         first.chain(others)
     }
 
-    /// The jobs that have a task to place, in the order that would be without lanes.
+    /// Returns the jobs that have a task to place, in the order that would apply without
+    /// lanes.
     fn in_turn(&self, now: Time) -> impl Iterator<Item = (&JobId, &Job)> {
         self.team_order()
             .into_iter()
--- a/src/scheduler/placement_pass.rs
+++ b/src/scheduler/placement_pass.rs
@@ -1,5 +1,5 @@
-//! The placement pass, Algorithm 1 (section 4.2): jobs in their order are bound to
-//! machines that pass the filters and score best, by delay scheduling.
+//! The placement pass, Algorithm 1 (paper, section 4.2): binds jobs in their order to the
+//! machines that pass the filters and score best, subject to delay scheduling.
 
 use std::cell::OnceCell;
 use std::collections::HashSet;
@@ -12,26 +12,26 @@
 use super::{ClusterState, DelayRule, Job, Launch};
 use crate::types::{JobId, Kind, MachineId, Time};
 
-/// What walks that follow each other at once have in common. It is as of the
-/// first of them that asks: to find it anew for each machine would take longer
-/// than all the rest of a walk.
+/// State shared by walks that directly follow each other. The first walk that needs the
+/// state computes it, and the others use it unchanged. Computing it for each machine would
+/// take longer than all the rest of a walk.
 #[derive(Clone, Debug, Default)]
 pub struct Pass {
     needy: OnceCell<Needy>,
 }
 
-/// What stays the same throughout a pass.
+/// Values that stay the same throughout a pass.
 pub(super) struct PassContext {
-    /// Jobs that wait for the types that only they fit, at its start.
+    /// Jobs that wait and fit only large machine types, as of the start of the pass.
     pub needy: OnceCell<Needy>,
-    /// When waiting for a cached image ends.
+    /// Limits of the wait for a cached image.
     pub rule: DelayRule,
-    /// Now.
+    /// Time of the pass.
     pub now: Time,
 }
 
 impl PassContext {
-    /// A task of a job that needs a machine in this pass.
+    /// Creates the request for a machine for one more task of a job.
     pub(super) fn request<'a>(&'a self, id: &'a JobId, job: &'a Job) -> PlacementRequest<'a> {
         PlacementRequest {
             id,
@@ -42,46 +42,47 @@
     }
 }
 
-/// How far a pass has come.
+/// Progress of a pass through the teams' queues.
 struct PassProgress {
-    /// Jobs that were offered a machine, or a turn to be placed all at once.
+    /// Jobs that were offered a machine, and gangs that had their turn to be placed as a
+    /// whole.
     tried: HashSet<JobId>,
-    /// By team, from where in its queue the pass goes on.
+    /// For each team, the position in its queue from which the pass continues.
     from: Vec<Bound<Place>>,
 }
 
 impl PassProgress {
-    /// The rest of a team's queue begins after this place.
+    /// Moves a team's position in its queue past this place.
     fn go_past(&mut self, team: usize, place: Place) {
         self.from[team] = Bound::Excluded(place);
     }
 }
 
-/// What one look through the teams' queues found.
+/// Result of one scan of the teams' queues.
 #[derive(Default)]
 struct QueueScan {
-    /// Gangs, which have their turn before `found`.
+    /// Gangs that the scan passed. They have their turn before `found`.
     gangs: Vec<JobId>,
     /// Jobs that wait for a machine with their image.
     skipped: Vec<JobId>,
-    /// The first job that has a machine.
+    /// First job for which a machine was found.
     found: Option<Found>,
 }
 
-/// A job, and the machine that is chosen for its next task.
+/// Job with the machine that is chosen for its next task.
 struct Found {
     job: JobId,
     machine: MachineId,
 }
 
 impl ClusterState {
-    /// Fills one machine, after its heartbeat: the walk of delay scheduling,
-    /// until nothing more launches. Launched tasks are claimed on the cluster state.
+    /// Fills one machine after its heartbeat, in the walk of delay scheduling, until no
+    /// more task launches there. Claims the launched tasks in the cluster state.
     pub fn walk(&mut self, m_id: &MachineId, rule: DelayRule, now: Time) -> Vec<Launch> {
         self.walk_in(None, m_id, rule, now)
     }
 
-    /// The same as one of several walks: `pass` is what they share.
+    /// Fills one machine like `walk`, as one of several walks that share `pass`.
     pub fn walk_in(
         &mut self,
         pass: Option<&Pass>,
@@ -95,8 +96,9 @@
                 .machines
                 .get(m_id)
                 .is_some_and(|m| m.usable && m.free().cpu > 0);
-            // Nothing more can be claimed now but by those few jobs whose users
-            // wait for a start; they are offered the best machine there is.
+            // If the limit of unrecorded claims is reached, only the few jobs whose users
+            // wait for a start can claim more. `place` offers these jobs the best of all
+            // machines.
             if !usable || !self.has_work() || self.claims_bind() {
                 return launches;
             }
@@ -112,8 +114,8 @@
         }
     }
 
-    /// The first job of the order that may start a task on a machine now; `skipped` gets
-    /// those that wait for a machine with their image.
+    /// Returns the first job in order that may start a task on a machine now. Adds the jobs
+    /// that wait for a machine with their image to `skipped`.
     fn pick(
         &self,
         pass: &Pass,
@@ -129,7 +131,7 @@
                 || !job.spec.each.fits(machine.free())
                 || !self.may_claim(id, job)
             {
-                // A gang is placed all at once, not by the walk of one machine.
+                // A gang is placed as a whole, not by the walk of one machine.
                 continue;
             }
             let request = PlacementRequest {
@@ -151,7 +153,7 @@
         None
     }
 
-    /// Whether another machine is cheaper for a task by more than [`CLEARLY_S`].
+    /// Returns whether another machine is cheaper for a task by more than [`CLEARLY_S`].
     fn has_clearly_better(&self, request: &PlacementRequest, machine: &Machine) -> bool {
         let job = request.job;
         let near = machine.cache.nearness(&job.spec.image);
@@ -162,11 +164,11 @@
                 .is_some_and(|b| b.cost + CLEARLY_S < cost)
     }
 
-    /// Offers every job that waits the best machine for it: what the walks of
-    /// all machines come to, when work arrived or waits passed that no heartbeat
-    /// shows. Within a pass free capacity only shrinks, so a job that found none is not
-    /// asked again: each team's queue is gone through once, however often the
-    /// teams take turns.
+    /// Offers every waiting job the best machine for it. The result equals that of a walk of
+    /// every machine, and includes work that arrived and waits that ended without a
+    /// heartbeat. Free capacity only shrinks within a pass, so the pass does not retry a job
+    /// that found no machine. The pass scans each team's queue once, however often the teams
+    /// take turns.
     pub fn place(&mut self, rule: DelayRule, now: Time) -> Vec<Launch> {
         let context = PassContext {
             needy: OnceCell::from(self.needy(now)),
@@ -183,8 +185,8 @@
         loop {
             let scan = self.scan_queues(&context, &mut progress);
             self.skip(scan.skipped, now);
-            // A gang has its turn before whatever comes after it, and what was
-            // found for that counted on capacity and limits that it may have taken.
+            // A gang has its turn before the jobs that follow it. What the scan found for a
+            // later job relied on capacity and limits that the gang may have taken.
             if !scan.gangs.is_empty() {
                 for id in &scan.gangs {
                     launches.extend(self.place_gang(id, rule, now));
@@ -198,7 +200,7 @@
         launches
     }
 
-    /// Goes on through the teams' queues until a job has a machine.
+    /// Continues through the teams' queues until a machine is found for a job.
     fn scan_queues(&self, context: &PassContext, progress: &mut PassProgress) -> QueueScan {
         let mut scan = QueueScan::default();
         for team in self.team_order() {
@@ -210,7 +212,7 @@
         scan
     }
 
-    /// Goes on through a team's queue until a job has a machine.
+    /// Continues through a team's queue until a machine is found for a job.
     fn scan_queue(
         &self,
         team: usize,
@@ -224,7 +226,7 @@
             let Some(job) = self.jobs.get(id) else {
                 continue;
             };
-            // What may not be claimed now may not be later in the pass.
+            // A job that may not claim now may not claim later in this pass either.
             if context.now < job.hold_until || !self.may_claim(id, job) {
                 passed = Some(place);
                 continue;
@@ -241,7 +243,7 @@
         }
     }
 
-    /// Looks for the best machine for a job's next task.
+    /// Searches the best machine for a job's next task, and adds the outcome to `scan`.
     fn scan_job(&self, id: &JobId, job: &Job, context: &PassContext, scan: &mut QueueScan) {
         self.capacity_index.count_step();
         if job.spec.kind == Kind::Gang {
@@ -260,7 +262,8 @@
         }
     }
 
-    /// Binds what was found. If that can't be, the job is not tried again in this pass.
+    /// Launches the job on the machine that was found for it. If that fails, the pass does
+    /// not try the job again.
     fn launch_found(
         &mut self,
         found: Found,
@@ -278,7 +281,7 @@
         launch
     }
 
-    /// Jobs that were tried and still have tasks to place wait from now on.
+    /// Marks jobs that were tried and still have tasks to place as blocked since now.
     fn mark_blocked(&mut self, tried: HashSet<JobId>, now: Time) {
         for id in tried {
             if let Some(job) = self.jobs.get_mut(&id).filter(|j| j.needs_placement(now)) {
--- a/src/scheduler/queue.rs
+++ b/src/scheduler/queue.rs
@@ -1,12 +1,12 @@
-//! A job's place in its team's queue (the paper's section 3 leaves the order within a
-//! team open).
+//! Position of a job in its team's queue. The paper's section 3 leaves the order within a
+//! team open.
 
 use std::cmp::Reverse;
 
 use super::Job;
 use crate::types::{JobId, Priority, Revision, Time};
 
-/// What goes first within a team.
+/// Groups of jobs within a team, in the order in which they are placed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum Group {
     Production,
@@ -14,14 +14,14 @@
     Others,
 }
 
-/// When a job is due and was submitted, in milliseconds: the earliest goes first.
+/// When a job is due and when it was submitted, in milliseconds. The earliest goes first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct QueueTurn {
     due_ms: i64,
     submitted_ms: i64,
 }
 
-/// A job's standing in its lane, see [`sorrelhinge_priority_lanes::order::Key`].
+/// Standing of a job in its lane, see [`sorrelhinge_priority_lanes::order::Key`].
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct LaneStanding {
     behind: bool,
@@ -29,25 +29,27 @@
     place: Revision,
 }
 
-/// Order of the jobs of a team that have tasks to place.
+/// Position of a job among the jobs of its team that have tasks to place. The queue orders
+/// jobs by these fields, from first to last.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct Place {
     pub(super) group: Group,
     pub(super) priority: Reverse<Priority>,
-    /// Of jobs of a rank those in a lane go first, by their standing there, as far as
-    /// the lane's part goes. Once all of them did: a flood in a lane then kept all
-    /// other classes of its team waiting.
+    /// Whether the job follows the lane jobs of its priority. Lane jobs go first, in the
+    /// order of their standing, up to their lane's share of capacity. When all lane jobs
+    /// went first, a flood of jobs in a lane kept all other classes of its team waiting.
     pub(super) after_lanes: bool,
     pub(super) ahead: Option<LaneStanding>,
     pub(super) turn: QueueTurn,
     pub(super) id: JobId,
-    /// Never decides: ids are different.
+    /// Whether the job is in a lane. This field never decides the order, because ids
+    /// differ.
     pub(super) in_lane: bool,
 }
 
 impl Job {
-    /// Its place among its team's jobs: priority, deadline, submission. An aged one
-    /// goes by its submission alone, after production.
+    /// Returns the job's position among its team's jobs, by priority, deadline and
+    /// submission. An aged job goes by its submission alone, after production jobs.
     pub(super) fn place(&self, id: &JobId) -> Place {
         let group = self.group();
         let ahead = self.lane.filter(|l| l.ahead);
@@ -76,7 +78,8 @@
             (_, false) => Group::Others,
         }
     }
-    /// Its turn among jobs of its team, group and priority, without lanes.
+    /// Returns the job's turn among the jobs of its team, group and priority, without
+    /// lanes.
     pub(super) fn turn(&self) -> QueueTurn {
         let milli = |Time(seconds): Time| (seconds * 1000.0) as i64;
         QueueTurn {
--- a/src/scheduler/score.rs
+++ b/src/scheduler/score.rs
@@ -1,5 +1,5 @@
-//! The score step of a placement: what a start on a machine costs, in seconds of waiting
-//! for its image. The least cost wins.
+//! The score step of a placement: the cost of a start on a machine, in seconds of waiting
+//! for its image. The machine with the least cost wins.
 
 use sorrelhinge_topology::devices::DeviceCount;
 use sorrelhinge_topology::tree::Domain;
@@ -9,22 +9,23 @@
 use super::{ClusterState, Job};
 use crate::types::{JobSpec, Kind, MachineId};
 
-/// How many seconds of fetching it is worth to leave an ordinary machine to
-/// those who can't use spot ones.
+/// Cost in seconds of fetch time of placing a job that could use a spot machine on an
+/// ordinary one. It leaves ordinary machines to jobs that can't use spot machines.
 const ORDINARY_S: f64 = 8.0;
-/// The same for a machine that should fall idle.
+/// Cost in seconds of using a machine that should become idle.
 const RETIRING_S: f64 = 3.0;
-/// The same for a machine that takes commands only now and then.
+/// Cost in seconds of using a machine that receives commands only occasionally.
 const SLOW_S: f64 = 4.0;
-/// The same for a large machine that others' tasks need.
+/// Cost in seconds of using a large machine that tasks of other jobs need.
 const SCARCE_S: f64 = 3.0;
-/// The same for a zone without a controller, for a service.
+/// Cost in seconds of placing a service in a zone without a controller.
 const UNSERVED_S: f64 = 4.0;
-/// The same for a machine with devices, for work that needs none.
+/// Cost in seconds of using a machine with devices for work that needs none.
 const DEVICES_S: f64 = 3.0;
-/// A machine that is cheaper by this many seconds is clearly better.
+/// A machine that is cheaper by more than this many seconds counts as clearly better.
 pub(super) const CLEARLY_S: f64 = 0.5;
-/// The best place for one more task of a job.
+/// Machine that is offered to a job for one more task, with what ranks it among other
+/// offers.
 #[derive(Clone, Debug)]
 pub(super) struct Offer {
     pub(super) cost: f64,
@@ -46,8 +47,9 @@
 }
 
 impl ClusterState {
-    /// What a start of a job's task on a machine of this sort costs, in seconds: also for
-    /// taking devices that the job has no use for.
+    /// Returns the cost in seconds of starting a job's task on a machine with these
+    /// properties. Includes the cost of taking a machine with devices that the job doesn't
+    /// use.
     pub(super) fn start_cost(
         &self,
         job: &Job,
@@ -62,8 +64,8 @@
         cost
     }
 
-    /// What placing a job on a machine of this sort costs, in seconds: its
-    /// image's fetch, and for taking what others need more.
+    /// Returns the cost in seconds of placing a job on a machine with these properties: the
+    /// fetch of its image, and the cost of taking capacity that other jobs need more.
     pub(super) fn place_cost(&self, spec: &JobSpec, near: Nearness, traits: &MachineTraits) -> f64 {
         let kind = traits.kind;
         let fetch = fetch_s(spec, kind);
@@ -84,7 +86,7 @@
         if traits.slow {
             cost += SLOW_S;
         }
-        // Large machines are left to tasks that fit no smaller one.
+        // Large machines are left to tasks that fit no smaller type.
         let scarce = self.shapes.iter().any(|s| {
             s.fits(kind.total)
                 && self
