--- a/src/scheduler/claims.rs
+++ b/src/scheduler/claims.rs
@@ -10,7 +10,7 @@
 
 impl ClusterState {
     /// Adds a claim, which its job already holds, to a known machine.
-    pub(super) fn occupy(&mut self, id: &MachineId, task: &TaskId) {
+    pub(super) fn add_claim_to_machine(&mut self, id: &MachineId, task: &TaskId) {
         let Some(job) = self.jobs.get(&task.job) else {
             return;
         };
@@ -18,7 +18,7 @@
             return;
         };
         let (spec, units, unnamed) = (job.spec.clone(), claim.units.clone(), claim.unnamed);
-        let serving = self.serving_beside(id, &spec);
+        let serving = self.other_needed_images(id, &spec);
         self.edit_machine(id, |m| {
             m.claims.insert(task.clone());
             m.used += spec.each;
@@ -98,9 +98,9 @@
         let machine = claim.machine.clone();
         self.edit_job(&task.job, |job| job.tasks.insert_claim(task.index, claim));
         if self.machines.contains_key(&machine) {
-            self.occupy(&machine, task);
+            self.add_claim_to_machine(&machine, task);
         } else {
-            self.homeless
+            self.claims_on_unknown_machines
                 .entry(machine)
                 .or_default()
                 .insert(task.clone());
@@ -141,12 +141,12 @@
             *self.lanes.used.entry(laned.lane).or_default() -= spec.each.cpu;
         }
         self.reservations.left(team, &spec);
-        let known = self.vacate(task, &claim, &spec, now);
+        let known = self.remove_claim_from_machine(task, &claim, &spec, now);
         if !known {
-            if let Some(tasks) = self.homeless.get_mut(&claim.machine) {
+            if let Some(tasks) = self.claims_on_unknown_machines.get_mut(&claim.machine) {
                 tasks.remove(task);
                 if tasks.is_empty() {
-                    self.homeless.remove(&claim.machine);
+                    self.claims_on_unknown_machines.remove(&claim.machine);
                 }
             }
         }
@@ -154,8 +154,14 @@
     }
 
     /// Removes a claim from its machine. Returns `false` if the machine is not known.
-    fn vacate(&mut self, task: &TaskId, claim: &Claim, spec: &JobSpec, now: Time) -> bool {
-        let awaited = self.awaited_by_others(task, claim, spec);
+    fn remove_claim_from_machine(
+        &mut self,
+        task: &TaskId,
+        claim: &Claim,
+        spec: &JobSpec,
+        now: Time,
+    ) -> bool {
+        let image_still_needed = self.is_image_needed_by_others(task, claim, spec);
         let known = self.edit_machine(&claim.machine, |m| {
             if m.claims.remove(task) {
                 m.used -= spec.each;
@@ -167,7 +173,7 @@
                     m.allocated_devices.give_unnamed();
                 }
             }
-            if !awaited {
+            if !image_still_needed {
                 m.cache.give_up(&spec.image);
             }
             if m.claims.is_empty() {
@@ -178,7 +184,7 @@
     }
 
     /// Returns whether other tasks on a claim's machine need the same image.
-    fn awaited_by_others(&self, task: &TaskId, claim: &Claim, spec: &JobSpec) -> bool {
+    fn is_image_needed_by_others(&self, task: &TaskId, claim: &Claim, spec: &JobSpec) -> bool {
         let image_of = |t: &TaskId| self.jobs.get(&t.job).map(|j| &j.spec.image);
         self.machines.get(&claim.machine).is_some_and(|m| {
             let mut others = m.claims.iter().filter(|t| *t != task);
@@ -188,7 +194,7 @@
 
     /// Returns the other images that tasks on a machine need. Returns `None` if machines
     /// don't fetch the job's image from each other.
-    fn serving_beside(&self, id: &MachineId, spec: &JobSpec) -> Option<Vec<Image>> {
+    fn other_needed_images(&self, id: &MachineId, spec: &JobSpec) -> Option<Vec<Image>> {
         if !self.stages(spec) {
             return None;
         }
@@ -208,7 +214,7 @@
         let Some(spec) = self.jobs.get(&task.job).map(|j| j.spec.clone()) else {
             return;
         };
-        let serving = self.serving_beside(&machine, &spec);
+        let serving = self.other_needed_images(&machine, &spec);
         self.edit_machine(&machine, |m| {
             m.use_image(&spec, serving.as_deref(), true);
         });
--- a/src/scheduler/cluster_state.rs
+++ b/src/scheduler/cluster_state.rs
@@ -93,7 +93,7 @@
     /// known.
     pub(super) elsewhere: HashMap<JobId, Option<BTreeMap<Zone, u32>>>,
     /// Tasks that claim machines which are not known yet.
-    pub(super) homeless: HashMap<MachineId, BTreeSet<TaskId>>,
+    pub(super) claims_on_unknown_machines: HashMap<MachineId, BTreeSet<TaskId>>,
     pub(super) capacity: Amount,
     /// Usage and limit of work of idle priority.
     pub(super) idle: idle::Idle,
@@ -168,14 +168,14 @@
     pub fn claims_on(&self, id: &MachineId) -> Vec<TaskId> {
         let known = self.machines.get(id).map(|m| &m.claims);
         known
-            .or(self.homeless.get(id))
+            .or(self.claims_on_unknown_machines.get(id))
             .map(|tasks| tasks.iter().cloned().collect())
             .unwrap_or_default()
     }
 
     /// Returns the machines that tasks claim and that are not known.
     pub fn unknown_machines(&self) -> impl Iterator<Item = &MachineId> {
-        self.homeless.keys()
+        self.claims_on_unknown_machines.keys()
     }
 
     /// Returns the total capacity of all usable machines.
--- a/src/scheduler/machine_changes.rs
+++ b/src/scheduler/machine_changes.rs
@@ -29,8 +29,12 @@
             self.capacity += machine.kind.total;
         }
         self.machines.insert(id.clone(), machine);
-        for task in self.homeless.remove(&id).unwrap_or_default() {
-            self.occupy(&id, &task);
+        for task in self
+            .claims_on_unknown_machines
+            .remove(&id)
+            .unwrap_or_default()
+        {
+            self.add_claim_to_machine(&id, &task);
         }
         self.edit_machine(&id, |_| ());
     }
@@ -42,6 +46,6 @@
         self.reserved.remove(id);
         self.gang_free_capacity.remove(id);
         self.reservations.drop_machine(id);
-        self.homeless.remove(id);
+        self.claims_on_unknown_machines.remove(id);
     }
 }
