--- a/src/scheduler/capacity_index/mod.rs
+++ b/src/scheduler/capacity_index/mod.rs
@@ -10,7 +10,7 @@
 use sorrelhinge_topology::devices::DeviceCount;
 use sorrelhinge_topology::tree::Domain;
 
-use self::shelf::Shelves;
+use self::shelf::MachinesByImage;
 pub(super) use self::shelf::Size;
 use super::machine::{Machine, MachineTraits};
 use crate::types::{Amount, Image, MachineId, MachineType, TypeName, Zone};
@@ -51,7 +51,7 @@
 
 /// Check of one machine. Returns `Ok` if the machine passes, or the `Domain` before which
 /// no further machine passes.
-pub(super) type Pass<'a> = &'a dyn Fn(Domain, &MachineId) -> Result<(), Domain>;
+pub(super) type MachineCheck<'a> = &'a dyn Fn(Domain, &MachineId) -> Result<(), Domain>;
 
 /// Requirements on the machine that a search in a group should find.
 pub struct Search<'a> {
@@ -66,7 +66,7 @@
 }
 
 /// Machine that a search in a group has found.
-pub struct Found {
+pub struct FoundMachine {
     /// Free capacity of the machine, less the kept capacity if the search excludes it.
     pub free: Size,
     /// Failure domain of the machine.
@@ -92,27 +92,27 @@
     /// Type of the machines.
     pub kind: Rc<MachineType>,
     /// Machines by their free capacity.
-    own: Shelves,
+    free: MachinesByImage,
     /// Machines by the free capacity that is not kept. Empty if the group keeps no
     /// capacity.
-    open: Shelves,
+    unkept: MachinesByImage,
     count: usize,
 }
 
 /// Properties that determine a machine's position in the index. The position stays as long
 /// as none of them changes.
 #[derive(Clone, Debug, PartialEq)]
-struct Filing {
+struct IndexKey {
     group: GroupKey,
     place: Domain,
-    /// All free capacity in `own`, and the part of it that is not kept in `open`.
-    own: Size,
-    open: Size,
+    /// All free capacity in `free`, and the part of it that is not kept in `unkept`.
+    free: Size,
+    unkept: Size,
     /// Version of the machine's image cache.
     version: u64,
 }
 
-impl Filing {
+impl IndexKey {
     fn of(machine: &Machine) -> Self {
         Self {
             group: GroupKey {
@@ -125,8 +125,8 @@
                 devices: machine.working.clone(),
             },
             place: machine.place,
-            own: Size::of(machine.free()),
-            open: Size::of(machine.free() - machine.kept),
+            free: Size::of(machine.free()),
+            unkept: Size::of(machine.free() - machine.kept),
             version: machine.cache.version(),
         }
     }
@@ -142,8 +142,8 @@
 
 /// Machine in the index, with the images under which it is indexed.
 #[derive(Clone, Debug, PartialEq)]
-struct Filed {
-    filing: Filing,
+struct IndexedMachine {
+    key: IndexKey,
     images: Vec<IndexedImage>,
 }
 
@@ -160,7 +160,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct CapacityIndex {
     groups: BTreeMap<GroupKey, Group>,
-    filed: HashMap<MachineId, Filed>,
+    machines: HashMap<MachineId, IndexedMachine>,
     kinds: BTreeMap<TypeName, CountedType>,
     /// Number of entries that decisions examined. Tests check how this number grows.
     pub steps: Cell<u64>,
@@ -176,17 +176,17 @@
     /// usable.
     pub fn file(&mut self, id: &MachineId, machine: &Machine) {
         if !machine.usable {
-            self.drop_out(id);
+            self.remove(id);
             return;
         }
-        let filing = Filing::of(machine);
-        if self.filed.get(id).is_some_and(|f| f.filing == filing) {
+        let key = IndexKey::of(machine);
+        if self.machines.get(id).is_some_and(|m| m.key == key) {
             return;
         }
-        self.drop_out(id);
+        self.remove(id);
         let images = machine.cache.images();
-        let filed = Filed {
-            filing,
+        let indexed = IndexedMachine {
+            key,
             images: images
                 .map(|(image, ready)| IndexedImage {
                     image: image.clone(),
@@ -194,23 +194,23 @@
                 })
                 .collect(),
         };
-        self.put_in(id, &filed, &machine.kind);
-        self.filed.insert(id.clone(), filed);
+        self.insert(id, &indexed, &machine.kind);
+        self.machines.insert(id.clone(), indexed);
     }
 
     /// Adds a machine to its group and counts it for its type.
-    fn put_in(&mut self, id: &MachineId, filed: &Filed, kind: &Rc<MachineType>) {
-        let key = &filed.filing.group;
+    fn insert(&mut self, id: &MachineId, indexed: &IndexedMachine, kind: &Rc<MachineType>) {
+        let key = &indexed.key.group;
         let group = self.groups.entry(key.clone()).or_insert_with(|| Group {
             kind: kind.clone(),
-            own: Shelves::default(),
-            open: Shelves::default(),
+            free: MachinesByImage::default(),
+            unkept: MachinesByImage::default(),
             count: 0,
         });
         group.count += 1;
-        group.own.change(filed, filed.filing.own, id, true);
+        group.free.change(indexed, indexed.key.free, id, true);
         if key.keeps {
-            group.open.change(filed, filed.filing.open, id, true);
+            group.unkept.change(indexed, indexed.key.unkept, id, true);
         }
         let counted = self
             .kinds
@@ -223,15 +223,15 @@
     }
 
     /// Removes a machine from the index.
-    pub fn drop_out(&mut self, id: &MachineId) {
-        let Some(filed) = self.filed.remove(id) else {
+    pub fn remove(&mut self, id: &MachineId) {
+        let Some(indexed) = self.machines.remove(id) else {
             return;
         };
-        let key = &filed.filing.group;
+        let key = &indexed.key.group;
         if let Some(group) = self.groups.get_mut(key) {
-            group.own.change(&filed, filed.filing.own, id, false);
+            group.free.change(&indexed, indexed.key.free, id, false);
             if key.keeps {
-                group.open.change(&filed, filed.filing.open, id, false);
+                group.unkept.change(&indexed, indexed.key.unkept, id, false);
             }
             group.count -= 1;
             if group.count == 0 {
@@ -263,20 +263,20 @@
         key: &GroupKey,
         group: &Group,
         search: &Search,
-        pass: Pass<'_>,
-    ) -> Option<Found> {
+        pass: MachineCheck<'_>,
+    ) -> Option<FoundMachine> {
         self.count_step();
-        let shelves = if key.keeps && search.leaves_kept {
-            &group.open
+        let machines = if key.keeps && search.leaves_kept {
+            &group.unkept
         } else {
-            &group.own
+            &group.free
         };
-        shelves.first(search, &self.steps, pass)
+        machines.first(search, &self.steps, pass)
     }
 
     /// Returns whether any machine of a group has an image, even if the machine has no free
     /// capacity.
     pub fn has_image(group: &Group, image: &Image) -> bool {
-        group.own.has_image(image)
+        group.free.has_image(image)
     }
 }
--- a/src/scheduler/capacity_index/shelf.rs
+++ b/src/scheduler/capacity_index/shelf.rs
@@ -5,7 +5,7 @@
 
 use sorrelhinge_topology::tree::Domain;
 
-use super::{Filed, Found, IndexedImage, Nearness, Pass, Search};
+use super::{FoundMachine, IndexedImage, IndexedMachine, MachineCheck, Nearness, Search};
 use crate::types::{Amount, Image, MachineId};
 
 /// Amount of free capacity. The order compares CPUs first, then memory, then GPUs.
@@ -70,11 +70,11 @@
 /// Machines in ascending order of free capacity. Machines with the same free capacity are
 /// ordered by failure domain, so that a search skips a domain that a rule bars in one step.
 #[derive(Clone, Debug, Default)]
-struct Shelf {
+struct MachinesBySize {
     by_size: BTreeMap<Size, BTreeSet<PlacedMachine>>,
 }
 
-impl Shelf {
+impl MachinesBySize {
     fn put(&mut self, size: Size, place: Domain, id: &MachineId) {
         self.by_size
             .entry(size)
@@ -89,7 +89,12 @@
             }
         }
     }
-    fn first(&self, each: Amount, steps: &Cell<u64>, pass: Pass<'_>) -> Option<Found> {
+    fn first(
+        &self,
+        each: Amount,
+        steps: &Cell<u64>,
+        pass: MachineCheck<'_>,
+    ) -> Option<FoundMachine> {
         for (&size, ids) in self.by_size.range(Size::at_least(each.cpu)..) {
             steps.set(steps.get() + 1);
             if !each.fits(size.amount()) {
@@ -100,7 +105,7 @@
                 steps.set(steps.get() + 1);
                 match pass(*place, machine) {
                     Ok(()) => {
-                        return Some(Found {
+                        return Some(FoundMachine {
                             free: size,
                             place: *place,
                             machine: machine.clone(),
@@ -120,33 +125,39 @@
 /// Machines of a group: all of them, and for each image those that have it or are fetching
 /// it.
 #[derive(Clone, Debug, Default)]
-pub(super) struct Shelves {
-    all: Shelf,
-    ready: HashMap<Image, Shelf>,
-    coming: HashMap<Image, Shelf>,
+pub(super) struct MachinesByImage {
+    all: MachinesBySize,
+    ready: HashMap<Image, MachinesBySize>,
+    fetching: HashMap<Image, MachinesBySize>,
 }
 
-impl Shelves {
+impl MachinesByImage {
     /// Adds a machine with this free capacity if `put` is set, and removes it otherwise.
-    pub(super) fn change(&mut self, filed: &Filed, size: Size, id: &MachineId, put: bool) {
-        let place = filed.filing.place;
-        let on = |shelf: &mut Shelf| {
+    pub(super) fn change(
+        &mut self,
+        indexed: &IndexedMachine,
+        size: Size,
+        id: &MachineId,
+        put: bool,
+    ) {
+        let place = indexed.key.place;
+        let on = |machines: &mut MachinesBySize| {
             if put {
-                shelf.put(size, place, id);
+                machines.put(size, place, id);
             } else {
-                shelf.take(size, place, id);
+                machines.take(size, place, id);
             }
         };
         on(&mut self.all);
-        for IndexedImage { image, ready } in &filed.images {
+        for IndexedImage { image, ready } in &indexed.images {
             let by = if *ready {
                 &mut self.ready
             } else {
-                &mut self.coming
+                &mut self.fetching
             };
-            let shelf = by.entry(image.clone()).or_default();
-            on(shelf);
-            if shelf.by_size.is_empty() {
+            let machines = by.entry(image.clone()).or_default();
+            on(machines);
+            if machines.by_size.is_empty() {
                 by.remove(image);
             }
         }
@@ -163,13 +174,13 @@
         &self,
         search: &Search,
         steps: &Cell<u64>,
-        pass: Pass<'_>,
-    ) -> Option<Found> {
-        let shelf = match search.near {
+        pass: MachineCheck<'_>,
+    ) -> Option<FoundMachine> {
+        let machines = match search.near {
             Nearness::Ready => self.ready.get(search.image)?,
-            Nearness::Coming => self.coming.get(search.image)?,
+            Nearness::Coming => self.fetching.get(search.image)?,
             Nearness::Absent => &self.all,
         };
-        shelf.first(search.each, steps, pass)
+        machines.first(search.each, steps, pass)
     }
 }
