--- a/src/scheduler/aging.rs
+++ b/src/scheduler/aging.rs
@@ -1,7 +1,7 @@
 //! Queue order of jobs that have waited too long to begin, and of jobs whose objectives
 //! have passed.
 
-use super::queue::Place;
+use super::queue::QueuePosition;
 use super::{ClusterState, Job};
 use crate::types::{Amount, JobId, Time};
 
@@ -19,21 +19,21 @@
     /// theirs, until they have waited so long that no job may overtake them. The paper's
     /// section 3 leaves the order within a team open.
     pub fn refresh_due_times(&mut self, now: Time) {
-        let moved: Vec<(Place, Time, bool)> = self
+        let moved: Vec<(QueuePosition, Time, bool)> = self
             .queues
             .iter()
             .flatten()
-            .filter_map(|place| {
-                let job = self.jobs.get(&place.id)?;
+            .filter_map(|position| {
+                let job = self.jobs.get(&position.id)?;
                 let (due, aged) = (job.due_now(now), self.is_aged(job, now));
-                ((due, aged) != (job.due, job.aged)).then(|| (place.clone(), due, aged))
+                ((due, aged) != (job.due, job.aged)).then(|| (position.clone(), due, aged))
             })
             .collect();
-        for (place, due, aged) in moved {
-            if let Some(job) = self.jobs.get_mut(&place.id) {
-                self.queues[job.team].remove(&place);
+        for (position, due, aged) in moved {
+            if let Some(job) = self.jobs.get_mut(&position.id) {
+                self.queues[job.team].remove(&position);
                 (job.due, job.aged) = (due, aged);
-                self.queues[job.team].insert(job.place(&place.id));
+                self.queues[job.team].insert(job.queue_position(&position.id));
             }
         }
     }
--- a/src/scheduler/cluster_state.rs
+++ b/src/scheduler/cluster_state.rs
@@ -9,7 +9,7 @@
 use sorrelhinge_topology::Topology;
 
 use super::capacity_index::CapacityIndex;
-use super::queue::Place;
+use super::queue::QueuePosition;
 use super::{idle, lanes, reservations, Claim, Job, Machine, Team};
 use crate::types::{Amount, Attempt, JobId, MachineId, Priority, TaskId, Time, TypeName, Zone};
 
@@ -76,7 +76,7 @@
     pub(super) jobs: BTreeMap<JobId, Job>,
     pub(super) machines: BTreeMap<MachineId, Machine>,
     /// For each team, the jobs that have tasks to place.
-    pub(super) queues: Vec<BTreeSet<Place>>,
+    pub(super) queues: Vec<BTreeSet<QueuePosition>>,
     /// For each team, the amount that its pending tasks need.
     pub(super) demand: Vec<Amount>,
     /// Index of the usable machines by free capacity.
--- a/src/scheduler/job_changes.rs
+++ b/src/scheduler/job_changes.rs
@@ -10,14 +10,14 @@
     pub fn add_job(&mut self, id: JobId, job: Job) {
         self.demand[job.team] += job.demand();
         if job.is_queued() {
-            self.queues[job.team].insert(job.place(&id));
+            self.queues[job.team].insert(job.queue_position(&id));
             self.came_to_lane(&id, &job);
         }
         self.jobs.insert(id, job);
     }
 
     /// Changes a job and updates the sums and queues. Claims change through `put_claim` and
-    /// `release` instead, and the job's place in its queue through `refile`.
+    /// `release` instead, and the job's position in its queue through `refile`.
     pub fn edit_job<R>(&mut self, id: &JobId, change: impl FnOnce(&mut Job) -> R) -> Option<R> {
         let job = self.jobs.get_mut(id)?;
         let (demand, was_queued) = (job.demand(), job.is_queued());
@@ -26,12 +26,12 @@
         self.demand[job.team] += job.demand();
         let queued = job.is_queued();
         if was_queued != queued {
-            let place = job.place(id);
+            let position = job.queue_position(id);
             if queued {
-                self.queues[job.team].insert(place);
+                self.queues[job.team].insert(position);
             } else {
                 job.blocked_since = None;
-                self.queues[job.team].remove(&place);
+                self.queues[job.team].remove(&position);
             }
         }
         Some(result)
@@ -56,16 +56,16 @@
         }
     }
 
-    /// Changes properties that determine a job's place in its team's queue, and moves the
-    /// job to its new place.
+    /// Changes properties that determine a job's position in its team's queue, and moves the
+    /// job to its new position.
     pub(super) fn refile(&mut self, id: &JobId, change: impl FnOnce(&mut Job)) {
         let Some(job) = self.jobs.get_mut(id) else {
             return;
         };
-        let waits = self.queues[job.team].remove(&job.place(id));
+        let waits = self.queues[job.team].remove(&job.queue_position(id));
         change(job);
         if waits {
-            self.queues[job.team].insert(job.place(id));
+            self.queues[job.team].insert(job.queue_position(id));
         }
     }
 
--- a/src/scheduler/placement_pass.rs
+++ b/src/scheduler/placement_pass.rs
@@ -7,7 +7,7 @@
 
 use super::filter::{Needy, PlacementRequest};
 use super::machine::Machine;
-use super::queue::Place;
+use super::queue::QueuePosition;
 use super::score::CLEARLY_S;
 use super::{ClusterState, DelayRule, Job, Launch};
 use crate::types::{JobId, Kind, MachineId, Time};
@@ -48,13 +48,13 @@
     /// whole.
     tried: HashSet<JobId>,
     /// For each team, the position in its queue from which the pass continues.
-    from: Vec<Bound<Place>>,
+    queue_starts: Vec<Bound<QueuePosition>>,
 }
 
 impl PassProgress {
-    /// Moves a team's position in its queue past this place.
-    fn go_past(&mut self, team: usize, place: Place) {
-        self.from[team] = Bound::Excluded(place);
+    /// Moves a team's position in its queue past this job.
+    fn advance_past(&mut self, team: usize, position: QueuePosition) {
+        self.queue_starts[team] = Bound::Excluded(position);
     }
 }
 
@@ -179,7 +179,7 @@
         let mut launches = lanes.launches;
         let mut progress = PassProgress {
             tried: lanes.tried.into_iter().collect(),
-            from: vec![Bound::Unbounded; self.teams.len()],
+            queue_starts: vec![Bound::Unbounded; self.teams.len()],
         };
         self.drop_expired_reservations(now);
         loop {
@@ -221,14 +221,16 @@
         scan: &mut QueueScan,
     ) {
         let mut passed = None;
-        for place in self.queues[team].range((progress.from[team].clone(), Bound::Unbounded)) {
-            let id = &place.id;
+        for position in
+            self.queues[team].range((progress.queue_starts[team].clone(), Bound::Unbounded))
+        {
+            let id = &position.id;
             let Some(job) = self.jobs.get(id) else {
                 continue;
             };
             // A job that may not claim now may not claim later in this pass either.
             if context.now < job.hold_until || !self.may_claim(id, job) {
-                passed = Some(place);
+                passed = Some(position);
                 continue;
             }
             self.scan_job(id, job, context, scan);
@@ -236,10 +238,10 @@
                 break;
             }
             progress.tried.insert(id.clone());
-            passed = Some(place);
+            passed = Some(position);
         }
-        if let Some(place) = passed {
-            progress.go_past(team, place.clone());
+        if let Some(position) = passed {
+            progress.advance_past(team, position.clone());
         }
     }
 
@@ -274,7 +276,7 @@
         let launch = self.launch(&id, &machine, now);
         if launch.is_none() {
             if let Some(job) = self.jobs.get(&id) {
-                progress.go_past(job.team, job.place(&id));
+                progress.advance_past(job.team, job.queue_position(&id));
             }
             progress.tried.insert(id);
         }
--- a/src/scheduler/queue.rs
+++ b/src/scheduler/queue.rs
@@ -32,14 +32,14 @@
 /// Position of a job among the jobs of its team that have tasks to place. The queue orders
 /// jobs by these fields, from first to last.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub(super) struct Place {
+pub(super) struct QueuePosition {
     pub(super) group: Group,
     pub(super) priority: Reverse<Priority>,
     /// Whether the job follows the lane jobs of its priority. Lane jobs go first, in the
     /// order of their standing, up to their lane's share of capacity. When all lane jobs
     /// went first, a flood of jobs in a lane kept all other classes of its team waiting.
     pub(super) after_lanes: bool,
-    pub(super) ahead: Option<LaneStanding>,
+    pub(super) lane_standing: Option<LaneStanding>,
     pub(super) turn: QueueTurn,
     pub(super) id: JobId,
     /// Whether the job is in a lane. This field never decides the order, because ids
@@ -50,23 +50,23 @@
 impl Job {
     /// Returns the job's position among its team's jobs, by priority, deadline and
     /// submission. An aged job goes by its submission alone, after production jobs.
-    pub(super) fn place(&self, id: &JobId) -> Place {
+    pub(super) fn queue_position(&self, id: &JobId) -> QueuePosition {
         let group = self.group();
         let ahead = self.lane.filter(|l| l.ahead);
-        let swapped = self.lane.and_then(|l| l.turn);
-        Place {
+        let lane_turn = self.lane.and_then(|l| l.turn);
+        QueuePosition {
             group,
             priority: Reverse(match group {
                 Group::Aged => Priority::Idle,
                 Group::Production | Group::Others => self.priority,
             }),
             after_lanes: ahead.is_none(),
-            ahead: ahead.map(|l| LaneStanding {
+            lane_standing: ahead.map(|l| LaneStanding {
                 behind: l.behind,
                 must_ms: l.must_ms,
                 place: l.place,
             }),
-            turn: swapped.unwrap_or_else(|| self.turn()),
+            turn: lane_turn.unwrap_or_else(|| self.turn()),
             id: id.clone(),
             in_lane: self.lane.is_some(),
         }
