--- a/src/scheduler/bind.rs
+++ b/src/scheduler/bind.rs
@@ -31,7 +31,7 @@
             return None;
         }
         self.claims_wait(id);
-        self.check_whether_begun(id, now);
+        self.refresh_aging(id, now);
         let job = self.jobs.get_mut(id)?;
         // After a launch on a machine with the image cached, the job again waits for such
         // machines. After any other launch, the job may launch anywhere.
--- a/src/scheduler/claims.rs
+++ b/src/scheduler/claims.rs
@@ -18,7 +18,7 @@
             return;
         };
         let (spec, units, unnamed) = (job.spec.clone(), claim.units.clone(), claim.unnamed);
-        let serving = self.other_needed_images(id, &spec);
+        let other_images = self.other_needed_images(id, &spec);
         self.edit_machine(id, |m| {
             m.claims.insert(task.clone());
             m.used += spec.each;
@@ -29,7 +29,7 @@
             if unnamed {
                 m.allocated_devices.take_unnamed();
             }
-            m.use_image(&spec, serving.as_deref(), false);
+            m.use_image(&spec, other_images.as_deref(), false);
         });
     }
 
@@ -174,7 +174,7 @@
                 }
             }
             if !image_still_needed {
-                m.cache.give_up(&spec.image);
+                m.cache.abandon_fetch(&spec.image);
             }
             if m.claims.is_empty() {
                 m.idle_since = now;
@@ -214,9 +214,9 @@
         let Some(spec) = self.jobs.get(&task.job).map(|j| j.spec.clone()) else {
             return;
         };
-        let serving = self.other_needed_images(&machine, &spec);
+        let other_images = self.other_needed_images(&machine, &spec);
         self.edit_machine(&machine, |m| {
-            m.use_image(&spec, serving.as_deref(), true);
+            m.use_image(&spec, other_images.as_deref(), true);
         });
     }
 }
--- a/src/scheduler/job.rs
+++ b/src/scheduler/job.rs
@@ -14,7 +14,7 @@
 
 /// Least part of its estimated run time that a task needs. A job can still meet an
 /// objective that is at least this far away.
-const DUE_RUN: f64 = 0.8;
+const MIN_RUN_SHARE: f64 = 0.8;
 /// A job that can meet none of its objectives is due at this multiple of the time from its
 /// submission to its last objective.
 const OVERDUE_FACTOR: f64 = 3.0;
@@ -165,7 +165,7 @@
     /// Returns when the job should be done: the earliest objective that it can still meet.
     /// A job that can meet none waits for jobs that can, but not forever.
     pub(super) fn due_now(&self, now: Time) -> Time {
-        let soonest = now.after(DUE_RUN * self.spec.estimate_s);
+        let soonest = now.after(MIN_RUN_SHARE * self.spec.estimate_s);
         let open = self
             .objectives
             .iter()
--- a/src/scheduler/machine.rs
+++ b/src/scheduler/machine.rs
@@ -51,15 +51,15 @@
         }
     }
     /// Records that a task uses an image, and evicts the least recently used images if the
-    /// disk space `free_capacity` in GB is exceeded. `ran` means that a task runs on the
+    /// disk space `capacity_gb` in GB is exceeded. `ran` means that a task runs on the
     /// image, so the machine has it.
-    pub fn touch(&mut self, image: &Image, gb: f64, free_capacity: f64, ran: bool) {
+    pub fn touch(&mut self, image: &Image, gb: f64, capacity_gb: f64, ran: bool) {
         let at = self.cached_images.iter().position(|c| c.image == *image);
         let ready = ran || at.is_some_and(|i| self.cached_images[i].ready);
         match at {
             Some(i) => {
-                let was = self.cached_images.remove(i);
-                self.version += u64::from(was.ready != ready);
+                let old = self.cached_images.remove(i);
+                self.version += u64::from(old.ready != ready);
             }
             None => self.version += 1,
         }
@@ -69,7 +69,7 @@
             ready,
         });
         let mut total: f64 = self.cached_images.iter().map(|c| c.gb).sum();
-        while total > free_capacity && self.cached_images.len() > 1 {
+        while total > capacity_gb && self.cached_images.len() > 1 {
             total -= self.cached_images.remove(0).gb;
             self.version += 1;
         }
@@ -78,10 +78,10 @@
     /// images in `needed` and those being fetched, because an upgrade that evicts the
     /// serving version can't be rolled back. If the disk has no space for all of them, the
     /// worker reports it.
-    pub fn touch_beside(
+    pub fn touch_keeping_needed(
         &mut self,
         spec: &JobSpec,
-        free_capacity: f64,
+        capacity_gb: f64,
         ran: bool,
         needed: &[Image],
     ) {
@@ -94,10 +94,10 @@
                 moves: !c.ready,
             })
             .collect();
-        let leave =
-            fetch_timeout::evictable(&others, spec.image_gb, free_capacity).unwrap_or_default();
-        self.cached_images.retain(|c| !leave.contains(&c.image));
-        self.version += leave.len() as u64;
+        let evicted =
+            fetch_timeout::evictable(&others, spec.image_gb, capacity_gb).unwrap_or_default();
+        self.cached_images.retain(|c| !evicted.contains(&c.image));
+        self.version += evicted.len() as u64;
         self.touch(&spec.image, spec.image_gb, f64::INFINITY, ran);
     }
     /// Records that an image which was being fetched has arrived.
@@ -109,7 +109,7 @@
     }
     /// Removes an image that is still being fetched, because no task waits for it any more
     /// and the fetch is abandoned.
-    pub fn give_up(&mut self, image: &Image) {
+    pub fn abandon_fetch(&mut self, image: &Image) {
         let before = self.cached_images.len();
         self.cached_images.retain(|c| c.image != *image || c.ready);
         self.version += u64::from(before != self.cached_images.len());
@@ -250,15 +250,17 @@
         self.device_inventory = Rc::new(device_inventory);
     }
     /// Records that a task uses its job's image here. `ran` tells whether the task has
-    /// already run. `serving` are the other images that tasks here need, if machines fetch
-    /// the job's image from each other, and `None` otherwise.
-    pub(super) fn use_image(&mut self, spec: &JobSpec, serving: Option<&[Image]>, ran: bool) {
-        let free_capacity = self.kind.cache_gb;
-        match serving {
-            Some(beside) => self.cache.touch_beside(spec, free_capacity, ran, beside),
+    /// already run. `other_images` are the other images that tasks here need, if machines
+    /// fetch the job's image from each other, and `None` otherwise.
+    pub(super) fn use_image(&mut self, spec: &JobSpec, other_images: Option<&[Image]>, ran: bool) {
+        let capacity_gb = self.kind.cache_gb;
+        match other_images {
+            Some(needed) => self
+                .cache
+                .touch_keeping_needed(spec, capacity_gb, ran, needed),
             None => self
                 .cache
-                .touch(&spec.image, spec.image_gb, free_capacity, ran),
+                .touch(&spec.image, spec.image_gb, capacity_gb, ran),
         }
     }
     /// Returns whether `working` contains enough units of all required kinds of device,
@@ -267,7 +269,7 @@
         needs.iter().filter(|d| d.must).all(|d| {
             working
                 .iter()
-                .any(|there| there.kind == d.kind && there.count >= d.count)
+                .any(|w| w.kind == d.kind && w.count >= d.count)
         })
     }
     /// Returns the properties that determine the cost of a start on the machine.
--- a/src/scheduler/order.rs
+++ b/src/scheduler/order.rs
@@ -64,14 +64,16 @@
     pub(super) fn in_order(&self, now: Time) -> impl Iterator<Item = (&JobId, &Job)> {
         let first = self.lanes_first(now);
         let ahead: HashSet<&JobId> = first.iter().map(|first| first.id).collect();
-        let others = self.in_turn(now).filter(move |(id, _)| !ahead.contains(id));
+        let others = self
+            .in_order_without_lanes(now)
+            .filter(move |(id, _)| !ahead.contains(id));
         let first = first.into_iter().map(|first| (first.id, first.job));
         first.chain(others)
     }
 
     /// Returns the jobs that have a task to place, in the order that would apply without
     /// lanes.
-    fn in_turn(&self, now: Time) -> impl Iterator<Item = (&JobId, &Job)> {
+    fn in_order_without_lanes(&self, now: Time) -> impl Iterator<Item = (&JobId, &Job)> {
         self.team_order()
             .into_iter()
             .flat_map(move |team| {
--- a/src/scheduler/placement_pass.rs
+++ b/src/scheduler/placement_pass.rs
@@ -8,7 +8,7 @@
 use super::filter::{Needy, PlacementRequest};
 use super::machine::Machine;
 use super::queue::QueuePosition;
-use super::score::CLEARLY_S;
+use super::score::CLEARLY_BETTER_S;
 use super::{ClusterState, DelayRule, Job, Launch};
 use crate::types::{JobId, Kind, MachineId, Time};
 
@@ -153,15 +153,16 @@
         None
     }
 
-    /// Returns whether another machine is cheaper for a task by more than [`CLEARLY_S`].
+    /// Returns whether another machine is cheaper for a task by more than
+    /// [`CLEARLY_BETTER_S`].
     fn has_clearly_better(&self, request: &PlacementRequest, machine: &Machine) -> bool {
         let job = request.job;
         let near = machine.cache.nearness(&job.spec.image);
         let cost = self.start_cost(job, near, &machine.traits(), &machine.working);
-        cost > CLEARLY_S
+        cost > CLEARLY_BETTER_S
             && self
                 .best(request)
-                .is_some_and(|b| b.cost + CLEARLY_S < cost)
+                .is_some_and(|b| b.cost + CLEARLY_BETTER_S < cost)
     }
 
     /// Offers every waiting job the best machine for it. The result equals that of a walk of
--- a/src/scheduler/score.rs
+++ b/src/scheduler/score.rs
@@ -11,19 +11,19 @@
 
 /// Cost in seconds of fetch time of placing a job that could use a spot machine on an
 /// ordinary one. It leaves ordinary machines to jobs that can't use spot machines.
-const ORDINARY_S: f64 = 8.0;
+const ORDINARY_COST_S: f64 = 8.0;
 /// Cost in seconds of using a machine that should become idle.
-const RETIRING_S: f64 = 3.0;
+const RETIRING_COST_S: f64 = 3.0;
 /// Cost in seconds of using a machine that receives commands only occasionally.
-const SLOW_S: f64 = 4.0;
+const SLOW_COST_S: f64 = 4.0;
 /// Cost in seconds of using a large machine that tasks of other jobs need.
-const SCARCE_S: f64 = 3.0;
+const SCARCE_COST_S: f64 = 3.0;
 /// Cost in seconds of placing a service in a zone without a controller.
-const UNSERVED_S: f64 = 4.0;
+const UNSERVED_COST_S: f64 = 4.0;
 /// Cost in seconds of using a machine with devices for work that needs none.
-const DEVICES_S: f64 = 3.0;
+const DEVICES_COST_S: f64 = 3.0;
 /// A machine that is cheaper by more than this many seconds counts as clearly better.
-pub(super) const CLEARLY_S: f64 = 0.5;
+pub(super) const CLEARLY_BETTER_S: f64 = 0.5;
 /// Machine that is offered to a job for one more task, with what ranks it among other
 /// offers.
 #[derive(Clone, Debug)]
@@ -59,7 +59,7 @@
     ) -> f64 {
         let mut cost = self.place_cost(&job.spec, near, traits);
         if !devices.is_empty() && job.policy.devices.is_empty() {
-            cost += DEVICES_S;
+            cost += DEVICES_COST_S;
         }
         cost
     }
@@ -75,16 +75,16 @@
             Nearness::Absent => fetch,
         };
         if spec.spot && !traits.spot {
-            cost += ORDINARY_S;
+            cost += ORDINARY_COST_S;
         }
         if spec.kind == Kind::Service && !self.is_served(traits.zone) {
-            cost += UNSERVED_S;
+            cost += UNSERVED_COST_S;
         }
         if traits.retiring {
-            cost += RETIRING_S;
+            cost += RETIRING_COST_S;
         }
         if traits.slow {
-            cost += SLOW_S;
+            cost += SLOW_COST_S;
         }
         // Large machines are left to tasks that fit no smaller type.
         let scarce = self.shapes.iter().any(|s| {
@@ -95,7 +95,7 @@
                     .any(|k| !s.fits(k.total) && spec.each.fits(k.total))
         });
         if scarce && !self.needs(spec.each, kind) {
-            cost += SCARCE_S;
+            cost += SCARCE_COST_S;
         }
         cost
     }
