--- a/src/scheduler/capacity_index/mod.rs
+++ b/src/scheduler/capacity_index/mod.rs
@@ -15,7 +15,7 @@
 use super::machine::{Machine, MachineTraits};
 use crate::types::{Amount, Image, MachineId, MachineType, TypeName, Zone};
 
-/// Properties that all machines of a [`Group`] have in common.
+/// Properties that all machines of a `Group` have in common.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct GroupKey {
     /// Whether the machines are spot machines.
