--- a/src/scheduler/cluster_state.rs
+++ b/src/scheduler/cluster_state.rs
@@ -60,8 +60,8 @@
     pub staged_gb: Option<f64>,
     /// Zones that have a controller. If the set is empty, every zone counts as having one.
     /// A zone that is cut off continues if one of its controllers reaches the shard's owner
-    /// or is the owner. A zone without a controller loses all its tasks when their leases
-    /// expire.
+    /// or is the owner. A cut-off zone without a controller loses all its tasks when their
+    /// leases expire.
     pub served: BTreeSet<Zone>,
     /// Priority whose jobs are not placed, except those of teams below their guarantee.
     pub blocked_rank: Option<Priority>,
