--- a/src/state/budget.rs
+++ b/src/state/budget.rs
@@ -1,21 +1,22 @@
-//! This controller's share of what all controllers together may ask of a service, as a
-//! token bucket. The level can be negative: the most urgent requests are taken all the same,
-//! and the others wait until it is made up for.
+//! Token bucket that paces this controller's requests to a service. Its rate is this
+//! controller's share of the rate that all controllers together may use. The level can be
+//! negative: the most urgent requests always pass, and other requests wait until the bucket
+//! has refilled.
 
 use std::cell::Cell;
 use std::time::Duration;
 
 use tokio::time::{sleep, Instant};
 
-/// The part of the bucket above which it counts as spare.
+/// Fraction of the burst at or above which the level counts as spare.
 const SPARE_PART: f64 = 0.6;
-/// The level is a sum of many parts; it may be so much off.
+/// Tolerance for rounding errors of the level, which is a sum of many terms.
 const ROUNDING: f64 = 1e-9;
-/// Whoever waits for the bucket looks again no sooner.
+/// Minimum pause between two attempts of a waiting request.
 const LEAST_PAUSE: Duration = Duration::from_millis(2);
 
-/// This controller's share of what all may ask of a service: a bucket that
-/// refills steadily up to one second's worth, or a least burst.
+/// Token bucket of one service. The bucket refills steadily up to one second's worth of
+/// tokens, or up to a minimum burst if that is more.
 pub struct Budget {
     rate: Cell<f64>,
     least_burst: Cell<f64>,
@@ -24,7 +25,8 @@
 }
 
 impl Budget {
-    /// `rate` per second.
+    /// Returns a bucket that refills at `rate` tokens per second and holds one second's
+    /// worth.
     pub fn new(rate: f64) -> Self {
         Self {
             rate: Cell::new(rate),
@@ -34,8 +36,8 @@
         }
     }
 
-    /// Changes the rate, and how much may be asked at once even if that is
-    /// more than a second's worth.
+    /// Sets the rate, in tokens per second, and the minimum burst: the number of tokens that
+    /// may be taken at once even if one second's worth is less.
     pub fn set_rate(&self, rate: f64, least_burst: f64) {
         self.refill();
         self.rate.set(rate);
@@ -46,12 +48,13 @@
         self.rate.get().max(self.least_burst.get())
     }
 
-    /// What it gives a second.
+    /// Returns the rate in tokens per second.
     pub fn rate(&self) -> f64 {
         self.rate.get()
     }
 
-    /// The service says that all together ask too much.
+    /// Empties the bucket. The client calls this when the service refuses a request because
+    /// all controllers together send too many.
     pub fn drain(&self) {
         self.refill();
         self.level.set(self.level.get().min(0.0));
@@ -65,26 +68,27 @@
             .set((self.level.get() + gained).min(self.burst()));
     }
 
-    /// Whether the bucket is filled well enough that some of it counts as spare.
+    /// Returns whether the bucket is full enough that some tokens count as spare.
     pub fn spare(&self) -> bool {
         self.refill();
         self.level.get() >= SPARE_PART * self.burst()
     }
 
-    /// Takes `n` at once, even beyond what is there: for the most urgent requests.
+    /// Takes `n` tokens at once, even if the level becomes negative. Only the most urgent
+    /// requests use this.
     pub fn force(&self, n: f64) {
         self.refill();
         self.level.set(self.level.get() - n);
     }
 
-    /// Takes `n` if there is enough.
+    /// Takes `n` tokens if the bucket holds enough.
     ///
     /// # Errors
     ///
-    /// For how long to wait until there would be enough.
+    /// Returns the time until the bucket would hold enough.
     pub fn take(&self, n: f64) -> Result<(), Duration> {
         self.refill();
-        // More than fits is allowed on a full bucket.
+        // A full bucket allows a request for more tokens than it can hold.
         let needed = n.min(self.burst());
         if self.level.get() + ROUNDING >= needed {
             self.level.set(self.level.get() - n);
@@ -96,7 +100,7 @@
         }
     }
 
-    /// Takes `n`, waiting at most `patience` for it.
+    /// Takes `n` tokens, waiting at most `patience` for them. Returns whether it took them.
     pub async fn wait(&self, n: f64, patience: Duration) -> bool {
         let end = Instant::now() + patience;
         loop {
@@ -111,11 +115,12 @@
     }
 }
 
-/// How urgent a request is, when the budget is short.
+/// Urgency of a request when the budget is short.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestPriority {
-    /// Renewals and claims: goes at once and leaves the others the rest.
+    /// Renewals and claims have this priority. The request passes at once, and other requests
+    /// share the remaining budget.
     First,
-    /// Waits for the budget, this long at most.
+    /// The request waits for the budget, at most for this duration.
     Within(Duration),
 }
--- a/src/state/client/leases.rs
+++ b/src/state/client/leases.rs
@@ -1,4 +1,4 @@
-//! Leases: granted, renewed and ended.
+//! Requests that create, renew and revoke leases.
 
 use std::time::Duration;
 
@@ -12,17 +12,18 @@
 use super::StateClient;
 use crate::types::LeaseId;
 
-/// For the answer that grants a lease.
+/// Time limit for the answer to a request that creates a lease.
 const LEASE_TIMEOUT: Duration = Duration::from_secs(1);
-/// For the answer to the renewal or the end of a lease.
+/// Time limit for the answer to a request that renews or revokes a lease.
 const LEASE_CHANGE_TIMEOUT: Duration = Duration::from_millis(800);
 
 impl StateClient {
-    /// A new lease, which ends `life` after it was last renewed.
+    /// Creates a lease that expires `life` after its last renewal.
     ///
     /// # Errors
     ///
-    /// The store refused or did not answer; a lease may have been made, and ends by itself.
+    /// The store refused or did not answer. In the latter case it may have created a lease,
+    /// which then expires.
     pub async fn lease(&self, life: Duration) -> Result<LeaseId, StateError> {
         let request = StateRequest {
             method: Method::POST,
@@ -35,11 +36,11 @@
         Ok(lease.lease)
     }
 
-    /// Ends a lease, and what is attached to it, at once.
+    /// Revokes a lease. The store deletes the keys attached to the lease at once.
     ///
     /// # Errors
     ///
-    /// The store refused or did not answer; the lease ends by itself at the latest.
+    /// The store refused or did not answer. The lease then expires at the latest.
     pub async fn end(&self, lease: LeaseId) -> Result<(), StateError> {
         let request = StateRequest {
             method: Method::DELETE,
--- a/src/state/client/mod.rs
+++ b/src/state/client/mod.rs
@@ -1,9 +1,10 @@
-//! Client of the state service: transactions, reads, watches and leases (PROTOCOL,
-//! "Controller nodes -> state service"). It paces requests and changes by two budgets and
-//! learns from refusals how many changes the service takes.
+//! Client of the state service for transactions, reads, watches and leases (PROTOCOL,
+//! "Controller nodes -> state service"). Two budgets pace its requests and its changes. The
+//! client lowers its rate of changes when refusals show that the service takes fewer changes.
 //!
-//! This file has the client's state and the way of every request; `request` what is sent
-//! and answered; `transactions`, `reads` and `leases` a kind of request each.
+//! This file has the client's state and the common path of all requests. Module `request` has
+//! the types of requests and answers; `transactions`, `reads` and `leases` each have one kind
+//! of request.
 
 mod leases;
 mod reads;
@@ -25,17 +26,17 @@
 use crate::config::StateLimits;
 use crate::http::{CallError, Limits, Pool};
 
-/// For a connection to the service.
+/// Time limit for connecting to the service.
 const CONNECT: Duration = Duration::from_millis(800);
 
 /// Client of the state service.
 pub struct StateClient {
     pool: Pool,
-    /// Requests.
+    /// Budget of requests.
     pub requests: Budget,
-    /// Changes.
+    /// Budget of changes: each written or deleted key costs one.
     pub writes: Budget,
-    /// The last request that was sent came to nothing.
+    /// Whether the service did not serve the last request that was sent.
     failing: Cell<bool>,
     limits: StateLimits,
     change_rate: RefCell<ChangeRate>,
@@ -43,7 +44,8 @@
 }
 
 impl StateClient {
-    /// For the service at `address`; `rps` requests a second are this controller's share.
+    /// Returns a client of the service at `address`. This controller's share of the request
+    /// rate is `rps` requests per second.
     pub fn new(address: SocketAddr, rps: f64, limits: StateLimits) -> Rc<Self> {
         Rc::new(Self {
             pool: Pool::new(address),
@@ -56,29 +58,32 @@
         })
     }
 
-    /// Changes a second that all controllers together may make, as far as is known.
+    /// Returns how many changes per second all controllers together may make, as far as this
+    /// controller knows.
     pub fn change_rate(&self) -> f64 {
         self.change_rate.borrow().in_force()
     }
 
-    /// Whether the smaller limits (`state.next`) are known to be in force.
+    /// Returns whether this controller knows that the smaller limits (`state.next`) are in
+    /// force.
     pub fn limits_fell(&self) -> bool {
         self.change_rate.borrow().is_lowered()
     }
 
-    /// Another controller knows that the smaller limits are in force. Returns whether that
-    /// is new.
+    /// Records that another controller found the smaller limits in force. Returns whether
+    /// this controller did not know it yet.
     pub fn note_lower_limits(&self) -> bool {
         self.change_rate.borrow_mut().lower()
     }
 
-    /// Whether the service did not serve the last request that was sent to it. What
-    /// is over this controller's share is not sent, and shows nothing of it.
+    /// Returns whether the service did not serve the last request that was sent. Requests
+    /// over this controller's share are not sent, so they do not count.
     pub fn fails(&self) -> bool {
         self.failing.get()
     }
 
-    /// Sends one request once its budget allows, and notes whether the service serves.
+    /// Sends one request once the budget allows it, and records whether the service served
+    /// it.
     async fn call(&self, request: StateRequest<'_>) -> Result<StateReply, StateError> {
         self.take_request(request.urgency).await?;
         let path = request.path;
@@ -106,7 +111,7 @@
         Ok(())
     }
 
-    /// Sends one request. Refusals that any request can meet are errors.
+    /// Sends one request. Returns an error for a refusal that any request can get.
     async fn exchange(&self, request: StateRequest<'_>) -> Result<StateReply, StateError> {
         let limits = Limits {
             connect: CONNECT,
--- a/src/state/client/reads.rs
+++ b/src/state/client/reads.rs
@@ -1,4 +1,4 @@
-//! Reads of all keys in pages, and the watch of their changes.
+//! Paged reads of all keys, and the watch of their changes.
 
 use std::time::Duration;
 
@@ -13,24 +13,26 @@
 use super::StateClient;
 use crate::types::Revision;
 
-/// For the answer to a watch, beyond the time that it was asked to wait.
+/// Time limit for the answer to a watch, in addition to the time that the watch asks the
+/// service to wait.
 const WATCH_TIMEOUT: Duration = Duration::from_millis(1500);
-/// For a page of keys.
+/// Time limit for the answer to a read of one page of keys.
 const PAGE_TIMEOUT: Duration = Duration::from_secs(3);
-/// A page of keys waits so long for the budget.
+/// Maximum time that the read of one page of keys waits for the budget.
 const PAGE_PATIENCE: Duration = Duration::from_secs(5);
 
-/// All keys, as they were read page by page.
+/// All keys, read page by page.
 #[derive(Debug)]
 pub struct StoreSnapshot {
-    /// A watch from this revision on misses no change of what was read.
+    /// A watch from this revision misses no change that is absent from `items`.
     pub store_revision: Revision,
-    /// The keys with their values.
+    /// Keys with their values.
     pub items: Vec<Item>,
 }
 
 impl StateClient {
-    /// Changes under [`record::ROOT`] after `since`, waiting up to `wait` for one.
+    /// Returns the changes under [`record::ROOT`] after `since`, waiting up to `wait` for a
+    /// change.
     ///
     /// # Errors
     ///
@@ -60,7 +62,7 @@
         }
     }
 
-    /// All keys under [`record::ROOT`].
+    /// Reads all keys under [`record::ROOT`].
     ///
     /// # Errors
     ///
@@ -70,8 +72,9 @@
         let mut first: Option<Revision> = None;
         loop {
             let page = self.read_page(items.last()).await?;
-            // Pages are of different moments: changes after the first one are
-            // followed again, which does no harm.
+            // The pages show the store at different revisions. The watch starts at the
+            // revision of the first page, so it repeats changes that later pages show
+            // already, which does no harm.
             let store_revision = *first.get_or_insert(page.store_revision);
             let more = page.truncated && !page.items.is_empty();
             items.extend(page.items);
@@ -84,7 +87,7 @@
         }
     }
 
-    /// The keys after `last`, as many as one answer has.
+    /// Reads the keys after `last`, as many as fit into one answer.
     async fn read_page(&self, last: Option<&Item>) -> Result<Page, StateError> {
         let since = last.map_or(String::new(), |i| format!("&since={}", i.key));
         let path = format!("/keys?under={}{since}&most=1000", record::ROOT);
--- a/src/state/client/request.rs
+++ b/src/state/client/request.rs
@@ -1,4 +1,4 @@
-//! A request to the state service, and its answer as read.
+//! Types of a request to the state service and of its answer.
 
 use bytes::Bytes;
 use hyper::Method;
@@ -10,27 +10,27 @@
 use super::super::error::{RefusedCause, StateError, UnknownCause};
 use crate::types::Revision;
 
-/// What the service says, with status 400, of a lease that it does not know (PROTOCOL).
+/// Text of the answer, with status 400, to a request that names an unknown lease (PROTOCOL).
 const NO_SUCH_LEASE: &str = "no such lease";
 
-/// A request, as far as all kinds of them have it in common.
+/// Fields that all kinds of requests have.
 pub(super) struct StateRequest<'a> {
     pub(super) method: Method,
     pub(super) path: &'a str,
     pub(super) body: Bytes,
     pub(super) urgency: RequestPriority,
-    /// For the answer, once there is a connection.
+    /// Time limit for the answer once there is a connection.
     pub(super) timeout: Duration,
 }
 
-/// The service's answer, unless it says that it takes nothing now.
+/// Answer of the service with any status other than 429 and 503.
 pub(super) struct StateReply {
     pub(super) status: u16,
     pub(super) body: Bytes,
 }
 
 impl StateReply {
-    /// Reads the body of an answer with status 200; no other is expected.
+    /// Decodes the body of an answer with status 200. Any other status is an error.
     pub(super) fn read<T: DeserializeOwned>(&self) -> Result<T, StateError> {
         if self.status != 200 {
             return Err(self.unexpected());
@@ -43,7 +43,7 @@
         StateError::Refused(RefusedCause::Status(self.status))
     }
 
-    /// The revision in the answer to a transaction.
+    /// Decodes the revision in the answer to a transaction.
     pub(super) fn revision(&self) -> Result<Revision, StateError> {
         serde_json::from_slice::<RevisionBody>(&self.body)
             .map(|l| l.store_revision)
--- a/src/state/client/transactions.rs
+++ b/src/state/client/transactions.rs
@@ -1,4 +1,4 @@
-//! Transactions: compare-and-swap on several keys, sent within the budget of changes.
+//! Compare-and-swap transactions on several keys, paced by the budget of changes.
 
 use std::time::Duration;
 
@@ -13,16 +13,17 @@
 use super::StateClient;
 use crate::types::{Revision, Time};
 
-/// For the answer to a transaction.
+/// Time limit for the answer to a transaction.
 const TXN_TIMEOUT: Duration = Duration::from_millis(1500);
 
 impl StateClient {
-    /// Carries out a transaction. If all controllers together ask too much of
-    /// the service, it is tried again as long as `urgency` allows.
+    /// Commits a transaction. If the service refuses it because all controllers together make
+    /// too many changes, the client retries it as long as `urgency` allows.
     ///
     /// # Errors
     ///
-    /// The store rejected it, or nothing is known of it: it may still be carried out.
+    /// The store rejected the transaction, or its outcome is unknown and it may still be
+    /// committed.
     pub async fn transact(
         &self,
         transaction: &Transaction,
@@ -41,8 +42,8 @@
         }
     }
 
-    /// Sends a transaction until the service does not refuse it for its rate of changes any
-    /// more, or the time is over.
+    /// Sends a transaction, and retries it until the service no longer refuses it for the
+    /// rate of changes or `urgency` allows no more time.
     async fn send_transaction(
         &self,
         transaction: &Transaction,
@@ -97,7 +98,8 @@
         Ok(())
     }
 
-    /// The service refused a transaction as one change too many.
+    /// Records that the service refused a transaction for the rate of changes, and lowers the
+    /// rate if such refusals go on.
     fn refused_for_rate(&self) {
         let now = Time(self.begun.elapsed().as_secs_f64());
         if self.change_rate.borrow_mut().refused(now) {
@@ -105,8 +107,8 @@
         }
     }
 
-    /// The service rejected a transaction. If only the larger limits allow it, that shows
-    /// that they are over.
+    /// Returns the error for a transaction that the service rejected. A rejected transaction
+    /// that only the larger limits allow shows that the smaller limits are in force now.
     fn rejected(&self, transaction: &Transaction, reply: &StateReply) -> StateError {
         let size = |change: &Change| match change {
             Change::Write { value, .. } => value.get().len(),
@@ -121,11 +123,11 @@
         StateError::Rejected(ErrorReply::new(reply.status, &reply.body))
     }
 
-    /// Changes one key, if it still has this version.
+    /// Changes one key if its version is still `mod_revision`.
     ///
     /// # Errors
     ///
-    /// As [`StateClient::transact`].
+    /// The same as for [`StateClient::transact`].
     pub async fn change(
         &self,
         key: String,
--- a/src/state/error.rs
+++ b/src/state/error.rs
@@ -1,93 +1,99 @@
-//! How requests to the state service end: outcomes and errors.
+//! Outcomes and errors of requests to the state service.
 
 use crate::http::TransportError;
 use crate::types::Revision;
 
-/// A transaction's outcome.
+/// Outcome of a transaction that the service answered.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum TransactionOutcome {
-    /// Carried out, as this revision.
+    /// The service committed the transaction at this revision.
     Done(Revision),
-    /// A condition failed; the service's revision was this.
+    /// A condition did not hold at this revision of the store, so the service committed
+    /// nothing.
     Failed(Revision),
 }
 
-/// Why the state service gave no answer of use.
+/// Reason why a request to the state service has no usable answer.
 #[derive(Debug, thiserror::Error)]
 pub enum StateError {
-    /// Certainly not carried out: refused, out of budget, or no connection.
+    /// The request was certainly not carried out: the service refused it, the budget did not
+    /// allow it, or there was no connection.
     #[error("not carried out: {0}")]
     Refused(#[source] RefusedCause),
-    /// Not carried out: all controllers together ask too much.
+    /// The request was not carried out because all controllers together send too many.
     #[error("too many requests")]
     TooMany,
-    /// May have been carried out, or may still be.
+    /// The request may have been carried out, or may still be.
     #[error("unknown outcome: {0}")]
     Unknown(#[source] UnknownCause),
-    /// Not carried out: the service does not take it as it is, so trying the same again is
-    /// of no use.
+    /// The request was not carried out because the service does not accept its content. A
+    /// retry of the same request is useless.
     #[error("rejected: {0}")]
     Rejected(ErrorReply),
     /// The lease has ended.
     #[error("the lease has ended")]
     LeaseEnded,
-    /// The watch is too old; everything has to be read again.
+    /// The service no longer has the changes since the revision of the watch. All keys must
+    /// be read again.
     #[error("too old to follow")]
     TooOld,
 }
 
-/// Why a request was certainly not carried out, or gave nothing that can be read.
+/// Reason why a request was certainly not carried out, or why the answer to a read is
+/// unusable.
 #[derive(Debug, thiserror::Error)]
 pub enum RefusedCause {
-    /// Not sent: this controller's share of the requests or changes is used up.
+    /// The request was not sent because this controller's share of the requests or changes is
+    /// used up.
     #[error("over this controller's share")]
     OverBudget,
-    /// Not sent: the request cannot be written as JSON.
+    /// The request was not sent because it cannot be encoded as JSON.
     #[error(transparent)]
     Encode(serde_json::Error),
-    /// Not sent: there is no connection.
+    /// The request was not sent because there is no connection.
     #[error(transparent)]
     NotSent(TransportError),
-    /// The service answered that it serves nobody now (503).
+    /// The service answered that it serves no request now (503).
     #[error("unavailable")]
     Unavailable,
-    /// The service answered with a status that the request does not have.
+    /// The service answered with a status that this kind of request does not have.
     #[error("status {0}")]
     Status(u16),
-    /// The same of a transaction, whose answer says why.
+    /// The service answered a transaction with an unexpected status, and its answer states
+    /// the reason.
     #[error(transparent)]
     Reply(ErrorReply),
-    /// The answer to a request that reads or makes a lease cannot be read.
+    /// The answer to a request that reads keys or creates a lease cannot be decoded.
     #[error("malformed answer: {0}")]
     Malformed(#[source] serde_json::Error),
 }
 
-/// Why a request may have been carried out, or may still be.
+/// Reason why a request may have been carried out, or may still be.
 #[derive(Debug, thiserror::Error)]
 pub enum UnknownCause {
-    /// It was sent, and no complete answer came.
+    /// The request was sent, and no complete answer arrived.
     #[error(transparent)]
     NoAnswer(TransportError),
-    /// The answer to a transaction cannot be read.
+    /// The answer to a transaction cannot be decoded.
     #[error("malformed answer: {0}")]
     Malformed(#[source] serde_json::Error),
 }
 
-/// An answer that says what is wrong with a request.
+/// Answer that describes what is wrong with a request.
 #[derive(Debug, thiserror::Error)]
 #[error("status {status}: {text}")]
 pub struct ErrorReply {
-    /// HTTP status.
+    /// HTTP status of the answer.
     pub status: u16,
-    /// How the body begins.
+    /// First characters of the body.
     pub text: String,
 }
 
-/// Characters of an answer's body that an error keeps.
+/// Maximum number of characters of an answer's body that an error keeps.
 const MAX_REPLY_CHARS: usize = 200;
 
 impl ErrorReply {
-    /// Of an answer's status and body.
+    /// Returns the error for an answer's status and body.
     pub(super) fn new(status: u16, body: &[u8]) -> Self {
         let text = String::from_utf8_lossy(body);
         Self {
