--- a/src/state/chunk_record.rs
+++ b/src/state/chunk_record.rs
@@ -1,50 +1,55 @@
-//! Claims and results of some of a job's tasks, and how many tasks fit into a value.
+//! Record of the claims and results of a chunk of a job's tasks, and the number of tasks that
+//! fit into a chunk.
 
 use serde::{Deserialize, Serialize, Serializer};
 use sorrelhinge_topology::devices::Unit;
 
 use crate::types::{Attempt, JobSpec, MachineId};
 
-/// Tasks of the largest chunk: [`ChunkRecord::done`] has a bit for each.
+/// Maximum number of tasks in a chunk: [`ChunkRecord::done`] has one bit for each task.
 const MAX_CHUNK_TASKS: usize = 64;
 
-/// Bytes of a claim: about 25, and machine names may be longer than usual.
+/// Bytes reserved for a claim. A claim takes about 25 bytes, and machine names may be longer
+/// than usual.
 pub(super) const CLAIM_BYTES: usize = 40;
-/// Bytes of a unit that a claim names, but for its kind: a name has at most 40.
+/// Bytes reserved for a device unit of a claim, without its kind. A unit name has at most 40
+/// bytes.
 const UNIT_BYTES: usize = 56;
 
-/// Bytes left out for a chunk's own fields, and in a job's record for its place, which
-/// comes later: it must not make the record too large to write.
+/// Bytes reserved for a chunk's other fields. In a job record they are reserved for the job's
+/// place in its lane: a later write adds the place, which must not make the record too large
+/// to write.
 pub(super) const OWN_BYTES: usize = 128;
 
 /// Claims and results of up to 64 tasks.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct ChunkRecord {
-    /// The next attempt number.
+    /// Number of the next attempt.
     #[serde(rename = "a")]
     pub next_attempt: u64,
-    /// Done tasks, one bit each.
+    /// Completed tasks, one bit each.
     #[serde(rename = "d")]
     pub done: u64,
-    /// Claims of tasks, by their place.
+    /// Claims of tasks, each with the index of its task in the chunk.
     #[serde(rename = "c", default, skip_serializing_if = "Vec::is_empty")]
     pub claims: Vec<RecordedClaim>,
-    /// Devices assigned to the claims of a job with devices, if only none. A field of its own,
-    /// so that earlier versions can read the claims; what they write has none, and then any
-    /// device of the machine may be in use.
+    /// Devices assigned to the claims of a job that requests devices. A claim with no
+    /// assigned device has an entry too. A claim without an entry was recorded by an earlier
+    /// version, and any device of the machine may be in use. This is a separate field so that
+    /// earlier versions can read the claims.
     #[serde(rename = "u", default, skip_serializing_if = "Vec::is_empty")]
     pub units: Vec<RecordedUnits>,
 }
 
-/// A task that is claimed. Stored as an array of its fields in their order.
+/// Claim of a task. The record stores it as an array of its fields in declaration order.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 #[serde(from = "(u32, Attempt, MachineId)")]
 pub struct RecordedClaim {
-    /// The task's place in the chunk, from 0 on.
+    /// Index of the task in its chunk, from 0.
     pub place: u32,
-    /// The attempt to run it.
+    /// Attempt that runs the task.
     pub attempt: Attempt,
-    /// Where.
+    /// Machine that the task is claimed on.
     pub machine: MachineId,
 }
 
@@ -64,13 +69,14 @@
     }
 }
 
-/// The devices assigned to a claim. Stored as an array of its fields in their order.
+/// Devices assigned to a claim. The record stores them as an array of its fields in
+/// declaration order.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 #[serde(from = "(u32, Vec<Unit>)")]
 pub struct RecordedUnits {
-    /// The task's place in the chunk, from 0 on.
+    /// Index of the task in its chunk, from 0.
     pub place: u32,
-    /// Which units of the claim's machine.
+    /// Assigned device units of the machine that the task is claimed on.
     pub units: Vec<Unit>,
 }
 
@@ -87,21 +93,22 @@
 }
 
 impl ChunkRecord {
-    /// Nothing claimed, nothing done.
+    /// Returns a record without claims and completed tasks.
     pub fn new() -> Self {
         Self {
             next_attempt: 1,
             ..Self::default()
         }
     }
-    /// About how many bytes its claims take.
+    /// Returns the approximate size of the encoded claims in bytes.
     pub fn weight(&self) -> usize {
         let units = self.units.iter().flat_map(|recorded| &recorded.units);
         CLAIM_BYTES * self.claims.len() + units.map(|u| u.kind().len() + UNIT_BYTES).sum::<usize>()
     }
 }
 
-/// Bytes of a claim of such a job's task, with those of the units that it names.
+/// Returns the bytes reserved for a claim of a task of this job, including the device units
+/// that the task requests.
 pub(super) fn claim_bytes(spec: &JobSpec) -> usize {
     let with_extension = spec
         .extension
@@ -118,13 +125,14 @@
     CLAIM_BYTES + units
 }
 
-/// Tasks that fit into a chunk when values have at most `value_bytes`, and a claim takes
-/// `claim_bytes`.
+/// Returns the number of tasks that fit into a chunk if a value has at most `value_bytes` and
+/// a claim takes `claim_bytes`.
 pub(super) fn chunk_size_of(value_bytes: usize, claim_bytes: usize) -> u32 {
     (value_bytes.saturating_sub(OWN_BYTES) / claim_bytes).clamp(1, MAX_CHUNK_TASKS) as u32
 }
 
-/// Tasks that fit into a chunk when values have at most `value_bytes`.
+/// Returns the number of tasks without devices that fit into a chunk if a value has at most
+/// `value_bytes`.
 pub fn chunk_size(value_bytes: usize) -> u32 {
     chunk_size_of(value_bytes, CLAIM_BYTES)
 }
--- a/src/state/job_record.rs
+++ b/src/state/job_record.rs
@@ -1,4 +1,5 @@
-//! A job's record: what its user described, how far its tasks are, what it waits for.
+//! Record of a job: its description, the progress of its tasks, and the jobs that it depends
+//! on.
 
 use serde::{Deserialize, Serialize};
 use sorrelhinge_pipelines::graph::{JobFacts, Recorded};
@@ -7,103 +8,104 @@
 use super::chunk_record::{chunk_size_of, claim_bytes, ChunkRecord, CLAIM_BYTES, OWN_BYTES};
 use crate::types::{CompatibilityExtension, JobId, JobSpec, Priority, Revision, TypeName};
 
-/// A job's phase, as far as it is recorded.
+/// Recorded phase of a job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Phase {
-    /// Accepted, not over.
+    /// The job is accepted and not over.
     #[serde(rename = "l")]
     Live,
-    /// All tasks done. Final.
+    /// All tasks are done. This phase is final.
     #[serde(rename = "d")]
     Done,
-    /// Cancelled by its user. Final.
+    /// The user cancelled the job. This phase is final.
     #[serde(rename = "c")]
     Cancelled,
 }
 
-/// A job.
+/// Stored record of a job.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct JobRecord {
-    /// Its phase.
+    /// Phase of the job.
     #[serde(rename = "p")]
     pub phase: Phase,
     /// Number of tasks.
     #[serde(rename = "n")]
     pub tasks: u32,
-    /// Tasks in a chunk, fixed when the job was accepted.
+    /// Number of tasks in a chunk. The value is fixed when the job is accepted.
     #[serde(rename = "k")]
     pub chunk: u32,
-    /// When it was accepted, in milliseconds of the time of day.
+    /// Wall-clock time at which the job was accepted, in milliseconds.
     #[serde(rename = "t")]
     pub accepted_ms: u64,
-    /// The job itself. Kept once cancelled, for what its tasks still take of
-    /// the team's limit; dropped once done.
+    /// Description of the job. A cancelled job keeps it because its running tasks still count
+    /// against the team's limit. A completed job drops it.
     #[serde(rename = "s", default, skip_serializing_if = "Option::is_none")]
     pub spec: Option<Box<JobSpec>>,
-    /// All tasks' claims and results, of a job small enough to keep them here:
-    /// its claims then cost no key of their own, and no deletion.
+    /// Claims and results of all tasks, if the job is small enough to keep them in its
+    /// record. The claims then need no key of their own, and no deletion.
     #[serde(rename = "i", default, skip_serializing_if = "Option::is_none")]
     pub inline: Option<ChunkRecord>,
-    /// Its place in its lane: the revision of this record's first write. None
-    /// until it is written again, and for jobs in no lane; a version that does
-    /// not know it drops it. See [`JobEntry::place`](super::view::JobEntry).
+    /// Place of the job in its lane: the revision of the first write of this record. The
+    /// value is `None` until the record is written again, and for a job in no lane. A version
+    /// that does not know this field drops it. See
+    /// [`JobEntry::place`](super::view::JobEntry).
     #[serde(rename = "o", default, skip_serializing_if = "Option::is_none")]
     pub place: Option<Revision>,
-    /// The jobs that it needs, if it needs any. Written once.
+    /// Dependencies of the job, if it has any. The field is written once.
     #[serde(rename = "w", default, skip_serializing_if = "Option::is_none")]
     pub waits: Option<Box<WaitsRecord>>,
-    /// When all its tasks were done, in milliseconds of the time of day: what waits for it
-    /// is ready since then. None: not done, or recorded by a version that did not say. A
-    /// job that names such a one was submitted later, so it counts as ready since its own
-    /// submission.
+    /// Wall-clock time at which all tasks were done, in milliseconds. Jobs that depend on
+    /// this job are ready since then. The value is `None` if the job is not done, or if a
+    /// version without this field recorded it. A job that depends on such a job was submitted
+    /// later, so it counts as ready since its own submission.
     #[serde(rename = "e", default, skip_serializing_if = "Option::is_none")]
     pub done_ms: Option<u64>,
 }
 
-/// What a job waits for, and the parts of its description that are kept from versions that
-/// don't know it: they read a job that fits no machine type, so they answer for it and
-/// cancel it, yet never start it too early.
+/// Dependencies of a job, and the parts of its description that are hidden from versions
+/// without dependencies. Those versions read a job that fits no machine type: they answer
+/// queries for it and cancel it, but never start it too early.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct WaitsRecord {
-    /// The jobs that it needs.
+    /// Jobs that this job depends on.
     #[serde(rename = "n")]
     pub needs: Vec<JobId>,
-    /// The machine types that are allowed, as [`JobSpec::types`] would be.
+    /// Allowed machine types, which replace [`JobSpec::types`].
     #[serde(rename = "t", default, skip_serializing_if = "Option::is_none")]
     pub types: Option<Vec<TypeName>>,
-    /// As [`JobSpec::extension`] would be.
+    /// Extension of the description, which replaces [`JobSpec::extension`].
     #[serde(rename = "x", default, skip_serializing_if = "Option::is_none")]
     pub extension: Option<Box<CompatibilityExtension>>,
 }
 
-/// A job that its user submits.
+/// Job that a user submits.
 #[derive(Clone, Debug, PartialEq)]
 pub struct NewJob {
-    /// The job itself.
+    /// Description of the job.
     pub spec: JobSpec,
-    /// The jobs that it needs, each once.
+    /// Jobs that this job depends on, each listed once.
     pub needs: Vec<JobId>,
 }
 
 impl From<JobSpec> for NewJob {
-    /// A job that needs no other.
+    /// Returns a job without dependencies.
     fn from(spec: JobSpec) -> Self {
         let needs = Vec::new();
         Self { spec, needs }
     }
 }
 
-/// Bytes of a value as it is written.
+/// Returns the size of a value in bytes as it is written.
 pub fn encoded_bytes<T: Serialize>(value: &T) -> usize {
     serde_json::to_vec(value).map_or(usize::MAX, |text| text.len())
 }
 
-/// Beside its estimated run a job of a pipeline takes about so long until the next one
-/// starts, in seconds: its start, its image, its result.
+/// Approximate time in seconds, beyond the estimated run, until the next job of a pipeline
+/// starts: it covers the start of the job, its image and its result.
 const STAGE_OVERHEAD_S: f64 = 4.0;
 
 impl JobRecord {
-    /// A job that was just accepted. Values have at most `value_bytes`.
+    /// Returns the record of a job that was just accepted. Values have at most `value_bytes`.
     pub fn accepted(new: impl Into<NewJob>, accepted_ms: u64, value_bytes: usize) -> Self {
         let NewJob { spec, needs } = new.into();
         let claim_bytes = claim_bytes(&spec);
@@ -116,7 +118,7 @@
             accepted_ms,
             spec: Some(Box::new(spec.with_extension())),
             inline: None,
-            // The revision is known only once this is written.
+            // The revision is unknown until this record is written.
             place: None,
             waits: None,
             done_ms: None,
@@ -129,8 +131,9 @@
         record
     }
 
-    /// Whether it can be written, now and with all its claims, if values have at most
-    /// `value_bytes`. One that can't must not be accepted: the state service refuses it.
+    /// Returns whether the record can be written, now and later with all its claims, if
+    /// values have at most `value_bytes`. A job whose record does not fit must not be
+    /// accepted, because the state service refuses the record.
     pub fn fits(&self, value_bytes: usize) -> bool {
         let Ok(record) = serde_json::to_vec(self) else {
             return false;
@@ -141,7 +144,7 @@
         record.len() + OWN_BYTES + claims * claim <= value_bytes
     }
 
-    /// Keeps the job from versions that don't know what it needs.
+    /// Sets the dependencies, and hides the job from versions that do not know them.
     fn wait_for(&mut self, needs: Vec<JobId>) {
         let Some(spec) = self.spec.as_mut().filter(|_| !needs.is_empty()) else {
             return;
@@ -154,7 +157,7 @@
         spec.mark_incompatible();
     }
 
-    /// The job as its user described it, if its description is kept.
+    /// Returns the job as its user described it, if the record still has the description.
     pub fn description(&self) -> Option<JobSpec> {
         let mut spec = (**self.spec.as_ref()?).clone();
         if let Some(waits) = &self.waits {
@@ -164,12 +167,12 @@
         Some(spec.without_extension())
     }
 
-    /// The jobs that it needs.
+    /// Returns the jobs that this job depends on.
     pub fn needs(&self) -> &[JobId] {
         self.waits.as_ref().map_or(&[], |waits| &waits.needs)
     }
 
-    /// What it says for the graph of jobs that wait for each other.
+    /// Returns the facts about the job that the dependency graph needs.
     pub fn facts(&self) -> JobFacts {
         let milli = |seconds: f64| (seconds * 1000.0) as i64;
         let spec = self.spec.as_deref();
@@ -191,7 +194,7 @@
         }
     }
 
-    /// The record of the same job once it is done.
+    /// Returns the record of the same job once it is done.
     pub fn done(&self, done_ms: u64) -> Self {
         Self {
             phase: Phase::Done,
--- a/src/state/mod.rs
+++ b/src/state/mod.rs
@@ -1,18 +1,19 @@
-//! The consensus-backed key-value store that all controllers share (PROTOCOL,
-//! "Controller nodes -> state service"): its client, the records kept in it, and this controller's copy of them.
+//! Consensus-backed key-value store that all controllers share (PROTOCOL, "Controller nodes
+//! -> state service"): its client, the records that it holds, and this controller's copy of
+//! them.
 //!
-//! A record is changed by compare-and-swap only: a transaction names the versions that it
-//! was decided on, and is carried out completely or not at all. A request whose outcome is
-//! unknown ([`StateError::Unknown`]) may still be carried out later, so whoever sent it
-//! decides nothing before the [view](view::View) shows which.
+//! Records change by compare-and-swap only. A transaction names the versions that it was
+//! decided on, and is carried out completely or not at all. A request with an unknown outcome
+//! ([`StateError::Unknown`]) may still be carried out later, so its sender decides nothing
+//! until the [view](view::View) shows the outcome.
 //!
-//! | module | what |
+//! | module | contents |
 //! | --- | --- |
 //! | [`client`] | requests to the service |
-//! | [`budget`] | this controller's share of them |
+//! | [`budget`] | this controller's share of the requests and changes |
 //! | [`error`] | outcomes and errors |
 //! | [`record`], [`job_record`], [`chunk_record`] | keys and values |
-//! | [`view`], [`job_entry`], [`history`] | the copy of them |
+//! | [`view`], [`job_entry`], [`history`] | local copy of the records |
 
 pub mod budget;
 pub mod chunk_record;
--- a/src/state/record/deleted_machines.rs
+++ b/src/state/record/deleted_machines.rs
@@ -1,31 +1,31 @@
-//! Which machines the cloud has deleted for certain.
+//! Record of the machines whose deletion the cloud has confirmed.
 
 use serde::{Deserialize, Serialize};
 
 use crate::types::MachineId;
 
-/// Lists of deleted machines; the oldest is overwritten. At values of 4 KiB each has
-/// about 200 names, and all of them take up to 1.2 MB in memory. Versions before know
-/// the first 16 only, and ignore the others.
+/// Number of lists of deleted machines. A new list overwrites the oldest one. At values of 4
+/// KiB each list has about 200 names, and all lists take up to 1.2 MB in memory. Earlier
+/// versions know only the first 16 lists and ignore the others.
 pub const RETIRED_MACHINE_SLOTS: u32 = 64;
 
-/// Machines whose deletion the cloud has answered with 200: whatever a record
-/// still claims on them has ended (PROTOCOL, "POST /rentals/delete"). A later
-/// owner need not find that out again. Names are never given twice.
+/// Machines whose deletion the cloud has answered with 200: every claim still recorded on
+/// them has ended (PROTOCOL, "POST /rentals/delete"). A later owner need not find this out
+/// again. The cloud never reuses a name.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct RetiredMachinesRecord {
-    /// Of the format.
+    /// Version of the record format.
     #[serde(rename = "v")]
     pub version: u32,
-    /// Their names.
+    /// Names of the deleted machines.
     #[serde(rename = "m")]
     pub machines: Vec<MachineId>,
 }
 
 impl RetiredMachinesRecord {
-    /// The format that this version writes.
+    /// Format that this version writes.
     pub const VERSION: u32 = 1;
-    /// Bytes that one more name takes, about.
+    /// Returns the approximate number of bytes that one more name takes.
     pub fn weight(name: &MachineId) -> usize {
         name.as_str().len() + 3
     }
--- a/src/state/record/keys.rs
+++ b/src/state/record/keys.rs
@@ -1,5 +1,5 @@
-//! Keys of the records: how each is made, and read back. Their texts are stored, so they
-//! never change.
+//! Keys of the records: functions that build them and parse them. The texts of the keys are
+//! stored, so they never change.
 
 use sorrelhinge_reservations::record::{parse_key, CALENDAR_KEY};
 use sorrelhinge_sharding::shard::{ShardId, MAX_SHARDS};
@@ -11,15 +11,16 @@
 pub const ROOT: &str = "h/";
 /// Key of the leader's record.
 pub const LEADER: &str = "h/leader";
-/// Key of the shard grant.
+/// Key of the grant of all machines as a single shard.
 pub const GRANT: &str = "h/grant";
 
-/// Key of a job.
+/// Returns the key of a job's record.
 pub fn job_key(job: &JobId) -> String {
     format!("h/job/{job}")
 }
 
-/// Key of a chunk of a job's tasks; padded, so that keys sort by number.
+/// Returns the key of a chunk of a job's tasks. The chunk number is zero-padded so that keys
+/// sort by number.
 pub fn chunk_key(job: &JobId, chunk: u32) -> String {
     format!("h/task/{job}/{chunk:06}")
 }
@@ -27,63 +28,64 @@
 /// Key of the number of shards.
 pub const MAP: &str = "h/map";
 
-/// Key of a shard's owner.
+/// Returns the key of the record of a shard's owner.
 pub fn shard_key(shard: ShardId) -> String {
     format!("h/block/{shard}")
 }
 
-/// Key of a shard's part of the limits.
+/// Returns the key of a shard's part of the team limits.
 pub fn slice_key(shard: ShardId) -> String {
     format!("h/slice/{shard}")
 }
 
-/// Key of a controller that lives.
+/// Returns the key of the membership record of a controller.
 pub fn member_key(node: &NodeId) -> String {
     format!("h/node/{node}")
 }
 
-/// Key of a list of machines that the cloud has deleted.
+/// Returns the key of a list of machines that the cloud has deleted.
 pub fn retired_machines_key(slot: u32) -> String {
     format!("h/gone/{slot}")
 }
 
-/// Key of a drain.
+/// Returns the key of a drain.
 pub fn drain_key(number: u64) -> String {
     format!("h/drain/{number}")
 }
 
-/// Key of an image's rollout among a shard's machines; the image by its [`image_hash`].
+/// Returns the key of an image's rollout among a shard's machines. [`image_hash`] gives the
+/// hash.
 pub fn rollout_key(shard: ShardId, image_hash: u64) -> String {
     format!("h/wave/{shard}/{image_hash:016x}")
 }
 
-/// What an image is called in keys: FNV-1a of its name, which may be long and
-/// may have any character.
+/// Returns the FNV-1a hash of an image name. Keys have the hash because a name may be long
+/// and may have any character.
 pub fn image_hash(image: &Image) -> u64 {
     let mix = |hash: u64, byte: u8| (hash ^ u64::from(byte)).wrapping_mul(0x100_0000_01b3);
     image.as_str().bytes().fold(0xcbf2_9ce4_8422_2325, mix)
 }
 
-/// One occurrence of a window of the release calendar.
+/// Identifies one occurrence of a window of the release calendar.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct WindowOccurrence {
-    /// The window's name.
+    /// Name of the window.
     pub window: String,
-    /// When it begins, in milliseconds of the time of day.
+    /// Wall-clock time at which the occurrence starts, in milliseconds.
     pub start_ms: i64,
 }
 
-/// Which rollout a record is of: one image among the machines of one shard.
+/// Identifies the rollout of one image among the machines of one shard.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct RolloutId {
-    /// The shard.
+    /// Shard that the image is rolled out in.
     pub shard: ShardId,
-    /// The image, by its [`image_hash`].
+    /// Hash of the image name, as [`image_hash`] computes it.
     pub image_hash: u64,
 }
 
 impl RolloutId {
-    /// That of an image's rollout in a shard.
+    /// Returns the identifier of the rollout of an image in a shard.
     pub fn of(shard: ShardId, image: &Image) -> Self {
         Self {
             shard,
@@ -91,23 +93,23 @@
         }
     }
 
-    /// The key of its record.
+    /// Returns the key of the rollout's record.
     pub fn key(self) -> String {
         rollout_key(self.shard, self.image_hash)
     }
 }
 
-/// Part of a job's tasks. Ordered by job, then by chunk.
+/// Identifies a chunk of a job's tasks. Identifiers sort by job, then by chunk.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct ChunkId {
-    /// The job.
+    /// Job that the chunk belongs to.
     pub job: JobId,
-    /// Its number in the job, from 0.
+    /// Number of the chunk in the job, from 0.
     pub chunk: u32,
 }
 
 impl ChunkId {
-    /// A chunk of a job.
+    /// Returns the identifier of a chunk of a job.
     pub fn new(job: &JobId, chunk: u32) -> Self {
         Self {
             job: job.clone(),
@@ -116,39 +118,39 @@
     }
 }
 
-/// Which record a key names.
+/// Parsed key of a record.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Key {
-    /// The leader.
+    /// Current leader.
     Leader,
-    /// The grant.
+    /// Grant of all machines as a single shard.
     Grant,
-    /// A job.
+    /// Record of a job.
     Job(JobId),
-    /// A chunk of tasks.
+    /// Chunk of a job's tasks.
     Chunk(ChunkId),
-    /// A drain.
+    /// Drain with this number.
     Drain(u64),
-    /// Machines that the cloud has deleted.
+    /// Slot of a list of machines that the cloud has deleted.
     DeletedMachines(u32),
-    /// The number of shards.
+    /// Number of shards.
     Map,
-    /// A shard's owner.
+    /// Owner of a shard.
     Shard(ShardId),
-    /// A shard's part of the limits.
+    /// Part of the team limits that a shard has.
     Slice(ShardId),
-    /// A controller that lives.
+    /// Membership of a controller.
     Member(NodeId),
-    /// The windows of the release calendar.
+    /// Windows of the release calendar.
     Calendar,
-    /// An occurrence of a window.
+    /// Occurrence of a calendar window.
     Window(WindowOccurrence),
-    /// An image's rollout among a shard's machines.
+    /// Rollout of an image among a shard's machines.
     Rollout(RolloutId),
 }
 
 impl Key {
-    /// Reads a key; none if it is not one of ours.
+    /// Parses a key. Returns `None` if the key is not a key of these records.
     pub fn parse(text: &str) -> Option<Self> {
         match text {
             LEADER => Some(Self::Leader),
@@ -167,7 +169,7 @@
         }))
     }
 
-    /// Reads the key of a kind of which there are many: the kind, and which one.
+    /// Parses a key of a kind with many records: the prefix, the kind and an identifier.
     fn parse_numbered(text: &str) -> Option<Self> {
         let (kind, which) = text.strip_prefix(ROOT)?.split_once('/')?;
         match kind {
--- a/src/state/record/leadership.rs
+++ b/src/state/record/leadership.rs
@@ -1,39 +1,39 @@
-//! Who leads, and to whom the leader granted the machines while they are one shard.
+//! Records of the leader, and of the owner of the machines while they are a single shard.
 
 use serde::{Deserialize, Serialize};
 
 use crate::types::{NodeId, Term};
 
-/// The present leader; the key goes away with the leader's lease.
+/// Current leader. The store deletes the key when the leader's lease ends.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct LeaderRecord {
-    /// Who.
+    /// Controller that is the leader.
     pub node: NodeId,
-    /// Its process: a restarted controller is not the leader that it was.
+    /// Identifier of the leader's process. A restarted controller is no longer the leader.
     pub run: u64,
-    /// Rises with each leader.
+    /// Term of the leader, which increases with each leader.
     pub term: Term,
 }
 
-/// The shard of machines, granted to one controller.
+/// Grant of all machines, as a single shard, to one controller.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct GrantRecord {
-    /// To whom.
+    /// Controller that owns the shard, if any.
     pub owner: Option<NodeId>,
-    /// By the leader of this term.
+    /// Term of the leader that made the grant.
     pub term: Term,
-    /// Rises with each grant; fencing tokens are made from it.
+    /// Number that increases with each grant. Fencing tokens are derived from it.
     pub number: u64,
 }
 
-/// The value of `h/grant` while there are several shards. A version that knows one
-/// only can't read it, so it never takes all machines for its own.
+/// Value of `h/grant` while there are several shards. A version without sharding cannot read
+/// it, so such a version never takes ownership of all machines.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ShardedGrantFence {
-    /// Of the format.
+    /// Version of the record format.
     #[serde(rename = "v")]
     pub version: u32,
-    /// See `h/map`.
+    /// Number of shards, as in `h/map`.
     #[serde(rename = "blocks")]
     pub shards: u32,
 }
--- a/src/state/record/members.rs
+++ b/src/state/record/members.rs
@@ -1,10 +1,11 @@
-//! Which controllers live.
+//! Record of the controllers that are up.
 
 use serde::{Deserialize, Serialize};
 
-/// A controller that lives; the key goes away with its lease.
+/// Membership of a controller that is up. The store deletes the key when the controller's
+/// lease ends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MemberRecord {
-    /// Its process.
+    /// Identifier of the controller's process.
     pub run: u64,
 }
--- a/src/state/record/shards.rs
+++ b/src/state/record/shards.rs
@@ -1,74 +1,76 @@
-//! Into how many shards the machines are divided, who owns each, and each one's part of
-//! the teams' limits.
+//! Records of the number of shards, the owner of each shard, and each shard's part of the
+//! team limits.
 
 use serde::{Deserialize, Serialize, Serializer};
 
 use crate::types::{Amount, NodeId, Term};
 
-/// How many shards there are. Which one a machine belongs to follows from its
-/// name ([`sorrelhinge_sharding::shard`]).
+/// Number of shards. The name of a machine determines its shard
+/// ([`sorrelhinge_sharding::shard`]).
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ShardMapRecord {
-    /// Of the format.
+    /// Version of the record format.
     #[serde(rename = "v")]
     pub version: u32,
-    /// How many; 1: the one that `h/grant` grants.
+    /// Number of shards. With 1, `h/grant` grants the only shard.
     #[serde(rename = "blocks")]
     pub shards: u32,
 }
 
 impl ShardMapRecord {
-    /// The format that this version writes.
+    /// Format that this version writes.
     pub const VERSION: u32 = 1;
 }
 
-/// Who owns a shard.
+/// Owner of a shard.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ShardRecord {
-    /// Of the format.
+    /// Version of the record format.
     #[serde(rename = "v")]
     pub version: u32,
-    /// To whom it is granted.
+    /// Controller that the shard is granted to.
     pub owner: NodeId,
-    /// That controller's process: one that was restarted owns nothing.
+    /// Identifier of the owner's process. A restarted controller owns nothing.
     pub run: u64,
-    /// By the leader of this term.
+    /// Term of the leader that made the grant.
     pub term: Term,
-    /// Rises with each grant of any shard; fencing tokens are made from it.
+    /// Number that increases with each grant of any shard. Fencing tokens are derived from
+    /// it.
     pub number: u64,
-    /// To whom it is offered.
+    /// Controller that the shard is offered to, if any.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub to: Option<NodeId>,
-    /// The controller that an operator pinned it to.
+    /// Controller that an operator pinned the shard to.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub pin: Option<NodeId>,
 }
 
 impl ShardRecord {
-    /// The format that this version writes.
+    /// Format that this version writes.
     pub const VERSION: u32 = 1;
 }
 
-/// A shard's part of the teams' limits, in thousandths of CPUs and GPUs.
+/// Part of the team limits that a shard has, in thousandths of CPUs and GPUs.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct SliceRecord {
-    /// Of the format.
+    /// Version of the record format.
     #[serde(rename = "v")]
     pub version: u32,
-    /// Each team's part.
+    /// Part of each team's limit.
     #[serde(rename = "t")]
     pub teams: Vec<TeamPart>,
 }
 
-/// A team's part of its limit. Stored as an array of its fields in their order.
+/// Part of one team's limit. The record stores it as an array of its fields in declaration
+/// order.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 #[serde(from = "(String, i64, i64)")]
 pub struct TeamPart {
-    /// The team's name.
+    /// Name of the team.
     pub team: String,
-    /// Thousandths of a CPU.
+    /// CPUs in thousandths.
     pub cpu: i64,
-    /// Thousandths of a GPU.
+    /// GPUs in thousandths.
     pub gpu: i64,
 }
 
@@ -85,10 +87,10 @@
 }
 
 impl SliceRecord {
-    /// The format that this version writes.
+    /// Format that this version writes.
     pub const VERSION: u32 = 1;
 
-    /// Of these parts.
+    /// Returns a record of these parts, each with the name of its team.
     pub fn new(parts: impl Iterator<Item = (String, Amount)>) -> Self {
         Self {
             version: Self::VERSION,
@@ -98,7 +100,7 @@
         }
     }
 
-    /// A team's part; none recorded: nothing.
+    /// Returns a team's part, which is zero if none is recorded.
     pub fn of(&self, team: &str) -> Amount {
         let found = self.teams.iter().find(|part| part.team == team);
         found.map_or(Amount::default(), |part| Amount {
--- a/src/state/versioned.rs
+++ b/src/state/versioned.rs
@@ -1,18 +1,18 @@
-//! A record's value together with the version that conditions of transactions name.
+//! Value of a record together with the version that conditions of transactions name.
 
 use crate::types::Revision;
 
-/// A value and its version.
+/// Value with its version.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Versioned<T> {
-    /// Version: the revision of the last write; 0: the key does not exist.
+    /// Revision of the last write. The value 0 means that the key does not exist.
     pub mod_revision: Revision,
-    /// Value.
+    /// Value that this revision wrote.
     pub value: T,
 }
 
 impl<T> Versioned<T> {
-    /// A value as `mod_revision` wrote it.
+    /// Returns a value that the revision `mod_revision` wrote.
     pub fn new(mod_revision: Revision, value: T) -> Self {
         Self {
             mod_revision,
