--- a/src/cloud.rs
+++ b/src/cloud.rs
@@ -1,5 +1,6 @@
-//! The cloud's interface: machine types, the list of machines, renting and giving back
-//! (PROTOCOL, "Controller nodes -> cloud"). Requests are paced by one budget.
+//! Client of the cloud's interface: machine types, the list of machines, and requests to rent
+//! and delete machines (PROTOCOL, "Controller nodes -> cloud"). One budget paces all
+//! requests.
 
 use std::cell::RefCell;
 use std::collections::BTreeSet;
@@ -18,47 +19,48 @@
 pub use sorrelhinge_protocol::cloud::{ListedMachine, MachinePhase, Rental};
 use sorrelhinge_protocol::cloud::{MachineListPage, MachineNames, MachineTypeList};
 
-/// Why the cloud gave no answer of use.
+/// Reason why the cloud gave no usable answer.
 #[derive(Debug, thiserror::Error)]
 pub enum CloudError {
-    /// Nothing of this type, zone and kind is available.
+    /// No machine of this type, zone and kind is available.
     #[error("no capacity")]
     NoCapacity,
-    /// Any other refusal, or none at all; the request may be carried out late.
+    /// The cloud refused the request for another reason or did not answer. The request may
+    /// still be carried out late.
     #[error(transparent)]
     Failed(#[from] CloudFailure),
 }
 
-/// Why a request to the cloud came to nothing.
+/// Reason why a request to the cloud failed.
 #[derive(Debug, thiserror::Error)]
 pub enum CloudFailure {
-    /// Not sent: this controller's share of the requests is used up.
+    /// The request was not sent because this controller's share of the requests is used up.
     #[error("over this controller's share")]
     OverBudget,
-    /// Not sent: the request can't be written as JSON.
+    /// The request was not sent because it cannot be encoded as JSON.
     #[error(transparent)]
     Encode(serde_json::Error),
-    /// There was no answer; whether it was sent, the cause says.
+    /// There was no answer. The cause tells whether the request was sent.
     #[error(transparent)]
     NoAnswer(CallError),
-    /// The cloud refused.
+    /// The cloud refused the request.
     #[error("status {status}: {text}")]
     Status {
-        /// HTTP status.
+        /// HTTP status of the answer.
         status: u16,
-        /// How the answer's body begins.
+        /// First characters of the answer's body.
         text: String,
     },
-    /// The answer can't be read.
+    /// The answer cannot be decoded.
     #[error("malformed answer: {0}")]
     Malformed(#[source] serde_json::Error),
 }
 
-/// Characters of an answer's body that an error keeps.
+/// Maximum number of characters of an answer's body that an error keeps.
 const MAX_REPLY_CHARS: usize = 200;
-/// A request waits so long for its share.
+/// Maximum time that a request waits for the budget.
 const PATIENCE: Duration = Duration::from_secs(5);
-/// For one request.
+/// Time limits of one request.
 const LIMITS: Limits = Limits {
     connect: Duration::from_secs(2),
     answer: Duration::from_secs(6),
@@ -68,12 +70,12 @@
 pub struct CloudClient {
     pool: Pool,
     budget: Budget,
-    /// When the first of the calls that wait for the budget began to.
+    /// Start times of the calls that wait for the budget.
     waiting: RefCell<BTreeSet<Instant>>,
 }
 
 impl CloudClient {
-    /// For the cloud at `address`, `rps` requests per second.
+    /// Returns a client of the cloud at `address` that sends up to `rps` requests per second.
     pub fn new(address: SocketAddr, rps: f64) -> Rc<Self> {
         Rc::new(Self {
             pool: Pool::new(address),
@@ -82,13 +84,13 @@
         })
     }
 
-    /// How long a call has waited for its share, in seconds.
+    /// Returns how long the oldest call that waits for the budget has waited, in seconds.
     pub fn wait_s(&self) -> f64 {
         let waiting = self.waiting.borrow();
         waiting.first().map_or(0.0, |t| t.elapsed().as_secs_f64())
     }
 
-    /// Sends one request once this controller's share allows.
+    /// Sends one request once this controller's share allows it.
     async fn call(&self, method: Method, path: &str, body: Bytes) -> Result<Bytes, CloudError> {
         self.take_request().await?;
         let answer = self.pool.call(method, path, body, LIMITS).await;
@@ -107,8 +109,8 @@
         }
     }
 
-    /// Waits for one request's share. How long the first has waited so far can be asked for
-    /// meanwhile.
+    /// Waits until the budget allows one request. Meanwhile [`CloudClient::wait_s`] includes
+    /// this wait.
     async fn take_request(&self) -> Result<(), CloudFailure> {
         let since = Instant::now();
         self.waiting.borrow_mut().insert(since);
@@ -121,7 +123,7 @@
         }
     }
 
-    /// Sends one request with a body.
+    /// Sends one POST request with a JSON body.
     async fn post(&self, path: &str, body: &impl Serialize) -> Result<Bytes, CloudError> {
         let body = serde_json::to_vec(body).map_err(CloudFailure::Encode)?;
         self.call(Method::POST, path, body.into()).await
@@ -131,11 +133,11 @@
         Ok(serde_json::from_slice(body).map_err(CloudFailure::Malformed)?)
     }
 
-    /// All machine types, at current prices.
+    /// Returns all machine types at current prices.
     ///
     /// # Errors
     ///
-    /// The cloud did not answer, refused, or answered what can't be read.
+    /// The cloud did not answer, refused, or its answer cannot be decoded.
     pub async fn types(&self) -> Result<Vec<MachineType>, CloudError> {
         let body = self
             .call(Method::GET, "/machine_types", Bytes::new())
@@ -144,11 +146,11 @@
         Ok(types.types.into_iter().map(MachineType::from).collect())
     }
 
-    /// All machines, as of some seconds ago.
+    /// Returns all machines, as they were some seconds ago.
     ///
     /// # Errors
     ///
-    /// The cloud did not answer, refused, or answered what can't be read.
+    /// The cloud did not answer, refused, or its answer cannot be decoded.
     pub async fn list(&self) -> Result<Vec<ListedMachine>, CloudError> {
         let mut all: Vec<ListedMachine> = Vec::new();
         loop {
@@ -166,21 +168,23 @@
         }
     }
 
-    /// Rents machines; returns the names of those that it got, which may be fewer.
+    /// Rents machines. Returns the names of the rented machines, which may be fewer than
+    /// requested.
     ///
     /// # Errors
     ///
-    /// The cloud has none, refused, or did not answer; then some may have been rented.
+    /// The cloud has no such machines, refused, or did not answer. In the last case it may
+    /// have rented some.
     pub async fn rent(&self, rental: &Rental) -> Result<Vec<MachineId>, CloudError> {
         let body = self.post("/rentals", rental).await?;
         Ok(Self::read::<MachineNames>(&body)?.machines)
     }
 
-    /// Gives machines back; once this succeeds, they and their tasks are gone.
+    /// Deletes machines. After success the machines and their tasks no longer exist.
     ///
     /// # Errors
     ///
-    /// The cloud refused or did not answer; then nothing is known of the machines.
+    /// The cloud refused or did not answer. The state of the machines is then unknown.
     pub async fn delete(&self, machines: &[MachineId]) -> Result<(), CloudError> {
         let machines = MachineNames {
             machines: machines.to_vec(),
--- a/src/http.rs
+++ b/src/http.rs
@@ -1,5 +1,5 @@
-//! HTTP/1.1 calls with time limits, telling apart what was certainly not
-//! carried out from what may have been.
+//! HTTP/1.1 calls with time limits. Errors distinguish requests that were certainly not
+//! carried out from requests that may have been.
 
 use std::cell::RefCell;
 use std::net::SocketAddr;
@@ -14,10 +14,10 @@
 use tokio::time::error::Elapsed;
 use tokio::time::timeout;
 
-/// Why a call has no answer.
+/// Reason why a call has no answer.
 #[derive(Debug, thiserror::Error)]
 pub enum CallError {
-    /// No connection came about, so the request was certainly not carried out.
+    /// No connection was established, so the request was certainly not carried out.
     #[error("not connected: {0}")]
     NotSent(#[source] TransportError),
     /// The request may have been carried out, or may still be.
@@ -25,56 +25,56 @@
     Unknown(#[source] TransportError),
 }
 
-/// What failed below HTTP's own answers.
+/// Failure below the level of HTTP answers.
 #[derive(Debug, thiserror::Error)]
 pub enum TransportError {
     /// The time limit passed.
     #[error(transparent)]
     Timeout(#[from] Elapsed),
-    /// No connection came about.
+    /// No connection was established.
     #[error(transparent)]
     Connect(#[from] std::io::Error),
-    /// The method, path or address make no request.
+    /// The method, path and address do not form a valid request.
     #[error(transparent)]
     Request(#[from] hyper::http::Error),
-    /// The connection failed, or what came over it is not HTTP.
+    /// The connection failed, or the received data is not HTTP.
     #[error(transparent)]
     Http(#[from] hyper::Error),
-    /// The answer's body did not come whole, or is longer than 64 MiB.
+    /// The answer's body is incomplete or longer than 64 MiB.
     #[error(transparent)]
     Body(Box<dyn std::error::Error + Send + Sync>),
 }
 
-/// A call's time limits.
+/// Time limits of a call.
 #[derive(Clone, Copy, Debug)]
 pub struct Limits {
-    /// For the connection.
+    /// Time limit for establishing the connection.
     pub connect: Duration,
-    /// For the answer.
+    /// Time limit for the whole answer once there is a connection.
     pub answer: Duration,
 }
 
-/// An answer.
+/// Answer to a call.
 #[derive(Debug)]
 pub struct Answer {
-    /// Status.
+    /// HTTP status.
     pub status: StatusCode,
-    /// Body.
+    /// Complete body of the answer.
     pub body: Bytes,
 }
 
-/// The longest body of an answer that is read, in bytes.
+/// Maximum size in bytes of the body of an answer.
 const MAX_RESPONSE_BYTES: usize = 64 << 20;
-/// Connections to one address that are kept open while nothing is asked.
+/// Maximum number of idle connections that a pool keeps open.
 const MAX_IDLE_CONNECTIONS: usize = 4;
 
 type Sender = SendRequest<Full<Bytes>>;
 
-/// Opens a connection. Its task ends with it: when the sender is dropped, or the other end
-/// closes.
+/// Opens a connection. A local task drives the connection, and ends when the sender is
+/// dropped or the peer closes the connection.
 async fn connect(address: SocketAddr, limit: Duration) -> Result<Sender, TransportError> {
     let stream = timeout(limit, TcpStream::connect(address)).await??;
-    // Small requests must not wait for an earlier packet's acknowledgement.
+    // A small request must not wait for the acknowledgement of an earlier packet.
     stream.set_nodelay(true)?;
     let (sender, connection) = handshake(TokioIo::new(stream)).await?;
     tokio::task::spawn_local(async move {
@@ -114,7 +114,7 @@
     Ok(Answer { status, body })
 }
 
-/// Sends a request within a time limit; one that can't be made is not sent.
+/// Sends a request within a time limit. Does not send an invalid request.
 async fn exchange(
     sender: &mut Sender,
     request: Result<Request<Full<Bytes>>, TransportError>,
@@ -127,12 +127,12 @@
     }
 }
 
-/// One call over a connection of its own. If that can't be made, nothing was
-/// sent, and nothing can arrive late.
+/// Makes one call over a connection of its own. If the connection cannot be established,
+/// nothing was sent and nothing can arrive late.
 ///
 /// # Errors
 ///
-/// No connection, no answer in time, or one that is no HTTP.
+/// There was no connection, no answer in time, or an answer that is not HTTP.
 pub async fn call_once(
     address: SocketAddr,
     method: Method,
@@ -147,14 +147,14 @@
     exchange(&mut sender, request, limits.answer).await
 }
 
-/// Calls over connections that stay open.
+/// Pool of open connections to one address.
 pub struct Pool {
     address: SocketAddr,
     idle: RefCell<Vec<Sender>>,
 }
 
 impl Pool {
-    /// For one address.
+    /// Returns an empty pool for one address.
     pub fn new(address: SocketAddr) -> Self {
         Self {
             address,
@@ -172,12 +172,13 @@
         None
     }
 
-    /// One call. A connection that fails takes the idle ones with it: they
-    /// lead to the same place.
+    /// Makes one call over an idle connection, or over a new one if none is idle. A
+    /// connection that fails makes the pool drop its idle connections, because they lead to
+    /// the same peer.
     ///
     /// # Errors
     ///
-    /// No connection, no answer in time, or one that is no HTTP.
+    /// There was no connection, no answer in time, or an answer that is not HTTP.
     pub async fn call(
         &self,
         method: Method,
