--- a/src/cloud.rs
+++ b/src/cloud.rs
@@ -59,7 +59,7 @@
 /// Maximum number of characters of an answer's body that an error keeps.
 const MAX_REPLY_CHARS: usize = 200;
 /// Maximum time that a request waits for the budget.
-const PATIENCE: Duration = Duration::from_secs(5);
+const BUDGET_WAIT: Duration = Duration::from_secs(5);
 /// Time limits of one request.
 const LIMITS: Limits = Limits {
     connect: Duration::from_secs(2),
@@ -71,7 +71,7 @@
     pool: Pool,
     budget: Budget,
     /// Start times of the calls that wait for the budget.
-    waiting: RefCell<BTreeSet<Instant>>,
+    waiting_since: RefCell<BTreeSet<Instant>>,
 }
 
 impl CloudClient {
@@ -80,13 +80,13 @@
         Rc::new(Self {
             pool: Pool::new(address),
             budget: Budget::new(rps),
-            waiting: RefCell::default(),
+            waiting_since: RefCell::default(),
         })
     }
 
     /// Returns how long the oldest call that waits for the budget has waited, in seconds.
     pub fn wait_s(&self) -> f64 {
-        let waiting = self.waiting.borrow();
+        let waiting = self.waiting_since.borrow();
         waiting.first().map_or(0.0, |t| t.elapsed().as_secs_f64())
     }
 
@@ -113,9 +113,9 @@
     /// this wait.
     async fn take_request(&self) -> Result<(), CloudFailure> {
         let since = Instant::now();
-        self.waiting.borrow_mut().insert(since);
-        let allowed = self.budget.wait(1.0, PATIENCE).await;
-        self.waiting.borrow_mut().remove(&since);
+        self.waiting_since.borrow_mut().insert(since);
+        let allowed = self.budget.wait(1.0, BUDGET_WAIT).await;
+        self.waiting_since.borrow_mut().remove(&since);
         if allowed {
             Ok(())
         } else {
--- a/src/state/budget.rs
+++ b/src/state/budget.rs
@@ -9,19 +9,19 @@
 use tokio::time::{sleep, Instant};
 
 /// Fraction of the burst at or above which the level counts as spare.
-const SPARE_PART: f64 = 0.6;
+const SPARE_FRACTION: f64 = 0.6;
 /// Tolerance for rounding errors of the level, which is a sum of many terms.
-const ROUNDING: f64 = 1e-9;
+const ROUNDING_TOLERANCE: f64 = 1e-9;
 /// Minimum pause between two attempts of a waiting request.
-const LEAST_PAUSE: Duration = Duration::from_millis(2);
+const MIN_PAUSE: Duration = Duration::from_millis(2);
 
 /// Token bucket of one service. The bucket refills steadily up to one second's worth of
 /// tokens, or up to a minimum burst if that is more.
 pub struct Budget {
     rate: Cell<f64>,
-    least_burst: Cell<f64>,
+    min_burst: Cell<f64>,
     level: Cell<f64>,
-    filled: Cell<Instant>,
+    refilled_at: Cell<Instant>,
 }
 
 impl Budget {
@@ -30,22 +30,22 @@
     pub fn new(rate: f64) -> Self {
         Self {
             rate: Cell::new(rate),
-            least_burst: Cell::new(1.0),
+            min_burst: Cell::new(1.0),
             level: Cell::new(rate),
-            filled: Cell::new(Instant::now()),
+            refilled_at: Cell::new(Instant::now()),
         }
     }
 
     /// Sets the rate, in tokens per second, and the minimum burst: the number of tokens that
     /// may be taken at once even if one second's worth is less.
-    pub fn set_rate(&self, rate: f64, least_burst: f64) {
+    pub fn set_rate(&self, rate: f64, min_burst: f64) {
         self.refill();
         self.rate.set(rate);
-        self.least_burst.set(least_burst.max(1.0));
+        self.min_burst.set(min_burst.max(1.0));
     }
 
     fn burst(&self) -> f64 {
-        self.rate.get().max(self.least_burst.get())
+        self.rate.get().max(self.min_burst.get())
     }
 
     /// Returns the rate in tokens per second.
@@ -62,8 +62,8 @@
 
     fn refill(&self) {
         let now = Instant::now();
-        let gained = now.duration_since(self.filled.get()).as_secs_f64() * self.rate.get();
-        self.filled.set(now);
+        let gained = now.duration_since(self.refilled_at.get()).as_secs_f64() * self.rate.get();
+        self.refilled_at.set(now);
         self.level
             .set((self.level.get() + gained).min(self.burst()));
     }
@@ -71,12 +71,12 @@
     /// Returns whether the bucket is full enough that some tokens count as spare.
     pub fn spare(&self) -> bool {
         self.refill();
-        self.level.get() >= SPARE_PART * self.burst()
+        self.level.get() >= SPARE_FRACTION * self.burst()
     }
 
     /// Takes `n` tokens at once, even if the level becomes negative. Only the most urgent
     /// requests use this.
-    pub fn force(&self, n: f64) {
+    pub fn force_take(&self, n: f64) {
         self.refill();
         self.level.set(self.level.get() - n);
     }
@@ -90,7 +90,7 @@
         self.refill();
         // A full bucket allows a request for more tokens than it can hold.
         let needed = n.min(self.burst());
-        if self.level.get() + ROUNDING >= needed {
+        if self.level.get() + ROUNDING_TOLERANCE >= needed {
             self.level.set(self.level.get() - n);
             Ok(())
         } else {
@@ -100,14 +100,14 @@
         }
     }
 
-    /// Takes `n` tokens, waiting at most `patience` for them. Returns whether it took them.
-    pub async fn wait(&self, n: f64, patience: Duration) -> bool {
-        let end = Instant::now() + patience;
+    /// Takes `n` tokens, waiting at most `max_wait` for them. Returns whether it took them.
+    pub async fn wait(&self, n: f64, max_wait: Duration) -> bool {
+        let deadline = Instant::now() + max_wait;
         loop {
             match self.take(n) {
                 Ok(()) => return true,
-                Err(pause) if Instant::now() + pause <= end => {
-                    sleep(pause.max(LEAST_PAUSE)).await;
+                Err(pause) if Instant::now() + pause <= deadline => {
+                    sleep(pause.max(MIN_PAUSE)).await;
                 }
                 Err(_) => return false,
             }
--- a/src/state/client/leases.rs
+++ b/src/state/client/leases.rs
@@ -18,18 +18,18 @@
 const LEASE_CHANGE_TIMEOUT: Duration = Duration::from_millis(800);
 
 impl StateClient {
-    /// Creates a lease that expires `life` after its last renewal.
+    /// Creates a lease that expires `ttl` after its last renewal.
     ///
     /// # Errors
     ///
     /// The store refused or did not answer. In the latter case it may have created a lease,
     /// which then expires.
-    pub async fn lease(&self, life: Duration) -> Result<LeaseId, StateError> {
+    pub async fn lease(&self, ttl: Duration) -> Result<LeaseId, StateError> {
         let request = StateRequest {
             method: Method::POST,
             path: "/leases",
-            body: format!("{{\"life_ms\":{}}}", life.as_millis()).into(),
-            urgency: RequestPriority::First,
+            body: format!("{{\"life_ms\":{}}}", ttl.as_millis()).into(),
+            priority: RequestPriority::First,
             timeout: LEASE_TIMEOUT,
         };
         let lease: LeaseCreated = self.call(request).await?.read()?;
@@ -46,7 +46,7 @@
             method: Method::DELETE,
             path: &format!("/leases/{lease}"),
             body: Bytes::new(),
-            urgency: RequestPriority::First,
+            priority: RequestPriority::First,
             timeout: LEASE_CHANGE_TIMEOUT,
         };
         self.call(request).await.map(|_| ())
@@ -62,7 +62,7 @@
             method: Method::POST,
             path: &format!("/leases/{lease}/renew"),
             body: Bytes::new(),
-            urgency: RequestPriority::First,
+            priority: RequestPriority::First,
             timeout: LEASE_CHANGE_TIMEOUT,
         };
         let reply = self.call(request).await?;
--- a/src/state/client/mod.rs
+++ b/src/state/client/mod.rs
@@ -27,7 +27,7 @@
 use crate::http::{CallError, Limits, Pool};
 
 /// Time limit for connecting to the service.
-const CONNECT: Duration = Duration::from_millis(800);
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(800);
 
 /// Client of the state service.
 pub struct StateClient {
@@ -40,7 +40,7 @@
     failing: Cell<bool>,
     limits: StateLimits,
     change_rate: RefCell<ChangeRate>,
-    begun: Instant,
+    created_at: Instant,
 }
 
 impl StateClient {
@@ -54,7 +54,7 @@
             failing: Cell::new(false),
             limits,
             change_rate: RefCell::new(ChangeRate::new(limits.write_rps, limits.next_write_rps)),
-            begun: Instant::now(),
+            created_at: Instant::now(),
         })
     }
 
@@ -85,7 +85,7 @@
     /// Sends one request once the budget allows it, and records whether the service served
     /// it.
     async fn call(&self, request: StateRequest<'_>) -> Result<StateReply, StateError> {
-        self.take_request(request.urgency).await?;
+        self.take_request(request.priority).await?;
         let path = request.path;
         let result = self.exchange(request).await;
         self.failing.set(matches!(
@@ -98,12 +98,12 @@
         result
     }
 
-    /// Takes one request from the budget, waiting for it as `urgency` allows.
-    async fn take_request(&self, urgency: RequestPriority) -> Result<(), StateError> {
-        match urgency {
-            RequestPriority::First => self.requests.force(1.0),
-            RequestPriority::Within(patience) => {
-                if !self.requests.wait(1.0, patience).await {
+    /// Takes one request from the budget, waiting for it as `priority` allows.
+    async fn take_request(&self, priority: RequestPriority) -> Result<(), StateError> {
+        match priority {
+            RequestPriority::First => self.requests.force_take(1.0),
+            RequestPriority::Within(max_wait) => {
+                if !self.requests.wait(1.0, max_wait).await {
                     return Err(StateError::Refused(RefusedCause::OverBudget));
                 }
             }
@@ -114,7 +114,7 @@
     /// Sends one request. Returns an error for a refusal that any request can get.
     async fn exchange(&self, request: StateRequest<'_>) -> Result<StateReply, StateError> {
         let limits = Limits {
-            connect: CONNECT,
+            connect: CONNECT_TIMEOUT,
             answer: request.timeout,
         };
         let answer = self
@@ -135,8 +135,8 @@
 impl From<CallError> for StateError {
     fn from(error: CallError) -> Self {
         match error {
-            CallError::NotSent(exit_reason) => Self::Refused(RefusedCause::NotSent(exit_reason)),
-            CallError::Unknown(exit_reason) => Self::Unknown(UnknownCause::NoAnswer(exit_reason)),
+            CallError::NotSent(cause) => Self::Refused(RefusedCause::NotSent(cause)),
+            CallError::Unknown(cause) => Self::Unknown(UnknownCause::NoAnswer(cause)),
         }
     }
 }
--- a/src/state/client/reads.rs
+++ b/src/state/client/reads.rs
@@ -19,7 +19,7 @@
 /// Time limit for the answer to a read of one page of keys.
 const PAGE_TIMEOUT: Duration = Duration::from_secs(3);
 /// Maximum time that the read of one page of keys waits for the budget.
-const PAGE_PATIENCE: Duration = Duration::from_secs(5);
+const PAGE_BUDGET_WAIT: Duration = Duration::from_secs(5);
 
 /// All keys, read page by page.
 #[derive(Debug)]
@@ -41,7 +41,7 @@
         &self,
         since: Revision,
         wait: Duration,
-        urgency: RequestPriority,
+        priority: RequestPriority,
     ) -> Result<Events, StateError> {
         let path = format!(
             "/follow?under={}&since={since}&block_ms={}",
@@ -52,7 +52,7 @@
             method: Method::GET,
             path: &path,
             body: Bytes::new(),
-            urgency,
+            priority,
             timeout: wait + WATCH_TIMEOUT,
         };
         let reply = self.call(request).await?;
@@ -95,7 +95,7 @@
             method: Method::GET,
             path: &path,
             body: Bytes::new(),
-            urgency: RequestPriority::Within(PAGE_PATIENCE),
+            priority: RequestPriority::Within(PAGE_BUDGET_WAIT),
             timeout: PAGE_TIMEOUT,
         };
         self.call(request).await?.read()
--- a/src/state/client/request.rs
+++ b/src/state/client/request.rs
@@ -18,7 +18,7 @@
     pub(super) method: Method,
     pub(super) path: &'a str,
     pub(super) body: Bytes,
-    pub(super) urgency: RequestPriority,
+    pub(super) priority: RequestPriority,
     /// Time limit for the answer once there is a connection.
     pub(super) timeout: Duration,
 }
@@ -50,7 +50,7 @@
             .map_err(|error| StateError::Unknown(UnknownCause::Malformed(error)))
     }
 
-    pub(super) fn names_no_lease(&self) -> bool {
+    pub(super) fn names_unknown_lease(&self) -> bool {
         String::from_utf8_lossy(&self.body).contains(NO_SUCH_LEASE)
     }
 }
--- a/src/state/client/transactions.rs
+++ b/src/state/client/transactions.rs
@@ -18,7 +18,7 @@
 
 impl StateClient {
     /// Commits a transaction. If the service refuses it because all controllers together make
-    /// too many changes, the client retries it as long as `urgency` allows.
+    /// too many changes, the client retries it as long as `priority` allows.
     ///
     /// # Errors
     ///
@@ -27,14 +27,14 @@
     pub async fn transact(
         &self,
         transaction: &Transaction,
-        urgency: RequestPriority,
+        priority: RequestPriority,
     ) -> Result<TransactionOutcome, StateError> {
-        let reply = self.send_transaction(transaction, urgency).await?;
+        let reply = self.send_transaction(transaction, priority).await?;
         match reply.status {
             200 => Ok(TransactionOutcome::Done(reply.revision()?)),
             409 => Ok(TransactionOutcome::Failed(reply.revision()?)),
-            400 if reply.names_no_lease() => Err(StateError::LeaseEnded),
-            400 => Err(self.rejected(transaction, &reply)),
+            400 if reply.names_unknown_lease() => Err(StateError::LeaseEnded),
+            400 => Err(self.rejection(transaction, &reply)),
             status => Err(StateError::Refused(RefusedCause::Reply(ErrorReply::new(
                 status,
                 &reply.body,
@@ -43,33 +43,33 @@
     }
 
     /// Sends a transaction, and retries it until the service no longer refuses it for the
-    /// rate of changes or `urgency` allows no more time.
+    /// rate of changes or `priority` allows no more time.
     async fn send_transaction(
         &self,
         transaction: &Transaction,
-        urgency: RequestPriority,
+        priority: RequestPriority,
     ) -> Result<StateReply, StateError> {
         let cost = transaction.changes.len() as f64;
         let body = serde_json::to_vec(transaction)
             .map_err(|error| StateError::Refused(RefusedCause::Encode(error)))?;
         let body = Bytes::from(body);
-        let end = match urgency {
+        let deadline = match priority {
             RequestPriority::First => Instant::now(),
-            RequestPriority::Within(patience) => Instant::now() + patience,
+            RequestPriority::Within(max_wait) => Instant::now() + max_wait,
         };
         loop {
-            self.take_changes(cost, urgency, end).await?;
+            self.take_changes(cost, priority, deadline).await?;
             let request = StateRequest {
                 method: Method::POST,
                 path: "/txn",
                 body: body.clone(),
-                urgency,
+                priority,
                 timeout: TXN_TIMEOUT,
             };
             match self.call(request).await {
                 Err(StateError::TooMany) => {
-                    self.refused_for_rate();
-                    if Instant::now() >= end {
+                    self.note_rate_refusal();
+                    if Instant::now() >= deadline {
                         return Err(StateError::TooMany);
                     }
                     self.writes.drain();
@@ -79,18 +79,18 @@
         }
     }
 
-    /// Takes `cost` changes from the budget, waiting for them until `end`.
+    /// Takes `cost` changes from the budget, waiting for them until `deadline`.
     async fn take_changes(
         &self,
         cost: f64,
-        urgency: RequestPriority,
-        end: Instant,
+        priority: RequestPriority,
+        deadline: Instant,
     ) -> Result<(), StateError> {
-        match urgency {
-            RequestPriority::First => self.writes.force(cost),
+        match priority {
+            RequestPriority::First => self.writes.force_take(cost),
             RequestPriority::Within(_) => {
-                let left = end.saturating_duration_since(Instant::now());
-                if !self.writes.wait(cost, left).await {
+                let remaining = deadline.saturating_duration_since(Instant::now());
+                if !self.writes.wait(cost, remaining).await {
                     return Err(StateError::Refused(RefusedCause::OverBudget));
                 }
             }
@@ -100,8 +100,8 @@
 
     /// Records that the service refused a transaction for the rate of changes, and lowers the
     /// rate if such refusals go on.
-    fn refused_for_rate(&self) {
-        let now = Time(self.begun.elapsed().as_secs_f64());
+    fn note_rate_refusal(&self) {
+        let now = Time(self.created_at.elapsed().as_secs_f64());
         if self.change_rate.borrow_mut().refused(now) {
             tracing::info!("store write rate lowered; refusals go on");
         }
@@ -109,15 +109,15 @@
 
     /// Returns the error for a transaction that the service rejected. A rejected transaction
     /// that only the larger limits allow shows that the smaller limits are in force now.
-    fn rejected(&self, transaction: &Transaction, reply: &StateReply) -> StateError {
+    fn rejection(&self, transaction: &Transaction, reply: &StateReply) -> StateError {
         let size = |change: &Change| match change {
             Change::Write { value, .. } => value.get().len(),
             Change::Delete { .. } => 0,
         };
         let largest = transaction.changes.iter().map(size).max().unwrap_or(0);
-        let beyond =
+        let exceeds_lower_limits =
             largest > self.limits.value_bytes || transaction.changes.len() > self.limits.txn_ops;
-        if beyond && self.change_rate.borrow_mut().lower() {
+        if exceeds_lower_limits && self.change_rate.borrow_mut().lower() {
             tracing::info!(largest, "store value limit lowered");
         }
         StateError::Rejected(ErrorReply::new(reply.status, &reply.body))
@@ -133,13 +133,13 @@
         key: String,
         mod_revision: Revision,
         change: Change,
-        patience: Duration,
+        max_wait: Duration,
     ) -> Result<TransactionOutcome, StateError> {
         let transaction = Transaction {
             conditions: vec![Condition { key, mod_revision }],
             changes: vec![change],
         };
-        self.transact(&transaction, RequestPriority::Within(patience))
+        self.transact(&transaction, RequestPriority::Within(max_wait))
             .await
     }
 }
