--- a/src/state/chunk_record.rs
+++ b/src/state/chunk_record.rs
@@ -19,7 +19,7 @@
 /// Bytes reserved for a chunk's other fields. In a job record they are reserved for the job's
 /// place in its lane: a later write adds the place, which must not make the record too large
 /// to write.
-pub(super) const OWN_BYTES: usize = 128;
+pub(super) const RESERVED_BYTES: usize = 128;
 
 /// Claims and results of up to 64 tasks.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
@@ -128,7 +128,7 @@
 /// Returns the number of tasks that fit into a chunk if a value has at most `value_bytes` and
 /// a claim takes `claim_bytes`.
 pub(super) fn chunk_size_of(value_bytes: usize, claim_bytes: usize) -> u32 {
-    (value_bytes.saturating_sub(OWN_BYTES) / claim_bytes).clamp(1, MAX_CHUNK_TASKS) as u32
+    (value_bytes.saturating_sub(RESERVED_BYTES) / claim_bytes).clamp(1, MAX_CHUNK_TASKS) as u32
 }
 
 /// Returns the number of tasks without devices that fit into a chunk if a value has at most
--- a/src/state/history.rs
+++ b/src/state/history.rs
@@ -41,7 +41,7 @@
     images: VecDeque<CachedImage>,
     /// Number of tasks that had been placed on any machine when this machine ran its latest
     /// image.
-    at: u64,
+    last_run: u64,
 }
 
 /// Jobs that arrived recently, and images that machines ran recently.
@@ -50,12 +50,12 @@
     arrivals: VecDeque<JobArrival>,
     machines: HashMap<MachineId, RecentImages>,
     /// Number of tasks placed so far.
-    count: u64,
+    placements: u64,
 }
 
 impl History {
     /// Records a job that was accepted at the wall-clock time `accepted_ms`, in milliseconds.
-    pub fn arrived(&mut self, accepted_ms: u64, spec: JobSpec) {
+    pub fn record_arrival(&mut self, accepted_ms: u64, spec: JobSpec) {
         self.arrivals.push_back(JobArrival {
             accepted_ms,
             spec: Rc::new(spec),
@@ -66,13 +66,13 @@
     }
 
     /// Records that a task with this image of `gb` GB was placed on a machine.
-    pub fn placed(&mut self, machine: &MachineId, image: &Image, gb: f64) {
-        self.count += 1;
+    pub fn record_placement(&mut self, machine: &MachineId, image: &Image, gb: f64) {
+        self.placements += 1;
         if self.machines.len() >= MAX_MACHINES && !self.machines.contains_key(machine) {
-            self.forget_older_half();
+            self.evict_least_recent_half();
         }
         let ran = self.machines.entry(machine.clone()).or_default();
-        ran.at = self.count;
+        ran.last_run = self.placements;
         ran.images.retain(|cached| cached.image != *image);
         ran.images.push_back(CachedImage {
             image: image.clone(),
@@ -85,11 +85,11 @@
 
     /// Removes the half of the machines that ran nothing for longest. Most of them have been
     /// deleted since.
-    fn forget_older_half(&mut self) {
-        let mut ages: Vec<u64> = self.machines.values().map(|m| m.at).collect();
+    fn evict_least_recent_half(&mut self) {
+        let mut ages: Vec<u64> = self.machines.values().map(|m| m.last_run).collect();
         ages.sort_unstable();
         let middle = ages[ages.len() / 2];
-        self.machines.retain(|_, m| m.at > middle);
+        self.machines.retain(|_, m| m.last_run > middle);
     }
 
     /// Returns the jobs that arrived recently, in the order in which this controller saw
--- a/src/state/job_record.rs
+++ b/src/state/job_record.rs
@@ -5,7 +5,7 @@
 use sorrelhinge_pipelines::graph::{JobFacts, Recorded};
 use sorrelhinge_pipelines::urgency::Urgency;
 
-use super::chunk_record::{chunk_size_of, claim_bytes, ChunkRecord, CLAIM_BYTES, OWN_BYTES};
+use super::chunk_record::{chunk_size_of, claim_bytes, ChunkRecord, CLAIM_BYTES, RESERVED_BYTES};
 use crate::types::{CompatibilityExtension, JobId, JobSpec, Priority, Revision, TypeName};
 
 /// Recorded phase of a job.
@@ -123,7 +123,7 @@
             waits: None,
             done_ms: None,
         };
-        record.wait_for(needs);
+        record.set_dependencies(needs);
         let taken = encoded_bytes(&record);
         if record.tasks <= chunk_size(value_bytes.saturating_sub(taken)).min(chunk) {
             record.inline = Some(ChunkRecord::new());
@@ -141,11 +141,11 @@
         let spec = self.description();
         let claim = spec.as_ref().map_or(CLAIM_BYTES, claim_bytes);
         let claims = self.inline.as_ref().map_or(0, |_| self.tasks as usize);
-        record.len() + OWN_BYTES + claims * claim <= value_bytes
+        record.len() + RESERVED_BYTES + claims * claim <= value_bytes
     }
 
     /// Sets the dependencies, and hides the job from versions that do not know them.
-    fn wait_for(&mut self, needs: Vec<JobId>) {
+    fn set_dependencies(&mut self, needs: Vec<JobId>) {
         let Some(spec) = self.spec.as_mut().filter(|_| !needs.is_empty()) else {
             return;
         };
--- a/src/state/record/keys.rs
+++ b/src/state/record/keys.rs
@@ -157,7 +157,7 @@
             GRANT => Some(Self::Grant),
             MAP => Some(Self::Map),
             CALENDAR_KEY => Some(Self::Calendar),
-            _ => Self::parse_window(text).or_else(|| Self::parse_numbered(text)),
+            _ => Self::parse_window(text).or_else(|| Self::parse_with_id(text)),
         }
     }
 
@@ -170,30 +170,27 @@
     }
 
     /// Parses a key of a kind with many records: the prefix, the kind and an identifier.
-    fn parse_numbered(text: &str) -> Option<Self> {
-        let (kind, which) = text.strip_prefix(ROOT)?.split_once('/')?;
+    fn parse_with_id(text: &str) -> Option<Self> {
+        let (kind, id) = text.strip_prefix(ROOT)?.split_once('/')?;
         match kind {
-            "job" => Some(Self::Job(JobId::from(which))),
-            "node" => Some(Self::Member(NodeId::from(which))),
-            "block" => parse_shard(which).map(Self::Shard),
-            "slice" => parse_shard(which).map(Self::Slice),
+            "job" => Some(Self::Job(JobId::from(id))),
+            "node" => Some(Self::Member(NodeId::from(id))),
+            "block" => parse_shard(id).map(Self::Shard),
+            "slice" => parse_shard(id).map(Self::Slice),
             "wave" => {
-                let (shard, image_hash) = which.split_once('/')?;
+                let (shard, image_hash) = id.split_once('/')?;
                 Some(Self::Rollout(RolloutId {
                     shard: parse_shard(shard)?,
                     image_hash: u64::from_str_radix(image_hash, 16).ok()?,
                 }))
             }
-            "drain" => Some(Self::Drain(which.parse().ok()?)),
+            "drain" => Some(Self::Drain(id.parse().ok()?)),
             "gone" => {
-                let slot = which
-                    .parse()
-                    .ok()
-                    .filter(|slot| *slot < RETIRED_MACHINE_SLOTS);
+                let slot = id.parse().ok().filter(|slot| *slot < RETIRED_MACHINE_SLOTS);
                 slot.map(Self::DeletedMachines)
             }
             "task" => {
-                let (job, chunk) = which.rsplit_once('/')?;
+                let (job, chunk) = id.rsplit_once('/')?;
                 Some(Self::Chunk(ChunkId {
                     job: JobId::from(job),
                     chunk: chunk.parse().ok()?,
--- a/src/state/view/jobs.rs
+++ b/src/state/view/jobs.rs
@@ -23,14 +23,14 @@
             }
             Some(entry) => {
                 let before = entry.record.value.inline.as_ref();
-                note_claims(&mut self.history, value, before, value.inline.as_ref());
+                record_placements(&mut self.history, value, before, value.inline.as_ref());
                 entry.place = place::known(Some(entry.place), value.place, record.mod_revision);
                 entry.record = record;
             }
             None => self.insert_job(id, record),
         }
-        self.note_changed(id);
-        self.note_in_pipelines(id);
+        self.mark_changed(id);
+        self.update_pipelines(id);
     }
 
     /// Inserts a job that the copy does not have yet, with the chunks that arrived before its
@@ -38,12 +38,12 @@
     fn insert_job(&mut self, id: &JobId, record: Versioned<JobRecord>) {
         let value = &record.value;
         if let (Phase::Live, Some(spec)) = (value.phase, value.description()) {
-            self.history.arrived(value.accepted_ms, spec);
+            self.history.record_arrival(value.accepted_ms, spec);
         }
-        note_claims(&mut self.history, value, None, value.inline.as_ref());
-        let chunks = self.orphans.remove(id).unwrap_or_default();
+        record_placements(&mut self.history, value, None, value.inline.as_ref());
+        let chunks = self.orphan_chunks.remove(id).unwrap_or_default();
         for chunk in chunks.values() {
-            note_claims(&mut self.history, value, None, Some(&chunk.value));
+            record_placements(&mut self.history, value, None, Some(&chunk.value));
         }
         let place = place::known(None, value.place, record.mod_revision);
         let entry = JobEntry {
@@ -59,16 +59,16 @@
         // A full read is paged, so a chunk can arrive before its job.
         let (chunks, job) = match self.jobs.get_mut(id) {
             Some(entry) => (&mut entry.chunks, Some(&entry.record.value)),
-            None => (self.orphans.entry(id.clone()).or_default(), None),
+            None => (self.orphan_chunks.entry(id.clone()).or_default(), None),
         };
         let known = chunks.entry(chunk).or_default();
         if record.mod_revision > known.mod_revision {
             if let Some(job) = job {
                 let before = Some(&known.value);
-                note_claims(&mut self.history, job, before, Some(&record.value));
+                record_placements(&mut self.history, job, before, Some(&record.value));
             }
             *known = record;
-            self.note_changed(id);
+            self.mark_changed(id);
         }
     }
 
@@ -81,13 +81,13 @@
                 .is_some_and(|c| c.mod_revision < mod_revision)
             {
                 entry.chunks.remove(&chunk);
-                self.note_changed(id);
+                self.mark_changed(id);
             }
         }
     }
 
     /// Records that a job's record or one of its chunks changed.
-    fn note_changed(&mut self, id: &JobId) {
+    fn mark_changed(&mut self, id: &JobId) {
         let cancelled = self.jobs.get(id).is_some_and(|entry| {
             entry.record.value.phase == Phase::Cancelled
                 && entry.all_chunks().any(|(_, c)| !c.claims.is_empty())
@@ -101,7 +101,7 @@
     }
 
     /// Updates the dependency graph after a change of a job's record.
-    fn note_in_pipelines(&mut self, id: &JobId) {
+    fn update_pipelines(&mut self, id: &JobId) {
         let Some(entry) = self.jobs.get(id) else {
             return;
         };
@@ -117,7 +117,7 @@
 }
 
 /// Records in the history the placements that `after` has and `before` had not.
-fn note_claims(
+fn record_placements(
     history: &mut History,
     job: &JobRecord,
     before: Option<&ChunkRecord>,
@@ -128,7 +128,7 @@
     };
     for claim in &after.claims {
         if before.is_none_or(|b| b.next_attempt <= claim.attempt.0) {
-            history.placed(&claim.machine, &spec.image, spec.image_gb);
+            history.record_placement(&claim.machine, &spec.image, spec.image_gb);
         }
     }
 }
--- a/src/state/view/mod.rs
+++ b/src/state/view/mod.rs
@@ -66,7 +66,7 @@
     /// Dependency graph of the jobs, derived from `jobs`.
     pipelines: Graph,
     /// Chunks that arrived before their job's record.
-    orphans: HashMap<JobId, BTreeMap<u32, Versioned<ChunkRecord>>>,
+    orphan_chunks: HashMap<JobId, BTreeMap<u32, Versioned<ChunkRecord>>>,
     /// Jobs that changed since the last [`View::take_changed`], each listed once for every
     /// change.
     changed: Vec<JobId>,
--- a/tests/fleet_limits.rs
+++ b/tests/fleet_limits.rs
@@ -50,7 +50,7 @@
 
 fn ran(machines: impl Iterator<Item = usize>, history: &mut History) {
     for n in machines {
-        history.placed(&machine(n), &Image::from("img"), 1.0);
+        history.record_placement(&machine(n), &Image::from("img"), 1.0);
     }
 }
 
