--- a/src/state/client/leases.rs
+++ b/src/state/client/leases.rs
@@ -40,7 +40,8 @@
     ///
     /// # Errors
     ///
-    /// The store refused or did not answer. The lease then expires at the latest.
+    /// The store refused or did not answer. If the lease still exists, it expires unless it
+    /// is renewed.
     pub async fn end(&self, lease: LeaseId) -> Result<(), StateError> {
         let request = StateRequest {
             method: Method::DELETE,
--- a/src/state/job_entry.rs
+++ b/src/state/job_entry.rs
@@ -23,8 +23,8 @@
 impl JobEntry {
     /// Returns the job's record for its next write, with its place if the job is `in_lane`.
     /// The place thus costs no change of its own. Every write of a job that is not over must
-    /// start from this record: a write of the bare record would move the job to the revision
-    /// of that write.
+    /// start from this record: a write of the bare record would move the job's place to the
+    /// revision of that write.
     pub fn rewritten(&self, in_lane: bool) -> JobRecord {
         let recorded = &self.record.value;
         JobRecord {
@@ -43,8 +43,8 @@
 
     /// Returns the writes that cancel the job if values have at most `value_bytes`: its
     /// record, and its claims under a key of their own if record and claims together are too
-    /// large. If the description alone is too large, the record keeps only what the job's
-    /// tasks use, until they have ended.
+    /// large. If the description alone is too large, the record keeps only the part of it
+    /// that counts the resources of the job's tasks until they have ended.
     pub fn cancelled(&self, in_lane: bool, value_bytes: usize) -> Cancellation {
         let fits = |r: &JobRecord| encoded_bytes(r) <= value_bytes;
         let mut record = JobRecord {
--- a/src/state/view/apply.rs
+++ b/src/state/view/apply.rs
@@ -193,8 +193,9 @@
         });
     }
 
-    /// Applies a write of a rollout, and stores a malformed rollout as present. A write that
-    /// took it for absent would fail repeatedly, together with all claims of its transaction.
+    /// Applies a write of a rollout. A malformed rollout, or one of an unknown version, is
+    /// stored as present without a value: a write that took it for absent would fail
+    /// repeatedly, together with all claims of its transaction.
     fn write_rollout(&mut self, rollout: RolloutId, write: RecordWrite) {
         put(&mut self.rollouts, rollout, write.mod_revision, || {
             Some(write.parse::<RolloutRecord>().filter(RolloutRecord::known))
--- a/src/state/view/mod.rs
+++ b/src/state/view/mod.rs
@@ -141,7 +141,7 @@
     }
 
     /// Returns a job's phase as its users see it. A job that depends on a cancelled job
-    /// counts as cancelled by that job's record alone.
+    /// counts as cancelled: the record of the cancelled job suffices.
     fn visible_phase(&self, id: &JobId, recorded: Phase) -> Phase {
         match recorded {
             Phase::Live if self.pipelines.is_cancelled(id) => Phase::Cancelled,
