--- a/src/state/budget.rs
+++ b/src/state/budget.rs
@@ -55,7 +55,7 @@
 
     /// Empties the bucket. The client calls this when the service refuses a request because
     /// all controllers together send too many.
-    pub fn drain(&self) {
+    pub fn empty(&self) {
         self.refill();
         self.level.set(self.level.get().min(0.0));
     }
--- a/src/state/client/transactions.rs
+++ b/src/state/client/transactions.rs
@@ -72,7 +72,7 @@
                     if Instant::now() >= deadline {
                         return Err(StateError::TooMany);
                     }
-                    self.writes.drain();
+                    self.writes.empty();
                 }
                 result => return result,
             }
