--- a/src/state/history.rs
+++ b/src/state/history.rs
@@ -1,6 +1,6 @@
 //! Recent job arrivals, and the images that each machine ran recently, both derived from the
 //! records. Every controller that watches the records has this history, so a new owner does
-//! not start without it. No decision that an invariant depends on uses the history.
+//! not start without it. Nothing that a rule depends on is decided from the history.
 
 use std::collections::{HashMap, VecDeque};
 use std::rc::Rc;
--- a/src/state/record/deleted_machines.rs
+++ b/src/state/record/deleted_machines.rs
@@ -11,7 +11,7 @@
 
 /// Machines whose deletion the cloud has answered with 200: every claim still recorded on
 /// them has ended (PROTOCOL, "POST /rentals/delete"). A later owner need not find this out
-/// again. The cloud never reuses a name.
+/// again. A machine name is never given twice.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct RetiredMachinesRecord {
     /// Version of the record format.
