--- a/src/state/budget.rs
+++ b/src/state/budget.rs
@@ -1,92 +1,96 @@
-//! This controller's share of what all controllers together may ask of a service, as a
-//! token bucket. The level can be negative: the most urgent requests are taken all the same,
-//! and the others wait until it is made up for.
+//! Token bucket that paces this controller's requests to a service. Its rate is this
+//! controller's share of the rate that all controllers together may use. The level can be
+//! negative: the most urgent requests always pass, and other requests wait until the bucket
+//! has refilled.
 
 use std::cell::Cell;
 use std::time::Duration;
 
 use tokio::time::{sleep, Instant};
 
-/// The part of the bucket above which it counts as spare.
-const SPARE_PART: f64 = 0.6;
-/// The level is a sum of many parts; it may be so much off.
-const ROUNDING: f64 = 1e-9;
-/// Whoever waits for the bucket looks again no sooner.
-const LEAST_PAUSE: Duration = Duration::from_millis(2);
+/// Fraction of the burst at or above which the level counts as spare.
+const SPARE_FRACTION: f64 = 0.6;
+/// Tolerance for rounding errors of the level, which is a sum of many terms.
+const ROUNDING_TOLERANCE: f64 = 1e-9;
+/// Minimum pause between two attempts of a waiting request.
+const MIN_PAUSE: Duration = Duration::from_millis(2);
 
-/// This controller's share of what all may ask of a service: a bucket that
-/// refills steadily up to one second's worth, or a least burst.
+/// Token bucket of one service. The bucket refills steadily up to one second's worth of
+/// tokens, or up to a minimum burst if that is more.
 pub struct Budget {
     rate: Cell<f64>,
-    least_burst: Cell<f64>,
+    min_burst: Cell<f64>,
     level: Cell<f64>,
-    filled: Cell<Instant>,
+    refilled_at: Cell<Instant>,
 }
 
 impl Budget {
-    /// `rate` per second.
+    /// Returns a bucket that refills at `rate` tokens per second and holds one second's
+    /// worth.
     pub fn new(rate: f64) -> Self {
         Self {
             rate: Cell::new(rate),
-            least_burst: Cell::new(1.0),
+            min_burst: Cell::new(1.0),
             level: Cell::new(rate),
-            filled: Cell::new(Instant::now()),
+            refilled_at: Cell::new(Instant::now()),
         }
     }
 
-    /// Changes the rate, and how much may be asked at once even if that is
-    /// more than a second's worth.
-    pub fn set_rate(&self, rate: f64, least_burst: f64) {
+    /// Sets the rate, in tokens per second, and the minimum burst: the number of tokens that
+    /// may be taken at once even if one second's worth is less.
+    pub fn set_rate(&self, rate: f64, min_burst: f64) {
         self.refill();
         self.rate.set(rate);
-        self.least_burst.set(least_burst.max(1.0));
+        self.min_burst.set(min_burst.max(1.0));
     }
 
     fn burst(&self) -> f64 {
-        self.rate.get().max(self.least_burst.get())
+        self.rate.get().max(self.min_burst.get())
     }
 
-    /// What it gives a second.
+    /// Returns the rate in tokens per second.
     pub fn rate(&self) -> f64 {
         self.rate.get()
     }
 
-    /// The service says that all together ask too much.
-    pub fn drain(&self) {
+    /// Empties the bucket. The client calls this when the service refuses a request because
+    /// all controllers together send too many.
+    pub fn empty(&self) {
         self.refill();
         self.level.set(self.level.get().min(0.0));
     }
 
     fn refill(&self) {
         let now = Instant::now();
-        let gained = now.duration_since(self.filled.get()).as_secs_f64() * self.rate.get();
-        self.filled.set(now);
+        let gained = now.duration_since(self.refilled_at.get()).as_secs_f64() * self.rate.get();
+        self.refilled_at.set(now);
         self.level
             .set((self.level.get() + gained).min(self.burst()));
     }
 
-    /// Whether the bucket is filled well enough that some of it counts as spare.
+    /// Returns whether the bucket is full enough that some tokens count as spare.
     pub fn spare(&self) -> bool {
         self.refill();
-        self.level.get() >= SPARE_PART * self.burst()
+        self.level.get() >= SPARE_FRACTION * self.burst()
     }
 
-    /// Takes `n` at once, even beyond what is there: for the most urgent requests.
-    pub fn force(&self, n: f64) {
+    /// Takes `n` tokens at once, even if the level becomes negative. Only the most urgent
+    /// requests use this.
+    pub fn force_take(&self, n: f64) {
         self.refill();
         self.level.set(self.level.get() - n);
     }
 
-    /// Takes `n` if there is enough.
+    /// Takes `n` tokens if the bucket holds enough.
     ///
     /// # Errors
     ///
-    /// For how long to wait until there would be enough.
+    /// Returns the time until the bucket would hold enough.
     pub fn take(&self, n: f64) -> Result<(), Duration> {
         self.refill();
-        // More than fits is allowed on a full bucket.
+        // A full bucket allows a request for more tokens than it can hold.
         let needed = n.min(self.burst());
-        if self.level.get() + ROUNDING >= needed {
+        if self.level.get() + ROUNDING_TOLERANCE >= needed {
             self.level.set(self.level.get() - n);
             Ok(())
         } else {
@@ -96,14 +100,14 @@
         }
     }
 
-    /// Takes `n`, waiting at most `patience` for it.
-    pub async fn wait(&self, n: f64, patience: Duration) -> bool {
-        let end = Instant::now() + patience;
+    /// Takes `n` tokens, waiting at most `max_wait` for them. Returns whether it took them.
+    pub async fn wait(&self, n: f64, max_wait: Duration) -> bool {
+        let deadline = Instant::now() + max_wait;
         loop {
             match self.take(n) {
                 Ok(()) => return true,
-                Err(pause) if Instant::now() + pause <= end => {
-                    sleep(pause.max(LEAST_PAUSE)).await;
+                Err(pause) if Instant::now() + pause <= deadline => {
+                    sleep(pause.max(MIN_PAUSE)).await;
                 }
                 Err(_) => return false,
             }
@@ -111,11 +115,12 @@
     }
 }
 
-/// How urgent a request is, when the budget is short.
+/// Urgency of a request when the budget is short.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestPriority {
-    /// Renewals and claims: goes at once and leaves the others the rest.
+    /// Renewals and claims have this priority. The request passes at once, and other requests
+    /// share the remaining budget.
     First,
-    /// Waits for the budget, this long at most.
+    /// The request waits for the budget, at most for this duration.
     Within(Duration),
 }
--- a/src/state/client/mod.rs
+++ b/src/state/client/mod.rs
@@ -1,9 +1,10 @@
-//! Client of the state service: transactions, reads, watches and leases (PROTOCOL,
-//! "Controller nodes -> state service"). It paces requests and changes by two budgets and
-//! learns from refusals how many changes the service takes.
+//! Client of the state service for transactions, reads, watches and leases (PROTOCOL,
+//! "Controller nodes -> state service"). Two budgets pace its requests and its changes. The
+//! client lowers its rate of changes when refusals show that the service takes fewer changes.
 //!
-//! This file has the client's state and the way of every request; `request` what is sent
-//! and answered; `transactions`, `reads` and `leases` a kind of request each.
+//! This file has the client's state and the common path of all requests. Module `request` has
+//! the types of requests and answers; `transactions`, `reads` and `leases` each have one kind
+//! of request.
 
 mod leases;
 mod reads;
@@ -25,25 +26,26 @@
 use crate::config::StateLimits;
 use crate::http::{CallError, Limits, Pool};
 
-/// For a connection to the service.
-const CONNECT: Duration = Duration::from_millis(800);
+/// Time limit for connecting to the service.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(800);
 
 /// Client of the state service.
 pub struct StateClient {
     pool: Pool,
-    /// Requests.
+    /// Budget of requests.
     pub requests: Budget,
-    /// Changes.
+    /// Budget of changes: each written or deleted key costs one.
     pub writes: Budget,
-    /// The last request that was sent came to nothing.
+    /// Whether the service did not serve the last request that was sent.
     failing: Cell<bool>,
     limits: StateLimits,
     change_rate: RefCell<ChangeRate>,
-    begun: Instant,
+    created_at: Instant,
 }
 
 impl StateClient {
-    /// For the service at `address`; `rps` requests a second are this controller's share.
+    /// Returns a client of the service at `address`. This controller's share of the request
+    /// rate is `rps` requests per second.
     pub fn new(address: SocketAddr, rps: f64, limits: StateLimits) -> Rc<Self> {
         Rc::new(Self {
             pool: Pool::new(address),
@@ -52,35 +54,38 @@
             failing: Cell::new(false),
             limits,
             change_rate: RefCell::new(ChangeRate::new(limits.write_rps, limits.next_write_rps)),
-            begun: Instant::now(),
+            created_at: Instant::now(),
         })
     }
 
-    /// Changes a second that all controllers together may make, as far as is known.
+    /// Returns how many changes per second all controllers together may make, as far as this
+    /// controller knows.
     pub fn change_rate(&self) -> f64 {
         self.change_rate.borrow().in_force()
     }
 
-    /// Whether the smaller limits (`state.next`) are known to be in force.
+    /// Returns whether this controller knows that the smaller limits (`state.next`) are in
+    /// force.
     pub fn limits_fell(&self) -> bool {
         self.change_rate.borrow().is_lowered()
     }
 
-    /// Another controller knows that the smaller limits are in force. Returns whether that
-    /// is new.
+    /// Records that another controller found the smaller limits in force. Returns whether
+    /// this controller did not know it yet.
     pub fn note_lower_limits(&self) -> bool {
         self.change_rate.borrow_mut().lower()
     }
 
-    /// Whether the service did not serve the last request that was sent to it. What
-    /// is over this controller's share is not sent, and shows nothing of it.
+    /// Returns whether the service did not serve the last request that was sent. Requests
+    /// over this controller's share are not sent, so they do not count.
     pub fn fails(&self) -> bool {
         self.failing.get()
     }
 
-    /// Sends one request once its budget allows, and notes whether the service serves.
+    /// Sends one request once the budget allows it, and records whether the service served
+    /// it.
     async fn call(&self, request: StateRequest<'_>) -> Result<StateReply, StateError> {
-        self.take_request(request.urgency).await?;
+        self.take_request(request.priority).await?;
         let path = request.path;
         let result = self.exchange(request).await;
         self.failing.set(matches!(
@@ -93,12 +98,12 @@
         result
     }
 
-    /// Takes one request from the budget, waiting for it as `urgency` allows.
-    async fn take_request(&self, urgency: RequestPriority) -> Result<(), StateError> {
-        match urgency {
-            RequestPriority::First => self.requests.force(1.0),
-            RequestPriority::Within(patience) => {
-                if !self.requests.wait(1.0, patience).await {
+    /// Takes one request from the budget, waiting for it as `priority` allows.
+    async fn take_request(&self, priority: RequestPriority) -> Result<(), StateError> {
+        match priority {
+            RequestPriority::First => self.requests.force_take(1.0),
+            RequestPriority::Within(max_wait) => {
+                if !self.requests.wait(1.0, max_wait).await {
                     return Err(StateError::Refused(RefusedCause::OverBudget));
                 }
             }
@@ -106,10 +111,10 @@
         Ok(())
     }
 
-    /// Sends one request. Refusals that any request can meet are errors.
+    /// Sends one request. Returns an error for a refusal that any request can get.
     async fn exchange(&self, request: StateRequest<'_>) -> Result<StateReply, StateError> {
         let limits = Limits {
-            connect: CONNECT,
+            connect: CONNECT_TIMEOUT,
             answer: request.timeout,
         };
         let answer = self
@@ -130,8 +135,8 @@
 impl From<CallError> for StateError {
     fn from(error: CallError) -> Self {
         match error {
-            CallError::NotSent(exit_reason) => Self::Refused(RefusedCause::NotSent(exit_reason)),
-            CallError::Unknown(exit_reason) => Self::Unknown(UnknownCause::NoAnswer(exit_reason)),
+            CallError::NotSent(cause) => Self::Refused(RefusedCause::NotSent(cause)),
+            CallError::Unknown(cause) => Self::Unknown(UnknownCause::NoAnswer(cause)),
         }
     }
 }
--- a/src/state/view/jobs.rs
+++ b/src/state/view/jobs.rs
@@ -1,5 +1,5 @@
-//! Jobs' records and chunks as they come in, and what follows from them: which jobs
-//! changed, which wait for others, what the history notes.
+//! Updates the local copy from the records of jobs and chunks, and derives from them which
+//! jobs changed, which jobs wait for others, and what the history records.
 
 use sorrelhinge_priority_lanes::place;
 
@@ -9,12 +9,12 @@
 use crate::types::{JobId, Revision};
 
 impl View {
-    /// Takes in a job's record unless a newer one is here.
+    /// Stores a job's record unless the copy has a newer one.
     pub fn put_job(&mut self, id: &JobId, record: Versioned<JobRecord>) {
         let value = &record.value;
         match self.jobs.get_mut(id) {
             Some(entry) if entry.record.mod_revision >= record.mod_revision => {
-                // One that comes late still has the earlier place.
+                // A record that arrives late still shows the job's earlier place.
                 let place = place::known(Some(entry.place), value.place, record.mod_revision);
                 if place >= entry.place {
                     return;
@@ -23,26 +23,27 @@
             }
             Some(entry) => {
                 let before = entry.record.value.inline.as_ref();
-                note_claims(&mut self.history, value, before, value.inline.as_ref());
+                record_placements(&mut self.history, value, before, value.inline.as_ref());
                 entry.place = place::known(Some(entry.place), value.place, record.mod_revision);
                 entry.record = record;
             }
             None => self.insert_job(id, record),
         }
-        self.note_changed(id);
-        self.note_in_pipelines(id);
+        self.mark_changed(id);
+        self.update_pipelines(id);
     }
 
-    /// Takes in a job that was not here, with the chunks that came before it.
+    /// Inserts a job that the copy does not have yet, with the chunks that arrived before its
+    /// record.
     fn insert_job(&mut self, id: &JobId, record: Versioned<JobRecord>) {
         let value = &record.value;
         if let (Phase::Live, Some(spec)) = (value.phase, value.description()) {
-            self.history.arrived(value.accepted_ms, spec);
+            self.history.record_arrival(value.accepted_ms, spec);
         }
-        note_claims(&mut self.history, value, None, value.inline.as_ref());
-        let chunks = self.orphans.remove(id).unwrap_or_default();
+        record_placements(&mut self.history, value, None, value.inline.as_ref());
+        let chunks = self.orphan_chunks.remove(id).unwrap_or_default();
         for chunk in chunks.values() {
-            note_claims(&mut self.history, value, None, Some(&chunk.value));
+            record_placements(&mut self.history, value, None, Some(&chunk.value));
         }
         let place = place::known(None, value.place, record.mod_revision);
         let entry = JobEntry {
@@ -53,25 +54,25 @@
         self.jobs.insert(id.clone(), entry);
     }
 
-    /// Takes in a chunk unless a newer one is here.
+    /// Stores a chunk unless the copy has a newer one.
     pub fn put_chunk(&mut self, id: &JobId, chunk: u32, record: Versioned<ChunkRecord>) {
-        // While everything is read in pages, a chunk can come before its job.
+        // A full read is paged, so a chunk can arrive before its job.
         let (chunks, job) = match self.jobs.get_mut(id) {
             Some(entry) => (&mut entry.chunks, Some(&entry.record.value)),
-            None => (self.orphans.entry(id.clone()).or_default(), None),
+            None => (self.orphan_chunks.entry(id.clone()).or_default(), None),
         };
         let known = chunks.entry(chunk).or_default();
         if record.mod_revision > known.mod_revision {
             if let Some(job) = job {
                 let before = Some(&known.value);
-                note_claims(&mut self.history, job, before, Some(&record.value));
+                record_placements(&mut self.history, job, before, Some(&record.value));
             }
             *known = record;
-            self.note_changed(id);
+            self.mark_changed(id);
         }
     }
 
-    /// A chunk was deleted.
+    /// Removes a chunk that was deleted at `mod_revision`, unless it was written again since.
     pub fn drop_chunk(&mut self, id: &JobId, chunk: u32, mod_revision: Revision) {
         if let Some(entry) = self.jobs.get_mut(id) {
             if entry
@@ -80,13 +81,13 @@
                 .is_some_and(|c| c.mod_revision < mod_revision)
             {
                 entry.chunks.remove(&chunk);
-                self.note_changed(id);
+                self.mark_changed(id);
             }
         }
     }
 
-    /// A job's record or a chunk of it changed.
-    fn note_changed(&mut self, id: &JobId) {
+    /// Records that a job's record or one of its chunks changed.
+    fn mark_changed(&mut self, id: &JobId) {
         let cancelled = self.jobs.get(id).is_some_and(|entry| {
             entry.record.value.phase == Phase::Cancelled
                 && entry.all_chunks().any(|(_, c)| !c.claims.is_empty())
@@ -99,8 +100,8 @@
         self.changed.push(id.clone());
     }
 
-    /// A job's record is new: what follows for jobs that need it.
-    fn note_in_pipelines(&mut self, id: &JobId) {
+    /// Updates the dependency graph after a change of a job's record.
+    fn update_pipelines(&mut self, id: &JobId) {
         let Some(entry) = self.jobs.get(id) else {
             return;
         };
@@ -115,8 +116,8 @@
     }
 }
 
-/// Notes where the claims are that `after` has and `before` had not.
-fn note_claims(
+/// Records in the history the placements that `after` has and `before` had not.
+fn record_placements(
     history: &mut History,
     job: &JobRecord,
     before: Option<&ChunkRecord>,
@@ -127,7 +128,7 @@
     };
     for claim in &after.claims {
         if before.is_none_or(|b| b.next_attempt <= claim.attempt.0) {
-            history.placed(&claim.machine, &spec.image, spec.image_gb);
+            history.record_placement(&claim.machine, &spec.image, spec.image_gb);
         }
     }
 }
