--- a/src/autoscaler/demand.rs
+++ b/src/autoscaler/demand.rs
@@ -1,4 +1,5 @@
-//! The work that a plan packs: tasks that wait, tasks that move, and work that may come.
+//! Lists the work that the scale plan packs into machines: pending tasks, tasks to move, expected
+//! work and the shortfalls of reservation windows.
 
 use std::collections::BTreeMap;
 
@@ -7,13 +8,14 @@
 use crate::scheduler::{ClusterState, Job, ReservedTasks};
 use crate::types::{JobId, Time};
 
-/// Part of a boot that work waits for tasks to end.
+/// A job counts as queued once its tasks have been blocked for more than this share of the boot
+/// time of a machine. Until then the plan may wait for running tasks to end.
 const QUEUED: f64 = 0.5;
 
-/// How many tasks of each job are to be packed.
+/// Number of tasks to pack into machines, by job.
 pub(super) type PendingTasks<'a> = BTreeMap<&'a JobId, u32>;
 
-/// Adds tasks that move off draining machines: they need capacity elsewhere.
+/// Counts the tasks on draining machines in `moving`, because they need capacity on other machines.
 pub(super) fn add_drained<'a>(cluster_state: &'a ClusterState, moving: &mut PendingTasks<'a>) {
     let machines = cluster_state.machines().values();
     for machine in machines.filter(|m| m.draining) {
@@ -25,15 +27,16 @@
     }
 }
 
-/// How many tasks of each job are to be packed: those that wait, within their teams'
-/// limits, and those that move.
+/// Returns how many tasks of each job the plan packs: pending tasks within the limits of their
+/// teams, and the tasks in `moving`.
 pub(super) fn pending_tasks<'a>(
     cluster_state: &'a ClusterState,
     reserved: &mut ReservedTasks,
     moving: PendingTasks<'a>,
     now: Time,
 ) -> PendingTasks<'a> {
-    // What a team's limit forbids is not waiting for machines.
+    // CPU that each team may still use. Pending tasks beyond the limit of their team need no
+    // machine.
     let mut left_cpu: Vec<i64> = cluster_state
         .teams()
         .iter()
@@ -41,10 +44,10 @@
         .map(|(t, amount)| (t.limit - t.used - amount).cpu.max(0))
         .collect();
     let mut pending = PendingTasks::new();
-    // Nor is a job that fails wherever it runs: nothing is rented for it.
+    // No machine is rented for a job that is suspected to fail on every machine.
     let asks = |job: &Job| job.needs_placement(now) && !job.suspected_faulty;
     for (id, job) in cluster_state.jobs_to_place().filter(|(_, j)| asks(j)) {
-        // What is reserved waits for it already.
+        // Reserved capacity covers this many tasks of the job, so the plan need not pack them.
         let covered = if reserved.is_empty() {
             0
         } else {
@@ -62,7 +65,7 @@
     pending
 }
 
-/// All that is to be packed, in the order in which it is.
+/// Returns all items to pack, in packing order.
 pub(super) fn items(input: &Input, pending: PendingTasks, now: Time) -> Vec<Item> {
     let waiting = pending.into_iter().filter(|(_, tasks)| *tasks > 0);
     let mut items: Vec<Item> = waiting
@@ -82,8 +85,9 @@
             window,
         ));
     }
-    // What only ordinary machines can take goes first, then the largest.
-    // Among those the lanes' jobs, for which there may be no more machines later.
+    // Items that need ordinary (non-spot) machines come first, and actual work comes before
+    // expected work. Jobs in a priority lane follow, because no machines may be left for them
+    // later. Larger tasks come before smaller ones.
     items.sort_by_key(|i| {
         let largest = std::cmp::Reverse(i.spec.each.cpu);
         (i.spec.spot, i.expected, !i.lane, largest)
@@ -91,7 +95,7 @@
     items
 }
 
-/// Tasks of a job that wait, or move.
+/// Returns the item for `tasks` pending or moving tasks of a job.
 fn item_of(id: &JobId, job: &Job, tasks: u32, boot_s: f64, now: Time) -> Item {
     let blocked_s = job.blocked_since.map(|t| now.since(t));
     Item {
--- a/src/autoscaler/free_capacity.rs
+++ b/src/autoscaler/free_capacity.rs
@@ -1,4 +1,4 @@
-//! Free capacity of machines that are there, on their way, or to be rented.
+//! Tracks the free capacity of machines that are up, pending or rented by the plan.
 
 use std::rc::Rc;
 
@@ -8,25 +8,29 @@
 use crate::scheduler::{CapacityPool, ClusterState};
 use crate::types::{Amount, JobSpec, MachineId, MachineType, TypeName, Zone};
 
-/// Free capacity of a machine, there or rented by the plan.
+/// Free capacity of one machine that is up, pending or rented by the plan.
 pub(super) struct FreeCapacity {
     pub(super) id: Option<MachineId>,
     pub(super) kind: Rc<MachineType>,
     pub(super) zone: Zone,
     pub(super) spot: bool,
-    /// Free now.
+    /// Capacity of the machine that is free now.
     pub(super) free: Amount,
-    /// Free once tasks have ended that should end while a machine boots.
+    /// Capacity that is free once all tasks have ended that should end within one machine boot.
     pub(super) soon: Amount,
+    /// Capacity of the machine that the plan keeps free for expected work.
     pub(super) kept: Amount,
-    /// Where it is, once it is up.
+    /// Topology domain of the machine. `None` until the machine is up.
     pub(super) place: Option<Domain>,
-    /// Its devices, and those in use; what comes up has those of its type.
+    /// Devices of the machine. A machine that is not up counts with the devices of its type.
     pub(super) device_inventory: Rc<DeviceInventory>,
+    /// Devices of the machine that are in use or that packed tasks take.
     pub(super) reserved: AllocatedDevices,
-    /// A task hopes for it: it may come up where its rules allow it.
+    /// Whether a packed task depends on the domain in which this machine comes up. The placement
+    /// rules of the task may not allow that domain.
     pub(super) hoped: bool,
-    /// Something that can't be moved off, or was packed here.
+    /// Whether the plan keeps the machine, because of tasks that can't move, a reservation or
+    /// packed tasks.
     pub(super) used: bool,
 }
 
@@ -57,7 +61,7 @@
             self.free
         }
     }
-    /// The pool that it is, or is to be, rented from.
+    /// Returns the capacity pool from which the machine is rented.
     pub(super) fn pool(&self) -> CapacityPool {
         CapacityPool {
             spot: self.spot,
@@ -65,7 +69,7 @@
             zone: self.zone.clone(),
         }
     }
-    /// What it costs an hour.
+    /// Returns the price of the machine per hour.
     pub(super) fn price(&self) -> f64 {
         if self.spot {
             self.kind.spot_price
@@ -83,7 +87,7 @@
     }
 }
 
-/// Machines that are as good as each other but for how tight they are.
+/// Key of a group of machines that differ only in their free capacity.
 #[derive(Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct Bin {
     pub(super) spot: bool,
--- a/src/autoscaler/input.rs
+++ b/src/autoscaler/input.rs
@@ -1,4 +1,4 @@
-//! What a plan is made from.
+//! Defines the input of the scale plan.
 
 use std::rc::Rc;
 
@@ -7,56 +7,57 @@
 use crate::scheduler::ClusterState;
 use crate::types::{JobSpec, MachineType, TypeName, Zone};
 
-/// A machine on its way.
+/// A machine that was rented and is not up yet.
 #[derive(Clone, Debug)]
 pub struct PendingMachine {
-    /// Type.
+    /// Type of the pending machine.
     pub kind: Rc<MachineType>,
-    /// Zone.
+    /// Zone in which the pending machine was rented.
     pub zone: Zone,
-    /// Spot machine.
+    /// Whether the pending machine is a spot machine.
     pub spot: bool,
 }
 
-/// Work that may come: `tasks` tasks like those of `spec`.
+/// Expected work, for which the plan keeps capacity free.
 #[derive(Clone, Debug)]
 pub struct Expected {
-    /// A job of its sort.
+    /// Sample specification that stands for the expected tasks.
     pub spec: Rc<JobSpec>,
-    /// For how many tasks to keep capacity free.
+    /// Number of expected tasks for which the plan keeps capacity free.
     pub tasks: u32,
 }
 
-/// Reserved capacity that a window of the release calendar lacks.
+/// Capacity that a reservation window of the release calendar still lacks.
 #[derive(Clone, Debug)]
 pub struct Shortfall {
-    /// The window.
+    /// Name of the reservation window.
     pub window: String,
-    /// What its tasks take, and where they may be.
+    /// Resources that each task of the window needs, and the machines that suit it.
     pub spec: Rc<JobSpec>,
-    /// For how many tasks.
+    /// Number of tasks for which the window lacks capacity.
     pub tasks: u32,
 }
 
-/// What the plan is made from.
+/// Input of the scale plan.
 pub struct Input<'a> {
-    /// Jobs and machines.
+    /// Jobs, machines, teams and reservations of the cluster.
     pub cluster_state: &'a ClusterState,
-    /// What the cloud offers.
+    /// Machine types that the cloud offers.
     pub types: &'a [Rc<MachineType>],
-    /// Machines on their way.
+    /// Rented machines that are not up yet.
     pub pending_machines: &'a [PendingMachine],
-    /// Work that may come.
+    /// Work that may arrive, for which the plan keeps capacity free.
     pub expected: &'a [Expected],
-    /// What windows lack.
+    /// Capacity that reservation windows still lack.
     pub shortfalls: &'a [Shortfall],
-    /// Whether a job's tasks may wait for others to end, rather than for a
-    /// new machine to boot.
+    /// Returns whether the tasks of a job may wait for other tasks to end. Otherwise the plan rents
+    /// a machine for them.
     pub patient: &'a dyn Fn(&JobSpec) -> bool,
-    /// How long a new machine takes to boot.
+    /// Time that a new machine takes to boot, in seconds.
     pub boot_s: f64,
-    /// Whether the cloud has not just refused such a machine.
+    /// Returns whether the plan may rent a machine of this type, zone and spot flag. The result is
+    /// `false` if the cloud has just refused such a machine.
     pub open: &'a dyn Fn(&TypeName, &Zone, bool) -> bool,
-    /// Where machines came up of late.
+    /// Topology domains in which rented machines recently came up.
     pub memory: &'a Memory,
 }
--- a/src/autoscaler/mod.rs
+++ b/src/autoscaler/mod.rs
@@ -1,13 +1,13 @@
-//! Which machines to rent and which to give back, without I/O or clock.
+//! Plans which machines to rent and which machines may be deleted, without I/O or a clock.
 //!
-//! The plan packs what runs, what waits and a headroom for what may come into
-//! the machines that there are; what finds no free capacity there is rented, the
-//! cheapest first, and machines that nothing was packed into may go.
+//! The plan packs running tasks, pending tasks and headroom for expected work into the existing
+//! machines. It rents machines for work that finds no free capacity, the cheapest first. Machines
+//! into which nothing was packed may be deleted.
 //!
-//! - `supply`, `free_capacity`: the machines that there are, on their way or rented;
-//! - `demand`: the work to pack, in order;
-//! - `packing`, `placed`, `offers`: where each item goes, and what is rented for it;
-//! - `outcome`: the plan.
+//! - `supply` and `free_capacity` hold the machines that are up, pending or rented by the plan.
+//! - `demand` lists the work to pack, in packing order.
+//! - `packing`, `placed` and `offers` choose a machine for each task and rent new machines.
+//! - `outcome` builds the plan.
 
 mod demand;
 mod free_capacity;
@@ -26,12 +26,13 @@
 use self::supply::{add_machines, ReservedFreeCapacity};
 use crate::types::Time;
 
-/// Makes the plan.
+/// Returns the machines to rent, and the machines that are unused.
 pub fn plan(input: &Input, now: Time) -> Plan {
     let mut packing = Packing::new(input);
-    // What is reserved is used, by a window that has not begun or whose work is to come.
+    // Reserved capacity counts as used: its window has not begun, or its tasks have not arrived
+    // yet.
     let mut reserved = ReservedFreeCapacity::of(input.cluster_state);
-    // Tasks that could move to spot machines are packed anew.
+    // Tasks that could move to spot machines are packed again.
     let mut moving = PendingTasks::new();
     add_machines(&mut packing, input, &reserved.by_machine, &mut moving, now);
     add_drained(input.cluster_state, &mut moving);
--- a/src/autoscaler/offers.rs
+++ b/src/autoscaler/offers.rs
@@ -1,4 +1,4 @@
-//! What the cloud offers, and which of it is the cheapest for some work.
+//! Lists the machines that can be rented from the cloud, and chooses the cheapest one for an item.
 
 use std::rc::Rc;
 
@@ -6,17 +6,18 @@
 use super::packing::{Item, Packing};
 use crate::types::{JobSpec, Kind, MachineType, Zone};
 
-/// How much dearer a machine counts for a service in a zone without a controller.
+/// Price factor of a machine in a zone without a controller, for tasks of a service.
 const UNSERVED: f64 = 2.0;
-/// Most machines in one request.
+/// Maximum number of machines in one rental request.
 pub(super) const MAX_MACHINES_PER_RENTAL: u32 = 50;
 
-/// How much dearer a machine counts for each other one in its zone: among equals the zone
-/// with the fewest machines, so that work spreads.
+/// Price increase of a machine for each other machine in its zone, as a share of the price. At
+/// equal prices the zone with the fewest machines wins, so work spreads over the zones.
 const CROWD: f64 = 1e-4;
 
 impl Packing<'_> {
-    /// A machine of a sort, with the devices that all of its type have.
+    /// Returns the capacity of an empty machine, with the devices that all machines of its type
+    /// have.
     pub(super) fn new_machine_capacity(
         &self,
         kind: &Rc<MachineType>,
@@ -31,7 +32,7 @@
         free_capacity
     }
 
-    /// Machines that suit a task and that can be rented now.
+    /// Returns the machines that suit a task and that can be rented now.
     pub(super) fn rentable<'s>(
         &'s self,
         spec: &'s JobSpec,
@@ -57,14 +58,14 @@
             })
     }
 
-    /// Rents a machine.
+    /// Adds a machine to the rentals of the plan, and returns its index in `free_capacities`.
     pub(super) fn add_rental(&mut self, free_capacity: FreeCapacity) -> usize {
         *self.rent.entry(free_capacity.pool()).or_insert(0) += 1;
         self.add(free_capacity)
     }
 
-    /// The cheapest machine for an item of which `left_cpu` thousandths of a CPU are still
-    /// to be packed.
+    /// Returns the cheapest machine to rent for an item. `left_cpu` is the part of the item that is
+    /// not packed yet, in thousandths of a CPU.
     pub(super) fn cheapest(
         &self,
         item: &Item,
@@ -79,8 +80,9 @@
                 && !item.late
                 && self.total_cpu >= self.guaranteed_cpu
             {
-                // Dear: only for what the teams were promised, or for
-                // a queue that spot machines have not kept short.
+                // Ordinary machines are expensive. Work that may use spot machines gets them only
+                // up to the CPU that is guaranteed to the teams, or if spot machines have not kept
+                // its queue short.
                 continue;
             }
             let score = self.price_of_use(&free_capacity, spec, left_cpu);
@@ -91,7 +93,7 @@
         best.map(|(_, free_capacity)| free_capacity)
     }
 
-    /// A machine's price by what of it will be of use now.
+    /// Returns the price of a machine per thousandth of a CPU that the item will use now.
     fn price_of_use(&self, free_capacity: &FreeCapacity, spec: &JobSpec, left_cpu: i64) -> f64 {
         let useful = free_capacity
             .kind
--- a/src/autoscaler/outcome.rs
+++ b/src/autoscaler/outcome.rs
@@ -1,4 +1,4 @@
-//! What a plan says: machines to rent, and machines that nothing was packed into.
+//! Builds the scale plan: machines to rent, and unused machines.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -8,30 +8,30 @@
 /// Machines to rent from one pool.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ScaleOutRequest {
-    /// Type.
+    /// Type of the machines to rent.
     pub kind: TypeName,
-    /// Zone.
+    /// Zone in which to rent the machines.
     pub zone: Zone,
-    /// Spot machines.
+    /// Whether to rent spot machines.
     pub spot: bool,
-    /// How many.
+    /// Number of machines to rent.
     pub count: u32,
 }
 
-/// Machines to rent and to give back.
+/// Scale plan: machines to rent, and unused machines that may be deleted.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Plan {
-    /// Machines to rent.
+    /// Machines to rent, one request for each capacity pool.
     pub rent: Vec<ScaleOutRequest>,
-    /// Machines that nothing was packed into.
+    /// Machines into which the plan packed no task. They may be deleted.
     pub unused: BTreeSet<MachineId>,
-    /// Capacity on ordinary machines for work to come that can't use spot ones.
+    /// Capacity that each machine keeps free for expected work that can't use spot machines.
     pub kept: BTreeMap<MachineId, Amount>,
-    /// For how many tasks of each window capacity is on its way.
+    /// Number of tasks, by reservation window, for which pending machines have capacity.
     pub pending_tasks: BTreeMap<String, u32>,
 }
 
-/// The plan that a packing comes to.
+/// Returns the plan that results from a packing.
 pub(super) fn outcome(packing: Packing) -> Plan {
     let rent = packing.rent.into_iter();
     let mut plan = Plan {
--- a/src/autoscaler/packing.rs
+++ b/src/autoscaler/packing.rs
@@ -1,5 +1,4 @@
-//! Packing tasks into machines: those that there are, those on their way, and those
-//! that the plan rents.
+//! Packs tasks into machines that are up, pending or rented by the plan.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::rc::Rc;
@@ -9,27 +8,27 @@
 use crate::scheduler::CapacityPool;
 use crate::types::{JobId, JobSpec, Kind, Zone};
 
-/// Tasks of a job, or expected ones, to pack.
+/// Tasks to pack, which belong to a job, to expected work or to a reservation window.
 pub(super) struct Item {
     pub(super) spec: Rc<JobSpec>,
     pub(super) tasks: u32,
-    /// Capacity that is only kept free.
+    /// Whether the item only keeps capacity free, for expected work or for a reservation window.
     pub(super) expected: bool,
-    /// It has waited so long already that its objectives are in danger.
+    /// Whether the job has waited so long that it may miss its service-level objectives.
     pub(super) late: bool,
-    /// It has waited for about as long as it can for tasks to end: they do,
-    /// but as much work comes as they leave capacity for.
+    /// Whether the job has waited too long for other tasks to end. Tasks do end, but as much new
+    /// work arrives as they free capacity for.
     pub(super) queued: bool,
-    /// Its job has rules that its spec alone does not tell.
+    /// Job of the item, if the job has required placement rules, which its spec does not show.
     pub(super) placed: Option<JobId>,
-    /// Its job is in a lane.
+    /// Whether the job of the item is in a priority lane.
     pub(super) lane: bool,
-    /// To be reserved for a window.
+    /// Reservation window for which the item needs capacity.
     pub(super) window: Option<String>,
 }
 
 impl Item {
-    /// Tasks that may come, or a window's.
+    /// Creates an item for expected tasks, or for tasks of a reservation window.
     pub(super) fn expected(spec: Rc<JobSpec>, tasks: u32, window: Option<String>) -> Self {
         Self {
             spec,
@@ -44,49 +43,54 @@
     }
 }
 
-/// How good a machine is for a task, the least first.
+/// Rank of a machine for a task. The machine with the lowest rank is the best.
 #[derive(PartialEq, PartialOrd)]
 struct Rank {
-    /// An ordinary machine, for what may use spot ones.
+    /// Whether the machine is an ordinary one though the task may use spot machines.
     dear: bool,
-    /// For a service, in a zone without a controller.
+    /// Whether the task belongs to a service and the zone of the machine has no controller.
     apart: bool,
-    /// It might be given back.
+    /// Whether the machine is unused so far, so the plan might delete it.
     unused: bool,
-    /// Free thousandths of a CPU.
+    /// Free CPU of the machine, in thousandths of a CPU.
     cpu: i64,
 }
 
-/// A machine by what is free there.
+/// Sort key that orders machines by free CPU.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct FreeCpu {
-    /// Thousandths of a CPU.
+    /// Free CPU of the machine, in thousandths of a CPU.
     cpu: i64,
-    /// The machine's place in `free_capacities`.
+    /// Index of the machine in `free_capacities`.
     at: usize,
 }
 
-/// Machines, and what was packed into them so far.
+/// State of the packing: the machines, and the capacity that packed tasks leave free on them.
 pub(super) struct Packing<'a> {
     pub(super) input: &'a Input<'a>,
     pub(super) free_capacities: Vec<FreeCapacity>,
-    /// Machines by what is free now, and by what is free soon: the tightest first.
+    /// Machines in order of free CPU, the least first. The first map counts CPU that is free now,
+    /// the second CPU that is free once tasks have ended that should end soon.
     bins: [BTreeMap<Bin, BTreeSet<FreeCpu>>; 2],
+    /// Number of machines in each zone.
     pub(super) crowd: HashMap<Zone, u32>,
+    /// CPU of all machines, in thousandths of a CPU.
     pub(super) total_cpu: i64,
+    /// CPU that is guaranteed to the teams, in thousandths of a CPU.
     pub(super) guaranteed_cpu: i64,
+    /// Number of machines to rent from each pool.
     pub(super) rent: BTreeMap<CapacityPool, u32>,
-    /// Machines rented for the sake of where they may come up, on their way
-    /// and new.
+    /// Number of speculative machines, pending or new. A packed task depends on the domain in which
+    /// such a machine comes up.
     pub(super) hoped: u32,
-    /// Machines from here on are rented by this plan.
+    /// Index in `free_capacities` of the first machine that this plan rents.
     pub(super) new_from: usize,
-    /// For how many tasks of each window machines on their way have capacity.
+    /// Number of tasks, by reservation window, for which pending machines have capacity.
     pub(super) pending_tasks: BTreeMap<String, u32>,
 }
 
 impl<'a> Packing<'a> {
-    /// Nothing is there yet.
+    /// Creates a packing without machines.
     pub(super) fn new(input: &'a Input<'a>) -> Self {
         Self {
             input,
@@ -127,8 +131,8 @@
         }
     }
 
-    /// The machine for a task that ranks best: spot machines for what may use
-    /// them, then machines that stay anyway, then the tightest fit.
+    /// Returns the index of the best existing machine for a task. Tasks that may use spot machines
+    /// prefer them. Then machines that are in use come first, then those with the least free CPU.
     pub(super) fn fitting(
         &self,
         spec: &JobSpec,
@@ -170,7 +174,7 @@
         best.map(|(_, at)| at)
     }
 
-    /// The machine for a task, there or to be rented.
+    /// Returns the index of the machine for the next task of an item, and rents one if needed.
     fn choose_machine(
         &mut self,
         item: &Item,
@@ -180,8 +184,8 @@
     ) -> Option<usize> {
         let spec = &item.spec;
         let fitting = self.fitting(spec, soon, barred, &|_| true);
-        // An ordinary machine that nothing else uses is dear for work
-        // that may use spot machines: rather rent one of those.
+        // An ordinary machine that nothing else uses is expensive for work that may use spot
+        // machines. The plan prefers to rent a spot machine for such work.
         let keep = fitting
             .map(|at| &self.free_capacities[at])
             .is_some_and(|r| !spec.spot || r.spot || r.used);
@@ -197,7 +201,7 @@
         Some(self.add_rental(free_capacity))
     }
 
-    /// Packs an item's tasks, and rents for those that find no free capacity.
+    /// Packs the tasks of an item, and rents machines for tasks that find no free capacity.
     pub(super) fn pack(&mut self, item: &Item) {
         let spec = &item.spec;
         let mut zones: BTreeMap<Zone, u32> = BTreeMap::new();
@@ -206,8 +210,8 @@
         } else {
             item.tasks
         };
-        // What is only expected needs its free capacity at once; what waits can take
-        // the free capacity of tasks that end soon.
+        // Pending tasks may count on capacity that ending tasks free soon. Expected work needs
+        // capacity that is free now.
         let soon = !item.expected && !item.queued && (self.input.patient)(spec);
         let mut left = item.tasks;
         while left > 0 {
@@ -217,8 +221,8 @@
             let Some(at) = chosen else { return };
             let free_capacity = &self.free_capacities[at];
             let in_zone = zones.entry(free_capacity.zone.clone()).or_insert(0);
-            // A spread job's tasks go to one machine after another, as their
-            // zones fill up.
+            // The tasks of a spread job are packed one at a time, because each task counts towards
+            // the limit of its zone.
             let count = spec
                 .each
                 .how_many(free_capacity.available(soon))
@@ -232,7 +236,7 @@
         }
     }
 
-    /// Takes capacity for so many tasks of an item.
+    /// Takes capacity for `count` tasks of an item from the machine at index `at`.
     fn take(&mut self, at: usize, item: &Item, count: u32) {
         self.file(at, false);
         let free_capacity = &mut self.free_capacities[at];
--- a/src/autoscaler/placed.rs
+++ b/src/autoscaler/placed.rs
@@ -1,6 +1,7 @@
-//! Packing work whose rules look at where machines are, or at devices. The
-//! cloud picks the rack, so a machine is rented in hope, looked at, and kept or
-//! given back; how many are hoped for at a time is bounded.
+//! Packs tasks whose placement rules depend on the topology domain or the devices of a machine.
+//!
+//! The cloud picks the rack of a new machine. The plan therefore rents machines speculatively, and
+//! each is kept or deleted once its domain is known. The number of speculative machines is bounded.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
@@ -18,34 +19,36 @@
 use crate::scheduler::Job;
 use crate::types::Zone;
 
-/// Types and zones that hardly ever bring what is wanted are not tried, until
-/// what was seen is forgotten.
+/// The plan rents no speculative machine from a pool whose machines come up in an allowed domain
+/// with a lower probability than this. The pool is tried again once the observations are forgotten.
 const MIN_PROBABILITY: f64 = 0.1;
 
-/// An item whose job's rules look at where machines are, or at devices, as far as it is
-/// packed. Only required rules are worth money.
+/// Packing state of an item whose job has placement rules on domains or devices. Only required
+/// rules count, because no machine is rented for a mere preference.
 struct PlacedItem<'a> {
     item: &'a Item,
     policy: Rc<Policy>,
     topology: Rc<Topology>,
-    /// Devices that each task needs.
+    /// Devices that each task of the item needs.
     needs: Vec<Device>,
-    /// Where the job's tasks are and will be.
+    /// Number of tasks of the job in each topology domain, running and packed ones.
     tally: Tally,
-    /// How many of the item's tasks were packed into each zone, and how many may be.
+    /// Number of tasks of the item that were packed into each zone.
     zones: BTreeMap<Zone, u32>,
+    /// Maximum number of tasks of the item in one zone.
     max_in_zone: u32,
 }
 
 impl<'a> PlacedItem<'a> {
-    /// Nothing of it is packed yet. None: nothing is placed by a controller that can't
-    /// judge, so nothing is rented for it either.
+    /// Creates the state for an item of which no task is packed yet. Returns `None` without a
+    /// topology: the controller can't judge the rules then, so it places no task and rents nothing.
     fn new(input: &Input, item: &'a Item, job: &Job) -> Option<Self> {
         let topology = input.cluster_state.topology()?.clone();
         let policy = job.policy.clone();
         let there = job.tasks.claims().values().map(|claim| {
             let machine = input.cluster_state.machines().get(&claim.machine)?;
-            // What is to move off a draining machine does not stay there.
+            // Tasks on a draining machine move to other machines, so they don't count at this
+            // place.
             (!machine.draining).then_some(MachineLocation {
                 place: machine.place,
                 machine: claim.machine.as_str(),
@@ -68,12 +71,12 @@
         })
     }
 
-    /// Whether a zone has as many of its tasks as it may.
+    /// Returns whether a zone holds the maximum number of tasks of the item.
     fn bars_zone(&self, zone: &Zone) -> bool {
         self.zones.get(zone).is_some_and(|n| *n >= self.max_in_zone)
     }
 
-    /// Whether the required rules allow one more task at a place.
+    /// Returns whether the required rules allow one more task on a machine in a domain.
     fn allows_at(&self, place: Domain, machine: &str) -> bool {
         self.policy
             .bars(
@@ -85,7 +88,7 @@
             .is_none()
     }
 
-    /// Whether they allow one more task on a machine that is up.
+    /// Returns whether the required rules allow one more task on a machine that is up.
     fn allows(&self, free_capacity: &FreeCapacity) -> bool {
         match (free_capacity.place, &free_capacity.id) {
             (Some(place), Some(id)) => self.allows_at(place, id.as_str()),
@@ -93,7 +96,8 @@
         }
     }
 
-    /// The units that a task would use, beside those in use; none if one is missing.
+    /// Returns the device units that a task would use, without the units in `reserved`. Returns
+    /// `None` if a needed device is missing.
     fn units(
         &self,
         free_capacity: &FreeCapacity,
@@ -102,7 +106,7 @@
         choose(&free_capacity.device_inventory, reserved, &self.needs)
     }
 
-    /// Counts a task that is packed into a machine.
+    /// Counts one more task that is packed into a machine, in its zone and domain.
     fn count(&mut self, free_capacity: &FreeCapacity) {
         *self.zones.entry(free_capacity.zone.clone()).or_insert(0) += 1;
         if let Some(place) = free_capacity.place {
@@ -117,9 +121,9 @@
 }
 
 impl Packing<'_> {
-    /// Packs tasks one by one: into machines whose place their rules allow;
-    /// else into ones that are on their way, in hope; else into new ones, as
-    /// many as the bound allows.
+    /// Packs the tasks of an item one by one. Each task goes to a machine that is up in an allowed
+    /// domain, else to a pending machine, else to a new one within the bound on speculative
+    /// machines.
     pub(super) fn pack_placed(&mut self, item: &Item, job: &Job) {
         let Some(mut placed) = PlacedItem::new(self.input, item, job) else {
             return;
@@ -132,7 +136,7 @@
         }
     }
 
-    /// The machine for one more task, there or rented in hope.
+    /// Returns the index of the machine for one more task, and rents one speculatively if needed.
     fn choose_for_placed(&mut self, placed: &PlacedItem, left: u32) -> Option<usize> {
         let spec = &placed.item.spec;
         let barred = |zone: &Zone| placed.bars_zone(zone);
@@ -143,7 +147,7 @@
             .or_else(|| self.scale_out_speculatively(placed, left))
     }
 
-    /// Takes capacity for one task.
+    /// Takes capacity and devices for one task from the machine at index `at`.
     fn take_for_placed(&mut self, at: usize, placed: &mut PlacedItem) {
         self.file(at, false);
         let free_capacity = &mut self.free_capacities[at];
@@ -163,8 +167,9 @@
         self.file(at, true);
     }
 
-    /// Rents the machine that most likely comes up where a task may go, for
-    /// its price.
+    /// Rents the machine with the lowest price per probability that it comes up in an allowed
+    /// domain. Skips pools that are too unlikely. The bound on speculative machines does not apply
+    /// to machines that certainly suit the task.
     fn scale_out_speculatively(&mut self, placed: &PlacedItem, wanted: u32) -> Option<usize> {
         let overshoot = placed.topology.settings.renting.overshoot;
         let bounded = tries(wanted, self.hoped, overshoot) == 0;
@@ -201,8 +206,8 @@
         Some(self.add_rental(free_capacity))
     }
 
-    /// Where machines have the devices that the tasks need: those that a type does not
-    /// bring by itself are where others of the kind are.
+    /// Returns the domains in which machines have the devices that the tasks need. A new machine
+    /// may get devices there that its type does not include, as the machines in that domain did.
     fn places_with_devices(&self, placed: &PlacedItem) -> BTreeSet<Domain> {
         if placed.needs.is_empty() {
             return BTreeSet::new();
--- a/src/autoscaler/supply.rs
+++ b/src/autoscaler/supply.rs
@@ -1,5 +1,5 @@
-//! The machines that a plan packs work into: those that there are, less what is reserved on
-//! them for windows, and those on their way.
+//! Lists the machines into which a plan packs work: machines that are up, without the capacity that
+//! is reserved on them for reservation windows, and pending machines.
 
 use std::collections::HashMap;
 
@@ -10,12 +10,12 @@
 use crate::scheduler::{ClusterState, Job, Machine, Progress, ReservedTasks};
 use crate::types::{Amount, Kind, MachineId, Time};
 
-/// What is reserved for windows.
+/// Capacity that is reserved for reservation windows.
 #[derive(Default)]
 pub(super) struct ReservedFreeCapacity<'a> {
-    /// On each machine.
+    /// Reserved capacity on each machine.
     pub(super) by_machine: HashMap<&'a MachineId, Amount>,
-    /// For how many tasks of each window on each machine.
+    /// Number of tasks for which capacity is reserved, by window and machine.
     pub(super) tasks: ReservedTasks,
 }
 
@@ -31,8 +31,8 @@
     }
 }
 
-/// Adds the machines that there are and those on their way; `moving` gets the tasks that
-/// could move to spot machines.
+/// Adds the machines that are up and the pending machines to the packing. Counts in `moving` the
+/// tasks that could move to spot machines.
 pub(super) fn add_machines<'a>(
     packing: &mut Packing,
     input: &Input<'a>,
@@ -62,7 +62,7 @@
     packing.new_from = packing.free_capacities.len();
 }
 
-/// The free capacity of a machine that is up, less what is reserved for windows.
+/// Returns the free capacity of a machine that is up, without the capacity reserved for windows.
 fn free_capacity_of(id: &MachineId, machine: &Machine, reserved: Option<Amount>) -> FreeCapacity {
     let fixed = machine.used - machine.movable;
     let mut free_capacity =
@@ -83,7 +83,7 @@
     free_capacity
 }
 
-/// Whether a task that runs should end before a new machine is up.
+/// Returns whether a running task should end before a machine that is rented now is up.
 fn ends_while_booting(job: &Job, index: u32, boot_s: f64, now: Time) -> bool {
     if job.spec.kind != Kind::Array {
         return false;
