--- a/crates/lease-safety/src/heartbeat_order.rs
+++ b/crates/lease-safety/src/heartbeat_order.rs
@@ -1,30 +1,30 @@
-//! Which heartbeat is a late copy of an earlier one.
+//! Detects late duplicates of heartbeats.
 //!
-//! Copies of heartbeats come late, from seconds to well over a lease. One that came
-//! to a controller that takes heartbeats for others kept a dead machine alive, and
-//! sent a live one to another controller. Incarnation and tick order a worker's
-//! messages (PROTOCOL), so what is not newer than what came before is a copy, and
-//! no worker waits for its answer.
+//! Duplicates arrive seconds to well over a lease after the original heartbeat. One duplicate, at a
+//! controller that accepts heartbeats for others, made a lost machine count as up. Another
+//! redirected a working machine to a different controller. The incarnation and the tick (sequence
+//! number) order the messages of a worker (PROTOCOL). A heartbeat that is not newer than an earlier
+//! one is therefore a duplicate, and no worker waits for its answer.
 
 use std::collections::HashMap;
 
 use sorrelhinge_protocol::types::{Incarnation, MachineId, SequenceNumber, Time};
 
-/// A machine that did not heartbeat for so long is forgotten, in seconds: well over
-/// a lease, and longer than packets are delayed.
+/// Time without heartbeats after which the entry of a machine is removed, in seconds. It is well
+/// over a lease, and longer than the network delays packets.
 pub const MACHINE_MEMORY_S: f64 = 600.0;
-/// So many machines are known at the most. Beyond, those that were quiet for
-/// longest are forgotten first.
+/// Maximum number of machines whose newest heartbeat is remembered. Beyond it, the machines without
+/// a heartbeat for the longest time are removed first.
 pub const MAX_MACHINES: usize = 20_000;
 
-/// The newest heartbeat of a machine, and when it came.
+/// Newest heartbeat of a machine, and the time at which it arrived.
 struct Newest {
     incarnation: Incarnation,
     sequence: SequenceNumber,
     at: Time,
 }
 
-/// The newest heartbeat of each machine that came here.
+/// Newest heartbeat of each machine that sends heartbeats to this controller.
 #[derive(Default)]
 pub struct HeartbeatOrder {
     newest: HashMap<MachineId, Newest>,
@@ -32,7 +32,7 @@
 }
 
 impl HeartbeatOrder {
-    /// Takes note of a heartbeat. False if it is a copy.
+    /// Records a heartbeat. Returns `false` if it is a duplicate of an earlier one.
     pub fn is_new(
         &mut self,
         machine: &MachineId,
@@ -57,17 +57,18 @@
         true
     }
 
-    /// How many machines are known.
+    /// Returns the number of machines whose newest heartbeat is remembered.
     pub fn len(&self) -> usize {
         self.newest.len()
     }
 
-    /// Whether none is.
+    /// Returns whether no heartbeat of any machine is remembered.
     pub fn is_empty(&self) -> bool {
         self.newest.is_empty()
     }
 
-    /// Forgets machines that were quiet for long, and the quietest of too many.
+    /// Removes machines without a recent heartbeat. If too many are left, removes those without a
+    /// heartbeat for the longest time.
     fn tidy(&mut self, now: Time) {
         let full = self.newest.len() >= MAX_MACHINES;
         let due = self
--- a/crates/lease-safety/src/lib.rs
+++ b/crates/lease-safety/src/lib.rs
@@ -1,10 +1,11 @@
-//! When a worker's lease may be renewed, by whom, and what a heartbeat proves, without I/O
-//! or clock:
+//! Decides when and by whom a worker's lease may be renewed, and what a heartbeat proves, without
+//! I/O or a clock.
 //!
-//! - [`freshness`]: how old a view of the records may be while workers are answered by it;
-//! - [`heartbeat_order`]: which heartbeat is a late copy of an earlier one;
-//! - [`reachability`]: whether a machine that heartbeats also receives its commands;
-//! - [`renewal`]: which leases are renewed while the owner of the machines is overloaded.
+//! - [`freshness`] bounds how old a controller's view of the records may be while it answers
+//!   workers.
+//! - [`heartbeat_order`] detects late duplicates of heartbeats.
+//! - [`reachability`] tells whether a machine that sends heartbeats also receives its commands.
+//! - [`renewal`] chooses the leases to renew while the owner of the machines is overloaded.
 //!
 //! See `docs/design.md`, "Safety".
 
--- a/crates/lease-safety/src/reachability.rs
+++ b/crates/lease-safety/src/reachability.rs
@@ -1,56 +1,67 @@
-//! Whether commands reach a machine: that it heartbeats does not show it.
+//! Tells whether commands reach a machine. Heartbeats from the machine don't prove that.
 //!
-//! A machine whose heartbeats arrived and which no command reached was usable again
-//! at each heartbeat: one task was claimed there 279 times in 280 s, a change each
-//! time, and the machine was kept. So only an effect counts: a command carried
-//! out or refused, a fencing token taken up, a task that we started in a heartbeat.
+//! One machine sent heartbeats but received no command, and each heartbeat made it usable again.
+//! One task was claimed on it 279 times in 280 s, with one store write each time, and the machine
+//! was not deleted. So only an effect of a command proves that a machine is reachable. The effect
+//! is a command that the agent executed or refused, a fencing token that it adopted, or a task in a
+//! heartbeat that this controller started.
 
 use sorrelhinge_protocol::types::Time;
 
-/// So many heartbeats that show no effect make a machine one that may be unreachable: the
-/// first may have been on its way already, the second been made before the answer.
+/// Number of heartbeats without an effect of a command beyond which a machine may be unreachable.
+/// The first heartbeat may already have been in flight, and the agent may have made the second
+/// before the answer arrived.
 pub const DOUBT_AFTER_HEARTBEATS: u32 = 3;
-/// After an effect was seen, one command that fails proves nothing for so many
-/// heartbeat intervals.
+/// Number of heartbeat intervals after an effect of a command during which a failed command proves
+/// nothing.
 const CONFIRMED_HEARTBEAT_INTERVALS: f64 = 3.0;
-/// A machine that could not be reached for a while gets nothing new after its first effect, longer each
-/// time, in seconds. One that was reached now and then cost claims at each time.
+/// First quarantine of a machine that was unreachable for a while, in seconds. A quarantined
+/// machine gets no new tasks. The quarantine begins with the first effect of a command, and doubles
+/// each time. Without it, a machine that was reachable only now and then cost claims each time.
 const FIRST_QUARANTINE_S: f64 = 4.0;
+/// Maximum quarantine of a machine that was unreachable, in seconds.
 const MAX_QUARANTINE_S: f64 = 128.0;
-/// What it did before that, in seconds, is forgotten.
+/// Time after which an unreachable phase of a machine no longer lengthens its quarantine, in
+/// seconds.
 const UNREACHABLE_MEMORY_S: f64 = 600.0;
-/// So many incarnations in a row that ended though heartbeats were answered: some may be
-/// bad luck, where connections break.
+/// Number of agent incarnations in a row that end although their heartbeats were answered, at which
+/// the answers count as lost. Fewer may happen by chance where connections break.
 const MAX_LOST_INCARNATIONS: u32 = 3;
-/// An incarnation that lasted for more leases had an answer.
+/// Duration in leases beyond which an agent incarnation must have received an answer.
 const ANSWERED_INCARNATION_LEASES: f64 = 1.5;
-/// Whose lease ends while it is silent for this part of it hung, or was cut off.
+/// Share of a lease without an answered heartbeat. A machine with such a gap whose lease expires
+/// hung or was disconnected.
 const SILENT_GAP_LEASES: f64 = 0.9;
 
-/// The evidence whether one machine can be reached.
+/// Evidence on whether commands reach one machine.
 #[derive(Clone, Debug, Default)]
 pub struct Reachability {
-    /// When an effect was last seen.
+    /// Time of the last effect of a command on the machine.
     proved: Option<Time>,
-    /// Since when it is asked for one.
+    /// Time since which the controller waits for an effect of a command on the machine.
     asked: Option<Time>,
-    /// Heartbeats since then.
+    /// Number of heartbeats from the machine since `asked`.
     heartbeats: u32,
-    /// How often it could not be reached, and until when it is quarantined.
+    /// Number of recent phases in which commands did not reach the machine.
     unreachable_count: u32,
+    /// End of the last phase in which commands did not reach the machine.
     last_unreachable: Option<Time>,
+    /// End of the quarantine, in which the machine gets no new tasks.
     quarantined_until: Option<Time>,
-    /// Its heartbeats have been answered all the time since, and last.
+    /// Time since which heartbeats of the machine have been answered without a long gap.
     answered_since: Option<Time>,
+    /// Time at which a heartbeat of the machine was last answered.
     answered: Option<Time>,
-    /// The last heartbeat was not answered.
+    /// Whether the last heartbeat of the machine was not answered.
     unanswered: bool,
+    /// Number of agent incarnations in a row that ended although their heartbeats were answered.
     lost_incarnations: u32,
+    /// Time at which such an incarnation last ended.
     last_lost: Option<Time>,
 }
 
 impl Reachability {
-    /// Something was sent whose effect its heartbeats have to show.
+    /// Records that a command was sent to the machine. Later heartbeats have to show its effect.
     pub fn asked(&mut self, now: Time) {
         if self.asked.is_none() {
             self.asked = Some(now);
@@ -58,10 +69,11 @@
         }
     }
 
-    /// A heartbeat came that is no copy.
+    /// Records a heartbeat of the machine that is not a duplicate.
     ///
-    /// If the one before was not answered, though others were, nothing was sent to it,
-    /// as in an outage of the state service: its time begins anew.
+    /// If the heartbeat before was not answered although earlier ones were, the controller sent
+    /// nothing to the machine, for example in an outage of the state service. The wait for an
+    /// effect then starts again.
     pub fn reported(&mut self, now: Time) {
         if self.asked.is_some() {
             self.heartbeats = self.heartbeats.saturating_add(1);
@@ -72,12 +84,12 @@
         self.unanswered = true;
     }
 
-    /// Whether an effect is waited for.
+    /// Returns whether the controller waits for an effect of a command on the machine.
     pub fn awaits_effect(&self) -> bool {
         self.asked.is_some()
     }
 
-    /// An effect was seen: one bit of it ends all doubt.
+    /// Records an effect of a command. A single effect proves that the machine is reachable.
     pub fn proved(&mut self, now: Time) {
         if self.asked.is_some() && self.heartbeats > DOUBT_AFTER_HEARTBEATS {
             let old = self
@@ -93,31 +105,32 @@
         self.heartbeats = 0;
     }
 
-    /// Whether an effect was seen a moment ago.
+    /// Returns whether an effect of a command on the machine was seen recently.
     pub fn is_confirmed(&self, heartbeat_s: f64, now: Time) -> bool {
         self.proved
             .is_some_and(|t| now.since(t) < CONFIRMED_HEARTBEAT_INTERVALS * heartbeat_s)
     }
 
-    /// Whether it may be unreachable: nothing new is to count on it.
+    /// Returns whether the machine may be unreachable. It should get no new tasks then.
     pub fn in_doubt(&self) -> bool {
         self.asked.is_some() && self.heartbeats > DOUBT_AFTER_HEARTBEATS
     }
 
-    /// Whether it is quarantined after it could not be reached.
+    /// Returns whether the machine is in quarantine because it was unreachable.
     pub fn is_quarantined(&self, now: Time) -> bool {
         self.quarantined_until.is_some_and(|t| now < t)
     }
 
-    /// Whether it could not be reached for `patience_s` while its heartbeats came and were answered.
+    /// Returns whether the machine was unreachable for `patience_s` seconds while its heartbeats
+    /// arrived and were answered.
     pub fn is_unreachable(&self, patience_s: f64, now: Time) -> bool {
         self.in_doubt() && self.asked.is_some_and(|t| now.since(t) >= patience_s)
     }
 
-    /// A heartbeat was answered, with what renews a lease of `lease_s`.
+    /// Records an answer to a heartbeat of the machine, which renews a lease of `lease_s` seconds.
     pub fn answered(&mut self, lease_s: f64, now: Time) {
         self.unanswered = false;
-        // One that hangs until its lease ends is silent for as long.
+        // A machine that hangs until its lease expires sends no heartbeat for this long.
         let gap = |t: Time| now.since(t) > SILENT_GAP_LEASES * lease_s;
         if self.answered.is_none_or(gap) || self.answered_since.is_none() {
             self.answered_since = Some(now);
@@ -125,9 +138,10 @@
         self.answered = Some(now);
     }
 
-    /// Its incarnation ended. Returns whether answers don't reach it though commands may:
-    /// its heartbeats were answered all the time, and its leases ended all the same,
-    /// one after the other. What is started there ends with the next lease.
+    /// Records that the agent incarnation on the machine ended. Returns whether answers don't reach
+    /// the machine, although commands may. This is so if several leases in a row expired although
+    /// the heartbeats were answered all the time. A task that is started there ends when the next
+    /// lease expires.
     pub fn incarnation_ended(&mut self, lease_s: f64, now: Time) -> bool {
         let max = SILENT_GAP_LEASES * lease_s;
         let lately = self.answered.is_some_and(|t| now.since(t) <= max);
--- a/crates/lease-safety/src/renewal.rs
+++ b/crates/lease-safety/src/renewal.rs
@@ -1,9 +1,10 @@
-//! Which heartbeats another controller answers while the owner of the machines is overloaded.
+//! Chooses the heartbeats that another controller answers while the owner of the machines is
+//! overloaded.
 //!
-//! A lease that ends kills all tasks of a machine, and starting them anew costs the owner
-//! far more than the heartbeat that it had no time for: so overload made more load, and did
-//! not end with its cause. A lease proves nothing here (`docs/design.md`, "Safety"), so
-//! any controller that knows the record may renew it; only the owner commands.
+//! A lease that expires kills all tasks of a machine. Restarting them costs the owner far more than
+//! the heartbeat that it had no time to answer. Overload therefore caused more load, and went on
+//! after its cause had ended. A lease proves nothing here (`docs/design.md`, "Safety"), so any
+//! controller that knows the record may renew it. Only the owner sends commands.
 
 use std::collections::HashMap;
 use std::hash::{DefaultHasher, Hash, Hasher};
@@ -11,13 +12,13 @@
 use sorrelhinge_protocol::types::{MachineId, Time};
 use sorrelhinge_protocol::worker::Heartbeat;
 
-/// A hash of what a heartbeat reports, without when it was made: two with the same content
-/// have nothing new for the owner.
+/// Hash of the content of a heartbeat, without its sequence number. A heartbeat with the same hash
+/// as the one before contains nothing new for the owner.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct HeartbeatContent(u64);
 
 impl HeartbeatContent {
-    /// Of a heartbeat.
+    /// Returns the content hash of a heartbeat.
     pub fn of(heartbeat: &Heartbeat) -> Self {
         let mut hasher = DefaultHasher::new();
         (
@@ -34,40 +35,40 @@
     }
 }
 
-/// What is done with a heartbeat that came here for the owner.
+/// Action for a heartbeat that arrived here for a machine of another controller, the owner.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Route {
-    /// The owner is asked.
+    /// The heartbeat is forwarded to the owner, who answers it.
     Ask,
-    /// It is answered here: the owner gets only a notice that the machine heartbeats.
+    /// This controller answers the heartbeat. The owner is only notified that the machine sent one.
     Renew,
 }
 
-/// The last heartbeat of a machine that the owner answered.
+/// Last heartbeat of a machine that the owner answered.
 struct OwnerAnswer {
     content: HeartbeatContent,
     answered_at: Time,
-    /// When the machine last heartbeat, answered by the owner or not.
+    /// Time of the last heartbeat of the machine, whether or not the owner answered it.
     seen_at: Time,
 }
 
-/// The machines whose heartbeats come here, and what the owner last answered.
+/// Last answer of the owner to each machine that sends its heartbeats to this controller.
 #[derive(Default)]
 pub struct Renewals {
     answers: HashMap<MachineId, OwnerAnswer>,
     tidied: Option<Time>,
 }
 
-/// At the most one machine's heartbeats in so many seconds are kept from the
-/// owner, as a multiple of the usual time between two. The owner's commands wait
-/// for no longer.
+/// Maximum time for which heartbeats of a machine are not forwarded to the owner, in heartbeat
+/// intervals. The owner's commands to the machine wait no longer than this.
 const MAX_WITHHELD_HEARTBEAT_INTERVALS: f64 = 2.5;
-/// Machines that did not heartbeat for so many of them are forgotten.
+/// Number of heartbeat intervals without a heartbeat after which the entry of a machine is removed.
 const FORGOTTEN_HEARTBEAT_INTERVALS: f64 = 12.0;
 
 impl Renewals {
-    /// What to do with a heartbeat. `relief`: the owner asks not to be sent those without
-    /// anything new. `heartbeat_s`: the usual time between two, in seconds.
+    /// Returns whether to forward a heartbeat to the owner or to answer it here. With `relief`, the
+    /// owner asks not to get heartbeats without new content. `heartbeat_s` is the usual heartbeat
+    /// interval in seconds.
     pub fn route(
         &mut self,
         machine: &MachineId,
@@ -90,7 +91,7 @@
         }
     }
 
-    /// The owner answered a heartbeat.
+    /// Records that the owner answered a heartbeat of a machine.
     pub fn answered(&mut self, machine: &MachineId, content: HeartbeatContent, now: Time) {
         let answer = OwnerAnswer {
             content,
@@ -100,17 +101,17 @@
         self.answers.insert(machine.clone(), answer);
     }
 
-    /// How many machines are known.
+    /// Returns the number of machines whose last answer from the owner is remembered.
     pub fn len(&self) -> usize {
         self.answers.len()
     }
 
-    /// Whether none is.
+    /// Returns whether no answer of the owner is remembered.
     pub fn is_empty(&self) -> bool {
         self.answers.is_empty()
     }
 
-    /// Forgets machines that have not reported for long.
+    /// Removes machines that have not sent a heartbeat for a long time.
     fn tidy(&mut self, heartbeat_s: f64, now: Time) {
         let keep_s = FORGOTTEN_HEARTBEAT_INTERVALS * heartbeat_s;
         if self.tidied.is_none_or(|t| now.since(t) > keep_s / 2.0) {
--- a/crates/lease-safety/tests/model.rs
+++ b/crates/lease-safety/tests/model.rs
@@ -1,4 +1,4 @@
-//! The decisions against slow plain models, over generated orders of events.
+//! Compares the decisions of this crate with slow, simple models over generated event sequences.
 
 use proptest::prelude::*;
 use sorrelhinge_lease_safety::heartbeat_order::{HeartbeatOrder, MACHINE_MEMORY_S, MAX_MACHINES};
@@ -7,7 +7,7 @@
 use sorrelhinge_protocol::types::{Incarnation, MachineId, SequenceNumber, Time};
 use sorrelhinge_protocol::worker::Heartbeat;
 
-/// A heartbeat as a worker makes it; `what` stands for all that its tasks tell.
+/// Returns a heartbeat as a worker sends it. `what` determines the task and its phase.
 fn heartbeat(machine: u8, tick: u64, fencing_token: u64, what: u8) -> Heartbeat {
     let phase = ["fetching", "running", "ended"][usize::from(what % 3)];
     let exit_reason = if phase == "ended" { "\"done\"" } else { "null" };
@@ -21,15 +21,16 @@
 }
 
 proptest! {
-    /// The owner hears everything new at once, and of every machine that
-    /// heartbeats within a few rounds; with no relief asked for it hears all.
+    /// The owner gets each heartbeat with new content at once, and one of every reporting machine
+    /// within a few intervals. If the owner does not ask for relief, it gets all heartbeats.
     #[test]
     fn the_owner_misses_nothing_new(
         heartbeats in prop::collection::vec((0..4_u8, 0..5_u8, 0..3_u64, any::<bool>(), 0.5..9.0_f64, any::<bool>()), 1..300),
     ) {
         let heartbeat_s = 6.0;
         let mut renewals = Renewals::default();
-        // The model keeps whole heartbeats: what the owner last answered, and when.
+        // The model keeps the whole heartbeat that the owner last answered, and the time of the
+        // answer.
         let mut told: std::collections::BTreeMap<u8, (String, f64)> = Default::default();
         let mut now = 0.0;
         for (tick, (machine, what, fencing_token, relief, passed, answers)) in heartbeats.into_iter().enumerate() {
@@ -52,11 +53,11 @@
     }
 }
 
-// ---- which heartbeat is a copy -------------------------------------------------
+// ---- duplicates of heartbeats -------------------------------------------------
 
 proptest! {
-    /// Against the whole history: what is not newer than all that came before of the
-    /// same machine is a copy, in whatever order it comes.
+    /// A heartbeat counts as a duplicate exactly if it is not newer than all earlier heartbeats of
+    /// the same machine, in any order of arrival.
     #[test]
     fn copies_are_told_by_incarnation_and_tick(
         heartbeats in prop::collection::vec((0..4_u8, 1..4_u64, 0..30_u64), 1..200),
@@ -73,8 +74,8 @@
     }
 }
 
-/// However many machines come and go: memory is bounded, and those that heartbeat are
-/// the ones that are known.
+/// The number of remembered machines is bounded for any number of machines that appear and
+/// disappear. Machines that send heartbeats stay remembered.
 #[test]
 fn the_order_of_heartbeats_takes_little_memory() {
     let mut order = HeartbeatOrder::default();
@@ -99,7 +100,7 @@
     assert_eq!(order.len(), 1);
 }
 
-// ---- whether a machine hears ------------------------------------------------
+// ---- reachability of a machine ----------------------------------------------
 
 #[derive(Clone, Copy, Debug)]
 enum Told {
@@ -119,8 +120,8 @@
 }
 
 proptest! {
-    /// Against the whole history: nobody is deaf who showed an effect, was asked for
-    /// none, or was told nothing in that time.
+    /// A machine counts as unreachable only if a command was sent and enough heartbeats followed
+    /// for the whole `patience` without an effect.
     #[test]
     fn nothing_is_unreachable_without_evidence(history in prop::collection::vec(told(), 1..200)) {
         let (patience, lease) = (5.0, 20.0);
@@ -152,8 +153,9 @@
         }
     }
 
-    /// Who is asked, heartbeats, is answered and shows nothing is found out, after the
-    /// patience and no sooner; one effect ends it, and then it is quarantined.
+    /// A machine that sends heartbeats, gets answers and shows no effect of a command is detected
+    /// as unreachable after `patience`, and no sooner. One effect ends that state, and a quarantine
+    /// follows.
     #[test]
     fn who_shows_nothing_is_found_out(every in 0.2..2.0_f64, patience in 4.0..30.0_f64) {
         let mut reachability = Reachability::default();
@@ -177,9 +179,9 @@
     }
 }
 
-/// In an outage no heartbeat is answered, so there is nothing to hear: once it is over
-/// nobody is given back for what was before. And one that hung until its lease ended
-/// lost its incarnation by itself, while one whose answers were lost did not.
+/// In an outage of the state service no heartbeat is answered, so a machine shows no effect of a
+/// command. Such a machine must not count as unreachable after the outage. An incarnation that
+/// ended because the machine hung does not count as lost, but one whose answers were lost does.
 #[test]
 fn what_was_not_answered_is_no_deafness() {
     let mut reachability = Reachability::default();
@@ -201,7 +203,7 @@
         let lost = unheard.incarnation_ended(20.0, Time(begun + 29.0));
         assert_eq!(lost, lease > 1, "the third in a row is no bad luck");
     }
-    // Long after, it is bad luck again.
+    // A single lost incarnation long after the others counts as chance again.
     for s in [300.0, 315.0, 320.0] {
         unheard.answered(20.0, Time(s));
     }
