--- a/crates/overload/src/admission.rs
+++ b/crates/overload/src/admission.rs
@@ -1,35 +1,37 @@
-//! Which connection is read next.
+//! Chooses the connection whose request is read next.
 //!
-//! A task that is ready to read waits behind all others that are: with
-//! thousands of them, a lease's renewal would wait for seconds. So only a few
-//! may read in one turn of the runtime; the others wait here, in an order and
-//! for a time that are chosen.
+//! The async runtime runs ready tasks in order of arrival. With thousands of connections ready to
+//! read, a lease renewal would wait for seconds. So only a few connections may read in one turn of
+//! the runtime. The others wait in an [`AdmissionQueue`], which chooses their order and their
+//! maximum wait.
 
 use std::collections::VecDeque;
 
 use sorrelhinge_protocol::types::Time;
 
-/// What a connection was last used for, in the order in which they read.
+/// Last use of a connection. Connections of an earlier class read first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Class {
-    /// For nothing yet: a health check, a user, or a worker that comes back.
+    /// No request has arrived on the connection yet. Its client may be a health check, a user, or a
+    /// worker that reconnects.
     New,
-    /// By a worker whose machine has tasks.
+    /// The connection belongs to a worker whose machine has tasks.
     Busy,
-    /// By a user or an operator.
+    /// The connection belongs to a user or an operator.
     User,
-    /// By a worker whose machine has none.
+    /// The connection belongs to a worker whose machine has no tasks.
     Idle,
 }
 
-/// All classes, first to last.
+/// All connection classes, in the order in which they read.
 pub const CLASSES: [Class; 4] = [Class::New, Class::Busy, Class::User, Class::Idle];
 
-/// Beyond this wait, in seconds, the newest reads first: most of the older ones
-/// would time out before their answers, and then none would be in time.
+/// Wait of the oldest connection in a queue beyond which the newest one reads first, in seconds.
+/// Most of the older requests would time out before their answers, and then no answer would be in
+/// time.
 const NEWEST_FIRST_AFTER_S: f64 = 1.5;
 
-/// A connection in the queue.
+/// A connection that waits in the admission queue.
 #[derive(Debug)]
 struct Waiting<T> {
     since: Time,
@@ -37,13 +39,13 @@
 }
 
 impl<T> Waiting<T> {
-    /// Whether it has waited for longer than `bound_s` seconds.
+    /// Returns whether the connection has waited for longer than `bound_s` seconds.
     fn exceeds(&self, bound_s: f64, now: Time) -> bool {
         now.since(self.since) > bound_s
     }
 }
 
-/// The connections that wait to be read; `T` stands for one of them.
+/// Queue of connections that wait to read. `T` is the handle of one connection.
 #[derive(Debug)]
 pub struct AdmissionQueue<T> {
     queues: [VecDeque<Waiting<T>>; CLASSES.len()],
@@ -52,18 +54,19 @@
     patience_s: f64,
 }
 
-/// The result of a turn.
+/// Connections that leave the admission queue in one turn of the runtime.
 #[derive(Debug, PartialEq, Eq)]
 pub struct Admission<T> {
-    /// These may read now.
+    /// Connections that may read now.
     pub admitted: Vec<T>,
-    /// These have waited for longer than any client waits for an answer: reading
-    /// their requests would be in vain.
+    /// Connections that have waited for longer than any client waits for an answer. Reading their
+    /// requests would be useless.
     pub expired: Vec<T>,
 }
 
 impl<T> AdmissionQueue<T> {
-    /// `per_turn` may read in a turn. A client times out after `patience_s` seconds.
+    /// Creates a queue that admits `per_turn` connections in each turn of the runtime. A client
+    /// times out after `patience_s` seconds.
     pub fn new(per_turn: usize, patience_s: f64) -> Self {
         Self {
             queues: Default::default(),
@@ -73,7 +76,8 @@
         }
     }
 
-    /// Whether one more may read in this turn: none that waits is passed over.
+    /// Admits a connection in the current turn without waiting. Returns `false` if the turn is full
+    /// or other connections wait, because they go first.
     pub fn try_admit(&mut self) -> bool {
         let free = self.left > 0 && self.waiting() == 0;
         if free {
@@ -82,7 +86,7 @@
         free
     }
 
-    /// Waits for a later turn.
+    /// Adds a connection that waits for a later turn.
     pub fn enqueue(&mut self, class: Class, connection: T, now: Time) {
         self.queues[class as usize].push_back(Waiting {
             since: now,
@@ -90,12 +94,13 @@
         });
     }
 
-    /// How many wait.
+    /// Returns the number of connections that wait.
     pub fn waiting(&self) -> usize {
         self.queues.iter().map(VecDeque::len).sum()
     }
 
-    /// The next turn: one of each class, then in the order of the classes.
+    /// Starts the next turn. Admits one connection of each class first, then fills the turn in the
+    /// order of the classes.
     pub fn admit_next(&mut self, now: Time) -> Admission<T> {
         let expired = self.take_expired(now);
         let mut admitted = Vec::new();
@@ -127,7 +132,7 @@
         expired
     }
 
-    /// How long the longest has waited, in seconds.
+    /// Returns the longest wait of a queued connection, in seconds.
     pub fn longest_s(&self, now: Time) -> f64 {
         self.queues
             .iter()
@@ -137,7 +142,8 @@
     }
 }
 
-/// The next of a queue: the oldest, or the newest once the oldest has waited too long.
+/// Removes the next connection from a queue: the oldest one, or the newest one once the oldest has
+/// waited too long.
 fn take_next<T>(queue: &mut VecDeque<Waiting<T>>, now: Time) -> Option<Waiting<T>> {
     if queue.front()?.exceeds(NEWEST_FIRST_AFTER_S, now) {
         queue.pop_back()
--- a/crates/overload/src/fleet_limit.rs
+++ b/crates/overload/src/fleet_limit.rs
@@ -1,38 +1,40 @@
-//! How many machines can be served: no more are rented.
+//! Limits the number of machines to what the controllers can serve. The autoscaler rents no more.
 //!
-//! Machines heartbeat whether they are of use or not, so a fleet can be too large
-//! for its controllers though there is work for each machine. How many they can serve is
-//! not computed from constants, which would be those of one installation, but
-//! found: while requests wait too long for the processor the bound falls, and
-//! with processor time to spare it rises again.
+//! Each machine sends heartbeats whether it is useful or not, so a fleet can be too large for its
+//! controllers even if there is work for each machine. The limit is measured, because constants
+//! would fit only one installation. It falls while requests wait too long for the processor, and
+//! rises again while processor time is free.
 
 use sorrelhinge_protocol::types::Time;
 
-/// How far the bound falls at a time, and how fast it rises a second.
+/// Factor by which the fleet limit falls in one step.
 const FALL_FACTOR: f64 = 0.95;
+/// Factor by which the fleet limit rises per second.
 const RISE_FACTOR_PER_S: f64 = 1.004;
-/// How long a fall is given to show, in seconds.
+/// Minimum time between two steps down of the fleet limit, in seconds, so that a step can take
+/// effect.
 const FALL_INTERVAL_S: f64 = 3.0;
-/// While requests wait for longer than this, in seconds, the bound stays.
+/// Wait of requests above which the fleet limit does not rise, in seconds.
 const MAX_CALM_WAIT_S: f64 = 0.2;
-/// What has been served for so long without waits can be served, whatever was
-/// found before: an owner that took over in a storm knew few of its machines.
+/// Time without long waits after which the present number of machines counts as servable, in
+/// seconds, even if the limit was lower. An owner that took over during overload knew few of its
+/// machines, so its limit was too low.
 const SUSTAINED_S: f64 = 8.0;
 
-/// The bound on the number of machines.
+/// Limit on the number of machines that the controllers can serve.
 #[derive(Clone, Debug, Default)]
 pub struct FleetLimit {
     max: Option<f64>,
     fell: Option<Time>,
     last: Option<Time>,
-    /// Since when requests have not waited for long.
+    /// Time since which requests have not waited for long.
     calm_since: Option<Time>,
 }
 
 impl FleetLimit {
-    /// Takes in a measurement: how many machines there are, up and on
-    /// their way, how long requests wait for the processor, in seconds, and
-    /// whether that is too long.
+    /// Updates the limit with a measurement. `machines` counts machines that are up or pending.
+    /// `wait_s` is the wait of requests for the processor in seconds, and `binds` tells whether
+    /// that is too long.
     pub fn take(&mut self, machines: usize, wait_s: f64, binds: bool, now: Time) {
         let passed = self.last.map_or(0.0, |t| now.since(t)).min(10.0);
         self.last = Some(now);
@@ -50,7 +52,7 @@
                 self.fell = Some(now);
             }
         } else if wait_s < MAX_CALM_WAIT_S {
-            // It is forgotten once the fleet is far below it.
+            // The limit is dropped once the fleet is far below it.
             let shown = self.calm_since.is_some_and(|t| now.since(t) >= SUSTAINED_S);
             let carried = if shown { machines } else { 0.0 };
             self.max = self
@@ -60,7 +62,7 @@
         }
     }
 
-    /// How many machines there may be; none: as many as there is work for.
+    /// Returns the maximum number of machines, or `None` while the number is not limited.
     pub fn max(&self) -> Option<usize> {
         self.max.map(|m| m as usize)
     }
--- a/crates/overload/src/heartbeat_offload.rs
+++ b/crates/overload/src/heartbeat_offload.rs
@@ -1,48 +1,50 @@
-//! How many of the workers heartbeat to other controllers, which forward the heartbeats
-//! in batches.
+//! Decides how many workers send their heartbeats to other controllers, which forward the
+//! heartbeats to the owner in batches.
 //!
-//! Most of what a heartbeat costs is its own connection and packets, and there
-//! are only so many sockets. So when the owner of the machines runs short of
-//! either, a part of the workers heartbeats to the controllers that idle; who
-//! decides does not change.
+//! Most of the cost of a heartbeat is its connection and its packets, and the number of sockets is
+//! limited. If the owner of the machines runs short of processor time or sockets, a share of the
+//! workers sends heartbeats to controllers with spare capacity. The owner still makes all
+//! decisions.
 
 use std::hash::{DefaultHasher, Hash, Hasher};
 
 use sorrelhinge_protocol::types::{MachineId, NodeId, Time};
 
-/// Above this part of the connections that workers may have open, some are offloaded.
+/// Share of the workers' connection limit above which some workers are offloaded.
 const OFFLOAD_ABOVE_SHARE: f64 = 0.8;
-/// Below this part of them offloaded workers come back.
+/// Share of the workers' connection limit below which offloaded workers return to the owner.
 const RETURN_BELOW_SHARE: f64 = 0.5;
-/// With this much waiting, in seconds, more are sent elsewhere.
+/// Wait of requests above which more workers are offloaded, in seconds.
 const LONG_WAIT_S: f64 = 0.15;
-/// One step of the part, and how long it is given to show, in seconds.
+/// Share of the workers that one step offloads.
 const STEP_SHARE: f64 = 0.2;
+/// Minimum time between two steps that offload workers, in seconds, so that a step can take effect.
 const STEP_INTERVAL_S: f64 = 2.0;
+/// Minimum time before a step that lets offloaded workers return to the owner, in seconds.
 const RETURN_INTERVAL_S: f64 = 15.0;
 
-/// The part of the workers that heartbeats elsewhere.
+/// Share of the workers that send their heartbeats to other controllers.
 #[derive(Clone, Debug, Default)]
 pub struct HeartbeatOffload {
     share: f64,
     since: Option<Time>,
 }
 
-/// What the share is decided from.
+/// Measurements that determine the share of offloaded workers.
 #[derive(Clone, Copy, Debug)]
 pub struct HeartbeatLoad {
-    /// Machines there are.
+    /// Number of machines of the owner.
     pub machines: usize,
-    /// Connections that workers may have open here.
+    /// Maximum number of open connections of workers at this controller.
     pub free_capacity: usize,
-    /// How long requests wait to be read, in seconds.
+    /// Time for which requests wait to be read, in seconds.
     pub wait_s: f64,
-    /// Controllers that can take heartbeats for this one.
+    /// Number of other controllers that accept heartbeats for this one.
     pub helpers: usize,
 }
 
 impl HeartbeatOffload {
-    /// Starts with the part that an earlier owner had.
+    /// Starts with the share of offloaded workers that an earlier owner had.
     pub fn from_share(share: f64) -> Self {
         Self {
             share: share.clamp(0.0, 1.0),
@@ -50,7 +52,7 @@
         }
     }
 
-    /// Takes in a measurement.
+    /// Updates the share of offloaded workers with a measurement.
     pub fn take(&mut self, heartbeat_load: HeartbeatLoad, now: Time) {
         let free_capacity = heartbeat_load.free_capacity.max(1) as f64;
         let machines = heartbeat_load.machines as f64;
@@ -59,7 +61,8 @@
             self.share = 0.0;
             return;
         }
-        // Sockets can be counted ahead: no step has to show first.
+        // The number of sockets is known in advance, so the share rises without waiting for an
+        // earlier step to take effect.
         let needed = (1.0 - OFFLOAD_ABOVE_SHARE * free_capacity / machines.max(1.0)).max(0.0);
         if needed > self.share {
             self.share = needed;
@@ -76,14 +79,14 @@
         }
     }
 
-    /// The part, 0 to 1.
+    /// Returns the share of offloaded workers, from 0 to 1.
     pub fn share(&self) -> f64 {
         self.share
     }
 
-    /// To which of `helpers` a machine's worker should heartbeat, if not here.
-    /// Always the same ones are sent first, and each to the same helper while
-    /// that is there.
+    /// Returns the controller of `helpers` to which the worker of a machine should send heartbeats,
+    /// or `None` for this controller. The choice is deterministic: the same workers are offloaded
+    /// first, each to the same helper while that helper is in `helpers`.
     pub fn home<'a>(
         &self,
         machine: &MachineId,
@@ -97,7 +100,8 @@
     }
 }
 
-/// A number for a machine and a node: the node with the highest is its home.
+/// Returns the rendezvous hash of a machine and a node. An offloaded machine sends heartbeats to
+/// the node with the highest hash.
 fn mix(machine: &str, node: &str) -> u64 {
     let mut hasher = DefaultHasher::new();
     (machine, node).hash(&mut hasher);
--- a/crates/overload/src/lib.rs
+++ b/crates/overload/src/lib.rs
@@ -1,19 +1,20 @@
-//! Overload control: what a controller can serve, and what is shed when it is asked for
-//! more, without I/O or clock:
+//! Overload control of a controller, without I/O or a clock: what the controller can serve, and
+//! what it sheds beyond that.
 //!
-//! - [`admission`]: whose request is read next, so that nothing waits long behind a crowd;
-//! - [`sockets`]: which connections are open, and which one ends when there are no more;
-//! - [`pressure`]: which resource binds, and what is shed while it does;
-//! - [`poll_shedding`]: which polls are answered while not all can be;
-//! - [`heartbeat_offload`]: how many workers heartbeat to other controllers;
-//! - [`relief`]: when an owner asks others to answer heartbeats without anything new;
-//! - [`fleet_limit`]: how many machines can be served;
-//! - [`claim_rate`]: for how long free capacity lasts;
-//! - [`pace`]: tasks that go through the whole fleet, no more often than their cost allows;
-//! - [`state_limits`]: which limits of the state service are in force.
+//! - [`admission`] chooses the connection to read next, so that no request waits long behind
+//!   others.
+//! - [`sockets`] tracks the open connections, and closes an idle one if no socket is free.
+//! - [`pressure`] finds the resource that binds, and what to shed while it does.
+//! - [`poll_shedding`] chooses the polls to answer while not all can be answered.
+//! - [`heartbeat_offload`] decides how many workers send heartbeats to other controllers.
+//! - [`relief`] decides when an owner asks others to answer heartbeats without new content.
+//! - [`fleet_limit`] limits the number of machines to what the controllers can serve.
+//! - [`claim_rate`] estimates for how long free capacity lasts.
+//! - [`pace`] runs duties over the whole fleet no more often than their cost allows.
+//! - [`state_limits`] tells which limits of the state service are in force.
 //!
-//! [`decaying_mean`] is the average that several of them measure by. When leases may be
-//! renewed is decided in `sorrelhinge_lease_safety`. See `docs/overload.md`.
+//! Several modules use the mean of [`decaying_mean`]. The crate `sorrelhinge_lease_safety` decides
+//! when leases may be renewed. See `docs/overload.md`.
 
 pub mod admission;
 pub mod claim_rate;
--- a/crates/overload/src/pace.rs
+++ b/crates/overload/src/pace.rs
@@ -1,25 +1,28 @@
-//! Tasks that go through the whole fleet, no more often than their cost allows.
+//! Schedules duties that process the whole fleet, no more often than their cost allows.
 
 use sorrelhinge_protocol::types::Time;
 
-/// When a duty is due again: after its usual pause, or later if that would
-/// take more than its part of the time. A fleet ten times as large is then
-/// looked at less often, not at the expense of its heartbeats.
+/// Schedule of a recurring duty. The duty is due after its usual pause, or later if it would
+/// otherwise take more than its share of the time. With a fleet ten times as large the duty runs
+/// less often, and takes no time from heartbeats.
 #[derive(Clone, Copy, Debug)]
 pub struct Pace {
+    /// Usual pause between two runs of the duty, in seconds.
     least_s: f64,
+    /// Longest pause between two runs of the duty, in seconds.
     max_s: f64,
+    /// Maximum share of the time that the duty may take.
     share: f64,
     next: Time,
 }
 
-/// How many times longer the pauses are for each second that requests wait.
+/// Relative increase of the pause of a duty for each second that requests wait.
 const SLOWDOWN_PER_WAIT_S: f64 = 4.0;
 
 impl Pace {
-    /// Every `least_s` seconds, and for at most this `share` of the time; but
-    /// never put off for more than `max_s`, as one turn in which the process
-    /// stood still must not stop a duty.
+    /// Creates the schedule of a duty that runs every `least_s` seconds and takes at most `share`
+    /// of the time. The pause never exceeds `max_s` seconds, so one run during which the process
+    /// was suspended does not stop the duty.
     pub fn new(least_s: f64, max_s: f64, share: f64) -> Self {
         Self {
             least_s,
@@ -29,14 +32,14 @@
         }
     }
 
-    /// Whether it is due.
+    /// Returns whether the duty is due.
     pub fn due(&self, now: Time) -> bool {
         now >= self.next
     }
 
-    /// It was done just now and took `cost_s` seconds, while requests wait for
-    /// `wait_s` seconds: the longer they do, the smaller its part, as an answer
-    /// that comes too late costs a connection and a lease.
+    /// Records that the duty has just run for `cost_s` seconds, while requests wait for `wait_s`
+    /// seconds. A longer wait gives the duty a smaller share of the time, because a late answer
+    /// costs a connection and a lease.
     pub fn done(&mut self, cost_s: f64, wait_s: f64, now: Time) {
         let pause = (cost_s / self.share * (1.0 + SLOWDOWN_PER_WAIT_S * wait_s.clamp(0.0, 2.0)))
             .clamp(self.least_s, self.max_s);
--- a/crates/overload/src/poll_shedding.rs
+++ b/crates/overload/src/poll_shedding.rs
@@ -1,15 +1,14 @@
-//! Which polls are answered while not all can be: no job's poll is refused
-//! twice in a row, and the one whose last answer is oldest is answered first.
+//! Chooses the status polls to answer while not all can be answered. No poll of a job is refused
+//! twice in a row, and polls of the jobs with the oldest answers are answered first.
 //!
-//! Which poll was shed used to be drawn, every second one. A job's user, who asks
-//! every 5 s, was then refused sixteen times in a row now and then: with thousands
-//! of jobs some were without an answer for over 75 s, which counts as forgotten.
+//! Random shedding of every second poll sometimes refused a user, who polls every 5 s, sixteen
+//! times in a row. With thousands of jobs, some had no answer for over 75 s, which counts as a
+//! forgotten job.
 //!
-//! What is remembered is bounded: [`MAX_RECORDED_JOBS`] jobs that are recorded and
-//! [`MAX_UNRECORDED_JOBS`] ids that are not, apart, so that a flood of made-up ids pushes
-//! no real job out. An entry takes 25 bytes of a table that may be a little more
-//! than half empty once entries were removed: less than 2 MB for both. What there is
-//! no free slot for is not refused.
+//! The memory is bounded by two separate tables, for [`MAX_RECORDED_JOBS`] recorded jobs and for
+//! [`MAX_UNRECORDED_JOBS`] unknown ids, so a flood of made-up ids removes no real job. An entry
+//! takes 25 bytes, and a table may be a little more than half empty after entries were removed.
+//! Both tables together take less than 2 MB. A poll without a free slot is not refused.
 
 use std::collections::HashMap;
 use std::hash::{DefaultHasher, Hash, Hasher};
@@ -17,57 +16,58 @@
 
 use sorrelhinge_protocol::types::{JobId, Time};
 
-/// How many recorded jobs are remembered: seven eighths of 32,768 places, 0.8 MB,
-/// or twice that after many removals.
+/// Maximum number of recorded jobs in the table of polls. The value is seven eighths of 32,768 hash
+/// slots, which take 0.8 MB, or twice that after many removals.
 pub const MAX_RECORDED_JOBS: usize = 28_672;
-/// How many ids that belong to no recorded job: an eighth of that.
+/// Maximum number of ids without a recorded job in the table of polls. The value is an eighth of
+/// [`MAX_RECORDED_JOBS`].
 pub const MAX_UNRECORDED_JOBS: usize = 3_584;
-/// An answer that is older, in seconds, is too old to refuse a newer one: users
-/// ask every 5 s, so every second poll is refused.
+/// Age of the last answer about a job from which on the next poll is not refused, in seconds. Users
+/// poll every 5 s, so at most every second poll is refused.
 pub const STALE_ANSWER_S: f64 = 9.0;
-/// An id that was not asked about for so long, in seconds, is forgotten: longer than the 75 s
-/// after which a job without an answer counts as forgotten.
+/// Time without polls after which a job id may be removed from a full table, in seconds. It is
+/// longer than the 75 s after which a job without an answer counts as forgotten.
 pub const POLL_MEMORY_S: f64 = 120.0;
-/// A full table is looked through no more often than this, in seconds.
+/// Minimum time between two cleanups of a full table, in seconds.
 const CLEANUP_INTERVAL_S: f64 = 5.0;
 
-/// What is done with a poll.
+/// Decision on a poll.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Verdict {
-    /// It is answered.
+    /// The controller answers the poll.
     Answer,
-    /// It is refused, and its user is to come back.
+    /// The controller refuses the poll, and the user has to retry.
     Refuse,
 }
 
-/// A poll that is about to be decided on.
+/// A status poll of a user, on which the controller has to decide.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Poll<'a> {
-    /// The id that is asked about.
+    /// Job id for which the user polls.
     pub job: &'a JobId,
-    /// A record of that job is known here.
+    /// Whether this controller has a record of the job.
     pub known: bool,
-    /// Too much is asked for, and polls are to be shed.
+    /// Whether the controller is overloaded and sheds polls.
     pub shed: bool,
 }
 
-/// Of one id. Times in tenths of a second, to be small.
+/// Table entry of one job id. Times are in tenths of a second to save memory.
 #[derive(Clone, Copy, Debug)]
 struct Entry {
     answered_at: Option<NonZeroU32>,
     asked_at: u32,
-    /// The last poll was refused, or could not be answered.
+    /// Whether the last poll of the job was refused or could not be answered.
     refused: bool,
 }
 
-/// A time in tenths of a second, as tables keep it.
+/// Converts a time to tenths of a second, as table entries store it.
 fn tenths(now: Time) -> u32 {
-    // A clock that is no number or before its beginning counts as its beginning.
+    // The cast turns NaN and negative times into 0.
     (now.0 * 10.0) as u32
 }
 
-/// By the hash of the id: that two ids of 28,672 have the same of 64 bits happens
-/// once in 10^10 tables, and costs one poll's verdict.
+/// Table of polled jobs, by the 64-bit hash of their id. Among 28,672 ids, two have the same hash
+/// in one of 10^10 tables. A collision costs a wrong decision on one poll.
 #[derive(Debug)]
 struct Table {
     max: usize,
@@ -84,7 +84,8 @@
         }
     }
 
-    /// The entry of an id, new if there is a free slot for it.
+    /// Returns the entry of a job id, and creates it if a slot is free. Returns `None` if the table
+    /// is full.
     fn entry(&mut self, key: u64, now: Time) -> Option<&mut Entry> {
         let full = self.entries.len() >= self.max && !self.entries.contains_key(&key);
         if full
@@ -107,7 +108,7 @@
     }
 }
 
-/// Which polls were answered when, and which were refused last.
+/// Record of the last answers to and refusals of polls, by job.
 #[derive(Debug)]
 pub struct PollShedding {
     known: Table,
@@ -121,7 +122,7 @@
 }
 
 impl PollShedding {
-    /// Remembers at most so many recorded jobs and other ids.
+    /// Creates tables for at most `known` recorded jobs and `unknown` other ids.
     pub fn new(known: usize, unknown: usize) -> Self {
         Self {
             known: Table::new(known),
@@ -129,14 +130,15 @@
         }
     }
 
-    /// Decides on a poll. If it is to be answered, [`PollShedding::answered`] or
-    /// [`PollShedding::failed`] is called afterwards.
+    /// Decides whether to answer a poll. After [`Verdict::Answer`] the caller calls
+    /// [`PollShedding::answered`] or [`PollShedding::failed`].
     pub fn poll(&mut self, poll: Poll<'_>, now: Time) -> Verdict {
         if !poll.shed {
             return Verdict::Answer;
         }
         let key = key(poll.job);
-        // A job may be recorded, or its record may be dropped, between two polls.
+        // Both tables are checked, because the record of a job may be created or removed between
+        // two polls.
         let refused = |t: &Table| t.entries.get(&key).is_some_and(|e| e.refused);
         if refused(&self.known) || refused(&self.unknown) {
             return Verdict::Answer;
@@ -146,8 +148,8 @@
         } else {
             &mut self.unknown
         };
-        // A job that was never answered here, or that there is no free slot to
-        // remember as refused, is answered.
+        // A poll is answered if its table has no free slot, because the refusal could not be stored.
+        // The first poll of a recorded job is answered too.
         let Some(entry) = table.entry(key, now) else {
             return Verdict::Answer;
         };
@@ -163,7 +165,7 @@
         Verdict::Refuse
     }
 
-    /// The user got an answer about a job.
+    /// Records that a poll of a job was answered.
     pub fn answered(&mut self, job: &JobId, known: bool, now: Time) {
         let key = key(job);
         self.unknown.entries.remove(&key);
@@ -180,7 +182,7 @@
         }
     }
 
-    /// A poll was to be answered and could not be: the next one is not refused.
+    /// Records that a poll could not be answered. The next poll of the job is not refused.
     pub fn failed(&mut self, job: &JobId, known: bool, now: Time) {
         let table = if known {
             &mut self.known
@@ -193,25 +195,25 @@
         }
     }
 
-    /// A job is over: polls of it cost nothing and are always answered.
+    /// Removes a job that ended. Polls of such jobs are cheap and always answered.
     pub fn over(&mut self, job: &JobId) {
         let key = key(job);
         self.known.entries.remove(&key);
         self.unknown.entries.remove(&key);
     }
 
-    /// How many recorded jobs are remembered.
+    /// Returns the number of recorded jobs in the table of polls.
     pub fn known_count(&self) -> usize {
         self.known.entries.len()
     }
 
-    /// How many ids that no job has are remembered.
+    /// Returns the number of ids without a recorded job in the table of polls.
     pub fn unknown_count(&self) -> usize {
         self.unknown.entries.len()
     }
 }
 
-/// An id's place in a table.
+/// Returns the hash of a job id, which is its key in a table.
 fn key(job: &JobId) -> u64 {
     let mut hasher = DefaultHasher::new();
     job.hash(&mut hasher);
--- a/crates/overload/src/pressure.rs
+++ b/crates/overload/src/pressure.rs
@@ -1,28 +1,28 @@
-//! Which resource binds, and what is shed while it does.
+//! Finds the resource that binds, and decides what the controller sheds while it does.
 //!
-//! Overload is a state that is entered soon and left late: what was shed comes
-//! back as soon as it is let in again, and a state that changes with every
-//! second would be worse than either.
+//! The controller enters overload quickly and leaves it slowly. Shed load returns as soon as it is
+//! admitted again, and a state that changes every second would be worse than shedding or not
+//! shedding.
 
 use sorrelhinge_protocol::types::Time;
 
 use crate::decaying_mean::DecayingMean;
 
-/// What a controller can run out of.
+/// Resource of which a controller can run short.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Resource {
-    /// Processor time.
+    /// Processor time of the controller.
     Processor,
-    /// Sockets.
+    /// Sockets of the controller.
     Sockets,
-    /// Changes in the state service.
+    /// Writes to the state service, whose rate is limited.
     Changes,
-    /// Calls to the cloud.
+    /// Requests to the cloud, whose rate is limited.
     Cloud,
 }
 
 impl Resource {
-    /// For the log.
+    /// Returns the name of the resource for the log.
     pub fn name(self) -> &'static str {
         match self {
             Self::Processor => "processor",
@@ -33,7 +33,7 @@
     }
 }
 
-/// All of them.
+/// All resources, in the order of the arrays in [`Pressure`].
 pub const RESOURCES: [Resource; 4] = [
     Resource::Processor,
     Resource::Sockets,
@@ -41,36 +41,35 @@
     Resource::Cloud,
 ];
 
-/// What was measured since the last look, each as a part of what there is: 1
-/// is all of it.
+/// Measurements of the load since the last sample.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Sample {
-    /// How long requests wait to be read, in seconds.
+    /// Time for which requests wait to be read, in seconds.
     pub wait_s: f64,
-    /// Part of the sockets that is open.
+    /// Share of the sockets that are open, where 1 means all.
     pub sockets: f64,
-    /// How long the oldest change has waited to be recorded, in seconds.
+    /// Time for which the oldest change has waited to be written to the state service, in seconds.
     pub change_wait_s: f64,
-    /// How long the oldest call to the cloud has waited, in seconds.
+    /// Time for which the oldest request to the cloud has waited, in seconds.
     pub cloud_wait_s: f64,
 }
 
-/// What is shed, each level with those before it.
+/// Level of load shedding. Each level also sheds the load of all levels before it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Level {
-    /// Nothing.
+    /// The controller sheds nothing.
     #[default]
     None,
-    /// Some polls of jobs that are not over.
+    /// The controller refuses some status polls of jobs that have not ended.
     Polls,
-    /// New submissions.
+    /// The controller refuses new job submissions.
     Submissions,
-    /// Placements of the lowest rank that waits.
+    /// The controller does not place pending tasks of the lowest rank.
     Placements,
 }
 
 impl Level {
-    /// For the log.
+    /// Returns the name of the shedding level for the log.
     pub fn name(self) -> &'static str {
         match self {
             Self::None => "none",
@@ -79,7 +78,7 @@
             Self::Placements => "placements",
         }
     }
-    /// The next level.
+    /// Returns the next higher shedding level.
     fn up(self) -> Self {
         match self {
             Self::None => Self::Polls,
@@ -87,7 +86,7 @@
             Self::Submissions | Self::Placements => Self::Placements,
         }
     }
-    /// The level before.
+    /// Returns the next lower shedding level.
     fn down(self) -> Self {
         match self {
             Self::None | Self::Polls => Self::None,
@@ -97,26 +96,26 @@
     }
 }
 
-/// Bounds of one resource: above `enter` it binds, below `leave` it does not.
+/// Thresholds of one resource. The resource binds from `enter` on, until it falls below `leave`.
 struct Bounds {
     enter: f64,
     leave: f64,
-    /// Above this it is worth turning users away, until it is half as much.
+    /// Threshold from which on refusing users helps, until the measurement falls to half of it.
     shed: f64,
 }
 
-/// Time constant of the averages, in seconds.
+/// Time constant of the mean load of each resource, in seconds.
 const SMOOTHING_S: f64 = 1.5;
-/// A resource has to bind for so long before the next level sheds.
+/// Time for which shedding must be needed before the level rises, in seconds.
 const RAISE_AFTER_S: f64 = 4.0;
-/// None may bind for so long before a level is left.
+/// Time for which shedding must not be needed before the level falls, in seconds.
 const LOWER_AFTER_S: f64 = 3.0;
 
-/// When a resource binds, and when it is worth turning users away for it.
+/// Returns the thresholds of a resource, for binding and for shedding load.
 fn bounds(resource: Resource) -> Bounds {
     match resource {
-        // Seconds of waiting: a processor that is all in use binds nothing
-        // until requests wait for it.
+        // The processor thresholds are request waits in seconds. A fully used processor does not
+        // bind until requests wait for it.
         Resource::Processor => Bounds {
             enter: 0.6,
             leave: 0.25,
@@ -125,12 +124,12 @@
         Resource::Sockets => Bounds {
             enter: 0.97,
             leave: 0.9,
-            // It takes no socket from a worker.
+            // Refusing users frees no socket for workers, so full sockets never shed load.
             shed: f64::INFINITY,
         },
-        // Seconds of waiting. Claims are held back while they wait, so it
-        // takes more than many claims to come to this: the service itself is
-        // slow, or others use its changes up.
+        // The change thresholds are waits of state service writes in seconds. The controller makes
+        // no new claims while earlier ones wait, so many claims alone don't reach these waits. They
+        // mean that the service is slow, or that others use up its write rate.
         Resource::Changes => Bounds {
             enter: 4.0,
             leave: 1.5,
@@ -139,13 +138,13 @@
         Resource::Cloud => Bounds {
             enter: 10.0,
             leave: 4.0,
-            // It does not make the cloud faster.
+            // Refusing users does not make the cloud faster, so a slow cloud never sheds load.
             shed: f64::INFINITY,
         },
     }
 }
 
-/// What is known of the load.
+/// Smoothed load of the controller, the binding resources, and the shedding level.
 #[derive(Clone, Debug, Default)]
 pub struct Pressure {
     means: [DecayingMean; RESOURCES.len()],
@@ -153,12 +152,13 @@
     sheds: [bool; RESOURCES.len()],
     level: Level,
     last: Option<Time>,
-    /// Since when something binds, or nothing does, at this level.
+    /// Time of the last change of the shedding level, or of the need to shed.
     since: Option<Time>,
 }
 
 impl Pressure {
-    /// Takes in what was measured. True if the level or what binds changed.
+    /// Updates the pressure with a sample. Returns whether the shedding level or the set of binding
+    /// resources changed.
     pub fn take(&mut self, sample: Sample, now: Time) -> bool {
         let binds_before = self.binds;
         let level_before = self.level;
@@ -172,7 +172,7 @@
         binds_before != self.binds || level_before != self.level
     }
 
-    /// Takes the sample into the means, and finds what binds and what is worth shedding for.
+    /// Adds a sample to the means, and updates which resources bind and which call for shedding.
     fn measure(&mut self, sample: Sample, now: Time) {
         let elapsed_s = self.last.map_or(SMOOTHING_S, |t| now.since(t));
         self.last = Some(now);
@@ -185,8 +185,8 @@
         for (i, (resource, value)) in RESOURCES.into_iter().zip(measured).enumerate() {
             let Bounds { enter, leave, shed } = bounds(resource);
             let value = if value.is_finite() { value } else { 0.0 };
-            // One long measurement says no more than a few of the least that
-            // would bind: a process that stood still is not overloaded.
+            // A single long measurement counts no more than a few that just reach the threshold. A
+            // process that was suspended is not overloaded.
             let value = value.clamp(0.0, 3.5 * if shed.is_finite() { shed } else { enter });
             self.means[i].take(value, elapsed_s, SMOOTHING_S);
             let mean = self.means[i].value();
@@ -197,7 +197,7 @@
         }
     }
 
-    /// The next level, if shedding was needed, or was not, for long enough.
+    /// Raises the level if shedding was needed for long enough, or lowers it if it was not needed.
     fn step_level(&mut self, shed: bool, now: Time) {
         let since = *self.since.get_or_insert(now);
         let wait_s = if shed { RAISE_AFTER_S } else { LOWER_AFTER_S };
@@ -212,12 +212,12 @@
         self.since = Some(now);
     }
 
-    /// What is shed now.
+    /// Returns the current level of load shedding.
     pub fn level(&self) -> Level {
         self.level
     }
 
-    /// What binds now.
+    /// Returns the resources that bind now.
     pub fn binding(&self) -> impl Iterator<Item = Resource> + '_ {
         RESOURCES
             .into_iter()
@@ -225,7 +225,7 @@
             .filter_map(|(r, b)| b.then_some(r))
     }
 
-    /// Whether this one binds.
+    /// Returns whether a resource binds now.
     pub fn binds(&self, resource: Resource) -> bool {
         self.binds[resource as usize]
     }
--- a/crates/overload/src/relief.rs
+++ b/crates/overload/src/relief.rs
@@ -1,28 +1,28 @@
-//! Whether an overloaded owner asks for relief: other controllers then answer, on its behalf,
-//! heartbeats without anything new (`sorrelhinge_lease_safety::renewal`).
+//! Decides whether an overloaded owner of machines asks for relief. Other controllers then answer
+//! heartbeats without new content on its behalf (`sorrelhinge_lease_safety::renewal`).
 
 use sorrelhinge_protocol::types::Time;
 
-/// Whether the owner asks for relief: not before all workers heartbeat elsewhere, and until
-/// there was free capacity for a while, as with all heartbeats back at once it would be
-/// overloaded again.
+/// State of the request for relief. The owner asks for relief only once all workers send heartbeats
+/// to other controllers. It stops only after it had free capacity for a while, because all
+/// heartbeats return at once and would overload it again.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Relief {
     on: bool,
-    /// Since when requests have been read without delay.
+    /// Time since which requests have been read without delay.
     calm_since: Option<Time>,
 }
 
-/// While requests wait for longer, in seconds, relief is asked for.
+/// Wait of requests above which the owner asks for relief, in seconds.
 const LONG_WAIT_S: f64 = 0.25;
-/// A wait of at most so long, in seconds, is no delay.
+/// Wait of requests up to which the owner counts as having free capacity, in seconds.
 const CALM_WAIT_S: f64 = 0.08;
-/// For so long, in seconds, there must have been none before relief ends.
+/// Time without delayed requests after which relief ends, in seconds.
 const CALM_FOR_S: f64 = 20.0;
 
 impl Relief {
-    /// Takes in how long requests wait, in seconds, and whether all workers
-    /// heartbeat elsewhere already.
+    /// Updates the state. `spread` tells whether all workers already send heartbeats to other
+    /// controllers, and `wait_s` is the wait of requests in seconds.
     pub fn take(&mut self, spread: bool, wait_s: f64, now: Time) {
         if wait_s > CALM_WAIT_S {
             self.calm_since = None;
@@ -37,7 +37,7 @@
         }
     }
 
-    /// Whether it is asked for.
+    /// Returns whether the owner asks for relief.
     pub fn asked(&self) -> bool {
         self.on
     }
--- a/crates/overload/src/sockets.rs
+++ b/crates/overload/src/sockets.rs
@@ -1,11 +1,11 @@
-//! Which connections are open, and which one ends when there are no more.
+//! Tracks the open connections of clients, and closes an idle one if no socket is free.
 //!
-//! A controller may have so many sockets and no more, and what it opens itself
-//! (to the state service, the cloud, the other controllers and the workers)
-//! comes out of the same number. So sockets for those are reserved, and clients
-//! share the rest. No client is refused without an answer: a worker that heartbeats
-//! seldom is asked to connect anew each time, the longest idle connection gives
-//! way to a new one, and where there is none, the new one is answered that it should come back.
+//! The number of sockets of a controller is limited. The controller's own connections to the state
+//! service, the cloud, other controllers and workers count against the same limit. So sockets for
+//! them are reserved, and clients share the rest. No client is refused without an answer. A worker
+//! with infrequent heartbeats is asked to reconnect each time. A new connection replaces the
+//! connection that has been idle for the longest time. If none is idle, the new client is told to
+//! retry.
 
 use std::collections::{BTreeMap, HashMap};
 
@@ -13,42 +13,47 @@
 
 use crate::admission::{Class, CLASSES};
 
-/// A connection; a later one has a higher number.
+/// Identifier of a connection. A later connection has a higher number.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ConnId(pub u64);
 
-/// How many connections of users and workers may be open here.
+/// Limits on the number of open connections of users and workers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Limits {
-    /// In all.
+    /// Maximum number of open connections of all clients.
     pub max: usize,
-    /// Beyond so many workers' connections, a new one of a machine without
-    /// tasks ends with its answer.
+    /// Number of worker connections beyond which a new connection from a machine without tasks is
+    /// closed after its answer.
     pub idle_workers: usize,
-    /// Beyond so many, a new one of any worker does.
+    /// Number of worker connections beyond which a new connection of any worker is closed after its
+    /// answer.
     pub workers: usize,
-    /// Beyond so many connections of any sort, all end with their answers.
+    /// Number of connections of all clients beyond which every connection is closed after its
+    /// answer.
     pub users: usize,
 }
 
-/// The state service's connections, the cloud's, listeners and what the
-/// process has open anyway.
+/// Sockets reserved for connections to the state service and the cloud, for listeners, and for
+/// other files that the process keeps open.
 const RESERVED_SOCKETS: usize = 48;
-/// To and from each other controller, also while an old connection still ends.
+/// Sockets reserved for connections to and from each other controller, including old connections
+/// that are still closing.
 const SOCKETS_PER_PEER: usize = 6;
-/// At most this part is set aside.
+/// Divisor of the socket limit. At most a third of all sockets is reserved for the controller
+/// itself.
 const RESERVED_DIVISOR: usize = 3;
-/// Part of the rest beyond which connections end with each answer.
+/// Share of the client sockets for [`Limits::idle_workers`].
 const IDLE_WORKERS_SHARE: f64 = 0.6;
+/// Share of the client sockets for [`Limits::workers`].
 const WORKERS_SHARE: f64 = 0.8;
+/// Share of the client sockets for [`Limits::users`].
 const USERS_SHARE: f64 = 0.9;
-/// A connection on which nothing was asked yet is not ended for so long, in
-/// seconds.
+/// Time for which a new connection without a request is not closed, in seconds.
 const NEW_CONNECTION_GRACE_S: f64 = 1.0;
 
 impl Limits {
-    /// Of `sockets` in all, with so many other controllers, and up to `direct`
-    /// commands under way to workers.
+    /// Returns the limits for a controller with `sockets` sockets and `others` other controllers.
+    /// Up to `direct` commands to workers may be in flight.
     pub fn of(sockets: usize, others: usize, direct: usize) -> Self {
         let aside =
             (RESERVED_SOCKETS + SOCKETS_PER_PEER * others + direct).min(sockets / RESERVED_DIVISOR);
@@ -63,52 +68,52 @@
     }
 }
 
-/// What is done about a new connection.
+/// Decision on a new connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Opened {
-    /// It is taken.
+    /// The new connection is accepted.
     Taken,
-    /// It is taken, and this one, which is idle, is to end for it.
+    /// The new connection is accepted, and the given idle connection has to be closed for it.
     InPlaceOf(ConnId),
-    /// All are being answered: it is rejected, and ends.
+    /// The new connection is rejected and closed, because no open connection is idle.
     Full,
 }
 
 #[derive(Clone, Copy, Debug)]
 struct Entry {
     class: Class,
-    /// Its place among the idle ones of its class.
+    /// Key of the connection in the idle list of its class. `None` while a request is in progress.
     idle: Option<u64>,
-    /// Something was answered on it before.
+    /// Whether a request was answered on the connection before.
     kept: bool,
-    /// It was chosen to end for another.
+    /// Whether the connection was chosen to be closed for a new one.
     ending: bool,
 }
 
-/// A connection on which nothing is being answered.
+/// An open connection without a request in progress.
 #[derive(Clone, Copy, Debug)]
 struct IdleConnection {
     id: ConnId,
     since: Time,
 }
 
-/// The open connections of users and workers.
+/// Open connections of users and workers.
 #[derive(Debug)]
 pub struct Sockets {
     limits: Limits,
     all: HashMap<ConnId, Entry>,
     open_by_class: [usize; CLASSES.len()],
-    /// Idle ones by class, the longest idle first.
+    /// Idle connections by class, the longest idle first.
     idle: [BTreeMap<u64, IdleConnection>; CLASSES.len()],
     count: u64,
 }
 
-/// In which order classes give way, once nobody is left who connected and
-/// asked nothing.
+/// Order of the classes whose idle connections are closed for a new one. New connections without a
+/// request go before them once their grace period is over.
 const EVICTION_ORDER: [Class; 4] = [Class::Idle, Class::Busy, Class::User, Class::New];
 
 impl Sockets {
-    /// None yet.
+    /// Creates the state without any open connection.
     pub fn new(limits: Limits) -> Self {
         Self {
             limits,
@@ -119,27 +124,27 @@
         }
     }
 
-    /// How many may be open.
+    /// Returns the limits on open connections.
     pub fn limits(&self) -> Limits {
         self.limits
     }
 
-    /// How many are open.
+    /// Returns the number of open connections of users and workers.
     pub fn open(&self) -> usize {
         self.all.len()
     }
 
-    /// The part of all that is open.
+    /// Returns the open connections as a share of the maximum.
     pub fn used(&self) -> f64 {
         self.all.len() as f64 / self.limits.max as f64
     }
 
-    /// How many connections of workers are open.
+    /// Returns the number of open connections of workers.
     pub fn workers(&self) -> usize {
         self.open_by_class[Class::Busy as usize] + self.open_by_class[Class::Idle as usize]
     }
 
-    /// A connection is idle from now on.
+    /// Marks a connection as idle from now on.
     fn rest(&mut self, id: ConnId, class: Class, kept: bool, now: Time) {
         self.count += 1;
         self.idle[class as usize].insert(self.count, IdleConnection { id, since: now });
@@ -151,7 +156,8 @@
         };
         if let Some(before) = self.all.insert(id, entry) {
             self.open_by_class[before.class as usize] -= 1;
-            // A request that was refused unread was never noted as asked.
+            // The connection may still be in the idle list, because a request that was refused
+            // unread is never recorded by `asked`.
             if let Some(place) = before.idle {
                 self.idle[before.class as usize].remove(&place);
             }
@@ -159,14 +165,14 @@
         self.open_by_class[class as usize] += 1;
     }
 
-    /// Chooses the connection that is ended in place of a new one, if any is idle.
+    /// Chooses the idle connection to close for a new one. Returns `None` if none is idle.
     fn longest_idle(&mut self, now: Time) -> Option<ConnId> {
         let silent = self.idle[Class::New as usize]
             .first_key_value()
             .is_some_and(|(_, first)| now.since(first.since) >= NEW_CONNECTION_GRACE_S);
         let first = silent.then_some(Class::New);
         let class = first.into_iter().chain(EVICTION_ORDER).find(|c| {
-            // One that connected just now did so to ask something.
+            // A client that has just connected is about to send a request.
             (*c != Class::New || silent) && !self.idle[*c as usize].is_empty()
         })?;
         let (_, IdleConnection { id, .. }) = self.idle[class as usize].pop_first()?;
@@ -176,7 +182,7 @@
         Some(id)
     }
 
-    /// Somebody connected.
+    /// Records a new connection, and decides whether to accept it.
     pub fn opened(&mut self, id: ConnId, now: Time) -> Opened {
         let mut opened = Opened::Taken;
         if self.all.len() >= self.limits.max {
@@ -189,7 +195,7 @@
         opened
     }
 
-    /// A complete request came: it is being answered.
+    /// Records that a complete request arrived on a connection and is being answered.
     pub fn asked(&mut self, id: ConnId, class: Class) {
         let Some(entry) = self.all.get_mut(&id) else {
             return;
@@ -202,15 +208,16 @@
         self.open_by_class[class as usize] += 1;
     }
 
-    /// The request has its answer. False if the connection is to end with it.
+    /// Records that the request on a connection was answered. Returns `false` if the connection has
+    /// to be closed.
     pub fn answered(&mut self, id: ConnId, now: Time) -> bool {
         let Some(entry) = self.all.get(&id).copied() else {
             return false;
         };
         let workers = self.workers();
         let crowded = self.all.len() > self.limits.users;
-        // New ones give way to those that were kept before: to end all in turn
-        // would have everybody connect anew all the time.
+        // New connections are closed before those that were kept open earlier. Closing all of them
+        // in turn would make all clients reconnect all the time.
         let ends = match entry.class {
             Class::New => false,
             Class::Idle => workers > self.limits.idle_workers && !entry.kept || crowded,
@@ -224,7 +231,7 @@
         !ends
     }
 
-    /// It ended.
+    /// Records that a connection was closed.
     pub fn closed(&mut self, id: ConnId) {
         if let Some(entry) = self.all.remove(&id) {
             self.open_by_class[entry.class as usize] -= 1;
--- a/crates/overload/src/state_limits.rs
+++ b/crates/overload/src/state_limits.rs
@@ -1,28 +1,31 @@
-//! The limits of the state service: those of now, and the smaller ones that it will have
-//! from some moment on, without notice (settings, `state.next`).
+//! Tracks the limits of the state service. The service has its present limits until an unknown
+//! time, and then smaller ones without notice (settings, `state.next`).
 //!
-//! Values and transactions are made for the smaller ones from the start, so nothing has
-//! to be known of the moment. The rate of changes is that of now until there is evidence
-//! of the lower one, and then the lower one for good: either a 400 for something that only
-//! the larger limits allow, or refusals (429) that go on. A refusal alone shows nothing:
-//! all controllers' bursts may meet within a second, and the service's bucket, which
-//! holds a second's worth, is full again a second later. While each controller stays
-//! within its part of the present rate, the sum of the parts is below it, so refusals that
-//! come again and again, seconds apart, show a lower one. Taking it for lower by mistake
-//! costs a part of the changes, taking it for higher costs tries; neither breaks a rule.
+//! Values and transactions respect the smaller limits from the start, so the time of the change
+//! does not matter for them. The write rate keeps the present limit until there is evidence of the
+//! lower one, and then stays at the lower limit. The evidence is either a 400 for a request that
+//! only the larger limits allow, or repeated refusals (429).
+//!
+//! A single refusal proves nothing. The bursts of all controllers may coincide within a second, and
+//! the token bucket of the service, which holds the writes of one second, is full again a second
+//! later. While each controller stays within its share of the present rate, the sum of the shares
+//! is below the rate. Repeated refusals that are seconds apart therefore show a lower rate. A limit
+//! that is assumed too low costs part of the writes, and one that is assumed too high costs
+//! retries. Neither error breaks a rule.
 
 use std::collections::VecDeque;
 
 use sorrelhinge_protocol::types::Time;
 
-/// Refusals within this time, in seconds, belong to one burst.
+/// Time between two refused writes below which both belong to one burst, in seconds.
 const BURST_S: f64 = 1.5;
-/// So many bursts in a row that were refused are evidence of the lower rate.
+/// Number of refused bursts in a row that are evidence of the lower write rate.
 const BURSTS: usize = 4;
-/// If they all were within this time, in seconds.
+/// Maximum time between the first and the last refused burst that are evidence of the lower write
+/// rate, in seconds.
 const WITHIN_S: f64 = 15.0;
 
-/// Which rate of changes is in force.
+/// Write rate of the state service that is in force, in writes per second.
 #[derive(Clone, Debug)]
 pub struct ChangeRate {
     present: f64,
@@ -32,7 +35,8 @@
 }
 
 impl ChangeRate {
-    /// Changes a second now, and from some moment on; none: the same.
+    /// Creates the rate from the present limit and the `next` one, in writes per second. `None`
+    /// means that the limit stays.
     pub fn new(present: f64, next: Option<f64>) -> Self {
         Self {
             present,
@@ -42,7 +46,7 @@
         }
     }
 
-    /// Changes a second that all controllers together may make.
+    /// Returns the writes per second that all controllers together may make.
     pub fn in_force(&self) -> f64 {
         match self.next {
             Some(next) if self.lowered => next,
@@ -50,19 +54,20 @@
         }
     }
 
-    /// Whether the lower limits are taken to be in force, of whatever.
+    /// Returns whether the lower limits count as in force, for values, transactions and the write
+    /// rate.
     pub fn is_lowered(&self) -> bool {
         self.lowered
     }
 
-    /// The lower limits are in force: seen here, or announced by another controller. Returns
-    /// whether that is new.
+    /// Records that the lower limits are in force, as found here or announced by another
+    /// controller. Returns whether that was unknown before.
     pub fn lower(&mut self) -> bool {
         !std::mem::replace(&mut self.lowered, true)
     }
 
-    /// The service refused a change as too many. Returns whether that is what shows the
-    /// lower rate.
+    /// Records that the service refused a write because of the rate limit. Returns whether this
+    /// refusal completes the evidence of the lower rate.
     pub fn refused(&mut self, now: Time) -> bool {
         if self
             .refused
