--- a/crates/overload/src/poll_shedding.rs
+++ b/crates/overload/src/poll_shedding.rs
@@ -148,8 +148,8 @@
         } else {
             &mut self.unknown
         };
-        // A poll is answered if its table has no free slot, because the refusal could not be stored.
-        // The first poll of a recorded job is answered too.
+        // A poll is answered if its table has no free slot, because the refusal could not be
+        // stored. The first poll of a recorded job is answered too.
         let Some(entry) = table.entry(key, now) else {
             return Verdict::Answer;
         };
--- a/crates/overload/tests/model.rs
+++ b/crates/overload/tests/model.rs
@@ -1,4 +1,4 @@
-//! The decisions against slow plain models, over generated orders of events.
+//! Compares the overload decisions with slow, simple models over generated event sequences.
 
 use proptest::prelude::*;
 use sorrelhinge_overload::admission::{AdmissionQueue, Class, CLASSES};
@@ -14,19 +14,19 @@
 use sorrelhinge_overload::sockets::{ConnId, Limits, Opened, Sockets};
 use sorrelhinge_protocol::types::{JobId, MachineId, NodeId, Time};
 
-/// A connection as the model keeps it: all of them in one list.
+/// Connection of the model, which keeps all connections in one list.
 #[derive(Clone, Debug)]
 struct Plain {
     id: ConnId,
     class: Class,
-    /// Idle since this event and time.
+    /// Event number and time since which the connection is idle. `None` while it is busy.
     idle: Option<(u64, f64)>,
     kept: bool,
-    /// Chosen to end for another.
+    /// Whether the connection was chosen to be closed for a new one.
     ending: bool,
 }
 
-/// The connections, looked through one by one for every decision.
+/// Model of the open connections, which searches the whole list for every decision.
 struct Model {
     limits: Limits,
     all: Vec<Plain>,
@@ -39,15 +39,15 @@
         let mut told = Opened::Taken;
         if self.all.len() >= self.limits.max {
             let rank = |p: &Plain| match p.class {
-                // One that connected just now did so to ask something.
+                // A client that has just connected is about to send a request.
                 Class::New if p.idle.is_some_and(|(_, since)| now - since < 1.0) => None,
                 Class::New => Some(0),
                 Class::Idle => Some(1),
                 Class::Busy => Some(2),
                 Class::User => Some(3),
             };
-            // The silent ones stand in the order of their coming, so the first
-            // of them tells whether any is old enough.
+            // Connections without a request are in order of arrival, so if the first one is not
+            // past its grace period, no other is.
             let idle = self.all.iter_mut().filter(|p| !p.ending);
             let best = idle
                 .filter_map(|p| Some((rank(p)?, p.idle?.0, p)))
@@ -101,8 +101,8 @@
     }
 }
 
-/// A turn of the queue: nobody passes too late, or is turned away too early. How
-/// many were told one of both.
+/// Runs one turn of the admission queue, and checks that no connection is admitted too late or
+/// expires too early. Returns how many connections left the queue.
 fn take_turn(
     queue: &mut AdmissionQueue<usize>,
     waiting: &mut Vec<(usize, f64)>,
@@ -114,11 +114,11 @@
         let at = waiting
             .iter()
             .position(|(w, _)| w == who)
-            .expect("it waits");
+            .expect("the connection is in the queue");
         now - waiting.swap_remove(at).1
     };
     for who in &turn.admitted {
-        assert!(waited(who) <= 4.0, "reading it would be in vain");
+        assert!(waited(who) <= 4.0, "an expired connection was admitted");
     }
     for who in &turn.expired {
         assert!(waited(who) > 4.0);
@@ -129,8 +129,8 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 300, failure_persistence: None, rng_seed: proptest::test_runner::RngSeed::Fixed(7), ..ProptestConfig::default() })]
 
-    /// The index of idle connections gives what a look at all of them gives,
-    /// and there are never more than the bound allows.
+    /// Checks that [`Sockets`] decides like a linear search over all connections, and that the
+    /// number of open connections never exceeds the limit.
     #[test]
     fn sockets_are_shared_as_a_look_at_all_of_them_shares(
         sockets in 8_usize..40,
@@ -168,14 +168,14 @@
             prop_assert_eq!(real.open(), model.all.len());
             let workers = model.all.iter().filter(|p| matches!(p.class, Class::Busy | Class::Idle));
             prop_assert_eq!(real.workers(), workers.count());
-            // Those that were chosen to end are still counted until they do.
+            // Connections that were chosen to be closed still count until they are closed.
             let ending = model.all.iter().filter(|p| p.ending).count();
             prop_assert!(real.open() <= limits.max + ending);
         }
     }
 
-    /// Everybody who waits passes or is told that it is too late, once; nobody
-    /// is passed by for ever, and no turn lets in more than its number.
+    /// Checks that each queued connection is admitted or expires exactly once, that none starves,
+    /// and that no turn admits more connections than its limit.
     #[test]
     fn everybody_is_admitted_once_or_expires(
         arrivals in prop::collection::vec((0_usize..4, 0_u8..6), 1..300),
@@ -187,7 +187,7 @@
         for (who, (class, pause)) in arrivals.iter().enumerate() {
             if queue.try_admit() {
                 direct += 1;
-                prop_assert!(waiting.is_empty(), "ahead of somebody who waits");
+                prop_assert!(waiting.is_empty(), "admitted ahead of a queued connection");
             } else {
                 queue.enqueue(CLASSES[*class], who, Time(now));
                 waiting.push((who, now));
@@ -206,7 +206,7 @@
     }
 }
 
-/// Each class has a place in each turn, however many of a better class wait.
+/// Each turn admits at least one connection of each class, even if many of an earlier class wait.
 #[test]
 fn no_class_starves_in_the_admission_queue() {
     let mut queue = AdmissionQueue::new(8, 60.0);
@@ -219,11 +219,12 @@
     let turn = queue.admit_next(Time(0.1));
     assert!(turn.admitted.contains(&("idle", 0)) && turn.admitted.contains(&("user", 0)));
     assert_eq!(turn.admitted.len(), 8);
-    // Once the wait is long, whoever came last is still waited for.
+    // Once the wait is long, the newest connection reads first, because its client still waits for
+    // an answer.
     assert_eq!(queue.admit_next(Time(3.0)).admitted[0], ("new", 399));
 }
 
-/// Room is set aside for the service's own connections whatever the bound is.
+/// Sockets are reserved for the controller's own connections at any socket limit.
 #[test]
 fn free_capacity_is_set_aside_for_the_services_own_connections() {
     for sockets in [100, 500, 2514, 2867, 100_000] {
@@ -235,7 +236,7 @@
     assert!(2867 - Limits::of(2867, 4, 48).max >= 48 + 48 + 4 * 4);
 }
 
-/// A duty that costs more is done less often, within its bound.
+/// A duty with a higher cost runs less often, but its pause stays within the limit.
 #[test]
 fn a_duty_takes_no_more_than_its_part() {
     let mut pace = Pace::new(0.5, 5.0, 0.1);
@@ -243,22 +244,22 @@
     pace.done(0.001, 0.0, Time(0.0));
     assert!(
         !pace.due(Time(0.4)) && pace.due(Time(0.5)),
-        "its usual pause"
+        "the usual pause"
     );
     pace.done(0.2, 0.0, Time(1.0));
     assert!(
         !pace.due(Time(2.9)) && pace.due(Time(3.0)),
-        "ten times its cost"
+        "a pause of ten times the cost"
     );
     pace.done(0.1, 0.5, Time(5.0));
     assert!(
         !pace.due(Time(7.9)) && pace.due(Time(8.0)),
-        "a third of its part while requests wait"
+        "a third of the share while requests wait"
     );
     pace.done(600.0, 0.0, Time(10.0));
     assert!(
         pace.due(Time(15.0)),
-        "the process stood still: not for ever"
+        "a suspended process does not stop the duty forever"
     );
 }
 
@@ -269,7 +270,7 @@
     }
 }
 
-/// The levels that pressure goes through while a sample lasts, the present one first.
+/// Returns the shedding levels of `pressure` while `sample` lasts, the present level first.
 fn levels_for(pressure: &mut Pressure, sample: Sample, now: &mut f64, seconds: f64) -> Vec<Level> {
     let end = *now + seconds;
     let mut levels = vec![pressure.level()];
@@ -283,8 +284,8 @@
     levels
 }
 
-/// Overload is entered after seconds, level by level, and left more slowly; a
-/// single long wait enters nothing.
+/// Shedding starts after a few seconds, rises level by level, and ends slowly. A single long wait
+/// does not start it.
 #[test]
 fn overload_is_entered_by_levels_and_left_late() {
     let mut pressure = Pressure::default();
@@ -294,7 +295,7 @@
     };
     run(&mut pressure, wait(0.0), 10.0);
     assert_eq!(run(&mut pressure, wait(30.0), 0.5), [Level::None]);
-    // Claims that wait bind the changes long before users are turned away.
+    // Delayed claims make the write rate bind long before the controller refuses users.
     let claims = |change_wait_s: f64| Sample {
         change_wait_s,
         ..Sample::default()
@@ -310,12 +311,13 @@
     ];
     assert_eq!(run(&mut pressure, wait(1.5), 20.0), up);
     assert!(pressure.binds(Resource::Processor));
-    // Between the bounds nothing changes.
+    // Between the two thresholds the shedding level does not change.
     assert_eq!(run(&mut pressure, wait(0.4), 30.0), [Level::Placements]);
     let down = run(&mut pressure, wait(0.0), 30.0);
     assert_eq!(down, up.iter().rev().copied().collect::<Vec<_>>());
     assert_eq!(pressure.binding().count(), 0);
-    // Sockets and the cloud bind, and turning users away would not help.
+    // Sockets and the cloud bind, but the controller sheds nothing, because refusing users would
+    // not help.
     let full = Sample {
         sockets: 1.0,
         cloud_wait_s: 60.0,
@@ -324,13 +326,13 @@
     assert_eq!(run(&mut pressure, full, 30.0), [Level::None]);
     let binding: Vec<Resource> = pressure.binding().collect();
     assert_eq!(binding, [Resource::Sockets, Resource::Cloud]);
-    // A measurement that is no number counts as nothing.
+    // A NaN measurement counts as 0.
     run(&mut pressure, wait(f64::NAN), 5.0);
     assert_eq!(pressure.level(), Level::None);
 }
 
-/// The bound on machines falls while requests wait, a step at a time, rises
-/// with processor time to spare, and is forgotten once the fleet is far below it.
+/// The fleet limit falls step by step while requests wait, rises while processor time is free, and
+/// is dropped once the fleet is far below it.
 #[test]
 fn the_bound_on_machines_is_found_and_forgotten() {
     let mut fleet_limit = FleetLimit::default();
@@ -339,9 +341,9 @@
     for half in 0..12 {
         fleet_limit.take(5000, 1.5, true, Time(f64::from(half) * 0.5));
     }
-    let max = fleet_limit.max().expect("a bound");
+    let max = fleet_limit.max().expect("a fleet limit");
     assert!((4400..4800).contains(&max), "two steps: {max}");
-    // What is claimed is bounded too: room for more than that is enough.
+    // The claim rate is bounded too, so free capacity for more than these claims is enough.
     let mut claim_rate = ClaimRate::default();
     for second in 0..60 {
         claim_rate.take(50_000, Time(f64::from(second)));
@@ -351,7 +353,7 @@
     assert_eq!(
         fleet_limit.max(),
         Some(max),
-        "it still waits: no more are rented"
+        "requests still wait, so the limit does not rise"
     );
     for second in 0..60 {
         fleet_limit.take(4500, 0.0, false, Time(10.0 + f64::from(second)));
@@ -363,8 +365,8 @@
     assert_eq!(fleet_limit.max(), None);
 }
 
-/// Workers are sent elsewhere before the sockets are full, always the same
-/// ones first, evenly over the helpers, and come back once the owner has time.
+/// Workers are offloaded before the sockets of the owner are full, the same workers first, and
+/// evenly over the helpers. They return once the owner has free processor time.
 #[test]
 fn workers_are_spread_before_the_sockets_are_full() {
     let heartbeat_load = |machines: usize, wait_s: f64, helpers: usize| HeartbeatLoad {
@@ -386,11 +388,14 @@
     assert_eq!(offload.share(), 0.0, "one controller is enough");
     assert!(homes(&offload, &helpers).iter().all(Option::is_none));
     offload.take(heartbeat_load(6000, 0.0, 0), Time(1.0));
-    assert_eq!(offload.share(), 0.0, "nobody helps");
+    assert_eq!(offload.share(), 0.0, "there is no helper");
     offload.take(heartbeat_load(6000, 0.0, 3), Time(2.0));
     let first = homes(&offload, &helpers);
     let here = first.iter().filter(|h| h.is_none()).count();
-    assert!(here <= 1700, "{here} stay, of room for 2,000");
+    assert!(
+        here <= 1700,
+        "{here} workers stay at the owner, with 2,000 connections"
+    );
     for helper in &helpers {
         let there = first.iter().filter(|h| h.as_ref() == Some(helper)).count();
         assert!((1200..1800).contains(&there), "{there} at {helper}");
@@ -400,9 +405,12 @@
     }
     let more = homes(&offload, &helpers);
     for (before, after) in first.iter().zip(&more) {
-        assert!(before.is_none() || before == after, "nobody is moved about");
+        assert!(
+            before.is_none() || before == after,
+            "an offloaded worker changed its helper"
+        );
     }
-    // One helper goes: only its workers have a new home.
+    // When one helper leaves, only its workers get a new home controller.
     let fewer = homes(&offload, &helpers[..2]);
     for (before, after) in more.iter().zip(&fewer) {
         let lost = before.as_ref() == Some(&helpers[2]);
@@ -411,12 +419,12 @@
     for second in 10..600 {
         offload.take(heartbeat_load(800, 0.0, 3), Time(f64::from(second)));
     }
-    assert_eq!(offload.share(), 0.0, "all are back");
+    assert_eq!(offload.share(), 0.0, "all workers returned");
 }
 
 proptest! {
-    /// Relief is asked for only once all workers heartbeat elsewhere, and ends
-    /// only after a while without any wait.
+    /// The owner asks for relief only once all workers send heartbeats to other controllers. Relief
+    /// ends only after a while without delayed requests.
     #[test]
     fn relief_ends_late(waits in prop::collection::vec((0.0..0.6_f64, any::<bool>()), 1..200)) {
         let mut relief = Relief::default();
@@ -441,21 +449,21 @@
     JobId::from(format!("run-{n:06}").as_str())
 }
 
-/// Polls: which job, seconds since the one before, whether polls are shed, and
-/// whether one that passes can be answered.
+/// Generates polls. Each has the index of its job, the seconds since the poll before, whether polls
+/// are shed, and whether an accepted poll can be answered.
 fn polls(jobs: usize) -> impl Strategy<Value = Vec<(usize, f64, bool, bool)>> {
     let mostly = || prop::bool::weighted(0.8);
     prop::collection::vec((0..jobs, 0.0..2.0_f64, mostly(), mostly()), 1..400)
 }
 
 proptest! {
-    /// Against the whole history, with slots for all: a poll is refused only if
-    /// the last one was answered, and lately. The first six jobs are recorded,
-    /// the others are not, and their second poll is the first to be answered.
+    /// With free slots for all jobs, a poll is refused only if the last poll of the job was
+    /// answered recently. The first six jobs are recorded. The first poll of each other id is
+    /// refused, and the second is answered.
     #[test]
     fn polls_are_shed_by_what_came_of_earlier_ones(polls in polls(9)) {
         let mut asked = PollShedding::default();
-        // Whether the last poll was answered, and when.
+        // Whether the last poll of each job was answered, and the time of that poll.
         let mut last = std::collections::BTreeMap::new();
         let mut now = 1.0;
         for (n, pause, shed, can) in polls {
@@ -467,7 +475,7 @@
                 _ if !shed => Verdict::Answer,
                 None if known => Verdict::Answer,
                 Some((false, _)) => Verdict::Answer,
-                // To the tenth of a second.
+                // The table stores times in tenths of a second, so the age is rounded.
                 Some((true, at)) if known && (age(*at) * 10.0).round() >= 0.0 => Verdict::Answer,
                 _ => Verdict::Refuse,
             };
@@ -484,9 +492,8 @@
         }
     }
 
-    /// With few slots, and a flood of ids that nobody submitted: never more is
-    /// kept than there are slots for, nobody is refused twice in a row, and the
-    /// flood changes nothing for recorded jobs.
+    /// With few slots and a flood of unknown ids, the tables never exceed their size, no job is
+    /// refused twice in a row, and the decisions on recorded jobs don't change.
     #[test]
     fn a_flood_pushes_nobody_out(polls in polls(12), flood in 0_usize..40) {
         let (mut asked, mut calm) = (PollShedding::new(8, 5), PollShedding::new(8, 5));
@@ -506,7 +513,7 @@
             let verdict = asked.poll(poll, Time(now));
             prop_assert_eq!(verdict, calm.poll(poll, Time(now)));
             let refused = verdict == Verdict::Refuse;
-            prop_assert!(!(refused && last.insert(n, refused) == Some(true)), "twice in a row");
+            prop_assert!(!(refused && last.insert(n, refused) == Some(true)), "a job was refused twice in a row");
             last.insert(n, refused);
             for asked in [&mut asked, &mut calm].into_iter().filter(|_| !refused) {
                 if can { asked.answered(&job, true, Time(now)) } else { asked.failed(&job, true, Time(now)) }
@@ -516,8 +523,8 @@
     }
 }
 
-/// A full table answers whom it can't remember; who has not asked for long makes
-/// room, and a job that is over does at once.
+/// Polls of jobs that find no slot in a full table are answered. A job without a recent poll frees
+/// its slot, and a job that ended frees its slot at once.
 #[test]
 fn who_can_t_be_remembered_is_answered() {
     let mut asked = PollShedding::new(2, 2);
@@ -541,7 +548,7 @@
         (2, 1.0, answer),
         (2, 3.0, answer),
         (0, 3.0, refuse),
-        // After job 1 is over there is a free slot.
+        // Job 1 has ended, so its slot is free.
         (2, 4.0, answer),
         (2, 5.0, refuse),
         (7, later, answer),
--- a/crates/overload/tests/state_limits.rs
+++ b/crates/overload/tests/state_limits.rs
@@ -1,10 +1,10 @@
-//! Which rate of changes is in force, by what the state service refuses.
+//! Checks which write rate counts as in force after the state service refuses writes.
 
 use sorrelhinge_overload::state_limits::ChangeRate;
 use sorrelhinge_protocol::types::Time;
 
-/// A burst that is refused again and again within a second is one burst, and bursts far
-/// apart are luck.
+/// Repeated refusals within a second count as one burst, and refused bursts far apart count as
+/// chance. Neither is evidence of the lower rate.
 #[test]
 fn refusals_in_a_burst_are_no_evidence() {
     let mut rate = ChangeRate::new(25.0, Some(18.0));
@@ -23,7 +23,7 @@
     let shown = (0..10).position(|burst| rate.refused(Time(f64::from(burst) * 2.0)));
     assert_eq!(shown, Some(3));
     assert_eq!(rate.in_force(), 18.0);
-    assert!(!rate.lower(), "nothing new");
+    assert!(!rate.lower(), "the lower limits are already in force");
     assert!(rate.is_lowered() && rate.in_force() == 18.0);
 }
 
@@ -34,8 +34,8 @@
     assert_eq!(rate.in_force(), 18.0);
 }
 
-/// Without a lower rate to come, refusals show nothing; that values are smaller may be
-/// known all the same, and the rate stays as it is.
+/// If no lower rate is announced, refusals are no evidence. The smaller limits of values may still
+/// come into force, and the write rate stays as it is.
 #[test]
 fn without_a_lower_rate_the_present_one_stays() {
     for next in [None, Some(30.0)] {
