--- a/crates/lease-safety/tests/model.rs
+++ b/crates/lease-safety/tests/model.rs
@@ -17,21 +17,21 @@
          {{\"piece\":\"run-000001/{}\",\"try\":1,\"phase\":\"{phase}\",\"cause\":{exit_reason}}}]}}",
         what / 3
     );
-    serde_json::from_str(&text).expect("a report")
+    serde_json::from_str(&text).expect("a heartbeat")
 }
 
 proptest! {
     /// The owner gets each heartbeat with new content at once, and one of every reporting machine
     /// within a few intervals. If the owner does not ask for relief, it gets all heartbeats.
     #[test]
-    fn the_owner_misses_nothing_new(
+    fn the_owner_gets_all_new_content(
         heartbeats in prop::collection::vec((0..4_u8, 0..5_u8, 0..3_u64, any::<bool>(), 0.5..9.0_f64, any::<bool>()), 1..300),
     ) {
         let heartbeat_s = 6.0;
         let mut renewals = Renewals::default();
         // The model keeps the whole heartbeat that the owner last answered, and the time of the
         // answer.
-        let mut told: std::collections::BTreeMap<u8, (String, f64)> = Default::default();
+        let mut last_answers: std::collections::BTreeMap<u8, (String, f64)> = Default::default();
         let mut now = 0.0;
         for (tick, (machine, what, fencing_token, relief, passed, answers)) in heartbeats.into_iter().enumerate() {
             now += passed / 4.0;
@@ -40,13 +40,13 @@
             let same = serde_json::to_string(&same).expect("text");
             let content = HeartbeatContent::of(&sent);
             let route = renewals.route(&sent.machine, content, relief, heartbeat_s, Time(now));
-            let known = told.get(&machine).is_some_and(|(text, _)| *text == same);
-            let lately = told.get(&machine).is_some_and(|(_, at)| now - at < 2.5 * heartbeat_s);
+            let known = last_answers.get(&machine).is_some_and(|(text, _)| *text == same);
+            let lately = last_answers.get(&machine).is_some_and(|(_, at)| now - at < 2.5 * heartbeat_s);
             let spared = relief && known && lately;
             prop_assert_eq!(route, if spared { Route::Renew } else { Route::Ask });
             if route == Route::Ask && answers {
                 renewals.answered(&sent.machine, content, Time(now));
-                told.insert(machine, (same, now));
+                last_answers.insert(machine, (same, now));
             }
         }
         prop_assert!(renewals.len() <= 4);
@@ -59,7 +59,7 @@
     /// A heartbeat counts as a duplicate exactly if it is not newer than all earlier heartbeats of
     /// the same machine, in any order of arrival.
     #[test]
-    fn copies_are_told_by_incarnation_and_tick(
+    fn duplicates_are_detected_by_incarnation_and_tick(
         heartbeats in prop::collection::vec((0..4_u8, 1..4_u64, 0..30_u64), 1..200),
     ) {
         let mut order = HeartbeatOrder::default();
@@ -77,7 +77,7 @@
 /// The number of remembered machines is bounded for any number of machines that appear and
 /// disappear. Machines that send heartbeats stay remembered.
 #[test]
-fn the_order_of_heartbeats_takes_little_memory() {
+fn heartbeat_order_has_bounded_memory() {
     let mut order = HeartbeatOrder::default();
     let id = |n: usize| MachineId::from(&*format!("vm-{n:07}"));
     let stays = id(9_999_999);
@@ -90,7 +90,7 @@
         assert!(order.len() <= MAX_MACHINES + 1);
     }
     let again = order.is_new(&stays, Incarnation(1), SequenceNumber(1), Time(61.0));
-    assert!(!again, "it is known");
+    assert!(!again, "the machine is remembered");
     order.is_new(
         &stays,
         Incarnation(2),
@@ -103,19 +103,19 @@
 // ---- reachability of a machine ----------------------------------------------
 
 #[derive(Clone, Copy, Debug)]
-enum Told {
+enum Event {
     Asked,
     Heartbeat(bool),
     Proved,
     Pause(u8),
 }
 
-fn told() -> impl Strategy<Value = Told> {
+fn event() -> impl Strategy<Value = Event> {
     prop_oneof![
-        4 => Just(Told::Asked),
-        16 => prop::bool::weighted(0.9).prop_map(Told::Heartbeat),
-        1 => Just(Told::Proved),
-        12 => (0_u8..20).prop_map(Told::Pause),
+        4 => Just(Event::Asked),
+        16 => prop::bool::weighted(0.9).prop_map(Event::Heartbeat),
+        1 => Just(Event::Proved),
+        12 => (0_u8..20).prop_map(Event::Pause),
     ]
 }
 
@@ -123,32 +123,32 @@
     /// A machine counts as unreachable only if a command was sent and enough heartbeats followed
     /// for the whole `patience` without an effect.
     #[test]
-    fn nothing_is_unreachable_without_evidence(history in prop::collection::vec(told(), 1..200)) {
+    fn nothing_is_unreachable_without_evidence(history in prop::collection::vec(event(), 1..200)) {
         let (patience, lease) = (5.0, 20.0);
         let mut reachability = Reachability::default();
         let (mut now, mut log) = (0.0, Vec::new());
         for what in history {
             match what {
-                Told::Asked => reachability.asked(Time(now)),
-                Told::Heartbeat(answered) => {
+                Event::Asked => reachability.asked(Time(now)),
+                Event::Heartbeat(answered) => {
                     reachability.reported(Time(now));
                     if answered {
                         reachability.answered(lease, Time(now));
                     }
                 }
-                Told::Proved => reachability.proved(Time(now)),
-                Told::Pause(tenths) => now += f64::from(tenths) / 10.0,
+                Event::Proved => reachability.proved(Time(now)),
+                Event::Pause(tenths) => now += f64::from(tenths) / 10.0,
             }
             log.push((now, what));
             if !reachability.is_unreachable(patience, Time(now)) {
                 continue;
             }
-            let proof = log.iter().rposition(|(_, w)| matches!(w, Told::Proved));
+            let proof = log.iter().rposition(|(_, w)| matches!(w, Event::Proved));
             let since = &log[proof.map_or(0, |i| i + 1)..];
-            let asked = since.iter().find(|(_, w)| matches!(w, Told::Asked));
+            let asked = since.iter().find(|(_, w)| matches!(w, Event::Asked));
             let asked = asked.map(|(at, _)| *at).expect("asked for an effect");
             prop_assert!(now - asked >= patience);
-            let heartbeats = since.iter().filter(|(at, w)| *at >= asked && matches!(w, Told::Heartbeat(_)));
+            let heartbeats = since.iter().filter(|(at, w)| *at >= asked && matches!(w, Event::Heartbeat(_)));
             prop_assert!(heartbeats.count() > DOUBT_AFTER_HEARTBEATS as usize);
         }
     }
@@ -157,7 +157,7 @@
     /// as unreachable after `patience`, and no sooner. One effect ends that state, and a quarantine
     /// follows.
     #[test]
-    fn who_shows_nothing_is_found_out(every in 0.2..2.0_f64, patience in 4.0..30.0_f64) {
+    fn a_machine_without_effects_becomes_unreachable(every in 0.2..2.0_f64, patience in 4.0..30.0_f64) {
         let mut reachability = Reachability::default();
         reachability.proved(Time(0.0));
         reachability.asked(Time(1.0));
@@ -170,7 +170,7 @@
                 found = Some(now - 1.0);
             }
         }
-        let found = found.expect("found out");
+        let found = found.expect("detected as unreachable");
         let max = patience.max(every * f64::from(DOUBT_AFTER_HEARTBEATS + 1)) + every;
         prop_assert!((patience..=max + 1e-9).contains(&found), "{} of {}", found, max);
         reachability.proved(Time(now));
@@ -183,7 +183,7 @@
 /// command. Such a machine must not count as unreachable after the outage. An incarnation that
 /// ended because the machine hung does not count as lost, but one whose answers were lost does.
 #[test]
-fn what_was_not_answered_is_no_deafness() {
+fn unanswered_heartbeats_are_no_evidence() {
     let mut reachability = Reachability::default();
     reachability.answered(20.0, Time(0.0));
     reachability.asked(Time(1.0));
@@ -191,21 +191,25 @@
         reachability.reported(Time(f64::from(s)));
         assert!(!reachability.is_unreachable(20.0, Time(f64::from(s))));
     }
-    let (mut hung, mut unheard) = (Reachability::default(), Reachability::default());
+    let (mut hung, mut answers_lost) = (Reachability::default(), Reachability::default());
     for lease in 0..4 {
         let begun = f64::from(lease) * 30.0;
         hung.answered(20.0, Time(begun));
         for s in 0..30 {
-            unheard.reported(Time(begun + f64::from(s)));
-            unheard.answered(20.0, Time(begun + f64::from(s)));
+            answers_lost.reported(Time(begun + f64::from(s)));
+            answers_lost.answered(20.0, Time(begun + f64::from(s)));
         }
         assert!(!hung.incarnation_ended(20.0, Time(begun + 29.0)));
-        let lost = unheard.incarnation_ended(20.0, Time(begun + 29.0));
-        assert_eq!(lost, lease > 1, "the third in a row is no bad luck");
+        let lost = answers_lost.incarnation_ended(20.0, Time(begun + 29.0));
+        assert_eq!(
+            lost,
+            lease > 1,
+            "the third lost incarnation in a row is no chance"
+        );
     }
     // A single lost incarnation long after the others counts as chance again.
     for s in [300.0, 315.0, 320.0] {
-        unheard.answered(20.0, Time(s));
+        answers_lost.answered(20.0, Time(s));
     }
-    assert!(!unheard.incarnation_ended(20.0, Time(321.0)));
+    assert!(!answers_lost.incarnation_ended(20.0, Time(321.0)));
 }
--- a/crates/overload/tests/model.rs
+++ b/crates/overload/tests/model.rs
@@ -16,7 +16,7 @@
 
 /// Connection of the model, which keeps all connections in one list.
 #[derive(Clone, Debug)]
-struct Plain {
+struct ModelConnection {
     id: ConnId,
     class: Class,
     /// Event number and time since which the connection is idle. `None` while it is busy.
@@ -29,16 +29,16 @@
 /// Model of the open connections, which searches the whole list for every decision.
 struct Model {
     limits: Limits,
-    all: Vec<Plain>,
+    all: Vec<ModelConnection>,
     events: u64,
 }
 
 impl Model {
     fn opened(&mut self, id: ConnId, now: f64) -> Opened {
         self.events += 1;
-        let mut told = Opened::Taken;
+        let mut opened = Opened::Taken;
         if self.all.len() >= self.limits.max {
-            let rank = |p: &Plain| match p.class {
+            let rank = |p: &ModelConnection| match p.class {
                 // A client that has just connected is about to send a request.
                 Class::New if p.idle.is_some_and(|(_, since)| now - since < 1.0) => None,
                 Class::New => Some(0),
@@ -55,19 +55,19 @@
             match best {
                 Some((_, _, p)) => {
                     (p.ending, p.idle) = (true, None);
-                    told = Opened::InPlaceOf(p.id);
+                    opened = Opened::InPlaceOf(p.id);
                 }
                 None => return Opened::Full,
             }
         }
-        self.all.push(Plain {
+        self.all.push(ModelConnection {
             id,
             class: Class::New,
             idle: Some((self.events, now)),
             kept: false,
             ending: false,
         });
-        told
+        opened
     }
 
     fn asked(&mut self, id: ConnId, class: Class) {
@@ -103,11 +103,7 @@
 
 /// Runs one turn of the admission queue, and checks that no connection is admitted too late or
 /// expires too early. Returns how many connections left the queue.
-fn take_turn(
-    queue: &mut AdmissionQueue<usize>,
-    waiting: &mut Vec<(usize, f64)>,
-    now: f64,
-) -> usize {
+fn run_turn(queue: &mut AdmissionQueue<usize>, waiting: &mut Vec<(usize, f64)>, now: f64) -> usize {
     let turn = queue.admit_next(Time(now));
     assert!(turn.admitted.len() <= 6);
     let mut waited = |who: &usize| {
@@ -132,7 +128,7 @@
     /// Checks that [`Sockets`] decides like a linear search over all connections, and that the
     /// number of open connections never exceeds the limit.
     #[test]
-    fn sockets_are_shared_as_a_look_at_all_of_them_shares(
+    fn sockets_decide_like_a_linear_search(
         sockets in 8_usize..40,
         events in prop::collection::vec((0_u8..4, 0_usize..50, 0_usize..4), 1..400),
     ) {
@@ -147,8 +143,8 @@
                 (0, _) => {
                     let id = ConnId(next);
                     next += 1;
-                    let told = real.opened(id, Time(now));
-                    prop_assert_eq!(told, model.opened(id, now));
+                    let opened = real.opened(id, Time(now));
+                    prop_assert_eq!(opened, model.opened(id, now));
                 }
                 (1, Some(p)) => {
                     let class = CLASSES[1 + class % 3];
@@ -177,13 +173,13 @@
     /// Checks that each queued connection is admitted or expires exactly once, that none starves,
     /// and that no turn admits more connections than its limit.
     #[test]
-    fn everybody_is_admitted_once_or_expires(
+    fn each_connection_is_admitted_or_expires_once(
         arrivals in prop::collection::vec((0_usize..4, 0_u8..6), 1..300),
     ) {
         let mut queue: AdmissionQueue<usize> = AdmissionQueue::new(6, 4.0);
         let mut now = 0.0;
         let mut waiting: Vec<(usize, f64)> = Vec::new();
-        let (mut told, mut direct) = (0, 0);
+        let (mut left, mut direct) = (0, 0);
         for (who, (class, pause)) in arrivals.iter().enumerate() {
             if queue.try_admit() {
                 direct += 1;
@@ -195,14 +191,14 @@
             prop_assert_eq!(queue.waiting(), waiting.len());
             if *pause == 5 {
                 now += 0.5;
-                told += take_turn(&mut queue, &mut waiting, now);
+                left += run_turn(&mut queue, &mut waiting, now);
             }
         }
         while queue.waiting() > 0 {
             now += 0.3;
-            told += take_turn(&mut queue, &mut waiting, now);
+            left += run_turn(&mut queue, &mut waiting, now);
         }
-        prop_assert_eq!(direct + told, arrivals.len());
+        prop_assert_eq!(direct + left, arrivals.len());
     }
 }
 
@@ -226,7 +222,7 @@
 
 /// Sockets are reserved for the controller's own connections at any socket limit.
 #[test]
-fn free_capacity_is_set_aside_for_the_services_own_connections() {
+fn sockets_are_reserved_for_the_controllers_own_connections() {
     for sockets in [100, 500, 2514, 2867, 100_000] {
         let limits = Limits::of(sockets, 4, 48);
         assert!(limits.max < sockets && limits.max >= sockets * 2 / 3);
@@ -238,7 +234,7 @@
 
 /// A duty with a higher cost runs less often, but its pause stays within the limit.
 #[test]
-fn a_duty_takes_no_more_than_its_part() {
+fn a_duty_takes_no_more_than_its_share() {
     let mut pace = Pace::new(0.5, 5.0, 0.1);
     assert!(pace.due(Time(0.0)));
     pace.done(0.001, 0.0, Time(0.0));
@@ -287,7 +283,7 @@
 /// Shedding starts after a few seconds, rises level by level, and ends slowly. A single long wait
 /// does not start it.
 #[test]
-fn overload_is_entered_by_levels_and_left_late() {
+fn shedding_levels_rise_step_by_step_and_fall_slowly() {
     let mut pressure = Pressure::default();
     let mut now = 0.0;
     let mut run = |pressure: &mut Pressure, sample: Sample, seconds: f64| {
@@ -334,7 +330,7 @@
 /// The fleet limit falls step by step while requests wait, rises while processor time is free, and
 /// is dropped once the fleet is far below it.
 #[test]
-fn the_bound_on_machines_is_found_and_forgotten() {
+fn the_fleet_limit_is_measured_and_dropped() {
     let mut fleet_limit = FleetLimit::default();
     fleet_limit.take(5000, 0.0, false, Time(0.0));
     assert_eq!(fleet_limit.max(), None);
@@ -368,7 +364,7 @@
 /// Workers are offloaded before the sockets of the owner are full, the same workers first, and
 /// evenly over the helpers. They return once the owner has free processor time.
 #[test]
-fn workers_are_spread_before_the_sockets_are_full() {
+fn workers_are_offloaded_before_the_sockets_are_full() {
     let heartbeat_load = |machines: usize, wait_s: f64, helpers: usize| HeartbeatLoad {
         machines,
         free_capacity: 2000,
@@ -461,7 +457,7 @@
     /// answered recently. The first six jobs are recorded. The first poll of each other id is
     /// refused, and the second is answered.
     #[test]
-    fn polls_are_shed_by_what_came_of_earlier_ones(polls in polls(9)) {
+    fn polls_are_shed_by_earlier_decisions(polls in polls(9)) {
         let mut asked = PollShedding::default();
         // Whether the last poll of each job was answered, and the time of that poll.
         let mut last = std::collections::BTreeMap::new();
@@ -495,7 +491,7 @@
     /// With few slots and a flood of unknown ids, the tables never exceed their size, no job is
     /// refused twice in a row, and the decisions on recorded jobs don't change.
     #[test]
-    fn a_flood_pushes_nobody_out(polls in polls(12), flood in 0_usize..40) {
+    fn a_flood_of_unknown_ids_evicts_no_recorded_job(polls in polls(12), flood in 0_usize..40) {
         let (mut asked, mut calm) = (PollShedding::new(8, 5), PollShedding::new(8, 5));
         let mut last = std::collections::BTreeMap::new();
         let mut now = 1.0;
@@ -526,7 +522,7 @@
 /// Polls of jobs that find no slot in a full table are answered. A job without a recent poll frees
 /// its slot, and a job that ended frees its slot at once.
 #[test]
-fn who_can_t_be_remembered_is_answered() {
+fn polls_without_a_free_slot_are_answered() {
     let mut asked = PollShedding::new(2, 2);
     let poll = |asked: &mut PollShedding, n: usize, now: f64| {
         let poll = Poll {
--- a/crates/overload/tests/state_limits.rs
+++ b/crates/overload/tests/state_limits.rs
@@ -18,7 +18,7 @@
 }
 
 #[test]
-fn refusals_that_go_on_show_the_lower_rate_for_good() {
+fn repeated_refusals_lower_the_rate_permanently() {
     let mut rate = ChangeRate::new(25.0, Some(18.0));
     let shown = (0..10).position(|burst| rate.refused(Time(f64::from(burst) * 2.0)));
     assert_eq!(shown, Some(3));
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn another_controller_may_tell_it() {
+fn another_controller_may_announce_the_lower_limits() {
     let mut rate = ChangeRate::new(25.0, Some(18.0));
     assert!(rate.lower());
     assert_eq!(rate.in_force(), 18.0);
