--- a/src/autoscaler/demand.rs
+++ b/src/autoscaler/demand.rs
@@ -10,7 +10,7 @@
 
 /// A job counts as queued once its tasks have been blocked for more than this share of the boot
 /// time of a machine. Until then the plan may wait for running tasks to end.
-const QUEUED: f64 = 0.5;
+const QUEUED_BOOT_SHARE: f64 = 0.5;
 
 /// Number of tasks to pack into machines, by job.
 pub(super) type PendingTasks<'a> = BTreeMap<&'a JobId, u32>;
@@ -45,8 +45,11 @@
         .collect();
     let mut pending = PendingTasks::new();
     // No machine is rented for a job that is suspected to fail on every machine.
-    let asks = |job: &Job| job.needs_placement(now) && !job.suspected_faulty;
-    for (id, job) in cluster_state.jobs_to_place().filter(|(_, j)| asks(j)) {
+    let needs_machine = |job: &Job| job.needs_placement(now) && !job.suspected_faulty;
+    for (id, job) in cluster_state
+        .jobs_to_place()
+        .filter(|(_, j)| needs_machine(j))
+    {
         // Reserved capacity covers this many tasks of the job, so the plan need not pack them.
         let covered = if reserved.is_empty() {
             0
@@ -103,8 +106,8 @@
         tasks,
         expected: false,
         late: job.late(now),
-        queued: blocked_s.is_some_and(|waited| waited > QUEUED * boot_s),
-        placed: job.policy.requires().then(|| id.clone()),
+        queued: blocked_s.is_some_and(|waited| waited > QUEUED_BOOT_SHARE * boot_s),
+        constrained_job: job.policy.requires().then(|| id.clone()),
         lane: job.lane.is_some(),
         window: None,
     }
--- a/src/autoscaler/free_capacity.rs
+++ b/src/autoscaler/free_capacity.rs
@@ -17,7 +17,7 @@
     /// Capacity of the machine that is free now.
     pub(super) free: Amount,
     /// Capacity that is free once all tasks have ended that should end within one machine boot.
-    pub(super) soon: Amount,
+    pub(super) free_soon: Amount,
     /// Capacity of the machine that the plan keeps free for expected work.
     pub(super) kept: Amount,
     /// Topology domain of the machine. `None` until the machine is up.
@@ -25,10 +25,10 @@
     /// Devices of the machine. A machine that is not up counts with the devices of its type.
     pub(super) device_inventory: Rc<DeviceInventory>,
     /// Devices of the machine that are in use or that packed tasks take.
-    pub(super) reserved: AllocatedDevices,
+    pub(super) allocated_devices: AllocatedDevices,
     /// Whether a packed task depends on the domain in which this machine comes up. The placement
     /// rules of the task may not allow that domain.
-    pub(super) hoped: bool,
+    pub(super) speculative: bool,
     /// Whether the plan keeps the machine, because of tasks that can't move, a reservation or
     /// packed tasks.
     pub(super) used: bool,
@@ -39,15 +39,15 @@
         Self {
             id: None,
             free: kind.total,
-            soon: kind.total,
+            free_soon: kind.total,
             kind,
             zone,
             spot,
             kept: Amount::default(),
             place: None,
             device_inventory: Rc::default(),
-            reserved: AllocatedDevices::default(),
-            hoped: false,
+            allocated_devices: AllocatedDevices::default(),
+            speculative: false,
             used: true,
         }
     }
@@ -56,7 +56,7 @@
     }
     pub(super) fn available(&self, soon: bool) -> Amount {
         if soon {
-            self.soon
+            self.free_soon
         } else {
             self.free
         }
--- a/src/autoscaler/mod.rs
+++ b/src/autoscaler/mod.rs
@@ -23,7 +23,7 @@
 use self::outcome::outcome;
 pub use self::outcome::{Plan, ScaleOutRequest};
 use self::packing::Packing;
-use self::supply::{add_machines, ReservedFreeCapacity};
+use self::supply::{add_machines, ReservedCapacityTotals};
 use crate::types::Time;
 
 /// Returns the machines to rent, and the machines that are unused.
@@ -31,16 +31,16 @@
     let mut packing = Packing::new(input);
     // Reserved capacity counts as used: its window has not begun, or its tasks have not arrived
     // yet.
-    let mut reserved = ReservedFreeCapacity::of(input.cluster_state);
+    let mut reserved = ReservedCapacityTotals::of(input.cluster_state);
     // Tasks that could move to spot machines are packed again.
     let mut moving = PendingTasks::new();
     add_machines(&mut packing, input, &reserved.by_machine, &mut moving, now);
     add_drained(input.cluster_state, &mut moving);
     let pending = pending_tasks(input.cluster_state, &mut reserved.tasks, moving, now);
     for item in &items(input, pending, now) {
-        let placed = item.placed.as_ref();
-        match placed.and_then(|id| input.cluster_state.job(id)) {
-            Some(job) => packing.pack_placed(item, job),
+        let constrained_job = item.constrained_job.as_ref();
+        match constrained_job.and_then(|id| input.cluster_state.job(id)) {
+            Some(job) => packing.pack_constrained(item, job),
             None => packing.pack(item),
         }
     }
--- a/src/autoscaler/offers.rs
+++ b/src/autoscaler/offers.rs
@@ -7,13 +7,13 @@
 use crate::types::{JobSpec, Kind, MachineType, Zone};
 
 /// Price factor of a machine in a zone without a controller, for tasks of a service.
-const UNSERVED: f64 = 2.0;
+const UNSERVED_ZONE_PRICE_FACTOR: f64 = 2.0;
 /// Maximum number of machines in one rental request.
 pub(super) const MAX_MACHINES_PER_RENTAL: u32 = 50;
 
 /// Price increase of a machine for each other machine in its zone, as a share of the price. At
 /// equal prices the zone with the fewest machines wins, so work spreads over the zones.
-const CROWD: f64 = 1e-4;
+const CROWDED_ZONE_PRICE_INCREASE: f64 = 1e-4;
 
 impl Packing<'_> {
     /// Returns the capacity of an empty machine, with the devices that all machines of its type
@@ -36,12 +36,12 @@
     pub(super) fn rentable<'s>(
         &'s self,
         spec: &'s JobSpec,
-        barred: &'s dyn Fn(&Zone) -> bool,
+        excluded: &'s dyn Fn(&Zone) -> bool,
     ) -> impl Iterator<Item = FreeCapacity> + 's {
         let types = self.input.types.iter().filter(|t| t.total.cpu > 0);
         types
             .flat_map(move |kind| {
-                let zones = kind.zones.iter().filter(move |z| !barred(z));
+                let zones = kind.zones.iter().filter(move |z| !excluded(z));
                 zones.flat_map(move |zone| {
                     [true, false].map(|spot| self.new_machine_capacity(kind, zone, spot))
                 })
@@ -70,11 +70,11 @@
         &self,
         item: &Item,
         left_cpu: i64,
-        barred: &dyn Fn(&Zone) -> bool,
+        excluded: &dyn Fn(&Zone) -> bool,
     ) -> Option<FreeCapacity> {
         let spec = &item.spec;
         let mut best: Option<(f64, FreeCapacity)> = None;
-        for free_capacity in self.rentable(spec, barred) {
+        for free_capacity in self.rentable(spec, excluded) {
             if spec.spot
                 && !free_capacity.spot
                 && !item.late
@@ -101,10 +101,20 @@
             .cpu
             .min(left_cpu.max(spec.each.cpu))
             .max(1);
-        let crowd = self.crowd.get(&free_capacity.zone).copied().unwrap_or(0);
-        let apart =
+        let machines_in_zone = self
+            .machines_by_zone
+            .get(&free_capacity.zone)
+            .copied()
+            .unwrap_or(0);
+        let unserved_zone =
             spec.kind == Kind::Service && !self.input.cluster_state.is_served(&free_capacity.zone);
-        let apart = if apart { UNSERVED } else { 1.0 };
-        free_capacity.price() / useful as f64 * (1.0 + CROWD * f64::from(crowd)) * apart
+        let unserved_zone = if unserved_zone {
+            UNSERVED_ZONE_PRICE_FACTOR
+        } else {
+            1.0
+        };
+        free_capacity.price() / useful as f64
+            * (1.0 + CROWDED_ZONE_PRICE_INCREASE * f64::from(machines_in_zone))
+            * unserved_zone
     }
 }
--- a/src/autoscaler/packing.rs
+++ b/src/autoscaler/packing.rs
@@ -20,7 +20,7 @@
     /// work arrives as they free capacity for.
     pub(super) queued: bool,
     /// Job of the item, if the job has required placement rules, which its spec does not show.
-    pub(super) placed: Option<JobId>,
+    pub(super) constrained_job: Option<JobId>,
     /// Whether the job of the item is in a priority lane.
     pub(super) lane: bool,
     /// Reservation window for which the item needs capacity.
@@ -36,7 +36,7 @@
             expected: true,
             late: false,
             queued: false,
-            placed: None,
+            constrained_job: None,
             lane: false,
             window,
         }
@@ -47,9 +47,9 @@
 #[derive(PartialEq, PartialOrd)]
 struct Rank {
     /// Whether the machine is an ordinary one though the task may use spot machines.
-    dear: bool,
+    ordinary: bool,
     /// Whether the task belongs to a service and the zone of the machine has no controller.
-    apart: bool,
+    unserved_zone: bool,
     /// Whether the machine is unused so far, so the plan might delete it.
     unused: bool,
     /// Free CPU of the machine, in thousandths of a CPU.
@@ -73,7 +73,7 @@
     /// the second CPU that is free once tasks have ended that should end soon.
     bins: [BTreeMap<Bin, BTreeSet<FreeCpu>>; 2],
     /// Number of machines in each zone.
-    pub(super) crowd: HashMap<Zone, u32>,
+    pub(super) machines_by_zone: HashMap<Zone, u32>,
     /// CPU of all machines, in thousandths of a CPU.
     pub(super) total_cpu: i64,
     /// CPU that is guaranteed to the teams, in thousandths of a CPU.
@@ -82,9 +82,9 @@
     pub(super) rent: BTreeMap<CapacityPool, u32>,
     /// Number of speculative machines, pending or new. A packed task depends on the domain in which
     /// such a machine comes up.
-    pub(super) hoped: u32,
+    pub(super) speculative_machines: u32,
     /// Index in `free_capacities` of the first machine that this plan rents.
-    pub(super) new_from: usize,
+    pub(super) first_rental: usize,
     /// Number of tasks, by reservation window, for which pending machines have capacity.
     pub(super) pending_tasks: BTreeMap<String, u32>,
 }
@@ -96,12 +96,12 @@
             input,
             free_capacities: Vec::new(),
             bins: Default::default(),
-            crowd: HashMap::new(),
+            machines_by_zone: HashMap::new(),
             total_cpu: 0,
             guaranteed_cpu: input.cluster_state.guaranteed().cpu,
             rent: BTreeMap::new(),
-            hoped: 0,
-            new_from: usize::MAX,
+            speculative_machines: 0,
+            first_rental: usize::MAX,
             pending_tasks: BTreeMap::new(),
         }
     }
@@ -109,21 +109,24 @@
 
 impl Packing<'_> {
     pub(super) fn add(&mut self, free_capacity: FreeCapacity) -> usize {
-        *self.crowd.entry(free_capacity.zone.clone()).or_insert(0) += 1;
+        *self
+            .machines_by_zone
+            .entry(free_capacity.zone.clone())
+            .or_insert(0) += 1;
         self.total_cpu += free_capacity.kind.total.cpu;
         self.free_capacities.push(free_capacity);
         let at = self.free_capacities.len() - 1;
-        self.file(at, true);
+        self.update_index(at, true);
         at
     }
 
-    pub(super) fn file(&mut self, at: usize, put: bool) {
+    pub(super) fn update_index(&mut self, at: usize, insert: bool) {
         let free_capacity = &self.free_capacities[at];
         for (soon, bins) in self.bins.iter_mut().enumerate() {
             let bin = bins.entry(free_capacity.bin()).or_default();
             let cpu = free_capacity.available(soon == 1).cpu;
             let key = FreeCpu { cpu, at };
-            if put {
+            if insert {
                 bin.insert(key);
             } else {
                 bin.remove(&key);
@@ -137,12 +140,12 @@
         &self,
         spec: &JobSpec,
         soon: bool,
-        barred: &dyn Fn(&Zone) -> bool,
+        excluded: &dyn Fn(&Zone) -> bool,
         pass: &dyn Fn(&FreeCapacity) -> bool,
     ) -> Option<usize> {
         let mut best: Option<(Rank, usize)> = None;
         for (bin, free_capacities) in &self.bins[usize::from(soon)] {
-            if barred(&bin.zone) {
+            if excluded(&bin.zone) {
                 continue;
             }
             let least = FreeCpu {
@@ -157,11 +160,11 @@
                 if !spec.each.fits(free_capacity.available(soon)) || !pass(free_capacity) {
                     continue;
                 }
-                let apart =
+                let unserved_zone =
                     spec.kind == Kind::Service && !self.input.cluster_state.is_served(&bin.zone);
                 let rank = Rank {
-                    dear: spec.spot && !bin.spot,
-                    apart,
+                    ordinary: spec.spot && !bin.spot,
+                    unserved_zone,
                     unused: !bin.used,
                     cpu,
                 };
@@ -180,10 +183,10 @@
         item: &Item,
         soon: bool,
         left_cpu: i64,
-        barred: &dyn Fn(&Zone) -> bool,
+        excluded: &dyn Fn(&Zone) -> bool,
     ) -> Option<usize> {
         let spec = &item.spec;
-        let fitting = self.fitting(spec, soon, barred, &|_| true);
+        let fitting = self.fitting(spec, soon, excluded, &|_| true);
         // An ordinary machine that nothing else uses is expensive for work that may use spot
         // machines. The plan prefers to rent a spot machine for such work.
         let keep = fitting
@@ -193,7 +196,7 @@
             return fitting;
         }
         let new_machine = self
-            .cheapest(item, left_cpu, barred)
+            .cheapest(item, left_cpu, excluded)
             .filter(|r| r.spot || fitting.is_none());
         let Some(free_capacity) = new_machine else {
             return fitting;
@@ -215,9 +218,9 @@
         let soon = !item.expected && !item.queued && (self.input.patient)(spec);
         let mut left = item.tasks;
         while left > 0 {
-            let barred = |z: &Zone| zones.get(z).is_some_and(|n| *n >= max);
+            let excluded = |z: &Zone| zones.get(z).is_some_and(|n| *n >= max);
             let left_cpu = spec.each.cpu * i64::from(left);
-            let chosen = self.choose_machine(item, soon, left_cpu, &barred);
+            let chosen = self.choose_machine(item, soon, left_cpu, &excluded);
             let Some(at) = chosen else { return };
             let free_capacity = &self.free_capacities[at];
             let in_zone = zones.entry(free_capacity.zone.clone()).or_insert(0);
@@ -238,19 +241,19 @@
 
     /// Takes capacity for `count` tasks of an item from the machine at index `at`.
     fn take(&mut self, at: usize, item: &Item, count: u32) {
-        self.file(at, false);
+        self.update_index(at, false);
         let free_capacity = &mut self.free_capacities[at];
         let taken = item.spec.each.times(i64::from(count));
         free_capacity.free -= taken;
-        free_capacity.soon -= taken;
+        free_capacity.free_soon -= taken;
         free_capacity.used = true;
         match &item.window {
-            Some(window) if free_capacity.id.is_none() && at < self.new_from => {
+            Some(window) if free_capacity.id.is_none() && at < self.first_rental => {
                 *self.pending_tasks.entry(window.clone()).or_insert(0) += count;
             }
             None if item.expected && !item.spec.spot => free_capacity.kept += taken,
             _ => {}
         }
-        self.file(at, true);
+        self.update_index(at, true);
     }
 }
--- a/src/autoscaler/placed.rs
+++ b/src/autoscaler/placed.rs
@@ -25,7 +25,7 @@
 
 /// Packing state of an item whose job has placement rules on domains or devices. Only required
 /// rules count, because no machine is rented for a mere preference.
-struct PlacedItem<'a> {
+struct ConstrainedItem<'a> {
     item: &'a Item,
     policy: Rc<Policy>,
     topology: Rc<Topology>,
@@ -39,13 +39,13 @@
     max_in_zone: u32,
 }
 
-impl<'a> PlacedItem<'a> {
+impl<'a> ConstrainedItem<'a> {
     /// Creates the state for an item of which no task is packed yet. Returns `None` without a
     /// topology: the controller can't judge the rules then, so it places no task and rents nothing.
     fn new(input: &Input, item: &'a Item, job: &Job) -> Option<Self> {
         let topology = input.cluster_state.topology()?.clone();
         let policy = job.policy.clone();
-        let there = job.tasks.claims().values().map(|claim| {
+        let claimed = job.tasks.claims().values().map(|claim| {
             let machine = input.cluster_state.machines().get(&claim.machine)?;
             // Tasks on a draining machine move to other machines, so they don't count at this
             // place.
@@ -54,7 +54,7 @@
                 machine: claim.machine.as_str(),
             })
         });
-        let staying: Vec<_> = there.flatten().map(Some).collect();
+        let staying: Vec<_> = claimed.flatten().map(Some).collect();
         let tally = policy.tally(&topology.tree, staying);
         Some(Self {
             item,
@@ -72,7 +72,7 @@
     }
 
     /// Returns whether a zone holds the maximum number of tasks of the item.
-    fn bars_zone(&self, zone: &Zone) -> bool {
+    fn is_zone_full(&self, zone: &Zone) -> bool {
         self.zones.get(zone).is_some_and(|n| *n >= self.max_in_zone)
     }
 
@@ -96,14 +96,14 @@
         }
     }
 
-    /// Returns the device units that a task would use, without the units in `reserved`. Returns
+    /// Returns the device units that a task would use, without the units in `allocated`. Returns
     /// `None` if a needed device is missing.
     fn units(
         &self,
         free_capacity: &FreeCapacity,
-        reserved: &AllocatedDevices,
+        allocated: &AllocatedDevices,
     ) -> Option<Vec<Unit>> {
-        choose(&free_capacity.device_inventory, reserved, &self.needs)
+        choose(&free_capacity.device_inventory, allocated, &self.needs)
     }
 
     /// Counts one more task that is packed into a machine, in its zone and domain.
@@ -124,65 +124,75 @@
     /// Packs the tasks of an item one by one. Each task goes to a machine that is up in an allowed
     /// domain, else to a pending machine, else to a new one within the bound on speculative
     /// machines.
-    pub(super) fn pack_placed(&mut self, item: &Item, job: &Job) {
-        let Some(mut placed) = PlacedItem::new(self.input, item, job) else {
+    pub(super) fn pack_constrained(&mut self, item: &Item, job: &Job) {
+        let Some(mut constrained) = ConstrainedItem::new(self.input, item, job) else {
             return;
         };
         for left in (1..=item.tasks).rev() {
-            let Some(at) = self.choose_for_placed(&placed, left) else {
+            let Some(at) = self.choose_for_constrained(&constrained, left) else {
                 return;
             };
-            self.take_for_placed(at, &mut placed);
+            self.take_for_constrained(at, &mut constrained);
         }
     }
 
     /// Returns the index of the machine for one more task, and rents one speculatively if needed.
-    fn choose_for_placed(&mut self, placed: &PlacedItem, left: u32) -> Option<usize> {
-        let spec = &placed.item.spec;
-        let barred = |zone: &Zone| placed.bars_zone(zone);
-        let known = |r: &FreeCapacity| placed.allows(r) && placed.units(r, &r.reserved).is_some();
-        let to_be_rented = |r: &FreeCapacity| r.place.is_none() && !r.hoped;
-        self.fitting(spec, false, &barred, &known)
-            .or_else(|| self.fitting(spec, false, &barred, &to_be_rented))
-            .or_else(|| self.scale_out_speculatively(placed, left))
+    fn choose_for_constrained(
+        &mut self,
+        constrained: &ConstrainedItem,
+        left: u32,
+    ) -> Option<usize> {
+        let spec = &constrained.item.spec;
+        let excluded = |zone: &Zone| constrained.is_zone_full(zone);
+        let suitable = |r: &FreeCapacity| {
+            constrained.allows(r) && constrained.units(r, &r.allocated_devices).is_some()
+        };
+        let unlocated = |r: &FreeCapacity| r.place.is_none() && !r.speculative;
+        self.fitting(spec, false, &excluded, &suitable)
+            .or_else(|| self.fitting(spec, false, &excluded, &unlocated))
+            .or_else(|| self.scale_out_speculatively(constrained, left))
     }
 
     /// Takes capacity and devices for one task from the machine at index `at`.
-    fn take_for_placed(&mut self, at: usize, placed: &mut PlacedItem) {
-        self.file(at, false);
+    fn take_for_constrained(&mut self, at: usize, constrained: &mut ConstrainedItem) {
+        self.update_index(at, false);
         let free_capacity = &mut self.free_capacities[at];
-        free_capacity.free -= placed.item.spec.each;
-        free_capacity.soon -= placed.item.spec.each;
+        free_capacity.free -= constrained.item.spec.each;
+        free_capacity.free_soon -= constrained.item.spec.each;
         free_capacity.used = true;
-        let units = placed.units(free_capacity, &free_capacity.reserved);
-        let sure = units.is_some() && !placed.policy.counts();
+        let units = constrained.units(free_capacity, &free_capacity.allocated_devices);
+        let certain = units.is_some() && !constrained.policy.counts();
         if let Some(units) = units {
-            free_capacity.reserved.take(&units);
+            free_capacity.allocated_devices.take(&units);
         }
         if free_capacity.place.is_none() {
-            free_capacity.hoped = !sure;
-            self.hoped += u32::from(!sure);
+            free_capacity.speculative = !certain;
+            self.speculative_machines += u32::from(!certain);
         }
-        placed.count(free_capacity);
-        self.file(at, true);
+        constrained.count(free_capacity);
+        self.update_index(at, true);
     }
 
     /// Rents the machine with the lowest price per probability that it comes up in an allowed
     /// domain. Skips pools that are too unlikely. The bound on speculative machines does not apply
     /// to machines that certainly suit the task.
-    fn scale_out_speculatively(&mut self, placed: &PlacedItem, wanted: u32) -> Option<usize> {
-        let overshoot = placed.topology.settings.renting.overshoot;
-        let bounded = tries(wanted, self.hoped, overshoot) == 0;
-        let with_devices = self.places_with_devices(placed);
-        let barred = |zone: &Zone| placed.bars_zone(zone);
+    fn scale_out_speculatively(
+        &mut self,
+        constrained: &ConstrainedItem,
+        wanted: u32,
+    ) -> Option<usize> {
+        let overshoot = constrained.topology.settings.renting.overshoot;
+        let bounded = tries(wanted, self.speculative_machines, overshoot) == 0;
+        let with_devices = self.places_with_devices(constrained);
+        let excluded = |zone: &Zone| constrained.is_zone_full(zone);
         let mut best: Option<(f64, FreeCapacity)> = None;
-        for free_capacity in self.rentable(&placed.item.spec, &barred) {
-            let equipped = placed
+        for free_capacity in self.rentable(&constrained.item.spec, &excluded) {
+            let equipped = constrained
                 .units(&free_capacity, &AllocatedDevices::default())
                 .is_some();
-            let certain = equipped && !placed.policy.counts();
+            let certain = equipped && !constrained.policy.counts();
             let may = |place: Domain| {
-                placed.allows_at(place, "") && (equipped || with_devices.contains(&place))
+                constrained.allows_at(place, "") && (equipped || with_devices.contains(&place))
             };
             let chance = if certain {
                 1.0
@@ -208,11 +218,12 @@
 
     /// Returns the domains in which machines have the devices that the tasks need. A new machine
     /// may get devices there that its type does not include, as the machines in that domain did.
-    fn places_with_devices(&self, placed: &PlacedItem) -> BTreeSet<Domain> {
-        if placed.needs.is_empty() {
+    fn places_with_devices(&self, constrained: &ConstrainedItem) -> BTreeSet<Domain> {
+        if constrained.needs.is_empty() {
             return BTreeSet::new();
         }
-        let equipped = |r: &&FreeCapacity| placed.units(r, &AllocatedDevices::default()).is_some();
+        let equipped =
+            |r: &&FreeCapacity| constrained.units(r, &AllocatedDevices::default()).is_some();
         let free_capacities = self.free_capacities.iter().filter(equipped);
         free_capacities.filter_map(|r| r.place).collect()
     }
--- a/src/autoscaler/supply.rs
+++ b/src/autoscaler/supply.rs
@@ -12,14 +12,14 @@
 
 /// Capacity that is reserved for reservation windows.
 #[derive(Default)]
-pub(super) struct ReservedFreeCapacity<'a> {
+pub(super) struct ReservedCapacityTotals<'a> {
     /// Reserved capacity on each machine.
     pub(super) by_machine: HashMap<&'a MachineId, Amount>,
     /// Number of tasks for which capacity is reserved, by window and machine.
     pub(super) tasks: ReservedTasks,
 }
 
-impl<'a> ReservedFreeCapacity<'a> {
+impl<'a> ReservedCapacityTotals<'a> {
     pub(super) fn of(cluster_state: &'a ClusterState) -> Self {
         let mut reserved = Self::default();
         for on in cluster_state.reserved_capacity() {
@@ -50,7 +50,7 @@
             if job.spec.spot && !machine.spot {
                 *moving.entry(&task.job).or_insert(0) += 1;
             } else if ends_while_booting(job, task.index, input.boot_s, now) {
-                free_capacity.soon += job.spec.each;
+                free_capacity.free_soon += job.spec.each;
             }
         }
         packing.add(free_capacity);
@@ -59,7 +59,7 @@
         let free_capacity = packing.new_machine_capacity(&c.kind, &c.zone, c.spot);
         packing.add(free_capacity);
     }
-    packing.new_from = packing.free_capacities.len();
+    packing.first_rental = packing.free_capacities.len();
 }
 
 /// Returns the free capacity of a machine that is up, without the capacity reserved for windows.
@@ -74,11 +74,11 @@
         free_capacity.free -= amount;
         free_capacity.used = true;
     }
-    free_capacity.soon = free_capacity.free;
+    free_capacity.free_soon = free_capacity.free;
     free_capacity.place = Some(machine.place);
     free_capacity.device_inventory = machine.device_inventory.clone();
     if machine.allocated_devices.any() {
-        free_capacity.reserved = machine.allocated_devices.clone();
+        free_capacity.allocated_devices = machine.allocated_devices.clone();
     }
     free_capacity
 }
