--- a/crates/lease-safety/src/freshness.rs
+++ b/crates/lease-safety/src/freshness.rs
@@ -38,20 +38,20 @@
 const MARGIN_S: f64 = 3.0;
 /// Maximum age of the view for answers to workers if `cancel_s` is too short for the whole margin,
 /// in seconds. It applies only as far as it is safe. The last read is usually not older than this.
-const LEAST_S: f64 = 1.0;
+const MIN_HORIZON_S: f64 = 1.0;
 
 /// Maximum age of the view that a controller may use to start tasks, in seconds.
-const START_VIEW_S: f64 = 6.0;
+const MAX_START_VIEW_AGE_S: f64 = 6.0;
 /// Duration of a watch, as a share of the shortest bound on the age of the view.
 ///
 /// A watch without a change is answered only at its end, and the answer shows the state at the time
 /// at which the watch was sent. The view is therefore up to two watches old while nothing changes.
 /// This share leaves half of the bound for late answers.
-const WATCH_PART: f64 = 0.25;
+const WATCH_SHARE: f64 = 0.25;
 /// Minimum duration of a watch, in seconds. Each watch counts as a request to the state service.
 const MIN_WATCH_S: f64 = 0.1;
 /// Maximum duration of a watch, in seconds.
-const WATCH_MAX_S: f64 = 4.0;
+const MAX_WATCH_S: f64 = 4.0;
 
 /// Time up to which a controller's view of the records contains all changes.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -87,7 +87,7 @@
     /// service first refused that owner alone and then failed for all controllers. Some of the jobs
     /// had been cancelled through another controller longer ago than `cancel_s`.
     pub fn allow_starts_until(self, lease_s: f64, cancel_s: f64) -> Time {
-        let bound_s = START_VIEW_S.min(horizon_s(lease_s, cancel_s));
+        let bound_s = MAX_START_VIEW_AGE_S.min(horizon_s(lease_s, cancel_s));
         self.read_sent_at.after(bound_s)
     }
 
@@ -105,7 +105,7 @@
 /// Returns the maximum age of the view for answers to workers, in seconds. The result is negative
 /// if `cancel_s` is not longer than a lease, because no answer is safe then.
 pub fn horizon_s(lease_s: f64, cancel_s: f64) -> f64 {
-    let usual = (cancel_s - lease_s - MARGIN_S).max(LEAST_S);
+    let usual = (cancel_s - lease_s - MARGIN_S).max(MIN_HORIZON_S);
     usual.min(longest_safe_s(lease_s, cancel_s))
 }
 
@@ -115,8 +115,8 @@
 /// `cancel_s` was less than a lease plus 11 s, controllers refused heartbeats until leases expired.
 /// They also started no task for 2 s of every 4 s.
 pub fn watch_s(lease_s: f64, cancel_s: f64) -> f64 {
-    let bound_s = START_VIEW_S.min(horizon_s(lease_s, cancel_s));
-    (WATCH_PART * bound_s).clamp(MIN_WATCH_S, WATCH_MAX_S)
+    let bound_s = MAX_START_VIEW_AGE_S.min(horizon_s(lease_s, cancel_s));
+    (WATCH_SHARE * bound_s).clamp(MIN_WATCH_S, MAX_WATCH_S)
 }
 
 /// Returns the maximum age of the view for which the proof in the module documentation holds, in
--- a/crates/lease-safety/src/heartbeat_order.rs
+++ b/crates/lease-safety/src/heartbeat_order.rs
@@ -12,7 +12,7 @@
 
 /// Time without heartbeats after which the entry of a machine is removed, in seconds. It is well
 /// over a lease, and longer than the network delays packets.
-pub const MACHINE_MEMORY_S: f64 = 600.0;
+pub const MACHINE_RETENTION_S: f64 = 600.0;
 /// Maximum number of machines whose newest heartbeat is remembered. Beyond it, the machines without
 /// a heartbeat for the longest time are removed first.
 pub const MAX_MACHINES: usize = 20_000;
@@ -28,7 +28,7 @@
 #[derive(Default)]
 pub struct HeartbeatOrder {
     newest: HashMap<MachineId, Newest>,
-    tidied: Option<Time>,
+    last_cleanup: Option<Time>,
 }
 
 impl HeartbeatOrder {
@@ -40,7 +40,7 @@
         sequence: SequenceNumber,
         now: Time,
     ) -> bool {
-        self.tidy(now);
+        self.remove_expired(now);
         let heartbeat = Newest {
             incarnation,
             sequence,
@@ -69,16 +69,16 @@
 
     /// Removes machines without a recent heartbeat. If too many are left, removes those without a
     /// heartbeat for the longest time.
-    fn tidy(&mut self, now: Time) {
+    fn remove_expired(&mut self, now: Time) {
         let full = self.newest.len() >= MAX_MACHINES;
         let due = self
-            .tidied
-            .is_none_or(|t| now.since(t) > MACHINE_MEMORY_S / 4.0);
+            .last_cleanup
+            .is_none_or(|t| now.since(t) > MACHINE_RETENTION_S / 4.0);
         if !full && !due {
             return;
         }
-        self.tidied = Some(now);
-        let mut keep_s = MACHINE_MEMORY_S;
+        self.last_cleanup = Some(now);
+        let mut keep_s = MACHINE_RETENTION_S;
         self.newest
             .retain(|_, heartbeat| now.since(heartbeat.at) <= keep_s);
         while self.newest.len() >= MAX_MACHINES {
--- a/crates/lease-safety/src/reachability.rs
+++ b/crates/lease-safety/src/reachability.rs
@@ -11,7 +11,7 @@
 /// Number of heartbeats without an effect of a command beyond which a machine may be unreachable.
 /// The first heartbeat may already have been in flight, and the agent may have made the second
 /// before the answer arrived.
-pub const DOUBT_AFTER_HEARTBEATS: u32 = 3;
+pub const MAX_HEARTBEATS_WITHOUT_EFFECT: u32 = 3;
 /// Number of heartbeat intervals after an effect of a command during which a failed command proves
 /// nothing.
 const CONFIRMED_HEARTBEAT_INTERVALS: f64 = 3.0;
@@ -23,7 +23,7 @@
 const MAX_QUARANTINE_S: f64 = 128.0;
 /// Time after which an unreachable phase of a machine no longer lengthens its quarantine, in
 /// seconds.
-const UNREACHABLE_MEMORY_S: f64 = 600.0;
+const UNREACHABLE_RETENTION_S: f64 = 600.0;
 /// Number of agent incarnations in a row that end although their heartbeats were answered, at which
 /// the answers count as lost. Fewer may happen by chance where connections break.
 const MAX_LOST_INCARNATIONS: u32 = 3;
@@ -37,10 +37,10 @@
 #[derive(Clone, Debug, Default)]
 pub struct Reachability {
     /// Time of the last effect of a command on the machine.
-    proved: Option<Time>,
+    last_effect: Option<Time>,
     /// Time since which the controller waits for an effect of a command on the machine.
-    asked: Option<Time>,
-    /// Number of heartbeats from the machine since `asked`.
+    awaiting_since: Option<Time>,
+    /// Number of heartbeats from the machine since `awaiting_since`.
     heartbeats: u32,
     /// Number of recent phases in which commands did not reach the machine.
     unreachable_count: u32,
@@ -51,7 +51,7 @@
     /// Time since which heartbeats of the machine have been answered without a long gap.
     answered_since: Option<Time>,
     /// Time at which a heartbeat of the machine was last answered.
-    answered: Option<Time>,
+    last_answered: Option<Time>,
     /// Whether the last heartbeat of the machine was not answered.
     unanswered: bool,
     /// Number of agent incarnations in a row that ended although their heartbeats were answered.
@@ -63,8 +63,8 @@
 impl Reachability {
     /// Records that a command was sent to the machine. Later heartbeats have to show its effect.
     pub fn asked(&mut self, now: Time) {
-        if self.asked.is_none() {
-            self.asked = Some(now);
+        if self.awaiting_since.is_none() {
+            self.awaiting_since = Some(now);
             self.heartbeats = 0;
         }
     }
@@ -75,10 +75,10 @@
     /// nothing to the machine, for example in an outage of the state service. The wait for an
     /// effect then starts again.
     pub fn reported(&mut self, now: Time) {
-        if self.asked.is_some() {
+        if self.awaiting_since.is_some() {
             self.heartbeats = self.heartbeats.saturating_add(1);
-            if self.unanswered && self.answered.is_some() {
-                (self.asked, self.heartbeats) = (Some(now), 0);
+            if self.unanswered && self.last_answered.is_some() {
+                (self.awaiting_since, self.heartbeats) = (Some(now), 0);
             }
         }
         self.unanswered = true;
@@ -86,34 +86,35 @@
 
     /// Returns whether the controller waits for an effect of a command on the machine.
     pub fn awaits_effect(&self) -> bool {
-        self.asked.is_some()
+        self.awaiting_since.is_some()
     }
 
     /// Records an effect of a command. A single effect proves that the machine is reachable.
     pub fn proved(&mut self, now: Time) {
-        if self.asked.is_some() && self.heartbeats > DOUBT_AFTER_HEARTBEATS {
+        if self.awaiting_since.is_some() && self.heartbeats > MAX_HEARTBEATS_WITHOUT_EFFECT {
             let old = self
                 .last_unreachable
-                .is_none_or(|t| now.since(t) > UNREACHABLE_MEMORY_S);
+                .is_none_or(|t| now.since(t) > UNREACHABLE_RETENTION_S);
             self.unreachable_count = if old { 1 } else { self.unreachable_count + 1 };
             self.last_unreachable = Some(now);
-            let rest = FIRST_QUARANTINE_S * f64::from(self.unreachable_count.min(16) - 1).exp2();
-            self.quarantined_until = Some(now.after(rest.min(MAX_QUARANTINE_S)));
+            let quarantine_s =
+                FIRST_QUARANTINE_S * f64::from(self.unreachable_count.min(16) - 1).exp2();
+            self.quarantined_until = Some(now.after(quarantine_s.min(MAX_QUARANTINE_S)));
         }
-        self.proved = Some(now);
-        self.asked = None;
+        self.last_effect = Some(now);
+        self.awaiting_since = None;
         self.heartbeats = 0;
     }
 
     /// Returns whether an effect of a command on the machine was seen recently.
     pub fn is_confirmed(&self, heartbeat_s: f64, now: Time) -> bool {
-        self.proved
+        self.last_effect
             .is_some_and(|t| now.since(t) < CONFIRMED_HEARTBEAT_INTERVALS * heartbeat_s)
     }
 
     /// Returns whether the machine may be unreachable. It should get no new tasks then.
     pub fn in_doubt(&self) -> bool {
-        self.asked.is_some() && self.heartbeats > DOUBT_AFTER_HEARTBEATS
+        self.awaiting_since.is_some() && self.heartbeats > MAX_HEARTBEATS_WITHOUT_EFFECT
     }
 
     /// Returns whether the machine is in quarantine because it was unreachable.
@@ -124,7 +125,10 @@
     /// Returns whether the machine was unreachable for `patience_s` seconds while its heartbeats
     /// arrived and were answered.
     pub fn is_unreachable(&self, patience_s: f64, now: Time) -> bool {
-        self.in_doubt() && self.asked.is_some_and(|t| now.since(t) >= patience_s)
+        self.in_doubt()
+            && self
+                .awaiting_since
+                .is_some_and(|t| now.since(t) >= patience_s)
     }
 
     /// Records an answer to a heartbeat of the machine, which renews a lease of `lease_s` seconds.
@@ -132,10 +136,10 @@
         self.unanswered = false;
         // A machine that hangs until its lease expires sends no heartbeat for this long.
         let gap = |t: Time| now.since(t) > SILENT_GAP_LEASES * lease_s;
-        if self.answered.is_none_or(gap) || self.answered_since.is_none() {
+        if self.last_answered.is_none_or(gap) || self.answered_since.is_none() {
             self.answered_since = Some(now);
         }
-        self.answered = Some(now);
+        self.last_answered = Some(now);
     }
 
     /// Records that the agent incarnation on the machine ended. Returns whether answers don't reach
@@ -144,15 +148,20 @@
     /// lease expires.
     pub fn incarnation_ended(&mut self, lease_s: f64, now: Time) -> bool {
         let max = SILENT_GAP_LEASES * lease_s;
-        let lately = self.answered.is_some_and(|t| now.since(t) <= max);
-        let long = self.answered_since.is_some_and(|t| now.since(t) >= max);
+        let recent = self.last_answered.is_some_and(|t| now.since(t) <= max);
+        let answered_long = self.answered_since.is_some_and(|t| now.since(t) >= max);
         self.answered_since = None;
-        if !lately || !long {
+        if !recent || !answered_long {
             return false;
         }
-        let row = self.last_lost;
-        let row = row.is_some_and(|t| now.since(t) <= ANSWERED_INCARNATION_LEASES * lease_s);
-        self.lost_incarnations = if row { self.lost_incarnations + 1 } else { 1 };
+        let consecutive = self.last_lost;
+        let consecutive =
+            consecutive.is_some_and(|t| now.since(t) <= ANSWERED_INCARNATION_LEASES * lease_s);
+        self.lost_incarnations = if consecutive {
+            self.lost_incarnations + 1
+        } else {
+            1
+        };
         self.last_lost = Some(now);
         self.lost_incarnations >= MAX_LOST_INCARNATIONS
     }
--- a/crates/lease-safety/src/renewal.rs
+++ b/crates/lease-safety/src/renewal.rs
@@ -56,14 +56,14 @@
 #[derive(Default)]
 pub struct Renewals {
     answers: HashMap<MachineId, OwnerAnswer>,
-    tidied: Option<Time>,
+    last_cleanup: Option<Time>,
 }
 
 /// Maximum time for which heartbeats of a machine are not forwarded to the owner, in heartbeat
 /// intervals. The owner's commands to the machine wait no longer than this.
 const MAX_WITHHELD_HEARTBEAT_INTERVALS: f64 = 2.5;
 /// Number of heartbeat intervals without a heartbeat after which the entry of a machine is removed.
-const FORGOTTEN_HEARTBEAT_INTERVALS: f64 = 12.0;
+const RETENTION_HEARTBEAT_INTERVALS: f64 = 12.0;
 
 impl Renewals {
     /// Returns whether to forward a heartbeat to the owner or to answer it here. With `relief`, the
@@ -77,7 +77,7 @@
         heartbeat_s: f64,
         now: Time,
     ) -> Route {
-        self.tidy(heartbeat_s, now);
+        self.remove_expired(heartbeat_s, now);
         let Some(answer) = self.answers.get_mut(machine) else {
             return Route::Ask;
         };
@@ -112,10 +112,13 @@
     }
 
     /// Removes machines that have not sent a heartbeat for a long time.
-    fn tidy(&mut self, heartbeat_s: f64, now: Time) {
-        let keep_s = FORGOTTEN_HEARTBEAT_INTERVALS * heartbeat_s;
-        if self.tidied.is_none_or(|t| now.since(t) > keep_s / 2.0) {
-            self.tidied = Some(now);
+    fn remove_expired(&mut self, heartbeat_s: f64, now: Time) {
+        let keep_s = RETENTION_HEARTBEAT_INTERVALS * heartbeat_s;
+        if self
+            .last_cleanup
+            .is_none_or(|t| now.since(t) > keep_s / 2.0)
+        {
+            self.last_cleanup = Some(now);
             self.answers
                 .retain(|_, answer| now.since(answer.seen_at) <= keep_s);
         }
--- a/crates/lease-safety/tests/model.rs
+++ b/crates/lease-safety/tests/model.rs
@@ -1,8 +1,10 @@
 //! Compares the decisions of this crate with slow, simple models over generated event sequences.
 
 use proptest::prelude::*;
-use sorrelhinge_lease_safety::heartbeat_order::{HeartbeatOrder, MACHINE_MEMORY_S, MAX_MACHINES};
-use sorrelhinge_lease_safety::reachability::{Reachability, DOUBT_AFTER_HEARTBEATS};
+use sorrelhinge_lease_safety::heartbeat_order::{
+    HeartbeatOrder, MACHINE_RETENTION_S, MAX_MACHINES,
+};
+use sorrelhinge_lease_safety::reachability::{Reachability, MAX_HEARTBEATS_WITHOUT_EFFECT};
 use sorrelhinge_lease_safety::renewal::{HeartbeatContent, Renewals, Route};
 use sorrelhinge_protocol::types::{Incarnation, MachineId, SequenceNumber, Time};
 use sorrelhinge_protocol::worker::Heartbeat;
@@ -95,7 +97,7 @@
         &stays,
         Incarnation(2),
         SequenceNumber(1),
-        Time(61.0 + 2.0 * MACHINE_MEMORY_S),
+        Time(61.0 + 2.0 * MACHINE_RETENTION_S),
     );
     assert_eq!(order.len(), 1);
 }
@@ -149,7 +151,7 @@
             let asked = asked.map(|(at, _)| *at).expect("asked for an effect");
             prop_assert!(now - asked >= patience);
             let heartbeats = since.iter().filter(|(at, w)| *at >= asked && matches!(w, Event::Heartbeat(_)));
-            prop_assert!(heartbeats.count() > DOUBT_AFTER_HEARTBEATS as usize);
+            prop_assert!(heartbeats.count() > MAX_HEARTBEATS_WITHOUT_EFFECT as usize);
         }
     }
 
@@ -171,7 +173,7 @@
             }
         }
         let found = found.expect("detected as unreachable");
-        let max = patience.max(every * f64::from(DOUBT_AFTER_HEARTBEATS + 1)) + every;
+        let max = patience.max(every * f64::from(MAX_HEARTBEATS_WITHOUT_EFFECT + 1)) + every;
         prop_assert!((patience..=max + 1e-9).contains(&found), "{} of {}", found, max);
         reachability.proved(Time(now));
         prop_assert!(!reachability.in_doubt() && reachability.is_quarantined(Time(now + 1.0)));
