--- a/crates/overload/src/claim_rate.rs
+++ b/crates/overload/src/claim_rate.rs
@@ -15,14 +15,14 @@
 pub struct ClaimRate {
     /// Mean claim rate, in thousandths of a CPU per second.
     rate: DecayingMean,
-    last: Option<Time>,
+    last_update: Option<Time>,
 }
 
 impl ClaimRate {
     /// Records the CPU that tasks claimed since the last call, in thousandths of a CPU.
     pub fn take(&mut self, claimed: i64, now: Time) {
-        let elapsed_s = self.last.map_or(0.0, |t| now.since(t));
-        self.last = Some(now);
+        let elapsed_s = self.last_update.map_or(0.0, |t| now.since(t));
+        self.last_update = Some(now);
         if elapsed_s > 0.0 {
             let measured = claimed as f64 / elapsed_s;
             self.rate
--- a/crates/overload/src/decaying_mean.rs
+++ b/crates/overload/src/decaying_mean.rs
@@ -10,8 +10,8 @@
     /// Adds a measurement made `elapsed_s` seconds after the one before. After `time_constant_s`
     /// seconds an older measurement has a weight of 1/e.
     pub fn take(&mut self, measured: f64, elapsed_s: f64, time_constant_s: f64) {
-        let part = 1.0 - (-elapsed_s / time_constant_s).exp();
-        self.value += (measured - self.value) * part;
+        let weight = 1.0 - (-elapsed_s / time_constant_s).exp();
+        self.value += (measured - self.value) * weight;
     }
 
     /// Returns the current mean, or 0 before the first measurement.
--- a/crates/overload/src/fleet_limit.rs
+++ b/crates/overload/src/fleet_limit.rs
@@ -25,8 +25,8 @@
 #[derive(Clone, Debug, Default)]
 pub struct FleetLimit {
     max: Option<f64>,
-    fell: Option<Time>,
-    last: Option<Time>,
+    last_fall: Option<Time>,
+    last_update: Option<Time>,
     /// Time since which requests have not waited for long.
     calm_since: Option<Time>,
 }
@@ -36,8 +36,8 @@
     /// `wait_s` is the wait of requests for the processor in seconds, and `binds` tells whether
     /// that is too long.
     pub fn take(&mut self, machines: usize, wait_s: f64, binds: bool, now: Time) {
-        let passed = self.last.map_or(0.0, |t| now.since(t)).min(10.0);
-        self.last = Some(now);
+        let elapsed_s = self.last_update.map_or(0.0, |t| now.since(t)).min(10.0);
+        self.last_update = Some(now);
         let machines = machines as f64;
         if wait_s >= MAX_CALM_WAIT_S || binds {
             self.calm_since = None;
@@ -45,19 +45,21 @@
             self.calm_since.get_or_insert(now);
         }
         if binds {
-            let due = self.fell.is_none_or(|t| now.since(t) >= FALL_INTERVAL_S);
+            let due = self
+                .last_fall
+                .is_none_or(|t| now.since(t) >= FALL_INTERVAL_S);
             if due {
                 let bound = self.max.map_or(machines, |m| m.min(machines));
                 self.max = Some(bound * FALL_FACTOR);
-                self.fell = Some(now);
+                self.last_fall = Some(now);
             }
         } else if wait_s < MAX_CALM_WAIT_S {
             // The limit is dropped once the fleet is far below it.
-            let shown = self.calm_since.is_some_and(|t| now.since(t) >= SUSTAINED_S);
-            let carried = if shown { machines } else { 0.0 };
+            let sustained = self.calm_since.is_some_and(|t| now.since(t) >= SUSTAINED_S);
+            let min = if sustained { machines } else { 0.0 };
             self.max = self
                 .max
-                .map(|m| (m * RISE_FACTOR_PER_S.powf(passed)).max(carried))
+                .map(|m| (m * RISE_FACTOR_PER_S.powf(elapsed_s)).max(min))
                 .filter(|m| *m < 2.0 * machines + 100.0);
         }
     }
--- a/crates/overload/src/heartbeat_offload.rs
+++ b/crates/overload/src/heartbeat_offload.rs
@@ -27,7 +27,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct HeartbeatOffload {
     share: f64,
-    since: Option<Time>,
+    last_change: Option<Time>,
 }
 
 /// Measurements that determine the share of offloaded workers.
@@ -48,7 +48,7 @@
     pub fn from_share(share: f64) -> Self {
         Self {
             share: share.clamp(0.0, 1.0),
-            since: None,
+            last_change: None,
         }
     }
 
@@ -56,7 +56,7 @@
     pub fn take(&mut self, heartbeat_load: HeartbeatLoad, now: Time) {
         let free_capacity = heartbeat_load.free_capacity.max(1) as f64;
         let machines = heartbeat_load.machines as f64;
-        let quiet_s = self.since.map_or(f64::INFINITY, |t| now.since(t));
+        let quiet_s = self.last_change.map_or(f64::INFINITY, |t| now.since(t));
         if heartbeat_load.helpers == 0 {
             self.share = 0.0;
             return;
@@ -66,16 +66,18 @@
         let needed = (1.0 - OFFLOAD_ABOVE_SHARE * free_capacity / machines.max(1.0)).max(0.0);
         if needed > self.share {
             self.share = needed;
-            self.since = Some(now);
+            self.last_change = Some(now);
         } else if heartbeat_load.wait_s > LONG_WAIT_S {
             if quiet_s >= STEP_INTERVAL_S {
                 self.share = (self.share + STEP_SHARE).min(1.0);
-                self.since = Some(now);
+                self.last_change = Some(now);
             }
         } else if quiet_s >= RETURN_INTERVAL_S {
-            let fits = (1.0 - RETURN_BELOW_SHARE * free_capacity / machines.max(1.0)).max(0.0);
-            self.share = (self.share - STEP_SHARE / 2.0).max(fits).min(self.share);
-            self.since = Some(now);
+            let min_share = (1.0 - RETURN_BELOW_SHARE * free_capacity / machines.max(1.0)).max(0.0);
+            self.share = (self.share - STEP_SHARE / 2.0)
+                .max(min_share)
+                .min(self.share);
+            self.last_change = Some(now);
         }
     }
 
@@ -92,17 +94,22 @@
         machine: &MachineId,
         helpers: impl Iterator<Item = &'a NodeId>,
     ) -> Option<&'a NodeId> {
-        let place = (mix(machine.as_str(), "") >> 11) as f64 / (1_u64 << 53) as f64;
-        if place >= self.share {
+        let position = (rendezvous_hash(machine.as_str(), "") >> 11) as f64 / (1_u64 << 53) as f64;
+        if position >= self.share {
             return None;
         }
-        helpers.max_by_key(|node| (mix(machine.as_str(), node.as_str()), node.as_str()))
+        helpers.max_by_key(|node| {
+            (
+                rendezvous_hash(machine.as_str(), node.as_str()),
+                node.as_str(),
+            )
+        })
     }
 }
 
 /// Returns the rendezvous hash of a machine and a node. An offloaded machine sends heartbeats to
 /// the node with the highest hash.
-fn mix(machine: &str, node: &str) -> u64 {
+fn rendezvous_hash(machine: &str, node: &str) -> u64 {
     let mut hasher = DefaultHasher::new();
     (machine, node).hash(&mut hasher);
     hasher.finish()
--- a/crates/overload/src/pace.rs
+++ b/crates/overload/src/pace.rs
@@ -8,33 +8,33 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Pace {
     /// Usual pause between two runs of the duty, in seconds.
-    least_s: f64,
+    min_pause_s: f64,
     /// Longest pause between two runs of the duty, in seconds.
-    max_s: f64,
+    max_pause_s: f64,
     /// Maximum share of the time that the duty may take.
     share: f64,
-    next: Time,
+    next_due: Time,
 }
 
 /// Relative increase of the pause of a duty for each second that requests wait.
 const SLOWDOWN_PER_WAIT_S: f64 = 4.0;
 
 impl Pace {
-    /// Creates the schedule of a duty that runs every `least_s` seconds and takes at most `share`
-    /// of the time. The pause never exceeds `max_s` seconds, so one run during which the process
-    /// was suspended does not stop the duty.
-    pub fn new(least_s: f64, max_s: f64, share: f64) -> Self {
+    /// Creates the schedule of a duty that runs every `min_pause_s` seconds and takes at most
+    /// `share` of the time. The pause never exceeds `max_pause_s` seconds, so one run during which
+    /// the process was suspended does not stop the duty.
+    pub fn new(min_pause_s: f64, max_pause_s: f64, share: f64) -> Self {
         Self {
-            least_s,
-            max_s: max_s.max(least_s),
+            min_pause_s,
+            max_pause_s: max_pause_s.max(min_pause_s),
             share: share.max(1e-3),
-            next: Time(f64::NEG_INFINITY),
+            next_due: Time(f64::NEG_INFINITY),
         }
     }
 
     /// Returns whether the duty is due.
     pub fn due(&self, now: Time) -> bool {
-        now >= self.next
+        now >= self.next_due
     }
 
     /// Records that the duty has just run for `cost_s` seconds, while requests wait for `wait_s`
@@ -42,7 +42,7 @@
     /// costs a connection and a lease.
     pub fn done(&mut self, cost_s: f64, wait_s: f64, now: Time) {
         let pause = (cost_s / self.share * (1.0 + SLOWDOWN_PER_WAIT_S * wait_s.clamp(0.0, 2.0)))
-            .clamp(self.least_s, self.max_s);
-        self.next = now.after(pause);
+            .clamp(self.min_pause_s, self.max_pause_s);
+        self.next_due = now.after(pause);
     }
 }
--- a/crates/overload/src/poll_shedding.rs
+++ b/crates/overload/src/poll_shedding.rs
@@ -27,7 +27,7 @@
 pub const STALE_ANSWER_S: f64 = 9.0;
 /// Time without polls after which a job id may be removed from a full table, in seconds. It is
 /// longer than the 75 s after which a job without an answer counts as forgotten.
-pub const POLL_MEMORY_S: f64 = 120.0;
+pub const POLL_RETENTION_S: f64 = 120.0;
 /// Minimum time between two cleanups of a full table, in seconds.
 const CLEANUP_INTERVAL_S: f64 = 5.0;
 
@@ -72,7 +72,7 @@
 struct Table {
     max: usize,
     entries: HashMap<u64, Entry>,
-    tidied: Option<Time>,
+    last_cleanup: Option<Time>,
 }
 
 impl Table {
@@ -80,7 +80,7 @@
         Self {
             max,
             entries: HashMap::new(),
-            tidied: None,
+            last_cleanup: None,
         }
     }
 
@@ -90,11 +90,11 @@
         let full = self.entries.len() >= self.max && !self.entries.contains_key(&key);
         if full
             && self
-                .tidied
+                .last_cleanup
                 .is_none_or(|t| now.since(t) >= CLEANUP_INTERVAL_S)
         {
-            self.tidied = Some(now);
-            let since = tenths(now).saturating_sub((POLL_MEMORY_S * 10.0) as u32);
+            self.last_cleanup = Some(now);
+            let since = tenths(now).saturating_sub((POLL_RETENTION_S * 10.0) as u32);
             self.entries.retain(|_, e| e.asked_at >= since);
         }
         if self.entries.len() >= self.max && !self.entries.contains_key(&key) {
@@ -111,8 +111,8 @@
 /// Record of the last answers to and refusals of polls, by job.
 #[derive(Debug)]
 pub struct PollShedding {
-    known: Table,
-    unknown: Table,
+    recorded: Table,
+    unrecorded: Table,
 }
 
 impl Default for PollShedding {
@@ -122,11 +122,11 @@
 }
 
 impl PollShedding {
-    /// Creates tables for at most `known` recorded jobs and `unknown` other ids.
-    pub fn new(known: usize, unknown: usize) -> Self {
+    /// Creates tables for at most `recorded` jobs with a record and `unrecorded` other ids.
+    pub fn new(recorded: usize, unrecorded: usize) -> Self {
         Self {
-            known: Table::new(known),
-            unknown: Table::new(unknown),
+            recorded: Table::new(recorded),
+            unrecorded: Table::new(unrecorded),
         }
     }
 
@@ -140,13 +140,13 @@
         // Both tables are checked, because the record of a job may be created or removed between
         // two polls.
         let refused = |t: &Table| t.entries.get(&key).is_some_and(|e| e.refused);
-        if refused(&self.known) || refused(&self.unknown) {
+        if refused(&self.recorded) || refused(&self.unrecorded) {
             return Verdict::Answer;
         }
         let table = if poll.known {
-            &mut self.known
+            &mut self.recorded
         } else {
-            &mut self.unknown
+            &mut self.unrecorded
         };
         // A poll is answered if its table has no free slot, because the refusal could not be
         // stored. The first poll of a recorded job is answered too.
@@ -168,12 +168,12 @@
     /// Records that a poll of a job was answered.
     pub fn answered(&mut self, job: &JobId, known: bool, now: Time) {
         let key = key(job);
-        self.unknown.entries.remove(&key);
+        self.unrecorded.entries.remove(&key);
         if !known {
-            self.known.entries.remove(&key);
+            self.recorded.entries.remove(&key);
             return;
         }
-        if let Some(entry) = self.known.entry(key, now) {
+        if let Some(entry) = self.recorded.entry(key, now) {
             *entry = Entry {
                 answered_at: NonZeroU32::new(tenths(now).max(1)),
                 asked_at: tenths(now),
@@ -185,9 +185,9 @@
     /// Records that a poll could not be answered. The next poll of the job is not refused.
     pub fn failed(&mut self, job: &JobId, known: bool, now: Time) {
         let table = if known {
-            &mut self.known
+            &mut self.recorded
         } else {
-            &mut self.unknown
+            &mut self.unrecorded
         };
         if let Some(entry) = table.entry(key(job), now) {
             entry.asked_at = tenths(now);
@@ -198,18 +198,18 @@
     /// Removes a job that ended. Polls of such jobs are cheap and always answered.
     pub fn over(&mut self, job: &JobId) {
         let key = key(job);
-        self.known.entries.remove(&key);
-        self.unknown.entries.remove(&key);
+        self.recorded.entries.remove(&key);
+        self.unrecorded.entries.remove(&key);
     }
 
     /// Returns the number of recorded jobs in the table of polls.
-    pub fn known_count(&self) -> usize {
-        self.known.entries.len()
+    pub fn recorded_count(&self) -> usize {
+        self.recorded.entries.len()
     }
 
     /// Returns the number of ids without a recorded job in the table of polls.
-    pub fn unknown_count(&self) -> usize {
-        self.unknown.entries.len()
+    pub fn unrecorded_count(&self) -> usize {
+        self.unrecorded.entries.len()
     }
 }
 
--- a/crates/overload/src/pressure.rs
+++ b/crates/overload/src/pressure.rs
@@ -151,7 +151,7 @@
     binds: [bool; RESOURCES.len()],
     sheds: [bool; RESOURCES.len()],
     level: Level,
-    last: Option<Time>,
+    last_update: Option<Time>,
     /// Time of the last change of the shedding level, or of the need to shed.
     since: Option<Time>,
 }
@@ -174,8 +174,8 @@
 
     /// Adds a sample to the means, and updates which resources bind and which call for shedding.
     fn measure(&mut self, sample: Sample, now: Time) {
-        let elapsed_s = self.last.map_or(SMOOTHING_S, |t| now.since(t));
-        self.last = Some(now);
+        let elapsed_s = self.last_update.map_or(SMOOTHING_S, |t| now.since(t));
+        self.last_update = Some(now);
         let measured = [
             sample.wait_s,
             sample.sockets,
--- a/crates/overload/src/relief.rs
+++ b/crates/overload/src/relief.rs
@@ -8,7 +8,7 @@
 /// heartbeats return at once and would overload it again.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Relief {
-    on: bool,
+    active: bool,
     /// Time since which requests have been read without delay.
     calm_since: Option<Time>,
 }
@@ -31,14 +31,14 @@
         }
         let calm = self.calm_since.is_some_and(|t| now.since(t) >= CALM_FOR_S);
         if spread && wait_s > LONG_WAIT_S {
-            self.on = true;
+            self.active = true;
         } else if calm || !spread {
-            self.on = false;
+            self.active = false;
         }
     }
 
     /// Returns whether the owner asks for relief.
     pub fn asked(&self) -> bool {
-        self.on
+        self.active
     }
 }
--- a/crates/overload/src/sockets.rs
+++ b/crates/overload/src/sockets.rs
@@ -55,15 +55,15 @@
     /// Returns the limits for a controller with `sockets` sockets and `others` other controllers.
     /// Up to `direct` commands to workers may be in flight.
     pub fn of(sockets: usize, others: usize, direct: usize) -> Self {
-        let aside =
+        let reserved =
             (RESERVED_SOCKETS + SOCKETS_PER_PEER * others + direct).min(sockets / RESERVED_DIVISOR);
-        let max = (sockets - aside).max(1);
-        let part = |p: f64| ((max as f64 * p) as usize).max(1);
+        let max = (sockets - reserved).max(1);
+        let share = |p: f64| ((max as f64 * p) as usize).max(1);
         Self {
             max,
-            idle_workers: part(IDLE_WORKERS_SHARE),
-            workers: part(WORKERS_SHARE),
-            users: part(USERS_SHARE),
+            idle_workers: share(IDLE_WORKERS_SHARE),
+            workers: share(WORKERS_SHARE),
+            users: share(USERS_SHARE),
         }
     }
 }
@@ -85,9 +85,9 @@
     /// Key of the connection in the idle list of its class. `None` while a request is in progress.
     idle: Option<u64>,
     /// Whether a request was answered on the connection before.
-    kept: bool,
+    answered_before: bool,
     /// Whether the connection was chosen to be closed for a new one.
-    ending: bool,
+    closing: bool,
 }
 
 /// An open connection without a request in progress.
@@ -105,7 +105,7 @@
     open_by_class: [usize; CLASSES.len()],
     /// Idle connections by class, the longest idle first.
     idle: [BTreeMap<u64, IdleConnection>; CLASSES.len()],
-    count: u64,
+    idle_sequence: u64,
 }
 
 /// Order of the classes whose idle connections are closed for a new one. New connections without a
@@ -120,7 +120,7 @@
             all: HashMap::new(),
             open_by_class: Default::default(),
             idle: Default::default(),
-            count: 0,
+            idle_sequence: 0,
         }
     }
 
@@ -145,21 +145,21 @@
     }
 
     /// Marks a connection as idle from now on.
-    fn rest(&mut self, id: ConnId, class: Class, kept: bool, now: Time) {
-        self.count += 1;
-        self.idle[class as usize].insert(self.count, IdleConnection { id, since: now });
+    fn mark_idle(&mut self, id: ConnId, class: Class, answered_before: bool, now: Time) {
+        self.idle_sequence += 1;
+        self.idle[class as usize].insert(self.idle_sequence, IdleConnection { id, since: now });
         let entry = Entry {
             class,
-            idle: Some(self.count),
-            kept,
-            ending: false,
+            idle: Some(self.idle_sequence),
+            answered_before,
+            closing: false,
         };
         if let Some(before) = self.all.insert(id, entry) {
             self.open_by_class[before.class as usize] -= 1;
             // The connection may still be in the idle list, because a request that was refused
             // unread is never recorded by `asked`.
-            if let Some(place) = before.idle {
-                self.idle[before.class as usize].remove(&place);
+            if let Some(key) = before.idle {
+                self.idle[before.class as usize].remove(&key);
             }
         }
         self.open_by_class[class as usize] += 1;
@@ -167,17 +167,17 @@
 
     /// Chooses the idle connection to close for a new one. Returns `None` if none is idle.
     fn longest_idle(&mut self, now: Time) -> Option<ConnId> {
-        let silent = self.idle[Class::New as usize]
+        let grace_over = self.idle[Class::New as usize]
             .first_key_value()
             .is_some_and(|(_, first)| now.since(first.since) >= NEW_CONNECTION_GRACE_S);
-        let first = silent.then_some(Class::New);
+        let first = grace_over.then_some(Class::New);
         let class = first.into_iter().chain(EVICTION_ORDER).find(|c| {
             // A client that has just connected is about to send a request.
-            (*c != Class::New || silent) && !self.idle[*c as usize].is_empty()
+            (*c != Class::New || grace_over) && !self.idle[*c as usize].is_empty()
         })?;
         let (_, IdleConnection { id, .. }) = self.idle[class as usize].pop_first()?;
         if let Some(entry) = self.all.get_mut(&id) {
-            (entry.idle, entry.ending) = (None, true);
+            (entry.idle, entry.closing) = (None, true);
         }
         Some(id)
     }
@@ -191,7 +191,7 @@
                 None => return Opened::Full,
             }
         }
-        self.rest(id, Class::New, false, now);
+        self.mark_idle(id, Class::New, false, now);
         opened
     }
 
@@ -200,8 +200,8 @@
         let Some(entry) = self.all.get_mut(&id) else {
             return;
         };
-        if let Some(place) = entry.idle.take() {
-            self.idle[entry.class as usize].remove(&place);
+        if let Some(key) = entry.idle.take() {
+            self.idle[entry.class as usize].remove(&key);
         }
         self.open_by_class[entry.class as usize] -= 1;
         entry.class = class;
@@ -218,25 +218,25 @@
         let crowded = self.all.len() > self.limits.users;
         // New connections are closed before those that were kept open earlier. Closing all of them
         // in turn would make all clients reconnect all the time.
-        let ends = match entry.class {
+        let closes = match entry.class {
             Class::New => false,
-            Class::Idle => workers > self.limits.idle_workers && !entry.kept || crowded,
-            Class::Busy => workers > self.limits.workers && !entry.kept || crowded,
+            Class::Idle => workers > self.limits.idle_workers && !entry.answered_before || crowded,
+            Class::Busy => workers > self.limits.workers && !entry.answered_before || crowded,
             Class::User => crowded,
         };
-        let ends = ends || entry.ending;
-        if !ends {
-            self.rest(id, entry.class, true, now);
+        let closes = closes || entry.closing;
+        if !closes {
+            self.mark_idle(id, entry.class, true, now);
         }
-        !ends
+        !closes
     }
 
     /// Records that a connection was closed.
     pub fn closed(&mut self, id: ConnId) {
         if let Some(entry) = self.all.remove(&id) {
             self.open_by_class[entry.class as usize] -= 1;
-            if let Some(place) = entry.idle {
-                self.idle[entry.class as usize].remove(&place);
+            if let Some(key) = entry.idle {
+                self.idle[entry.class as usize].remove(&key);
             }
         }
     }
--- a/crates/overload/src/state_limits.rs
+++ b/crates/overload/src/state_limits.rs
@@ -20,10 +20,10 @@
 /// Time between two refused writes below which both belong to one burst, in seconds.
 const BURST_S: f64 = 1.5;
 /// Number of refused bursts in a row that are evidence of the lower write rate.
-const BURSTS: usize = 4;
+const MIN_REFUSED_BURSTS: usize = 4;
 /// Maximum time between the first and the last refused burst that are evidence of the lower write
 /// rate, in seconds.
-const WITHIN_S: f64 = 15.0;
+const REFUSED_BURSTS_WINDOW_S: f64 = 15.0;
 
 /// Write rate of the state service that is in force, in writes per second.
 #[derive(Clone, Debug)]
@@ -31,7 +31,7 @@
     present: f64,
     next: Option<f64>,
     lowered: bool,
-    refused: VecDeque<Time>,
+    refused_bursts: VecDeque<Time>,
 }
 
 impl ChangeRate {
@@ -42,7 +42,7 @@
             present,
             next: next.filter(|next| *next < present),
             lowered: false,
-            refused: VecDeque::new(),
+            refused_bursts: VecDeque::new(),
         }
     }
 
@@ -70,18 +70,19 @@
     /// refusal completes the evidence of the lower rate.
     pub fn refused(&mut self, now: Time) -> bool {
         if self
-            .refused
+            .refused_bursts
             .back()
             .is_some_and(|last| now.since(*last) < BURST_S)
         {
             return false;
         }
-        self.refused.push_back(now);
-        if self.refused.len() > BURSTS {
-            self.refused.pop_front();
+        self.refused_bursts.push_back(now);
+        if self.refused_bursts.len() > MIN_REFUSED_BURSTS {
+            self.refused_bursts.pop_front();
         }
-        let first = self.refused.front().copied().unwrap_or(now);
-        let goes_on = self.refused.len() == BURSTS && now.since(first) <= WITHIN_S;
-        goes_on && self.next.is_some() && self.lower()
+        let first = self.refused_bursts.front().copied().unwrap_or(now);
+        let repeated = self.refused_bursts.len() == MIN_REFUSED_BURSTS
+            && now.since(first) <= REFUSED_BURSTS_WINDOW_S;
+        repeated && self.next.is_some() && self.lower()
     }
 }
--- a/crates/overload/tests/model.rs
+++ b/crates/overload/tests/model.rs
@@ -7,7 +7,7 @@
 use sorrelhinge_overload::heartbeat_offload::{HeartbeatLoad, HeartbeatOffload};
 use sorrelhinge_overload::pace::Pace;
 use sorrelhinge_overload::poll_shedding::{
-    Poll, PollShedding, Verdict, POLL_MEMORY_S, STALE_ANSWER_S,
+    Poll, PollShedding, Verdict, POLL_RETENTION_S, STALE_ANSWER_S,
 };
 use sorrelhinge_overload::pressure::{Level, Pressure, Resource, Sample};
 use sorrelhinge_overload::relief::Relief;
@@ -21,9 +21,9 @@
     class: Class,
     /// Event number and time since which the connection is idle. `None` while it is busy.
     idle: Option<(u64, f64)>,
-    kept: bool,
+    answered_before: bool,
     /// Whether the connection was chosen to be closed for a new one.
-    ending: bool,
+    closing: bool,
 }
 
 /// Model of the open connections, which searches the whole list for every decision.
@@ -48,13 +48,13 @@
             };
             // Connections without a request are in order of arrival, so if the first one is not
             // past its grace period, no other is.
-            let idle = self.all.iter_mut().filter(|p| !p.ending);
+            let idle = self.all.iter_mut().filter(|p| !p.closing);
             let best = idle
                 .filter_map(|p| Some((rank(p)?, p.idle?.0, p)))
                 .min_by_key(|(rank, at, _)| (*rank, *at));
             match best {
                 Some((_, _, p)) => {
-                    (p.ending, p.idle) = (true, None);
+                    (p.closing, p.idle) = (true, None);
                     opened = Opened::InPlaceOf(p.id);
                 }
                 None => return Opened::Full,
@@ -64,8 +64,8 @@
             id,
             class: Class::New,
             idle: Some((self.events, now)),
-            kept: false,
-            ending: false,
+            answered_before: false,
+            closing: false,
         });
         opened
     }
@@ -93,10 +93,10 @@
             Class::Idle => workers > self.limits.idle_workers,
             Class::Busy => workers > self.limits.workers,
         };
-        if p.ending || p.class != Class::New && (crowded || over && !p.kept) {
+        if p.closing || p.class != Class::New && (crowded || over && !p.answered_before) {
             return false;
         }
-        (p.idle, p.kept) = (Some((events, now)), true);
+        (p.idle, p.answered_before) = (Some((events, now)), true);
         true
     }
 }
@@ -165,8 +165,8 @@
             let workers = model.all.iter().filter(|p| matches!(p.class, Class::Busy | Class::Idle));
             prop_assert_eq!(real.workers(), workers.count());
             // Connections that were chosen to be closed still count until they are closed.
-            let ending = model.all.iter().filter(|p| p.ending).count();
-            prop_assert!(real.open() <= limits.max + ending);
+            let closing = model.all.iter().filter(|p| p.closing).count();
+            prop_assert!(real.open() <= limits.max + closing);
         }
     }
 
@@ -514,7 +514,7 @@
             for asked in [&mut asked, &mut calm].into_iter().filter(|_| !refused) {
                 if can { asked.answered(&job, true, Time(now)) } else { asked.failed(&job, true, Time(now)) }
             }
-            prop_assert!(asked.known_count() <= 8 && asked.unknown_count() <= 5);
+            prop_assert!(asked.recorded_count() <= 8 && asked.unrecorded_count() <= 5);
         }
     }
 }
@@ -536,7 +536,7 @@
         }
         verdict
     };
-    let later = 6.0 + POLL_MEMORY_S;
+    let later = 6.0 + POLL_RETENTION_S;
     let (answer, refuse) = (Verdict::Answer, Verdict::Refuse);
     for (n, at, verdict) in [
         (0, 1.0, answer),
