--- a/crates/lease-safety/src/freshness.rs
+++ b/crates/lease-safety/src/freshness.rs
@@ -33,24 +33,27 @@
 /// Maximum relative drift between the monotonic clocks of two machines (PROTOCOL, the list at the
 /// top).
 pub const CLOCK_DRIFT: f64 = 0.0005;
-/// Margin between the end of the last lease and `cancel_s`, in seconds. In this time the worker
-/// notices that the lease has expired, and ends its tasks.
+/// Margin between the end of the last lease and `cancel_s`, the time limit for ending the tasks of
+/// a cancelled job, in seconds. In this time the worker notices that the lease has expired, and
+/// ends its tasks.
 const MARGIN_S: f64 = 3.0;
 /// Maximum age of the view for answers to workers if `cancel_s` is too short for the whole margin,
 /// in seconds. It applies only as far as it is safe. The last read is usually not older than this.
 const MIN_HORIZON_S: f64 = 1.0;
 
-/// Maximum age of the view that a controller may use to start tasks, in seconds.
+/// Maximum age of the view of the records from which a controller may start tasks, in seconds.
 const MAX_START_VIEW_AGE_S: f64 = 6.0;
-/// Duration of a watch, as a share of the shortest bound on the age of the view.
+/// Duration of a watch of the state service, as a share of the shortest bound on the age of the
+/// view.
 ///
 /// A watch without a change is answered only at its end, and the answer shows the state at the time
 /// at which the watch was sent. The view is therefore up to two watches old while nothing changes.
 /// This share leaves half of the bound for late answers.
 const WATCH_SHARE: f64 = 0.25;
-/// Minimum duration of a watch, in seconds. Each watch counts as a request to the state service.
+/// Minimum duration of a watch of the state service, in seconds. Each watch counts as a request to
+/// the state service.
 const MIN_WATCH_S: f64 = 0.1;
-/// Maximum duration of a watch, in seconds.
+/// Maximum duration of a watch of the state service, in seconds.
 const MAX_WATCH_S: f64 = 4.0;
 
 /// Time up to which a controller's view of the records contains all changes.
--- a/crates/lease-safety/src/reachability.rs
+++ b/crates/lease-safety/src/reachability.rs
@@ -56,7 +56,7 @@
     unanswered: bool,
     /// Number of agent incarnations in a row that ended although their heartbeats were answered.
     lost_incarnations: u32,
-    /// Time at which such an incarnation last ended.
+    /// Time of the last end of an agent incarnation whose heartbeats were answered.
     last_lost: Option<Time>,
 }
 
--- a/crates/overload/src/admission.rs
+++ b/crates/overload/src/admission.rs
@@ -94,13 +94,13 @@
         });
     }
 
-    /// Returns the number of connections that wait.
+    /// Returns the number of connections that wait to be read.
     pub fn waiting(&self) -> usize {
         self.queues.iter().map(VecDeque::len).sum()
     }
 
-    /// Starts the next turn. Admits one connection of each class first, then fills the turn in the
-    /// order of the classes.
+    /// Starts the next turn of the runtime. Admits one connection of each class first, then fills
+    /// the turn in the order of the classes.
     pub fn admit_next(&mut self, now: Time) -> Admission<T> {
         let expired = self.take_expired(now);
         let mut admitted = Vec::new();
--- a/crates/overload/src/claim_rate.rs
+++ b/crates/overload/src/claim_rate.rs
@@ -6,7 +6,7 @@
 
 /// Time constant of the mean claim rate, in seconds.
 const CLAIM_RATE_TIME_CONSTANT_S: f64 = 8.0;
-/// Free capacity is enough if it covers the claims of this many machine boot times.
+/// Number of machine boot times for which the free capacity has to last at the current claim rate.
 const RESERVE_BOOTS: f64 = 1.5;
 
 /// Mean rate at which tasks claim capacity. The write rate of the state service bounds it, so
--- a/crates/overload/src/fleet_limit.rs
+++ b/crates/overload/src/fleet_limit.rs
@@ -54,9 +54,10 @@
                 self.last_fall = Some(now);
             }
         } else if wait_s < MAX_CALM_WAIT_S {
-            // The limit is dropped once the fleet is far below it.
             let sustained = self.calm_since.is_some_and(|t| now.since(t) >= SUSTAINED_S);
             let min = if sustained { machines } else { 0.0 };
+            // The limit rises, at least to a number of machines that was served without long waits.
+            // It is dropped once the fleet is far below it.
             self.max = self
                 .max
                 .map(|m| (m * RISE_FACTOR_PER_S.powf(elapsed_s)).max(min))
--- a/crates/overload/src/heartbeat_offload.rs
+++ b/crates/overload/src/heartbeat_offload.rs
@@ -108,7 +108,8 @@
 }
 
 /// Returns the rendezvous hash of a machine and a node. An offloaded machine sends heartbeats to
-/// the node with the highest hash.
+/// the node with the highest hash. The hash with an empty node name determines the order in which
+/// machines are offloaded.
 fn rendezvous_hash(machine: &str, node: &str) -> u64 {
     let mut hasher = DefaultHasher::new();
     (machine, node).hash(&mut hasher);
--- a/crates/overload/src/poll_shedding.rs
+++ b/crates/overload/src/poll_shedding.rs
@@ -31,7 +31,7 @@
 /// Minimum time between two cleanups of a full table, in seconds.
 const CLEANUP_INTERVAL_S: f64 = 5.0;
 
-/// Decision on a poll.
+/// Decision of the controller to answer or to refuse a status poll.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Verdict {
     /// The controller answers the poll.
@@ -108,7 +108,7 @@
     }
 }
 
-/// Record of the last answers to and refusals of polls, by job.
+/// Last answer to and last refusal of the status polls, by job.
 #[derive(Debug)]
 pub struct PollShedding {
     recorded: Table,
--- a/crates/overload/src/pressure.rs
+++ b/crates/overload/src/pressure.rs
@@ -100,7 +100,8 @@
 struct Bounds {
     enter: f64,
     leave: f64,
-    /// Threshold from which on refusing users helps, until the measurement falls to half of it.
+    /// Measurement from which on the controller sheds load, because refusing users helps. Shedding
+    /// ends once the measurement falls below half of this or the resource no longer binds.
     shed: f64,
 }
 
@@ -124,7 +125,7 @@
         Resource::Sockets => Bounds {
             enter: 0.97,
             leave: 0.9,
-            // Refusing users frees no socket for workers, so full sockets never shed load.
+            // Refusing users frees no socket for workers, so the controller sheds no load for them.
             shed: f64::INFINITY,
         },
         // The change thresholds are waits of state service writes in seconds. The controller makes
@@ -138,7 +139,8 @@
         Resource::Cloud => Bounds {
             enter: 10.0,
             leave: 4.0,
-            // Refusing users does not make the cloud faster, so a slow cloud never sheds load.
+            // Refusing users does not make the cloud faster, so the controller sheds no load for
+            // it.
             shed: f64::INFINITY,
         },
     }
--- a/crates/overload/src/sockets.rs
+++ b/crates/overload/src/sockets.rs
@@ -108,8 +108,8 @@
     idle_sequence: u64,
 }
 
-/// Order of the classes whose idle connections are closed for a new one. New connections without a
-/// request go before them once their grace period is over.
+/// Order of the classes whose idle connections are closed for a new one. Connections
+/// without any request are closed before all others, once their grace period is over.
 const EVICTION_ORDER: [Class; 4] = [Class::Idle, Class::Busy, Class::User, Class::New];
 
 impl Sockets {
@@ -216,7 +216,7 @@
         };
         let workers = self.workers();
         let crowded = self.all.len() > self.limits.users;
-        // New connections are closed before those that were kept open earlier. Closing all of them
+        // Connections that were answered before stay open longer than new ones. Closing all of them
         // in turn would make all clients reconnect all the time.
         let closes = match entry.class {
             Class::New => false,
--- a/src/autoscaler/mod.rs
+++ b/src/autoscaler/mod.rs
@@ -32,7 +32,8 @@
     // Reserved capacity counts as used: its window has not begun, or its tasks have not arrived
     // yet.
     let mut reserved = ReservedCapacityTotals::of(input.cluster_state);
-    // Tasks that could move to spot machines are packed again.
+    // Tasks that the plan packs again, because they could move to spot machines or have to leave a
+    // draining machine.
     let mut moving = PendingTasks::new();
     add_machines(&mut packing, input, &reserved.by_machine, &mut moving, now);
     add_drained(input.cluster_state, &mut moving);
--- a/src/autoscaler/offers.rs
+++ b/src/autoscaler/offers.rs
@@ -80,9 +80,9 @@
                 && !item.late
                 && self.total_cpu >= self.guaranteed_cpu
             {
-                // Ordinary machines are expensive. Work that may use spot machines gets them only
-                // up to the CPU that is guaranteed to the teams, or if spot machines have not kept
-                // its queue short.
+                // Ordinary (non-spot) machines are expensive. Work that may use spot machines gets
+                // them only up to the CPU that is guaranteed to the teams, or if spot machines have
+                // not kept its queue short.
                 continue;
             }
             let score = self.price_of_use(&free_capacity, spec, left_cpu);
--- a/src/autoscaler/packing.rs
+++ b/src/autoscaler/packing.rs
@@ -46,7 +46,7 @@
 /// Rank of a machine for a task. The machine with the lowest rank is the best.
 #[derive(PartialEq, PartialOrd)]
 struct Rank {
-    /// Whether the machine is an ordinary one though the task may use spot machines.
+    /// Whether the machine is an ordinary (non-spot) one although the task may use spot machines.
     ordinary: bool,
     /// Whether the task belongs to a service and the zone of the machine has no controller.
     unserved_zone: bool,
@@ -69,12 +69,12 @@
 pub(super) struct Packing<'a> {
     pub(super) input: &'a Input<'a>,
     pub(super) free_capacities: Vec<FreeCapacity>,
-    /// Machines in order of free CPU, the least first. The first map counts CPU that is free now,
-    /// the second CPU that is free once tasks have ended that should end soon.
+    /// Machines of each group in order of free CPU, the least first. The first map counts CPU that
+    /// is free now, the second CPU that is free once tasks have ended that should end soon.
     bins: [BTreeMap<Bin, BTreeSet<FreeCpu>>; 2],
     /// Number of machines in each zone.
     pub(super) machines_by_zone: HashMap<Zone, u32>,
-    /// CPU of all machines, in thousandths of a CPU.
+    /// Total CPU of all machines, in thousandths of a CPU.
     pub(super) total_cpu: i64,
     /// CPU that is guaranteed to the teams, in thousandths of a CPU.
     pub(super) guaranteed_cpu: i64,
@@ -187,8 +187,8 @@
     ) -> Option<usize> {
         let spec = &item.spec;
         let fitting = self.fitting(spec, soon, excluded, &|_| true);
-        // An ordinary machine that nothing else uses is expensive for work that may use spot
-        // machines. The plan prefers to rent a spot machine for such work.
+        // An ordinary (non-spot) machine that nothing else uses is expensive for work that may use
+        // spot machines. The plan prefers to rent a spot machine for such work.
         let keep = fitting
             .map(|at| &self.free_capacities[at])
             .is_some_and(|r| !spec.spot || r.spot || r.used);
