--- a/crates/overload/tests/model.rs
+++ b/crates/overload/tests/model.rs
@@ -1,4 +1,4 @@
-//! The decisions against slow plain models, over generated orders of events.
+//! Compares the overload decisions with slow, simple models over generated event sequences.
 
 use proptest::prelude::*;
 use sorrelhinge_overload::admission::{AdmissionQueue, Class, CLASSES};
@@ -7,67 +7,67 @@
 use sorrelhinge_overload::heartbeat_offload::{HeartbeatLoad, HeartbeatOffload};
 use sorrelhinge_overload::pace::Pace;
 use sorrelhinge_overload::poll_shedding::{
-    Poll, PollShedding, Verdict, POLL_MEMORY_S, STALE_ANSWER_S,
+    Poll, PollShedding, Verdict, POLL_RETENTION_S, STALE_ANSWER_S,
 };
 use sorrelhinge_overload::pressure::{Level, Pressure, Resource, Sample};
 use sorrelhinge_overload::relief::Relief;
 use sorrelhinge_overload::sockets::{ConnId, Limits, Opened, Sockets};
 use sorrelhinge_protocol::types::{JobId, MachineId, NodeId, Time};
 
-/// A connection as the model keeps it: all of them in one list.
+/// Connection of the model, which keeps all connections in one list.
 #[derive(Clone, Debug)]
-struct Plain {
+struct ModelConnection {
     id: ConnId,
     class: Class,
-    /// Idle since this event and time.
+    /// Event number and time since which the connection is idle. `None` while it is busy.
     idle: Option<(u64, f64)>,
-    kept: bool,
-    /// Chosen to end for another.
-    ending: bool,
+    answered_before: bool,
+    /// Whether the connection was chosen to be closed for a new one.
+    closing: bool,
 }
 
-/// The connections, looked through one by one for every decision.
+/// Model of the open connections, which searches the whole list for every decision.
 struct Model {
     limits: Limits,
-    all: Vec<Plain>,
+    all: Vec<ModelConnection>,
     events: u64,
 }
 
 impl Model {
     fn opened(&mut self, id: ConnId, now: f64) -> Opened {
         self.events += 1;
-        let mut told = Opened::Taken;
+        let mut opened = Opened::Taken;
         if self.all.len() >= self.limits.max {
-            let rank = |p: &Plain| match p.class {
-                // One that connected just now did so to ask something.
+            let rank = |p: &ModelConnection| match p.class {
+                // A client that has just connected is about to send a request.
                 Class::New if p.idle.is_some_and(|(_, since)| now - since < 1.0) => None,
                 Class::New => Some(0),
                 Class::Idle => Some(1),
                 Class::Busy => Some(2),
                 Class::User => Some(3),
             };
-            // The silent ones stand in the order of their coming, so the first
-            // of them tells whether any is old enough.
-            let idle = self.all.iter_mut().filter(|p| !p.ending);
+            // Connections without a request are in order of arrival, so if the first one is not
+            // past its grace period, no other is.
+            let idle = self.all.iter_mut().filter(|p| !p.closing);
             let best = idle
                 .filter_map(|p| Some((rank(p)?, p.idle?.0, p)))
                 .min_by_key(|(rank, at, _)| (*rank, *at));
             match best {
                 Some((_, _, p)) => {
-                    (p.ending, p.idle) = (true, None);
-                    told = Opened::InPlaceOf(p.id);
+                    (p.closing, p.idle) = (true, None);
+                    opened = Opened::InPlaceOf(p.id);
                 }
                 None => return Opened::Full,
             }
         }
-        self.all.push(Plain {
+        self.all.push(ModelConnection {
             id,
             class: Class::New,
             idle: Some((self.events, now)),
-            kept: false,
-            ending: false,
+            answered_before: false,
+            closing: false,
         });
-        told
+        opened
     }
 
     fn asked(&mut self, id: ConnId, class: Class) {
@@ -93,32 +93,28 @@
             Class::Idle => workers > self.limits.idle_workers,
             Class::Busy => workers > self.limits.workers,
         };
-        if p.ending || p.class != Class::New && (crowded || over && !p.kept) {
+        if p.closing || p.class != Class::New && (crowded || over && !p.answered_before) {
             return false;
         }
-        (p.idle, p.kept) = (Some((events, now)), true);
+        (p.idle, p.answered_before) = (Some((events, now)), true);
         true
     }
 }
 
-/// A turn of the queue: nobody passes too late, or is turned away too early. How
-/// many were told one of both.
-fn take_turn(
-    queue: &mut AdmissionQueue<usize>,
-    waiting: &mut Vec<(usize, f64)>,
-    now: f64,
-) -> usize {
+/// Runs one turn of the admission queue, and checks that no connection is admitted too late or
+/// expires too early. Returns how many connections left the queue.
+fn run_turn(queue: &mut AdmissionQueue<usize>, waiting: &mut Vec<(usize, f64)>, now: f64) -> usize {
     let turn = queue.admit_next(Time(now));
     assert!(turn.admitted.len() <= 6);
     let mut waited = |who: &usize| {
         let at = waiting
             .iter()
             .position(|(w, _)| w == who)
-            .expect("it waits");
+            .expect("the connection is in the queue");
         now - waiting.swap_remove(at).1
     };
     for who in &turn.admitted {
-        assert!(waited(who) <= 4.0, "reading it would be in vain");
+        assert!(waited(who) <= 4.0, "an expired connection was admitted");
     }
     for who in &turn.expired {
         assert!(waited(who) > 4.0);
@@ -129,10 +125,10 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 300, failure_persistence: None, rng_seed: proptest::test_runner::RngSeed::Fixed(7), ..ProptestConfig::default() })]
 
-    /// The index of idle connections gives what a look at all of them gives,
-    /// and there are never more than the bound allows.
+    /// Checks that [`Sockets`] decides like a linear search over all connections, and that the
+    /// number of open connections never exceeds the limit.
     #[test]
-    fn sockets_are_shared_as_a_look_at_all_of_them_shares(
+    fn sockets_decide_like_a_linear_search(
         sockets in 8_usize..40,
         events in prop::collection::vec((0_u8..4, 0_usize..50, 0_usize..4), 1..400),
     ) {
@@ -147,8 +143,8 @@
                 (0, _) => {
                     let id = ConnId(next);
                     next += 1;
-                    let told = real.opened(id, Time(now));
-                    prop_assert_eq!(told, model.opened(id, now));
+                    let opened = real.opened(id, Time(now));
+                    prop_assert_eq!(opened, model.opened(id, now));
                 }
                 (1, Some(p)) => {
                     let class = CLASSES[1 + class % 3];
@@ -168,26 +164,26 @@
             prop_assert_eq!(real.open(), model.all.len());
             let workers = model.all.iter().filter(|p| matches!(p.class, Class::Busy | Class::Idle));
             prop_assert_eq!(real.workers(), workers.count());
-            // Those that were chosen to end are still counted until they do.
-            let ending = model.all.iter().filter(|p| p.ending).count();
-            prop_assert!(real.open() <= limits.max + ending);
+            // Connections that were chosen to be closed still count until they are closed.
+            let closing = model.all.iter().filter(|p| p.closing).count();
+            prop_assert!(real.open() <= limits.max + closing);
         }
     }
 
-    /// Everybody who waits passes or is told that it is too late, once; nobody
-    /// is passed by for ever, and no turn lets in more than its number.
+    /// Checks that each queued connection is admitted or expires exactly once, that none starves,
+    /// and that no turn admits more connections than its limit.
     #[test]
-    fn everybody_is_admitted_once_or_expires(
+    fn each_connection_is_admitted_or_expires_once(
         arrivals in prop::collection::vec((0_usize..4, 0_u8..6), 1..300),
     ) {
         let mut queue: AdmissionQueue<usize> = AdmissionQueue::new(6, 4.0);
         let mut now = 0.0;
         let mut waiting: Vec<(usize, f64)> = Vec::new();
-        let (mut told, mut direct) = (0, 0);
+        let (mut left, mut direct) = (0, 0);
         for (who, (class, pause)) in arrivals.iter().enumerate() {
             if queue.try_admit() {
                 direct += 1;
-                prop_assert!(waiting.is_empty(), "ahead of somebody who waits");
+                prop_assert!(waiting.is_empty(), "admitted ahead of a queued connection");
             } else {
                 queue.enqueue(CLASSES[*class], who, Time(now));
                 waiting.push((who, now));
@@ -195,18 +191,18 @@
             prop_assert_eq!(queue.waiting(), waiting.len());
             if *pause == 5 {
                 now += 0.5;
-                told += take_turn(&mut queue, &mut waiting, now);
+                left += run_turn(&mut queue, &mut waiting, now);
             }
         }
         while queue.waiting() > 0 {
             now += 0.3;
-            told += take_turn(&mut queue, &mut waiting, now);
+            left += run_turn(&mut queue, &mut waiting, now);
         }
-        prop_assert_eq!(direct + told, arrivals.len());
+        prop_assert_eq!(direct + left, arrivals.len());
     }
 }
 
-/// Each class has a place in each turn, however many of a better class wait.
+/// Each turn admits at least one connection of each class, even if many of an earlier class wait.
 #[test]
 fn no_class_starves_in_the_admission_queue() {
     let mut queue = AdmissionQueue::new(8, 60.0);
@@ -219,13 +215,14 @@
     let turn = queue.admit_next(Time(0.1));
     assert!(turn.admitted.contains(&("idle", 0)) && turn.admitted.contains(&("user", 0)));
     assert_eq!(turn.admitted.len(), 8);
-    // Once the wait is long, whoever came last is still waited for.
+    // Once the wait is long, the newest connection reads first, because its client still waits for
+    // an answer.
     assert_eq!(queue.admit_next(Time(3.0)).admitted[0], ("new", 399));
 }
 
-/// Room is set aside for the service's own connections whatever the bound is.
+/// Sockets are reserved for the controller's own connections at any socket limit.
 #[test]
-fn free_capacity_is_set_aside_for_the_services_own_connections() {
+fn sockets_are_reserved_for_the_controllers_own_connections() {
     for sockets in [100, 500, 2514, 2867, 100_000] {
         let limits = Limits::of(sockets, 4, 48);
         assert!(limits.max < sockets && limits.max >= sockets * 2 / 3);
@@ -235,30 +232,30 @@
     assert!(2867 - Limits::of(2867, 4, 48).max >= 48 + 48 + 4 * 4);
 }
 
-/// A duty that costs more is done less often, within its bound.
+/// A duty with a higher cost runs less often, but its pause stays within the limit.
 #[test]
-fn a_duty_takes_no_more_than_its_part() {
+fn a_duty_takes_no_more_than_its_share() {
     let mut pace = Pace::new(0.5, 5.0, 0.1);
     assert!(pace.due(Time(0.0)));
     pace.done(0.001, 0.0, Time(0.0));
     assert!(
         !pace.due(Time(0.4)) && pace.due(Time(0.5)),
-        "its usual pause"
+        "the usual pause"
     );
     pace.done(0.2, 0.0, Time(1.0));
     assert!(
         !pace.due(Time(2.9)) && pace.due(Time(3.0)),
-        "ten times its cost"
+        "a pause of ten times the cost"
     );
     pace.done(0.1, 0.5, Time(5.0));
     assert!(
         !pace.due(Time(7.9)) && pace.due(Time(8.0)),
-        "a third of its part while requests wait"
+        "a third of the share while requests wait"
     );
     pace.done(600.0, 0.0, Time(10.0));
     assert!(
         pace.due(Time(15.0)),
-        "the process stood still: not for ever"
+        "a suspended process does not stop the duty forever"
     );
 }
 
@@ -269,7 +266,7 @@
     }
 }
 
-/// The levels that pressure goes through while a sample lasts, the present one first.
+/// Returns the shedding levels of `pressure` while `sample` lasts, the present level first.
 fn levels_for(pressure: &mut Pressure, sample: Sample, now: &mut f64, seconds: f64) -> Vec<Level> {
     let end = *now + seconds;
     let mut levels = vec![pressure.level()];
@@ -283,10 +280,10 @@
     levels
 }
 
-/// Overload is entered after seconds, level by level, and left more slowly; a
-/// single long wait enters nothing.
+/// Shedding starts after a few seconds, rises level by level, and ends slowly. A single long wait
+/// does not start it.
 #[test]
-fn overload_is_entered_by_levels_and_left_late() {
+fn shedding_levels_rise_step_by_step_and_fall_slowly() {
     let mut pressure = Pressure::default();
     let mut now = 0.0;
     let mut run = |pressure: &mut Pressure, sample: Sample, seconds: f64| {
@@ -294,7 +291,7 @@
     };
     run(&mut pressure, wait(0.0), 10.0);
     assert_eq!(run(&mut pressure, wait(30.0), 0.5), [Level::None]);
-    // Claims that wait bind the changes long before users are turned away.
+    // Delayed claims make the write rate bind long before the controller refuses users.
     let claims = |change_wait_s: f64| Sample {
         change_wait_s,
         ..Sample::default()
@@ -310,12 +307,13 @@
     ];
     assert_eq!(run(&mut pressure, wait(1.5), 20.0), up);
     assert!(pressure.binds(Resource::Processor));
-    // Between the bounds nothing changes.
+    // Between the two thresholds the shedding level does not change.
     assert_eq!(run(&mut pressure, wait(0.4), 30.0), [Level::Placements]);
     let down = run(&mut pressure, wait(0.0), 30.0);
     assert_eq!(down, up.iter().rev().copied().collect::<Vec<_>>());
     assert_eq!(pressure.binding().count(), 0);
-    // Sockets and the cloud bind, and turning users away would not help.
+    // Sockets and the cloud bind, but the controller sheds nothing, because refusing users would
+    // not help.
     let full = Sample {
         sockets: 1.0,
         cloud_wait_s: 60.0,
@@ -324,24 +322,24 @@
     assert_eq!(run(&mut pressure, full, 30.0), [Level::None]);
     let binding: Vec<Resource> = pressure.binding().collect();
     assert_eq!(binding, [Resource::Sockets, Resource::Cloud]);
-    // A measurement that is no number counts as nothing.
+    // A NaN measurement counts as 0.
     run(&mut pressure, wait(f64::NAN), 5.0);
     assert_eq!(pressure.level(), Level::None);
 }
 
-/// The bound on machines falls while requests wait, a step at a time, rises
-/// with processor time to spare, and is forgotten once the fleet is far below it.
+/// The fleet limit falls step by step while requests wait, rises while processor time is free, and
+/// is dropped once the fleet is far below it.
 #[test]
-fn the_bound_on_machines_is_found_and_forgotten() {
+fn the_fleet_limit_is_measured_and_dropped() {
     let mut fleet_limit = FleetLimit::default();
     fleet_limit.take(5000, 0.0, false, Time(0.0));
     assert_eq!(fleet_limit.max(), None);
     for half in 0..12 {
         fleet_limit.take(5000, 1.5, true, Time(f64::from(half) * 0.5));
     }
-    let max = fleet_limit.max().expect("a bound");
+    let max = fleet_limit.max().expect("a fleet limit");
     assert!((4400..4800).contains(&max), "two steps: {max}");
-    // What is claimed is bounded too: room for more than that is enough.
+    // The claim rate is bounded too, so free capacity for more than these claims is enough.
     let mut claim_rate = ClaimRate::default();
     for second in 0..60 {
         claim_rate.take(50_000, Time(f64::from(second)));
@@ -351,7 +349,7 @@
     assert_eq!(
         fleet_limit.max(),
         Some(max),
-        "it still waits: no more are rented"
+        "requests still wait, so the limit does not rise"
     );
     for second in 0..60 {
         fleet_limit.take(4500, 0.0, false, Time(10.0 + f64::from(second)));
@@ -363,10 +361,10 @@
     assert_eq!(fleet_limit.max(), None);
 }
 
-/// Workers are sent elsewhere before the sockets are full, always the same
-/// ones first, evenly over the helpers, and come back once the owner has time.
+/// Workers are offloaded before the sockets of the owner are full, the same workers first, and
+/// evenly over the helpers. They return once the owner has free processor time.
 #[test]
-fn workers_are_spread_before_the_sockets_are_full() {
+fn workers_are_offloaded_before_the_sockets_are_full() {
     let heartbeat_load = |machines: usize, wait_s: f64, helpers: usize| HeartbeatLoad {
         machines,
         free_capacity: 2000,
@@ -386,11 +384,14 @@
     assert_eq!(offload.share(), 0.0, "one controller is enough");
     assert!(homes(&offload, &helpers).iter().all(Option::is_none));
     offload.take(heartbeat_load(6000, 0.0, 0), Time(1.0));
-    assert_eq!(offload.share(), 0.0, "nobody helps");
+    assert_eq!(offload.share(), 0.0, "there is no helper");
     offload.take(heartbeat_load(6000, 0.0, 3), Time(2.0));
     let first = homes(&offload, &helpers);
     let here = first.iter().filter(|h| h.is_none()).count();
-    assert!(here <= 1700, "{here} stay, of room for 2,000");
+    assert!(
+        here <= 1700,
+        "{here} workers stay at the owner, with 2,000 connections"
+    );
     for helper in &helpers {
         let there = first.iter().filter(|h| h.as_ref() == Some(helper)).count();
         assert!((1200..1800).contains(&there), "{there} at {helper}");
@@ -400,9 +401,12 @@
     }
     let more = homes(&offload, &helpers);
     for (before, after) in first.iter().zip(&more) {
-        assert!(before.is_none() || before == after, "nobody is moved about");
+        assert!(
+            before.is_none() || before == after,
+            "an offloaded worker changed its helper"
+        );
     }
-    // One helper goes: only its workers have a new home.
+    // When one helper leaves, only its workers get a new home controller.
     let fewer = homes(&offload, &helpers[..2]);
     for (before, after) in more.iter().zip(&fewer) {
         let lost = before.as_ref() == Some(&helpers[2]);
@@ -411,12 +415,12 @@
     for second in 10..600 {
         offload.take(heartbeat_load(800, 0.0, 3), Time(f64::from(second)));
     }
-    assert_eq!(offload.share(), 0.0, "all are back");
+    assert_eq!(offload.share(), 0.0, "all workers returned");
 }
 
 proptest! {
-    /// Relief is asked for only once all workers heartbeat elsewhere, and ends
-    /// only after a while without any wait.
+    /// The owner asks for relief only once all workers send heartbeats to other controllers. Relief
+    /// ends only after a while without delayed requests.
     #[test]
     fn relief_ends_late(waits in prop::collection::vec((0.0..0.6_f64, any::<bool>()), 1..200)) {
         let mut relief = Relief::default();
@@ -441,21 +445,21 @@
     JobId::from(format!("run-{n:06}").as_str())
 }
 
-/// Polls: which job, seconds since the one before, whether polls are shed, and
-/// whether one that passes can be answered.
+/// Generates polls. Each has the index of its job, the seconds since the poll before, whether polls
+/// are shed, and whether an accepted poll can be answered.
 fn polls(jobs: usize) -> impl Strategy<Value = Vec<(usize, f64, bool, bool)>> {
     let mostly = || prop::bool::weighted(0.8);
     prop::collection::vec((0..jobs, 0.0..2.0_f64, mostly(), mostly()), 1..400)
 }
 
 proptest! {
-    /// Against the whole history, with slots for all: a poll is refused only if
-    /// the last one was answered, and lately. The first six jobs are recorded,
-    /// the others are not, and their second poll is the first to be answered.
+    /// With free slots for all jobs, a poll is refused only if the last poll of the job was
+    /// answered recently. The first six jobs are recorded. The first poll of each other id is
+    /// refused, and the second is answered.
     #[test]
-    fn polls_are_shed_by_what_came_of_earlier_ones(polls in polls(9)) {
+    fn polls_are_shed_by_earlier_decisions(polls in polls(9)) {
         let mut asked = PollShedding::default();
-        // Whether the last poll was answered, and when.
+        // Whether the last poll of each job was answered, and the time of that poll.
         let mut last = std::collections::BTreeMap::new();
         let mut now = 1.0;
         for (n, pause, shed, can) in polls {
@@ -467,7 +471,7 @@
                 _ if !shed => Verdict::Answer,
                 None if known => Verdict::Answer,
                 Some((false, _)) => Verdict::Answer,
-                // To the tenth of a second.
+                // The table stores times in tenths of a second, so the age is rounded.
                 Some((true, at)) if known && (age(*at) * 10.0).round() >= 0.0 => Verdict::Answer,
                 _ => Verdict::Refuse,
             };
@@ -484,11 +488,10 @@
         }
     }
 
-    /// With few slots, and a flood of ids that nobody submitted: never more is
-    /// kept than there are slots for, nobody is refused twice in a row, and the
-    /// flood changes nothing for recorded jobs.
+    /// With few slots and a flood of unknown ids, the tables never exceed their size, no job is
+    /// refused twice in a row, and the decisions on recorded jobs don't change.
     #[test]
-    fn a_flood_pushes_nobody_out(polls in polls(12), flood in 0_usize..40) {
+    fn a_flood_of_unknown_ids_evicts_no_recorded_job(polls in polls(12), flood in 0_usize..40) {
         let (mut asked, mut calm) = (PollShedding::new(8, 5), PollShedding::new(8, 5));
         let mut last = std::collections::BTreeMap::new();
         let mut now = 1.0;
@@ -506,20 +509,20 @@
             let verdict = asked.poll(poll, Time(now));
             prop_assert_eq!(verdict, calm.poll(poll, Time(now)));
             let refused = verdict == Verdict::Refuse;
-            prop_assert!(!(refused && last.insert(n, refused) == Some(true)), "twice in a row");
+            prop_assert!(!(refused && last.insert(n, refused) == Some(true)), "a job was refused twice in a row");
             last.insert(n, refused);
             for asked in [&mut asked, &mut calm].into_iter().filter(|_| !refused) {
                 if can { asked.answered(&job, true, Time(now)) } else { asked.failed(&job, true, Time(now)) }
             }
-            prop_assert!(asked.known_count() <= 8 && asked.unknown_count() <= 5);
+            prop_assert!(asked.recorded_count() <= 8 && asked.unrecorded_count() <= 5);
         }
     }
 }
 
-/// A full table answers whom it can't remember; who has not asked for long makes
-/// room, and a job that is over does at once.
+/// Polls of jobs that find no slot in a full table are answered. A job without a recent poll frees
+/// its slot, and a job that ended frees its slot at once.
 #[test]
-fn who_can_t_be_remembered_is_answered() {
+fn polls_without_a_free_slot_are_answered() {
     let mut asked = PollShedding::new(2, 2);
     let poll = |asked: &mut PollShedding, n: usize, now: f64| {
         let poll = Poll {
@@ -533,7 +536,7 @@
         }
         verdict
     };
-    let later = 6.0 + POLL_MEMORY_S;
+    let later = 6.0 + POLL_RETENTION_S;
     let (answer, refuse) = (Verdict::Answer, Verdict::Refuse);
     for (n, at, verdict) in [
         (0, 1.0, answer),
@@ -541,7 +544,7 @@
         (2, 1.0, answer),
         (2, 3.0, answer),
         (0, 3.0, refuse),
-        // After job 1 is over there is a free slot.
+        // Job 1 has ended, so its slot is free.
         (2, 4.0, answer),
         (2, 5.0, refuse),
         (7, later, answer),
--- a/src/autoscaler/packing.rs
+++ b/src/autoscaler/packing.rs
@@ -1,5 +1,4 @@
-//! Packing tasks into machines: those that there are, those on their way, and those
-//! that the plan rents.
+//! Packs tasks into machines that are up, pending or rented by the plan.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::rc::Rc;
@@ -9,27 +8,27 @@
 use crate::scheduler::CapacityPool;
 use crate::types::{JobId, JobSpec, Kind, Zone};
 
-/// Tasks of a job, or expected ones, to pack.
+/// Tasks to pack, which belong to a job, to expected work or to a reservation window.
 pub(super) struct Item {
     pub(super) spec: Rc<JobSpec>,
     pub(super) tasks: u32,
-    /// Capacity that is only kept free.
+    /// Whether the item only keeps capacity free, for expected work or for a reservation window.
     pub(super) expected: bool,
-    /// It has waited so long already that its objectives are in danger.
+    /// Whether the job has waited so long that it may miss its service-level objectives.
     pub(super) late: bool,
-    /// It has waited for about as long as it can for tasks to end: they do,
-    /// but as much work comes as they leave capacity for.
+    /// Whether the job has waited too long for other tasks to end. Tasks do end, but as much new
+    /// work arrives as they free capacity for.
     pub(super) queued: bool,
-    /// Its job has rules that its spec alone does not tell.
-    pub(super) placed: Option<JobId>,
-    /// Its job is in a lane.
+    /// Job of the item, if the job has required placement rules, which its spec does not show.
+    pub(super) constrained_job: Option<JobId>,
+    /// Whether the job of the item is in a priority lane.
     pub(super) lane: bool,
-    /// To be reserved for a window.
+    /// Reservation window for which the item needs capacity.
     pub(super) window: Option<String>,
 }
 
 impl Item {
-    /// Tasks that may come, or a window's.
+    /// Creates an item for expected tasks, or for tasks of a reservation window.
     pub(super) fn expected(spec: Rc<JobSpec>, tasks: u32, window: Option<String>) -> Self {
         Self {
             spec,
@@ -37,67 +36,72 @@
             expected: true,
             late: false,
             queued: false,
-            placed: None,
+            constrained_job: None,
             lane: false,
             window,
         }
     }
 }
 
-/// How good a machine is for a task, the least first.
+/// Rank of a machine for a task. The machine with the lowest rank is the best.
 #[derive(PartialEq, PartialOrd)]
 struct Rank {
-    /// An ordinary machine, for what may use spot ones.
-    dear: bool,
-    /// For a service, in a zone without a controller.
-    apart: bool,
-    /// It might be given back.
+    /// Whether the machine is an ordinary (non-spot) one although the task may use spot machines.
+    ordinary: bool,
+    /// Whether the task belongs to a service and the zone of the machine has no controller.
+    unserved_zone: bool,
+    /// Whether the machine is unused so far, so the plan might delete it.
     unused: bool,
-    /// Free thousandths of a CPU.
+    /// Free CPU of the machine, in thousandths of a CPU.
     cpu: i64,
 }
 
-/// A machine by what is free there.
+/// Sort key that orders machines by free CPU.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct FreeCpu {
-    /// Thousandths of a CPU.
+    /// Free CPU of the machine, in thousandths of a CPU.
     cpu: i64,
-    /// The machine's place in `free_capacities`.
+    /// Index of the machine in `free_capacities`.
     at: usize,
 }
 
-/// Machines, and what was packed into them so far.
+/// State of the packing: the machines, and the capacity that packed tasks leave free on them.
 pub(super) struct Packing<'a> {
     pub(super) input: &'a Input<'a>,
     pub(super) free_capacities: Vec<FreeCapacity>,
-    /// Machines by what is free now, and by what is free soon: the tightest first.
+    /// Machines of each group in order of free CPU, the least first. The first map counts CPU that
+    /// is free now, the second CPU that is free once tasks have ended that should end soon.
     bins: [BTreeMap<Bin, BTreeSet<FreeCpu>>; 2],
-    pub(super) crowd: HashMap<Zone, u32>,
+    /// Number of machines in each zone.
+    pub(super) machines_by_zone: HashMap<Zone, u32>,
+    /// Total CPU of all machines, in thousandths of a CPU.
     pub(super) total_cpu: i64,
+    /// CPU that is guaranteed to the teams, in thousandths of a CPU.
     pub(super) guaranteed_cpu: i64,
+    /// Number of machines to rent from each pool.
     pub(super) rent: BTreeMap<CapacityPool, u32>,
-    /// Machines rented for the sake of where they may come up, on their way
-    /// and new.
-    pub(super) hoped: u32,
-    /// Machines from here on are rented by this plan.
-    pub(super) new_from: usize,
-    /// For how many tasks of each window machines on their way have capacity.
+    /// Number of speculative machines, pending or new. A packed task depends on the domain in which
+    /// such a machine comes up.
+    pub(super) speculative_machines: u32,
+    /// Index in `free_capacities` of the first machine that this plan rents.
+    pub(super) first_rental: usize,
+    /// Number of tasks, by reservation window, for which pending machines have capacity.
     pub(super) pending_tasks: BTreeMap<String, u32>,
 }
 
 impl<'a> Packing<'a> {
-    /// Nothing is there yet.
+    /// Creates a packing without machines.
     pub(super) fn new(input: &'a Input<'a>) -> Self {
         Self {
             input,
             free_capacities: Vec::new(),
             bins: Default::default(),
-            crowd: HashMap::new(),
+            machines_by_zone: HashMap::new(),
             total_cpu: 0,
             guaranteed_cpu: input.cluster_state.guaranteed().cpu,
             rent: BTreeMap::new(),
-            hoped: 0,
-            new_from: usize::MAX,
+            speculative_machines: 0,
+            first_rental: usize::MAX,
             pending_tasks: BTreeMap::new(),
         }
     }
@@ -105,21 +109,24 @@
 
 impl Packing<'_> {
     pub(super) fn add(&mut self, free_capacity: FreeCapacity) -> usize {
-        *self.crowd.entry(free_capacity.zone.clone()).or_insert(0) += 1;
+        *self
+            .machines_by_zone
+            .entry(free_capacity.zone.clone())
+            .or_insert(0) += 1;
         self.total_cpu += free_capacity.kind.total.cpu;
         self.free_capacities.push(free_capacity);
         let at = self.free_capacities.len() - 1;
-        self.file(at, true);
+        self.update_index(at, true);
         at
     }
 
-    pub(super) fn file(&mut self, at: usize, put: bool) {
+    pub(super) fn update_index(&mut self, at: usize, insert: bool) {
         let free_capacity = &self.free_capacities[at];
         for (soon, bins) in self.bins.iter_mut().enumerate() {
             let bin = bins.entry(free_capacity.bin()).or_default();
             let cpu = free_capacity.available(soon == 1).cpu;
             let key = FreeCpu { cpu, at };
-            if put {
+            if insert {
                 bin.insert(key);
             } else {
                 bin.remove(&key);
@@ -127,18 +134,18 @@
         }
     }
 
-    /// The machine for a task that ranks best: spot machines for what may use
-    /// them, then machines that stay anyway, then the tightest fit.
+    /// Returns the index of the best existing machine for a task. Tasks that may use spot machines
+    /// prefer them. Then machines that are in use come first, then those with the least free CPU.
     pub(super) fn fitting(
         &self,
         spec: &JobSpec,
         soon: bool,
-        barred: &dyn Fn(&Zone) -> bool,
+        excluded: &dyn Fn(&Zone) -> bool,
         pass: &dyn Fn(&FreeCapacity) -> bool,
     ) -> Option<usize> {
         let mut best: Option<(Rank, usize)> = None;
         for (bin, free_capacities) in &self.bins[usize::from(soon)] {
-            if barred(&bin.zone) {
+            if excluded(&bin.zone) {
                 continue;
             }
             let least = FreeCpu {
@@ -153,11 +160,11 @@
                 if !spec.each.fits(free_capacity.available(soon)) || !pass(free_capacity) {
                     continue;
                 }
-                let apart =
+                let unserved_zone =
                     spec.kind == Kind::Service && !self.input.cluster_state.is_served(&bin.zone);
                 let rank = Rank {
-                    dear: spec.spot && !bin.spot,
-                    apart,
+                    ordinary: spec.spot && !bin.spot,
+                    unserved_zone,
                     unused: !bin.used,
                     cpu,
                 };
@@ -170,18 +177,18 @@
         best.map(|(_, at)| at)
     }
 
-    /// The machine for a task, there or to be rented.
+    /// Returns the index of the machine for the next task of an item, and rents one if needed.
     fn choose_machine(
         &mut self,
         item: &Item,
         soon: bool,
         left_cpu: i64,
-        barred: &dyn Fn(&Zone) -> bool,
+        excluded: &dyn Fn(&Zone) -> bool,
     ) -> Option<usize> {
         let spec = &item.spec;
-        let fitting = self.fitting(spec, soon, barred, &|_| true);
-        // An ordinary machine that nothing else uses is dear for work
-        // that may use spot machines: rather rent one of those.
+        let fitting = self.fitting(spec, soon, excluded, &|_| true);
+        // An ordinary (non-spot) machine that nothing else uses is expensive for work that may use
+        // spot machines. The plan prefers to rent a spot machine for such work.
         let keep = fitting
             .map(|at| &self.free_capacities[at])
             .is_some_and(|r| !spec.spot || r.spot || r.used);
@@ -189,7 +196,7 @@
             return fitting;
         }
         let new_machine = self
-            .cheapest(item, left_cpu, barred)
+            .cheapest(item, left_cpu, excluded)
             .filter(|r| r.spot || fitting.is_none());
         let Some(free_capacity) = new_machine else {
             return fitting;
@@ -197,7 +204,7 @@
         Some(self.add_rental(free_capacity))
     }
 
-    /// Packs an item's tasks, and rents for those that find no free capacity.
+    /// Packs the tasks of an item, and rents machines for tasks that find no free capacity.
     pub(super) fn pack(&mut self, item: &Item) {
         let spec = &item.spec;
         let mut zones: BTreeMap<Zone, u32> = BTreeMap::new();
@@ -206,19 +213,19 @@
         } else {
             item.tasks
         };
-        // What is only expected needs its free capacity at once; what waits can take
-        // the free capacity of tasks that end soon.
+        // Pending tasks may count on capacity that ending tasks free soon. Expected work needs
+        // capacity that is free now.
         let soon = !item.expected && !item.queued && (self.input.patient)(spec);
         let mut left = item.tasks;
         while left > 0 {
-            let barred = |z: &Zone| zones.get(z).is_some_and(|n| *n >= max);
+            let excluded = |z: &Zone| zones.get(z).is_some_and(|n| *n >= max);
             let left_cpu = spec.each.cpu * i64::from(left);
-            let chosen = self.choose_machine(item, soon, left_cpu, &barred);
+            let chosen = self.choose_machine(item, soon, left_cpu, &excluded);
             let Some(at) = chosen else { return };
             let free_capacity = &self.free_capacities[at];
             let in_zone = zones.entry(free_capacity.zone.clone()).or_insert(0);
-            // A spread job's tasks go to one machine after another, as their
-            // zones fill up.
+            // The tasks of a spread job are packed one at a time, because each task counts towards
+            // the limit of its zone.
             let count = spec
                 .each
                 .how_many(free_capacity.available(soon))
@@ -232,21 +239,21 @@
         }
     }
 
-    /// Takes capacity for so many tasks of an item.
+    /// Takes capacity for `count` tasks of an item from the machine at index `at`.
     fn take(&mut self, at: usize, item: &Item, count: u32) {
-        self.file(at, false);
+        self.update_index(at, false);
         let free_capacity = &mut self.free_capacities[at];
         let taken = item.spec.each.times(i64::from(count));
         free_capacity.free -= taken;
-        free_capacity.soon -= taken;
+        free_capacity.free_soon -= taken;
         free_capacity.used = true;
         match &item.window {
-            Some(window) if free_capacity.id.is_none() && at < self.new_from => {
+            Some(window) if free_capacity.id.is_none() && at < self.first_rental => {
                 *self.pending_tasks.entry(window.clone()).or_insert(0) += count;
             }
             None if item.expected && !item.spec.spot => free_capacity.kept += taken,
             _ => {}
         }
-        self.file(at, true);
+        self.update_index(at, true);
     }
 }
--- a/src/autoscaler/placed.rs
+++ b/src/autoscaler/placed.rs
@@ -1,6 +1,7 @@
-//! Packing work whose rules look at where machines are, or at devices. The
-//! cloud picks the rack, so a machine is rented in hope, looked at, and kept or
-//! given back; how many are hoped for at a time is bounded.
+//! Packs tasks whose placement rules depend on the topology domain or the devices of a machine.
+//!
+//! The cloud picks the rack of a new machine. The plan therefore rents machines speculatively, and
+//! each is kept or deleted once its domain is known. The number of speculative machines is bounded.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
@@ -18,40 +19,42 @@
 use crate::scheduler::Job;
 use crate::types::Zone;
 
-/// Types and zones that hardly ever bring what is wanted are not tried, until
-/// what was seen is forgotten.
+/// The plan rents no speculative machine from a pool whose machines come up in an allowed domain
+/// with a lower probability than this. The pool is tried again once the observations are forgotten.
 const MIN_PROBABILITY: f64 = 0.1;
 
-/// An item whose job's rules look at where machines are, or at devices, as far as it is
-/// packed. Only required rules are worth money.
-struct PlacedItem<'a> {
+/// Packing state of an item whose job has placement rules on domains or devices. Only required
+/// rules count, because no machine is rented for a mere preference.
+struct ConstrainedItem<'a> {
     item: &'a Item,
     policy: Rc<Policy>,
     topology: Rc<Topology>,
-    /// Devices that each task needs.
+    /// Devices that each task of the item needs.
     needs: Vec<Device>,
-    /// Where the job's tasks are and will be.
+    /// Number of tasks of the job in each topology domain, running and packed ones.
     tally: Tally,
-    /// How many of the item's tasks were packed into each zone, and how many may be.
+    /// Number of tasks of the item that were packed into each zone.
     zones: BTreeMap<Zone, u32>,
+    /// Maximum number of tasks of the item in one zone.
     max_in_zone: u32,
 }
 
-impl<'a> PlacedItem<'a> {
-    /// Nothing of it is packed yet. None: nothing is placed by a controller that can't
-    /// judge, so nothing is rented for it either.
+impl<'a> ConstrainedItem<'a> {
+    /// Creates the state for an item of which no task is packed yet. Returns `None` without a
+    /// topology: the controller can't judge the rules then, so it places no task and rents nothing.
     fn new(input: &Input, item: &'a Item, job: &Job) -> Option<Self> {
         let topology = input.cluster_state.topology()?.clone();
         let policy = job.policy.clone();
-        let there = job.tasks.claims().values().map(|claim| {
+        let claimed = job.tasks.claims().values().map(|claim| {
             let machine = input.cluster_state.machines().get(&claim.machine)?;
-            // What is to move off a draining machine does not stay there.
+            // Tasks on a draining machine move to other machines, so they don't count at this
+            // place.
             (!machine.draining).then_some(MachineLocation {
                 place: machine.place,
                 machine: claim.machine.as_str(),
             })
         });
-        let staying: Vec<_> = there.flatten().map(Some).collect();
+        let staying: Vec<_> = claimed.flatten().map(Some).collect();
         let tally = policy.tally(&topology.tree, staying);
         Some(Self {
             item,
@@ -68,12 +71,12 @@
         })
     }
 
-    /// Whether a zone has as many of its tasks as it may.
-    fn bars_zone(&self, zone: &Zone) -> bool {
+    /// Returns whether a zone holds the maximum number of tasks of the item.
+    fn is_zone_full(&self, zone: &Zone) -> bool {
         self.zones.get(zone).is_some_and(|n| *n >= self.max_in_zone)
     }
 
-    /// Whether the required rules allow one more task at a place.
+    /// Returns whether the required rules allow one more task on a machine in a domain.
     fn allows_at(&self, place: Domain, machine: &str) -> bool {
         self.policy
             .bars(
@@ -85,7 +88,7 @@
             .is_none()
     }
 
-    /// Whether they allow one more task on a machine that is up.
+    /// Returns whether the required rules allow one more task on a machine that is up.
     fn allows(&self, free_capacity: &FreeCapacity) -> bool {
         match (free_capacity.place, &free_capacity.id) {
             (Some(place), Some(id)) => self.allows_at(place, id.as_str()),
@@ -93,16 +96,17 @@
         }
     }
 
-    /// The units that a task would use, beside those in use; none if one is missing.
+    /// Returns the device units that a task would use, without the units in `allocated`. Returns
+    /// `None` if a needed device is missing.
     fn units(
         &self,
         free_capacity: &FreeCapacity,
-        reserved: &AllocatedDevices,
+        allocated: &AllocatedDevices,
     ) -> Option<Vec<Unit>> {
-        choose(&free_capacity.device_inventory, reserved, &self.needs)
+        choose(&free_capacity.device_inventory, allocated, &self.needs)
     }
 
-    /// Counts a task that is packed into a machine.
+    /// Counts one more task that is packed into a machine, in its zone and domain.
     fn count(&mut self, free_capacity: &FreeCapacity) {
         *self.zones.entry(free_capacity.zone.clone()).or_insert(0) += 1;
         if let Some(place) = free_capacity.place {
@@ -117,67 +121,78 @@
 }
 
 impl Packing<'_> {
-    /// Packs tasks one by one: into machines whose place their rules allow;
-    /// else into ones that are on their way, in hope; else into new ones, as
-    /// many as the bound allows.
-    pub(super) fn pack_placed(&mut self, item: &Item, job: &Job) {
-        let Some(mut placed) = PlacedItem::new(self.input, item, job) else {
+    /// Packs the tasks of an item one by one. Each task goes to a machine that is up in an allowed
+    /// domain, else to a pending machine, else to a new one within the bound on speculative
+    /// machines.
+    pub(super) fn pack_constrained(&mut self, item: &Item, job: &Job) {
+        let Some(mut constrained) = ConstrainedItem::new(self.input, item, job) else {
             return;
         };
         for left in (1..=item.tasks).rev() {
-            let Some(at) = self.choose_for_placed(&placed, left) else {
+            let Some(at) = self.choose_for_constrained(&constrained, left) else {
                 return;
             };
-            self.take_for_placed(at, &mut placed);
+            self.take_for_constrained(at, &mut constrained);
         }
     }
 
-    /// The machine for one more task, there or rented in hope.
-    fn choose_for_placed(&mut self, placed: &PlacedItem, left: u32) -> Option<usize> {
-        let spec = &placed.item.spec;
-        let barred = |zone: &Zone| placed.bars_zone(zone);
-        let known = |r: &FreeCapacity| placed.allows(r) && placed.units(r, &r.reserved).is_some();
-        let to_be_rented = |r: &FreeCapacity| r.place.is_none() && !r.hoped;
-        self.fitting(spec, false, &barred, &known)
-            .or_else(|| self.fitting(spec, false, &barred, &to_be_rented))
-            .or_else(|| self.scale_out_speculatively(placed, left))
+    /// Returns the index of the machine for one more task, and rents one speculatively if needed.
+    fn choose_for_constrained(
+        &mut self,
+        constrained: &ConstrainedItem,
+        left: u32,
+    ) -> Option<usize> {
+        let spec = &constrained.item.spec;
+        let excluded = |zone: &Zone| constrained.is_zone_full(zone);
+        let suitable = |r: &FreeCapacity| {
+            constrained.allows(r) && constrained.units(r, &r.allocated_devices).is_some()
+        };
+        let unlocated = |r: &FreeCapacity| r.place.is_none() && !r.speculative;
+        self.fitting(spec, false, &excluded, &suitable)
+            .or_else(|| self.fitting(spec, false, &excluded, &unlocated))
+            .or_else(|| self.scale_out_speculatively(constrained, left))
     }
 
-    /// Takes capacity for one task.
-    fn take_for_placed(&mut self, at: usize, placed: &mut PlacedItem) {
-        self.file(at, false);
+    /// Takes capacity and devices for one task from the machine at index `at`.
+    fn take_for_constrained(&mut self, at: usize, constrained: &mut ConstrainedItem) {
+        self.update_index(at, false);
         let free_capacity = &mut self.free_capacities[at];
-        free_capacity.free -= placed.item.spec.each;
-        free_capacity.soon -= placed.item.spec.each;
+        free_capacity.free -= constrained.item.spec.each;
+        free_capacity.free_soon -= constrained.item.spec.each;
         free_capacity.used = true;
-        let units = placed.units(free_capacity, &free_capacity.reserved);
-        let sure = units.is_some() && !placed.policy.counts();
+        let units = constrained.units(free_capacity, &free_capacity.allocated_devices);
+        let certain = units.is_some() && !constrained.policy.counts();
         if let Some(units) = units {
-            free_capacity.reserved.take(&units);
+            free_capacity.allocated_devices.take(&units);
         }
         if free_capacity.place.is_none() {
-            free_capacity.hoped = !sure;
-            self.hoped += u32::from(!sure);
+            free_capacity.speculative = !certain;
+            self.speculative_machines += u32::from(!certain);
         }
-        placed.count(free_capacity);
-        self.file(at, true);
+        constrained.count(free_capacity);
+        self.update_index(at, true);
     }
 
-    /// Rents the machine that most likely comes up where a task may go, for
-    /// its price.
-    fn scale_out_speculatively(&mut self, placed: &PlacedItem, wanted: u32) -> Option<usize> {
-        let overshoot = placed.topology.settings.renting.overshoot;
-        let bounded = tries(wanted, self.hoped, overshoot) == 0;
-        let with_devices = self.places_with_devices(placed);
-        let barred = |zone: &Zone| placed.bars_zone(zone);
+    /// Rents the machine with the lowest price per probability that it comes up in an allowed
+    /// domain. Skips pools that are too unlikely. The bound on speculative machines does not apply
+    /// to machines that certainly suit the task.
+    fn scale_out_speculatively(
+        &mut self,
+        constrained: &ConstrainedItem,
+        wanted: u32,
+    ) -> Option<usize> {
+        let overshoot = constrained.topology.settings.renting.overshoot;
+        let bounded = tries(wanted, self.speculative_machines, overshoot) == 0;
+        let with_devices = self.places_with_devices(constrained);
+        let excluded = |zone: &Zone| constrained.is_zone_full(zone);
         let mut best: Option<(f64, FreeCapacity)> = None;
-        for free_capacity in self.rentable(&placed.item.spec, &barred) {
-            let equipped = placed
+        for free_capacity in self.rentable(&constrained.item.spec, &excluded) {
+            let equipped = constrained
                 .units(&free_capacity, &AllocatedDevices::default())
                 .is_some();
-            let certain = equipped && !placed.policy.counts();
+            let certain = equipped && !constrained.policy.counts();
             let may = |place: Domain| {
-                placed.allows_at(place, "") && (equipped || with_devices.contains(&place))
+                constrained.allows_at(place, "") && (equipped || with_devices.contains(&place))
             };
             let chance = if certain {
                 1.0
@@ -201,13 +216,14 @@
         Some(self.add_rental(free_capacity))
     }
 
-    /// Where machines have the devices that the tasks need: those that a type does not
-    /// bring by itself are where others of the kind are.
-    fn places_with_devices(&self, placed: &PlacedItem) -> BTreeSet<Domain> {
-        if placed.needs.is_empty() {
+    /// Returns the domains in which machines have the devices that the tasks need. A new machine
+    /// may get devices there that its type does not include, as the machines in that domain did.
+    fn places_with_devices(&self, constrained: &ConstrainedItem) -> BTreeSet<Domain> {
+        if constrained.needs.is_empty() {
             return BTreeSet::new();
         }
-        let equipped = |r: &&FreeCapacity| placed.units(r, &AllocatedDevices::default()).is_some();
+        let equipped =
+            |r: &&FreeCapacity| constrained.units(r, &AllocatedDevices::default()).is_some();
         let free_capacities = self.free_capacities.iter().filter(equipped);
         free_capacities.filter_map(|r| r.place).collect()
     }
