--- a/src/control/core/agent.rs
+++ b/src/control/core/agent.rs
@@ -25,7 +25,8 @@
 pub(super) struct AgentState {
     /// Address on which the agent listens.
     pub(super) addr: SocketAddr,
-    /// Incarnation of the last heartbeat. `sequence` is the heartbeat's number in it.
+    /// Incarnation of the agent that sent the last heartbeat. `sequence` is the number of that
+    /// heartbeat in the incarnation.
     incarnation: Incarnation,
     sequence: SequenceNumber,
     /// Fencing token that commands to this machine carry now.
@@ -185,7 +186,7 @@
         now.since(self.last_contact)
     }
 
-    /// Returns whether a direct command failed and no heartbeat has shown since that one
+    /// Returns whether a direct command failed and no heartbeat since then has shown that a command
     /// arrived.
     pub(super) fn is_suspected_one_way(&self) -> bool {
         self.suspected_one_way
--- a/src/control/core/agent_table.rs
+++ b/src/control/core/agent_table.rs
@@ -66,8 +66,8 @@
         unfenced.count()
     }
 
-    /// Returns whether any agent has not reported its current fencing token. Machines that are
-    /// being deleted don't count.
+    /// Returns whether any agent has not reported its current fencing token. Agents whose machines
+    /// are being deleted don't count.
     pub(super) fn any_staying_unfenced(&self) -> bool {
         let mut agents = self.agents.values();
         agents.any(|agent| !agent.fenced() && !agent.is_deleting())
--- a/src/control/core/agents.rs
+++ b/src/control/core/agents.rs
@@ -31,7 +31,7 @@
     usable: bool,
     /// Commands reach the machine only in the answers to its heartbeats.
     slow: bool,
-    /// The last heartbeat is too old.
+    /// The last heartbeat is so old that the machine gets no new tasks.
     silent: bool,
     /// The owner returns or deletes the machine, or the cloud preempts it.
     leaving: bool,
@@ -208,8 +208,8 @@
         }
     }
 
-    /// Releases claims on an unusable machine whose start was not sent, so that their tasks are
-    /// placed elsewhere. If the machine is leaving, its other tasks are stopped.
+    /// Releases claims on an unusable machine whose start commands were not sent, so that their
+    /// tasks are placed elsewhere. If the machine is leaving, its other tasks are stopped.
     fn settle_claims(&mut self, id: &MachineId, leaving: bool, now: Time) {
         for task in self.cluster_state.claims_on(id) {
             let claim = self.cluster_state.claim_of(&task);
--- a/src/control/core/command_queue.rs
+++ b/src/control/core/command_queue.rs
@@ -18,7 +18,7 @@
 pub(super) enum ContactOrder {
     /// Any machine in normal operation. After a failover, a machine that runs services.
     First,
-    /// After a failover, a machine with tasks of other kinds.
+    /// After a failover, a machine that runs tasks but no services.
     WithTasks,
     /// After a failover, a machine without tasks.
     Empty,
@@ -89,8 +89,8 @@
         self.retries.insert(Retry { at_ms, machine });
     }
 
-    /// Schedules another contact of a machine that may hang, after others of its kind have had
-    /// time to answer.
+    /// Schedules another contact of a machine that may hang, after other machines that may hang
+    /// have had time to answer.
     pub(super) fn retry_unreachable(&mut self, machine: MachineId, now: Time) {
         self.retry_after(machine, UNREACHABLE_RETRY_S, now);
     }
--- a/src/control/core/commands.rs
+++ b/src/control/core/commands.rs
@@ -65,8 +65,8 @@
         commands
     }
 
-    /// Returns the commands that stop or forget tasks that the machine reported. `in_reply`
-    /// tells that they go in the answer to a heartbeat, which renews the machine's lease.
+    /// Returns the commands that stop or forget tasks that the machine reported. `in_reply` tells
+    /// that the commands go in the answer to a heartbeat, which renews the machine's lease.
     fn stops_and_forgets(
         &mut self,
         id: &MachineId,
@@ -94,8 +94,9 @@
                 continue;
             };
             let saving = status.phase == TaskPhase::Saving && grace_s > 0.0;
-            // An answer renews the lease of a task that must not run. So it always carries the
-            // kill, because the direct command that carried it last may be lost.
+            // An answer to a heartbeat renews the machine's lease. A task that must end at once
+            // (`grace_s` is 0) could keep running by that lease. So the answer always carries the
+            // kill of such a task, because the direct command that carried it last may be lost.
             let renews = in_reply && grace_s == 0.0;
             if !saving && (renews || agent.sent_kills.is_due(key, now)) {
                 agent.sent_kills.sent(key, now);
@@ -114,8 +115,8 @@
         starts && self.cluster_state.claim_of(task).is_some_and(due)
     }
 
-    /// Returns the start commands that are due on a machine, and marks their claims as sent in
-    /// the given way.
+    /// Returns the start commands that are due on a machine. Marks their claims as sent by the path
+    /// that `sent` names.
     fn start_commands(&mut self, id: &MachineId, sent: Sent, now: Time) -> Vec<Command> {
         let mut tasks = self.cluster_state.claims_on(id);
         tasks.retain(|task| self.start_is_due(task));
@@ -175,8 +176,8 @@
     match claim {
         // No claim is left, so the task must not keep running.
         None => Some(0.0),
-        // This covers a cancellation that was found in the record at a takeover, of which no
-        // change of the job was ever seen.
+        // The job was cancelled. This includes a cancellation that the owner found in the job's
+        // record at its takeover, without seeing any change of the job.
         Some(_) if job.is_some_and(|j| j.cancelled) => Some(0.0),
         Some(claim) => claim.stop,
     }
--- a/src/control/core/deleted_machines.rs
+++ b/src/control/core/deleted_machines.rs
@@ -12,13 +12,13 @@
 use crate::state::Change;
 use crate::types::{MachineId, Time};
 
-/// Maximum delay before names are recorded, in seconds. The delay lets several names share one
-/// record.
+/// Maximum delay before the names of deleted machines are recorded, in seconds. The delay lets
+/// several names share one record.
 const MAX_RECORD_DELAY_S: f64 = 3.0;
-/// Number of names that are recorded without that delay.
+/// Number of names of deleted machines that are recorded without that delay.
 const DELETED_MACHINES_PER_RECORD: usize = 60;
 
-/// Names to record, and the slot to record them in.
+/// Names of deleted machines to record, and the slot (one of several records) to record them in.
 pub(super) struct DeletedMachines {
     step: u32,
     slot: u32,
@@ -28,8 +28,8 @@
 }
 
 impl DeletedMachines {
-    /// Continues with the list that the previous owner wrote last. Each of several owners has
-    /// its own slots.
+    /// Continues with the record of deleted machines that the previous owner wrote last. Each of
+    /// several owners has its own slots for these records.
     pub(super) fn load(view: &View, scope: ShardScope) -> Self {
         let own = |slot: &u32| slot % scope.of == scope.shard.0;
         let last = view.retired_machines.iter().filter(|(slot, _)| own(slot));
@@ -57,8 +57,8 @@
         self.unwritten.push(machine.clone());
     }
 
-    /// Returns the change that records the new names, or `None` if it is not due. The names go
-    /// to the next slot if this one is full.
+    /// Returns the change that records the new names, or `None` if it is not due. The names go to
+    /// the next slot if the record in this slot is full.
     pub(super) fn change(&mut self, value_bytes: usize, now: Time) -> Option<Change> {
         let due = self.unwritten.len() >= DELETED_MACHINES_PER_RECORD
             || now.since(self.since) >= MAX_RECORD_DELAY_S;
--- a/src/control/core/direct_line.rs
+++ b/src/control/core/direct_line.rs
@@ -16,11 +16,11 @@
 /// State of direct commands to one agent.
 #[derive(Debug)]
 pub(super) struct DirectCommandState {
-    /// A command is in flight.
+    /// A direct command to the agent is in flight.
     in_flight: bool,
-    /// Earliest time of the next command.
+    /// Earliest time of the next direct command to the agent.
     retry_at: Time,
-    /// Number of commands in a row that did not get through.
+    /// Number of direct commands in a row that did not get through to the agent.
     failures: u32,
     /// The agent is silent and has tasks, so the owner contacts it directly.
     suspect: bool,
@@ -29,7 +29,7 @@
 }
 
 impl DirectCommandState {
-    /// Returns the state before the first command.
+    /// Returns the state of an agent to which no direct command was sent yet.
     pub(super) fn new(now: Time) -> Self {
         Self {
             in_flight: false,
@@ -40,17 +40,17 @@
         }
     }
 
-    /// Returns whether a command is in flight.
+    /// Returns whether a direct command to the agent is in flight.
     pub(super) fn is_in_flight(&self) -> bool {
         self.in_flight
     }
 
-    /// Returns the earliest time of the next command.
+    /// Returns the earliest time of the next direct command to the agent.
     pub(super) fn retry_at(&self) -> Time {
         self.retry_at
     }
 
-    /// Returns whether the last command did not get through.
+    /// Returns whether the last direct command did not get through to the agent.
     pub(super) fn is_failing(&self) -> bool {
         self.failures > 0
     }
@@ -70,7 +70,7 @@
         self.suspect = true;
     }
 
-    /// Records a heartbeat that arrived by any path.
+    /// Records a heartbeat of the agent, whichever path it took.
     pub(super) fn contact_confirmed(&mut self) {
         (self.suspect, self.unanswered_connections) = (false, 0);
     }
@@ -81,7 +81,7 @@
         self.retry_at = Time(self.retry_at.0.min(now.0 + RETRY_AFTER_HEARTBEAT_S));
     }
 
-    /// Records that a command was sent.
+    /// Records that a direct command was sent to the agent.
     pub(super) fn sent(&mut self) {
         self.in_flight = true;
     }
--- a/src/control/core/dispatch.rs
+++ b/src/control/core/dispatch.rs
@@ -21,8 +21,8 @@
         out
     }
 
-    /// Returns whether a machine may be sent a direct command now. If it may only later, the
-    /// machine is queued for that time.
+    /// Returns whether a machine may be sent a direct command now. If the command has to wait, the
+    /// machine is queued for a later time.
     fn may_contact(&mut self, id: &MachineId, now: Time) -> bool {
         let Some(agent) = self.agents.get(id) else {
             return false;
@@ -41,7 +41,8 @@
             self.command_queue.retry_unreachable(id.clone(), now);
             return false;
         }
-        // Other machines get their commands in the reply to the next heartbeat.
+        // If another controller forwards the heartbeats of an agent that has the current fencing
+        // token, its commands go in the reply to the next heartbeat.
         !(agent.is_forwarded() && agent.fenced())
     }
 
--- a/src/control/core/failover.rs
+++ b/src/control/core/failover.rs
@@ -16,19 +16,19 @@
     at: Time,
     /// Time of day at the failover, in milliseconds.
     at_wall_ms: u64,
-    /// The failover is recent, as of the last tick.
+    /// The failover was less than `RECENT_S` ago at the last tick.
     recent: bool,
     /// The owner has placed no task yet.
     awaits_first_placement: bool,
     /// Some machines have not reported yet.
     awaits_heartbeats: bool,
-    /// Images that machines ran before this owner learned of them.
+    /// Images that each machine ran before this owner learned of the machine.
     cached_images: HashMap<MachineId, Vec<CachedImage>>,
 }
 
 impl Failover {
-    /// Starts with the grant taken now. `cached_images` holds the images that machines ran
-    /// according to the history.
+    /// Returns the state of a failover that happens now, as this controller takes the grant.
+    /// `cached_images` holds the images that machines ran according to the history.
     pub(super) fn begin(
         now: Time,
         wall_ms: u64,
@@ -60,17 +60,17 @@
         self.at_wall_ms + (self.age_s(now) * 1000.0) as u64
     }
 
-    /// Updates whether the failover is recent.
+    /// Updates whether the failover was less than `RECENT_S` ago.
     pub(super) fn tick(&mut self, now: Time) {
         self.recent = self.age_s(now) < RECENT_S;
     }
 
-    /// Returns whether the failover is recent, as of the last tick.
+    /// Returns whether the failover was less than `RECENT_S` ago at the last tick.
     pub(super) fn is_recent(&self) -> bool {
         self.recent
     }
 
-    /// Records that tasks were placed. Returns `true` the first time.
+    /// Records that this owner placed tasks. Returns `true` the first time.
     pub(super) fn placed(&mut self) -> bool {
         std::mem::take(&mut self.awaits_first_placement)
     }
@@ -85,7 +85,7 @@
         self.awaits_heartbeats = false;
     }
 
-    /// Removes and returns the images that a machine ran before this owner learned of it.
+    /// Removes and returns the images that a machine ran before this owner learned of the machine.
     pub(super) fn take_cached_images(&mut self, machine: &MachineId) -> Vec<CachedImage> {
         self.cached_images.remove(machine).unwrap_or_default()
     }
--- a/src/control/core/failures.rs
+++ b/src/control/core/failures.rs
@@ -9,16 +9,19 @@
 /// Number of heartbeat intervals for which a job avoids a machine that refused one of its
 /// tasks.
 const AVOID_AFTER_REFUSAL_HEARTBEATS: f64 = 2.0;
-/// Longest pause of a job whose tasks machines don't find, in seconds.
+/// Longest delay of a job after a machine refused one of its tasks because it found no such task,
+/// in seconds.
 const MAX_NOT_FOUND_PAUSE_S: f64 = 30.0;
 /// Time for which a job avoids a machine on which it failed, in seconds.
 const AVOID_AFTER_FAILURE_S: f64 = 60.0;
-/// A job counts as faulty once it has at least this many failures, on at least this many
-/// machines.
+/// Number of failures from which a job counts as faulty, if it failed on at least
+/// `FAULTY_JOB_MACHINES` machines.
 const FAULTY_JOB_FAILURES: u32 = 3;
 const FAULTY_JOB_MACHINES: usize = 3;
-/// First and longest pause of a faulty job, in seconds.
+/// Pause of a faulty job after two failures, in seconds. Each further failure up to the sixth
+/// doubles the pause.
 const FAULTY_JOB_PAUSE_S: f64 = 2.0;
+/// Longest pause of a faulty job, in seconds.
 const MAX_FAULTY_JOB_PAUSE_S: f64 = 40.0;
 /// Number of sound jobs whose failures on a machine make the machine count as faulty.
 const FAULTY_MACHINE_JOBS: usize = 2;
@@ -91,8 +94,8 @@
         });
     }
 
-    /// Delays a job after a machine refused a task because it found no task of that name. The
-    /// delay grows with each refusal.
+    /// Delays a job after an agent refused to start one of its tasks with the reason "no such
+    /// task". The delay doubles with each failure of the job.
     fn back_off_not_found(&mut self, job: &JobId, now: Time) {
         self.cluster_state.edit_job(job, |job| {
             job.failures += 1;
@@ -149,7 +152,7 @@
         // The count starts at the threshold, however many of the job's tasks failed at once.
         (job.suspected_faulty, job.failures) = (true, FAULTY_JOB_FAILURES);
     } else if suspected_faulty && !job.tasks.claims().is_empty() {
-        // The failed task was started before the job was suspected.
+        // The failed task was started before the job was suspected, so its failure does not count.
         job.failures -= 1;
     }
     if faulty || suspected_faulty {
--- a/src/control/core/fleet_log.rs
+++ b/src/control/core/fleet_log.rs
@@ -19,14 +19,14 @@
 }
 
 impl Core {
-    /// Logs the totals if the interval has passed.
+    /// Logs the capacity of the fleet if `FLEET_LOG_INTERVAL_S` has passed since the last log line.
     pub(super) fn log_fleet_if_due(&mut self, now: Time) {
         if self.scaling.take_log_due(FLEET_LOG_INTERVAL_S, now) {
             self.log_fleet();
         }
     }
 
-    /// Logs the totals, in whole CPUs.
+    /// Logs the used and free capacity of all machines, in whole CPUs.
     fn log_fleet(&self) {
         let ordinary = self.machine_totals(false);
         let spot = self.machine_totals(true);
@@ -50,7 +50,7 @@
         );
     }
 
-    /// Returns the totals of ordinary machines, or of spot machines.
+    /// Returns the totals of all spot machines if `spot` is set, or else of all ordinary machines.
     fn machine_totals(&self, spot: bool) -> MachineTotals {
         let mut totals = MachineTotals::default();
         let machines = self.cluster_state.machines().values();
--- a/src/control/core/heartbeats.rs
+++ b/src/control/core/heartbeats.rs
@@ -57,8 +57,9 @@
             return;
         };
         let changes = agent.apply_heartbeat(heartbeat, source, now);
-        // The leases end although the heartbeats are answered, so every task there is lost each
-        // time. While requests wait too long, answers may be too late.
+        // The agent's leases end although its heartbeats are answered, and all tasks on the machine
+        // are lost each time. So the owner returns the machine. While requests wait too long to be
+        // read, the answers may be the cause because they are late, so the machine stays.
         if changes.incarnation_ended
             && agent.reachability.incarnation_ended(lease_s, now)
             && !silence_ignored
@@ -230,7 +231,7 @@
             // Only the next heartbeat that the agent sends itself shows whether a reply
             // arrived. A direct answer may overtake the reply.
             Sent::InReply if source == Source::Direct => {}
-            // The answer that is still to come shows the task.
+            // The answer to the start command in flight is still to come, and shows the task.
             Sent::Flying if in_flight => {}
             Sent::Flying | Sent::InReply => {
                 claim.sent = Sent::No;
--- a/src/control/core/inventory.rs
+++ b/src/control/core/inventory.rs
@@ -6,9 +6,11 @@
 use super::scaling_state::MachineOffer;
 use crate::types::{MachineId, Time, TypeName, Zone};
 
-/// A machine is probably deleted after it was missing from this many lists in a row.
+/// Number of the cloud's machine lists in a row that don't show a machine, after which the machine
+/// is probably deleted.
 const MISSING_LISTS: u32 = 2;
-/// Missing count of a machine that is to be deleted, whatever the lists show.
+/// Value in `missing` for a machine that the owner wants deleted. The value takes the place of the
+/// number of lists that don't show the machine, and exceeds `MISSING_LISTS`.
 const MARKED_FOR_DELETION: u32 = u32::MAX / 2;
 
 /// Machine that the cloud granted and that has not reported yet.
@@ -37,9 +39,10 @@
 #[derive(Debug, Default)]
 pub(super) struct CloudInventory {
     pending_machines: BTreeMap<MachineId, PendingMachine>,
-    /// Number of lists in a row in which a machine was missing.
+    /// Number of the cloud's machine lists in a row that did not show a machine, or
+    /// `MARKED_FOR_DELETION`.
     missing: BTreeMap<MachineId, u32>,
-    /// The owner has read a list under this grant.
+    /// This owner has read the cloud's machine list since it took the grant.
     listed: bool,
 }
 
@@ -71,23 +74,23 @@
         self.pending_machines.remove(machine);
     }
 
-    /// Returns whether a list was read under this grant.
+    /// Returns whether this owner has read the cloud's machine list since it took the grant.
     pub(super) fn was_listed(&self) -> bool {
         self.listed
     }
 
-    /// Records that a list was read.
+    /// Records that this owner read the cloud's machine list.
     pub(super) fn record_list_read(&mut self) {
         self.listed = true;
     }
 
-    /// Records that a list shows a machine.
+    /// Records that the cloud's machine list shows a machine.
     pub(super) fn record_listed(&mut self, machine: &MachineId) {
         self.missing.remove(machine);
     }
 
-    /// Records that a list does not show a machine. Returns `true` once the machine is probably
-    /// deleted.
+    /// Records that the cloud's machine list does not show a machine. Returns `true` once the
+    /// machine is probably deleted.
     pub(super) fn record_missing(&mut self, machine: &MachineId) -> bool {
         let count = self.missing.entry(machine.clone()).or_insert(0);
         *count += 1;
@@ -111,7 +114,7 @@
         self.missing.insert(machine.clone(), MARKED_FOR_DELETION);
     }
 
-    /// Removes a deleted machine.
+    /// Removes a deleted machine from the pending and the missing machines.
     pub(super) fn forget(&mut self, machine: &MachineId) {
         self.pending_machines.remove(machine);
         self.missing.remove(machine);
--- a/src/control/core/machine_list.rs
+++ b/src/control/core/machine_list.rs
@@ -11,43 +11,45 @@
 
 /// Factor for clock drift. Clocks drift apart by 0.05% (PROTOCOL).
 const CLOCK_DRIFT_FACTOR: f64 = 1.001;
-/// Number of missed heartbeats after which a machine may be deleted.
+/// Number of heartbeat intervals of silence from which a machine that the cloud's list does not
+/// show may be deleted.
 const MISSED_HEARTBEATS: f64 = 1.5;
-/// Age below which the list may not show a rented machine yet, in usual list lags
-/// (`MAYBE_UNLISTED_LAGS`) plus seconds (`MAYBE_UNLISTED_S`).
+/// Age below which the cloud's machine list may not show a rented machine yet. The age is the usual
+/// lag of the list times `MAYBE_UNLISTED_LAGS`, plus `MAYBE_UNLISTED_S` seconds.
 const MAYBE_UNLISTED_LAGS: f64 = 3.0;
 const MAYBE_UNLISTED_S: f64 = 5.0;
-/// Time after a failover from which the list certainly shows a moment after it, in usual list
-/// lags (`MAX_LIST_DELAY_LAGS`) plus seconds (`MAX_LIST_DELAY_S`). The list is late by at most
-/// twice its usual lag (PROTOCOL).
+/// Largest lag of the cloud's machine list, as a multiple of its usual lag (PROTOCOL). A list
+/// that is read when this time and a margin (`MAX_LIST_DELAY_S`) have passed since a failover
+/// certainly shows a moment after the failover.
 const MAX_LIST_DELAY_LAGS: f64 = 2.0;
+/// Margin beyond the largest lag of the cloud's machine list, in seconds.
 const MAX_LIST_DELAY_S: f64 = 2.0;
 /// Factor by which the owner waits longer for unreachable machines if most machines are
 /// unreachable.
 const MOST_UNREACHABLE_FACTOR: f64 = 3.0;
 
 impl Core {
-    /// Applies a machine list: adds new machines, and marks missing ones for deletion.
+    /// Applies the cloud's machine list: adds new machines, and marks missing ones for deletion.
     pub fn listed(&mut self, list: &[ListedMachine], now: Time) {
         let names: BTreeSet<&MachineId> = list.iter().map(|m| &m.id).collect();
         self.inventory.record_list_read();
         self.tombstones.expire(&self.cfg, now);
         for machine in list {
-            // The list is late. A deleted machine must not come back as one to contact or to
-            // wait for.
+            // A late list may still show a deleted machine. The owner must not contact that machine
+            // or wait for it.
             if !self.tombstones.contains(&machine.id) {
                 self.machine_listed(machine, now);
             }
         }
         self.mark_missing_machines(&names, now);
-        // A list is late by at most twice its usual lag (PROTOCOL). So the list now shows a
-        // time at which all machines existed that a former owner claimed.
+        // The machine list is late by at most twice its usual lag (PROTOCOL). So the list now shows
+        // a time at which all machines existed that a former owner claimed.
         if self.failover.age_s(now) > MAX_LIST_DELAY_LAGS * self.cfg.list_lag_s + MAX_LIST_DELAY_S {
             self.mark_unknown_machines(&names);
         }
     }
 
-    /// Applies an entry for a machine that is not known to be deleted.
+    /// Applies the machine list's entry for a machine that is not known to be deleted.
     fn machine_listed(&mut self, machine: &ListedMachine, now: Time) {
         let id = &machine.id;
         self.inventory.record_listed(id);
--- a/src/control/core/machine_types.rs
+++ b/src/control/core/machine_types.rs
@@ -10,7 +10,7 @@
 pub(super) struct MachineTypes(HashMap<TypeName, Rc<MachineType>>);
 
 impl MachineTypes {
-    /// Returns the types of the cloud's list.
+    /// Returns the table of the machine types that the cloud lists.
     pub(super) fn new(types: &[MachineType]) -> Self {
         let types = types.iter();
         Self(
@@ -41,7 +41,7 @@
         boots.fold(f64::INFINITY, f64::min)
     }
 
-    /// Returns the type with the fewest CPUs that fits a task.
+    /// Returns the name of the machine type with the fewest CPUs that fits a task.
     pub(super) fn smallest_for(&self, each: Amount) -> Option<&TypeName> {
         let fit = self.values().filter(|t| each.fits(t.total));
         fit.min_by_key(|t| t.total.cpu).map(|t| &t.name)
--- a/src/control/core/mod.rs
+++ b/src/control/core/mod.rs
@@ -160,7 +160,7 @@
 
 /// State of a shard owner, from which it places tasks and commands agents.
 pub struct Core {
-    /// Settings. They don't change while the grant is held.
+    /// Settings of this controller. They don't change while this owner holds the grant.
     cfg: Rc<Config>,
     /// Jobs, machines and team shares of this shard.
     pub cluster_state: ClusterState,
@@ -170,8 +170,8 @@
     grant_revision: Revision,
     /// Shard that the grant is for.
     pub scope: ShardScope,
-    /// Freeze before a handover. While it is on, the owner claims nothing more, and claims in
-    /// flight settle.
+    /// Freeze of the shard before its handover to another owner. While the shard is frozen, the
+    /// owner claims no more tasks, and claims in flight settle.
     freeze: HandoverFreeze,
     /// Tasks delegated to and taken from other shards, and quota given to them.
     sharing: task_delegation::Sharing,
@@ -184,13 +184,14 @@
     types: MachineTypes,
     /// Agents of all machines that are up.
     agents: AgentTable,
-    /// Machines in the cloud's lists.
+    /// Machines in the cloud's lists that have not reported, and machines that are missing from the
+    /// lists.
     inventory: CloudInventory,
-    /// Changes that are not recorded yet.
+    /// Writes of claims, results and finished jobs that wait to be recorded in the state service.
     pending: Pending,
     /// Time since this owner took the grant, and the recovery steps that are still pending.
     failover: Failover,
-    /// Machines that may need commands.
+    /// Queue of machines whose agents may need direct commands.
     command_queue: CommandQueue,
     /// Machines that may have free capacity for tasks.
     placement_queue: PlacementQueue,
@@ -217,9 +218,9 @@
     repair_schedule: RepairSchedule,
     /// Time at which each waiting job was last logged.
     waiting_log: WaitingLog,
-    /// Consequences of rejected transactions for the next ones.
+    /// Changes that the state service rejected, and how they affect the next transactions.
     rejected_changes: RejectedChanges,
-    /// Time of the last rescan.
+    /// Time of the last rescan, which updates state that changes only with time.
     last_rescan: Time,
 }
 
--- a/src/control/core/silence.rs
+++ b/src/control/core/silence.rs
@@ -15,17 +15,18 @@
 }
 
 impl IgnoredSilence {
-    /// Returns a state in which silence counts from now on.
+    /// Returns a state that ignores no silence. From `now` on, a machine's silence may be evidence
+    /// of a failure.
     pub(super) fn none(now: Time) -> Self {
         Self { until: now }
     }
 
-    /// Ignores silence until the given time.
+    /// Ignores silent machines until the given time.
     fn extend(&mut self, until: Time) {
         self.until = until;
     }
 
-    /// Returns whether silence is ignored now.
+    /// Returns whether the owner ignores silent machines now.
     pub(super) fn is_on(&self, now: Time) -> bool {
         now < self.until
     }
--- a/src/control/core/start_permission.rs
+++ b/src/control/core/start_permission.rs
@@ -8,16 +8,18 @@
 
 use crate::types::{MachineId, Time};
 
-/// Bound on start commands, and the machines whose start commands wait for a later bound.
+/// Time until which the owner may send start commands, and the machines whose start commands wait
+/// for a later time limit.
 #[derive(Debug)]
 pub(super) struct StartPermission {
     until: Time,
-    /// Machines on which start commands were due after the bound.
+    /// Machines on which start commands were due when the owner was not allowed to start tasks any
+    /// more.
     withheld: BTreeSet<MachineId>,
 }
 
 impl StartPermission {
-    /// Returns a permission without a bound.
+    /// Returns a permission to start tasks without a time limit.
     pub(super) fn unbounded() -> Self {
         Self {
             until: Time(f64::INFINITY),
@@ -35,8 +37,8 @@
         self.withheld.insert(machine);
     }
 
-    /// Sets the bound. Returns the machines on which start commands were withheld if they may
-    /// be sent now.
+    /// Sets the time until which tasks may be started. Returns the machines on which start commands
+    /// were withheld if they may be sent now.
     pub(super) fn set(&mut self, until: Time, now: Time) -> BTreeSet<MachineId> {
         self.until = until;
         if self.is_valid(now) {
--- a/src/control/core/tombstones.rs
+++ b/src/control/core/tombstones.rs
@@ -11,8 +11,8 @@
 use crate::state::Change;
 use crate::types::{MachineId, Time};
 
-/// Number of leases for which names of deleted machines are kept, and the maximum number of
-/// names.
+/// Time for which names of deleted machines are kept, in durations of an agent's lease. At most
+/// `MAX_DELETED_MACHINES` names are kept.
 const DELETED_LEASES: f64 = 12.0;
 const MAX_DELETED_MACHINES: usize = 20_000;
 
@@ -20,14 +20,14 @@
 pub(super) struct MachineTombstones {
     /// Machines that were deleted under this grant, and the time of each deletion.
     deleted: BTreeMap<MachineId, Time>,
-    /// Names to record for later owners.
+    /// Names of deleted machines to record for later owners.
     to_record: DeletedMachines,
-    /// Names that earlier owners recorded.
+    /// Names of deleted machines that earlier owners recorded.
     inherited: BTreeSet<MachineId>,
 }
 
 impl MachineTombstones {
-    /// Loads the names that earlier owners recorded.
+    /// Loads the names of deleted machines that earlier owners recorded.
     pub(super) fn load(view: &View, scope: ShardScope) -> Self {
         let recorded = view.retired_machines.values();
         Self {
@@ -60,9 +60,9 @@
         self.to_record.add(machine, now);
     }
 
-    /// Removes old names. Names are kept for longer than a late list shows them, because copies
-    /// of their heartbeats arrive well over a lease late. The names are few enough for that.
-    /// Beyond the maximum, the oldest names are removed first.
+    /// Removes old names of deleted machines. Names are kept for longer than a late list shows
+    /// them, because copies of their heartbeats arrive well over a lease late. The names are few
+    /// enough for that. Beyond the maximum, the oldest names are removed first.
     pub(super) fn expire(&mut self, cfg: &Config, now: Time) {
         let mut keep_s = (4.0 * cfg.list_lag_s + 10.0).max(DELETED_LEASES * cfg.lease_s);
         self.deleted.retain(|_, at| now.since(*at) < keep_s);
@@ -72,8 +72,8 @@
         }
     }
 
-    /// Returns the change that records the latest names for later owners, or `None` if it is
-    /// not due.
+    /// Returns the change that records the names of the machines deleted last for later owners, or
+    /// `None` if it is not due.
     pub(super) fn change(&mut self, value_bytes: usize, now: Time) -> Option<Change> {
         self.to_record.change(value_bytes, now)
     }
--- a/src/control/core/topology_history.rs
+++ b/src/control/core/topology_history.rs
@@ -8,7 +8,7 @@
 
 use crate::types::Time;
 
-/// Lost machines and arrivals by failure domain.
+/// Recent losses and arrivals of machines, by failure domain.
 #[derive(Default)]
 pub(super) struct TopologyHistory {
     losses: Stability,
@@ -26,7 +26,7 @@
         self.losses.lost(tree, place, now);
     }
 
-    /// Removes events that are older than the topology settings say.
+    /// Removes events that are older than the topology settings allow.
     pub(super) fn tidy(&mut self, settings: &Settings, now: Time) {
         self.losses.tidy(settings.repair.settle_s, now);
         self.placements.tidy(settings.renting.remember_s, now);
--- a/src/control/core/waiting_log.rs
+++ b/src/control/core/waiting_log.rs
@@ -8,7 +8,7 @@
 
 /// Interval at which the log repeats why the same job waits, in seconds.
 const LOG_INTERVAL_S: f64 = 60.0;
-/// Time that a job has to wait before it is logged, in seconds.
+/// Time that a job has to wait before the log gives the reason, in seconds.
 const LOG_AFTER_S: f64 = 15.0;
 
 /// Time at which each waiting job was last logged.
@@ -18,7 +18,7 @@
 }
 
 impl WaitingLog {
-    /// Removes the jobs that may be logged again.
+    /// Removes the jobs whose last log line is so old that the log may repeat why they wait.
     fn expire(&mut self, now: Time) {
         self.logged_at
             .retain(|_, at| now.since(*at) < LOG_INTERVAL_S);
@@ -29,7 +29,7 @@
         self.logged_at.contains_key(job)
     }
 
-    /// Records that a job is logged now.
+    /// Records that the log now shows why a job waits.
     fn logged(&mut self, job: JobId, now: Time) {
         self.logged_at.insert(job, now);
     }
