--- a/src/control/leader.rs
+++ b/src/control/leader.rs
@@ -21,20 +21,24 @@
 const LEADER_WRITE_SHARE: f64 = 0.65;
 /// Fraction of the state service's rate limits that all controllers together use.
 const STATE_RATE_USED: f64 = 0.95;
-/// Requests that a controller may send in one burst after an idle period.
+/// Number of requests that a controller may send to the state service in one burst after an idle
+/// period.
 const REQUEST_BURST: f64 = 4.0;
-/// Divisor that derives the write burst after an idle period from the writes allowed per
-/// second.
+/// Divisor that derives the write burst to the state service after an idle period from the writes
+/// allowed per second.
 const CHANGE_BURSTS_PER_SECOND: f64 = 4.0;
-/// Upper bound of the write burst.
+/// Maximum number of writes that a controller may send to the state service in one burst after an
+/// idle period.
 const CHANGE_BURST_MAX: f64 = 4.0;
-/// Writes per second that each controller may send at least, however low its share is.
+/// Number of writes per second that each controller may send to the state service at least, however
+/// low its share is.
 const CHANGE_RATE_MIN: f64 = 0.5;
 /// Pause of a controller that defers to others before each check whether one of them has become
 /// leader.
 const RESIGNATION_RETRY_INTERVAL: Duration = Duration::from_secs(2);
 
-/// Pause after a failed read, while a new leader reads all records written before its grant.
+/// Pause after a failed read of the records, while a new leader reads all records written before
+/// its grant.
 const CATCH_UP_PAUSE: Duration = Duration::from_millis(50);
 /// Pause after an election whose outcome is unknown.
 pub(super) const ELECTION_RETRY_PAUSE: Duration = Duration::from_millis(150);
--- a/src/control/leadership.rs
+++ b/src/control/leadership.rs
@@ -44,7 +44,7 @@
         }
     }
 
-    /// Returns the lease, unless it is known to have ended.
+    /// Returns this controller's lease in the state service, unless it is known to have ended.
     pub(super) fn lease(&self) -> Option<LeaseId> {
         self.lease.get()
     }
--- a/src/control/reservations.rs
+++ b/src/control/reservations.rs
@@ -21,9 +21,9 @@
 /// Time that a write of the calendar may wait at the state service.
 const CALENDAR_QUEUE_TIMEOUT: Duration = Duration::from_millis(1500);
 
-/// Record of the file's windows, to be written over the current record.
+/// Record of the windows in the calendar file, to be written over the calendar's current record.
 struct NewerCalendar {
-    /// Revision of the current record.
+    /// Revision of the calendar's current record.
     mod_revision: Revision,
     record: CalendarRecord,
 }
@@ -88,9 +88,9 @@
         }
     }
 
-    /// Writes the windows of the file if the file is newer than the record. If several
-    /// controllers have files, the file with the highest number wins, regardless of the order
-    /// in which they start.
+    /// Writes the windows of the calendar file if the file is newer than the calendar's record. If
+    /// several controllers have files, the file with the highest number wins, regardless of the
+    /// order in which they start.
     async fn record_calendar_file(&self, file: &Calendar, file_error_log: &mut LogOnce) {
         let Some(newer) = self.newer_calendar(file, file_error_log) else {
             return;
@@ -124,7 +124,8 @@
         }
     }
 
-    /// Returns the record made from the file, if it is newer than the current record.
+    /// Returns the calendar's record made from the calendar file, if it is newer than the current
+    /// record.
     fn newer_calendar(
         &self,
         file: &Calendar,
@@ -284,7 +285,8 @@
         })
     }
 
-    /// Returns the record after an operator's change, or `None` if the record does not change.
+    /// Returns the calendar's record after an operator's change, or `None` if the record does not
+    /// change.
     fn changed_calendar(
         &self,
         recorded: &Versioned<Option<CalendarRecord>>,
--- a/src/control/shard_grants.rs
+++ b/src/control/shard_grants.rs
@@ -120,7 +120,7 @@
         self.fresh().await;
     }
 
-    /// Returns the step that is due according to the records.
+    /// Returns the next step of the shard assignment that is due according to the records.
     fn next_step(&self) -> Option<Step> {
         let preference = ShardPreference {
             gather: (self.cfg.tuning.shards_least == 1).then(|| self.cfg.node.clone()),
@@ -143,8 +143,8 @@
             .next_assignment(&shards.collect(), &alive.collect(), &preference, now)
     }
 
-    /// Returns the transaction that carries out a step. Its conditions include the leader's
-    /// record, so a late step of a leader that was deposed meanwhile fails.
+    /// Returns the transaction that carries out a step of the shard assignment. Its conditions
+    /// include the leader's record, so a late step of a leader that was deposed meanwhile fails.
     fn step_transaction(&self, step: &Step) -> Option<Transaction> {
         let view = self.store.view();
         let (Step::Grant(shard, _) | Step::Offer(shard, _) | Step::TakeBack(shard)) = step;
--- a/src/control/shard_owner.rs
+++ b/src/control/shard_owner.rs
@@ -13,10 +13,10 @@
 use crate::agent_client::{send_commands, Sending};
 use crate::types::Time;
 
-/// Interval between runs of the duties that are not urgent.
+/// Interval between runs of a shard owner's periodic work that is not urgent.
 pub(super) const TICK: Duration = Duration::from_millis(200);
-/// Duration in seconds from which a duty over the whole fleet is logged. All other work of the
-/// controller waits while such a duty runs.
+/// Duration from which a periodic scan of the whole fleet is logged, in seconds. All other work of
+/// the controller waits during such a scan.
 const SLOW_DUTY_S: f64 = 0.4;
 
 impl Node {
@@ -81,14 +81,14 @@
         self.drive();
     }
 
-    /// Tries to place every waiting job on the best machine, if that is due.
+    /// Tries to place every waiting job on the best machine, if this scan is due.
     fn place_all(&self, core: &mut Core, now: Time) {
         if core.place_all_is_due() && self.paces.due(Duty::Place, now) {
             self.timed(Duty::Place, || core.place_all(now));
         }
     }
 
-    /// Runs a duty over the whole fleet, and records its cost.
+    /// Runs a periodic scan of the whole fleet, and records how long it took.
     pub(super) fn timed<R>(&self, duty: Duty, work: impl FnOnce() -> R) -> R {
         let begun = Instant::now();
         let result = work();
@@ -105,7 +105,7 @@
         result
     }
 
-    /// Advances the clock of the owned shards, and runs the duties that become due.
+    /// Advances the clock of the owned shards, and runs the periodic work that is due.
     pub(super) async fn run_placement(self: Rc<Self>) {
         let mut last = Instant::now();
         loop {
--- a/src/control/shard_ownership.rs
+++ b/src/control/shard_ownership.rs
@@ -19,7 +19,7 @@
 use crate::state::view::View;
 use crate::types::{MachineId, NodeId, Time, Zone};
 
-/// Time for which the published needs of a shard are valid.
+/// Time for which the use and demand that a shard's owner published are valid.
 const NEEDS_VALID_FOR: Duration = Duration::from_secs(3);
 /// Number of machine zones that are kept beyond twice the number of listed machines.
 const MACHINE_ZONES_SLACK: usize = 1000;
@@ -88,7 +88,7 @@
     }
 }
 
-/// The latest needs that a shard's owner published, and the time of their arrival.
+/// Latest use and demand that a shard's owner published, and the time of their arrival.
 struct PublishedNeeds {
     received_at: Instant,
     needs: Rc<Needs>,
@@ -148,7 +148,8 @@
         self.owned.borrow_mut().cores.remove(&shard)
     }
 
-    /// Removes the shards that the records have granted anew. Returns whether any were removed.
+    /// Removes the owned shards that the records no longer grant to this controller. Returns
+    /// whether any were removed.
     pub(super) fn retain_granted(&self, view: &View) -> bool {
         let mut owned = self.owned.borrow_mut();
         let before = owned.len();
--- a/src/control/store_view.rs
+++ b/src/control/store_view.rs
@@ -13,7 +13,8 @@
 use crate::state::{Events, Item};
 use crate::types::{JobId, Revision, Time};
 
-/// The last refresh that ended. A refresh reads all that is new in the state service.
+/// The last refresh of the local copy of the records that ended. A refresh reads all that is new in
+/// the state service.
 #[derive(Clone, Copy, Default)]
 struct Refresh {
     /// Number of the refresh, counted from 1.
@@ -141,29 +142,29 @@
         Duration::from_secs_f64(self.freshness.get().age_s(now))
     }
 
-    /// Requests a refresh.
+    /// Requests a refresh of the local copy of the records.
     pub(super) fn request_refresh(&self) {
         self.refresh_signal.notify_one();
     }
 
-    /// Waits until a refresh is requested.
+    /// Waits until a refresh of the local copy is requested.
     pub(super) async fn refresh_requested(&self) {
         self.refresh_signal.notified().await;
     }
 
-    /// Begins a refresh and returns its number.
+    /// Begins a refresh of the local copy, and returns the number of the refresh.
     pub(super) fn begin_refresh(&self) -> u64 {
         let number = self.refreshes_started.get() + 1;
         self.refreshes_started.set(number);
         number
     }
 
-    /// Ends the refresh with this number, and wakes all tasks that wait for it.
+    /// Ends the refresh of the local copy with this number, and wakes all tasks that wait for it.
     pub(super) fn end_refresh(&self, number: u64, succeeded: bool) {
         self.refreshed.send_replace(Refresh { number, succeeded });
     }
 
-    /// Returns whether the state service answered the last refresh.
+    /// Returns whether the state service answered the last refresh of the local copy.
     pub(super) fn last_refresh_succeeded(&self) -> bool {
         self.refreshed.borrow().succeeded
     }
--- a/src/control/store_watch.rs
+++ b/src/control/store_watch.rs
@@ -18,17 +18,17 @@
 const WATCH_LAG_LIMIT: Duration = Duration::from_secs(1);
 /// Time that a user's request waits for a fresh view. Users wait 2 s for the answer.
 pub(super) const FRESH_VIEW_TIMEOUT: Duration = Duration::from_millis(1400);
-/// Minimum pause between two refreshes.
+/// Minimum pause between two refreshes of the local view of the records.
 const REFRESH_GAP_MIN: Duration = Duration::from_millis(20);
-/// Maximum pause between two refreshes.
+/// Maximum pause between two refreshes of the local view of the records.
 const REFRESH_GAP_MAX: Duration = Duration::from_millis(300);
-/// Pause after a failed watch.
+/// Pause after a failed watch of the state service.
 const WATCH_RETRY_PAUSE: Duration = Duration::from_millis(250);
-/// Pause between two watches of a controller that owns a shard.
+/// Pause between two watches of the state service by a controller that owns a shard.
 const OWNER_WATCH_PAUSE: Duration = Duration::from_millis(50);
-/// Pause between two watches of a controller that owns no shard.
+/// Pause between two watches of the state service by a controller that owns no shard.
 const FOLLOWER_WATCH_PAUSE: Duration = Duration::from_millis(200);
-/// Time that a refresh or watch may wait for its turn at the state service.
+/// Time that a refresh of the view or a watch may wait for its turn at the state service.
 const READ_QUEUE_TIMEOUT: Duration = Duration::from_millis(800);
 
 impl Node {
@@ -76,7 +76,7 @@
         }
     }
 
-    /// Runs a refresh whenever one is requested.
+    /// Refreshes the local view of the records whenever a refresh is requested.
     pub(super) async fn run_refreshes(self: Rc<Self>) {
         loop {
             self.store.refresh_requested().await;
