--- a/src/control/admission.rs
+++ b/src/control/admission.rs
@@ -15,15 +15,15 @@
 
 /// Maximum number of submissions that are being recorded at a time.
 const MAX_CONCURRENT_SUBMISSIONS: usize = 64;
-/// Maximum number of polls that are forwarded to other controllers at a time.
+/// Maximum number of polls of job states that are forwarded to other controllers at a time.
 const MAX_FORWARDED_QUERIES: usize = 128;
 /// Time without forwarding after no other controller could answer a request. While the
 /// state service is unavailable to all controllers, each request would otherwise pass
 /// through two controllers in vain.
 const FORWARD_BACKOFF: Duration = Duration::from_secs(1);
 
-/// Poll that another controller answers. The poll counts against the limit until this value
-/// is dropped, because the user may disconnect at any time.
+/// User's poll of a job's state that another controller answers. The poll counts against the limit
+/// of forwarded polls until this value is dropped, because the user may disconnect at any time.
 pub(super) struct ForwardedQuery<'a> {
     count: &'a Cell<usize>,
 }
@@ -53,10 +53,11 @@
     poll_shedding: RefCell<PollShedding>,
     /// Number of forwarded polls that are in flight.
     forwarded_queries: Cell<usize>,
-    /// Polls are not forwarded before this instant, because no other controller could
+    /// Polls of job states are not forwarded before this instant, because no other controller could
     /// answer the last one.
     queries_stay_local_until: Cell<Instant>,
-    /// Submissions and cancellations are not forwarded before this instant.
+    /// Submissions and cancellations are not forwarded before this instant, because no other
+    /// controller could decide the last one.
     changes_stay_local_until: Cell<Instant>,
 }
 
--- a/src/control/cloud_duties.rs
+++ b/src/control/cloud_duties.rs
@@ -13,23 +13,25 @@
 use crate::cloud::{ListedMachine, Rental};
 use crate::types::MachineId;
 
-/// Interval between two plans of the fleet.
+/// Interval between two plans of which machines to rent and delete.
 const AUTOSCALE_INTERVAL: Duration = Duration::from_millis(700);
-/// Maximum rate at which machines are read from the list, in machines per second.
+/// Maximum rate at which a controller reads entries of the cloud's machine list, in machines per
+/// second.
 const MACHINES_LISTED_PER_S: f64 = 350.0;
-/// Pause before the first list request and after a failed one, in seconds.
+/// Pause before the first request for the cloud's machine list and after a failed one, in seconds.
 const LIST_RETRY_S: f64 = 0.5;
-/// Lower bound of the minimum pause between two list requests, in seconds.
+/// Lower bound of the minimum pause between two requests for the cloud's machine list, in seconds.
 const LIST_PAUSE_FLOOR_S: f64 = 1.0;
-/// Upper bound of the minimum pause between two list requests, in seconds. The minimum
-/// pause is half the lag of the list, within these two bounds.
+/// Upper bound of the minimum pause between two requests for the cloud's machine list, in seconds.
+/// The minimum pause is half the lag of the list, within these two bounds.
 const LIST_PAUSE_CEILING_S: f64 = 5.0;
-/// Interval between two reads of the machine types. Prices change; the other properties
-/// hardly do.
+/// Interval between two reads of the cloud's machine types. Their prices change; the other
+/// properties hardly do.
 const TYPES_INTERVAL: Duration = Duration::from_secs(45);
-/// Pause after a failed read of the machine types, while earlier ones are known.
+/// Pause after a failed read of the cloud's machine types, while those of an earlier read are
+/// known.
 const TYPES_RETRY_PAUSE: Duration = Duration::from_secs(10);
-/// Pause after a failed read of the machine types while none are known. The controller
+/// Pause after a failed read of the cloud's machine types while none are known. The controller
 /// can't accept any job before it knows them.
 const FIRST_TYPES_RETRY_PAUSE: Duration = Duration::from_secs(1);
 /// Maximum number of machines that one request deletes.
@@ -106,7 +108,7 @@
         }
     }
 
-    /// Plans the fleet periodically, and rents and deletes machines by the plan.
+    /// Plans periodically which machines to rent and delete, and carries out the plan.
     pub(super) async fn run_autoscaler(self: Rc<Self>) {
         loop {
             sleep(AUTOSCALE_INTERVAL).await;
--- a/src/control/heartbeat_routing.rs
+++ b/src/control/heartbeat_routing.rs
@@ -20,8 +20,8 @@
 const FORWARDING_PERIOD: Duration = Duration::from_secs(45);
 /// Number of remembered redirected workers above which old entries are evicted.
 const MAX_REDIRECTED_AGENTS: usize = 8192;
-/// Time after a redirect within which a worker that comes back is not redirected to a
-/// helper again.
+/// Time after a redirect within which a worker that comes back is not redirected again to a helper,
+/// a controller that takes heartbeats for this one.
 const RETURN_WINDOW: Duration = Duration::from_secs(30);
 
 /// Worker that was redirected to another controller.
@@ -95,8 +95,9 @@
         self.dismissed_workers.borrow_mut().clear();
     }
 
-    /// Redirects a worker of this controller to `helper`. Returns false if the worker was
-    /// redirected lately and has come back; this controller then keeps its heartbeats.
+    /// Redirects a worker of this controller to `helper`, a controller that takes heartbeats for
+    /// this one. Returns false if the worker was redirected lately and has come back; this
+    /// controller then keeps its heartbeats.
     pub(super) fn redirect_to_helper(&self, machine: &MachineId, helper: &NodeId) -> bool {
         let now = Instant::now();
         let mut redirected_agents = self.redirected_agents.borrow_mut();
--- a/src/control/heartbeats.rs
+++ b/src/control/heartbeats.rs
@@ -14,8 +14,8 @@
 use crate::peer_link;
 use crate::types::{MachineId, NodeId};
 
-/// Time without service here, while the state service serves other controllers, after which
-/// requests are forwarded to those.
+/// Time for which the state service has to serve other controllers but not this one before this
+/// controller forwards requests to them.
 const FORWARD_AFTER: Duration = Duration::from_millis(300);
 
 /// Outcome of a heartbeat for an owned shard.
--- a/src/control/load_counts.rs
+++ b/src/control/load_counts.rs
@@ -2,7 +2,7 @@
 
 use std::cell::Cell;
 
-/// Counters since the last load log line.
+/// Counts of requests and of periodic scans of the fleet since the last log line about the load.
 #[derive(Default)]
 pub struct Counts {
     /// Heartbeats that workers sent to this controller.
@@ -15,18 +15,18 @@
     pub polls: Cell<u64>,
     /// Cancellations that users sent.
     pub cancellations: Cell<u64>,
-    /// Total time spent on duties over the whole fleet, in seconds.
+    /// Total time spent on periodic scans of the whole fleet, in seconds.
     pub duty_s: Cell<f64>,
     /// Leases renewed on behalf of owners that were overloaded or absent.
     pub renewed: Cell<u64>,
-    /// Longest time that one duty over the whole fleet took, in seconds.
+    /// Longest time that one periodic scan of the whole fleet took, in seconds.
     pub longest_duty_s: Cell<f64>,
     /// Requests answered with 503 because of the load.
     pub shed: Cell<u64>,
 }
 
 impl Counts {
-    /// Records a duty over the whole fleet that took `cost_s` seconds.
+    /// Records a periodic scan of the whole fleet that took `cost_s` seconds.
     pub(super) fn duty_took(&self, cost_s: f64) {
         self.duty_s.set(self.duty_s.get() + cost_s);
         self.longest_duty_s
--- a/src/control/load_log.rs
+++ b/src/control/load_log.rs
@@ -8,16 +8,16 @@
 
 use super::Node;
 
-/// Interval between two log lines, unless the shedding level changes earlier.
+/// Interval between two log lines about the load, unless the shedding level changes earlier.
 const LOG_INTERVAL: Duration = Duration::from_secs(10);
-/// Lower bound of the time between two measurements, in seconds. Rates are never divided by
-/// a shorter time.
+/// Lower bound of the time between two measurements of the load, in seconds. Rates are never
+/// divided by a shorter time.
 pub(super) const MIN_ELAPSED_S: f64 = 1e-3;
 
-/// Time of the last log line, and counters at that time.
+/// Time of the last log line about the load, and counters at that time.
 pub(super) struct LoadLog {
     written_at: Instant,
-    /// Total number of late answers at the time of the last log line.
+    /// Total number of late answers at the time of the last log line about the load.
     late_before: u64,
 }
 
@@ -30,12 +30,12 @@
         }
     }
 
-    /// Returns whether the next log line is due.
+    /// Returns whether the next log line about the load is due.
     pub(super) fn is_due(&self) -> bool {
         self.written_at.elapsed() >= LOG_INTERVAL
     }
 
-    /// Writes the counts since the last log line, and resets the counters.
+    /// Logs the counts since the last log line about the load, and resets the counters.
     pub(super) fn write(&mut self, node: &Node, sample: Sample) {
         let elapsed_s = self.written_at.elapsed().as_secs_f64();
         let elapsed_s = elapsed_s.max(MIN_ELAPSED_S);
--- a/src/control/load_monitor.rs
+++ b/src/control/load_monitor.rs
@@ -23,15 +23,16 @@
 /// Maximum time that claims may wait to be recorded, in seconds. The limit on claims
 /// follows from this time and the write rate.
 const MAX_CLAIM_WAIT_S: f64 = 2.5;
-/// Lateness of a timer that does not count as a wait, in seconds.
+/// Lateness of the sampling timer that does not count as a wait of requests, in seconds.
 const TIMER_LATENESS_S: f64 = 0.02;
 
 /// Load of this controller, and the limits that follow from it.
 #[derive(Default)]
 pub struct Load {
-    /// Counters of requests and duties.
+    /// Counters of requests, and of the periodic scans of the whole fleet.
     pub counts: Counts,
-    /// Time that requests waited to be read at the last sample, in seconds.
+    /// Time that requests waited to be read, as measured at the last sample of the load, in
+    /// seconds.
     wait_s: Cell<f64>,
     pressure: RefCell<Pressure>,
     fleet_limit: RefCell<FleetLimit>,
@@ -50,12 +51,12 @@
         self.fleet_limit.borrow().max()
     }
 
-    /// Returns how long requests waited to be read at the last sample, in seconds.
+    /// Returns how long requests waited to be read at the last sample of the load, in seconds.
     pub(super) fn wait_s(&self) -> f64 {
         self.wait_s.get()
     }
 
-    /// Returns whether a resource is short.
+    /// Returns whether a resource, such as CPU time or sockets, is short.
     fn binds(&self, resource: Resource) -> bool {
         self.pressure.borrow().binds(resource)
     }
@@ -91,13 +92,13 @@
             .home(machine, helpers.iter())
     }
 
-    /// Takes a sample. Returns true if the shedding level has changed.
+    /// Applies a sample of the load. Returns true if the shedding level has changed.
     fn take_sample(&self, sample: Sample, now: Time) -> bool {
         self.wait_s.set(sample.wait_s.max(0.0));
         self.pressure.borrow_mut().take(sample, now)
     }
 
-    /// Takes the load of an owner of shards. Returns the maximum number of machines.
+    /// Applies the heartbeat load of an owner of shards. Returns the maximum number of machines.
     fn update_owner_limits(&self, load: HeartbeatLoad, now: Time) -> Option<usize> {
         let mut heartbeat_offload = self.heartbeat_offload.borrow_mut();
         heartbeat_offload.take(load, now);
@@ -230,10 +231,13 @@
         }
     }
 
-    /// Returns the waits and the sockets in use. The last sample is `elapsed_s` seconds old.
+    /// Measures how long requests from users and workers, claims, and requests to the cloud wait,
+    /// and how many sockets are in use. `elapsed_s` is the time since the last sample, in
+    /// seconds.
     fn sample_load(&self, elapsed_s: f64, now: Time) -> Sample {
         Sample {
-            // A timer that fires late has waited as long as a request would.
+            // The timer of the samples waits for CPU time as requests do. So its delay beyond the
+            // sampling interval counts as a wait of requests.
             wait_s: self
                 .connections
                 .wait_s()
--- a/src/control/paces.rs
+++ b/src/control/paces.rs
@@ -7,7 +7,7 @@
 
 use crate::types::Time;
 
-/// Duty that scans the whole fleet.
+/// Kind of periodic work (a duty) that scans the whole fleet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Duty {
     /// Fills a machine with tasks at its heartbeat. Under load heartbeats may skip this
@@ -34,7 +34,7 @@
     }
 }
 
-/// Pace of each duty.
+/// Intervals between runs of each duty, the periodic work that scans the whole fleet.
 pub(super) struct Paces {
     walk: RefCell<Pace>,
     place: RefCell<Pace>,
@@ -63,13 +63,13 @@
         }
     }
 
-    /// Returns whether a duty is due.
+    /// Returns whether a duty, periodic work that scans the whole fleet, is due.
     pub(super) fn due(&self, duty: Duty, now: Time) -> bool {
         self.of(duty).borrow().due(now)
     }
 
-    /// Records that a duty ran and took `cost_s` seconds while requests waited for `wait_s`
-    /// seconds.
+    /// Records that a duty (periodic work over the whole fleet) ran and took `cost_s` seconds while
+    /// requests waited for `wait_s` seconds.
     pub(super) fn done(&self, duty: Duty, cost_s: f64, wait_s: f64, now: Time) {
         self.of(duty).borrow_mut().done(cost_s, wait_s, now);
     }
--- a/src/control/peer_statuses.rs
+++ b/src/control/peer_statuses.rs
@@ -20,7 +20,8 @@
 struct PeerStatus {
     received_at: Instant,
     announcement: PeerAnnouncement,
-    /// Flags of the hint, which name the features that the controller's version supports.
+    /// Flags that the controller sent with its status. They name the features that its version
+    /// supports.
     capabilities: u16,
 }
 
--- a/src/control/status_queries.rs
+++ b/src/control/status_queries.rs
@@ -18,15 +18,15 @@
 
 /// Deadline of an answer. A user waits 2 s, so a later answer is useless.
 const ANSWER_DEADLINE: Duration = Duration::from_millis(1900);
-/// Time for which this controller tries alone, so that another controller has time left.
-/// One read takes its turn of at most 0.3 s plus the time of a response.
+/// Time for which this controller tries alone to confirm a job's state, so that another controller
+/// has time left to answer. One read takes its turn of at most 0.3 s plus the time of a response.
 const LOCAL_QUERY_TIMEOUT: Duration = Duration::from_millis(1200);
-/// Time for which this controller tries alone after a failed read. The state service may
-/// delay requests of this controller for long while it serves others.
+/// Time for which this controller tries alone to confirm a job's state after a failed read. The
+/// state service may delay requests of this controller for long while it serves others.
 const LOCAL_RETRY_TIMEOUT: Duration = Duration::from_millis(500);
-/// Time that one other controller has to answer, so that a second one can be asked.
+/// Time that one other controller has to answer a poll, so that a second one can be asked.
 const REMOTE_QUERY_TIMEOUT: Duration = Duration::from_millis(950);
-/// Minimum time left to ask another controller.
+/// Minimum time left of a poll at which another controller is still asked.
 const MIN_REMOTE_TIMEOUT: Duration = Duration::from_millis(100);
 
 /// State of a job by a read that began after the request for it.
@@ -41,7 +41,7 @@
 }
 
 impl JobStatus {
-    /// Returns whether the records confirm this state.
+    /// Returns whether a read of the records has confirmed this state.
     fn is_confirmed(&self) -> bool {
         match self {
             Self::Recorded(_) | Self::Absent => true,
--- a/src/control/write_queue.rs
+++ b/src/control/write_queue.rs
@@ -89,7 +89,8 @@
     by_sort: BTreeMap<Sort, BTreeSet<QueuePosition>>,
     turns: Turns<Sort>,
     last_number: u64,
-    /// Number of calls of [`Pending::take`], which decides whether a call serves a turn.
+    /// Number of calls of [`Pending::take`], which decides whether a call takes an overdue write
+    /// first.
     take_calls: u64,
     /// Finished jobs with the time since when they wait. Jobs of idle priority come last.
     finished: BTreeMap<FinishedJob, Time>,
@@ -226,8 +227,8 @@
         !self.claims.is_empty() || !self.finished.is_empty()
     }
 
-    /// Removes and returns the most urgent write that is due. `spare` says that the write
-    /// budget exceeds the needs of urgent writes.
+    /// Removes and returns the most urgent write that is due. `spare` says that the state service's
+    /// write budget exceeds the needs of urgent writes.
     pub fn take(&mut self, spare: bool, now: Time) -> Option<PendingWrite> {
         // The most urgent write usually goes first, but overdue writes get a share of the
         // turns.
