--- a/src/control/cloud_duties.rs
+++ b/src/control/cloud_duties.rs
@@ -27,13 +27,13 @@
 const LIST_PAUSE_CEILING_S: f64 = 5.0;
 /// Interval between two reads of the cloud's machine types. Their prices change; the other
 /// properties hardly do.
-const TYPES_INTERVAL: Duration = Duration::from_secs(45);
+const MACHINE_TYPES_INTERVAL: Duration = Duration::from_secs(45);
 /// Pause after a failed read of the cloud's machine types, while those of an earlier read are
 /// known.
-const TYPES_RETRY_PAUSE: Duration = Duration::from_secs(10);
+const MACHINE_TYPES_RETRY_PAUSE: Duration = Duration::from_secs(10);
 /// Pause after a failed read of the cloud's machine types while none are known. The controller
 /// can't accept any job before it knows them.
-const FIRST_TYPES_RETRY_PAUSE: Duration = Duration::from_secs(1);
+const FIRST_MACHINE_TYPES_RETRY_PAUSE: Duration = Duration::from_secs(1);
 /// Maximum number of machines that one request deletes.
 const MAX_DELETIONS_PER_REQUEST: usize = 100;
 
@@ -48,14 +48,14 @@
                         c.set_types(&types);
                     }
                     self.catalog.set_types(types);
-                    sleep(TYPES_INTERVAL).await;
+                    sleep(MACHINE_TYPES_INTERVAL).await;
                 }
                 Err(error) => {
                     tracing::info!(%error, "machine type list failed");
                     let pause = if self.catalog.has_types() {
-                        TYPES_RETRY_PAUSE
+                        MACHINE_TYPES_RETRY_PAUSE
                     } else {
-                        FIRST_TYPES_RETRY_PAUSE
+                        FIRST_MACHINE_TYPES_RETRY_PAUSE
                     };
                     sleep(pause).await;
                 }
--- a/src/control/core/agent_table.rs
+++ b/src/control/core/agent_table.rs
@@ -68,7 +68,7 @@
 
     /// Returns whether any agent has not reported its current fencing token. Agents whose machines
     /// are being deleted don't count.
-    pub(super) fn any_staying_unfenced(&self) -> bool {
+    pub(super) fn any_unfenced_except_deleting(&self) -> bool {
         let mut agents = self.agents.values();
         agents.any(|agent| !agent.fenced() && !agent.is_deleting())
     }
--- a/src/control/core/machine_list.rs
+++ b/src/control/core/machine_list.rs
@@ -19,11 +19,11 @@
 const MAYBE_UNLISTED_LAGS: f64 = 3.0;
 const MAYBE_UNLISTED_S: f64 = 5.0;
 /// Largest lag of the cloud's machine list, as a multiple of its usual lag (PROTOCOL). A list
-/// that is read when this time and a margin (`MAX_LIST_DELAY_S`) have passed since a failover
+/// that is read when this time and a margin (`LIST_LAG_MARGIN_S`) have passed since a failover
 /// certainly shows a moment after the failover.
-const MAX_LIST_DELAY_LAGS: f64 = 2.0;
+const MAX_LIST_LAG_FACTOR: f64 = 2.0;
 /// Margin beyond the largest lag of the cloud's machine list, in seconds.
-const MAX_LIST_DELAY_S: f64 = 2.0;
+const LIST_LAG_MARGIN_S: f64 = 2.0;
 /// Factor by which the owner waits longer for unreachable machines if most machines are
 /// unreachable.
 const MOST_UNREACHABLE_FACTOR: f64 = 3.0;
@@ -44,7 +44,8 @@
         self.mark_missing_machines(&names, now);
         // The machine list is late by at most twice its usual lag (PROTOCOL). So the list now shows
         // a time at which all machines existed that a former owner claimed.
-        if self.failover.age_s(now) > MAX_LIST_DELAY_LAGS * self.cfg.list_lag_s + MAX_LIST_DELAY_S {
+        if self.failover.age_s(now) > MAX_LIST_LAG_FACTOR * self.cfg.list_lag_s + LIST_LAG_MARGIN_S
+        {
             self.mark_unknown_machines(&names);
         }
     }
--- a/src/control/core/reservation_demand.rs
+++ b/src/control/core/reservation_demand.rs
@@ -131,7 +131,7 @@
         // A machine list lags by at most twice its usual lag (PROTOCOL).
         let listed = self.failover.age_s(now) > 2.0 * self.cfg.list_lag_s + 2.0;
         let recovering = self.failover.age_s(now) <= self.cfg.silent_s();
-        let unfenced = recovering && self.agents.any_staying_unfenced();
+        let unfenced = recovering && self.agents.any_unfenced_except_deleting();
         listed && !unfenced
     }
 
--- a/src/control/core/waiting_log.rs
+++ b/src/control/core/waiting_log.rs
@@ -9,7 +9,7 @@
 /// Interval at which the log repeats why the same job waits, in seconds.
 const LOG_INTERVAL_S: f64 = 60.0;
 /// Time that a job has to wait before the log gives the reason, in seconds.
-const LOG_AFTER_S: f64 = 15.0;
+const MIN_WAIT_BEFORE_LOG_S: f64 = 15.0;
 
 /// Time at which each waiting job was last logged.
 #[derive(Default)]
@@ -67,7 +67,7 @@
 /// Returns whether a job has waited so long that the log gives the reason.
 fn waits_for_long(job: &Job, now: Time) -> bool {
     job.blocked_since
-        .is_some_and(|t| now.since(t) > LOG_AFTER_S)
+        .is_some_and(|t| now.since(t) > MIN_WAIT_BEFORE_LOG_S)
 }
 
 /// Returns whether a job needs more than free capacity: certain domains, or capacity for all of
--- a/src/control/status_queries.rs
+++ b/src/control/status_queries.rs
@@ -42,7 +42,7 @@
 
 impl JobStatus {
     /// Returns whether a read of the records has confirmed this state.
-    fn is_confirmed(&self) -> bool {
+    fn is_confirmed_by_records(&self) -> bool {
         match self {
             Self::Recorded(_) | Self::Absent => true,
             Self::Unconfirmed => false,
@@ -151,7 +151,7 @@
             LOCAL_RETRY_TIMEOUT
         };
         let status = self.status_within(id, left().min(timeout)).await;
-        if status.is_confirmed() {
+        if status.is_confirmed_by_records() {
             return Polled::Local(status);
         }
         if let Some(polled) = self.poll_peers(id, deadline).await {
