--- a/src/control/core/agent.rs
+++ b/src/control/core/agent.rs
@@ -39,7 +39,7 @@
     relayed_sequence: SequenceNumber,
     /// Evidence that commands to this machine take effect.
     pub(super) reachability: Reachability,
-    /// Tasks in the last heartbeat.
+    /// Tasks that the agent's last heartbeat names.
     pub(super) tasks: BTreeMap<TaskAttempt, TaskStatus>,
     /// State of direct commands to this agent.
     pub(super) direct: DirectCommandState,
@@ -85,7 +85,8 @@
         }
     }
 
-    /// Replaces the tasks by those of a heartbeat. Tasks with an unreadable name are skipped.
+    /// Replaces the agent's tasks by those that a heartbeat names. Tasks with an unreadable name
+    /// are skipped.
     fn set_tasks(&mut self, reported: &[ReportedTask]) {
         let tasks = reported.iter().filter_map(|reported| {
             let key = TaskAttempt {
@@ -251,7 +252,8 @@
     /// on.
     pub(super) fn command_failed(&mut self, now: Time) {
         self.suspected_one_way = true;
-        // The next heartbeats have to show the fencing token.
+        // The agent has not reported its current fencing token, so its next heartbeats have to show
+        // that token.
         if !self.fenced() {
             self.reachability.asked(now);
         }
--- a/src/control/core/command_queue.rs
+++ b/src/control/core/command_queue.rs
@@ -39,19 +39,19 @@
     machine: MachineId,
 }
 
-/// Machines that may need commands.
+/// Queue of machines whose agents may need direct commands.
 #[derive(Debug, Default)]
 pub(super) struct CommandQueue {
-    /// Machines to contact now. The queue removes the first one each time.
+    /// Machines whose agents the owner may contact now. The first one is contacted next.
     ready: BTreeSet<Contact>,
-    /// Machines to contact at a later time.
+    /// Machines whose agents the owner contacts at a later time.
     retries: BTreeSet<Retry>,
     /// Number of direct commands that were sent and are not answered.
     in_flight: usize,
 }
 
 impl CommandQueue {
-    /// Queues a machine that may need commands.
+    /// Queues a machine whose agent may need direct commands.
     pub(super) fn add(&mut self, machine: MachineId, order: ContactOrder) {
         self.ready.insert(Contact { order, machine });
     }
--- a/src/control/core/commands.rs
+++ b/src/control/core/commands.rs
@@ -23,7 +23,8 @@
         let lease_s = self.cfg.lease_s;
         if let Some(agent) = self.agents.get_mut(id) {
             agent.reachability.answered(lease_s, now);
-            // The next heartbeats have to show that the command or the token arrived.
+            // The answer carries start commands or a new fencing token. The next heartbeats have to
+            // show that they arrived.
             if starts || !agent.fenced() {
                 agent.reachability.asked(now);
             }
--- a/src/control/core/mod.rs
+++ b/src/control/core/mod.rs
@@ -175,7 +175,7 @@
     freeze: HandoverFreeze,
     /// Tasks delegated to and taken from other shards, and quota given to them.
     sharing: task_delegation::Sharing,
-    /// Zones of the machines of all shards.
+    /// Zone of each machine, for the machines of all shards.
     places: Places,
     /// Service levels of classes and teams, for the log.
     served_log: ServedLog,
--- a/src/control/drains.rs
+++ b/src/control/drains.rs
@@ -204,7 +204,7 @@
 
 /// Machines of a topology, as operators see them.
 struct ShownMachines {
-    /// Domains by their index in the tree.
+    /// Status of each failure domain, by its index in the topology's tree.
     domains: BTreeMap<u32, DomainShown>,
     /// Machines that are not placed in a domain of the lowest level.
     unplaced: Vec<MachineId>,
--- a/src/control/leader.rs
+++ b/src/control/leader.rs
@@ -157,8 +157,8 @@
                 self.fresh().await;
             }
             Err(error) => {
-                // If the transaction was applied after all, the state service deletes the key
-                // when the lease ends.
+                // If the transaction was applied after all, the state service deletes the leader's
+                // key when the lease ends.
                 tracing::info!(%error, "leader election failed");
                 sleep(ELECTION_RETRY_PAUSE).await;
             }
--- a/src/control/store_view.rs
+++ b/src/control/store_view.rs
@@ -67,12 +67,12 @@
         self.view.borrow_mut()
     }
 
-    /// Records a job's record that this controller wrote.
+    /// Puts into the local copy a job's record that this controller wrote.
     pub(super) fn put_job(&self, id: &JobId, record: Versioned<JobRecord>) {
         self.view.borrow_mut().put_job(id, record);
     }
 
-    /// Records a chunk's record that this controller wrote.
+    /// Puts into the local copy a chunk's record that this controller wrote.
     pub(super) fn put_chunk(&self, id: &JobId, chunk: u32, record: Versioned<ChunkRecord>) {
         self.view.borrow_mut().put_chunk(id, chunk, record);
     }
--- a/src/control/write_queue.rs
+++ b/src/control/write_queue.rs
@@ -15,12 +15,13 @@
 use crate::state::record::ChunkId;
 use crate::types::{JobId, Priority, Time};
 
-/// Maximum time that a result waits for other changes of its chunk, in seconds.
+/// Maximum time that a task's result waits for other changes of its chunk before it is recorded, in
+/// seconds.
 const RESULT_DELAY_S: f64 = 12.0;
-/// Maximum time that a result waits while the write budget exceeds the needs of urgent
-/// writes, in seconds.
+/// Maximum time that a task's result waits for other changes while the state service's write budget
+/// exceeds the needs of urgent writes, in seconds.
 const RESULT_DELAY_SPARE_S: f64 = 1.5;
-/// Maximum time that a deletion waits, in seconds.
+/// Maximum time that the deletion of an unused record waits, in seconds.
 const DELETION_DELAY_S: f64 = 30.0;
 
 /// Urgency of a write. The most urgent level comes first in the order.
@@ -81,7 +82,7 @@
 /// Writes that wait to be recorded, with one queue for each kind.
 #[derive(Debug, Default)]
 pub struct Pending {
-    /// Claims by priority and then by arrival.
+    /// Claims that wait to be recorded, by priority and then by arrival.
     claims: BTreeMap<QueuePosition, WaitingClaim>,
     claimed: BTreeMap<ChunkId, QueuedClaim>,
     /// Positions of claims by class and team. Each class and team gets turns once its
@@ -92,7 +93,8 @@
     /// Number of calls of [`Pending::take`], which decides whether a call takes an overdue write
     /// first.
     take_calls: u64,
-    /// Finished jobs with the time since when they wait. Jobs of idle priority come last.
+    /// Finished jobs, with the time since when they wait to be recorded. Jobs of idle priority come
+    /// last.
     finished: BTreeMap<FinishedJob, Time>,
     /// Whether the last urgent write that was taken is a claim.
     last_was_claim: bool,
