--- a/src/control/core/active_rollout.rs
+++ b/src/control/core/active_rollout.rs
@@ -26,7 +26,7 @@
     Running,
 }
 
-/// Returns the progress of a claim's task with its image.
+/// Returns how far the machine of a claim is with the image of the claim's task.
 pub(super) fn image_state(claim: &Claim) -> ImageState {
     match (claim.progress, claim.sent) {
         (Progress::Running(_) | Progress::Saving, _) => ImageState::Running,
@@ -62,14 +62,14 @@
 
 /// Rollout of one image in this shard.
 pub(super) struct ActiveRollout {
-    /// `None` for a rollout of the shard's previous owner. It resumes once the new owner knows
-    /// which starts the previous owner sent. No start is sent until then, because the origin
-    /// would be asked for copies that are already in flight.
+    /// Plan of the image's rollout. `None` for a rollout of the shard's previous owner, which
+    /// resumes once the new owner knows which starts the previous owner sent. No start is sent
+    /// until then, because the origin would be asked for copies that are already in flight.
     pub(super) rollout: Option<Rollout>,
     /// Size of the image in GB.
     pub(super) gb: f64,
     pub(super) members: BTreeMap<MachineId, Member>,
-    /// Machines whose start waits for its stage.
+    /// Machines whose task start waits for its stage of the rollout.
     pub(super) waiting: BTreeSet<MachineId>,
     last_scanned: MachineId,
     /// Time since which no start is pending and no machine fetches the image.
--- a/src/control/core/agent_table.rs
+++ b/src/control/core/agent_table.rs
@@ -94,7 +94,7 @@
         unreachable.map(|(id, _)| id.clone()).collect()
     }
 
-    /// A job's failures are held against no machine any more.
+    /// Removes a job's failures from the records of all machines.
     pub(super) fn forgive(&mut self, job: &JobId) {
         for agent in self.agents.values_mut() {
             agent.failed_jobs.forgive(job);
--- a/src/control/core/arrivals.rs
+++ b/src/control/core/arrivals.rs
@@ -20,9 +20,9 @@
 
 /// Recent arrivals of one group of jobs.
 pub(super) struct Arrivals {
-    /// Description of the latest job.
+    /// Description of the latest job of the group.
     spec: Rc<JobSpec>,
-    /// Arrivals in order of time, the latest last.
+    /// Arrivals of the group's jobs in order of time, the latest last.
     recent: VecDeque<Arrival>,
 }
 
@@ -33,7 +33,7 @@
 }
 
 impl Arrivals {
-    /// Returns an empty log for jobs like this one.
+    /// Returns an empty log of arrivals for the group of the job `spec`.
     fn new(spec: &Rc<JobSpec>) -> Self {
         Self {
             spec: spec.clone(),
@@ -53,17 +53,17 @@
         }
     }
 
-    /// Returns the description of the latest job.
+    /// Returns the description of the latest job of the group.
     pub(super) fn spec(&self) -> &Rc<JobSpec> {
         &self.spec
     }
 
-    /// Returns the number of tasks of each job, the latest job last.
+    /// Returns the number of tasks of each recent job of the group, the latest job last.
     pub(super) fn task_counts(&self) -> impl ExactSizeIterator<Item = u32> + '_ {
         self.recent.iter().map(|arrival| arrival.tasks)
     }
 
-    /// Returns the number of tasks of the largest job.
+    /// Returns the number of tasks of the largest recent job of the group.
     pub(super) fn largest_task_count(&self) -> u32 {
         self.task_counts().max().unwrap_or(0)
     }
--- a/src/control/core/batch.rs
+++ b/src/control/core/batch.rs
@@ -28,7 +28,8 @@
             single_change: self.rejected_changes.isolates(now),
         };
         let mut draft = Draft::new(self.grant_key(), self.grant_revision, bounds);
-        // The rollout goes first, because task starts wait for it.
+        // The change of an image rollout goes first into the transaction, because task starts wait
+        // for the rollout.
         if let Some(due) = self.image_distribution.next_step(now) {
             draft.add_rollout(due);
         }
@@ -61,7 +62,7 @@
             };
             let update = self.record_update(&id, entry, &due, now);
             if !draft.fits(&update) {
-                // The chunk goes first into the next transaction.
+                // The chunk does not fit into this transaction. It goes first into the next one.
                 if let PendingWrite::Chunk(chunk) = due {
                     self.requeue_claims(chunk, now);
                 }
--- a/src/control/core/delegated_tasks.rs
+++ b/src/control/core/delegated_tasks.rs
@@ -4,7 +4,7 @@
 
 use crate::types::{JobId, Time};
 
-/// Delegated tasks of one job with a common expiry time.
+/// Delegated tasks of one job whose delegation expires at the same time.
 struct TimedTasks {
     tasks: BTreeSet<u32>,
     end: Time,
@@ -23,13 +23,13 @@
         left.flat_map(|t| t.tasks.iter().copied())
     }
 
-    /// Adds tasks of a job that expire at `end`.
+    /// Adds tasks of a job whose delegation expires at `end`.
     pub(super) fn add(&mut self, job: &JobId, tasks: BTreeSet<u32>, end: Time) {
         let left = self.by_job.entry(job.clone()).or_default();
         left.push(TimedTasks { tasks, end });
     }
 
-    /// Removes the expired tasks and returns their jobs.
+    /// Removes the tasks whose delegation has expired, and returns their jobs.
     pub(super) fn end(&mut self, now: Time) -> BTreeSet<JobId> {
         let mut ended = BTreeSet::new();
         for (job, left) in &mut self.by_job {
--- a/src/control/core/demand.rs
+++ b/src/control/core/demand.rs
@@ -9,22 +9,25 @@
 use crate::autoscaler;
 use crate::types::{Amount, Kind, Priority, Time};
 
-/// Time for which an arrival counts, in seconds.
+/// Time for which the arrival of a job counts toward the expected work, in seconds.
 const ARRIVAL_WINDOW_S: f64 = 180.0;
-/// Minimum time span over which the arrivals are averaged, in seconds.
+/// Minimum time span over which the arrivals of jobs are averaged, in seconds.
 const MIN_ARRIVAL_SPAN_S: f64 = 30.0;
-/// Maximum number of tasks of a job that count.
+/// Maximum number of tasks of one job that count toward the expected work and toward the reserves
+/// of the teams.
 const MAX_COUNTED_TASKS: u32 = 1000;
-/// Free capacity covers the arrivals of this many usual boots.
+/// The free capacity covers the work that is expected to arrive during this multiple of the usual
+/// boot time of a machine.
 const BOOTS_COVERED: f64 = 1.5;
-/// Factor on the free capacity for replicas of services. With more free capacity, it is more
-/// likely that some of it has the image already, and fetching an image takes longer than the
-/// users of replicas wait.
+/// Factor on the free capacity that is kept for replicas of services. With more free capacity, it
+/// is more likely that some of it has the image already, and fetching an image takes longer than
+/// the users of replicas wait.
 const SERVICE_CAPACITY_FACTOR: f64 = 1.7;
 /// Share of a burst of array or gang tasks for which capacity is kept. Such tasks end and free
 /// their capacity for the next ones.
 const BURST_SHARE: f64 = 0.6;
-/// A team's reserve is at most its limit divided by this number.
+/// A team's reserve for a job whose users wait for its start is at most the team's limit divided by
+/// this number.
 const RESERVE_DIVISOR: i64 = 10;
 
 impl Core {
--- a/src/control/core/draft.rs
+++ b/src/control/core/draft.rs
@@ -31,7 +31,7 @@
     Chunk {
         /// Number of the chunk in its job.
         chunk: u32,
-        /// `None` deletes the chunk.
+        /// New record of the chunk. `None` deletes the chunk.
         record: Option<ChunkRecord>,
     },
     /// The job's record without claims, and the claims under a key of their own.
@@ -71,7 +71,7 @@
 #[derive(Debug)]
 pub(super) struct ChunkWrite {
     pub(super) chunk: ChunkId,
-    /// `None` deletes the chunk.
+    /// New record of the chunk. `None` deletes the chunk.
     pub(super) record: Option<ChunkRecord>,
 }
 
@@ -93,7 +93,7 @@
 
 /// Limits on the size of a transaction.
 pub(super) struct DraftBounds {
-    /// Most changes in the transaction.
+    /// Maximum number of changes in the transaction.
     pub(super) max_ops: usize,
     /// Whether each change gets a transaction of its own.
     pub(super) single_change: bool,
@@ -106,7 +106,7 @@
     guarded_jobs: BTreeSet<JobId>,
     /// Jobs whose records the transaction writes.
     written_jobs: BTreeSet<JobId>,
-    /// Approximate bytes of the values.
+    /// Approximate bytes of the values that the transaction writes.
     bytes: usize,
     bounds: DraftBounds,
 }
@@ -135,22 +135,22 @@
         }
     }
 
-    /// Returns the number of changes.
+    /// Returns the number of changes in the transaction.
     fn len(&self) -> usize {
         self.batch.transaction.changes.len()
     }
 
-    /// Returns whether one more change may be added.
+    /// Returns whether one more change may be added to the transaction.
     pub(super) fn accepts_change(&self) -> bool {
         self.len() < self.bounds.max_ops && !(self.bounds.single_change && self.len() > 0)
     }
 
-    /// Returns whether another pending write may be added.
+    /// Returns whether another pending write may be added to the transaction.
     pub(super) fn accepts_more(&self) -> bool {
         self.accepts_change() && self.bytes <= MAX_VALUE_BYTES
     }
 
-    /// Returns whether all changes of an update may be added.
+    /// Returns whether all changes of a record update may be added to the transaction.
     pub(super) fn fits(&self, update: &RecordUpdate) -> bool {
         self.len() + update.changes() <= self.bounds.max_ops
     }
@@ -167,7 +167,7 @@
         self.batch.rollout = Some(due.step);
     }
 
-    /// Adds a change that has no condition of its own.
+    /// Adds a change to the transaction that has no condition of its own.
     pub(super) fn add_change(&mut self, change: Change) {
         self.batch.transaction.changes.push(change);
     }
--- a/src/control/core/failed_jobs.rs
+++ b/src/control/core/failed_jobs.rs
@@ -7,7 +7,7 @@
 /// Seconds that a machine is quarantined for each job that failed there.
 const QUARANTINE_S: f64 = 20.0;
 
-/// Failures that count against a machine.
+/// Jobs whose failures count against one machine.
 #[derive(Debug)]
 pub(super) struct FailedJobs {
     jobs: BTreeSet<JobId>,
@@ -16,7 +16,7 @@
 }
 
 impl FailedJobs {
-    /// Returns an empty set of failures.
+    /// Returns the state of a machine on which no job has failed.
     pub(super) fn none() -> Self {
         Self {
             jobs: BTreeSet::new(),
@@ -47,7 +47,7 @@
         self.jobs.clear();
     }
 
-    /// Removes a job's failure. The quarantine ends if no other failure remains.
+    /// Removes a job's failure. The machine's quarantine ends if no other job's failure remains.
     pub(super) fn forgive(&mut self, job: &JobId) {
         if self.jobs.remove(job) && self.jobs.is_empty() {
             self.quarantined_until = Time(0.0);
--- a/src/control/core/gang_restarts.rs
+++ b/src/control/core/gang_restarts.rs
@@ -13,12 +13,12 @@
 }
 
 impl JobsToCheck {
-    /// Adds a job to the next check.
+    /// Adds a job to the next check for broken gangs.
     pub(super) fn add(&mut self, job: JobId) {
         self.jobs.insert(job);
     }
 
-    /// Removes and returns the jobs to check, ordered by name.
+    /// Removes and returns the jobs to check for broken gangs, ordered by name.
     fn take(&mut self) -> BTreeSet<JobId> {
         std::mem::take(&mut self.jobs)
     }
--- a/src/control/core/image_distribution.rs
+++ b/src/control/core/image_distribution.rs
@@ -28,10 +28,10 @@
     pub(super) limits: Limits,
     pub(super) uploads: Uploads,
     pub(super) rollouts: BTreeMap<Image, ActiveRollout>,
-    /// Records in the state service. The value is `None` for a record of a later version, which
-    /// this owner leaves unchanged.
+    /// Records of image rollouts in the state service. The value is `None` for a record of a later
+    /// version, which this owner leaves unchanged.
     pub(super) stored_records: BTreeMap<RolloutId, Versioned<Option<RolloutRecord>>>,
-    /// Records of shards that no longer exist, which are to be deleted.
+    /// Rollout records of shards that no longer exist. This owner is to delete these records.
     pub(super) useless: BTreeMap<RolloutId, Revision>,
 }
 
@@ -56,7 +56,7 @@
         image_distribution
     }
 
-    /// Loads one record that existed when the owner acquired its grant.
+    /// Loads one rollout record that existed when the owner acquired its grant.
     fn load_record(
         &mut self,
         key: RolloutId,
@@ -130,7 +130,8 @@
         }
     }
 
-    /// Returns machines whose start waited and may be sent now, a few of each rollout.
+    /// Returns machines whose task start waited for its stage and may be sent now, a few machines
+    /// of each rollout.
     pub(super) fn take_due_starts(&mut self, now: Time) -> Vec<MachineId> {
         let uploads = &self.uploads;
         let rollouts = self.rollouts.values_mut();
@@ -139,14 +140,14 @@
             .collect()
     }
 
-    /// Returns the identifier of an image's record.
+    /// Returns the identifier of the record of an image's rollout.
     pub(super) fn key(&self, image: &Image) -> RolloutId {
         RolloutId::of(self.shard, image)
     }
 
-    /// Returns the record, shortened by seeds until it fits into a value. Each omitted seed
-    /// costs one more copy. A record that is too large would never be written, nor would the
-    /// other changes of its transaction.
+    /// Returns a rollout's record without as many of its seeds as it takes to fit into a value of
+    /// the state service. Each omitted seed costs one more copy. A record that is too large would
+    /// never be written, nor would the other changes of its transaction.
     pub(super) fn fitting(&self, record: &RolloutRecord) -> Option<RolloutRecord> {
         let mut record = record.clone();
         loop {
--- a/src/control/core/image_rollout.rs
+++ b/src/control/core/image_rollout.rs
@@ -129,7 +129,8 @@
         }
     }
 
-    /// Wakes machines whose start waited and may be sent now, a few at a time.
+    /// Wakes machines whose task start waited for its stage of an image rollout and may be sent
+    /// now. One call wakes a few machines of each rollout.
     pub(super) fn wake_staged(&mut self, now: Time) {
         for id in self.image_distribution.take_due_starts(now) {
             self.wake(&id);
--- a/src/control/core/largest_jobs.rs
+++ b/src/control/core/largest_jobs.rs
@@ -47,7 +47,8 @@
         let (class, _) = job.sort();
         let begun = job.started;
         if self.largest_jobs.came(id, &class, cpu) {
-            // The owner that placed the job has logged when it began.
+            // The log states here only that the job has begun. The owner that placed the job's
+            // first task has logged when the job began.
             let event = if begun {
                 JobEvent::Begun
             } else {
--- a/src/control/core/objectives.rs
+++ b/src/control/core/objectives.rs
@@ -6,7 +6,8 @@
 use crate::scheduler::JobUrgency;
 use crate::types::{JobSpec, Time};
 
-/// Bounds of [`Core::headroom_weight`].
+/// Minimum and maximum of [`Core::headroom_weight`], the weight of a class's need for free
+/// capacity.
 const MIN_HEADROOM_WEIGHT: f64 = 0.2;
 const MAX_HEADROOM_WEIGHT: f64 = 2.0;
 /// Fraction of a job's slack that the job may wait before its objectives are in danger. The
--- a/src/control/core/placement_queue.rs
+++ b/src/control/core/placement_queue.rs
@@ -7,7 +7,9 @@
 use crate::scheduler::Pass;
 use crate::types::{MachineId, Time};
 
-/// Time for which placement walks share a pass, in seconds.
+/// Time for which placement walks share the same [`Pass`], in seconds. A placement walk places
+/// waiting tasks on one machine or on all machines. The pass is state that takes longer to compute
+/// than the rest of a walk.
 const PASS_LIFETIME_S: f64 = 0.2;
 
 /// Machines that may have capacity for tasks now.
@@ -17,13 +19,13 @@
     /// Machine that was taken last. The next machine is the one after it by name, so no machine
     /// waits forever while capacity becomes free on others.
     last_taken: MachineId,
-    /// Whether the next walk offers all machines to the waiting jobs.
+    /// Whether the next placement walk offers all machines to the waiting jobs.
     full_walk: bool,
-    /// State of the current pass. `None` before the first walk.
+    /// State that the placement walks share now. `None` before the first placement walk.
     pass: Option<CurrentPass>,
 }
 
-/// State that placement walks share for a short time.
+/// State that placement walks share for a short time, and the time at which it was created.
 struct CurrentPass {
     begun: Time,
     pass: Pass,
@@ -51,8 +53,8 @@
         self.machines.iter()
     }
 
-    /// Removes and returns the next machine. This is the first one by name after the last one
-    /// taken, or else the first one of all.
+    /// Removes and returns the next machine on which tasks are to be placed. This is the first one
+    /// by name after the last one taken, or else the first one of all.
     pub(super) fn take_next(&mut self) -> Option<MachineId> {
         let after = (Bound::Excluded(&self.last_taken), Bound::Unbounded);
         let next = self.machines.range(after).next().cloned();
@@ -62,22 +64,22 @@
         Some(machine)
     }
 
-    /// Requests a walk over all machines, because work arrived or capacity became free.
+    /// Requests a placement walk over all machines, because work arrived or capacity became free.
     pub(super) fn request_full_walk(&mut self) {
         self.full_walk = true;
     }
 
-    /// Returns whether a walk over all machines is due.
+    /// Returns whether a placement walk over all machines is due.
     pub(super) fn full_walk_is_due(&self) -> bool {
         self.full_walk
     }
 
-    /// Returns whether a walk over all machines is due, and clears the request.
+    /// Returns whether a placement walk over all machines is due, and clears the request.
     pub(super) fn take_full_walk(&mut self) -> bool {
         std::mem::take(&mut self.full_walk)
     }
 
-    /// Begins a new pass if the current one is too old.
+    /// Replaces the state that placement walks share if it is too old.
     pub(super) fn refresh_pass(&mut self, now: Time) {
         let begun = self.pass.as_ref().map(|current| current.begun);
         if begun.is_none_or(|at| now.since(at) >= PASS_LIFETIME_S) {
@@ -88,7 +90,7 @@
         }
     }
 
-    /// Returns the state that walks share in the current pass.
+    /// Returns the state that placement walks share now.
     pub(super) fn pass(&self) -> Option<&Pass> {
         self.pass.as_ref().map(|current| &current.pass)
     }
--- a/src/control/core/recorded_job.rs
+++ b/src/control/core/recorded_job.rs
@@ -40,10 +40,10 @@
 /// has tasks. This number of attempts has these two bounds.
 const MIN_FAILED_ATTEMPTS: u64 = 3;
 const MAX_FAILED_ATTEMPTS: u64 = 8;
-/// Failures that a suspected job starts with.
+/// Number of failures that a new owner counts at first for a job that it suspects to be faulty.
 const SUSPECTED_FAILURES: u32 = 2;
 
-/// A claim that was found in a record.
+/// A claim of one task that was found in a job's record.
 struct FoundClaim {
     index: u32,
     attempt: Attempt,
@@ -83,12 +83,12 @@
     }
 }
 
-/// Tasks of a job, as its records state them.
+/// State of a job's tasks, as the records of the job state it.
 struct FoundTasks {
     tasks: Tasks,
     /// Claims on this shard's machines.
     claims: Vec<FoundClaim>,
-    /// Attempts that ended without a result.
+    /// Number of attempts of the job's tasks that ended without a result.
     failed_attempts: u64,
 }
 
--- a/src/control/core/rejected_changes.rs
+++ b/src/control/core/rejected_changes.rs
@@ -27,7 +27,7 @@
 }
 
 impl RejectedChanges {
-    /// Returns the state before any rejection.
+    /// Returns the state of an owner that has had no transaction rejected.
     pub(super) fn none(now: Time) -> Self {
         Self {
             limits_fell: false,
--- a/src/control/core/reservation_demand.rs
+++ b/src/control/core/reservation_demand.rs
@@ -26,11 +26,11 @@
 
 /// Tasks for which a window lacks capacity in one zone.
 struct ZoneShortfall {
-    /// The zone. `None` stands for any zone.
+    /// Zone in which the capacity is missing. `None` stands for any zone.
     zone: Option<Zone>,
-    /// Number of tasks without capacity.
+    /// Number of the window's tasks that lack capacity in the zone.
     tasks: u32,
-    /// Machine type to request.
+    /// Machine type to request from the cloud for these tasks.
     kind: TypeChoice,
 }
 
--- a/src/control/core/reservation_supply.rs
+++ b/src/control/core/reservation_supply.rs
@@ -11,7 +11,7 @@
 use crate::scheduler::ReservationStatus;
 use crate::types::{Amount, MachineType, Time, TypeName, Zone};
 
-/// Machine type to request.
+/// Machine type to request from the cloud for a window's tasks.
 pub(super) enum TypeChoice {
     /// Any type that fits, because the window names none.
     Any,
@@ -21,23 +21,24 @@
 
 /// Common properties of the machines on which a window's tasks may run.
 pub(super) struct Supply {
-    /// Shortest usual boot time in seconds. 0 if no machine type is suitable.
+    /// Shortest usual boot time of the suitable machine types, in seconds. 0 if no machine type is
+    /// suitable.
     pub(super) boot_s: f64,
-    /// Longest usual boot time in seconds.
+    /// Longest usual boot time of the suitable machine types, in seconds.
     pub(super) slowest_boot_s: f64,
     /// Lowest rate at which one of the machines fetches images, in GB per second. Infinite if
     /// no machine type is suitable.
     pub(super) fetch_gb_per_s: f64,
-    /// Number of tasks that fit on the largest machine.
+    /// Number of the window's tasks that fit on the largest of the machines.
     pub(super) tasks_per_machine: u32,
 }
 
 /// Free capacity for a window in its team's limit.
 #[derive(Default)]
 pub(super) struct QuotaHeadroom {
-    /// Number of tasks that fit.
+    /// Number of the window's tasks that fit into the free part of the team's limit.
     pub(super) tasks: u32,
-    /// Window with precedence that takes the missing capacity.
+    /// Window with precedence that takes the capacity that this window lacks in the team's limit.
     pub(super) gives_way_to: Option<String>,
 }
 
--- a/src/control/core/reservations.rs
+++ b/src/control/core/reservations.rs
@@ -20,7 +20,8 @@
 pub(super) struct WatchedWindow {
     /// Entry of the calendar. `None` if the calendar no longer lists the window.
     pub(super) entry: Option<Entry>,
-    /// Records of the window's occurrences with their revisions, by start in milliseconds.
+    /// Records of the window's occurrences with their revisions, by the start of the occurrence in
+    /// milliseconds.
     pub(super) records: BTreeMap<i64, Versioned<WindowRecord>>,
     /// Time at which the window's work last ran or waited, as far as this owner observed.
     pub(super) last_busy_at: Time,
@@ -39,7 +40,7 @@
 pub(super) struct LoggedShortage {
     /// Cause of the shortage.
     pub(super) why: String,
-    /// Time of the log event.
+    /// Time at which the shortage was logged.
     pub(super) at: Time,
 }
 
@@ -60,7 +61,8 @@
         }
     }
 
-    /// Returns the records of the window's occurrences, without their revisions.
+    /// Returns the records of the window's occurrences without their revisions, by the start of the
+    /// occurrence in milliseconds.
     pub(super) fn record_values(&self) -> BTreeMap<i64, WindowRecord> {
         let records = self.records.iter();
         records
@@ -114,9 +116,10 @@
     pub window: String,
     /// Start of the occurrence, in milliseconds of the time of day.
     pub start_ms: i64,
-    /// Step to record. `None` if the record is to be deleted.
+    /// Step of the occurrence to record. `None` if the record of the occurrence is to be deleted.
     pub step: Option<Step>,
-    /// Transaction that writes the change if neither the grant nor the record has changed.
+    /// Transaction that records the step if neither the shard's grant nor the occurrence's record
+    /// has changed.
     pub transaction: Transaction,
 }
 
@@ -127,8 +130,8 @@
         self.scope.shard == ShardId(0)
     }
 
-    /// Returns the due steps with their transactions. Returns none if another owner records
-    /// them, or while the shard is frozen.
+    /// Returns the due steps of all windows' occurrences with their transactions. Returns an empty
+    /// list if another owner records the steps, or while the shard is frozen.
     pub fn window_steps(&self) -> Vec<WindowStep> {
         if !self.records_calendar_steps() || self.is_frozen() {
             return Vec::new();
@@ -146,8 +149,8 @@
         due
     }
 
-    /// Returns a step with a transaction that requires the grant and the occurrence's record to
-    /// be unchanged. Returns `None` if nothing changes.
+    /// Returns a step of a window's occurrence with its transaction, which requires the grant and
+    /// the occurrence's record to be unchanged. Returns `None` if the step changes nothing.
     fn window_step(
         &self,
         window: &str,
--- a/src/control/core/rollout_records.rs
+++ b/src/control/core/rollout_records.rs
@@ -33,7 +33,8 @@
     write: Option<RecordWrite>,
 }
 
-/// A step with its change and the condition of that change.
+/// Due write or deletion of a rollout's record, as a change for a transaction and the condition
+/// under which the change is valid.
 pub(super) struct DueStep {
     pub(super) condition: Condition,
     pub(super) change: Change,
@@ -41,7 +42,7 @@
 }
 
 impl ImageDistribution {
-    /// Returns the next change that is due.
+    /// Returns the next due write or deletion of a rollout's record.
     pub(super) fn next_step(&self, now: Time) -> Option<DueStep> {
         if let Some((key, mod_revision)) = self.useless.first_key_value() {
             return Some(deletion(*key, *mod_revision));
@@ -50,8 +51,8 @@
         rollouts.find_map(|(image, active)| self.next_step_of(image, active, now))
     }
 
-    /// Returns the next change of a rollout. This is its next record, or the deletion of its
-    /// record once the rollout is over.
+    /// Returns the next due change of one rollout's record. This is the write of the rollout's next
+    /// record, or the deletion of the record once the rollout is over.
     fn next_step_of(&self, image: &Image, active: &ActiveRollout, now: Time) -> Option<DueStep> {
         let rollout = active.rollout.as_ref()?;
         let key = self.key(image);
@@ -83,7 +84,8 @@
         })
     }
 
-    /// Handles a committed change. Returns the machines that may receive their task starts now.
+    /// Handles a committed change of a rollout's record. Returns the machines that may receive
+    /// their task starts now.
     pub(super) fn step_committed(
         &mut self,
         step: Step,
@@ -129,8 +131,8 @@
         waiting_starts
     }
 
-    /// Handles a change that was not committed, or that an earlier attempt had already
-    /// committed. The view shows which of the two happened.
+    /// Handles a change of a rollout's record that was not committed, or that an earlier attempt
+    /// had already committed. The view shows which of the two happened.
     pub(super) fn step_conflicted(&mut self, step: Step, view: &View, now: Time) {
         let stored_record = view.rollouts.get(&step.key);
         let recorded = stored_record.and_then(|h| h.value.as_ref());
@@ -153,7 +155,7 @@
     }
 }
 
-/// Returns the deletion of a rollout's record.
+/// Returns the change that deletes a rollout's record.
 fn deletion(key: RolloutId, mod_revision: Revision) -> DueStep {
     let name = key.key();
     DueStep {
--- a/src/control/core/rollout_refresh.rs
+++ b/src/control/core/rollout_refresh.rs
@@ -61,8 +61,8 @@
 }
 
 impl RolloutUpdate<'_> {
-    /// Updates a member from its progress with the image. Returns whether the machine still
-    /// exists and stays in the rollout.
+    /// Updates a member of the rollout from the member's progress with the image. Returns whether
+    /// the machine still exists and stays in the rollout.
     fn update_member(
         &mut self,
         id: &MachineId,
--- a/src/control/core/scale_in.rs
+++ b/src/control/core/scale_in.rs
@@ -24,7 +24,8 @@
 const BOOT_TIMEOUT_MARGIN_S: f64 = 10.0;
 /// Assumed boot time of an unknown machine type, in seconds.
 const DEFAULT_BOOT_S: f64 = 30.0;
-/// Share of the time without use in plans after which a machine may be given back.
+/// Minimum share of the time during which plans had no use for a machine, before the machine may be
+/// given back to the cloud.
 const MIN_UNUSED_SHARE: f64 = 0.6;
 /// Minimum time for which a machine is empty before it is given back, in seconds.
 const MIN_EMPTY_S: f64 = 2.0;
--- a/src/control/core/scaling.rs
+++ b/src/control/core/scaling.rs
@@ -9,8 +9,8 @@
 use crate::cloud::Rental;
 use crate::types::{JobSpec, MachineId, MachineType, Time, TypeName, Zone};
 
-/// Number of heartbeat intervals after the start before which no machine is requested, because
-/// the existing machines are not known until then.
+/// Number of heartbeat intervals after the start during which no machine is requested from the
+/// cloud, because the existing machines are not known until then.
 const SETTLED_HEARTBEATS: f64 = 2.0;
 
 /// Changes of the fleet to carry out now.
--- a/src/control/core/scaling_state.rs
+++ b/src/control/core/scaling_state.rs
@@ -36,9 +36,9 @@
     /// Jobs that arrived recently.
     pub(super) arrivals: ArrivalLog,
     pub(super) requests: ScaleOutRequests,
-    /// Time at which the totals were last logged.
+    /// Time at which the totals of the fleet were last logged.
     last_log: Time,
-    /// Time at which the last plan was made.
+    /// Time at which the last plan of the fleet was made.
     last_plan: Time,
 }
 
@@ -53,8 +53,8 @@
         }
     }
 
-    /// Returns whether the totals were last logged at least `interval_s` seconds ago. If so, it
-    /// counts them as logged now.
+    /// Returns whether the totals of the fleet were last logged at least `interval_s` seconds ago.
+    /// If so, it counts them as logged now.
     pub(super) fn take_log_due(&mut self, interval_s: f64, now: Time) -> bool {
         let due = now.since(self.last_log) >= interval_s;
         if due {
@@ -63,7 +63,8 @@
         due
     }
 
-    /// Records that a plan is made now, and returns the seconds since the previous plan.
+    /// Records that a plan of the fleet is made now, and returns the seconds since the previous
+    /// plan.
     pub(super) fn record_plan(&mut self, now: Time) -> f64 {
         let passed_s = now.since(self.last_plan);
         self.last_plan = now;
@@ -74,11 +75,12 @@
 /// Requests to the cloud for machines, and the limits on them.
 #[derive(Default)]
 pub(super) struct ScaleOutRequests {
-    /// Number of requests made, which is also the number of the latest request.
+    /// Number of requests for machines that this owner made to the cloud. It is also the number of
+    /// the latest request.
     made: u64,
-    /// Number of requests without an outcome.
+    /// Number of requests to the cloud that have no outcome yet.
     in_flight: u32,
-    /// Refused offers, each with the time until which it is not requested again.
+    /// Offers that the cloud refused, each with the time until which it is not requested again.
     refused: HashMap<MachineOffer, Time>,
     /// Maximum number of machines that the controllers can serve. `None` if no limit is known.
     max_machines: Option<usize>,
@@ -89,19 +91,19 @@
 }
 
 impl ScaleOutRequests {
-    /// Begins a request and returns its number, starting at 1.
+    /// Counts a new request to the cloud and returns its number, starting at 1.
     pub(super) fn begin(&mut self) -> u64 {
         self.made += 1;
         self.in_flight += 1;
         self.made
     }
 
-    /// Records that a request has an outcome.
+    /// Records that a request to the cloud has an outcome.
     pub(super) fn end(&mut self) {
         self.in_flight = self.in_flight.saturating_sub(1);
     }
 
-    /// Returns whether any request has no outcome yet.
+    /// Returns whether any request to the cloud has no outcome yet.
     pub(super) fn any_in_flight(&self) -> bool {
         self.in_flight > 0
     }
@@ -132,7 +134,7 @@
         self.claimed_cpu += cpu;
     }
 
-    /// Updates and returns the rate of claims.
+    /// Updates and returns the rate of claimed CPUs per second.
     pub(super) fn claim_rate(&mut self, now: Time) -> &ClaimRate {
         self.claim_rate
             .take(std::mem::take(&mut self.claimed_cpu), now);
--- a/src/control/core/service_levels.rs
+++ b/src/control/core/service_levels.rs
@@ -10,20 +10,21 @@
 
 /// Seconds between two log reports of the service levels.
 const REPORT_INTERVAL_S: f64 = 30.0;
-/// Least seconds between two reports if the set of starving classes and teams changes.
+/// Minimum seconds between two log reports if the set of starving classes and teams changes.
 const MIN_REPORT_INTERVAL_S: f64 = 5.0;
 
-/// Counts of the jobs of each class and team, and the state of the last log report.
+/// Counts of accepted, started and done jobs by class and team, and the state of the last log
+/// report.
 pub(super) struct ServedLog {
     counts: Served,
-    /// Time of the last report.
+    /// Time of the last log report.
     logged_at: Time,
-    /// Classes and teams that starved in the last report.
+    /// Classes and teams that starved in the last log report.
     starved: BTreeSet<Sort>,
 }
 
 impl ServedLog {
-    /// Returns an empty log.
+    /// Returns a log without counts. The first report interval begins at `now`.
     pub(super) fn new(now: Time) -> Self {
         Self {
             counts: Served::default(),
@@ -32,12 +33,12 @@
         }
     }
 
-    /// Returns the counts for update.
+    /// Returns the counts of jobs by class and team, for update.
     pub(super) fn counts(&mut self) -> &mut Served {
         &mut self.counts
     }
 
-    /// Returns the lines of a report if one is due. A report is due sooner if the set of
+    /// Returns the lines of a log report if one is due. A report is due sooner if the set of
     /// starving classes and teams changed.
     fn take_due(&mut self, waits: &BTreeMap<Sort, Waits>, now: Time) -> Option<Vec<Line>> {
         let lines = self.counts.lines(waits);
--- a/src/control/core/task_attempt.rs
+++ b/src/control/core/task_attempt.rs
@@ -40,7 +40,7 @@
         sent.is_none_or(|at| now.since(*at) >= KILL_RETRY_S)
     }
 
-    /// Records that a stop command is sent.
+    /// Records that a stop command is sent for an attempt.
     pub(super) fn sent(&mut self, task: &TaskAttempt, now: Time) {
         self.0.insert(task.clone(), now);
     }
--- a/src/control/core/task_delegation.rs
+++ b/src/control/core/task_delegation.rs
@@ -30,7 +30,7 @@
     pub(super) delegation: Delegation,
 }
 
-/// Chunk of a job's record.
+/// One chunk of a job's tasks, with its record.
 struct RecordedChunk<'a> {
     job: &'a JobId,
     number: u32,
