--- a/src/control/core/image_rollout.rs
+++ b/src/control/core/image_rollout.rs
@@ -17,7 +17,7 @@
 impl Core {
     /// Returns the sources from which a machine fetches a job's image if a task starts there
     /// now, the best first. An empty list means the origin. Returns `None` if the start has to
-    /// wait for its stage. The machine is woken as soon as its start may be sent.
+    /// wait for its stage. The machine is contacted as soon as its start may be sent.
     pub(super) fn sources_for(
         &mut self,
         id: &MachineId,
@@ -129,8 +129,8 @@
         }
     }
 
-    /// Wakes machines whose task start waited for its stage of an image rollout and may be sent
-    /// now. One call wakes a few machines of each rollout.
+    /// Queues machines to be contacted whose task start waited for its stage of an image rollout
+    /// and may be sent now. One call queues a few machines of each rollout.
     pub(super) fn wake_staged(&mut self, now: Time) {
         for id in self.image_distribution.take_due_starts(now) {
             self.wake(&id);
--- a/src/control/core/scaling.rs
+++ b/src/control/core/scaling.rs
@@ -9,8 +9,8 @@
 use crate::cloud::Rental;
 use crate::types::{JobSpec, MachineId, MachineType, Time, TypeName, Zone};
 
-/// Number of heartbeat intervals after the start during which no machine is requested from the
-/// cloud, because the existing machines are not known until then.
+/// Number of heartbeat intervals after this controller became the owner during which it requests
+/// no machine from the cloud, because it does not know the existing machines until then.
 const SETTLED_HEARTBEATS: f64 = 2.0;
 
 /// Changes of the fleet to carry out now.
