--- a/src/control/core/agent_table.rs
+++ b/src/control/core/agent_table.rs
@@ -95,9 +95,9 @@
     }
 
     /// Removes a job's failures from the records of all machines.
-    pub(super) fn forgive(&mut self, job: &JobId) {
+    pub(super) fn remove_job_failures(&mut self, job: &JobId) {
         for agent in self.agents.values_mut() {
-            agent.failed_jobs.forgive(job);
+            agent.failed_jobs.remove(job);
         }
     }
 }
--- a/src/control/core/agents.rs
+++ b/src/control/core/agents.rs
@@ -172,7 +172,7 @@
             && !draining
             && !agent.is_suspected_one_way()
             && !leaving
-            && !agent.failed_jobs.is_shunned(now)
+            && !agent.failed_jobs.is_quarantined(now)
             && !agent.reachability.is_quarantined(now)
             && !silent;
         Some(AgentUsability {
--- a/src/control/core/failed_jobs.rs
+++ b/src/control/core/failed_jobs.rs
@@ -32,7 +32,7 @@
     }
 
     /// Returns whether the machine is quarantined now.
-    pub(super) fn is_shunned(&self, now: Time) -> bool {
+    pub(super) fn is_quarantined(&self, now: Time) -> bool {
         now < self.quarantined_until
     }
 
@@ -48,7 +48,7 @@
     }
 
     /// Removes a job's failure. The machine's quarantine ends if no other job's failure remains.
-    pub(super) fn forgive(&mut self, job: &JobId) {
+    pub(super) fn remove(&mut self, job: &JobId) {
         if self.jobs.remove(job) && self.jobs.is_empty() {
             self.quarantined_until = Time(0.0);
         }
--- a/src/control/core/failures.rs
+++ b/src/control/core/failures.rs
@@ -132,7 +132,7 @@
     /// A job's failures are held against no machine any more: it is mistaken, or
     /// was withdrawn.
     pub(super) fn clear(&mut self, job: &JobId) {
-        self.agents.forgive(job);
+        self.agents.remove_job_failures(job);
     }
 }
 
--- a/src/control/core/outcomes.rs
+++ b/src/control/core/outcomes.rs
@@ -120,7 +120,7 @@
         let (id, value) = (write.job, write.record);
         if value.phase == Phase::Done {
             if let Some(sort) = self.cluster_state.job(&id).map(Job::sort) {
-                self.served_log.counts().done(&sort);
+                self.served_log.job_counts_mut().done(&sort);
             }
             self.log_largest_over(&id, JobEvent::Done, now);
             tracing::info!(job = %id, "done");
--- a/src/control/core/placement.rs
+++ b/src/control/core/placement.rs
@@ -45,7 +45,9 @@
             return;
         };
         let (sort, wait_s) = (job.sort(), now.since(job.submitted));
-        self.served_log.counts().started(&sort, Some(wait_s));
+        self.served_log
+            .job_counts_mut()
+            .started(&sort, Some(wait_s));
         self.largest_began(id, wait_s, now);
         self.cluster_state.edit_job(id, |j| j.started = true);
     }
--- a/src/control/core/recorded_job.rs
+++ b/src/control/core/recorded_job.rs
@@ -84,7 +84,7 @@
 }
 
 /// State of a job's tasks, as the records of the job state it.
-struct FoundTasks {
+struct RecordedTasks {
     tasks: Tasks,
     /// Claims on this shard's machines.
     claims: Vec<FoundClaim>,
@@ -92,7 +92,7 @@
     failed_attempts: u64,
 }
 
-impl FoundTasks {
+impl RecordedTasks {
     /// Returns whether a job is suspected to be faulty, because many attempts had no result and
     /// no task is done. One task then tests the job before its other tasks start.
     fn suggests_faulty(&self, spec: &JobSpec) -> bool {
@@ -134,7 +134,7 @@
             }
             return;
         }
-        let found = self.found_tasks(id, entry, now);
+        let found = self.recorded_tasks(id, entry, now);
         let all_done = found.tasks.all_done();
         let times = job_times(view, id, record, now, wall_ms);
         let Some(RecordedJob { job, claims }) = self.recorded_job(view, id, found, &times) else {
@@ -156,7 +156,7 @@
     /// the job is not over.
     fn put_job(&mut self, id: &JobId, job: Job, placed_here: bool, now: Time) {
         if placed_here {
-            let counts = self.served_log.counts();
+            let counts = self.served_log.job_counts_mut();
             counts.accepted(&job.sort());
             if job.started {
                 counts.started(&job.sort(), None);
@@ -189,9 +189,9 @@
 
     /// Reads a job's tasks from its records. Claims on deleted machines are released, because
     /// their tasks ended with the machine whether the records say so or not.
-    fn found_tasks(&mut self, id: &JobId, entry: &JobEntry, now: Time) -> FoundTasks {
+    fn recorded_tasks(&mut self, id: &JobId, entry: &JobEntry, now: Time) -> RecordedTasks {
         let record = &entry.record.value;
-        let mut found = FoundTasks {
+        let mut found = RecordedTasks {
             tasks: Tasks::new(record.tasks, record.chunk),
             claims: Vec::new(),
             failed_attempts: 0,
@@ -225,7 +225,7 @@
         &self,
         view: &View,
         id: &JobId,
-        found: FoundTasks,
+        found: RecordedTasks,
         times: &JobTimes,
     ) -> Option<RecordedJob> {
         let entry = view.job(id)?;
--- a/src/control/core/recovery.rs
+++ b/src/control/core/recovery.rs
@@ -124,7 +124,7 @@
             gangs_to_check: JobsToCheck::default(),
             repair_schedule: RepairSchedule::default(),
             waiting_log: WaitingLog::default(),
-            rejected_changes: RejectedChanges::none(now),
+            rejected_changes: RejectedChanges::new(now),
             last_rescan: now,
         }
     }
--- a/src/control/core/rejected_changes.rs
+++ b/src/control/core/rejected_changes.rs
@@ -28,7 +28,7 @@
 
 impl RejectedChanges {
     /// Returns the state of an owner that has had no transaction rejected.
-    pub(super) fn none(now: Time) -> Self {
+    pub(super) fn new(now: Time) -> Self {
         Self {
             limits_fell: false,
             isolated_until: now,
--- a/src/control/core/reservation_demand.rs
+++ b/src/control/core/reservation_demand.rs
@@ -102,7 +102,7 @@
         let mut shown = Vec::new();
         for (name, watch) in &self.windows.watched {
             let Some(seen) = &watch.seen else { continue };
-            let records = watch.record_values();
+            let records = watch.records_by_start();
             shown.extend(rows(
                 name,
                 watch.entry.as_ref(),
--- a/src/control/core/reservation_refresh.rs
+++ b/src/control/core/reservation_refresh.rs
@@ -57,7 +57,7 @@
         for (name, watch) in &mut watched {
             let window = usage.window(name);
             let seen = self.observe(watch, window, &usage, now);
-            let records = watch.record_values();
+            let records = watch.records_by_start();
             watch.plan = steps(window.map(|w| &**w), &records, &seen, clock);
             let hold = self.reserve_here(watch, window, clock, now);
             watch.seen = Some(seen);
--- a/src/control/core/reservations.rs
+++ b/src/control/core/reservations.rs
@@ -63,7 +63,7 @@
 
     /// Returns the records of the window's occurrences without their revisions, by the start of the
     /// occurrence in milliseconds.
-    pub(super) fn record_values(&self) -> BTreeMap<i64, WindowRecord> {
+    pub(super) fn records_by_start(&self) -> BTreeMap<i64, WindowRecord> {
         let records = self.records.iter();
         records
             .map(|(start, r)| (*start, r.value.clone()))
--- a/src/control/core/rollout_refresh.rs
+++ b/src/control/core/rollout_refresh.rs
@@ -16,10 +16,10 @@
 
 /// Number of heartbeats for which a new owner waits to learn which starts the previous owner
 /// sent. The bound keeps a silent machine from delaying all others.
-const SETTLE_HEARTBEATS: f64 = 3.0;
+const RESUME_DELAY_HEARTBEATS: f64 = 3.0;
 /// Time in seconds that is added to the heartbeats for which a new owner waits before it
 /// resumes rollouts.
-const SETTLE_S: f64 = 2.0;
+const RESUME_DELAY_MARGIN_S: f64 = 2.0;
 
 /// Use of an image, derived from the claims.
 struct ImageUse {
@@ -138,7 +138,7 @@
             return;
         }
         let in_use = self.images_in_use();
-        let settle_s = SETTLE_HEARTBEATS * self.cfg.heartbeat_s + SETTLE_S;
+        let settle_s = RESUME_DELAY_HEARTBEATS * self.cfg.heartbeat_s + RESUME_DELAY_MARGIN_S;
         let waited = self.failover.age_s(now) >= settle_s;
         for (image, image_use) in &in_use {
             if image_use
--- a/src/control/core/scaling.rs
+++ b/src/control/core/scaling.rs
@@ -11,7 +11,7 @@
 
 /// Number of heartbeat intervals after this controller became the owner during which it requests
 /// no machine from the cloud, because it does not know the existing machines until then.
-const SETTLED_HEARTBEATS: f64 = 2.0;
+const MIN_OWNER_AGE_HEARTBEATS: f64 = 2.0;
 
 /// Changes of the fleet to carry out now.
 #[derive(Debug, Default)]
@@ -36,7 +36,7 @@
             self.scale_in_unreachable(now);
         }
         let to_delete = self.machines_to_delete(trusts_silence, now);
-        let settled = self.failover.age_s(now) > SETTLED_HEARTBEATS * self.cfg.heartbeat_s;
+        let settled = self.failover.age_s(now) > MIN_OWNER_AGE_HEARTBEATS * self.cfg.heartbeat_s;
         if !settled || self.scaling.requests.any_in_flight() {
             return ScalingDecision {
                 to_delete,
--- a/src/control/core/service_levels.rs
+++ b/src/control/core/service_levels.rs
@@ -16,7 +16,7 @@
 /// Counts of accepted, started and done jobs by class and team, and the state of the last log
 /// report.
 pub(super) struct ServedLog {
-    counts: Served,
+    job_counts: Served,
     /// Time of the last log report.
     logged_at: Time,
     /// Classes and teams that starved in the last log report.
@@ -27,21 +27,21 @@
     /// Returns a log without counts. The first report interval begins at `now`.
     pub(super) fn new(now: Time) -> Self {
         Self {
-            counts: Served::default(),
+            job_counts: Served::default(),
             logged_at: now,
             starved: BTreeSet::new(),
         }
     }
 
     /// Returns the counts of jobs by class and team, for update.
-    pub(super) fn counts(&mut self) -> &mut Served {
-        &mut self.counts
+    pub(super) fn job_counts_mut(&mut self) -> &mut Served {
+        &mut self.job_counts
     }
 
     /// Returns the lines of a log report if one is due. A report is due sooner if the set of
     /// starving classes and teams changed.
     fn take_due(&mut self, waits: &BTreeMap<Sort, Waits>, now: Time) -> Option<Vec<Line>> {
-        let lines = self.counts.lines(waits);
+        let lines = self.job_counts.lines(waits);
         let starving = lines.iter().filter(|l| l.starves);
         let starving: BTreeSet<Sort> = starving.map(|l| l.sort.clone()).collect();
         let due_s = if starving == self.starved {
