--- a/src/control/core/active_rollout.rs
+++ b/src/control/core/active_rollout.rs
@@ -18,11 +18,11 @@
 /// are ordered by progress.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum ImageState {
-    /// The start command was not sent yet.
+    /// The start command of the task was not sent to the machine yet.
     StartPending,
-    /// The start command was sent, and the task does not run yet.
+    /// The start command of the task was sent to the machine, and the task does not run yet.
     Fetching,
-    /// A task runs with the image.
+    /// A task runs on the machine with the image.
     Running,
 }
 
--- a/src/control/core/arrivals.rs
+++ b/src/control/core/arrivals.rs
@@ -6,7 +6,7 @@
 use super::Core;
 use crate::types::{JobSpec, Time, TypeName};
 
-/// Most arrivals that the log keeps of one group of jobs.
+/// Maximum number of arrivals that the log keeps of one group of jobs.
 const MAX_ARRIVALS: usize = 2000;
 
 /// Properties that the jobs of one group share. The jobs of one class may need different machine
--- a/src/control/core/draft.rs
+++ b/src/control/core/draft.rs
@@ -27,7 +27,7 @@
     Nothing,
     /// The job's record, with all its claims if it stores them inline.
     Job(JobRecord),
-    /// A chunk under its own key.
+    /// A chunk of the job's tasks, recorded under its own key.
     Chunk {
         /// Number of the chunk in its job.
         chunk: u32,
@@ -63,7 +63,7 @@
     pub(super) chunks: Vec<ChunkWrite>,
     /// Written job records: those of completed jobs, and those with inline claims.
     pub(super) jobs: Vec<JobWrite>,
-    /// Step of an image's rollout, if the transaction contains one.
+    /// Write or deletion of an image rollout's record, if the transaction contains one.
     pub(super) rollout: Option<Step>,
 }
 
@@ -160,7 +160,7 @@
         self.written_jobs.contains(id)
     }
 
-    /// Adds a step of an image's rollout.
+    /// Adds the write or deletion of an image rollout's record to the transaction.
     pub(super) fn add_rollout(&mut self, due: DueStep) {
         self.batch.transaction.conditions.push(due.condition);
         self.batch.transaction.changes.push(due.change);
--- a/src/control/core/objectives.rs
+++ b/src/control/core/objectives.rs
@@ -20,9 +20,10 @@
 
 /// Times that a job's objectives count from, on this process's clock.
 pub(super) struct JobTimes {
-    /// Submission of the job.
+    /// Time of the job's submission.
     pub(super) accepted: Time,
-    /// Completion of the job's last dependency, or the submission of a job without dependencies.
+    /// Time at which the job's last dependency was completed, or at which a job without
+    /// dependencies was submitted.
     pub(super) ready: Time,
     /// Latest finish of the job if it is in a pipeline, either its own or inherited.
     pub(super) latest_finish: Option<Time>,
--- a/src/control/core/overflow.rs
+++ b/src/control/core/overflow.rs
@@ -11,9 +11,9 @@
 use crate::state::view::View;
 use crate::types::{Kind, Time};
 
-/// Most tasks in one delegation message.
+/// Maximum number of tasks in one message that delegates tasks to another shard.
 const MAX_DELEGATED_TASKS: u32 = 64;
-/// Most jobs that one pass considers for delegation.
+/// Maximum number of jobs that one call of [`Core::leave`] considers for delegation.
 const MAX_JOBS_PER_PASS: usize = 16;
 
 impl Core {
--- a/src/control/core/reservation_supply.rs
+++ b/src/control/core/reservation_supply.rs
@@ -13,9 +13,9 @@
 
 /// Machine type to request from the cloud for a window's tasks.
 pub(super) enum TypeChoice {
-    /// Any type that fits, because the window names none.
+    /// Any machine type that fits the window's tasks, because the window names no type.
     Any,
-    /// This type, which the window names.
+    /// This machine type, which the window names.
     Named(TypeName),
 }
 
--- a/src/control/core/reservations.rs
+++ b/src/control/core/reservations.rs
@@ -25,9 +25,9 @@
     pub(super) records: BTreeMap<i64, Versioned<WindowRecord>>,
     /// Time at which the window's work last ran or waited, as far as this owner observed.
     pub(super) last_busy_at: Time,
-    /// Number of tasks whose capacity is on machines that still boot.
+    /// Number of the window's tasks whose capacity is on machines that still boot.
     pub(super) pending_tasks: u32,
-    /// State of the window at the last refresh.
+    /// State of the window that this owner observed at the last refresh.
     pub(super) seen: Option<Seen>,
     /// Planned steps of all occurrences of the window.
     pub(super) plan: WindowPlan,
@@ -114,7 +114,7 @@
 pub struct WindowStep {
     /// Name of the window that the step belongs to.
     pub window: String,
-    /// Start of the occurrence, in milliseconds of the time of day.
+    /// Start of the window's occurrence by the wall clock, in milliseconds.
     pub start_ms: i64,
     /// Step of the occurrence to record. `None` if the record of the occurrence is to be deleted.
     pub step: Option<Step>,
--- a/src/control/core/rollout_records.rs
+++ b/src/control/core/rollout_records.rs
@@ -22,7 +22,7 @@
 struct RecordWrite {
     /// The full record of the rollout.
     record: RolloutRecord,
-    /// The record after it was shortened to the value limit.
+    /// The record as it is written, shortened to the size limit of a value in the state service.
     written: RolloutRecord,
 }
 
--- a/src/control/core/rollout_refresh.rs
+++ b/src/control/core/rollout_refresh.rs
@@ -23,7 +23,7 @@
 
 /// Use of an image, derived from the claims.
 struct ImageUse {
-    /// Progress with the image by machine.
+    /// Progress of each machine with the image.
     machines: BTreeMap<MachineId, ImageState>,
     /// Whether this owner knows, for each claim recovered from the records, if the start was
     /// sent.
@@ -33,7 +33,7 @@
 }
 
 impl ImageUse {
-    /// Creates the empty use of an image of a size in GB.
+    /// Creates the use of an image of `gb` GB that no machine uses yet.
     fn of_size(gb: f64) -> Self {
         Self {
             machines: BTreeMap::new(),
--- a/src/control/core/scaling.rs
+++ b/src/control/core/scaling.rs
@@ -18,7 +18,7 @@
 pub struct ScalingDecision {
     /// Machines to delete.
     pub to_delete: Vec<MachineId>,
-    /// Requests to send to the cloud.
+    /// Requests for new machines to send to the cloud.
     pub scale_out: Vec<Rental>,
 }
 
--- a/src/control/core/scaling_state.rs
+++ b/src/control/core/scaling_state.rs
@@ -17,7 +17,7 @@
     pub kind: TypeName,
     /// Zone in which the machine is requested.
     pub zone: Zone,
-    /// Whether it is a spot machine.
+    /// Whether a spot machine is requested, rather than an ordinary one.
     pub spot: bool,
 }
 
--- a/src/control/core/task_delegation.rs
+++ b/src/control/core/task_delegation.rs
@@ -26,7 +26,7 @@
     /// Amount of each team's part of the limit that a transaction in flight gives to other
     /// shards. The outcome of the transaction is not known yet.
     pub(super) given: Vec<Amount>,
-    /// Rule that decides which shard gets which tasks.
+    /// Rule that decides which shard gets which delegated tasks.
     pub(super) delegation: Delegation,
 }
 
