--- a/src/control/core/agent_table.rs
+++ b/src/control/core/agent_table.rs
@@ -99,10 +99,10 @@
         unreachable.map(|(id, _)| id.clone()).collect()
     }
 
-    /// Discards a job's failures on all machines.
-    pub(super) fn forgive(&mut self, job: &JobId) {
+    /// Removes a job's failures from the records of all machines.
+    pub(super) fn remove_job_failures(&mut self, job: &JobId) {
         for agent in self.agents.values_mut() {
-            agent.failed_jobs.forgive(job);
+            agent.failed_jobs.remove(job);
         }
     }
 }
--- a/src/control/core/failures.rs
+++ b/src/control/core/failures.rs
@@ -136,7 +136,7 @@
 
     /// Discards a job's failures on all machines because the job is faulty or was cancelled.
     pub(super) fn clear(&mut self, job: &JobId) {
-        self.agents.forgive(job);
+        self.agents.remove_job_failures(job);
     }
 }
 
--- a/src/control/core/rejected_changes.rs
+++ b/src/control/core/rejected_changes.rs
@@ -27,8 +27,8 @@
 }
 
 impl RejectedChanges {
-    /// Returns the state before any rejection.
-    pub(super) fn none(now: Time) -> Self {
+    /// Returns the state of an owner that has had no transaction rejected.
+    pub(super) fn new(now: Time) -> Self {
         Self {
             limits_fell: false,
             isolated_until: now,
--- a/src/control/core/reservation_demand.rs
+++ b/src/control/core/reservation_demand.rs
@@ -26,11 +26,11 @@
 
 /// Tasks for which a window lacks capacity in one zone.
 struct ZoneShortfall {
-    /// The zone. `None` stands for any zone.
+    /// Zone in which the capacity is missing. `None` stands for any zone.
     zone: Option<Zone>,
-    /// Number of tasks without capacity.
+    /// Number of the window's tasks that lack capacity in the zone.
     tasks: u32,
-    /// Machine type to request.
+    /// Machine type to request from the cloud for these tasks.
     kind: TypeChoice,
 }
 
@@ -102,7 +102,7 @@
         let mut shown = Vec::new();
         for (name, watch) in &self.windows.watched {
             let Some(seen) = &watch.seen else { continue };
-            let records = watch.record_values();
+            let records = watch.records_by_start();
             shown.extend(rows(
                 name,
                 watch.entry.as_ref(),
--- a/src/control/core/rollout_refresh.rs
+++ b/src/control/core/rollout_refresh.rs
@@ -16,14 +16,14 @@
 
 /// Number of heartbeats for which a new owner waits to learn which starts the previous owner
 /// sent. The bound keeps a silent machine from delaying all others.
-const SETTLE_HEARTBEATS: f64 = 3.0;
+const RESUME_DELAY_HEARTBEATS: f64 = 3.0;
 /// Time in seconds that is added to the heartbeats for which a new owner waits before it
 /// resumes rollouts.
-const SETTLE_S: f64 = 2.0;
+const RESUME_DELAY_MARGIN_S: f64 = 2.0;
 
 /// Use of an image, derived from the claims.
 struct ImageUse {
-    /// Progress with the image by machine.
+    /// Progress of each machine with the image.
     machines: BTreeMap<MachineId, ImageState>,
     /// Whether this owner knows, for each claim recovered from the records, if the start was
     /// sent.
@@ -33,7 +33,7 @@
 }
 
 impl ImageUse {
-    /// Creates the empty use of an image of a size in GB.
+    /// Creates the use of an image of `gb` GB that no machine uses yet.
     fn of_size(gb: f64) -> Self {
         Self {
             machines: BTreeMap::new(),
@@ -61,8 +61,8 @@
 }
 
 impl RolloutUpdate<'_> {
-    /// Updates a member from its progress with the image. Returns whether the machine still
-    /// exists and stays in the rollout.
+    /// Updates a member of the rollout from the member's progress with the image. Returns whether
+    /// the machine still exists and stays in the rollout.
     fn update_member(
         &mut self,
         id: &MachineId,
@@ -138,7 +138,7 @@
             return;
         }
         let in_use = self.images_in_use();
-        let settle_s = SETTLE_HEARTBEATS * self.cfg.heartbeat_s + SETTLE_S;
+        let settle_s = RESUME_DELAY_HEARTBEATS * self.cfg.heartbeat_s + RESUME_DELAY_MARGIN_S;
         let waited = self.failover.age_s(now) >= settle_s;
         for (image, image_use) in &in_use {
             if image_use
--- a/src/control/core/task_delegation.rs
+++ b/src/control/core/task_delegation.rs
@@ -26,11 +26,11 @@
     /// Amount of each team's part of the limit that a transaction in flight gives to other
     /// shards. The outcome of the transaction is not known yet.
     pub(super) given: Vec<Amount>,
-    /// Rule that decides which shard gets which tasks.
+    /// Rule that decides which shard gets which delegated tasks.
     pub(super) delegation: Delegation,
 }
 
-/// Chunk of a job's record.
+/// One chunk of a job's tasks, with its record.
 struct RecordedChunk<'a> {
     job: &'a JobId,
     number: u32,
