--- a/src/control/core/agent.rs
+++ b/src/control/core/agent.rs
@@ -79,7 +79,7 @@
             forwarded: false,
             leaving: false,
             deleting: false,
-            failed_jobs: FailedJobs::none(),
+            failed_jobs: FailedJobs::new(),
             sent_kills: SentKills::default(),
             images: Vec::new(),
         }
--- a/src/control/core/batch.rs
+++ b/src/control/core/batch.rs
@@ -78,7 +78,7 @@
     /// Puts a write back into the queues, to be recorded later.
     fn requeue(&mut self, due: PendingWrite, now: Time) {
         match due {
-            PendingWrite::Finished(id) => self.finished(id, now),
+            PendingWrite::Finished(id) => self.queue_finished(id, now),
             PendingWrite::Chunk(chunk) => self.pending.released(chunk, now),
         }
     }
@@ -253,14 +253,20 @@
     /// Otherwise the changes are retried one by one, so that a change that cannot be recorded
     /// blocks no other change. A change that was rejected alone waits before its retry. Returns
     /// false if this owner no longer holds the grant.
-    pub fn rejected(&mut self, batch: Batch, limits_fell: bool, view: &View, now: Time) -> bool {
+    pub fn transaction_rejected(
+        &mut self,
+        batch: Batch,
+        limits_fell: bool,
+        view: &View,
+        now: Time,
+    ) -> bool {
         if !self.rejected_changes.observe_limits(limits_fell) {
             let with_rollout = batch.rollout.is_some();
             let changes = batch.written_keys();
             self.rejected_changes
                 .isolate_batch(changes, with_rollout, now);
         }
-        self.conflicted(batch, view, now)
+        self.transaction_conflicted(batch, view, now)
     }
 }
 
--- a/src/control/core/failed_jobs.rs
+++ b/src/control/core/failed_jobs.rs
@@ -17,7 +17,7 @@
 
 impl FailedJobs {
     /// Returns the state of a machine on which no job has failed.
-    pub(super) fn none() -> Self {
+    pub(super) fn new() -> Self {
         Self {
             jobs: BTreeSet::new(),
             quarantined_until: Time(0.0),
--- a/src/control/core/failures.rs
+++ b/src/control/core/failures.rs
@@ -78,7 +78,7 @@
         });
         // A job of another shard is done only when that shard has read the result.
         if all_done == Some(true) && self.scope.homes(&task.job) {
-            self.finished(task.job.clone(), now);
+            self.queue_finished(task.job.clone(), now);
         }
         if let Some(agent) = self.agents.get_mut(id) {
             agent.failed_jobs.succeeded();
--- a/src/control/core/largest_jobs.rs
+++ b/src/control/core/largest_jobs.rs
@@ -59,7 +59,7 @@
     }
 
     /// Logs that the first task of a largest job was placed here after `wait_s` seconds.
-    pub(super) fn largest_began(&self, id: &JobId, wait_s: f64, now: Time) {
+    pub(super) fn log_largest_began(&self, id: &JobId, wait_s: f64, now: Time) {
         if self.largest_jobs.is(id) {
             self.log_largest_job(id, JobEvent::Begun, Some(wait_s), now);
         }
--- a/src/control/core/outcomes.rs
+++ b/src/control/core/outcomes.rs
@@ -13,7 +13,7 @@
 
 impl Core {
     /// Queues the record that all tasks of a job are done.
-    pub(super) fn finished(&mut self, id: JobId, now: Time) {
+    pub(super) fn queue_finished(&mut self, id: JobId, now: Time) {
         let write_priority = self
             .cluster_state
             .job(&id)
@@ -69,7 +69,13 @@
     }
 
     /// Handles a transaction that was committed.
-    pub fn committed(&mut self, batch: Batch, revision: Revision, view: &mut View, now: Time) {
+    pub fn transaction_committed(
+        &mut self,
+        batch: Batch,
+        revision: Revision,
+        view: &mut View,
+        now: Time,
+    ) {
         for write in batch.chunks {
             self.chunk_committed(write, revision, view, now);
         }
@@ -175,7 +181,7 @@
     /// Handles a transaction that was not committed, or that an earlier attempt had already
     /// committed. The view is newer than the transaction. Returns false if this owner no longer
     /// holds the grant.
-    pub fn conflicted(&mut self, batch: Batch, view: &View, now: Time) -> bool {
+    pub fn transaction_conflicted(&mut self, batch: Batch, view: &View, now: Time) -> bool {
         if let Some(step) = batch.rollout {
             self.image_distribution.step_conflicted(step, view, now);
         }
@@ -203,7 +209,7 @@
         let live = entry.is_some_and(|e| e.record.value.phase == Phase::Live);
         let job = self.cluster_state.job(id);
         if live && job.is_some_and(|j| j.tasks.all_done()) {
-            self.finished(id.clone(), now);
+            self.queue_finished(id.clone(), now);
         } else {
             self.forget_job(view, id, now);
         }
--- a/src/control/core/overflow.rs
+++ b/src/control/core/overflow.rs
@@ -125,7 +125,7 @@
         let end = now.after(ACCEPTED_S);
         self.sharing.taken.add(&left.job, tasks, end);
         if self.cluster_state.job(&left.job).is_none() {
-            self.add_known(view, &left.job, now, wall_ms);
+            self.load_job(view, &left.job, now, wall_ms);
         }
         self.share(&left.job, entry);
         self.placement_queue.request_full_walk();
--- a/src/control/core/placement.rs
+++ b/src/control/core/placement.rs
@@ -48,7 +48,7 @@
         self.served_log
             .job_counts_mut()
             .started(&sort, Some(wait_s));
-        self.largest_began(id, wait_s, now);
+        self.log_largest_began(id, wait_s, now);
         self.cluster_state.edit_job(id, |j| j.started = true);
     }
 
--- a/src/control/core/recorded_job.rs
+++ b/src/control/core/recorded_job.rs
@@ -119,7 +119,7 @@
     /// Adds a recorded job to the cluster state, unless it waits for dependencies. A waiting job
     /// therefore does not count in limits, shares, queues, aging or renting. None of its tasks
     /// is claimed until the committed records of all its dependencies state that these are done.
-    pub(super) fn add_known(&mut self, view: &View, id: &JobId, now: Time, wall_ms: u64) {
+    pub(super) fn load_job(&mut self, view: &View, id: &JobId, now: Time, wall_ms: u64) {
         let Some(entry) = view.job(id) else { return };
         let record = &entry.record.value;
         if record.phase == Phase::Live && !view.is_ready(id) {
@@ -145,7 +145,7 @@
         self.put_claims(id, claims, now);
         self.share(id, entry);
         if all_done && placed_here {
-            self.finished(id.clone(), now);
+            self.queue_finished(id.clone(), now);
         }
         // A gang with only some of its tasks claimed starts again.
         self.gangs_to_check.add(id.clone());
--- a/src/control/core/recovery.rs
+++ b/src/control/core/recovery.rs
@@ -75,7 +75,7 @@
     /// Builds the core of a new owner from the records of its scope. Every claim counts until a
     /// heartbeat that carries the new fencing token shows otherwise. `places` holds the zones
     /// of the machines of all shards. It is empty for the grant of all machines.
-    pub fn load(input: &RecoveryInput, grant: ShardGrant, places: Places) -> Self {
+    pub fn recover(input: &RecoveryInput, grant: ShardGrant, places: Places) -> Self {
         let (view, now, wall_ms) = (input.view, input.now, input.wall_ms);
         let mut core = Self::without_records(input, grant, places);
         core.set_up_cluster(input);
@@ -171,7 +171,7 @@
     pub(super) fn add_job(&mut self, view: &View, id: &JobId, now: Time, wall_ms: u64) {
         let claimed_here = |entry: &JobEntry| self.claims_here(entry);
         if self.scope.homes(id) || view.job(id).is_some_and(claimed_here) {
-            self.add_known(view, id, now, wall_ms);
+            self.load_job(view, id, now, wall_ms);
         }
     }
 }
--- a/src/control/core/task_delegation.rs
+++ b/src/control/core/task_delegation.rs
@@ -159,7 +159,7 @@
         let job = self.cluster_state.job(id);
         let all_done = job.is_some_and(|j| j.tasks.all_done());
         if live && all_done && self.scope.homes(id) {
-            self.finished(id.clone(), now);
+            self.queue_finished(id.clone(), now);
         }
         self.placement_queue.request_full_walk();
     }
--- a/src/control/leader.rs
+++ b/src/control/leader.rs
@@ -210,7 +210,7 @@
         }
         tracing::info!(term = %grant.term, grant = grant.number, "leader elected");
         let grant = ShardGrant::whole(grant.number, revision);
-        let core = Core::load(
+        let core = Core::recover(
             &RecoveryInput {
                 cfg: self.cfg.clone(),
                 types: &self.catalog.types(),
--- a/src/control/recording.rs
+++ b/src/control/recording.rs
@@ -100,7 +100,7 @@
     fn batch_committed(&self, done: ShardBatch, revision: Revision) {
         if let Some(c) = self.shards.owned_mut().get_mut(done.shard) {
             let mut view = self.store.view_for_commit();
-            c.committed(done.batch, revision, &mut view, self.now());
+            c.transaction_committed(done.batch, revision, &mut view, self.now());
         }
         self.peers.announce(revision);
     }
@@ -117,11 +117,10 @@
                 return;
             }
         }
-        let grant_kept = self
-            .shards
-            .owned_mut()
-            .get_mut(shard)
-            .is_none_or(|c| c.conflicted(failed.batch, &self.store.view(), self.now()));
+        let grant_kept =
+            self.shards.owned_mut().get_mut(shard).is_none_or(|c| {
+                c.transaction_conflicted(failed.batch, &self.store.view(), self.now())
+            });
         if !grant_kept {
             tracing::info!(%shard, "shard grant lost; stepping down");
             self.step_down(shard);
@@ -132,7 +131,7 @@
     fn batch_rejected(&self, refused: ShardBatch) {
         if let Some(c) = self.shards.owned_mut().get_mut(refused.shard) {
             let limits_fell = self.state.limits_fell();
-            c.rejected(refused.batch, limits_fell, &self.store.view(), self.now());
+            c.transaction_rejected(refused.batch, limits_fell, &self.store.view(), self.now());
         }
     }
 }
--- a/src/control/resharding.rs
+++ b/src/control/resharding.rs
@@ -151,7 +151,7 @@
                     number: grant,
                     revision: Revision(0),
                 };
-                let core = Core::load(&input, grant, self.shards.machine_zones());
+                let core = Core::recover(&input, grant, self.shards.machine_zones());
                 core.needs().iter().map(|n| n.used).collect()
             })
             .collect();
--- a/src/control/shard_owners.rs
+++ b/src/control/shard_owners.rs
@@ -122,7 +122,7 @@
     /// then on.
     fn recover_shard(&self, view: &View, grant: ShardGrant) {
         let shard = grant.scope.shard;
-        let core = Core::load(
+        let core = Core::recover(
             &RecoveryInput {
                 cfg: self.cfg.clone(),
                 types: &self.catalog.types(),
--- a/tests/fleet_limits.rs
+++ b/tests/fleet_limits.rs
@@ -115,7 +115,7 @@
             now: Time(0.0),
             wall_ms: 0,
         };
-        let core = Core::load(
+        let core = Core::recover(
             &input,
             ShardGrant::whole(1, mod_revision),
             Places::default(),
@@ -144,7 +144,8 @@
             let changes = events(self.revision, &json!(written));
             assert!(self.view.apply(since, changes));
             let revision = Revision(self.revision);
-            self.core.committed(batch, revision, &mut self.view, now);
+            self.core
+                .transaction_committed(batch, revision, &mut self.view, now);
         }
     }
 
--- a/tests/lanes.rs
+++ b/tests/lanes.rs
@@ -488,7 +488,7 @@
             now,
             wall_ms: 50_000,
         };
-        let mut core = Core::load(&input, grant, Places::default());
+        let mut core = Core::recover(&input, grant, Places::default());
         core.tick(now);
         let waiting = core.show_lanes(now).lanes.remove(0).waiting;
         let order = waiting.into_iter().map(|w| (w.job, w.place));
--- a/tests/rules/commands.rs
+++ b/tests/rules/commands.rs
@@ -93,7 +93,7 @@
         now,
         wall_ms: 0,
     };
-    let mut core = Core::load(&input, grant, Places::default());
+    let mut core = Core::recover(&input, grant, Places::default());
     assert!(core.heartbeat(&heartbeat, Source::Heartbeat, now));
     let reply = core.answer(&heartbeat, view, now);
     assert_eq!(verbs_for(&reply.commands, &task_name), ["kill"]);
--- a/tests/rules/meetings/completion.rs
+++ b/tests/rules/meetings/completion.rs
@@ -129,7 +129,8 @@
             return (day, id, batch);
         }
         if let TransactionOutcome::Done(revision) = day.world.store.transact(&transaction) {
-            o.core.committed(batch, revision, &mut o.view, now);
+            o.core
+                .transaction_committed(batch, revision, &mut o.view, now);
         }
     }
 }
--- a/tests/rules/pipelines.rs
+++ b/tests/rules/pipelines.rs
@@ -250,7 +250,7 @@
         now,
         wall_ms,
     };
-    Core::load(&input, grant, Places::default())
+    Core::recover(&input, grant, Places::default())
 }
 
 fn accept(store: &mut Store, uid: &str, more: serde_json::Value, needs: &[&str], at_ms: u64) {
--- a/tests/rules/recording.rs
+++ b/tests/rules/recording.rs
@@ -35,7 +35,7 @@
             now: Time(0.0),
             wall_ms: 0,
         };
-        o.core = Core::load(&input, grant, Places::default());
+        o.core = Core::recover(&input, grant, Places::default());
         let (id, _) = one_job(&mut world);
         let World { store, owners, .. } = &mut world;
         let Owner { core, view, .. } = &mut owners[0];
--- a/tests/rules/scenes.rs
+++ b/tests/rules/scenes.rs
@@ -104,5 +104,5 @@
     let TransactionOutcome::Done(revision) = store.transact(&transaction) else {
         panic!("refused: {transaction}");
     };
-    core.committed(batch, revision, view, now);
+    core.transaction_committed(batch, revision, view, now);
 }
--- a/tests/rules/world.rs
+++ b/tests/rules/world.rs
@@ -200,7 +200,7 @@
             now: Time(self.now),
             wall_ms: 0,
         };
-        let core = Core::load(&input, grant, self.places.clone());
+        let core = Core::recover(&input, grant, self.places.clone());
         self.add_owner(core, view);
         let same = self.owners.iter().filter(|o| o.core.scope == scope);
         if same.count() > 2 {
@@ -256,7 +256,7 @@
             now: Time(self.now),
             wall_ms: 0,
         };
-        let core = Core::load(&input, grant, Places::default());
+        let core = Core::recover(&input, grant, Places::default());
         self.add_owner(core, view);
         if self.owners.len() > 2 {
             self.owners.remove(0);
@@ -464,7 +464,7 @@
         if self.store.rejects(&transaction) {
             self.faults.rejected += 1;
             let o = &mut self.owners[owner];
-            o.core.rejected(batch, true, &o.view, now);
+            o.core.transaction_rejected(batch, true, &o.view, now);
             return;
         }
         if self.delays(&transaction) {
@@ -485,13 +485,14 @@
             }
             _ => match self.store.transact(&transaction) {
                 TransactionOutcome::Done(revision) => {
-                    o.core.committed(batch, revision, &mut o.view, now);
+                    o.core
+                        .transaction_committed(batch, revision, &mut o.view, now);
                 }
                 TransactionOutcome::Failed(_) => {
                     self.store.follow(&mut o.view);
                     let changed = o.view.take_changed();
                     o.core.jobs_changed(&o.view, &changed, now, 0);
-                    if !o.core.conflicted(batch, &o.view, now) {
+                    if !o.core.transaction_conflicted(batch, &o.view, now) {
                         self.owners.remove(owner);
                     }
                 }
--- a/tests/staging.rs
+++ b/tests/staging.rs
@@ -181,7 +181,7 @@
         let text = self.next_revision(changes);
         let revision = Revision(self.revision);
         self.core
-            .committed(batch, revision, &mut self.view, Time(self.now));
+            .transaction_committed(batch, revision, &mut self.view, Time(self.now));
         self.apply(&text);
         self.view.take_changed();
     }
@@ -256,7 +256,7 @@
         now: Time(now),
         wall_ms: 0,
     };
-    Core::load(&input, grant, Places::default())
+    Core::recover(&input, grant, Places::default())
 }
 
 const ON: &str = "staging.least.gb=20";
--- a/tests/topology_cases.rs
+++ b/tests/topology_cases.rs
@@ -717,7 +717,7 @@
             now: Time(0.0),
             wall_ms: 0,
         };
-        let core = Core::load(&input, grant, Places::default());
+        let core = Core::recover(&input, grant, Places::default());
         Self {
             core,
             view,
@@ -756,7 +756,7 @@
         self.revision += 1;
         let revision = Revision(self.revision);
         self.core
-            .committed(batch, revision, &mut self.view, Time(now));
+            .transaction_committed(batch, revision, &mut self.view, Time(now));
         true
     }
 
