--- a/src/control/core/active_rollout.rs
+++ b/src/control/core/active_rollout.rs
@@ -73,7 +73,7 @@
     pub(super) waiting: BTreeSet<MachineId>,
     last_scanned: MachineId,
     /// Time since which no start is pending and no machine fetches the image.
-    pub(super) over_since: Option<Time>,
+    pub(super) idle_since: Option<Time>,
 }
 
 impl ActiveRollout {
@@ -85,7 +85,7 @@
             members: BTreeMap::new(),
             waiting: BTreeSet::new(),
             last_scanned: MachineId::from(""),
-            over_since: None,
+            idle_since: None,
         }
     }
 
@@ -168,7 +168,7 @@
         now: Time,
     ) -> Option<Vec<Source>> {
         let rollout = self.rollout.as_mut()?;
-        self.over_since = None;
+        self.idle_since = None;
         let member = match self.members.entry(machine.id.clone()) {
             Entry::Occupied(member) => member.into_mut(),
             Entry::Vacant(entry) => {
--- a/src/control/core/heartbeats.rs
+++ b/src/control/core/heartbeats.rs
@@ -203,7 +203,7 @@
             self.cluster_state.ran(task);
         }
         if began {
-            self.image_ran(task);
+            self.record_image_complete(task);
         }
     }
 
--- a/src/control/core/image_distribution.rs
+++ b/src/control/core/image_distribution.rs
@@ -32,7 +32,7 @@
     /// version, which this owner leaves unchanged.
     pub(super) stored_records: BTreeMap<RolloutId, Versioned<Option<RolloutRecord>>>,
     /// Rollout records of shards that no longer exist. This owner is to delete these records.
-    pub(super) useless: BTreeMap<RolloutId, Revision>,
+    pub(super) obsolete_records: BTreeMap<RolloutId, Revision>,
 }
 
 impl ImageDistribution {
@@ -46,7 +46,7 @@
             uploads: Uploads::default(),
             rollouts: BTreeMap::new(),
             stored_records: BTreeMap::new(),
-            useless: BTreeMap::new(),
+            obsolete_records: BTreeMap::new(),
         };
         if image_distribution.min_image_gb.is_some() {
             for (&key, stored_record) in &view.rollouts {
@@ -75,7 +75,8 @@
         // later version wrote them.
         let obsolete = key.shard.0 >= scope.of && stored_record.value.is_some();
         if scope.shard == ShardId(0) && obsolete {
-            self.useless.insert(key, stored_record.mod_revision);
+            self.obsolete_records
+                .insert(key, stored_record.mod_revision);
         }
     }
 
--- a/src/control/core/image_rollout.rs
+++ b/src/control/core/image_rollout.rs
@@ -45,7 +45,7 @@
     }
 
     /// Records that the machine of a running task has the task's image.
-    pub(super) fn image_ran(&mut self, task: &TaskId) {
+    pub(super) fn record_image_complete(&mut self, task: &TaskId) {
         let Some(spec) = self.cluster_state.job(&task.job).map(|j| j.spec.clone()) else {
             return;
         };
--- a/src/control/core/job_changes.rs
+++ b/src/control/core/job_changes.rs
@@ -33,7 +33,7 @@
         };
         let cancelled = job.cancelled;
         self.refresh_urgency(view, id, now, wall_ms);
-        self.catch_up(id, entry, now);
+        self.reconcile_record(id, entry, now);
         if entry.record.value.phase == Phase::Cancelled && !cancelled {
             self.job_cancelled(id, now);
         }
--- a/src/control/core/mod.rs
+++ b/src/control/core/mod.rs
@@ -124,7 +124,7 @@
 use self::shard_freeze::HandoverFreeze;
 use self::silence::IgnoredSilence;
 use self::start_permission::StartPermission;
-pub use self::task_delegation::Places;
+pub use self::task_delegation::MachineZones;
 use self::tombstones::MachineTombstones;
 use self::topology_repair::RepairSchedule;
 use self::waiting_log::WaitingLog;
@@ -174,9 +174,9 @@
     /// owner claims no more tasks, and claims in flight settle.
     freeze: HandoverFreeze,
     /// Tasks delegated to and taken from other shards, and quota given to them.
-    sharing: task_delegation::Sharing,
+    delegations: task_delegation::Delegations,
     /// Zone of each machine, for the machines of all shards.
-    places: Places,
+    machine_zones: MachineZones,
     /// Service levels of classes and teams, for the log.
     served_log: ServedLog,
     /// Largest jobs of each class, for the log.
--- a/src/control/core/overflow.rs
+++ b/src/control/core/overflow.rs
@@ -13,7 +13,7 @@
 
 /// Maximum number of tasks in one message that delegates tasks to another shard.
 const MAX_DELEGATED_TASKS: u32 = 64;
-/// Maximum number of jobs that one call of [`Core::leave`] considers for delegation.
+/// Maximum number of jobs that one call of [`Core::delegate_tasks_out`] considers for delegation.
 const MAX_JOBS_PER_PASS: usize = 16;
 
 impl Core {
@@ -32,20 +32,20 @@
 
     /// Records another shard's free capacity beyond its own work, in thousandths of a CPU.
     pub fn has_capacity(&mut self, shard: ShardId, cpu: i64, now: Time) {
-        self.sharing.delegation.has_capacity(shard, cpu, now);
+        self.delegations.policy.has_capacity(shard, cpu, now);
     }
 
     /// Delegates tasks that found no place to shards with free capacity. Returns the messages to
     /// send.
-    pub fn leave(&mut self, view: &View, now: Time) -> Vec<DelegatedTasks> {
+    pub fn delegate_tasks_out(&mut self, view: &View, now: Time) -> Vec<DelegatedTasks> {
         self.expire_delegations(view, now);
         if self.is_frozen() {
             return Vec::new();
         }
         let waiting = self.jobs_without_place();
         // Tasks of a reservation window go to the shards that hold capacity for the window.
-        let mut all = self.leave_to_reservations(&waiting);
-        all.extend(self.sharing.delegation.delegate(&waiting, now));
+        let mut all = self.delegate_to_reservations(&waiting);
+        all.extend(self.delegations.policy.delegate(&waiting, now));
         let left = all.into_iter();
         left.filter_map(|delegated| self.delegate_tasks(delegated, view, now))
             .collect()
@@ -94,9 +94,9 @@
             return None;
         }
         let end = now.after(DELEGATED_S);
-        self.sharing.left.add(&job, tasks.clone(), end);
+        self.delegations.delegated_out.add(&job, tasks.clone(), end);
         if let Some(entry) = view.job(&job) {
-            self.share(&job, entry);
+            self.apply_foreign_claims(&job, entry);
         }
         Some(DelegatedTasks {
             shard: to,
@@ -123,21 +123,21 @@
         }
         let tasks = left.tasks.iter().copied().collect();
         let end = now.after(ACCEPTED_S);
-        self.sharing.taken.add(&left.job, tasks, end);
+        self.delegations.delegated_in.add(&left.job, tasks, end);
         if self.cluster_state.job(&left.job).is_none() {
             self.load_job(view, &left.job, now, wall_ms);
         }
-        self.share(&left.job, entry);
+        self.apply_foreign_claims(&left.job, entry);
         self.placement_queue.request_full_walk();
     }
 
     /// Ends delegations whose time has expired.
     fn expire_delegations(&mut self, view: &View, now: Time) {
-        let mut ended = self.sharing.left.end(now);
-        ended.extend(self.sharing.taken.end(now));
+        let mut ended = self.delegations.delegated_out.end(now);
+        ended.extend(self.delegations.delegated_in.end(now));
         for job in ended {
             if let Some(entry) = view.job(&job) {
-                self.share(&job, entry);
+                self.apply_foreign_claims(&job, entry);
             }
             self.forget_job(view, &job, now);
         }
--- a/src/control/core/recorded_job.rs
+++ b/src/control/core/recorded_job.rs
@@ -143,7 +143,7 @@
         let placed_here = !over && self.scope.homes(id);
         self.put_job(id, job, placed_here, now);
         self.put_claims(id, claims, now);
-        self.share(id, entry);
+        self.apply_foreign_claims(id, entry);
         if all_done && placed_here {
             self.queue_finished(id.clone(), now);
         }
--- a/src/control/core/recovery.rs
+++ b/src/control/core/recovery.rs
@@ -21,7 +21,7 @@
 use super::shard_freeze::HandoverFreeze;
 use super::silence::IgnoredSilence;
 use super::start_permission::StartPermission;
-use super::task_delegation::{self, Places};
+use super::task_delegation::{self, MachineZones};
 use super::tombstones::MachineTombstones;
 use super::topology_history::TopologyHistory;
 use super::topology_repair::RepairSchedule;
@@ -73,11 +73,11 @@
 
 impl Core {
     /// Builds the core of a new owner from the records of its scope. Every claim counts until a
-    /// heartbeat that carries the new fencing token shows otherwise. `places` holds the zones
+    /// heartbeat that carries the new fencing token shows otherwise. `machine_zones` holds the zones
     /// of the machines of all shards. It is empty for the grant of all machines.
-    pub fn recover(input: &RecoveryInput, grant: ShardGrant, places: Places) -> Self {
+    pub fn recover(input: &RecoveryInput, grant: ShardGrant, machine_zones: MachineZones) -> Self {
         let (view, now, wall_ms) = (input.view, input.now, input.wall_ms);
-        let mut core = Self::without_records(input, grant, places);
+        let mut core = Self::without_records(input, grant, machine_zones);
         core.set_up_cluster(input);
         core.recover_arrivals(view, now, wall_ms);
         core.recover_jobs(view, now, wall_ms);
@@ -91,7 +91,11 @@
     }
 
     /// Returns a core without jobs or machines.
-    fn without_records(input: &RecoveryInput, grant: ShardGrant, places: Places) -> Self {
+    fn without_records(
+        input: &RecoveryInput,
+        grant: ShardGrant,
+        machine_zones: MachineZones,
+    ) -> Self {
         let (view, now, scope) = (input.view, input.now, grant.scope);
         let image_distribution =
             image_distribution::ImageDistribution::load(&input.cfg, scope, view);
@@ -102,8 +106,8 @@
             grant_revision: grant.revision,
             scope,
             freeze: HandoverFreeze::default(),
-            sharing: task_delegation::Sharing::default(),
-            places,
+            delegations: task_delegation::Delegations::default(),
+            machine_zones,
             served_log: ServedLog::new(now),
             largest_jobs: Largest::default(),
             types: MachineTypes::default(),
--- a/src/control/core/reservation_demand.rs
+++ b/src/control/core/reservation_demand.rs
@@ -38,7 +38,7 @@
     /// Delegates waiting tasks of windows to the other shards, to each shard as many as its
     /// part of the reservation. With several shards, each shard reserves its part of the
     /// capacity, while a job belongs to one shard.
-    pub(super) fn leave_to_reservations(&self, waiting: &[Waiting]) -> Vec<Delegated> {
+    pub(super) fn delegate_to_reservations(&self, waiting: &[Waiting]) -> Vec<Delegated> {
         let mut leaves = Vec::new();
         for waits in waiting {
             let Some(job) = self.cluster_state.job(&waits.job) else {
--- a/src/control/core/rollout_records.rs
+++ b/src/control/core/rollout_records.rs
@@ -44,7 +44,7 @@
 impl ImageDistribution {
     /// Returns the next due write or deletion of a rollout's record.
     pub(super) fn next_step(&self, now: Time) -> Option<DueStep> {
-        if let Some((key, mod_revision)) = self.useless.first_key_value() {
+        if let Some((key, mod_revision)) = self.obsolete_records.first_key_value() {
             return Some(deletion(*key, *mod_revision));
         }
         let mut rollouts = self.rollouts.iter();
@@ -63,7 +63,7 @@
         let mod_revision = stored_record.map_or(Revision(0), |h| h.mod_revision);
         if rollout.over() {
             let delay_over = active
-                .over_since
+                .idle_since
                 .is_some_and(|t| now.since(t) >= DELETION_DELAY_S);
             return (delay_over && mod_revision != Revision(0))
                 .then(|| deletion(key, mod_revision));
@@ -92,7 +92,7 @@
         mod_revision: Revision,
         now: Time,
     ) -> BTreeSet<MachineId> {
-        self.useless.remove(&step.key);
+        self.obsolete_records.remove(&step.key);
         let Some(RecordWrite { record, written }) = step.write else {
             return self.record_deleted(step.key);
         };
@@ -146,7 +146,8 @@
                 self.stored_records.insert(step.key, stored_record.clone());
             }
             Some(stored_record) => {
-                self.useless.insert(step.key, stored_record.mod_revision);
+                self.obsolete_records
+                    .insert(step.key, stored_record.mod_revision);
             }
             None => {
                 self.stored_records.remove(&step.key);
--- a/src/control/core/rollout_refresh.rs
+++ b/src/control/core/rollout_refresh.rs
@@ -120,12 +120,12 @@
         let Some(rollout) = &self.rollout else {
             return false;
         };
-        match (rollout.over(), self.over_since) {
-            (true, None) => self.over_since = Some(now),
-            (false, _) => self.over_since = None,
+        match (rollout.over(), self.idle_since) {
+            (true, None) => self.idle_since = Some(now),
+            (false, _) => self.idle_since = None,
             _ => {}
         }
-        self.over_since
+        self.idle_since
             .is_some_and(|t| now.since(t) >= DELETION_DELAY_S)
             && rollout.record().is_none()
     }
--- a/src/control/core/shard_freeze.rs
+++ b/src/control/core/shard_freeze.rs
@@ -99,7 +99,7 @@
     }
 
     /// Ends the freeze after the handover was withdrawn.
-    pub fn thaw(&mut self) {
+    pub fn unfreeze(&mut self) {
         if self.freeze.end() {
             tracing::info!(shard = %self.scope.shard, "shard handover withdrawn");
             self.placement_queue.request_full_walk();
--- a/src/control/core/shard_quota.rs
+++ b/src/control/core/shard_quota.rs
@@ -22,7 +22,7 @@
             return;
         }
         let record = view.slices.get(&self.scope.shard).map(|s| &s.value);
-        let given = &self.sharing.given;
+        let given = &self.delegations.quota_in_flight;
         let shards = i64::from(self.scope.of.max(1));
         let teams = self.cfg.teams.iter().enumerate();
         let parts = teams.map(|(i, team)| {
@@ -57,8 +57,8 @@
 
     /// Lowers the limits before a part of them is transferred to another shard. An empty `given`
     /// restores the recorded limits.
-    pub fn giving(&mut self, given: Vec<Amount>, view: &View) {
-        self.sharing.given = given;
+    pub fn reserve_outgoing_quota(&mut self, given: Vec<Amount>, view: &View) {
+        self.delegations.quota_in_flight = given;
         self.refresh_quotas(view);
     }
 }
--- a/src/control/core/task_delegation.rs
+++ b/src/control/core/task_delegation.rs
@@ -14,20 +14,20 @@
 use crate::types::{Amount, Attempt, JobId, JobSpec, Kind, MachineId, TaskId, Time, Zone};
 
 /// Known zones of the machines of all shards.
-pub type Places = Rc<std::cell::RefCell<HashMap<MachineId, Zone>>>;
+pub type MachineZones = Rc<std::cell::RefCell<HashMap<MachineId, Zone>>>;
 
 /// Tasks and quota that this shard exchanges with others.
 #[derive(Default)]
-pub(super) struct Sharing {
+pub(super) struct Delegations {
     /// Tasks of this shard's jobs that other shards may place.
-    pub(super) left: DelegatedTasks,
+    pub(super) delegated_out: DelegatedTasks,
     /// Tasks of other shards' jobs that this shard may place.
-    pub(super) taken: DelegatedTasks,
+    pub(super) delegated_in: DelegatedTasks,
     /// Amount of each team's part of the limit that a transaction in flight gives to other
     /// shards. The outcome of the transaction is not known yet.
-    pub(super) given: Vec<Amount>,
+    pub(super) quota_in_flight: Vec<Amount>,
     /// Rule that decides which shard gets which delegated tasks.
-    pub(super) delegation: Delegation,
+    pub(super) policy: Delegation,
 }
 
 /// One chunk of a job's tasks, with its record.
@@ -64,7 +64,7 @@
 
     /// Updates the job with the claims that its record has for other shards, and with the tasks
     /// that are delegated between shards.
-    pub(super) fn share(&mut self, id: &JobId, entry: &JobEntry) {
+    pub(super) fn apply_foreign_claims(&mut self, id: &JobId, entry: &JobEntry) {
         if !self.scope.is_part() {
             return;
         }
@@ -72,7 +72,7 @@
             return;
         };
         let size = entry.record.value.chunk.max(1);
-        let mut claimed_elsewhere: BTreeSet<u32> = self.sharing.left.of(id).collect();
+        let mut claimed_elsewhere: BTreeSet<u32> = self.delegations.delegated_out.of(id).collect();
         for (chunk, stored) in entry.all_chunks() {
             let theirs = stored
                 .claims
@@ -82,7 +82,7 @@
         }
         claimed_elsewhere.retain(|i| !job.tasks.is_done(*i) && !job.tasks.claims().contains_key(i));
         let zones = self.zones_elsewhere(&job.spec, entry);
-        let taken = self.sharing.taken.of(id).collect();
+        let taken = self.delegations.delegated_in.of(id).collect();
         let taken_here = (!self.scope.homes(id)).then_some(taken);
         self.cluster_state
             .share_job(id, claimed_elsewhere, taken_here);
@@ -97,7 +97,7 @@
         if !spec.spread && !spec.one_zone {
             return Some(zones);
         }
-        let known = self.places.borrow();
+        let known = self.machine_zones.borrow();
         for claim in entry.all_chunks().flat_map(|(_, c)| &c.claims) {
             if !self.scope.covers(&claim.machine) {
                 let zone = known.get(&claim.machine)?.clone();
@@ -113,14 +113,14 @@
         let jobs: Vec<JobId> = self.cluster_state.unknown_elsewhere().cloned().collect();
         for id in jobs {
             if let Some(entry) = view.job(&id) {
-                self.share(&id, entry);
+                self.apply_foreign_claims(&id, entry);
             }
         }
     }
 
     /// Returns whether tasks of a gang are claimed. The machines must not be divided into
     /// shards then, because one core must see all tasks of a gang.
-    pub fn reserves_for_gangs(&self) -> bool {
+    pub fn has_claimed_gang(&self) -> bool {
         let mut jobs = self.cluster_state.jobs().values();
         jobs.any(|j| j.spec.kind == Kind::Gang && !j.tasks.claims().is_empty())
     }
@@ -135,7 +135,7 @@
     /// finished some tasks. A local claim without a record yields to a recorded claim. The
     /// first writer gets the task, because each write requires the revision of the previous
     /// one.
-    pub(super) fn catch_up(&mut self, id: &JobId, entry: &JobEntry, now: Time) {
+    pub(super) fn reconcile_record(&mut self, id: &JobId, entry: &JobEntry, now: Time) {
         if !self.scope.is_part() {
             return;
         }
@@ -154,7 +154,7 @@
             };
             self.apply_chunk_record(&chunk, now);
         }
-        self.share(id, entry);
+        self.apply_foreign_claims(id, entry);
         let live = entry.record.value.phase == Phase::Live;
         let job = self.cluster_state.job(id);
         let all_done = job.is_some_and(|j| j.tasks.all_done());
--- a/src/control/leader.rs
+++ b/src/control/leader.rs
@@ -6,7 +6,7 @@
 use sorrelhinge_sharding::shard::ShardId;
 use tokio::time::{sleep, Instant};
 
-use super::core::{Core, Places, RecoveryInput, ShardGrant};
+use super::core::{Core, MachineZones, RecoveryInput, ShardGrant};
 use super::{wall_ms, Node};
 use crate::state::record::{GrantRecord, LeaderRecord, GRANT, LEADER};
 use crate::state::view::Versioned;
@@ -220,7 +220,7 @@
                 wall_ms: wall_ms(),
             },
             grant,
-            Places::default(),
+            MachineZones::default(),
         );
         // Evidence from an earlier term of ownership would make this controller step down at
         // once.
--- a/src/control/quota_transfers.rs
+++ b/src/control/quota_transfers.rs
@@ -77,7 +77,7 @@
         }
         // The limits are lowered before the transaction is sent. While its outcome is unknown,
         // the amounts count as used on both sides.
-        core.giving(transfer.amounts.clone(), &view);
+        core.reserve_outgoing_quota(transfer.amounts.clone(), &view);
         let given = self.quota_after_transfer(&mine.value, transfer, -1);
         let taken = self.quota_after_transfer(&theirs.value, transfer, 1);
         Some(Transaction {
@@ -158,7 +158,7 @@
         self.catch_up(revision, CATCH_UP_PAUSE).await;
         let view = self.store.view();
         if let Some(core) = self.shards.owned_mut().get_mut(shard) {
-            core.giving(Vec::new(), &view);
+            core.reserve_outgoing_quota(Vec::new(), &view);
         }
     }
 }
--- a/src/control/resharding.rs
+++ b/src/control/resharding.rs
@@ -70,7 +70,7 @@
         if shard_count < 2 || self.topology().is_some() || !self.all_peers_support_shards() {
             // The core may be frozen from an earlier attempt, before this condition changed.
             if let Some(core) = self.shards.owned_mut().first_mut() {
-                core.thaw();
+                core.unfreeze();
             }
             return;
         }
@@ -80,7 +80,7 @@
             let Some(core) = cores.first_mut().filter(|_| now >= due) else {
                 return;
             };
-            if core.reserves_for_gangs() {
+            if core.has_claimed_gang() {
                 return;
             }
             core.freeze(now);
@@ -96,7 +96,7 @@
             tracing::info!(why, "shard split postponed");
             *next_attempt = Some(self.now().after(SPLIT_RETRY_DELAY_S));
             if let Some(core) = self.shards.owned_mut().first_mut() {
-                core.thaw();
+                core.unfreeze();
             }
         }
     }
--- a/src/control/shard_demand.rs
+++ b/src/control/shard_demand.rs
@@ -74,7 +74,7 @@
         let now = self.now();
         let mut delegated = Vec::new();
         for c in self.shards.owned_mut().values_mut() {
-            delegated.extend(c.leave(&self.store.view(), now));
+            delegated.extend(c.delegate_tasks_out(&self.store.view(), now));
         }
         for tasks in delegated {
             match self.owner_of(tasks.shard) {
--- a/src/control/shard_merge.rs
+++ b/src/control/shard_merge.rs
@@ -41,7 +41,7 @@
                 tracing::info!(?other, "shard merge failed");
                 self.fresh().await;
                 for c in self.shards.owned_mut().values_mut() {
-                    c.thaw();
+                    c.unfreeze();
                 }
             }
         }
--- a/src/control/shard_owners.rs
+++ b/src/control/shard_owners.rs
@@ -151,7 +151,7 @@
             let offered = view.shards.get(shard).and_then(|b| b.value.to.as_ref());
             match offered {
                 Some(to) if view.members.contains_key(to) => c.freeze(now),
-                _ => c.thaw(),
+                _ => c.unfreeze(),
             }
         }
     }
--- a/src/control/shard_ownership.rs
+++ b/src/control/shard_ownership.rs
@@ -14,7 +14,7 @@
 use sorrelhinge_sharding::shard::ShardId;
 use tokio::time::Instant;
 
-use super::core::{Core, Places};
+use super::core::{Core, MachineZones};
 use crate::peer_messages::Needs;
 use crate::state::view::View;
 use crate::types::{MachineId, NodeId, Time, Zone};
@@ -99,7 +99,7 @@
 pub(super) struct ShardOwnership {
     owned: RefCell<OwnedShards>,
     /// Zones of the machines of all shards. The cores of the owned shards share this map.
-    places: Places,
+    machine_zones: MachineZones,
     /// Use and demand of each shard, as its owner published them.
     needs: RefCell<HashMap<ShardId, PublishedNeeds>>,
     /// The leader's memory of past shard assignments.
@@ -164,13 +164,13 @@
     }
 
     /// Returns the zones of the machines of all shards. Every owned shard shares this map.
-    pub(super) fn machine_zones(&self) -> Places {
-        self.places.clone()
+    pub(super) fn machine_zones(&self) -> MachineZones {
+        self.machine_zones.clone()
     }
 
     /// Records the zones of machines.
     pub(super) fn learn_zones(&self, zones: impl Iterator<Item = (MachineId, Zone)>) {
-        self.places.borrow_mut().extend(zones);
+        self.machine_zones.borrow_mut().extend(zones);
     }
 
     /// Records the zones of all `listed` machines that the cloud lists. Keeps the zones of
@@ -181,11 +181,11 @@
         listed: usize,
         zones: impl Iterator<Item = (MachineId, Zone)>,
     ) {
-        let mut places = self.places.borrow_mut();
-        if places.len() > 2 * listed + MACHINE_ZONES_SLACK {
-            places.clear();
+        let mut machine_zones = self.machine_zones.borrow_mut();
+        if machine_zones.len() > 2 * listed + MACHINE_ZONES_SLACK {
+            machine_zones.clear();
         }
-        places.extend(zones);
+        machine_zones.extend(zones);
     }
 
     /// Records the use and demand that a shard's owner published.
--- a/tests/fleet_limits.rs
+++ b/tests/fleet_limits.rs
@@ -17,7 +17,7 @@
 use serde_json::{json, Value};
 use settings::controller;
 use sorrelhinge::config::Config;
-use sorrelhinge::control::core::{Core, Places, RecoveryInput, ShardGrant};
+use sorrelhinge::control::core::{Core, MachineZones, RecoveryInput, ShardGrant};
 use sorrelhinge::peer_link::{
     listen, Answered, ForwardedHeartbeat, Kind, PeerAnnouncement, PeerRequestHandler, Peers,
 };
@@ -118,7 +118,7 @@
         let core = Core::recover(
             &input,
             ShardGrant::whole(1, mod_revision),
-            Places::default(),
+            MachineZones::default(),
         );
         Self {
             core,
--- a/tests/lanes.rs
+++ b/tests/lanes.rs
@@ -13,7 +13,7 @@
 use serde_json::{json, Value};
 use sorrelhinge::api::read_job;
 use sorrelhinge::config::Config;
-use sorrelhinge::control::core::{Core, Places, RecoveryInput, ShardGrant};
+use sorrelhinge::control::core::{Core, MachineZones, RecoveryInput, ShardGrant};
 use sorrelhinge::scheduler::{ClusterState, Job, Laned, Tasks};
 use sorrelhinge::state::record::{job_key, JobRecord};
 use sorrelhinge::state::view::View;
@@ -488,7 +488,7 @@
             now,
             wall_ms: 50_000,
         };
-        let mut core = Core::recover(&input, grant, Places::default());
+        let mut core = Core::recover(&input, grant, MachineZones::default());
         core.tick(now);
         let waiting = core.show_lanes(now).lanes.remove(0).waiting;
         let order = waiting.into_iter().map(|w| (w.job, w.place));
--- a/tests/rules/commands.rs
+++ b/tests/rules/commands.rs
@@ -3,7 +3,7 @@
 use serde_json::{json, Value};
 use sorrelhinge::agent_client::{Command, Sending};
 use sorrelhinge::api::read_job;
-use sorrelhinge::control::core::{Core, Places, RecoveryInput, ShardGrant, Source};
+use sorrelhinge::control::core::{Core, MachineZones, RecoveryInput, ShardGrant, Source};
 use sorrelhinge::scheduler::Sent;
 use sorrelhinge::state::record::{job_key, JobRecord};
 use sorrelhinge::types::{JobId, MachineId, Time};
@@ -93,7 +93,7 @@
         now,
         wall_ms: 0,
     };
-    let mut core = Core::recover(&input, grant, Places::default());
+    let mut core = Core::recover(&input, grant, MachineZones::default());
     assert!(core.heartbeat(&heartbeat, Source::Heartbeat, now));
     let reply = core.answer(&heartbeat, view, now);
     assert_eq!(verbs_for(&reply.commands, &task_name), ["kill"]);
--- a/tests/rules/pipelines.rs
+++ b/tests/rules/pipelines.rs
@@ -8,7 +8,7 @@
 use rand::Rng;
 use serde_json::json;
 use sorrelhinge::config::Config;
-use sorrelhinge::control::core::{Core, Places, RecoveryInput, ShardGrant};
+use sorrelhinge::control::core::{Core, MachineZones, RecoveryInput, ShardGrant};
 use sorrelhinge::state::record::{job_key, JobRecord, Phase};
 use sorrelhinge::state::view::View;
 use sorrelhinge::types::{JobId, Revision, Time};
@@ -250,7 +250,7 @@
         now,
         wall_ms,
     };
-    Core::recover(&input, grant, Places::default())
+    Core::recover(&input, grant, MachineZones::default())
 }
 
 fn accept(store: &mut Store, uid: &str, more: serde_json::Value, needs: &[&str], at_ms: u64) {
--- a/tests/rules/recording.rs
+++ b/tests/rules/recording.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 
 use serde_json::json;
-use sorrelhinge::control::core::{Core, Places, RecoveryInput, ShardGrant};
+use sorrelhinge::control::core::{Core, MachineZones, RecoveryInput, ShardGrant};
 use sorrelhinge::control::write_queue::{Pending, PendingWrite, WritePriority};
 use sorrelhinge::peer_messages::DelegatedTasks;
 use sorrelhinge::state::record::{chunk_key, ChunkId};
@@ -35,7 +35,7 @@
             now: Time(0.0),
             wall_ms: 0,
         };
-        o.core = Core::recover(&input, grant, Places::default());
+        o.core = Core::recover(&input, grant, MachineZones::default());
         let (id, _) = one_job(&mut world);
         let World { store, owners, .. } = &mut world;
         let Owner { core, view, .. } = &mut owners[0];
--- a/tests/rules/shards.rs
+++ b/tests/rules/shards.rs
@@ -15,7 +15,9 @@
         for w in &self.workers {
             if self.rng.random_bool(0.3) {
                 let zone = Zone::from(w.zone);
-                self.places.borrow_mut().insert(w.id.as_str().into(), zone);
+                self.machine_zones
+                    .borrow_mut()
+                    .insert(w.id.as_str().into(), zone);
             }
         }
         for at in 0..self.owners.len() {
@@ -28,7 +30,7 @@
             }
             let o = &mut self.owners[at];
             o.core.refresh_from_view(&o.view);
-            for left in o.core.leave(&o.view, now) {
+            for left in o.core.delegate_tasks_out(&o.view, now) {
                 let text = left.encode().expect("a short name");
                 self.trace.fold_json("left to a block", &text);
                 let taker = self
@@ -79,7 +81,8 @@
                 gpu: 0,
                 ram: 0,
             };
-            o.core.giving(vec![amount(give), amount(0)], &o.view);
+            o.core
+                .reserve_outgoing_quota(vec![amount(give), amount(0)], &o.view);
             self.trace.fold_json("part of a limit", &transaction);
             o.gift = Some((transaction, give));
         }
@@ -98,7 +101,7 @@
                 self.store.follow(&mut o.view);
                 let changed = o.view.take_changed();
                 o.core.jobs_changed(&o.view, &changed, Time(self.now), 0);
-                o.core.giving(Vec::new(), &o.view);
+                o.core.reserve_outgoing_quota(Vec::new(), &o.view);
                 o.gift = None;
             }
         }
--- a/tests/rules/world.rs
+++ b/tests/rules/world.rs
@@ -11,7 +11,7 @@
 use sorrelhinge::cloud::{CloudError, ListedMachine, MachinePhase};
 use sorrelhinge::config::Config;
 use sorrelhinge::control::core::{
-    Batch, Core, Dispatch, Places, RecoveryInput, ShardGrant, Source,
+    Batch, Core, Dispatch, MachineZones, RecoveryInput, ShardGrant, Source,
 };
 use sorrelhinge::state::record::{
     chunk_key, job_key, GrantRecord, JobRecord, NewJob, ShardRecord, GRANT,
@@ -47,7 +47,7 @@
 pub(crate) struct World {
     /// Shards: each owner has one of so many.
     pub(crate) of: u32,
-    pub(crate) places: Places,
+    pub(crate) machine_zones: MachineZones,
     pub(crate) topology: Option<Rc<Topology>>,
     pub(crate) rng: StdRng,
     pub(crate) now: f64,
@@ -106,7 +106,7 @@
     pub(crate) fn of_shards(seed: u64, with_topology: bool, of: u32) -> Self {
         let mut world = Self {
             of,
-            places: Places::default(),
+            machine_zones: MachineZones::default(),
             topology: with_topology
                 .then(|| Rc::new(Topology::parse(TOPOLOGY).expect("a valid file"))),
             rng: StdRng::seed_from_u64(seed),
@@ -200,7 +200,7 @@
             now: Time(self.now),
             wall_ms: 0,
         };
-        let core = Core::recover(&input, grant, self.places.clone());
+        let core = Core::recover(&input, grant, self.machine_zones.clone());
         self.add_owner(core, view);
         let same = self.owners.iter().filter(|o| o.core.scope == scope);
         if same.count() > 2 {
@@ -256,7 +256,7 @@
             now: Time(self.now),
             wall_ms: 0,
         };
-        let core = Core::recover(&input, grant, Places::default());
+        let core = Core::recover(&input, grant, MachineZones::default());
         self.add_owner(core, view);
         if self.owners.len() > 2 {
             self.owners.remove(0);
--- a/tests/staging.rs
+++ b/tests/staging.rs
@@ -15,7 +15,7 @@
 use sorrelhinge::agent_client::Sending;
 use sorrelhinge::api::read_job;
 use sorrelhinge::config::Tuning;
-use sorrelhinge::control::core::{Batch, Core, Places, RecoveryInput, ShardGrant, Source};
+use sorrelhinge::control::core::{Batch, Core, MachineZones, RecoveryInput, ShardGrant, Source};
 use sorrelhinge::scheduler::{ClusterState, DelayRule, Job, Machine, Tasks};
 use sorrelhinge::state::record::{image_hash, job_key, rollout_key, JobRecord, GRANT};
 use sorrelhinge::state::view::View;
@@ -256,7 +256,7 @@
         now: Time(now),
         wall_ms: 0,
     };
-    Core::recover(&input, grant, Places::default())
+    Core::recover(&input, grant, MachineZones::default())
 }
 
 const ON: &str = "staging.least.gb=20";
--- a/tests/topology_cases.rs
+++ b/tests/topology_cases.rs
@@ -13,7 +13,7 @@
 
 use serde_json::{json, Value};
 use sorrelhinge::autoscaler;
-use sorrelhinge::control::core::{Core, Places, RecoveryInput, ShardGrant, Source};
+use sorrelhinge::control::core::{Core, MachineZones, RecoveryInput, ShardGrant, Source};
 use sorrelhinge::scheduler::{
     ActiveDrain, Claim, ClusterState, DelayRule, Job, Launch, Machine, MachineExclusion, Move,
     Moving, Progress, Sent, Tasks, WaitingReason,
@@ -717,7 +717,7 @@
             now: Time(0.0),
             wall_ms: 0,
         };
-        let core = Core::recover(&input, grant, Places::default());
+        let core = Core::recover(&input, grant, MachineZones::default());
         Self {
             core,
             view,
