--- a/src/api/for_peers.rs
+++ b/src/api/for_peers.rs
@@ -39,7 +39,7 @@
         let reply = match serde_json::from_slice::<Heartbeat>(text) {
             Ok(heartbeat) => {
                 count(&self.0.load().counts.homed);
-                self.0.own_heartbeat(&heartbeat, Source::Adopted)
+                self.0.own_heartbeat(&heartbeat, Source::Offloaded)
             }
             Err(_) => return Answered::empty(400),
         };
@@ -78,7 +78,7 @@
             }
             peer_link::Kind::Heartbeat => match serde_json::from_slice::<Heartbeat>(text) {
                 Ok(heartbeat) => {
-                    agent::heartbeat_response(node.own_heartbeat(&heartbeat, Source::Passed))
+                    agent::heartbeat_response(node.own_heartbeat(&heartbeat, Source::Forwarded))
                 }
                 Err(_) => refuse(400, "malformed heartbeat"),
             },
--- a/src/control/cloud_duties.rs
+++ b/src/control/cloud_duties.rs
@@ -101,9 +101,9 @@
             let scope = c.scope;
             if scope.is_part() {
                 let own = list.iter().filter(|m| scope.covers(&m.id));
-                c.listed(&own.cloned().collect::<Vec<_>>(), now);
+                c.apply_machine_list(&own.cloned().collect::<Vec<_>>(), now);
             } else {
-                c.listed(list, now);
+                c.apply_machine_list(list, now);
             }
         }
     }
@@ -124,7 +124,7 @@
             let mut to_delete: Vec<MachineId> = Vec::new();
             let mut rentals = Vec::new();
             for (shard, c) in self.shards.owned_mut().iter_mut() {
-                let decision = self.timed(Duty::Fleet, || c.fleet(now));
+                let decision = self.timed(Duty::Fleet, || c.plan_scaling(now));
                 to_delete.extend(decision.to_delete);
                 rentals.extend(decision.scale_out.into_iter().map(|rental| ShardRental {
                     shard: *shard,
@@ -148,7 +148,7 @@
                     let now = self.now();
                     for c in self.shards.owned_mut().values_mut() {
                         let own = machines.iter().filter(|m| c.scope.covers(m));
-                        c.deleted(&own.cloned().collect::<Vec<_>>(), now);
+                        c.apply_deletions(&own.cloned().collect::<Vec<_>>(), now);
                     }
                     self.drive();
                 }
--- a/src/control/core/agent.rs
+++ b/src/control/core/agent.rs
@@ -49,7 +49,7 @@
     /// Another controller forwarded the last heartbeat.
     forwarded: bool,
     /// The cloud is about to preempt the machine, or the owner chose to return it.
-    leaving: bool,
+    retiring: bool,
     /// The machine is being deleted, so nothing may rely on it again.
     deleting: bool,
     /// Jobs that failed on this machine.
@@ -77,7 +77,7 @@
             direct: DirectCommandState::new(now),
             suspected_one_way: false,
             forwarded: false,
-            leaving: false,
+            retiring: false,
             deleting: false,
             failed_jobs: FailedJobs::new(),
             sent_kills: SentKills::default(),
@@ -123,7 +123,7 @@
         self.last_contact = now;
         self.relayed_sequence = SequenceNumber(0);
         self.direct.contact_confirmed();
-        self.forwarded = source == Source::Passed;
+        self.forwarded = source == Source::Forwarded;
         // Only a heartbeat that the agent itself sent here shows that the network path works.
         // Heartbeats received by other controllers once counted too. While the owner was cut
         // off from all agents, it then retried direct commands after each of them.
@@ -131,7 +131,7 @@
             self.direct.reported(now);
         }
         if heartbeat.preemption_notice_s.is_some() {
-            self.leaving = true;
+            self.retiring = true;
         }
         self.set_tasks(&heartbeat.tasks);
         self.images.clone_from(&heartbeat.images);
@@ -145,7 +145,7 @@
     }
 
     /// Returns whether a heartbeat is not newer than the last one.
-    pub(super) fn is_copy(&self, heartbeat: &Heartbeat) -> bool {
+    pub(super) fn is_stale(&self, heartbeat: &Heartbeat) -> bool {
         (heartbeat.incarnation, heartbeat.sequence) <= (self.incarnation, self.sequence)
     }
 
@@ -199,13 +199,13 @@
     }
 
     /// Returns whether the owner returns the machine, or the cloud preempts it.
-    pub(super) fn is_leaving(&self) -> bool {
-        self.leaving
+    pub(super) fn is_retiring(&self) -> bool {
+        self.retiring
     }
 
     /// Marks the machine to be returned to the cloud once it is empty.
-    pub(super) fn leave(&mut self) {
-        self.leaving = true;
+    pub(super) fn retire(&mut self) {
+        self.retiring = true;
     }
 
     /// Returns whether the machine is being deleted.
--- a/src/control/core/agents.rs
+++ b/src/control/core/agents.rs
@@ -61,7 +61,7 @@
             self.add_machine(seen, kind, now);
             let agent = AgentState::new(seen.addr, self.base_fencing_token(), now);
             self.agents.insert(seen.id.clone(), agent);
-            self.wake(seen.id);
+            self.queue_contact(seen.id);
         }
         self.agents.get_mut(seen.id)
     }
@@ -113,7 +113,7 @@
     /// Queues a machine that may need commands. After a takeover the owner has to contact
     /// thousands of machines at once. It contacts those with replicas first, then those with
     /// other tasks, then empty ones.
-    pub(super) fn wake(&mut self, id: &MachineId) {
+    pub(super) fn queue_contact(&mut self, id: &MachineId) {
         let order = match self.cluster_state.machines().get(id) {
             Some(m) if self.failover.is_recent() => {
                 match (self.has_replicas(id), m.claims.is_empty()) {
@@ -143,7 +143,7 @@
         };
         self.apply_usability(id, &status, now);
         if status.leaving || status.suspected_one_way || status.draining {
-            self.wake(id);
+            self.queue_contact(id);
             self.settle_claims(id, status.leaving, now);
         }
     }
@@ -161,7 +161,7 @@
         if let Some(agent) = self.agents.get_mut(id) {
             agent.direct.suspect();
         }
-        self.wake(id);
+        self.queue_contact(id);
     }
 
     /// Returns how the machine can be used now. Returns `None` if its agent is unknown.
@@ -171,7 +171,7 @@
         let draining = machine.is_some_and(|m| m.draining);
         let silent =
             agent.silence_s(now) >= SILENT_HEARTBEATS * self.cfg.heartbeat_s + SILENT_MARGIN_S;
-        let leaving = agent.is_leaving() || agent.is_deleting();
+        let leaving = agent.is_retiring() || agent.is_deleting();
         let usable = agent.fenced()
             && !draining
             && !agent.is_suspected_one_way()
--- a/src/control/core/drains.rs
+++ b/src/control/core/drains.rs
@@ -105,7 +105,7 @@
         }
         if covered == Some(WhenEmpty::Delete) && empty {
             if let Some(agent) = self.agents.get_mut(id) {
-                agent.leave();
+                agent.retire();
             }
         }
     }
--- a/src/control/core/failover.rs
+++ b/src/control/core/failover.rs
@@ -71,7 +71,7 @@
     }
 
     /// Records that this owner placed tasks. Returns `true` the first time.
-    pub(super) fn placed(&mut self) -> bool {
+    pub(super) fn record_first_placement(&mut self) -> bool {
         std::mem::take(&mut self.awaits_first_placement)
     }
 
@@ -81,7 +81,7 @@
     }
 
     /// Records that all machines, or nearly all, have reported.
-    pub(super) fn machines_recovered(&mut self) {
+    pub(super) fn record_recovery(&mut self) {
         self.awaits_heartbeats = false;
     }
 
--- a/src/control/core/failures.rs
+++ b/src/control/core/failures.rs
@@ -130,7 +130,7 @@
         let cluster_state = &self.cluster_state;
         let sound = |job: &&JobId| cluster_state.job(job).is_none_or(Job::is_sound);
         if agent.failed_jobs.jobs().filter(sound).count() >= FAULTY_MACHINE_JOBS {
-            agent.leave();
+            agent.retire();
         }
     }
 
--- a/src/control/core/heartbeats.rs
+++ b/src/control/core/heartbeats.rs
@@ -12,9 +12,9 @@
     /// Returns whether a heartbeat is a late copy. Such a heartbeat is not newer than the last
     /// one, or it comes from a deleted machine, whose name is never used again. Copies of a
     /// dead machine's last heartbeat once added that machine again, and kept it in the fleet.
-    pub fn is_copy(&self, heartbeat: &Heartbeat) -> bool {
+    pub fn is_stale(&self, heartbeat: &Heartbeat) -> bool {
         if let Some(agent) = self.agents.get(&heartbeat.machine) {
-            return agent.is_copy(heartbeat);
+            return agent.is_stale(heartbeat);
         }
         self.tombstones.contains(&heartbeat.machine)
     }
@@ -35,7 +35,7 @@
     /// Returns whether a heartbeat is from a machine of this shard and is certainly no late
     /// copy.
     fn accepts(&self, heartbeat: &Heartbeat) -> bool {
-        if !self.scope.covers(&heartbeat.machine) || self.is_copy(heartbeat) {
+        if !self.scope.covers(&heartbeat.machine) || self.is_stale(heartbeat) {
             return false;
         }
         // Only a heartbeat with a fencing token of this grant was certainly created under this
@@ -64,7 +64,7 @@
             && agent.reachability.incarnation_ended(lease_s, now)
             && !silence_ignored
         {
-            agent.leave();
+            agent.retire();
         }
         let fenced = heartbeat.fencing_token >= agent.fencing_token;
         self.record_served_images(heartbeat);
@@ -79,7 +79,7 @@
             self.reconcile(id, source, now);
         }
         self.clear_suspicion(id);
-        self.wake(id);
+        self.queue_contact(id);
         self.refresh_machine(id, now);
     }
 
--- a/src/control/core/image_rollout.rs
+++ b/src/control/core/image_rollout.rs
@@ -133,7 +133,7 @@
     /// and may be sent now. One call queues a few machines of each rollout.
     pub(super) fn wake_staged(&mut self, now: Time) {
         for id in self.image_distribution.take_due_starts(now) {
-            self.wake(&id);
+            self.queue_contact(&id);
         }
     }
 }
--- a/src/control/core/inventory.rs
+++ b/src/control/core/inventory.rs
@@ -104,7 +104,7 @@
     }
 
     /// Marks a machine that never reported for deletion. Perhaps only its name is known.
-    pub(super) fn mark_for_scale_in(&mut self, machine: &MachineId) {
+    pub(super) fn mark_for_deletion(&mut self, machine: &MachineId) {
         self.expect(machine, || PendingMachine {
             kind: TypeName::from(""),
             zone: Zone::from(""),
--- a/src/control/core/job_changes.rs
+++ b/src/control/core/job_changes.rs
@@ -109,13 +109,13 @@
         }
         if !placed_here {
             // This shard's claims are removed from the record before the job is removed.
-            if !self.claims_here(entry) {
+            if !self.has_claims_in_shard(entry) {
                 self.cluster_state.remove_job(id);
             }
             return;
         }
         // The job's own record must not keep claims forever.
-        if entry.inline().is_some() && self.claims_here(entry) {
+        if entry.inline().is_some() && self.has_claims_in_shard(entry) {
             self.pending.released(ChunkId::new(id, 0), now);
             return;
         }
--- a/src/control/core/machine_list.rs
+++ b/src/control/core/machine_list.rs
@@ -30,7 +30,7 @@
 
 impl Core {
     /// Applies the cloud's machine list: adds new machines, and marks missing ones for deletion.
-    pub fn listed(&mut self, list: &[ListedMachine], now: Time) {
+    pub fn apply_machine_list(&mut self, list: &[ListedMachine], now: Time) {
         let names: BTreeSet<&MachineId> = list.iter().map(|m| &m.id).collect();
         self.inventory.record_list_read();
         self.tombstones.expire(&self.cfg, now);
@@ -58,7 +58,7 @@
             if machine.phase == MachinePhase::Failed {
                 // The machine stopped without a request. That proves nothing about its tasks.
                 // The answer to its deletion request does.
-                self.mark_for_scale_in(id);
+                self.mark_for_deletion(id);
             }
             return;
         }
@@ -77,7 +77,7 @@
             since: Time(now.0 - machine.age_s),
         });
         if machine.phase == MachinePhase::Failed {
-            self.mark_for_scale_in(id);
+            self.mark_for_deletion(id);
         }
     }
 
@@ -101,7 +101,7 @@
                 now.since(c.since) < MAYBE_UNLISTED_LAGS * self.cfg.list_lag_s + MAYBE_UNLISTED_S
             });
             if silent && !fresh && self.inventory.record_missing(&id) {
-                self.mark_for_scale_in(&id);
+                self.mark_for_deletion(&id);
             }
         }
     }
@@ -113,7 +113,7 @@
         let unknown = unknown.filter(|id| !listed.contains(id));
         let unknown: Vec<MachineId> = unknown.cloned().collect();
         for id in unknown {
-            self.mark_for_scale_in(&id);
+            self.mark_for_deletion(&id);
         }
     }
 
@@ -135,15 +135,15 @@
     }
 
     /// Marks a machine for deletion, whether or not it ever reported.
-    pub(super) fn mark_for_scale_in(&mut self, id: &MachineId) {
+    pub(super) fn mark_for_deletion(&mut self, id: &MachineId) {
         match self.agents.get_mut(id) {
             Some(agent) => agent.begin_deletion(),
-            None => self.inventory.mark_for_scale_in(id),
+            None => self.inventory.mark_for_deletion(id),
         }
     }
 
     /// Removes deleted machines and releases the claims of their tasks.
-    pub fn deleted(&mut self, machines: &[MachineId], now: Time) {
+    pub fn apply_deletions(&mut self, machines: &[MachineId], now: Time) {
         for id in machines {
             for task in self.cluster_state.claims_on(id) {
                 tracing::info!(task = %task, machine = %id, "task lost because its machine was deleted");
--- a/src/control/core/mod.rs
+++ b/src/control/core/mod.rs
@@ -140,9 +140,9 @@
     /// The agent sent the heartbeat to this controller.
     Heartbeat,
     /// Another controller received the heartbeat because the owner had asked it to.
-    Adopted,
+    Offloaded,
     /// Another controller forwarded the heartbeat because the agent can't reach this one.
-    Passed,
+    Forwarded,
     /// The heartbeat is the answer to a direct command.
     Direct,
 }
@@ -231,7 +231,7 @@
     /// Runs the periodic work: updates state that changes only with time, and places tasks.
     pub fn tick(&mut self, now: Time) {
         for id in self.command_queue.take_due_retries(now) {
-            self.wake(&id);
+            self.queue_contact(&id);
         }
         self.failover.tick(now);
         if now.since(self.last_rescan) >= RESCAN_INTERVAL_S {
--- a/src/control/core/outcomes.rs
+++ b/src/control/core/outcomes.rs
@@ -81,7 +81,7 @@
         }
         if let Some(step) = batch.rollout {
             for machine in self.image_distribution.step_committed(step, revision, now) {
-                self.wake(&machine);
+                self.queue_contact(&machine);
             }
             self.wake_staged(now);
         }
@@ -163,7 +163,7 @@
             if let Some(claim) = self.cluster_state.claim_mut(&task) {
                 if claim.attempt == *attempt && !claim.committed {
                     claim.committed = true;
-                    self.wake(machine);
+                    self.queue_contact(machine);
                 }
             }
         }
@@ -172,7 +172,7 @@
             // The last claim of a gang may be recorded now, and all its tasks start together.
             let machines = job.tasks.claims().values().map(|c| c.machine.clone());
             for machine in machines.collect::<Vec<_>>() {
-                self.wake(&machine);
+                self.queue_contact(&machine);
             }
         }
         self.settle_stopped(id, now);
--- a/src/control/core/placement.rs
+++ b/src/control/core/placement.rs
@@ -20,7 +20,7 @@
 impl Core {
     /// Queues the claims of placed tasks for recording.
     fn queue_claims(&mut self, launches: Vec<Launch>, now: Time) {
-        if !launches.is_empty() && self.failover.placed() {
+        if !launches.is_empty() && self.failover.record_first_placement() {
             let after_s = self.failover.logged_age_s(now);
             tracing::info!(after_s, "first task placed");
         }
@@ -61,7 +61,7 @@
     }
 
     /// Places tasks on one machine after its heartbeat.
-    pub fn walk(&mut self, id: &MachineId, now: Time) {
+    pub fn place_on(&mut self, id: &MachineId, now: Time) {
         if self.is_frozen() {
             return;
         }
@@ -95,7 +95,7 @@
             let Some(id) = self.placement_queue.take_next() else {
                 return;
             };
-            self.walk(&id, now);
+            self.place_on(&id, now);
         }
     }
 
--- a/src/control/core/placement_limits.rs
+++ b/src/control/core/placement_limits.rs
@@ -20,7 +20,7 @@
     }
 
     /// Sets the maximum number of jobs with claims that wait to be recorded.
-    pub fn set_max_claiming(&mut self, max: usize) {
+    pub fn set_max_claiming_jobs(&mut self, max: usize) {
         self.cluster_state.max_claiming = Some(max);
     }
 }
--- a/src/control/core/recorded_job.rs
+++ b/src/control/core/recorded_job.rs
@@ -128,7 +128,7 @@
         let over = record.phase != Phase::Live;
         // All tasks of a done job have ended, even if a chunk that is not deleted yet still has
         // claims.
-        if record.phase == Phase::Done || over && !self.claims_here(entry) {
+        if record.phase == Phase::Done || over && !self.has_claims_in_shard(entry) {
             if self.scope.homes(id) {
                 self.drop_chunks(id, entry, now);
             }
--- a/src/control/core/recovery.rs
+++ b/src/control/core/recovery.rs
@@ -173,7 +173,7 @@
 
     /// Adds a job if this shard is its home or has claims of it.
     pub(super) fn add_job(&mut self, view: &View, id: &JobId, now: Time, wall_ms: u64) {
-        let claimed_here = |entry: &JobEntry| self.claims_here(entry);
+        let claimed_here = |entry: &JobEntry| self.has_claims_in_shard(entry);
         if self.scope.homes(id) || view.job(id).is_some_and(claimed_here) {
             self.load_job(view, id, now, wall_ms);
         }
--- a/src/control/core/scale_in.rs
+++ b/src/control/core/scale_in.rs
@@ -53,22 +53,26 @@
     pub(super) fn scale_in_unreachable(&mut self, now: Time) {
         for id in self.unreachable_machines(now) {
             tracing::info!(machine = %id, "machine sends heartbeats but is unreachable; scaling in");
-            self.mark_for_scale_in(&id);
+            self.mark_for_deletion(&id);
         }
     }
 
     /// Returns the machines to delete now: empty machines that were chosen for scale-in, lost
     /// machines, and machines whose boot failed.
-    pub(super) fn machines_to_delete(&mut self, trusts_silence: bool, now: Time) -> Vec<MachineId> {
+    pub(super) fn machines_to_delete(
+        &mut self,
+        silence_is_evidence: bool,
+        now: Time,
+    ) -> Vec<MachineId> {
         let mut to_delete = Vec::new();
         for (id, agent) in self.agents.iter_mut() {
-            if agent.is_leaving() && is_empty(agent, self.cluster_state.machines().get(id)) {
+            if agent.is_retiring() && is_empty(agent, self.cluster_state.machines().get(id)) {
                 agent.begin_deletion();
             }
             let quiet_s = agent.silence_s(now);
             let unanswered_connections =
                 unanswered_connections(agent, quiet_s, self.cfg.heartbeat_s);
-            if trusts_silence && (quiet_s > self.cfg.silent_s() || unanswered_connections) {
+            if silence_is_evidence && (quiet_s > self.cfg.silent_s() || unanswered_connections) {
                 if unanswered_connections && !agent.is_deleting() {
                     tracing::info!(machine = %id, quiet_s, "machine unresponsive; scaling in");
                 }
@@ -109,7 +113,7 @@
         let retiring = self.above_guarantees(candidates, idle);
         for id in self.mark_machines(plan, disuse, &retiring, now) {
             if let Some(agent) = self.agents.get_mut(&id) {
-                agent.leave();
+                agent.retire();
             }
             self.refresh_machine(&id, now);
         }
@@ -140,7 +144,7 @@
         // Machines above the limit that the controllers can serve are removed as soon as they
         // have no use.
         let max = self.scaling.requests.max_machines();
-        let excess = max.is_some_and(|max| self.machines() > max);
+        let excess = max.is_some_and(|max| self.machine_count() > max);
         let mut candidates: Vec<ScaleInCandidate> = disuse
             .iter()
             .filter(|d| d.now && (d.share > MIN_UNUSED_SHARE || idle || excess))
--- a/src/control/core/scale_out.rs
+++ b/src/control/core/scale_out.rs
@@ -17,7 +17,7 @@
 
 impl Core {
     /// Returns the number of machines that are up or pending.
-    pub fn machines(&self) -> usize {
+    pub fn machine_count(&self) -> usize {
         self.agents.len() + self.inventory.pending_machines().len()
     }
 
@@ -80,7 +80,7 @@
         self.scaling
             .requests
             .max_machines()
-            .map_or(usize::MAX, |max| max.saturating_sub(self.machines()))
+            .map_or(usize::MAX, |max| max.saturating_sub(self.machine_count()))
     }
 
     /// Returns the identifier of a request. It is unique because the grant's number was
--- a/src/control/core/scaling.rs
+++ b/src/control/core/scaling.rs
@@ -26,16 +26,16 @@
     /// Plans the fleet and returns the machines to delete now and the requests to send. Each
     /// request is in flight until its outcome is passed to [`Core::scale_out_finished`].
     /// Nothing is decided while the shard is frozen for handover.
-    pub fn fleet(&mut self, now: Time) -> ScalingDecision {
+    pub fn plan_scaling(&mut self, now: Time) -> ScalingDecision {
         if self.is_frozen() {
             return ScalingDecision::default();
         }
         self.log_fleet_if_due(now);
-        let trusts_silence = self.trusts_silence(now);
-        if trusts_silence {
+        let silence_is_evidence = self.silence_is_evidence(now);
+        if silence_is_evidence {
             self.scale_in_unreachable(now);
         }
-        let to_delete = self.machines_to_delete(trusts_silence, now);
+        let to_delete = self.machines_to_delete(silence_is_evidence, now);
         let settled = self.failover.age_s(now) > MIN_OWNER_AGE_HEARTBEATS * self.cfg.heartbeat_s;
         if !settled || self.scaling.requests.any_in_flight() {
             return ScalingDecision {
--- a/src/control/core/service_levels.rs
+++ b/src/control/core/service_levels.rs
@@ -65,7 +65,7 @@
         let missing = self.cluster_state.unknown_machines().count();
         let all = self.agents.len() + missing;
         if self.failover.awaits_heartbeats() && all > 0 && (unfenced + missing) * 50 <= all {
-            self.failover.machines_recovered();
+            self.failover.record_recovery();
             let after_s = self.failover.logged_age_s(now);
             tracing::info!(after_s, machines = all, "agents recovered after failover");
         }
--- a/src/control/core/silence.rs
+++ b/src/control/core/silence.rs
@@ -43,7 +43,7 @@
     /// nothing reaches this controller. Silence is also no evidence while requests wait too
     /// long to be read. If the owner returned silent machines then and rented others, it would
     /// keep a fleet that is too large for its controllers too large.
-    pub(super) fn trusts_silence(&self, now: Time) -> bool {
+    pub(super) fn silence_is_evidence(&self, now: Time) -> bool {
         let limit_s = RECENT_HEARTBEATS * self.cfg.heartbeat_s;
         self.agents.most_reported_within(limit_s, now)
             && self.failover.age_s(now) > self.cfg.silent_s()
--- a/src/control/core/task_delegation.rs
+++ b/src/control/core/task_delegation.rs
@@ -57,7 +57,7 @@
 
 impl Core {
     /// Returns whether a record claims tasks on this shard's machines.
-    pub(super) fn claims_here(&self, entry: &JobEntry) -> bool {
+    pub(super) fn has_claims_in_shard(&self, entry: &JobEntry) -> bool {
         let mut chunks = entry.all_chunks();
         chunks.any(|(_, chunk)| self.claims_in(chunk, true))
     }
--- a/src/control/heartbeats.rs
+++ b/src/control/heartbeats.rs
@@ -149,7 +149,7 @@
 
     /// Handles a heartbeat that another controller could not forward to the owner itself.
     pub async fn passed_via(self: &Rc<Self>, heartbeat: &Heartbeat, body: &[u8]) -> HeartbeatReply {
-        match self.own_heartbeat(heartbeat, Source::Passed) {
+        match self.own_heartbeat(heartbeat, Source::Forwarded) {
             HeartbeatReply::Elsewhere(owner) => self
                 .forward_heartbeat(&owner, body, false)
                 .await
@@ -226,7 +226,7 @@
         // Ignore a duplicate before it can make this owner step down. It gets no answer,
         // because commands in that answer would count as sent although no worker receives
         // them.
-        if core.is_copy(heartbeat) && heartbeat.fencing_token.grant() <= core.grant {
+        if core.is_stale(heartbeat) && heartbeat.fencing_token.grant() <= core.grant {
             return HeartbeatOutcome::Duplicate;
         }
         // A heartbeat from a worker that receives nothing from this owner does not prove a
@@ -236,7 +236,7 @@
         match source {
             Source::Heartbeat | Source::Direct if is_reachable => self.leadership.worker_reached(),
             Source::Heartbeat | Source::Direct => {}
-            Source::Adopted | Source::Passed => self.leadership.heartbeat_relayed(now),
+            Source::Offloaded | Source::Forwarded => self.leadership.heartbeat_relayed(now),
         }
         if !core.heartbeat(heartbeat, source, now) {
             return HeartbeatOutcome::Superseded;
@@ -245,7 +245,7 @@
             return HeartbeatOutcome::Processed(None);
         }
         if self.paces.due(Duty::Walk, now) {
-            self.timed(Duty::Walk, || core.walk(&heartbeat.machine, now));
+            self.timed(Duty::Walk, || core.place_on(&heartbeat.machine, now));
         }
         HeartbeatOutcome::Processed(Some(core.answer(heartbeat, &self.store.view(), now)))
     }
--- a/src/control/load_monitor.rs
+++ b/src/control/load_monitor.rs
@@ -261,7 +261,7 @@
             return;
         }
         let heartbeat_load = HeartbeatLoad {
-            machines: cores.values().map(Core::machines).sum(),
+            machines: cores.values().map(Core::machine_count).sum(),
             free_capacity: self.connections.limits().workers,
             wait_s: sample.wait_s,
             helpers: self.helpers(false).len(),
@@ -278,7 +278,7 @@
         for c in cores.values_mut() {
             c.set_max_machines(Some(max / here));
             c.shed_placements(self.load.level() >= Level::Placements);
-            c.set_max_claiming(claims.max(2 * self.cfg.state_limits.txn_ops));
+            c.set_max_claiming_jobs(claims.max(2 * self.cfg.state_limits.txn_ops));
             if processor_binds {
                 c.ignore_silence(now);
             }
--- a/src/control/shard_demand.rs
+++ b/src/control/shard_demand.rs
@@ -61,7 +61,7 @@
             let teams = teams.zip(c.needs());
             Needs {
                 shard: *shard,
-                machines: c.machines() as u32,
+                machines: c.machine_count() as u32,
                 spare_cpu: c.spare_cpu(),
                 teams: teams.map(|(team, need)| TeamNeed { team, need }).collect(),
             }
--- a/src/control/shard_owners.rs
+++ b/src/control/shard_owners.rs
@@ -140,7 +140,7 @@
         self.shards.adopt(shard, core);
     }
 
-    /// Freezes owned shards that are offered to another controller, and thaws those whose offer
+    /// Freezes owned shards that are offered to another controller, and unfreezes those whose offer
     /// was withdrawn.
     pub(super) fn freeze_offered_shards(&self, view: &View) {
         if view.shard_count() == 1 {
--- a/tests/fleet_limits.rs
+++ b/tests/fleet_limits.rs
@@ -160,7 +160,7 @@
         let all: Vec<MachineId> = (0..machines).map(machine).collect();
         for (n, portion) in all.chunks(100).enumerate() {
             let now = Time(10.0 + 4.0 * n as f64);
-            self.core.deleted(portion, now);
+            self.core.apply_deletions(portion, now);
             self.record(now);
         }
         // The last names wait for company no longer.
@@ -185,7 +185,7 @@
     let deleted = 16 * 256 + 1;
     for n in 0..deleted {
         let now = Time(4.0 * n as f64);
-        owner.core.deleted(&[machine(n)], now);
+        owner.core.apply_deletions(&[machine(n)], now);
         owner.record(now.after(3.5));
     }
     assert_eq!(owner.names().len(), deleted);
--- a/tests/rules/commands.rs
+++ b/tests/rules/commands.rs
@@ -289,7 +289,7 @@
     } = &mut world;
     let Owner { core, view, .. } = &mut owners[0];
     for w in workers.iter_mut() {
-        core.heartbeat(&w.heartbeat(), Source::Passed, Time(2.0));
+        core.heartbeat(&w.heartbeat(), Source::Forwarded, Time(2.0));
     }
     regular(core, Time(2.0));
     let batch = core.next_batch(view, 4, false, Time(2.0)).expect("a claim");
@@ -298,7 +298,7 @@
     let mut starts = 0;
     for w in workers.iter_mut() {
         let id = MachineId::from(w.id.as_str());
-        core.heartbeat(&w.heartbeat(), Source::Passed, Time(3.0));
+        core.heartbeat(&w.heartbeat(), Source::Forwarded, Time(3.0));
         starts += core.reply(&id, view, Time(3.0)).commands.len();
     }
     assert_eq!(starts, 1);
--- a/tests/rules/faults.rs
+++ b/tests/rules/faults.rs
@@ -200,7 +200,7 @@
             if o.core.scope.covers(&heartbeat.machine)
                 && o.core.heartbeat(heartbeat, Source::Heartbeat, now)
             {
-                o.core.walk(&heartbeat.machine, now);
+                o.core.place_on(&heartbeat.machine, now);
                 let reply = o.core.reply(&heartbeat.machine, &o.view, now);
                 self.trace.fold_json(heartbeat.machine.as_str(), &reply);
             }
--- a/tests/rules/meetings/day.rs
+++ b/tests/rules/meetings/day.rs
@@ -230,7 +230,7 @@
         if !o.core.heartbeat(&heartbeat, Source::Heartbeat, now) {
             return;
         }
-        o.core.walk(&machine, now);
+        o.core.place_on(&machine, now);
         let reply = serde_json::to_value(o.core.reply(&machine, &o.view, now)).expect("reply");
         let fencing_token = reply["baton"].as_u64().expect("baton");
         let lost = self.world.rng.random_bool(self.lost_answers);
--- a/tests/rules/silence.rs
+++ b/tests/rules/silence.rs
@@ -34,13 +34,15 @@
     let owner = world.owners.last_mut().expect("an owner");
     assert!(claimed(owner));
     for s in 1..600 {
-        owner.core.listed(&[], Time(world.now + f64::from(s)));
+        owner
+            .core
+            .apply_machine_list(&[], Time(world.now + f64::from(s)));
         regular(&mut owner.core, Time(world.now + f64::from(s)));
     }
     assert!(claimed(owner), "the machine list proves nothing");
     owner
         .core
-        .deleted(&[MachineId::from(id.as_str())], Time(world.now + 700.0));
+        .apply_deletions(&[MachineId::from(id.as_str())], Time(world.now + 700.0));
     assert!(!claimed(owner));
 }
 
@@ -62,7 +64,7 @@
             core.heartbeat(&w.heartbeat(), Source::Heartbeat, now);
         }
         regular(core, now);
-        if core.fleet(now).to_delete.contains(&silent) {
+        if core.plan_scaling(now).to_delete.contains(&silent) {
             gone_at.get_or_insert(now.0);
         }
     }
@@ -78,9 +80,9 @@
         for w in &mut workers[2..] {
             core.heartbeat(&w.heartbeat(), Source::Heartbeat, now);
         }
-        core.listed(&[], now);
+        core.apply_machine_list(&[], now);
     }
-    assert!(core.fleet(Time(58.0)).to_delete.contains(&silent));
+    assert!(core.plan_scaling(Time(58.0)).to_delete.contains(&silent));
 }
 
 /// A machine that takes the connection and does not answer hangs, and its tasks
@@ -120,7 +122,7 @@
                 };
                 core.dispatched(&send.machine, sent, now);
             }
-            let gone = core.fleet(now).to_delete;
+            let gone = core.plan_scaling(now).to_delete;
             if gone.contains(&silent) {
                 gone_at.get_or_insert(now.0);
             }
@@ -183,8 +185,8 @@
                 let outcome = Sending::Executed(Box::new(w.heartbeat()));
                 o.core.dispatched(&send.machine, outcome, now);
             }
-            for id in o.core.fleet(now).to_delete {
-                o.core.deleted(std::slice::from_ref(&id), now);
+            for id in o.core.plan_scaling(now).to_delete {
+                o.core.apply_deletions(std::slice::from_ref(&id), now);
                 gone.insert(id);
             }
         }
@@ -222,7 +224,7 @@
             o.core.heartbeat(&w.heartbeat(), Source::Heartbeat, now);
         }
         let last = copies.last().expect("one");
-        o.core.heartbeat(last, Source::Adopted, now);
+        o.core.heartbeat(last, Source::Offloaded, now);
         o.core.relayed_contact(
             &dead,
             last.incarnation,
@@ -230,31 +232,32 @@
             now,
         );
         regular(&mut o.core, now);
-        if o.core.fleet(now).to_delete.contains(&dead) {
+        if o.core.plan_scaling(now).to_delete.contains(&dead) {
             gone_at.get_or_insert(now.0);
         }
     }
     let gone_at = gone_at.expect("given back");
     assert!(gone_at < 3.0 + LEASE_S + 2.0, "kept until {gone_at}");
-    o.core.deleted(std::slice::from_ref(&dead), Time(70.0));
-    let machines = o.core.machines();
+    o.core
+        .apply_deletions(std::slice::from_ref(&dead), Time(70.0));
+    let machines = o.core.machine_count();
     for late in [1.0, 60.0, 200.0] {
-        o.core.listed(&[], Time(70.0 + late));
+        o.core.apply_machine_list(&[], Time(70.0 + late));
         for copy in &copies {
             o.core.heartbeat(copy, Source::Heartbeat, Time(70.0 + late));
-            assert_eq!(o.core.machines(), machines, "{late} s after");
+            assert_eq!(o.core.machine_count(), machines, "{late} s after");
         }
     }
     // The next owner reads a list without it, and is not told that it is gone.
     world.begin_leadership();
     let core = &mut world.owners[1].core;
-    core.listed(&[], Time(300.0));
+    core.apply_machine_list(&[], Time(300.0));
     for copy in &copies {
         assert!(
             core.heartbeat(copy, Source::Heartbeat, Time(300.0)),
             "deposed"
         );
-        assert_eq!(core.machines(), 0, "a copy from before the takeover");
+        assert_eq!(core.machine_count(), 0, "a copy from before the takeover");
     }
     // A machine that is there learns the fencing token by its answer, and is known then.
     let w = &mut world.workers[1];
@@ -265,5 +268,5 @@
         .fencing_token
         .0;
     core.heartbeat(&w.heartbeat(), Source::Heartbeat, Time(301.0));
-    assert_eq!(core.machines(), 1);
+    assert_eq!(core.machine_count(), 1);
 }
--- a/tests/rules/takeover.rs
+++ b/tests/rules/takeover.rs
@@ -32,7 +32,7 @@
     world.begin_leadership();
     let o = world.owners.last_mut().expect("an owner");
     assert!(claimed(o) > 0);
-    o.core.deleted(&all, Time(world.now));
+    o.core.apply_deletions(&all, Time(world.now));
     assert!(o
         .core
         .next_batch(&o.view, 4, false, Time(world.now + 0.1))
--- a/tests/rules/world.rs
+++ b/tests/rules/world.rs
@@ -526,7 +526,7 @@
             return self.renew_in_stead(at, &heartbeat);
         }
         let source = if self.luck(0.15) {
-            Source::Passed
+            Source::Forwarded
         } else {
             Source::Heartbeat
         };
@@ -537,7 +537,7 @@
         if !o.may_command(self.now) {
             return;
         }
-        o.core.walk(&heartbeat.machine, Time(self.now));
+        o.core.place_on(&heartbeat.machine, Time(self.now));
         let reply = o.core.reply(&heartbeat.machine, &o.view, Time(self.now));
         self.trace.fold_json(heartbeat.machine.as_str(), &reply);
         let reply = serde_json::to_value(&reply).expect("reply");
@@ -564,11 +564,11 @@
         let covers = |o: &&mut Owner| o.core.scope.covers(&heartbeat.machine);
         for o in self.owners.iter_mut().filter(covers) {
             // Nobody takes the answer.
-            if !o.core.is_copy(heartbeat)
+            if !o.core.is_stale(heartbeat)
                 && o.core
                     .heartbeat(heartbeat, Source::Heartbeat, Time(self.now))
             {
-                o.core.walk(&heartbeat.machine, Time(self.now));
+                o.core.place_on(&heartbeat.machine, Time(self.now));
                 let reply = o.core.reply(&heartbeat.machine, &o.view, Time(self.now));
                 self.trace.fold_json(heartbeat.machine.as_str(), &reply);
             }
@@ -596,8 +596,8 @@
                 age_s: 100.0,
             })
             .collect();
-        self.owners[owner].core.listed(&list, now);
-        let decision = self.owners[owner].core.fleet(now);
+        self.owners[owner].core.apply_machine_list(&list, now);
+        let decision = self.owners[owner].core.plan_scaling(now);
         self.trace
             .fold_json("deleted machines", &decision.to_delete);
         for rental in decision.scale_out {
@@ -620,7 +620,7 @@
                 w.silent_until = 0.0;
                 w.warned = false;
             }
-            self.owners[owner].core.deleted(&[id], now);
+            self.owners[owner].core.apply_deletions(&[id], now);
         }
     }
 
--- a/tests/staging.rs
+++ b/tests/staging.rs
@@ -305,7 +305,7 @@
     // A fetch of 80 s: nobody is given back, and nothing is started again.
     world.steps(120);
     assert_eq!(world.starts.len(), 72);
-    let gone = world.core.fleet(Time(world.now)).to_delete;
+    let gone = world.core.plan_scaling(Time(world.now)).to_delete;
     assert_eq!(gone, [], "machines that fetch are kept");
     // Once all run, and nothing wants it any more, no record is left.
     for (_, phase) in world.tasks.values_mut() {
@@ -372,7 +372,7 @@
     world.workers.remove(&lost);
     world.tasks.retain(|(m, _), _| *m != lost);
     let gone = [MachineId::from(lost.as_str())];
-    world.core.deleted(&gone, Time(world.now));
+    world.core.apply_deletions(&gone, Time(world.now));
     world.starts.clear();
     world.submit("run-2", service("run-2", 3, MODEL, 40.0, 3.0));
     world.steps(12);
