--- a/src/api/agent.rs
+++ b/src/api/agent.rs
@@ -8,15 +8,15 @@
 use super::reply::{passed, refuse, reply, Reply};
 use crate::agent_client::{Heartbeat, TaskPhase};
 use crate::connections::Conn;
-use crate::control::load_counts::count;
+use crate::control::load_counts::increment;
 use crate::control::{HeartbeatReply, Node};
 
 /// How a heartbeat is answered over HTTP.
 pub(super) fn heartbeat_response(heartbeat: HeartbeatReply) -> Reply {
     match heartbeat {
         HeartbeatReply::Reply(answer) => reply(200, json!(answer)),
-        HeartbeatReply::Passed(answered) => passed(answered),
-        HeartbeatReply::Elsewhere(owner) => reply(421, json!({ "foreman": owner })),
+        HeartbeatReply::Forwarded(answered) => passed(answered),
+        HeartbeatReply::OtherOwner(owner) => reply(421, json!({ "foreman": owner })),
         HeartbeatReply::Unavailable => refuse(503, "nobody is known to own the block"),
     }
 }
@@ -33,6 +33,6 @@
     };
     let busy = heartbeat.tasks.iter().any(|p| p.phase != TaskPhase::Ended);
     conn.asked(if busy { Class::Busy } else { Class::Idle });
-    count(&node.load().counts.heartbeats);
-    heartbeat_response(node.heartbeat(&heartbeat, body).await)
+    increment(&node.load().counts.heartbeats);
+    heartbeat_response(node.handle_heartbeat(&heartbeat, body).await)
 }
--- a/src/api/for_peers.rs
+++ b/src/api/for_peers.rs
@@ -8,7 +8,7 @@
 use super::{agent, jobs};
 use crate::agent_client::Heartbeat;
 use crate::control::core::Source;
-use crate::control::load_counts::count;
+use crate::control::load_counts::increment;
 use crate::control::{HeartbeatReply, Node};
 use crate::peer_link::{self, Answered, Answering, PeerRequestHandler};
 use crate::types::{NodeId, Revision};
@@ -38,8 +38,8 @@
     fn homed(&self, text: &[u8]) -> Answered {
         let reply = match serde_json::from_slice::<Heartbeat>(text) {
             Ok(heartbeat) => {
-                count(&self.0.load().counts.homed);
-                self.0.own_heartbeat(&heartbeat, Source::Offloaded)
+                increment(&self.0.load().counts.offloaded_heartbeats);
+                self.0.process_as_owner(&heartbeat, Source::Offloaded)
             }
             Err(_) => return Answered::empty(400),
         };
@@ -48,8 +48,8 @@
                 Ok(text) => Answered { status: 200, text },
                 Err(_) => Answered::empty(503),
             },
-            HeartbeatReply::Passed(answered) => answered,
-            HeartbeatReply::Elsewhere(_) => Answered::empty(421),
+            HeartbeatReply::Forwarded(answered) => answered,
+            HeartbeatReply::OtherOwner(_) => Answered::empty(421),
             HeartbeatReply::Unavailable => Answered::empty(503),
         }
     }
@@ -78,12 +78,14 @@
             }
             peer_link::Kind::Heartbeat => match serde_json::from_slice::<Heartbeat>(text) {
                 Ok(heartbeat) => {
-                    agent::heartbeat_response(node.own_heartbeat(&heartbeat, Source::Forwarded))
+                    agent::heartbeat_response(node.process_as_owner(&heartbeat, Source::Forwarded))
                 }
                 Err(_) => refuse(400, "malformed heartbeat"),
             },
             peer_link::Kind::Via => match serde_json::from_slice::<Heartbeat>(text) {
-                Ok(heartbeat) => agent::heartbeat_response(node.passed_via(&heartbeat, text).await),
+                Ok(heartbeat) => {
+                    agent::heartbeat_response(node.handle_relayed_heartbeat(&heartbeat, text).await)
+                }
                 Err(_) => refuse(400, "malformed heartbeat"),
             },
             peer_link::Kind::Hint
--- a/src/api/jobs.rs
+++ b/src/api/jobs.rs
@@ -9,7 +9,7 @@
 use sorrelhinge_protocol::users::{job_id, read_job, read_needs};
 
 use super::reply::{later, passed, refuse, reply, Reply};
-use crate::control::load_counts::count;
+use crate::control::load_counts::increment;
 use crate::control::{CancelOutcome, InvalidJob, JobStatus, Node, Polled, SubmitError, Submitted};
 use crate::peer_link;
 use crate::state::record::{NewJob, Phase};
@@ -26,16 +26,16 @@
 /// Takes a user's submission, unless too much is asked for.
 pub(super) async fn take_submission(node: &Node, body: &[u8]) -> Reply {
     if node.load().level() >= Level::Submissions && !node.takes_lane_turn(body) {
-        count(&node.load().counts.shed);
+        increment(&node.load().counts.shed);
         return later(SHED_SUBMISSION_S, "too much is asked for now");
     }
-    count(&node.load().counts.submissions);
+    increment(&node.load().counts.submissions);
     answer_or_forward(node, peer_link::Kind::Submit, body, submit(node, body)).await
 }
 
 /// Takes a user's cancellation.
 pub(super) async fn take_cancellation(node: &Node, id: &str) -> Reply {
-    count(&node.load().counts.cancellations);
+    increment(&node.load().counts.cancellations);
     let here = withdraw(node, id);
     answer_or_forward(node, peer_link::Kind::Withdraw, id.as_bytes(), here).await
 }
@@ -104,7 +104,7 @@
     // come back, but none twice in a row: when they were drawn, a user was now
     // and then refused for longer than the 75 s after which a job is forgotten.
     if node.sheds_poll(&id) {
-        count(&node.load().counts.shed);
+        increment(&node.load().counts.shed);
         return later(SHED_POLL_S, "too much is asked for now");
     }
     let asked = Instant::now();
@@ -172,14 +172,14 @@
     text: &[u8],
     here: impl Future<Output = Reply>,
 ) -> Reply {
-    if node.cut_off() {
-        if let Some(answered) = node.forward(kind, text).await {
+    if node.is_cut_off_from_store() {
+        if let Some(answered) = node.forward_change(kind, text).await {
             return passed(answered);
         }
     }
     let answer = here.await;
-    if answer.status() == 503 && node.forwards() {
-        if let Some(answered) = node.forward(kind, text).await {
+    if answer.status() == 503 && node.may_forward() {
+        if let Some(answered) = node.forward_change(kind, text).await {
             return passed(answered);
         }
     }
--- a/src/api/mod.rs
+++ b/src/api/mod.rs
@@ -32,7 +32,7 @@
 use self::operators::{operate, Resource};
 use self::reply::{refuse, reply, Reply};
 use crate::connections::Conn;
-use crate::control::load_counts::count;
+use crate::control::load_counts::increment;
 use crate::control::Node;
 
 /// What a path leads to.
@@ -88,7 +88,7 @@
         }
         Route::Job(id) if get => {
             conn.asked(Class::User);
-            count(&node.load().counts.polls);
+            increment(&node.load().counts.polls);
             jobs::poll(node, id).await
         }
         Route::Operators(resource) if get && resource.is_shown() => {
--- a/src/control/heartbeats.rs
+++ b/src/control/heartbeats.rs
@@ -32,7 +32,11 @@
 impl Node {
     /// Handles a worker's heartbeat. `body` holds the request body as received, for
     /// forwarding.
-    pub async fn heartbeat(self: &Rc<Self>, heartbeat: &Heartbeat, body: &[u8]) -> HeartbeatReply {
+    pub async fn handle_heartbeat(
+        self: &Rc<Self>,
+        heartbeat: &Heartbeat,
+        body: &[u8],
+    ) -> HeartbeatReply {
         // A late duplicate has no worker that waits for its reply, and its content was
         // reported before. Without this check duplicates moved machines to other
         // controllers, and were forwarded as a sign that the worker is alive.
@@ -43,19 +47,19 @@
             return HeartbeatReply::Unavailable;
         }
         if let Some(helper) = self.offload_target(&heartbeat.machine) {
-            return HeartbeatReply::Elsewhere(helper);
+            return HeartbeatReply::OtherOwner(helper);
         }
-        match self.own_heartbeat(heartbeat, Source::Heartbeat) {
-            HeartbeatReply::Elsewhere(owner) if self.accepts_heartbeats_for(&owner) => {
-                self.heartbeat_for(owner, heartbeat, body).await
+        match self.process_as_owner(heartbeat, Source::Heartbeat) {
+            HeartbeatReply::OtherOwner(owner) if self.accepts_heartbeats_for(&owner) => {
+                self.answer_for_owner(owner, heartbeat, body).await
             }
-            HeartbeatReply::Elsewhere(owner) => {
+            HeartbeatReply::OtherOwner(owner) => {
                 self.redirect_or_forward(heartbeat, owner, body).await
             }
             // While no controller owns the machines, their tasks must not end because a
             // lease expires.
             HeartbeatReply::Unavailable => self
-                .renewed(heartbeat)
+                .renewal_reply(heartbeat)
                 .unwrap_or(HeartbeatReply::Unavailable),
             other => other,
         }
@@ -99,14 +103,14 @@
         let return_window = Duration::from_secs_f64(self.cfg.lease_s / 2.0);
         let routing = &self.heartbeat_routing;
         if routing.redirect(&heartbeat.machine, &owner, return_window) == Redirect::SendToOwner {
-            return HeartbeatReply::Elsewhere(owner);
+            return HeartbeatReply::OtherOwner(owner);
         }
         let forwarded = self.forward_heartbeat(&owner, body, true).await;
         match forwarded.filter(|answered| answered.status == 200) {
-            Some(answered) => HeartbeatReply::Passed(answered),
+            Some(answered) => HeartbeatReply::Forwarded(answered),
             None => self
-                .renewed(heartbeat)
-                .unwrap_or(HeartbeatReply::Elsewhere(owner)),
+                .renewal_reply(heartbeat)
+                .unwrap_or(HeartbeatReply::OtherOwner(owner)),
         }
     }
 
@@ -148,18 +152,22 @@
     }
 
     /// Handles a heartbeat that another controller could not forward to the owner itself.
-    pub async fn passed_via(self: &Rc<Self>, heartbeat: &Heartbeat, body: &[u8]) -> HeartbeatReply {
-        match self.own_heartbeat(heartbeat, Source::Forwarded) {
-            HeartbeatReply::Elsewhere(owner) => self
+    pub async fn handle_relayed_heartbeat(
+        self: &Rc<Self>,
+        heartbeat: &Heartbeat,
+        body: &[u8],
+    ) -> HeartbeatReply {
+        match self.process_as_owner(heartbeat, Source::Forwarded) {
+            HeartbeatReply::OtherOwner(owner) => self
                 .forward_heartbeat(&owner, body, false)
                 .await
-                .map_or(HeartbeatReply::Unavailable, HeartbeatReply::Passed),
+                .map_or(HeartbeatReply::Unavailable, HeartbeatReply::Forwarded),
             other => other,
         }
     }
 
     /// Returns whether the state service serves other controllers but not this one.
-    pub fn cut_off(&self) -> bool {
+    pub fn is_cut_off_from_store(&self) -> bool {
         self.store.lags_for(FORWARD_AFTER) && self.store_silence() >= FORWARD_AFTER
     }
 
@@ -168,14 +176,18 @@
     /// service serves other controllers. A controller that the state service refused alone
     /// then rejected every request. So a failed request to the state service is reason
     /// enough to forward, unless no other controller could help a moment ago.
-    pub fn forwards(&self) -> bool {
+    pub fn may_forward(&self) -> bool {
         let others_may = self.admission.may_forward_changes();
-        self.cut_off() || self.state.fails() && others_may
+        self.is_cut_off_from_store() || self.state.fails() && others_may
     }
 
     /// Forwards a submission or cancellation to a controller that the state service may
     /// serve. Returns `None` if neither of the first two candidates decided it.
-    pub async fn forward(&self, kind: peer_link::Kind, text: &[u8]) -> Option<peer_link::Answered> {
+    pub async fn forward_change(
+        &self,
+        kind: peer_link::Kind,
+        text: &[u8],
+    ) -> Option<peer_link::Answered> {
         let leader = self.store.view().leader.value.clone().map(|l| l.node);
         let mut others: Vec<NodeId> = self.peers.reachable().cloned().collect();
         others.sort_by_key(|n| (Some(n) != leader.as_ref(), n.clone()));
@@ -191,7 +203,11 @@
 
     /// Processes a worker's heartbeat if this controller owns its shard. Otherwise returns
     /// the owner, if one is known.
-    pub fn own_heartbeat(self: &Rc<Self>, heartbeat: &Heartbeat, source: Source) -> HeartbeatReply {
+    pub fn process_as_owner(
+        self: &Rc<Self>,
+        heartbeat: &Heartbeat,
+        source: Source,
+    ) -> HeartbeatReply {
         let shard = self.shard_of(&heartbeat.machine);
         let outcome = {
             let mut cores = self.shards.owned_mut();
@@ -209,7 +225,7 @@
                 reply.map_or(HeartbeatReply::Unavailable, HeartbeatReply::Reply)
             }
             None => match self.owner_of(shard) {
-                Some(owner) if owner != self.cfg.node => HeartbeatReply::Elsewhere(owner),
+                Some(owner) if owner != self.cfg.node => HeartbeatReply::OtherOwner(owner),
                 _ => HeartbeatReply::Unavailable,
             },
         }
--- a/src/control/lease_renewal.rs
+++ b/src/control/lease_renewal.rs
@@ -44,9 +44,9 @@
 
     /// Returns the answer that only renews the lease, or `None` if the lease may not be renewed
     /// here.
-    pub(super) fn renewed(&self, heartbeat: &Heartbeat) -> Option<HeartbeatReply> {
+    pub(super) fn renewal_reply(&self, heartbeat: &Heartbeat) -> Option<HeartbeatReply> {
         self.may_renew(heartbeat).then(|| {
-            load_counts::count(&self.load.counts.renewed);
+            load_counts::increment(&self.load.counts.renewed);
             HeartbeatReply::Reply(Reply {
                 fencing_token: heartbeat.fencing_token,
                 commands: Vec::new(),
@@ -57,7 +57,7 @@
     /// Handles a heartbeat in place of `owner`, at that owner's request. Forwards the
     /// heartbeat, or answers it if it reports nothing new and the owner is overloaded. An owner
     /// that does not answer in time does not cause the lease to expire.
-    pub(super) async fn heartbeat_for(
+    pub(super) async fn answer_for_owner(
         &self,
         owner: NodeId,
         heartbeat: &Heartbeat,
@@ -74,7 +74,7 @@
             self.now(),
         );
         if route == Route::Renew {
-            if let Some(reply) = self.answer_for_owner(&owner, heartbeat) {
+            if let Some(reply) = self.renew_for_owner(&owner, heartbeat) {
                 return reply;
             }
         }
@@ -83,26 +83,26 @@
         match taken.filter(|a| a.status == 200) {
             Some(answered) => {
                 routing.answered_by_owner(&heartbeat.machine, content, self.now());
-                HeartbeatReply::Passed(answered)
+                HeartbeatReply::Forwarded(answered)
             }
             // The worker is not redirected to the owner, because all such heartbeats would then
             // reach the owner at once. A 503 would make workers try one controller after the
             // other.
             None => self
-                .renewed(heartbeat)
+                .renewal_reply(heartbeat)
                 .unwrap_or(HeartbeatReply::Unavailable),
         }
     }
 
     /// Renews a worker's lease in place of the owner, which is notified by the next
     /// announcement. Returns `None` if the lease may not be renewed here.
-    fn answer_for_owner(&self, owner: &NodeId, heartbeat: &Heartbeat) -> Option<HeartbeatReply> {
+    fn renew_for_owner(&self, owner: &NodeId, heartbeat: &Heartbeat) -> Option<HeartbeatReply> {
         let announced = ForwardedHeartbeat::new(
             &heartbeat.machine,
             heartbeat.incarnation,
             heartbeat.sequence,
         )?;
-        let reply = self.renewed(heartbeat)?;
+        let reply = self.renewal_reply(heartbeat)?;
         self.heartbeat_routing
             .answered_for(owner.clone(), announced);
         Some(reply)
--- a/src/control/load_counts.rs
+++ b/src/control/load_counts.rs
@@ -8,7 +8,7 @@
     /// Heartbeats that workers sent to this controller.
     pub heartbeats: Cell<u64>,
     /// Heartbeats that other controllers received for machines of this controller.
-    pub homed: Cell<u64>,
+    pub offloaded_heartbeats: Cell<u64>,
     /// Submissions that users sent.
     pub submissions: Cell<u64>,
     /// Polls of job states that users sent.
@@ -35,6 +35,6 @@
 }
 
 /// Increments a counter.
-pub fn count(cell: &Cell<u64>) {
+pub fn increment(cell: &Cell<u64>) {
     cell.set(cell.get() + 1);
 }
--- a/src/control/load_log.rs
+++ b/src/control/load_log.rs
@@ -50,7 +50,7 @@
             connections = open.all,
             workers = open.workers,
             heartbeats = rate(&counts.heartbeats),
-            homed = rate(&counts.homed),
+            homed = rate(&counts.offloaded_heartbeats),
             submissions = rate(&counts.submissions),
             polls = rate(&counts.polls),
             cancellations = rate(&counts.cancellations),
--- a/src/control/mod.rs
+++ b/src/control/mod.rs
@@ -85,9 +85,9 @@
     /// owner.
     Reply(Reply),
     /// The owner of the shard answered, and this controller forwards the answer.
-    Passed(peer_link::Answered),
+    Forwarded(peer_link::Answered),
     /// The named controller owns the shard.
-    Elsewhere(NodeId),
+    OtherOwner(NodeId),
     /// The owner of the shard is unknown, or the answer depends on records that can't be read
     /// now.
     Unavailable,
--- a/src/control/status_queries.rs
+++ b/src/control/status_queries.rs
@@ -139,7 +139,7 @@
     /// waits, that state takes precedence.
     pub async fn poll(&self, id: &JobId) -> Polled {
         let deadline = Instant::now() + ANSWER_DEADLINE;
-        if self.cut_off() {
+        if self.is_cut_off_from_store() {
             if let Some(polled) = self.poll_peers(id, deadline).await {
                 return polled;
             }
