--- a/src/control/core/batch.rs
+++ b/src/control/core/batch.rs
@@ -47,7 +47,7 @@
     fn add_pending(&mut self, draft: &mut Draft, view: &View, spare: bool, now: Time) {
         let mut deferred = Vec::new();
         while draft.accepts_more() {
-            let Some(due) = self.pending.take(spare, now) else {
+            let Some(due) = self.write_queue.take(spare, now) else {
                 break;
             };
             let (PendingWrite::Finished(id) | PendingWrite::Chunk(ChunkId { job: id, .. })) = &due;
@@ -79,7 +79,7 @@
     fn requeue(&mut self, due: PendingWrite, now: Time) {
         match due {
             PendingWrite::Finished(id) => self.queue_finished(id, now),
-            PendingWrite::Chunk(chunk) => self.pending.released(chunk, now),
+            PendingWrite::Chunk(chunk) => self.write_queue.released(chunk, now),
         }
     }
 
@@ -220,7 +220,7 @@
             shortened = true;
         }
         if shortened {
-            self.pending.released(ChunkId::new(id, chunk), now);
+            self.write_queue.released(ChunkId::new(id, chunk), now);
         }
         record
     }
@@ -240,11 +240,13 @@
     pub(super) fn requeue_claims(&mut self, chunk: ChunkId, now: Time) {
         match self.cluster_state.job(&chunk.job) {
             Some(job) => {
-                let (write_priority, sort) =
-                    (WritePriority::of(job).max(WritePriority::Usual), job.sort());
-                self.pending.claimed(chunk, write_priority, sort, now);
+                let (write_priority, sort) = (
+                    WritePriority::of(job).max(WritePriority::Normal),
+                    job.sort(),
+                );
+                self.write_queue.claimed(chunk, write_priority, sort, now);
             }
-            None => self.pending.released(chunk, now),
+            None => self.write_queue.released(chunk, now),
         }
     }
 
--- a/src/control/core/job_changes.rs
+++ b/src/control/core/job_changes.rs
@@ -44,7 +44,7 @@
         self.cluster_state.edit_job(id, |job| job.cancelled = true);
         self.log_largest_over(id, JobEvent::Cancelled, now);
         self.clear(id);
-        self.pending.not_finished(id);
+        self.write_queue.cancel_finished(id);
         self.settle_stopped(id, now);
     }
 
@@ -116,7 +116,7 @@
         }
         // The job's own record must not keep claims forever.
         if entry.inline().is_some() && self.has_claims_in_shard(entry) {
-            self.pending.released(ChunkId::new(id, 0), now);
+            self.write_queue.released(ChunkId::new(id, 0), now);
             return;
         }
         self.drop_chunks(id, entry, now);
@@ -126,7 +126,7 @@
     /// Queues the deletion of all chunks of a job that is over.
     pub(super) fn drop_chunks(&mut self, id: &JobId, entry: &JobEntry, now: Time) {
         for &chunk in entry.chunks.keys() {
-            self.pending.useless(ChunkId::new(id, chunk), now);
+            self.write_queue.delete_chunk(ChunkId::new(id, chunk), now);
         }
     }
 
@@ -175,7 +175,7 @@
     pub(super) fn release(&mut self, task: &TaskId, now: Time) -> Option<Claim> {
         let claim = self.cluster_state.release(task, now)?;
         self.gangs_to_check.add(task.job.clone());
-        self.pending.released(self.chunk_of(task), now);
+        self.write_queue.released(self.chunk_of(task), now);
         self.placement_queue.add(claim.machine.clone());
         Some(claim)
     }
--- a/src/control/core/mod.rs
+++ b/src/control/core/mod.rs
@@ -128,7 +128,7 @@
 use self::tombstones::MachineTombstones;
 use self::topology_repair::RepairSchedule;
 use self::waiting_log::WaitingLog;
-use super::write_queue::Pending;
+use super::write_queue::WriteQueue;
 use crate::agent_client::DirectCommands;
 use crate::config::Config;
 use crate::scheduler::ClusterState;
@@ -188,7 +188,7 @@
     /// lists.
     inventory: CloudInventory,
     /// Writes of claims, results and finished jobs that wait to be recorded in the state service.
-    pending: Pending,
+    write_queue: WriteQueue,
     /// Time since this owner took the grant, and the recovery steps that are still pending.
     failover: Failover,
     /// Queue of machines whose agents may need direct commands.
--- a/src/control/core/outcomes.rs
+++ b/src/control/core/outcomes.rs
@@ -17,18 +17,18 @@
         let write_priority = self
             .cluster_state
             .job(&id)
-            .map_or(WritePriority::Usual, WritePriority::of);
-        self.pending.finished(id, write_priority, now);
+            .map_or(WritePriority::Normal, WritePriority::of);
+        self.write_queue.finished(id, write_priority, now);
     }
 
     /// Returns whether a write is pending that should not wait for the next tick.
     pub fn has_urgent(&self) -> bool {
-        self.pending.urgent()
+        self.write_queue.urgent()
     }
 
     /// Returns how many seconds the claim has waited that is recorded next.
-    pub fn claims_wait(&self, now: Time) -> f64 {
-        self.pending.claims_wait(now)
+    pub fn next_claim_wait_s(&self, now: Time) -> f64 {
+        self.write_queue.next_claim_wait_s(now)
     }
 
     /// Returns the record to write for a chunk. Claims of other shards in `stored` stay
@@ -222,7 +222,7 @@
         match (&write.record, stored) {
             (Some(sent), Some(stored)) if sent == stored => self.confirm(id, *chunk, sent, now),
             (Some(_), _) => self.requeue_claims(write.chunk, now),
-            (None, _) => self.pending.useless(write.chunk, now),
+            (None, _) => self.write_queue.delete_chunk(write.chunk, now),
         }
     }
 }
--- a/src/control/core/placement.rs
+++ b/src/control/core/placement.rs
@@ -33,7 +33,7 @@
             self.scaling.requests.add_claimed_cpu(job.spec.each.cpu);
             let (write_priority, sort) = (WritePriority::of(job), job.sort());
             let chunk = self.chunk_of(&launch.task);
-            self.pending.claimed(chunk, write_priority, sort, now);
+            self.write_queue.claimed(chunk, write_priority, sort, now);
         }
     }
 
--- a/src/control/core/recorded_job.rs
+++ b/src/control/core/recorded_job.rs
@@ -210,7 +210,7 @@
             for claim in here {
                 let index = chunk * record.chunk + claim.place;
                 if self.tombstones.is_inherited(&claim.machine) {
-                    self.pending.released(ChunkId::new(id, chunk), now);
+                    self.write_queue.released(ChunkId::new(id, chunk), now);
                 } else if index < record.tasks {
                     found.claims.push(FoundClaim::new(index, claim, stored));
                 }
--- a/src/control/core/recovery.rs
+++ b/src/control/core/recovery.rs
@@ -28,7 +28,7 @@
 use super::waiting_log::WaitingLog;
 use super::{image_distribution, reservations, Core};
 use crate::config::Config;
-use crate::control::write_queue::Pending;
+use crate::control::write_queue::WriteQueue;
 use crate::scheduler::{ClusterState, Team};
 use crate::state::view::{JobEntry, View};
 use crate::types::{Amount, FencingToken, JobId, MachineType, Revision, Time};
@@ -113,7 +113,7 @@
             types: MachineTypes::default(),
             agents: AgentTable::default(),
             inventory: CloudInventory::default(),
-            pending: Pending::default(),
+            write_queue: WriteQueue::default(),
             failover: Failover::begin(now, input.wall_ms, view.history.images()),
             command_queue: CommandQueue::default(),
             placement_queue: PlacementQueue::default(),
--- a/src/control/core/shard_freeze.rs
+++ b/src/control/core/shard_freeze.rs
@@ -89,7 +89,7 @@
                     job: id.clone(),
                     index,
                 };
-                let waits = self.pending.claims(&self.chunk_of(&task));
+                let waits = self.write_queue.claims(&self.chunk_of(&task));
                 if !claim.committed && claim.sent == Sent::No && waits {
                     unsent.push(task);
                 }
@@ -116,6 +116,6 @@
     /// don't delay the handover, because workers repeat them to the next owner.
     pub fn settled(&self, now: Time) -> bool {
         let within_timeout = self.freeze.is_younger_than(SETTLE_TIMEOUT_S, now);
-        !(self.pending.claims_any() || within_timeout && self.command_queue.awaits_answers())
+        !(self.write_queue.has_claims() || within_timeout && self.command_queue.awaits_answers())
     }
 }
--- a/src/control/load_monitor.rs
+++ b/src/control/load_monitor.rs
@@ -247,7 +247,7 @@
                 .shards
                 .owned()
                 .values()
-                .map(|c| c.claims_wait(now))
+                .map(|c| c.next_claim_wait_s(now))
                 .fold(0.0, f64::max),
             cloud_wait_s: self.cloud.wait_s(),
         }
--- a/src/control/write_queue.rs
+++ b/src/control/write_queue.rs
@@ -32,7 +32,7 @@
     /// Writes of jobs in a priority lane.
     Lane,
     /// Writes of ordinary jobs.
-    Usual,
+    Normal,
     /// Writes of jobs of idle priority. Many jobs of a single task cost three changes each,
     /// and once kept claims of urgent jobs waiting for half a minute.
     Idle,
@@ -45,7 +45,7 @@
             (true, _) => Self::Awaited,
             (false, _) if job.lane.is_some() => Self::Lane,
             (false, Priority::Idle) => Self::Idle,
-            (false, _) => Self::Usual,
+            (false, _) => Self::Normal,
         }
     }
 }
@@ -81,7 +81,7 @@
 
 /// Writes that wait to be recorded, with one queue for each kind.
 #[derive(Debug, Default)]
-pub struct Pending {
+pub struct WriteQueue {
     /// Claims that wait to be recorded, by priority and then by arrival.
     claims: BTreeMap<QueuePosition, WaitingClaim>,
     claimed: BTreeMap<ChunkId, QueuedClaim>,
@@ -90,7 +90,7 @@
     by_sort: BTreeMap<Sort, BTreeSet<QueuePosition>>,
     turns: Turns<Sort>,
     last_number: u64,
-    /// Number of calls of [`Pending::take`], which decides whether a call takes an overdue write
+    /// Number of calls of [`WriteQueue::take`], which decides whether a call takes an overdue write
     /// first.
     take_calls: u64,
     /// Finished jobs, with the time since when they wait to be recorded. Jobs of idle priority come
@@ -111,7 +111,7 @@
     Chunk(ChunkId),
 }
 
-impl Pending {
+impl WriteQueue {
     /// Queues the claim of a task. `sort` names the job's class and team.
     pub fn claimed(
         &mut self,
@@ -155,7 +155,7 @@
     }
 
     /// Removes a job from the queue of finished jobs.
-    pub fn not_finished(&mut self, job: &JobId) {
+    pub fn cancel_finished(&mut self, job: &JobId) {
         for idle in [false, true] {
             let job = job.clone();
             self.finished.remove(&FinishedJob { idle, job });
@@ -163,7 +163,7 @@
     }
 
     /// Queues the deletion of a chunk's record, and removes all other writes of the chunk.
-    pub fn useless(&mut self, chunk: ChunkId, now: Time) {
+    pub fn delete_chunk(&mut self, chunk: ChunkId, now: Time) {
         self.remove_claim(&chunk);
         self.results.remove(&chunk);
         self.deletions.entry(chunk).or_insert(now);
@@ -175,7 +175,7 @@
     }
 
     /// Returns whether any claims wait to be recorded.
-    pub fn claims_any(&self) -> bool {
+    pub fn has_claims(&self) -> bool {
         !self.claims.is_empty()
     }
 
@@ -219,7 +219,7 @@
     }
 
     /// Returns how long the next claim in the queue has waited, in seconds.
-    pub fn claims_wait(&self, now: Time) -> f64 {
+    pub fn next_claim_wait_s(&self, now: Time) -> f64 {
         let next = self.claims.first_key_value();
         next.map_or(0.0, |(_, claim)| now.since(claim.since))
     }
--- a/tests/rules/recording.rs
+++ b/tests/rules/recording.rs
@@ -6,7 +6,7 @@
 
 use serde_json::json;
 use sorrelhinge::control::core::{Core, MachineZones, RecoveryInput, ShardGrant};
-use sorrelhinge::control::write_queue::{Pending, PendingWrite, WritePriority};
+use sorrelhinge::control::write_queue::{PendingWrite, WritePriority, WriteQueue};
 use sorrelhinge::peer_messages::DelegatedTasks;
 use sorrelhinge::state::record::{chunk_key, ChunkId};
 use sorrelhinge::state::Transaction;
@@ -56,13 +56,13 @@
 #[test]
 fn a_swarm_of_idle_jobs_keeps_no_other_claim_waiting() {
     let chunk = |n: u32| ChunkId::new(&JobId::from(format!("run-{n:04}").as_str()), 0);
-    let mut pending = Pending::default();
+    let mut pending = WriteQueue::default();
     for n in 0..100 {
         pending.claimed(chunk(n), WritePriority::Idle, sort("ping"), Time(0.0));
         pending.finished(chunk(100 + n).job, WritePriority::Idle, Time(0.0));
     }
-    pending.claimed(chunk(300), WritePriority::Usual, sort("check"), Time(1.0));
-    pending.finished(chunk(301).job, WritePriority::Usual, Time(1.0));
+    pending.claimed(chunk(300), WritePriority::Normal, sort("check"), Time(1.0));
+    pending.finished(chunk(301).job, WritePriority::Normal, Time(1.0));
     let taken = [(); 3].map(|()| pending.take(false, Time(1.0)));
     assert!(
         taken.contains(&Some(PendingWrite::Chunk(chunk(300)))),
@@ -75,7 +75,7 @@
     let mut idle = 0;
     for n in 0..40 {
         let now = Time(10.0 + f64::from(n) * 0.1);
-        pending.claimed(chunk(1000 + n), WritePriority::Usual, sort("check"), now);
+        pending.claimed(chunk(1000 + n), WritePriority::Normal, sort("check"), now);
         let due = pending.take(false, now);
         idle += usize::from(matches!(due, Some(PendingWrite::Chunk(c)) if c < chunk(100)));
     }
@@ -94,16 +94,16 @@
 #[test]
 fn what_is_urgent_does_not_starve_the_rest() {
     let chunk = |n: u32| ChunkId::new(&JobId::from(format!("run-{n:04}").as_str()), 0);
-    let mut pending = Pending::default();
+    let mut pending = WriteQueue::default();
     for n in 0..10 {
-        pending.claimed(chunk(n), WritePriority::Usual, sort("bake"), Time(0.0));
+        pending.claimed(chunk(n), WritePriority::Normal, sort("bake"), Time(0.0));
         pending.claimed(
             chunk(100 + n),
-            WritePriority::Usual,
+            WritePriority::Normal,
             sort("check"),
             Time(0.0),
         );
-        pending.finished(chunk(200 + n).job, WritePriority::Usual, Time(0.0));
+        pending.finished(chunk(200 + n).job, WritePriority::Normal, Time(0.0));
     }
     let mut taken: BTreeMap<&str, usize> = BTreeMap::new();
     for n in 0..100 {
@@ -139,13 +139,13 @@
 #[test]
 fn changes_go_where_they_are_missed_max() {
     let chunk = |n: u32| ChunkId::new(&JobId::from(format!("run-{n}").as_str()), 0);
-    let mut pending = Pending::default();
-    pending.useless(chunk(1), Time(0.0));
+    let mut pending = WriteQueue::default();
+    pending.delete_chunk(chunk(1), Time(0.0));
     pending.released(chunk(2), Time(0.0));
-    pending.finished(chunk(3).job, WritePriority::Usual, Time(0.0));
-    pending.claimed(chunk(4), WritePriority::Usual, sort("batch"), Time(0.0));
+    pending.finished(chunk(3).job, WritePriority::Normal, Time(0.0));
+    pending.claimed(chunk(4), WritePriority::Normal, sort("batch"), Time(0.0));
     pending.claimed(chunk(5), WritePriority::Awaited, sort("live"), Time(0.0));
-    pending.claimed(chunk(2), WritePriority::Usual, sort("batch"), Time(0.5));
+    pending.claimed(chunk(2), WritePriority::Normal, sort("batch"), Time(0.5));
     let mut taken = |spare: bool, now: f64| pending.take(spare, Time(now));
     assert_eq!(
         taken(false, 1.0),
