--- a/src/api/for_peers.rs
+++ b/src/api/for_peers.rs
@@ -31,7 +31,7 @@
         announcement: peer_link::PeerAnnouncement,
         flags: u16,
     ) {
-        self.0.hinted(revision);
+        self.0.revision_announced(revision);
         self.0.receive_peer_status(from, announcement, flags);
     }
 
--- a/src/api/jobs.rs
+++ b/src/api/jobs.rs
@@ -10,7 +10,9 @@
 
 use super::reply::{later, passed, refuse, reply, Reply};
 use crate::control::load_counts::increment;
-use crate::control::{CancelOutcome, InvalidJob, JobStatus, Node, Polled, SubmitError, Submitted};
+use crate::control::{
+    CancelOutcome, InvalidJob, JobStatus, Node, PollOutcome, SubmitError, Submitted,
+};
 use crate::peer_link;
 use crate::state::record::{NewJob, Phase};
 use crate::state::view::Summary;
@@ -25,7 +27,7 @@
 
 /// Takes a user's submission, unless too much is asked for.
 pub(super) async fn take_submission(node: &Node, body: &[u8]) -> Reply {
-    if node.load().level() >= Level::Submissions && !node.takes_lane_turn(body) {
+    if node.load().level() >= Level::Submissions && !node.admits_by_lane_turn(body) {
         increment(&node.load().counts.shed);
         return later(SHED_SUBMISSION_S, "too much is asked for now");
     }
@@ -109,8 +111,8 @@
     }
     let asked = Instant::now();
     let answer = match node.poll(&id).await {
-        Polled::Local(status) => status_reply(node, &id, status),
-        Polled::Peer(answered) => passed(answered),
+        PollOutcome::Local(status) => status_reply(node, &id, status),
+        PollOutcome::Peer(answered) => passed(answered),
     };
     // Later than that nobody listens, and the next poll is not to be shed either.
     let answered_in_time = answer.status() != 503 && asked.elapsed() < USER_PATIENCE;
--- a/src/api/operators.rs
+++ b/src/api/operators.rs
@@ -71,7 +71,7 @@
 
 fn show(node: &Node, resource: Resource) -> Result<Value, OperatorError> {
     match resource {
-        Resource::Topology => node.show().map(|shown| json!(shown)),
+        Resource::Topology => node.show_topology().map(|shown| json!(shown)),
         Resource::Lanes => node.show_lanes().map(|shown| json!(shown)),
         Resource::Shards => Ok(json!(node.show_shards())),
         Resource::Calendar => node.show_calendar().map(|shown| json!(shown)),
@@ -81,7 +81,10 @@
 
 async fn change(node: &Node, resource: Resource, body: &[u8]) -> Result<Value, OperatorError> {
     match resource {
-        Resource::Shards => node.pin(&read("blocks", body)?).await.map(|()| json!({})),
+        Resource::Shards => node
+            .pin_shard(&read("blocks", body)?)
+            .await
+            .map(|()| json!({})),
         Resource::Calendar => {
             let asked = read("calendar", body)?;
             node.change_calendar(&asked).await.map(|()| json!({}))
--- a/src/cli/calendar.rs
+++ b/src/cli/calendar.rs
@@ -72,7 +72,7 @@
 
 fn check(file: &Path) -> Result<String, CliError> {
     let calendar = read_calendar(file)?;
-    settings::past(&calendar, crate::control::day_ms())
+    settings::past(&calendar, crate::control::unix_ms())
         .map_err(|error| OperatorFileCause::from(error).of(file))?;
     let windows = calendar.windows.len();
     Ok(format!("{}: valid, {windows} windows\n", file.display()))
--- a/src/control/admission.rs
+++ b/src/control/admission.rs
@@ -92,7 +92,7 @@
 
     /// Returns whether a submission is admitted by its lane's turn while the controller
     /// sheds submissions. The call also counts the submission for the turns of all lanes.
-    pub(super) fn takes_lane_turn(&self, lanes: &Lanes, lane: Option<LaneId>) -> bool {
+    pub(super) fn admits_by_lane_turn(&self, lanes: &Lanes, lane: Option<LaneId>) -> bool {
         let mut turns = self.lane_turns.borrow_mut();
         let admitted = lane.filter(|id| turns.entry(*id).or_default().allows(true));
         for (id, lane) in lanes.iter() {
--- a/src/control/cloud_duties.rs
+++ b/src/control/cloud_duties.rs
@@ -40,7 +40,7 @@
 impl Node {
     /// Reads the machine types periodically and passes them to the catalog and the owned
     /// shards.
-    pub(super) async fn learn_types(self: Rc<Self>) {
+    pub(super) async fn refresh_machine_types(self: Rc<Self>) {
         loop {
             match self.cloud.types().await {
                 Ok(types) => {
@@ -78,11 +78,11 @@
                 Ok(list) => {
                     // Each owner of shards reads the list, so each one reads it less often
                     // if there are several.
-                    let owners = self.owners_of_shards() as f64;
+                    let owners = self.shard_owner_count() as f64;
                     pause =
                         min_pause.max(list.len() as f64 / MACHINES_LISTED_PER_S) * owners.sqrt();
                     self.apply_machine_list(&list);
-                    self.drive();
+                    self.run_due_work();
                 }
                 Err(error) => tracing::info!(%error, "machine list failed"),
             }
@@ -118,13 +118,13 @@
                 continue;
             }
             let now = self.now();
-            if !self.paces.due(Duty::Fleet, now) {
+            if !self.paces.due(Duty::PlanScaling, now) {
                 continue;
             }
             let mut to_delete: Vec<MachineId> = Vec::new();
             let mut rentals = Vec::new();
             for (shard, c) in self.shards.owned_mut().iter_mut() {
-                let decision = self.timed(Duty::Fleet, || c.plan_scaling(now));
+                let decision = self.run_timed_duty(Duty::PlanScaling, || c.plan_scaling(now));
                 to_delete.extend(decision.to_delete);
                 rentals.extend(decision.scale_out.into_iter().map(|rental| ShardRental {
                     shard: *shard,
@@ -150,7 +150,7 @@
                         let own = machines.iter().filter(|m| c.scope.covers(m));
                         c.apply_deletions(&own.cloned().collect::<Vec<_>>(), now);
                     }
-                    self.drive();
+                    self.run_due_work();
                 }
                 Err(error) => tracing::info!(%error, "machine deletion failed"),
             }
--- a/src/control/drains.rs
+++ b/src/control/drains.rs
@@ -72,7 +72,7 @@
             .change_for_operator(DRAIN_QUEUE_TIMEOUT, plan, log_failure)
             .await?;
         // The refreshed view contains the change, so the next read shows it.
-        self.fresh().await;
+        self.refresh_view().await;
         tracing::info!(number, target = %drain.target, "drain started");
         Ok(number)
     }
@@ -112,7 +112,7 @@
             .change_for_operator(DRAIN_QUEUE_TIMEOUT, plan, log_failure)
             .await?;
         // The refreshed view contains the change, so the next read shows it.
-        self.fresh().await;
+        self.refresh_view().await;
         tracing::info!(number, "drain ended");
         Ok(())
     }
@@ -144,7 +144,7 @@
     /// # Errors
     ///
     /// There is no topology here, or another controller owns the machines.
-    pub fn show(&self) -> Result<TopologyShown, OperatorError> {
+    pub fn show_topology(&self) -> Result<TopologyShown, OperatorError> {
         let topology = self.topology().ok_or(OperatorError::NoTopology)?;
         let cores = self.shards.owned();
         // With a topology, all machines belong to one shard.
--- a/src/control/heartbeats.rs
+++ b/src/control/heartbeats.rs
@@ -168,7 +168,7 @@
 
     /// Returns whether the state service serves other controllers but not this one.
     pub fn is_cut_off_from_store(&self) -> bool {
-        self.store.lags_for(FORWARD_AFTER) && self.store_silence() >= FORWARD_AFTER
+        self.store.has_lagged_for(FORWARD_AFTER) && self.store_silence() >= FORWARD_AFTER
     }
 
     /// Returns whether a submission or cancellation that could not be decided here is
@@ -217,11 +217,11 @@
         match outcome {
             Some(HeartbeatOutcome::Duplicate) => HeartbeatReply::Unavailable,
             Some(HeartbeatOutcome::Superseded) => {
-                self.superseded(shard);
+                self.step_down_superseded(shard);
                 HeartbeatReply::Unavailable
             }
             Some(HeartbeatOutcome::Processed(reply)) => {
-                self.drive();
+                self.run_due_work();
                 reply.map_or(HeartbeatReply::Unavailable, HeartbeatReply::Reply)
             }
             None => match self.owner_of(shard) {
@@ -260,8 +260,10 @@
         if !self.knows_all_cancellations() {
             return HeartbeatOutcome::Processed(None);
         }
-        if self.paces.due(Duty::Walk, now) {
-            self.timed(Duty::Walk, || core.place_on(&heartbeat.machine, now));
+        if self.paces.due(Duty::FillMachines, now) {
+            self.run_timed_duty(Duty::FillMachines, || {
+                core.place_on(&heartbeat.machine, now);
+            });
         }
         HeartbeatOutcome::Processed(Some(core.answer(heartbeat, &self.store.view(), now)))
     }
--- a/src/control/leader.rs
+++ b/src/control/leader.rs
@@ -154,7 +154,7 @@
                 }
             }
             Ok(TransactionOutcome::Failed(_)) => {
-                self.fresh().await;
+                self.refresh_view().await;
             }
             Err(error) => {
                 // If the transaction was applied after all, the state service deletes the leader's
@@ -226,8 +226,8 @@
         // once.
         self.leadership.forget_reachability();
         self.shards.adopt(ShardId(0), core);
-        self.set_share();
-        self.inherit_spread();
+        self.update_rate_limits();
+        self.inherit_offload_share();
         self.wakeups.wake_owner();
     }
 
@@ -239,7 +239,7 @@
     ///
     /// With several shards, each owner gets the leader's share for each of its shards, and all
     /// controllers get equal parts of the rest.
-    pub(super) fn set_share(&self) {
+    pub(super) fn update_rate_limits(&self) {
         let others = self.cfg.others.len() as f64;
         let cores = self.shards.owned();
         let shards = cores.first().map_or(1, |c| c.scope.of);
@@ -289,7 +289,7 @@
 
     /// Steps down because a worker has seen the fencing token of a newer grant. A newer grant
     /// thus exists, whether or not the state service can confirm it.
-    pub(super) fn superseded(&self, shard: ShardId) {
+    pub(super) fn step_down_superseded(&self, shard: ShardId) {
         tracing::info!(%shard, "newer shard grant seen; stepping down");
         self.step_down(shard);
         self.store.request_refresh();
@@ -301,6 +301,6 @@
         if core.is_some_and(|c| !c.scope.is_part()) {
             self.leadership.release();
         }
-        self.set_share();
+        self.update_rate_limits();
     }
 }
--- a/src/control/load_monitor.rs
+++ b/src/control/load_monitor.rs
@@ -127,7 +127,7 @@
             self.peer_statuses.record(node, announcement, flags);
             if flags & peer_link::LIMITS_FELL != 0 && self.state.note_lower_limits() {
                 tracing::info!(by = %node, "store write rate lowered on the hint of another controller");
-                self.set_share();
+                self.update_rate_limits();
             }
         }
     }
@@ -166,14 +166,14 @@
         let limits_fell = self.state.limits_fell();
         if limits_fell {
             // The state client may have detected lower limits since the last announcement.
-            self.set_share();
+            self.update_rate_limits();
         }
         self.peers.announce_self(announcement, limits_fell);
     }
 
     /// Starts a new owner with the share of offloaded workers that the last owner
     /// announced.
-    pub(super) fn inherit_spread(&self) {
+    pub(super) fn inherit_offload_share(&self) {
         let share = self.peer_statuses.max_offload_share();
         self.load
             .start_with_offload_share(f64::from(share) / 1000.0);
--- a/src/control/mod.rs
+++ b/src/control/mod.rs
@@ -75,8 +75,8 @@
 
 pub use cancellations::CancelOutcome;
 pub use operator_error::{InvalidRequest, OperatorError};
-pub use reservations::{day_ms, CalendarAsked};
-pub use status_queries::{JobStatus, Polled};
+pub use reservations::{unix_ms, CalendarChange};
+pub use status_queries::{JobStatus, PollOutcome};
 pub use submit_error::{Infeasible, InvalidJob, SubmitError, Submitted};
 
 /// Outcome of a heartbeat that this controller received.
@@ -167,7 +167,7 @@
             admission: RequestAdmission::new(),
             cfg,
         });
-        node.set_share();
+        node.update_rate_limits();
         node
     }
 
@@ -211,11 +211,11 @@
         spawn_local(self.clone().watch_store());
         spawn_local(self.clone().run_refreshes());
         spawn_local(self.clone().run_elections());
-        spawn_local(self.clone().pump());
+        spawn_local(self.clone().record_pending_writes());
         spawn_local(self.clone().run_placement());
         spawn_local(self.clone().run_autoscaler());
         spawn_local(self.clone().list_machines());
-        spawn_local(self.clone().learn_types());
+        spawn_local(self.clone().refresh_machine_types());
         spawn_local(self.clone().watch_load());
         spawn_local(self.clone().announce_heartbeats());
         spawn_local(self.clone().assign_shards());
--- a/src/control/operator_changes.rs
+++ b/src/control/operator_changes.rs
@@ -46,7 +46,7 @@
         failed: impl FnOnce(StateError),
     ) -> Result<T, OperatorError> {
         for _ in 0..CHANGE_ATTEMPTS {
-            if !self.fresh().await {
+            if !self.refresh_view().await {
                 return Err(OperatorError::Unavailable);
             }
             let (write, outcome) = match plan()? {
--- a/src/control/paces.rs
+++ b/src/control/paces.rs
@@ -13,42 +13,42 @@
     /// Fills a machine with tasks at its heartbeat. Under load heartbeats may skip this
     /// duty, because `Place` offers all waiting jobs the best machine and has the same
     /// result.
-    Walk,
+    FillMachines,
     /// Offers the best machine to each waiting job.
     Place,
     /// Preempts tasks to free capacity for waiting jobs.
     Preempt,
     /// Plans which machines to rent and delete.
-    Fleet,
+    PlanScaling,
 }
 
 impl Duty {
     /// Returns the name that the log shows.
     pub(super) fn name(self) -> &'static str {
         match self {
-            Self::Walk => "walk",
+            Self::FillMachines => "walk",
             Self::Place => "place",
             Self::Preempt => "preempt",
-            Self::Fleet => "fleet",
+            Self::PlanScaling => "fleet",
         }
     }
 }
 
 /// Intervals between runs of each duty, the periodic work that scans the whole fleet.
 pub(super) struct Paces {
-    walk: RefCell<Pace>,
+    fill_machines: RefCell<Pace>,
     place: RefCell<Pace>,
     preempt: RefCell<Pace>,
-    fleet: RefCell<Pace>,
+    plan_scaling: RefCell<Pace>,
 }
 
 impl Default for Paces {
     fn default() -> Self {
         Self {
-            walk: RefCell::new(Pace::new(0.0, 0.5, 0.3)),
+            fill_machines: RefCell::new(Pace::new(0.0, 0.5, 0.3)),
             place: RefCell::new(Pace::new(0.0, 1.0, 0.3)),
             preempt: RefCell::new(Pace::new(0.4, 4.0, 0.06)),
-            fleet: RefCell::new(Pace::new(0.6, 6.0, 0.08)),
+            plan_scaling: RefCell::new(Pace::new(0.6, 6.0, 0.08)),
         }
     }
 }
@@ -56,10 +56,10 @@
 impl Paces {
     fn of(&self, duty: Duty) -> &RefCell<Pace> {
         match duty {
-            Duty::Walk => &self.walk,
+            Duty::FillMachines => &self.fill_machines,
             Duty::Place => &self.place,
             Duty::Preempt => &self.preempt,
-            Duty::Fleet => &self.fleet,
+            Duty::PlanScaling => &self.plan_scaling,
         }
     }
 
--- a/src/control/peer_statuses.rs
+++ b/src/control/peer_statuses.rs
@@ -68,7 +68,7 @@
     }
 
     /// Returns whether a controller's version supports several shards.
-    pub(super) fn knows_shards(&self, node: &NodeId) -> bool {
+    pub(super) fn supports_shards(&self, node: &NodeId) -> bool {
         let by_node = self.by_node.borrow();
         let status = by_node.get(node);
         status.is_some_and(|status| status.capabilities & SHARDS != 0)
--- a/src/control/recording.rs
+++ b/src/control/recording.rs
@@ -8,7 +8,7 @@
 use tokio::time::sleep;
 
 use super::core::Batch;
-use super::shard_owner::TICK;
+use super::shard_owner::OWNER_TICK_INTERVAL;
 use super::Node;
 use crate::state::{RequestPriority, StateError, TransactionOutcome};
 use crate::types::Revision;
@@ -30,15 +30,15 @@
 
 impl Node {
     /// Records claims and results of the owned shards, one transaction at a time.
-    pub(super) async fn pump(self: Rc<Self>) {
+    pub(super) async fn record_pending_writes(self: Rc<Self>) {
         let mut last = ShardId(0);
         loop {
             // The timeout lets writes that are not urgent be recorded now and then.
-            self.wakeups.recording_woken(TICK).await;
+            self.wakeups.recording_woken(OWNER_TICK_INTERVAL).await;
             while let Some(next) = self.next_shard_batch(last) {
                 last = next.shard;
                 self.record_batch(next).await;
-                self.drive();
+                self.run_due_work();
             }
             self.hand_over_shards().await;
         }
@@ -110,7 +110,7 @@
     async fn batch_conflicted(&self, failed: ShardBatch, revision: Revision) {
         let (shard, grant) = (failed.shard, failed.grant);
         while self.store.view().store_revision < revision {
-            if !self.fresh().await {
+            if !self.refresh_view().await {
                 sleep(CATCH_UP_PAUSE).await;
             }
             if !self.shards.owns_by_grant(shard, grant) {
--- a/src/control/reservations.rs
+++ b/src/control/reservations.rs
@@ -45,8 +45,11 @@
 
 /// Change of the calendar that an operator requests.
 #[derive(Debug, serde::Deserialize)]
-#[serde(untagged)]
-pub enum CalendarAsked {
+#[serde(
+    untagged,
+    expecting = "data did not match any variant of untagged enum CalendarAsked"
+)]
+pub enum CalendarChange {
     /// Adds or replaces a window.
     Pin(Box<PinWindow>),
     /// Removes a window.
@@ -54,7 +57,7 @@
 }
 
 /// Returns the wall clock in milliseconds since 1970.
-pub fn day_ms() -> i64 {
+pub fn unix_ms() -> i64 {
     i64::try_from(wall_ms()).unwrap_or(i64::MAX)
 }
 
@@ -73,7 +76,7 @@
             self.record_calendar_file(&file, &mut file_error_log).await;
             let steps = {
                 let view = self.store.view();
-                let (wall, now) = (day_ms(), self.now());
+                let (wall, now) = (unix_ms(), self.now());
                 let mut steps = Vec::new();
                 for c in self.shards.owned_mut().values_mut() {
                     c.refresh_windows(&view, wall, now);
@@ -114,11 +117,11 @@
                     "calendar"
                 );
                 self.peers.announce(revision);
-                self.fresh().await;
+                self.refresh_view().await;
             }
             // Another controller was faster. The refreshed view shows the result.
             Ok(TransactionOutcome::Failed(_)) => {
-                self.fresh().await;
+                self.refresh_view().await;
             }
             Err(error) => tracing::debug!(%error, "calendar"),
         }
@@ -161,7 +164,7 @@
     fn check_calendar(&self, record: &CalendarRecord) -> Result<(), InvalidRequest> {
         let known = Known {
             types: self.catalog.types().clone(),
-            ..self.cfg.calendar_known(day_ms())
+            ..self.cfg.calendar_known(unix_ms())
         };
         let windows: Vec<_> = record.entries.iter().map(|e| e.window.clone()).collect();
         check_windows(&windows, &known)?;
@@ -210,7 +213,7 @@
             // If the transaction was applied after all, the refreshed view shows it.
             Err(error) => tracing::debug!(%error, "calendar"),
         }
-        self.fresh().await;
+        self.refresh_view().await;
     }
 
     /// Returns the calendar for operators. Only the owner of shard 0 knows all of it.
@@ -235,7 +238,7 @@
         Ok(CalendarShown {
             number: view.calendar.value.as_ref().map_or(0, |c| c.number),
             owner: Some(self.cfg.node.to_string()),
-            windows: core.windows_shown(day_ms()),
+            windows: core.windows_shown(unix_ms()),
         })
     }
 
@@ -244,11 +247,11 @@
     /// # Errors
     ///
     /// There is no calendar here, the window is refused, or the change could not be recorded.
-    pub async fn change_calendar(&self, asked: &CalendarAsked) -> Result<(), OperatorError> {
+    pub async fn change_calendar(&self, asked: &CalendarChange) -> Result<(), OperatorError> {
         if self.cfg.calendar.is_none() {
             return Err(OperatorError::NoCalendar);
         }
-        if let CalendarAsked::Pin(pin) = asked {
+        if let CalendarChange::Pin(pin) = asked {
             let checked = pin.window.check("window");
             checked.map_err(InvalidRequest::from)?;
         }
@@ -259,7 +262,7 @@
             .await?;
         if let Some(windows) = recorded_windows {
             tracing::info!(windows, "calendar");
-            self.fresh().await;
+            self.refresh_view().await;
         }
         Ok(())
     }
@@ -268,7 +271,7 @@
     /// `None` if nothing needs to be written.
     fn plan_calendar_change(
         &self,
-        asked: &CalendarAsked,
+        asked: &CalendarChange,
     ) -> Result<ChangePlan<Option<usize>>, OperatorError> {
         let view = self.store.view();
         let Some(record) = self.changed_calendar(&view.calendar, asked)? else {
@@ -290,13 +293,13 @@
     fn changed_calendar(
         &self,
         recorded: &Versioned<Option<CalendarRecord>>,
-        asked: &CalendarAsked,
+        asked: &CalendarChange,
     ) -> Result<Option<CalendarRecord>, OperatorError> {
         if recorded.mod_revision > Revision(0) && recorded.value.is_none() {
             return Err(InvalidRequest::UnreadableCalendar.into());
         }
         match asked {
-            CalendarAsked::Pin(pin) => {
+            CalendarChange::Pin(pin) => {
                 let changed = CalendarRecord::pin(recorded.value.as_ref(), &pin.window);
                 let Some(record) = changed.map_err(InvalidRequest::from)? else {
                     return Ok(None);
@@ -304,7 +307,7 @@
                 self.check_calendar(&record)?;
                 Ok(Some(record))
             }
-            CalendarAsked::Unpin(unpin) => {
+            CalendarChange::Unpin(unpin) => {
                 let record = recorded.value.as_ref().ok_or(OperatorError::NoSuchWindow)?;
                 let changed = record.unpin(&unpin.name).map_err(InvalidRequest::from)?;
                 Ok(Some(changed.ok_or(OperatorError::NoSuchWindow)?))
--- a/src/control/resharding.rs
+++ b/src/control/resharding.rs
@@ -104,7 +104,7 @@
     /// Writes the shards' quotas and then, if nothing changed meanwhile, the shards in place of
     /// the only grant.
     async fn execute_split(&self, shard_count: u32, grant: u64) -> Result<(), SplitError> {
-        if !self.fresh().await {
+        if !self.refresh_view().await {
             return Err(SplitError::Unconfirmed);
         }
         let plan = self.plan_split(shard_count, grant)?;
@@ -120,7 +120,7 @@
             Ok(TransactionOutcome::Done(revision)) => {
                 tracing::info!(shards = shard_count, "machines split into shards");
                 self.peers.announce(revision);
-                self.fresh().await;
+                self.refresh_view().await;
                 Ok(())
             }
             // If the transaction was applied after all, the refreshed view shows it.
--- a/src/control/shard_demand.rs
+++ b/src/control/shard_demand.rs
@@ -20,7 +20,7 @@
     /// Returns the other controllers whose versions support several shards.
     pub(super) fn peers_supporting_shards(&self) -> Vec<NodeId> {
         let others = self.cfg.others.iter().map(|other| &other.node);
-        let knowing = others.filter(|node| self.peer_statuses.knows_shards(node));
+        let knowing = others.filter(|node| self.peer_statuses.supports_shards(node));
         knowing.cloned().collect()
     }
 
--- a/src/control/shard_grants.rs
+++ b/src/control/shard_grants.rs
@@ -75,10 +75,10 @@
             Ok(TransactionOutcome::Done(_)) => {
                 tracing::info!(term = %leader.term, "leader elected");
                 self.shards.forget_assignments();
-                self.fresh().await;
+                self.refresh_view().await;
             }
             Ok(TransactionOutcome::Failed(_)) => {
-                self.fresh().await;
+                self.refresh_view().await;
             }
             Err(error) => {
                 tracing::info!(%error, "leader election failed");
@@ -117,7 +117,7 @@
             Err(error) => tracing::info!(%error, "shards"),
         }
         // The refreshed view shows the outcome, whatever the answer was.
-        self.fresh().await;
+        self.refresh_view().await;
     }
 
     /// Returns the next step of the shard assignment that is due according to the records.
--- a/src/control/shard_merge.rs
+++ b/src/control/shard_merge.rs
@@ -39,7 +39,7 @@
             }
             other => {
                 tracing::info!(?other, "shard merge failed");
-                self.fresh().await;
+                self.refresh_view().await;
                 for c in self.shards.owned_mut().values_mut() {
                     c.unfreeze();
                 }
--- a/src/control/shard_owner.rs
+++ b/src/control/shard_owner.rs
@@ -14,17 +14,17 @@
 use crate::types::Time;
 
 /// Interval between runs of a shard owner's periodic work that is not urgent.
-pub(super) const TICK: Duration = Duration::from_millis(200);
+pub(super) const OWNER_TICK_INTERVAL: Duration = Duration::from_millis(200);
 /// Duration from which a periodic scan of the whole fleet is logged, in seconds. All other work of
 /// the controller waits during such a scan.
 const SLOW_DUTY_S: f64 = 0.4;
 
 impl Node {
     /// Runs the due work of the owned cores: placement walks, recording and commands.
-    pub(super) fn drive(self: &Rc<Self>) {
+    pub(super) fn run_due_work(self: &Rc<Self>) {
         let now = self.now();
         let mut cores = self.shards.owned_mut();
-        let walks = self.paces.due(Duty::Walk, now);
+        let walks = self.paces.due(Duty::FillMachines, now);
         let starts_allowed_until = self.starts_allowed_until();
         // An unrenewed lease expires, but the machine's next incarnation accepts starts again.
         // A start sent then may belong to a job that was cancelled elsewhere long before.
@@ -33,7 +33,7 @@
         for (shard, c) in cores.iter_mut() {
             c.allow_starts_until(starts_allowed_until, now);
             if walks {
-                self.timed(Duty::Walk, || c.place(now));
+                self.run_timed_duty(Duty::FillMachines, || c.place(now));
             }
             self.place_all(c, now);
             if c.has_urgent() {
@@ -76,20 +76,20 @@
             (false, None) => {}
         }
         if grant_holds == Some(false) {
-            self.superseded(shard);
+            self.step_down_superseded(shard);
         }
-        self.drive();
+        self.run_due_work();
     }
 
     /// Tries to place every waiting job on the best machine, if this scan is due.
     fn place_all(&self, core: &mut Core, now: Time) {
         if core.place_all_is_due() && self.paces.due(Duty::Place, now) {
-            self.timed(Duty::Place, || core.place_all(now));
+            self.run_timed_duty(Duty::Place, || core.place_all(now));
         }
     }
 
     /// Runs a periodic scan of the whole fleet, and records how long it took.
-    pub(super) fn timed<R>(&self, duty: Duty, work: impl FnOnce() -> R) -> R {
+    pub(super) fn run_timed_duty<R>(&self, duty: Duty, work: impl FnOnce() -> R) -> R {
         let begun = Instant::now();
         let result = work();
         let cost = begun.elapsed().as_secs_f64();
@@ -109,8 +109,8 @@
     pub(super) async fn run_placement(self: Rc<Self>) {
         let mut last = Instant::now();
         loop {
-            self.wakeups.owner_woken(TICK).await;
-            if last.elapsed() >= TICK {
+            self.wakeups.owner_woken(OWNER_TICK_INTERVAL).await;
+            if last.elapsed() >= OWNER_TICK_INTERVAL {
                 last = Instant::now();
                 let now = self.now();
                 // A controller that took ownership again, because no other one did, keeps it.
@@ -126,11 +126,11 @@
                     // Placement runs first: a task that has a place needs no preemption.
                     self.place_all(c, now);
                     if preempts {
-                        self.timed(Duty::Preempt, || c.preempt(now));
+                        self.run_timed_duty(Duty::Preempt, || c.preempt(now));
                     }
                 }
             }
-            self.drive();
+            self.run_due_work();
         }
     }
 }
--- a/src/control/shard_owners.rs
+++ b/src/control/shard_owners.rs
@@ -44,7 +44,7 @@
     }
 
     /// Returns how many controllers own shards, at least 1.
-    pub(super) fn owners_of_shards(&self) -> usize {
+    pub(super) fn shard_owner_count(&self) -> usize {
         let view = self.store.view();
         let owners: std::collections::BTreeSet<&NodeId> =
             view.shards.values().map(|b| &b.value.owner).collect();
@@ -176,7 +176,7 @@
                 Ok(TransactionOutcome::Failed(_)) => {}
                 Err(error) => tracing::info!(%shard, %error, "shard handover failed"),
             }
-            self.fresh().await;
+            self.refresh_view().await;
         }
     }
 
--- a/src/control/shard_status.rs
+++ b/src/control/shard_status.rs
@@ -91,7 +91,7 @@
     /// # Errors
     ///
     /// There is no such shard or controller, or the pin could not be recorded.
-    pub async fn pin(&self, asked: &PinAsked) -> Result<(), OperatorError> {
+    pub async fn pin_shard(&self, asked: &PinAsked) -> Result<(), OperatorError> {
         asked.check().map_err(InvalidRequest::from)?;
         let to = asked.to.as_deref().map(NodeId::from);
         let all = self.cfg.others.iter().map(|o| &o.node);
--- a/src/control/status_queries.rs
+++ b/src/control/status_queries.rs
@@ -51,7 +51,7 @@
 }
 
 /// Outcome of a poll.
-pub enum Polled {
+pub enum PollOutcome {
     /// This controller answers. The status is unconfirmed if no controller could confirm it
     /// in time.
     Local(JobStatus),
@@ -137,7 +137,7 @@
     /// it. All that this controller had told users by then was recorded before it was told,
     /// so the read contains it. If this controller learns the job's final state while it
     /// waits, that state takes precedence.
-    pub async fn poll(&self, id: &JobId) -> Polled {
+    pub async fn poll(&self, id: &JobId) -> PollOutcome {
         let deadline = Instant::now() + ANSWER_DEADLINE;
         if self.is_cut_off_from_store() {
             if let Some(polled) = self.poll_peers(id, deadline).await {
@@ -152,13 +152,13 @@
         };
         let status = self.status_within(id, left().min(timeout)).await;
         if status.is_confirmed_by_records() {
-            return Polled::Local(status);
+            return PollOutcome::Local(status);
         }
         if let Some(polled) = self.poll_peers(id, deadline).await {
             return polled;
         }
         // No other controller can answer, so spend the time left on another try here.
-        Polled::Local(self.status_within(id, left()).await)
+        PollOutcome::Local(self.status_within(id, left()).await)
     }
 
     /// Answers a poll for another controller that could not. Never forwards the poll again.
@@ -166,7 +166,7 @@
         self.status_within(id, LOCAL_QUERY_TIMEOUT).await
     }
 
-    async fn poll_peers(&self, id: &JobId, deadline: Instant) -> Option<Polled> {
+    async fn poll_peers(&self, id: &JobId, deadline: Instant) -> Option<PollOutcome> {
         let _in_flight = self.admission.begin_forwarded_query()?;
         for other in self.peers_answering_polls(id).iter().take(2) {
             let left = deadline.saturating_duration_since(Instant::now());
@@ -182,7 +182,7 @@
             );
             let answered = request.await;
             if let Some(summary) = self.final_summary(id) {
-                return Some(Polled::Local(JobStatus::Recorded(summary)));
+                return Some(PollOutcome::Local(JobStatus::Recorded(summary)));
             }
             // A job that is recorded here was accepted, so no user may be told that it does
             // not exist.
@@ -192,7 +192,7 @@
                 continue;
             }
             if let Some(answered) = answered.filter(|a| matches!(a.status, 200 | 404)) {
-                return Some(Polled::Peer(answered));
+                return Some(PollOutcome::Peer(answered));
             }
         }
         self.admission.no_peer_answered_poll();
--- a/src/control/store_view.rs
+++ b/src/control/store_view.rs
@@ -115,7 +115,7 @@
 
     /// Records a revision that another controller announced, and requests a refresh if the copy
     /// is older.
-    pub(super) fn hinted(&self, revision: Revision) {
+    pub(super) fn revision_announced(&self, revision: Revision) {
         if revision > self.view.borrow().store_revision {
             if self.lagging_since.get().is_none() {
                 self.lagging_since.set(Some(Instant::now()));
@@ -127,7 +127,7 @@
     }
 
     /// Returns whether the copy has been older than an announced revision for `at_least`.
-    pub(super) fn lags_for(&self, at_least: Duration) -> bool {
+    pub(super) fn has_lagged_for(&self, at_least: Duration) -> bool {
         let since = self.lagging_since.get();
         since.is_some_and(|t| t.elapsed() >= at_least)
     }
--- a/src/control/store_watch.rs
+++ b/src/control/store_watch.rs
@@ -47,22 +47,22 @@
         }
         let view = self.store.view();
         let served = self.store_silence() < STORE_SILENCE_LIMIT;
-        let lagging = self.store.lags_for(WATCH_LAG_LIMIT);
+        let lagging = self.store.has_lagged_for(WATCH_LAG_LIMIT);
         view.loaded && (served || !lagging)
     }
 
     /// Records a revision that another controller announced. The announcement is a hint.
-    pub fn hinted(&self, revision: Revision) {
-        self.store.hinted(revision);
+    pub fn revision_announced(&self, revision: Revision) {
+        self.store.revision_announced(revision);
     }
 
     /// Waits until the view is at least as new as the state service was at the time of the
     /// call. Returns whether the view is that new. One refresh serves all waiting callers.
-    pub async fn fresh(&self) -> bool {
+    pub async fn refresh_view(&self) -> bool {
         self.fresh_within(FRESH_VIEW_TIMEOUT).await
     }
 
-    /// Waits like [`Node::fresh`], for `patience` at most.
+    /// Waits like [`Node::refresh_view`], for `patience` at most.
     pub(super) async fn fresh_within(&self, patience: Duration) -> bool {
         self.store.refresh_within(patience).await
     }
@@ -70,7 +70,7 @@
     /// Refreshes the view until it contains a revision, with a pause after each failed refresh.
     pub(super) async fn catch_up(&self, revision: Revision, retry_pause: Duration) {
         while self.store.view().store_revision < revision {
-            if !self.fresh().await {
+            if !self.refresh_view().await {
                 sleep(retry_pause).await;
             }
         }
@@ -174,7 +174,7 @@
         let leaderless = view.leader.value.is_none();
         drop(view);
         if shards_changed {
-            self.set_share();
+            self.update_rate_limits();
             self.wakeups.wake_assignments();
         }
         if !changed.is_empty() {
--- a/src/control/submissions.rs
+++ b/src/control/submissions.rs
@@ -63,7 +63,7 @@
     /// Returns whether a submission is admitted although the controller sheds submissions.
     /// A lane has a share of all submissions that arrive meanwhile, and a job of that lane
     /// is admitted in the lane's turn.
-    pub fn takes_lane_turn(&self, body: &[u8]) -> bool {
+    pub fn admits_by_lane_turn(&self, body: &[u8]) -> bool {
         let lanes = &self.cfg.lanes;
         if lanes.is_empty() {
             // Without lanes the body is not even parsed, which is the cheapest way to
@@ -73,7 +73,7 @@
         let spec = serde_json::from_slice(body).ok();
         let spec = spec.and_then(|value| read_job(value).ok());
         let lane = spec.and_then(|s| lanes.of(&s.class, s.priority, s.deadline_s.is_some()));
-        self.admission.takes_lane_turn(lanes, lane)
+        self.admission.admits_by_lane_turn(lanes, lane)
     }
 
     /// Accepts a job, or refuses it with the reason. A job that was accepted before is
--- a/src/main.rs
+++ b/src/main.rs
@@ -137,7 +137,7 @@
     fn load(&self) -> Result<Loaded, FilesError> {
         let mut config = Config::load(&self.config, self.properties.as_deref())?;
         if let Some(file) = &self.calendar {
-            config = config.with_calendar(file, sorrelhinge::control::day_ms())?;
+            config = config.with_calendar(file, sorrelhinge::control::unix_ms())?;
         }
         let topology = self.topology.as_deref().map(TopologyFile::load);
         Ok(Loaded {
--- a/tests/calendar.rs
+++ b/tests/calendar.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use serde_json::{json, Value};
-use sorrelhinge::control::day_ms;
+use sorrelhinge::control::unix_ms;
 use sorrelhinge::types::MachineId;
 use sorrelhinge_emulators::{run, CommandOutput, Plan, World};
 use sorrelhinge_reservations::shown::{CalendarShown, WindowShown};
@@ -35,7 +35,7 @@
 }
 
 fn now_s() -> i64 {
-    day_ms() / 1000
+    unix_ms() / 1000
 }
 
 fn step(world: &World, name: &str, start_s: i64) -> Value {
--- a/tests/joined.rs
+++ b/tests/joined.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use serde_json::json;
-use sorrelhinge::control::day_ms;
+use sorrelhinge::control::unix_ms;
 use sorrelhinge_emulators::{run, HttpResponse, Plan, World};
 use tokio::time::sleep;
 
@@ -29,7 +29,7 @@
 #[test]
 fn a_tournament_night_whoever_ends() {
     run(async {
-        let start = day_ms() / 1000 + 20;
+        let start = unix_ms() / 1000 + 20;
         let moment = jiff::Timestamp::from_second(start).expect("a moment");
         let window = format!(
             "version = 1\nnumber = 1\n[[window]]\nname = \"night\"\nteam = \"crew\"\n\
@@ -56,7 +56,7 @@
         let owner = world.leader().unwrap_or(0);
         end(&mut world, &[owner]).await;
         world
-            .until("it begins", 60, |_| day_ms() / 1000 >= start)
+            .until("it begins", 60, |_| unix_ms() / 1000 >= start)
             .await;
         let table = json!({"jobclass": "table", "shape": "standing", "pieces": TABLES,
             "cpus": 4.0, "bundle": "weights-1", "pull_gb": 2.0});
--- a/tests/rules/world.rs
+++ b/tests/rules/world.rs
@@ -87,7 +87,7 @@
 
 impl Owner {
     /// Whether its view is new enough to command workers and to renew leases, as
-    /// `Node::process_as_owner` and `Node::drive` ask.
+    /// `Node::process_as_owner` and `Node::run_due_work` ask.
     pub(crate) fn may_command(&self, now: f64) -> bool {
         self.freshness
             .may_answer_workers(Time(now), LEASE_S, CANCEL_S)
