--- a/src/control/cloud_duties.rs
+++ b/src/control/cloud_duties.rs
@@ -13,32 +13,34 @@
 use crate::cloud::{ListedMachine, Rental};
 use crate::types::MachineId;
 
-/// Interval between two plans of the fleet.
+/// Interval between two plans of which machines to rent and delete.
 const AUTOSCALE_INTERVAL: Duration = Duration::from_millis(700);
-/// Maximum rate at which machines are read from the list, in machines per second.
+/// Maximum rate at which a controller reads entries of the cloud's machine list, in machines per
+/// second.
 const MACHINES_LISTED_PER_S: f64 = 350.0;
-/// Pause before the first list request and after a failed one, in seconds.
+/// Pause before the first request for the cloud's machine list and after a failed one, in seconds.
 const LIST_RETRY_S: f64 = 0.5;
-/// Lower bound of the minimum pause between two list requests, in seconds.
+/// Lower bound of the minimum pause between two requests for the cloud's machine list, in seconds.
 const LIST_PAUSE_FLOOR_S: f64 = 1.0;
-/// Upper bound of the minimum pause between two list requests, in seconds. The minimum
-/// pause is half the lag of the list, within these two bounds.
+/// Upper bound of the minimum pause between two requests for the cloud's machine list, in seconds.
+/// The minimum pause is half the lag of the list, within these two bounds.
 const LIST_PAUSE_CEILING_S: f64 = 5.0;
-/// Interval between two reads of the machine types. Prices change; the other properties
-/// hardly do.
-const TYPES_INTERVAL: Duration = Duration::from_secs(45);
-/// Pause after a failed read of the machine types, while earlier ones are known.
-const TYPES_RETRY_PAUSE: Duration = Duration::from_secs(10);
-/// Pause after a failed read of the machine types while none are known. The controller
+/// Interval between two reads of the cloud's machine types. Their prices change; the other
+/// properties hardly do.
+const MACHINE_TYPES_INTERVAL: Duration = Duration::from_secs(45);
+/// Pause after a failed read of the cloud's machine types, while those of an earlier read are
+/// known.
+const MACHINE_TYPES_RETRY_PAUSE: Duration = Duration::from_secs(10);
+/// Pause after a failed read of the cloud's machine types while none are known. The controller
 /// can't accept any job before it knows them.
-const FIRST_TYPES_RETRY_PAUSE: Duration = Duration::from_secs(1);
+const FIRST_MACHINE_TYPES_RETRY_PAUSE: Duration = Duration::from_secs(1);
 /// Maximum number of machines that one request deletes.
 const MAX_DELETIONS_PER_REQUEST: usize = 100;
 
 impl Node {
     /// Reads the machine types periodically and passes them to the catalog and the owned
     /// shards.
-    pub(super) async fn learn_types(self: Rc<Self>) {
+    pub(super) async fn refresh_machine_types(self: Rc<Self>) {
         loop {
             match self.cloud.types().await {
                 Ok(types) => {
@@ -46,14 +48,14 @@
                         c.set_types(&types);
                     }
                     self.catalog.set_types(types);
-                    sleep(TYPES_INTERVAL).await;
+                    sleep(MACHINE_TYPES_INTERVAL).await;
                 }
                 Err(error) => {
                     tracing::info!(%error, "machine type list failed");
                     let pause = if self.catalog.has_types() {
-                        TYPES_RETRY_PAUSE
+                        MACHINE_TYPES_RETRY_PAUSE
                     } else {
-                        FIRST_TYPES_RETRY_PAUSE
+                        FIRST_MACHINE_TYPES_RETRY_PAUSE
                     };
                     sleep(pause).await;
                 }
@@ -76,11 +78,11 @@
                 Ok(list) => {
                     // Each owner of shards reads the list, so each one reads it less often
                     // if there are several.
-                    let owners = self.owners_of_shards() as f64;
+                    let owners = self.shard_owner_count() as f64;
                     pause =
                         min_pause.max(list.len() as f64 / MACHINES_LISTED_PER_S) * owners.sqrt();
                     self.apply_machine_list(&list);
-                    self.drive();
+                    self.run_due_work();
                 }
                 Err(error) => tracing::info!(%error, "machine list failed"),
             }
@@ -99,14 +101,14 @@
             let scope = c.scope;
             if scope.is_part() {
                 let own = list.iter().filter(|m| scope.covers(&m.id));
-                c.listed(&own.cloned().collect::<Vec<_>>(), now);
+                c.apply_machine_list(&own.cloned().collect::<Vec<_>>(), now);
             } else {
-                c.listed(list, now);
+                c.apply_machine_list(list, now);
             }
         }
     }
 
-    /// Plans the fleet periodically, and rents and deletes machines by the plan.
+    /// Plans periodically which machines to rent and delete, and carries out the plan.
     pub(super) async fn run_autoscaler(self: Rc<Self>) {
         loop {
             sleep(AUTOSCALE_INTERVAL).await;
@@ -116,13 +118,13 @@
                 continue;
             }
             let now = self.now();
-            if !self.paces.due(Duty::Fleet, now) {
+            if !self.paces.due(Duty::PlanScaling, now) {
                 continue;
             }
             let mut to_delete: Vec<MachineId> = Vec::new();
             let mut rentals = Vec::new();
             for (shard, c) in self.shards.owned_mut().iter_mut() {
-                let decision = self.timed(Duty::Fleet, || c.fleet(now));
+                let decision = self.run_timed_duty(Duty::PlanScaling, || c.plan_scaling(now));
                 to_delete.extend(decision.to_delete);
                 rentals.extend(decision.scale_out.into_iter().map(|rental| ShardRental {
                     shard: *shard,
@@ -146,9 +148,9 @@
                     let now = self.now();
                     for c in self.shards.owned_mut().values_mut() {
                         let own = machines.iter().filter(|m| c.scope.covers(m));
-                        c.deleted(&own.cloned().collect::<Vec<_>>(), now);
+                        c.apply_deletions(&own.cloned().collect::<Vec<_>>(), now);
                     }
-                    self.drive();
+                    self.run_due_work();
                 }
                 Err(error) => tracing::info!(%error, "machine deletion failed"),
             }
--- a/src/control/core/agent.rs
+++ b/src/control/core/agent.rs
@@ -25,7 +25,8 @@
 pub(super) struct AgentState {
     /// Address on which the agent listens.
     pub(super) addr: SocketAddr,
-    /// Incarnation of the last heartbeat. `sequence` is the heartbeat's number in it.
+    /// Incarnation of the agent that sent the last heartbeat. `sequence` is the number of that
+    /// heartbeat in the incarnation.
     incarnation: Incarnation,
     sequence: SequenceNumber,
     /// Fencing token that commands to this machine carry now.
@@ -38,7 +39,7 @@
     relayed_sequence: SequenceNumber,
     /// Evidence that commands to this machine take effect.
     pub(super) reachability: Reachability,
-    /// Tasks in the last heartbeat.
+    /// Tasks that the agent's last heartbeat names.
     pub(super) tasks: BTreeMap<TaskAttempt, TaskStatus>,
     /// State of direct commands to this agent.
     pub(super) direct: DirectCommandState,
@@ -48,7 +49,7 @@
     /// Another controller forwarded the last heartbeat.
     forwarded: bool,
     /// The cloud is about to preempt the machine, or the owner chose to return it.
-    leaving: bool,
+    retiring: bool,
     /// The machine is being deleted, so nothing may rely on it again.
     deleting: bool,
     /// Jobs that failed on this machine.
@@ -76,15 +77,16 @@
             direct: DirectCommandState::new(now),
             suspected_one_way: false,
             forwarded: false,
-            leaving: false,
+            retiring: false,
             deleting: false,
-            failed_jobs: FailedJobs::none(),
+            failed_jobs: FailedJobs::new(),
             sent_kills: SentKills::default(),
             images: Vec::new(),
         }
     }
 
-    /// Replaces the tasks by those of a heartbeat. Tasks with an unreadable name are skipped.
+    /// Replaces the agent's tasks by those that a heartbeat names. Tasks with an unreadable name
+    /// are skipped.
     fn set_tasks(&mut self, reported: &[ReportedTask]) {
         let tasks = reported.iter().filter_map(|reported| {
             let key = TaskAttempt {
@@ -121,7 +123,7 @@
         self.last_contact = now;
         self.relayed_sequence = SequenceNumber(0);
         self.direct.contact_confirmed();
-        self.forwarded = source == Source::Passed;
+        self.forwarded = source == Source::Forwarded;
         // Only a heartbeat that the agent itself sent here shows that the network path works.
         // Heartbeats received by other controllers once counted too. While the owner was cut
         // off from all agents, it then retried direct commands after each of them.
@@ -129,7 +131,7 @@
             self.direct.reported(now);
         }
         if heartbeat.preemption_notice_s.is_some() {
-            self.leaving = true;
+            self.retiring = true;
         }
         self.set_tasks(&heartbeat.tasks);
         self.images.clone_from(&heartbeat.images);
@@ -143,7 +145,7 @@
     }
 
     /// Returns whether a heartbeat is not newer than the last one.
-    pub(super) fn is_copy(&self, heartbeat: &Heartbeat) -> bool {
+    pub(super) fn is_stale(&self, heartbeat: &Heartbeat) -> bool {
         (heartbeat.incarnation, heartbeat.sequence) <= (self.incarnation, self.sequence)
     }
 
@@ -185,7 +187,7 @@
         now.since(self.last_contact)
     }
 
-    /// Returns whether a direct command failed and no heartbeat has shown since that one
+    /// Returns whether a direct command failed and no heartbeat since then has shown that a command
     /// arrived.
     pub(super) fn is_suspected_one_way(&self) -> bool {
         self.suspected_one_way
@@ -197,13 +199,13 @@
     }
 
     /// Returns whether the owner returns the machine, or the cloud preempts it.
-    pub(super) fn is_leaving(&self) -> bool {
-        self.leaving
+    pub(super) fn is_retiring(&self) -> bool {
+        self.retiring
     }
 
     /// Marks the machine to be returned to the cloud once it is empty.
-    pub(super) fn leave(&mut self) {
-        self.leaving = true;
+    pub(super) fn retire(&mut self) {
+        self.retiring = true;
     }
 
     /// Returns whether the machine is being deleted.
@@ -250,7 +252,8 @@
     /// on.
     pub(super) fn command_failed(&mut self, now: Time) {
         self.suspected_one_way = true;
-        // The next heartbeats have to show the fencing token.
+        // The agent has not reported its current fencing token, so its next heartbeats have to show
+        // that token.
         if !self.fenced() {
             self.reachability.asked(now);
         }
--- a/src/control/core/agent_table.rs
+++ b/src/control/core/agent_table.rs
@@ -66,9 +66,9 @@
         unfenced.count()
     }
 
-    /// Returns whether any agent has not reported its current fencing token. Machines that are
-    /// being deleted don't count.
-    pub(super) fn any_staying_unfenced(&self) -> bool {
+    /// Returns whether any agent has not reported its current fencing token. Agents whose machines
+    /// are being deleted don't count.
+    pub(super) fn any_unfenced_except_deleting(&self) -> bool {
         let mut agents = self.agents.values();
         agents.any(|agent| !agent.fenced() && !agent.is_deleting())
     }
@@ -99,10 +99,10 @@
         unreachable.map(|(id, _)| id.clone()).collect()
     }
 
-    /// Discards a job's failures on all machines.
-    pub(super) fn forgive(&mut self, job: &JobId) {
+    /// Removes a job's failures from the records of all machines.
+    pub(super) fn remove_job_failures(&mut self, job: &JobId) {
         for agent in self.agents.values_mut() {
-            agent.failed_jobs.forgive(job);
+            agent.failed_jobs.remove(job);
         }
     }
 }
--- a/src/control/core/agents.rs
+++ b/src/control/core/agents.rs
@@ -31,7 +31,7 @@
     usable: bool,
     /// Commands reach the machine only in the answers to its heartbeats.
     slow: bool,
-    /// The last heartbeat is too old.
+    /// The last heartbeat is so old that the machine gets no new tasks.
     silent: bool,
     /// The owner returns or deletes the machine, or the cloud preempts it.
     leaving: bool,
@@ -61,7 +61,7 @@
             self.add_machine(seen, kind, now);
             let agent = AgentState::new(seen.addr, self.base_fencing_token(), now);
             self.agents.insert(seen.id.clone(), agent);
-            self.wake(seen.id);
+            self.queue_contact(seen.id);
         }
         self.agents.get_mut(seen.id)
     }
@@ -113,7 +113,7 @@
     /// Queues a machine that may need commands. After a takeover the owner has to contact
     /// thousands of machines at once. It contacts those with replicas first, then those with
     /// other tasks, then empty ones.
-    pub(super) fn wake(&mut self, id: &MachineId) {
+    pub(super) fn queue_contact(&mut self, id: &MachineId) {
         let order = match self.cluster_state.machines().get(id) {
             Some(m) if self.failover.is_recent() => {
                 match (self.has_replicas(id), m.claims.is_empty()) {
@@ -143,7 +143,7 @@
         };
         self.apply_usability(id, &status, now);
         if status.leaving || status.suspected_one_way || status.draining {
-            self.wake(id);
+            self.queue_contact(id);
             self.settle_claims(id, status.leaving, now);
         }
     }
@@ -161,7 +161,7 @@
         if let Some(agent) = self.agents.get_mut(id) {
             agent.direct.suspect();
         }
-        self.wake(id);
+        self.queue_contact(id);
     }
 
     /// Returns how the machine can be used now. Returns `None` if its agent is unknown.
@@ -171,12 +171,12 @@
         let draining = machine.is_some_and(|m| m.draining);
         let silent =
             agent.silence_s(now) >= SILENT_HEARTBEATS * self.cfg.heartbeat_s + SILENT_MARGIN_S;
-        let leaving = agent.is_leaving() || agent.is_deleting();
+        let leaving = agent.is_retiring() || agent.is_deleting();
         let usable = agent.fenced()
             && !draining
             && !agent.is_suspected_one_way()
             && !leaving
-            && !agent.failed_jobs.is_shunned(now)
+            && !agent.failed_jobs.is_quarantined(now)
             && !agent.reachability.is_quarantined(now)
             && !silent;
         Some(AgentUsability {
@@ -189,7 +189,7 @@
         })
     }
 
-    /// Writes the usability to the cluster state if it differs there.
+    /// Writes a machine's usability to the cluster state if the cluster state has another one.
     fn apply_usability(&mut self, id: &MachineId, status: &AgentUsability, now: Time) {
         let (usable, slow) = (status.usable, status.slow);
         let known = self.cluster_state.machines().get(id);
@@ -208,13 +208,14 @@
         }
     }
 
-    /// Releases claims on an unusable machine whose start was not sent, so that their tasks are
-    /// placed elsewhere. If the machine is leaving, its other tasks are stopped.
+    /// Releases claims on an unusable machine whose start commands were not sent, so that their
+    /// tasks are placed elsewhere. If the machine is leaving, its other tasks are stopped.
     fn settle_claims(&mut self, id: &MachineId, leaving: bool, now: Time) {
         for task in self.cluster_state.claims_on(id) {
             let claim = self.cluster_state.claim_of(&task);
             if claim.is_some_and(|c| c.sent == Sent::No) {
-                // The task does better on a machine that commands reach.
+                // The start command was not sent, so the task does better on a machine that
+                // commands reach.
                 self.release(&task, now);
                 self.placement_queue.request_full_walk();
             } else if leaving {
--- a/src/control/core/batch.rs
+++ b/src/control/core/batch.rs
@@ -28,7 +28,8 @@
             single_change: self.rejected_changes.isolates(now),
         };
         let mut draft = Draft::new(self.grant_key(), self.grant_revision, bounds);
-        // The rollout goes first, because task starts wait for it.
+        // The change of an image rollout goes first into the transaction, because task starts wait
+        // for the rollout.
         if let Some(due) = self.image_distribution.next_step(now) {
             draft.add_rollout(due);
         }
@@ -46,7 +47,7 @@
     fn add_pending(&mut self, draft: &mut Draft, view: &View, spare: bool, now: Time) {
         let mut deferred = Vec::new();
         while draft.accepts_more() {
-            let Some(due) = self.pending.take(spare, now) else {
+            let Some(due) = self.write_queue.take(spare, now) else {
                 break;
             };
             let (PendingWrite::Finished(id) | PendingWrite::Chunk(ChunkId { job: id, .. })) = &due;
@@ -61,7 +62,7 @@
             };
             let update = self.record_update(&id, entry, &due, now);
             if !draft.fits(&update) {
-                // The chunk goes first into the next transaction.
+                // The chunk does not fit into this transaction. It goes first into the next one.
                 if let PendingWrite::Chunk(chunk) = due {
                     self.requeue_claims(chunk, now);
                 }
@@ -77,8 +78,8 @@
     /// Puts a write back into the queues, to be recorded later.
     fn requeue(&mut self, due: PendingWrite, now: Time) {
         match due {
-            PendingWrite::Finished(id) => self.finished(id, now),
-            PendingWrite::Chunk(chunk) => self.pending.released(chunk, now),
+            PendingWrite::Finished(id) => self.queue_finished(id, now),
+            PendingWrite::Chunk(chunk) => self.write_queue.released(chunk, now),
         }
     }
 
@@ -219,7 +220,7 @@
             shortened = true;
         }
         if shortened {
-            self.pending.released(ChunkId::new(id, chunk), now);
+            self.write_queue.released(ChunkId::new(id, chunk), now);
         }
         record
     }
@@ -239,11 +240,13 @@
     pub(super) fn requeue_claims(&mut self, chunk: ChunkId, now: Time) {
         match self.cluster_state.job(&chunk.job) {
             Some(job) => {
-                let (write_priority, sort) =
-                    (WritePriority::of(job).max(WritePriority::Usual), job.sort());
-                self.pending.claimed(chunk, write_priority, sort, now);
+                let (write_priority, sort) = (
+                    WritePriority::of(job).max(WritePriority::Normal),
+                    job.sort(),
+                );
+                self.write_queue.claimed(chunk, write_priority, sort, now);
             }
-            None => self.pending.released(chunk, now),
+            None => self.write_queue.released(chunk, now),
         }
     }
 
@@ -252,14 +255,20 @@
     /// Otherwise the changes are retried one by one, so that a change that cannot be recorded
     /// blocks no other change. A change that was rejected alone waits before its retry. Returns
     /// false if this owner no longer holds the grant.
-    pub fn rejected(&mut self, batch: Batch, limits_fell: bool, view: &View, now: Time) -> bool {
+    pub fn transaction_rejected(
+        &mut self,
+        batch: Batch,
+        limits_fell: bool,
+        view: &View,
+        now: Time,
+    ) -> bool {
         if !self.rejected_changes.observe_limits(limits_fell) {
             let with_rollout = batch.rollout.is_some();
             let changes = batch.written_keys();
             self.rejected_changes
                 .isolate_batch(changes, with_rollout, now);
         }
-        self.conflicted(batch, view, now)
+        self.transaction_conflicted(batch, view, now)
     }
 }
 
--- a/src/control/core/command_queue.rs
+++ b/src/control/core/command_queue.rs
@@ -18,7 +18,7 @@
 pub(super) enum ContactOrder {
     /// Any machine in normal operation. After a failover, a machine that runs services.
     First,
-    /// After a failover, a machine with tasks of other kinds.
+    /// After a failover, a machine that runs tasks but no services.
     WithTasks,
     /// After a failover, a machine without tasks.
     Empty,
@@ -39,19 +39,19 @@
     machine: MachineId,
 }
 
-/// Machines that may need commands.
+/// Queue of machines whose agents may need direct commands.
 #[derive(Debug, Default)]
 pub(super) struct CommandQueue {
-    /// Machines to contact now. The queue removes the first one each time.
+    /// Machines whose agents the owner may contact now. The first one is contacted next.
     ready: BTreeSet<Contact>,
-    /// Machines to contact at a later time.
+    /// Machines whose agents the owner contacts at a later time.
     retries: BTreeSet<Retry>,
     /// Number of direct commands that were sent and are not answered.
     in_flight: usize,
 }
 
 impl CommandQueue {
-    /// Queues a machine that may need commands.
+    /// Queues a machine whose agent may need direct commands.
     pub(super) fn add(&mut self, machine: MachineId, order: ContactOrder) {
         self.ready.insert(Contact { order, machine });
     }
@@ -89,8 +89,8 @@
         self.retries.insert(Retry { at_ms, machine });
     }
 
-    /// Schedules another contact of a machine that may hang, after others of its kind have had
-    /// time to answer.
+    /// Schedules another contact of a machine that may hang, after other machines that may hang
+    /// have had time to answer.
     pub(super) fn retry_unreachable(&mut self, machine: MachineId, now: Time) {
         self.retry_after(machine, UNREACHABLE_RETRY_S, now);
     }
--- a/src/control/core/heartbeats.rs
+++ b/src/control/core/heartbeats.rs
@@ -12,9 +12,9 @@
     /// Returns whether a heartbeat is a late copy. Such a heartbeat is not newer than the last
     /// one, or it comes from a deleted machine, whose name is never used again. Copies of a
     /// dead machine's last heartbeat once added that machine again, and kept it in the fleet.
-    pub fn is_copy(&self, heartbeat: &Heartbeat) -> bool {
+    pub fn is_stale(&self, heartbeat: &Heartbeat) -> bool {
         if let Some(agent) = self.agents.get(&heartbeat.machine) {
-            return agent.is_copy(heartbeat);
+            return agent.is_stale(heartbeat);
         }
         self.tombstones.contains(&heartbeat.machine)
     }
@@ -35,7 +35,7 @@
     /// Returns whether a heartbeat is from a machine of this shard and is certainly no late
     /// copy.
     fn accepts(&self, heartbeat: &Heartbeat) -> bool {
-        if !self.scope.covers(&heartbeat.machine) || self.is_copy(heartbeat) {
+        if !self.scope.covers(&heartbeat.machine) || self.is_stale(heartbeat) {
             return false;
         }
         // Only a heartbeat with a fencing token of this grant was certainly created under this
@@ -57,13 +57,14 @@
             return;
         };
         let changes = agent.apply_heartbeat(heartbeat, source, now);
-        // The leases end although the heartbeats are answered, so every task there is lost each
-        // time. While requests wait too long, answers may be too late.
+        // The agent's leases end although its heartbeats are answered, and all tasks on the machine
+        // are lost each time. So the owner returns the machine. While requests wait too long to be
+        // read, the answers may be the cause because they are late, so the machine stays.
         if changes.incarnation_ended
             && agent.reachability.incarnation_ended(lease_s, now)
             && !silence_ignored
         {
-            agent.leave();
+            agent.retire();
         }
         let fenced = heartbeat.fencing_token >= agent.fencing_token;
         self.record_served_images(heartbeat);
@@ -78,7 +79,7 @@
             self.reconcile(id, source, now);
         }
         self.clear_suspicion(id);
-        self.wake(id);
+        self.queue_contact(id);
         self.refresh_machine(id, now);
     }
 
@@ -202,7 +203,7 @@
             self.cluster_state.ran(task);
         }
         if began {
-            self.image_ran(task);
+            self.record_image_complete(task);
         }
     }
 
@@ -230,7 +231,7 @@
             // Only the next heartbeat that the agent sends itself shows whether a reply
             // arrived. A direct answer may overtake the reply.
             Sent::InReply if source == Source::Direct => {}
-            // The answer that is still to come shows the task.
+            // The answer to the start command in flight is still to come, and shows the task.
             Sent::Flying if in_flight => {}
             Sent::Flying | Sent::InReply => {
                 claim.sent = Sent::No;
--- a/src/control/core/image_distribution.rs
+++ b/src/control/core/image_distribution.rs
@@ -28,11 +28,11 @@
     pub(super) limits: Limits,
     pub(super) uploads: Uploads,
     pub(super) rollouts: BTreeMap<Image, ActiveRollout>,
-    /// Records in the state service. The value is `None` for a record of a later version, which
-    /// this owner leaves unchanged.
+    /// Records of image rollouts in the state service. The value is `None` for a record of a later
+    /// version, which this owner leaves unchanged.
     pub(super) stored_records: BTreeMap<RolloutId, Versioned<Option<RolloutRecord>>>,
-    /// Records of shards that no longer exist, which are to be deleted.
-    pub(super) useless: BTreeMap<RolloutId, Revision>,
+    /// Rollout records of shards that no longer exist. This owner is to delete these records.
+    pub(super) obsolete_records: BTreeMap<RolloutId, Revision>,
 }
 
 impl ImageDistribution {
@@ -46,7 +46,7 @@
             uploads: Uploads::default(),
             rollouts: BTreeMap::new(),
             stored_records: BTreeMap::new(),
-            useless: BTreeMap::new(),
+            obsolete_records: BTreeMap::new(),
         };
         if image_distribution.min_image_gb.is_some() {
             for (&key, stored_record) in &view.rollouts {
@@ -56,7 +56,7 @@
         image_distribution
     }
 
-    /// Loads one record that existed when the owner acquired its grant.
+    /// Loads one rollout record that existed when the owner acquired its grant.
     fn load_record(
         &mut self,
         key: RolloutId,
@@ -75,7 +75,8 @@
         // later version wrote them.
         let obsolete = key.shard.0 >= scope.of && stored_record.value.is_some();
         if scope.shard == ShardId(0) && obsolete {
-            self.useless.insert(key, stored_record.mod_revision);
+            self.obsolete_records
+                .insert(key, stored_record.mod_revision);
         }
     }
 
@@ -130,7 +131,8 @@
         }
     }
 
-    /// Returns machines whose start waited and may be sent now, a few of each rollout.
+    /// Returns machines whose task start waited for its stage and may be sent now, a few machines
+    /// of each rollout.
     pub(super) fn take_due_starts(&mut self, now: Time) -> Vec<MachineId> {
         let uploads = &self.uploads;
         let rollouts = self.rollouts.values_mut();
@@ -139,14 +141,14 @@
             .collect()
     }
 
-    /// Returns the identifier of an image's record.
+    /// Returns the identifier of the record of an image's rollout.
     pub(super) fn key(&self, image: &Image) -> RolloutId {
         RolloutId::of(self.shard, image)
     }
 
-    /// Returns the record, shortened by seeds until it fits into a value. Each omitted seed
-    /// costs one more copy. A record that is too large would never be written, nor would the
-    /// other changes of its transaction.
+    /// Returns a rollout's record without as many of its seeds as it takes to fit into a value of
+    /// the state service. Each omitted seed costs one more copy. A record that is too large would
+    /// never be written, nor would the other changes of its transaction.
     pub(super) fn fitting(&self, record: &RolloutRecord) -> Option<RolloutRecord> {
         let mut record = record.clone();
         loop {
--- a/src/control/core/largest_jobs.rs
+++ b/src/control/core/largest_jobs.rs
@@ -47,7 +47,8 @@
         let (class, _) = job.sort();
         let begun = job.started;
         if self.largest_jobs.came(id, &class, cpu) {
-            // The owner that placed the job has logged when it began.
+            // The log states here only that the job has begun. The owner that placed the job's
+            // first task has logged when the job began.
             let event = if begun {
                 JobEvent::Begun
             } else {
@@ -58,7 +59,7 @@
     }
 
     /// Logs that the first task of a largest job was placed here after `wait_s` seconds.
-    pub(super) fn largest_began(&self, id: &JobId, wait_s: f64, now: Time) {
+    pub(super) fn log_largest_began(&self, id: &JobId, wait_s: f64, now: Time) {
         if self.largest_jobs.is(id) {
             self.log_largest_job(id, JobEvent::Begun, Some(wait_s), now);
         }
--- a/src/control/core/mod.rs
+++ b/src/control/core/mod.rs
@@ -124,11 +124,11 @@
 use self::shard_freeze::HandoverFreeze;
 use self::silence::IgnoredSilence;
 use self::start_permission::StartPermission;
-pub use self::task_delegation::Places;
+pub use self::task_delegation::MachineZones;
 use self::tombstones::MachineTombstones;
 use self::topology_repair::RepairSchedule;
 use self::waiting_log::WaitingLog;
-use super::write_queue::Pending;
+use super::write_queue::WriteQueue;
 use crate::agent_client::DirectCommands;
 use crate::config::Config;
 use crate::scheduler::ClusterState;
@@ -140,9 +140,9 @@
     /// The agent sent the heartbeat to this controller.
     Heartbeat,
     /// Another controller received the heartbeat because the owner had asked it to.
-    Adopted,
+    Offloaded,
     /// Another controller forwarded the heartbeat because the agent can't reach this one.
-    Passed,
+    Forwarded,
     /// The heartbeat is the answer to a direct command.
     Direct,
 }
@@ -160,7 +160,7 @@
 
 /// State of a shard owner, from which it places tasks and commands agents.
 pub struct Core {
-    /// Settings. They don't change while the grant is held.
+    /// Settings of this controller. They don't change while this owner holds the grant.
     cfg: Rc<Config>,
     /// Jobs, machines and team shares of this shard.
     pub cluster_state: ClusterState,
@@ -170,13 +170,13 @@
     grant_revision: Revision,
     /// Shard that the grant is for.
     pub scope: ShardScope,
-    /// Freeze before a handover. While it is on, the owner claims nothing more, and claims in
-    /// flight settle.
+    /// Freeze of the shard before its handover to another owner. While the shard is frozen, the
+    /// owner claims no more tasks, and claims in flight settle.
     freeze: HandoverFreeze,
     /// Tasks delegated to and taken from other shards, and quota given to them.
-    sharing: task_delegation::Sharing,
-    /// Zones of the machines of all shards.
-    places: Places,
+    delegations: task_delegation::Delegations,
+    /// Zone of each machine, for the machines of all shards.
+    machine_zones: MachineZones,
     /// Service levels of classes and teams, for the log.
     served_log: ServedLog,
     /// Largest jobs of each class, for the log.
@@ -184,13 +184,14 @@
     types: MachineTypes,
     /// Agents of all machines that are up.
     agents: AgentTable,
-    /// Machines in the cloud's lists.
+    /// Machines in the cloud's lists that have not reported, and machines that are missing from the
+    /// lists.
     inventory: CloudInventory,
-    /// Changes that are not recorded yet.
-    pending: Pending,
+    /// Writes of claims, results and finished jobs that wait to be recorded in the state service.
+    write_queue: WriteQueue,
     /// Time since this owner took the grant, and the recovery steps that are still pending.
     failover: Failover,
-    /// Machines that may need commands.
+    /// Queue of machines whose agents may need direct commands.
     command_queue: CommandQueue,
     /// Machines that may have free capacity for tasks.
     placement_queue: PlacementQueue,
@@ -217,9 +218,9 @@
     repair_schedule: RepairSchedule,
     /// Time at which each waiting job was last logged.
     waiting_log: WaitingLog,
-    /// Consequences of rejected transactions for the next ones.
+    /// Changes that the state service rejected, and how they affect the next transactions.
     rejected_changes: RejectedChanges,
-    /// Time of the last rescan.
+    /// Time of the last rescan, which updates state that changes only with time.
     last_rescan: Time,
 }
 
@@ -230,7 +231,7 @@
     /// Runs the periodic work: updates state that changes only with time, and places tasks.
     pub fn tick(&mut self, now: Time) {
         for id in self.command_queue.take_due_retries(now) {
-            self.wake(&id);
+            self.queue_contact(&id);
         }
         self.failover.tick(now);
         if now.since(self.last_rescan) >= RESCAN_INTERVAL_S {
--- a/src/control/core/objectives.rs
+++ b/src/control/core/objectives.rs
@@ -6,7 +6,8 @@
 use crate::scheduler::JobUrgency;
 use crate::types::{JobSpec, Time};
 
-/// Bounds of [`Core::headroom_weight`].
+/// Minimum and maximum of [`Core::headroom_weight`], the weight of a class's need for free
+/// capacity.
 const MIN_HEADROOM_WEIGHT: f64 = 0.2;
 const MAX_HEADROOM_WEIGHT: f64 = 2.0;
 /// Fraction of a job's slack that the job may wait before its objectives are in danger. The
@@ -19,9 +20,10 @@
 
 /// Times that a job's objectives count from, on this process's clock.
 pub(super) struct JobTimes {
-    /// Submission of the job.
+    /// Time of the job's submission.
     pub(super) accepted: Time,
-    /// Completion of the job's last dependency, or the submission of a job without dependencies.
+    /// Time at which the job's last dependency was completed, or at which a job without
+    /// dependencies was submitted.
     pub(super) ready: Time,
     /// Latest finish of the job if it is in a pipeline, either its own or inherited.
     pub(super) latest_finish: Option<Time>,
--- a/src/control/core/outcomes.rs
+++ b/src/control/core/outcomes.rs
@@ -13,22 +13,22 @@
 
 impl Core {
     /// Queues the record that all tasks of a job are done.
-    pub(super) fn finished(&mut self, id: JobId, now: Time) {
+    pub(super) fn queue_finished(&mut self, id: JobId, now: Time) {
         let write_priority = self
             .cluster_state
             .job(&id)
-            .map_or(WritePriority::Usual, WritePriority::of);
-        self.pending.finished(id, write_priority, now);
+            .map_or(WritePriority::Normal, WritePriority::of);
+        self.write_queue.finished(id, write_priority, now);
     }
 
     /// Returns whether a write is pending that should not wait for the next tick.
     pub fn has_urgent(&self) -> bool {
-        self.pending.urgent()
+        self.write_queue.urgent()
     }
 
     /// Returns how many seconds the claim has waited that is recorded next.
-    pub fn claims_wait(&self, now: Time) -> f64 {
-        self.pending.claims_wait(now)
+    pub fn next_claim_wait_s(&self, now: Time) -> f64 {
+        self.write_queue.next_claim_wait_s(now)
     }
 
     /// Returns the record to write for a chunk. Claims of other shards in `stored` stay
@@ -69,13 +69,19 @@
     }
 
     /// Handles a transaction that was committed.
-    pub fn committed(&mut self, batch: Batch, revision: Revision, view: &mut View, now: Time) {
+    pub fn transaction_committed(
+        &mut self,
+        batch: Batch,
+        revision: Revision,
+        view: &mut View,
+        now: Time,
+    ) {
         for write in batch.chunks {
             self.chunk_committed(write, revision, view, now);
         }
         if let Some(step) = batch.rollout {
             for machine in self.image_distribution.step_committed(step, revision, now) {
-                self.wake(&machine);
+                self.queue_contact(&machine);
             }
             self.wake_staged(now);
         }
@@ -120,7 +126,7 @@
         let (id, value) = (write.job, write.record);
         if value.phase == Phase::Done {
             if let Some(sort) = self.cluster_state.job(&id).map(Job::sort) {
-                self.served_log.counts().done(&sort);
+                self.served_log.job_counts_mut().done(&sort);
             }
             self.log_largest_over(&id, JobEvent::Done, now);
             tracing::info!(job = %id, "done");
@@ -157,7 +163,7 @@
             if let Some(claim) = self.cluster_state.claim_mut(&task) {
                 if claim.attempt == *attempt && !claim.committed {
                     claim.committed = true;
-                    self.wake(machine);
+                    self.queue_contact(machine);
                 }
             }
         }
@@ -166,7 +172,7 @@
             // The last claim of a gang may be recorded now, and all its tasks start together.
             let machines = job.tasks.claims().values().map(|c| c.machine.clone());
             for machine in machines.collect::<Vec<_>>() {
-                self.wake(&machine);
+                self.queue_contact(&machine);
             }
         }
         self.settle_stopped(id, now);
@@ -175,7 +181,7 @@
     /// Handles a transaction that was not committed, or that an earlier attempt had already
     /// committed. The view is newer than the transaction. Returns false if this owner no longer
     /// holds the grant.
-    pub fn conflicted(&mut self, batch: Batch, view: &View, now: Time) -> bool {
+    pub fn transaction_conflicted(&mut self, batch: Batch, view: &View, now: Time) -> bool {
         if let Some(step) = batch.rollout {
             self.image_distribution.step_conflicted(step, view, now);
         }
@@ -203,7 +209,7 @@
         let live = entry.is_some_and(|e| e.record.value.phase == Phase::Live);
         let job = self.cluster_state.job(id);
         if live && job.is_some_and(|j| j.tasks.all_done()) {
-            self.finished(id.clone(), now);
+            self.queue_finished(id.clone(), now);
         } else {
             self.forget_job(view, id, now);
         }
@@ -216,7 +222,7 @@
         match (&write.record, stored) {
             (Some(sent), Some(stored)) if sent == stored => self.confirm(id, *chunk, sent, now),
             (Some(_), _) => self.requeue_claims(write.chunk, now),
-            (None, _) => self.pending.useless(write.chunk, now),
+            (None, _) => self.write_queue.delete_chunk(write.chunk, now),
         }
     }
 }
--- a/src/control/core/placement.rs
+++ b/src/control/core/placement.rs
@@ -13,13 +13,14 @@
 const PREEMPT_PATIENCE_FACTOR: f64 = 2.0;
 /// Time after a failover during which nothing is preempted, in seconds.
 const PREEMPT_FAILOVER_DELAY_S: f64 = 3.0;
-/// Maximum number of steps of the placement walks in one turn. A step visits one job or place.
+/// Maximum number of steps of the placement walks in one turn. A placement walk places waiting
+/// tasks on one machine or on all machines. A step of it visits one job or place.
 const MAX_WALK_STEPS_PER_TURN: u64 = 4000;
 
 impl Core {
     /// Queues the claims of placed tasks for recording.
     fn queue_claims(&mut self, launches: Vec<Launch>, now: Time) {
-        if !launches.is_empty() && self.failover.placed() {
+        if !launches.is_empty() && self.failover.record_first_placement() {
             let after_s = self.failover.logged_age_s(now);
             tracing::info!(after_s, "first task placed");
         }
@@ -32,7 +33,7 @@
             self.scaling.requests.add_claimed_cpu(job.spec.each.cpu);
             let (write_priority, sort) = (WritePriority::of(job), job.sort());
             let chunk = self.chunk_of(&launch.task);
-            self.pending.claimed(chunk, write_priority, sort, now);
+            self.write_queue.claimed(chunk, write_priority, sort, now);
         }
     }
 
@@ -44,8 +45,10 @@
             return;
         };
         let (sort, wait_s) = (job.sort(), now.since(job.submitted));
-        self.served_log.counts().started(&sort, Some(wait_s));
-        self.largest_began(id, wait_s, now);
+        self.served_log
+            .job_counts_mut()
+            .started(&sort, Some(wait_s));
+        self.log_largest_began(id, wait_s, now);
         self.cluster_state.edit_job(id, |j| j.started = true);
     }
 
@@ -58,7 +61,7 @@
     }
 
     /// Places tasks on one machine after its heartbeat.
-    pub fn walk(&mut self, id: &MachineId, now: Time) {
+    pub fn place_on(&mut self, id: &MachineId, now: Time) {
         if self.is_frozen() {
             return;
         }
@@ -92,7 +95,7 @@
             let Some(id) = self.placement_queue.take_next() else {
                 return;
             };
-            self.walk(&id, now);
+            self.place_on(&id, now);
         }
     }
 
--- a/src/control/core/recorded_job.rs
+++ b/src/control/core/recorded_job.rs
@@ -40,10 +40,10 @@
 /// has tasks. This number of attempts has these two bounds.
 const MIN_FAILED_ATTEMPTS: u64 = 3;
 const MAX_FAILED_ATTEMPTS: u64 = 8;
-/// Failures that a suspected job starts with.
+/// Number of failures that a new owner counts at first for a job that it suspects to be faulty.
 const SUSPECTED_FAILURES: u32 = 2;
 
-/// A claim that was found in a record.
+/// A claim of one task that was found in a job's record.
 struct FoundClaim {
     index: u32,
     attempt: Attempt,
@@ -83,16 +83,16 @@
     }
 }
 
-/// Tasks of a job, as its records state them.
-struct FoundTasks {
+/// State of a job's tasks, as the records of the job state it.
+struct RecordedTasks {
     tasks: Tasks,
     /// Claims on this shard's machines.
     claims: Vec<FoundClaim>,
-    /// Attempts that ended without a result.
+    /// Number of attempts of the job's tasks that ended without a result.
     failed_attempts: u64,
 }
 
-impl FoundTasks {
+impl RecordedTasks {
     /// Returns whether a job is suspected to be faulty, because many attempts had no result and
     /// no task is done. One task then tests the job before its other tasks start.
     fn suggests_faulty(&self, spec: &JobSpec) -> bool {
@@ -119,7 +119,7 @@
     /// Adds a recorded job to the cluster state, unless it waits for dependencies. A waiting job
     /// therefore does not count in limits, shares, queues, aging or renting. None of its tasks
     /// is claimed until the committed records of all its dependencies state that these are done.
-    pub(super) fn add_known(&mut self, view: &View, id: &JobId, now: Time, wall_ms: u64) {
+    pub(super) fn load_job(&mut self, view: &View, id: &JobId, now: Time, wall_ms: u64) {
         let Some(entry) = view.job(id) else { return };
         let record = &entry.record.value;
         if record.phase == Phase::Live && !view.is_ready(id) {
@@ -128,13 +128,13 @@
         let over = record.phase != Phase::Live;
         // All tasks of a done job have ended, even if a chunk that is not deleted yet still has
         // claims.
-        if record.phase == Phase::Done || over && !self.claims_here(entry) {
+        if record.phase == Phase::Done || over && !self.has_claims_in_shard(entry) {
             if self.scope.homes(id) {
                 self.drop_chunks(id, entry, now);
             }
             return;
         }
-        let found = self.found_tasks(id, entry, now);
+        let found = self.recorded_tasks(id, entry, now);
         let all_done = found.tasks.all_done();
         let times = job_times(view, id, record, now, wall_ms);
         let Some(RecordedJob { job, claims }) = self.recorded_job(view, id, found, &times) else {
@@ -143,9 +143,9 @@
         let placed_here = !over && self.scope.homes(id);
         self.put_job(id, job, placed_here, now);
         self.put_claims(id, claims, now);
-        self.share(id, entry);
+        self.apply_foreign_claims(id, entry);
         if all_done && placed_here {
-            self.finished(id.clone(), now);
+            self.queue_finished(id.clone(), now);
         }
         // A gang with only some of its tasks claimed starts again.
         self.gangs_to_check.add(id.clone());
@@ -156,7 +156,7 @@
     /// the job is not over.
     fn put_job(&mut self, id: &JobId, job: Job, placed_here: bool, now: Time) {
         if placed_here {
-            let counts = self.served_log.counts();
+            let counts = self.served_log.job_counts_mut();
             counts.accepted(&job.sort());
             if job.started {
                 counts.started(&job.sort(), None);
@@ -189,9 +189,9 @@
 
     /// Reads a job's tasks from its records. Claims on deleted machines are released, because
     /// their tasks ended with the machine whether the records say so or not.
-    fn found_tasks(&mut self, id: &JobId, entry: &JobEntry, now: Time) -> FoundTasks {
+    fn recorded_tasks(&mut self, id: &JobId, entry: &JobEntry, now: Time) -> RecordedTasks {
         let record = &entry.record.value;
-        let mut found = FoundTasks {
+        let mut found = RecordedTasks {
             tasks: Tasks::new(record.tasks, record.chunk),
             claims: Vec::new(),
             failed_attempts: 0,
@@ -210,7 +210,7 @@
             for claim in here {
                 let index = chunk * record.chunk + claim.place;
                 if self.tombstones.is_inherited(&claim.machine) {
-                    self.pending.released(ChunkId::new(id, chunk), now);
+                    self.write_queue.released(ChunkId::new(id, chunk), now);
                 } else if index < record.tasks {
                     found.claims.push(FoundClaim::new(index, claim, stored));
                 }
@@ -225,7 +225,7 @@
         &self,
         view: &View,
         id: &JobId,
-        found: FoundTasks,
+        found: RecordedTasks,
         times: &JobTimes,
     ) -> Option<RecordedJob> {
         let entry = view.job(id)?;
--- a/src/control/core/recovery.rs
+++ b/src/control/core/recovery.rs
@@ -21,14 +21,14 @@
 use super::shard_freeze::HandoverFreeze;
 use super::silence::IgnoredSilence;
 use super::start_permission::StartPermission;
-use super::task_delegation::{self, Places};
+use super::task_delegation::{self, MachineZones};
 use super::tombstones::MachineTombstones;
 use super::topology_history::TopologyHistory;
 use super::topology_repair::RepairSchedule;
 use super::waiting_log::WaitingLog;
 use super::{image_distribution, reservations, Core};
 use crate::config::Config;
-use crate::control::write_queue::Pending;
+use crate::control::write_queue::WriteQueue;
 use crate::scheduler::{ClusterState, Team};
 use crate::state::view::{JobEntry, View};
 use crate::types::{Amount, FencingToken, JobId, MachineType, Revision, Time};
@@ -73,11 +73,11 @@
 
 impl Core {
     /// Builds the core of a new owner from the records of its scope. Every claim counts until a
-    /// heartbeat that carries the new fencing token shows otherwise. `places` holds the zones
+    /// heartbeat that carries the new fencing token shows otherwise. `machine_zones` holds the zones
     /// of the machines of all shards. It is empty for the grant of all machines.
-    pub fn load(input: &RecoveryInput, grant: ShardGrant, places: Places) -> Self {
+    pub fn recover(input: &RecoveryInput, grant: ShardGrant, machine_zones: MachineZones) -> Self {
         let (view, now, wall_ms) = (input.view, input.now, input.wall_ms);
-        let mut core = Self::without_records(input, grant, places);
+        let mut core = Self::without_records(input, grant, machine_zones);
         core.set_up_cluster(input);
         core.recover_arrivals(view, now, wall_ms);
         core.recover_jobs(view, now, wall_ms);
@@ -91,7 +91,11 @@
     }
 
     /// Returns a core without jobs or machines.
-    fn without_records(input: &RecoveryInput, grant: ShardGrant, places: Places) -> Self {
+    fn without_records(
+        input: &RecoveryInput,
+        grant: ShardGrant,
+        machine_zones: MachineZones,
+    ) -> Self {
         let (view, now, scope) = (input.view, input.now, grant.scope);
         let image_distribution =
             image_distribution::ImageDistribution::load(&input.cfg, scope, view);
@@ -102,14 +106,14 @@
             grant_revision: grant.revision,
             scope,
             freeze: HandoverFreeze::default(),
-            sharing: task_delegation::Sharing::default(),
-            places,
+            delegations: task_delegation::Delegations::default(),
+            machine_zones,
             served_log: ServedLog::new(now),
             largest_jobs: Largest::default(),
             types: MachineTypes::default(),
             agents: AgentTable::default(),
             inventory: CloudInventory::default(),
-            pending: Pending::default(),
+            write_queue: WriteQueue::default(),
             failover: Failover::begin(now, input.wall_ms, view.history.images()),
             command_queue: CommandQueue::default(),
             placement_queue: PlacementQueue::default(),
@@ -124,7 +128,7 @@
             gangs_to_check: JobsToCheck::default(),
             repair_schedule: RepairSchedule::default(),
             waiting_log: WaitingLog::default(),
-            rejected_changes: RejectedChanges::none(now),
+            rejected_changes: RejectedChanges::new(now),
             last_rescan: now,
         }
     }
@@ -169,9 +173,9 @@
 
     /// Adds a job if this shard is its home or has claims of it.
     pub(super) fn add_job(&mut self, view: &View, id: &JobId, now: Time, wall_ms: u64) {
-        let claimed_here = |entry: &JobEntry| self.claims_here(entry);
+        let claimed_here = |entry: &JobEntry| self.has_claims_in_shard(entry);
         if self.scope.homes(id) || view.job(id).is_some_and(claimed_here) {
-            self.add_known(view, id, now, wall_ms);
+            self.load_job(view, id, now, wall_ms);
         }
     }
 }
--- a/src/control/core/reservation_demand.rs
+++ b/src/control/core/reservation_demand.rs
@@ -26,11 +26,11 @@
 
 /// Tasks for which a window lacks capacity in one zone.
 struct ZoneShortfall {
-    /// The zone. `None` stands for any zone.
+    /// Zone in which the capacity is missing. `None` stands for any zone.
     zone: Option<Zone>,
-    /// Number of tasks without capacity.
+    /// Number of the window's tasks that lack capacity in the zone.
     tasks: u32,
-    /// Machine type to request.
+    /// Machine type to request from the cloud for these tasks.
     kind: TypeChoice,
 }
 
@@ -38,7 +38,7 @@
     /// Delegates waiting tasks of windows to the other shards, to each shard as many as its
     /// part of the reservation. With several shards, each shard reserves its part of the
     /// capacity, while a job belongs to one shard.
-    pub(super) fn leave_to_reservations(&self, waiting: &[Waiting]) -> Vec<Delegated> {
+    pub(super) fn delegate_to_reservations(&self, waiting: &[Waiting]) -> Vec<Delegated> {
         let mut leaves = Vec::new();
         for waits in waiting {
             let Some(job) = self.cluster_state.job(&waits.job) else {
@@ -102,7 +102,7 @@
         let mut shown = Vec::new();
         for (name, watch) in &self.windows.watched {
             let Some(seen) = &watch.seen else { continue };
-            let records = watch.record_values();
+            let records = watch.records_by_start();
             shown.extend(rows(
                 name,
                 watch.entry.as_ref(),
@@ -131,7 +131,7 @@
         // A machine list lags by at most twice its usual lag (PROTOCOL).
         let listed = self.failover.age_s(now) > 2.0 * self.cfg.list_lag_s + 2.0;
         let recovering = self.failover.age_s(now) <= self.cfg.silent_s();
-        let unfenced = recovering && self.agents.any_staying_unfenced();
+        let unfenced = recovering && self.agents.any_unfenced_except_deleting();
         listed && !unfenced
     }
 
--- a/src/control/core/scaling.rs
+++ b/src/control/core/scaling.rs
@@ -9,16 +9,16 @@
 use crate::cloud::Rental;
 use crate::types::{JobSpec, MachineId, MachineType, Time, TypeName, Zone};
 
-/// Number of heartbeat intervals after the start before which no machine is requested, because
-/// the existing machines are not known until then.
-const SETTLED_HEARTBEATS: f64 = 2.0;
+/// Number of heartbeat intervals after this controller became the owner during which it requests
+/// no machine from the cloud, because it does not know the existing machines until then.
+const MIN_OWNER_AGE_HEARTBEATS: f64 = 2.0;
 
 /// Changes of the fleet to carry out now.
 #[derive(Debug, Default)]
 pub struct ScalingDecision {
     /// Machines to delete.
     pub to_delete: Vec<MachineId>,
-    /// Requests to send to the cloud.
+    /// Requests for new machines to send to the cloud.
     pub scale_out: Vec<Rental>,
 }
 
@@ -26,17 +26,17 @@
     /// Plans the fleet and returns the machines to delete now and the requests to send. Each
     /// request is in flight until its outcome is passed to [`Core::scale_out_finished`].
     /// Nothing is decided while the shard is frozen for handover.
-    pub fn fleet(&mut self, now: Time) -> ScalingDecision {
+    pub fn plan_scaling(&mut self, now: Time) -> ScalingDecision {
         if self.is_frozen() {
             return ScalingDecision::default();
         }
         self.log_fleet_if_due(now);
-        let trusts_silence = self.trusts_silence(now);
-        if trusts_silence {
+        let silence_is_evidence = self.silence_is_evidence(now);
+        if silence_is_evidence {
             self.scale_in_unreachable(now);
         }
-        let to_delete = self.machines_to_delete(trusts_silence, now);
-        let settled = self.failover.age_s(now) > SETTLED_HEARTBEATS * self.cfg.heartbeat_s;
+        let to_delete = self.machines_to_delete(silence_is_evidence, now);
+        let settled = self.failover.age_s(now) > MIN_OWNER_AGE_HEARTBEATS * self.cfg.heartbeat_s;
         if !settled || self.scaling.requests.any_in_flight() {
             return ScalingDecision {
                 to_delete,
--- a/src/control/core/shard_freeze.rs
+++ b/src/control/core/shard_freeze.rs
@@ -89,7 +89,7 @@
                     job: id.clone(),
                     index,
                 };
-                let waits = self.pending.claims(&self.chunk_of(&task));
+                let waits = self.write_queue.claims(&self.chunk_of(&task));
                 if !claim.committed && claim.sent == Sent::No && waits {
                     unsent.push(task);
                 }
@@ -99,7 +99,7 @@
     }
 
     /// Ends the freeze after the handover was withdrawn.
-    pub fn thaw(&mut self) {
+    pub fn unfreeze(&mut self) {
         if self.freeze.end() {
             tracing::info!(shard = %self.scope.shard, "shard handover withdrawn");
             self.placement_queue.request_full_walk();
@@ -116,6 +116,6 @@
     /// don't delay the handover, because workers repeat them to the next owner.
     pub fn settled(&self, now: Time) -> bool {
         let within_timeout = self.freeze.is_younger_than(SETTLE_TIMEOUT_S, now);
-        !(self.pending.claims_any() || within_timeout && self.command_queue.awaits_answers())
+        !(self.write_queue.has_claims() || within_timeout && self.command_queue.awaits_answers())
     }
 }
--- a/src/control/core/silence.rs
+++ b/src/control/core/silence.rs
@@ -15,17 +15,18 @@
 }
 
 impl IgnoredSilence {
-    /// Returns a state in which silence counts from now on.
+    /// Returns a state that ignores no silence. From `now` on, a machine's silence may be evidence
+    /// of a failure.
     pub(super) fn none(now: Time) -> Self {
         Self { until: now }
     }
 
-    /// Ignores silence until the given time.
+    /// Ignores silent machines until the given time.
     fn extend(&mut self, until: Time) {
         self.until = until;
     }
 
-    /// Returns whether silence is ignored now.
+    /// Returns whether the owner ignores silent machines now.
     pub(super) fn is_on(&self, now: Time) -> bool {
         now < self.until
     }
@@ -42,7 +43,7 @@
     /// nothing reaches this controller. Silence is also no evidence while requests wait too
     /// long to be read. If the owner returned silent machines then and rented others, it would
     /// keep a fleet that is too large for its controllers too large.
-    pub(super) fn trusts_silence(&self, now: Time) -> bool {
+    pub(super) fn silence_is_evidence(&self, now: Time) -> bool {
         let limit_s = RECENT_HEARTBEATS * self.cfg.heartbeat_s;
         self.agents.most_reported_within(limit_s, now)
             && self.failover.age_s(now) > self.cfg.silent_s()
--- a/src/control/heartbeats.rs
+++ b/src/control/heartbeats.rs
@@ -14,8 +14,8 @@
 use crate::peer_link;
 use crate::types::{MachineId, NodeId};
 
-/// Time without service here, while the state service serves other controllers, after which
-/// requests are forwarded to those.
+/// Time for which the state service has to serve other controllers but not this one before this
+/// controller forwards requests to them.
 const FORWARD_AFTER: Duration = Duration::from_millis(300);
 
 /// Outcome of a heartbeat for an owned shard.
@@ -32,7 +32,11 @@
 impl Node {
     /// Handles a worker's heartbeat. `body` holds the request body as received, for
     /// forwarding.
-    pub async fn heartbeat(self: &Rc<Self>, heartbeat: &Heartbeat, body: &[u8]) -> HeartbeatReply {
+    pub async fn handle_heartbeat(
+        self: &Rc<Self>,
+        heartbeat: &Heartbeat,
+        body: &[u8],
+    ) -> HeartbeatReply {
         // A late duplicate has no worker that waits for its reply, and its content was
         // reported before. Without this check duplicates moved machines to other
         // controllers, and were forwarded as a sign that the worker is alive.
@@ -43,19 +47,19 @@
             return HeartbeatReply::Unavailable;
         }
         if let Some(helper) = self.offload_target(&heartbeat.machine) {
-            return HeartbeatReply::Elsewhere(helper);
+            return HeartbeatReply::OtherOwner(helper);
         }
-        match self.own_heartbeat(heartbeat, Source::Heartbeat) {
-            HeartbeatReply::Elsewhere(owner) if self.accepts_heartbeats_for(&owner) => {
-                self.heartbeat_for(owner, heartbeat, body).await
+        match self.process_as_owner(heartbeat, Source::Heartbeat) {
+            HeartbeatReply::OtherOwner(owner) if self.accepts_heartbeats_for(&owner) => {
+                self.answer_for_owner(owner, heartbeat, body).await
             }
-            HeartbeatReply::Elsewhere(owner) => {
+            HeartbeatReply::OtherOwner(owner) => {
                 self.redirect_or_forward(heartbeat, owner, body).await
             }
             // While no controller owns the machines, their tasks must not end because a
             // lease expires.
             HeartbeatReply::Unavailable => self
-                .renewed(heartbeat)
+                .renewal_reply(heartbeat)
                 .unwrap_or(HeartbeatReply::Unavailable),
             other => other,
         }
@@ -99,14 +103,14 @@
         let return_window = Duration::from_secs_f64(self.cfg.lease_s / 2.0);
         let routing = &self.heartbeat_routing;
         if routing.redirect(&heartbeat.machine, &owner, return_window) == Redirect::SendToOwner {
-            return HeartbeatReply::Elsewhere(owner);
+            return HeartbeatReply::OtherOwner(owner);
         }
         let forwarded = self.forward_heartbeat(&owner, body, true).await;
         match forwarded.filter(|answered| answered.status == 200) {
-            Some(answered) => HeartbeatReply::Passed(answered),
+            Some(answered) => HeartbeatReply::Forwarded(answered),
             None => self
-                .renewed(heartbeat)
-                .unwrap_or(HeartbeatReply::Elsewhere(owner)),
+                .renewal_reply(heartbeat)
+                .unwrap_or(HeartbeatReply::OtherOwner(owner)),
         }
     }
 
@@ -148,19 +152,23 @@
     }
 
     /// Handles a heartbeat that another controller could not forward to the owner itself.
-    pub async fn passed_via(self: &Rc<Self>, heartbeat: &Heartbeat, body: &[u8]) -> HeartbeatReply {
-        match self.own_heartbeat(heartbeat, Source::Passed) {
-            HeartbeatReply::Elsewhere(owner) => self
+    pub async fn handle_relayed_heartbeat(
+        self: &Rc<Self>,
+        heartbeat: &Heartbeat,
+        body: &[u8],
+    ) -> HeartbeatReply {
+        match self.process_as_owner(heartbeat, Source::Forwarded) {
+            HeartbeatReply::OtherOwner(owner) => self
                 .forward_heartbeat(&owner, body, false)
                 .await
-                .map_or(HeartbeatReply::Unavailable, HeartbeatReply::Passed),
+                .map_or(HeartbeatReply::Unavailable, HeartbeatReply::Forwarded),
             other => other,
         }
     }
 
     /// Returns whether the state service serves other controllers but not this one.
-    pub fn cut_off(&self) -> bool {
-        self.store.lags_for(FORWARD_AFTER) && self.store_silence() >= FORWARD_AFTER
+    pub fn is_cut_off_from_store(&self) -> bool {
+        self.store.has_lagged_for(FORWARD_AFTER) && self.store_silence() >= FORWARD_AFTER
     }
 
     /// Returns whether a submission or cancellation that could not be decided here is
@@ -168,14 +176,18 @@
     /// service serves other controllers. A controller that the state service refused alone
     /// then rejected every request. So a failed request to the state service is reason
     /// enough to forward, unless no other controller could help a moment ago.
-    pub fn forwards(&self) -> bool {
+    pub fn may_forward(&self) -> bool {
         let others_may = self.admission.may_forward_changes();
-        self.cut_off() || self.state.fails() && others_may
+        self.is_cut_off_from_store() || self.state.fails() && others_may
     }
 
     /// Forwards a submission or cancellation to a controller that the state service may
     /// serve. Returns `None` if neither of the first two candidates decided it.
-    pub async fn forward(&self, kind: peer_link::Kind, text: &[u8]) -> Option<peer_link::Answered> {
+    pub async fn forward_change(
+        &self,
+        kind: peer_link::Kind,
+        text: &[u8],
+    ) -> Option<peer_link::Answered> {
         let leader = self.store.view().leader.value.clone().map(|l| l.node);
         let mut others: Vec<NodeId> = self.peers.reachable().cloned().collect();
         others.sort_by_key(|n| (Some(n) != leader.as_ref(), n.clone()));
@@ -191,7 +203,11 @@
 
     /// Processes a worker's heartbeat if this controller owns its shard. Otherwise returns
     /// the owner, if one is known.
-    pub fn own_heartbeat(self: &Rc<Self>, heartbeat: &Heartbeat, source: Source) -> HeartbeatReply {
+    pub fn process_as_owner(
+        self: &Rc<Self>,
+        heartbeat: &Heartbeat,
+        source: Source,
+    ) -> HeartbeatReply {
         let shard = self.shard_of(&heartbeat.machine);
         let outcome = {
             let mut cores = self.shards.owned_mut();
@@ -201,15 +217,15 @@
         match outcome {
             Some(HeartbeatOutcome::Duplicate) => HeartbeatReply::Unavailable,
             Some(HeartbeatOutcome::Superseded) => {
-                self.superseded(shard);
+                self.step_down_superseded(shard);
                 HeartbeatReply::Unavailable
             }
             Some(HeartbeatOutcome::Processed(reply)) => {
-                self.drive();
+                self.run_due_work();
                 reply.map_or(HeartbeatReply::Unavailable, HeartbeatReply::Reply)
             }
             None => match self.owner_of(shard) {
-                Some(owner) if owner != self.cfg.node => HeartbeatReply::Elsewhere(owner),
+                Some(owner) if owner != self.cfg.node => HeartbeatReply::OtherOwner(owner),
                 _ => HeartbeatReply::Unavailable,
             },
         }
@@ -226,7 +242,7 @@
         // Ignore a duplicate before it can make this owner step down. It gets no answer,
         // because commands in that answer would count as sent although no worker receives
         // them.
-        if core.is_copy(heartbeat) && heartbeat.fencing_token.grant() <= core.grant {
+        if core.is_stale(heartbeat) && heartbeat.fencing_token.grant() <= core.grant {
             return HeartbeatOutcome::Duplicate;
         }
         // A heartbeat from a worker that receives nothing from this owner does not prove a
@@ -236,7 +252,7 @@
         match source {
             Source::Heartbeat | Source::Direct if is_reachable => self.leadership.worker_reached(),
             Source::Heartbeat | Source::Direct => {}
-            Source::Adopted | Source::Passed => self.leadership.heartbeat_relayed(now),
+            Source::Offloaded | Source::Forwarded => self.leadership.heartbeat_relayed(now),
         }
         if !core.heartbeat(heartbeat, source, now) {
             return HeartbeatOutcome::Superseded;
@@ -244,8 +260,10 @@
         if !self.knows_all_cancellations() {
             return HeartbeatOutcome::Processed(None);
         }
-        if self.paces.due(Duty::Walk, now) {
-            self.timed(Duty::Walk, || core.walk(&heartbeat.machine, now));
+        if self.paces.due(Duty::FillMachines, now) {
+            self.run_timed_duty(Duty::FillMachines, || {
+                core.place_on(&heartbeat.machine, now);
+            });
         }
         HeartbeatOutcome::Processed(Some(core.answer(heartbeat, &self.store.view(), now)))
     }
--- a/src/control/leader.rs
+++ b/src/control/leader.rs
@@ -6,7 +6,7 @@
 use sorrelhinge_sharding::shard::ShardId;
 use tokio::time::{sleep, Instant};
 
-use super::core::{Core, Places, RecoveryInput, ShardGrant};
+use super::core::{Core, MachineZones, RecoveryInput, ShardGrant};
 use super::{wall_ms, Node};
 use crate::state::record::{GrantRecord, LeaderRecord, GRANT, LEADER};
 use crate::state::view::Versioned;
@@ -21,20 +21,24 @@
 const LEADER_WRITE_SHARE: f64 = 0.65;
 /// Fraction of the state service's rate limits that all controllers together use.
 const STATE_RATE_USED: f64 = 0.95;
-/// Requests that a controller may send in one burst after an idle period.
+/// Number of requests that a controller may send to the state service in one burst after an idle
+/// period.
 const REQUEST_BURST: f64 = 4.0;
-/// Divisor that derives the write burst after an idle period from the writes allowed per
-/// second.
+/// Divisor that derives the write burst to the state service after an idle period from the writes
+/// allowed per second.
 const CHANGE_BURSTS_PER_SECOND: f64 = 4.0;
-/// Upper bound of the write burst.
+/// Maximum number of writes that a controller may send to the state service in one burst after an
+/// idle period.
 const CHANGE_BURST_MAX: f64 = 4.0;
-/// Writes per second that each controller may send at least, however low its share is.
+/// Number of writes per second that each controller may send to the state service at least, however
+/// low its share is.
 const CHANGE_RATE_MIN: f64 = 0.5;
 /// Pause of a controller that defers to others before each check whether one of them has become
 /// leader.
 const RESIGNATION_RETRY_INTERVAL: Duration = Duration::from_secs(2);
 
-/// Pause after a failed read, while a new leader reads all records written before its grant.
+/// Pause after a failed read of the records, while a new leader reads all records written before
+/// its grant.
 const CATCH_UP_PAUSE: Duration = Duration::from_millis(50);
 /// Pause after an election whose outcome is unknown.
 pub(super) const ELECTION_RETRY_PAUSE: Duration = Duration::from_millis(150);
@@ -150,11 +154,11 @@
                 }
             }
             Ok(TransactionOutcome::Failed(_)) => {
-                self.fresh().await;
+                self.refresh_view().await;
             }
             Err(error) => {
-                // If the transaction was applied after all, the state service deletes the key
-                // when the lease ends.
+                // If the transaction was applied after all, the state service deletes the leader's
+                // key when the lease ends.
                 tracing::info!(%error, "leader election failed");
                 sleep(ELECTION_RETRY_PAUSE).await;
             }
@@ -206,7 +210,7 @@
         }
         tracing::info!(term = %grant.term, grant = grant.number, "leader elected");
         let grant = ShardGrant::whole(grant.number, revision);
-        let core = Core::load(
+        let core = Core::recover(
             &RecoveryInput {
                 cfg: self.cfg.clone(),
                 types: &self.catalog.types(),
@@ -216,14 +220,14 @@
                 wall_ms: wall_ms(),
             },
             grant,
-            Places::default(),
+            MachineZones::default(),
         );
         // Evidence from an earlier term of ownership would make this controller step down at
         // once.
         self.leadership.forget_reachability();
         self.shards.adopt(ShardId(0), core);
-        self.set_share();
-        self.inherit_spread();
+        self.update_rate_limits();
+        self.inherit_offload_share();
         self.wakeups.wake_owner();
     }
 
@@ -235,7 +239,7 @@
     ///
     /// With several shards, each owner gets the leader's share for each of its shards, and all
     /// controllers get equal parts of the rest.
-    pub(super) fn set_share(&self) {
+    pub(super) fn update_rate_limits(&self) {
         let others = self.cfg.others.len() as f64;
         let cores = self.shards.owned();
         let shards = cores.first().map_or(1, |c| c.scope.of);
@@ -285,7 +289,7 @@
 
     /// Steps down because a worker has seen the fencing token of a newer grant. A newer grant
     /// thus exists, whether or not the state service can confirm it.
-    pub(super) fn superseded(&self, shard: ShardId) {
+    pub(super) fn step_down_superseded(&self, shard: ShardId) {
         tracing::info!(%shard, "newer shard grant seen; stepping down");
         self.step_down(shard);
         self.store.request_refresh();
@@ -297,6 +301,6 @@
         if core.is_some_and(|c| !c.scope.is_part()) {
             self.leadership.release();
         }
-        self.set_share();
+        self.update_rate_limits();
     }
 }
--- a/src/control/load_monitor.rs
+++ b/src/control/load_monitor.rs
@@ -23,15 +23,16 @@
 /// Maximum time that claims may wait to be recorded, in seconds. The limit on claims
 /// follows from this time and the write rate.
 const MAX_CLAIM_WAIT_S: f64 = 2.5;
-/// Lateness of a timer that does not count as a wait, in seconds.
+/// Lateness of the sampling timer that does not count as a wait of requests, in seconds.
 const TIMER_LATENESS_S: f64 = 0.02;
 
 /// Load of this controller, and the limits that follow from it.
 #[derive(Default)]
 pub struct Load {
-    /// Counters of requests and duties.
+    /// Counters of requests, and of the periodic scans of the whole fleet.
     pub counts: Counts,
-    /// Time that requests waited to be read at the last sample, in seconds.
+    /// Time that requests waited to be read, as measured at the last sample of the load, in
+    /// seconds.
     wait_s: Cell<f64>,
     pressure: RefCell<Pressure>,
     fleet_limit: RefCell<FleetLimit>,
@@ -50,12 +51,12 @@
         self.fleet_limit.borrow().max()
     }
 
-    /// Returns how long requests waited to be read at the last sample, in seconds.
+    /// Returns how long requests waited to be read at the last sample of the load, in seconds.
     pub(super) fn wait_s(&self) -> f64 {
         self.wait_s.get()
     }
 
-    /// Returns whether a resource is short.
+    /// Returns whether a resource, such as CPU time or sockets, is short.
     fn binds(&self, resource: Resource) -> bool {
         self.pressure.borrow().binds(resource)
     }
@@ -91,13 +92,13 @@
             .home(machine, helpers.iter())
     }
 
-    /// Takes a sample. Returns true if the shedding level has changed.
+    /// Applies a sample of the load. Returns true if the shedding level has changed.
     fn take_sample(&self, sample: Sample, now: Time) -> bool {
         self.wait_s.set(sample.wait_s.max(0.0));
         self.pressure.borrow_mut().take(sample, now)
     }
 
-    /// Takes the load of an owner of shards. Returns the maximum number of machines.
+    /// Applies the heartbeat load of an owner of shards. Returns the maximum number of machines.
     fn update_owner_limits(&self, load: HeartbeatLoad, now: Time) -> Option<usize> {
         let mut heartbeat_offload = self.heartbeat_offload.borrow_mut();
         heartbeat_offload.take(load, now);
@@ -126,7 +127,7 @@
             self.peer_statuses.record(node, announcement, flags);
             if flags & peer_link::LIMITS_FELL != 0 && self.state.note_lower_limits() {
                 tracing::info!(by = %node, "store write rate lowered on the hint of another controller");
-                self.set_share();
+                self.update_rate_limits();
             }
         }
     }
@@ -165,14 +166,14 @@
         let limits_fell = self.state.limits_fell();
         if limits_fell {
             // The state client may have detected lower limits since the last announcement.
-            self.set_share();
+            self.update_rate_limits();
         }
         self.peers.announce_self(announcement, limits_fell);
     }
 
     /// Starts a new owner with the share of offloaded workers that the last owner
     /// announced.
-    pub(super) fn inherit_spread(&self) {
+    pub(super) fn inherit_offload_share(&self) {
         let share = self.peer_statuses.max_offload_share();
         self.load
             .start_with_offload_share(f64::from(share) / 1000.0);
@@ -230,10 +231,13 @@
         }
     }
 
-    /// Returns the waits and the sockets in use. The last sample is `elapsed_s` seconds old.
+    /// Measures how long requests from users and workers, claims, and requests to the cloud wait,
+    /// and how many sockets are in use. `elapsed_s` is the time since the last sample, in
+    /// seconds.
     fn sample_load(&self, elapsed_s: f64, now: Time) -> Sample {
         Sample {
-            // A timer that fires late has waited as long as a request would.
+            // The timer of the samples waits for CPU time as requests do. So its delay beyond the
+            // sampling interval counts as a wait of requests.
             wait_s: self
                 .connections
                 .wait_s()
@@ -243,7 +247,7 @@
                 .shards
                 .owned()
                 .values()
-                .map(|c| c.claims_wait(now))
+                .map(|c| c.next_claim_wait_s(now))
                 .fold(0.0, f64::max),
             cloud_wait_s: self.cloud.wait_s(),
         }
@@ -257,7 +261,7 @@
             return;
         }
         let heartbeat_load = HeartbeatLoad {
-            machines: cores.values().map(Core::machines).sum(),
+            machines: cores.values().map(Core::machine_count).sum(),
             free_capacity: self.connections.limits().workers,
             wait_s: sample.wait_s,
             helpers: self.helpers(false).len(),
@@ -274,7 +278,7 @@
         for c in cores.values_mut() {
             c.set_max_machines(Some(max / here));
             c.shed_placements(self.load.level() >= Level::Placements);
-            c.set_max_claiming(claims.max(2 * self.cfg.state_limits.txn_ops));
+            c.set_max_claiming_jobs(claims.max(2 * self.cfg.state_limits.txn_ops));
             if processor_binds {
                 c.ignore_silence(now);
             }
--- a/src/control/mod.rs
+++ b/src/control/mod.rs
@@ -75,8 +75,8 @@
 
 pub use cancellations::CancelOutcome;
 pub use operator_error::{InvalidRequest, OperatorError};
-pub use reservations::{day_ms, CalendarAsked};
-pub use status_queries::{JobStatus, Polled};
+pub use reservations::{unix_ms, CalendarChange};
+pub use status_queries::{JobStatus, PollOutcome};
 pub use submit_error::{Infeasible, InvalidJob, SubmitError, Submitted};
 
 /// Outcome of a heartbeat that this controller received.
@@ -85,9 +85,9 @@
     /// owner.
     Reply(Reply),
     /// The owner of the shard answered, and this controller forwards the answer.
-    Passed(peer_link::Answered),
+    Forwarded(peer_link::Answered),
     /// The named controller owns the shard.
-    Elsewhere(NodeId),
+    OtherOwner(NodeId),
     /// The owner of the shard is unknown, or the answer depends on records that can't be read
     /// now.
     Unavailable,
@@ -167,7 +167,7 @@
             admission: RequestAdmission::new(),
             cfg,
         });
-        node.set_share();
+        node.update_rate_limits();
         node
     }
 
@@ -211,11 +211,11 @@
         spawn_local(self.clone().watch_store());
         spawn_local(self.clone().run_refreshes());
         spawn_local(self.clone().run_elections());
-        spawn_local(self.clone().pump());
+        spawn_local(self.clone().record_pending_writes());
         spawn_local(self.clone().run_placement());
         spawn_local(self.clone().run_autoscaler());
         spawn_local(self.clone().list_machines());
-        spawn_local(self.clone().learn_types());
+        spawn_local(self.clone().refresh_machine_types());
         spawn_local(self.clone().watch_load());
         spawn_local(self.clone().announce_heartbeats());
         spawn_local(self.clone().assign_shards());
--- a/src/control/peer_statuses.rs
+++ b/src/control/peer_statuses.rs
@@ -20,7 +20,8 @@
 struct PeerStatus {
     received_at: Instant,
     announcement: PeerAnnouncement,
-    /// Flags of the hint, which name the features that the controller's version supports.
+    /// Flags that the controller sent with its status. They name the features that its version
+    /// supports.
     capabilities: u16,
 }
 
@@ -67,7 +68,7 @@
     }
 
     /// Returns whether a controller's version supports several shards.
-    pub(super) fn knows_shards(&self, node: &NodeId) -> bool {
+    pub(super) fn supports_shards(&self, node: &NodeId) -> bool {
         let by_node = self.by_node.borrow();
         let status = by_node.get(node);
         status.is_some_and(|status| status.capabilities & SHARDS != 0)
--- a/src/control/resharding.rs
+++ b/src/control/resharding.rs
@@ -70,7 +70,7 @@
         if shard_count < 2 || self.topology().is_some() || !self.all_peers_support_shards() {
             // The core may be frozen from an earlier attempt, before this condition changed.
             if let Some(core) = self.shards.owned_mut().first_mut() {
-                core.thaw();
+                core.unfreeze();
             }
             return;
         }
@@ -80,7 +80,7 @@
             let Some(core) = cores.first_mut().filter(|_| now >= due) else {
                 return;
             };
-            if core.reserves_for_gangs() {
+            if core.has_claimed_gang() {
                 return;
             }
             core.freeze(now);
@@ -96,7 +96,7 @@
             tracing::info!(why, "shard split postponed");
             *next_attempt = Some(self.now().after(SPLIT_RETRY_DELAY_S));
             if let Some(core) = self.shards.owned_mut().first_mut() {
-                core.thaw();
+                core.unfreeze();
             }
         }
     }
@@ -104,7 +104,7 @@
     /// Writes the shards' quotas and then, if nothing changed meanwhile, the shards in place of
     /// the only grant.
     async fn execute_split(&self, shard_count: u32, grant: u64) -> Result<(), SplitError> {
-        if !self.fresh().await {
+        if !self.refresh_view().await {
             return Err(SplitError::Unconfirmed);
         }
         let plan = self.plan_split(shard_count, grant)?;
@@ -120,7 +120,7 @@
             Ok(TransactionOutcome::Done(revision)) => {
                 tracing::info!(shards = shard_count, "machines split into shards");
                 self.peers.announce(revision);
-                self.fresh().await;
+                self.refresh_view().await;
                 Ok(())
             }
             // If the transaction was applied after all, the refreshed view shows it.
@@ -151,7 +151,7 @@
                     number: grant,
                     revision: Revision(0),
                 };
-                let core = Core::load(&input, grant, self.shards.machine_zones());
+                let core = Core::recover(&input, grant, self.shards.machine_zones());
                 core.needs().iter().map(|n| n.used).collect()
             })
             .collect();
--- a/src/control/shard_demand.rs
+++ b/src/control/shard_demand.rs
@@ -20,7 +20,7 @@
     /// Returns the other controllers whose versions support several shards.
     pub(super) fn peers_supporting_shards(&self) -> Vec<NodeId> {
         let others = self.cfg.others.iter().map(|other| &other.node);
-        let knowing = others.filter(|node| self.peer_statuses.knows_shards(node));
+        let knowing = others.filter(|node| self.peer_statuses.supports_shards(node));
         knowing.cloned().collect()
     }
 
@@ -61,7 +61,7 @@
             let teams = teams.zip(c.needs());
             Needs {
                 shard: *shard,
-                machines: c.machines() as u32,
+                machines: c.machine_count() as u32,
                 spare_cpu: c.spare_cpu(),
                 teams: teams.map(|(team, need)| TeamNeed { team, need }).collect(),
             }
@@ -74,7 +74,7 @@
         let now = self.now();
         let mut delegated = Vec::new();
         for c in self.shards.owned_mut().values_mut() {
-            delegated.extend(c.leave(&self.store.view(), now));
+            delegated.extend(c.delegate_tasks_out(&self.store.view(), now));
         }
         for tasks in delegated {
             match self.owner_of(tasks.shard) {
--- a/src/control/shard_owners.rs
+++ b/src/control/shard_owners.rs
@@ -44,7 +44,7 @@
     }
 
     /// Returns how many controllers own shards, at least 1.
-    pub(super) fn owners_of_shards(&self) -> usize {
+    pub(super) fn shard_owner_count(&self) -> usize {
         let view = self.store.view();
         let owners: std::collections::BTreeSet<&NodeId> =
             view.shards.values().map(|b| &b.value.owner).collect();
@@ -122,7 +122,7 @@
     /// then on.
     fn recover_shard(&self, view: &View, grant: ShardGrant) {
         let shard = grant.scope.shard;
-        let core = Core::load(
+        let core = Core::recover(
             &RecoveryInput {
                 cfg: self.cfg.clone(),
                 types: &self.catalog.types(),
@@ -140,7 +140,7 @@
         self.shards.adopt(shard, core);
     }
 
-    /// Freezes owned shards that are offered to another controller, and thaws those whose offer
+    /// Freezes owned shards that are offered to another controller, and unfreezes those whose offer
     /// was withdrawn.
     pub(super) fn freeze_offered_shards(&self, view: &View) {
         if view.shard_count() == 1 {
@@ -151,7 +151,7 @@
             let offered = view.shards.get(shard).and_then(|b| b.value.to.as_ref());
             match offered {
                 Some(to) if view.members.contains_key(to) => c.freeze(now),
-                _ => c.thaw(),
+                _ => c.unfreeze(),
             }
         }
     }
@@ -176,7 +176,7 @@
                 Ok(TransactionOutcome::Failed(_)) => {}
                 Err(error) => tracing::info!(%shard, %error, "shard handover failed"),
             }
-            self.fresh().await;
+            self.refresh_view().await;
         }
     }
 
--- a/src/control/status_queries.rs
+++ b/src/control/status_queries.rs
@@ -18,15 +18,15 @@
 
 /// Deadline of an answer. A user waits 2 s, so a later answer is useless.
 const ANSWER_DEADLINE: Duration = Duration::from_millis(1900);
-/// Time for which this controller tries alone, so that another controller has time left.
-/// One read takes its turn of at most 0.3 s plus the time of a response.
+/// Time for which this controller tries alone to confirm a job's state, so that another controller
+/// has time left to answer. One read takes its turn of at most 0.3 s plus the time of a response.
 const LOCAL_QUERY_TIMEOUT: Duration = Duration::from_millis(1200);
-/// Time for which this controller tries alone after a failed read. The state service may
-/// delay requests of this controller for long while it serves others.
+/// Time for which this controller tries alone to confirm a job's state after a failed read. The
+/// state service may delay requests of this controller for long while it serves others.
 const LOCAL_RETRY_TIMEOUT: Duration = Duration::from_millis(500);
-/// Time that one other controller has to answer, so that a second one can be asked.
+/// Time that one other controller has to answer a poll, so that a second one can be asked.
 const REMOTE_QUERY_TIMEOUT: Duration = Duration::from_millis(950);
-/// Minimum time left to ask another controller.
+/// Minimum time left of a poll at which another controller is still asked.
 const MIN_REMOTE_TIMEOUT: Duration = Duration::from_millis(100);
 
 /// State of a job by a read that began after the request for it.
@@ -41,8 +41,8 @@
 }
 
 impl JobStatus {
-    /// Returns whether the records confirm this state.
-    fn is_confirmed(&self) -> bool {
+    /// Returns whether a read of the records has confirmed this state.
+    fn is_confirmed_by_records(&self) -> bool {
         match self {
             Self::Recorded(_) | Self::Absent => true,
             Self::Unconfirmed => false,
@@ -51,7 +51,7 @@
 }
 
 /// Outcome of a poll.
-pub enum Polled {
+pub enum PollOutcome {
     /// This controller answers. The status is unconfirmed if no controller could confirm it
     /// in time.
     Local(JobStatus),
@@ -137,9 +137,9 @@
     /// it. All that this controller had told users by then was recorded before it was told,
     /// so the read contains it. If this controller learns the job's final state while it
     /// waits, that state takes precedence.
-    pub async fn poll(&self, id: &JobId) -> Polled {
+    pub async fn poll(&self, id: &JobId) -> PollOutcome {
         let deadline = Instant::now() + ANSWER_DEADLINE;
-        if self.cut_off() {
+        if self.is_cut_off_from_store() {
             if let Some(polled) = self.poll_peers(id, deadline).await {
                 return polled;
             }
@@ -151,14 +151,14 @@
             LOCAL_RETRY_TIMEOUT
         };
         let status = self.status_within(id, left().min(timeout)).await;
-        if status.is_confirmed() {
-            return Polled::Local(status);
+        if status.is_confirmed_by_records() {
+            return PollOutcome::Local(status);
         }
         if let Some(polled) = self.poll_peers(id, deadline).await {
             return polled;
         }
         // No other controller can answer, so spend the time left on another try here.
-        Polled::Local(self.status_within(id, left()).await)
+        PollOutcome::Local(self.status_within(id, left()).await)
     }
 
     /// Answers a poll for another controller that could not. Never forwards the poll again.
@@ -166,7 +166,7 @@
         self.status_within(id, LOCAL_QUERY_TIMEOUT).await
     }
 
-    async fn poll_peers(&self, id: &JobId, deadline: Instant) -> Option<Polled> {
+    async fn poll_peers(&self, id: &JobId, deadline: Instant) -> Option<PollOutcome> {
         let _in_flight = self.admission.begin_forwarded_query()?;
         for other in self.peers_answering_polls(id).iter().take(2) {
             let left = deadline.saturating_duration_since(Instant::now());
@@ -182,7 +182,7 @@
             );
             let answered = request.await;
             if let Some(summary) = self.final_summary(id) {
-                return Some(Polled::Local(JobStatus::Recorded(summary)));
+                return Some(PollOutcome::Local(JobStatus::Recorded(summary)));
             }
             // A job that is recorded here was accepted, so no user may be told that it does
             // not exist.
@@ -192,7 +192,7 @@
                 continue;
             }
             if let Some(answered) = answered.filter(|a| matches!(a.status, 200 | 404)) {
-                return Some(Polled::Peer(answered));
+                return Some(PollOutcome::Peer(answered));
             }
         }
         self.admission.no_peer_answered_poll();
--- a/src/control/store_view.rs
+++ b/src/control/store_view.rs
@@ -13,7 +13,8 @@
 use crate::state::{Events, Item};
 use crate::types::{JobId, Revision, Time};
 
-/// The last refresh that ended. A refresh reads all that is new in the state service.
+/// The last refresh of the local copy of the records that ended. A refresh reads all that is new in
+/// the state service.
 #[derive(Clone, Copy, Default)]
 struct Refresh {
     /// Number of the refresh, counted from 1.
@@ -66,12 +67,12 @@
         self.view.borrow_mut()
     }
 
-    /// Records a job's record that this controller wrote.
+    /// Puts into the local copy a job's record that this controller wrote.
     pub(super) fn put_job(&self, id: &JobId, record: Versioned<JobRecord>) {
         self.view.borrow_mut().put_job(id, record);
     }
 
-    /// Records a chunk's record that this controller wrote.
+    /// Puts into the local copy a chunk's record that this controller wrote.
     pub(super) fn put_chunk(&self, id: &JobId, chunk: u32, record: Versioned<ChunkRecord>) {
         self.view.borrow_mut().put_chunk(id, chunk, record);
     }
@@ -114,7 +115,7 @@
 
     /// Records a revision that another controller announced, and requests a refresh if the copy
     /// is older.
-    pub(super) fn hinted(&self, revision: Revision) {
+    pub(super) fn revision_announced(&self, revision: Revision) {
         if revision > self.view.borrow().store_revision {
             if self.lagging_since.get().is_none() {
                 self.lagging_since.set(Some(Instant::now()));
@@ -126,7 +127,7 @@
     }
 
     /// Returns whether the copy has been older than an announced revision for `at_least`.
-    pub(super) fn lags_for(&self, at_least: Duration) -> bool {
+    pub(super) fn has_lagged_for(&self, at_least: Duration) -> bool {
         let since = self.lagging_since.get();
         since.is_some_and(|t| t.elapsed() >= at_least)
     }
@@ -141,29 +142,29 @@
         Duration::from_secs_f64(self.freshness.get().age_s(now))
     }
 
-    /// Requests a refresh.
+    /// Requests a refresh of the local copy of the records.
     pub(super) fn request_refresh(&self) {
         self.refresh_signal.notify_one();
     }
 
-    /// Waits until a refresh is requested.
+    /// Waits until a refresh of the local copy is requested.
     pub(super) async fn refresh_requested(&self) {
         self.refresh_signal.notified().await;
     }
 
-    /// Begins a refresh and returns its number.
+    /// Begins a refresh of the local copy, and returns the number of the refresh.
     pub(super) fn begin_refresh(&self) -> u64 {
         let number = self.refreshes_started.get() + 1;
         self.refreshes_started.set(number);
         number
     }
 
-    /// Ends the refresh with this number, and wakes all tasks that wait for it.
+    /// Ends the refresh of the local copy with this number, and wakes all tasks that wait for it.
     pub(super) fn end_refresh(&self, number: u64, succeeded: bool) {
         self.refreshed.send_replace(Refresh { number, succeeded });
     }
 
-    /// Returns whether the state service answered the last refresh.
+    /// Returns whether the state service answered the last refresh of the local copy.
     pub(super) fn last_refresh_succeeded(&self) -> bool {
         self.refreshed.borrow().succeeded
     }
--- a/src/control/store_watch.rs
+++ b/src/control/store_watch.rs
@@ -18,17 +18,17 @@
 const WATCH_LAG_LIMIT: Duration = Duration::from_secs(1);
 /// Time that a user's request waits for a fresh view. Users wait 2 s for the answer.
 pub(super) const FRESH_VIEW_TIMEOUT: Duration = Duration::from_millis(1400);
-/// Minimum pause between two refreshes.
+/// Minimum pause between two refreshes of the local view of the records.
 const REFRESH_GAP_MIN: Duration = Duration::from_millis(20);
-/// Maximum pause between two refreshes.
+/// Maximum pause between two refreshes of the local view of the records.
 const REFRESH_GAP_MAX: Duration = Duration::from_millis(300);
-/// Pause after a failed watch.
+/// Pause after a failed watch of the state service.
 const WATCH_RETRY_PAUSE: Duration = Duration::from_millis(250);
-/// Pause between two watches of a controller that owns a shard.
+/// Pause between two watches of the state service by a controller that owns a shard.
 const OWNER_WATCH_PAUSE: Duration = Duration::from_millis(50);
-/// Pause between two watches of a controller that owns no shard.
+/// Pause between two watches of the state service by a controller that owns no shard.
 const FOLLOWER_WATCH_PAUSE: Duration = Duration::from_millis(200);
-/// Time that a refresh or watch may wait for its turn at the state service.
+/// Time that a refresh of the view or a watch may wait for its turn at the state service.
 const READ_QUEUE_TIMEOUT: Duration = Duration::from_millis(800);
 
 impl Node {
@@ -47,22 +47,22 @@
         }
         let view = self.store.view();
         let served = self.store_silence() < STORE_SILENCE_LIMIT;
-        let lagging = self.store.lags_for(WATCH_LAG_LIMIT);
+        let lagging = self.store.has_lagged_for(WATCH_LAG_LIMIT);
         view.loaded && (served || !lagging)
     }
 
     /// Records a revision that another controller announced. The announcement is a hint.
-    pub fn hinted(&self, revision: Revision) {
-        self.store.hinted(revision);
+    pub fn revision_announced(&self, revision: Revision) {
+        self.store.revision_announced(revision);
     }
 
     /// Waits until the view is at least as new as the state service was at the time of the
     /// call. Returns whether the view is that new. One refresh serves all waiting callers.
-    pub async fn fresh(&self) -> bool {
+    pub async fn refresh_view(&self) -> bool {
         self.fresh_within(FRESH_VIEW_TIMEOUT).await
     }
 
-    /// Waits like [`Node::fresh`], for `patience` at most.
+    /// Waits like [`Node::refresh_view`], for `patience` at most.
     pub(super) async fn fresh_within(&self, patience: Duration) -> bool {
         self.store.refresh_within(patience).await
     }
@@ -70,13 +70,13 @@
     /// Refreshes the view until it contains a revision, with a pause after each failed refresh.
     pub(super) async fn catch_up(&self, revision: Revision, retry_pause: Duration) {
         while self.store.view().store_revision < revision {
-            if !self.fresh().await {
+            if !self.refresh_view().await {
                 sleep(retry_pause).await;
             }
         }
     }
 
-    /// Runs a refresh whenever one is requested.
+    /// Refreshes the local view of the records whenever a refresh is requested.
     pub(super) async fn run_refreshes(self: Rc<Self>) {
         loop {
             self.store.refresh_requested().await;
@@ -174,7 +174,7 @@
         let leaderless = view.leader.value.is_none();
         drop(view);
         if shards_changed {
-            self.set_share();
+            self.update_rate_limits();
             self.wakeups.wake_assignments();
         }
         if !changed.is_empty() {
--- a/src/control/write_queue.rs
+++ b/src/control/write_queue.rs
@@ -15,12 +15,13 @@
 use crate::state::record::ChunkId;
 use crate::types::{JobId, Priority, Time};
 
-/// Maximum time that a result waits for other changes of its chunk, in seconds.
+/// Maximum time that a task's result waits for other changes of its chunk before it is recorded, in
+/// seconds.
 const RESULT_DELAY_S: f64 = 12.0;
-/// Maximum time that a result waits while the write budget exceeds the needs of urgent
-/// writes, in seconds.
+/// Maximum time that a task's result waits for other changes while the state service's write budget
+/// exceeds the needs of urgent writes, in seconds.
 const RESULT_DELAY_SPARE_S: f64 = 1.5;
-/// Maximum time that a deletion waits, in seconds.
+/// Maximum time that the deletion of an unused record waits, in seconds.
 const DELETION_DELAY_S: f64 = 30.0;
 
 /// Urgency of a write. The most urgent level comes first in the order.
@@ -31,7 +32,7 @@
     /// Writes of jobs in a priority lane.
     Lane,
     /// Writes of ordinary jobs.
-    Usual,
+    Normal,
     /// Writes of jobs of idle priority. Many jobs of a single task cost three changes each,
     /// and once kept claims of urgent jobs waiting for half a minute.
     Idle,
@@ -44,7 +45,7 @@
             (true, _) => Self::Awaited,
             (false, _) if job.lane.is_some() => Self::Lane,
             (false, Priority::Idle) => Self::Idle,
-            (false, _) => Self::Usual,
+            (false, _) => Self::Normal,
         }
     }
 }
@@ -80,8 +81,8 @@
 
 /// Writes that wait to be recorded, with one queue for each kind.
 #[derive(Debug, Default)]
-pub struct Pending {
-    /// Claims by priority and then by arrival.
+pub struct WriteQueue {
+    /// Claims that wait to be recorded, by priority and then by arrival.
     claims: BTreeMap<QueuePosition, WaitingClaim>,
     claimed: BTreeMap<ChunkId, QueuedClaim>,
     /// Positions of claims by class and team. Each class and team gets turns once its
@@ -89,9 +90,11 @@
     by_sort: BTreeMap<Sort, BTreeSet<QueuePosition>>,
     turns: Turns<Sort>,
     last_number: u64,
-    /// Number of calls of [`Pending::take`], which decides whether a call serves a turn.
+    /// Number of calls of [`WriteQueue::take`], which decides whether a call takes an overdue write
+    /// first.
     take_calls: u64,
-    /// Finished jobs with the time since when they wait. Jobs of idle priority come last.
+    /// Finished jobs, with the time since when they wait to be recorded. Jobs of idle priority come
+    /// last.
     finished: BTreeMap<FinishedJob, Time>,
     /// Whether the last urgent write that was taken is a claim.
     last_was_claim: bool,
@@ -108,7 +111,7 @@
     Chunk(ChunkId),
 }
 
-impl Pending {
+impl WriteQueue {
     /// Queues the claim of a task. `sort` names the job's class and team.
     pub fn claimed(
         &mut self,
@@ -152,7 +155,7 @@
     }
 
     /// Removes a job from the queue of finished jobs.
-    pub fn not_finished(&mut self, job: &JobId) {
+    pub fn cancel_finished(&mut self, job: &JobId) {
         for idle in [false, true] {
             let job = job.clone();
             self.finished.remove(&FinishedJob { idle, job });
@@ -160,7 +163,7 @@
     }
 
     /// Queues the deletion of a chunk's record, and removes all other writes of the chunk.
-    pub fn useless(&mut self, chunk: ChunkId, now: Time) {
+    pub fn delete_chunk(&mut self, chunk: ChunkId, now: Time) {
         self.remove_claim(&chunk);
         self.results.remove(&chunk);
         self.deletions.entry(chunk).or_insert(now);
@@ -172,7 +175,7 @@
     }
 
     /// Returns whether any claims wait to be recorded.
-    pub fn claims_any(&self) -> bool {
+    pub fn has_claims(&self) -> bool {
         !self.claims.is_empty()
     }
 
@@ -216,7 +219,7 @@
     }
 
     /// Returns how long the next claim in the queue has waited, in seconds.
-    pub fn claims_wait(&self, now: Time) -> f64 {
+    pub fn next_claim_wait_s(&self, now: Time) -> f64 {
         let next = self.claims.first_key_value();
         next.map_or(0.0, |(_, claim)| now.since(claim.since))
     }
@@ -226,8 +229,8 @@
         !self.claims.is_empty() || !self.finished.is_empty()
     }
 
-    /// Removes and returns the most urgent write that is due. `spare` says that the write
-    /// budget exceeds the needs of urgent writes.
+    /// Removes and returns the most urgent write that is due. `spare` says that the state service's
+    /// write budget exceeds the needs of urgent writes.
     pub fn take(&mut self, spare: bool, now: Time) -> Option<PendingWrite> {
         // The most urgent write usually goes first, but overdue writes get a share of the
         // turns.
--- a/tests/fleet_limits.rs
+++ b/tests/fleet_limits.rs
@@ -17,7 +17,7 @@
 use serde_json::{json, Value};
 use settings::controller;
 use sorrelhinge::config::Config;
-use sorrelhinge::control::core::{Core, Places, RecoveryInput, ShardGrant};
+use sorrelhinge::control::core::{Core, MachineZones, RecoveryInput, ShardGrant};
 use sorrelhinge::peer_link::{
     listen, Answered, ForwardedHeartbeat, Kind, PeerAnnouncement, PeerRequestHandler, Peers,
 };
@@ -115,10 +115,10 @@
             now: Time(0.0),
             wall_ms: 0,
         };
-        let core = Core::load(
+        let core = Core::recover(
             &input,
             ShardGrant::whole(1, mod_revision),
-            Places::default(),
+            MachineZones::default(),
         );
         Self {
             core,
@@ -144,7 +144,8 @@
             let changes = events(self.revision, &json!(written));
             assert!(self.view.apply(since, changes));
             let revision = Revision(self.revision);
-            self.core.committed(batch, revision, &mut self.view, now);
+            self.core
+                .transaction_committed(batch, revision, &mut self.view, now);
         }
     }
 
@@ -159,7 +160,7 @@
         let all: Vec<MachineId> = (0..machines).map(machine).collect();
         for (n, portion) in all.chunks(100).enumerate() {
             let now = Time(10.0 + 4.0 * n as f64);
-            self.core.deleted(portion, now);
+            self.core.apply_deletions(portion, now);
             self.record(now);
         }
         // The last names wait for company no longer.
@@ -184,7 +185,7 @@
     let deleted = 16 * 256 + 1;
     for n in 0..deleted {
         let now = Time(4.0 * n as f64);
-        owner.core.deleted(&[machine(n)], now);
+        owner.core.apply_deletions(&[machine(n)], now);
         owner.record(now.after(3.5));
     }
     assert_eq!(owner.names().len(), deleted);
--- a/tests/rules/commands.rs
+++ b/tests/rules/commands.rs
@@ -3,7 +3,7 @@
 use serde_json::{json, Value};
 use sorrelhinge::agent_client::{Command, Sending};
 use sorrelhinge::api::read_job;
-use sorrelhinge::control::core::{Core, Places, RecoveryInput, ShardGrant, Source};
+use sorrelhinge::control::core::{Core, MachineZones, RecoveryInput, ShardGrant, Source};
 use sorrelhinge::scheduler::Sent;
 use sorrelhinge::state::record::{job_key, JobRecord};
 use sorrelhinge::types::{JobId, MachineId, Time};
@@ -93,7 +93,7 @@
         now,
         wall_ms: 0,
     };
-    let mut core = Core::load(&input, grant, Places::default());
+    let mut core = Core::recover(&input, grant, MachineZones::default());
     assert!(core.heartbeat(&heartbeat, Source::Heartbeat, now));
     let reply = core.answer(&heartbeat, view, now);
     assert_eq!(verbs_for(&reply.commands, &task_name), ["kill"]);
@@ -289,7 +289,7 @@
     } = &mut world;
     let Owner { core, view, .. } = &mut owners[0];
     for w in workers.iter_mut() {
-        core.heartbeat(&w.heartbeat(), Source::Passed, Time(2.0));
+        core.heartbeat(&w.heartbeat(), Source::Forwarded, Time(2.0));
     }
     regular(core, Time(2.0));
     let batch = core.next_batch(view, 4, false, Time(2.0)).expect("a claim");
@@ -298,7 +298,7 @@
     let mut starts = 0;
     for w in workers.iter_mut() {
         let id = MachineId::from(w.id.as_str());
-        core.heartbeat(&w.heartbeat(), Source::Passed, Time(3.0));
+        core.heartbeat(&w.heartbeat(), Source::Forwarded, Time(3.0));
         starts += core.reply(&id, view, Time(3.0)).commands.len();
     }
     assert_eq!(starts, 1);
--- a/tests/rules/world.rs
+++ b/tests/rules/world.rs
@@ -11,7 +11,7 @@
 use sorrelhinge::cloud::{CloudError, ListedMachine, MachinePhase};
 use sorrelhinge::config::Config;
 use sorrelhinge::control::core::{
-    Batch, Core, Dispatch, Places, RecoveryInput, ShardGrant, Source,
+    Batch, Core, Dispatch, MachineZones, RecoveryInput, ShardGrant, Source,
 };
 use sorrelhinge::state::record::{
     chunk_key, job_key, GrantRecord, JobRecord, NewJob, ShardRecord, GRANT,
@@ -47,7 +47,7 @@
 pub(crate) struct World {
     /// Shards: each owner has one of so many.
     pub(crate) of: u32,
-    pub(crate) places: Places,
+    pub(crate) machine_zones: MachineZones,
     pub(crate) topology: Option<Rc<Topology>>,
     pub(crate) rng: StdRng,
     pub(crate) now: f64,
@@ -87,7 +87,7 @@
 
 impl Owner {
     /// Whether its view is new enough to command workers and to renew leases, as
-    /// `Node::own_heartbeat` and `Node::drive` ask.
+    /// `Node::process_as_owner` and `Node::run_due_work` ask.
     pub(crate) fn may_command(&self, now: f64) -> bool {
         self.freshness
             .may_answer_workers(Time(now), LEASE_S, CANCEL_S)
@@ -106,7 +106,7 @@
     pub(crate) fn of_shards(seed: u64, with_topology: bool, of: u32) -> Self {
         let mut world = Self {
             of,
-            places: Places::default(),
+            machine_zones: MachineZones::default(),
             topology: with_topology
                 .then(|| Rc::new(Topology::parse(TOPOLOGY).expect("a valid file"))),
             rng: StdRng::seed_from_u64(seed),
@@ -200,7 +200,7 @@
             now: Time(self.now),
             wall_ms: 0,
         };
-        let core = Core::load(&input, grant, self.places.clone());
+        let core = Core::recover(&input, grant, self.machine_zones.clone());
         self.add_owner(core, view);
         let same = self.owners.iter().filter(|o| o.core.scope == scope);
         if same.count() > 2 {
@@ -256,7 +256,7 @@
             now: Time(self.now),
             wall_ms: 0,
         };
-        let core = Core::load(&input, grant, Places::default());
+        let core = Core::recover(&input, grant, MachineZones::default());
         self.add_owner(core, view);
         if self.owners.len() > 2 {
             self.owners.remove(0);
@@ -464,7 +464,7 @@
         if self.store.rejects(&transaction) {
             self.faults.rejected += 1;
             let o = &mut self.owners[owner];
-            o.core.rejected(batch, true, &o.view, now);
+            o.core.transaction_rejected(batch, true, &o.view, now);
             return;
         }
         if self.delays(&transaction) {
@@ -485,13 +485,14 @@
             }
             _ => match self.store.transact(&transaction) {
                 TransactionOutcome::Done(revision) => {
-                    o.core.committed(batch, revision, &mut o.view, now);
+                    o.core
+                        .transaction_committed(batch, revision, &mut o.view, now);
                 }
                 TransactionOutcome::Failed(_) => {
                     self.store.follow(&mut o.view);
                     let changed = o.view.take_changed();
                     o.core.jobs_changed(&o.view, &changed, now, 0);
-                    if !o.core.conflicted(batch, &o.view, now) {
+                    if !o.core.transaction_conflicted(batch, &o.view, now) {
                         self.owners.remove(owner);
                     }
                 }
@@ -525,7 +526,7 @@
             return self.renew_in_stead(at, &heartbeat);
         }
         let source = if self.luck(0.15) {
-            Source::Passed
+            Source::Forwarded
         } else {
             Source::Heartbeat
         };
@@ -536,7 +537,7 @@
         if !o.may_command(self.now) {
             return;
         }
-        o.core.walk(&heartbeat.machine, Time(self.now));
+        o.core.place_on(&heartbeat.machine, Time(self.now));
         let reply = o.core.reply(&heartbeat.machine, &o.view, Time(self.now));
         self.trace.fold_json(heartbeat.machine.as_str(), &reply);
         let reply = serde_json::to_value(&reply).expect("reply");
@@ -563,11 +564,11 @@
         let covers = |o: &&mut Owner| o.core.scope.covers(&heartbeat.machine);
         for o in self.owners.iter_mut().filter(covers) {
             // Nobody takes the answer.
-            if !o.core.is_copy(heartbeat)
+            if !o.core.is_stale(heartbeat)
                 && o.core
                     .heartbeat(heartbeat, Source::Heartbeat, Time(self.now))
             {
-                o.core.walk(&heartbeat.machine, Time(self.now));
+                o.core.place_on(&heartbeat.machine, Time(self.now));
                 let reply = o.core.reply(&heartbeat.machine, &o.view, Time(self.now));
                 self.trace.fold_json(heartbeat.machine.as_str(), &reply);
             }
@@ -595,8 +596,8 @@
                 age_s: 100.0,
             })
             .collect();
-        self.owners[owner].core.listed(&list, now);
-        let decision = self.owners[owner].core.fleet(now);
+        self.owners[owner].core.apply_machine_list(&list, now);
+        let decision = self.owners[owner].core.plan_scaling(now);
         self.trace
             .fold_json("deleted machines", &decision.to_delete);
         for rental in decision.scale_out {
@@ -619,7 +620,7 @@
                 w.silent_until = 0.0;
                 w.warned = false;
             }
-            self.owners[owner].core.deleted(&[id], now);
+            self.owners[owner].core.apply_deletions(&[id], now);
         }
     }
 
--- a/tests/staging.rs
+++ b/tests/staging.rs
@@ -15,7 +15,7 @@
 use sorrelhinge::agent_client::Sending;
 use sorrelhinge::api::read_job;
 use sorrelhinge::config::Tuning;
-use sorrelhinge::control::core::{Batch, Core, Places, RecoveryInput, ShardGrant, Source};
+use sorrelhinge::control::core::{Batch, Core, MachineZones, RecoveryInput, ShardGrant, Source};
 use sorrelhinge::scheduler::{ClusterState, DelayRule, Job, Machine, Tasks};
 use sorrelhinge::state::record::{image_hash, job_key, rollout_key, JobRecord, GRANT};
 use sorrelhinge::state::view::View;
@@ -181,7 +181,7 @@
         let text = self.next_revision(changes);
         let revision = Revision(self.revision);
         self.core
-            .committed(batch, revision, &mut self.view, Time(self.now));
+            .transaction_committed(batch, revision, &mut self.view, Time(self.now));
         self.apply(&text);
         self.view.take_changed();
     }
@@ -256,7 +256,7 @@
         now: Time(now),
         wall_ms: 0,
     };
-    Core::load(&input, grant, Places::default())
+    Core::recover(&input, grant, MachineZones::default())
 }
 
 const ON: &str = "staging.least.gb=20";
@@ -305,7 +305,7 @@
     // A fetch of 80 s: nobody is given back, and nothing is started again.
     world.steps(120);
     assert_eq!(world.starts.len(), 72);
-    let gone = world.core.fleet(Time(world.now)).to_delete;
+    let gone = world.core.plan_scaling(Time(world.now)).to_delete;
     assert_eq!(gone, [], "machines that fetch are kept");
     // Once all run, and nothing wants it any more, no record is left.
     for (_, phase) in world.tasks.values_mut() {
@@ -372,7 +372,7 @@
     world.workers.remove(&lost);
     world.tasks.retain(|(m, _), _| *m != lost);
     let gone = [MachineId::from(lost.as_str())];
-    world.core.deleted(&gone, Time(world.now));
+    world.core.apply_deletions(&gone, Time(world.now));
     world.starts.clear();
     world.submit("run-2", service("run-2", 3, MODEL, 40.0, 3.0));
     world.steps(12);
