--- a/src/scheduler/drains_by_target.rs
+++ b/src/scheduler/drains_by_target.rs
@@ -1,4 +1,4 @@
-//! Drains by their targets, to find those of a machine.
+//! An index of the active drains by target, for finding the drains of a machine.
 
 use std::collections::HashMap;
 
@@ -7,15 +7,16 @@
 use super::rebalance::ActiveDrain;
 use crate::types::MachineId;
 
-/// A drain and its place among all: of two that end at one time the first counts.
+/// A drain and its position in the list of all drains. Of two drains that end at the same
+/// time, the earlier position applies.
 #[derive(Clone, Copy)]
 pub(super) struct NumberedDrain<'a> {
     pub number: usize,
     pub active: &'a ActiveDrain,
 }
 
-/// Drains by what they cover: each machine of a fleet may have one of its own, and is not
-/// compared with those of all the others.
+/// Drains by what they cover. As each machine of a fleet may have a drain of its own, the index
+/// avoids comparing a machine with the drains of all other machines.
 pub(super) struct DrainsByTarget<'a> {
     machines: HashMap<&'a str, Vec<NumberedDrain<'a>>>,
     domains: Vec<NumberedDrain<'a>>,
@@ -41,7 +42,8 @@
         by_target
     }
 
-    /// Those that may cover a machine: its own, and those of domains.
+    /// Returns the drains that may cover a machine: the drains of the machine itself and all
+    /// drains of domains.
     pub(super) fn candidates(
         &self,
         id: &MachineId,
--- a/src/scheduler/filter/free_capacity.rs
+++ b/src/scheduler/filter/free_capacity.rs
@@ -1,11 +1,12 @@
-//! Rule: free capacity of a machine that is not reserved or kept for others.
+//! Filter rule: a task needs free capacity that is not reserved or kept for other jobs.
 
 use crate::scheduler::ClusterState;
 use crate::types::{Amount, JobId, MachineId, Time};
 
 impl ClusterState {
-    /// Free capacity of a machine for a job, less what is reserved for others, and less what is
-    /// kept there for work that can't use spot machines if the job `leaves_kept`.
+    /// Returns the free capacity of a machine for a job, less the capacity that is reserved for
+    /// other jobs. If `leaves_kept` is set, also subtracts the capacity that the machine keeps
+    /// for work that can't use spot machines.
     pub(in crate::scheduler) fn free_capacity_for(
         &self,
         id: &JobId,
@@ -39,7 +40,7 @@
         free - self.reserved_from(id, m_id, now)
     }
 
-    /// Whether capacity of a machine is reserved for a job, a gang or a window.
+    /// Returns whether capacity of a machine is reserved for a job, a gang or a window.
     pub(in crate::scheduler) fn has_reservation(&self, m_id: &MachineId) -> bool {
         self.reserved.contains_key(m_id)
             || self.gang_free_capacity.contains_key(m_id)
--- a/src/scheduler/filter/larger_types.rs
+++ b/src/scheduler/filter/larger_types.rs
@@ -1,4 +1,4 @@
-//! Rule: large machines are left to jobs that wait and fit no smaller ones.
+//! Filter rule: large machines are left to waiting jobs that fit no smaller machine type.
 
 use std::collections::BTreeMap;
 
@@ -7,12 +7,13 @@
 use crate::scheduler::ClusterState;
 use crate::types::{JobId, Time};
 
-/// Jobs that wait for the types that only they fit, at the start of a pass.
+/// For each capacity pool, waiting jobs whose tasks fit no smaller machine type, as of the
+/// start of a placement pass. Lists at most two jobs per pool.
 pub(in crate::scheduler) type Needy = BTreeMap<CapacityPool, Vec<JobId>>;
 
 impl ClusterState {
-    /// Whether another job waits that fits only machines as large as this one,
-    /// while this one fits smaller ones and has not waited for long.
+    /// Returns whether a machine is kept for another waiting job that fits only machines of
+    /// this size, while the requesting job fits smaller ones and has not waited for long.
     pub(in crate::scheduler) fn kept_for_larger_jobs(
         &self,
         request: &PlacementRequest,
@@ -49,7 +50,8 @@
             })
     }
 
-    /// Which jobs wait that fit only types as large as each group's.
+    /// Returns the waiting jobs that fit no machine type smaller than that of a group, by the
+    /// capacity pool of the group.
     pub(in crate::scheduler) fn needy(&self, now: Time) -> Needy {
         let mut needy = Needy::new();
         let smallest = self.capacity_index.kinds().min_by_key(|k| k.total.cpu);
@@ -63,7 +65,7 @@
                     && self.limit_allows(job, now)
                 {
                     let ids = needy.entry(key.traits(&group.kind).pool()).or_default();
-                    // Two tell whether there is another than one itself.
+                    // Two jobs are enough to tell whether another job than the requesting one waits.
                     if ids.len() < 2 && ids.last() != Some(id) {
                         ids.push(id.clone());
                     }
--- a/src/scheduler/filter/mod.rs
+++ b/src/scheduler/filter/mod.rs
@@ -1,11 +1,12 @@
-//! The filter step of a placement: may one more task of a job go to a machine?
+//! The filter step of a placement, which decides whether a machine may run one more task of
+//! a job.
 //!
-//! Each rule is a file of its own: [`machine_type`], [`zones`], [`free_capacity`] and
-//! [`larger_types`] here, failure domains and devices in [`super::topology_rules`].
-//! [`Filters`] makes the rules of one request ready once, and asks them in a fixed order:
-//! those that judge a whole group of machines first, then those that judge one machine.
-//! A new rule is a new file, and a line in [`Filters::admits_group`] or
-//! [`Filters::admits_machine`] and in [`ClusterState::may_start_on`].
+//! Each rule has its own file. [`machine_type`], [`zones`], [`free_capacity`] and
+//! [`larger_types`] are in this folder. [`super::topology_rules`] holds the rules for failure
+//! domains and devices. [`Filters`] prepares the rules of one request once and applies them
+//! in a fixed order: first the rules that judge a whole group of machines, then the rules
+//! that judge one machine. A new rule needs a file, a line in [`Filters::admits_group`] or
+//! [`Filters::admits_machine`], and a line in [`ClusterState::may_start_on`].
 
 mod free_capacity;
 mod larger_types;
@@ -25,35 +26,33 @@
 use super::{ClusterState, Job};
 use crate::types::{JobId, MachineId, MachineType, Time, Zone};
 
-/// One more task of a job that needs a machine.
+/// A request for a machine for one more task of a job.
 #[derive(Clone, Copy)]
 pub(in crate::scheduler) struct PlacementRequest<'a> {
-    /// The job's id.
     pub id: &'a JobId,
-    /// The job.
     pub job: &'a Job,
-    /// Jobs that wait for the types that only they fit: found when first asked for.
+    /// Waiting jobs that fit no smaller machine type. The first rule that reads them computes
+    /// them.
     pub needy: &'a OnceCell<Needy>,
-    /// Now.
     pub now: Time,
 }
 
-/// All rules for one request, made ready once and asked for many machines.
+/// All filter rules for one request, prepared once and applied to many machines.
 pub(in crate::scheduler) struct Filters<'a> {
     cluster_state: &'a ClusterState,
     request: &'a PlacementRequest<'a>,
     ask: &'a Ask<'a>,
-    /// How many of the job's tasks are in each zone.
+    /// Number of the job's tasks in each zone.
     zones: BTreeMap<&'a Zone, u32>,
-    /// The job's placement rules; none if it has none.
+    /// The job's placement rules, or `None` if the job has no rules.
     site: Option<Site<'a>>,
-    /// Room kept for work that can't use spot machines is withheld from the job.
+    /// Whether capacity kept for work that can't use spot machines is withheld from the job.
     leaves_kept: bool,
 }
 
 impl<'a> Filters<'a> {
-    /// Makes the rules ready; none if nothing may be placed as it is not known where the
-    /// job's tasks are.
+    /// Prepares the rules. Returns `None` if the zones of the job's tasks are unknown, which
+    /// forbids every placement.
     pub(super) fn new(
         cluster_state: &'a ClusterState,
         request: &'a PlacementRequest<'a>,
@@ -71,12 +70,13 @@
         })
     }
 
-    /// Whether capacity kept for work that can't use spot machines is withheld.
+    /// Returns whether capacity kept for work that can't use spot machines is withheld from
+    /// the job.
     pub(super) fn leaves_kept(&self) -> bool {
         self.leaves_kept
     }
 
-    /// Whether any machine of a group may do.
+    /// Returns whether the rules that judge whole groups admit a group of machines.
     pub(super) fn admits_group(&self, key: &GroupKey, kind: &MachineType) -> bool {
         let job = self.request.job;
         ClusterState::kind_suits(&job.spec, key.spot, kind, &key.zone)
@@ -90,8 +90,8 @@
                 .is_none_or(|site| Machine::could(&key.devices, &site.needs))
     }
 
-    /// Whether a machine of a group that was admitted may do; else up to which place
-    /// none does.
+    /// Checks a machine of an admitted group. If the rules exclude the machine, returns the
+    /// first place at which a machine may pass again.
     pub(super) fn admits_machine(&self, place: Domain, m_id: &MachineId) -> Result<(), Domain> {
         let PlacementRequest { id, job, now, .. } = *self.request;
         let cluster_state = self.cluster_state;
@@ -114,8 +114,8 @@
 }
 
 impl ClusterState {
-    /// Whether a task may start on a machine whose turn it is: all rules, and its
-    /// team's limit.
+    /// Returns whether one more task of a job may start on the machine that a placement pass
+    /// is filling. Checks all filter rules and the limit of the job's team.
     pub(in crate::scheduler) fn may_start_on(
         &self,
         request: &PlacementRequest,
--- a/src/scheduler/filter/zones.rs
+++ b/src/scheduler/filter/zones.rs
@@ -1,4 +1,4 @@
-//! Rule: all tasks of a job in one zone, or spread over zones.
+//! Filter rule: a job may require all its tasks in one zone, or spread over zones.
 
 use std::collections::BTreeMap;
 
@@ -6,9 +6,9 @@
 use crate::types::{JobId, Zone};
 
 impl ClusterState {
-    /// How many tasks of a job are in each zone; none if a claim is on a
-    /// machine whose zone is not known yet, which forbids every placement that
-    /// depends on zones.
+    /// Returns the number of a job's tasks in each zone, without the task `leave_out`. Returns
+    /// `None` if the zone of a task is not known yet, for example because its claim is on an
+    /// unknown machine. This forbids every placement that depends on zones.
     pub(in crate::scheduler) fn zones_of(
         &self,
         id: &JobId,
@@ -17,8 +17,8 @@
     ) -> Option<BTreeMap<&Zone, u32>> {
         let mut zones = BTreeMap::new();
         if job.spec.one_zone || job.spec.spread {
-            // Left out once, when the machines had just been divided: replicas
-            // went where their rule forbids it (`wrong_place`).
+            // Tasks in other shards count too. Without them, replicas were placed where their
+            // rule forbids it just after the machines were split into shards (`wrong_place`).
             if let Some(elsewhere) = self.elsewhere.get(id) {
                 zones.extend(elsewhere.as_ref()?.iter().map(|(z, n)| (z, *n)));
             }
@@ -32,22 +32,24 @@
         Some(zones)
     }
 
-    /// Whether one more task of a job may go to a zone, by the zones of the others.
+    /// Returns whether one more task of a job may be placed in a zone, given the zones of the
+    /// job's other tasks.
     pub(in crate::scheduler) fn zone_allows(
         job: &Job,
         zones: &BTreeMap<&Zone, u32>,
         zone: &Zone,
     ) -> bool {
         let here = zones.get(zone).copied().unwrap_or(0);
-        // Of claims found at a takeover some may be over, and be in another zone than
-        // those that run: it is not known which, so nothing goes anywhere until one
-        // side is shown to have ended. Any zone with a claim was good enough once, and a
-        // task started in one while others ran in the other (`wrong_place`).
+        // Claims found at a takeover may be in two zones, and some of their tasks may have
+        // ended. Which ones is unknown, so no task is placed until all tasks of one zone are
+        // known to have ended. When any zone with a claim was allowed, a task started in one
+        // zone while others ran in the other (`wrong_place`).
         (!job.spec.one_zone || zones.iter().all(|(z, n)| *n == 0 || *z == zone))
             && (!job.spec.spread || here < job.spec.tasks.div_ceil(2))
     }
 
-    /// Whether a zone has a controller.
+    /// Returns whether a zone has a controller. If no such zone is known, every zone counts as
+    /// having one.
     pub fn is_served(&self, zone: &Zone) -> bool {
         self.served.is_empty() || self.served.contains(zone)
     }
--- a/src/scheduler/gangs/mod.rs
+++ b/src/scheduler/gangs/mod.rs
@@ -1,5 +1,6 @@
-//! Gangs: all tasks are claimed or none (DESIGN). Where free slots don't
-//! suffice, what falls free is reserved on the fewest machines that would fit.
+//! Placement of gangs: the scheduler claims all tasks of a gang or none (DESIGN). If the free
+//! slots don't suffice, it reserves the capacity that comes free on the smallest set of
+//! machines that fits the gang.
 
 mod rules;
 mod slots;
@@ -19,16 +20,15 @@
 use super::{ClusterState, Delay, DelayRule, Job, Launch};
 use crate::types::{Attempt, JobId, MachineId, TaskId, Time};
 
-/// How long a gang that found no free capacity waits until all machines are looked at
-/// for it again.
+/// Seconds between two placement attempts for one gang, as each attempt scans all machines.
 const TRY_AGAIN_S: f64 = 0.5;
 
-/// What can be done for a gang.
+/// Placement plans for a gang. At most one of them is used.
 #[derive(Default)]
 struct GangPlans {
-    /// Where all its tasks fit now.
+    /// Places all tasks on free capacity.
     now: Option<gang::Plan>,
-    /// Else what to reserve for it.
+    /// Lists the machines to reserve if no plan fits the free capacity.
     later: Option<gang::Plan>,
 }
 
@@ -38,8 +38,8 @@
         settings.unwrap_or_default()
     }
 
-    /// Places all tasks of a gang, or reserves machines for it if it is its turn. Nothing
-    /// is placed while tasks of an earlier start are not known to have ended.
+    /// Places all tasks of a gang, or reserves machines for the gang if it holds the turn to
+    /// reserve. Places nothing until all tasks of an earlier start are known to have ended.
     pub(super) fn place_gang(&mut self, id: &JobId, rule: DelayRule, now: Time) -> Vec<Launch> {
         let Some(job) = self.jobs.get(id) else {
             return Vec::new();
@@ -72,8 +72,8 @@
         Vec::new()
     }
 
-    /// How a gang could be placed: with all its placement rules, else with those that are
-    /// required.
+    /// Plans the placement of a gang. Applies all placement rules first; if no plan meets
+    /// them, applies the required rules only.
     fn gang_plans(&self, id: &JobId, job: &Job, now: Time) -> GangPlans {
         let tree = self.topology.as_ref().map(|t| &t.tree);
         let tasks = job.tasks.pending();
@@ -121,15 +121,16 @@
         let mut launches = Vec::new();
         for on in plan {
             for _ in 0..on.tasks {
-                // The plan counted what is free: none is missing. If one is, the gang
-                // is short of a task, is taken apart and placed anew.
+                // The plan counts free capacity only, so every launch succeeds. If one fails
+                // all the same, the gang lacks a task and is stopped and placed again.
                 launches.extend(self.launch_gang_task(id, attempt, &on.machine, now));
             }
         }
         launches
     }
 
-    /// Claims the next task of a gang on a machine; none if its devices are not free there.
+    /// Claims the next task of a gang on a machine. Returns `None` if the devices that the
+    /// task needs are not free on the machine.
     fn launch_gang_task(
         &mut self,
         id: &JobId,
@@ -182,14 +183,15 @@
             .collect();
     }
 
-    /// A gang needs no machines reserved any more.
+    /// Ends a gang's turn to reserve machines and releases the capacity reserved for the gang.
     pub(super) fn leave_turn(&mut self, id: &JobId) {
         self.turn.leave(id);
         self.gang_free_capacity
             .retain(|_, reserved| reserved.job != *id);
     }
 
-    /// Ends a reservation that is beyond its time, or of a gang that is over.
+    /// Releases the gang reservation if its time is over or if its gang no longer waits for
+    /// placement.
     pub(super) fn drop_expired_reservations(&mut self, now: Time) {
         let Some(holder) = self.turn.holder().cloned() else {
             return;
@@ -204,14 +206,14 @@
         }
     }
 
-    /// Machines with free capacity reserved for a gang.
+    /// Returns the machines on which capacity is reserved for a gang, each with the gang's id.
     pub fn reserved_for_gangs(&self) -> impl Iterator<Item = (&MachineId, &JobId)> {
         self.gang_free_capacity
             .iter()
             .map(|(machine, reserved)| (machine, &reserved.job))
     }
 
-    /// The domain, as far in as it is one, that a gang's tasks run in.
+    /// Returns the path of the innermost domain that contains all tasks of a gang.
     pub fn gang_domain(&self, id: &JobId, tree: &Tree) -> Option<String> {
         let job = self.jobs.get(id)?;
         let places = self
@@ -221,7 +223,8 @@
         Some(tree.path(gang::common(tree, places)).to_owned())
     }
 
-    /// Where one more task of a job might go once `index` has left its place.
+    /// Returns the best machine for one more task of a job, calculated as if task `index` had
+    /// already left its machine.
     pub(super) fn elsewhere(
         &self,
         id: &JobId,
--- a/src/scheduler/gangs/rules.rs
+++ b/src/scheduler/gangs/rules.rs
@@ -1,4 +1,4 @@
-//! What a gang's job allows of a plan for all its tasks.
+//! The rules of a gang's job that a plan for all its tasks must meet.
 
 use sorrelhinge_topology::gang::{ChosenSlot, Rules, Slot};
 use sorrelhinge_topology::policy::{MachineLocation, Reach};
@@ -6,7 +6,7 @@
 use crate::scheduler::{ClusterState, Job};
 use crate::types::Zone;
 
-/// What a job's rules say of a plan for all its tasks.
+/// Checks a plan for all tasks of a job against the job's zone and placement rules.
 pub(super) struct JobRules<'a> {
     pub cluster_state: &'a ClusterState,
     pub job: &'a Job,
@@ -33,7 +33,7 @@
     }
 }
 
-/// Where a slot's machine is.
+/// Returns the location of a slot's machine.
 fn location(slot: &Slot) -> MachineLocation<'_> {
     MachineLocation {
         place: slot.place,
@@ -47,7 +47,7 @@
         Some(&machine.zone)
     }
 
-    /// How many of `wanted` more tasks the job's placement rules allow on a slot.
+    /// Returns how many of `wanted` more tasks the job's placement rules allow on a slot.
     fn allowed_by_policy(&self, chosen: &[ChosenSlot<'_>], slot: &Slot, wanted: u32) -> u32 {
         let policy = &self.job.policy;
         if !policy.counts() {
--- a/src/scheduler/gangs/slots.rs
+++ b/src/scheduler/gangs/slots.rs
@@ -1,4 +1,4 @@
-//! How many tasks of a gang each machine could take, now and later.
+//! The slots of a gang: how many of its tasks fit on each machine, now and later.
 
 use sorrelhinge_protocol::placement::Device;
 use sorrelhinge_topology::devices::{choose, AllocatedDevices, DeviceInventory};
@@ -8,26 +8,28 @@
 use crate::scheduler::{ClusterState, Job, Machine};
 use crate::types::{Amount, JobId, Kind, MachineId, Time};
 
-/// A slot's cost is counted in tenths of a second.
+/// Steps per second in a slot's integer cost, which is in tenths of a second.
 const COST_STEPS: f64 = 10.0;
 
-/// A gang whose tasks are to be placed all at once.
+/// A request for slots for all tasks of a gang.
 pub(super) struct GangRequest<'a> {
     pub id: &'a JobId,
     pub job: &'a Job,
-    /// Devices that each of its tasks needs.
+    /// Devices that each task of the gang needs.
     pub needs: Vec<Device>,
     pub now: Time,
 }
 
-/// What stays on a machine until somebody stops it.
+/// Capacity and devices of a machine that stay in use until a user or the scheduler stops
+/// the tasks.
 #[derive(Default)]
 struct LastingUse {
     amount: Amount,
     units: AllocatedDevices,
 }
 
-/// How many of `max` tasks find the devices that each needs, beside what is allocated.
+/// Returns how many of `max` tasks get the devices that each needs, given the devices
+/// already allocated.
 fn with_devices(
     device_inventory: &DeviceInventory,
     allocated: &AllocatedDevices,
@@ -50,8 +52,8 @@
 }
 
 impl ClusterState {
-    /// Machines that could take tasks of a gang. The only decision that looks
-    /// at all machines, twice a second at most for each gang that waits.
+    /// Returns a slot for each machine that suits a gang. This is the only decision that
+    /// scans all machines. It runs at most twice a second for each waiting gang.
     pub(super) fn slots(&self, request: &GangRequest) -> Vec<Slot> {
         let GangRequest { job, now, .. } = *request;
         let mut slots = Vec::new();
@@ -68,7 +70,7 @@
         slots
     }
 
-    /// How many tasks of a gang a machine could take now, and later.
+    /// Returns the slot of a machine: the number of a gang's tasks that fit now and later.
     fn slot(&self, request: &GangRequest, m_id: &MachineId, m: &Machine) -> Slot {
         let GangRequest { id, job, now, .. } = *request;
         let spec = &*job.spec;
@@ -104,7 +106,8 @@
         }
     }
 
-    /// What on a machine doesn't end by itself: services that are not being stopped.
+    /// Returns what tasks that don't end by themselves use on a machine. These are the tasks
+    /// of services that are not being stopped.
     fn lasting_use(&self, m: &Machine) -> LastingUse {
         let mut lasting = LastingUse::default();
         for task in &m.claims {
--- a/src/scheduler/idle.rs
+++ b/src/scheduler/idle.rs
@@ -1,40 +1,44 @@
-//! What work of idle priority may take: what is left beside the rest.
+//! The capacity limit for work of idle priority: the capacity that other work leaves unused.
 //!
-//! Idle tasks run for minutes and come by the thousand. Left to fill all capacity
-//! that was free for a moment, they had it when the next job came: that waited
-//! until it was late enough to stop some of them, thousands of times a day, and
-//! what was stopped began anew.
+//! Idle tasks run for minutes and arrive by the thousand. Without this limit they filled
+//! all capacity that was free for a moment. The next job then waited until it was late enough
+//! to preempt some of them. This happened thousands of times a day, and the preempted tasks
+//! started over.
 
 use super::{ClusterState, Job, Team};
 use crate::types::{Amount, Priority, Time};
 
-/// What the other work used and waited for of late counts for so
-/// long, in seconds: it falls to a third meanwhile.
+/// Time constant of the decay of the demand peak, in seconds. The peak falls to about a
+/// third in this time.
 const LATE_S: f64 = 60.0;
-/// Idle work has this part of all machines in any case: it is to end, too.
+/// Share of the capacity of all machines that idle work may always use, so that idle work
+/// completes too.
 const FLOOR: f64 = 0.3;
-/// Tasks that are shorter, in seconds, free their capacity soon enough by themselves.
+/// Tasks with a shorter estimate, in seconds, are not limited: they end and free their
+/// capacity soon enough.
 const SHORT_S: f64 = 10.0;
 
-/// Idle work, and the peak of all other.
+/// Usage and limit of idle work, and the recent peak demand of all other work.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Idle {
-    /// What the claims of all that is bounded take.
+    /// Sum of the claims of all jobs that the limit applies to.
     pub used: Amount,
-    /// Thousandths of a CPU that it may take; none: not known yet.
+    /// Limit of idle work in thousandths of a CPU, or `None` before the first refresh.
     max: Option<i64>,
-    /// What all other work used and waited for, in thousandths of a CPU.
+    /// Decaying peak of what all other work used and waited for, in thousandths of a CPU.
     peak: f64,
+    /// Time of the last refresh.
     at: Time,
 }
 
-/// Whether a job is bounded: its tasks keep the capacity that they get.
+/// Returns whether the limit for idle work applies to a job. It applies only to tasks that
+/// are long enough to hold on to the capacity that they get.
 pub(super) fn is_bounded(job: &Job) -> bool {
     job.priority == Priority::Idle && job.spec.estimate_s >= SHORT_S
 }
 
 impl ClusterState {
-    /// Looks at what idle work may take now.
+    /// Recomputes the limit for idle work from the demand of all other work.
     pub fn refresh_idle_capacity(&mut self, now: Time) {
         let mut pending = vec![Amount::default(); self.teams.len()];
         for job in self.jobs_to_place().map(|(_, j)| j) {
@@ -51,14 +55,15 @@
         let asks: i64 = self.teams.iter().enumerate().map(asks).sum();
         let fade = (-now.since(self.idle.at) / LATE_S).exp();
         self.idle.at = now;
-        // Of all teams together: they do not ask for most at the same time.
+        // The peak is that of the sum over all teams, as the teams don't reach their peaks at
+        // the same time.
         self.idle.peak = (asks as f64).max(self.idle.peak * fade);
         let all = self.capacity.cpu as f64;
         self.idle.max = Some((all - self.idle.peak).max(FLOOR * all) as i64);
     }
 
-    /// Thousandths of a CPU that idle work uses beyond its part, and that are not
-    /// being stopped.
+    /// Returns the thousandths of a CPU that idle work uses beyond its guaranteed share,
+    /// without the tasks that are being stopped. The result is negative below that share.
     pub(super) fn idle_beyond(&self) -> i64 {
         let stopped: i64 = self
             .jobs
@@ -72,8 +77,8 @@
         self.idle.used.cpu - stopped - (FLOOR * self.capacity.cpu as f64) as i64
     }
 
-    /// Whether one more task of a job is to be left waiting, as idle work has what
-    /// it may take.
+    /// Returns whether one more task of a job must wait because idle work has reached its
+    /// limit. Tasks within their team's guarantee need not wait.
     pub(super) fn idle_is_full(&self, job: &Job) -> bool {
         if !is_bounded(job) {
             return false;
