--- a/src/scheduler/lanes.rs
+++ b/src/scheduler/lanes.rs
@@ -1,5 +1,6 @@
-//! Lane jobs go ahead of all others, as far as their lane's part goes
-//! (`docs/lanes.md`). Without lanes nothing here is ever filled.
+//! Priority lanes: the scheduler places lane jobs ahead of all other jobs, up to the share
+//! (`part`) of their lane (`docs/lanes.md`). Without lanes all structures of this module
+//! stay empty.
 
 mod placement;
 
@@ -14,26 +15,28 @@
 use super::{ClusterState, Job};
 use crate::types::{JobId, Priority, Revision, Time};
 
-/// A job's standing in its lane.
+/// The position of a job in its lane.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Laned {
-    /// Its lane.
+    /// Lane of the job.
     pub lane: LaneId,
-    /// Its place: what the state service did when it was accepted.
+    /// Place of the job in the lane: the revision of the state service at which the job was
+    /// accepted.
     pub place: Revision,
-    /// Neither pressing nor aged, when last looked at.
+    /// Whether the job was neither pressing nor aged at the last refresh.
     pub behind: bool,
-    /// Of a pressing one when it must begin, see [`Key::must_ms`].
+    /// Latest start of a pressing job in milliseconds, see [`Key::must_ms`].
     pub must_ms: u64,
-    /// Within its lane's part with all before it, when last looked at.
+    /// Whether the job and all jobs before it were within their lane's share at the last
+    /// refresh.
     pub ahead: bool,
-    /// The turn it takes otherwise, of those of jobs that ask for the same: the first
-    /// by its standing takes the first.
+    /// Turn of the job outside the lane's share. Lane jobs that ask for the same exchange
+    /// their turns, so that the first of them in lane order has the first turn.
     pub turn: Option<QueueTurn>,
 }
 
 impl Laned {
-    /// Of a job that was not looked at yet.
+    /// Returns the position of a job before its first refresh.
     pub fn new(lane: LaneId, place: Revision) -> Self {
         Self {
             lane,
@@ -46,18 +49,17 @@
     }
 }
 
-/// The lanes, what their jobs use, and which jobs wait in them.
+/// The lanes, the capacity that their jobs use, and the jobs that wait in them.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Queue {
-    /// The lane jobs that wait, the first first: as of the last look, see
-    /// [`ClusterState::refresh_lanes`].
+    /// Waiting lane jobs in lane order, as of the last [`ClusterState::refresh_lanes`].
     order: Vec<Key>,
     bounds: BTreeMap<LaneId, Bound>,
-    /// Thousandths of a CPU that each lane's claims take.
+    /// Sum of each lane's claims, in thousandths of a CPU.
     pub(super) used: BTreeMap<LaneId, i64>,
 }
 
-/// Jobs of which this is the same could stand in for each other.
+/// Groups interchangeable jobs: two jobs with equal values can exchange their turns.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct Alike {
     team: usize,
@@ -75,18 +77,18 @@
     }
 }
 
-/// What a lane's jobs use of all usable machines, in thousandths of a CPU.
+/// The usage of a lane, compared with all usable machines.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LaneUsage {
-    /// What the lane's jobs use.
+    /// CPU that the lane's jobs use, in thousandths of a CPU.
     pub used: i64,
-    /// What there is.
+    /// CPU of all usable machines, in thousandths of a CPU.
     pub capacity: i64,
 }
 
 impl ClusterState {
-    /// Puts the lane jobs that wait in order, at `now` and `now_ms` of the time of
-    /// day: who presses changes with time only.
+    /// Sorts the waiting lane jobs in lane order. `now_ms` is the time of day at `now`, in
+    /// milliseconds. Callers refresh repeatedly, as jobs become pressing with time alone.
     pub fn refresh_lanes(&mut self, lanes: &Lanes, now: Time, now_ms: u64) {
         if lanes.is_empty() {
             return;
@@ -115,7 +117,7 @@
         self.lanes.order = order;
     }
 
-    /// The lane jobs that wait, the first first.
+    /// Returns the waiting lane jobs in lane order.
     fn arranged(&self, now: Time, now_ms: u64) -> Vec<Key> {
         let waits = self.jobs_to_place().filter_map(|(id, job)| {
             let laned = job.lane?;
@@ -131,8 +133,8 @@
         arrange(waits.collect(), now_ms)
     }
 
-    /// The turns of lane jobs that ask for the same, the last first, as the first in
-    /// order takes the first turn from the end.
+    /// Returns the turns of interchangeable lane jobs, the last turn first. The caller pops
+    /// turns from the end, so the first job in lane order gets the first turn.
     fn turns_of_alike(&self, order: &[Key]) -> BTreeMap<Alike, Vec<QueueTurn>> {
         let mut turns: BTreeMap<Alike, Vec<QueueTurn>> = BTreeMap::new();
         for job in order.iter().filter_map(|key| self.jobs.get(&key.id)) {
@@ -144,8 +146,8 @@
         turns
     }
 
-    /// Whether a lane job is within its lane's part, of which `allocated` is taken by the
-    /// lane's claims and by the jobs before it, in thousandths of a CPU.
+    /// Returns whether a lane job is within its lane's share. `allocated` is the CPU that the
+    /// lane's claims and the jobs before it take of that share, in thousandths of a CPU.
     fn goes_ahead(&self, lane: LaneId, job: &Job, allocated: i64, others_wait: bool) -> bool {
         let needs = job.demand().cpu;
         let part = self.lanes.bounds.get(&lane);
@@ -153,18 +155,19 @@
         !others_wait || allocated + needs <= part || allocated <= 0 && needs <= job.spec.each.cpu
     }
 
-    /// Gives a job its standing in its lane; it is filed anew, as that is part of its
-    /// place.
+    /// Sets the position of a job in its lane. Moves the job in its team's queue, as the
+    /// queue is sorted by that position too.
     fn set_laned(&mut self, id: &JobId, laned: Laned) {
         if self.jobs.get(id).is_some_and(|j| j.lane != Some(laned)) {
             self.refile(id, |job| job.lane = Some(laned));
         }
     }
 
-    /// A job came since the last look: it is among those behind until the next, and
-    /// doesn't wait for that to go ahead of others.
+    /// Adds a new job to the lane order before the next refresh, so that the job needn't
+    /// wait for the refresh to go ahead of other jobs. Until then the job counts as neither
+    /// pressing nor aged.
     pub(super) fn came_to_lane(&mut self, id: &JobId, job: &Job) {
-        // Before the first look all are still to be put in order, at once.
+        // The first refresh sorts all jobs at once, so nothing is added before it.
         let looked = job.lane.filter(|_| !self.lanes.bounds.is_empty());
         let Some(laned) = looked else { return };
         let key = Key {
@@ -179,7 +182,7 @@
         }
     }
 
-    /// What a lane's jobs use now, and of how much its part is.
+    /// Returns the CPU that a lane's jobs use now and the CPU that its share is a part of.
     pub fn lane_usage(&self, lane: LaneId) -> LaneUsage {
         LaneUsage {
             used: self.lanes.used.get(&lane).copied().unwrap_or(0),
@@ -187,13 +190,13 @@
         }
     }
 
-    /// The lane jobs that wait, the first first.
+    /// Returns the waiting lane jobs in lane order.
     pub fn lane_waits(&self) -> impl Iterator<Item = (&Key, &Job)> {
         let order = self.lanes.order.iter();
         order.filter_map(|key| Some((key, self.jobs.get(&key.id)?)))
     }
 
-    /// Whether jobs wait that are in no lane.
+    /// Returns whether any job waits that is in no lane.
     fn others_wait(&self) -> bool {
         let mut queues = self.queues.iter().flatten();
         queues.any(|place| !place.in_lane)
--- a/src/scheduler/lanes/placement.rs
+++ b/src/scheduler/lanes/placement.rs
@@ -1,4 +1,4 @@
-//! Placing lane jobs ahead of all others.
+//! Placement of lane jobs ahead of all other jobs.
 
 use sorrelhinge_priority_lanes::part::SharedCapacity;
 
@@ -12,15 +12,16 @@
     pub job: &'a Job,
 }
 
-/// What was placed for lane jobs ahead of all others, and who was tried.
+/// The result of placing lane jobs ahead of all other jobs: the launches and the jobs that
+/// were tried.
 pub(in crate::scheduler) struct LanesPlaced {
     pub launches: Vec<Launch>,
     pub tried: Vec<JobId>,
 }
 
 impl ClusterState {
-    /// Whether one more task of a lane job goes ahead of others, as far as its lane's
-    /// part goes: a flood in a lane would else keep everybody waiting.
+    /// Returns whether one more task of a lane job is within its lane's share. Without this
+    /// limit a flood of jobs in a lane would keep all other jobs waiting.
     fn within_part(&self, job: &Job, others_wait: bool) -> bool {
         let Some(laned) = job.lane else { return false };
         let usage = self.lane_usage(laned.lane);
@@ -33,10 +34,10 @@
         bound.is_some_and(|b| b.allows(allocated, job.spec.each.cpu))
     }
 
-    /// Teams that are below their guarantee and have work waiting: their work is
-    /// passed by no lane job of a team that is beyond its own. While it was, on a
-    /// day of bursts 0.862 of the work within a guarantee began in time, not 0.949
-    /// (simulated machines).
+    /// Returns the teams that are below their guarantee and have jobs waiting outside of
+    /// lanes. No lane job of a team beyond its own guarantee goes ahead of these jobs. When
+    /// lane jobs did, only 0.862 of the work within a guarantee began in time on a day of
+    /// bursts, instead of 0.949 (simulated machines).
     fn owed(&self) -> Vec<usize> {
         let standings = self.standings().into_iter().enumerate();
         let owed = standings.filter(|(team, s)| {
@@ -45,16 +46,17 @@
         owed.map(|(team, _)| team).collect()
     }
 
-    /// Whether a lane job's team is within its guarantee with one more task of it, or
-    /// no other is `owed` any.
+    /// Returns whether one more task of a lane job respects the guarantees. The job's team
+    /// must stay within its own guarantee, or no other team may be in `owed`, the teams below
+    /// their guarantee.
     fn leaves_guarantees(&self, job: &Job, owed: &[usize]) -> bool {
         let team = &self.teams[job.team];
         (team.used + job.spec.each).fits_team(team.guarantee)
             || owed.iter().all(|other| *other == job.team)
     }
 
-    /// The lane jobs that are offered machines before all others, in order. One
-    /// that fits nowhere is passed over like any other in a walk.
+    /// Returns the lane jobs that are offered machines before all other jobs, in lane order.
+    /// The caller skips a job that fits on no machine, as it does for any other job.
     pub(in crate::scheduler) fn lanes_first(&self, now: Time) -> Vec<LaneJob<'_>> {
         if self.lanes.order.is_empty() {
             return Vec::new();
@@ -71,12 +73,13 @@
             .collect()
     }
 
-    /// Offers the lane jobs the best machines, ahead of all others.
+    /// Places lane jobs on the best machines, ahead of all other jobs.
     pub(in crate::scheduler) fn place_lanes(&mut self, context: &PassContext) -> LanesPlaced {
         let mut launches = Vec::new();
         let mut skipped = Vec::new();
         let first = self.lanes_first(context.now);
-        // A gang is placed all at once, in its ordinary turn.
+        // Gangs are left out: the scheduler places all tasks of a gang at once, in the gang's
+        // ordinary turn.
         let first = first
             .iter()
             .filter(|first| first.job.spec.kind != Kind::Gang);
@@ -88,8 +91,8 @@
         LanesPlaced { launches, tried }
     }
 
-    /// Places as many tasks of a lane job as go ahead of others; `skipped` gets the job if
-    /// it waits for a machine with its image.
+    /// Places as many tasks of a lane job as may go ahead of other jobs. Adds the job to
+    /// `skipped` if it waits for a machine that has its image.
     fn place_lane_job(
         &mut self,
         id: &JobId,
--- a/src/scheduler/preempt/mod.rs
+++ b/src/scheduler/preempt/mod.rs
@@ -1,4 +1,5 @@
-//! Preemption: tasks are stopped for jobs that found no machine, where that wastes least.
+//! Preemption: the scheduler stops running tasks for jobs that found no machine, and chooses
+//! the tasks so that the least work is wasted.
 
 mod victims;
 
@@ -8,32 +9,34 @@
 use super::{idle, ClusterState, Job};
 use crate::types::{Amount, JobId, Kind, MachineId, TaskId, Time};
 
-/// On how many machines tasks are stopped for one job at a time.
+/// Maximum number of machines on which tasks are stopped for one job at a time.
 const MAX_PREEMPTION_CANDIDATES: u32 = 16;
-/// For how many jobs tasks are stopped at a time, as each looks at all machines.
+/// Maximum number of jobs for which one round stops tasks, as each job needs a scan of all
+/// machines.
 const MAX_JOBS_PER_PASS: usize = 4;
-/// For how long the capacity that comes free stays reserved for the job.
+/// Seconds for which the freed capacity stays reserved for the job.
 const RESERVED_S: f64 = 10.0;
-/// A job that waits for free capacity to be made, and in how many places.
+
+/// A job for which capacity is to be freed, and the number of machines to free it on.
 struct StarvedJob {
     id: JobId,
     places: u32,
 }
 
-/// What is being stopped, kept up to date within a round of preemption.
+/// Totals of the tasks that are being stopped, updated within a round of preemption.
 struct Stopping {
-    /// What the teams' tasks take that are being stopped, by team.
+    /// Capacity used by tasks that are being stopped, by team.
     leaving: Vec<Amount>,
-    /// Thousandths of a CPU that idle work uses beyond its part and that are not
-    /// being stopped.
+    /// Thousandths of a CPU that idle work uses beyond its guaranteed share, without the
+    /// tasks that are being stopped.
     idle_beyond: i64,
 }
 
 impl ClusterState {
-    /// Chooses tasks to stop for jobs that found no place for `patience`
-    /// seconds, in the allowed cases only: for a higher priority, or to give a
-    /// team its guarantee out of what another team runs beyond its own.
-    /// Reserves the free capacity. Live services are never chosen.
+    /// Marks tasks to be stopped for jobs that found no machine for `patience` seconds, and
+    /// returns these tasks. Preempts in two cases only: for a job of higher priority, or to
+    /// give a team its guarantee from capacity that another team uses beyond its own
+    /// guarantee. Reserves the freed capacity. Never preempts tasks of services.
     pub fn preempt(&mut self, patience: impl Fn(&Job) -> f64, now: Time) -> Vec<TaskId> {
         self.reserved.retain(|_, reserved| now < reserved.until);
         let waiting = self.starved_jobs(patience, now);
@@ -51,16 +54,16 @@
         stops
     }
 
-    /// The first jobs of the order that found no place for `patience` seconds, and that
-    /// have fewer places reserved than they could use.
+    /// Returns the first jobs in scheduling order that found no machine for `patience`
+    /// seconds and that have capacity reserved on fewer machines than they could use.
     fn starved_jobs(&self, patience: impl Fn(&Job) -> f64, now: Time) -> Vec<StarvedJob> {
         let mut by_job: BTreeMap<&JobId, u32> = BTreeMap::new();
         for reserved in self.reserved.values() {
             *by_job.entry(&reserved.job).or_insert(0) += 1;
         }
         self.in_order(now)
-            // Room made piece by piece does not make a gang fit; what falls
-            // free is reserved for it.
+            // Capacity freed machine by machine does not make a gang fit. Capacity that comes
+            // free is reserved for the gang instead.
             .filter(|(_, job)| job.spec.kind != Kind::Gang)
             .filter(|(_, job)| job.blocked_since.map_or(0.0, |t| now.since(t)) >= patience(job))
             .map(|(id, job)| {
@@ -76,8 +79,8 @@
             .collect()
     }
 
-    /// Frees and reserves capacity for one job, where that wastes least. Returns the tasks
-    /// to stop.
+    /// Frees and reserves capacity for one job on the machines where that wastes the least.
+    /// Returns the tasks to stop.
     fn preempt_for(
         &mut self,
         starved: &StarvedJob,
@@ -114,9 +117,9 @@
         stops
     }
 
-    /// Machines on which capacity for a job can be freed, the cheapest first. One look at
-    /// all machines finds the best of them; each is looked at again when its turn
-    /// comes, as those before it count.
+    /// Returns the machines on which capacity for a job can be freed, the cheapest first. One
+    /// scan of all machines sorts them. The caller plans each machine again when it reaches
+    /// that machine, as the tasks stopped before change the result.
     fn by_preemption_cost(
         &self,
         id: &JobId,
@@ -141,7 +144,7 @@
         found.into_iter().map(|(_, m_id)| m_id.clone()).collect()
     }
 
-    /// Marks a chosen task to be stopped, and counts it as leaving.
+    /// Marks a chosen task to be stopped and adds it to the totals in `stopping`.
     fn stop_victim(&mut self, task: &TaskId, hurry: bool, stopping: &mut Stopping) {
         if let Some(job) = self.jobs.get(&task.job) {
             stopping.leaving[job.team] += job.spec.each;
@@ -152,7 +155,8 @@
         self.stop(task, hurry);
     }
 
-    /// Stops the other tasks of a gang of which one was stopped.
+    /// Stops the other tasks of the gang that `task` belongs to. Returns no tasks if the job
+    /// is no gang.
     fn stop_rest_of_gang(&mut self, task: &TaskId) -> Vec<TaskId> {
         let job = self.jobs.get(&task.job);
         if job.is_some_and(|j| j.spec.kind == Kind::Gang) {
@@ -162,7 +166,7 @@
         }
     }
 
-    /// What the teams' tasks take that are being stopped.
+    /// Returns the capacity used by tasks that are being stopped, by team.
     fn leaving(&self) -> Vec<Amount> {
         let mut totals = vec![Amount::default(); self.teams.len()];
         for job in self.jobs.values() {
--- a/src/scheduler/preempt/victims.rs
+++ b/src/scheduler/preempt/victims.rs
@@ -1,4 +1,5 @@
-//! Room for one task on one machine: which tasks to stop for it, and what that wastes.
+//! Freeing capacity for one task on one machine: chooses the tasks to stop and calculates
+//! how much work that wastes.
 
 use sorrelhinge_image_distribution::fetch_timeout;
 
@@ -7,88 +8,89 @@
 use crate::scheduler::{idle, Claim, ClusterState, Job, Machine, Progress};
 use crate::types::{Amount, JobId, Kind, MachineId, Priority, TaskId, Time};
 
-/// How many CPU-seconds may be wasted to start a job in time that its users
-/// wait for.
+/// Cost of a late start of a job whose users wait for it, in CPU-seconds: the work that may
+/// be wasted elsewhere to start the job in time.
 const LATE_START: f64 = 200.0;
-/// What a stopped task loses besides its work.
+/// Seconds that a stopped task loses in addition to its work.
 const REQUEUE_S: f64 = 3.0;
 
-/// What stopping one more task costs beside what it wastes, in CPU-seconds.
+/// Cost of stopping one more task in addition to the work it wastes, in CPU-seconds.
 const PER_STOP: f64 = 0.1;
-/// A fetch that takes more than this part of the time within which a job's users
-/// expect its start makes it late.
+/// Fraction of the time within which a job's users expect its start. An image fetch that
+/// takes longer makes the job late.
 const LATE_FETCH: f64 = 0.8;
 
-/// Room for one task on one machine, and how it is made.
+/// A plan that frees capacity for one task on one machine.
 pub(super) struct PreemptionPlan {
-    /// What it wastes, in CPU-seconds.
+    /// Cost of the plan in CPU-seconds: the wasted work, and the image fetch if the machine
+    /// lacks the image.
     pub cost: f64,
     /// Tasks to stop, in the order in which they were chosen.
     pub victims: Vec<TaskId>,
 }
 
-/// For what job capacity is to be freed.
+/// A request to free capacity for one more task of a job.
 pub(super) struct FreeCapacityRequest<'a> {
     pub id: &'a JobId,
     pub job: &'a Job,
-    /// Rooms made for the job elsewhere in this round.
+    /// Number of machines on which this round has already freed capacity for the job.
     pub made: u32,
     pub now: Time,
 }
 
-/// A task that may be stopped.
+/// A task that may be preempted.
 struct Candidate<'a> {
-    /// What stopping it wastes, in CPU-seconds.
+    /// Work that stopping the task wastes, in CPU-seconds.
     waste: f64,
     task: &'a TaskId,
     job: &'a Job,
 }
 
-/// A claim on a machine.
+/// A claim on a machine, with its task and job.
 struct Claimed<'a> {
     task: &'a TaskId,
     job: &'a Job,
     claim: &'a Claim,
 }
 
-/// Free capacity of a machine and what teams use, as it would be once the tasks that
-/// were chosen so far have ended.
+/// Free capacity of a machine and usage of the teams, calculated as if the tasks chosen so
+/// far had ended.
 struct Balance {
-    /// Free on the machine for the job.
+    /// Capacity of the machine that is free for the job.
     free: Amount,
-    /// What the job's team uses, with the task that capacity is freed for.
+    /// Usage of the job's team, including the task that capacity is freed for.
     used: Amount,
-    /// What the job's team may use.
+    /// Limit of the job's team.
     limit: Amount,
-    /// What each team still uses beyond its guarantee.
+    /// Usage of each team beyond its guarantee.
     beyond: Vec<Amount>,
-    /// The job's team is within its guarantee with the task.
+    /// Whether the job's team stays within its guarantee with the task.
     within_guarantee: bool,
-    /// The job's team is beyond its limit unless it stops own work.
+    /// Whether the job's team exceeds its limit with the task unless it stops work of its
+    /// own.
     limited: bool,
 }
 
 impl Balance {
-    /// Whether a task of this size finds its free capacity now.
+    /// Returns whether a task of size `each` fits on the machine and within its team's limit.
     fn suffices(&self, each: Amount) -> bool {
         each.fits(self.free) && self.used.fits_team(self.limit)
     }
 
-    /// Whether a candidate may be stopped for a job.
+    /// Returns whether a candidate may be stopped for a job.
     fn allows(&self, job: &Job, candidate: &Candidate) -> bool {
         let other = candidate.job;
         let own = other.team == job.team;
         let borrowed = !own && other.spec.each.fits_team(self.beyond[other.team]);
-        // A lower priority gives way, unless that would push a team below
-        // its guarantee for one that is beyond its own: the two would
-        // then take turns stopping each other. Production has no such
-        // turns: nothing stops it.
+        // A job may preempt lower priorities, unless that would push a team below its
+        // guarantee in favour of a team beyond its own guarantee. The two teams would then
+        // preempt each other in turns. Critical jobs are exempt, as nothing preempts them.
         let lower = other.priority < job.priority
             && (job.priority == Priority::Critical || self.within_guarantee || borrowed || own);
         (own || !self.limited) && (lower || (self.within_guarantee && borrowed))
     }
 
-    /// Counts a candidate as stopped.
+    /// Updates the amounts as if a candidate had ended.
     fn stop(&mut self, job: &Job, candidate: &Candidate) {
         let other = candidate.job;
         let each = other.spec.each;
@@ -101,10 +103,10 @@
 }
 
 impl ClusterState {
-    /// What stopping a claim's task now would waste, in CPU-seconds.
+    /// Returns the work that stopping a claim's task now would waste, in CPU-seconds.
     fn waste(&self, job: &Job, claim: &Claim, now: Time) -> f64 {
-        // A fetch of minutes that is nearly over is not begun anew for somebody
-        // who could take another place.
+        // A nearly complete fetch that takes minutes is expensive to abandon, so that a job
+        // that could use another machine doesn't cause a new fetch.
         let fetched = match (claim.progress, self.machines.get(&claim.machine)) {
             (Progress::Unseen | Progress::Fetching, Some(m)) if self.stages(&job.spec) => {
                 let fetch_s = fetch_timeout::fetch_s(job.spec.image_gb, m.kind.fetch_gb_per_s);
@@ -125,7 +127,8 @@
         (lost + fetched + REQUEUE_S) * job.spec.each.cpu as f64 / 1000.0
     }
 
-    /// Whether and how capacity for one more task of a job can be freed on a machine.
+    /// Plans how to free capacity for one more task of a job on a machine. Returns `None` if
+    /// that is not possible.
     pub(super) fn plan_preemption(
         &self,
         request: &FreeCapacityRequest,
@@ -149,7 +152,7 @@
         })
     }
 
-    /// Whether a machine suits a job but for its free capacity.
+    /// Returns whether a machine meets all rules of a job apart from free capacity.
     fn may_preempt_on(
         &self,
         request: &FreeCapacityRequest,
@@ -167,7 +170,7 @@
                 .is_some_and(|zones| Self::zone_allows(job, &zones, &machine.zone))
     }
 
-    /// The claims on a machine, with their jobs.
+    /// Returns the claims on a machine, with their jobs.
     fn claimed_on<'a>(&'a self, machine: &'a Machine) -> impl Iterator<Item = Claimed<'a>> {
         machine.claims.iter().filter_map(|task| {
             let job = self.jobs.get(&task.job)?;
@@ -176,7 +179,8 @@
         })
     }
 
-    /// Capacity and use before anything is chosen: what is being stopped counts as ended.
+    /// Returns free capacity and usage before any task is chosen. Tasks that are already
+    /// being stopped count as ended.
     fn balance(
         &self,
         request: &FreeCapacityRequest,
@@ -187,9 +191,9 @@
         let FreeCapacityRequest { id, job, made, now } = *request;
         let team = &self.teams[job.team];
         let more = job.spec.each.times(i64::from(made + 1));
-        // At the team's limit only the team's own work can be preempted for it. It is the
-        // limit that the walk keeps to: beyond it nobody takes the free capacity, and
-        // tasks were stopped for it again and again.
+        // For a team at its limit, only the team's own work can be preempted. This is the
+        // same limit that a placement pass applies. With a higher limit here no job could
+        // use the freed capacity, and tasks were stopped for it again and again.
         let used = team.used - stopping.leaving[job.team] + more;
         let limit = self.limit_to_start(job);
         let mut free = self.free_capacity_for(id, job.spec.spot, m_id, now);
@@ -207,14 +211,15 @@
         }
     }
 
-    /// Those of a machine's claims that may be stopped, the least worth first.
+    /// Returns the claims of a machine that may be stopped, sorted by priority and then by
+    /// wasted work, lowest first.
     fn candidates<'a>(
         &self,
         request: &FreeCapacityRequest,
         claimed: &[Claimed<'a>],
         stopping: &Stopping,
     ) -> Vec<Candidate<'a>> {
-        // Production alone may take what idle work has as its part.
+        // Only critical jobs may take capacity from the guaranteed share of idle work.
         let spared = stopping.idle_beyond <= 0 && request.job.priority < Priority::Critical;
         let stoppable = |c: &&Claimed| {
             c.claim.stop.is_none()
@@ -240,8 +245,8 @@
         candidates
     }
 
-    /// What stopping a task wastes, in CPU-seconds. Whoever stops one task of a gang
-    /// stops them all.
+    /// Returns the work that stopping a task wastes, in CPU-seconds. For a gang this includes
+    /// all tasks, as stopping one task stops them all.
     fn waste_of_stop(&self, job: &Job, claim: &Claim, now: Time) -> f64 {
         let tasks = match job.spec.kind {
             Kind::Gang => job.tasks.claims().len() as f64,
@@ -251,8 +256,8 @@
     }
 }
 
-/// Chooses tasks to stop until a task of the job has its free capacity. Returns what that
-/// wastes, in CPU-seconds, and the tasks.
+/// Chooses tasks to stop until one more task of the job fits. Returns the wasted work in
+/// CPU-seconds, and the chosen tasks.
 fn choose_victims(
     job: &Job,
     candidates: Vec<Candidate>,
@@ -274,8 +279,8 @@
     (wasted, victims)
 }
 
-/// What a task costs on a machine with what was wasted for its free capacity, in CPU-seconds:
-/// its image is fetched if it is not there.
+/// Returns the cost of a task on a machine, in CPU-seconds: the work wasted to free the
+/// capacity, and the image fetch if the machine lacks the image.
 fn cost_with_fetch(wasted: f64, job: &Job, machine: &Machine) -> f64 {
     let mut cost = wasted;
     if !machine.cache.has(&job.spec.image) {
--- a/src/scheduler/rebalance.rs
+++ b/src/scheduler/rebalance.rs
@@ -1,6 +1,6 @@
-//! Moving tasks on purpose: off machines that are drained, and apart again
-//! after a domain came back. A task can't run twice, so what is made before
-//! the break is its place: capacity elsewhere is reserved, then it is stopped.
+//! Deliberate moves of tasks: off machines that drain, and apart again after a failure domain
+//! recovered. A task must not run twice at the same time. So the scheduler first reserves
+//! capacity on another machine and then stops the task.
 
 use sorrelhinge_topology::drain::{self, Drain, Step, Target, Tenant};
 use sorrelhinge_topology::policy::{LocatedTask, MachineLocation, Reach};
@@ -13,38 +13,39 @@
 use super::{ClusterState, Job};
 use crate::types::{JobId, Kind, MachineId, TaskId, Time};
 
-/// For how long a place stays reserved for a task that is being moved.
+/// Seconds for which capacity stays reserved for a task that is being moved.
 const MOVE_S: f64 = 15.0;
 
-/// A task to be stopped so that it starts elsewhere.
+/// A task that is being stopped so that it starts on another machine.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Move {
-    /// The task.
+    /// Task to stop.
     pub task: TaskId,
-    /// The place that is reserved for it, if there is one.
+    /// Machine on which capacity is reserved for the task, or `None` without a reservation.
     pub to: Option<MachineId>,
 }
 
-/// A drain under way.
+/// A drain that has not ended.
 #[derive(Clone, Debug)]
 pub struct ActiveDrain {
-    /// What drains, and how.
+    /// Target and parameters of the drain.
     pub drain: Drain,
-    /// Seconds until its deadline.
+    /// Seconds until the deadline of the drain.
     pub left_s: f64,
 }
 
-/// What moving looks at beside the cluster state.
+/// Inputs to the decision about moves, in addition to the cluster state.
 pub struct Moving<'a> {
-    /// Drains under way.
+    /// Drains that have not ended.
     pub drains: &'a [ActiveDrain],
-    /// Domains that lost machines of late.
+    /// Domains that lost machines recently.
     pub stability: &'a Stability,
 }
 
 impl ClusterState {
-    /// Tasks of a job that are not known to run, or are being stopped. One that is claimed
-    /// or was sent its start and that no heartbeat has named counts too: it may never come up.
+    /// Returns the number of a job's tasks that are not known to run, or that are being
+    /// stopped. Includes tasks that are claimed or were sent their start command but that no
+    /// heartbeat has named, as they may never start.
     fn away(job: &Job) -> u32 {
         let claims = job.tasks.claims().values();
         let running =
@@ -53,7 +54,8 @@
         job.spec.tasks - over - running.count() as u32
     }
 
-    /// Which drain covers a machine: the one that ends first.
+    /// Returns the drain that covers a machine. If several do, returns the drain with the
+    /// earliest deadline.
     fn drain_of<'a>(&self, id: &MachineId, drains: &DrainsByTarget<'a>) -> Option<&'a ActiveDrain> {
         let topology = self.topology.as_ref()?;
         let machine = self.machines.get(id)?;
@@ -68,7 +70,7 @@
         first.map(|numbered| numbered.active)
     }
 
-    /// The machines that drains cover now.
+    /// Returns the machines that a drain covers now.
     pub fn drained<'a>(&'a self, drain: &'a Drain) -> impl Iterator<Item = &'a MachineId> + 'a {
         let topology = self.topology.as_deref();
         let (own, of_domain) = match &drain.target {
@@ -86,8 +88,8 @@
             .map(|(id, _)| id)
     }
 
-    /// Tasks to move off draining machines now; they are marked to be stopped,
-    /// and their places reserved.
+    /// Marks the tasks to move off draining machines now to be stopped, reserves capacity for
+    /// them, and returns the moves.
     pub fn drain(&mut self, moving: &Moving, now: Time) -> Vec<Move> {
         let draining: Vec<MachineId> = self
             .machines
@@ -112,14 +114,14 @@
         moves
     }
 
-    /// What a drain has to know of a task; none if it has no claim, or its job is
-    /// cancelled and it goes anyway.
+    /// Returns the facts about a task that a drain's decision needs. Returns `None` if the
+    /// task has no claim, or if its job is cancelled and the task ends anyway.
     fn tenant(&self, task: &TaskId, now: Time) -> Option<Tenant> {
         let job = self.jobs.get(&task.job).filter(|j| !j.cancelled)?;
         let claim = job.tasks.claims().get(&task.index)?;
         let ran = match claim.progress {
             Progress::Running(since) => Some(now.since(since)),
-            // Found at a takeover and not seen yet: it may well run.
+            // A task found at a takeover and not seen yet may well run.
             Progress::Unseen if claim.sent != Sent::No => Some(0.0),
             _ => None,
         };
@@ -134,8 +136,8 @@
         })
     }
 
-    /// Takes a drain's step: what is to move has its place reserved, and is marked to be
-    /// stopped.
+    /// Applies a drain's decision to a task. Reserves capacity for a task that is to move and
+    /// marks the task to be stopped.
     fn move_off(&mut self, step: Step, task: TaskId, moving: &Moving, now: Time) -> Vec<Move> {
         let gang = self
             .jobs
@@ -161,8 +163,9 @@
         }
     }
 
-    /// Reserves a place for a task that is to move: one that meets all placement rules,
-    /// else one that meets what is required.
+    /// Reserves capacity on another machine for a task that is to move. Prefers a machine
+    /// that meets all placement rules in a domain that lost no machine recently, then one that
+    /// meets all rules in any domain, then one that meets the required rules.
     fn ready_elsewhere(&mut self, task: &TaskId, moving: &Moving, now: Time) -> Option<MachineId> {
         let settle_s = self.topology.as_ref()?.settings.repair.settle_s;
         let quiet = Ask {
@@ -181,10 +184,10 @@
         Some(to)
     }
 
-    /// One service's task in a domain that has more of them than its rules
-    /// allow, if there is a place that they allow in a domain that has been
-    /// quiet. All tasks of the service run; so the rules that are required are kept
-    /// on the way as far as they were before.
+    /// Moves one task of a service out of a domain that has more of the service's tasks than
+    /// its rules allow. Needs a machine that the rules allow in a domain that lost no machine
+    /// recently. Considers only services of which all tasks run, so that the move keeps the
+    /// required rules as far as they were met before.
     pub fn repair(&mut self, moving: &Moving, now: Time) -> Option<Move> {
         let topology = self.topology.clone()?;
         let settle_s = topology.settings.repair.settle_s;
@@ -209,7 +212,7 @@
         Some(Move { task, to: Some(to) })
     }
 
-    /// Whether a job is a service with rules of which all tasks run.
+    /// Returns whether a job is a service with placement rules of which all tasks run.
     fn may_be_repaired(job: &Job) -> bool {
         job.spec.kind == Kind::Service
             && !job.cancelled
@@ -223,7 +226,8 @@
                 .all(|c| matches!(c.progress, Progress::Running(_)))
     }
 
-    /// A task of a job in a domain that has more of them than its rules allow.
+    /// Returns a task of a job in a domain that has more of the job's tasks than its rules
+    /// allow.
     fn excess_task(&self, topology: &Topology, job: &Job) -> Option<u32> {
         let locations = self.task_locations(job, None);
         let tally = job.policy.tally(&topology.tree, locations);
@@ -238,7 +242,8 @@
         job.policy.excess(&topology.tree, &tally, &tasks)
     }
 
-    /// Stops all tasks of a gang: it runs as one or not at all.
+    /// Marks all tasks of a gang to be stopped and returns the newly marked tasks. A gang never
+    /// runs with some of its tasks only.
     pub fn stop_gang(&mut self, id: &JobId) -> Vec<TaskId> {
         let Some(job) = self.jobs.get(id) else {
             return Vec::new();
