--- a/src/scheduler/reservations/lending.rs
+++ b/src/scheduler/reservations/lending.rs
@@ -1,4 +1,4 @@
-//! Lending of reserved capacity to work that leaves it in time, see [`may_lend`].
+//! Lending of reserved capacity to tasks that free it in time, see [`may_lend`].
 
 use sorrelhinge_reservations::lend::{may_lend, Borrower, Lend};
 
@@ -7,12 +7,12 @@
 use crate::scheduler::{Claim, ClusterState, Job, Machine, Progress};
 use crate::types::{Amount, JobId, Kind, MachineId, MachineType, Time};
 
-/// What has run longer than its estimate is taken to run for so long yet, in seconds:
-/// estimates are too small at times.
+/// Assumed remaining seconds of a task that has run longer than its estimate, as estimates
+/// are sometimes too low.
 const OVERRUN_S: f64 = 2.0;
 
-/// How long until a claim's task ends by its estimate, with its image's fetch;
-/// none if it doesn't by itself.
+/// Returns the estimated seconds until a task ends, including its image fetch. Returns `None`
+/// if the task doesn't end by itself.
 fn ends_in_s(job: &Job, claim: Option<&Claim>, kind: &MachineType, now: Time) -> Option<f64> {
     if job.spec.kind != Kind::Array {
         return None;
@@ -27,7 +27,8 @@
 }
 
 impl ClusterState {
-    /// Whether reserved capacity is lent to a job's task, claimed or to be.
+    /// Returns whether reserved capacity of a machine may be lent to a task of a job. `claim`
+    /// is the claim of the task, or `None` for one more task of the job.
     pub(super) fn lends(
         &self,
         reserved: &ReservedCapacity,
@@ -43,8 +44,9 @@
         };
         let own = &self.teams[reserved.reservation.team];
         let total = own.used + reserved.open_amount();
-        // PROTOCOL lets a borrower's work be stopped for a team's guarantee; what
-        // priority the window's work will have is not known.
+        // PROTOCOL allows the borrower's task to be stopped for the guarantee of the window's
+        // team. Priorities can't justify a stop here, as the priority of the window's future
+        // work is not known.
         let stoppable = job.spec.kind == Kind::Array
             && job.team != reserved.reservation.team
             && !(team.used + more).fits_team(team.guarantee)
@@ -63,7 +65,8 @@
         may_lend(&work, left_s, lending.stop_s, lending.wait_s) != Lend::No
     }
 
-    /// What is reserved on a machine and not lent to a job.
+    /// Returns the capacity of a machine that is reserved for windows and that is not lent to
+    /// a job.
     pub(in crate::scheduler) fn reserved_from(
         &self,
         id: &JobId,
@@ -88,7 +91,7 @@
         sum
     }
 
-    /// Whether capacity of a machine is reserved for a window.
+    /// Returns whether capacity of a machine is reserved for a window.
     pub(in crate::scheduler) fn has_reserved_capacity(&self, m_id: &MachineId) -> bool {
         self.reservations
             .by_window
--- a/src/scheduler/reservations/mod.rs
+++ b/src/scheduler/reservations/mod.rs
@@ -1,8 +1,9 @@
-//! Capacity reserved for windows of the release calendar, on machines that are there.
+//! Capacity that existing machines reserve for windows of the release calendar.
 //!
-//! Reserved capacity is taken by nobody but the window's own work, unless it is lent
-//! ([`sorrelhinge_reservations::lend`]); it counts in its team's limit. Where it is,
-//! no record says: each owner chooses anew, from its machines' heartbeats.
+//! Only the window's own work uses reserved capacity, unless the capacity is lent
+//! ([`sorrelhinge_reservations::lend`]). Reserved capacity counts in the limit of its team.
+//! No record names the machines of a reservation. Each shard owner chooses them again from
+//! the heartbeats of its machines.
 
 mod lending;
 mod placement;
@@ -18,57 +19,61 @@
 };
 use crate::types::{Amount, JobSpec, MachineId, Time};
 
-/// To what work reserved capacity may be lent, see [`may_lend`](sorrelhinge_reservations::lend::may_lend).
+/// Conditions for lending reserved capacity, see
+/// [`may_lend`](sorrelhinge_reservations::lend::may_lend).
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Lending {
-    /// When its window begins, as early as clocks may say and less its `early_s`.
+    /// Earliest time at which the window may begin, given the clock error, less the window's
+    /// `early_s`.
     pub until: Time,
-    /// Seconds until a task that is to stop has the command.
+    /// Seconds from the decision to stop a task until the task receives the command.
     pub stop_s: f64,
-    /// How long the window's work may wait, in seconds.
+    /// Seconds that the window's work may wait for capacity.
     pub wait_s: f64,
 }
 
-/// How much free capacity a window is to have here.
+/// Capacity to reserve for a window in this shard.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Reservation {
-    /// The window.
+    /// Window of the release calendar.
     pub window: Rc<Window>,
-    /// Its team's place in `ClusterState::teams`.
+    /// Index of the window's team in `ClusterState::teams`.
     pub team: usize,
-    /// For how many tasks, with what its work uses.
+    /// Number of the window's tasks to reserve capacity for, including the tasks whose
+    /// capacity is in use.
     pub tasks: u32,
-    /// To whom it may be lent.
+    /// Conditions for lending the reserved capacity.
     pub lending: Lending,
 }
 
-/// What a window is to have, and on which machines it is reserved.
+/// A reservation and the machines that hold it.
 #[derive(Clone, Debug)]
 pub(in crate::scheduler) struct ReservedCapacity {
     pub(in crate::scheduler) reservation: Reservation,
-    /// What the claims of its window's work take.
+    /// Sum of the claims of the window's work.
     used: Amount,
-    /// For how many tasks capacity is reserved, by machine.
+    /// Number of tasks that capacity is reserved for, by machine.
     pub(in crate::scheduler) placed: BTreeMap<MachineId, u32>,
 }
 
 impl ReservedCapacity {
-    /// Whether a team's job is of its window's work.
+    /// Returns whether a job of a team is part of the window's work.
     pub(in crate::scheduler) fn is_for(&self, team: usize, spec: &JobSpec) -> bool {
         self.reservation.team == team && self.reservation.window.is_for(&spec.team, &spec.class)
     }
 
-    /// What is to be reserved beside what is used.
+    /// Returns the capacity to reserve in addition to the capacity in use.
     pub(in crate::scheduler) fn open_amount(&self) -> Amount {
         self.free_capacity_of(self.open())
     }
 
-    /// What so many of its tasks take.
+    /// Returns the capacity that a number of the window's tasks need.
     pub(in crate::scheduler) fn free_capacity_of(&self, tasks: u32) -> Amount {
         self.reservation.window.each().times(i64::from(tasks))
     }
 
-    /// So many of its tasks take what its work uses.
+    /// Returns the number of tasks of the window's size that correspond to the capacity in use,
+    /// rounded up.
     pub(in crate::scheduler) fn used_tasks(&self) -> u32 {
         let each = self.reservation.window.each();
         let of = |used: i64, each: i64| match each {
@@ -81,22 +86,23 @@
         u32::try_from(max).unwrap_or(u32::MAX)
     }
 
-    /// What is to be reserved beside what is used.
+    /// Returns the number of tasks to reserve capacity for, in addition to the capacity in use.
     pub(in crate::scheduler) fn open(&self) -> u32 {
         self.reservation.tasks.saturating_sub(self.used_tasks())
     }
 
-    /// For how many tasks capacity is still to be reserved.
+    /// Returns the number of tasks that capacity is still to be reserved for.
     pub(in crate::scheduler) fn shortfalls(&self) -> u32 {
         self.open().saturating_sub(self.reserved_tasks())
     }
 
-    /// For how many tasks capacity is reserved.
+    /// Returns the number of tasks that capacity is reserved for.
     pub(in crate::scheduler) fn reserved_tasks(&self) -> u32 {
         self.placed.values().sum()
     }
 
-    /// Releases what is reserved beyond what is due, on `first` first.
+    /// Releases capacity that is reserved beyond the number that [`Self::open`] returns.
+    /// Releases it on the machine `first` before others.
     fn trim(&mut self, first: &MachineId) {
         let mut over = self.reserved_tasks().saturating_sub(self.open());
         while over > 0 {
@@ -118,14 +124,16 @@
     }
 }
 
-/// All reservations, by their windows' names.
+/// All reservations for windows.
 #[derive(Clone, Debug, Default)]
 pub(in crate::scheduler) struct Reservations {
+    /// Reservations by the name of their window.
     pub(in crate::scheduler) by_window: BTreeMap<String, ReservedCapacity>,
 }
 
 impl Reservations {
-    /// Work was placed: its window needs as much less reserved.
+    /// Counts a placed task of a window's work as used, and releases as much of the window's
+    /// reserved capacity, on the task's machine first.
     pub(super) fn taken(&mut self, team: usize, spec: &JobSpec, machine: &MachineId) {
         for reserved in self
             .by_window
@@ -137,7 +145,7 @@
         }
     }
 
-    /// Work has ended.
+    /// Counts an ended task of a window's work as no longer used.
     pub(super) fn left(&mut self, team: usize, spec: &JobSpec) {
         for reserved in self
             .by_window
@@ -148,7 +156,7 @@
         }
     }
 
-    /// A machine is removed.
+    /// Removes a machine from all reservations.
     pub(super) fn drop_machine(&mut self, id: &MachineId) {
         for reserved in self.by_window.values_mut() {
             reserved.placed.remove(id);
--- a/src/scheduler/reservations/placement.rs
+++ b/src/scheduler/reservations/placement.rs
@@ -1,4 +1,4 @@
-//! On which machines capacity is reserved for windows.
+//! Choice of the machines on which capacity is reserved for windows.
 
 use std::collections::BTreeMap;
 
@@ -6,33 +6,35 @@
 use crate::scheduler::{ClusterState, Machine};
 use crate::types::{Amount, Image, MachineId, Time, Zone};
 
-/// A machine that has free capacity for tasks of a window. The least is taken first.
+/// A machine that can hold tasks of a window. The lowest candidate in sort order is chosen
+/// first.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct Candidate<'a> {
-    /// How many of the window's images it lacks.
+    /// Number of the window's images that the machine lacks.
     absent_images: usize,
-    /// Nothing was reserved for the window there before.
+    /// Whether the machine held no capacity for the window before.
     new: bool,
-    /// The place of its type among those that the window allows.
+    /// Index of the machine's type in the window's list of allowed types.
     type_place: usize,
     id: &'a MachineId,
-    /// For how many tasks it has free capacity.
+    /// Number of tasks that fit on the machine.
     tasks: u32,
 }
 
-/// When a window is served, the least first.
+/// The sort key of the order in which windows get machines, lowest first.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct Turn {
-    /// What it is to have lies beyond its team's guarantee.
+    /// Whether the window's reservation exceeds the guarantee of its team.
     beyond_guarantee: bool,
     window: String,
 }
 
-/// Candidates by zone, the best last; by no zone if the window is not spread.
+/// Candidates by zone, the best last. All candidates have the key `None` if the window lists
+/// no zones to spread over.
 type Queues<'a> = BTreeMap<Option<Zone>, Vec<Candidate<'a>>>;
 
 impl ClusterState {
-    /// What windows are to have from now on; chooses the machines.
+    /// Replaces all reservations and chooses the machines for them.
     pub fn set_reservations(&mut self, reservations: Vec<Reservation>, now: Time) {
         let mut before = std::mem::take(&mut self.reservations.by_window);
         for reservation in reservations {
@@ -55,10 +57,11 @@
         self.settle_reservations(now);
     }
 
-    /// Chooses machines for all windows: those with the images first, then those that
-    /// were reserved before, spread over the window's zones.
+    /// Chooses machines for all windows, spread over the zones of each window. Prefers
+    /// machines that have the window's images, then machines that held capacity for the window
+    /// before.
     fn settle_reservations(&mut self, now: Time) {
-        // Where machines are short, what lies within a guarantee goes first.
+        // If machines are scarce, windows within their team's guarantee get machines first.
         let mut order: Vec<Turn> = self
             .reservations
             .by_window
@@ -86,8 +89,8 @@
         }
     }
 
-    /// Chooses machines for what a window is to have beside what its work uses: from the
-    /// zone that has the least each time.
+    /// Chooses machines for the capacity that a window needs in addition to the capacity in
+    /// use. Takes each machine from the zone with the fewest of the window's tasks.
     fn choose(
         &self,
         name: &str,
@@ -124,7 +127,7 @@
         placed
     }
 
-    /// Machines that have free capacity for tasks of a window.
+    /// Returns the machines that can hold tasks of a window, by zone.
     fn reservation_candidates(
         &self,
         reserved: &ReservedCapacity,
@@ -157,13 +160,14 @@
             queue.push(candidate);
         }
         for queue in queues.values_mut() {
-            // The best is taken from the end.
+            // The caller takes the best candidate from the end.
             queue.sort_by(|a, b| b.cmp(a));
         }
         queues
     }
 
-    /// How many tasks of a window's work are in each zone.
+    /// Returns the number of claimed tasks of a window's work in each zone. Returns an empty
+    /// map if `zoned` is not set.
     pub(in crate::scheduler) fn used_in_zones(
         &self,
         reserved: &ReservedCapacity,
@@ -185,8 +189,8 @@
         counts
     }
 
-    /// Capacity on a machine that can be reserved for a window: what is free, and what others'
-    /// work leaves in time.
+    /// Returns the capacity of a machine that can be reserved for a window: the free capacity
+    /// and the capacity that tasks of other work free in time.
     fn reservable_capacity(
         &self,
         reserved: &ReservedCapacity,
@@ -195,7 +199,7 @@
         now: Time,
     ) -> Amount {
         let window = &reserved.reservation.window;
-        // Spot machines are taken away at any time, and not all work may use them.
+        // The cloud may revoke spot machines at any time, and not all work may use them.
         if !m.usable || m.spot || !window.allows(m.kind.name.as_str(), m.zone.as_str()) {
             return Amount::default();
         }
@@ -224,7 +228,7 @@
         free_capacity
     }
 
-    /// Capacity came free on a machine: what a window still lacks is reserved there
+    /// Reserves capacity that came free on a machine for windows that still lack capacity,
     /// before other work takes it.
     pub fn refill_reservations(&mut self, id: &MachineId, now: Time) {
         let missing_tasks = self
@@ -249,7 +253,8 @@
         }
     }
 
-    /// For how many more tasks of a window a machine has capacity, within its zone's share.
+    /// Returns the number of further tasks of a window to reserve on a machine, within the
+    /// share of the machine's zone.
     fn more_to_reserve(
         &self,
         reserved: &ReservedCapacity,
--- a/src/scheduler/reservations/shown.rs
+++ b/src/scheduler/reservations/shown.rs
@@ -1,4 +1,4 @@
-//! What is reserved for windows, as the release calendar and the autoscaler ask for it.
+//! Queries about reserved capacity, for the release calendar and the autoscaler.
 
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -9,32 +9,32 @@
 use crate::scheduler::{ClusterState, Job, Machine};
 use crate::types::{Amount, MachineId, Zone};
 
-/// For how many of its tasks a window has capacity here.
+/// The capacity that a window has in this shard, as numbers of the window's tasks.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ReservationStatus {
-    /// Reserved on machines.
+    /// Tasks that machines reserve capacity for.
     pub reserved_tasks: u32,
-    /// Of it, what is free now.
+    /// Tasks among `reserved_tasks` whose capacity is free now.
     pub free: u32,
-    /// What its work uses.
+    /// Tasks that correspond to the capacity in use by the window's work.
     pub used: u32,
-    /// What is to be reserved beside it.
+    /// Tasks to reserve capacity for in addition to `used`.
     pub open: u32,
 }
 
 /// Capacity reserved for a window on a machine.
 #[derive(Clone, Copy, Debug)]
 pub struct ReservedOnMachine<'a> {
-    /// The window.
+    /// Window that the capacity is reserved for.
     pub window: &'a Rc<Window>,
-    /// The machine.
+    /// Machine that holds the reservation.
     pub machine: &'a MachineId,
-    /// For how many of the window's tasks.
+    /// Number of the window's tasks that the reserved capacity holds.
     pub tasks: u32,
 }
 
 impl ReservedOnMachine<'_> {
-    /// Which window and machine.
+    /// Returns the window and the machine as a key.
     pub fn key(&self) -> ReservationKey {
         ReservationKey {
             window: self.window.name.clone(),
@@ -43,29 +43,29 @@
     }
 }
 
-/// A window and a machine.
+/// The key of a reservation for one window on one machine.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct ReservationKey {
-    /// The window's name.
+    /// Name of the window.
     pub window: String,
-    /// The machine.
+    /// Machine that holds the reservation.
     pub machine: MachineId,
 }
 
-/// For how many tasks each window has capacity reserved on each machine.
+/// Number of tasks that each machine reserves capacity for, by window.
 pub type ReservedTasks = BTreeMap<ReservationKey, u32>;
 
-/// What a window lacks in a zone.
+/// The tasks in a zone that a window lacks reserved capacity for.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct MissingTasks {
-    /// The zone; none: the window is not spread over zones.
+    /// Zone, or `None` if the window is not spread over zones.
     pub zone: Option<Zone>,
-    /// For how many of its tasks nothing is reserved.
+    /// Number of the window's tasks without reserved capacity.
     pub tasks: u32,
 }
 
 impl ClusterState {
-    /// All capacity reserved for windows, in the order of windows and machines.
+    /// Returns all capacity reserved for windows, sorted by window and machine.
     pub fn reserved_capacity(&self) -> impl Iterator<Item = ReservedOnMachine<'_>> {
         self.reservations.by_window.values().flat_map(|reserved| {
             let window = &reserved.reservation.window;
@@ -78,8 +78,9 @@
         })
     }
 
-    /// How many tasks of a job find capacity that is reserved for its window; takes them
-    /// off `left`, which begins as [`ClusterState::reserved_capacity`].
+    /// Returns the number of a job's pending tasks that fit in the capacity reserved for the
+    /// job's window, and subtracts their capacity from `left`. The caller fills `left` from
+    /// [`ClusterState::reserved_capacity`] before the first job.
     pub fn covered(&self, job: &Job, left: &mut ReservedTasks) -> u32 {
         let mut covered = 0;
         let pending = job.tasks.pending();
@@ -98,7 +99,7 @@
                 .each
                 .how_many(each.times(i64::from(*n)))
                 .min(pending - covered);
-            // So much of the free capacity is spoken for.
+            // Subtracts the capacity that the covered tasks will use.
             let takes = job.spec.each.times(i64::from(fits));
             let rest = each.how_many(each.times(i64::from(*n)) - takes);
             *n = rest.min(*n);
@@ -107,7 +108,8 @@
         covered
     }
 
-    /// What a window has here; none if nothing is to be reserved for it.
+    /// Returns the status of a window's reservation in this shard. Returns `None` if the
+    /// window has no reservation.
     pub fn reservation_of(&self, name: &str) -> Option<ReservationStatus> {
         let reserved = self.reservations.by_window.get(name)?;
         let each = reserved.reservation.window.each();
@@ -126,7 +128,8 @@
         })
     }
 
-    /// What a window lacks in each of its zones; one entry if it is not spread over zones.
+    /// Returns the tasks that a window lacks reserved capacity for, in each of its zones.
+    /// Returns a single entry if nothing is missing or if the window is not spread over zones.
     pub fn missing_tasks(&self, name: &str) -> Vec<MissingTasks> {
         let Some(reserved) = self.reservations.by_window.get(name) else {
             return Vec::new();
--- a/src/scheduler/shares.rs
+++ b/src/scheduler/shares.rs
@@ -1,21 +1,22 @@
-//! Fair shares: the paper's water-filling, and a team's place in the order.
+//! Fair shares by the paper's water-filling algorithm, and the sort key of the team order.
 
-/// A team's place in the order: below its guarantee first, then by how far it
-/// is below its fair share.
+/// The sort key of a team in the scheduling order. Teams below their guarantee come first.
+/// Others are sorted by their distance below the fair share.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Standing {
-    /// Distance below the guarantee, as a share of it; 0 if not below.
+    /// Distance below the guarantee as a fraction of the guarantee, or 0 if not below.
     pub below_guarantee: f64,
-    /// Distance below the water-filled fair share, as a share of everything.
+    /// Distance below the water-filled fair share as a fraction of the total capacity,
+    /// negative above the fair share.
     pub below_fair: f64,
 }
 
-/// Amounts that differ by less are the same but for rounding.
+/// Amounts that differ by less count as equal, because of rounding errors.
 const ROUNDING: f64 = 1e-12;
 
-/// The paper's allocation (section 3.1, appendix A): demands below their
-/// minimum are met, the others get their minimum, and what is left is poured
-/// into the emptiest first.
+/// Returns the paper's allocation (section 3.1, appendix A), one share per entry of `minimum`
+/// and `demand`. Demands below their minimum are met in full, and the others get their
+/// minimum. The remaining capacity goes to the lowest shares first.
 pub fn water_fill(capacity: f64, minimum: &[f64], demand: &[f64]) -> Vec<f64> {
     let mut share: Vec<f64> = minimum.iter().zip(demand).map(|(m, d)| m.min(*d)).collect();
     let total: f64 = share.iter().sum();
@@ -35,8 +36,8 @@
         if left <= ROUNDING {
             return share;
         }
-        // Raise all buckets at the lowest level to the next level above it,
-        // the first full bucket, or as far as the water goes.
+        // Raises all shares at the lowest level until they reach the next level above, one of
+        // them meets its demand, or no capacity remains.
         let lowest: Vec<usize> = open
             .iter()
             .copied()
--- a/src/scheduler/tasks.rs
+++ b/src/scheduler/tasks.rs
@@ -1,4 +1,4 @@
-//! The tasks of a job: done, claimed or pending.
+//! The state of the tasks of a job. Each task is done, claimed or pending.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -6,58 +6,59 @@
 
 use crate::types::{Attempt, MachineId, Time};
 
-/// How far the start command of a claim has come.
+/// The delivery state of the start command of a claim.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Sent {
-    /// Not sent by this controller under its present grant.
+    /// This controller has not sent the command under its present grant.
     No,
-    /// Found in the record at a takeover: whether it was sent is not known.
+    /// The claim was found in the record at a takeover; whether the command was sent is
+    /// unknown.
     Found,
-    /// Sent directly; no answer yet.
+    /// The command was sent directly and has no answer yet.
     Flying,
     /// The worker has answered the command.
     Answered,
-    /// Sent in the answer to a heartbeat.
+    /// The command was sent in the answer to a heartbeat.
     InReply,
 }
 
-/// What is known of a claimed task on its machine.
+/// The last reported state of a claimed task on its machine.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Progress {
-    /// Not seen there yet.
+    /// No report has named the task yet.
     Unseen,
-    /// Waiting for its image.
+    /// The task waits for its image.
     Fetching,
-    /// Running since about this time.
+    /// The task has run since about this time.
     Running(Time),
-    /// Told to stop, saving.
+    /// The task has received the stop command and is saving its state.
     Saving,
 }
 
-/// A task's claim on a machine. It counts until its task is known to have ended.
+/// A task's claim on a machine. A claim uses capacity until its task is known to have ended.
 #[derive(Clone, Debug)]
 pub struct Claim {
-    /// The attempt.
+    /// Attempt number of the start.
     pub attempt: Attempt,
-    /// The machine.
+    /// Machine that the task is placed on.
     pub machine: MachineId,
-    /// When it was made, or found at a takeover.
+    /// Time at which the claim was made, or found at a takeover.
     pub since: Time,
-    /// Whether the state service has it.
+    /// Whether the state service has recorded the claim.
     pub committed: bool,
-    /// Its start command.
+    /// Delivery state of the start command.
     pub sent: Sent,
-    /// The task itself.
+    /// Last reported state of the task.
     pub progress: Progress,
-    /// The task is to be stopped, with this grace in seconds.
+    /// Grace period in seconds if the task is to be stopped.
     pub stop: Option<f64>,
-    /// Devices that it uses.
+    /// Devices that the task uses.
     pub units: Vec<Unit>,
-    /// It may use devices that its record does not name.
+    /// Whether the task may use devices that its record does not name.
     pub unnamed: bool,
 }
 
-/// The tasks of one job: done, claimed or pending.
+/// The state of all tasks of one job.
 #[derive(Clone, Debug)]
 pub struct Tasks {
     count: u32,
@@ -67,15 +68,16 @@
     claims: BTreeMap<u32, Claim>,
     next_attempt: BTreeMap<u32, u64>,
     cursor: u32,
-    /// Tasks that other shards claim, or that are left to them.
+    /// Tasks that other shards claim or that are delegated to other shards.
     claimed_elsewhere: BTreeSet<u32>,
-    /// Those that this shard may place, if another places the job: what that
-    /// one leaves to it.
+    /// Tasks that another shard delegates to this one, or `None` if this shard places the
+    /// job.
     delegated_here: Option<BTreeSet<u32>>,
 }
 
 impl Tasks {
-    /// `count` pending tasks, recorded in chunks of `chunk` (at most 64).
+    /// Returns `count` pending tasks. Records hold them in chunks of `chunk` tasks, clamped to
+    /// 1..=64.
     pub fn new(count: u32, chunk: u32) -> Self {
         let chunk = chunk.clamp(1, 64);
         Self {
@@ -90,25 +92,25 @@
             delegated_here: None,
         }
     }
-    /// The chunk of task `index`.
+    /// Returns the chunk that contains task `index`.
     pub fn chunk_of(&self, index: u32) -> u32 {
         index / self.chunk
     }
-    /// Tasks in a chunk.
+    /// Returns the number of tasks per chunk; the last chunk may have fewer.
     pub fn chunk_size(&self) -> u32 {
         self.chunk
     }
-    /// Number of chunks.
+    /// Returns the number of chunks.
     pub fn chunks(&self) -> u32 {
         self.count.div_ceil(self.chunk)
     }
-    /// Whether a task is done.
+    /// Returns whether a task is done.
     pub fn is_done(&self, index: u32) -> bool {
         self.done
             .get(self.chunk_of(index) as usize)
             .is_some_and(|word| word >> (index % self.chunk) & 1 == 1)
     }
-    /// Marks a task done.
+    /// Marks a task as done. Does nothing if the task is done already or out of range.
     pub fn set_done(&mut self, index: u32) {
         if index < self.count && !self.is_done(index) {
             let word = self.chunk_of(index) as usize;
@@ -116,20 +118,20 @@
             self.done_count += 1;
         }
     }
-    /// The done tasks of a chunk, one bit each.
+    /// Returns a bit set of the done tasks of a chunk; bit 0 is the chunk's first task.
     pub fn done_bits(&self, chunk: u32) -> u64 {
         self.done.get(chunk as usize).copied().unwrap_or(0)
     }
-    /// Whether every task is done.
+    /// Returns whether every task is done.
     pub fn all_done(&self) -> bool {
         self.done_count == self.count
     }
-    /// How many tasks are done.
+    /// Returns the number of done tasks.
     pub fn done(&self) -> u32 {
         self.done_count
     }
-    /// How many tasks are neither done nor claimed, of those that this shard
-    /// places.
+    /// Returns the number of tasks that this shard may place and that are neither done nor
+    /// claimed.
     pub fn pending(&self) -> u32 {
         if let Some(left) = &self.delegated_here {
             return left.iter().filter(|i| self.is_free(**i)).count() as u32;
@@ -143,31 +145,32 @@
             && !self.claims.contains_key(&index)
             && !self.claimed_elsewhere.contains(&index)
     }
-    /// Up to `max` pending tasks, the last ones: the first are claimed next.
+    /// Returns up to `max` pending tasks with the highest indexes. The lowest indexes are left
+    /// out, as this shard claims them next.
     pub fn last_pending(&self, max: u32) -> BTreeSet<u32> {
         let free = (0..self.count).rev().filter(|i| self.is_free(*i));
         free.take(max as usize).collect()
     }
-    /// Other shards claim these, or they are left to them. None of them may be
-    /// claimed here, or done.
+    /// Sets the tasks that other shards claim or that are delegated to other shards. None of
+    /// these tasks may be done or claimed in this shard.
     pub(super) fn set_claimed_elsewhere(&mut self, claimed_elsewhere: BTreeSet<u32>) {
         self.claimed_elsewhere = claimed_elsewhere;
         self.cursor = 0;
     }
-    /// Tasks that other shards claim, or that are left to them.
+    /// Returns the tasks that other shards claim or that are delegated to other shards.
     pub fn claimed_elsewhere(&self) -> &BTreeSet<u32> {
         &self.claimed_elsewhere
     }
-    /// Another shard places the job, and leaves these to this one; none: this
-    /// shard places it.
+    /// Sets the tasks that another shard delegates to this one. `None` means that this shard
+    /// places the job.
     pub(super) fn set_adopted(&mut self, left: Option<BTreeSet<u32>>) {
         self.delegated_here = left;
     }
-    /// Whether this shard places the job.
+    /// Returns whether this shard places the job, rather than tasks delegated to it.
     pub fn at_home(&self) -> bool {
         self.delegated_here.is_none()
     }
-    /// The lowest task that is neither done nor claimed.
+    /// Returns the lowest task that this shard may place and that is neither done nor claimed.
     pub fn next_pending(&mut self) -> Option<u32> {
         if let Some(left) = &self.delegated_here {
             return left.iter().copied().find(|i| self.is_free(*i));
@@ -180,7 +183,7 @@
         }
         None
     }
-    /// All claims in order.
+    /// Returns all claims by task index.
     pub fn claims(&self) -> &BTreeMap<u32, Claim> {
         &self.claims
     }
@@ -192,20 +195,20 @@
         self.cursor = self.cursor.min(index);
         Some(claim)
     }
-    /// One claim, to change.
+    /// Returns the claim of a task for changes.
     pub fn claim_mut(&mut self, index: u32) -> Option<&mut Claim> {
         self.claims.get_mut(&index)
     }
-    /// The next attempt number of a chunk. One counter serves its tasks, so
-    /// no task ever has an attempt twice.
+    /// Returns the next attempt number of a chunk. All tasks of a chunk share one counter, so
+    /// no task ever has the same attempt number twice.
     pub fn next_attempt(&self, chunk: u32) -> u64 {
         self.next_attempt.get(&chunk).copied().unwrap_or(1)
     }
-    /// Sets a chunk's attempt counter, as recorded.
+    /// Sets a chunk's attempt counter to the recorded value.
     pub fn set_next_attempt(&mut self, chunk: u32, next: u64) {
         self.next_attempt.insert(chunk, next);
     }
-    /// One attempt number for all tasks of a gang, above every earlier one.
+    /// Takes one attempt number for all tasks of a gang, higher than every earlier number.
     pub(super) fn take_generation(&mut self) -> Attempt {
         let chunks = 0..self.chunks();
         let next = chunks
--- a/src/scheduler/team.rs
+++ b/src/scheduler/team.rs
@@ -1,35 +1,35 @@
-//! Teams: their quotas, and what they use.
+//! Teams, their quotas and their usage.
 
 use std::sync::Arc;
 
 use crate::types::Amount;
 
-/// What a team may use in this shard, and what of it is guaranteed.
+/// The quota of a team in this shard.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct TeamLimits {
     /// This shard's slice of the team's limit.
     pub limit: Amount,
-    /// The same part of its guarantee.
+    /// This shard's slice of the team's guarantee.
     pub guarantee: Amount,
 }
 
-/// A team and what it uses.
+/// A team with its quota and usage in this shard.
 #[derive(Clone, Debug)]
 pub struct Team {
-    /// Name.
+    /// Name of the team.
     pub name: Arc<str>,
-    /// Guaranteed amount.
+    /// This shard's slice of the team's guarantee.
     pub guarantee: Amount,
     /// This shard's slice of the team's limit.
     pub limit: Amount,
-    /// Sum of all its claims.
+    /// Sum of all claims of the team's jobs.
     pub used: Amount,
-    /// Part of the limit that is left to jobs whose users wait for the start.
+    /// Part of the limit that is held back for jobs whose users wait for the start.
     pub held_back: Amount,
 }
 
 impl Team {
-    /// Its limits now.
+    /// Returns the current quota of the team.
     pub fn limits(&self) -> TeamLimits {
         TeamLimits {
             limit: self.limit,
--- a/src/scheduler/topology_rules.rs
+++ b/src/scheduler/topology_rules.rs
@@ -1,6 +1,6 @@
-//! Placement by failure domains and devices: what a job's policy says of a
-//! machine. Without the operator's file no job has a policy, and nothing here
-//! is asked.
+//! Placement by failure domains and devices: checks machines against a job's placement
+//! policy. Without the operator's topology file no job has a policy from its class, and jobs
+//! without placement rules of their own skip these checks.
 
 use std::rc::Rc;
 
@@ -16,39 +16,39 @@
 use super::{ClusterState, Job};
 use crate::types::{JobId, JobSpec, MachineId, Time};
 
-/// How a place is asked for.
+/// Options of the search for a machine.
 #[derive(Default)]
 pub(super) struct Ask<'a> {
-    /// A task that will have moved off: where it is does not count.
+    /// Task that is about to move; its present location does not count.
     pub leave_out: Option<u32>,
-    /// Only domains that lost no machine for some time.
+    /// Restricts the search to domains that lost no machine for some time.
     pub settled: Option<Settled<'a>>,
 }
 
-/// Which domains lost no machine for some time.
+/// The test whether a domain lost no machine for some time.
 #[derive(Clone, Copy)]
 pub(super) struct Settled<'a> {
-    /// When domains lost machines.
+    /// Times at which domains lost machines.
     pub stability: &'a Stability,
-    /// For how long, in seconds.
+    /// Seconds that must have passed since a domain lost a machine.
     pub settle_s: f64,
 }
 
-/// What a job's policy needs to judge machines.
+/// A job's placement policy with the state that is needed to check machines against it.
 pub(super) struct Site<'a> {
     pub policy: &'a Policy,
-    /// Where the job's tasks are.
+    /// Number of the job's tasks in each domain that the policy's rules count.
     pub tally: Tally,
-    /// Devices that count as required.
+    /// Devices that each task needs under the rules that apply.
     pub needs: Vec<Device>,
-    /// Which rules count.
+    /// Whether all rules apply or only the required ones.
     pub reach: Reach,
 }
 
 impl ClusterState {
-    /// Takes up the operator's file, new or changed: every machine's place and
-    /// devices, and every job's policy. Claims stay what they are; whatever
-    /// they use is in use until their tasks have ended.
+    /// Applies a new or changed topology file: updates the place and devices of every machine
+    /// and the policy of every job. Does not change claims. The capacity and devices of a
+    /// claim stay in use until its task has ended.
     pub fn set_topology(
         &mut self,
         topology: Option<Rc<Topology>>,
@@ -68,13 +68,13 @@
         }
     }
 
-    /// The operator's file.
+    /// Returns the topology from the operator's file, or `None` without a file.
     pub fn topology(&self) -> Option<&Rc<Topology>> {
         self.topology.as_ref()
     }
 
-    /// A job's policy. Devices are what the record says: a class's were
-    /// written into it when the job was accepted.
+    /// Returns a job's placement policy. Takes the devices from the job's record only, as the
+    /// devices of the job's class were copied into the record when the job was accepted.
     pub fn policy_of(topology: Option<&Topology>, spec: &JobSpec) -> Rc<Policy> {
         let own = spec.placement.as_deref();
         match topology {
@@ -93,7 +93,7 @@
         }
     }
 
-    /// Finds a machine's place and devices.
+    /// Updates a machine's place and devices from the topology.
     pub fn locate(&mut self, id: &MachineId, addr: Option<std::net::IpAddr>) {
         let Some(machine) = self.machines.get(id) else {
             return;
@@ -120,7 +120,8 @@
         });
     }
 
-    /// Where a job's tasks are, but for one that is left out.
+    /// Returns the locations of a job's claimed tasks, without the task `leave_out`. Yields
+    /// `None` for a task on an unknown machine.
     pub(super) fn task_locations<'a>(
         &'a self,
         job: &'a Job,
@@ -138,7 +139,8 @@
             })
     }
 
-    /// What is needed to judge machines for a job; none if it asks nothing.
+    /// Prepares the check of machines against a job's policy. Returns `None` if the policy has
+    /// no rules.
     pub(super) fn site<'a>(
         &'a self,
         job: &'a Job,
@@ -161,7 +163,8 @@
         })
     }
 
-    /// Whether a machine passes; else up to which place none does.
+    /// Checks a machine against a job's policy. If the policy excludes the machine, returns
+    /// the first place at which a machine may pass again.
     pub(super) fn site_passes(
         &self,
         site: &Site,
@@ -201,8 +204,9 @@
         }
     }
 
-    /// Whether a machine whose turn it is suits a job's policy: it meets all
-    /// placement rules, or what is required where no machine meets all.
+    /// Returns whether a job's policy admits a machine that a placement pass is filling. The
+    /// machine must meet all placement rules, or only the required rules if no machine meets
+    /// all.
     pub(super) fn site_suits(&self, request: &PlacementRequest, m_id: &MachineId) -> bool {
         let PlacementRequest { job, now, .. } = *request;
         let ask = Ask::default();
@@ -219,8 +223,8 @@
                 && self.best_of(request, &ask, Reach::All).is_none()
     }
 
-    /// Whether a machine would suit a job's required rules, its devices being
-    /// in order and free: what preemption asks.
+    /// Returns whether a machine meets the required rules of a job, with the devices that the
+    /// job needs working and free. Preemption uses this check.
     pub(super) fn could_site(&self, job: &Job, m_id: &MachineId, now: Time) -> bool {
         let ask = Ask::default();
         self.site(job, Reach::Musts, None).is_none_or(|site| {
@@ -229,8 +233,8 @@
         })
     }
 
-    /// The units that one more task of a job would use on a machine; none if
-    /// one that it can't do without is missing, broken or taken.
+    /// Returns the device units that one more task of a job would use on a machine. Returns
+    /// `None` if a required unit is missing, broken or in use.
     pub(super) fn units_for(&self, id: &JobId, m_id: &MachineId) -> Option<Vec<Unit>> {
         let job = self.jobs.get(id)?;
         if job.policy.devices.is_empty() {
--- a/src/scheduler/waiting_reason.rs
+++ b/src/scheduler/waiting_reason.rs
@@ -1,4 +1,4 @@
-//! Why a job waits. The texts are for its user and the log.
+//! The reason why a job waits. Users and the log see the texts of this module.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -11,36 +11,36 @@
 use super::{ClusterState, Job};
 use crate::types::{JobId, Kind, MachineId, Time};
 
-/// Why a job that has a task to place has found no machine for it.
+/// The reason why a job has found no machine for a pending task.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum WaitingReason {
-    /// Its team uses all that its limit allows.
+    /// One more task would exceed the limit of the job's team.
     TeamAtLimit,
-    /// Tasks of a gang that is to start anew have not ended yet.
+    /// The gang is to start again and its earlier tasks have not ended yet.
     GangStopping,
-    /// Machines have free capacity for a task and something else excludes them.
+    /// Machines have free capacity for a task, but a rule or a lack of devices excludes them.
     Excluded {
-        /// What excludes most of them; taken devices before all else, as they come free
-        /// by themselves.
+        /// Reason that excludes the most machines. Devices in use come before all other
+        /// reasons, as they come free without a change by the user.
         why: MachineExclusion,
-        /// How many machines that excludes.
+        /// Number of machines that this reason excludes.
         machines: u32,
-        /// Suitable machines with free capacity for a task.
+        /// Number of suitable machines with free capacity for a task.
         with_free_capacity: u32,
     },
-    /// It has placement rules and the controller has no topology file.
+    /// The job has placement rules and the controller has no topology file.
     NoTopology,
     /// No suitable machine has free capacity for a task.
     NoFreeCapacity {
-        /// Machines whose type, zone and kind suit it.
+        /// Number of machines whose type, zone and kind suit the job.
         suitable: u32,
     },
-    /// Machines have free capacity, too little for all tasks of a gang.
+    /// The machines have too little free capacity for all tasks of a gang.
     NoFreeCapacityForGang {
-        /// Suitable machines with free capacity for a task.
+        /// Number of suitable machines with free capacity for a task.
         with_free_capacity: u32,
     },
-    /// Others come first in order.
+    /// Other jobs come first in scheduling order.
     OthersFirst,
 }
 
@@ -70,14 +70,14 @@
     }
 }
 
-/// Why a machine with free capacity for a task of a job can't run it.
+/// The reason why a machine with free capacity for a task can't run the task.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum MachineExclusion {
-    /// A placement rule.
+    /// A placement rule excludes the machine.
     Rule(ExclusionRule),
-    /// It has the devices that a task needs; other tasks use them.
+    /// The machine has the devices that a task needs, but other tasks use them.
     DevicesTaken,
-    /// It has no such devices that work.
+    /// The machine has no working devices of the kind that a task needs.
     NoSuchDevice,
 }
 
@@ -91,24 +91,24 @@
     }
 }
 
-/// What the machines that suit a job have for it.
+/// Counts of the machines that suit a job.
 #[derive(Default)]
 struct Survey {
-    /// Machines whose type, zone and kind suit it.
+    /// Number of machines whose type, zone and kind suit the job.
     suitable: u32,
-    /// Of these, those with free capacity for a task.
+    /// Number of suitable machines with free capacity for a task.
     with_free_capacity: u32,
-    /// What excludes those with free capacity, and how many machines each.
+    /// Number of machines with free capacity that each reason excludes.
     exclusions: BTreeMap<MachineExclusion, u32>,
 }
 
 impl Survey {
-    /// What to name of all that excludes machines: what changes by itself, else what
-    /// excludes the most.
+    /// Returns the exclusion to report: devices in use if there are any, else the reason that
+    /// excludes the most machines.
     fn main_exclusion(&self) -> Option<WaitingReason> {
         let rank = |(why, machines): &(&MachineExclusion, &u32)| {
             let taken = **why == MachineExclusion::DevicesTaken;
-            // Among equals the last text in the order of letters.
+            // Among equal counts, the alphabetically last text is reported.
             (taken, **machines, why.to_string())
         };
         let (why, machines) = self.exclusions.iter().max_by_key(rank)?;
@@ -121,8 +121,8 @@
 }
 
 impl ClusterState {
-    /// Why a job that has a task to place has found no machine for it; none if it waits
-    /// for nothing, or no placement has tried yet.
+    /// Returns the reason why a job has found no machine for a pending task. Returns `None` if
+    /// the job has no task to place or if no placement pass has tried the job yet.
     pub fn why_waits(&self, id: &JobId, now: Time) -> Option<WaitingReason> {
         let job = self.jobs.get(id).filter(|j| j.needs_placement(now))?;
         job.blocked_since?;
@@ -135,7 +135,7 @@
         Some(self.why_no_machine(id, job, now))
     }
 
-    /// Why none of the machines runs a task of a job that its team's limit allows.
+    /// Returns the reason why no machine runs a task of a job whose team is below its limit.
     fn why_no_machine(&self, id: &JobId, job: &Job, now: Time) -> WaitingReason {
         let site = self.site(job, Reach::Musts, None);
         let survey = self.survey(id, job, site.as_ref(), now);
@@ -157,7 +157,7 @@
         WaitingReason::OthersFirst
     }
 
-    /// Looks at all machines that suit a job.
+    /// Counts the machines that suit a job, and the reasons that exclude them.
     fn survey(&self, id: &JobId, job: &Job, site: Option<&Site>, now: Time) -> Survey {
         let mut survey = Survey::default();
         let suits = |m: &Machine| m.usable && Self::suits(&job.spec, m);
@@ -176,7 +176,8 @@
         survey
     }
 
-    /// What in a job's placement rules excludes a machine, if anything does.
+    /// Returns the reason why a job's placement rules exclude a machine. Returns `None` if
+    /// they allow the machine.
     fn site_exclusion(
         &self,
         site: &Site,
--- a/src/scheduler/write_limit.rs
+++ b/src/scheduler/write_limit.rs
@@ -1,5 +1,5 @@
-//! How many claims may wait to be recorded, and whose: what is claimed faster than the
-//! state service takes it only blocks capacity.
+//! The limit on jobs with claims that wait to be recorded. Claims made faster than the state
+//! service can record them only block capacity.
 
 use std::collections::BTreeSet;
 
@@ -9,9 +9,11 @@
 use crate::types::{JobId, Priority, TaskId};
 
 impl ClusterState {
-    /// Whether a task of a job may be claimed now: not while its rank is blocked
-    /// back, another task shows whether the job is mistaken, nor before others' claims
-    /// are recorded. Those whose users wait for the start may be twice as many.
+    /// Returns whether a task of a job may be claimed now. Refuses the claim if the
+    /// job's priority is blocked and its team is at its guarantee, if another task is testing
+    /// whether the job is faulty, or if idle work is at its limit. Also refuses the claim if
+    /// too many jobs have claims that wait to be recorded. This limit is twice as high for
+    /// jobs whose users wait for the start.
     pub(super) fn may_claim(&self, id: &JobId, job: &Job) -> bool {
         if job.open() == 0 || self.idle_is_full(job) {
             return false;
@@ -25,7 +27,7 @@
         let claims = self.claiming.len();
         let idle = job.priority == Priority::Idle;
         self.max_claiming.is_none_or(|all| {
-            // A swarm of idle jobs leaves half of it to others.
+            // A large number of idle jobs leaves half of the limit to other jobs.
             let max = if idle { all / 2 } else { all };
             let of_sort = self.claiming_of.get(&job.sort()).copied().unwrap_or(0);
             claims < max
@@ -36,19 +38,20 @@
         })
     }
 
-    /// Whether as many claims wait to be recorded as may.
+    /// Returns whether the number of jobs with unrecorded claims has reached the limit.
     pub fn claims_bind(&self) -> bool {
         self.max_claiming
             .is_some_and(|max| self.claiming.len() >= max)
     }
 
-    /// The lowest rank that waits, if others wait too.
+    /// Returns the lowest priority among jobs with tasks to place, or `None` unless jobs of at
+    /// least two priorities wait.
     pub fn lowest_of_ranks(&self) -> Option<Priority> {
         let ranks: BTreeSet<Priority> = self.jobs_to_place().map(|(_, j)| j.priority).collect();
         ranks.first().copied().filter(|_| ranks.len() > 1)
     }
 
-    /// Claims of a job wait to be recorded.
+    /// Counts a job as having claims that wait to be recorded.
     pub(super) fn claims_wait(&mut self, id: &JobId) {
         let Some(sort) = self.jobs.get(id).map(Job::sort) else {
             return;
@@ -58,7 +61,7 @@
         }
     }
 
-    /// None of a job's claims waits to be recorded any more.
+    /// Counts a job as having no more claims that wait to be recorded.
     pub fn claimed_all(&mut self, id: &JobId) {
         if !self.claiming.remove(id) {
             return;
@@ -74,8 +77,8 @@
         }
     }
 
-    /// A claim that is not recorded yet takes another attempt number: the one it
-    /// has was given to another task meanwhile.
+    /// Gives a claim that is not recorded yet a new attempt number, as another task has taken
+    /// the old number in the meantime.
     pub fn renumber(&mut self, task: &TaskId) {
         if let Some(job) = self.jobs.get_mut(&task.job) {
             let attempt = job.tasks.take_attempt(task.index);
