--- a/src/scheduler/waiting_reason.rs
+++ b/src/scheduler/waiting_reason.rs
@@ -47,25 +47,25 @@
 impl fmt::Display for WaitingReason {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::TeamAtLimit => f.write_str("its team is at its limit"),
-            Self::GangStopping => f.write_str("the gang starts anew once all its tasks are gone"),
+            Self::TeamAtLimit => f.write_str("the job's team is at its limit"),
+            Self::GangStopping => f.write_str("the gang restarts once all its tasks have ended"),
             Self::Excluded {
                 why,
                 machines,
                 with_free_capacity,
             } => write!(
                 f,
-                "{why} ({machines} of {with_free_capacity} machines with room)"
+                "{why} ({machines} of {with_free_capacity} machines with free capacity)"
             ),
             Self::NoTopology => UnjudgedPolicy::NoTopology.fmt(f),
             Self::NoFreeCapacity { suitable } => {
-                write!(f, "no room on any of {suitable} machines that suit it")
+                write!(f, "none of {suitable} suitable machines has free capacity")
             }
             Self::NoFreeCapacityForGang { with_free_capacity } => write!(
                 f,
-                "no room for the whole gang; {with_free_capacity} machines have some"
+                "too little free capacity for the whole gang; {with_free_capacity} machines have some"
             ),
-            Self::OthersFirst => f.write_str("others go first"),
+            Self::OthersFirst => f.write_str("other jobs come first"),
         }
     }
 }
@@ -85,7 +85,7 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::Rule(rule) => rule.fmt(f),
-            Self::DevicesTaken => f.write_str("its devices are taken"),
+            Self::DevicesTaken => f.write_str("its devices are in use"),
             Self::NoSuchDevice => f.write_str("it has no such device"),
         }
     }
--- a/tests/drains.rs
+++ b/tests/drains.rs
@@ -209,7 +209,7 @@
         sleep(Duration::from_millis(1500)).await;
         assert_eq!(world.nodes.borrow().places("run-wait").len(), 0, "taken");
         let why = why_it_waits(&world, "/v1/jobs/run-wait").await;
-        assert!(why.contains("devices are taken"), "{why:?}");
+        assert!(why.contains("devices are in use"), "{why:?}");
         reload_bad_file(&world).await;
         // enc0 goes while it is held, and enc1 comes.
         world.reload(&file(60, SWITCHES, &with_encoders("\"enc1\"")));
--- a/tests/topology_cases.rs
+++ b/tests/topology_cases.rs
@@ -341,7 +341,7 @@
         .why_waits(&second, Time(1.0))
         .expect("a reason")
         .to_string();
-    assert!(why.contains("its devices are taken"), "{why}");
+    assert!(why.contains("its devices are in use"), "{why}");
     // The file names another unit: it is free. The old one comes back: held.
     w.cluster_state
         .set_topology(Some(topology("a", 1, "")), |_| None);
@@ -906,16 +906,16 @@
     };
     assert_eq!(
         text(MachineExclusion::DevicesTaken),
-        "its devices are taken (2 of 3 machines with room)"
+        "its devices are in use (2 of 3 machines with free capacity)"
     );
     assert_eq!(
         text(MachineExclusion::NoSuchDevice),
-        "it has no such device (2 of 3 machines with room)"
+        "it has no such device (2 of 3 machines with free capacity)"
     );
     let level = "rack".into();
     assert_eq!(
         text(MachineExclusion::Rule(ExclusionRule::Together { level })),
-        "all in one rack (2 of 3 machines with room)"
+        "all in one rack (2 of 3 machines with free capacity)"
     );
 }
 
@@ -924,21 +924,21 @@
 fn reasons_to_wait_have_their_texts() {
     let with_free_capacity = 3;
     let reasons = [
-        (WaitingReason::TeamAtLimit, "its team is at its limit"),
+        (WaitingReason::TeamAtLimit, "the job's team is at its limit"),
         (
             WaitingReason::GangStopping,
-            "the gang starts anew once all its tasks are gone",
+            "the gang restarts once all its tasks have ended",
         ),
         (WaitingReason::NoTopology, "this controller has no topology"),
         (
             WaitingReason::NoFreeCapacity { suitable: 3 },
-            "no room on any of 3 machines that suit it",
+            "none of 3 suitable machines has free capacity",
         ),
         (
             WaitingReason::NoFreeCapacityForGang { with_free_capacity },
-            "no room for the whole gang; 3 machines have some",
+            "too little free capacity for the whole gang; 3 machines have some",
         ),
-        (WaitingReason::OthersFirst, "others go first"),
+        (WaitingReason::OthersFirst, "other jobs come first"),
     ];
     for (why, text) in reasons {
         assert_eq!(why.to_string(), text);
