--- a/src/scheduler/drains_by_target.rs
+++ b/src/scheduler/drains_by_target.rs
@@ -10,16 +10,16 @@
 /// A drain and its position in the list of all drains. Of two drains that end at the same
 /// time, the earlier position applies.
 #[derive(Clone, Copy)]
-pub(super) struct NumberedDrain<'a> {
-    pub number: usize,
+pub(super) struct IndexedDrain<'a> {
+    pub index: usize,
     pub active: &'a ActiveDrain,
 }
 
 /// Drains by what they cover. As each machine of a fleet may have a drain of its own, the index
 /// avoids comparing a machine with the drains of all other machines.
 pub(super) struct DrainsByTarget<'a> {
-    machines: HashMap<&'a str, Vec<NumberedDrain<'a>>>,
-    domains: Vec<NumberedDrain<'a>>,
+    machines: HashMap<&'a str, Vec<IndexedDrain<'a>>>,
+    domains: Vec<IndexedDrain<'a>>,
 }
 
 impl<'a> DrainsByTarget<'a> {
@@ -28,15 +28,15 @@
             machines: HashMap::new(),
             domains: Vec::new(),
         };
-        for (number, active) in drains.iter().enumerate() {
-            let numbered = NumberedDrain { number, active };
+        for (index, active) in drains.iter().enumerate() {
+            let indexed = IndexedDrain { index, active };
             match &active.drain.target {
                 Target::Machine(name) => by_target
                     .machines
                     .entry(name.as_str())
                     .or_default()
-                    .push(numbered),
-                Target::Domain(_) => by_target.domains.push(numbered),
+                    .push(indexed),
+                Target::Domain(_) => by_target.domains.push(indexed),
             }
         }
         by_target
@@ -44,10 +44,7 @@
 
     /// Returns the drains that may cover a machine: the drains of the machine itself and all
     /// drains of domains.
-    pub(super) fn candidates(
-        &self,
-        id: &MachineId,
-    ) -> impl Iterator<Item = NumberedDrain<'a>> + '_ {
+    pub(super) fn candidates(&self, id: &MachineId) -> impl Iterator<Item = IndexedDrain<'a>> + '_ {
         let own = self.machines.get(id.as_str()).into_iter().flatten();
         own.chain(&self.domains).copied()
     }
--- a/src/scheduler/gangs/mod.rs
+++ b/src/scheduler/gangs/mod.rs
@@ -21,7 +21,7 @@
 use crate::types::{Attempt, JobId, MachineId, TaskId, Time};
 
 /// Seconds between two placement attempts for one gang, as each attempt scans all machines.
-const TRY_AGAIN_S: f64 = 0.5;
+const RETRY_S: f64 = 0.5;
 
 /// Placement plans for a gang. At most one of them is used.
 #[derive(Default)]
@@ -55,7 +55,7 @@
         }
         let plans = self.gang_plans(id, job, now);
         if let Some(job) = self.jobs.get_mut(id) {
-            job.try_at = now.after(TRY_AGAIN_S);
+            job.try_at = now.after(RETRY_S);
         }
         match plans.now {
             Some(plan) if self.gang_may_launch(id, &plan, rule, now) => {
@@ -116,7 +116,7 @@
         let Some(job) = self.jobs.get_mut(id) else {
             return Vec::new();
         };
-        let attempt = job.tasks.take_generation();
+        let attempt = job.tasks.take_gang_attempt();
         job.delay = Delay::default();
         let mut launches = Vec::new();
         for on in plan {
@@ -225,7 +225,7 @@
 
     /// Returns the best machine for one more task of a job, calculated as if task `index` had
     /// already left its machine.
-    pub(super) fn elsewhere(
+    pub(super) fn best_machine_without(
         &self,
         id: &JobId,
         index: u32,
--- a/src/scheduler/gangs/slots.rs
+++ b/src/scheduler/gangs/slots.rs
@@ -9,7 +9,7 @@
 use crate::types::{Amount, JobId, Kind, MachineId, Time};
 
 /// Steps per second in a slot's integer cost, which is in tenths of a second.
-const COST_STEPS: f64 = 10.0;
+const COST_STEPS_PER_S: f64 = 10.0;
 
 /// A request for slots for all tasks of a gang.
 pub(super) struct GangRequest<'a> {
@@ -30,7 +30,7 @@
 
 /// Returns how many of `max` tasks get the devices that each needs, given the devices
 /// already allocated.
-fn with_devices(
+fn tasks_with_devices(
     device_inventory: &DeviceInventory,
     allocated: &AllocatedDevices,
     needs: &[Device],
@@ -79,13 +79,13 @@
             self.free_capacity_for(id, job.leaves_reserved_capacity(now), m_id, now);
         let fit = |amount: Amount| spec.each.how_many(amount).min(spec.tasks);
         let lasting = self.lasting_use(m);
-        let free = with_devices(
+        let free = tasks_with_devices(
             &m.device_inventory,
             &m.allocated_devices,
             needs,
             fit(free_capacity),
         );
-        let later = with_devices(
+        let later = tasks_with_devices(
             &m.device_inventory,
             &lasting.units,
             needs,
@@ -102,7 +102,7 @@
             place: m.place,
             free,
             later: later.max(free),
-            cost: (cost * COST_STEPS) as u32,
+            cost: (cost * COST_STEPS_PER_S) as u32,
         }
     }
 
--- a/src/scheduler/rebalance.rs
+++ b/src/scheduler/rebalance.rs
@@ -14,7 +14,7 @@
 use crate::types::{JobId, Kind, MachineId, TaskId, Time};
 
 /// Seconds for which capacity stays reserved for a task that is being moved.
-const MOVE_S: f64 = 15.0;
+const MOVE_RESERVATION_S: f64 = 15.0;
 
 /// A task that is being stopped so that it starts on another machine.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -46,7 +46,7 @@
     /// Returns the number of a job's tasks that are not known to run, or that are being
     /// stopped. Includes tasks that are claimed or were sent their start command but that no
     /// heartbeat has named, as they may never start.
-    fn away(job: &Job) -> u32 {
+    fn tasks_not_running(job: &Job) -> u32 {
         let claims = job.tasks.claims().values();
         let running =
             claims.filter(|c| matches!(c.progress, Progress::Running(_)) && c.stop.is_none());
@@ -56,18 +56,22 @@
 
     /// Returns the drain that covers a machine. If several do, returns the drain with the
     /// earliest deadline.
-    fn drain_of<'a>(&self, id: &MachineId, drains: &DrainsByTarget<'a>) -> Option<&'a ActiveDrain> {
+    fn earliest_drain_of<'a>(
+        &self,
+        id: &MachineId,
+        drains: &DrainsByTarget<'a>,
+    ) -> Option<&'a ActiveDrain> {
         let topology = self.topology.as_ref()?;
         let machine = self.machines.get(id)?;
         let covers = |d: &Drain| d.target.covers(&topology.tree, machine.place, id.as_str());
         let covering = drains
             .candidates(id)
-            .filter(|numbered| covers(&numbered.active.drain));
+            .filter(|indexed| covers(&indexed.active.drain));
         let first = covering.min_by(|a, b| {
             let left_s = a.active.left_s.total_cmp(&b.active.left_s);
-            left_s.then(a.number.cmp(&b.number))
+            left_s.then(a.index.cmp(&b.index))
         });
-        first.map(|numbered| numbered.active)
+        first.map(|indexed| indexed.active)
     }
 
     /// Returns the machines that a drain covers now.
@@ -100,7 +104,7 @@
         let drains = DrainsByTarget::new(moving.drains);
         let mut moves = Vec::new();
         for m_id in draining {
-            let Some(active) = self.drain_of(&m_id, &drains) else {
+            let Some(active) = self.earliest_drain_of(&m_id, &drains) else {
                 continue;
             };
             for task in self.claims_on(&m_id) {
@@ -108,7 +112,7 @@
                     continue;
                 };
                 let step = drain::step(&active.drain, &tenant, active.left_s);
-                moves.extend(self.move_off(step, task, moving, now));
+                moves.extend(self.apply_drain_step(step, task, moving, now));
             }
         }
         moves
@@ -132,13 +136,19 @@
             running: ran.is_some(),
             stopping: claim.stop.is_some(),
             left_s: left.filter(|_| job.spec.kind != Kind::Service),
-            away: Self::away(job),
+            away: Self::tasks_not_running(job),
         })
     }
 
     /// Applies a drain's decision to a task. Reserves capacity for a task that is to move and
     /// marks the task to be stopped.
-    fn move_off(&mut self, step: Step, task: TaskId, moving: &Moving, now: Time) -> Vec<Move> {
+    fn apply_drain_step(
+        &mut self,
+        step: Step,
+        task: TaskId,
+        moving: &Moving,
+        now: Time,
+    ) -> Vec<Move> {
         let gang = self
             .jobs
             .get(&task.job)
@@ -146,7 +156,7 @@
         match step {
             Step::Wait => Vec::new(),
             Step::Move => {
-                let Some(to) = self.ready_elsewhere(&task, moving, now) else {
+                let Some(to) = self.reserve_elsewhere(&task, moving, now) else {
                     return Vec::new();
                 };
                 self.stop(&task, false);
@@ -166,7 +176,12 @@
     /// Reserves capacity on another machine for a task that is to move. Prefers a machine
     /// that meets all placement rules in a domain that lost no machine recently, then one that
     /// meets all rules in any domain, then one that meets the required rules.
-    fn ready_elsewhere(&mut self, task: &TaskId, moving: &Moving, now: Time) -> Option<MachineId> {
+    fn reserve_elsewhere(
+        &mut self,
+        task: &TaskId,
+        moving: &Moving,
+        now: Time,
+    ) -> Option<MachineId> {
         let settle_s = self.topology.as_ref()?.settings.repair.settle_s;
         let quiet = Ask {
             leave_out: None,
@@ -176,11 +191,12 @@
             }),
         };
         let any = Ask::default();
-        let find = |ask: &Ask, reach| self.elsewhere(&task.job, task.index, ask, reach, now);
+        let find =
+            |ask: &Ask, reach| self.best_machine_without(&task.job, task.index, ask, reach, now);
         let to = find(&quiet, Reach::All)
             .or_else(|| find(&any, Reach::All))
             .or_else(|| find(&any, Reach::Musts))?;
-        self.reserve(to.clone(), &task.job, now.after(MOVE_S));
+        self.reserve(to.clone(), &task.job, now.after(MOVE_RESERVATION_S));
         Some(to)
     }
 
@@ -203,11 +219,11 @@
                 return None;
             }
             let index = self.excess_task(&topology, job)?;
-            let to = self.elsewhere(id, index, &quiet, Reach::All, now)?;
+            let to = self.best_machine_without(id, index, &quiet, Reach::All, now)?;
             let job = id.clone();
             Some((TaskId { job, index }, to))
         })?;
-        self.reserve(to.clone(), &task.job, now.after(MOVE_S));
+        self.reserve(to.clone(), &task.job, now.after(MOVE_RESERVATION_S));
         self.stop(&task, false);
         Some(Move { task, to: Some(to) })
     }
@@ -218,7 +234,7 @@
             && !job.cancelled
             && job.policy.counts()
             && job.tasks.pending() == 0
-            && Self::away(job) == 0
+            && Self::tasks_not_running(job) == 0
             && job
                 .tasks
                 .claims()
--- a/src/scheduler/tasks.rs
+++ b/src/scheduler/tasks.rs
@@ -209,7 +209,7 @@
         self.next_attempt.insert(chunk, next);
     }
     /// Takes one attempt number for all tasks of a gang, higher than every earlier number.
-    pub(super) fn take_generation(&mut self) -> Attempt {
+    pub(super) fn take_gang_attempt(&mut self) -> Attempt {
         let chunks = 0..self.chunks();
         let next = chunks
             .clone()
