--- a/src/scheduler/lanes.rs
+++ b/src/scheduler/lanes.rs
@@ -61,15 +61,15 @@
 
 /// Groups interchangeable jobs: two jobs with equal values can exchange their turns.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
-struct Alike {
+struct EquivalenceKey {
     team: usize,
     class: Arc<str>,
     group: Group,
     priority: Priority,
 }
 
-fn asks(job: &Job) -> Alike {
-    Alike {
+fn equivalence_key(job: &Job) -> EquivalenceKey {
+    EquivalenceKey {
         team: job.team,
         class: job.spec.class.clone(),
         group: job.group(),
@@ -93,9 +93,9 @@
         if lanes.is_empty() {
             return;
         }
-        let order = self.arranged(now, now_ms);
+        let order = self.ordered_lane_jobs(now, now_ms);
         self.lanes.bounds = lanes.iter().map(|(id, lane)| (id, lane.bound)).collect();
-        let mut turns = self.turns_of_alike(&order);
+        let mut turns = self.turns_of_equivalent_jobs(&order);
         let others_wait = self.others_wait();
         let mut allocated = self.lanes.used.clone();
         for key in &order {
@@ -103,22 +103,22 @@
                 continue;
             };
             let allocated = allocated.entry(key.lane).or_default();
-            let ahead = self.goes_ahead(key.lane, job, *allocated, others_wait);
+            let ahead = self.has_precedence(key.lane, job, *allocated, others_wait);
             *allocated += job.demand().cpu;
             let laned = Laned {
                 behind: key.behind,
                 must_ms: key.must_ms,
                 ahead,
-                turn: turns.get_mut(&asks(job)).and_then(Vec::pop),
+                turn: turns.get_mut(&equivalence_key(job)).and_then(Vec::pop),
                 ..Laned::new(key.lane, key.place)
             };
-            self.set_laned(&key.id, laned);
+            self.set_lane_position(&key.id, laned);
         }
         self.lanes.order = order;
     }
 
     /// Returns the waiting lane jobs in lane order.
-    fn arranged(&self, now: Time, now_ms: u64) -> Vec<Key> {
+    fn ordered_lane_jobs(&self, now: Time, now_ms: u64) -> Vec<Key> {
         let waits = self.jobs_to_place().filter_map(|(id, job)| {
             let laned = job.lane?;
             let waited_ms = (now.since(job.submitted) * 1000.0).max(0.0) as u64;
@@ -135,20 +135,23 @@
 
     /// Returns the turns of interchangeable lane jobs, the last turn first. The caller pops
     /// turns from the end, so the first job in lane order gets the first turn.
-    fn turns_of_alike(&self, order: &[Key]) -> BTreeMap<Alike, Vec<QueueTurn>> {
-        let mut turns: BTreeMap<Alike, Vec<QueueTurn>> = BTreeMap::new();
+    fn turns_of_equivalent_jobs(&self, order: &[Key]) -> BTreeMap<EquivalenceKey, Vec<QueueTurn>> {
+        let mut turns: BTreeMap<EquivalenceKey, Vec<QueueTurn>> = BTreeMap::new();
         for job in order.iter().filter_map(|key| self.jobs.get(&key.id)) {
-            turns.entry(asks(job)).or_default().push(job.turn());
+            turns
+                .entry(equivalence_key(job))
+                .or_default()
+                .push(job.turn());
         }
-        for alike in turns.values_mut() {
-            alike.sort_by(|a, b| b.cmp(a));
+        for equivalent in turns.values_mut() {
+            equivalent.sort_by(|a, b| b.cmp(a));
         }
         turns
     }
 
     /// Returns whether a lane job is within its lane's share. `allocated` is the CPU that the
     /// lane's claims and the jobs before it take of that share, in thousandths of a CPU.
-    fn goes_ahead(&self, lane: LaneId, job: &Job, allocated: i64, others_wait: bool) -> bool {
+    fn has_precedence(&self, lane: LaneId, job: &Job, allocated: i64, others_wait: bool) -> bool {
         let needs = job.demand().cpu;
         let part = self.lanes.bounds.get(&lane);
         let part = part.map_or(0, |bound| bound.of(self.capacity.cpu));
@@ -157,7 +160,7 @@
 
     /// Sets the position of a job in its lane. Moves the job in its team's queue, as the
     /// queue is sorted by that position too.
-    fn set_laned(&mut self, id: &JobId, laned: Laned) {
+    fn set_lane_position(&mut self, id: &JobId, laned: Laned) {
         if self.jobs.get(id).is_some_and(|j| j.lane != Some(laned)) {
             self.refile(id, |job| job.lane = Some(laned));
         }
--- a/src/scheduler/lanes/placement.rs
+++ b/src/scheduler/lanes/placement.rs
@@ -14,7 +14,7 @@
 
 /// The result of placing lane jobs ahead of all other jobs: the launches and the jobs that
 /// were tried.
-pub(in crate::scheduler) struct LanesPlaced {
+pub(in crate::scheduler) struct LanePlacements {
     pub launches: Vec<Launch>,
     pub tried: Vec<JobId>,
 }
@@ -22,7 +22,7 @@
 impl ClusterState {
     /// Returns whether one more task of a lane job is within its lane's share. Without this
     /// limit a flood of jobs in a lane would keep all other jobs waiting.
-    fn within_part(&self, job: &Job, others_wait: bool) -> bool {
+    fn within_lane_share(&self, job: &Job, others_wait: bool) -> bool {
         let Some(laned) = job.lane else { return false };
         let usage = self.lane_usage(laned.lane);
         let allocated = SharedCapacity {
@@ -38,21 +38,21 @@
     /// lanes. No lane job of a team beyond its own guarantee goes ahead of these jobs. When
     /// lane jobs did, only 0.862 of the work within a guarantee began in time on a day of
     /// bursts, instead of 0.949 (simulated machines).
-    fn owed(&self) -> Vec<usize> {
+    fn teams_below_guarantee(&self) -> Vec<usize> {
         let standings = self.standings().into_iter().enumerate();
-        let owed = standings.filter(|(team, s)| {
+        let below_guarantee = standings.filter(|(team, s)| {
             s.below_guarantee > 0.0 && self.queues[*team].iter().any(|p| !p.in_lane)
         });
-        owed.map(|(team, _)| team).collect()
+        below_guarantee.map(|(team, _)| team).collect()
     }
 
     /// Returns whether one more task of a lane job respects the guarantees. The job's team
-    /// must stay within its own guarantee, or no other team may be in `owed`, the teams below
-    /// their guarantee.
-    fn leaves_guarantees(&self, job: &Job, owed: &[usize]) -> bool {
+    /// must stay within its own guarantee, or no other team may be in
+    /// `below_guarantee`.
+    fn respects_guarantees(&self, job: &Job, below_guarantee: &[usize]) -> bool {
         let team = &self.teams[job.team];
         (team.used + job.spec.each).fits_team(team.guarantee)
-            || owed.iter().all(|other| *other == job.team)
+            || below_guarantee.iter().all(|other| *other == job.team)
     }
 
     /// Returns the lane jobs that are offered machines before all other jobs, in lane order.
@@ -61,20 +61,20 @@
         if self.lanes.order.is_empty() {
             return Vec::new();
         }
-        let others = self.others_wait();
-        let owed = self.owed();
+        let others_wait = self.others_wait();
+        let below_guarantee = self.teams_below_guarantee();
         self.lane_waits()
             .filter(|(_, job)| {
                 job.needs_placement(now)
-                    && self.within_part(job, others)
-                    && self.leaves_guarantees(job, &owed)
+                    && self.within_lane_share(job, others_wait)
+                    && self.respects_guarantees(job, &below_guarantee)
             })
             .map(|(key, job)| LaneJob { id: &key.id, job })
             .collect()
     }
 
     /// Places lane jobs on the best machines, ahead of all other jobs.
-    pub(in crate::scheduler) fn place_lanes(&mut self, context: &PassContext) -> LanesPlaced {
+    pub(in crate::scheduler) fn place_lanes(&mut self, context: &PassContext) -> LanePlacements {
         let mut launches = Vec::new();
         let mut skipped = Vec::new();
         let first = self.lanes_first(context.now);
@@ -88,7 +88,7 @@
             launches.extend(self.place_lane_job(id, context, &mut skipped));
         }
         self.skip(skipped, context.now);
-        LanesPlaced { launches, tried }
+        LanePlacements { launches, tried }
     }
 
     /// Places as many tasks of a lane job as may go ahead of other jobs. Adds the job to
@@ -104,8 +104,8 @@
             self.capacity_index.count_step();
             if !job.needs_placement(context.now)
                 || !self.may_claim(id, job)
-                || !self.within_part(job, self.others_wait())
-                || !self.leaves_guarantees(job, &self.owed())
+                || !self.within_lane_share(job, self.others_wait())
+                || !self.respects_guarantees(job, &self.teams_below_guarantee())
             {
                 break;
             }
--- a/src/scheduler/preempt/mod.rs
+++ b/src/scheduler/preempt/mod.rs
@@ -29,7 +29,7 @@
     leaving: Vec<Amount>,
     /// Thousandths of a CPU that idle work uses beyond its guaranteed share, without the
     /// tasks that are being stopped.
-    idle_beyond: i64,
+    idle_cpu_beyond_share: i64,
 }
 
 impl ClusterState {
@@ -45,7 +45,7 @@
         }
         let mut stopping = Stopping {
             leaving: self.leaving(),
-            idle_beyond: self.idle_beyond(),
+            idle_cpu_beyond_share: self.idle_cpu_beyond_share(),
         };
         let mut stops = Vec::new();
         for starved in waiting {
@@ -149,7 +149,7 @@
         if let Some(job) = self.jobs.get(&task.job) {
             stopping.leaving[job.team] += job.spec.each;
             if idle::is_bounded(job) {
-                stopping.idle_beyond -= job.spec.each.cpu;
+                stopping.idle_cpu_beyond_share -= job.spec.each.cpu;
             }
         }
         self.stop(task, hurry);
--- a/src/scheduler/preempt/victims.rs
+++ b/src/scheduler/preempt/victims.rs
@@ -220,7 +220,8 @@
         stopping: &Stopping,
     ) -> Vec<Candidate<'a>> {
         // Only critical jobs may take capacity from the guaranteed share of idle work.
-        let spared = stopping.idle_beyond <= 0 && request.job.priority < Priority::Critical;
+        let spared =
+            stopping.idle_cpu_beyond_share <= 0 && request.job.priority < Priority::Critical;
         let stoppable = |c: &&Claimed| {
             c.claim.stop.is_none()
                 && c.job.spec.kind != Kind::Service
--- a/src/scheduler/write_limit.rs
+++ b/src/scheduler/write_limit.rs
@@ -15,7 +15,7 @@
     /// too many jobs have claims that wait to be recorded. This limit is twice as high for
     /// jobs whose users wait for the start.
     pub(super) fn may_claim(&self, id: &JobId, job: &Job) -> bool {
-        if job.open() == 0 || self.idle_is_full(job) {
+        if job.open() == 0 || self.idle_limit_reached(job) {
             return false;
         }
         if self.blocked_rank == Some(job.priority) {
