--- a/src/scheduler/preempt/mod.rs
+++ b/src/scheduler/preempt/mod.rs
@@ -10,23 +10,23 @@
 use crate::types::{Amount, JobId, Kind, MachineId, TaskId, Time};
 
 /// Maximum number of machines on which tasks are stopped for one job at a time.
-const MAX_PREEMPTION_CANDIDATES: u32 = 16;
+const MAX_MACHINES_PER_JOB: u32 = 16;
 /// Maximum number of jobs for which one round stops tasks, as each job needs a scan of all
 /// machines.
 const MAX_JOBS_PER_PASS: usize = 4;
 /// Seconds for which the freed capacity stays reserved for the job.
-const RESERVED_S: f64 = 10.0;
+const RESERVATION_S: f64 = 10.0;
 
 /// A job for which capacity is to be freed, and the number of machines to free it on.
 struct StarvedJob {
     id: JobId,
-    places: u32,
+    missing_machines: u32,
 }
 
 /// Totals of the tasks that are being stopped, updated within a round of preemption.
 struct Stopping {
     /// Capacity used by tasks that are being stopped, by team.
-    leaving: Vec<Amount>,
+    usage: Vec<Amount>,
     /// Thousandths of a CPU that idle work uses beyond its guaranteed share, without the
     /// tasks that are being stopped.
     idle_cpu_beyond_share: i64,
@@ -44,7 +44,7 @@
             return Vec::new();
         }
         let mut stopping = Stopping {
-            leaving: self.leaving(),
+            usage: self.stopping_usage(),
             idle_cpu_beyond_share: self.idle_cpu_beyond_share(),
         };
         let mut stops = Vec::new();
@@ -67,14 +67,14 @@
             .filter(|(_, job)| job.spec.kind != Kind::Gang)
             .filter(|(_, job)| job.blocked_since.map_or(0.0, |t| now.since(t)) >= patience(job))
             .map(|(id, job)| {
-                let wanted = job.tasks.pending().min(MAX_PREEMPTION_CANDIDATES);
+                let wanted = job.tasks.pending().min(MAX_MACHINES_PER_JOB);
                 let reserved = by_job.get(id).copied().unwrap_or(0);
                 StarvedJob {
                     id: id.clone(),
-                    places: wanted.saturating_sub(reserved),
+                    missing_machines: wanted.saturating_sub(reserved),
                 }
             })
-            .filter(|starved| starved.places > 0)
+            .filter(|starved| starved.missing_machines > 0)
             .take(MAX_JOBS_PER_PASS)
             .collect()
     }
@@ -91,11 +91,11 @@
         let Some(job) = self.jobs.get(id) else {
             return Vec::new();
         };
-        let (team, hurry) = (job.team, job.start_within.is_some());
+        let (team, urgent) = (job.team, job.start_within.is_some());
         let mut stops = Vec::new();
         let mut made = 0;
-        for m_id in self.by_preemption_cost(id, job, stopping, now) {
-            if made == starved.places {
+        for m_id in self.machines_by_preemption_cost(id, job, stopping, now) {
+            if made == starved.missing_machines {
                 break;
             }
             let Some(job) = self.jobs.get(id) else { break };
@@ -105,9 +105,9 @@
             };
             made += 1;
             for task in &plan.victims {
-                self.stop_victim(task, hurry, stopping);
+                self.stop_victim(task, urgent, stopping);
             }
-            self.reserve(m_id, id, now.after(RESERVED_S));
+            self.reserve(m_id, id, now.after(RESERVATION_S));
             for task in plan.victims {
                 stops.extend(self.stop_rest_of_gang(&task));
                 stops.push(task);
@@ -120,7 +120,7 @@
     /// Returns the machines on which capacity for a job can be freed, the cheapest first. One
     /// scan of all machines sorts them. The caller plans each machine again when it reaches
     /// that machine, as the tasks stopped before change the result.
-    fn by_preemption_cost(
+    fn machines_by_preemption_cost(
         &self,
         id: &JobId,
         job: &Job,
@@ -145,14 +145,14 @@
     }
 
     /// Marks a chosen task to be stopped and adds it to the totals in `stopping`.
-    fn stop_victim(&mut self, task: &TaskId, hurry: bool, stopping: &mut Stopping) {
+    fn stop_victim(&mut self, task: &TaskId, urgent: bool, stopping: &mut Stopping) {
         if let Some(job) = self.jobs.get(&task.job) {
-            stopping.leaving[job.team] += job.spec.each;
+            stopping.usage[job.team] += job.spec.each;
             if idle::is_bounded(job) {
                 stopping.idle_cpu_beyond_share -= job.spec.each.cpu;
             }
         }
-        self.stop(task, hurry);
+        self.stop(task, urgent);
     }
 
     /// Stops the other tasks of the gang that `task` belongs to. Returns no tasks if the job
@@ -167,7 +167,7 @@
     }
 
     /// Returns the capacity used by tasks that are being stopped, by team.
-    fn leaving(&self) -> Vec<Amount> {
+    fn stopping_usage(&self) -> Vec<Amount> {
         let mut totals = vec![Amount::default(); self.teams.len()];
         for job in self.jobs.values() {
             let stopped = job
--- a/src/scheduler/preempt/victims.rs
+++ b/src/scheduler/preempt/victims.rs
@@ -10,15 +10,15 @@
 
 /// Cost of a late start of a job whose users wait for it, in CPU-seconds: the work that may
 /// be wasted elsewhere to start the job in time.
-const LATE_START: f64 = 200.0;
+const LATE_START_COST_CPU_S: f64 = 200.0;
 /// Seconds that a stopped task loses in addition to its work.
 const REQUEUE_S: f64 = 3.0;
 
 /// Cost of stopping one more task in addition to the work it wastes, in CPU-seconds.
-const PER_STOP: f64 = 0.1;
+const STOP_COST_CPU_S: f64 = 0.1;
 /// Fraction of the time within which a job's users expect its start. An image fetch that
 /// takes longer makes the job late.
-const LATE_FETCH: f64 = 0.8;
+const LATE_FETCH_FRACTION: f64 = 0.8;
 
 /// A plan that frees capacity for one task on one machine.
 pub(super) struct PreemptionPlan {
@@ -47,7 +47,7 @@
 }
 
 /// A claim on a machine, with its task and job.
-struct Claimed<'a> {
+struct ClaimOnMachine<'a> {
     task: &'a TaskId,
     job: &'a Job,
     claim: &'a Claim,
@@ -55,7 +55,7 @@
 
 /// Free capacity of a machine and usage of the teams, calculated as if the tasks chosen so
 /// far had ended.
-struct Balance {
+struct ProjectedUsage {
     /// Capacity of the machine that is free for the job.
     free: Amount,
     /// Usage of the job's team, including the task that capacity is freed for.
@@ -71,7 +71,7 @@
     limited: bool,
 }
 
-impl Balance {
+impl ProjectedUsage {
     /// Returns whether a task of size `each` fits on the machine and within its team's limit.
     fn suffices(&self, each: Amount) -> bool {
         each.fits(self.free) && self.used.fits_team(self.limit)
@@ -139,11 +139,11 @@
         if !self.may_preempt_on(request, m_id, machine) {
             return None;
         }
-        let claimed: Vec<Claimed> = self.claimed_on(machine).collect();
-        let mut balance = self.balance(request, m_id, &claimed, stopping);
+        let claimed: Vec<ClaimOnMachine> = self.claims_with_jobs(machine).collect();
+        let mut projected = self.projected_usage(request, m_id, &claimed, stopping);
         let candidates = self.candidates(request, &claimed, stopping);
-        let (wasted, victims) = choose_victims(request.job, candidates, &mut balance);
-        if !balance.suffices(request.job.spec.each) {
+        let (wasted, victims) = choose_victims(request.job, candidates, &mut projected);
+        if !projected.suffices(request.job.spec.each) {
             return None;
         }
         Some(PreemptionPlan {
@@ -171,37 +171,40 @@
     }
 
     /// Returns the claims on a machine, with their jobs.
-    fn claimed_on<'a>(&'a self, machine: &'a Machine) -> impl Iterator<Item = Claimed<'a>> {
+    fn claims_with_jobs<'a>(
+        &'a self,
+        machine: &'a Machine,
+    ) -> impl Iterator<Item = ClaimOnMachine<'a>> {
         machine.claims.iter().filter_map(|task| {
             let job = self.jobs.get(&task.job)?;
             let claim = job.tasks.claims().get(&task.index)?;
-            Some(Claimed { task, job, claim })
+            Some(ClaimOnMachine { task, job, claim })
         })
     }
 
     /// Returns free capacity and usage before any task is chosen. Tasks that are already
     /// being stopped count as ended.
-    fn balance(
+    fn projected_usage(
         &self,
         request: &FreeCapacityRequest,
         m_id: &MachineId,
-        claimed: &[Claimed],
+        claimed: &[ClaimOnMachine],
         stopping: &Stopping,
-    ) -> Balance {
+    ) -> ProjectedUsage {
         let FreeCapacityRequest { id, job, made, now } = *request;
         let team = &self.teams[job.team];
         let more = job.spec.each.times(i64::from(made + 1));
         // For a team at its limit, only the team's own work can be preempted. This is the
         // same limit that a placement pass applies. With a higher limit here no job could
         // use the freed capacity, and tasks were stopped for it again and again.
-        let used = team.used - stopping.leaving[job.team] + more;
+        let used = team.used - stopping.usage[job.team] + more;
         let limit = self.limit_to_start(job);
         let mut free = self.free_capacity_for(id, job.spec.spot, m_id, now);
-        for leaving in claimed.iter().filter(|c| c.claim.stop.is_some()) {
-            free += leaving.job.spec.each;
+        for stopped in claimed.iter().filter(|c| c.claim.stop.is_some()) {
+            free += stopped.job.spec.each;
         }
-        let teams = self.teams.iter().zip(&stopping.leaving);
-        Balance {
+        let teams = self.teams.iter().zip(&stopping.usage);
+        ProjectedUsage {
             free,
             used,
             limit,
@@ -216,13 +219,13 @@
     fn candidates<'a>(
         &self,
         request: &FreeCapacityRequest,
-        claimed: &[Claimed<'a>],
+        claimed: &[ClaimOnMachine<'a>],
         stopping: &Stopping,
     ) -> Vec<Candidate<'a>> {
         // Only critical jobs may take capacity from the guaranteed share of idle work.
         let spared =
             stopping.idle_cpu_beyond_share <= 0 && request.job.priority < Priority::Critical;
-        let stoppable = |c: &&Claimed| {
+        let stoppable = |c: &&ClaimOnMachine| {
             c.claim.stop.is_none()
                 && c.job.spec.kind != Kind::Service
                 && c.claim.committed
@@ -262,19 +265,19 @@
 fn choose_victims(
     job: &Job,
     candidates: Vec<Candidate>,
-    balance: &mut Balance,
+    projected: &mut ProjectedUsage,
 ) -> (f64, Vec<TaskId>) {
     let mut wasted = 0.0;
     let mut victims = Vec::new();
     for candidate in candidates {
-        if balance.suffices(job.spec.each) {
+        if projected.suffices(job.spec.each) {
             break;
         }
-        if !balance.allows(job, &candidate) {
+        if !projected.allows(job, &candidate) {
             continue;
         }
-        balance.stop(job, &candidate);
-        wasted += candidate.waste + PER_STOP;
+        projected.stop(job, &candidate);
+        wasted += candidate.waste + STOP_COST_CPU_S;
         victims.push(candidate.task.clone());
     }
     (wasted, victims)
@@ -287,8 +290,11 @@
     if !machine.cache.has(&job.spec.image) {
         let fetch_s = fetch_s(&job.spec, &machine.kind);
         cost += fetch_s * job.spec.each.cpu as f64 / 1000.0;
-        if job.start_within.is_some_and(|s| fetch_s > LATE_FETCH * s) {
-            cost += LATE_START;
+        if job
+            .start_within
+            .is_some_and(|s| fetch_s > LATE_FETCH_FRACTION * s)
+        {
+            cost += LATE_START_COST_CPU_S;
         }
     }
     cost
