--- a/src/scheduler/filter/mod.rs
+++ b/src/scheduler/filter/mod.rs
@@ -22,7 +22,7 @@
 pub(in crate::scheduler) use self::larger_types::Needy;
 use super::capacity_index::GroupKey;
 use super::machine::Machine;
-use super::topology_rules::{Ask, Site};
+use super::topology_rules::{Ask, PolicyCheck};
 use super::{ClusterState, Job};
 use crate::types::{JobId, MachineId, MachineType, Time, Zone};
 
@@ -45,7 +45,7 @@
     /// Number of the job's tasks in each zone.
     zones: BTreeMap<&'a Zone, u32>,
     /// The job's placement rules, or `None` if the job has no rules.
-    site: Option<Site<'a>>,
+    policy_check: Option<PolicyCheck<'a>>,
     /// Whether capacity kept for work that can't use spot machines is withheld from the job.
     leaves_kept: bool,
 }
@@ -65,7 +65,7 @@
             request,
             ask,
             zones: cluster_state.zones_of(request.id, job, ask.leave_out)?,
-            site: cluster_state.site(job, reach, ask.leave_out),
+            policy_check: cluster_state.policy_check(job, reach, ask.leave_out),
             leaves_kept: job.leaves_reserved_capacity(request.now),
         })
     }
@@ -85,9 +85,9 @@
                 .cluster_state
                 .kept_for_larger_jobs(self.request, &key.traits(kind))
             && self
-                .site
+                .policy_check
                 .as_ref()
-                .is_none_or(|site| Machine::could(&key.devices, &site.needs))
+                .is_none_or(|policy_check| Machine::could(&key.devices, &policy_check.needs))
     }
 
     /// Checks a machine of an admitted group. If the rules exclude the machine, returns the
@@ -106,8 +106,10 @@
         if !fits {
             return Err(place.next());
         }
-        match &self.site {
-            Some(site) => cluster_state.site_passes(site, self.ask, place, m_id, now),
+        match &self.policy_check {
+            Some(policy_check) => {
+                cluster_state.check_machine(policy_check, self.ask, place, m_id, now)
+            }
             None => Ok(()),
         }
     }
@@ -135,6 +137,6 @@
                 .is_some_and(|zones| Self::zone_allows(job, &zones, &machine.zone))
             && self.limit_allows(job, now)
             && !self.kept_for_larger_jobs(request, &machine.traits())
-            && self.site_suits(request, m_id)
+            && self.policy_admits(request, m_id)
     }
 }
--- a/src/scheduler/preempt/victims.rs
+++ b/src/scheduler/preempt/victims.rs
@@ -164,7 +164,7 @@
             && !self.reserved.contains_key(m_id)
             && Self::suits(&job.spec, machine)
             && !job.avoids(m_id, now)
-            && self.could_site(job, m_id, now)
+            && self.meets_required_rules(job, m_id, now)
             && self
                 .zones_of(id, job, None)
                 .is_some_and(|zones| Self::zone_allows(job, &zones, &machine.zone))
--- a/src/scheduler/rebalance.rs
+++ b/src/scheduler/rebalance.rs
@@ -9,7 +9,7 @@
 
 use super::drains_by_target::DrainsByTarget;
 use super::tasks::{Progress, Sent};
-use super::topology_rules::{Ask, Settled};
+use super::topology_rules::{Ask, SettledDomains};
 use super::{ClusterState, Job};
 use crate::types::{JobId, Kind, MachineId, TaskId, Time};
 
@@ -185,7 +185,7 @@
         let settle_s = self.topology.as_ref()?.settings.repair.settle_s;
         let quiet = Ask {
             leave_out: None,
-            settled: Some(Settled {
+            settled: Some(SettledDomains {
                 stability: moving.stability,
                 settle_s,
             }),
@@ -209,7 +209,7 @@
         let settle_s = topology.settings.repair.settle_s;
         let quiet = Ask {
             leave_out: None,
-            settled: Some(Settled {
+            settled: Some(SettledDomains {
                 stability: moving.stability,
                 settle_s,
             }),
--- a/src/scheduler/topology_rules.rs
+++ b/src/scheduler/topology_rules.rs
@@ -22,12 +22,12 @@
     /// Task that is about to move; its present location does not count.
     pub leave_out: Option<u32>,
     /// Restricts the search to domains that lost no machine for some time.
-    pub settled: Option<Settled<'a>>,
+    pub settled: Option<SettledDomains<'a>>,
 }
 
 /// The test whether a domain lost no machine for some time.
 #[derive(Clone, Copy)]
-pub(super) struct Settled<'a> {
+pub(super) struct SettledDomains<'a> {
     /// Times at which domains lost machines.
     pub stability: &'a Stability,
     /// Seconds that must have passed since a domain lost a machine.
@@ -35,7 +35,7 @@
 }
 
 /// A job's placement policy with the state that is needed to check machines against it.
-pub(super) struct Site<'a> {
+pub(super) struct PolicyCheck<'a> {
     pub policy: &'a Policy,
     /// Number of the job's tasks in each domain that the policy's rules count.
     pub tally: Tally,
@@ -141,12 +141,12 @@
 
     /// Prepares the check of machines against a job's policy. Returns `None` if the policy has
     /// no rules.
-    pub(super) fn site<'a>(
+    pub(super) fn policy_check<'a>(
         &'a self,
         job: &'a Job,
         reach: Reach,
         leave_out: Option<u32>,
-    ) -> Option<Site<'a>> {
+    ) -> Option<PolicyCheck<'a>> {
         let policy = &*job.policy;
         if policy.is_empty() {
             return None;
@@ -155,7 +155,7 @@
             Some(t) => policy.tally(&t.tree, self.task_locations(job, leave_out)),
             None => Tally::default(),
         };
-        Some(Site {
+        Some(PolicyCheck {
             policy,
             tally,
             needs: policy.needs(reach),
@@ -165,9 +165,9 @@
 
     /// Checks a machine against a job's policy. If the policy excludes the machine, returns
     /// the first place at which a machine may pass again.
-    pub(super) fn site_passes(
+    pub(super) fn check_machine(
         &self,
-        site: &Site,
+        policy_check: &PolicyCheck,
         ask: &Ask,
         place: Domain,
         m_id: &MachineId,
@@ -181,22 +181,29 @@
             place,
             machine: m_id.as_str(),
         };
-        if let Some(barred) = site
-            .policy
-            .bars(&topology.tree, &site.tally, at, site.reach)
+        if let Some(barred) =
+            policy_check
+                .policy
+                .bars(&topology.tree, &policy_check.tally, at, policy_check.reach)
         {
             return Err(barred.until);
         }
-        if !site.needs.is_empty() {
+        if !policy_check.needs.is_empty() {
             let Some(m) = self.machines.get(m_id) else {
                 return next;
             };
-            if choose(&m.device_inventory, &m.allocated_devices, &site.needs).is_none() {
+            if choose(
+                &m.device_inventory,
+                &m.allocated_devices,
+                &policy_check.needs,
+            )
+            .is_none()
+            {
                 return next;
             }
         }
         match ask.settled {
-            Some(Settled {
+            Some(SettledDomains {
                 stability,
                 settle_s,
             }) if !stability.trusted(&topology.tree, place, settle_s, now) => next,
@@ -207,14 +214,16 @@
     /// Returns whether a job's policy admits a machine that a placement pass is filling. The
     /// machine must meet all placement rules, or only the required rules if no machine meets
     /// all.
-    pub(super) fn site_suits(&self, request: &PlacementRequest, m_id: &MachineId) -> bool {
+    pub(super) fn policy_admits(&self, request: &PlacementRequest, m_id: &MachineId) -> bool {
         let PlacementRequest { job, now, .. } = *request;
         let ask = Ask::default();
-        let passes = |reach: Reach| match self.site(job, reach, None) {
+        let passes = |reach: Reach| match self.policy_check(job, reach, None) {
             None => true,
-            Some(site) => self.machines.get(m_id).is_some_and(|m| {
-                Machine::could(&m.working, &site.needs)
-                    && self.site_passes(&site, &ask, m.place, m_id, now).is_ok()
+            Some(policy_check) => self.machines.get(m_id).is_some_and(|m| {
+                Machine::could(&m.working, &policy_check.needs)
+                    && self
+                        .check_machine(&policy_check, &ask, m.place, m_id, now)
+                        .is_ok()
             }),
         };
         passes(Reach::All)
@@ -225,12 +234,16 @@
 
     /// Returns whether a machine meets the required rules of a job, with the devices that the
     /// job needs working and free. Preemption uses this check.
-    pub(super) fn could_site(&self, job: &Job, m_id: &MachineId, now: Time) -> bool {
+    pub(super) fn meets_required_rules(&self, job: &Job, m_id: &MachineId, now: Time) -> bool {
         let ask = Ask::default();
-        self.site(job, Reach::Musts, None).is_none_or(|site| {
-            let machine = self.machines.get(m_id);
-            machine.is_some_and(|m| self.site_passes(&site, &ask, m.place, m_id, now).is_ok())
-        })
+        self.policy_check(job, Reach::Musts, None)
+            .is_none_or(|policy_check| {
+                let machine = self.machines.get(m_id);
+                machine.is_some_and(|m| {
+                    self.check_machine(&policy_check, &ask, m.place, m_id, now)
+                        .is_ok()
+                })
+            })
     }
 
     /// Returns the device units that one more task of a job would use on a machine. Returns
--- a/src/scheduler/waiting_reason.rs
+++ b/src/scheduler/waiting_reason.rs
@@ -7,7 +7,7 @@
 use sorrelhinge_topology::policy::{ExclusionRule, MachineLocation, Reach, UnjudgedPolicy};
 
 use super::machine::Machine;
-use super::topology_rules::Site;
+use super::topology_rules::PolicyCheck;
 use super::{ClusterState, Job};
 use crate::types::{JobId, Kind, MachineId, Time};
 
@@ -137,12 +137,12 @@
 
     /// Returns the reason why no machine runs a task of a job whose team is below its limit.
     fn why_no_machine(&self, id: &JobId, job: &Job, now: Time) -> WaitingReason {
-        let site = self.site(job, Reach::Musts, None);
-        let survey = self.survey(id, job, site.as_ref(), now);
+        let policy_check = self.policy_check(job, Reach::Musts, None);
+        let survey = self.survey(id, job, policy_check.as_ref(), now);
         if let Some(excluded) = survey.main_exclusion() {
             return excluded;
         }
-        if site.is_some() && self.topology.is_none() {
+        if policy_check.is_some() && self.topology.is_none() {
             return WaitingReason::NoTopology;
         }
         let with_free_capacity = survey.with_free_capacity;
@@ -158,7 +158,13 @@
     }
 
     /// Counts the machines that suit a job, and the reasons that exclude them.
-    fn survey(&self, id: &JobId, job: &Job, site: Option<&Site>, now: Time) -> Survey {
+    fn survey(
+        &self,
+        id: &JobId,
+        job: &Job,
+        policy_check: Option<&PolicyCheck>,
+        now: Time,
+    ) -> Survey {
         let mut survey = Survey::default();
         let suits = |m: &Machine| m.usable && Self::suits(&job.spec, m);
         for (m_id, m) in self.machines.iter().filter(|(_, m)| suits(m)) {
@@ -169,7 +175,9 @@
                 continue;
             }
             survey.with_free_capacity += 1;
-            if let Some(why) = site.and_then(|site| self.site_exclusion(site, m_id, m)) {
+            if let Some(why) =
+                policy_check.and_then(|policy_check| self.policy_exclusion(policy_check, m_id, m))
+            {
                 *survey.exclusions.entry(why).or_insert(0) += 1;
             }
         }
@@ -178,9 +186,9 @@
 
     /// Returns the reason why a job's placement rules exclude a machine. Returns `None` if
     /// they allow the machine.
-    fn site_exclusion(
+    fn policy_exclusion(
         &self,
-        site: &Site,
+        policy_check: &PolicyCheck,
         m_id: &MachineId,
         m: &Machine,
     ) -> Option<MachineExclusion> {
@@ -189,16 +197,23 @@
             place: m.place,
             machine: m_id.as_str(),
         };
-        let barred = site
-            .policy
-            .bars(&topology.tree, &site.tally, at, Reach::Musts);
+        let barred =
+            policy_check
+                .policy
+                .bars(&topology.tree, &policy_check.tally, at, Reach::Musts);
         if let Some(barred) = barred {
             return Some(MachineExclusion::Rule(barred.rule));
         }
-        if choose(&m.device_inventory, &m.allocated_devices, &site.needs).is_some() {
+        if choose(
+            &m.device_inventory,
+            &m.allocated_devices,
+            &policy_check.needs,
+        )
+        .is_some()
+        {
             return None;
         }
-        if Machine::could(&m.working, &site.needs) {
+        if Machine::could(&m.working, &policy_check.needs) {
             Some(MachineExclusion::DevicesTaken)
         } else {
             Some(MachineExclusion::NoSuchDevice)
