--- a/src/scheduler/reservations/lending.rs
+++ b/src/scheduler/reservations/lending.rs
@@ -85,7 +85,7 @@
                 continue;
             };
             if !reserved.is_for(job.team, &job.spec) && !self.lends(reserved, job, None, m, now) {
-                sum += reserved.free_capacity_of(*n);
+                sum += reserved.amount_of_tasks(*n);
             }
         }
         sum
--- a/src/scheduler/reservations/mod.rs
+++ b/src/scheduler/reservations/mod.rs
@@ -64,11 +64,11 @@
 
     /// Returns the capacity to reserve in addition to the capacity in use.
     pub(in crate::scheduler) fn open_amount(&self) -> Amount {
-        self.free_capacity_of(self.open())
+        self.amount_of_tasks(self.open())
     }
 
     /// Returns the capacity that a number of the window's tasks need.
-    pub(in crate::scheduler) fn free_capacity_of(&self, tasks: u32) -> Amount {
+    pub(in crate::scheduler) fn amount_of_tasks(&self, tasks: u32) -> Amount {
         self.reservation.window.each().times(i64::from(tasks))
     }
 
@@ -92,7 +92,7 @@
     }
 
     /// Returns the number of tasks that capacity is still to be reserved for.
-    pub(in crate::scheduler) fn shortfalls(&self) -> u32 {
+    pub(in crate::scheduler) fn shortfall(&self) -> u32 {
         self.open().saturating_sub(self.reserved_tasks())
     }
 
@@ -103,7 +103,7 @@
 
     /// Releases capacity that is reserved beyond the number that [`Self::open`] returns.
     /// Releases it on the machine `first` before others.
-    fn trim(&mut self, first: &MachineId) {
+    fn release_excess(&mut self, first: &MachineId) {
         let mut over = self.reserved_tasks().saturating_sub(self.open());
         while over > 0 {
             let at = if self.placed.contains_key(first) {
@@ -141,7 +141,7 @@
             .filter(|reserved| reserved.is_for(team, spec))
         {
             reserved.used += spec.each;
-            reserved.trim(machine);
+            reserved.release_excess(machine);
         }
     }
 
--- a/src/scheduler/reservations/placement.rs
+++ b/src/scheduler/reservations/placement.rs
@@ -13,9 +13,9 @@
     /// Number of the window's images that the machine lacks.
     absent_images: usize,
     /// Whether the machine held no capacity for the window before.
-    new: bool,
+    newly_reserved: bool,
     /// Index of the machine's type in the window's list of allowed types.
-    type_place: usize,
+    type_rank: usize,
     id: &'a MachineId,
     /// Number of tasks that fit on the machine.
     tasks: u32,
@@ -23,7 +23,7 @@
 
 /// The sort key of the order in which windows get machines, lowest first.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
-struct Turn {
+struct WindowOrder {
     /// Whether the window's reservation exceeds the guarantee of its team.
     beyond_guarantee: bool,
     window: String,
@@ -31,7 +31,7 @@
 
 /// Candidates by zone, the best last. All candidates have the key `None` if the window lists
 /// no zones to spread over.
-type Queues<'a> = BTreeMap<Option<Zone>, Vec<Candidate<'a>>>;
+type CandidatesByZone<'a> = BTreeMap<Option<Zone>, Vec<Candidate<'a>>>;
 
 impl ClusterState {
     /// Replaces all reservations and chooses the machines for them.
@@ -54,22 +54,22 @@
             }
             self.reservations.by_window.insert(name, reserved);
         }
-        self.settle_reservations(now);
+        self.assign_machines(now);
     }
 
     /// Chooses machines for all windows, spread over the zones of each window. Prefers
     /// machines that have the window's images, then machines that held capacity for the window
     /// before.
-    fn settle_reservations(&mut self, now: Time) {
+    fn assign_machines(&mut self, now: Time) {
         // If machines are scarce, windows within their team's guarantee get machines first.
-        let mut order: Vec<Turn> = self
+        let mut order: Vec<WindowOrder> = self
             .reservations
             .by_window
             .iter()
             .map(|(name, reserved)| {
                 let all = self.teams[reserved.reservation.team].used + reserved.open_amount();
                 let beyond = !all.fits_team(self.teams[reserved.reservation.team].guarantee);
-                Turn {
+                WindowOrder {
                     beyond_guarantee: beyond,
                     window: name.clone(),
                 }
@@ -80,9 +80,9 @@
         for (name, reserved) in &mut self.reservations.by_window {
             old.insert(name.clone(), std::mem::take(&mut reserved.placed));
         }
-        for Turn { window: name, .. } in order {
+        for WindowOrder { window: name, .. } in order {
             let before = old.remove(&name).unwrap_or_default();
-            let placed = self.choose(&name, &before, now);
+            let placed = self.choose_machines(&name, &before, now);
             if let Some(reserved) = self.reservations.by_window.get_mut(&name) {
                 reserved.placed = placed;
             }
@@ -91,7 +91,7 @@
 
     /// Chooses machines for the capacity that a window needs in addition to the capacity in
     /// use. Takes each machine from the zone with the fewest of the window's tasks.
-    fn choose(
+    fn choose_machines(
         &self,
         name: &str,
         before: &BTreeMap<MachineId, u32>,
@@ -133,10 +133,10 @@
         reserved: &ReservedCapacity,
         before: &BTreeMap<MachineId, u32>,
         now: Time,
-    ) -> Queues<'_> {
+    ) -> CandidatesByZone<'_> {
         let window = &reserved.reservation.window;
         let zoned = !window.zones.is_empty();
-        let mut queues = Queues::new();
+        let mut queues = CandidatesByZone::new();
         for (id, m) in &self.machines {
             let tasks = window
                 .each()
@@ -148,11 +148,11 @@
                 .images
                 .iter()
                 .filter(|i| !m.cache.has(&Image::from(i.as_str())));
-            let type_place = window.types.iter().position(|t| t == m.kind.name.as_str());
+            let type_rank = window.types.iter().position(|t| t == m.kind.name.as_str());
             let candidate = Candidate {
                 absent_images: absent.count(),
-                new: !before.contains_key(id),
-                type_place: type_place.unwrap_or(0),
+                newly_reserved: !before.contains_key(id),
+                type_rank: type_rank.unwrap_or(0),
                 id,
                 tasks,
             };
@@ -219,7 +219,7 @@
         for other in self.reservations.by_window.values() {
             if other.reservation.window.name != window.name {
                 let there = other.placed.get(id).copied().unwrap_or(0);
-                free_capacity -= other.free_capacity_of(there);
+                free_capacity -= other.amount_of_tasks(there);
             }
         }
         if let Some(reserved) = self.gang_free_capacity.get(id) {
@@ -235,7 +235,7 @@
             .reservations
             .by_window
             .iter()
-            .filter(|(_, reserved)| reserved.shortfalls() > 0);
+            .filter(|(_, reserved)| reserved.shortfall() > 0);
         let names: Vec<String> = missing_tasks.map(|(name, _)| name.clone()).collect();
         for name in names {
             let (Some(reserved), Some(m)) = (
@@ -267,7 +267,7 @@
         let fit = window
             .each()
             .how_many(self.reservable_capacity(reserved, id, m, now));
-        let more = fit.saturating_sub(here).min(reserved.shortfalls());
+        let more = fit.saturating_sub(here).min(reserved.shortfall());
         if window.zones.is_empty() {
             return more;
         }
--- a/src/scheduler/reservations/shown.rs
+++ b/src/scheduler/reservations/shown.rs
@@ -134,12 +134,12 @@
         let Some(reserved) = self.reservations.by_window.get(name) else {
             return Vec::new();
         };
-        let shortfalls = reserved.shortfalls();
+        let shortfall = reserved.shortfall();
         let zones = &reserved.reservation.window.zones;
-        if zones.is_empty() || shortfalls == 0 {
+        if zones.is_empty() || shortfall == 0 {
             return vec![MissingTasks {
                 zone: None,
-                tasks: shortfalls,
+                tasks: shortfall,
             }];
         }
         let mut counts = self.used_in_zones(reserved, true);
@@ -148,7 +148,7 @@
                 *counts.entry(Some(m.zone.clone())).or_insert(0) += n;
             }
         }
-        let mut left = shortfalls;
+        let mut left = shortfall;
         let shares = divide(reserved.reservation.tasks, zones.len() as u32);
         zones
             .iter()
