--- a/src/scheduler/filter/larger_types.rs
+++ b/src/scheduler/filter/larger_types.rs
@@ -65,7 +65,8 @@
                     && self.limit_allows(job, now)
                 {
                     let ids = needy.entry(key.traits(&group.kind).pool()).or_default();
-                    // Two jobs are enough to tell whether another job than the requesting one waits.
+                    // Two jobs are enough to tell whether a job other than the requesting
+                    // one waits.
                     if ids.len() < 2 && ids.last() != Some(id) {
                         ids.push(id.clone());
                     }
--- a/src/scheduler/gangs/mod.rs
+++ b/src/scheduler/gangs/mod.rs
@@ -26,9 +26,9 @@
 /// Placement plans for a gang. At most one of them is used.
 #[derive(Default)]
 struct GangPlans {
-    /// Places all tasks on free capacity.
+    /// Plan that places all tasks on free capacity.
     now: Option<gang::Plan>,
-    /// Lists the machines to reserve if no plan fits the free capacity.
+    /// Plan of the machines to reserve if no plan fits the free capacity.
     later: Option<gang::Plan>,
 }
 
@@ -72,7 +72,7 @@
         Vec::new()
     }
 
-    /// Plans the placement of a gang. Applies all placement rules first; if no plan meets
+    /// Plans the placement of a gang. Applies all placement rules first. If no plan meets
     /// them, applies the required rules only.
     fn gang_plans(&self, id: &JobId, job: &Job, now: Time) -> GangPlans {
         let tree = self.topology.as_ref().map(|t| &t.tree);
--- a/src/scheduler/idle.rs
+++ b/src/scheduler/idle.rs
@@ -14,7 +14,7 @@
 /// Share of the capacity of all machines that idle work may always use, so that idle work
 /// completes too.
 const MIN_SHARE: f64 = 0.3;
-/// Tasks with a shorter estimate, in seconds, are not limited: they end and free their
+/// Tasks with a shorter estimate, in seconds, are not limited, as they end and free their
 /// capacity soon enough.
 const MIN_LIMITED_ESTIMATE_S: f64 = 10.0;
 
--- a/src/scheduler/lanes.rs
+++ b/src/scheduler/lanes.rs
@@ -30,8 +30,9 @@
     /// Whether the job and all jobs before it were within their lane's share at the last
     /// refresh.
     pub ahead: bool,
-    /// Turn of the job outside the lane's share. Lane jobs that ask for the same exchange
-    /// their turns, so that the first of them in lane order has the first turn.
+    /// Turn in the team's queue that replaces the job's own, or `None` before the first
+    /// refresh. Lane jobs that ask for the same exchange their turns, so that the first of
+    /// them in lane order has the earliest turn.
     pub turn: Option<QueueTurn>,
 }
 
--- a/src/scheduler/lanes/placement.rs
+++ b/src/scheduler/lanes/placement.rs
@@ -47,8 +47,7 @@
     }
 
     /// Returns whether one more task of a lane job respects the guarantees. The job's team
-    /// must stay within its own guarantee, or no other team may be in
-    /// `below_guarantee`.
+    /// must stay within its own guarantee, or no other team may be in `below_guarantee`.
     fn respects_guarantees(&self, job: &Job, below_guarantee: &[usize]) -> bool {
         let team = &self.teams[job.team];
         (team.used + job.spec.each).fits_team(team.guarantee)
--- a/src/scheduler/tasks.rs
+++ b/src/scheduler/tasks.rs
@@ -11,8 +11,8 @@
 pub enum Sent {
     /// This controller has not sent the command under its present grant.
     No,
-    /// The claim was found in the record at a takeover; whether the command was sent is
-    /// unknown.
+    /// The claim was found in the record at a takeover, so it is unknown whether the command was
+    /// sent.
     Found,
     /// The command was sent directly and has no answer yet.
     Flying,
@@ -96,7 +96,7 @@
     pub fn chunk_of(&self, index: u32) -> u32 {
         index / self.chunk
     }
-    /// Returns the number of tasks per chunk; the last chunk may have fewer.
+    /// Returns the number of tasks per chunk. The last chunk may have fewer.
     pub fn chunk_size(&self) -> u32 {
         self.chunk
     }
@@ -118,7 +118,7 @@
             self.done_count += 1;
         }
     }
-    /// Returns a bit set of the done tasks of a chunk; bit 0 is the chunk's first task.
+    /// Returns a bit set of the done tasks of a chunk. Bit 0 is the chunk's first task.
     pub fn done_bits(&self, chunk: u32) -> u64 {
         self.done.get(chunk as usize).copied().unwrap_or(0)
     }
--- a/src/scheduler/topology_rules.rs
+++ b/src/scheduler/topology_rules.rs
@@ -19,7 +19,7 @@
 /// Options of the search for a machine.
 #[derive(Default)]
 pub(super) struct Ask<'a> {
-    /// Task that is about to move; its present location does not count.
+    /// Task that is about to move, so its present location does not count.
     pub leave_out: Option<u32>,
     /// Restricts the search to domains that lost no machine for some time.
     pub settled: Option<SettledDomains<'a>>,
