--- a/src/scheduler/lanes.rs
+++ b/src/scheduler/lanes.rs
@@ -1,5 +1,6 @@
-//! Lane jobs go ahead of all others, as far as their lane's part goes
-//! (`docs/lanes.md`). Without lanes nothing here is ever filled.
+//! Priority lanes: the scheduler places lane jobs ahead of all other jobs, up to the share
+//! (`part`) of their lane (`docs/lanes.md`). Without lanes all structures of this module
+//! stay empty.
 
 mod placement;
 
@@ -14,26 +15,29 @@
 use super::{ClusterState, Job};
 use crate::types::{JobId, Priority, Revision, Time};
 
-/// A job's standing in its lane.
+/// The position of a job in its lane.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Laned {
-    /// Its lane.
+    /// Lane of the job.
     pub lane: LaneId,
-    /// Its place: what the state service did when it was accepted.
+    /// Place of the job in the lane: the revision of the state service at which the job was
+    /// accepted.
     pub place: Revision,
-    /// Neither pressing nor aged, when last looked at.
+    /// Whether the job was neither pressing nor aged at the last refresh.
     pub behind: bool,
-    /// Of a pressing one when it must begin, see [`Key::must_ms`].
+    /// Latest start of a pressing job in milliseconds, see [`Key::must_ms`].
     pub must_ms: u64,
-    /// Within its lane's part with all before it, when last looked at.
+    /// Whether the job and all jobs before it were within their lane's share at the last
+    /// refresh.
     pub ahead: bool,
-    /// The turn it takes otherwise, of those of jobs that ask for the same: the first
-    /// by its standing takes the first.
+    /// Turn in the team's queue that replaces the job's own, or `None` before the first
+    /// refresh. Lane jobs that ask for the same exchange their turns, so that the first of
+    /// them in lane order has the earliest turn.
     pub turn: Option<QueueTurn>,
 }
 
 impl Laned {
-    /// Of a job that was not looked at yet.
+    /// Returns the position of a job before its first refresh.
     pub fn new(lane: LaneId, place: Revision) -> Self {
         Self {
             lane,
@@ -46,28 +50,27 @@
     }
 }
 
-/// The lanes, what their jobs use, and which jobs wait in them.
+/// The lanes, the capacity that their jobs use, and the jobs that wait in them.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Queue {
-    /// The lane jobs that wait, the first first: as of the last look, see
-    /// [`ClusterState::refresh_lanes`].
+    /// Waiting lane jobs in lane order, as of the last [`ClusterState::refresh_lanes`].
     order: Vec<Key>,
     bounds: BTreeMap<LaneId, Bound>,
-    /// Thousandths of a CPU that each lane's claims take.
+    /// Sum of each lane's claims, in thousandths of a CPU.
     pub(super) used: BTreeMap<LaneId, i64>,
 }
 
-/// Jobs of which this is the same could stand in for each other.
+/// Groups interchangeable jobs: two jobs with equal values can exchange their turns.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
-struct Alike {
+struct EquivalenceKey {
     team: usize,
     class: Arc<str>,
     group: Group,
     priority: Priority,
 }
 
-fn asks(job: &Job) -> Alike {
-    Alike {
+fn equivalence_key(job: &Job) -> EquivalenceKey {
+    EquivalenceKey {
         team: job.team,
         class: job.spec.class.clone(),
         group: job.group(),
@@ -75,25 +78,25 @@
     }
 }
 
-/// What a lane's jobs use of all usable machines, in thousandths of a CPU.
+/// The usage of a lane, compared with all usable machines.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LaneUsage {
-    /// What the lane's jobs use.
+    /// CPU that the lane's jobs use, in thousandths of a CPU.
     pub used: i64,
-    /// What there is.
+    /// CPU of all usable machines, in thousandths of a CPU.
     pub capacity: i64,
 }
 
 impl ClusterState {
-    /// Puts the lane jobs that wait in order, at `now` and `now_ms` of the time of
-    /// day: who presses changes with time only.
+    /// Sorts the waiting lane jobs in lane order. `now_ms` is the time of day at `now`, in
+    /// milliseconds. Callers refresh repeatedly, as jobs become pressing with time alone.
     pub fn refresh_lanes(&mut self, lanes: &Lanes, now: Time, now_ms: u64) {
         if lanes.is_empty() {
             return;
         }
-        let order = self.arranged(now, now_ms);
+        let order = self.ordered_lane_jobs(now, now_ms);
         self.lanes.bounds = lanes.iter().map(|(id, lane)| (id, lane.bound)).collect();
-        let mut turns = self.turns_of_alike(&order);
+        let mut turns = self.turns_of_equivalent_jobs(&order);
         let others_wait = self.others_wait();
         let mut allocated = self.lanes.used.clone();
         for key in &order {
@@ -101,22 +104,22 @@
                 continue;
             };
             let allocated = allocated.entry(key.lane).or_default();
-            let ahead = self.goes_ahead(key.lane, job, *allocated, others_wait);
+            let ahead = self.has_precedence(key.lane, job, *allocated, others_wait);
             *allocated += job.demand().cpu;
             let laned = Laned {
                 behind: key.behind,
                 must_ms: key.must_ms,
                 ahead,
-                turn: turns.get_mut(&asks(job)).and_then(Vec::pop),
+                turn: turns.get_mut(&equivalence_key(job)).and_then(Vec::pop),
                 ..Laned::new(key.lane, key.place)
             };
-            self.set_laned(&key.id, laned);
+            self.set_lane_position(&key.id, laned);
         }
         self.lanes.order = order;
     }
 
-    /// The lane jobs that wait, the first first.
-    fn arranged(&self, now: Time, now_ms: u64) -> Vec<Key> {
+    /// Returns the waiting lane jobs in lane order.
+    fn ordered_lane_jobs(&self, now: Time, now_ms: u64) -> Vec<Key> {
         let waits = self.jobs_to_place().filter_map(|(id, job)| {
             let laned = job.lane?;
             let waited_ms = (now.since(job.submitted) * 1000.0).max(0.0) as u64;
@@ -131,40 +134,44 @@
         arrange(waits.collect(), now_ms)
     }
 
-    /// The turns of lane jobs that ask for the same, the last first, as the first in
-    /// order takes the first turn from the end.
-    fn turns_of_alike(&self, order: &[Key]) -> BTreeMap<Alike, Vec<QueueTurn>> {
-        let mut turns: BTreeMap<Alike, Vec<QueueTurn>> = BTreeMap::new();
+    /// Returns the turns of interchangeable lane jobs, the last turn first. The caller pops
+    /// turns from the end, so the first job in lane order gets the first turn.
+    fn turns_of_equivalent_jobs(&self, order: &[Key]) -> BTreeMap<EquivalenceKey, Vec<QueueTurn>> {
+        let mut turns: BTreeMap<EquivalenceKey, Vec<QueueTurn>> = BTreeMap::new();
         for job in order.iter().filter_map(|key| self.jobs.get(&key.id)) {
-            turns.entry(asks(job)).or_default().push(job.turn());
+            turns
+                .entry(equivalence_key(job))
+                .or_default()
+                .push(job.turn());
         }
-        for alike in turns.values_mut() {
-            alike.sort_by(|a, b| b.cmp(a));
+        for equivalent in turns.values_mut() {
+            equivalent.sort_by(|a, b| b.cmp(a));
         }
         turns
     }
 
-    /// Whether a lane job is within its lane's part, of which `allocated` is taken by the
-    /// lane's claims and by the jobs before it, in thousandths of a CPU.
-    fn goes_ahead(&self, lane: LaneId, job: &Job, allocated: i64, others_wait: bool) -> bool {
+    /// Returns whether a lane job is within its lane's share. `allocated` is the CPU that the
+    /// lane's claims and the jobs before it take of that share, in thousandths of a CPU.
+    fn has_precedence(&self, lane: LaneId, job: &Job, allocated: i64, others_wait: bool) -> bool {
         let needs = job.demand().cpu;
         let part = self.lanes.bounds.get(&lane);
         let part = part.map_or(0, |bound| bound.of(self.capacity.cpu));
         !others_wait || allocated + needs <= part || allocated <= 0 && needs <= job.spec.each.cpu
     }
 
-    /// Gives a job its standing in its lane; it is filed anew, as that is part of its
-    /// place.
-    fn set_laned(&mut self, id: &JobId, laned: Laned) {
+    /// Sets the position of a job in its lane. Moves the job in its team's queue, as the
+    /// queue is sorted by that position too.
+    fn set_lane_position(&mut self, id: &JobId, laned: Laned) {
         if self.jobs.get(id).is_some_and(|j| j.lane != Some(laned)) {
             self.refile(id, |job| job.lane = Some(laned));
         }
     }
 
-    /// A job came since the last look: it is among those behind until the next, and
-    /// doesn't wait for that to go ahead of others.
+    /// Adds a new job to the lane order before the next refresh, so that the job needn't
+    /// wait for the refresh to go ahead of other jobs. Until then the job counts as neither
+    /// pressing nor aged.
     pub(super) fn came_to_lane(&mut self, id: &JobId, job: &Job) {
-        // Before the first look all are still to be put in order, at once.
+        // The first refresh sorts all jobs at once, so nothing is added before it.
         let looked = job.lane.filter(|_| !self.lanes.bounds.is_empty());
         let Some(laned) = looked else { return };
         let key = Key {
@@ -179,7 +186,7 @@
         }
     }
 
-    /// What a lane's jobs use now, and of how much its part is.
+    /// Returns the CPU that a lane's jobs use now and the CPU that its share is a part of.
     pub fn lane_usage(&self, lane: LaneId) -> LaneUsage {
         LaneUsage {
             used: self.lanes.used.get(&lane).copied().unwrap_or(0),
@@ -187,13 +194,13 @@
         }
     }
 
-    /// The lane jobs that wait, the first first.
+    /// Returns the waiting lane jobs in lane order.
     pub fn lane_waits(&self) -> impl Iterator<Item = (&Key, &Job)> {
         let order = self.lanes.order.iter();
         order.filter_map(|key| Some((key, self.jobs.get(&key.id)?)))
     }
 
-    /// Whether jobs wait that are in no lane.
+    /// Returns whether any job waits that is in no lane.
     fn others_wait(&self) -> bool {
         let mut queues = self.queues.iter().flatten();
         queues.any(|place| !place.in_lane)
--- a/src/scheduler/reservations/placement.rs
+++ b/src/scheduler/reservations/placement.rs
@@ -1,4 +1,4 @@
-//! On which machines capacity is reserved for windows.
+//! Choice of the machines on which capacity is reserved for windows.
 
 use std::collections::BTreeMap;
 
@@ -6,33 +6,35 @@
 use crate::scheduler::{ClusterState, Machine};
 use crate::types::{Amount, Image, MachineId, Time, Zone};
 
-/// A machine that has free capacity for tasks of a window. The least is taken first.
+/// A machine that can hold tasks of a window. The lowest candidate in sort order is chosen
+/// first.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct Candidate<'a> {
-    /// How many of the window's images it lacks.
+    /// Number of the window's images that the machine lacks.
     absent_images: usize,
-    /// Nothing was reserved for the window there before.
-    new: bool,
-    /// The place of its type among those that the window allows.
-    type_place: usize,
+    /// Whether the machine held no capacity for the window before.
+    newly_reserved: bool,
+    /// Index of the machine's type in the window's list of allowed types.
+    type_rank: usize,
     id: &'a MachineId,
-    /// For how many tasks it has free capacity.
+    /// Number of tasks that fit on the machine.
     tasks: u32,
 }
 
-/// When a window is served, the least first.
+/// The sort key of the order in which windows get machines, lowest first.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
-struct Turn {
-    /// What it is to have lies beyond its team's guarantee.
+struct WindowOrder {
+    /// Whether the window's reservation exceeds the guarantee of its team.
     beyond_guarantee: bool,
     window: String,
 }
 
-/// Candidates by zone, the best last; by no zone if the window is not spread.
-type Queues<'a> = BTreeMap<Option<Zone>, Vec<Candidate<'a>>>;
+/// Candidates by zone, the best last. All candidates have the key `None` if the window lists
+/// no zones to spread over.
+type CandidatesByZone<'a> = BTreeMap<Option<Zone>, Vec<Candidate<'a>>>;
 
 impl ClusterState {
-    /// What windows are to have from now on; chooses the machines.
+    /// Replaces all reservations and chooses the machines for them.
     pub fn set_reservations(&mut self, reservations: Vec<Reservation>, now: Time) {
         let mut before = std::mem::take(&mut self.reservations.by_window);
         for reservation in reservations {
@@ -52,21 +54,22 @@
             }
             self.reservations.by_window.insert(name, reserved);
         }
-        self.settle_reservations(now);
+        self.assign_machines(now);
     }
 
-    /// Chooses machines for all windows: those with the images first, then those that
-    /// were reserved before, spread over the window's zones.
-    fn settle_reservations(&mut self, now: Time) {
-        // Where machines are short, what lies within a guarantee goes first.
-        let mut order: Vec<Turn> = self
+    /// Chooses machines for all windows, spread over the zones of each window. Prefers
+    /// machines that have the window's images, then machines that held capacity for the window
+    /// before.
+    fn assign_machines(&mut self, now: Time) {
+        // If machines are scarce, windows within their team's guarantee get machines first.
+        let mut order: Vec<WindowOrder> = self
             .reservations
             .by_window
             .iter()
             .map(|(name, reserved)| {
                 let all = self.teams[reserved.reservation.team].used + reserved.open_amount();
                 let beyond = !all.fits_team(self.teams[reserved.reservation.team].guarantee);
-                Turn {
+                WindowOrder {
                     beyond_guarantee: beyond,
                     window: name.clone(),
                 }
@@ -77,18 +80,18 @@
         for (name, reserved) in &mut self.reservations.by_window {
             old.insert(name.clone(), std::mem::take(&mut reserved.placed));
         }
-        for Turn { window: name, .. } in order {
+        for WindowOrder { window: name, .. } in order {
             let before = old.remove(&name).unwrap_or_default();
-            let placed = self.choose(&name, &before, now);
+            let placed = self.choose_machines(&name, &before, now);
             if let Some(reserved) = self.reservations.by_window.get_mut(&name) {
                 reserved.placed = placed;
             }
         }
     }
 
-    /// Chooses machines for what a window is to have beside what its work uses: from the
-    /// zone that has the least each time.
-    fn choose(
+    /// Chooses machines for the capacity that a window needs in addition to the capacity in
+    /// use. Takes each machine from the zone with the fewest of the window's tasks.
+    fn choose_machines(
         &self,
         name: &str,
         before: &BTreeMap<MachineId, u32>,
@@ -124,16 +127,16 @@
         placed
     }
 
-    /// Machines that have free capacity for tasks of a window.
+    /// Returns the machines that can hold tasks of a window, by zone.
     fn reservation_candidates(
         &self,
         reserved: &ReservedCapacity,
         before: &BTreeMap<MachineId, u32>,
         now: Time,
-    ) -> Queues<'_> {
+    ) -> CandidatesByZone<'_> {
         let window = &reserved.reservation.window;
         let zoned = !window.zones.is_empty();
-        let mut queues = Queues::new();
+        let mut queues = CandidatesByZone::new();
         for (id, m) in &self.machines {
             let tasks = window
                 .each()
@@ -145,11 +148,11 @@
                 .images
                 .iter()
                 .filter(|i| !m.cache.has(&Image::from(i.as_str())));
-            let type_place = window.types.iter().position(|t| t == m.kind.name.as_str());
+            let type_rank = window.types.iter().position(|t| t == m.kind.name.as_str());
             let candidate = Candidate {
                 absent_images: absent.count(),
-                new: !before.contains_key(id),
-                type_place: type_place.unwrap_or(0),
+                newly_reserved: !before.contains_key(id),
+                type_rank: type_rank.unwrap_or(0),
                 id,
                 tasks,
             };
@@ -157,13 +160,14 @@
             queue.push(candidate);
         }
         for queue in queues.values_mut() {
-            // The best is taken from the end.
+            // The caller takes the best candidate from the end.
             queue.sort_by(|a, b| b.cmp(a));
         }
         queues
     }
 
-    /// How many tasks of a window's work are in each zone.
+    /// Returns the number of claimed tasks of a window's work in each zone. Returns an empty
+    /// map if `zoned` is not set.
     pub(in crate::scheduler) fn used_in_zones(
         &self,
         reserved: &ReservedCapacity,
@@ -185,8 +189,8 @@
         counts
     }
 
-    /// Capacity on a machine that can be reserved for a window: what is free, and what others'
-    /// work leaves in time.
+    /// Returns the capacity of a machine that can be reserved for a window: the free capacity
+    /// and the capacity that tasks of other work free in time.
     fn reservable_capacity(
         &self,
         reserved: &ReservedCapacity,
@@ -195,7 +199,7 @@
         now: Time,
     ) -> Amount {
         let window = &reserved.reservation.window;
-        // Spot machines are taken away at any time, and not all work may use them.
+        // The cloud may revoke spot machines at any time, and not all work may use them.
         if !m.usable || m.spot || !window.allows(m.kind.name.as_str(), m.zone.as_str()) {
             return Amount::default();
         }
@@ -215,7 +219,7 @@
         for other in self.reservations.by_window.values() {
             if other.reservation.window.name != window.name {
                 let there = other.placed.get(id).copied().unwrap_or(0);
-                free_capacity -= other.free_capacity_of(there);
+                free_capacity -= other.amount_of_tasks(there);
             }
         }
         if let Some(reserved) = self.gang_free_capacity.get(id) {
@@ -224,14 +228,14 @@
         free_capacity
     }
 
-    /// Capacity came free on a machine: what a window still lacks is reserved there
+    /// Reserves capacity that came free on a machine for windows that still lack capacity,
     /// before other work takes it.
     pub fn refill_reservations(&mut self, id: &MachineId, now: Time) {
         let missing_tasks = self
             .reservations
             .by_window
             .iter()
-            .filter(|(_, reserved)| reserved.shortfalls() > 0);
+            .filter(|(_, reserved)| reserved.shortfall() > 0);
         let names: Vec<String> = missing_tasks.map(|(name, _)| name.clone()).collect();
         for name in names {
             let (Some(reserved), Some(m)) = (
@@ -249,7 +253,8 @@
         }
     }
 
-    /// For how many more tasks of a window a machine has capacity, within its zone's share.
+    /// Returns the number of further tasks of a window to reserve on a machine, within the
+    /// share of the machine's zone.
     fn more_to_reserve(
         &self,
         reserved: &ReservedCapacity,
@@ -262,7 +267,7 @@
         let fit = window
             .each()
             .how_many(self.reservable_capacity(reserved, id, m, now));
-        let more = fit.saturating_sub(here).min(reserved.shortfalls());
+        let more = fit.saturating_sub(here).min(reserved.shortfall());
         if window.zones.is_empty() {
             return more;
         }
--- a/src/scheduler/topology_rules.rs
+++ b/src/scheduler/topology_rules.rs
@@ -1,6 +1,6 @@
-//! Placement by failure domains and devices: what a job's policy says of a
-//! machine. Without the operator's file no job has a policy, and nothing here
-//! is asked.
+//! Placement by failure domains and devices: checks machines against a job's placement
+//! policy. Without the operator's topology file no job has a policy from its class, and jobs
+//! without placement rules of their own skip these checks.
 
 use std::rc::Rc;
 
@@ -16,39 +16,39 @@
 use super::{ClusterState, Job};
 use crate::types::{JobId, JobSpec, MachineId, Time};
 
-/// How a place is asked for.
+/// Options of the search for a machine.
 #[derive(Default)]
 pub(super) struct Ask<'a> {
-    /// A task that will have moved off: where it is does not count.
+    /// Task that is about to move, so its present location does not count.
     pub leave_out: Option<u32>,
-    /// Only domains that lost no machine for some time.
-    pub settled: Option<Settled<'a>>,
+    /// Restricts the search to domains that lost no machine for some time.
+    pub settled: Option<SettledDomains<'a>>,
 }
 
-/// Which domains lost no machine for some time.
+/// The test whether a domain lost no machine for some time.
 #[derive(Clone, Copy)]
-pub(super) struct Settled<'a> {
-    /// When domains lost machines.
+pub(super) struct SettledDomains<'a> {
+    /// Times at which domains lost machines.
     pub stability: &'a Stability,
-    /// For how long, in seconds.
+    /// Seconds that must have passed since a domain lost a machine.
     pub settle_s: f64,
 }
 
-/// What a job's policy needs to judge machines.
-pub(super) struct Site<'a> {
+/// A job's placement policy with the state that is needed to check machines against it.
+pub(super) struct PolicyCheck<'a> {
     pub policy: &'a Policy,
-    /// Where the job's tasks are.
+    /// Number of the job's tasks in each domain that the policy's rules count.
     pub tally: Tally,
-    /// Devices that count as required.
+    /// Devices that each task needs under the rules that apply.
     pub needs: Vec<Device>,
-    /// Which rules count.
+    /// Whether all rules apply or only the required ones.
     pub reach: Reach,
 }
 
 impl ClusterState {
-    /// Takes up the operator's file, new or changed: every machine's place and
-    /// devices, and every job's policy. Claims stay what they are; whatever
-    /// they use is in use until their tasks have ended.
+    /// Applies a new or changed topology file: updates the place and devices of every machine
+    /// and the policy of every job. Does not change claims. The capacity and devices of a
+    /// claim stay in use until its task has ended.
     pub fn set_topology(
         &mut self,
         topology: Option<Rc<Topology>>,
@@ -68,13 +68,13 @@
         }
     }
 
-    /// The operator's file.
+    /// Returns the topology from the operator's file, or `None` without a file.
     pub fn topology(&self) -> Option<&Rc<Topology>> {
         self.topology.as_ref()
     }
 
-    /// A job's policy. Devices are what the record says: a class's were
-    /// written into it when the job was accepted.
+    /// Returns a job's placement policy. Takes the devices from the job's record only, as the
+    /// devices of the job's class were copied into the record when the job was accepted.
     pub fn policy_of(topology: Option<&Topology>, spec: &JobSpec) -> Rc<Policy> {
         let own = spec.placement.as_deref();
         match topology {
@@ -93,7 +93,7 @@
         }
     }
 
-    /// Finds a machine's place and devices.
+    /// Updates a machine's place and devices from the topology.
     pub fn locate(&mut self, id: &MachineId, addr: Option<std::net::IpAddr>) {
         let Some(machine) = self.machines.get(id) else {
             return;
@@ -120,7 +120,8 @@
         });
     }
 
-    /// Where a job's tasks are, but for one that is left out.
+    /// Returns the locations of a job's claimed tasks, without the task `leave_out`. Yields
+    /// `None` for a task on an unknown machine.
     pub(super) fn task_locations<'a>(
         &'a self,
         job: &'a Job,
@@ -138,13 +139,14 @@
             })
     }
 
-    /// What is needed to judge machines for a job; none if it asks nothing.
-    pub(super) fn site<'a>(
+    /// Prepares the check of machines against a job's policy. Returns `None` if the policy has
+    /// no rules.
+    pub(super) fn policy_check<'a>(
         &'a self,
         job: &'a Job,
         reach: Reach,
         leave_out: Option<u32>,
-    ) -> Option<Site<'a>> {
+    ) -> Option<PolicyCheck<'a>> {
         let policy = &*job.policy;
         if policy.is_empty() {
             return None;
@@ -153,7 +155,7 @@
             Some(t) => policy.tally(&t.tree, self.task_locations(job, leave_out)),
             None => Tally::default(),
         };
-        Some(Site {
+        Some(PolicyCheck {
             policy,
             tally,
             needs: policy.needs(reach),
@@ -161,10 +163,11 @@
         })
     }
 
-    /// Whether a machine passes; else up to which place none does.
-    pub(super) fn site_passes(
+    /// Checks a machine against a job's policy. If the policy excludes the machine, returns
+    /// the first place at which a machine may pass again.
+    pub(super) fn check_machine(
         &self,
-        site: &Site,
+        policy_check: &PolicyCheck,
         ask: &Ask,
         place: Domain,
         m_id: &MachineId,
@@ -178,22 +181,29 @@
             place,
             machine: m_id.as_str(),
         };
-        if let Some(barred) = site
-            .policy
-            .bars(&topology.tree, &site.tally, at, site.reach)
+        if let Some(barred) =
+            policy_check
+                .policy
+                .bars(&topology.tree, &policy_check.tally, at, policy_check.reach)
         {
             return Err(barred.until);
         }
-        if !site.needs.is_empty() {
+        if !policy_check.needs.is_empty() {
             let Some(m) = self.machines.get(m_id) else {
                 return next;
             };
-            if choose(&m.device_inventory, &m.allocated_devices, &site.needs).is_none() {
+            if choose(
+                &m.device_inventory,
+                &m.allocated_devices,
+                &policy_check.needs,
+            )
+            .is_none()
+            {
                 return next;
             }
         }
         match ask.settled {
-            Some(Settled {
+            Some(SettledDomains {
                 stability,
                 settle_s,
             }) if !stability.trusted(&topology.tree, place, settle_s, now) => next,
@@ -201,16 +211,19 @@
         }
     }
 
-    /// Whether a machine whose turn it is suits a job's policy: it meets all
-    /// placement rules, or what is required where no machine meets all.
-    pub(super) fn site_suits(&self, request: &PlacementRequest, m_id: &MachineId) -> bool {
+    /// Returns whether a job's policy admits a machine that a placement pass is filling. The
+    /// machine must meet all placement rules, or only the required rules if no machine meets
+    /// all.
+    pub(super) fn policy_admits(&self, request: &PlacementRequest, m_id: &MachineId) -> bool {
         let PlacementRequest { job, now, .. } = *request;
         let ask = Ask::default();
-        let passes = |reach: Reach| match self.site(job, reach, None) {
+        let passes = |reach: Reach| match self.policy_check(job, reach, None) {
             None => true,
-            Some(site) => self.machines.get(m_id).is_some_and(|m| {
-                Machine::could(&m.working, &site.needs)
-                    && self.site_passes(&site, &ask, m.place, m_id, now).is_ok()
+            Some(policy_check) => self.machines.get(m_id).is_some_and(|m| {
+                Machine::could(&m.working, &policy_check.needs)
+                    && self
+                        .check_machine(&policy_check, &ask, m.place, m_id, now)
+                        .is_ok()
             }),
         };
         passes(Reach::All)
@@ -219,18 +232,22 @@
                 && self.best_of(request, &ask, Reach::All).is_none()
     }
 
-    /// Whether a machine would suit a job's required rules, its devices being
-    /// in order and free: what preemption asks.
-    pub(super) fn could_site(&self, job: &Job, m_id: &MachineId, now: Time) -> bool {
+    /// Returns whether a machine meets the required rules of a job, with the devices that the
+    /// job needs working and free. Preemption uses this check.
+    pub(super) fn meets_required_rules(&self, job: &Job, m_id: &MachineId, now: Time) -> bool {
         let ask = Ask::default();
-        self.site(job, Reach::Musts, None).is_none_or(|site| {
-            let machine = self.machines.get(m_id);
-            machine.is_some_and(|m| self.site_passes(&site, &ask, m.place, m_id, now).is_ok())
-        })
+        self.policy_check(job, Reach::Musts, None)
+            .is_none_or(|policy_check| {
+                let machine = self.machines.get(m_id);
+                machine.is_some_and(|m| {
+                    self.check_machine(&policy_check, &ask, m.place, m_id, now)
+                        .is_ok()
+                })
+            })
     }
 
-    /// The units that one more task of a job would use on a machine; none if
-    /// one that it can't do without is missing, broken or taken.
+    /// Returns the device units that one more task of a job would use on a machine. Returns
+    /// `None` if a required unit is missing, broken or in use.
     pub(super) fn units_for(&self, id: &JobId, m_id: &MachineId) -> Option<Vec<Unit>> {
         let job = self.jobs.get(id)?;
         if job.policy.devices.is_empty() {
--- a/src/scheduler/waiting_reason.rs
+++ b/src/scheduler/waiting_reason.rs
@@ -1,4 +1,4 @@
-//! Why a job waits. The texts are for its user and the log.
+//! The reason why a job waits. Users and the log see the texts of this module.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -7,77 +7,77 @@
 use sorrelhinge_topology::policy::{ExclusionRule, MachineLocation, Reach, UnjudgedPolicy};
 
 use super::machine::Machine;
-use super::topology_rules::Site;
+use super::topology_rules::PolicyCheck;
 use super::{ClusterState, Job};
 use crate::types::{JobId, Kind, MachineId, Time};
 
-/// Why a job that has a task to place has found no machine for it.
+/// The reason why a job has found no machine for a pending task.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum WaitingReason {
-    /// Its team uses all that its limit allows.
+    /// One more task would exceed the limit of the job's team.
     TeamAtLimit,
-    /// Tasks of a gang that is to start anew have not ended yet.
+    /// The gang is to start again and its earlier tasks have not ended yet.
     GangStopping,
-    /// Machines have free capacity for a task and something else excludes them.
+    /// Machines have free capacity for a task, but a rule or a lack of devices excludes them.
     Excluded {
-        /// What excludes most of them; taken devices before all else, as they come free
-        /// by themselves.
+        /// Reason that excludes the most machines. Devices in use come before all other
+        /// reasons, as they come free without a change by the user.
         why: MachineExclusion,
-        /// How many machines that excludes.
+        /// Number of machines that this reason excludes.
         machines: u32,
-        /// Suitable machines with free capacity for a task.
+        /// Number of suitable machines with free capacity for a task.
         with_free_capacity: u32,
     },
-    /// It has placement rules and the controller has no topology file.
+    /// The job has placement rules and the controller has no topology file.
     NoTopology,
     /// No suitable machine has free capacity for a task.
     NoFreeCapacity {
-        /// Machines whose type, zone and kind suit it.
+        /// Number of machines whose type, zone and kind suit the job.
         suitable: u32,
     },
-    /// Machines have free capacity, too little for all tasks of a gang.
+    /// The machines have too little free capacity for all tasks of a gang.
     NoFreeCapacityForGang {
-        /// Suitable machines with free capacity for a task.
+        /// Number of suitable machines with free capacity for a task.
         with_free_capacity: u32,
     },
-    /// Others come first in order.
+    /// Other jobs come first in scheduling order.
     OthersFirst,
 }
 
 impl fmt::Display for WaitingReason {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::TeamAtLimit => f.write_str("its team is at its limit"),
-            Self::GangStopping => f.write_str("the gang starts anew once all its tasks are gone"),
+            Self::TeamAtLimit => f.write_str("the job's team is at its limit"),
+            Self::GangStopping => f.write_str("the gang restarts once all its tasks have ended"),
             Self::Excluded {
                 why,
                 machines,
                 with_free_capacity,
             } => write!(
                 f,
-                "{why} ({machines} of {with_free_capacity} machines with room)"
+                "{why} ({machines} of {with_free_capacity} machines with free capacity)"
             ),
             Self::NoTopology => UnjudgedPolicy::NoTopology.fmt(f),
             Self::NoFreeCapacity { suitable } => {
-                write!(f, "no room on any of {suitable} machines that suit it")
+                write!(f, "none of {suitable} suitable machines has free capacity")
             }
             Self::NoFreeCapacityForGang { with_free_capacity } => write!(
                 f,
-                "no room for the whole gang; {with_free_capacity} machines have some"
+                "too little free capacity for the whole gang; {with_free_capacity} machines have some"
             ),
-            Self::OthersFirst => f.write_str("others go first"),
+            Self::OthersFirst => f.write_str("other jobs come first"),
         }
     }
 }
 
-/// Why a machine with free capacity for a task of a job can't run it.
+/// The reason why a machine with free capacity for a task can't run the task.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum MachineExclusion {
-    /// A placement rule.
+    /// A placement rule excludes the machine.
     Rule(ExclusionRule),
-    /// It has the devices that a task needs; other tasks use them.
+    /// The machine has the devices that a task needs, but other tasks use them.
     DevicesTaken,
-    /// It has no such devices that work.
+    /// The machine has no working devices of the kind that a task needs.
     NoSuchDevice,
 }
 
@@ -85,30 +85,30 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::Rule(rule) => rule.fmt(f),
-            Self::DevicesTaken => f.write_str("its devices are taken"),
+            Self::DevicesTaken => f.write_str("its devices are in use"),
             Self::NoSuchDevice => f.write_str("it has no such device"),
         }
     }
 }
 
-/// What the machines that suit a job have for it.
+/// Counts of the machines that suit a job.
 #[derive(Default)]
 struct Survey {
-    /// Machines whose type, zone and kind suit it.
+    /// Number of machines whose type, zone and kind suit the job.
     suitable: u32,
-    /// Of these, those with free capacity for a task.
+    /// Number of suitable machines with free capacity for a task.
     with_free_capacity: u32,
-    /// What excludes those with free capacity, and how many machines each.
+    /// Number of machines with free capacity that each reason excludes.
     exclusions: BTreeMap<MachineExclusion, u32>,
 }
 
 impl Survey {
-    /// What to name of all that excludes machines: what changes by itself, else what
-    /// excludes the most.
+    /// Returns the exclusion to report: devices in use if there are any, else the reason that
+    /// excludes the most machines.
     fn main_exclusion(&self) -> Option<WaitingReason> {
         let rank = |(why, machines): &(&MachineExclusion, &u32)| {
             let taken = **why == MachineExclusion::DevicesTaken;
-            // Among equals the last text in the order of letters.
+            // Among equal counts, the alphabetically last text is reported.
             (taken, **machines, why.to_string())
         };
         let (why, machines) = self.exclusions.iter().max_by_key(rank)?;
@@ -121,8 +121,8 @@
 }
 
 impl ClusterState {
-    /// Why a job that has a task to place has found no machine for it; none if it waits
-    /// for nothing, or no placement has tried yet.
+    /// Returns the reason why a job has found no machine for a pending task. Returns `None` if
+    /// the job has no task to place or if no placement pass has tried the job yet.
     pub fn why_waits(&self, id: &JobId, now: Time) -> Option<WaitingReason> {
         let job = self.jobs.get(id).filter(|j| j.needs_placement(now))?;
         job.blocked_since?;
@@ -135,14 +135,14 @@
         Some(self.why_no_machine(id, job, now))
     }
 
-    /// Why none of the machines runs a task of a job that its team's limit allows.
+    /// Returns the reason why no machine runs a task of a job whose team is below its limit.
     fn why_no_machine(&self, id: &JobId, job: &Job, now: Time) -> WaitingReason {
-        let site = self.site(job, Reach::Musts, None);
-        let survey = self.survey(id, job, site.as_ref(), now);
+        let policy_check = self.policy_check(job, Reach::Musts, None);
+        let survey = self.survey(id, job, policy_check.as_ref(), now);
         if let Some(excluded) = survey.main_exclusion() {
             return excluded;
         }
-        if site.is_some() && self.topology.is_none() {
+        if policy_check.is_some() && self.topology.is_none() {
             return WaitingReason::NoTopology;
         }
         let with_free_capacity = survey.with_free_capacity;
@@ -157,8 +157,14 @@
         WaitingReason::OthersFirst
     }
 
-    /// Looks at all machines that suit a job.
-    fn survey(&self, id: &JobId, job: &Job, site: Option<&Site>, now: Time) -> Survey {
+    /// Counts the machines that suit a job, and the reasons that exclude them.
+    fn survey(
+        &self,
+        id: &JobId,
+        job: &Job,
+        policy_check: Option<&PolicyCheck>,
+        now: Time,
+    ) -> Survey {
         let mut survey = Survey::default();
         let suits = |m: &Machine| m.usable && Self::suits(&job.spec, m);
         for (m_id, m) in self.machines.iter().filter(|(_, m)| suits(m)) {
@@ -169,17 +175,20 @@
                 continue;
             }
             survey.with_free_capacity += 1;
-            if let Some(why) = site.and_then(|site| self.site_exclusion(site, m_id, m)) {
+            if let Some(why) =
+                policy_check.and_then(|policy_check| self.policy_exclusion(policy_check, m_id, m))
+            {
                 *survey.exclusions.entry(why).or_insert(0) += 1;
             }
         }
         survey
     }
 
-    /// What in a job's placement rules excludes a machine, if anything does.
-    fn site_exclusion(
+    /// Returns the reason why a job's placement rules exclude a machine. Returns `None` if
+    /// they allow the machine.
+    fn policy_exclusion(
         &self,
-        site: &Site,
+        policy_check: &PolicyCheck,
         m_id: &MachineId,
         m: &Machine,
     ) -> Option<MachineExclusion> {
@@ -188,16 +197,23 @@
             place: m.place,
             machine: m_id.as_str(),
         };
-        let barred = site
-            .policy
-            .bars(&topology.tree, &site.tally, at, Reach::Musts);
+        let barred =
+            policy_check
+                .policy
+                .bars(&topology.tree, &policy_check.tally, at, Reach::Musts);
         if let Some(barred) = barred {
             return Some(MachineExclusion::Rule(barred.rule));
         }
-        if choose(&m.device_inventory, &m.allocated_devices, &site.needs).is_some() {
+        if choose(
+            &m.device_inventory,
+            &m.allocated_devices,
+            &policy_check.needs,
+        )
+        .is_some()
+        {
             return None;
         }
-        if Machine::could(&m.working, &site.needs) {
+        if Machine::could(&m.working, &policy_check.needs) {
             Some(MachineExclusion::DevicesTaken)
         } else {
             Some(MachineExclusion::NoSuchDevice)
