--- a/crates/topology/src/devices.rs
+++ b/crates/topology/src/devices.rs
@@ -1,22 +1,25 @@
-//! Devices: what units a machine has, which claims use them, and which to
-//! give out. A unit is in use until its task is known to have ended, also when the
-//! file does not name it any more, so that none is ever given out twice.
+//! Devices of machines: the inventory of units, the units that claims use, and the choice
+//! of units for a new task.
+//!
+//! A unit stays in use until its task is known to have ended, even if the topology file no
+//! longer names the unit. Otherwise two tasks could get the same unit.
 
 use std::collections::BTreeMap;
 
 use serde::{Deserialize, Serialize};
 use sorrelhinge_protocol::placement::Device;
 
-/// One unit of a kind on a machine. In records: `["encoder","enc0"]`.
+/// One device unit of a machine, as kind and name. Records keep a unit as
+/// `["encoder","enc0"]`.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Unit(pub String, pub String);
 
 impl Unit {
-    /// A unit by kind and name.
+    /// Creates a unit from its device kind and its name.
     pub fn new(kind: &str, name: &str) -> Self {
         Self(kind.to_owned(), name.to_owned())
     }
-    /// Its kind.
+    /// Returns the device kind of this unit, for example `encoder`.
     pub fn kind(&self) -> &str {
         &self.0
     }
@@ -30,51 +33,51 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct State {
-    /// How many tasks may use it at a time.
+    /// Maximum number of tasks that may use the unit at the same time.
     share: u32,
     broken: bool,
 }
 
-/// A unit that the file gives a machine.
+/// A device unit that the topology file assigns to a machine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct InventoryUnit<'a> {
-    /// Which.
+    /// Kind and name of the device unit.
     pub unit: &'a Unit,
-    /// How many tasks may use it at a time.
+    /// Maximum number of tasks that may use the unit at the same time.
     pub share: u32,
-    /// It is not given out.
+    /// Whether the unit is broken. A broken unit is never given to a task.
     pub broken: bool,
 }
 
-/// How many units of a kind there are.
+/// Number of device units of one kind on a machine.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct DeviceCount {
     /// Kind of device.
     pub kind: String,
-    /// Units.
+    /// Number of units of this device kind.
     pub count: u32,
 }
 
-/// The units that the file gives a machine.
+/// All device units that the topology file assigns to one machine, with the state of each.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct DeviceInventory(BTreeMap<Unit, State>);
 
 impl DeviceInventory {
-    /// Adds a unit that `share` tasks may use at a time.
+    /// Adds a device unit that up to `share` tasks may use at the same time.
     pub fn put(&mut self, unit: Unit, share: u32, broken: bool) {
         self.0.insert(unit, State { share, broken });
     }
-    /// Adds all units of another.
+    /// Adds all device units of another inventory to this one.
     pub fn add(&mut self, other: &DeviceInventory) {
         for (unit, state) in &other.0 {
             self.0.insert(unit.clone(), *state);
         }
     }
-    /// Whether it has no unit.
+    /// Returns whether the machine has no device units.
     pub fn is_empty(&self) -> bool {
         self.0.is_empty()
     }
-    /// How many tasks can use a unit of each kind, were none broken.
+    /// Returns how many tasks could use a unit of each device kind if no unit were broken.
     pub fn slots(&self) -> BTreeMap<&str, u32> {
         let mut slots = BTreeMap::new();
         for (unit, state) in &self.0 {
@@ -82,11 +85,11 @@
         }
         slots
     }
-    /// Whether a unit is there and in order.
+    /// Returns whether the machine has this unit and the unit is not broken.
     pub fn works(&self, unit: &Unit) -> bool {
         self.0.get(unit).is_some_and(|s| !s.broken)
     }
-    /// All units, in the order of kinds and names.
+    /// Returns all device units of the machine, sorted by kind and name.
     pub fn units(&self) -> impl Iterator<Item = InventoryUnit<'_>> {
         self.0.iter().map(|(unit, state)| InventoryUnit {
             unit,
@@ -94,7 +97,7 @@
             broken: state.broken,
         })
     }
-    /// How many units of each kind are in order.
+    /// Returns the number of units of each device kind that are not broken.
     pub fn working(&self) -> Vec<DeviceCount> {
         let mut counts: BTreeMap<&str, u32> = BTreeMap::new();
         for (unit, state) in &self.0 {
@@ -110,22 +113,22 @@
     }
 }
 
-/// Units that claims on a machine use.
+/// Device units that claims on one machine use. A claim is a task's recorded placement.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct AllocatedDevices {
     units: BTreeMap<Unit, u32>,
-    /// Claims that may use units whose names are not known.
+    /// Number of claims that may use units whose names are not known.
     unnamed: u32,
 }
 
 impl AllocatedDevices {
-    /// A claim uses these.
+    /// Records that one claim uses these device units.
     pub fn take(&mut self, units: &[Unit]) {
         for unit in units {
             *self.units.entry(unit.clone()).or_insert(0) += 1;
         }
     }
-    /// A claim's task is known to have ended.
+    /// Releases these device units after the task of their claim is known to have ended.
     pub fn give(&mut self, units: &[Unit]) {
         for unit in units {
             if let Some(count) = self.units.get_mut(unit) {
@@ -136,28 +139,30 @@
             }
         }
     }
-    /// A claim uses units that its record does not name: an earlier version
-    /// wrote it.
+    /// Records a claim that uses units that its record does not name, because an earlier
+    /// version wrote the record.
     pub fn take_unnamed(&mut self) {
         self.unnamed += 1;
     }
-    /// Such a claim's task is known to have ended.
+    /// Removes a claim with unnamed units after its task is known to have ended.
     pub fn give_unnamed(&mut self) {
         self.unnamed = self.unnamed.saturating_sub(1);
     }
-    /// How many claims use a unit.
+    /// Returns the number of claims that use a device unit.
     pub fn holders(&self, unit: &Unit) -> u32 {
         self.units.get(unit).copied().unwrap_or(0)
     }
-    /// Whether any unit is in use.
+    /// Returns whether a claim uses any device unit of the machine.
     pub fn any(&self) -> bool {
         self.unnamed > 0 || !self.units.is_empty()
     }
 }
 
-/// Units for one more task; none if a required one is missing, broken or taken.
-/// Of a preferred kind there are as many as are free, all or none. While a
-/// claim uses units without names, none are given out.
+/// Chooses device units for one more task on a machine.
+///
+/// Returns `None` if too few units of a required kind are working and free. For a preferred
+/// kind, the result has either all requested units or none. While a claim uses units
+/// without names, no unit counts as free.
 pub fn choose(
     device_inventory: &DeviceInventory,
     allocated: &AllocatedDevices,
@@ -165,7 +170,7 @@
 ) -> Option<Vec<Unit>> {
     let mut chosen = Vec::new();
     for need in needs {
-        // Units that others share already go first: unused ones stay unused.
+        // Units that other tasks already share come first, so that unused units stay unused.
         let mut free: Vec<(u32, &Unit)> = device_inventory
             .0
             .iter()
--- a/crates/topology/src/drain.rs
+++ b/crates/topology/src/drain.rs
@@ -1,18 +1,18 @@
-//! Drains: which task to move off a draining machine next, and when there is
-//! no more waiting.
+//! Drains of machines and domains: which task to move off a draining machine next, and when
+//! to stop tasks without waiting.
 
 use serde::{Deserialize, Serialize};
 use sorrelhinge_protocol::types::Kind;
 
 use crate::tree::{Domain, Tree};
 
-/// What drains.
+/// Machine or failure domain that an operator drains.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Target {
-    /// A domain, by its path.
+    /// A failure domain, named by its path in the tree.
     Domain(String),
-    /// One machine.
+    /// A single machine, named by its id.
     Machine(String),
 }
 
@@ -26,8 +26,10 @@
 }
 
 impl Target {
-    /// Whether a machine is to be drained. A machine whose place is not known
-    /// below the target's level is not: nobody can say that it is there.
+    /// Returns whether this drain target includes a machine.
+    ///
+    /// A machine whose place is known only above the target's level is not included, because it
+    /// may be outside the target.
     pub fn covers(&self, tree: &Tree, place: Domain, machine: &str) -> bool {
         match self {
             Self::Machine(name) => name == machine,
@@ -40,71 +42,73 @@
     1
 }
 
-/// A drain, as recorded. Format version 1.
+/// A drain as the state service keeps it, in format version 1.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Drain {
-    /// Version of the format.
+    /// Version of the record's format.
     #[serde(rename = "v")]
     pub version: u32,
-    /// What drains.
+    /// Machine or failure domain that is drained.
     #[serde(rename = "what")]
     pub target: Target,
-    /// When it began, in milliseconds of the time of day.
+    /// Wall-clock time at which the drain started, in milliseconds.
     #[serde(rename = "t")]
     pub started_ms: u64,
-    /// From then on nothing is waited for.
+    /// Wall-clock time in milliseconds after which the drain stops all remaining tasks.
     #[serde(rename = "end")]
     pub deadline_ms: u64,
-    /// The most replicas of a job that may be away at a time.
+    /// Maximum number of replicas of one job that the drain may have down at the same time.
     #[serde(default = "one")]
     pub away: u32,
-    /// Empty machines stay rented.
+    /// Whether machines stay rented after the drain has emptied them.
     #[serde(default, skip_serializing_if = "std::ops::Not::not")]
     pub keep: bool,
 }
 
 impl Drain {
-    /// The version of the format that this program writes.
+    /// Version of the drain record's format that this program writes.
     pub const VERSION: u32 = 1;
 
-    /// Seconds until nothing is waited for any more.
+    /// Returns the seconds until the drain stops all remaining tasks.
     pub fn left_s(&self, wall_ms: u64) -> f64 {
         self.deadline_ms.saturating_sub(wall_ms) as f64 / 1000.0
     }
 }
 
-/// A task on a draining machine.
+/// A task on a draining machine, with what decides whether it is stopped or moved.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Tenant {
-    /// What its job is.
+    /// Kind of the task's job: array, service or gang.
     pub kind: Kind,
-    /// It runs; otherwise it waits for its image, or its start.
+    /// Whether the task runs. Otherwise, it waits for its image or for its start.
     pub running: bool,
-    /// It has been sent a stop.
+    /// Whether a stop command was already sent to the task.
     pub stopping: bool,
-    /// Estimated seconds until it ends, if it ever does.
+    /// Estimated seconds until the task ends, or `None` if it does not end by itself.
     pub left_s: Option<f64>,
-    /// Tasks of its job that don't run, wherever they should.
+    /// Number of tasks of the same job that do not run, on any machine.
     pub away: u32,
 }
 
-/// What to do about a task.
+/// Action that a drain takes on one task.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Step {
-    /// Nothing now.
+    /// Leaves the task alone for now.
     Wait,
-    /// Have a place ready elsewhere, then stop it.
+    /// Prepares a place on another machine, then stops the task.
     Move,
-    /// Stop it now.
+    /// Stops the task now.
     Stop,
 }
 
-/// A task that will not nearly end in time is stopped at once, rather than
-/// having worked in vain: its estimate must be this many times what is left,
-/// as estimates are often wrong by half.
+/// Ratio of a task's estimated remaining time to the drain's remaining time above which the
+/// drain stops the task at once.
+///
+/// Such a task would not finish before the deadline, and its work until then would be lost.
+/// The factor allows for estimates, which are often wrong by half.
 const STOP_ESTIMATE_FACTOR: f64 = 2.0;
 
-/// What to do about one task, `left_s` seconds before the drain's deadline.
+/// Returns the action for one task, `left_s` seconds before the drain's deadline.
 pub fn step(drain: &Drain, tenant: &Tenant, left_s: f64) -> Step {
     if tenant.stopping {
         return Step::Wait;
@@ -116,7 +120,7 @@
         Kind::Service if !tenant.running => Step::Stop,
         Kind::Service if tenant.away < drain.away => Step::Move,
         Kind::Service => Step::Wait,
-        // Not begun: nothing is lost by beginning elsewhere.
+        // The task has not started, so it loses no work by starting on another machine.
         Kind::Array if !tenant.running => Step::Stop,
         Kind::Array | Kind::Gang => match tenant.left_s {
             Some(needs) if needs > STOP_ESTIMATE_FACTOR * left_s => Step::Stop,
@@ -125,21 +129,21 @@
     }
 }
 
-/// How far a drain is.
+/// Progress of a drain.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Progress {
-    /// Machines that it covers.
+    /// Number of machines that the drain covers.
     pub machines: u32,
-    /// Of these, how many are empty.
+    /// Number of covered machines that have no tasks.
     pub empty: u32,
-    /// Tasks still there.
+    /// Number of tasks that are still on the covered machines.
     pub tasks: u32,
-    /// Of these, how many are being stopped.
+    /// Number of these tasks that are being stopped.
     pub stopping: u32,
 }
 
 impl Progress {
-    /// Whether nothing is left there.
+    /// Returns whether no task is left on the covered machines.
     pub fn done(&self) -> bool {
         self.tasks == 0
     }
--- a/crates/topology/src/finder.rs
+++ b/crates/topology/src/finder.rs
@@ -1,5 +1,8 @@
-//! What the file says of a machine: by its name, else by a pattern of names,
-//! else by the network that its address lies in, the longest prefix first.
+//! Lookup of a machine's entry in the topology file.
+//!
+//! A machine's name has precedence over patterns of names, and patterns have precedence
+//! over networks. Among networks, the longest prefix that contains the machine's address
+//! matches.
 
 use std::collections::HashMap;
 use std::net::IpAddr;
@@ -8,18 +11,18 @@
 use prefix_trie::joint::JointPrefixMap;
 use wildmatch::WildMatch;
 
-/// Something that leads to two entries.
+/// A name or a network that the topology file assigns to two different entries.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum NamedTwice {
-    /// A machine's name.
+    /// A machine's name has two entries.
     #[error("machine {0:?} is named twice")]
     Machine(String),
-    /// A network.
+    /// A network has two entries.
     #[error("network {0} is named twice")]
     Network(IpNet),
 }
 
-/// Finds a machine's entry.
+/// Index of the topology file's entries by machine name, name pattern and network.
 #[derive(Debug)]
 pub struct Finder<T> {
     names: HashMap<String, T>,
@@ -38,32 +41,36 @@
 }
 
 impl<T: Clone + PartialEq> Finder<T> {
-    /// Names a machine.
+    /// Assigns an entry to a machine's name.
     ///
     /// # Errors
-    /// The name leads elsewhere already.
+    ///
+    /// Fails if the name already has a different entry.
     pub fn name(&mut self, name: &str, to: T) -> Result<(), NamedTwice> {
         match self.names.insert(name.to_owned(), to.clone()) {
             Some(before) if before != to => Err(NamedTwice::Machine(name.to_owned())),
             _ => Ok(()),
         }
     }
-    /// Names machines by a pattern, `*` for any text and `?` for a character.
-    /// Of several that match the first counts.
+    /// Assigns an entry to a pattern of machine names, where `*` matches any text and `?`
+    /// matches one character.
+    ///
+    /// If several patterns match a name, the first one counts.
     pub fn pattern(&mut self, pattern: &str, to: T) {
         self.patterns.push((WildMatch::new(pattern), to));
     }
-    /// Names a network.
+    /// Assigns an entry to a network of machine addresses.
     ///
     /// # Errors
-    /// The network leads elsewhere already.
+    ///
+    /// Fails if the network already has a different entry.
     pub fn network(&mut self, network: IpNet, to: T) -> Result<(), NamedTwice> {
         match self.networks.insert(network.trunc(), to.clone()) {
             Some(before) if before != to => Err(NamedTwice::Network(network)),
             _ => Ok(()),
         }
     }
-    /// What is said of a machine; none if nothing names it.
+    /// Returns the entry for a machine, or `None` if no name, pattern or network matches.
     pub fn find(&self, name: &str, addr: Option<IpAddr>) -> Option<&T> {
         let pattern = || self.patterns.iter().find(|(p, _)| p.matches(name));
         let network = || self.networks.get_lpm(&IpNet::from(addr?));
@@ -74,19 +81,19 @@
     }
 }
 
-/// Whether a machine is among those that an entry names.
+/// Set of machines that one entry of the topology file names.
 #[derive(Debug, Default)]
 pub struct Matcher {
-    /// By name.
+    /// Names of machines in the set.
     pub names: Vec<String>,
-    /// By pattern.
+    /// Patterns of machine names. A machine with a matching name is in the set.
     pub patterns: Vec<WildMatch>,
-    /// By network.
+    /// Networks whose machines are in the set.
     pub networks: Vec<IpNet>,
 }
 
 impl Matcher {
-    /// Whether it is.
+    /// Returns whether a machine is in the set, by its name or its address.
     pub fn matches(&self, name: &str, addr: Option<IpAddr>) -> bool {
         self.names.iter().any(|n| n == name)
             || self.patterns.iter().any(|p| p.matches(name))
--- a/crates/topology/src/gang.rs
+++ b/crates/topology/src/gang.rs
@@ -1,58 +1,61 @@
-//! Gangs (DESIGN): placed all at once when free slots suffice; else freed slots are
+//! Placement of gangs, whose tasks all start at the same time.
+//!
+//! A gang is placed at once if enough slots are free. Otherwise, slots that become free are
 //! reserved on the fewest machines that would fit the gang.
 //!
-//! Two gangs never block each other: machines are reserved for one gang at a
-//! time, for a bounded time and a bounded part of the fleet, and a gang is
-//! claimed with all its tasks or not at all.
+//! Two gangs never block each other. Machines are reserved for only one gang at a time, for
+//! a limited time and on a limited part of the fleet. All tasks of a gang are claimed
+//! together or none is.
 
 use sorrelhinge_protocol::types::{MachineId, Time};
 
 use crate::tree::{Domain, Level, Tree, ROOT};
 
-/// A machine that could take tasks of a gang.
+/// A machine that could run tasks of a gang, with its capacity for them.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Slot {
-    /// Which.
+    /// Id of the machine.
     pub machine: MachineId,
-    /// Where.
+    /// Innermost failure domain that is known to contain the machine.
     pub place: Domain,
-    /// How many of its tasks fit there now.
+    /// Number of the gang's tasks that fit on the machine now.
     pub free: u32,
-    /// How many will, once what now runs there and ends by itself has ended.
+    /// Number of the gang's tasks that fit once all running tasks that end by themselves have
+    /// ended.
     pub later: u32,
-    /// What it costs to use it, in seconds: for equally good plans only.
+    /// Cost in seconds of using the machine. The cost only decides between equally good plans.
     pub cost: u32,
 }
 
-/// Tasks of a gang for one machine.
+/// Number of a gang's tasks that are planned on one machine.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Assignment {
-    /// Which.
+    /// Id of the machine that runs the tasks.
     pub machine: MachineId,
-    /// How many tasks.
+    /// Number of the gang's tasks on this machine.
     pub tasks: u32,
 }
 
-/// All tasks of a gang, by machine.
+/// Placement of all tasks of a gang, by machine.
 pub type Plan = Vec<Assignment>;
 
-/// Tasks that are planned on a slot already.
+/// A slot on which a plan already puts tasks of the gang.
 #[derive(Clone, Copy, Debug)]
 pub struct ChosenSlot<'a> {
-    /// The slot.
+    /// Slot that the plan uses.
     pub slot: &'a Slot,
-    /// How many tasks.
+    /// Number of the gang's tasks that the plan puts on the slot.
     pub tasks: u32,
 }
 
-/// How many more tasks the job's rules allow on a slot, when `chosen` are
-/// planned already.
+/// Placement rules of a gang's job, as the gang planner applies them.
 pub trait Rules {
-    /// At most `wanted`.
+    /// Returns how many more tasks the rules allow on `slot`, at most `wanted`, if the tasks in
+    /// `chosen` are already planned.
     fn allowed(&self, chosen: &[ChosenSlot<'_>], slot: &Slot, wanted: u32) -> u32;
 }
 
-/// No rules.
+/// Rule set that allows every placement.
 pub struct Anywhere;
 
 impl Rules for Anywhere {
@@ -72,7 +75,7 @@
         .copied()
         .filter(|s| free_capacity(s) > 0)
         .collect();
-    // The largest first makes the fewest machines.
+    // Filling the slots with the most free capacity first uses the fewest machines.
     order.sort_by(|a, b| {
         free_capacity(b)
             .cmp(&free_capacity(a))
@@ -82,7 +85,7 @@
     let mut chosen: Vec<ChosenSlot> = Vec::new();
     let mut left = tasks;
     while left > 0 && !order.is_empty() {
-        // For what is left at the end the tightest that takes it all.
+        // The last tasks go to the slot with the least free capacity that fits all of them.
         let at = order
             .iter()
             .rposition(|s| free_capacity(s) >= left)
@@ -99,10 +102,10 @@
     (left == 0).then_some(chosen)
 }
 
-/// A gang that is to be planned.
+/// A gang that needs a plan.
 struct Wanted<'a> {
     tasks: u32,
-    /// How many of its tasks a slot takes.
+    /// Returns how many of the gang's tasks fit on a slot.
     free_capacity: &'a dyn Fn(&Slot) -> u32,
     rules: &'a dyn Rules,
 }
@@ -112,7 +115,8 @@
         fill(slots, self.tasks, self.free_capacity, self.rules)
     }
 
-    /// The plan on the fewest machines within the innermost domain that fits.
+    /// Plans the gang on the fewest machines in the innermost level that has a domain that fits
+    /// it. If no domain fits it, all slots count together.
     fn within(&self, tree: Option<&Tree>, slots: &[Slot]) -> Option<Plan> {
         if let Some(tree) = tree {
             let above_machine = tree.levels().len().saturating_sub(1);
@@ -125,8 +129,10 @@
         self.fill(&all).map(owned)
     }
 
-    /// The plan on the fewest machines within one domain of a level; of several the one
-    /// in the tightest domain.
+    /// Plans the gang in one domain of a level and prefers the domain that needs the fewest
+    /// machines.
+    ///
+    /// Among such domains, the one with the least free capacity counts.
     fn within_level(&self, tree: &Tree, slots: &[Slot], level: Level) -> Option<Plan> {
         let mut best: Option<RankedPlan> = None;
         let places = slots.iter().filter_map(|s| tree.at(s.place, level));
@@ -159,11 +165,11 @@
     }
 }
 
-/// How good a plan is, the least first.
+/// Rank of a plan. A lower rank is better.
 #[derive(PartialEq, PartialOrd)]
 struct Rank {
     machines: usize,
-    /// How many tasks its domain would take.
+    /// Number of the gang's tasks that fit into the plan's domain.
     free_capacity: u32,
 }
 
@@ -180,8 +186,11 @@
     assignments.collect()
 }
 
-/// Plans all tasks of a gang in what is free, if that suffices: within one domain of
-/// the innermost level that has free capacity, on the fewest machines.
+/// Plans all tasks of a gang on capacity that is free now, or returns `None` if it does not
+/// suffice.
+///
+/// The plan uses the fewest machines within one domain of the innermost level that has
+/// enough free capacity.
 pub fn plan_now(
     tree: Option<&Tree>,
     slots: &[Slot],
@@ -196,7 +205,8 @@
     wanted.within(tree, slots)
 }
 
-/// The fewest machines that would fit a gang once what ends by itself has ended.
+/// Plans a gang on the fewest machines that will fit it once all running tasks that end by
+/// themselves have ended.
 pub fn plan_later(
     tree: Option<&Tree>,
     slots: &[Slot],
@@ -211,21 +221,23 @@
     wanted.within(tree, slots)
 }
 
-/// A gang that has machines reserved.
+/// A gang for which machines are reserved.
 #[derive(Clone, Debug)]
 struct Holder<J> {
     job: J,
     since: Time,
 }
 
-/// A gang that had its turn and waits for the next.
+/// A gang whose reservation time expired and that must wait before it may reserve machines
+/// again.
 #[derive(Clone, Debug)]
 struct Waiting<J> {
     job: J,
     until: Time,
 }
 
-/// Whose turn it is to have machines reserved.
+/// Schedule of which gang may have machines reserved. Only one gang has reservations at a
+/// time.
 #[derive(Clone, Debug)]
 pub struct Turn<J> {
     holder: Option<Holder<J>>,
@@ -242,9 +254,11 @@
 }
 
 impl<J: Clone + PartialEq> Turn<J> {
-    /// Whether a gang that found no free capacity may have machines reserved: it has, or
-    /// none has and it has not just had its turn. A turn ends after
-    /// `turn_s` seconds, and the gang then stands back for as long.
+    /// Returns whether a gang that found no free capacity may have machines reserved.
+    ///
+    /// The gang may if it already has the reservation. It also may if no gang has the
+    /// reservation and its own has not just expired. A reservation expires after `turn_s`
+    /// seconds, and the gang then waits for `turn_s` seconds before it may reserve again.
     pub fn may_reserve(&mut self, job: &J, turn_s: f64, now: Time) -> bool {
         self.waiting.retain(|waiting| now < waiting.until);
         if let Some(holder) = &self.holder {
@@ -265,7 +279,7 @@
         });
         true
     }
-    /// A gang was placed, or is over.
+    /// Ends a gang's reservation because the gang was placed or its job has ended.
     pub fn leave(&mut self, job: &J) {
         if self
             .holder
@@ -275,13 +289,13 @@
             self.holder = None;
         }
     }
-    /// The gang that has machines reserved.
+    /// Returns the gang for which machines are reserved.
     pub fn holder(&self) -> Option<&J> {
         self.holder.as_ref().map(|holder| &holder.job)
     }
 }
 
-/// The innermost domain that all these places lie in.
+/// Returns the innermost domain that contains all given places.
 pub fn common(tree: &Tree, places: impl IntoIterator<Item = Domain>) -> Domain {
     let mut places = places.into_iter();
     let Some(mut domain) = places.next() else {
--- a/crates/topology/src/lib.rs
+++ b/crates/topology/src/lib.rs
@@ -1,15 +1,15 @@
-//! Where machines are and what is attached to them, and what follows for
-//! placing, without I/O or clock:
+//! Locations and devices of machines, and the placement rules that depend on them. The
+//! crate does no I/O and reads no clock.
 //!
-//! - [`tree`]: failure domains, numbered so that a domain is a range;
-//! - [`finder`]: a machine's place, by name, pattern or network;
-//! - [`devices`]: units, which claims use them, and which to give out;
-//! - [`policy`]: what a job's placement rules allow, given where its tasks are;
-//! - [`drain`]: which task to move off next, and when there is no waiting;
-//! - [`repair`]: what piled up, and which domains can be trusted again;
-//! - [`gang`]: placing all tasks at once, and what to reserve where capacity is short;
-//! - [`renting`]: which types and zones brought which domains;
-//! - [`settings`]: the operator's file.
+//! - [`tree`] numbers failure domains so that each domain is a range of numbers.
+//! - [`finder`] finds a machine's place by name, pattern or network.
+//! - [`devices`] keeps device units and the claims that use them, and chooses units for tasks.
+//! - [`policy`] judges what a job's placement rules allow, given where its tasks are.
+//! - [`drain`] chooses the next task to move off a draining machine and stops tasks at the deadline.
+//! - [`repair`] decides which domains are stable enough to move tasks back into them.
+//! - [`gang`] plans all tasks of a gang at once and what to reserve if capacity is short.
+//! - [`renting`] remembers in which domains the rented machines of each type and zone came up.
+//! - [`settings`] reads the operator's topology file.
 
 pub mod devices;
 pub mod drain;
@@ -31,24 +31,23 @@
 use settings::{InventoryRule, Settings, SettingsError};
 use tree::Tree;
 
-/// The operator's file, checked and made fit for questions.
+/// Operator's topology file after validation, with indexes for lookups.
 #[derive(Debug)]
 pub struct Topology {
-    /// Failure domains.
+    /// Tree of all failure domains that the topology file names.
     pub tree: Tree,
-    /// The file, for what is looked up rarely.
+    /// Parsed topology file, for values that are rarely looked up.
     pub settings: Settings,
     finder: Finder<tree::Domain>,
     devices: Vec<InventoryRule>,
 }
 
 impl Topology {
-    /// Reads the file's text. The error names the line or the path of what is
-    /// wrong.
+    /// Parses and validates the text of the topology file.
     ///
     /// # Errors
     ///
-    /// The line that is no TOML, or the field that is wrong.
+    /// Returns the line that is not valid TOML, or the path of the field that is not valid.
     pub fn parse(text: &str) -> Result<Self, SettingsError> {
         let settings = Settings::parse(text)?;
         let tree = settings.tree()?;
@@ -63,8 +62,10 @@
         })
     }
 
-    /// Where a machine is. Its zone is the cloud's word: a place in another
-    /// zone is a mistake in the file, and then only the zone is known.
+    /// Returns the place of a machine in the tree of failure domains.
+    ///
+    /// The cloud decides in which zone the machine is. If the topology file puts the machine in
+    /// another zone, the file is wrong, and only the zone counts as known.
     pub fn place(&self, name: &str, addr: Option<IpAddr>, zone: &Zone) -> Place {
         let zone_only = self.tree.find(zone.as_str()).unwrap_or(tree::ROOT);
         match self.finder.find(name, addr) {
@@ -83,7 +84,7 @@
         }
     }
 
-    /// What is attached to a machine.
+    /// Returns the device units of a machine from all device entries that name it or its type.
     pub fn device_inventory(
         &self,
         name: &str,
@@ -100,20 +101,23 @@
         device_inventory
     }
 
-    /// The most units of each kind that one machine can have, of all that the
-    /// file names; by machine types, where only types are named.
+    /// Returns, for each device kind, an upper bound of the tasks that can use its units on one
+    /// machine.
+    ///
+    /// The bound adds up all device entries of the topology file, including those that name
+    /// only machine types.
     pub fn max_units(&self) -> BTreeMap<String, u32> {
         let mut max: BTreeMap<String, u32> = BTreeMap::new();
         for entry in &self.devices {
             for (kind, count) in entry.device_inventory.slots() {
-                // Several entries can meet on one machine.
+                // Several device entries can apply to the same machine, so their slots add up.
                 *max.entry(kind.to_owned()).or_insert(0) += count;
             }
         }
         max
     }
 
-    /// What an operator asks for all jobs of a class.
+    /// Returns the placement rules that the operator sets for all jobs of a class.
     pub fn class_placement_rules(
         &self,
         class: &str,
@@ -127,11 +131,11 @@
     }
 }
 
-/// A machine's place.
+/// Place of a machine in the tree of failure domains.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Place {
-    /// The innermost domain that is known.
+    /// Innermost failure domain that is known to contain the machine.
     pub domain: tree::Domain,
-    /// The file says one zone and the cloud another.
+    /// Whether the topology file and the cloud put the machine in different zones.
     pub conflict: bool,
 }
--- a/crates/topology/src/policy.rs
+++ b/crates/topology/src/policy.rs
@@ -1,7 +1,8 @@
-//! What a job's placement rules allow, given where its tasks are.
+//! Placement rules of a job, judged by where the job's tasks are.
 //!
-//! A placement asks twice: first with every rule ([`Reach::All`]), and
-//! if that finds no place, with what is required only ([`Reach::Musts`]).
+//! The scheduler asks a policy twice for each placement. It first asks with every rule
+//! ([`Reach::All`]). If that finds no machine, it asks with the required rules only
+//! ([`Reach::Musts`]).
 
 mod feasible;
 mod judge;
@@ -16,12 +17,12 @@
 
 use crate::tree::{Level, Tree};
 
-/// Which rules count.
+/// Set of placement rules that count when a machine is judged.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Reach {
-    /// Required and preferred ones.
+    /// Required and preferred rules count.
     All,
-    /// Required ones.
+    /// Only required rules count.
     Musts,
 }
 
@@ -45,23 +46,27 @@
     must: bool,
 }
 
-/// A job's placement rules and its class's, with levels instead of names. All of them
-/// apply.
+/// Placement rules of a job and of its class, with level names resolved. All rules apply
+/// together.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Policy {
     spread: Vec<SpreadRule>,
     together: Vec<TogetherRule>,
     fewest: Vec<FewRule>,
-    /// Devices that each task needs.
+    /// Devices that each task of the job needs.
     pub devices: Vec<Device>,
-    /// Its rules are not known any more: its tasks may use any device.
+    /// Whether the job's placement rules were lost. Its tasks may then use any device.
     pub lost: bool,
-    /// A required rule that can't be judged: nothing may be placed.
+    /// Reason why a required rule can't be judged. While it is set, no task of the job may be
+    /// placed.
     unjudged: Option<UnjudgedPolicy>,
 }
 
-/// The most tasks in a domain if they are spread evenly; of several tasks never all in
-/// one.
+/// Returns the maximum number of tasks in one domain if `tasks` tasks are spread evenly
+/// over a level.
+///
+/// If there are several tasks, the result is always below their number, so that they never
+/// all share one domain.
 fn max_if_even(tree: &Tree, level: Level, tasks: u32) -> u32 {
     let domains = if tree.is_machine(level) {
         tasks
@@ -73,7 +78,8 @@
 }
 
 impl Policy {
-    /// The placement rules of a job of `tasks` tasks: its own and its class's.
+    /// Creates the policy of a job with `tasks` tasks from the rules of the job and of its
+    /// class.
     pub fn new<'a>(
         rules: impl IntoIterator<Item = &'a PlacementRules>,
         tree: &Tree,
@@ -86,7 +92,7 @@
         policy
     }
 
-    /// A policy that can't be judged, so that nothing is placed.
+    /// Creates a policy that can't be judged, under which no task is placed.
     pub fn unjudged(why: UnjudgedPolicy) -> Self {
         Self {
             unjudged: Some(why),
@@ -119,7 +125,8 @@
         }
     }
 
-    /// The level that a rule names. A required rule of an unknown level can't be judged.
+    /// Returns the level that a rule names. If a required rule names an unknown level, the
+    /// policy can't be judged.
     fn level_of_rule(&mut self, tree: &Tree, name: &str, must: bool) -> Option<Level> {
         let level = tree.level(name);
         if level.is_none() && must {
@@ -142,7 +149,8 @@
             (None, None) => max_if_even(tree, level, tasks),
             (max, share) => max.unwrap_or(u32::MAX).min(share.unwrap_or(u32::MAX)),
         };
-        // A rule that the job can't break whatever happens is none.
+        // A limit that is not below the job's number of tasks can never be exceeded, so it needs no
+        // rule.
         if max < tasks {
             self.spread.push(SpreadRule {
                 level,
@@ -152,7 +160,8 @@
         }
     }
 
-    /// Of a kind that several rules name the strictest counts.
+    /// Adds a device need. If several rules name the same device kind, the strictest one
+    /// counts.
     fn add_device(&mut self, device: &Device) {
         match self.devices.iter_mut().find(|d| d.kind == device.kind) {
             Some(known) => {
@@ -163,11 +172,11 @@
         }
     }
 
-    /// Whether it asks nothing.
+    /// Returns whether the policy has no rules.
     pub fn is_empty(&self) -> bool {
         *self == Self::default()
     }
-    /// Whether anything is required.
+    /// Returns whether the policy has any required rule.
     pub fn requires(&self) -> bool {
         self.lost
             || self.unjudged.is_some()
@@ -176,22 +185,22 @@
             || self.fewest.iter().any(|r| r.must && r.max > 0)
             || self.devices.iter().any(|d| d.must)
     }
-    /// Whether any rule looks at where the other tasks are.
+    /// Returns whether any rule depends on where the other tasks of the job are.
     pub fn counts(&self) -> bool {
         self.unjudged.is_some()
             || !self.spread.is_empty()
             || !self.together.is_empty()
             || !self.fewest.is_empty()
     }
-    /// Whether asking with [`Reach::Musts`] can find more than with
-    /// [`Reach::All`].
+    /// Returns whether [`Reach::Musts`] can allow more machines than [`Reach::All`].
     pub fn prefers(&self) -> bool {
         self.spread.iter().any(|r| !r.must)
             || self.together.iter().any(|r| !r.must)
             || !self.fewest.is_empty()
             || self.devices.iter().any(|d| !d.must)
     }
-    /// The devices that count as required.
+    /// Returns the devices that each task needs. With [`Reach::All`], preferred devices count
+    /// as required.
     pub fn needs(&self, reach: Reach) -> Vec<Device> {
         let forced = |d: &Device| Device {
             must: d.must || reach == Reach::All,
@@ -199,7 +208,7 @@
         };
         self.devices.iter().map(forced).collect()
     }
-    /// The innermost level at which all tasks have to be together, if any.
+    /// Returns the innermost level at which all tasks must share one domain, if there is one.
     pub fn one_domain(&self) -> Option<Level> {
         let musts = self.together.iter().filter(|r| r.must);
         musts.map(|r| r.level).max()
--- a/crates/topology/src/policy/feasible.rs
+++ b/crates/topology/src/policy/feasible.rs
@@ -1,5 +1,5 @@
-//! Whether a job could ever be placed on the machines that the file describes, were all of
-//! them there and free.
+//! Check whether a job could ever be placed on the machines that the topology file
+//! describes. The check assumes that all of them are rented and free.
 
 use sorrelhinge_protocol::types::{JobSpec, Kind};
 
@@ -7,12 +7,12 @@
 use crate::tree::{Domain, Level, Tree, ROOT};
 use crate::Topology;
 
-/// Where a job's tasks may be at all.
+/// Part of the tree in which a job's tasks may run.
 struct Bounds {
-    /// The zone that the job asks for, or everything; none: the file doesn't name that
-    /// zone, so it has no known domains.
+    /// Zone that the job requires, or the root. `None` means that the topology file does not
+    /// name that zone, so no domain of the zone is known.
     outer: Option<Domain>,
-    /// The level at which all tasks have to be in one domain, if any.
+    /// Level at which all tasks must share one domain, if there is one.
     one: Option<Level>,
 }
 
@@ -36,7 +36,8 @@
     }
 }
 
-/// How many tasks run at a time. An array's can run one after another.
+/// Returns how many tasks of a job must run at the same time. Tasks of an array can run one
+/// after another.
 fn tasks_at_once(spec: &JobSpec) -> u64 {
     match spec.kind {
         Kind::Array => 1,
@@ -45,8 +46,8 @@
 }
 
 impl Policy {
-    /// Why a job can never be placed on the machines that the file describes,
-    /// if that is so.
+    /// Returns why a job can never be placed on the machines that the topology file describes,
+    /// or `None` if it can.
     pub fn never(&self, topology: &Topology, spec: &JobSpec) -> Option<InfeasiblePolicy> {
         if let Some(why) = &self.unjudged {
             return Some(InfeasiblePolicy::Unjudged(why.clone()));
@@ -59,7 +60,7 @@
             .or_else(|| self.too_little_capacity_in_few(tree, &bounds, at_once))
     }
 
-    /// More units are required than any machine has.
+    /// Checks whether the job requires more device units than any machine has.
     fn missing_devices(&self, topology: &Topology) -> Option<InfeasiblePolicy> {
         let max = topology.max_units();
         self.devices.iter().filter(|d| d.must).find_map(|need| {
@@ -72,7 +73,8 @@
         })
     }
 
-    /// The required rules leave too little free capacity where all tasks have to be.
+    /// Checks whether the required rules allow too few tasks in the domain that all tasks must
+    /// share.
     fn too_little_capacity(
         &self,
         tree: &Tree,
@@ -95,7 +97,8 @@
         (allowed < at_once).then_some(InfeasiblePolicy::Tasks { at_once, allowed })
     }
 
-    /// The required rules leave too little free capacity in as many domains as the tasks may use.
+    /// Checks whether the required rules allow too few tasks in the limited number of domains
+    /// that the job may use.
     fn too_little_capacity_in_few(
         &self,
         tree: &Tree,
@@ -118,7 +121,7 @@
         })
     }
 
-    /// How many tasks can be within each domain of a level at a time.
+    /// Returns how many tasks can run at the same time in each allowed domain of a level.
     fn free_capacities(&self, tree: &Tree, bounds: &Bounds, level: Level) -> Vec<u64> {
         tree.domains(level)
             .filter(|d| bounds.admit(tree, *d))
@@ -126,8 +129,8 @@
             .collect()
     }
 
-    /// How many tasks of the job can be within `domain` at a time, were all
-    /// its machines there and free.
+    /// Returns how many tasks of the job can run in `domain` at the same time if all its
+    /// machines are rented and free.
     fn free_capacity(&self, tree: &Tree, domain: Domain) -> u64 {
         let own = |level: Level| {
             let rules = self.spread.iter().filter(|r| r.must && r.level == level);
--- a/crates/topology/src/policy/judge.rs
+++ b/crates/topology/src/policy/judge.rs
@@ -1,4 +1,5 @@
-//! Which machines a policy keeps one more task off, and which tasks pile up.
+//! Judgement of machines and tasks by a policy: which machines it excludes for one more
+//! task, and which tasks exceed a spread limit.
 
 use super::tally::{Counts, DomainKey};
 use super::{
@@ -6,25 +7,26 @@
 };
 use crate::tree::{Domain, Level, Tree};
 
-/// A machine that a rule keeps a job off.
+/// A machine that a placement rule excludes for one more task of a job.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ExcludedMachine {
-    /// Which rule.
+    /// Rule that excludes the machine.
     pub rule: ExclusionRule,
-    /// The rule excludes all machines with places from the judged one's up to here too.
+    /// End of the excluded range. The rule also excludes all machines whose places are from
+    /// this machine's place up to this number.
     pub until: Domain,
 }
 
-/// A task of a job and where it is.
+/// A task of a job, with the location of its machine.
 #[derive(Clone, Copy, Debug)]
 pub struct LocatedTask<'a> {
-    /// The task's index in its job.
+    /// Index of the task within its job.
     pub index: u32,
-    /// Its machine.
+    /// Location of the machine that runs the task.
     pub location: MachineLocation<'a>,
 }
 
-/// A task and how many of its job are in its domain.
+/// A task, with the number of its job's tasks that share its domain.
 struct Crowded {
     index: u32,
     tasks: u32,
@@ -40,7 +42,7 @@
 }
 
 impl Judged<'_> {
-    /// Its domain of a level; none if that is not known.
+    /// Returns the machine's domain at a level, or `None` if it is not known.
     fn domain(&self, level: Level) -> Option<DomainKey> {
         self.location.domain(self.tree, level)
     }
@@ -49,17 +51,19 @@
         self.tree.level_name(level).to_owned()
     }
 
-    /// The job's tasks by domain of a level.
+    /// Returns the number of the job's tasks in each domain of a level.
     fn counts(&self, level: Level) -> &Counts {
         self.tally.of(level)
     }
 
-    /// Whether a rule counts, by whether it is required.
+    /// Returns whether a rule counts. A required rule always counts, and a preferred one only
+    /// with [`Reach::All`].
     fn asks(&self, must: bool) -> bool {
         must || self.reach == Reach::All
     }
 
-    /// Kept off by a rule of this level.
+    /// Returns the exclusion of this machine by a rule of a level, with the range of places to
+    /// skip.
     fn barred(&self, level: Level, rule: ExclusionRule) -> ExcludedMachine {
         let place = self.location.place;
         let until = match self.tree.at(place, level) {
@@ -76,7 +80,7 @@
         }
         let counts = self.counts(rule.level);
         let Some(domain) = self.domain(rule.level) else {
-            // It may share a domain with any other task.
+            // The machine may share a domain with any other task of the job.
             let level = self.level_name(rule.level);
             return Some(self.barred(rule.level, ExclusionRule::UnknownDomain { level }));
         };
@@ -122,8 +126,9 @@
 }
 
 impl Policy {
-    /// The rule that keeps one more task off a machine, if any does. A task
-    /// whose place is not known could be in any domain.
+    /// Returns the rule that excludes a machine for one more task, if there is one.
+    ///
+    /// A task whose place is not known counts as if it could be in any domain.
     pub fn bars(
         &self,
         tree: &Tree,
@@ -149,9 +154,12 @@
             .or_else(|| self.fewest.iter().find_map(|r| judged.fewest(r)))
     }
 
-    /// The index of a task in a domain that has more than a rule allows, the fullest
-    /// first; `tasks` are the job's tasks that could be moved. Required rules can be
-    /// broken only by labels that changed under the tasks.
+    /// Returns the index of a task in a domain that has more of the job's tasks than a spread
+    /// rule allows.
+    ///
+    /// `tasks` lists the job's tasks that could be moved. The fullest domain comes first. Tasks
+    /// break a required rule only if the labels of machines changed after the tasks were
+    /// placed.
     pub fn excess(&self, tree: &Tree, tally: &Tally, tasks: &[LocatedTask<'_>]) -> Option<u32> {
         let mut max: Option<Crowded> = None;
         for rule in &self.spread {
--- a/crates/topology/src/policy/reasons.rs
+++ b/crates/topology/src/policy/reasons.rs
@@ -1,16 +1,16 @@
-//! Why a policy excludes a machine, or every machine that there can be. The
-//! texts are for users; code compares the values.
+//! Reasons why a policy excludes one machine or all possible machines. Users read the
+//! texts, and code compares only the enum values.
 
 use std::fmt;
 
-/// Why a policy can't be judged, so that nothing is placed under it.
+/// Reason why a policy can't be judged. No task is placed under such a policy.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum UnjudgedPolicy {
-    /// The job has placement rules and the controller has no topology file.
+    /// The job has placement rules, but the controller has no topology file.
     NoTopology,
-    /// A required rule names a level that the topology file doesn't.
+    /// A required rule names a level that is not in the topology file.
     UnknownLevel {
-        /// The name in the rule.
+        /// Level name in the rule.
         level: String,
     },
 }
@@ -24,31 +24,31 @@
     }
 }
 
-/// The rule that excludes a machine for one more task of a job.
+/// Rule that excludes a machine for one more task of a job.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum ExclusionRule {
-    /// The policy can't be judged.
+    /// The job's policy can't be judged, so it excludes every machine.
     Unjudged(UnjudgedPolicy),
-    /// A spread rule is of a level at which the machine's domain is not known.
+    /// A spread rule names a level at which the machine's domain is not known.
     UnknownDomain {
-        /// The level's name.
+        /// Name of the level that the spread rule names.
         level: String,
     },
-    /// The machine's domain has as many of the job's tasks as a spread rule allows.
+    /// The machine's domain already has as many of the job's tasks as a spread rule allows.
     Spread {
-        /// The level's name.
+        /// Name of the level that the spread rule names.
         level: String,
-        /// Most tasks in one domain of the level.
+        /// Maximum number of the job's tasks in one domain of the level.
         max: u32,
     },
     /// The job's other tasks are in another domain of the level.
     Together {
-        /// The level's name.
+        /// Name of the level at which all tasks must share one domain.
         level: String,
     },
-    /// The task would use one more domain of the level than it may.
+    /// The task would use one more domain of the level than the rule allows.
     Fewest {
-        /// The level's name.
+        /// Name of the level whose used domains are limited.
         level: String,
     },
 }
@@ -65,36 +65,37 @@
     }
 }
 
-/// Why a job can never be placed on the machines that the topology file describes.
+/// Reason why a job can never be placed on the machines that the topology file describes.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum InfeasiblePolicy {
-    /// The policy can't be judged.
+    /// The job's policy can't be judged.
     Unjudged(UnjudgedPolicy),
-    /// More devices of a kind are required than any machine has.
+    /// The job requires more device units of a kind than any machine has.
     Devices {
         /// Kind of device.
         kind: String,
-        /// Devices that a task needs on its machine.
+        /// Number of units that a task needs on its machine.
         count: u32,
-        /// Most that one machine has.
+        /// Maximum number of units of this kind that one machine has.
         max: u32,
     },
-    /// The required rules allow fewer tasks at a time than the job runs.
+    /// The required rules allow fewer tasks at the same time than the job must run.
     Tasks {
-        /// Tasks that have to run at a time.
+        /// Number of tasks that must run at the same time.
         at_once: u64,
-        /// Tasks that the rules allow at a time.
+        /// Number of tasks that the rules allow at the same time.
         allowed: u64,
     },
-    /// The same within as many domains of a level as the tasks may use.
+    /// The required rules allow too few tasks at the same time in the limited number of domains
+    /// that the job may use.
     TasksInFewDomains {
-        /// Tasks that have to run at a time.
+        /// Number of tasks that must run at the same time.
         at_once: u64,
-        /// Tasks that the rules allow at a time in so many domains.
+        /// Number of tasks that the rules allow at the same time in `max_domains` domains.
         allowed: u64,
-        /// Most domains of the level that the tasks may use.
+        /// Maximum number of domains of the level that the job's tasks may use.
         max_domains: u32,
-        /// The level's name.
+        /// Name of the level whose used domains are limited.
         level: String,
     },
 }
--- a/crates/topology/src/policy/tally.rs
+++ b/crates/topology/src/policy/tally.rs
@@ -1,21 +1,21 @@
-//! How many of a job's tasks are in each failure domain that its rules look at.
+//! Counts of a job's tasks in each failure domain that the job's placement rules name.
 
 use std::collections::BTreeMap;
 
 use super::Policy;
 use crate::tree::{Domain, Level, Tree};
 
-/// Where a machine is, as far as rules see it.
+/// Location of a machine, as placement rules see it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct MachineLocation<'a> {
-    /// The innermost domain that is known.
+    /// Innermost failure domain that is known to contain the machine.
     pub place: Domain,
-    /// The machine's id; empty of one that is not there yet.
+    /// Id of the machine, or an empty string if the machine is not rented yet.
     pub machine: &'a str,
 }
 
 impl MachineLocation<'_> {
-    /// Its domain of a level; none if that is not known.
+    /// Returns the machine's domain at a level, or `None` if it is not known.
     pub(super) fn domain(self, tree: &Tree, level: Level) -> Option<DomainKey> {
         if tree.is_machine(level) {
             return Some(DomainKey::Machine(self.machine.to_owned()));
@@ -24,30 +24,30 @@
     }
 }
 
-/// A domain of any level: those of the innermost are the machines.
+/// Key of a domain at any level. At the innermost level, each machine is a domain of its
+/// own.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum DomainKey {
     Domain(Domain),
     Machine(String),
 }
 
-/// How many of a job's tasks are in each domain of a level.
+/// Number of a job's tasks in each domain of one level.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Counts {
     pub(super) by_domain: BTreeMap<DomainKey, u32>,
-    /// Tasks whose domain is not known.
+    /// Number of tasks whose domain is not known.
     pub(super) unknown: u32,
 }
 
-/// How many of a job's tasks are in each domain of one level.
+/// Task counts of one level, with the level that they belong to.
 #[derive(Clone, Debug)]
 struct LevelCounts {
     level: Level,
     counts: Counts,
 }
 
-/// How many of a job's tasks are in each domain of each level that a rule of
-/// its policy names.
+/// Number of a job's tasks in each domain of each level that the policy's rules name.
 #[derive(Clone, Debug, Default)]
 pub struct Tally {
     levels: Vec<LevelCounts>,
@@ -66,7 +66,7 @@
         }
     }
 
-    /// How many tasks were counted.
+    /// Returns the number of tasks that were counted.
     pub(super) fn total(&self) -> u32 {
         self.total
     }
@@ -84,7 +84,8 @@
 }
 
 impl Policy {
-    /// Counts a job's tasks. A task without a location may be anywhere.
+    /// Counts a job's tasks by domain. A task without a location counts as one whose domain is
+    /// not known.
     pub fn tally<'a>(
         &self,
         tree: &Tree,
@@ -97,7 +98,7 @@
         tally
     }
 
-    /// The levels that rules name, the outermost first.
+    /// Returns the levels that the rules name, outermost first.
     fn levels(&self) -> Vec<Level> {
         let mut levels: Vec<Level> = self
             .spread
@@ -111,7 +112,7 @@
         levels
     }
 
-    /// Counts one more task.
+    /// Adds one more task to the counts. `None` means that the task's location is not known.
     pub fn count(&self, tree: &Tree, tally: &mut Tally, task: Option<MachineLocation<'_>>) {
         tally.total += 1;
         for LevelCounts { level, counts } in &mut tally.levels {
--- a/crates/topology/src/renting.rs
+++ b/crates/topology/src/renting.rs
@@ -1,6 +1,8 @@
-//! The cloud picks the rack: a machine is rented, looked at, and kept or given
-//! back. What came where is remembered, so that the next try is a better one,
-//! and how many are tried at a time is bounded.
+//! Memory of the domains in which rented machines came up.
+//!
+//! The cloud chooses the rack of a rented machine, so the scheduler rents a machine, checks
+//! its place, and keeps or returns it. The memory of earlier arrivals improves the next
+//! attempt. The number of such attempts in flight is limited.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -8,35 +10,36 @@
 
 use crate::tree::Domain;
 
-/// Machines that the cloud offers as one.
+/// Machines that the cloud rents out interchangeably: one type, one zone, spot or
+/// on-demand.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct MachinePool {
-    /// Type.
+    /// Machine type of the pool.
     pub kind: TypeName,
-    /// Zone.
+    /// Zone of the pool's machines.
     pub zone: Zone,
-    /// Spot machines.
+    /// Whether the pool has spot machines.
     pub spot: bool,
 }
 
-/// Most arrivals that are remembered of a pool.
+/// Maximum number of arrivals of machines that are remembered for each pool.
 const MAX_SEEN: usize = 64;
 
-/// A machine that came up.
+/// A rented machine that came up at a time and place.
 #[derive(Clone, Debug)]
 struct Arrival {
     at: Time,
     place: Domain,
 }
 
-/// Where machines came up of late.
+/// Recent arrivals of rented machines, by machine pool.
 #[derive(Clone, Debug, Default)]
 pub struct Memory {
     seen: BTreeMap<MachinePool, VecDeque<Arrival>>,
 }
 
 impl Memory {
-    /// A machine of a pool came up.
+    /// Records that a machine of a pool came up at a place.
     pub fn came(&mut self, pool: MachinePool, place: Domain, now: Time) {
         let seen = self.seen.entry(pool).or_default();
         seen.push_back(Arrival { at: now, place });
@@ -45,7 +48,7 @@
         }
     }
 
-    /// Forgets what came more than `remember_s` seconds ago.
+    /// Removes arrivals that are at least `remember_s` seconds old.
     pub fn tidy(&mut self, remember_s: f64, now: Time) {
         for seen in self.seen.values_mut() {
             seen.retain(|arrival| now.since(arrival.at) < remember_s);
@@ -53,9 +56,10 @@
         self.seen.retain(|_, seen| !seen.is_empty());
     }
 
-    /// How likely the next machine of a pool comes up where it is wanted, from
-    /// what came of late: the share that did, with one good and one bad try
-    /// taken as seen, so that nothing is ever certain.
+    /// Estimates the probability that the next machine of a pool comes up in a wanted domain.
+    ///
+    /// The estimate is the share of wanted places among recent arrivals. It counts one extra
+    /// success and one extra failure, so that it is never exactly 0 or 1.
     pub fn chance(&self, pool: &MachinePool, wanted: &dyn Fn(Domain) -> bool) -> f64 {
         let seen = self.seen.get(pool);
         let (good, all) = seen.map_or((0, 0), |seen| {
@@ -66,8 +70,10 @@
     }
 }
 
-/// How many machines to rent for `wanted` tasks that need other domains, when
-/// so many such tries are on their way: never more than the bound.
+/// Returns how many machines to rent for `wanted` tasks that need other domains, with
+/// `on_the_way` such rentals in flight.
+///
+/// The result brings the rentals in flight to `overshoot` at most.
 pub fn tries(wanted: u32, on_the_way: u32, overshoot: u32) -> u32 {
     wanted.min(overshoot.saturating_sub(on_the_way))
 }
--- a/crates/topology/src/settings.rs
+++ b/crates/topology/src/settings.rs
@@ -1,5 +1,6 @@
-//! The operator's file, see `docs/topology.md`. Its JSON Schema is generated
-//! from these types and committed as `deploy/topology.schema.json`.
+//! Settings of the operator's topology file, described in `docs/topology.md`. The JSON
+//! Schema of the file is generated from these types and committed as
+//! `deploy/topology.schema.json`.
 
 mod build;
 
@@ -14,13 +15,13 @@
 
 pub(crate) use self::build::InventoryRule;
 
-/// What is wrong with the file: the line, or the path to the wrong field.
+/// Error in the topology file, with the line or the path of the wrong field.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum SettingsError {
-    /// It is not TOML, or not of the format.
+    /// The text is not TOML or does not follow the file's format.
     #[error(transparent)]
     Toml(#[from] MalformedToml),
-    /// A field is not valid.
+    /// A field of the file has a value that is not valid.
     #[error(transparent)]
     Field(#[from] InvalidField),
 }
@@ -31,23 +32,24 @@
         .to_vec()
 }
 
-/// Machines of a domain. A machine's name counts before patterns, and these
-/// before networks; of networks, the longest prefix.
+/// Machines of one failure domain. A machine's name has precedence over patterns, and
+/// patterns have precedence over networks. Among networks, the longest prefix counts.
 #[derive(Clone, Debug, Deserialize, JsonSchema, Validate)]
 #[serde(deny_unknown_fields)]
 pub struct Place {
-    /// Path from the zone on: `danang-rack/r1/s1`.
+    /// Path of the domain from the zone on, such as `danang-rack/r1/s1`.
     #[garde(length(bytes, min = 1, max = 200))]
     pub domain: String,
-    /// Machines by name.
+    /// Names of machines in the domain.
     #[serde(default)]
     #[garde(length(max = 100_000), inner(length(bytes, min = 1, max = 200)))]
     pub machines: Vec<String>,
-    /// Machines by pattern of names: `*` any text, `?` one character.
+    /// Patterns of machine names in the domain. `*` matches any text and `?` matches one
+    /// character.
     #[serde(default)]
     #[garde(length(max = 1_000), inner(length(bytes, min = 1, max = 200)))]
     pub patterns: Vec<String>,
-    /// Machines by the network that their address lies in.
+    /// Networks whose machines are in the domain, by the machines' addresses.
     #[serde(default)]
     #[schemars(with = "Vec<String>")]
     #[garde(length(max = 100_000))]
@@ -58,70 +60,69 @@
     1
 }
 
-/// Units of a kind on machines. All entries that name a machine count.
+/// Device units of one kind on a set of machines. All entries that name a machine add up.
 #[derive(Clone, Debug, Deserialize, JsonSchema, Validate)]
 #[serde(deny_unknown_fields)]
 pub struct DeviceEntry {
-    /// Kind.
+    /// Kind of device, which jobs name in their placement rules.
     #[garde(length(bytes, min = 1, max = 64))]
     pub kind: String,
-    /// Machines by name.
+    /// Names of machines that have these units.
     #[serde(default)]
     #[garde(length(max = 100_000), inner(length(bytes, min = 1, max = 200)))]
     pub machines: Vec<String>,
-    /// Machines by pattern of names.
+    /// Patterns of names of machines that have these units.
     #[serde(default)]
     #[garde(length(max = 1_000), inner(length(bytes, min = 1, max = 200)))]
     pub patterns: Vec<String>,
-    /// Machines by network.
+    /// Networks whose machines have these units.
     #[serde(default)]
     #[schemars(with = "Vec<String>")]
     #[garde(length(max = 10_000))]
     pub networks: Vec<IpNet>,
-    /// Machines by type.
+    /// Machine types whose machines have these units.
     #[serde(default)]
     #[garde(length(max = 1_000), inner(length(bytes, min = 1, max = 200)))]
     pub types: Vec<String>,
-    /// How many units there are; they are called `0`, `1` and on. Instead of
-    /// `units`.
+    /// Number of units, which are named `0`, `1` and so on. Excludes `units`.
     #[serde(default)]
     #[garde(range(min = 1, max = 64))]
     pub count: Option<u32>,
-    /// The units' names. Instead of `count`.
+    /// Names of the units. Excludes `count`.
     #[serde(default)]
     #[garde(length(max = 64), inner(length(bytes, min = 1, max = 40)))]
     pub units: Vec<String>,
-    /// How many tasks may hold one unit at a time.
+    /// Maximum number of tasks that may use one unit at the same time.
     #[serde(default = "one")]
     #[garde(range(min = 1, max = 1_000))]
     pub share: u32,
-    /// Units that are out of order.
+    /// Names of units that are broken and are not given to tasks.
     #[serde(default)]
     #[garde(length(max = 64))]
     pub broken: Vec<String>,
 }
 
-/// What is asked for all jobs of a class, beside what each asks itself.
+/// Placement rules for all jobs of a class, in addition to each job's own rules.
 #[derive(Clone, Debug, Deserialize, JsonSchema, Validate)]
 #[serde(deny_unknown_fields)]
 pub struct ClassPolicy {
-    /// The class.
+    /// Job class to which the rules apply.
     #[garde(length(bytes, min = 1, max = 200))]
     pub class: String,
-    /// The wishes.
+    /// Placement rules of the class.
     #[garde(dive)]
     pub wishes: PlacementRules,
 }
 
-/// Spreading again what piled up.
+/// Pace of moving tasks to restore their spread over domains.
 #[derive(Clone, Debug, Deserialize, JsonSchema, Validate)]
 #[serde(deny_unknown_fields, default)]
 pub struct Repair {
-    /// Seconds between two moves.
+    /// Minimum time between two moves, in seconds.
     #[garde(range(min = 1.0, max = 86_400.0))]
     pub every_s: f64,
-    /// For how long a domain must have lost no machine before anything is
-    /// moved back into it.
+    /// Time in seconds for which a domain must not have lost a machine before tasks are moved
+    /// back into it.
     #[garde(range(min = 0.0, max = 86_400.0))]
     pub settle_s: f64,
 }
@@ -135,16 +136,16 @@
     }
 }
 
-/// Renting for rules that the machines there are can't meet.
+/// Renting of machines for placement rules that the rented machines can't meet.
 #[derive(Clone, Debug, Deserialize, JsonSchema, Validate)]
 #[serde(deny_unknown_fields, default)]
 pub struct Renting {
-    /// The most machines on their way at a time for the sake of where they may
-    /// come up.
+    /// Maximum number of machines that may be starting at the same time in the hope that they
+    /// come up in a needed domain.
     #[garde(range(max = 1_000))]
     pub overshoot: u32,
-    /// For how long it is remembered which types and zones brought which
-    /// domains.
+    /// Time in seconds for which the controller remembers in which domains machines of each
+    /// type and zone came up.
     #[garde(range(min = 1.0, max = 86_400.0))]
     pub remember_s: f64,
 }
@@ -158,15 +159,15 @@
     }
 }
 
-/// Gangs that find no room.
+/// Reservation of machines for gangs that don't fit into the free capacity.
 #[derive(Clone, Debug, Deserialize, JsonSchema, Validate)]
 #[serde(deny_unknown_fields, default)]
 pub struct Gangs {
-    /// The largest part of all machines' CPUs that is held for gangs.
+    /// Maximum share of all machines' CPUs that may be reserved for gangs.
     #[garde(range(min = 0.0, max = 1.0))]
     pub held: f64,
-    /// For how long machines are held for one gang before the next has its
-    /// turn.
+    /// Time in seconds for which machines stay reserved for one gang before the next gang gets
+    /// its turn.
     #[garde(range(min = 1.0, max = 86_400.0))]
     pub hold_s: f64,
 }
@@ -180,51 +181,51 @@
     }
 }
 
-/// The file.
+/// Topology file of the operator: places and devices of machines, and placement rules.
 #[derive(Clone, Debug, Deserialize, JsonSchema, Validate)]
 #[serde(deny_unknown_fields)]
 pub struct Settings {
-    /// Version of the format: 1.
+    /// Version of the file's format, which is 1.
     #[garde(range(min = 1, max = 1))]
     pub version: u32,
-    /// Levels, outermost first. The first is what the cloud calls a zone, the
-    /// last the machine itself.
+    /// Names of the levels of failure domains, outermost first. The first level is the cloud's
+    /// zone and the last level is the machine itself.
     #[serde(default = "levels")]
     #[garde(length(min = 2, max = 8), inner(length(bytes, min = 1, max = 64)))]
     pub levels: Vec<String>,
-    /// Where machines are.
+    /// Failure domains and their machines.
     #[serde(default)]
     #[garde(length(max = 100_000), dive)]
     pub place: Vec<Place>,
-    /// What is attached to them.
+    /// Devices and the machines that have them.
     #[serde(default)]
     #[garde(length(max = 10_000), dive)]
     pub device: Vec<DeviceEntry>,
-    /// What classes ask.
+    /// Placement rules of job classes.
     #[serde(default)]
     #[garde(length(max = 1_000), dive)]
     pub policy: Vec<ClassPolicy>,
-    /// Spreading again what piled up.
+    /// Pace of moving tasks to restore their spread over domains.
     #[serde(default)]
     #[garde(dive)]
     pub repair: Repair,
-    /// Renting for rules.
+    /// Renting of machines for placement rules that the rented machines can't meet.
     #[serde(default)]
     #[garde(dive)]
     pub renting: Renting,
-    /// Gangs.
+    /// Reservation of machines for gangs that don't fit into the free capacity.
     #[serde(default)]
     #[garde(dive)]
     pub gangs: Gangs,
 }
 
 impl Settings {
-    /// Reads and validates; the tree and the rules are checked by what is
-    /// built from them.
+    /// Parses the topology file and validates each field. Building the tree and the inventory
+    /// rules checks the rest.
     ///
     /// # Errors
     ///
-    /// The line that is no TOML, or the first field that is out of range.
+    /// Returns the line that is not valid TOML, or the first field that is out of range.
     pub fn parse(text: &str) -> Result<Self, SettingsError> {
         let settings: Self = toml::from_str(text).map_err(|e| MalformedToml::new(text, &e))?;
         settings
@@ -242,7 +243,7 @@
         Ok(settings)
     }
 
-    /// The file's JSON Schema.
+    /// Returns the JSON Schema of the topology file as pretty-printed text.
     pub fn schema() -> String {
         let schema = schemars::schema_for!(Settings);
         serde_json::to_string_pretty(&schema).unwrap_or_default() + "\n"
--- a/crates/topology/src/settings/build.rs
+++ b/crates/topology/src/settings/build.rs
@@ -1,4 +1,5 @@
-//! What is made from the file: the tree, who is where, and who has which units.
+//! Structures built from the topology file: the tree of domains, the index of machines'
+//! places, and the device units of machines.
 
 use std::collections::BTreeSet;
 
@@ -11,19 +12,20 @@
 use crate::finder::{Finder, Matcher};
 use crate::tree::{Domain, Tree};
 
-/// Units that the file gives to machines.
+/// Device units that one entry of the topology file assigns to a set of machines.
 #[derive(Debug)]
 pub(crate) struct InventoryRule {
-    /// Machines by name, pattern and network.
+    /// Machines that the entry names by name, pattern or network.
     pub matcher: Matcher,
-    /// Machines by type.
+    /// Machine types whose machines have these units.
     pub types: Vec<String>,
-    /// The units.
+    /// Device units that each of these machines has.
     pub device_inventory: DeviceInventory,
 }
 
 impl DeviceEntry {
-    /// The units and who has them; `at` is the path to the entry.
+    /// Validates this device entry and returns its units and machines. `at` is the path of the
+    /// entry for errors.
     fn device_inventory(&self, at: &str) -> Result<InventoryRule, InvalidField> {
         let wrong = |field: &str, why: &str| InvalidField::value(format!("{at}.{field}"), why);
         if self.count.is_some() != self.units.is_empty() {
@@ -75,7 +77,7 @@
 }
 
 impl Settings {
-    /// The tree of all domains that are named.
+    /// Builds the tree of all failure domains that the topology file names.
     pub(crate) fn tree(&self) -> Result<Tree, SettingsError> {
         for (i, place) in self.place.iter().enumerate() {
             let at = format!("topology.place[{i}].domain");
@@ -87,7 +89,7 @@
         Ok(tree.map_err(|why| InvalidField::value("topology.place", why.to_string()))?)
     }
 
-    /// Which place each machine has.
+    /// Builds the index that finds the domain of a machine.
     pub(crate) fn finder(&self, tree: &Tree) -> Result<Finder<Domain>, SettingsError> {
         let mut finder = Finder::default();
         for (i, place) in self.place.iter().enumerate() {
@@ -114,7 +116,7 @@
         Ok(finder)
     }
 
-    /// The entries of devices, checked.
+    /// Validates all device entries and returns their units and machines.
     pub(crate) fn inventory_rules(&self) -> Result<Vec<InventoryRule>, SettingsError> {
         let entries = self.device.iter().enumerate();
         entries
@@ -122,7 +124,8 @@
             .collect()
     }
 
-    /// Classes ask only for levels and kinds of devices that are described.
+    /// Checks that the rules of classes name only levels and device kinds that the file
+    /// describes.
     pub(crate) fn check_policies(&self, tree: &Tree) -> Result<(), SettingsError> {
         let kinds: BTreeSet<&str> = self.device.iter().map(|d| d.kind.as_str()).collect();
         for (i, policy) in self.policy.iter().enumerate() {
@@ -134,7 +137,8 @@
     }
 }
 
-/// All levels that rules name are in the tree.
+/// Checks that the tree has all levels that the rules name. `at` is the path of the rules
+/// for errors.
 fn check_levels(rules: &PlacementRules, at: &str, tree: &Tree) -> Result<(), InvalidField> {
     let spread = rules.spread.iter().enumerate();
     let levels = spread
@@ -150,7 +154,8 @@
     Ok(())
 }
 
-/// All kinds of devices that rules name are described.
+/// Checks that the file describes all device kinds that the rules name. `at` is the path of
+/// the rules for errors.
 fn check_kinds(
     rules: &PlacementRules,
     at: &str,
--- a/crates/topology/src/tree.rs
+++ b/crates/topology/src/tree.rs
@@ -1,19 +1,21 @@
-//! Failure domains as a tree, numbered in depth-first order: a domain and all
-//! that lies within it are one range of numbers, so an index ordered by number
-//! skips a whole domain at once.
+//! Tree of failure domains, numbered in depth-first order.
+//!
+//! A domain and everything inside it form one contiguous range of numbers. An index sorted
+//! by these numbers can therefore skip a whole domain at once.
 
 use std::collections::{BTreeMap, HashMap};
 use std::ops::Range;
 
-/// A domain's number. Everything lies in [`ROOT`]; a machine there is somewhere.
+/// Number of a failure domain. Every domain is inside [`ROOT`]. A machine whose domain is
+/// [`ROOT`] has no known place.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Domain(pub u32);
 
 impl Domain {
-    /// Above all domains' numbers.
+    /// Upper bound that is greater than the number of every domain.
     pub const END: Self = Self(u32::MAX);
 
-    /// The next number.
+    /// Returns the number that follows this one.
     #[must_use]
     pub fn next(self) -> Self {
         Self(self.0 + 1)
@@ -24,15 +26,15 @@
     }
 }
 
-/// All domains together, and the place of a machine of which nothing is known.
+/// Domain that contains all others. A machine whose place is not known has this domain.
 pub const ROOT: Domain = Domain(0);
 
-/// A level of the tree, outermost first. The zone is level 0.
+/// Level of the tree of failure domains, outermost first. Zones are level 0.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Level(pub u8);
 
 impl Level {
-    /// The next level inwards.
+    /// Returns the next level inwards.
     #[must_use]
     pub fn inner(self) -> Self {
         Self(self.0 + 1)
@@ -42,7 +44,7 @@
         usize::from(self.0)
     }
 
-    /// A domain's depth at this level; the root has 0.
+    /// Returns the depth of domains at this level. The root has depth 0.
     fn depth(self) -> u8 {
         self.0 + 1
     }
@@ -51,15 +53,15 @@
 #[derive(Clone, Debug)]
 struct Node {
     path: String,
-    /// 0 for the root, 1 for zones.
+    /// Depth of the domain in the tree: 0 for the root and 1 for zones.
     depth: u8,
     parent: Domain,
-    /// The first number that is not within it.
+    /// First number that is no longer inside the domain.
     end: Domain,
 }
 
-/// All failure domains. Domains are numbered depth first, so a domain and what lies
-/// within it are one range of numbers.
+/// All failure domains. Domains are numbered depth first, so a domain and everything inside
+/// it form one range of numbers.
 #[derive(Clone, Debug)]
 pub struct Tree {
     levels: Vec<String>,
@@ -67,14 +69,15 @@
     by_path: HashMap<String, Domain>,
 }
 
-/// A domain by names, before it has a number.
+/// A domain by name, before it has a number.
 #[derive(Default)]
 struct Branch {
     inner: BTreeMap<String, Branch>,
 }
 
 impl Branch {
-    /// Adds a domain and all that it lies in; `levels` counts the machine.
+    /// Adds the domain of a path and all domains that contain it. `levels` includes the machine
+    /// level.
     fn add(&mut self, path: &str, levels: usize) -> Result<(), PathError> {
         let names: Vec<&str> = path.split('/').collect();
         if names.len() >= levels {
@@ -94,7 +97,7 @@
         Ok(())
     }
 
-    /// Numbers it and what lies within it, depth first.
+    /// Numbers this domain and everything inside it, depth first.
     fn number(&self, nodes: &mut Vec<Node>, path: &str, depth: u8, parent: Domain) {
         let at = nodes.len();
         nodes.push(Node {
@@ -115,31 +118,36 @@
     }
 }
 
-/// Why a path names no domain.
+/// Reason why a path does not name a domain.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum PathError {
-    /// It has as many names as there are levels, or more.
+    /// The path has a name for the machine level or for levels below it, and domains are only
+    /// above the machine level.
     #[error("{path:?} names {named} levels; above the machine there are {above}")]
     TooDeep {
-        /// The path.
+        /// Path that has too many names.
         path: String,
-        /// How many levels it names.
+        /// Number of levels that the path names.
         named: usize,
-        /// How many there are above the machine.
+        /// Number of levels above the machine level.
         above: usize,
     },
-    /// A name in it is empty or has spaces.
+    /// A name in the path is empty or contains whitespace.
     #[error("{0:?} has a name that is empty or has spaces")]
     Name(String),
 }
 
 impl Tree {
-    /// A tree of the named levels, outermost first, the last one being the
-    /// machine itself, with these domains and all that they lie in. A path
-    /// names one domain of each level from the outermost on, `zone/rack`.
+    /// Builds a tree of the given levels and domains.
+    ///
+    /// `levels` lists the level names, outermost first, and the last one is the machine itself.
+    /// A path such as `zone/rack` names one domain of each level from the outermost on. The
+    /// tree also gets all domains that contain a listed one.
     ///
     /// # Errors
-    /// A path with an empty name or with more names than there are levels.
+    ///
+    /// Returns an error for a path that has an empty name, a name with whitespace, or a name
+    /// for the machine level.
     pub fn new<'a>(
         levels: &[String],
         paths: impl IntoIterator<Item = &'a str>,
@@ -166,41 +174,41 @@
         &self.nodes[domain.index().min(self.nodes.len() - 1)]
     }
 
-    /// The level of this name. The innermost is the machine, see
+    /// Returns the level with this name. The innermost level is the machine, see
     /// [`Tree::is_machine`].
     pub fn level(&self, name: &str) -> Option<Level> {
         let at = self.levels.iter().position(|l| l == name)?;
         Some(Level(at as u8))
     }
-    /// A level's name.
+    /// Returns the name of a level, or `?` if the tree has no such level.
     pub fn level_name(&self, level: Level) -> &str {
         self.levels.get(level.index()).map_or("?", |l| l)
     }
-    /// All levels' names, outermost first.
+    /// Returns the names of all levels, outermost first.
     pub fn levels(&self) -> &[String] {
         &self.levels
     }
-    /// Whether this level's domains are the machines themselves.
+    /// Returns whether the domains of this level are the machines themselves.
     pub fn is_machine(&self, level: Level) -> bool {
         level.index() + 1 >= self.levels.len()
     }
-    /// The domain of this path; the empty path is the root's.
+    /// Returns the domain with this path. The empty path is the root's.
     pub fn find(&self, path: &str) -> Option<Domain> {
         self.by_path.get(path).copied()
     }
-    /// A domain's path.
+    /// Returns the path of a domain.
     pub fn path(&self, domain: Domain) -> &str {
         &self.node(domain).path
     }
-    /// The numbers within a domain, itself included.
+    /// Returns the range of numbers of a domain and everything inside it.
     pub fn range(&self, domain: Domain) -> Range<Domain> {
         domain..self.node(domain).end
     }
-    /// Whether `inner` is `outer` or lies within it.
+    /// Returns whether `inner` is `outer` or is inside it.
     pub fn covers(&self, outer: Domain, inner: Domain) -> bool {
         self.range(outer).contains(&inner)
     }
-    /// The domain of a level that a place lies in; none if that is not known.
+    /// Returns the domain of a level that contains a place, or `None` if it is not known.
     pub fn at(&self, place: Domain, level: Level) -> Option<Domain> {
         let mut domain = place;
         let mut node = self.node(domain);
@@ -213,7 +221,7 @@
         }
         Some(domain)
     }
-    /// All domains of a level.
+    /// Returns all domains of a level.
     pub fn domains(&self, level: Level) -> impl Iterator<Item = Domain> + '_ {
         self.nodes
             .iter()
@@ -221,15 +229,15 @@
             .filter(move |(_, n)| n.depth == level.depth())
             .map(|(i, _)| Domain(i as u32))
     }
-    /// A domain's level; none for the root.
+    /// Returns the level of a domain, or `None` for the root.
     pub fn level_of(&self, domain: Domain) -> Option<Level> {
         self.node(domain).depth.checked_sub(1).map(Level)
     }
-    /// How many domains there are, with the root.
+    /// Returns the number of domains, including the root.
     pub fn len(&self) -> usize {
         self.nodes.len()
     }
-    /// Whether there is none but the root.
+    /// Returns whether the tree has no domain besides the root.
     pub fn is_empty(&self) -> bool {
         self.nodes.len() <= 1
     }
