--- a/crates/protocol/src/cloud.rs
+++ b/crates/protocol/src/cloud.rs
@@ -1,4 +1,4 @@
-//! The cloud's interface (PROTOCOL, "Controller nodes -> cloud").
+//! Messages between controllers and the cloud (PROTOCOL, "Controller nodes -> cloud").
 
 use std::net::SocketAddr;
 
@@ -6,35 +6,37 @@
 
 use crate::types::{Amount, MachineId, MachineType, TypeName, Zone};
 
-/// A machine type.
+/// Machine type in the cloud's answer.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct WireType {
-    /// Name.
+    /// Name of the machine type.
     pub label: String,
-    /// CPUs.
+    /// Number of CPUs of a machine.
     #[serde(default)]
     pub cpus: f64,
-    /// GPUs.
+    /// Number of GPUs of a machine.
     #[serde(default)]
     pub cards: f64,
-    /// Memory.
+    /// Memory of a machine in GB.
     #[serde(default)]
     pub ram_gb: f64,
-    /// Room for cached images.
+    /// Disk space of a machine for cached images, in GB.
     #[serde(default)]
     pub cache_gb: f64,
-    /// How fast images arrive.
+    /// Rate at which a machine fetches images, in GB per second.
     #[serde(default)]
     pub pull_gb_per_s: f64,
-    /// Price an hour.
+    /// Price of an on-demand machine per hour.
     #[serde(default)]
     pub rate: f64,
-    /// Price an hour of a spot machine; none are to be had if absent.
+    /// Price of a spot machine per hour. `None` means that the cloud offers no spot machines of
+    /// this type.
     pub market_price: Option<f64>,
-    /// Usual time until its worker heartbeats.
+    /// Usual time in seconds from the rental of a machine until the first heartbeat of its
+    /// worker.
     #[serde(default)]
     pub startup_s: f64,
-    /// Zones.
+    /// Zones in which the cloud offers this type.
     #[serde(default)]
     pub racks: Vec<String>,
 }
@@ -54,90 +56,90 @@
     }
 }
 
-/// The answer of `GET /machine_types`.
+/// Answer of the cloud to `GET /machine_types`.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct MachineTypeList {
-    /// Types.
+    /// All machine types that the cloud offers.
     #[serde(rename = "builds")]
     pub types: Vec<WireType>,
 }
 
-/// A listed machine's phase.
+/// Phase of a rented machine in the cloud's list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum MachinePhase {
-    /// Not up yet, as far as the list knows.
+    /// The machine has not booted yet, according to the list.
     Booting,
-    /// Up.
+    /// The machine is up.
     Running,
-    /// Stopped by itself.
+    /// The machine stopped without a command.
     Failed,
-    /// Something this version does not know.
+    /// The machine is in a phase that this version does not know.
     #[serde(other)]
     Other,
 }
 
-/// A machine in the list.
+/// Rented machine in the cloud's list.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ListedMachine {
-    /// Name.
+    /// Name of the machine, given by the cloud.
     #[serde(rename = "uid")]
     pub id: MachineId,
-    /// Its worker's address.
+    /// Address of the machine's worker.
     pub addr: Option<SocketAddr>,
-    /// Type.
+    /// Type of the machine.
     #[serde(rename = "build")]
     pub machine_type: TypeName,
-    /// Zone.
+    /// Zone of the machine.
     #[serde(rename = "rack")]
     pub zone: Zone,
-    /// Spot machine.
+    /// Whether the machine is a spot machine.
     #[serde(default)]
     #[serde(rename = "loaners")]
     pub spot: bool,
-    /// Phase.
+    /// Phase of the machine.
     pub phase: MachinePhase,
-    /// Age since its rental.
+    /// Time since the machine was rented, in seconds.
     #[serde(default)]
     #[serde(rename = "held_s")]
     pub age_s: f64,
 }
 
-/// The answer of `GET /rentals`.
+/// Answer of the cloud to `GET /rentals`, with one page of the machine list.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct MachineListPage {
-    /// Machines in the order of their names.
+    /// Rented machines, sorted by name.
     #[serde(rename = "boxes")]
     pub machines: Vec<ListedMachine>,
-    /// Whether there are more.
+    /// Whether more machines follow on the next page.
     #[serde(default)]
     pub truncated: bool,
 }
 
-/// The answer of `POST /rentals`, and the request of `POST /rentals/delete`.
+/// Answer of the cloud to `POST /rentals`, and body of `POST /rentals/delete`.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MachineNames {
-    /// Machines.
+    /// Names of the machines that were rented or are to be deleted.
     #[serde(rename = "boxes")]
     pub machines: Vec<MachineId>,
 }
 
-/// A request for machines.
+/// Request to rent machines, the body of `POST /rentals`.
 #[derive(Clone, Debug, Serialize, Deserialize, PartialEq, Eq)]
 pub struct Rental {
-    /// Unique name, never used twice.
+    /// Unique name of the request, which is never used twice.
     #[serde(rename = "hire")]
     pub request_id: String,
-    /// Type.
+    /// Type of the machines to rent.
     #[serde(rename = "build")]
     pub machine_type: TypeName,
-    /// Zone.
+    /// Zone in which to rent the machines.
     #[serde(rename = "rack")]
     pub zone: Zone,
-    /// Spot machines.
+    /// Whether to rent spot machines.
     #[serde(rename = "loaners")]
     pub spot: bool,
-    /// How many, at most 50.
+    /// Number of machines to rent, at most 50.
     #[serde(rename = "number")]
     pub count: u32,
 }
--- a/crates/protocol/src/invalid.rs
+++ b/crates/protocol/src/invalid.rs
@@ -1,41 +1,41 @@
-//! What is wrong with a text that was read: which field, and why. Operators' files,
-//! jobs' bodies and descriptions are all reported in this way.
+//! Errors in texts that were read, with the wrong field and the reason. Operators' files,
+//! bodies of jobs and task descriptions all report their errors with these types.
 
-/// A field that is not valid. `path` leads to it from the outermost name, as in
+/// Error in one field. `path` leads from the outermost name to the field, as in
 /// `topology.spread[0].max`.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum InvalidField {
-    /// The value is not within what the field allows, or the fields don't go
-    /// together.
+    /// The value is out of the field's range, or the values of several fields contradict each
+    /// other.
     #[error("{path}: {reason}")]
     Value {
-        /// The field.
+        /// Path of the wrong field.
         path: String,
-        /// What is wrong with it.
+        /// Reason why the value is not valid.
         reason: String,
     },
-    /// The text is not of the field's shape.
+    /// The text does not have the form that the field requires.
     #[error("{path}: {reason}")]
     Malformed {
-        /// The field.
+        /// Path of the wrong field.
         path: String,
-        /// What is wrong with it.
+        /// Reason why the text is malformed.
         reason: String,
     },
 }
 
-/// A text that is not TOML, or not of the file's format.
+/// Error in a text that is not TOML or does not follow the file's format.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("line {line}: {reason}")]
 pub struct MalformedToml {
-    /// The line, from 1.
+    /// Number of the wrong line, starting at 1.
     pub line: usize,
-    /// What is wrong there, in one line.
+    /// Reason why the line is wrong, as a text of one line.
     pub reason: String,
 }
 
 impl MalformedToml {
-    /// Where a text that was read is wrong.
+    /// Converts the parser's error for `text` into one with a line number.
     pub fn new(text: &str, error: &toml::de::Error) -> Self {
         let lines_before = error.span().map_or(0, |span| {
             text[..span.start.min(text.len())].matches('\n').count()
@@ -48,7 +48,7 @@
 }
 
 impl InvalidField {
-    /// A value that is not allowed.
+    /// Creates the error for a value that a field does not allow.
     pub fn value(path: impl Into<String>, reason: impl Into<String>) -> Self {
         Self::Value {
             path: path.into(),
@@ -56,7 +56,7 @@
         }
     }
 
-    /// The first complaint of a heartbeat, with the path to the wrong field below `at`.
+    /// Returns the first error of a validation report. `at` is the path of the validated value.
     pub fn first(report: &garde::Report, at: &str) -> Self {
         let first = report.iter().next();
         let reason = first.map_or_else(String::new, |(_, error)| error.to_string());
--- a/crates/protocol/src/lib.rs
+++ b/crates/protocol/src/lib.rs
@@ -1,7 +1,9 @@
-//! What all programs of the project share: ids, counters, times and amounts
-//! ([`types`]), and the JSON of each interface, readable *and* writable, so that
-//! clients, services and stand-ins use the same types. Nothing here decides,
-//! waits or does I/O.
+//! Types that all programs of the project share.
+//!
+//! The module [`types`] has ids, counters, times and amounts. The other modules have the
+//! JSON messages of each interface. All messages can be both read and written, so that
+//! clients, services and emulators use the same types. The crate makes no decisions, never
+//! waits and does no I/O.
 
 pub mod cloud;
 pub mod invalid;
--- a/crates/protocol/src/operators.rs
+++ b/crates/protocol/src/operators.rs
@@ -1,6 +1,8 @@
-//! What operators ask of a controller: `GET /v1/topology`, `POST /v1/drains`
-//! and `POST /v1/undrains`. Not part of PROTOCOL: paths that it does not name,
-//! answered 404 unless the feature is on.
+//! Messages between operators and a controller, for requests such as `GET /v1/topology`,
+//! `POST /v1/drains` and `POST /v1/undrains`.
+//!
+//! PROTOCOL does not name these paths. A controller answers them with 404 unless the
+//! feature is on.
 
 use std::collections::BTreeMap;
 
@@ -18,195 +20,198 @@
     600.0
 }
 
-/// The body of `POST /v1/drains`.
+/// Body of `POST /v1/drains`, which starts a drain.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, Validate)]
 #[serde(deny_unknown_fields)]
 pub struct DrainAsked {
-    /// A domain's path, or a machine's name.
+    /// Path of the domain or name of the machine to drain.
     #[garde(length(bytes, min = 1, max = 200))]
     pub target: String,
-    /// Seconds until nothing is waited for any more.
+    /// Time in seconds until the drain stops all remaining tasks.
     #[serde(default = "default_deadline_s")]
     #[garde(range(min = 0.0, max = 604_800.0))]
     pub deadline_s: f64,
-    /// The most replicas of a job away at a time.
+    /// Maximum number of replicas of one job that the drain may have down at the same time.
     #[serde(default = "one")]
     #[garde(range(min = 1, max = 1_000))]
     pub away: u32,
-    /// Empty machines stay rented.
+    /// Whether machines stay rented after the drain has emptied them.
     #[serde(default)]
     #[garde(skip)]
     pub keep: bool,
 }
 
 impl DrainAsked {
-    /// Whether all values are within their ranges.
+    /// Checks that all values are within their ranges.
     ///
     /// # Errors
     ///
-    /// The first field that is out of range, by its path.
+    /// Returns the path of the first field that is out of range.
     pub fn check(&self) -> Result<(), InvalidField> {
         self.validate()
             .map_err(|report| InvalidField::first(&report, "drain"))
     }
 }
 
-/// Which drain, in the body of `POST /v1/undrains`: `{"target": ...}`.
+/// Drain to end, as the body of `POST /v1/undrains` names it: `{"target": ...}`.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(untagged)]
 pub enum Target {
-    /// By its number.
+    /// The drain with this number.
     Number(u64),
-    /// By what drains.
+    /// The drain of this domain or machine.
     Text(String),
 }
 
-/// The body of `POST /v1/undrains`.
+/// Body of `POST /v1/undrains`, which ends a drain.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct UndrainAsked {
-    /// Which.
+    /// Drain to end.
     pub target: Target,
 }
 
-/// Units of a kind in a domain.
+/// Device units of one kind in a domain.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DeviceShown {
-    /// Units.
+    /// Number of device units in the domain.
     pub units: u32,
-    /// Of these, how many are out of order.
+    /// Number of these units that are broken.
     pub broken: u32,
-    /// To how many tasks one that is in order could be assigned.
+    /// Number of tasks to which units that are not broken could be assigned.
     pub slots: u32,
-    /// To how many one is assigned.
+    /// Number of tasks to which a unit is assigned.
     pub held: u32,
 }
 
-/// A domain and the machines whose place it is.
+/// Failure domain, with counts of the machines whose innermost known domain is this one.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DomainShown {
-    /// Path; empty for machines of which nothing is known.
+    /// Path of the domain. Empty for machines whose place is not known at all.
     pub domain: String,
-    /// Its level.
+    /// Name of the domain's level.
     pub level: String,
-    /// Machines.
+    /// Number of machines in the domain.
     pub machines: u32,
-    /// That may get tasks.
+    /// Number of these machines that may get new tasks.
     pub usable: u32,
-    /// That are drained.
+    /// Number of these machines that are being drained.
     pub draining: u32,
-    /// Tasks there.
+    /// Number of tasks on these machines.
     pub tasks: u32,
-    /// Devices by kind.
+    /// Device units in the domain, by kind.
     #[serde(default)]
     pub devices: BTreeMap<String, DeviceShown>,
 }
 
-/// A drain and how far it is.
+/// Drain and its progress.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct DrainShown {
-    /// Number.
+    /// Number of the drain.
     pub number: u64,
-    /// What drains.
+    /// Path of the domain or name of the machine that is drained.
     pub target: String,
-    /// Seconds until nothing is waited for any more.
+    /// Time in seconds until the drain stops all remaining tasks.
     pub left_s: f64,
-    /// The most replicas of a job away at a time.
+    /// Maximum number of replicas of one job that the drain may have down at the same time.
     pub away: u32,
-    /// Empty machines stay rented.
+    /// Whether machines stay rented after the drain has emptied them.
     pub keep: bool,
-    /// Machines that it covers.
+    /// Number of machines that the drain covers.
     pub machines: u32,
-    /// Of these, how many are empty.
+    /// Number of covered machines that have no tasks.
     pub empty: u32,
-    /// Tasks still there.
+    /// Number of tasks that are still on the covered machines.
     pub tasks: u32,
-    /// Of these, how many are being stopped.
+    /// Number of these tasks that are being stopped.
     pub stopping: u32,
-    /// Nothing is left there.
+    /// Whether no task is left on the covered machines.
     pub done: bool,
 }
 
-/// The answer of `GET /v1/topology`.
+/// Answer to `GET /v1/topology`.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct TopologyShown {
-    /// Levels, outermost first.
+    /// Names of the levels of failure domains, outermost first.
     pub levels: Vec<String>,
-    /// Domains.
+    /// Failure domains and the machines in them.
     pub domains: Vec<DomainShown>,
     /// Machines whose innermost domain is not known.
     pub unplaced: Vec<MachineId>,
-    /// Drains.
+    /// All recorded drains with their progress.
     pub drains: Vec<DrainShown>,
 }
 
-/// One team in one shard.
+/// Use of one shard by one team.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct TeamShown {
-    /// Its name.
+    /// Name of the team.
     pub team: String,
-    /// CPUs of its limit that are this shard's part.
+    /// Part of the team's CPU limit that this shard has.
     pub part_cpus: f64,
-    /// CPUs used; none: the shard's owner has not reported lately.
+    /// CPUs that the team uses in the shard. `None` means that the shard's owner has not
+    /// reported lately.
     pub used_cpus: Option<f64>,
-    /// CPUs that wait to be placed; likewise.
+    /// CPUs of the team's tasks that wait to be placed in the shard. `None` means that the
+    /// shard's owner has not reported lately.
     pub waiting_cpus: Option<f64>,
 }
 
-/// One shard.
+/// Shard, with its owner and its load.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct ShardShown {
-    /// Its number.
+    /// Number of the shard.
     #[serde(rename = "block")]
     pub shard: u32,
-    /// Its owner, as recorded.
+    /// Controller that owns the shard, as recorded.
     pub owner: Option<String>,
-    /// Whether that lives.
+    /// Whether the shard's owner is alive.
     pub alive: bool,
-    /// Its grant's number.
+    /// Number of the shard's current grant.
     pub grant: u64,
-    /// To whom it is offered.
+    /// Controller to which the shard is offered.
     pub to: Option<String>,
-    /// The controller that an operator pinned it to.
+    /// Controller to which an operator pinned the shard.
     pub pin: Option<String>,
-    /// Machines, up and on their way; none: its owner has not reported lately.
+    /// Number of machines of the shard, both running and starting. `None` means that the
+    /// shard's owner has not reported lately.
     pub machines: Option<u32>,
-    /// Why its owner has it.
+    /// Reason why the owner has the shard.
     pub why: String,
-    /// Teams.
+    /// Use of the shard by each team.
     pub teams: Vec<TeamShown>,
 }
 
-/// The answer of `GET /v1/blocks`.
+/// Answer to `GET /v1/blocks`.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct ShardsShown {
-    /// Who leads.
+    /// Controller that is the leader.
     pub leader: Option<String>,
     /// All shards.
     #[serde(rename = "blocks")]
     pub shards: Vec<ShardShown>,
 }
 
-/// The body of `POST /v1/blocks`: pins a shard, or takes its pin off.
+/// Body of `POST /v1/blocks`, which pins a shard to a controller or removes its pin.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize, Validate)]
 #[serde(deny_unknown_fields)]
 pub struct PinAsked {
-    /// Which.
+    /// Number of the shard to pin.
     #[garde(range(max = 1_000))]
-    // By its name on the wire, which the texts of refusals quote.
+    // The field has its name on the wire, because the texts of refused requests quote it.
     pub block: u32,
-    /// To which controller; none: to none.
+    /// Controller to which to pin the shard. `None` removes the pin.
     #[serde(default)]
     #[garde(inner(length(bytes, min = 1, max = 200)))]
     pub to: Option<String>,
 }
 
 impl PinAsked {
-    /// Whether all values are within their ranges.
+    /// Checks that all values are within their ranges.
     ///
     /// # Errors
     ///
-    /// The first field that is out of range, by its path.
+    /// Returns the path of the first field that is out of range.
     pub fn check(&self) -> Result<(), InvalidField> {
         self.validate()
             .map_err(|report| InvalidField::first(&report, "blocks"))
--- a/crates/protocol/src/placement.rs
+++ b/crates/protocol/src/placement.rs
@@ -1,7 +1,9 @@
-//! What a job asks of the topology: the optional field `topology` of a job's
-//! body, and the same words in an operator's policy for a class. PROTOCOL says
-//! of unknown fields that they are ignored, and so is this one unless the
-//! feature is on.
+//! Placement rules of jobs for the topology of machines. Users give them in the optional
+//! field `topology` of a job's body, and operators give the same fields in a policy for a
+//! class.
+//!
+//! PROTOCOL requires that unknown fields are ignored. A controller also ignores `topology`
+//! unless the topology feature is on.
 //!
 //! ```json
 //! {"spread":   [{"level": "switch", "most": 1, "must": true}],
@@ -23,118 +25,121 @@
     1
 }
 
-/// How far a job's tasks are to be apart. With neither `most` nor `share`, the
-/// tasks go evenly over the domains there are.
+/// Rule that spreads a job's tasks over the domains of a level. With neither `most` nor
+/// `share`, the tasks are spread evenly over all domains.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema, Validate)]
 #[serde(deny_unknown_fields)]
 pub struct Spread {
-    /// Level whose domains count.
+    /// Name of the level whose domains the rule counts.
     #[garde(length(bytes, min = 1, max = 64))]
     pub level: String,
-    /// The most tasks in one domain.
+    /// Maximum number of the job's tasks in one domain.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     #[garde(range(min = 1))]
-    // By its name on the wire, which the texts of refusals quote.
+    // The field has its name on the wire, because the texts of refused requests quote it.
     pub most: Option<u32>,
-    /// The largest share of the job's tasks in one domain, above 0 up to 1,
-    /// rounded up.
+    /// Maximum share of the job's tasks in one domain, above 0 and up to 1. The resulting
+    /// number of tasks is rounded up.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     #[garde(range(min = 0.0001, max = 1.0))]
     pub share: Option<f64>,
-    /// Required rather than preferred.
+    /// Whether the rule is required. Otherwise, it is preferred.
     #[serde(default = "yes")]
     #[garde(skip)]
     pub must: bool,
 }
 
-/// That a job's tasks are to be in one domain.
+/// Rule that puts all tasks of a job into one domain of a level.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema, Validate)]
 #[serde(deny_unknown_fields)]
 pub struct Together {
-    /// Level whose domains count.
+    /// Name of the level whose domains the rule counts.
     #[garde(length(bytes, min = 1, max = 64))]
     pub level: String,
-    /// Required rather than preferred.
+    /// Whether the rule is required. Otherwise, it is preferred.
     #[serde(default = "yes")]
     #[garde(skip)]
     pub must: bool,
 }
 
-/// That a job's tasks are to be in few domains.
+/// Rule that puts a job's tasks into few domains of a level.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema, Validate)]
 #[serde(deny_unknown_fields)]
 pub struct Fewest {
-    /// Level whose domains count.
+    /// Name of the level whose domains the rule counts.
     #[garde(length(bytes, min = 1, max = 64))]
     pub level: String,
-    /// The most domains; 0: as few as there is room in.
+    /// Maximum number of domains that the tasks may use. 0 means as few domains as have the
+    /// capacity for them.
     #[serde(default)]
     #[garde(skip)]
     #[serde(rename = "most")]
     pub max: u32,
-    /// Required rather than preferred.
+    /// Whether the rule is required. Otherwise, it is preferred.
     #[serde(default = "yes")]
     #[garde(skip)]
     pub must: bool,
 }
 
-/// A device that each task needs.
+/// Device that each task of a job needs.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema, Validate)]
 #[serde(deny_unknown_fields)]
 pub struct Device {
-    /// Kind, as in the inventory.
+    /// Kind of device, as in the inventory of the topology file.
     #[garde(length(bytes, min = 1, max = 64))]
     pub kind: String,
-    /// How many units.
+    /// Number of device units that each task needs.
     #[serde(default = "one")]
     #[garde(range(min = 1, max = 64))]
     pub count: u32,
-    /// Required rather than preferred: a task with a preferred device starts
-    /// without one where none is free.
+    /// Whether the device is required. Otherwise, it is preferred, and a task starts without it
+    /// if no unit is free.
     #[serde(default = "yes")]
     #[garde(skip)]
     pub must: bool,
 }
 
-/// Everything that a job asks.
+/// All placement rules of a job or of a class.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize, JsonSchema, Validate)]
 #[serde(deny_unknown_fields)]
-// The published schemas call it so.
+// The published schemas call this type `Wishes`.
 #[schemars(rename = "Wishes")]
 pub struct PlacementRules {
-    /// To be apart.
+    /// Rules that spread the job's tasks over domains.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     #[garde(length(max = 16), dive)]
     pub spread: Vec<Spread>,
-    /// To be together.
+    /// Rule that puts all tasks of the job into one domain.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     #[garde(dive)]
     pub together: Option<Together>,
-    /// To be in few domains.
+    /// Rule that puts the job's tasks into few domains.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     #[garde(dive)]
     pub fewest: Option<Fewest>,
-    /// Devices.
+    /// Devices that each task of the job needs.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     #[garde(length(max = 16), dive)]
     pub devices: Vec<Device>,
-    /// They are not known any more, so its tasks may hold anything.
+    /// Whether the job's rules were lost. The job's tasks may then use any device.
     #[serde(skip)]
     #[garde(skip)]
     pub lost: bool,
 }
 
 impl PlacementRules {
-    /// Whether nothing is asked.
+    /// Returns whether there are no rules.
     pub fn is_empty(&self) -> bool {
         *self == Self::default()
     }
 
-    /// Reads the field `topology` of a job's body; the error names the place.
+    /// Reads the placement rules from the field `topology` of a job's body.
+    ///
+    /// Returns `None` if the field is missing, null or without rules.
     ///
     /// # Errors
     ///
-    /// The first field that is malformed or out of range, by its path.
+    /// Returns the path of the first field that is malformed or out of range.
     pub fn read(value: &serde_json::Value) -> Result<Option<Self>, InvalidField> {
         let Some(field) = value.get("topology").filter(|v| !v.is_null()) else {
             return Ok(None);
@@ -147,11 +152,12 @@
         Ok(Some(rules).filter(|w| !w.is_empty()))
     }
 
-    /// Whether all values are within their ranges; `at` is where they stand.
+    /// Checks that all values are within their ranges. `at` is the path of the rules for
+    /// errors.
     ///
     /// # Errors
     ///
-    /// The first field that is out of range, by its path.
+    /// Returns the path of the first field that is out of range.
     pub fn check(&self, at: &str) -> Result<(), InvalidField> {
         self.validate()
             .map_err(|report| InvalidField::first(&report, at))?;
--- a/crates/protocol/src/state.rs
+++ b/crates/protocol/src/state.rs
@@ -1,36 +1,39 @@
-//! The state service's interface (PROTOCOL, "Controller nodes -> state service").
+//! Messages between controllers and the state service (PROTOCOL, "Controller nodes -> state
+//! service").
 
 use serde::{Deserialize, Serialize};
 use serde_json::value::RawValue;
 
 use crate::types::{LeaseId, Revision};
 
-/// A change within a transaction.
+/// Change of one key within a transaction.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(untagged)]
 pub enum Change {
-    /// Writes a value.
+    /// Writes a value to a key.
     Write {
-        /// Key.
+        /// Key to write.
         write: String,
-        /// Value.
+        /// New value of the key.
         value: Box<RawValue>,
-        /// The lease that it goes away with.
+        /// Lease that the key is attached to. The state service deletes the key when the lease
+        /// ends.
         #[serde(default, skip_serializing_if = "Option::is_none")]
         #[serde(rename = "ticket")]
         lease: Option<LeaseId>,
     },
     /// Deletes a key.
     Delete {
-        /// Key.
+        /// Key to delete.
         delete: String,
     },
 }
 
 impl Change {
-    /// Writes `value` at `key`.
+    /// Creates a change that writes `value` to `key`.
     pub fn write<T: Serialize>(key: String, value: &T, lease: Option<LeaseId>) -> Self {
-        // Our records have string keys and finite numbers: they always serialize.
+        // Serialization never fails here, because our records have only string keys and finite
+        // numbers.
         let value =
             serde_json::value::to_raw_value(value).unwrap_or_else(|_| RawValue::NULL.to_owned());
         Self::Write {
@@ -41,94 +44,95 @@
     }
 }
 
-/// A condition: the key has this version (0: it does not exist).
+/// Condition of a transaction: the key must have this version. Version 0 means that the key
+/// must not exist.
 #[derive(Clone, Debug, Serialize, Deserialize, PartialEq, Eq)]
 pub struct Condition {
-    /// Key.
+    /// Key that the condition checks.
     pub key: String,
-    /// Version.
+    /// Required version of the key, or 0 if the key must not exist.
     #[serde(rename = "stamp")]
     pub mod_revision: Revision,
 }
 
-/// A transaction.
+/// Transaction, the body of `POST /txn`. Its changes apply only if all conditions are met.
 #[derive(Clone, Debug, Serialize, Deserialize, Default)]
 pub struct Transaction {
-    /// Conditions.
+    /// Conditions that must all be met.
     #[serde(default)]
     #[serde(rename = "when")]
     pub conditions: Vec<Condition>,
-    /// Changes.
+    /// Changes to apply together.
     #[serde(default)]
     #[serde(rename = "apply")]
     pub changes: Vec<Change>,
 }
 
-/// One change seen by following.
+/// Change of one key, as the state service reports it to a watcher.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Event {
-    /// The key, if written.
+    /// Key that was written, if the event is a write.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub write: Option<String>,
-    /// The key, if deleted.
+    /// Key that was deleted, if the event is a deletion.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub delete: Option<String>,
-    /// The value, if written.
+    /// New value of the key, if the event is a write.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub value: Option<Box<RawValue>>,
-    /// The revision.
+    /// Revision at which the key changed.
     #[serde(rename = "stamp")]
     pub mod_revision: Revision,
 }
 
-/// All changes up to a revision.
+/// Answer to a watch request, with all changes up to a revision.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Events {
-    /// The revision.
+    /// Revision up to which the events are complete.
     #[serde(rename = "ledger")]
     pub store_revision: Revision,
-    /// The changes.
+    /// Changes of keys up to that revision.
     #[serde(default)]
     pub events: Vec<Event>,
 }
 
-/// A key and its value.
+/// Key with its value and version.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Item {
-    /// Key.
+    /// Key of the item.
     pub key: String,
-    /// Value.
+    /// Current value of the key.
     pub value: Box<RawValue>,
-    /// Version.
+    /// Version of the key, which is the revision of its last change.
     #[serde(rename = "stamp")]
     pub mod_revision: Revision,
 }
 
-/// Keys in order.
+/// One page of keys and values, sorted by key.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Page {
-    /// Keys and values.
+    /// Keys and values of the page.
     pub items: Vec<Item>,
-    /// Whether there are more.
+    /// Whether more keys follow on the next page.
     #[serde(default)]
     pub truncated: bool,
-    /// The revision.
+    /// Revision of the state service at which the page was read.
     #[serde(rename = "ledger")]
     pub store_revision: Revision,
 }
 
-/// The answer of a transaction that was carried out.
+/// Answer to a transaction that was applied.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct RevisionBody {
-    /// The revision.
+    /// Revision of the state service after the transaction.
     #[serde(rename = "ledger")]
     pub store_revision: Revision,
 }
 
-/// The answer of a new lease.
+/// Answer to the creation of a lease.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct LeaseCreated {
-    /// The lease.
+    /// Id of the new lease.
     #[serde(rename = "ticket")]
     pub lease: LeaseId,
 }
--- a/crates/protocol/src/types/amount.rs
+++ b/crates/protocol/src/types/amount.rs
@@ -2,23 +2,23 @@
 
 use serde::{Deserialize, Serialize};
 
-/// Amounts of what a machine offers, in thousandths, so that sums are exact.
+/// Amounts of a machine's resources, in thousandths of a unit. Integers keep sums exact.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Amount {
-    /// Thousandths of a CPU.
+    /// CPUs in thousandths.
     pub cpu: i64,
-    /// Thousandths of a GPU.
+    /// GPUs in thousandths.
     pub gpu: i64,
-    /// Thousandths of a GB of memory.
+    /// Memory in thousandths of a GB.
     pub ram: i64,
 }
 
 impl Amount {
-    /// A team's limit where it has none: more than any setting may say, and small
-    /// enough that sums of such limits are exact.
+    /// Limit of a team that has no limit. The value is above every limit that the settings
+    /// allow, and small enough that sums of such limits are exact.
     pub const NO_LIMIT: i64 = 1_000_000_000_000;
 
-    /// From whole units.
+    /// Creates an amount from numbers of CPUs, GPUs and GB of memory.
     pub fn new(cpus: f64, gpus: f64, ram_gb: f64) -> Self {
         let milli = |x: f64| (x * 1000.0).round() as i64;
         Self {
@@ -27,17 +27,18 @@
             ram: milli(ram_gb),
         }
     }
-    /// Whether this fits into `free_capacity`.
+    /// Returns whether this amount fits into `free_capacity`.
     pub fn fits(self, free_capacity: Amount) -> bool {
         self.cpu <= free_capacity.cpu
             && self.gpu <= free_capacity.gpu
             && self.ram <= free_capacity.ram
     }
-    /// Whether CPUs and GPUs fit into `free_capacity`; teams are not limited in memory.
+    /// Returns whether the CPUs and GPUs fit into `free_capacity`. Memory does not count,
+    /// because teams have no memory limit.
     pub fn fits_team(self, free_capacity: Amount) -> bool {
         self.cpu <= free_capacity.cpu && self.gpu <= free_capacity.gpu
     }
-    /// How many times this fits into `free_capacity`.
+    /// Returns how many times this amount fits into `free_capacity`.
     pub fn how_many(self, free_capacity: Amount) -> u32 {
         let part = |need: i64, has: i64| match need {
             0 => i64::from(u32::MAX),
@@ -47,7 +48,7 @@
             .min(part(self.gpu, free_capacity.gpu))
             .min(part(self.ram, free_capacity.ram)) as u32
     }
-    /// This amount `n` times.
+    /// Returns this amount multiplied by `n`.
     pub fn times(self, n: i64) -> Self {
         Self {
             cpu: self.cpu.saturating_mul(n),
--- a/crates/protocol/src/types/job.rs
+++ b/crates/protocol/src/types/job.rs
@@ -1,4 +1,4 @@
-//! A job as its user described it, and the form in which records keep it.
+//! Job as its user describes it, and the form in which records keep it.
 
 use std::sync::Arc;
 
@@ -7,105 +7,110 @@
 use super::{Amount, Image, TypeName, Zone};
 use crate::placement::PlacementRules;
 
-/// A job's priority, lowest first.
+/// Priority of a job, lowest first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Priority {
-    /// Runs in what others leave.
+    /// Priority of jobs that run only on capacity that other jobs leave free.
     Idle,
-    /// Ordinary work.
+    /// Priority of ordinary jobs.
     Normal,
-    /// Urgent work.
+    /// Priority of urgent jobs.
     High,
-    /// Production.
+    /// Priority of production jobs.
     Critical,
 }
 
-/// What a job's tasks are.
+/// Kind of a job, which decides how its tasks run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Kind {
-    /// Independent tasks that run to completion.
+    /// The tasks are independent and run to completion.
     Array,
-    /// Replicas that run until the job is cancelled.
+    /// The tasks are replicas that run until the job is cancelled.
     Service,
-    /// Tasks that run to completion, all at the same time (DESIGN, gangs).
+    /// The tasks run to completion, all at the same time (DESIGN, gangs).
     Gang,
 }
 
-/// A job as its user described it.
+/// Job as its user describes it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct JobSpec {
-    /// Class, as in the objectives.
+    /// Class of the job, as in the objectives of the settings.
     pub class: Arc<str>,
-    /// Team.
+    /// Team that the job belongs to.
     pub team: Arc<str>,
-    /// What its tasks are.
+    /// Kind of the job: array, service or gang.
     pub kind: Kind,
-    /// Priority.
+    /// Priority of the job.
     pub priority: Priority,
-    /// Number of tasks.
+    /// Number of the job's tasks.
     pub tasks: u32,
-    /// What each task takes.
+    /// Resources that each task needs.
     pub each: Amount,
     /// Image that each task needs.
     pub image: Image,
-    /// The image's size, in GB.
+    /// Size of the image in GB.
     pub image_gb: f64,
-    /// Allowed machine types; none means any.
+    /// Allowed machine types, or `None` if any type is allowed.
     pub types: Option<Vec<TypeName>>,
-    /// The only allowed zone.
+    /// Only allowed zone, or `None` if any zone is allowed.
     pub zone: Option<Zone>,
-    /// All tasks in one zone.
+    /// Whether all tasks must run in one zone.
     pub one_zone: bool,
-    /// At most half of the tasks, rounded up, in one zone.
+    /// Whether at most half of the tasks, rounded up, may run in one zone.
     pub spread: bool,
-    /// May use spot machines.
+    /// Whether the tasks may run on spot machines.
     pub spot: bool,
-    /// The owner's guess of a task's run time, in seconds.
+    /// Run time of a task in seconds, as the job's owner estimates it.
     pub estimate_s: f64,
-    /// Interval of checkpoints, in seconds; 0 for none.
+    /// Interval between checkpoints of a task in seconds, or 0 if it has none.
     pub checkpoint_s: f64,
-    /// Time to save when stopped, in seconds.
+    /// Time in seconds that a task needs to save its state when it is stopped.
     pub save_s: f64,
-    /// When it should be complete, in seconds from submission.
+    /// Time by which the job should be complete, in seconds from submission.
     pub deadline_s: Option<f64>,
-    /// What it asks of the topology; see [`crate::placement`].
+    /// Placement rules of the job for the topology, see [`crate::placement`].
     #[serde(skip)]
     pub placement: Option<Box<PlacementRules>>,
-    /// In a record: what earlier versions can't place, see [`JobSpec::with_extension`].
+    /// Part of a recorded job that earlier versions can't place, see
+    /// [`JobSpec::with_extension`].
     #[serde(rename = "x", default, skip_serializing_if = "Option::is_none")]
     pub extension: Option<Box<CompatibilityExtension>>,
 }
 
-/// A machine type that no cloud has: what is recorded as the only allowed one
-/// of a job with an extension, so that a controller of an earlier version, which would
-/// read the job as an array without placement rules, finds no place for it.
+/// Machine type that no cloud has. A job with an extension is recorded with this as its
+/// only allowed type.
+///
+/// A controller of an earlier version would read such a job as an array without placement
+/// rules. With this type, such a controller finds no place for the job.
 const INCOMPATIBLE_TYPE: &str = "+";
 
-/// The part of a job that earlier versions don't know.
+/// Part of a recorded job that earlier versions don't know.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct CompatibilityExtension {
-    /// It is a gang.
+    /// Whether the job is a gang.
     #[serde(rename = "g", default, skip_serializing_if = "std::ops::Not::not")]
     pub gang: bool,
-    /// The machine types that are really allowed.
+    /// Machine types that the job really allows, or `None` if any type is allowed.
     #[serde(rename = "t", default, skip_serializing_if = "Option::is_none")]
     pub types: Option<Vec<TypeName>>,
-    /// Its placement rules.
+    /// Placement rules of the job.
     #[serde(rename = "w", default, skip_serializing_if = "Option::is_none")]
     pub placement: Option<Box<PlacementRules>>,
 }
 
-/// Whether these types are no cloud's.
+/// Returns whether the only allowed type is the marker that no cloud has.
 fn is_incompatible_marker(types: &[TypeName]) -> bool {
     matches!(types, [only] if only.as_str() == INCOMPATIBLE_TYPE)
 }
 
 impl JobSpec {
-    /// The form for the record: a gang, or a job with placement rules, is written so
-    /// that controllers of the version before these existed answer for it, and
-    /// cancel it, yet never place it.
+    /// Converts the job into its recorded form.
+    ///
+    /// A gang or a job with placement rules gets an extension. Controllers of the version
+    /// before these features then answer status queries for the job and cancel it, but never
+    /// place it.
     pub fn with_extension(mut self) -> Self {
         if self.kind == Kind::Gang || self.placement.is_some() {
             self.extension = Some(Box::new(CompatibilityExtension {
@@ -120,14 +125,16 @@
         }
         self
     }
-    /// Allows no machine type that any cloud has: no version that takes the description
-    /// as it stands finds a place for the job.
+    /// Allows only a machine type that no cloud has. A version that takes the description
+    /// literally finds no place for the job.
     pub fn mark_incompatible(&mut self) {
         self.types = Some(vec![TypeName::from(INCOMPATIBLE_TYPE)]);
     }
-    /// What is kept of a cancelled job whose description is too large to be written again:
-    /// its team and what each of its tasks takes, until they have ended. Devices may
-    /// be assigned to it, if its description has an extension.
+    /// Returns the small form of a cancelled job whose description is too large to be written
+    /// again.
+    ///
+    /// The form keeps the team and the resources of each task until all tasks have ended.
+    /// Devices may be assigned to the job's tasks if its description has an extension.
     pub fn trimmed(&self) -> Self {
         let fenced =
             self.extension.is_some() || self.types.as_deref().is_some_and(is_incompatible_marker);
@@ -144,9 +151,10 @@
         }
         kept
     }
-    /// What a record's form stands for. An extension that an earlier version lost
-    /// when it cancelled the job is known by its machine type: any device may be
-    /// assigned to the job's tasks.
+    /// Converts the recorded form back into the job.
+    ///
+    /// An earlier version that cancels a job drops its extension. The marker type reveals this,
+    /// and any device may then be assigned to the job's tasks.
     pub fn without_extension(mut self) -> Self {
         if let Some(extension) = self.extension.take() {
             self.types = extension.types;
@@ -162,7 +170,7 @@
         }
         self
     }
-    /// How many of its tasks must fit into its team's limit together.
+    /// Returns how many of the job's tasks must fit into the team's limit at the same time.
     pub fn at_once(&self) -> i64 {
         match self.kind {
             Kind::Array => 1,
--- a/crates/protocol/src/types/machine_type.rs
+++ b/crates/protocol/src/types/machine_type.rs
@@ -1,24 +1,26 @@
-//! A machine type of the cloud.
+//! Machine type that the cloud offers.
 
 use super::{Amount, TypeName, Zone};
 
-/// A machine type as the cloud describes it.
+/// Machine type as the cloud describes it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct MachineType {
-    /// Name.
+    /// Name of the machine type.
     pub name: TypeName,
-    /// What it offers.
+    /// Resources of a machine of this type.
     pub total: Amount,
-    /// Capacity for cached images, in GB.
+    /// Disk space of a machine for cached images, in GB.
     pub cache_gb: f64,
-    /// How fast images arrive, in GB a second.
+    /// Rate at which a machine fetches images, in GB per second.
     pub fetch_gb_per_s: f64,
-    /// Price an hour.
+    /// Price of an on-demand machine per hour.
     pub price: f64,
-    /// Price an hour of a spot machine.
+    /// Price of a spot machine per hour. Infinite if the cloud offers no spot machines of this
+    /// type.
     pub spot_price: f64,
-    /// Usual time until its worker heartbeats, in seconds.
+    /// Usual time in seconds from the rental of a machine until the first heartbeat of its
+    /// worker.
     pub boot_s: f64,
-    /// Where it exists.
+    /// Zones in which the cloud offers this type.
     pub zones: Vec<Zone>,
 }
--- a/crates/protocol/src/types/mod.rs
+++ b/crates/protocol/src/types/mod.rs
@@ -1,5 +1,5 @@
-//! Types of their own for ids, counters and times; amounts, job descriptions and machine
-//! types are in the modules below.
+//! Types for ids, counters and times. Submodules define amounts, job descriptions and
+//! machine types.
 
 mod amount;
 mod job;
@@ -22,7 +22,7 @@
         pub struct $name(Arc<str>);
 
         impl $name {
-            /// The id as text.
+            /// Returns the id as text.
             pub fn as_str(&self) -> &str {
                 &self.0
             }
@@ -46,27 +46,27 @@
 }
 
 text_id!(
-    /// A job, named by its user.
+    /// Id of a job, chosen by its user.
     JobId
 );
 text_id!(
-    /// A rented machine, named by the cloud.
+    /// Id of a rented machine, chosen by the cloud.
     MachineId
 );
 text_id!(
-    /// A controller.
+    /// Id of a controller.
     NodeId
 );
 text_id!(
-    /// A zone.
+    /// Name of a zone of the cloud.
     Zone
 );
 text_id!(
-    /// A machine type.
+    /// Name of a machine type.
     TypeName
 );
 text_id!(
-    /// An image.
+    /// Name of an image.
     Image
 );
 
@@ -86,64 +86,66 @@
 }
 
 counter!(
-    /// One try at running a task.
+    /// Number of an attempt to run a task.
     Attempt
 );
 counter!(
-    /// A worker's incarnation.
+    /// Number of a worker's incarnation.
     Incarnation
 );
 counter!(
-    /// Order of a worker's messages within an incarnation.
+    /// Sequence number of a worker's message within an incarnation.
     SequenceNumber
 );
 counter!(
-    /// Counts all changes in the state service.
+    /// Revision of the state service, which counts all its changes.
     Revision
 );
 counter!(
-    /// A lease in the state service.
+    /// Id of a lease in the state service.
     LeaseId
 );
 counter!(
-    /// Counts the leaders.
+    /// Number of a leader's term. Each new leader gets a higher one.
     Term
 );
 counter!(
-    /// Who may command a worker: the number of a shard grant in the upper
-    /// bits, and in the lower bits how often that grant's owner raised it for
-    /// one machine. Any later grant is above every raise of an earlier one.
+    /// Token that decides which controller may command a worker.
+    ///
+    /// The upper bits are the number of a shard grant. The lower bits count how often the
+    /// grant's owner raised the token for one machine. Any token of a later grant is above all
+    /// tokens of an earlier one.
     FencingToken
 );
 
 const RAISE_BITS: u32 = 20;
 
 impl FencingToken {
-    /// The first fencing token of grant number `grant`.
+    /// Returns the first fencing token of the grant with number `grant`.
     pub fn of_grant(grant: u64) -> Self {
         Self(grant << RAISE_BITS)
     }
-    /// The grant that this fencing token belongs to.
+    /// Returns the number of the grant that this fencing token belongs to.
     pub fn grant(self) -> u64 {
         self.0 >> RAISE_BITS
     }
-    /// The next fencing token within the same grant.
+    /// Returns the next fencing token within the same grant.
     pub fn raised(self) -> Self {
         Self(self.0 + 1)
     }
 }
 
-/// One task of a job.
+/// Id of one task of a job.
 #[derive(Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Debug)]
 pub struct TaskId {
-    /// The job.
+    /// Job that the task belongs to.
     pub job: JobId,
-    /// The task's number within it.
+    /// Index of the task within its job.
     pub index: u32,
 }
 
 impl TaskId {
-    /// Reads `run-000412/3`.
+    /// Parses a task id such as `run-000412/3`.
     pub fn parse(text: &str) -> Option<Self> {
         let (job, index) = text.rsplit_once('/')?;
         Some(Self {
@@ -159,16 +161,16 @@
     }
 }
 
-/// Seconds on this process's steady clock.
+/// Time in seconds on the monotonic clock of this process.
 #[derive(Clone, Copy, Debug, PartialEq, PartialOrd, Default)]
 pub struct Time(pub f64);
 
 impl Time {
-    /// Seconds from `earlier` to this time; never negative.
+    /// Returns the seconds from `earlier` to this time, or 0 if `earlier` is later.
     pub fn since(self, earlier: Time) -> f64 {
         (self.0 - earlier.0).max(0.0)
     }
-    /// This time, `seconds` later.
+    /// Returns the time that is `seconds` later.
     pub fn after(self, seconds: f64) -> Time {
         Time(self.0 + seconds)
     }
--- a/crates/protocol/src/users.rs
+++ b/crates/protocol/src/users.rs
@@ -1,4 +1,4 @@
-//! The users' interface (PROTOCOL, "Users -> controller nodes").
+//! Messages between users and controllers (PROTOCOL, "Users -> controller nodes").
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -8,91 +8,93 @@
 
 use crate::types::{Amount, Image, JobId, JobSpec, Kind, Priority, TypeName, Zone};
 
-/// Tasks of the largest job.
+/// Maximum number of tasks of a job.
 const MAX_TASKS: u64 = 100_000;
-/// A gang is placed all at once, so its size is what one decision can weigh.
+/// Maximum number of tasks of a gang. One decision places all of them, so this limits the
+/// size of a decision.
 const MAX_GANG_TASKS: u64 = 2_000;
 
-/// What users see of a job.
+/// Status of a job, as users see it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct JobStatus {
-    /// Id.
+    /// Id of the job.
     #[serde(rename = "uid")]
     pub id: JobId,
-    /// `pending`, `running`, `done` or `cancelled`.
+    /// Phase of the job: `pending`, `running`, `done` or `cancelled`.
     pub phase: String,
-    /// Done tasks.
+    /// Number of the job's tasks that are done.
     #[serde(default)]
     pub done: u32,
-    /// Running tasks.
+    /// Number of the job's tasks that run.
     #[serde(default)]
     pub running: u32,
-    /// Why it waits, where that is known.
+    /// Reason why the job waits, if it is known.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub waits: Option<String>,
-    /// Of a job in a pipeline that is not over.
+    /// Status within the pipeline, for a job in a pipeline that has not ended.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub pipeline: Option<PipelineStatus>,
 }
 
-/// What a job in a pipeline waits for, and what it inherits from the jobs that need it.
+/// Dependencies of a job in a pipeline, and the values that the job inherits from the jobs
+/// that need it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PipelineStatus {
-    /// The jobs that it waits for; none: it is ready.
+    /// Jobs that this job waits for. The job is ready if there are none.
     #[serde(default)]
     pub waits_for: Vec<JobId>,
-    /// The highest priority of itself and of the jobs that need it.
+    /// Highest priority among this job and the jobs that need it.
     pub priority: Priority,
-    /// By when it has to be done, in milliseconds of the time of day.
+    /// Wall-clock time in milliseconds by which the job must be done.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub finish_by_ms: Option<i64>,
 }
 
-/// A job's body (PROTOCOL, "POST /v1/jobs"), without its `uid`.
+/// Body of a job in `POST /v1/jobs` (PROTOCOL, "POST /v1/jobs"), without its `uid`.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct WireJob {
-    /// Class.
+    /// Class of the job.
     pub jobclass: String,
-    /// Team.
+    /// Team that the job belongs to.
     pub crew: String,
-    /// `sweep`, `standing` or `ensemble`.
+    /// Kind of the job: `sweep` (array), `standing` (service) or `ensemble` (gang).
     pub shape: String,
-    /// Priority.
+    /// Priority of the job: `critical`, `high`, `normal` or `idle`.
     pub rank: String,
-    /// Number of tasks.
+    /// Number of the job's tasks.
     pub pieces: u64,
-    /// CPUs of a task.
+    /// CPUs that each task needs.
     pub cpus: f64,
-    /// GPUs of a task.
+    /// GPUs that each task needs.
     pub cards: f64,
-    /// Memory of a task, in GB.
+    /// Memory that each task needs, in GB.
     pub ram_gb: f64,
-    /// Image.
+    /// Image that each task needs.
     pub bundle: String,
-    /// Its size, in GB.
+    /// Size of the image in GB.
     pub pull_gb: f64,
-    /// Allowed machine types.
+    /// Allowed machine types, or `None` if any type is allowed.
     pub builds: Option<Vec<String>>,
-    /// The only allowed zone.
+    /// Only allowed zone, or `None` if any zone is allowed.
     pub rack: Option<String>,
-    /// All tasks in one zone.
+    /// Whether all tasks must run in one zone.
     pub together: bool,
-    /// At most half of the tasks in one zone.
+    /// Whether at most half of the tasks may run in one zone.
     pub spread: bool,
-    /// May use spot machines.
+    /// Whether the tasks may run on spot machines.
     #[serde(rename = "loaners")]
     pub spot: bool,
-    /// Estimated run time, in seconds.
+    /// Estimated run time of a task in seconds.
     pub guess_s: f64,
-    /// Interval of checkpoints, in seconds.
+    /// Interval between checkpoints of a task, in seconds.
     pub mark_s: f64,
-    /// Time to save, in seconds.
+    /// Time in seconds that a task needs to save its state when it is stopped.
     pub stash_s: f64,
-    /// Deadline, in seconds from submission.
+    /// Deadline of the job, in seconds from submission.
     pub due_s: Option<f64>,
 }
 
-/// Whether a text is a job id in the only form there is.
+/// Parses a job id, or returns `None` if the text is not a valid one.
 pub fn job_id(text: &str) -> Option<JobId> {
     let digits = text.strip_prefix("run-")?;
     let valid = (1..=40).contains(&digits.len())
@@ -102,12 +104,14 @@
     valid.then(|| JobId::from(text))
 }
 
-/// Reads the ids of the jobs that a job needs (`waits_on`), each once; none if the field
-/// is missing or null. The error names what is wrong.
+/// Reads the ids of the jobs that a job depends on, without duplicates, from its field
+/// `waits_on`.
+///
+/// Returns an empty list if the field is missing or null.
 ///
 /// # Errors
 ///
-/// `waits_on` is no list, or has something that is no job id.
+/// Fails if `waits_on` is not a list or has an element that is not a job id.
 pub fn read_needs(value: &Value) -> Result<Vec<JobId>, &'static str> {
     let Some(listed) = value.get("waits_on").filter(|listed| !listed.is_null()) else {
         return Ok(Vec::new());
@@ -119,20 +123,21 @@
     Ok(needs.into_iter().collect())
 }
 
-/// Largest amount of a resource of a task, and of GB of its image.
+/// Maximum amount of one resource of a task, and maximum size of an image in GB.
 const MAX_AMOUNT: f64 = 1e6;
-/// Longest time that a job may name, in seconds.
+/// Maximum time that a field of a job may have, in seconds.
 const MAX_TIME_S: f64 = 1e9;
-/// Bytes of the longest name of a class, a team, an image, a zone or a machine type.
+/// Maximum length in bytes of the name of a class, team, image, zone or machine type.
 const MAX_NAME_BYTES: usize = 200;
-/// Machine types that one job may allow.
+/// Maximum number of machine types that one job may allow.
 const MAX_ALLOWED_TYPES: usize = 32;
 
-/// Reads a job; the error names what is wrong.
+/// Reads and validates the body of a job.
 ///
 /// # Errors
 ///
-/// A field is missing, of the wrong type or out of range.
+/// Fails if a field is missing, has the wrong type or is out of range. The error names the
+/// reason.
 pub fn read_job(value: Value) -> Result<JobSpec, &'static str> {
     let wire: WireJob =
         serde_json::from_value(value).map_err(|_| "a field is missing or of the wrong type")?;
@@ -150,7 +155,7 @@
         match self.shape.as_str() {
             "sweep" => Ok(Kind::Array),
             "standing" => Ok(Kind::Service),
-            // Gangs are in the design, and this is the users' word for them.
+            // `ensemble` is the users' word for a gang, which the design has.
             "ensemble" => Ok(Kind::Gang),
             _ => Err("shape is none of sweep, standing and ensemble"),
         }
@@ -208,7 +213,7 @@
         Ok(())
     }
 
-    /// The job of a body that was checked.
+    /// Converts a validated body into a job.
     fn into_spec(self, kind: Kind, priority: Priority) -> JobSpec {
         let type_names = |types: Vec<String>| types.iter().map(|t| TypeName::from(&**t)).collect();
         JobSpec {
--- a/crates/protocol/src/worker.rs
+++ b/crates/protocol/src/worker.rs
@@ -1,5 +1,5 @@
-//! The workers' interface (PROTOCOL, "Workers -> controller nodes" and
-//! "Controller nodes -> workers"): heartbeats and commands.
+//! Heartbeats of workers and commands to them (PROTOCOL, "Workers -> controller nodes" and
+//! "Controller nodes -> workers").
 
 use std::net::SocketAddr;
 
@@ -9,194 +9,198 @@
     Attempt, FencingToken, Incarnation, MachineId, SequenceNumber, TaskId, TypeName, Zone,
 };
 
-/// A task's state on its machine.
+/// Phase of a task on its machine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum TaskPhase {
-    /// Waiting for its image.
+    /// The task waits until its image is fetched.
     Fetching,
-    /// Running.
+    /// The task runs.
     Running,
-    /// Has its image and waits for the other tasks of its gang.
+    /// The task has its image and waits for the other tasks of its gang.
     Waiting,
-    /// Told to stop, saving.
+    /// The task was commanded to stop and saves its state.
     Saving,
-    /// Ended, see [`ExitReason`].
+    /// The task has ended for an [`ExitReason`].
     Ended,
-    /// On the machine in a way this version does not know.
+    /// The task is in a phase that this version does not know.
     #[serde(other)]
     Other,
 }
 
-/// Why a task ended.
+/// Reason why a task ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ExitReason {
-    /// Completed.
+    /// The task completed.
     Done,
-    /// Stopped by command.
+    /// The task was stopped by a command.
     Stopped,
-    /// Failed.
+    /// The task failed.
     Error,
-    /// Refused: not enough free capacity.
+    /// The worker refused the task, because the machine has too little free capacity.
     Full,
-    /// Refused: the task is there with another attempt.
+    /// The worker refused the task, because another attempt of it is on the machine.
     InUse,
-    /// Refused: no such task.
+    /// The worker refused the task, because it found no task of that name.
     NoSuch,
-    /// Of a gang: another of its tasks ended, so this one did.
+    /// The task was stopped, because another task of its gang ended.
     Peers,
-    /// Of a gang: the others did not come in time.
+    /// The task was stopped, because the other tasks of its gang did not arrive in time.
     Incomplete,
-    /// Something this version does not know.
+    /// The task ended for a reason that this version does not know.
     #[serde(other)]
     Other,
 }
 
-/// A task in a heartbeat.
+/// State of one task in a worker's heartbeat.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ReportedTask {
-    /// `run-000412/3`.
+    /// Name of the task, as job id and index: `run-000412/3`.
     #[serde(rename = "piece")]
     pub task_name: String,
-    /// Attempt.
+    /// Number of the attempt to run the task.
     #[serde(rename = "try")]
     pub attempt: Attempt,
-    /// State.
+    /// Phase of the task on the machine.
     pub phase: TaskPhase,
-    /// Why it ended.
+    /// Reason why the task ended, if it has ended.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     #[serde(rename = "cause")]
     pub exit_reason: Option<ExitReason>,
 }
 
 impl ReportedTask {
-    /// The task, if its name can be read.
+    /// Returns the task's id, or `None` if its name is malformed.
     pub fn id(&self) -> Option<TaskId> {
         TaskId::parse(&self.task_name)
     }
 }
 
-/// An image that a machine hands on.
+/// Image that a machine serves to other machines, in a worker's heartbeat.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ReportedImage {
-    /// Its name.
+    /// Name of the image.
     pub image: String,
-    /// Chunks that are there and checked.
+    /// Number of the image's chunks that are on the machine and verified.
     pub parts: u64,
-    /// Chunks in all.
+    /// Total number of the image's chunks.
     pub of: u64,
 }
 
-/// A worker's heartbeat.
+/// Heartbeat of a worker.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Heartbeat {
-    /// The machine.
+    /// Name of the worker's machine.
     #[serde(rename = "box")]
     pub machine: MachineId,
-    /// The worker's own address.
+    /// Address at which the worker receives commands.
     pub addr: SocketAddr,
-    /// Type.
+    /// Type of the worker's machine.
     #[serde(rename = "build")]
     pub machine_type: TypeName,
-    /// Zone.
+    /// Zone of the worker's machine.
     #[serde(rename = "rack")]
     pub zone: Zone,
-    /// Spot machine.
+    /// Whether the machine is a spot machine.
     #[serde(default)]
     #[serde(rename = "loaners")]
     pub spot: bool,
-    /// Incarnation.
+    /// Incarnation of the worker.
     #[serde(rename = "shift")]
     pub incarnation: Incarnation,
-    /// Order within the incarnation.
+    /// Sequence number of the heartbeat within the incarnation.
     #[serde(rename = "tick")]
     pub sequence: SequenceNumber,
-    /// Highest fencing token seen.
+    /// Highest fencing token that the worker has seen.
     #[serde(default)]
     #[serde(rename = "baton")]
     pub fencing_token: FencingToken,
-    /// Seconds until the cloud takes the machine.
+    /// Time in seconds until the cloud reclaims the machine, if the cloud has announced it.
     #[serde(rename = "warning_s")]
     pub preemption_notice_s: Option<f64>,
-    /// All tasks there.
+    /// All tasks on the machine.
     #[serde(default)]
     #[serde(rename = "pieces")]
     pub tasks: Vec<ReportedTask>,
-    /// Images that the machine hands on, whole or in part. Not part of
-    /// PROTOCOL, and a hint: ignored by controllers that don't know the field,
-    /// and absent where a worker hands nothing on.
+    /// Images that the machine serves to other machines, whole or in part.
+    ///
+    /// PROTOCOL does not have this field. The field is a hint, and controllers that don't know
+    /// it ignore it. The field is absent if a worker serves no images.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub images: Vec<ReportedImage>,
 }
 
-/// A command.
+/// Command of a controller to a worker.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "verb", rename_all = "lowercase")]
 pub enum Command {
     /// Starts a task.
     Start {
-        /// Task.
+        /// Name of the task to start.
         #[serde(rename = "piece")]
         task_name: String,
-        /// Attempt.
+        /// Number of the attempt to start.
         #[serde(rename = "try")]
         attempt: Attempt,
-        /// Devices that are the task's while it runs, by kind and name. Not
-        /// part of PROTOCOL: sent only where the job needs some, and ignored
-        /// by workers that don't know the field.
+        /// Device units that are assigned to the task while it runs, as pairs of kind and name.
+        ///
+        /// PROTOCOL does not have this field. The field is sent only if the job needs devices, and
+        /// workers that don't know it ignore it.
         #[serde(default, skip_serializing_if = "Vec::is_empty")]
         units: Vec<(String, String)>,
-        /// Agents that have the task's image or fetch it, the best first: where
-        /// they take commands. Not part of PROTOCOL: ignored by workers that
-        /// don't know the field; absent, the image comes from its origin.
+        /// Addresses of agents that have the task's image or fetch it, best source first. These are
+        /// the addresses at which the agents receive commands.
+        ///
+        /// PROTOCOL does not have this field, and workers that don't know it ignore it. If the
+        /// field is absent, the image comes from its origin.
         #[serde(default, skip_serializing_if = "Vec::is_empty")]
         from: Vec<SocketAddr>,
     },
     /// Stops a task.
     Kill {
-        /// Task.
+        /// Name of the task to stop.
         #[serde(rename = "piece")]
         task_name: String,
-        /// Attempt.
+        /// Number of the attempt to stop.
         #[serde(rename = "try")]
         attempt: Attempt,
-        /// Time to save.
+        /// Time in seconds that the task gets to save its state.
         #[serde(rename = "mercy_s")]
         grace_s: f64,
     },
-    /// Drops an ended task from the heartbeats.
+    /// Removes an ended task from the worker's heartbeats.
     Forget {
-        /// Task.
+        /// Name of the ended task.
         #[serde(rename = "piece")]
         task_name: String,
-        /// Attempt.
+        /// Number of the attempt that ended.
         #[serde(rename = "try")]
         attempt: Attempt,
     },
 }
 
-/// The answer to a heartbeat.
+/// Answer of a controller to a heartbeat.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Reply {
-    /// Token.
+    /// Fencing token under which the controller sends the commands.
     #[serde(rename = "baton")]
     pub fencing_token: FencingToken,
-    /// Commands.
+    /// Commands for the worker.
     #[serde(rename = "orders")]
     pub commands: Vec<Command>,
 }
 
-/// Commands sent directly.
+/// Commands that a controller sends to a worker without waiting for a heartbeat.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct DirectCommands {
-    /// Token.
+    /// Fencing token under which the controller sends the commands.
     #[serde(rename = "baton")]
     pub fencing_token: FencingToken,
-    /// Incarnation they are meant for.
+    /// Incarnation of the worker that the commands are for.
     #[serde(rename = "shift")]
     pub incarnation: Incarnation,
-    /// Commands.
+    /// Commands for the worker.
     #[serde(rename = "orders")]
     pub commands: Vec<Command>,
 }
