--- a/crates/protocol/tests/worker.rs
+++ b/crates/protocol/tests/worker.rs
@@ -1,9 +1,9 @@
-//! The text of workers' heartbeats and commands.
+//! Serialized form of workers' heartbeats and commands.
 
 use sorrelhinge_protocol::worker::{Command, Heartbeat};
 
-/// A worker or a controller of the version before would be disturbed by a
-/// field that it never had: without sources and images there is none.
+/// Checks that the optional fields for sources and images are absent if they are empty. A
+/// worker or a controller of the previous version could fail on a field that it never had.
 #[test]
 fn sources_and_images_are_absent_unless_there_are_some() {
     let start = r#"{"verb":"start","piece":"run-1/0","try":2}"#;
--- a/crates/topology/tests/model.rs
+++ b/crates/topology/tests/model.rs
@@ -1,6 +1,6 @@
-//! The real placement against a slow plain model: domains as paths of names,
-//! everything counted anew for every question. Trees, jobs and losses are
-//! generated.
+//! Compares the real placement with a slow plain model, which keeps domains as paths of
+//! names and counts everything anew for every question. Trees, jobs and losses of machines
+//! are generated.
 
 use std::collections::BTreeMap;
 
@@ -21,7 +21,7 @@
 #[derive(Clone, Debug)]
 struct Box_ {
     name: String,
-    /// Names from the zone on; shorter where not all is known.
+    /// Domain names from the zone on. The path is shorter if not all levels are known.
     path: Vec<String>,
     units: Vec<(Unit, u32, bool)>,
 }
@@ -31,8 +31,8 @@
     machines: Vec<Box_>,
     rules: PlacementRules,
     tasks: u32,
-    /// Steps: place on the n-th allowed machine, lose the n-th machine, or
-    /// label it anew as the m-th is.
+    /// Generated steps: place a task on the n-th allowed machine, lose the n-th machine, or
+    /// give the n-th machine the place of the m-th.
     steps: Vec<(u8, usize, usize)>,
 }
 
@@ -87,7 +87,7 @@
     )
         .prop_map(move |((z, r, s, known), units)| {
             let mut path = vec![format!("z{z}"), format!("r{r}"), format!("s{s}")];
-            // Now and then only the zone, or zone and rack, or nothing is known.
+            // In some cases only the zone, only zone and rack, or nothing is known.
             path.truncate(match known {
                 0 => 0,
                 1 => 1,
@@ -117,11 +117,11 @@
     })
 }
 
-/// The plain model: where tasks are, as machines' places.
+/// Plain model of a job's placement, which is given the machines of its tasks.
 struct Plain<'a> {
     rules: &'a PlacementRules,
     tasks: u32,
-    /// How many domains of each level there are at all.
+    /// Number of domains at each level of the tree.
     domains: [usize; 4],
 }
 
@@ -151,7 +151,8 @@
         rule.most.unwrap_or(u32::MAX).min(share.unwrap_or(u32::MAX))
     }
 
-    /// Whether one more task may go to `at`; `there`: where the others are.
+    /// Returns whether one more task may go to machine `at` while `there` lists the machines of
+    /// the other tasks.
     fn allows(&self, there: &[Box_], at: &Box_, all: bool) -> bool {
         let counts = |level: &str| {
             let mut by: BTreeMap<String, u32> = BTreeMap::new();
@@ -234,8 +235,8 @@
     MachineLocation { place, machine }
 }
 
-/// All machines that a policy allows, found as the index finds them: in the
-/// order of places, passing over what is barred as a whole.
+/// Returns all machines that a policy allows, in the same way as the index: sorted by
+/// place, with excluded ranges skipped as a whole.
 fn allowed(
     policy: &Policy,
     tree: &Tree,
@@ -264,7 +265,7 @@
 }
 
 proptest! {
-    // One seed: the same verdict every run.
+    // One fixed seed gives the same verdict in every run.
     #![proptest_config(ProptestConfig {
         cases: 600,
         rng_seed: RngSeed::Fixed(1),
@@ -272,8 +273,9 @@
         ..ProptestConfig::default()
     })]
 
-    /// Step by step the same machines are allowed, with places lost and labels
-    /// changed in between; the same units are given out, and none twice.
+    /// Compares the allowed machines with those of the plain model after each step, while
+    /// machines are lost and places change. The same units are given out, and no unit is given
+    /// out twice.
     #[test]
     fn placement_is_the_plain_models(case in case()) {
         let mut machines = case.machines.clone();
@@ -318,7 +320,7 @@
             }
             match what {
                 0 => {
-                    // A machine is lost, and its tasks with it.
+                    // Machine n is lost, together with its tasks.
                     let gone = machines.remove(n % machines.len());
                     there.retain(|(name, _)| *name != gone.name);
                     held.remove(&gone.name);
@@ -357,8 +359,9 @@
         }
     }
 
-    /// A gang is planned whole exactly when the plain model finds room, never
-    /// beyond what is free, and in one domain where one has free capacity.
+    /// Checks that a gang is planned whole exactly if the plain model finds capacity for it.
+    /// The plan never exceeds free capacity, and stays in one domain if one has the free
+    /// capacity.
     #[test]
     fn gangs_are_planned_whole_or_not_at_all(
         machines in (1..20_usize).prop_flat_map(|n| (0..n).map(machine).collect::<Vec<_>>()),
@@ -390,7 +393,7 @@
             let m = machines.iter().find(|m| m.name == name.as_str()).expect("it");
             Plain::label(m, LEVELS[depth])
         };
-        // The innermost level at which one domain has free capacity for all.
+        // Finds the innermost level at which one domain has free capacity for all tasks.
         for depth in (0..3).rev() {
             let mut free_capacity: BTreeMap<String, u32> = BTreeMap::new();
             for s in &slots {
@@ -401,7 +404,8 @@
             if free_capacity.values().any(|n| *n >= tasks) {
                 let used: Vec<_> = plan.iter().map(|on| label(&on.machine, depth)).collect();
                 prop_assert!(used.iter().all(|l| l.is_some() && *l == used[0]));
-                // The largest alone would need so many machines at least.
+                // Using the slots with the most free capacity first gives the minimum number of
+                // machines.
                 let inside = |s: &&Slot| label(&s.machine, depth) == used[0];
                 let mut sizes: Vec<u32> = slots.iter().filter(inside).map(|s| s.free).collect();
                 sizes.sort_unstable_by(|a, b| b.cmp(a));
@@ -446,8 +450,8 @@
     broken = ["b"]
 "#;
 
-/// A job that could never be placed is told so, with the reason; one that only
-/// has to wait is not.
+/// Checks that a job that can never be placed gets a reason, and that a job that only has
+/// to wait gets none.
 #[test]
 fn what_can_never_be_placed_is_told_from_what_waits() {
     let topology = sorrelhinge_topology::Topology::parse(FILE).expect("valid");
@@ -461,7 +465,7 @@
     let one_each = r#"{"spread": [{"level": "switch", "most": 1}]}"#;
     assert_eq!(never("standing", 3, None, one_each), None);
     assert!(never("standing", 4, None, one_each).is_some());
-    // An array's tasks can run one after another.
+    // Tasks of an array can run one after another, so 40 tasks fit.
     assert_eq!(never("sweep", 40, None, one_each), None);
     assert_eq!(never("standing", 2, Some("za"), one_each), None);
     assert!(never("standing", 2, Some("zb"), one_each).is_some());
@@ -472,7 +476,7 @@
     assert!(never("ensemble", 3, None, both).is_some());
     let same = r#"{"spread": [{"level": "rack", "most": 1}], "together": {"level": "rack"}}"#;
     assert!(never("ensemble", 2, None, same).is_some());
-    // Broken units may be mended, so a job waits for them.
+    // Broken units may be repaired, so a job that needs them waits.
     assert_eq!(
         never(
             "sweep",
@@ -508,8 +512,9 @@
     assert!(why.expect("never").contains("row"));
 }
 
-/// Name before pattern before network, the longest prefix first; a place in
-/// another zone than the cloud's counts as not known.
+/// Checks that a name has precedence over a pattern and a pattern over a network, with the
+/// longest prefix first. A place outside the cloud's zone for the machine counts as not
+/// known.
 #[test]
 fn machines_find_their_place() {
     let topology = sorrelhinge_topology::Topology::parse(FILE).expect("valid");
@@ -536,7 +541,7 @@
     assert!(none.is_empty());
 }
 
-/// A wrong file names the line or the field.
+/// Checks that the error for an invalid file names the line or the field.
 #[test]
 fn wrong_files_name_the_wrong_field() {
     let wrong = |text: &str| {
@@ -604,8 +609,8 @@
     has("version = 1\n[repair]\nevery_s = 0.0", "repair.every_s");
 }
 
-/// Two gangs take turns: one never holds room against the other for longer
-/// than its turn, and whoever had one stands back.
+/// Checks that two gangs take turns. A gang never has machines reserved for longer than its
+/// turn while the other waits, and must wait after its turn.
 #[test]
 fn gangs_take_turns() {
     use sorrelhinge_protocol::types::Time;
@@ -620,7 +625,7 @@
     assert!(turn.may_reserve(&"a", 10.0, Time(21.0)));
 }
 
-/// Rules that allow only so many a machine are kept within a plan.
+/// Checks that a plan keeps a rule that limits the tasks on each machine.
 #[test]
 fn a_plan_keeps_rules() {
     struct Two;
@@ -644,7 +649,7 @@
     assert!(gang::plan_later(None, &slots, 6, &Two).is_some());
 }
 
-/// What is committed under `deploy/` is what this version reads.
+/// Checks that this version reads the files that are committed under `deploy/`.
 #[test]
 fn the_example_and_the_schema_are_up_to_date() {
     let example = include_str!("../../../deploy/topology.toml");
@@ -657,7 +662,7 @@
     );
 }
 
-/// Users and the log read these texts: they are part of what the software promises.
+/// Users and the log read these texts, so they are part of what the software promises.
 #[test]
 fn excluding_rules_have_their_texts() {
     let level = || "rack".to_owned();
@@ -690,7 +695,7 @@
     );
 }
 
-/// The same of why a job can never be placed.
+/// Users and the log also read the reasons why a job can never be placed.
 #[test]
 fn infeasible_policies_have_their_texts() {
     let unjudged = InfeasiblePolicy::Unjudged(UnjudgedPolicy::NoTopology);
