--- a/crates/topology/src/finder.rs
+++ b/crates/topology/src/finder.rs
@@ -13,7 +13,7 @@
 
 /// A name or a network that the topology file assigns to two different entries.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum NamedTwice {
+pub enum DuplicateEntry {
     /// A machine's name has two entries.
     #[error("machine {0:?} is named twice")]
     Machine(String),
@@ -46,9 +46,9 @@
     /// # Errors
     ///
     /// Fails if the name already has a different entry.
-    pub fn name(&mut self, name: &str, to: T) -> Result<(), NamedTwice> {
+    pub fn name(&mut self, name: &str, to: T) -> Result<(), DuplicateEntry> {
         match self.names.insert(name.to_owned(), to.clone()) {
-            Some(before) if before != to => Err(NamedTwice::Machine(name.to_owned())),
+            Some(before) if before != to => Err(DuplicateEntry::Machine(name.to_owned())),
             _ => Ok(()),
         }
     }
@@ -64,9 +64,9 @@
     /// # Errors
     ///
     /// Fails if the network already has a different entry.
-    pub fn network(&mut self, network: IpNet, to: T) -> Result<(), NamedTwice> {
+    pub fn network(&mut self, network: IpNet, to: T) -> Result<(), DuplicateEntry> {
         match self.networks.insert(network.trunc(), to.clone()) {
-            Some(before) if before != to => Err(NamedTwice::Network(network)),
+            Some(before) if before != to => Err(DuplicateEntry::Network(network)),
             _ => Ok(()),
         }
     }
--- a/crates/topology/src/gang.rs
+++ b/crates/topology/src/gang.rs
@@ -56,9 +56,9 @@
 }
 
 /// Rule set that allows every placement.
-pub struct Anywhere;
+pub struct NoRules;
 
-impl Rules for Anywhere {
+impl Rules for NoRules {
     fn allowed(&self, _: &[ChosenSlot<'_>], _: &Slot, wanted: u32) -> u32 {
         wanted
     }
@@ -103,14 +103,14 @@
 }
 
 /// A gang that needs a plan.
-struct Wanted<'a> {
+struct GangRequest<'a> {
     tasks: u32,
     /// Returns how many of the gang's tasks fit on a slot.
     free_capacity: &'a dyn Fn(&Slot) -> u32,
     rules: &'a dyn Rules,
 }
 
-impl Wanted<'_> {
+impl GangRequest<'_> {
     fn fill<'s>(&self, slots: &[&'s Slot]) -> Option<Vec<ChosenSlot<'s>>> {
         fill(slots, self.tasks, self.free_capacity, self.rules)
     }
@@ -126,7 +126,7 @@
             }
         }
         let all: Vec<&Slot> = slots.iter().collect();
-        self.fill(&all).map(owned)
+        self.fill(&all).map(into_plan)
     }
 
     /// Plans the gang in one domain of a level and prefers the domain that needs the fewest
@@ -156,7 +156,7 @@
                     free_capacity,
                 };
                 if best.as_ref().is_none_or(|known| rank < known.rank) {
-                    let plan = owned(chosen);
+                    let plan = into_plan(chosen);
                     best = Some(RankedPlan { rank, plan });
                 }
             }
@@ -178,7 +178,7 @@
     plan: Plan,
 }
 
-fn owned(chosen: Vec<ChosenSlot<'_>>) -> Plan {
+fn into_plan(chosen: Vec<ChosenSlot<'_>>) -> Plan {
     let assignments = chosen.into_iter().map(|chosen| Assignment {
         machine: chosen.slot.machine.clone(),
         tasks: chosen.tasks,
@@ -197,7 +197,7 @@
     tasks: u32,
     rules: &dyn Rules,
 ) -> Option<Plan> {
-    let wanted = Wanted {
+    let wanted = GangRequest {
         tasks,
         free_capacity: &|s| s.free,
         rules,
@@ -213,7 +213,7 @@
     tasks: u32,
     rules: &dyn Rules,
 ) -> Option<Plan> {
-    let wanted = Wanted {
+    let wanted = GangRequest {
         tasks,
         free_capacity: &|s| s.later,
         rules,
--- a/crates/topology/src/lib.rs
+++ b/crates/topology/src/lib.rs
@@ -106,7 +106,7 @@
     ///
     /// The bound adds up all device entries of the topology file, including those that name
     /// only machine types.
-    pub fn max_units(&self) -> BTreeMap<String, u32> {
+    pub fn max_slots(&self) -> BTreeMap<String, u32> {
         let mut max: BTreeMap<String, u32> = BTreeMap::new();
         for entry in &self.devices {
             for (kind, count) in entry.device_inventory.slots() {
--- a/crates/topology/src/policy/feasible.rs
+++ b/crates/topology/src/policy/feasible.rs
@@ -30,7 +30,7 @@
         Self { outer, one }
     }
 
-    fn admit(&self, tree: &Tree, domain: Domain) -> bool {
+    fn may_contain(&self, tree: &Tree, domain: Domain) -> bool {
         self.outer
             .is_some_and(|o| tree.covers(o, domain) || tree.covers(domain, o))
     }
@@ -62,7 +62,7 @@
 
     /// Checks whether the job requires more device units than any machine has.
     fn missing_devices(&self, topology: &Topology) -> Option<InfeasiblePolicy> {
-        let max = topology.max_units();
+        let max = topology.max_slots();
         self.devices.iter().filter(|d| d.must).find_map(|need| {
             let there = max.get(&need.kind).copied().unwrap_or(0);
             (there < need.count).then(|| InfeasiblePolicy::Devices {
@@ -124,7 +124,7 @@
     /// Returns how many tasks can run at the same time in each allowed domain of a level.
     fn free_capacities(&self, tree: &Tree, bounds: &Bounds, level: Level) -> Vec<u64> {
         tree.domains(level)
-            .filter(|d| bounds.admit(tree, *d))
+            .filter(|d| bounds.may_contain(tree, *d))
             .map(|d| self.free_capacity(tree, d))
             .collect()
     }
--- a/crates/topology/src/policy/judge.rs
+++ b/crates/topology/src/policy/judge.rs
@@ -27,7 +27,7 @@
 }
 
 /// A task, with the number of its job's tasks that share its domain.
-struct Crowded {
+struct CrowdedTask {
     index: u32,
     tasks: u32,
 }
@@ -58,13 +58,13 @@
 
     /// Returns whether a rule counts. A required rule always counts, and a preferred one only
     /// with [`Reach::All`].
-    fn asks(&self, must: bool) -> bool {
+    fn applies(&self, must: bool) -> bool {
         must || self.reach == Reach::All
     }
 
     /// Returns the exclusion of this machine by a rule of a level, with the range of places to
     /// skip.
-    fn barred(&self, level: Level, rule: ExclusionRule) -> ExcludedMachine {
+    fn exclusion(&self, level: Level, rule: ExclusionRule) -> ExcludedMachine {
         let place = self.location.place;
         let until = match self.tree.at(place, level) {
             _ if self.tree.is_machine(level) => place,
@@ -75,25 +75,25 @@
     }
 
     fn spread(&self, rule: &SpreadRule) -> Option<ExcludedMachine> {
-        if !self.asks(rule.must) {
+        if !self.applies(rule.must) {
             return None;
         }
         let counts = self.counts(rule.level);
         let Some(domain) = self.domain(rule.level) else {
             // The machine may share a domain with any other task of the job.
             let level = self.level_name(rule.level);
-            return Some(self.barred(rule.level, ExclusionRule::UnknownDomain { level }));
+            return Some(self.exclusion(rule.level, ExclusionRule::UnknownDomain { level }));
         };
         let here = counts.by_domain.get(&domain).copied().unwrap_or(0);
         (here + counts.unknown >= rule.max).then(|| {
             let level = self.level_name(rule.level);
             let max = rule.max;
-            self.barred(rule.level, ExclusionRule::Spread { level, max })
+            self.exclusion(rule.level, ExclusionRule::Spread { level, max })
         })
     }
 
     fn together(&self, rule: &TogetherRule) -> Option<ExcludedMachine> {
-        if !self.asks(rule.must) {
+        if !self.applies(rule.must) {
             return None;
         }
         let counts = self.counts(rule.level);
@@ -102,7 +102,7 @@
         });
         (!fits).then(|| {
             let level = self.level_name(rule.level);
-            self.barred(rule.level, ExclusionRule::Together { level })
+            self.exclusion(rule.level, ExclusionRule::Together { level })
         })
     }
 
@@ -120,7 +120,7 @@
         let required = rule.must && rule.max > 0 && (used >= rule.max || known.is_none());
         (preferred || required).then(|| {
             let level = self.level_name(rule.level);
-            self.barred(rule.level, ExclusionRule::Fewest { level })
+            self.exclusion(rule.level, ExclusionRule::Fewest { level })
         })
     }
 }
@@ -161,7 +161,7 @@
     /// break a required rule only if the labels of machines changed after the tasks were
     /// placed.
     pub fn excess(&self, tree: &Tree, tally: &Tally, tasks: &[LocatedTask<'_>]) -> Option<u32> {
-        let mut max: Option<Crowded> = None;
+        let mut max: Option<CrowdedTask> = None;
         for rule in &self.spread {
             let counts = tally.of(rule.level);
             for task in tasks {
@@ -170,7 +170,7 @@
                     None => u32::MAX,
                 };
                 if tasks > rule.max && max.as_ref().is_none_or(|known| tasks > known.tasks) {
-                    max = Some(Crowded {
+                    max = Some(CrowdedTask {
                         index: task.index,
                         tasks,
                     });
--- a/crates/topology/src/renting.rs
+++ b/crates/topology/src/renting.rs
@@ -23,7 +23,7 @@
 }
 
 /// Maximum number of arrivals of machines that are remembered for each pool.
-const MAX_SEEN: usize = 64;
+const MAX_ARRIVALS: usize = 64;
 
 /// A rented machine that came up at a time and place.
 #[derive(Clone, Debug)]
@@ -35,25 +35,25 @@
 /// Recent arrivals of rented machines, by machine pool.
 #[derive(Clone, Debug, Default)]
 pub struct Memory {
-    seen: BTreeMap<MachinePool, VecDeque<Arrival>>,
+    arrivals: BTreeMap<MachinePool, VecDeque<Arrival>>,
 }
 
 impl Memory {
     /// Records that a machine of a pool came up at a place.
     pub fn came(&mut self, pool: MachinePool, place: Domain, now: Time) {
-        let seen = self.seen.entry(pool).or_default();
-        seen.push_back(Arrival { at: now, place });
-        if seen.len() > MAX_SEEN {
-            seen.pop_front();
+        let arrivals = self.arrivals.entry(pool).or_default();
+        arrivals.push_back(Arrival { at: now, place });
+        if arrivals.len() > MAX_ARRIVALS {
+            arrivals.pop_front();
         }
     }
 
     /// Removes arrivals that are at least `remember_s` seconds old.
     pub fn tidy(&mut self, remember_s: f64, now: Time) {
-        for seen in self.seen.values_mut() {
-            seen.retain(|arrival| now.since(arrival.at) < remember_s);
+        for arrivals in self.arrivals.values_mut() {
+            arrivals.retain(|arrival| now.since(arrival.at) < remember_s);
         }
-        self.seen.retain(|_, seen| !seen.is_empty());
+        self.arrivals.retain(|_, arrivals| !arrivals.is_empty());
     }
 
     /// Estimates the probability that the next machine of a pool comes up in a wanted domain.
@@ -61,10 +61,13 @@
     /// The estimate is the share of wanted places among recent arrivals. It counts one extra
     /// success and one extra failure, so that it is never exactly 0 or 1.
     pub fn chance(&self, pool: &MachinePool, wanted: &dyn Fn(Domain) -> bool) -> f64 {
-        let seen = self.seen.get(pool);
-        let (good, all) = seen.map_or((0, 0), |seen| {
-            let good = seen.iter().filter(|arrival| wanted(arrival.place)).count();
-            (good, seen.len())
+        let arrivals = self.arrivals.get(pool);
+        let (good, all) = arrivals.map_or((0, 0), |arrivals| {
+            let good = arrivals
+                .iter()
+                .filter(|arrival| wanted(arrival.place))
+                .count();
+            (good, arrivals.len())
         });
         (good as f64 + 1.0) / (all as f64 + 2.0)
     }
--- a/crates/topology/src/settings/build.rs
+++ b/crates/topology/src/settings/build.rs
@@ -31,7 +31,7 @@
         if self.count.is_some() != self.units.is_empty() {
             return Err(wrong("units", "either count or units names them"));
         }
-        if self.names_nothing() {
+        if self.names_no_machines() {
             return Err(wrong(
                 "machines",
                 "no machine, pattern, network or type is named",
@@ -57,7 +57,7 @@
         })
     }
 
-    fn names_nothing(&self) -> bool {
+    fn names_no_machines(&self) -> bool {
         self.machines.is_empty()
             && self.patterns.is_empty()
             && self.networks.is_empty()
--- a/crates/topology/tests/model.rs
+++ b/crates/topology/tests/model.rs
@@ -19,7 +19,7 @@
 const LEVELS: [&str; 4] = ["zone", "rack", "switch", "machine"];
 
 #[derive(Clone, Debug)]
-struct Box_ {
+struct ModelMachine {
     name: String,
     /// Domain names from the zone on. The path is shorter if not all levels are known.
     path: Vec<String>,
@@ -28,7 +28,7 @@
 
 #[derive(Clone, Debug)]
 struct Case {
-    machines: Vec<Box_>,
+    machines: Vec<ModelMachine>,
     rules: PlacementRules,
     tasks: u32,
     /// Generated steps: place a task on the n-th allowed machine, lose the n-th machine, or
@@ -79,7 +79,7 @@
         })
 }
 
-fn machine(n: usize) -> impl Strategy<Value = Box_> {
+fn machine(n: usize) -> impl Strategy<Value = ModelMachine> {
     let unit = (0..3_u8, 1..3_u32, prop::bool::weighted(0.2));
     (
         (0..3_u8, 0..3_u8, 0..3_u8, 0..=10_u8),
@@ -98,7 +98,7 @@
                 .into_iter()
                 .map(|(u, share, broken)| (Unit::new("enc", &u.to_string()), (share, broken)))
                 .collect();
-            Box_ {
+            ModelMachine {
                 name: format!("vm-{n:03}"),
                 path,
                 units: units.into_iter().map(|(u, (s, b))| (u, s, b)).collect(),
@@ -118,15 +118,15 @@
 }
 
 /// Plain model of a job's placement, which is given the machines of its tasks.
-struct Plain<'a> {
+struct PlainModel<'a> {
     rules: &'a PlacementRules,
     tasks: u32,
     /// Number of domains at each level of the tree.
     domains: [usize; 4],
 }
 
-impl Plain<'_> {
-    fn label(at: &Box_, level: &str) -> Option<String> {
+impl PlainModel<'_> {
+    fn label(at: &ModelMachine, level: &str) -> Option<String> {
         match LEVELS.iter().position(|l| *l == level) {
             Some(3) => Some(at.name.clone()),
             Some(depth) => at.path.get(..=depth).map(|names| names.join("/")),
@@ -153,7 +153,7 @@
 
     /// Returns whether one more task may go to machine `at` while `there` lists the machines of
     /// the other tasks.
-    fn allows(&self, there: &[Box_], at: &Box_, all: bool) -> bool {
+    fn allows(&self, there: &[ModelMachine], at: &ModelMachine, all: bool) -> bool {
         let counts = |level: &str| {
             let mut by: BTreeMap<String, u32> = BTreeMap::new();
             let mut unknown = 0;
@@ -209,7 +209,7 @@
     }
 }
 
-fn tree(machines: &[Box_]) -> Tree {
+fn tree(machines: &[ModelMachine]) -> Tree {
     let paths: Vec<String> = machines
         .iter()
         .filter(|m| !m.path.is_empty())
@@ -219,11 +219,11 @@
     Tree::new(&levels, paths.iter().map(String::as_str)).expect("a tree")
 }
 
-fn place(tree: &Tree, m: &Box_) -> Domain {
+fn place(tree: &Tree, m: &ModelMachine) -> Domain {
     tree.find(&m.path.join("/")).expect("it is in the tree")
 }
 
-fn device_inventory(m: &Box_) -> DeviceInventory {
+fn device_inventory(m: &ModelMachine) -> DeviceInventory {
     let mut device_inventory = DeviceInventory::default();
     for (unit, share, broken) in &m.units {
         device_inventory.put(unit.clone(), *share, *broken);
@@ -241,7 +241,7 @@
     policy: &Policy,
     tree: &Tree,
     tally: &Tally,
-    machines: &[Box_],
+    machines: &[ModelMachine],
     reach: Reach,
 ) -> Vec<String> {
     let mut order: Vec<(Domain, &str)> = machines
@@ -288,18 +288,18 @@
             let tree = tree(&machines);
             let policy = Policy::new([&case.rules], &tree, case.tasks);
             let at = |name: &str| machines.iter().find(|m| m.name == name).cloned();
-            let others: Vec<Box_> = there.iter().filter_map(|(name, _)| at(name)).collect();
+            let others: Vec<ModelMachine> = there.iter().filter_map(|(name, _)| at(name)).collect();
             let mut domains = [0; 4];
             for (depth, count) in domains.iter_mut().enumerate() {
                 let mut labels: Vec<_> = machines
                     .iter()
-                    .filter_map(|m| Plain::label(m, LEVELS[depth]))
+                    .filter_map(|m| PlainModel::label(m, LEVELS[depth]))
                     .collect();
                 labels.sort();
                 labels.dedup();
                 *count = labels.len();
             }
-            let plain = Plain { rules: &case.rules, tasks: case.tasks, domains };
+            let plain = PlainModel { rules: &case.rules, tasks: case.tasks, domains };
             let places: Vec<MachineLocation> = others
                 .iter()
                 .map(|m| location(place(&tree, m), &m.name))
@@ -381,7 +381,7 @@
             })
             .collect();
         let sum: u32 = slots.iter().map(|s| s.free).sum();
-        let plan = gang::plan_now(Some(&tree), &slots, tasks, &gang::Anywhere);
+        let plan = gang::plan_now(Some(&tree), &slots, tasks, &gang::NoRules);
         prop_assert_eq!(plan.is_some(), sum >= tasks);
         let Some(plan) = plan else { return Ok(()) };
         prop_assert_eq!(plan.iter().map(|on| on.tasks).sum::<u32>(), tasks);
@@ -391,7 +391,7 @@
         }
         let label = |name: &MachineId, depth: usize| {
             let m = machines.iter().find(|m| m.name == name.as_str()).expect("it");
-            Plain::label(m, LEVELS[depth])
+            PlainModel::label(m, LEVELS[depth])
         };
         // Finds the innermost level at which one domain has free capacity for all tasks.
         for depth in (0..3).rev() {
