--- a/crates/protocol/src/cloud.rs
+++ b/crates/protocol/src/cloud.rs
@@ -9,7 +9,7 @@
 /// Machine type in the cloud's answer.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct WireType {
-    /// Name of the machine type.
+    /// Name of the machine type in the cloud.
     pub label: String,
     /// Number of CPUs of a machine.
     #[serde(default)]
@@ -17,7 +17,7 @@
     /// Number of GPUs of a machine.
     #[serde(default)]
     pub cards: f64,
-    /// Memory of a machine in GB.
+    /// Memory of a machine of this type, in GB.
     #[serde(default)]
     pub ram_gb: f64,
     /// Disk space of a machine for cached images, in GB.
@@ -70,7 +70,7 @@
 pub enum MachinePhase {
     /// The machine has not booted yet, according to the list.
     Booting,
-    /// The machine is up.
+    /// The machine is up, according to the list.
     Running,
     /// The machine stopped without a command.
     Failed,
@@ -87,17 +87,17 @@
     pub id: MachineId,
     /// Address of the machine's worker.
     pub addr: Option<SocketAddr>,
-    /// Type of the machine.
+    /// Type of the rented machine.
     #[serde(rename = "build")]
     pub machine_type: TypeName,
-    /// Zone of the machine.
+    /// Zone in which the cloud rented out the machine.
     #[serde(rename = "rack")]
     pub zone: Zone,
     /// Whether the machine is a spot machine.
     #[serde(default)]
     #[serde(rename = "loaners")]
     pub spot: bool,
-    /// Phase of the machine.
+    /// Phase of the rented machine, according to the cloud.
     pub phase: MachinePhase,
     /// Time since the machine was rented, in seconds.
     #[serde(default)]
--- a/crates/protocol/src/invalid.rs
+++ b/crates/protocol/src/invalid.rs
@@ -9,7 +9,7 @@
     /// other.
     #[error("{path}: {reason}")]
     Value {
-        /// Path of the wrong field.
+        /// Path from the outermost name to the field with the wrong value.
         path: String,
         /// Reason why the value is not valid.
         reason: String,
@@ -17,7 +17,7 @@
     /// The text does not have the form that the field requires.
     #[error("{path}: {reason}")]
     Malformed {
-        /// Path of the wrong field.
+        /// Path from the outermost name to the malformed field.
         path: String,
         /// Reason why the text is malformed.
         reason: String,
--- a/crates/protocol/src/operators.rs
+++ b/crates/protocol/src/operators.rs
@@ -57,7 +57,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(untagged)]
 pub enum Target {
-    /// The drain with this number.
+    /// The operator names the drain by its number.
     Number(u64),
     /// The drain of this domain or machine.
     Text(String),
@@ -67,7 +67,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct UndrainAsked {
-    /// Drain to end.
+    /// Drain that the operator wants to end, by number or by target.
     pub target: Target,
 }
 
@@ -89,7 +89,7 @@
 pub struct DomainShown {
     /// Path of the domain. Empty for machines whose place is not known at all.
     pub domain: String,
-    /// Name of the domain's level.
+    /// Name of the level that the domain belongs to, for example `rack`.
     pub level: String,
     /// Number of machines in the domain.
     pub machines: u32,
@@ -104,10 +104,10 @@
     pub devices: BTreeMap<String, DeviceShown>,
 }
 
-/// Drain and its progress.
+/// Drain with its settings and its progress, as operators see it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct DrainShown {
-    /// Number of the drain.
+    /// Number of the drain, by which operators can end it.
     pub number: u64,
     /// Path of the domain or name of the machine that is drained.
     pub target: String,
@@ -145,7 +145,7 @@
 /// Use of one shard by one team.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct TeamShown {
-    /// Name of the team.
+    /// Name of the team that uses the shard.
     pub team: String,
     /// Part of the team's CPU limit that this shard has.
     pub part_cpus: f64,
@@ -160,7 +160,7 @@
 /// Shard, with its owner and its load.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct ShardShown {
-    /// Number of the shard.
+    /// Number of the shard, which the wire calls a block.
     #[serde(rename = "block")]
     pub shard: u32,
     /// Controller that owns the shard, as recorded.
@@ -182,12 +182,12 @@
     pub teams: Vec<TeamShown>,
 }
 
-/// Answer to `GET /v1/blocks`.
+/// Answer to `GET /v1/blocks`, with the leader and all shards.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct ShardsShown {
     /// Controller that is the leader.
     pub leader: Option<String>,
-    /// All shards.
+    /// All shards of the cluster, with their owners and loads.
     #[serde(rename = "blocks")]
     pub shards: Vec<ShardShown>,
 }
@@ -196,7 +196,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize, Validate)]
 #[serde(deny_unknown_fields)]
 pub struct PinAsked {
-    /// Number of the shard to pin.
+    /// Number of the shard to pin or unpin.
     #[garde(range(max = 1_000))]
     // The field has its name on the wire, because the texts of refused requests quote it.
     pub block: u32,
--- a/crates/protocol/src/state.rs
+++ b/crates/protocol/src/state.rs
@@ -10,11 +10,11 @@
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(untagged)]
 pub enum Change {
-    /// Writes a value to a key.
+    /// The transaction writes a value to a key.
     Write {
-        /// Key to write.
+        /// Key that the transaction writes.
         write: String,
-        /// New value of the key.
+        /// New value of the written key, as JSON.
         value: Box<RawValue>,
         /// Lease that the key is attached to. The state service deletes the key when the lease
         /// ends.
@@ -22,9 +22,9 @@
         #[serde(rename = "ticket")]
         lease: Option<LeaseId>,
     },
-    /// Deletes a key.
+    /// The transaction deletes a key.
     Delete {
-        /// Key to delete.
+        /// Key that the transaction deletes.
         delete: String,
     },
 }
@@ -62,7 +62,7 @@
     #[serde(default)]
     #[serde(rename = "when")]
     pub conditions: Vec<Condition>,
-    /// Changes to apply together.
+    /// Changes that the state service applies together if all conditions are met.
     #[serde(default)]
     #[serde(rename = "apply")]
     pub changes: Vec<Change>,
@@ -99,9 +99,9 @@
 /// Key with its value and version.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Item {
-    /// Key of the item.
+    /// Key of the item in the state service.
     pub key: String,
-    /// Current value of the key.
+    /// Current value of the key, as JSON.
     pub value: Box<RawValue>,
     /// Version of the key, which is the revision of its last change.
     #[serde(rename = "stamp")]
@@ -132,7 +132,7 @@
 /// Answer to the creation of a lease.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct LeaseCreated {
-    /// Id of the new lease.
+    /// Id of the new lease in the state service.
     #[serde(rename = "ticket")]
     pub lease: LeaseId,
 }
--- a/crates/protocol/src/types/amount.rs
+++ b/crates/protocol/src/types/amount.rs
@@ -5,9 +5,9 @@
 /// Amounts of a machine's resources, in thousandths of a unit. Integers keep sums exact.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Amount {
-    /// CPUs in thousandths.
+    /// Number of CPUs, in thousandths of a CPU.
     pub cpu: i64,
-    /// GPUs in thousandths.
+    /// Number of GPUs, in thousandths of a GPU.
     pub gpu: i64,
     /// Memory in thousandths of a GB.
     pub ram: i64,
--- a/crates/protocol/src/types/job.rs
+++ b/crates/protocol/src/types/job.rs
@@ -42,15 +42,15 @@
     pub team: Arc<str>,
     /// Kind of the job: array, service or gang.
     pub kind: Kind,
-    /// Priority of the job.
+    /// Priority of the job against other jobs.
     pub priority: Priority,
-    /// Number of the job's tasks.
+    /// Number of tasks that the job has.
     pub tasks: u32,
     /// Resources that each task needs.
     pub each: Amount,
-    /// Image that each task needs.
+    /// Name of the image that each task of the job needs.
     pub image: Image,
-    /// Size of the image in GB.
+    /// Size of the job's image, in GB.
     pub image_gb: f64,
     /// Allowed machine types, or `None` if any type is allowed.
     pub types: Option<Vec<TypeName>>,
@@ -89,13 +89,13 @@
 /// Part of a recorded job that earlier versions don't know.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct CompatibilityExtension {
-    /// Whether the job is a gang.
+    /// Whether the recorded job is a gang.
     #[serde(rename = "g", default, skip_serializing_if = "std::ops::Not::not")]
     pub gang: bool,
     /// Machine types that the job really allows, or `None` if any type is allowed.
     #[serde(rename = "t", default, skip_serializing_if = "Option::is_none")]
     pub types: Option<Vec<TypeName>>,
-    /// Placement rules of the job.
+    /// Placement rules of the recorded job for the topology.
     #[serde(rename = "w", default, skip_serializing_if = "Option::is_none")]
     pub placement: Option<Box<PlacementRules>>,
 }
--- a/crates/protocol/src/types/machine_type.rs
+++ b/crates/protocol/src/types/machine_type.rs
@@ -5,7 +5,7 @@
 /// Machine type as the cloud describes it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct MachineType {
-    /// Name of the machine type.
+    /// Name of the machine type in the cloud.
     pub name: TypeName,
     /// Resources of a machine of this type.
     pub total: Amount,
--- a/crates/protocol/src/types/mod.rs
+++ b/crates/protocol/src/types/mod.rs
@@ -54,7 +54,7 @@
     MachineId
 );
 text_id!(
-    /// Id of a controller.
+    /// Id of a controller of the cluster.
     NodeId
 );
 text_id!(
@@ -62,11 +62,11 @@
     Zone
 );
 text_id!(
-    /// Name of a machine type.
+    /// Name of one of the cloud's machine types.
     TypeName
 );
 text_id!(
-    /// Name of an image.
+    /// Name of a task image.
     Image
 );
 
--- a/crates/protocol/src/users.rs
+++ b/crates/protocol/src/users.rs
@@ -17,7 +17,7 @@
 /// Status of a job, as users see it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct JobStatus {
-    /// Id of the job.
+    /// Id of the job that the status is of.
     #[serde(rename = "uid")]
     pub id: JobId,
     /// Phase of the job: `pending`, `running`, `done` or `cancelled`.
@@ -53,7 +53,7 @@
 /// Body of a job in `POST /v1/jobs` (PROTOCOL, "POST /v1/jobs"), without its `uid`.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct WireJob {
-    /// Class of the job.
+    /// Class of the job, as in the objectives of the settings.
     pub jobclass: String,
     /// Team that the job belongs to.
     pub crew: String,
@@ -61,17 +61,17 @@
     pub shape: String,
     /// Priority of the job: `critical`, `high`, `normal` or `idle`.
     pub rank: String,
-    /// Number of the job's tasks.
+    /// Number of tasks that the job has.
     pub pieces: u64,
-    /// CPUs that each task needs.
+    /// Number of CPUs that each task of the job needs.
     pub cpus: f64,
-    /// GPUs that each task needs.
+    /// Number of GPUs that each task of the job needs.
     pub cards: f64,
     /// Memory that each task needs, in GB.
     pub ram_gb: f64,
-    /// Image that each task needs.
+    /// Name of the image that each task of the job needs.
     pub bundle: String,
-    /// Size of the image in GB.
+    /// Size of the job's image, in GB.
     pub pull_gb: f64,
     /// Allowed machine types, or `None` if any type is allowed.
     pub builds: Option<Vec<String>>,
--- a/crates/protocol/src/worker.rs
+++ b/crates/protocol/src/worker.rs
@@ -15,7 +15,7 @@
 pub enum TaskPhase {
     /// The task waits until its image is fetched.
     Fetching,
-    /// The task runs.
+    /// The task runs on the machine.
     Running,
     /// The task has its image and waits for the other tasks of its gang.
     Waiting,
@@ -28,15 +28,15 @@
     Other,
 }
 
-/// Reason why a task ended.
+/// Reason why a task ended on its machine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ExitReason {
-    /// The task completed.
+    /// The task completed its work.
     Done,
     /// The task was stopped by a command.
     Stopped,
-    /// The task failed.
+    /// The task failed with an error.
     Error,
     /// The worker refused the task, because the machine has too little free capacity.
     Full,
@@ -80,7 +80,7 @@
 /// Image that a machine serves to other machines, in a worker's heartbeat.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ReportedImage {
-    /// Name of the image.
+    /// Name of the image that the machine serves.
     pub image: String,
     /// Number of the image's chunks that are on the machine and verified.
     pub parts: u64,
@@ -88,7 +88,7 @@
     pub of: u64,
 }
 
-/// Heartbeat of a worker.
+/// Heartbeat that a worker sends to a controller.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Heartbeat {
     /// Name of the worker's machine.
@@ -106,7 +106,7 @@
     #[serde(default)]
     #[serde(rename = "loaners")]
     pub spot: bool,
-    /// Incarnation of the worker.
+    /// Current incarnation of the worker that sends the heartbeat.
     #[serde(rename = "shift")]
     pub incarnation: Incarnation,
     /// Sequence number of the heartbeat within the incarnation.
@@ -119,7 +119,7 @@
     /// Time in seconds until the cloud reclaims the machine, if the cloud has announced it.
     #[serde(rename = "warning_s")]
     pub preemption_notice_s: Option<f64>,
-    /// All tasks on the machine.
+    /// All tasks that are on the machine.
     #[serde(default)]
     #[serde(rename = "pieces")]
     pub tasks: Vec<ReportedTask>,
@@ -135,9 +135,9 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "verb", rename_all = "lowercase")]
 pub enum Command {
-    /// Starts a task.
+    /// The worker starts a task.
     Start {
-        /// Name of the task to start.
+        /// Name of the task that the worker starts.
         #[serde(rename = "piece")]
         task_name: String,
         /// Number of the attempt to start.
@@ -157,9 +157,9 @@
         #[serde(default, skip_serializing_if = "Vec::is_empty")]
         from: Vec<SocketAddr>,
     },
-    /// Stops a task.
+    /// The worker stops a task.
     Kill {
-        /// Name of the task to stop.
+        /// Name of the task that the worker stops.
         #[serde(rename = "piece")]
         task_name: String,
         /// Number of the attempt to stop.
@@ -171,7 +171,7 @@
     },
     /// Removes an ended task from the worker's heartbeats.
     Forget {
-        /// Name of the ended task.
+        /// Name of the ended task that the worker no longer reports.
         #[serde(rename = "piece")]
         task_name: String,
         /// Number of the attempt that ended.
@@ -186,7 +186,7 @@
     /// Fencing token under which the controller sends the commands.
     #[serde(rename = "baton")]
     pub fencing_token: FencingToken,
-    /// Commands for the worker.
+    /// Commands that the worker carries out.
     #[serde(rename = "orders")]
     pub commands: Vec<Command>,
 }
@@ -200,7 +200,7 @@
     /// Incarnation of the worker that the commands are for.
     #[serde(rename = "shift")]
     pub incarnation: Incarnation,
-    /// Commands for the worker.
+    /// Commands that the worker carries out.
     #[serde(rename = "orders")]
     pub commands: Vec<Command>,
 }
--- a/crates/topology/src/devices.rs
+++ b/crates/topology/src/devices.rs
@@ -52,7 +52,7 @@
 /// Number of device units of one kind on a machine.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct DeviceCount {
-    /// Kind of device.
+    /// Kind of the counted device units, for example `encoder`.
     pub kind: String,
     /// Number of units of this device kind.
     pub count: u32,
--- a/crates/topology/src/drain.rs
+++ b/crates/topology/src/drain.rs
@@ -93,11 +93,11 @@
 /// Action that a drain takes on one task.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Step {
-    /// Leaves the task alone for now.
+    /// The drain takes no action on the task for now.
     Wait,
-    /// Prepares a place on another machine, then stops the task.
+    /// The drain prepares a place on another machine, then stops the task.
     Move,
-    /// Stops the task now.
+    /// The drain stops the task at once, without a place on another machine.
     Stop,
 }
 
@@ -129,7 +129,7 @@
     }
 }
 
-/// Progress of a drain.
+/// Progress of a drain, as counts of machines and tasks.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Progress {
     /// Number of machines that the drain covers.
--- a/crates/topology/src/finder.rs
+++ b/crates/topology/src/finder.rs
@@ -17,7 +17,7 @@
     /// A machine's name has two entries.
     #[error("machine {0:?} is named twice")]
     Machine(String),
-    /// A network has two entries.
+    /// The topology file assigns a network to two different entries.
     #[error("network {0} is named twice")]
     Network(IpNet),
 }
--- a/crates/topology/src/gang.rs
+++ b/crates/topology/src/gang.rs
@@ -14,7 +14,7 @@
 /// A machine that could run tasks of a gang, with its capacity for them.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Slot {
-    /// Id of the machine.
+    /// Id of the machine that could run the gang's tasks.
     pub machine: MachineId,
     /// Innermost failure domain that is known to contain the machine.
     pub place: Domain,
@@ -42,7 +42,7 @@
 /// A slot on which a plan already puts tasks of the gang.
 #[derive(Clone, Copy, Debug)]
 pub struct ChosenSlot<'a> {
-    /// Slot that the plan uses.
+    /// Slot on which the plan puts tasks of the gang.
     pub slot: &'a Slot,
     /// Number of the gang's tasks that the plan puts on the slot.
     pub tasks: u32,
@@ -102,7 +102,7 @@
     (left == 0).then_some(chosen)
 }
 
-/// A gang that needs a plan.
+/// A gang that needs a plan, with its rules and its capacity measure.
 struct GangRequest<'a> {
     tasks: u32,
     /// Returns how many of the gang's tasks fit on a slot.
--- a/crates/topology/src/policy.rs
+++ b/crates/topology/src/policy.rs
@@ -22,7 +22,7 @@
 pub enum Reach {
     /// Required and preferred rules count.
     All,
-    /// Only required rules count.
+    /// Only required rules count, and preferred rules are ignored.
     Musts,
 }
 
--- a/crates/topology/src/policy/reasons.rs
+++ b/crates/topology/src/policy/reasons.rs
@@ -10,7 +10,7 @@
     NoTopology,
     /// A required rule names a level that is not in the topology file.
     UnknownLevel {
-        /// Level name in the rule.
+        /// Name of the unknown level in the rule.
         level: String,
     },
 }
@@ -72,7 +72,7 @@
     Unjudged(UnjudgedPolicy),
     /// The job requires more device units of a kind than any machine has.
     Devices {
-        /// Kind of device.
+        /// Kind of the devices that the job requires.
         kind: String,
         /// Number of units that a task needs on its machine.
         count: u32,
--- a/crates/topology/src/renting.rs
+++ b/crates/topology/src/renting.rs
@@ -14,7 +14,7 @@
 /// on-demand.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct MachinePool {
-    /// Machine type of the pool.
+    /// Machine type that all machines of the pool have.
     pub kind: TypeName,
     /// Zone of the pool's machines.
     pub zone: Zone,
