--- a/crates/protocol/src/operators.rs
+++ b/crates/protocol/src/operators.rs
@@ -27,7 +27,7 @@
     /// Path of the domain or name of the machine to drain.
     #[garde(length(bytes, min = 1, max = 200))]
     pub target: String,
-    /// Time in seconds until the drain stops all remaining tasks.
+    /// Time in seconds from the request until the drain stops all remaining tasks.
     #[serde(default = "default_deadline_s")]
     #[garde(range(min = 0.0, max = 604_800.0))]
     pub deadline_s: f64,
@@ -42,7 +42,7 @@
 }
 
 impl DrainAsked {
-    /// Checks that all values are within their ranges.
+    /// Checks that all values of the drain request are within their ranges.
     ///
     /// # Errors
     ///
@@ -76,7 +76,7 @@
 pub struct DeviceShown {
     /// Number of device units in the domain.
     pub units: u32,
-    /// Number of these units that are broken.
+    /// Number of device units in the domain that are broken.
     pub broken: u32,
     /// Number of tasks to which units that are not broken could be assigned.
     pub slots: u32,
@@ -87,17 +87,18 @@
 /// Failure domain, with counts of the machines whose innermost known domain is this one.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DomainShown {
-    /// Path of the domain. Empty for machines whose place is not known at all.
+    /// Path of the failure domain, or an empty text for machines whose place is not known at
+    /// all.
     pub domain: String,
     /// Name of the level that the domain belongs to, for example `rack`.
     pub level: String,
-    /// Number of machines in the domain.
+    /// Number of machines whose innermost known domain is this one.
     pub machines: u32,
-    /// Number of these machines that may get new tasks.
+    /// Number of machines in the domain that may get new tasks.
     pub usable: u32,
-    /// Number of these machines that are being drained.
+    /// Number of machines in the domain that are being drained.
     pub draining: u32,
-    /// Number of tasks on these machines.
+    /// Number of tasks on the machines in the domain.
     pub tasks: u32,
     /// Device units in the domain, by kind.
     #[serde(default)]
@@ -119,13 +120,13 @@
     pub keep: bool,
     /// Number of machines that the drain covers.
     pub machines: u32,
-    /// Number of covered machines that have no tasks.
+    /// Number of machines covered by the drain that have no tasks.
     pub empty: u32,
-    /// Number of tasks that are still on the covered machines.
+    /// Number of tasks that are still on machines covered by the drain.
     pub tasks: u32,
-    /// Number of these tasks that are being stopped.
+    /// Number of tasks on machines covered by the drain that are being stopped.
     pub stopping: u32,
-    /// Whether no task is left on the covered machines.
+    /// Whether no task is left on the machines that the drain covers.
     pub done: bool,
 }
 
@@ -207,7 +208,7 @@
 }
 
 impl PinAsked {
-    /// Checks that all values are within their ranges.
+    /// Checks that all values of the pin request are within their ranges.
     ///
     /// # Errors
     ///
--- a/crates/protocol/src/placement.rs
+++ b/crates/protocol/src/placement.rs
@@ -43,7 +43,7 @@
     #[serde(default, skip_serializing_if = "Option::is_none")]
     #[garde(range(min = 0.0001, max = 1.0))]
     pub share: Option<f64>,
-    /// Whether the rule is required. Otherwise, it is preferred.
+    /// Whether the spread rule is required. Otherwise, it is preferred.
     #[serde(default = "yes")]
     #[garde(skip)]
     pub must: bool,
@@ -56,7 +56,7 @@
     /// Name of the level whose domains the rule counts.
     #[garde(length(bytes, min = 1, max = 64))]
     pub level: String,
-    /// Whether the rule is required. Otherwise, it is preferred.
+    /// Whether the rule for one domain is required. Otherwise, it is preferred.
     #[serde(default = "yes")]
     #[garde(skip)]
     pub must: bool,
@@ -75,7 +75,7 @@
     #[garde(skip)]
     #[serde(rename = "most")]
     pub max: u32,
-    /// Whether the rule is required. Otherwise, it is preferred.
+    /// Whether the limit on domains is required. Otherwise, it is preferred.
     #[serde(default = "yes")]
     #[garde(skip)]
     pub must: bool,
@@ -128,7 +128,7 @@
 }
 
 impl PlacementRules {
-    /// Returns whether there are no rules.
+    /// Returns whether there are no placement rules.
     pub fn is_empty(&self) -> bool {
         *self == Self::default()
     }
@@ -152,8 +152,8 @@
         Ok(Some(rules).filter(|w| !w.is_empty()))
     }
 
-    /// Checks that all values are within their ranges. `at` is the path of the rules for
-    /// errors.
+    /// Checks that all values of the placement rules are within their ranges. `at` is the path
+    /// of the rules for errors.
     ///
     /// # Errors
     ///
--- a/crates/topology/src/drain.rs
+++ b/crates/topology/src/drain.rs
@@ -134,16 +134,16 @@
 pub struct Progress {
     /// Number of machines that the drain covers.
     pub machines: u32,
-    /// Number of covered machines that have no tasks.
+    /// Number of machines covered by the drain that have no tasks.
     pub empty: u32,
-    /// Number of tasks that are still on the covered machines.
+    /// Number of tasks that are still on machines covered by the drain.
     pub tasks: u32,
-    /// Number of these tasks that are being stopped.
+    /// Number of tasks on machines covered by the drain that are being stopped.
     pub stopping: u32,
 }
 
 impl Progress {
-    /// Returns whether no task is left on the covered machines.
+    /// Returns whether no task is left on the machines that the drain covers.
     pub fn done(&self) -> bool {
         self.tasks == 0
     }
--- a/crates/topology/src/settings.rs
+++ b/crates/topology/src/settings.rs
@@ -136,7 +136,8 @@
     }
 }
 
-/// Renting of machines for placement rules that the rented machines can't meet.
+/// Renting of additional machines for placement rules that the machines already rented
+/// can't meet.
 #[derive(Clone, Debug, Deserialize, JsonSchema, Validate)]
 #[serde(deny_unknown_fields, default)]
 pub struct Renting {
@@ -209,7 +210,8 @@
     #[serde(default)]
     #[garde(dive)]
     pub repair: Repair,
-    /// Renting of machines for placement rules that the rented machines can't meet.
+    /// Renting of additional machines for placement rules that the machines already rented
+    /// can't meet.
     #[serde(default)]
     #[garde(dive)]
     pub renting: Renting,
--- a/crates/topology/src/settings/build.rs
+++ b/crates/topology/src/settings/build.rs
@@ -17,9 +17,9 @@
 pub(crate) struct InventoryRule {
     /// Machines that the entry names by name, pattern or network.
     pub matcher: Matcher,
-    /// Machine types whose machines have these units.
+    /// Machine types whose machines have the entry's device units.
     pub types: Vec<String>,
-    /// Device units that each of these machines has.
+    /// Device units that each machine named by the entry has.
     pub device_inventory: DeviceInventory,
 }
 
