--- a/crates/protocol/src/placement.rs
+++ b/crates/protocol/src/placement.rs
@@ -165,7 +165,7 @@
             if self.devices[..i].iter().any(|d| d.kind == device.kind) {
                 return Err(InvalidField::value(
                     format!("{at}.devices[{i}].kind"),
-                    "named twice",
+                    "the device kind appears twice",
                 ));
             }
         }
--- a/crates/topology/src/finder.rs
+++ b/crates/topology/src/finder.rs
@@ -15,10 +15,10 @@
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum DuplicateEntry {
     /// A machine's name has two entries.
-    #[error("machine {0:?} is named twice")]
+    #[error("machine {0:?} has two different entries")]
     Machine(String),
     /// The topology file assigns a network to two different entries.
-    #[error("network {0} is named twice")]
+    #[error("network {0} has two different entries")]
     Network(IpNet),
 }
 
--- a/crates/topology/src/settings/build.rs
+++ b/crates/topology/src/settings/build.rs
@@ -29,7 +29,7 @@
     fn device_inventory(&self, at: &str) -> Result<InventoryRule, InvalidField> {
         let wrong = |field: &str, why: &str| InvalidField::value(format!("{at}.{field}"), why);
         if self.count.is_some() != self.units.is_empty() {
-            return Err(wrong("units", "either count or units names them"));
+            return Err(wrong("units", "exactly one of count and units must be set"));
         }
         if self.names_no_machines() {
             return Err(wrong(
@@ -97,7 +97,7 @@
                 InvalidField::value(format!("topology.place[{i}].{field}"), why)
             };
             let Some(domain) = tree.find(&place.domain) else {
-                return Err(wrong("domain", "not in the tree".into()).into());
+                return Err(wrong("domain", "the domain is not in the tree".into()).into());
             };
             for name in &place.machines {
                 finder
--- a/crates/topology/src/tree.rs
+++ b/crates/topology/src/tree.rs
@@ -123,7 +123,7 @@
 pub enum PathError {
     /// The path has a name for the machine level or for levels below it, and domains are only
     /// above the machine level.
-    #[error("{path:?} names {named} levels; above the machine there are {above}")]
+    #[error("path {path:?} names {named} levels, but only {above} levels are above the machine")]
     TooDeep {
         /// Path that has too many names.
         path: String,
@@ -133,7 +133,7 @@
         above: usize,
     },
     /// A name in the path is empty or contains whitespace.
-    #[error("{0:?} has a name that is empty or has spaces")]
+    #[error("path {0:?} has a name that is empty or has spaces")]
     Name(String),
 }
 
