--- a/crates/pipelines/src/graph.rs
+++ b/crates/pipelines/src/graph.rs
@@ -1,20 +1,22 @@
-//! The jobs that wait for others, as the committed records have them.
+//! Dependency graph of the jobs, built from their committed records.
 //!
-//! - A job is *ready* once the records of all jobs that it needs say done. Done never
-//!   changes, so a job that was ready stays so, for every later owner.
-//! - A job is *cancelled* if its record says so or that of any job that it needs,
-//!   directly or through others. One committed write so cancels a whole pipeline, in
-//!   every answer that rests on a read begun after it. No task of a job with a cancelled
-//!   ancestor can have started: that ancestor is never done, so the job was never ready.
-//! - A job's *urgency* is the highest of its own and of all open jobs that need it.
+//! - A job is *ready* once the records of all its dependencies are marked as done. A done
+//!   job stays done, so a ready job stays ready for every later shard owner.
+//! - A job is *cancelled* if its own record, or the record of a direct or indirect
+//!   dependency, is marked as cancelled. So one committed write cancels a whole pipeline in
+//!   every answer based on a read that begins after that write. No task of a job with a
+//!   cancelled ancestor can have started, because that ancestor is never done and so the
+//!   job was never ready.
+//! - A job's *urgency* is the highest of its own and that of all open jobs that depend on it.
 //!
-//! Users name accepted jobs only, so the graph has no cycle. A cycle in the records, which
-//! no version writes, is told of, and its jobs wait until they are cancelled.
+//! A user can name only accepted jobs as dependencies, so the graph has no cycle. No version
+//! writes records with a cycle. If the records contain one, the graph logs an error, and the
+//! jobs of the cycle wait until they are cancelled.
 //!
-//! Work for an event: readiness and cancellation visit each edge once in the life of the
-//! graph. A new job visits those ancestors that become more urgent by it; one that is
-//! cancelled visits the ancestors that become less urgent, and looks at each one's open
-//! dependents. Jobs that are done leave the graph.
+//! Cost of an event: the updates of readiness and cancellation visit each edge once in the
+//! lifetime of the graph. A new job visits the ancestors whose urgency it raises. A
+//! cancelled job visits the ancestors whose urgency drops, and reads the open dependents of
+//! each. Done jobs are removed from the graph.
 
 use std::collections::{BTreeSet, HashMap, VecDeque};
 
@@ -23,78 +25,81 @@
 use crate::node::Node;
 use crate::urgency::Urgency;
 
-/// What a job's record says of its end.
+/// State of a job according to its record.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Recorded {
-    /// It is neither done nor cancelled.
+    /// The job is neither done nor cancelled.
     Open,
-    /// All its tasks are done, since this time of day in milliseconds; 0: the record does
-    /// not tell, as an earlier version wrote it.
+    /// All tasks of the job are done.
     Done {
-        /// When.
+        /// Unix time in milliseconds at which the job's last task was done. The value is 0 if
+        /// an earlier version wrote the record, because such a record has no time.
         since_ms: u64,
     },
-    /// Its user cancelled it.
+    /// The user cancelled the job.
     Cancelled,
 }
 
-/// What a job's record says of it.
+/// Facts from a job's record that the dependency graph uses.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct JobFacts {
-    /// Of its end.
+    /// State of the job: open, done or cancelled.
     pub recorded: Recorded,
-    /// The jobs that it needs.
+    /// Direct dependencies of the job.
     pub needs: Vec<JobId>,
-    /// Its own urgency.
+    /// Urgency that the job's own record gives, without that of its dependents.
     pub urgency: Urgency,
-    /// What its run takes, by its owner's estimate, in milliseconds.
+    /// Run time of the job in milliseconds, as its user estimates it.
     pub run_ms: i64,
 }
 
-/// The graph. Jobs that neither need others nor are needed are not in it.
+/// Dependency graph. A job without dependencies and dependents is not in the graph.
 #[derive(Clone, Debug, Default)]
 pub struct Graph {
     nodes: HashMap<JobId, Node>,
 }
 
 impl Graph {
-    /// Whether a job is in it.
+    /// Returns whether the job is in the graph.
     pub fn contains(&self, id: &JobId) -> bool {
         self.nodes.contains_key(id)
     }
 
-    /// Whether all jobs that it needs are done.
+    /// Returns whether the job is not cancelled and all its dependencies are done. A job that
+    /// is not in the graph counts as ready.
     pub fn is_ready(&self, id: &JobId) -> bool {
         let node = self.nodes.get(id);
         node.is_none_or(|n| n.unmet.is_empty() && !n.cancelled)
     }
 
-    /// Whether it is cancelled, by its own record or with a job that it needs.
+    /// Returns whether the job is cancelled, by its own record or with a dependency.
     pub fn is_cancelled(&self, id: &JobId) -> bool {
         self.nodes.get(id).is_some_and(|n| n.cancelled)
     }
 
-    /// The jobs that it waits for; a cancelled one waits for none.
+    /// Returns the dependencies that the job still waits for. A cancelled job waits for none.
     pub fn waits_for(&self, id: &JobId) -> impl Iterator<Item = &JobId> {
         let node = self.nodes.get(id).filter(|n| !n.cancelled);
         node.into_iter().flat_map(|n| &n.unmet)
     }
 
-    /// When the last job that it needs became done, in milliseconds of the time of day;
-    /// 0: it needs none, or their records don't tell, or it is cancelled.
+    /// Returns the Unix time in milliseconds at which the job's last dependency was done.
+    /// Returns 0 if the job has no dependencies, their records have no time, or the job is
+    /// cancelled.
     pub fn ready_ms(&self, id: &JobId) -> u64 {
         let node = self.nodes.get(id).filter(|n| !n.cancelled);
         node.map_or(0, |n| n.ready_ms)
     }
 
-    /// Its urgency, with what it inherits; none: it is not in the graph.
+    /// Returns the job's urgency, including the inherited urgency. Returns `None` if the job
+    /// is not in the graph.
     pub fn urgency(&self, id: &JobId) -> Option<Urgency> {
         self.nodes.get(id).map(|n| n.urgency)
     }
 
-    /// Takes in a job's record, and returns the jobs for which something changed by it:
-    /// that they are ready, cancelled, or as urgent as before. `lookup` tells of records
-    /// that were taken in while their jobs were not in the graph.
+    /// Applies a job's record to the graph and returns the jobs that changed. A job counts
+    /// as changed if it became ready or cancelled or if its urgency changed. `lookup` returns
+    /// the facts of a record that was read earlier, while its job was not in the graph.
     pub fn put(
         &mut self,
         id: &JobId,
@@ -113,7 +118,7 @@
         changed
     }
 
-    /// Takes a job in whose record was not read before.
+    /// Adds a job whose record was not read before.
     fn insert(
         &mut self,
         id: &JobId,
@@ -123,7 +128,7 @@
     ) {
         self.adopt(id, facts);
         if matches!(facts.recorded, Recorded::Done { .. }) {
-            // What it needed is done, too.
+            // The dependencies of a done job are done too, so no link is needed.
             return;
         }
         for need in &facts.needs {
@@ -136,7 +141,7 @@
         }
     }
 
-    /// Notes what a job's record says of the job itself.
+    /// Copies the facts of the job's own record into its node, without its dependencies.
     fn adopt(&mut self, id: &JobId, facts: &JobFacts) {
         let node = self.nodes.entry(id.clone()).or_insert_with(Node::unknown);
         node.known = true;
@@ -146,7 +151,7 @@
         node.urgency = facts.urgency.joined(inherits);
     }
 
-    /// Notes that a job needs another one.
+    /// Records that job `id` depends on job `need`.
     fn link(&mut self, id: &JobId, need: &JobId, lookup: &impl Fn(&JobId) -> Option<JobFacts>) {
         if !self.contains(need) {
             match lookup(need) {
@@ -174,14 +179,14 @@
         }
     }
 
-    /// Jobs that a job needs and that are not done.
+    /// Returns the job's dependencies that are not done.
     fn unmet(&self, id: &JobId) -> impl Iterator<Item = &JobId> {
         let node = self.nodes.get(id);
         node.into_iter().flat_map(|n| &n.unmet)
     }
 
-    /// Whether a job needs another one, directly or through others. Only a job that was
-    /// named before its record was read can be needed already.
+    /// Returns whether job `id` depends on job `other`, directly or indirectly. A new job has
+    /// dependents only if another record named the job before its own record was read.
     fn needs(&self, id: &JobId, other: &JobId) -> bool {
         if id == other {
             return true;
@@ -205,7 +210,7 @@
         false
     }
 
-    /// A job that another one needs is done.
+    /// Removes the done job `need` from the unmet dependencies of job `id`.
     fn met(&mut self, id: &JobId, need: &JobId, since_ms: u64) {
         if let Some(node) = self.nodes.get_mut(id) {
             node.unmet.remove(need);
@@ -213,7 +218,8 @@
         }
     }
 
-    /// A job is done: it leaves the graph, and whoever waited only for it is ready.
+    /// Removes a done job from the graph. Dependents that waited only for this job become
+    /// ready.
     fn finish(&mut self, id: &JobId, since_ms: u64, changed: &mut BTreeSet<JobId>) {
         let Some(node) = self.nodes.remove(id) else {
             return;
@@ -225,7 +231,7 @@
                 changed.insert(dependent.clone());
             }
         }
-        // Only records that contradict each other have any left.
+        // A done job has unmet dependencies only if the records contradict each other.
         for need in &node.unmet {
             if let Some(needed) = self.nodes.get_mut(need) {
                 needed.dependents.remove(id);
@@ -233,7 +239,7 @@
         }
     }
 
-    /// A job is cancelled, and all jobs that need it.
+    /// Cancels a job and all its direct and indirect dependents.
     fn cancel(&mut self, id: &JobId, changed: &mut BTreeSet<JobId>) {
         let mut cancelled = Vec::new();
         let mut next = vec![id.clone()];
@@ -253,7 +259,7 @@
         changed.extend(cancelled);
     }
 
-    /// A new job makes those that it needs more urgent.
+    /// Raises the urgency of the new job's direct and indirect dependencies.
     fn raise_ancestors(&mut self, id: &JobId, changed: &mut BTreeSet<JobId>) {
         let mut next = VecDeque::from([id.clone()]);
         while let Some(at) = next.pop_front() {
@@ -277,7 +283,8 @@
         }
     }
 
-    /// A job that is cancelled makes those that it needs as urgent as the others do.
+    /// Lowers the urgency of a cancelled job's direct and indirect dependencies to that which
+    /// their remaining dependents give them.
     fn lower_ancestors(&mut self, id: &JobId, changed: &mut BTreeSet<JobId>) {
         let mut next: VecDeque<JobId> = self.unmet(id).cloned().collect();
         for need in &next {
--- a/crates/pipelines/src/lib.rs
+++ b/crates/pipelines/src/lib.rs
@@ -1,9 +1,9 @@
-//! Jobs that wait for other jobs (`waits_on`), without I/O or clock:
+//! Dependencies between jobs (`waits_on`). This crate does no I/O and reads no clock.
 //!
-//! - [`graph`]: which jobs are ready, and which are cancelled with others;
-//! - [`urgency`]: the priority and the latest finish that a job inherits.
+//! - [`graph`] computes which jobs are ready and which are cancelled with a dependency.
+//! - [`urgency`] computes the priority and the latest finish that a job inherits.
 //!
-//! Everything follows from committed records; nothing here is stored. See
+//! All results are derived from committed job records. This crate stores nothing. See
 //! `docs/pipelines.md`.
 
 pub mod graph;
--- a/crates/pipelines/src/node.rs
+++ b/crates/pipelines/src/node.rs
@@ -1,4 +1,4 @@
-//! One job of the graph.
+//! A job in the dependency graph.
 
 use std::collections::BTreeSet;
 
@@ -6,35 +6,38 @@
 
 use crate::urgency::Urgency;
 
-/// What nobody knows of yet passes on nothing.
+/// Urgency of a job whose record was not read. This value raises no other job's urgency.
 const UNKNOWN: Urgency = Urgency {
     priority: Priority::Idle,
     finish_ms: None,
 };
 
-/// One job that waits for others, or that others wait for.
+/// A job that depends on other jobs or that other jobs depend on.
 #[derive(Clone, Debug)]
 pub(crate) struct Node {
-    /// Its record was seen. Else it was only named, by a record that was read first.
+    /// Whether the job's record was read. If not, only a dependent's record, which was read
+    /// first, names the job.
     pub known: bool,
-    /// By its own record, or with a job that it needs. Final.
+    /// Whether the job is cancelled, by its own record or with one of its dependencies. A
+    /// cancelled job stays cancelled.
     pub cancelled: bool,
-    /// The jobs that it needs and that are not done.
+    /// Dependencies of the job that are not done.
     pub unmet: BTreeSet<JobId>,
-    /// When the last of the others became done, in milliseconds of the time of day.
+    /// Unix time in milliseconds at which the latest of the job's finished dependencies
+    /// was done; 0 if none is done.
     pub ready_ms: u64,
-    /// Open jobs that need it.
+    /// Open jobs that depend on this job.
     pub dependents: BTreeSet<JobId>,
-    /// Its own urgency.
+    /// Urgency that the job's own record gives, without that of its dependents.
     pub own: Urgency,
-    /// With what it inherits.
+    /// Urgency of the job, joined with the urgency that it inherits from its dependents.
     pub urgency: Urgency,
-    /// What its run takes, by its owner's estimate.
+    /// Run time of the job in milliseconds, as its user estimates it.
     pub run_ms: i64,
 }
 
 impl Node {
-    /// A job that was named and not seen.
+    /// Creates a node for a job that another record names and whose own record was not read.
     pub(crate) fn unknown() -> Self {
         Self {
             known: false,
@@ -48,7 +51,8 @@
         }
     }
 
-    /// What it passes on to the jobs that it needs: nothing once it is cancelled.
+    /// Returns the urgency that the job's dependencies inherit from it, or `None` if the job
+    /// is cancelled or its record was not read.
     pub(crate) fn passes_on(&self) -> Option<Urgency> {
         let open = self.known && !self.cancelled;
         open.then(|| self.urgency.passed_on(self.run_ms))
--- a/crates/pipelines/src/urgency.rs
+++ b/crates/pipelines/src/urgency.rs
@@ -1,19 +1,20 @@
-//! How urgent a job is, by itself and for the jobs that need it.
+//! Urgency of a job: its own, and that which it inherits from the jobs that depend on it.
 
 use sorrelhinge_protocol::types::Priority;
 
-/// A job's priority, and when it has to be done at the latest.
+/// Priority of a job and the latest time at which the job must be done.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Urgency {
-    /// Priority.
+    /// Priority of the job; a dependency inherits the highest of its dependents.
     pub priority: Priority,
-    /// Latest finish, in milliseconds of the time of day; none: no deadline.
+    /// Latest finish of the job as Unix time in milliseconds, or `None` if the job has no
+    /// deadline.
     pub finish_ms: Option<i64>,
 }
 
 impl Urgency {
-    /// What a job that takes `run_ms` passes on to the jobs that it needs: they have to
-    /// be done early enough for it.
+    /// Returns the urgency that a job with a run time of `run_ms` passes to its dependencies.
+    /// Their latest finish is `run_ms` earlier, so that the job still meets its own.
     pub fn passed_on(self, run_ms: i64) -> Self {
         Self {
             finish_ms: self.finish_ms.map(|finish| finish.saturating_sub(run_ms)),
@@ -21,7 +22,7 @@
         }
     }
 
-    /// The more urgent of both, in each respect.
+    /// Returns the higher priority and the earlier finish of the two urgencies.
     pub fn joined(self, other: Self) -> Self {
         Self {
             priority: self.priority.max(other.priority),
--- a/crates/pipelines/tests/model.rs
+++ b/crates/pipelines/tests/model.rs
@@ -1,5 +1,5 @@
-//! The graph against a slow plain model, over generated histories and in any order of
-//! reading.
+//! Compares the dependency graph with a slow, simple model, over generated histories and in
+//! any order in which records are read.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -8,7 +8,7 @@
 use sorrelhinge_pipelines::urgency::Urgency;
 use sorrelhinge_protocol::types::{JobId, Priority};
 
-/// What is asked of the graph about one job.
+/// Answers of the graph, or of the model, about one job.
 #[derive(Clone, Debug, PartialEq)]
 struct Seen {
     ready: bool,
@@ -18,7 +18,7 @@
     urgency: Option<Urgency>,
 }
 
-/// All records, and what follows from them by plain recursion.
+/// Reference model. It holds all job records and computes each answer by recursion.
 #[derive(Clone, Default)]
 struct Model {
     records: BTreeMap<JobId, JobFacts>,
@@ -70,7 +70,7 @@
         }
     }
 
-    /// Jobs of which the graph has something to tell.
+    /// Returns the jobs whose record is not marked as done.
     fn open(&self) -> impl Iterator<Item = &JobId> {
         self.records
             .keys()
@@ -88,7 +88,8 @@
     }
 }
 
-/// Takes in a record as the local view does.
+/// Applies a record to the graph as the controller's view of the store does: a job without
+/// dependencies enters the graph only if another record names the job.
 fn put(
     graph: &mut Graph,
     read: &mut BTreeMap<JobId, JobFacts>,
@@ -102,7 +103,8 @@
     graph.put(id, facts, |other| read.get(other).cloned())
 }
 
-/// Compares all open jobs; one that is not in the graph has nothing but its record.
+/// Compares the graph's answers with the model's for all open jobs. A job outside the graph
+/// must have no dependencies and only its own urgency.
 fn compare(graph: &Graph, model: &Model) -> Result<(), TestCaseError> {
     for id in model.open() {
         let expected = model.seen(id);
@@ -151,7 +153,7 @@
     ]
 }
 
-/// The record that a step writes; none: it writes none.
+/// Returns the record that the step writes, or `None` if the step writes none.
 fn written(step: &Step, at: usize, model: &Model) -> Option<(JobId, JobFacts)> {
     let ids: Vec<JobId> = model.records.keys().cloned().collect();
     match step {
@@ -189,7 +191,7 @@
     }
 }
 
-/// The record of one of these jobs once it has ended; none if there is none.
+/// Returns the final record of one of the jobs in `ids`, or `None` if `ids` is empty.
 fn ended(
     which: &prop::sample::Index,
     ids: Vec<JobId>,
@@ -207,8 +209,8 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 400, failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// After each record the graph says what the model says, and names every job for
-    /// which something changed.
+    /// After each record the graph gives the same answers as the model, and `put` returns
+    /// every job whose answers changed.
     #[test]
     fn follows_the_records(steps in prop::collection::vec(step(), 1..60)) {
         let mut model = Model::default();
@@ -228,7 +230,8 @@
         }
     }
 
-    /// Read in any order, as at a start, the records tell the same.
+    /// The graph gives the same answers in whatever order a starting controller reads the
+    /// records.
     #[test]
     fn is_the_same_in_any_order_of_reading(
         steps in prop::collection::vec(step(), 1..50),
@@ -244,7 +247,7 @@
         all.sort_by_key(|(rank, _)| **rank);
         let (mut graph, mut read) = (Graph::default(), BTreeMap::new());
         for (_, (id, facts)) in all {
-            // A done job's record has no description left, nor what it needed.
+            // A done job's record has neither a job description nor dependencies any more.
             let facts = match facts.recorded {
                 Recorded::Done { .. } => JobFacts { needs: Vec::new(), ..facts.clone() },
                 Recorded::Open | Recorded::Cancelled => facts.clone(),
@@ -267,7 +270,8 @@
     }
 }
 
-/// No version writes one; reading it must come to an end, and nothing of it may start.
+/// No version writes a dependency cycle. If the records contain one, reading must terminate
+/// and no job of the cycle may become ready.
 #[test]
 fn a_cycle_in_the_records_is_survived() {
     let records = [
