--- a/crates/priority-lanes/src/lanes.rs
+++ b/crates/priority-lanes/src/lanes.rs
@@ -1,4 +1,4 @@
-//! The lanes that operators name, and which one a job is in.
+//! Definitions of the priority lanes, and the selection of a job's lane.
 
 use std::collections::BTreeMap;
 
@@ -7,33 +7,35 @@
 
 use crate::part::Bound;
 
-/// What all properties of lanes begin with.
+/// Prefix of the keys of all lane properties.
 pub const PREFIX: &str = "lane.";
-/// The part of a lane that names none.
+/// Part of a lane whose properties give no part.
 const DEFAULT_PART: f64 = 0.25;
-/// What sums of parts may be off by, as they are rounded.
+/// Tolerance for the rounding error in the sum of the parts of all lanes.
 const ROUNDING: f64 = 1e-9;
-/// Most lanes: each is looked at for each job that comes.
+/// Maximum number of lanes. The limit exists because each new job is compared with each
+/// lane.
 const MAX_LANES: usize = 16;
 
-/// A lane's number: the lower goes first. It follows from the properties alone
-/// (`order`, then the name), so controllers with the same properties agree. It is
-/// never recorded: another file may number the lanes anew.
+/// Position of a lane in the order of all lanes. The scheduler serves lanes with lower
+/// positions first. The position depends only on the properties (`order`, then the name), so
+/// controllers with the same properties agree. It is never stored in a record, because
+/// another properties file may number the lanes differently.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct LaneId(pub u16);
 
-/// A lane, as its properties say.
+/// Priority lane as its properties define it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Lane {
-    /// Name.
+    /// Name of the lane, which is part of its property keys.
     pub name: String,
-    /// Lanes of a lower number go first.
+    /// Sort value among the lanes. The scheduler serves lanes with lower values first.
     pub order: i64,
-    /// How much it may take ahead of others.
+    /// Limit on the resources that the lane may take ahead of other jobs.
     pub bound: Bound,
-    /// Classes, `*` and `?` as in file names.
+    /// Patterns of the job classes in the lane, with the wildcards `*` and `?` of file names.
     classes: Vec<WildMatch>,
-    /// Also all jobs of rank `high` with a deadline.
+    /// Whether the lane also takes all jobs of priority `high` that have a deadline.
     high: bool,
 }
 
@@ -44,13 +46,14 @@
     }
 }
 
-/// All lanes; none: nothing differs from a version without lanes.
+/// All priority lanes in order. Without lanes the scheduler behaves like a version that has
+/// no lanes.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Lanes {
     lanes: Vec<Lane>,
 }
 
-/// A lane's properties as far as they are read.
+/// Properties of one lane that were read so far.
 #[derive(Default)]
 struct Raw {
     classes: Vec<WildMatch>,
@@ -59,7 +62,7 @@
     high: bool,
 }
 
-/// A key of a lane's property: `lane.NAME.WHAT`.
+/// Parsed key of a lane property: `lane.NAME.WHAT`.
 struct Property<'a> {
     key: &'a str,
     lane: &'a str,
@@ -67,7 +70,7 @@
 }
 
 impl<'a> Property<'a> {
-    /// Of a key; none if it doesn't begin with [`PREFIX`].
+    /// Parses a property key. Returns `None` if the key doesn't begin with [`PREFIX`].
     fn parse(key: &'a str) -> Result<Option<Self>, LanesError> {
         let Some(rest) = key.strip_prefix(PREFIX) else {
             return Ok(None);
@@ -84,7 +87,7 @@
 }
 
 impl Raw {
-    /// Takes the value of one property.
+    /// Parses and stores the value of one property.
     fn set(&mut self, property: &Property, value: &str) -> Result<(), LanesError> {
         let key = || property.key.to_owned();
         let owned = || value.to_owned();
@@ -109,7 +112,7 @@
         Ok(())
     }
 
-    /// The lane of this name, if something can be in it.
+    /// Builds the lane `name`. Fails if no job could be in the lane.
     fn named(self, name: &str) -> Result<Lane, LanesError> {
         if self.classes.is_empty() && !self.high {
             return Err(LanesError::NoClasses(name.to_owned()));
@@ -124,49 +127,49 @@
     }
 }
 
-/// Why properties of lanes can't be read: one line that names the key.
+/// Error in the properties of lanes. The text is one line that names the property key.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum LanesError {
-    /// The key is no property of a lane.
+    /// The property key begins with [`PREFIX`] but is not a lane property.
     #[error("{0}: no such property")]
     NoSuchProperty(String),
-    /// The lane's name has other characters.
+    /// The lane's name has a character other than a letter, a digit, `-` or `_`.
     #[error("{0}: a lane's name has letters, digits, - and _ only")]
     Name(String),
-    /// Two commas without a pattern between them, or none at all.
+    /// The list of class patterns has an empty pattern or is empty.
     #[error("{key}: an empty pattern in {value:?}")]
     EmptyPattern {
-        /// The key.
+        /// Key of the property.
         key: String,
-        /// Its value.
+        /// Rejected value of the property.
         value: String,
     },
-    /// The order is not a whole number.
+    /// The value of an `order` property is not a whole number.
     #[error("{key}: not a whole number: {value:?}")]
     Order {
-        /// The key.
+        /// Key of the property.
         key: String,
-        /// Its value.
+        /// Rejected value of the property.
         value: String,
     },
-    /// The part is not a number within 0 to 1.
+    /// The value of a `part` property is not a number from 0 to 1.
     #[error("{key}: not a number within 0 to 1: {value:?}")]
     Part {
-        /// The key.
+        /// Key of the property.
         key: String,
-        /// Its value.
+        /// Rejected value of the property.
         value: String,
     },
-    /// A value that should be `true` or `false`.
+    /// The value of a `high` property is neither `true` nor `false`.
     #[error("{0}: neither true nor false")]
     High(String),
-    /// More lanes than are looked at for each job.
+    /// The properties define more than the maximum number of lanes.
     #[error("{}*: more than {} lanes", PREFIX, MAX_LANES)]
     TooMany,
-    /// No class belongs to the lane.
+    /// The lane has neither class patterns nor `high`, so no job could be in the lane.
     #[error("{}{}.classes: missing", PREFIX, .0)]
     NoClasses(String),
-    /// All lanes' parts together.
+    /// The sum of the parts of all lanes is above 1.
     #[error("{}*.part: {} of all lanes is above 1", PREFIX, .0)]
     Parts(f64),
 }
@@ -186,16 +189,20 @@
 }
 
 impl Lanes {
-    /// Reads `lane.NAME.classes` (patterns with commas between), `.order` (a whole
-    /// number, 0 if absent), `.part` (0 to 1, 0.25 if absent; all
-    /// lanes' together at most 1) and `.high`
-    /// (`true`: also all jobs of rank `high` with a deadline). Keys that don't
-    /// begin with [`PREFIX`] are not looked at. The error is one line that names
-    /// the key.
+    /// Reads all lanes from properties and ignores keys that don't begin with [`PREFIX`]. A
+    /// lane has these properties:
+    ///
+    /// - `lane.NAME.classes`: class patterns, separated by commas;
+    /// - `lane.NAME.order`: a whole number, 0 if absent;
+    /// - `lane.NAME.part`: a number from 0 to 1, 0.25 if absent; the sum for all lanes is at
+    ///   most 1;
+    /// - `lane.NAME.high`: if `true`, the lane also takes all jobs of priority `high` with a
+    ///   deadline.
     ///
     /// # Errors
     ///
-    /// The first key that is unknown, or whose value is not valid.
+    /// Returns an error for the first key that is unknown or whose value is not valid. Its
+    /// text is one line that names the key.
     pub fn read<'a>(
         pairs: impl IntoIterator<Item = (&'a str, &'a str)>,
     ) -> Result<Self, LanesError> {
@@ -212,7 +219,7 @@
         }
         let named = raws.into_iter().map(|(name, raw)| raw.named(name));
         let mut lanes = named.collect::<Result<Vec<Lane>, _>>()?;
-        // Else two lanes together could keep everybody else waiting.
+        // With a sum above 1, two lanes together could block all other jobs.
         let all: f64 = lanes.iter().map(|l| l.bound.part()).sum();
         if all > 1.0 + ROUNDING {
             return Err(LanesError::Parts(all));
@@ -221,24 +228,25 @@
         Ok(Self { lanes })
     }
 
-    /// Whether there are none.
+    /// Returns whether the operator defined no lanes.
     pub fn is_empty(&self) -> bool {
         self.lanes.is_empty()
     }
 
-    /// The lane of a job: the first in order that has it.
+    /// Returns the lane of a job, which is the first lane in order that matches the job.
+    /// Returns `None` if no lane matches.
     pub fn of(&self, class: &str, priority: Priority, has_deadline: bool) -> Option<LaneId> {
         let has = |lane: &Lane| lane.has(class, priority, has_deadline);
         let found = self.lanes.iter().position(has)?;
         u16::try_from(found).ok().map(LaneId)
     }
 
-    /// A lane.
+    /// Returns the lane at position `id`, or `None` if there are fewer lanes.
     pub fn get(&self, id: LaneId) -> Option<&Lane> {
         self.lanes.get(usize::from(id.0))
     }
 
-    /// All lanes, the first in order first.
+    /// Returns all lanes with their positions, in the order in which they are served.
     pub fn iter(&self) -> impl Iterator<Item = (LaneId, &Lane)> {
         (0..).map(LaneId).zip(&self.lanes)
     }
--- a/crates/priority-lanes/src/lib.rs
+++ b/crates/priority-lanes/src/lib.rs
@@ -1,11 +1,12 @@
-//! Priority lanes: urgent work that goes before other work, in an order that no
-//! failure of a controller changes. Without I/O or clock:
+//! Priority lanes: the scheduler serves urgent jobs before other jobs, in an order that a
+//! failure of a controller does not change. This crate does no I/O and reads no clock.
 //!
-//! - [`Lanes`]: the operators' lanes, and which one a job is in;
-//! - [`order`]: the order within and between lanes;
-//! - [`place`]: where a job's place is kept, and what each write does with it;
-//! - [`part`]: how much of anything that binds a lane may take ahead of others;
-//! - [`shown`]: what operators see.
+//! - [`Lanes`] holds the lanes that operators define and selects the lane of a job.
+//! - [`order`] sorts jobs within a lane and between lanes.
+//! - [`place`] computes a job's place in its lane, and what each write of the job's record
+//!   stores of it.
+//! - [`part`] limits how much of a shared resource a lane may take ahead of other jobs.
+//! - [`shown`] formats lanes for operators.
 //!
 //! See `docs/lanes.md`.
 
--- a/crates/priority-lanes/src/shown.rs
+++ b/crates/priority-lanes/src/shown.rs
@@ -1,66 +1,68 @@
-//! What `lanes show` prints, and its answer on the operators' interface.
+//! Response of the operators' API with all lanes, and the text that `lanes show` prints of
+//! it.
 
 use std::fmt::Write;
 
 use serde::{Deserialize, Serialize};
 
-/// All lanes.
+/// State of all priority lanes, as the operators' API returns it.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct LanesShown {
-    /// The first in order first.
+    /// State of each lane, in the order in which the scheduler serves the lanes.
     pub lanes: Vec<LaneShown>,
 }
 
-/// A lane.
+/// State of one priority lane.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct LaneShown {
-    /// Name.
+    /// Name of the lane.
     pub name: String,
-    /// Its order.
+    /// Sort value of the lane. The scheduler serves lanes with lower values first.
     pub order: i64,
-    /// Its part at most, 0 to 1.
+    /// Largest part of the CPUs, from 0 to 1, that the lane may take ahead of other jobs.
     pub part: f64,
-    /// CPUs that its jobs use.
+    /// Number of CPUs that the lane's jobs use.
     pub cpus: f64,
-    /// CPUs of which that is a part.
+    /// Total number of CPUs, of which `cpus` is a part.
     pub of_cpus: f64,
-    /// Jobs that wait, the next one first.
+    /// Pending jobs of the lane, in the order in which the scheduler serves them.
     pub waiting: Vec<WaitShown>,
 }
 
-/// A job that waits in a lane.
+/// Pending job in a lane, as operators see it.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct WaitShown {
-    /// Its id.
+    /// Id of the job.
     pub job: String,
-    /// Its class.
+    /// Class of the job, which the lane's class patterns match.
     pub class: String,
-    /// Its team.
+    /// Team that submitted the job.
     pub team: String,
-    /// Its place: the revision of its first write.
+    /// Place of the job in its lane: the revision of the first write of its record.
     pub place: u64,
-    /// How long it has waited, in seconds.
+    /// Time in seconds that the job has waited.
     pub waited_s: f64,
-    /// Seconds within which it must begin to be done by its deadline; negative
-    /// once that is too late. None: no deadline.
+    /// Time in seconds until the latest start with which the job still meets its deadline. The
+    /// value is negative once that start has passed. `None` if the job has no deadline.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub left_s: Option<f64>,
-    /// Goes before earlier places: pressing, or it has waited for long.
+    /// Whether the job goes before jobs with earlier places, because its latest start is near
+    /// or the job has waited for long.
     #[serde(default)]
     pub front: bool,
-    /// Why it waits.
+    /// Reason why the job waits.
     pub why: String,
 }
 
 impl LanesShown {
-    /// For a terminal.
+    /// Formats the lanes and their pending jobs as text for a terminal.
     pub fn render(&self) -> String {
         let mut text = String::new();
         if self.lanes.is_empty() {
             text.push_str("no lanes\n");
         }
         for lane in &self.lanes {
-            // Writing into a string does not fail.
+            // Writing to a `String` does not fail.
             let _ = writeln!(
                 text,
                 "{}: order {}, {:.0} of {:.0} CPUs, at most {:.0}% ahead of others, {} waiting",
--- a/crates/priority-lanes/tests/model.rs
+++ b/crates/priority-lanes/tests/model.rs
@@ -1,5 +1,6 @@
-//! Lanes over generated crashes, preemptions, failed attempts and a version that
-//! drops the place, against a plain model: one queue in the order of first writes.
+//! Tests of priority lanes against a simple model, which is one queue in the order of first
+//! writes. The generated histories have crashes, preemptions, failed attempts and an older
+//! program version that drops the copied place.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -10,14 +11,14 @@
 use sorrelhinge_priority_lanes::{place, LaneId, Lanes};
 use sorrelhinge_protocol::types::{JobId, Priority, Revision};
 
-// ---- places and order -----------------------------------------------------
+// ---- Places and order of jobs ---------------------------------------------
 
-/// How far each controller's clock is off, in milliseconds.
+/// Error of each controller's clock in milliseconds.
 const CLOCKS: [i64; 3] = [0, 2_500, -2_500];
 const OFF_MS: u64 = 2_500;
 
-/// A job's record in the state service; and when it was written first, which only
-/// the model knows.
+/// A job's record in the state service. Only the model reads `first`, the revision and time
+/// of the first write.
 #[derive(Clone)]
 struct Record {
     mod_revision: Revision,
@@ -28,7 +29,7 @@
     first: (Revision, u64),
 }
 
-/// What decides; a mistaken one is put in its place.
+/// Functions under test. A test replaces one of them with a faulty function.
 #[derive(Clone, Copy)]
 struct Code {
     known: fn(Option<Revision>, Option<Revision>, Revision) -> Revision,
@@ -40,31 +41,33 @@
     arrange,
 };
 
-/// The state service and three controllers.
+/// Simulation of the state service and three controllers.
 struct World {
     code: Code,
     now_ms: u64,
     writes: u64,
     records: BTreeMap<JobId, Record>,
-    /// What each controller remembers of places.
+    /// Places of the jobs that each controller stores in memory.
     memories: [BTreeMap<JobId, Revision>; 3],
-    /// Jobs that the version before wrote last before this one began: it can't
-    /// know their places.
+    /// Jobs of each controller whose true place it can't compute, because an older program
+    /// version dropped the copied place before this controller started.
     unsure: [BTreeSet<JobId>; 3],
     owner: usize,
 }
 
 #[derive(Clone, Debug)]
 enum Op {
-    /// At a controller; which deadline.
+    /// Submits a job to a controller, with one of three deadlines. The fields are the indexes of
+    /// both.
     Submit(usize, usize),
-    /// The owner places what is first.
+    /// The owner places the first job of the order.
     Claim,
-    /// Preempted, its machine lost, or its attempt failed.
+    /// A placed job becomes pending again, because it was preempted, its machine was lost or its
+    /// attempt failed.
     Back(usize),
-    /// The version before owns the machines for a moment.
+    /// A controller of an older program version writes a job's record without the place.
     BeforeWrites(usize),
-    /// A controller forgets everything but records.
+    /// A controller restarts with an empty memory and reads all records.
     Crash(usize),
     TakeOver(usize),
     Pass(u64),
@@ -89,7 +92,7 @@
         self.now_ms.saturating_add_signed(CLOCKS[who])
     }
 
-    /// Writes a record, which every controller sees.
+    /// Writes a job's record to the state service. Every controller reads it.
     fn write(&mut self, id: &JobId, mut record: Record) {
         self.writes += 1;
         record.mod_revision = Revision(self.writes);
@@ -101,7 +104,7 @@
         self.records.insert(id.clone(), record);
     }
 
-    /// The owner writes a record again, for a reason of its own.
+    /// Makes the owner write a job's record again, for a reason other than the place.
     fn rewrite(&mut self, id: Option<JobId>, waits: bool) {
         let Some(id) = id else { return };
         let mut record = self.records[&id].clone();
@@ -119,7 +122,7 @@
         (!all.is_empty()).then(|| all[nth % all.len()].clone())
     }
 
-    /// The order in which the owner offers what is free.
+    /// Returns the order in which the owner offers free capacity to jobs.
     fn order(&self) -> Vec<JobId> {
         let waiting = self.records.iter().filter(|(_, r)| r.waits);
         let waits = waiting.map(|(id, r)| Waits {
@@ -133,19 +136,20 @@
         keys.into_iter().map(|k| k.id).collect()
     }
 
-    /// One who goes first although its first write was later must be pressing or
-    /// have waited for long, by the true time; and if it asks for the same, the
-    /// other must be late for good.
+    /// Checks the order of pending jobs. A job may overtake a job whose first write was
+    /// earlier only if the overtaking job is pressing or has waited for long, by the true
+    /// time. If both have the same deadline, the overtaken job must also be too late for it.
     fn check(&self) -> Result<(), String> {
         let order = self.order();
         for (n, later) in order.iter().enumerate() {
             for earlier in &order[n + 1..] {
                 let (b, a) = (&self.records[later], &self.records[earlier]);
-                // Whose place its owner can't know may only come later.
+                // A job whose true place the owner can't compute may only go later.
                 if b.first < a.first || self.unsure[self.owner].contains(earlier) {
                     continue;
                 }
-                // As long as it may seem to have waited, of two clocks.
+                // Two clocks are involved, so the measured waiting time may be longer than the
+                // true one by twice the clock error.
                 let waited = |r: &Record| self.now_ms - r.first.1 + 2 * OFF_MS;
                 let pressing = |m: u64| waited(b) + (PRESSING_S * 1000.0) as u64 >= m;
                 let aged = waited(b) >= (AGED_S * 1000.0) as u64;
@@ -162,7 +166,7 @@
     fn run(&mut self, op: &Op) {
         match *op {
             Op::Submit(at, due) => {
-                // Names fall, so that none is first by its name alone.
+                // Later jobs get smaller ids, so that no job goes first only because of its id.
                 let id = JobId::from(&*format!("j{:04}", 9999 - self.writes));
                 let record = Record {
                     mod_revision: Revision(0),
@@ -196,7 +200,7 @@
     }
 }
 
-/// Runs all; the first order that the checker rejects.
+/// Runs all operations. Returns the first fault that the checker finds in the order of jobs.
 fn check(code: Code, ops: &[Op]) -> Result<(), String> {
     let mut world = World {
         code,
@@ -217,8 +221,8 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 300, failure_persistence: None, rng_seed: proptest::test_runner::RngSeed::Fixed(11), ..ProptestConfig::default() })]
 
-    /// No crash, takeover, preemption, retry, clock or earlier version lets a job
-    /// be overtaken by a later one, but for a deadline that can still be met.
+    /// No crash, takeover, preemption, retry, clock error or older program version lets a
+    /// later job overtake an earlier one, except for a deadline that can still be met.
     #[test]
     fn places_stay(ops in ops()) {
         prop_assert_eq!(check(OURS, &ops), Ok(()));
@@ -231,12 +235,12 @@
     waits.into_iter().map(one).collect()
 }
 
-/// What the checker is worth: codes that are wrong in one way each.
+/// The checker rejects faulty implementations, each of which has one fault.
 #[test]
 fn mistaken_orders_are_rejected() {
     let arranged = |arrange| Code { arrange, ..OURS };
     let knowing = |known| Code { known, ..OURS };
-    // The second is accepted by a controller whose clock is behind.
+    // A controller whose clock is slow accepts the second job.
     let two = vec![Op::Submit(1, 0), Op::Submit(2, 0)];
     let then = |more: &[Op]| [&two, more].concat();
     let by_clock = arranged(|w, now| sorted_by(w, now, |w| w.accepted_ms));
@@ -247,9 +251,10 @@
     for (code, ops) in [
         (by_clock, two.clone()),
         (arranged(by_deadline), then(&[Op::Submit(0, 2)])),
-        // A preempted job goes to the end.
+        // This implementation moves a preempted job to the end of the order.
         (last_write, then(&[Op::Claim, Op::Back(0)])),
-        // What the version before drops is forgotten by one who saw it.
+        // This implementation loses a place that an older program version drops, although the
+        // controller read it before.
         (without_memory, then(&[Op::BeforeWrites(1)])),
         (none_is_first, two.clone()),
     ] {
@@ -258,8 +263,8 @@
     }
 }
 
-/// The one exception, to the letter: a pressing one goes first, a late one gains
-/// nothing, and one that has waited for a minute is passed over by nobody.
+/// A pressing job goes first, a job that is too late for its deadline gains no precedence,
+/// and no job overtakes a job that has waited for a minute.
 #[test]
 fn deadlines_go_first_while_they_can_be_met() {
     let first = |now_ms, b: (u64, u64)| {
@@ -287,11 +292,11 @@
     assert_eq!(may_wait_ms(Some(f64::NAN), 9.0), None);
 }
 
-// ---- parts ------------------------------------------------------------------
+// ---- Limits of a lane's part ------------------------------------------------
 
 proptest! {
-    /// What a flood in a lane holds ahead of others stays within its part, but for
-    /// its first job.
+    /// A lane with many jobs holds no more than its part ahead of other jobs, except that its
+    /// first job may exceed the part.
     #[test]
     fn a_flood_takes_its_part(sizes in prop::collection::vec(1i64..40, 1..60), part in 0.0f64..=1.0) {
         let (total, bound, mut lane) = (100, Bound::new(part), 0);
@@ -306,8 +311,8 @@
         prop_assert!(bound.allows(alone, 10), "nobody else wants it");
     }
 
-    /// Where turns count: a lane has its part and no more, at least one in twenty,
-    /// and others at least one in ten; a quiet time of either changes little.
+    /// A lane gets its part of the turns, but at least one turn in twenty, and other jobs get
+    /// at least one in ten. A time without jobs of the lane or of others changes little.
     #[test]
     fn turns_follow_the_part(part in 0.0f64..=1.0, quiet in 0u32..100, busy in 0u32..100) {
         let bound = Bound::new(part);
@@ -328,14 +333,15 @@
     }
 }
 
-// ---- properties and what is shown -----------------------------------------
+// ---- Properties and operators' output -------------------------------------
 
 fn read(text: &str) -> Result<Lanes, String> {
     let pairs = java_properties::read(text.as_bytes()).map_err(|e| e.to_string())?;
     Lanes::read(pairs.iter().map(|(k, v)| (k.as_str(), v.as_str()))).map_err(|e| e.to_string())
 }
 
-/// The file that operators are given, and what is wrong with others, by key.
+/// Reads the properties file in `deploy`, and checks that the error for a faulty file names
+/// the key.
 #[test]
 fn properties_are_read_or_refused_by_key() {
     let lanes = read(include_str!("../../../deploy/lanes.properties")).expect("the file");
