--- a/crates/reservations/src/plan.rs
+++ b/crates/reservations/src/plan.rs
@@ -1,13 +1,14 @@
-//! One occurrence's steps, and how much capacity is reserved now.
+//! Steps of a window's occurrence, and the capacity to reserve for it now.
 //!
-//! What is reserved follows the *recorded* step, never the one that is due: a new
-//! owner finds in the record all that its predecessor acted by. Clocks decide
-//! only when the next step is due, with edges widened by their bound: begun as
-//! early, and ended as late, as any clock within the bound may say. A recorded
-//! step is not undone by a clock, wherever that jumps.
+//! The reserved capacity follows the *recorded* step, never the step that is due. So a new
+//! owner finds in the record everything on which its predecessor acted. Clocks decide only
+//! when the next step is due, and the bound on the clock error extends the occurrence at
+//! both ends. It begins as early and ends as late as any clock within the bound could give.
+//! No clock undoes a recorded step, however far the clock jumps.
 //!
-//! In parts: what it is made from (`seen`), how much capacity is reserved (`free_capacity`), what a
-//! record is to become (`change`), and who gives way (`arbitration`).
+//! The submodules define the input (`seen`), the capacity to reserve (`free_capacity`), the
+//! next change of a record (`change`), and which window gets less when capacity is short
+//! (`arbitration`).
 
 mod arbitration;
 mod change;
@@ -26,16 +27,17 @@
 use crate::settings::Window;
 use crate::when::Span;
 
-/// What is due.
+/// Result of planning one occurrence of a window.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Next {
-    /// The record's change.
+    /// Change of the occurrence's record that the owner makes next.
     pub change: Change,
-    /// For how many tasks to reserve capacity now, with what its work uses.
+    /// Number of tasks for which to reserve capacity now, including capacity that the
+    /// window's tasks already use.
     pub reserved_tasks: u32,
-    /// What is lacking of that.
+    /// Reason why the capacity for the occurrence is short, or `None` if it is not.
     pub short: Option<Short>,
-    /// A line for operators.
+    /// One line for operators that describes the step and any shortage.
     pub why: String,
 }
 
@@ -77,8 +79,8 @@
     (late && missing > 0).then_some(Short::Late(missing))
 }
 
-/// What is due for one occurrence, which begins at `at.start_ms`. The window is
-/// `None` where it has been taken out.
+/// Plans one occurrence of a window, which begins at `at.start_ms`. `window` is `None` if an
+/// operator has removed the window from the calendar.
 pub fn step(
     window: Option<&Window>,
     at: Span,
@@ -110,7 +112,8 @@
     }
 }
 
-/// A line for operators: the record, what it lacks, and how much is reserved.
+/// Returns one line for operators with the recorded step, the shortage and the reserved
+/// capacity.
 fn explain(shown: Option<&WindowRecord>, short: Option<&Short>, reserved: u32) -> String {
     match (shown, short) {
         (None, _) => "not near".into(),
@@ -130,19 +133,20 @@
     }
 }
 
-/// What is due for all occurrences of a window.
+/// Plan for all occurrences of a window.
 #[derive(Clone, Debug, PartialEq)]
 pub struct WindowPlan {
-    /// Each occurrence that is near or recorded, by its beginning.
+    /// Plan of each occurrence that begins soon or has a record, keyed by its start as Unix
+    /// time in milliseconds.
     pub each: BTreeMap<i64, Next>,
-    /// For how many tasks to reserve capacity: the most that any of them needs, not the
-    /// sum, as one goes over into the next with the same machines.
+    /// Number of tasks for which to reserve capacity. This is the maximum over the
+    /// occurrences and not the sum, because consecutive occurrences use the same machines.
     pub reserved_tasks: u32,
 }
 
-/// Looks at all occurrences of a window: those recorded, by their beginning in
-/// milliseconds, and those that come near. The window is `None` where only
-/// records are left of it.
+/// Plans all occurrences of a window that have a record or begin soon. The keys of `records`
+/// are the starts of the occurrences as Unix times in milliseconds. `window` is `None` if only
+/// records of the window remain.
 pub fn steps(
     window: Option<&Window>,
     records: &BTreeMap<i64, WindowRecord>,
@@ -154,7 +158,8 @@
         .map(|(start, record)| (*start, span(*start, record)))
         .collect();
     if let Some(window) = window {
-        // The one under way, and the one that may warm beside it.
+        // Two occurrences can be active: the current one, and the next one, which may be in
+        // the warming step.
         let current = window.current_or_next(clock.earliest_ms());
         let second = current.and_then(|span| window.next(span.start_ms));
         for span in current.into_iter().chain(second) {
@@ -176,8 +181,8 @@
     }
 }
 
-/// Parts of a number of tasks for `shards` shards: they add up to it, differ by one at
-/// most, and none shrinks when it grows.
+/// Divides a number of tasks among `shards` shards. The parts add up to `tasks` and differ by
+/// one at most, and no part becomes smaller when `tasks` becomes larger.
 pub fn divide(tasks: u32, shards: u32) -> Vec<u32> {
     (0..shards)
         .map(|shard| {
--- a/crates/reservations/src/plan/arbitration.rs
+++ b/crates/reservations/src/plan/arbitration.rs
@@ -1,46 +1,48 @@
-//! Which windows give way where they need more at the same time than there is.
+//! Division of capacity among windows that together need more than is available.
 
 use std::collections::BTreeMap;
 
 use sorrelhinge_protocol::types::Amount;
 
-/// What a window needs at a moment.
+/// Capacity that a window needs at one time.
 #[derive(Clone, Debug, PartialEq)]
 pub struct CapacityRequest {
-    /// The window.
+    /// Name of the window that needs the capacity.
     pub name: String,
-    /// Its team.
+    /// Team of the window, whose guarantee and limit apply.
     pub team: String,
-    /// What a task takes.
+    /// Resources that one task of the window needs.
     pub each: Amount,
-    /// For how many tasks.
+    /// Number of tasks for which the window needs capacity.
     pub tasks: u32,
 }
 
-/// What a team's windows may have.
+/// Capacity that all windows of a team together may have.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct TeamFreeCapacity {
-    /// Its guarantee, less what its work outside of windows uses.
+    /// Guarantee of the team, minus what the team's tasks outside of windows use.
     pub guarantee: Amount,
-    /// Its limit, less the same.
+    /// Limit of the team, minus what the team's tasks outside of windows use.
     pub limit: Amount,
 }
 
-/// What a window gets.
+/// Capacity that a window gets from the arbitration.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct CapacityShare {
-    /// The window.
+    /// Name of the window that gets the capacity.
     pub name: String,
-    /// For how many tasks.
+    /// Number of tasks for which the window gets capacity.
     pub tasks: u32,
-    /// Where that is less than it needs: a window that came first.
+    /// Name of a window that was served before and has the missing capacity. `None` if this
+    /// window gets all that it needs or no other window has the missing capacity.
     pub gives_way_to: Option<String>,
 }
 
-/// Divides capacity among windows that need it at the same time, in the order of
-/// `requests`: first what lies within a team's guarantee, by name, then the rest, by
-/// name. `pool` is all that machines can be had for, where that is known to be short;
-/// memory counts there, not in limits.
+/// Divides capacity among windows that need it at the same time. Returns the shares in the
+/// order of `requests`. The first pass serves all windows, by name, within the guarantees of
+/// their teams. The second pass serves the rest, by name. `pool` is the total capacity of the
+/// machines that can be rented, if that is known to be short. Memory counts in `pool` but
+/// not in the limits of teams.
 pub fn arbitrate(
     requests: &[CapacityRequest],
     teams: &BTreeMap<String, TeamFreeCapacity>,
@@ -57,14 +59,15 @@
     arbitration.shares
 }
 
-/// What is left to divide, and what was given so far.
+/// State of an arbitration: the remaining capacity, and the shares so far.
 struct Arbitration<'a> {
     requests: &'a [CapacityRequest],
     teams: BTreeMap<String, TeamFreeCapacity>,
     pool: Option<Amount>,
-    /// By place in `requests`.
+    /// Share of each request, at the same index as in `requests`.
     shares: Vec<CapacityShare>,
-    /// Requests that got something, in order; of what is short the last one is named.
+    /// Indexes of the requests that got capacity, in the order in which they were served. If
+    /// another request gets too little, the last suitable index names the rival window.
     served: Vec<usize>,
 }
 
@@ -88,8 +91,9 @@
         }
     }
 
-    /// Gives request `i` as much as fits: within its team's guarantee if `guaranteed`,
-    /// else within its limit, and then says which window has what it lacks.
+    /// Gives request `i` as much capacity as fits. If `guaranteed`, the team's guarantee
+    /// applies. If not, the team's limit applies, and the share also names the window that
+    /// has the missing capacity.
     fn serve(&mut self, i: usize, guaranteed: bool) {
         let request = &self.requests[i];
         let team = self.teams.entry(request.team.clone()).or_default();
@@ -108,8 +112,9 @@
         }
     }
 
-    /// The window that was served last with what request `i` lacks: of the pool, if that
-    /// is short, or of its team's capacity.
+    /// Returns the name of the window that was served last with capacity that request `i`
+    /// lacks. If `short_pool`, that can be any other window. If not, it is a window of the
+    /// same team.
     fn rival(&self, i: usize, short_pool: bool) -> Option<String> {
         let team = &self.requests[i].team;
         let is_rival =
@@ -119,22 +124,23 @@
     }
 }
 
-/// How many tasks of a window fit.
+/// Number of a window's tasks that fit into the remaining capacity.
 struct Fit {
-    /// Into its team's free capacity and into what there is.
+    /// Number of tasks that fit into both the team's free capacity and the pool.
     all: u32,
-    /// Into its team's free capacity.
+    /// Number of tasks that fit into the team's free capacity, without regard to the pool.
     by_team: u32,
 }
 
-/// How many tasks of a window fit. `guaranteed`: within its team's guarantee.
+/// Returns how many tasks of a window fit. If `guaranteed`, the team's guarantee also limits
+/// the result.
 fn fits(
     request: &CapacityRequest,
     free_capacity: &TeamFreeCapacity,
     guaranteed: bool,
     pool: Option<Amount>,
 ) -> Fit {
-    // Memory is in no team's limit.
+    // Limits and guarantees of teams don't include memory, so it counts as unlimited here.
     let of_team = |amount: Amount| Amount {
         ram: i64::MAX,
         ..amount
--- a/crates/reservations/src/plan/change.rs
+++ b/crates/reservations/src/plan/change.rs
@@ -1,5 +1,5 @@
-//! What an occurrence's record is to become: the step that is due, by the clock and
-//! what is seen, and never a step back.
+//! Next change of an occurrence's record. The clock and the owner's observations determine
+//! the step that is due. A recorded step never goes back.
 
 use super::free_capacity::{lead_s, ms, ramp, unused};
 use super::seen::{Clock, Seen};
@@ -7,30 +7,34 @@
 use crate::settings::Window;
 use crate::when::Span;
 
-/// How long before warming an occurrence is planned, in seconds: long enough
-/// for an operator to act on a shortage.
+/// Time in seconds by which the planned step precedes the warming step. The time is long
+/// enough for an operator to act on a shortage.
 const PLAN_AHEAD_S: f64 = 300.0;
 
-/// For how long after its end machines may be on their way back, in seconds.
+/// Maximum time in seconds after an occurrence's end during which its machines may still be
+/// in release. Then the occurrence counts as over.
 const MAX_RELEASE_S: i64 = 60;
 
-/// How long an occurrence that is over stays known beyond all that clocks
-/// within their bound can differ, in seconds: for one that jumps further.
+/// Time in seconds for which the record of an ended occurrence is kept, in addition to the
+/// largest difference of clocks within their bound. The extra time covers a clock that jumps
+/// beyond the bound.
 const RECORD_RETENTION_S: i64 = 600;
 
-/// What to do about an occurrence's record, on condition that it is still what
-/// was given.
+/// Change to make to an occurrence's record, on condition that the stored record is still the
+/// one that was read.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Change {
-    /// Nothing.
+    /// Leave the occurrence's record unchanged.
     Keep,
-    /// Write this.
+    /// Write this record for the occurrence.
     Write(WindowRecord),
-    /// Delete it: no clock can take the occurrence for one to come.
+    /// Delete the record, because no clock can make the occurrence appear to be in the
+    /// future.
     Delete,
 }
 
-/// The step that is due, by the clock and what is seen; `None`: not near.
+/// Returns the step that is due by the clock and the owner's observations, or `None` if the
+/// occurrence is too far in the future.
 fn due(
     window: &Window,
     span: Span,
@@ -74,8 +78,8 @@
     }
 }
 
-/// What an occurrence's record is to become; the window is `None` where it was
-/// taken out, or doesn't begin at that moment any more.
+/// Returns the next change of an occurrence's record. `window` is `None` if the window was
+/// removed or no longer has an occurrence that begins at that time.
 pub(super) fn change(
     window: Option<&Window>,
     at: Span,
@@ -86,7 +90,7 @@
     let Some(record) = record else {
         return first_record(window, at, seen, clock);
     };
-    // Of a later version: what it means by its steps is not known here.
+    // A later version wrote the record, and this version doesn't know what its steps mean.
     if !record.known() {
         return Change::Keep;
     }
@@ -106,7 +110,8 @@
         (Step::Releasing | Step::Over, Some(window))
             if record.removed && clock.earliest_ms() < at.end_ms =>
         {
-            // Taken out and pinned again: an operator's word, not a clock's.
+            // An operator removed the window and pinned it again. The step goes back because
+            // of the operator and not because of a clock.
             first_step(window, at, seen, clock)
         }
         (Step::Releasing, _) => released(record, seen, clock),
@@ -114,12 +119,12 @@
     }
 }
 
-/// What to write of an occurrence that has no record.
+/// Returns the change for an occurrence that has no record.
 fn first_record(window: Option<&Window>, at: Span, seen: &Seen, clock: Clock) -> Change {
     let Some(window) = window else {
         return Change::Keep;
     };
-    // Its machines would be up when it is over.
+    // After this time new machines would be ready only when the occurrence is over.
     let useful_ms = at.end_ms.saturating_sub(ms(seen.boot_s + seen.fetch_s));
     if clock.now_ms < useful_ms {
         first_step(window, at, seen, clock)
@@ -128,7 +133,7 @@
     }
 }
 
-/// A new record if the occurrence is near or warms.
+/// Returns a new record if the planned or the warming step of the occurrence is due.
 fn first_step(window: &Window, at: Span, seen: &Seen, clock: Clock) -> Change {
     match due(window, at, None, seen, clock) {
         Some(step @ (Step::Planned | Step::Warming)) => {
@@ -138,10 +143,12 @@
     }
 }
 
-/// The record of an occurrence that is not over, with the step that is due.
+/// Returns the change of a record in the planned, warming or held step to the step that is
+/// due and to the window's present size.
 fn forward(window: &Window, at: Span, record: &WindowRecord, seen: &Seen, clock: Clock) -> Change {
     let due = due(window, at, Some(record), seen, clock);
-    // Forward only: what the clock says to be not yet due stays.
+    // Steps only go forward. The recorded step stays if the clock shows an earlier one as
+    // due.
     let step = due.map_or(record.step, |due| due.max(record.step));
     let changed = WindowRecord {
         step,
@@ -161,7 +168,8 @@
     }
 }
 
-/// A record whose machines are on their way back: over once they are, or after a while.
+/// Returns the change of a record in the releasing step. The occurrence is over once its
+/// machines are released, or at the latest [`MAX_RELEASE_S`] after its end.
 fn released(record: &WindowRecord, seen: &Seen, clock: Clock) -> Change {
     let late_ms = record.end_ms.saturating_add(MAX_RELEASE_S * 1000);
     if seen.asked <= seen.used || clock.earliest_ms() >= late_ms {
@@ -175,10 +183,10 @@
     }
 }
 
-/// A record of an occurrence that is over.
+/// Returns the change of a record in the over step, which is deleted after a retention time.
 fn forgotten(at: Span, record: &WindowRecord, clock: Clock) -> Change {
-    // Deleted only when every clock within the bound is past its end:
-    // one that is behind would begin it a second time.
+    // The record is deleted only when every clock within the bound is past the end of the
+    // occurrence. Otherwise a controller with a slow clock would begin it a second time.
     let known_ms = record.end_ms.max(at.end_ms) + 2 * clock.off_ms + RECORD_RETENTION_S * 1000;
     if clock.earliest_ms() >= known_ms {
         Change::Delete
--- a/crates/reservations/src/plan/free_capacity.rs
+++ b/crates/reservations/src/plan/free_capacity.rs
@@ -1,34 +1,40 @@
-//! How much capacity is reserved now, by an occurrence's recorded step: asked for in steps
-//! before the window begins, and given back in parts while no work comes.
+//! Capacity to reserve now, according to the recorded step of an occurrence. The owner
+//! requests the capacity in steps before the window begins, and releases it in parts while no
+//! task of the window arrives.
 
 use super::seen::{Clock, Seen};
 use crate::record::{Step, WindowRecord};
 use crate::settings::Window;
 
-/// Machines are asked for in so many steps.
+/// Number of steps in which the owner requests machines for an occurrence.
 const RAMP_STEPS: u32 = 8;
 
-/// For how long at least, in seconds: the cloud's other customers and our own
-/// other work aren't pushed aside at one moment.
+/// Minimum time in seconds over which the owner requests machines. The time prevents a
+/// window from displacing other customers of the cloud and other jobs of the cluster all at
+/// once.
 const MIN_RAMP_S: f64 = 20.0;
 
-/// What is reserved shrinks in so many parts while no work comes.
+/// Number of parts in which reserved capacity is released while no task of the window
+/// arrives.
 const SHRINK_PARTS: u32 = 4;
 
-/// The least time from one part to the next, in seconds.
+/// Minimum time in seconds between the release of one part of the reserved capacity and the
+/// next.
 const MIN_SHRINK_INTERVAL_S: f64 = 5.0;
 
 pub(super) fn ms(seconds: f64) -> i64 {
-    // Saturates; what is not a number is 0.
+    // The conversion saturates, and NaN becomes 0.
     (seconds * 1000.0) as i64
 }
 
-/// Seconds over which capacity for `tasks` is asked for, if there is time.
+/// Returns the time in seconds over which the owner requests capacity for `tasks` tasks if
+/// the window begins late enough.
 fn ramp_s(tasks: u32, seen: &Seen) -> f64 {
     pace_s(tasks, seen).max(MIN_RAMP_S)
 }
 
-/// Seconds that the cloud's and our own limits make of it anyway.
+/// Returns the minimum time in seconds to rent machines for `tasks` tasks, as the rate limits
+/// of the cloud and of the controllers allow.
 fn pace_s(tasks: u32, seen: &Seen) -> f64 {
     if seen.rent_per_s > 0.0 {
         f64::from(tasks) / seen.rent_per_s
@@ -37,9 +43,9 @@
     }
 }
 
-/// How long before its beginning a window's machines are asked for, in seconds:
-/// asking in steps, a slow boot and the images' fetch are over when it is to
-/// be ready.
+/// Returns how many seconds before a window begins the owner starts to request machines. The
+/// time covers the requests in steps, a slow boot and the fetch of the images, so that all
+/// machines are ready `early_s` before the window begins.
 pub fn lead_s(window: &Window, seen: &Seen) -> f64 {
     f64::from(window.early_s) + seen.slow_boot_s + seen.fetch_s + ramp_s(window.tasks, seen)
 }
@@ -53,12 +59,13 @@
 ) -> u32 {
     let needs_s = f64::from(window.early_s) + seen.slow_boot_s + seen.fetch_s;
     let left_s = (start_ms - record.since_ms) as f64 / 1000.0 - needs_s;
-    // Pinned late, or after an outage: as fast as may be.
+    // If the window was pinned late or an outage delayed the requests, the owner requests
+    // machines as fast as the rate limits allow.
     let over_s = ramp_s(record.tasks, seen)
         .min(left_s)
         .max(pace_s(record.tasks, seen));
-    // The step may have been recorded by a clock that is ahead, and be read by
-    // one that is behind.
+    // One controller may have recorded the step by a fast clock, and another may read it by a
+    // slow clock.
     let elapsed_ms = clock.latest_ms() + clock.off_ms - record.since_ms;
     let elapsed_s = elapsed_ms as f64 / 1000.0;
     let steps = if over_s > 0.0 {
@@ -73,13 +80,15 @@
     (u64::from(tasks) * u64::from(of)).div_ceil(u64::from(parts)) as u32
 }
 
-/// What stays reserved of what no work has used for a while: nothing at a
-/// no-show's end, and after the window's work is done.
+/// Returns the number of tasks for which capacity stays reserved while none of the window's
+/// tasks runs or waits. The number decreases in parts to 0 once this lasts longer than the
+/// window's `no_show_s`, both if no task ever arrived and after all tasks are done.
 pub(super) fn unused(window: &Window, start_ms: i64, tasks: u32, seen: &Seen, clock: Clock) -> u32 {
     if seen.used > 0 || seen.waiting > 0 {
         return tasks;
     }
-    // By the steady clock as well: a time of day that jumps ends nothing.
+    // The idle time comes from the monotonic clock, so a jump of the wall clock alone
+    // releases nothing.
     let begun_s = (clock.earliest_ms() - start_ms) as f64 / 1000.0;
     let no_show_s = f64::from(window.no_show_s);
     let beyond_s = seen.idle_s.min(begun_s) - no_show_s;
@@ -91,8 +100,9 @@
     part(tasks, SHRINK_PARTS.saturating_sub(released), SHRINK_PARTS)
 }
 
-/// For how many tasks to reserve capacity by a record as it is. For other shards'
-/// owners as well, which don't write it and reserve their part, see [`super::divide`].
+/// Returns the number of tasks for which to reserve capacity according to an occurrence's
+/// record. The owners of other shards, which don't write the record, call this function too
+/// and reserve their part of the result, see [`super::divide`].
 pub fn reserved_tasks(
     window: Option<&Window>,
     start_ms: i64,
@@ -102,14 +112,14 @@
 ) -> u32 {
     let wanted = match (record.step, window) {
         (Step::Planned | Step::Releasing | Step::Over, _) => 0,
-        // Taken out, which is not yet recorded.
+        // The window was removed, but the record doesn't show that yet.
         (Step::Warming | Step::Held, None) => seen.asked.min(record.tasks),
         (Step::Warming, Some(window)) => {
-            // A clock that jumps back returns nothing that was asked for.
+            // Capacity that was already requested is kept, even if a clock jumps back.
             ramp(window, start_ms, record, seen, clock).max(seen.asked.min(record.tasks))
         }
         (Step::Held, Some(window)) => unused(window, start_ms, record.tasks, seen, clock),
     };
-    // What is reserved counts in the team's limit, never over it.
+    // Reserved capacity counts toward the team's limit and never exceeds it.
     wanted.min(seen.fits)
 }
--- a/crates/reservations/src/plan/seen.rs
+++ b/crates/reservations/src/plan/seen.rs
@@ -1,87 +1,92 @@
-//! What the plan is made from: the time of day with its bound, and what the owner
-//! sees of a window; and what can be lacking.
+//! Input of the planner: the wall clock with the bound on its error, and what the owner
+//! observes of a window. This module also defines the reasons for a shortage.
 
 use std::fmt;
 
 use serde::{Deserialize, Serialize};
 
-/// The time of day.
+/// Reading of a controller's wall clock, with the bound on its error.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Clock {
-    /// This controller's, in milliseconds.
+    /// Unix time in milliseconds by this controller's clock.
     pub now_ms: i64,
-    /// By how much it may be wrong, in milliseconds (`clock_off_ms`).
+    /// Maximum error of the clock in milliseconds (setting `clock_off_ms`).
     pub off_ms: i64,
 }
 
 impl Clock {
-    /// The latest that it may be.
+    /// Returns the latest Unix time in milliseconds that the true time can have.
     pub fn latest_ms(self) -> i64 {
         self.now_ms.saturating_add(self.off_ms)
     }
-    /// The earliest that it may be.
+    /// Returns the earliest Unix time in milliseconds that the true time can have.
     pub fn earliest_ms(self) -> i64 {
         self.now_ms.saturating_sub(self.off_ms)
     }
 }
 
-/// What the owner sees of a window. Room is counted in the window's tasks, over
+/// Observations of the owner about a window. Capacity is counted in tasks of the window, over
 /// all shards and all occurrences of the window.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Seen {
-    /// Capacity reserved, used by its work, or rented for it and on its way.
+    /// Number of tasks for which capacity is reserved, in use by the window's tasks, or on
+    /// machines that are rented for the window and not up yet.
     pub asked: u32,
-    /// Of it, what is up and has the images, used or not.
+    /// Part of `asked` that is on machines which are up and have the images, in use or not.
     pub ready: u32,
-    /// Of it, what its classes' work uses.
+    /// Part of `asked` that tasks of the window's classes use.
     pub used: u32,
-    /// Tasks of its classes that wait.
+    /// Number of pending tasks of the window's classes.
     pub waiting: u32,
-    /// The most that it may have: what its team's limit leaves beside the
-    /// team's other work, and what [`super::arbitrate`] gives. With what it has.
+    /// Maximum capacity in tasks that the window may have, including the capacity that it
+    /// already has. The team's limit minus the team's other tasks bounds this number, and so
+    /// does the share from [`super::arbitrate`].
     pub fits: u32,
-    /// The window that it gives way to, if that is why `fits` is short.
+    /// Name of the window that was served before this one and therefore reduces `fits`, if
+    /// there is one.
     pub gives_way_to: Option<String>,
-    /// For how long none of its work has run or waited, in seconds on the
-    /// steady clock, as far as this owner has seen: from its takeover on. So a
-    /// takeover keeps capacity reserved for longer, never shorter.
+    /// Time in seconds, by the monotonic clock, during which no task of the window has run or
+    /// waited. An owner counts this time only from its takeover on. So a takeover makes the
+    /// reservation last longer, never shorter.
     pub idle_s: f64,
-    /// Usual seconds until a machine is up.
+    /// Usual time in seconds from the rental of a machine until it is up.
     pub boot_s: f64,
-    /// Seconds until a slow machine is up.
+    /// Time in seconds from the rental of a machine that boots slowly until it is up.
     pub slow_boot_s: f64,
-    /// Seconds until a machine has the images, on the slowest type allowed.
+    /// Time in seconds to fetch the window's images on the slowest machine type that the
+    /// window allows.
     pub fetch_s: f64,
-    /// For how many tasks machines can be rented in a second at most.
+    /// Maximum rate at which machines can be rented, in tasks of the window per second.
     pub rent_per_s: f64,
-    /// Why the last request for free capacity brought less, if it did.
+    /// Reason why the last request for capacity got less than it asked for, or `None` if it
+    /// got all.
     pub refused: Option<Refused>,
 }
 
-/// Why a request for free capacity brought less.
+/// Reason why a request for capacity got less than it asked for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Refused {
-    /// The cloud has no more of any type and zone allowed.
+    /// The cloud has no more machines of any type and zone that the window allows.
     Capacity,
-    /// The controllers' changes or requests are used up.
+    /// The controllers have used up their store writes or cloud requests.
     Changes,
 }
 
-/// What is lacking of the capacity to be reserved.
+/// Reason why less capacity is reserved than the window needs.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Short {
-    /// The team's limit has free capacity for so many tasks only.
+    /// The team's limit leaves capacity for only this number of tasks.
     Limit(u32),
-    /// Another window comes first.
+    /// The window of this name is served first and has the missing capacity.
     GivesWay(String),
-    /// The cloud has no more.
+    /// The cloud has no more machines of any type and zone that the window allows.
     Capacity,
-    /// Changes or requests are used up.
+    /// The controllers have used up their store writes or cloud requests.
     Changes,
-    /// Machines for so many tasks are not ready, and there is less time left than it
-    /// takes.
+    /// Machines for this number of tasks are not ready, and the time left until the window
+    /// begins is too short to start them.
     Late(u32),
 }
 
--- a/crates/reservations/src/record.rs
+++ b/crates/reservations/src/record.rs
@@ -1,6 +1,6 @@
-//! What the state service keeps: the windows that count, and one record for
-//! each occurrence that is near or under way. Short field names: a value is a
-//! few KiB at most (`state.value_kb`).
+//! Records of reservation windows in the state service: one record with all active windows,
+//! and one record for each occurrence that begins soon or is under way. Field names are short
+//! because a value has a few KiB at most (`state.value_kb`).
 
 mod calendar;
 mod window;
@@ -10,23 +10,24 @@
 pub use self::calendar::{CalendarRecord, Entry, RecordError, Taken};
 pub use self::window::{key, parse_key, span, OccurrenceKey, Step, WindowRecord};
 
-/// Where the windows are.
+/// Key of the record with all active windows.
 pub const CALENDAR_KEY: &str = "h/calendar";
 
-/// What all occurrences' keys begin with.
+/// Prefix of the keys of all occurrences' records.
 pub const WINDOW_PREFIX: &str = "h/win/";
 
-/// Version of both formats.
+/// Version of the formats of the calendar record and the occurrence records.
 pub const VERSION: u32 = 1;
 
-/// The version alone, for records whose other fields are not known.
+/// Version field of a record whose other fields this program can't read.
 #[derive(Deserialize)]
 struct Versioned {
     #[serde(rename = "v")]
     version: u32,
 }
 
-/// Reads a record, or else the version of a later one; `None` if it is neither.
+/// Parses a record. If only its version can be read and is later than [`VERSION`], returns the
+/// result of `later`. Returns `None` otherwise.
 fn read<T: for<'a> Deserialize<'a>>(text: &str, later: impl Fn(u32) -> T) -> Option<T> {
     if let Ok(record) = serde_json::from_str(text) {
         return Some(record);
--- a/crates/reservations/src/record/calendar.rs
+++ b/crates/reservations/src/record/calendar.rs
@@ -1,76 +1,79 @@
-//! The record of the windows that count.
+//! Record with all active reservation windows.
 
 use serde::{Deserialize, Serialize};
 
 use super::{read, VERSION};
 use crate::settings::{Calendar, Window};
 
-/// Why the calendar's record can't be changed.
+/// Reason why the calendar record can't be changed.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum RecordError {
-    /// A later version wrote it: what that means by its fields is not known here.
+    /// A later program version wrote the calendar record, and this version doesn't know what
+    /// its fields mean.
     #[error("the calendar was written by a later version")]
     LaterVersion,
-    /// It does not fit into one value of the state service.
+    /// The calendar record does not fit into one value of the state service.
     #[error(
         "calendar: {windows} windows take {bytes} bytes, the state service holds {value_kb} KiB: \
          have fewer of them, shorter names, or one weekly rule instead of many moments"
     )]
     TooLarge {
-        /// How many windows it has.
+        /// Number of windows in the record.
         windows: usize,
-        /// The bytes that they take.
+        /// Size of the record in bytes.
         bytes: usize,
-        /// What a value may have, in KiB.
+        /// Maximum size of a value in KiB.
         value_kb: u64,
     },
 }
 
-/// A window, and where it is from.
+/// Reservation window in the calendar record, from the calendar file or from a pin.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Entry {
-    /// The window.
+    /// Settings of the reservation window.
     #[serde(flatten)]
     pub window: Window,
-    /// An operator pinned it: a newer file changes it only by its name.
+    /// Whether an operator pinned the window. A newer calendar file replaces a pinned window
+    /// only if the file has a window of the same name.
     #[serde(default, rename = "p", skip_serializing_if = "std::ops::Not::not")]
     pub pinned: bool,
 }
 
-/// All windows that count. Version 1.
+/// Record of all active reservation windows, in version 1 of the format.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct CalendarRecord {
-    /// Version of the format.
+    /// Version of the record's format.
     #[serde(rename = "v")]
     pub version: u32,
-    /// Number of the newest file.
+    /// Number of the newest calendar file that was taken over.
     #[serde(rename = "n")]
     pub number: u64,
-    /// The windows.
+    /// All active windows, from the calendar file and from pins.
     #[serde(rename = "w", default)]
     pub entries: Vec<Entry>,
 }
 
-/// What a controller's file says beside the record.
+/// Result of comparing a controller's calendar file with the calendar record.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Taken {
-    /// The file is newer: this is to be written.
+    /// The file is newer, and the controller must write this record.
     Newer(CalendarRecord),
-    /// The file is the record's.
+    /// The file has the number and the windows of the record.
     Same,
-    /// The same number with other windows: nothing changes, and the operator
-    /// has to raise the number.
+    /// The file has the number of the record but other windows. Nothing changes, and the
+    /// operator must raise the number.
     Differs,
-    /// The record is of a newer file: nothing changes. So an older controller
-    /// in a rolling restart changes nothing.
+    /// The record comes from a newer file, so nothing changes. This prevents a controller
+    /// with the old file from undoing a rolling restart.
     Older,
-    /// The record is of a later version of the format: left alone.
+    /// A later program version wrote the record, so the controller doesn't change it.
     Later,
 }
 
 impl CalendarRecord {
-    /// Reads a record. Of one of a later version that is not understood the
-    /// version is left, so that it is not taken for absent and written over.
+    /// Parses a record. If a later version wrote it in a format that can't be read, the result
+    /// has only the version, so that the controller neither treats the record as absent nor
+    /// overwrites it. Returns `None` if the text is no record.
     pub fn read(text: &str) -> Option<Self> {
         read(text, |version| Self {
             version,
@@ -79,21 +82,22 @@
         })
     }
 
-    /// Whether this program knows the record's format. While it doesn't, it
-    /// neither writes it nor takes any occurrence's step: windows that it can't
-    /// read would look as if they had been taken out.
+    /// Returns whether this program knows the record's format. If not, the controller neither
+    /// writes the record nor advances the step of any occurrence, because windows that it
+    /// can't read would appear to be removed.
     pub fn known(&self) -> bool {
         self.version <= VERSION
     }
 
-    /// The windows, by name.
+    /// Returns the window with the name `name`, or `None` if the record has none.
     pub fn window(&self, name: &str) -> Option<&Window> {
         let entry = self.entries.iter().find(|e| e.window.name == name)?;
         Some(&entry.window)
     }
 
-    /// What a controller's file changes. Pinned windows stay, but for those
-    /// that the newer file has itself.
+    /// Compares a controller's calendar file with the record and returns the record to write,
+    /// if any. Pinned windows stay in the record unless the newer file has a window of the
+    /// same name.
     pub fn take(recorded: Option<&CalendarRecord>, file: &Calendar) -> Taken {
         let Some(recorded) = recorded else {
             return Taken::Newer(Self::of_file(file, []));
@@ -114,7 +118,7 @@
         }
     }
 
-    /// The record of a file, with these pinned windows.
+    /// Builds the record for a calendar file and the given pinned windows.
     fn of_file(file: &Calendar, pins: impl IntoIterator<Item = Entry>) -> Self {
         let own = file.windows.iter().map(|window| Entry {
             window: window.clone(),
@@ -127,19 +131,19 @@
         }
     }
 
-    /// Whether a file of the same number has other windows. Pins and unpins since then
-    /// are no difference of the file's.
+    /// Returns whether a file with the record's number has other windows. Windows that
+    /// operators pinned or unpinned since then don't count as a difference.
     fn differs_from(&self, file: &Calendar) -> bool {
         let mut own = self.entries.iter().filter(|e| !e.pinned);
         own.any(|e| !file.windows.contains(&e.window))
     }
 
-    /// An operator's window added, or put in the place of one of its name;
-    /// `None` if nothing changes. The error says why it can't be.
+    /// Returns the record with an operator's window added, or with the window of the same name
+    /// replaced. Returns `None` if nothing changes.
     ///
     /// # Errors
     ///
-    /// The record is of a later version, or its windows are refused.
+    /// Returns an error if a later version wrote the record.
     pub fn pin(
         recorded: Option<&CalendarRecord>,
         window: &Window,
@@ -166,12 +170,13 @@
         Ok(Some(record))
     }
 
-    /// A window taken out, an operator's or the file's, until a newer file has
-    /// it; `None` if there is none of the name.
+    /// Returns the record without the window `name`, whether that window was pinned or came
+    /// from the file. The window stays removed until a newer file has it. Returns `None` if the
+    /// record has no window of this name.
     ///
     /// # Errors
     ///
-    /// The record is of a later version.
+    /// Returns an error if a later version wrote the record.
     pub fn unpin(&self, name: &str) -> Result<Option<CalendarRecord>, RecordError> {
         self.changeable()?;
         let mut record = self.clone();
@@ -187,13 +192,13 @@
         }
     }
 
-    /// Whether it fits into one value of the state service, `value_kb` of the
-    /// settings. It is one record so that all windows change at once; more
-    /// than fits is refused rather than cut.
+    /// Checks that the record fits into one value of the state service, whose maximum size is
+    /// the setting `value_kb`. All windows are in one record so that they change atomically. A
+    /// calendar that is too large is rejected and not truncated.
     ///
     /// # Errors
     ///
-    /// It is larger than a value may be.
+    /// Returns an error if the record is larger than a value may be.
     pub fn fits(&self, value_kb: u64) -> Result<(), RecordError> {
         let bytes = serde_json::to_vec(self).map_or(usize::MAX, |text| text.len());
         if bytes as u64 <= value_kb.saturating_mul(1024) {
--- a/crates/reservations/src/record/window.rs
+++ b/crates/reservations/src/record/window.rs
@@ -1,23 +1,24 @@
-//! The record of an occurrence of a window, and its key.
+//! Record of an occurrence of a reservation window, and the key of this record.
 
 use serde::{Deserialize, Serialize};
 
 use super::{read, VERSION, WINDOW_PREFIX};
 use crate::when::Span;
 
-/// How far an occurrence is. Steps only go forward.
+/// Step that an occurrence of a window has reached. Steps only go forward.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Step {
-    /// Near: shortage is looked for, nothing is reserved.
+    /// The occurrence begins soon. The owner looks for shortages and reserves nothing yet.
     Planned,
-    /// Machines are rented, in steps, and images fetched.
+    /// The owner rents machines in steps, and the machines fetch the images.
     Warming,
-    /// It has begun.
+    /// The occurrence has begun, and its capacity is reserved.
     Held,
-    /// It has ended, or its work has: machines are released.
+    /// The occurrence or all of its tasks have ended, and the owner releases the machines.
     Releasing,
-    /// Nothing of it is left but this record, which says that it was.
+    /// The occurrence is over and has no machines. Only its record remains, so that no
+    /// controller begins the occurrence again.
     Over,
 }
 
@@ -33,33 +34,35 @@
     }
 }
 
-/// One occurrence. Version 1.
+/// Record of one occurrence of a window, in version 1 of the format.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WindowRecord {
-    /// Version of the format.
+    /// Version of the record's format.
     #[serde(rename = "v")]
     pub version: u32,
-    /// When it ends, in milliseconds of the time of day.
+    /// End of the occurrence as Unix time in milliseconds.
     #[serde(rename = "e")]
     pub end_ms: i64,
-    /// How far it is.
+    /// Step that the occurrence has reached.
     #[serde(rename = "s")]
     pub step: Step,
-    /// When that step was taken, by the clock of who took it.
+    /// Unix time in milliseconds at which the occurrence reached the step, by the clock of the
+    /// controller that recorded it.
     #[serde(rename = "t")]
     pub since_ms: i64,
-    /// For how many tasks capacity is reserved.
+    /// Number of tasks for which the occurrence reserves capacity.
     #[serde(rename = "n")]
     pub tasks: u32,
-    /// It ended because its window was taken out or moved: the only end that
-    /// an operator's next pin undoes.
+    /// Whether the occurrence ended because its window was removed or moved. An operator's next
+    /// pin undoes only this kind of end.
     #[serde(default, rename = "x", skip_serializing_if = "std::ops::Not::not")]
     pub removed: bool,
 }
 
 impl WindowRecord {
-    /// Reads a record. Of one of a later version that is not understood the
-    /// version is left, so that it is not taken for absent and written over.
+    /// Parses a record. If a later version wrote it in a format that can't be read, the result
+    /// has only the version, so that the controller neither treats the record as absent nor
+    /// overwrites it. Returns `None` if the text is no record.
     pub fn read(text: &str) -> Option<Self> {
         read(text, |version| Self {
             version,
@@ -71,29 +74,29 @@
         })
     }
 
-    /// Whether this program knows the record's format; one of a later version
-    /// is left alone.
+    /// Returns whether this program knows the record's format. A controller doesn't change a
+    /// record of a later version.
     pub fn known(&self) -> bool {
         self.version <= VERSION
     }
 }
 
-/// Where an occurrence's record is: `h/win/NAME@START`, START in seconds since
-/// 1970. Beginnings are whole seconds, see [`parse_key`].
+/// Returns the key of an occurrence's record: `h/win/NAME@START`, with START as Unix time in
+/// seconds. Occurrences begin at whole seconds, see [`parse_key`].
 pub fn key(name: &str, start_ms: i64) -> String {
     format!("{WINDOW_PREFIX}{name}@{}", start_ms.div_euclid(1000))
 }
 
-/// What an occurrence's key says.
+/// Parsed key of an occurrence's record.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct OccurrenceKey<'a> {
-    /// The window's name.
+    /// Name of the window.
     pub window: &'a str,
-    /// When the occurrence begins, in milliseconds since 1970.
+    /// Start of the occurrence as Unix time in milliseconds.
     pub start_ms: i64,
 }
 
-/// Reads an occurrence's key; none if it is not one.
+/// Parses the key of an occurrence's record. Returns `None` if the key is no such key.
 pub fn parse_key(key: &str) -> Option<OccurrenceKey<'_>> {
     let (window, start) = key.strip_prefix(WINDOW_PREFIX)?.rsplit_once('@')?;
     Some(OccurrenceKey {
@@ -102,7 +105,7 @@
     })
 }
 
-/// The occurrence that a record is of.
+/// Returns the start and the end of the occurrence that the record describes.
 pub fn span(start_ms: i64, record: &WindowRecord) -> Span {
     Span {
         start_ms,
