--- a/crates/reservations/src/settings.rs
+++ b/crates/reservations/src/settings.rs
@@ -1,5 +1,5 @@
-//! The operator's file, see `docs/calendar.md`. Its JSON Schema is generated
-//! from these types and committed as `deploy/calendar.schema.json`.
+//! The operator's calendar file, see `docs/calendar.md`. The JSON Schema of the file is
+//! generated from these types and committed as `deploy/calendar.schema.json`.
 
 mod checks;
 
@@ -26,7 +26,8 @@
     *x == 0.0
 }
 
-/// Names stand in the state service's keys, in paths and in log lines.
+/// Checks the characters of a window's name. Names appear in keys of the state service, in
+/// paths and in log lines.
 fn plain(name: &str, _: &()) -> garde::Result {
     let plain = |c: char| c.is_ascii_alphanumeric() || ".-_".contains(c);
     if name.chars().all(plain) {
@@ -36,95 +37,99 @@
     }
 }
 
-/// A window: capacity that is there when it begins, and stays until it ends.
+/// Reservation window: capacity that is ready when the window begins and stays reserved until
+/// the window ends.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema, Validate)]
 #[schemars(deny_unknown_fields)]
 pub struct Window {
-    /// Its name, also in the state service's keys and the log.
+    /// Name of the window, which also appears in keys of the state service and in the log.
     #[garde(length(bytes, min = 1, max = 64), custom(plain))]
     pub name: String,
-    /// The team in whose limit it counts.
+    /// Team whose limit the reserved capacity counts toward.
     #[garde(length(bytes, min = 1, max = 200))]
     pub team: String,
-    /// The classes of the team's jobs that it is held for; all if empty.
+    /// Classes of the team's jobs for which the capacity is reserved; all classes if empty.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     #[garde(length(max = 32), inner(length(bytes, min = 1, max = 200)))]
     pub classes: Vec<String>,
-    /// When it occurs.
+    /// Times at which the window begins.
     #[garde(dive)]
     pub when: When,
-    /// For how long, in seconds.
+    /// Duration of the window in seconds.
     #[garde(range(min = 1, max = 2_678_400))]
     pub lasts_s: u32,
-    /// How many tasks' room it holds.
+    /// Number of tasks for which capacity is reserved.
     #[garde(range(min = 1, max = 100_000))]
     pub tasks: u32,
-    /// CPUs of a task.
+    /// Number of CPUs that each task needs.
     #[garde(range(min = 0.0, max = 100_000.0))]
     pub cpus: f64,
-    /// GPUs of a task.
+    /// Number of GPUs that each task needs.
     #[serde(default, skip_serializing_if = "zero")]
     #[garde(range(min = 0.0, max = 10_000.0))]
     pub cards: f64,
-    /// Memory of a task, in GB.
+    /// Memory in GB that each task needs.
     #[garde(range(min = 0.0, max = 1_000_000.0))]
     pub ram_gb: f64,
-    /// Zones that it is spread over evenly; any if empty.
+    /// Zones over which the reserved capacity is spread evenly; any zone if empty.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     #[garde(length(max = 32), inner(length(bytes, min = 1, max = 200)))]
     pub zones: Vec<String>,
-    /// Machine types, the best first; any if empty.
+    /// Machine types that the window may use, in order of preference; any type if empty.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     #[garde(length(max = 32), inner(length(bytes, min = 1, max = 200)))]
     pub types: Vec<String>,
-    /// Images that its machines have when it begins.
+    /// Images that the window's machines have fetched when the window begins.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     #[garde(length(max = 16), inner(length(bytes, min = 1, max = 200)))]
     pub images: Vec<String>,
-    /// How long before its beginning everything is to be ready, in seconds.
+    /// Time in seconds by which all capacity is to be ready before the window begins.
     #[serde(default = "early")]
     #[garde(range(max = 86_400))]
     pub early_s: u32,
-    /// For how long it is held in full without any work of its classes, in
-    /// seconds; then the hold shrinks.
+    /// Time in seconds for which the full capacity stays reserved without any task of the
+    /// window's classes. After this time the capacity is released in parts.
     #[serde(default = "no_show")]
     #[garde(range(min = 1, max = 2_678_400))]
     pub no_show_s: u32,
 }
 
 impl Window {
-    /// What a task takes.
+    /// Returns the resources that each task of the window needs.
     pub fn each(&self) -> Amount {
         Amount::new(self.cpus, self.cards, self.ram_gb)
     }
 
-    /// The first occurrence that begins after a moment.
+    /// Returns the first occurrence of the window that begins after the time `after_ms`, or
+    /// `None` if there is none.
     pub fn next(&self, after_ms: i64) -> Option<Span> {
         next(&self.when, self.lasts_s, after_ms)
     }
 
-    /// The occurrence under way, or else the next.
+    /// Returns the occurrence that is under way at the time `now_ms`, or else the next one.
+    /// Returns `None` if there is neither.
     pub fn current_or_next(&self, now_ms: i64) -> Option<Span> {
         current_or_next(&self.when, self.lasts_s, now_ms)
     }
 
-    /// Whether its work is of this team and class.
+    /// Returns whether the window reserves capacity for jobs of this team and class.
     pub fn is_for(&self, team: &str, class: &str) -> bool {
         self.team == team && (self.classes.is_empty() || self.classes.iter().any(|c| c == class))
     }
 
-    /// Whether it may be held on machines of this type in this zone.
+    /// Returns whether the window may reserve capacity on machines of this type in this zone.
     pub fn allows(&self, machine_type: &str, zone: &str) -> bool {
         let among =
             |names: &[String], name: &str| names.is_empty() || names.iter().any(|n| n == name);
         among(&self.types, machine_type) && among(&self.zones, zone)
     }
 
-    /// What is wrong with it by itself.
+    /// Checks the window's fields without regard to other windows and the controllers'
+    /// settings.
     ///
     /// # Errors
     ///
-    /// The first field that is not valid, by its path below `at`.
+    /// Returns an error for the first field that is not valid, with its path below `at`.
     pub fn check(&self, at: &str) -> Result<(), InvalidField> {
         self.validate()
             .map_err(|report| InvalidField::first(&report, at))?;
@@ -156,27 +161,30 @@
     }
 }
 
-/// 1970: no rule is meant to have ended before.
+/// Time from which a weekly rule must have an occurrence. The time is the start of 1970,
+/// because no rule is expected to end before then.
 const EPOCH_MS: i64 = 0;
 
-/// The file.
+/// Calendar file with all reservation windows.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema, Validate)]
 #[schemars(deny_unknown_fields)]
 pub struct Calendar {
-    /// Version of the format: 1.
+    /// Version of the file's format, which is 1.
     #[garde(range(min = 1, max = 1))]
     pub version: u32,
-    /// Number of this file's content. Raised with every change: of two files,
-    /// the one with the larger number counts.
+    /// Number of this file's content, which the operator raises with every change. Of two
+    /// files, the one with the larger number applies.
     #[garde(range(min = 1))]
     pub number: u64,
-    /// The windows.
+    /// All reservation windows of the file.
     #[serde(default, rename = "window")]
-    #[garde(length(max = 1_000))] // each by `Window::check`
+    // `Window::check` validates each window.
+    #[garde(length(max = 1_000))]
     pub windows: Vec<Window>,
 }
 
-/// A path as the other errors have it: `.window[0].card`.
+/// Formats the path of an unknown field like the paths in other errors, such as
+/// `.window[0].card`.
 fn place(path: &serde_ignored::Path<'_>) -> String {
     use serde_ignored::Path;
     match path {
@@ -189,27 +197,27 @@
     }
 }
 
-/// Why the file can't be read: one line that names the place.
+/// Error in the calendar file. The text is one line that names the line or the field.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum FileError {
-    /// It is not TOML, or not of the format.
+    /// The file is not valid TOML or does not have the format of a calendar.
     #[error(transparent)]
     Toml(#[from] MalformedToml),
-    /// A field is not valid.
+    /// A field of the file is not valid.
     #[error(transparent)]
     Field(#[from] InvalidField),
 }
 
-/// Reads the file; the error is one line that names the place.
+/// Parses and validates the text of a calendar file.
 ///
 /// # Errors
 ///
-/// The line or the field that is wrong.
+/// Returns an error for the first line or field that is not valid. Its text is one line.
 pub fn read(text: &str) -> Result<Calendar, FileError> {
     let at_line = |e: toml::de::Error| MalformedToml::new(text, &e);
     let file = toml::Deserializer::parse(text).map_err(at_line)?;
-    // The same types are read from records, whose unknown fields a later
-    // version may have written; in a file they are mistakes.
+    // Unknown fields are errors in a file. The same types are also read from records, where
+    // unknown fields are allowed because a later version may have written them.
     let mut unknown = None;
     let calendar: Calendar = serde_ignored::deserialize(file, |path| {
         unknown.get_or_insert_with(|| place(&path));
@@ -233,7 +241,7 @@
     Ok(calendar)
 }
 
-/// The file's JSON Schema.
+/// Returns the JSON Schema of the calendar file.
 pub fn schema() -> String {
     let schema = schemars::schema_for!(Calendar);
     serde_json::to_string_pretty(&schema).unwrap_or_default() + "\n"
--- a/crates/reservations/src/settings/checks.rs
+++ b/crates/reservations/src/settings/checks.rs
@@ -1,4 +1,4 @@
-//! What of a calendar can't be, by the controllers' settings and the cloud.
+//! Checks of a calendar against the controllers' settings and the cloud's machine types.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -8,12 +8,12 @@
 use crate::when::Span;
 
 impl Window {
-    /// What all its tasks take together.
+    /// Returns the resources that all tasks of the window need together.
     fn all_tasks(&self) -> Amount {
         self.each().times(i64::from(self.tasks))
     }
 
-    /// It can't be, as this field is.
+    /// Builds the error that rejects the window because of one field.
     fn refused(&self, field: &'static str, reason: String) -> WindowError {
         WindowError {
             window: self.name.clone(),
@@ -23,25 +23,26 @@
     }
 }
 
-/// What of the controllers' settings and the cloud a calendar is checked by.
+/// Facts about the controllers' settings and the cloud against which a calendar is checked.
 #[derive(Clone, Debug, Default)]
 pub struct Known {
-    /// Each team's limit; memory is not limited.
+    /// Limit of each team, keyed by the team's name. Memory is not limited.
     pub teams: BTreeMap<String, Amount>,
-    /// Zones; not checked if empty.
+    /// Existing zones. If the set is empty, the zones of windows are not checked.
     pub zones: BTreeSet<String>,
-    /// Machine types; not checked if empty.
+    /// Existing machine types. If the list is empty, the machine types of windows are not
+    /// checked.
     pub types: Vec<MachineType>,
-    /// The time of day: overlaps are looked for from then on.
+    /// Current Unix time in milliseconds. The search for overlapping windows begins then.
     pub now_ms: i64,
 }
 
-/// How far ahead overlaps are looked for, in milliseconds: five weeks, in which
-/// all weekdays meet, also over a month's end.
+/// Time in milliseconds that the search for overlapping windows covers. The time is five
+/// weeks, in which all weekdays coincide, also across the end of a month.
 const OVERLAP_HORIZON_MS: i64 = 35 * 86_400_000;
 
-/// The most occurrences of a window that overlaps are looked for among, so that
-/// `every = "1s"` is checked as fast as any.
+/// Maximum number of occurrences of a window that the search for overlaps covers. The limit
+/// keeps the check of `every = "1s"` as fast as any other.
 const MAX_OCCURRENCES: usize = 400;
 
 fn occurrences(window: &Window, now_ms: i64) -> impl Iterator<Item = Span> + '_ {
@@ -52,32 +53,34 @@
     .take(MAX_OCCURRENCES)
 }
 
-/// A window that can't be as it is: one line that names it.
+/// Error in a window. The text is one line that names the window and the field.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("window {window:?}: {field}: {reason}")]
 pub struct WindowError {
-    /// The window's name.
+    /// Name of the rejected window.
     pub window: String,
-    /// The field that is to be changed.
+    /// Name of the field that the operator must change.
     pub field: &'static str,
-    /// What is wrong with it.
+    /// Reason why the value of the field is rejected.
     pub reason: String,
 }
 
-/// What can't be, by the controllers' settings; one line that names the window.
+/// Checks all windows of a calendar against the controllers' settings and the cloud.
 ///
 /// # Errors
 ///
-/// The first window that these settings do not allow, and why.
+/// Returns an error for the first window that these settings do not allow. Its text is one
+/// line that names the window and the reason.
 pub fn check(calendar: &Calendar, known: &Known) -> Result<(), WindowError> {
     check_windows(&calendar.windows, known)
 }
 
-/// The same for windows that are pinned one by one.
+/// Checks a list of windows like [`check`]. Operators' pins use this function, because they
+/// add windows one by one.
 ///
 /// # Errors
 ///
-/// As [`check`].
+/// Returns the same errors as [`check`].
 pub fn check_windows(windows: &[Window], known: &Known) -> Result<(), WindowError> {
     for window in windows {
         check_window(window, known)?;
@@ -88,7 +91,7 @@
     Ok(())
 }
 
-/// What can't be of a window by itself.
+/// Checks one window without regard to the other windows.
 fn check_window(window: &Window, known: &Known) -> Result<(), WindowError> {
     let Some(limit) = known.teams.get(&window.team) else {
         return Err(window.refused("team", format!("there is no team {:?}", window.team)));
@@ -99,7 +102,7 @@
     check_own_overlap(window, known.now_ms)
 }
 
-/// All zones and machine types that it names are there.
+/// Checks that all zones and machine types that the window names exist.
 fn check_names(window: &Window, known: &Known) -> Result<(), WindowError> {
     let mut zones = window.zones.iter();
     if let Some(zone) = zones.find(|z| !known.zones.is_empty() && !known.zones.contains(*z)) {
@@ -113,7 +116,8 @@
     Ok(())
 }
 
-/// A task fits some machine type that it allows, in each of its zones.
+/// Checks that a task of the window fits some machine type that the window allows, in each of
+/// the window's zones.
 fn check_task_fits(window: &Window, known: &Known) -> Result<(), WindowError> {
     if known.types.is_empty() {
         return Ok(());
@@ -138,7 +142,7 @@
     }
 }
 
-/// All its tasks together are within its team's limit.
+/// Checks that all tasks of the window together are within the limit of its team.
 fn check_limit(window: &Window, limit: Amount) -> Result<(), WindowError> {
     let needs = window.all_tasks();
     if needs.fits_team(limit) {
@@ -153,8 +157,9 @@
     Err(window.refused("tasks", reason))
 }
 
-/// It ends before it begins again. One that is over has nothing to overlap: a file isn't
-/// wrong because time has passed, or no controller would start again with it.
+/// Checks that each occurrence of the window ends before the next one begins. A window whose
+/// last occurrence is over passes. If the passing of time made a file invalid, no controller
+/// could restart with it.
 fn check_own_overlap(window: &Window, now_ms: i64) -> Result<(), WindowError> {
     let Some(first) = window.current_or_next(now_ms) else {
         return Ok(());
@@ -166,12 +171,12 @@
     Ok(())
 }
 
-/// The first window that won't happen any more; for whoever has just written
-/// the file, as [`check`] lets it pass.
+/// Checks that each window of a calendar has a current or future occurrence. The command that
+/// checks an operator's new file calls this function, because [`check`] accepts past windows.
 ///
 /// # Errors
 ///
-/// The first window that never happens again.
+/// Returns an error for the first window that has no current or future occurrence.
 pub fn past(calendar: &Calendar, now_ms: i64) -> Result<(), WindowError> {
     let over = |w: &&Window| w.current_or_next(now_ms).is_none();
     match calendar.windows.iter().find(over) {
@@ -185,9 +190,9 @@
     format!("{} CPUs and {} GPUs", units(amount.cpu), units(amount.gpu))
 }
 
-/// A window's beginning or end.
+/// Start or end of one occurrence of a window.
 struct Edge<'a> {
-    /// In milliseconds of the time of day.
+    /// Unix time in milliseconds at which the occurrence begins or ends.
     at_ms: i64,
     begins: bool,
     window: &'a Window,
@@ -204,8 +209,9 @@
     })
 }
 
-/// Goes through beginnings and ends of all of a team's occurrences in order of
-/// time, ends first, with what is reserved then.
+/// Checks that the windows of a team never exceed the team's limit together. The function
+/// adds up the reserved capacity over the starts and ends of all occurrences in order of
+/// time. At equal times, ends come first.
 fn overlaps(windows: &[Window], team: &str, limit: Amount, now_ms: i64) -> Result<(), WindowError> {
     let own = windows.iter().filter(|w| w.team == team);
     let mut edges: Vec<Edge> = own.flat_map(|w| edges_of(w, now_ms)).collect();
--- a/crates/reservations/src/shown.rs
+++ b/crates/reservations/src/shown.rs
@@ -1,4 +1,5 @@
-//! What operators are shown: `calendar show`, and `--json`.
+//! State of the calendar for operators: the JSON of the operators' API and of `--json`, and
+//! the table that `calendar show` prints.
 
 use std::collections::BTreeMap;
 
@@ -9,57 +10,60 @@
 use crate::record::{Entry, Step, WindowRecord};
 use crate::when::Span;
 
-/// The calendar.
+/// State of the calendar, as the operators' API returns it.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct CalendarShown {
-    /// Number of the newest file; 0 if there was none.
+    /// Number of the newest calendar file; 0 if there was none.
     pub number: u64,
-    /// The controller that takes the steps, if it is known.
+    /// Controller that advances the steps of the occurrences, or `None` if it is not known.
     #[serde(default)]
     pub owner: Option<String>,
-    /// Windows, by name and then by beginning.
+    /// Rows for all windows, sorted by name and then by start.
     #[serde(default)]
     pub windows: Vec<WindowShown>,
 }
 
-/// An occurrence, or a window that has none near.
+/// Row for one occurrence of a window, or for a window without a recorded occurrence.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct WindowShown {
-    /// The window.
+    /// Name of the reservation window.
     pub name: String,
-    /// Its team; empty where only its record is left.
+    /// Team of the window; empty if only records of the window remain.
     #[serde(default)]
     pub team: String,
-    /// When it begins, in milliseconds of the time of day; `None` if it won't.
+    /// Start of the occurrence as Unix time in milliseconds, or `None` if the window has no
+    /// further occurrence.
     #[serde(default)]
     pub start_ms: Option<i64>,
-    /// When it ends.
+    /// End of the occurrence as Unix time in milliseconds, or `None` if the window has no
+    /// further occurrence.
     #[serde(default)]
     pub end_ms: Option<i64>,
-    /// How far it is; `None` if it is not near.
+    /// Step that the occurrence has reached, or `None` if it does not begin soon.
     #[serde(default)]
     pub step: Option<Step>,
-    /// How many tasks' room it is to have.
+    /// Number of tasks for which the occurrence reserves capacity in full.
     pub tasks: u32,
-    /// How much is to be held now.
+    /// Number of tasks for which capacity is to be reserved now.
     #[serde(default)]
     pub hold: u32,
-    /// Of it, what is set aside, used, or on its way.
+    /// Part of `hold` that is reserved, in use by the window's tasks, or on machines that are
+    /// rented and not up yet.
     #[serde(default)]
     pub asked: u32,
-    /// Of it, what is up and has the images.
+    /// Part of `hold` that is on machines which are up and have the images.
     #[serde(default)]
     pub ready: u32,
-    /// Of it, what its work uses.
+    /// Part of `hold` that the window's tasks use.
     #[serde(default)]
     pub used: u32,
-    /// An operator pinned it.
+    /// Whether an operator pinned the window.
     #[serde(default)]
     pub pinned: bool,
-    /// What it lacks.
+    /// Reason why the occurrence has too little capacity, or `None` if it has enough.
     #[serde(default)]
     pub short: Option<Short>,
-    /// A line on it.
+    /// One line that describes the state of the occurrence.
     #[serde(default)]
     pub why: String,
 }
@@ -67,19 +71,19 @@
 /// An operator's request to pin a window.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct PinWindow {
-    /// The window.
+    /// Settings of the window to pin.
     pub window: crate::settings::Window,
 }
 
-/// An operator's request to take a window out.
+/// An operator's request to remove a window from the calendar.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct UnpinWindow {
-    /// Its name.
+    /// Name of the window to remove.
     pub name: String,
 }
 
-/// The rows of one window: its occurrences that are recorded, or else the next.
-/// `entry` is `None` where only records are left of it.
+/// Returns the rows of one window: one for each recorded occurrence, or else one for the next
+/// occurrence. `entry` is `None` if only records of the window remain.
 pub fn rows(
     name: &str,
     entry: Option<&Entry>,
@@ -94,7 +98,8 @@
     let row = |(start_ms, record): (&i64, &WindowRecord)| {
         let span = crate::record::span(*start_ms, record);
         let next = plan.each.get(start_ms);
-        // Machines belong to the window; they are shown where they are reserved.
+        // Machines belong to the window and not to an occurrence. Only the rows of occurrences
+        // that reserve capacity show them.
         let holds = matches!(record.step, Step::Warming | Step::Held);
         let free_capacity = |n: u32| if holds { n } else { 0 };
         WindowShown {
@@ -112,7 +117,7 @@
     records.iter().map(row).collect()
 }
 
-/// The row of a window of which no occurrence is recorded.
+/// Returns the row of a window that has no recorded occurrence.
 fn next_row(name: &str, entry: Option<&Entry>, now_ms: i64) -> WindowShown {
     let window = entry.map(|e| &e.window);
     let next = window.and_then(|w| w.current_or_next(now_ms));
@@ -127,7 +132,7 @@
     }
 }
 
-/// A row of an occurrence of which nothing is known but when it is.
+/// Returns a row that has only the window's settings and the time of the occurrence.
 fn empty_row(name: &str, entry: Option<&Entry>, span: Option<Span>) -> WindowShown {
     let window = entry.map(|e| &e.window);
     WindowShown {
@@ -152,10 +157,10 @@
         .map_or_else(|| "-".into(), |moment| moment.to_string())
 }
 
-/// Columns of the table.
+/// Number of columns in the table of `calendar show`.
 const COLUMNS: usize = 11;
 
-/// The table of `calendar show`. Moments are UTC.
+/// Formats the table that `calendar show` prints. Times are in UTC.
 pub fn render(shown: &CalendarShown) -> String {
     let head = [
         "window", "team", "begins", "ends", "step", "tasks", "hold", "asked", "ready", "used", "",
@@ -186,7 +191,7 @@
     head + &aligned(&rows)
 }
 
-/// Rows of cells as text, all columns as wide as their widest cell.
+/// Formats rows of cells as text. Each column is as wide as its widest cell.
 fn aligned(rows: &[[String; COLUMNS]]) -> String {
     let mut widths = [0; COLUMNS];
     for row in rows {
--- a/crates/reservations/src/when.rs
+++ b/crates/reservations/src/when.rs
@@ -1,6 +1,6 @@
-//! When a window's occurrences begin and end. Days and time zones are `jiff`'s,
-//! with the tz data that is built in: all controllers of a version agree,
-//! whatever is installed on their machines.
+//! Times at which a window's occurrences begin and end. The `jiff` crate computes days and
+//! time zones from its built-in tz data. So all controllers of the same version agree,
+//! whatever tz data their machines have.
 
 use garde::Validate;
 use jiff::civil::{Date, Time, Weekday};
@@ -9,23 +9,23 @@
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
 
-/// One occurrence, in milliseconds of the time of day.
+/// Time span of one occurrence of a window, in Unix time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Span {
-    /// When it begins.
+    /// Start of the occurrence in milliseconds.
     pub start_ms: i64,
-    /// When it ends.
+    /// End of the occurrence in milliseconds, which is no longer part of the span.
     pub end_ms: i64,
 }
 
 impl Span {
-    /// Whether some moment belongs to both.
+    /// Returns whether the two time spans overlap.
     pub fn meets(self, other: Span) -> bool {
         self.start_ms < other.end_ms && other.start_ms < self.end_ms
     }
 }
 
-/// A day of the week.
+/// Day of the week on which a window occurs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(rename_all = "lowercase")]
 pub enum Day {
@@ -51,78 +51,81 @@
     }
 }
 
-/// A time of the day on some or all days of the week.
+/// Weekly rule for the starts of a window: a time of day on some or all days of the week.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema, Validate)]
 #[schemars(deny_unknown_fields)]
 pub struct Rule {
-    /// Days of the week; all of them if empty.
+    /// Days of the week on which the window begins; all days if empty.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     #[garde(length(max = 7))]
     pub days: Vec<Day>,
-    /// Time of the day: `19:30`.
+    /// Time of day at which the window begins, such as `19:30`.
     #[schemars(with = "String")]
     #[garde(skip)]
     pub at: Time,
-    /// Time zone, by its IANA name: `Asia/Ho_Chi_Minh`.
+    /// Time zone of the days and times, by its IANA name, such as `Asia/Ho_Chi_Minh`.
     #[garde(length(bytes, min = 1, max = 64))]
     pub tz: String,
-    /// No day before this one: `2026-12-01`.
+    /// First day on which the window can begin, such as `2026-12-01`; no bound if absent.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     #[schemars(with = "Option<String>")]
     #[garde(skip)]
     pub from: Option<Date>,
-    /// No day after this one.
+    /// Last day on which the window can begin; no bound if absent.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     #[schemars(with = "Option<String>")]
     #[garde(skip)]
     pub until: Option<Date>,
 }
 
-/// Again and again, whatever day it is.
+/// Periodic rule for the starts of a window, which does not depend on days.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema, Validate)]
 #[schemars(deny_unknown_fields)]
 pub struct Every {
-    /// From one beginning to the next: `5m`, `1h 30m`.
+    /// Time from one start of the window to the next, such as `5m` or `1h 30m`.
     #[schemars(with = "String")]
     #[garde(skip)]
     pub period: SignedDuration,
-    /// The first beginning, counted from 1970-01-01T00:00:00Z; none if absent.
+    /// Time from 1970-01-01T00:00:00Z to a start of the window; zero if absent. The other
+    /// starts differ from this one by multiples of the period.
     #[serde(default, skip_serializing_if = "SignedDuration::is_zero")]
     #[schemars(with = "String")]
     #[garde(skip)]
     pub offset: SignedDuration,
 }
 
-/// When a window occurs.
+/// Rule for the times at which a window begins.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema, Validate)]
 #[serde(rename_all = "lowercase")]
 pub enum When {
-    /// Once, at a moment with its offset: `2026-12-05T19:00:00+07:00`.
+    /// The window begins once, at a time with its UTC offset, such as
+    /// `2026-12-05T19:00:00+07:00`.
     Once(
         #[schemars(with = "String")]
         #[garde(skip)]
         Timestamp,
     ),
-    /// By days of the week.
+    /// The window begins at a time of day on some or all days of the week.
     Weekly(#[garde(dive)] Rule),
-    /// Again and again.
+    /// The window begins periodically.
     Every(#[garde(dive)] Every),
 }
 
-/// Days that are looked at for a rule's next time: a week, one more as the day
-/// here need not be the day there, and one that a zone may have left out
-/// altogether (a change of the date line).
+/// Number of days in which the search for a weekly rule's next start looks. The search needs
+/// a week, one more day because the current date may differ between time zones, and one more
+/// because a time zone may have skipped a whole day (a change of the date line).
 const SEARCH_DAYS: i32 = 10;
 
-/// When a day's time is. One that a clock skips is the first moment after the
-/// gap, so that a window is never left out; one that a clock shows twice is
-/// the first of the two, so that it does not begin twice.
+/// Returns the Unix time in milliseconds of a time of day on a date. If the local clock skips
+/// this time, the result is the end of the gap, so that no window is skipped. If the local
+/// clock shows this time twice, the result is the first of the two, so that the window does
+/// not begin twice.
 fn moment(date: Date, at: Time, tz: &TimeZone) -> Option<i64> {
     let there = tz.to_ambiguous_timestamp(date.to_datetime(at));
     let moment = match there.offset() {
         AmbiguousOffset::Gap { after, .. } => {
-            // Read by the later offset it lies before the gap, and the next
-            // change of offsets is the gap itself.
+            // With the UTC offset that applies after the gap, the skipped time converts to an
+            // instant before the gap. So the next change of the offset is the gap itself.
             let before = after.to_timestamp(date.to_datetime(at)).ok()?;
             tz.following(before).next()?.timestamp()
         }
@@ -130,7 +133,7 @@
             there.compatible().ok()?
         }
     };
-    // Whole seconds, as in the records' keys.
+    // The time is cut to whole seconds, because keys of records contain whole seconds.
     Some(moment.as_second() * 1000)
 }
 
@@ -138,7 +141,8 @@
     fn next(&self, after_ms: i64) -> Option<i64> {
         let tz = TimeZone::get(&self.tz).ok()?;
         let after = Timestamp::from_millisecond(after_ms).ok()?;
-        // The day before: its time may have been skipped into the next.
+        // The search begins a day earlier, because the start of that day may have been moved
+        // into the next day by a gap.
         let here = tz.to_datetime(after).date().yesterday().ok()?;
         let first = self.from.map_or(here, |from| from.max(here));
         (0..SEARCH_DAYS)
@@ -166,7 +170,8 @@
 }
 
 impl When {
-    /// The zone that it needs, if any, is known to this program's tz data.
+    /// Returns whether this program's tz data has the time zone of the rule. The result is
+    /// `true` for a rule without a time zone.
     pub fn zone_known(&self) -> bool {
         match self {
             Self::Weekly(rule) => TimeZone::get(&rule.tz).is_ok(),
@@ -174,9 +179,9 @@
         }
     }
 
-    /// Whether an occurrence begins at this moment. Yes where it can't be
-    /// said: tz data of another version may know the zone, and an occurrence
-    /// under way is not ended by not knowing.
+    /// Returns whether an occurrence begins at the time `start_ms`. The result is also `true`
+    /// if the time zone is unknown. Another version's tz data may have the zone, and the missing
+    /// data must not end an occurrence that is under way.
     pub fn begins_at(&self, start_ms: i64) -> bool {
         !self.zone_known() || start(self, start_ms - 1) == Some(start_ms)
     }
@@ -190,7 +195,8 @@
     }
 }
 
-/// The first occurrence that begins after a moment.
+/// Returns the first occurrence that begins after the time `after_ms`, or `None` if there is
+/// none.
 pub fn next(when: &When, lasts_s: u32, after_ms: i64) -> Option<Span> {
     let start_ms = start(when, after_ms)?;
     Some(Span {
@@ -199,8 +205,8 @@
     })
 }
 
-/// The first occurrence that ends after a moment: the one under way, or else
-/// the next.
+/// Returns the first occurrence that ends after the time `now_ms`. This is the occurrence under
+/// way or else the next one. Returns `None` if there is neither.
 pub fn current_or_next(when: &When, lasts_s: u32, now_ms: i64) -> Option<Span> {
     next(
         when,
