--- a/crates/reservations/tests/model.rs
+++ b/crates/reservations/tests/model.rs
@@ -1,7 +1,7 @@
-//! The plan over generated days: controllers whose clocks differ, drift and
-//! jump, owners that end between any two steps, writes that don't arrive, pins
-//! and unpins, shortages; judged by a checker that knows the true time. The
-//! checker must reject planners that are wrong.
+//! Tests of the planner over generated days. The clocks of controllers differ, drift and
+//! jump, owners crash between any two steps, writes are lost, operators pin and unpin the
+//! window, and capacity is short. A checker that has the true time judges each plan. The
+//! checker must reject faulty planners.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -20,10 +20,10 @@
 use sorrelhinge_reservations::settings::Window;
 use sorrelhinge_reservations::when::{Every, When};
 
-/// The window's beginning, in milliseconds of the true time.
+/// Start of the window as true Unix time in milliseconds.
 const START_MS: i64 = 1_796_083_200_000;
 
-/// The longest that the owner doesn't look, in milliseconds.
+/// Maximum time in milliseconds between two runs of the owner's planner.
 const TICK_MS: i64 = 2_000;
 
 fn window(tasks: u32, lasts_s: u32) -> Window {
@@ -60,27 +60,28 @@
     seen
 }
 
-/// What happens beside the passing of time.
+/// Event of a generated day, in addition to the passing of time.
 #[derive(Clone, Copy, Debug)]
 enum Event {
-    /// The owner ends; this one takes over, with a clock off by so much.
+    /// The owner crashes, and another controller takes over, whose clock has this error in
+    /// milliseconds.
     Owner(i64),
-    /// The owner's clock jumps, within its bound.
+    /// The owner's clock jumps to this error in milliseconds, within its bound.
     Jump(i64),
-    /// It jumps beyond it, for this many ticks; two such clocks differ by less
-    /// than what is over stays known.
+    /// The owner's clock jumps beyond its bound, by this many milliseconds for this number of
+    /// ticks. Two such clocks differ by less than the retention time of ended occurrences.
     Astray(i64, u32),
-    /// Nothing can be written for so many ticks.
+    /// The owner can write no record for this number of ticks.
     Outage(u32),
-    /// The team's limit leaves this much.
+    /// The team's limit leaves capacity for this number of tasks.
     Fits(u32),
-    /// The cloud has no more than this.
+    /// The cloud has machines for no more than this number of tasks.
     Capacity(u32),
-    /// So much of the free capacity is lost at once.
+    /// Reserved capacity for this number of tasks is lost at once.
     Lost(u32),
-    /// An operator pins the window with so many tasks, or takes it out.
+    /// An operator pins the window with this number of tasks, or removes the window.
     Pin(Option<u32>),
-    /// Work of the window comes, or is over.
+    /// Tasks of the window arrive (`true`) or end (`false`).
     Work(bool),
 }
 
@@ -89,13 +90,14 @@
     off_ms: i64,
     tasks: u32,
     lasts_s: u32,
-    /// In milliseconds after the day began, in order.
+    /// Events in order, each with its time in milliseconds after the start of the day.
     events: Vec<(i64, Event)>,
     ticks_ms: Vec<i64>,
 }
 
-/// From the day's beginning to the window's, and from its end to the day's.
+/// Time in milliseconds from the start of the day to the start of the window.
 const BEFORE_MS: i64 = 700_000;
+/// Time in milliseconds from the end of the window to the end of the day.
 const AFTER_MS: i64 = 1_000_000;
 
 fn day() -> impl Strategy<Value = Day> {
@@ -112,7 +114,7 @@
             2 => any::<bool>().prop_map(Event::Work),
         ];
         let whole = BEFORE_MS + i64::from(lasts_s) * 1000 + AFTER_MS;
-        // Mostly about the window itself.
+        // Most events happen near the window itself.
         let moment = prop_oneof![3 => 500_000..BEFORE_MS + 300_000, 1 => 0..whole];
         (
             proptest::collection::vec((moment, event), 0..14),
@@ -134,19 +136,19 @@
 type Records = BTreeMap<i64, WindowRecord>;
 type Planner = fn(Option<&Window>, &Records, &Seen, Clock) -> WindowPlan;
 
-/// What the checker knows that no controller does.
+/// State of the checker, which no controller can read.
 #[derive(Default)]
 struct Judge {
     writes: u32,
     pins: u32,
     deleted: BTreeSet<i64>,
-    /// Nothing happened that excuses a hold that isn't whole.
+    /// Whether an event happened that excuses an incomplete reservation.
     troubled: bool,
     worked: bool,
 }
 
 impl Judge {
-    /// One change of one record.
+    /// Checks one change of an occurrence's record.
     fn written(
         &mut self,
         start: i64,
@@ -173,16 +175,16 @@
         if old.is_some_and(|r| r.step > new.step) && !again {
             return Err(format!("undone: {old:?} to {new:?}"));
         }
-        // Planned, warming, held, releasing, over and the end of it; an
-        // operator's change is one more, and a pin of what was taken out has
-        // the window's own steps again.
+        // An occurrence needs one write for each of planned, warming, held, releasing and
+        // over, and one for its deletion. A change by an operator adds one write, and a pin of a
+        // removed window repeats all steps of the window.
         if self.writes > 6 + 6 * self.pins {
             return Err(format!("{} writes with {} pins", self.writes, self.pins));
         }
         Ok(())
     }
 
-    /// What is held, by the record that it rests on.
+    /// Checks the reserved capacity against the record on which it is based.
     fn held(
         &self,
         true_ms: i64,
@@ -202,21 +204,21 @@
             return Ok(());
         }
         let end_ms = START_MS + i64::from(day.lasts_s) * 1000;
-        // Everything is asked for early enough for slow boots and fetches,
-        // give or take the owner's looks.
+        // The owner must request all capacity early enough for slow boots and fetches. The
+        // interval between two runs of the planner is tolerated.
         let needs_ms = ((10.0 + seen.slow_boot_s + seen.fetch_s) * 1000.0) as i64;
         let full_ms = START_MS - needs_ms + 3 * TICK_MS;
         let held = format!("{hold} of {} held at {} ms", day.tasks, true_ms - START_MS);
         if (full_ms..end_ms).contains(&true_ms) && self.worked && hold < day.tasks {
             return Err(format!("too late: {held}"));
         }
-        // Not at all before it need be, nor for long after.
+        // The owner must reserve nothing earlier than necessary and nothing long after the end.
         let lead_ms = (lead_s(&window(day.tasks, day.lasts_s), seen) * 1000.0) as i64;
         let slack_ms = 2 * day.off_ms + 3 * TICK_MS;
         if hold > 0 && (true_ms < START_MS - lead_ms - slack_ms || true_ms > end_ms + slack_ms) {
             return Err(format!("for nothing: {held}"));
         }
-        // In steps.
+        // The owner must request capacity in steps, so at first at most half of it.
         let first = true_ms < START_MS - lead_ms + slack_ms;
         if first && hold > day.tasks.div_ceil(2) && day.off_ms < 300 {
             return Err(format!("at once: {held}"));
@@ -233,7 +235,7 @@
     }
 }
 
-/// Runs a day; the error is what the checker found.
+/// Runs a generated day with a planner. The error is the first fault that the checker finds.
 fn run(day: &Day, planner: Planner) -> Result<(), String> {
     let mut records = Records::new();
     let mut judge = Judge {
@@ -295,7 +297,8 @@
         let whole = planner(pinned.as_ref(), &records, &seen, clock);
         let held_by = records.get(&START_MS).cloned();
         judge.held(true_ms, day, held_by.as_ref(), whole.reserved_tasks, &seen)?;
-        // Rented or returned; what its work uses is not taken from it.
+        // Machines are rented or released to match the plan. Capacity that tasks of the window
+        // use is not released.
         seen.asked = whole
             .reserved_tasks
             .min(capacity)
@@ -335,8 +338,8 @@
         prop_assert!(outcome.is_ok(), "{:?}", outcome.err());
     }
 
-    /// Parts add up, are even, and none shrinks when the whole grows: a shard's
-    /// owner never returns room because more is held.
+    /// The parts of the shards add up, differ by one at most, and never decrease when the
+    /// total increases. So a shard owner never releases capacity because the reservation grows.
     #[test]
     fn parts_of_shards_add_up(tasks in 0u32..100_000, shards in 1u32..6) {
         let parts = divide(tasks, shards);
@@ -346,8 +349,8 @@
         prop_assert!(parts.iter().zip(&more).all(|(a, b)| a <= b));
     }
 
-    /// Never over a limit nor the pool, and what a guarantee covers is not
-    /// taken by what lies beyond one.
+    /// Shares never exceed a team's limit or the pool. Requests beyond a guarantee never take
+    /// capacity that another team's guarantee covers.
     #[test]
     fn what_windows_get_fits(
         wants in proptest::collection::vec((0usize..3, 1i64..5, 1u32..20), 1..6),
@@ -374,8 +377,8 @@
         for team in teams {
             let used = cpus(&|w| w.team == team);
             prop_assert!(used <= free_capacity[team].limit.cpu);
-            // All windows of a team that fits its guarantee, where the pool
-            // has free capacity for all guarantees, get everything.
+            // If the pool covers all guarantees, a team whose windows together fit its
+            // guarantee gets all that they request.
             let asked: i64 = wants.iter().filter(|w| w.team == team).map(|w| w.each.cpu * i64::from(w.tasks)).sum();
             let guarantees: i64 = free_capacity.values().map(|r| r.guarantee.cpu).sum();
             if asked <= free_capacity[team].guarantee.cpu && pool.is_none_or(|p| p >= guarantees) {
@@ -383,7 +386,7 @@
             }
         }
         prop_assert!(pool.is_none_or(|p| cpus(&|_| true) <= p));
-        // Nothing is left lying that a window could have had.
+        // No capacity that a window could use remains undistributed.
         for (w, g) in wants.iter().zip(&got) {
             let left = free_capacity[&w.team].limit.cpu - cpus(&|o| o.team == w.team);
             let free = pool.map_or(left, |p| left.min(p - cpus(&|_| true)));
@@ -392,7 +395,7 @@
     }
 }
 
-/// What `steps` says, with each change for a record in that step altered.
+/// Returns the plan with the changes of all records in step `at` replaced.
 fn altered(
     mut whole: WindowPlan,
     r: &Records,
@@ -413,7 +416,7 @@
     Change::Write(new)
 }
 
-/// Asks for everything as soon as it warms.
+/// Faulty planner: requests all capacity as soon as the warming step begins.
 fn all_at_once(w: Option<&Window>, r: &Records, s: &Seen, c: Clock) -> WindowPlan {
     let mut whole = steps(w, r, s, c);
     let warming = r.values().find(|o| o.step == Step::Warming);
@@ -421,7 +424,7 @@
     whole
 }
 
-/// Acts by a step before it is recorded.
+/// Faulty planner: reserves capacity for the warming step before this step is recorded.
 fn acts_first(w: Option<&Window>, r: &Records, s: &Seen, c: Clock) -> WindowPlan {
     let mut whole = steps(w, r, s, c);
     for next in whole.each.values() {
@@ -434,13 +437,13 @@
     whole
 }
 
-/// The checker finds each of them out, and by what is wrong with it.
+/// The checker rejects each faulty planner because of the planner's own fault.
 #[test]
 fn wrong_planners_are_rejected() {
     let wrong: [(Planner, &str); 9] = [
         (all_at_once, "at once"),
         (acts_first, "held by"),
-        // Believes its clock rather than the record.
+        // This planner follows its clock instead of the record.
         (
             |w, r, s, c| {
                 altered(steps(w, r, s, c), r, Step::Held, |start, old| {
@@ -451,7 +454,7 @@
             },
             "undone",
         ),
-        // Records how much is held, each time.
+        // This planner writes the warming record at each run.
         (
             |w, r, s, c| {
                 altered(steps(w, r, s, c), r, Step::Warming, |start, old| {
@@ -461,22 +464,22 @@
             },
             "writes with",
         ),
-        // Forgets an occurrence as soon as it is over.
+        // This planner deletes the record of an occurrence as soon as the occurrence is over.
         (
             |w, r, s, c| altered(steps(w, r, s, c), r, Step::Over, |_, _| Change::Delete),
             "begun a second time",
         ),
-        // Holds what the window wants, whatever the team's limit leaves.
+        // This planner reserves the window's full capacity and ignores the team's limit.
         (
             |w, r, s, c| steps(w, r, &but(s, |s| s.fits = u32::MAX), c),
             "the limit leaves",
         ),
-        // Takes its clock for the true time.
+        // This planner ignores the error of its clock.
         (
             |w, r, s, c| steps(w, r, s, Clock { off_ms: 0, ..c }),
             "too late",
         ),
-        // Boots and fetches are not thought of.
+        // This planner ignores the time for boots and image fetches.
         (
             |w, r, s, c| {
                 let hasty = but(s, |s| (s.slow_boot_s, s.fetch_s) = (0.0, 0.0));
@@ -484,7 +487,7 @@
             },
             "too late",
         ),
-        // Says nothing of what is refused.
+        // This planner reports no shortage.
         (
             |w, r, s, c| {
                 let mut whole = steps(w, r, s, c);
@@ -508,7 +511,7 @@
     }
 }
 
-// ---- by hand --------------------------------------------------------------
+// ---- Single cases ---------------------------------------------------------
 
 fn at(seconds: i64) -> Clock {
     clock(START_MS + seconds * 1000, 500)
@@ -536,8 +539,9 @@
     }
 }
 
-/// Without work the hold shrinks by quarters and then ends; work that comes
-/// meanwhile has all of it again; a new owner, who has seen nothing, holds.
+/// Without tasks the reservation shrinks by quarters and then ends. If tasks arrive in the
+/// meantime, the full capacity is reserved again. A new owner, which has no idle time yet,
+/// keeps the full capacity.
 #[test]
 fn a_no_show_shrinks_the_hold_and_ends_it() {
     let (window, held) = (window(40, 600), one(record(Step::Held, 0, 40)));
@@ -551,12 +555,13 @@
     assert_eq!(holds, [40, 30, 20, 10, 0]);
     assert_eq!(written(&idle(71.0, 0, 71)), Some((Step::Releasing, 40)));
     assert_eq!(idle(0.0, 1, 61).reserved_tasks, 40);
-    // Nor are hours by the clock hours of waiting.
+    // Wall clock time since the start does not count as idle time either.
     assert_eq!(idle(1.0, 0, 500).reserved_tasks, 40, "a new owner");
 }
 
-/// A changed window's record takes over its sizes in one write; one that is
-/// taken out, or moved, is let go, and pinned again it warms again.
+/// One write copies the sizes of a changed window into the record. The capacity of a removed
+/// or moved window is released. If the window is pinned again, the occurrence goes back to
+/// the warming step.
 #[test]
 fn windows_changed_while_held() {
     let busy = but(&seen(), |s| (s.asked, s.ready, s.used) = (40, 40, 40));
@@ -588,7 +593,8 @@
     assert_eq!(written(&over), None, "ended by itself");
 }
 
-/// What a later version means by its steps is not known.
+/// The planner changes no record of a later version, because the meaning of its steps is
+/// unknown.
 #[test]
 fn a_later_versions_occurrence_is_left_alone() {
     let mut later = record(Step::Held, 0, 40);
@@ -603,8 +609,9 @@
     }
 }
 
-/// A window every two minutes that lasts as long: the next one warms while this
-/// one is held, and no free capacity is returned or asked for twice in between.
+/// A window begins every two minutes and lasts two minutes. The next occurrence is in the
+/// warming step while the current one is held, and no capacity is released or requested
+/// twice between them.
 #[test]
 fn one_occurrence_goes_over_into_the_next() {
     let mut window = window(40, 120);
@@ -630,13 +637,13 @@
             writes += u32::from(next.change != Change::Keep);
             apply(&mut records, *start, &next.change);
         }
-        // Those that are over stay known for ten minutes.
+        // The records of ended occurrences are kept for ten minutes.
         assert!(records.len() <= 10, "{records:?}");
     }
     assert!(writes <= 6 * 31, "{writes} writes in 30 occurrences");
 }
 
-/// A shortage is said while there is time to act on it.
+/// The plan reports a shortage while an operator still has time to act on it.
 #[test]
 fn shortage_is_said_early() {
     let said = |step, seconds, change: fn(&mut Seen)| {
@@ -661,8 +668,8 @@
     assert_eq!(fine, None);
 }
 
-/// What lies within a guarantee comes first, then by name; and the one that
-/// waits says for whom.
+/// Requests within a guarantee are served first, and then the rest by name. The share of a
+/// window that gets too little names the window that was served before.
 #[test]
 fn windows_that_want_the_same_give_way_by_guarantee_and_name() {
     let cpus = |cpus| Amount::new(cpus, 0.0, 0.0);
@@ -674,7 +681,8 @@
         ("a".into(), free_capacity(0.0, 15.0)),
         ("b".into(), free_capacity(8.0, 20.0)),
     ]);
-    // Pairs of name and team; tasks and whom it gives way to.
+    // The requests are pairs of window name and team. The results are pairs of the number of
+    // tasks and the name of the window that was served before.
     let got = |wants: [(&str, &str); 2], pool| {
         let wants = wants.map(|(name, team)| CapacityRequest {
             name: name.into(),
@@ -688,7 +696,8 @@
     };
     let limited = got([("late", "a"), ("early", "a")], None);
     assert_eq!(limited, [(5, "early".to_string()), (10, String::new())]);
-    // Machines for twelve: the guaranteed eight come first, though by name last.
+    // There are machines for twelve tasks. The eight guaranteed tasks are served first, although
+    // the name of their window is the last.
     let scarce = got(
         [("cup", "a"), ("drop", "b")],
         Some(Amount::new(12.0, 0.0, 1e3)),
@@ -700,13 +709,13 @@
 fn held_free_capacity_is_lent_only_to_work_that_is_gone_in_time() {
     let cases = [
         (Some(30.0), false, 0.0, 60.0, Lend::Ends),
-        // Not even twice over.
+        // The time left is shorter than twice the estimate.
         (Some(30.0), false, 0.0, 59.0, Lend::No),
-        // A service.
+        // An estimate of 0 belongs to a service, which never ends.
         (Some(0.0), false, 0.0, 59.0, Lend::No),
         (None, false, 0.0, 1e9, Lend::No),
         (None, true, 8.0, -5.0, Lend::Stop),
-        // Saves for too long.
+        // The task takes too long to save its state.
         (None, true, 9.0, 1e9, Lend::No),
     ];
     for (ends_in_s, stoppable, stash_s, left_s, lent) in cases {
--- a/crates/reservations/tests/settings.rs
+++ b/crates/reservations/tests/settings.rs
@@ -1,6 +1,6 @@
-//! Files that are wrong, each with the line that says so; the example and the
-//! schema that are committed; and what newer files, pins and later versions
-//! make of the record.
+//! Tests of the calendar file and its records: faulty files with their error texts, the
+//! committed example and JSON Schema, and the effect of newer files, pins and later program
+//! versions on the record.
 
 use std::collections::BTreeMap;
 
@@ -14,14 +14,14 @@
 
 const EXAMPLE: &str = include_str!("../../../deploy/calendar.toml");
 
-/// 2026-12-01T00:00:00Z, a Tuesday.
+/// Current time of the tests as Unix time in milliseconds: 2026-12-01T00:00:00Z, a Tuesday.
 const NOW_MS: i64 = 1_796_083_200_000;
 
 fn file(window: &str) -> String {
     format!("version = 1\nnumber = 3\n{window}")
 }
 
-/// One window; `changes` replaces fields or adds some.
+/// Returns the TOML text of a window. `changes` replaces or adds fields.
 fn window(changes: &[(&str, &str)]) -> String {
     let mut fields = BTreeMap::from([
         ("name", "\"drop\""),
@@ -40,7 +40,8 @@
     format!("[[window]]\n{}\n", lines.join("\n"))
 }
 
-/// Of each line the window with these fields, and what is said of it.
+/// Parses lines of the form `FIELDS => ERROR`. Returns for each line the TOML text of a window
+/// with these fields and the expected error text.
 fn table(lines: &str) -> Vec<(String, &str)> {
     let one = |line| {
         let (fields, said) = str::split_once(line, " => ").expect(line);
@@ -102,7 +103,7 @@
 
 #[test]
 fn what_is_wrong_in_a_file_is_one_line_that_names_the_place() {
-    // 2026-12-05 is a Saturday.
+    // The date 2026-12-05 in the cases is a Saturday.
     let mut cases = table(
         r#"
         tasks = "many" => line 8
@@ -157,7 +158,8 @@
         let said = check(&read, &known()).map_err(|e| e.to_string());
         assert_eq!(said, Err(expected.to_string()));
     }
-    // An hour later in Bangkok's neighbour: one begins as the other ends.
+    // In Singapore the same local time is an hour earlier, so one window begins as the other
+    // ends.
     let next = overlapping("Asia/Singapore").replace("20", "15");
     assert_eq!(check(&calendar(&[next]), &known()), Ok(()));
     let over = calendar(&[window(&[("when", "{ once = \"2026-11-30T19:00:00Z\" }")])]);
@@ -185,7 +187,7 @@
     let second = taken(&new, Some(&unpinned));
     assert_eq!(second.window("drop").map(|w| w.tasks), Some(5));
     assert!(second.window("pin").is_some() && second.window("other").is_none());
-    // A controller of a rolling restart that still has the old file.
+    // During a rolling restart a controller may still have the old file.
     assert_eq!(CalendarRecord::take(Some(&second), &old), Taken::Older);
     new.windows[0].tasks = 6;
     assert_eq!(CalendarRecord::take(Some(&second), &new), Taken::Differs);
@@ -203,8 +205,8 @@
     assert!(error.contains("holds 4 KiB"), "{error}");
 }
 
-/// A later version's records may look like nothing known: they must neither be
-/// taken for absent nor for one's own.
+/// Records of a later program version may have an unknown format. The program must treat them
+/// neither as absent nor as its own.
 #[test]
 fn a_later_versions_records_are_left_alone() {
     let later = CalendarRecord::read(r#"{"v":2,"n":[1],"w":{}}"#).expect("its version");
@@ -216,7 +218,7 @@
     let later = WindowRecord::read(r#"{"v":2,"s":"draining"}"#).expect("its version");
     assert!(!later.known());
     assert_eq!(WindowRecord::read(r#"{"v":1,"s":"draining"}"#), None);
-    // Fields that a later version adds without a new number are ignored.
+    // The reader ignores fields that a later version adds without raising the format version.
     let added = r#"{"v":1,"e":5000,"s":"held","t":1,"n":7,"new":[1]}"#;
     let read = WindowRecord::read(added).expect("known");
     assert_eq!((read.step, read.tasks, read.known()), (Step::Held, 7, true));
--- a/crates/reservations/tests/when.rs
+++ b/crates/reservations/tests/when.rs
@@ -1,5 +1,5 @@
-//! Occurrences by time zones: days on which a clock is put on or back by hand,
-//! and generated rules against a scan of every minute.
+//! Tests of occurrences in time zones: selected days with a change of the UTC offset, and
+//! generated rules compared with a scan of every minute.
 
 use jiff::civil::time;
 use jiff::tz::TimeZone;
@@ -25,18 +25,19 @@
 #[test]
 fn days_on_which_a_clock_is_put_on_or_back() {
     let [ny, lhi, apia] = ["America/New_York", "Australia/Lord_Howe", "Pacific/Apia"];
-    // The time and zone; after when, and the first beginning then.
+    // Each case has a time of day, a time zone, the start of the search, and the expected next
+    // start of the window.
     let cases = [
-        // 02:00 to 03:00 is skipped: the first moment after, 03:00 there.
+        // The clock skips 02:00 to 03:00, so the window begins at 03:00 local time.
         ((2, 30), ny, "2026-03-08T05:00:00Z", "2026-03-08T07:00:00Z"),
-        // And the day after at its time.
+        // On the following day the window begins at its usual time.
         ((2, 30), ny, "2026-03-08T07:00:00Z", "2026-03-09T06:30:00Z"),
-        // 01:00 to 02:00 is shown twice: the first one, and not the second.
+        // The clock shows 01:00 to 02:00 twice, and the window begins only the first time.
         ((1, 30), ny, "2026-11-01T04:00:00Z", "2026-11-01T05:30:00Z"),
         ((1, 30), ny, "2026-11-01T05:30:00Z", "2026-11-02T06:30:00Z"),
-        // By half an hour only.
+        // In this time zone the clock changes by only half an hour.
         ((2, 15), lhi, "2026-10-03T05:30:00Z", "2026-10-03T15:30:00Z"),
-        // 2011-12-30 was left out altogether.
+        // This time zone skipped the whole day 2011-12-30.
         ((9, 0), apia, "2011-12-29T19:00:00Z", "2011-12-30T10:00:00Z"),
         ((9, 0), apia, "2011-12-30T10:00:00Z", "2011-12-30T19:00:00Z"),
     ];
@@ -63,7 +64,7 @@
     });
     assert_eq!(next(&every, 60, 0).map(|s| s.start_ms), Some(90_000));
     assert_eq!(next(&every, 60, 90_000).map(|s| s.start_ms), Some(390_000));
-    // Not known here, so it can't be said that it doesn't begin then.
+    // The time zone is unknown, so every time counts as a possible start.
     let elsewhere = daily((1, 0), "Mars/Olympus");
     assert!(elsewhere.begins_at(start) && next(&elsewhere, 60, 0).is_none());
 }
@@ -77,8 +78,8 @@
     "Africa/Casablanca",
 ];
 
-/// Looks at every minute: a day's time comes when the latest that the clock on
-/// the wall has ever shown reaches it.
+/// Returns the next start of a rule by a scan of every minute. A window begins when the latest
+/// local time shown so far reaches the rule's time of day.
 fn slow(rule: &Rule, after_ms: i64) -> Option<i64> {
     let tz = TimeZone::get(&rule.tz).expect("a zone");
     let wall = |ms| tz.to_datetime(Timestamp::from_millisecond(ms).expect("in range"));
@@ -109,8 +110,8 @@
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(48))]
 
-    /// All of 2026 and 2027, more often around the changes of March and
-    /// October, at the small hours in which clocks change.
+    /// The cases cover all of 2026 and 2027. Dates near the clock changes of March and October
+    /// and the early hours in which clocks change are more frequent.
     #[test]
     fn a_rules_next_time_is_what_a_scan_of_every_minute_finds(
         zone in 0..ZONES.len(),
