--- a/crates/pipelines/src/graph.rs
+++ b/crates/pipelines/src/graph.rs
@@ -107,13 +107,13 @@
         lookup: impl Fn(&JobId) -> Option<JobFacts>,
     ) -> BTreeSet<JobId> {
         let mut changed = BTreeSet::new();
-        if !self.nodes.get(id).is_some_and(|n| n.known) {
+        if !self.nodes.get(id).is_some_and(|n| n.record_seen) {
             self.insert(id, facts, &lookup, &mut changed);
         }
         match facts.recorded {
             Recorded::Open => {}
             Recorded::Cancelled => self.cancel(id, &mut changed),
-            Recorded::Done { since_ms } => self.finish(id, since_ms, &mut changed),
+            Recorded::Done { since_ms } => self.remove_done(id, since_ms, &mut changed),
         }
         changed
     }
@@ -126,13 +126,13 @@
         lookup: &impl Fn(&JobId) -> Option<JobFacts>,
         changed: &mut BTreeSet<JobId>,
     ) {
-        self.adopt(id, facts);
+        self.set_own_facts(id, facts);
         if matches!(facts.recorded, Recorded::Done { .. }) {
             // The dependencies of a done job are done too, so no link is needed.
             return;
         }
         for need in &facts.needs {
-            self.link(id, need, lookup);
+            self.add_dependency(id, need, lookup);
         }
         changed.insert(id.clone());
         self.raise_ancestors(id, changed);
@@ -142,24 +142,29 @@
     }
 
     /// Copies the facts of the job's own record into its node, without its dependencies.
-    fn adopt(&mut self, id: &JobId, facts: &JobFacts) {
+    fn set_own_facts(&mut self, id: &JobId, facts: &JobFacts) {
         let node = self.nodes.entry(id.clone()).or_insert_with(Node::unknown);
-        node.known = true;
+        node.record_seen = true;
         node.own = facts.urgency;
         node.run_ms = facts.run_ms;
         let inherits = node.urgency;
-        node.urgency = facts.urgency.joined(inherits);
+        node.urgency = facts.urgency.most_urgent(inherits);
     }
 
     /// Records that job `id` depends on job `need`.
-    fn link(&mut self, id: &JobId, need: &JobId, lookup: &impl Fn(&JobId) -> Option<JobFacts>) {
+    fn add_dependency(
+        &mut self,
+        id: &JobId,
+        need: &JobId,
+        lookup: &impl Fn(&JobId) -> Option<JobFacts>,
+    ) {
         if !self.contains(need) {
             match lookup(need) {
                 Some(facts) => {
                     if let Recorded::Done { since_ms } = facts.recorded {
-                        return self.met(id, need, since_ms);
+                        return self.mark_dependency_done(id, need, since_ms);
                     }
-                    self.adopt(need, &facts);
+                    self.set_own_facts(need, &facts);
                     if let Some(node) = self.nodes.get_mut(need) {
                         node.cancelled = facts.recorded == Recorded::Cancelled;
                     }
@@ -169,7 +174,7 @@
                 }
             }
         }
-        if self.needs(need, id) {
+        if self.depends_on(need, id) {
             tracing::error!(job = %id, needs = %need, "dependency cycle; its jobs never start");
         } else if let Some(node) = self.nodes.get_mut(need) {
             node.dependents.insert(id.clone());
@@ -187,7 +192,7 @@
 
     /// Returns whether job `id` depends on job `other`, directly or indirectly. A new job has
     /// dependents only if another record named the job before its own record was read.
-    fn needs(&self, id: &JobId, other: &JobId) -> bool {
+    fn depends_on(&self, id: &JobId, other: &JobId) -> bool {
         if id == other {
             return true;
         }
@@ -211,7 +216,7 @@
     }
 
     /// Removes the done job `need` from the unmet dependencies of job `id`.
-    fn met(&mut self, id: &JobId, need: &JobId, since_ms: u64) {
+    fn mark_dependency_done(&mut self, id: &JobId, need: &JobId, since_ms: u64) {
         if let Some(node) = self.nodes.get_mut(id) {
             node.unmet.remove(need);
             node.ready_ms = node.ready_ms.max(since_ms);
@@ -220,13 +225,13 @@
 
     /// Removes a done job from the graph. Dependents that waited only for this job become
     /// ready.
-    fn finish(&mut self, id: &JobId, since_ms: u64, changed: &mut BTreeSet<JobId>) {
+    fn remove_done(&mut self, id: &JobId, since_ms: u64, changed: &mut BTreeSet<JobId>) {
         let Some(node) = self.nodes.remove(id) else {
             return;
         };
         changed.insert(id.clone());
         for dependent in &node.dependents {
-            self.met(dependent, id, since_ms);
+            self.mark_dependency_done(dependent, id, since_ms);
             if self.is_ready(dependent) {
                 changed.insert(dependent.clone());
             }
@@ -266,14 +271,14 @@
             let Some(node) = self.nodes.get(&at) else {
                 continue;
             };
-            let Some(passed) = node.passes_on() else {
+            let Some(passed) = node.urgency_for_dependencies() else {
                 continue;
             };
             for need in node.unmet.clone() {
                 let Some(needed) = self.nodes.get_mut(&need) else {
                     continue;
                 };
-                let raised = needed.urgency.joined(passed);
+                let raised = needed.urgency.most_urgent(passed);
                 if needed.dependents.contains(&at) && raised != needed.urgency {
                     needed.urgency = raised;
                     changed.insert(need.clone());
@@ -297,8 +302,8 @@
                 continue;
             };
             let dependents = node.dependents.iter().filter_map(|d| self.nodes.get(d));
-            let inherited = dependents.filter_map(Node::passes_on);
-            let lowered = inherited.fold(node.own, Urgency::joined);
+            let inherited = dependents.filter_map(Node::urgency_for_dependencies);
+            let lowered = inherited.fold(node.own, Urgency::most_urgent);
             if lowered != node.urgency {
                 next.extend(node.unmet.iter().cloned());
                 if let Some(node) = self.nodes.get_mut(&at) {
--- a/crates/pipelines/src/node.rs
+++ b/crates/pipelines/src/node.rs
@@ -17,7 +17,7 @@
 pub(crate) struct Node {
     /// Whether the job's record was read. If not, only a dependent's record, which was read
     /// first, names the job.
-    pub known: bool,
+    pub record_seen: bool,
     /// Whether the job is cancelled, by its own record or with one of its dependencies. A
     /// cancelled job stays cancelled.
     pub cancelled: bool,
@@ -40,7 +40,7 @@
     /// Creates a node for a job that another record names and whose own record was not read.
     pub(crate) fn unknown() -> Self {
         Self {
-            known: false,
+            record_seen: false,
             cancelled: false,
             unmet: BTreeSet::new(),
             ready_ms: 0,
@@ -53,8 +53,8 @@
 
     /// Returns the urgency that the job's dependencies inherit from it, or `None` if the job
     /// is cancelled or its record was not read.
-    pub(crate) fn passes_on(&self) -> Option<Urgency> {
-        let open = self.known && !self.cancelled;
-        open.then(|| self.urgency.passed_on(self.run_ms))
+    pub(crate) fn urgency_for_dependencies(&self) -> Option<Urgency> {
+        let open = self.record_seen && !self.cancelled;
+        open.then(|| self.urgency.for_dependencies(self.run_ms))
     }
 }
--- a/crates/pipelines/src/urgency.rs
+++ b/crates/pipelines/src/urgency.rs
@@ -15,7 +15,7 @@
 impl Urgency {
     /// Returns the urgency that a job with a run time of `run_ms` passes to its dependencies.
     /// Their latest finish is `run_ms` earlier, so that the job still meets its own.
-    pub fn passed_on(self, run_ms: i64) -> Self {
+    pub fn for_dependencies(self, run_ms: i64) -> Self {
         Self {
             finish_ms: self.finish_ms.map(|finish| finish.saturating_sub(run_ms)),
             ..self
@@ -23,7 +23,7 @@
     }
 
     /// Returns the higher priority and the earlier finish of the two urgencies.
-    pub fn joined(self, other: Self) -> Self {
+    pub fn most_urgent(self, other: Self) -> Self {
         Self {
             priority: self.priority.max(other.priority),
             finish_ms: match (self.finish_ms, other.finish_ms) {
--- a/crates/pipelines/tests/model.rs
+++ b/crates/pipelines/tests/model.rs
@@ -47,8 +47,8 @@
         let open = self.records.iter().filter(|(other, facts)| {
             facts.needs.contains(id) && !self.cancelled(other) && self.done_since(other).is_none()
         });
-        let passed = open.map(|(other, facts)| self.urgency(other).passed_on(facts.run_ms));
-        passed.fold(self.records[id].urgency, Urgency::joined)
+        let passed = open.map(|(other, facts)| self.urgency(other).for_dependencies(facts.run_ms));
+        passed.fold(self.records[id].urgency, Urgency::most_urgent)
     }
 
     fn seen(&self, id: &JobId) -> Seen {
