--- a/crates/priority-lanes/src/lanes.rs
+++ b/crates/priority-lanes/src/lanes.rs
@@ -40,7 +40,7 @@
 }
 
 impl Lane {
-    fn has(&self, class: &str, priority: Priority, has_deadline: bool) -> bool {
+    fn matches(&self, class: &str, priority: Priority, has_deadline: bool) -> bool {
         let urgent = self.high && priority == Priority::High && has_deadline;
         urgent || self.classes.iter().any(|c| c.matches(class))
     }
@@ -55,7 +55,7 @@
 
 /// Properties of one lane that were read so far.
 #[derive(Default)]
-struct Raw {
+struct LaneProperties {
     classes: Vec<WildMatch>,
     order: i64,
     part: Option<f64>,
@@ -66,7 +66,7 @@
 struct Property<'a> {
     key: &'a str,
     lane: &'a str,
-    what: &'a str,
+    setting: &'a str,
 }
 
 impl<'a> Property<'a> {
@@ -75,23 +75,23 @@
         let Some(rest) = key.strip_prefix(PREFIX) else {
             return Ok(None);
         };
-        let Some((lane, what)) = rest.rsplit_once('.') else {
+        let Some((lane, setting)) = rest.rsplit_once('.') else {
             return Err(LanesError::NoSuchProperty(key.to_owned()));
         };
-        let good = |c: char| c.is_ascii_alphanumeric() || c == '-' || c == '_';
-        if lane.is_empty() || !lane.chars().all(good) {
+        let allowed = |c: char| c.is_ascii_alphanumeric() || c == '-' || c == '_';
+        if lane.is_empty() || !lane.chars().all(allowed) {
             return Err(LanesError::Name(key.to_owned()));
         }
-        Ok(Some(Self { key, lane, what }))
+        Ok(Some(Self { key, lane, setting }))
     }
 }
 
-impl Raw {
+impl LaneProperties {
     /// Parses and stores the value of one property.
     fn set(&mut self, property: &Property, value: &str) -> Result<(), LanesError> {
         let key = || property.key.to_owned();
         let owned = || value.to_owned();
-        match property.what {
+        match property.setting {
             "classes" => self.classes = classes(property.key, value)?,
             "order" => {
                 self.order = value.parse().map_err(|_| LanesError::Order {
@@ -206,18 +206,20 @@
     pub fn read<'a>(
         pairs: impl IntoIterator<Item = (&'a str, &'a str)>,
     ) -> Result<Self, LanesError> {
-        let mut raws: BTreeMap<&str, Raw> = BTreeMap::new();
+        let mut by_lane: BTreeMap<&str, LaneProperties> = BTreeMap::new();
         for (key, value) in pairs {
             let Some(property) = Property::parse(key)? else {
                 continue;
             };
-            let raw = raws.entry(property.lane).or_default();
-            raw.set(&property, value.trim())?;
+            let properties = by_lane.entry(property.lane).or_default();
+            properties.set(&property, value.trim())?;
         }
-        if raws.len() > MAX_LANES {
+        if by_lane.len() > MAX_LANES {
             return Err(LanesError::TooMany);
         }
-        let named = raws.into_iter().map(|(name, raw)| raw.named(name));
+        let named = by_lane
+            .into_iter()
+            .map(|(name, properties)| properties.named(name));
         let mut lanes = named.collect::<Result<Vec<Lane>, _>>()?;
         // With a sum above 1, two lanes together could block all other jobs.
         let all: f64 = lanes.iter().map(|l| l.bound.part()).sum();
@@ -236,8 +238,8 @@
     /// Returns the lane of a job, which is the first lane in order that matches the job.
     /// Returns `None` if no lane matches.
     pub fn of(&self, class: &str, priority: Priority, has_deadline: bool) -> Option<LaneId> {
-        let has = |lane: &Lane| lane.has(class, priority, has_deadline);
-        let found = self.lanes.iter().position(has)?;
+        let matches = |lane: &Lane| lane.matches(class, priority, has_deadline);
+        let found = self.lanes.iter().position(matches)?;
         u16::try_from(found).ok().map(LaneId)
     }
 
--- a/crates/priority-lanes/tests/model.rs
+++ b/crates/priority-lanes/tests/model.rs
@@ -31,19 +31,19 @@
 
 /// Functions under test. A test replaces one of them with a faulty function.
 #[derive(Clone, Copy)]
-struct Code {
+struct Implementation {
     known: fn(Option<Revision>, Option<Revision>, Revision) -> Revision,
     arrange: fn(Vec<Waits>, u64) -> Vec<Key>,
 }
 
-const OURS: Code = Code {
+const CORRECT: Implementation = Implementation {
     known: place::known,
     arrange,
 };
 
 /// Simulation of the state service and three controllers.
 struct World {
-    code: Code,
+    code: Implementation,
     now_ms: u64,
     writes: u64,
     records: BTreeMap<JobId, Record>,
@@ -51,7 +51,7 @@
     memories: [BTreeMap<JobId, Revision>; 3],
     /// Jobs of each controller whose true place it can't compute, because an older program
     /// version dropped the copied place before this controller started.
-    unsure: [BTreeSet<JobId>; 3],
+    unknown_places: [BTreeSet<JobId>; 3],
     owner: usize,
 }
 
@@ -64,13 +64,13 @@
     Claim,
     /// A placed job becomes pending again, because it was preempted, its machine was lost or its
     /// attempt failed.
-    Back(usize),
+    Requeue(usize),
     /// A controller of an older program version writes a job's record without the place.
-    BeforeWrites(usize),
+    OldVersionWrites(usize),
     /// A controller restarts with an empty memory and reads all records.
     Crash(usize),
     TakeOver(usize),
-    Pass(u64),
+    Advance(u64),
 }
 
 fn ops() -> impl Strategy<Value = Vec<Op>> {
@@ -78,11 +78,11 @@
     let one = prop_oneof![
         5 => (0usize..3, 0usize..3).prop_map(|(at, due)| Op::Submit(at, due)),
         4 => Just(Op::Claim),
-        3 => n().prop_map(Op::Back),
-        1 => n().prop_map(Op::BeforeWrites),
+        3 => n().prop_map(Op::Requeue),
+        1 => n().prop_map(Op::OldVersionWrites),
         1 => (0usize..3).prop_map(Op::Crash),
         1 => (0usize..3).prop_map(Op::TakeOver),
-        4 => (1u64..12_000).prop_map(Op::Pass),
+        4 => (1u64..12_000).prop_map(Op::Advance),
     ];
     prop::collection::vec(one, 1..80)
 }
@@ -111,8 +111,10 @@
         record.copied = place::to_write(true, record.copied, self.memories[self.owner][&id]);
         record.waits = waits;
         self.write(&id, record);
-        if !self.unsure[self.owner].contains(&id) {
-            self.unsure.iter_mut().for_each(|u| u.retain(|x| *x != id));
+        if !self.unknown_places[self.owner].contains(&id) {
+            self.unknown_places
+                .iter_mut()
+                .for_each(|u| u.retain(|x| *x != id));
         }
     }
 
@@ -145,7 +147,7 @@
             for earlier in &order[n + 1..] {
                 let (b, a) = (&self.records[later], &self.records[earlier]);
                 // A job whose true place the owner can't compute may only go later.
-                if b.first < a.first || self.unsure[self.owner].contains(earlier) {
+                if b.first < a.first || self.unknown_places[self.owner].contains(earlier) {
                     continue;
                 }
                 // Two clocks are involved, so the measured waiting time may be longer than the
@@ -179,8 +181,8 @@
                 self.write(&id, record);
             }
             Op::Claim => self.rewrite(self.order().first().cloned(), false),
-            Op::Back(nth) => self.rewrite(self.nth(nth, false), true),
-            Op::BeforeWrites(nth) => {
+            Op::Requeue(nth) => self.rewrite(self.nth(nth, false), true),
+            Op::OldVersionWrites(nth) => {
                 if let Some(id) = self.nth(nth, true) {
                     let mut record = self.records[&id].clone();
                     record.copied = None;
@@ -192,23 +194,23 @@
                 let all = self.records.iter();
                 self.memories[who] = all.clone().map(|(id, r)| (id.clone(), of(r))).collect();
                 let lost = all.filter(|(_, r)| r.copied.unwrap_or(r.mod_revision) != r.first.0);
-                self.unsure[who] = lost.map(|(id, _)| id.clone()).collect();
+                self.unknown_places[who] = lost.map(|(id, _)| id.clone()).collect();
             }
             Op::TakeOver(who) => self.owner = who,
-            Op::Pass(ms) => self.now_ms += ms,
+            Op::Advance(ms) => self.now_ms += ms,
         }
     }
 }
 
 /// Runs all operations. Returns the first fault that the checker finds in the order of jobs.
-fn check(code: Code, ops: &[Op]) -> Result<(), String> {
+fn check(code: Implementation, ops: &[Op]) -> Result<(), String> {
     let mut world = World {
         code,
         now_ms: 1_000_000,
         writes: 0,
         records: BTreeMap::new(),
         memories: Default::default(),
-        unsure: Default::default(),
+        unknown_places: Default::default(),
         owner: 0,
     };
     ops.iter().try_for_each(|op| {
@@ -225,7 +227,7 @@
     /// later job overtake an earlier one, except for a deadline that can still be met.
     #[test]
     fn places_stay(ops in ops()) {
-        prop_assert_eq!(check(OURS, &ops), Ok(()));
+        prop_assert_eq!(check(CORRECT, &ops), Ok(()));
     }
 }
 
@@ -238,8 +240,8 @@
 /// The checker rejects faulty implementations, each of which has one fault.
 #[test]
 fn mistaken_orders_are_rejected() {
-    let arranged = |arrange| Code { arrange, ..OURS };
-    let knowing = |known| Code { known, ..OURS };
+    let arranged = |arrange| Implementation { arrange, ..CORRECT };
+    let knowing = |known| Implementation { known, ..CORRECT };
     // A controller whose clock is slow accepts the second job.
     let two = vec![Op::Submit(1, 0), Op::Submit(2, 0)];
     let then = |more: &[Op]| [&two, more].concat();
@@ -252,13 +254,13 @@
         (by_clock, two.clone()),
         (arranged(by_deadline), then(&[Op::Submit(0, 2)])),
         // This implementation moves a preempted job to the end of the order.
-        (last_write, then(&[Op::Claim, Op::Back(0)])),
+        (last_write, then(&[Op::Claim, Op::Requeue(0)])),
         // This implementation loses a place that an older program version drops, although the
         // controller read it before.
-        (without_memory, then(&[Op::BeforeWrites(1)])),
+        (without_memory, then(&[Op::OldVersionWrites(1)])),
         (none_is_first, two.clone()),
     ] {
-        assert_eq!(check(OURS, &ops), Ok(()));
+        assert_eq!(check(CORRECT, &ops), Ok(()));
         assert!(check(code, &ops).is_err(), "passed: {ops:?}");
     }
 }
@@ -306,9 +308,9 @@
             }
         }
         prop_assert!(lane <= bound.of(total).max(sizes[0]));
-        prop_assert!(lane > 0, "not even its first job");
+        prop_assert!(lane > 0, "the lane can't run its first job");
         let alone = SharedCapacity { total, used_by_lane: 90, others_wait: false };
-        prop_assert!(bound.allows(alone, 10), "nobody else wants it");
+        prop_assert!(bound.allows(alone, 10), "no other job waits");
     }
 
     /// A lane gets its part of the turns, but at least one turn in twenty, and other jobs get
@@ -319,7 +321,7 @@
         let mut turn = Turn::default();
         (0..quiet).for_each(|_| turn.taken(bound, false));
         for _ in 0..busy {
-            prop_assert!(turn.allows(false), "nobody else wants it");
+            prop_assert!(turn.allows(false), "no other job waits");
             turn.taken(bound, true);
         }
         let mut took = 0.0;
