--- a/crates/reservations/src/plan/arbitration.rs
+++ b/crates/reservations/src/plan/arbitration.rs
@@ -97,7 +97,7 @@
     fn serve(&mut self, i: usize, guaranteed: bool) {
         let request = &self.requests[i];
         let team = self.teams.entry(request.team.clone()).or_default();
-        let fit = fits(request, team, guaranteed, self.pool);
+        let fit = fitting_tasks(request, team, guaranteed, self.pool);
         let tasks = fit.all.min(request.tasks - self.shares[i].tasks);
         if tasks > 0 {
             let amount = request.each.times(i64::from(tasks));
@@ -108,14 +108,14 @@
             self.served.push(i);
         }
         if !guaranteed && self.shares[i].tasks < request.tasks {
-            self.shares[i].gives_way_to = self.rival(i, fit.all < fit.by_team);
+            self.shares[i].gives_way_to = self.served_before(i, fit.all < fit.by_team);
         }
     }
 
     /// Returns the name of the window that was served last with capacity that request `i`
     /// lacks. If `short_pool`, that can be any other window. If not, it is a window of the
     /// same team.
-    fn rival(&self, i: usize, short_pool: bool) -> Option<String> {
+    fn served_before(&self, i: usize, short_pool: bool) -> Option<String> {
         let team = &self.requests[i].team;
         let is_rival =
             |other: &&usize| **other != i && (short_pool || self.requests[**other].team == *team);
@@ -134,7 +134,7 @@
 
 /// Returns how many tasks of a window fit. If `guaranteed`, the team's guarantee also limits
 /// the result.
-fn fits(
+fn fitting_tasks(
     request: &CapacityRequest,
     free_capacity: &TeamFreeCapacity,
     guaranteed: bool,
--- a/crates/reservations/src/plan/change.rs
+++ b/crates/reservations/src/plan/change.rs
@@ -1,7 +1,7 @@
 //! Next change of an occurrence's record. The clock and the owner's observations determine
 //! the step that is due. A recorded step never goes back.
 
-use super::free_capacity::{lead_s, ms, ramp, unused};
+use super::free_capacity::{kept_while_idle, lead_s, ms, requested_tasks};
 use super::seen::{Clock, Seen};
 use crate::record::{Step, WindowRecord, VERSION};
 use crate::settings::Window;
@@ -35,7 +35,7 @@
 
 /// Returns the step that is due by the clock and the owner's observations, or `None` if the
 /// occurrence is too far in the future.
-fn due(
+fn due_step(
     window: &Window,
     span: Span,
     record: Option<&WindowRecord>,
@@ -56,10 +56,10 @@
     let Some(record) = record else {
         return Some(Step::Warming);
     };
-    let asked_all = ramp(window, span.start_ms, record, seen, clock) >= record.tasks;
+    let asked_all = requested_tasks(window, span.start_ms, record, seen, clock) >= record.tasks;
     match record.step {
         Step::Warming if clock.latest_ms() >= span.start_ms && asked_all => Some(Step::Held),
-        Step::Held if unused(window, span.start_ms, record.tasks, seen, clock) == 0 => {
+        Step::Held if kept_while_idle(window, span.start_ms, record.tasks, seen, clock) == 0 => {
             Some(Step::Releasing)
         }
         Step::Planned => Some(Step::Warming),
@@ -67,7 +67,7 @@
     }
 }
 
-fn fresh(step: Step, span: Span, tasks: u32, clock: Clock) -> WindowRecord {
+fn new_record(step: Step, span: Span, tasks: u32, clock: Clock) -> WindowRecord {
     WindowRecord {
         version: VERSION,
         end_ms: span.end_ms,
@@ -105,7 +105,7 @@
     match (record.step, window) {
         (Step::Planned | Step::Warming | Step::Held, None) => ended(true),
         (Step::Planned | Step::Warming | Step::Held, Some(window)) => {
-            forward(window, at, record, seen, clock)
+            advance(window, at, record, seen, clock)
         }
         (Step::Releasing | Step::Over, Some(window))
             if record.removed && clock.earliest_ms() < at.end_ms =>
@@ -114,8 +114,8 @@
             // of the operator and not because of a clock.
             first_step(window, at, seen, clock)
         }
-        (Step::Releasing, _) => released(record, seen, clock),
-        (Step::Over, _) => forgotten(at, record, clock),
+        (Step::Releasing, _) => change_releasing(record, seen, clock),
+        (Step::Over, _) => change_over(at, record, clock),
     }
 }
 
@@ -135,9 +135,9 @@
 
 /// Returns a new record if the planned or the warming step of the occurrence is due.
 fn first_step(window: &Window, at: Span, seen: &Seen, clock: Clock) -> Change {
-    match due(window, at, None, seen, clock) {
+    match due_step(window, at, None, seen, clock) {
         Some(step @ (Step::Planned | Step::Warming)) => {
-            Change::Write(fresh(step, at, window.tasks, clock))
+            Change::Write(new_record(step, at, window.tasks, clock))
         }
         _ => Change::Keep,
     }
@@ -145,8 +145,8 @@
 
 /// Returns the change of a record in the planned, warming or held step to the step that is
 /// due and to the window's present size.
-fn forward(window: &Window, at: Span, record: &WindowRecord, seen: &Seen, clock: Clock) -> Change {
-    let due = due(window, at, Some(record), seen, clock);
+fn advance(window: &Window, at: Span, record: &WindowRecord, seen: &Seen, clock: Clock) -> Change {
+    let due = due_step(window, at, Some(record), seen, clock);
     // Steps only go forward. The recorded step stays if the clock shows an earlier one as
     // due.
     let step = due.map_or(record.step, |due| due.max(record.step));
@@ -170,7 +170,7 @@
 
 /// Returns the change of a record in the releasing step. The occurrence is over once its
 /// machines are released, or at the latest [`MAX_RELEASE_S`] after its end.
-fn released(record: &WindowRecord, seen: &Seen, clock: Clock) -> Change {
+fn change_releasing(record: &WindowRecord, seen: &Seen, clock: Clock) -> Change {
     let late_ms = record.end_ms.saturating_add(MAX_RELEASE_S * 1000);
     if seen.asked <= seen.used || clock.earliest_ms() >= late_ms {
         Change::Write(WindowRecord {
@@ -184,7 +184,7 @@
 }
 
 /// Returns the change of a record in the over step, which is deleted after a retention time.
-fn forgotten(at: Span, record: &WindowRecord, clock: Clock) -> Change {
+fn change_over(at: Span, record: &WindowRecord, clock: Clock) -> Change {
     // The record is deleted only when every clock within the bound is past the end of the
     // occurrence. Otherwise a controller with a slow clock would begin it a second time.
     let known_ms = record.end_ms.max(at.end_ms) + 2 * clock.off_ms + RECORD_RETENTION_S * 1000;
--- a/crates/reservations/src/plan/free_capacity.rs
+++ b/crates/reservations/src/plan/free_capacity.rs
@@ -30,12 +30,12 @@
 /// Returns the time in seconds over which the owner requests capacity for `tasks` tasks if
 /// the window begins late enough.
 fn ramp_s(tasks: u32, seen: &Seen) -> f64 {
-    pace_s(tasks, seen).max(MIN_RAMP_S)
+    min_rental_s(tasks, seen).max(MIN_RAMP_S)
 }
 
 /// Returns the minimum time in seconds to rent machines for `tasks` tasks, as the rate limits
 /// of the cloud and of the controllers allow.
-fn pace_s(tasks: u32, seen: &Seen) -> f64 {
+fn min_rental_s(tasks: u32, seen: &Seen) -> f64 {
     if seen.rent_per_s > 0.0 {
         f64::from(tasks) / seen.rent_per_s
     } else {
@@ -50,7 +50,7 @@
     f64::from(window.early_s) + seen.slow_boot_s + seen.fetch_s + ramp_s(window.tasks, seen)
 }
 
-pub(super) fn ramp(
+pub(super) fn requested_tasks(
     window: &Window,
     start_ms: i64,
     record: &WindowRecord,
@@ -63,7 +63,7 @@
     // machines as fast as the rate limits allow.
     let over_s = ramp_s(record.tasks, seen)
         .min(left_s)
-        .max(pace_s(record.tasks, seen));
+        .max(min_rental_s(record.tasks, seen));
     // One controller may have recorded the step by a fast clock, and another may read it by a
     // slow clock.
     let elapsed_ms = clock.latest_ms() + clock.off_ms - record.since_ms;
@@ -73,17 +73,23 @@
     } else {
         RAMP_STEPS
     };
-    part(record.tasks, steps.min(RAMP_STEPS), RAMP_STEPS)
+    fraction(record.tasks, steps.min(RAMP_STEPS), RAMP_STEPS)
 }
 
-fn part(tasks: u32, of: u32, parts: u32) -> u32 {
+fn fraction(tasks: u32, of: u32, parts: u32) -> u32 {
     (u64::from(tasks) * u64::from(of)).div_ceil(u64::from(parts)) as u32
 }
 
 /// Returns the number of tasks for which capacity stays reserved while none of the window's
 /// tasks runs or waits. The number decreases in parts to 0 once this lasts longer than the
 /// window's `no_show_s`, both if no task ever arrived and after all tasks are done.
-pub(super) fn unused(window: &Window, start_ms: i64, tasks: u32, seen: &Seen, clock: Clock) -> u32 {
+pub(super) fn kept_while_idle(
+    window: &Window,
+    start_ms: i64,
+    tasks: u32,
+    seen: &Seen,
+    clock: Clock,
+) -> u32 {
     if seen.used > 0 || seen.waiting > 0 {
         return tasks;
     }
@@ -97,7 +103,7 @@
     }
     let each_s = (no_show_s / f64::from(SHRINK_PARTS)).max(MIN_SHRINK_INTERVAL_S);
     let released = (beyond_s / each_s).min(f64::from(SHRINK_PARTS)) as u32 + 1;
-    part(tasks, SHRINK_PARTS.saturating_sub(released), SHRINK_PARTS)
+    fraction(tasks, SHRINK_PARTS.saturating_sub(released), SHRINK_PARTS)
 }
 
 /// Returns the number of tasks for which to reserve capacity according to an occurrence's
@@ -116,9 +122,9 @@
         (Step::Warming | Step::Held, None) => seen.asked.min(record.tasks),
         (Step::Warming, Some(window)) => {
             // Capacity that was already requested is kept, even if a clock jumps back.
-            ramp(window, start_ms, record, seen, clock).max(seen.asked.min(record.tasks))
+            requested_tasks(window, start_ms, record, seen, clock).max(seen.asked.min(record.tasks))
         }
-        (Step::Held, Some(window)) => unused(window, start_ms, record.tasks, seen, clock),
+        (Step::Held, Some(window)) => kept_while_idle(window, start_ms, record.tasks, seen, clock),
     };
     // Reserved capacity counts toward the team's limit and never exceeds it.
     wanted.min(seen.fits)
--- a/crates/reservations/src/settings.rs
+++ b/crates/reservations/src/settings.rs
@@ -28,7 +28,7 @@
 
 /// Checks the characters of a window's name. Names appear in keys of the state service, in
 /// paths and in log lines.
-fn plain(name: &str, _: &()) -> garde::Result {
+fn plain_name(name: &str, _: &()) -> garde::Result {
     let plain = |c: char| c.is_ascii_alphanumeric() || ".-_".contains(c);
     if name.chars().all(plain) {
         Ok(())
@@ -43,7 +43,7 @@
 #[schemars(deny_unknown_fields)]
 pub struct Window {
     /// Name of the window, which also appears in keys of the state service and in the log.
-    #[garde(length(bytes, min = 1, max = 64), custom(plain))]
+    #[garde(length(bytes, min = 1, max = 64), custom(plain_name))]
     pub name: String,
     /// Team whose limit the reserved capacity counts toward.
     #[garde(length(bytes, min = 1, max = 200))]
@@ -185,15 +185,15 @@
 
 /// Formats the path of an unknown field like the paths in other errors, such as
 /// `.window[0].card`.
-fn place(path: &serde_ignored::Path<'_>) -> String {
+fn field_path(path: &serde_ignored::Path<'_>) -> String {
     use serde_ignored::Path;
     match path {
         Path::Root => String::new(),
-        Path::Seq { parent, index } => format!("{}[{index}]", place(parent)),
-        Path::Map { parent, key } => format!("{}.{key}", place(parent)),
+        Path::Seq { parent, index } => format!("{}[{index}]", field_path(parent)),
+        Path::Map { parent, key } => format!("{}.{key}", field_path(parent)),
         Path::Some { parent }
         | Path::NewtypeStruct { parent }
-        | Path::NewtypeVariant { parent } => place(parent),
+        | Path::NewtypeVariant { parent } => field_path(parent),
     }
 }
 
@@ -220,7 +220,7 @@
     // unknown fields are allowed because a later version may have written them.
     let mut unknown = None;
     let calendar: Calendar = serde_ignored::deserialize(file, |path| {
-        unknown.get_or_insert_with(|| place(&path));
+        unknown.get_or_insert_with(|| field_path(&path));
     })
     .map_err(at_line)?;
     if let Some(path) = unknown {
--- a/crates/reservations/src/settings/checks.rs
+++ b/crates/reservations/src/settings/checks.rs
@@ -14,7 +14,7 @@
     }
 
     /// Builds the error that rejects the window because of one field.
-    fn refused(&self, field: &'static str, reason: String) -> WindowError {
+    fn rejected(&self, field: &'static str, reason: String) -> WindowError {
         WindowError {
             window: self.name.clone(),
             field,
@@ -94,7 +94,7 @@
 /// Checks one window without regard to the other windows.
 fn check_window(window: &Window, known: &Known) -> Result<(), WindowError> {
     let Some(limit) = known.teams.get(&window.team) else {
-        return Err(window.refused("team", format!("there is no team {:?}", window.team)));
+        return Err(window.rejected("team", format!("there is no team {:?}", window.team)));
     };
     check_names(window, known)?;
     check_task_fits(window, known)?;
@@ -106,12 +106,12 @@
 fn check_names(window: &Window, known: &Known) -> Result<(), WindowError> {
     let mut zones = window.zones.iter();
     if let Some(zone) = zones.find(|z| !known.zones.is_empty() && !known.zones.contains(*z)) {
-        return Err(window.refused("zones", format!("there is no zone {zone:?}")));
+        return Err(window.rejected("zones", format!("there is no zone {zone:?}")));
     }
     let named = |name: &String| known.types.iter().any(|t| t.name.as_str() == name);
     let mut types = window.types.iter();
     if let Some(name) = types.find(|t| !known.types.is_empty() && !named(t)) {
-        return Err(window.refused("types", format!("there is no machine type {name:?}")));
+        return Err(window.rejected("types", format!("there is no machine type {name:?}")));
     }
     Ok(())
 }
@@ -131,13 +131,13 @@
     };
     if !fits(None) {
         let reason = "a task fits no machine type that it allows".into();
-        return Err(window.refused("cpus", reason));
+        return Err(window.rejected("cpus", reason));
     }
     match window.zones.iter().find(|z| !fits(Some(z))) {
         None => Ok(()),
         Some(zone) => {
             let reason = format!("in {zone:?} a task fits no machine type that it allows");
-            Err(window.refused("zones", reason))
+            Err(window.rejected("zones", reason))
         }
     }
 }
@@ -150,11 +150,11 @@
     }
     let reason = format!(
         "it holds {}, the limit of team {:?} is {}",
-        shown(needs),
+        cpus_and_gpus(needs),
         window.team,
-        shown(limit)
+        cpus_and_gpus(limit)
     );
-    Err(window.refused("tasks", reason))
+    Err(window.rejected("tasks", reason))
 }
 
 /// Checks that each occurrence of the window ends before the next one begins. A window whose
@@ -166,7 +166,7 @@
     };
     let second = window.next(first.start_ms);
     if second.is_some_and(|second| second.meets(first)) {
-        return Err(window.refused("lasts_s", "it begins again before it ends".into()));
+        return Err(window.rejected("lasts_s", "it begins again before it ends".into()));
     }
     Ok(())
 }
@@ -181,11 +181,11 @@
     let over = |w: &&Window| w.current_or_next(now_ms).is_none();
     match calendar.windows.iter().find(over) {
         None => Ok(()),
-        Some(window) => Err(window.refused("when", "it is over".into())),
+        Some(window) => Err(window.rejected("when", "it is over".into())),
     }
 }
 
-fn shown(amount: Amount) -> String {
+fn cpus_and_gpus(amount: Amount) -> String {
     let units = |milli: i64| milli as f64 / 1000.0;
     format!("{} CPUs and {} GPUs", units(amount.cpu), units(amount.gpu))
 }
@@ -230,10 +230,10 @@
             let reason = format!(
                 "together with {} it holds {}, the limit of team {team:?} is {}",
                 open.join(", "),
-                shown(reserved),
-                shown(limit)
+                cpus_and_gpus(reserved),
+                cpus_and_gpus(limit)
             );
-            return Err(window.refused("tasks", reason));
+            return Err(window.rejected("tasks", reason));
         }
         open.push(&window.name);
     }
--- a/crates/reservations/tests/model.rs
+++ b/crates/reservations/tests/model.rs
@@ -54,7 +54,7 @@
     Clock { now_ms, off_ms }
 }
 
-fn but(seen: &Seen, change: impl Fn(&mut Seen)) -> Seen {
+fn with(seen: &Seen, change: impl Fn(&mut Seen)) -> Seen {
     let mut seen = seen.clone();
     change(&mut seen);
     seen
@@ -70,7 +70,7 @@
     Jump(i64),
     /// The owner's clock jumps beyond its bound, by this many milliseconds for this number of
     /// ticks. Two such clocks differ by less than the retention time of ended occurrences.
-    Astray(i64, u32),
+    JumpBeyondBound(i64, u32),
     /// The owner can write no record for this number of ticks.
     Outage(u32),
     /// The team's limit leaves capacity for this number of tasks.
@@ -105,7 +105,7 @@
         let event = prop_oneof![
             6 => (-off_ms..=off_ms).prop_map(Event::Owner),
             3 => (-off_ms..=off_ms).prop_map(Event::Jump),
-            1 => (-290_000i64..290_000, 1u32..4).prop_map(|(by, n)| Event::Astray(by, n)),
+            1 => (-290_000i64..290_000, 1u32..4).prop_map(|(by, n)| Event::JumpBeyondBound(by, n)),
             1 => (1u32..150).prop_map(Event::Outage),
             1 => (0u32..100).prop_map(Event::Fits),
             1 => (0u32..100).prop_map(Event::Capacity),
@@ -138,7 +138,7 @@
 
 /// State of the checker, which no controller can read.
 #[derive(Default)]
-struct Judge {
+struct Checker {
     writes: u32,
     pins: u32,
     deleted: BTreeSet<i64>,
@@ -147,7 +147,7 @@
     worked: bool,
 }
 
-impl Judge {
+impl Checker {
     /// Checks one change of an occurrence's record.
     fn written(
         &mut self,
@@ -238,14 +238,14 @@
 /// Runs a generated day with a planner. The error is the first fault that the checker finds.
 fn run(day: &Day, planner: Planner) -> Result<(), String> {
     let mut records = Records::new();
-    let mut judge = Judge {
+    let mut checker = Checker {
         worked: true,
-        ..Judge::default()
+        ..Checker::default()
     };
     let mut pinned = Some(window(day.tasks, day.lasts_s));
     let mut seen = seen();
     let mut error_ms = 0;
-    let (mut astray, mut outage) = ((0, 0), 0u32);
+    let (mut jump_beyond_bound, mut outage) = ((0, 0), 0u32);
     let mut capacity = u32::MAX;
     let mut work = true;
     let first_ms = START_MS - BEFORE_MS;
@@ -259,8 +259,8 @@
         seen.idle_s += tick_ms as f64 / 1000.0;
         let due = |(at, _): &&(i64, Event)| first_ms + at <= true_ms;
         while let Some((at, event)) = events.next_if(due) {
-            judge.troubled |= match event {
-                Event::Astray(..) | Event::Outage(_) | Event::Pin(_) => true,
+            checker.troubled |= match event {
+                Event::JumpBeyondBound(..) | Event::Outage(_) | Event::Pin(_) => true,
                 Event::Fits(_) => first_ms + at < end_ms,
                 _ => false,
             };
@@ -270,18 +270,18 @@
                     seen.idle_s = 0.0;
                 }
                 Event::Jump(error) => error_ms = error,
-                Event::Astray(by, n) => astray = (by, n),
+                Event::JumpBeyondBound(by, n) => jump_beyond_bound = (by, n),
                 Event::Outage(n) => outage = n,
                 Event::Fits(max) => seen.fits = max,
                 Event::Capacity(max) => capacity = max,
                 Event::Lost(n) => seen.asked = seen.asked.saturating_sub(n),
                 Event::Pin(tasks) => {
                     pinned = tasks.map(|tasks| window(tasks, day.lasts_s));
-                    judge.pins += 1;
+                    checker.pins += 1;
                 }
                 Event::Work(on) => {
                     work = on;
-                    judge.worked &= on;
+                    checker.worked &= on;
                 }
             }
         }
@@ -291,12 +291,16 @@
         if seen.waiting > 0 {
             seen.idle_s = 0.0;
         }
-        let wrong_ms = if astray.1 > 0 { astray.0 } else { error_ms };
-        astray.1 = astray.1.saturating_sub(1);
+        let wrong_ms = if jump_beyond_bound.1 > 0 {
+            jump_beyond_bound.0
+        } else {
+            error_ms
+        };
+        jump_beyond_bound.1 = jump_beyond_bound.1.saturating_sub(1);
         let clock = clock(true_ms + wrong_ms, day.off_ms);
         let whole = planner(pinned.as_ref(), &records, &seen, clock);
         let held_by = records.get(&START_MS).cloned();
-        judge.held(true_ms, day, held_by.as_ref(), whole.reserved_tasks, &seen)?;
+        checker.held(true_ms, day, held_by.as_ref(), whole.reserved_tasks, &seen)?;
         // Machines are rented or released to match the plan. Capacity that tasks of the window
         // use is not released.
         seen.asked = whole
@@ -319,7 +323,7 @@
             continue;
         }
         for (start, next) in &whole.each {
-            judge.written(*start, records.get(start), &next.change)?;
+            checker.written(*start, records.get(start), &next.change)?;
             apply(&mut records, *start, &next.change);
         }
     }
@@ -471,7 +475,7 @@
         ),
         // This planner reserves the window's full capacity and ignores the team's limit.
         (
-            |w, r, s, c| steps(w, r, &but(s, |s| s.fits = u32::MAX), c),
+            |w, r, s, c| steps(w, r, &with(s, |s| s.fits = u32::MAX), c),
             "the limit leaves",
         ),
         // This planner ignores the error of its clock.
@@ -482,7 +486,7 @@
         // This planner ignores the time for boots and image fetches.
         (
             |w, r, s, c| {
-                let hasty = but(s, |s| (s.slow_boot_s, s.fetch_s) = (0.0, 0.0));
+                let hasty = with(s, |s| (s.slow_boot_s, s.fetch_s) = (0.0, 0.0));
                 steps(w, r, &hasty, c)
             },
             "too late",
@@ -546,7 +550,7 @@
 fn a_no_show_shrinks_the_hold_and_ends_it() {
     let (window, held) = (window(40, 600), one(record(Step::Held, 0, 40)));
     let idle = |idle_s: f64, waiting, seconds| {
-        let seen = but(&seen(), |s| {
+        let seen = with(&seen(), |s| {
             (s.asked, s.ready, s.idle_s, s.waiting) = (40, 40, idle_s, waiting);
         });
         steps(Some(&window), &held, &seen, at(seconds))
@@ -564,7 +568,7 @@
 /// the warming step.
 #[test]
 fn windows_changed_while_held() {
-    let busy = but(&seen(), |s| (s.asked, s.ready, s.used) = (40, 40, 40));
+    let busy = with(&seen(), |s| (s.asked, s.ready, s.used) = (40, 40, 40));
     let held = one(record(Step::Held, 0, 40));
     let larger = window(60, 700);
     let whole = steps(Some(&larger), &held, &busy, at(10));
@@ -577,12 +581,12 @@
     };
     assert_eq!(changed.end_ms, START_MS + 700_000);
     let gone = steps(None, &held, &busy, at(10));
-    let let_go = Some((Step::Releasing, 40));
-    assert_eq!((written(&gone), gone.reserved_tasks), (let_go, 40));
+    let releasing = Some((Step::Releasing, 40));
+    assert_eq!((written(&gone), gone.reserved_tasks), (releasing, 40));
     let mut moved = window(40, 600);
     moved.when = When::Once("2026-12-01T00:01:00Z".parse().expect("a moment"));
     let whole = steps(Some(&moved), &held, &busy, at(10));
-    assert_eq!(written(&whole), let_go);
+    assert_eq!(written(&whole), releasing);
     assert_eq!(whole.each.len(), 2, "the new one warms: {whole:?}");
     let mut removed = record(Step::Releasing, 10, 40);
     removed.removed = true;
@@ -648,7 +652,7 @@
 fn shortage_is_said_early() {
     let said = |step, seconds, change: fn(&mut Seen)| {
         let records = one(record(step, -100, 40));
-        let seen = but(&seen(), change);
+        let seen = with(&seen(), change);
         let whole = steps(Some(&window(40, 600)), &records, &seen, at(seconds));
         whole.each[&START_MS].short.clone()
     };
