--- a/crates/sharding/src/delegation.rs
+++ b/crates/sharding/src/delegation.rs
@@ -1,10 +1,10 @@
-//! Tasks that one shard leaves to another that has free capacity.
+//! Delegation of tasks from one shard to another shard that has free capacity.
 //!
-//! Jobs are placed by one shard each, and machines come and go: one shard's
-//! queue waits while another's machines idle. So a shard says how much free capacity it
-//! has beyond its own work, and others leave it tasks that found no place. That
-//! is a hint on both sides, with an end: whoever claims a task first in the
-//! job's record has it, and the other's claim fails there.
+//! One shard places each job, and machines come and go, so tasks can wait in one shard
+//! while another shard's machines are idle. A shard therefore reports the free capacity
+//! that it has beyond its own work, and other shards delegate to it tasks that found no
+//! machine. Report and delegation are both hints that expire. The first shard that claims a
+//! task in the job's record places the task, and the other shard's claim fails there.
 
 use std::collections::BTreeMap;
 
@@ -12,57 +12,60 @@
 
 use crate::shard::ShardId;
 
-/// A task is left to another for so long, in seconds; after that its own shard
-/// places it again.
+/// Time for which a task stays delegated to another shard, in seconds. After that, the
+/// task's own shard places the task again.
 pub const DELEGATED_S: f64 = 6.0;
-/// The other drops what it could not claim a little earlier.
+/// Time after which the receiving shard drops delegated tasks that it could not claim, in
+/// seconds. It is a little shorter than [`DELEGATED_S`].
 pub const ACCEPTED_S: f64 = 4.0;
-/// A job's tasks are left to others once they have waited so long, in seconds.
+/// Time that a job's tasks wait before their shard delegates them to other shards, in
+/// seconds.
 const DELEGATE_AFTER_S: f64 = 0.6;
-/// What is known of another shard's free capacity is used for so long, in seconds.
+/// Time for which a shard uses the free capacity that another shard reported, in seconds.
 const FREE_CAPACITY_FRESH_S: f64 = 2.5;
 
-/// A job whose tasks wait.
+/// A job that has pending tasks.
 #[derive(Clone, Debug)]
 pub struct Waiting {
-    /// Which.
+    /// Job that the pending tasks belong to.
     pub job: JobId,
-    /// Since when tasks of it have found no place.
+    /// Time since which tasks of this job have found no machine.
     pub since: Time,
-    /// Tasks that wait.
+    /// Number of this job's tasks that are pending.
     pub tasks: u32,
-    /// Thousandths of a CPU that each takes.
+    /// CPU that each task of this job requests, in thousandths of a CPU.
     pub cpu: i64,
 }
 
-/// So many tasks of a job are left to a shard.
+/// Tasks of one job that are delegated to another shard.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Delegated {
-    /// Of which job.
+    /// Job that the delegated tasks belong to.
     pub job: JobId,
-    /// To which shard.
+    /// Shard that receives the delegated tasks.
     pub to: ShardId,
-    /// How many.
+    /// Number of tasks of the job that are delegated.
     pub tasks: u32,
 }
 
 /// The free capacity that another shard reported.
 #[derive(Clone, Copy, Debug)]
 struct FreeCapacity {
-    /// Thousandths of a CPU, less what was left there since.
+    /// Free CPU of the other shard in thousandths of a CPU, less the tasks delegated to it
+    /// since its report.
     cpu: i64,
     reported_at: Time,
 }
 
-/// What is known of the other shards' free capacity.
+/// Chooses the tasks to delegate, by the free capacity that the other shards reported.
 #[derive(Debug, Default)]
 pub struct Delegation {
     free_capacity: BTreeMap<ShardId, FreeCapacity>,
 }
 
 impl Delegation {
-    /// A shard said how much free capacity it has beyond its own work, in thousandths of
-    /// a CPU.
+    /// Records the free capacity that a shard reported beyond its own work, in thousandths
+    /// of a CPU.
     pub fn has_capacity(&mut self, shard: ShardId, cpu: i64, now: Time) {
         let reported = FreeCapacity {
             cpu: cpu.max(0),
@@ -71,7 +74,8 @@
         self.free_capacity.insert(shard, reported);
     }
 
-    /// Which tasks to leave to others, the first of `waiting` first.
+    /// Returns the tasks to delegate to other shards. Jobs earlier in `waiting` get free
+    /// capacity first.
     pub fn delegate(&mut self, waiting: &[Waiting], now: Time) -> Vec<Delegated> {
         self.free_capacity
             .retain(|_, free| now.since(free.reported_at) <= FREE_CAPACITY_FRESH_S);
--- a/crates/sharding/src/fair.rs
+++ b/crates/sharding/src/fair.rs
@@ -1,11 +1,11 @@
-//! Who is next when what all want is short: every sort of work keeps a floor of
-//! it, whatever is more urgent.
+//! Fair choice of who is served next when there is too little for all. Every kind of work
+//! keeps a minimum share, even while more urgent work is pending.
 //!
-//! Urgency alone starved a team for minutes: with more claims of services than
-//! the state service records, no other claim was ever written, and no job that
-//! was done was ever said to be.
+//! Serving by urgency alone starved a team for minutes. With more claims of services than
+//! the state service records, no other claim was ever written, and no finished job was ever
+//! reported as done.
 
-/// Turns in a circle: whoever was served last comes last.
+/// Round-robin order in which the key that was served last comes last.
 #[derive(Clone, Debug)]
 pub struct Turns<K> {
     last: Option<K>,
@@ -18,7 +18,8 @@
 }
 
 impl<K: Ord + Clone> Turns<K> {
-    /// Whose turn it is, of those that wait.
+    /// Returns the key among `waiting` that is served next, or `None` if `waiting` is
+    /// empty. Records the returned key as the last one served.
     pub fn next<'a>(&mut self, waiting: impl Iterator<Item = &'a K> + Clone) -> Option<K>
     where
         K: 'a,
@@ -33,15 +34,17 @@
     }
 }
 
-/// Of each so many that are served, one is by turns.
+/// Of this many items served, one is chosen in round-robin order instead of by urgency.
 pub const SERVED_PER_TURN: u64 = 4;
-/// And one is a job that is done: its users wait for nothing else.
+/// Of this many items served, one is a job that is done, because such a job's users wait
+/// for nothing else.
 pub const SERVED_PER_DONE_JOB: u64 = 3;
-/// Turns count only for what has waited for so long, in seconds: before, the most
-/// urgent goes first and everything else soon after.
+/// Minimum wait before an item takes part in the round-robin order, in seconds. Before
+/// that, the most urgent item is served first and everything else soon after.
 pub const TURN_AFTER_S: f64 = 3.0;
 
-/// How many places each sort keeps, of `max` that all share.
+/// Returns the number of places that each kind of work keeps, out of the `max` places that
+/// all kinds share.
 pub fn floor(max: usize) -> usize {
     (max / 8).max(1)
 }
--- a/crates/sharding/src/isolation.rs
+++ b/crates/sharding/src/isolation.rs
@@ -1,40 +1,46 @@
-//! Whether a controller is isolated with its workers: neither the state service nor
-//! any other controller answers it.
+//! Detection of an isolated controller. A controller is isolated if it reaches its workers,
+//! but neither the state service nor any other controller answers it.
 //!
-//! Isolated it took no hints, so it did not know that others were served, stayed
-//! healthy, and went on with its workers until what it knew was too old; only then
-//! did they look for the next owner, which took them for silent meanwhile.
+//! An isolated controller received no hints, so it did not notice that others were served.
+//! It stayed healthy and went on with its workers until its view of the records was too
+//! old. Only then did the workers look for the next owner, which meanwhile took them for
+//! silent.
 
 use std::collections::HashMap;
 
 use sorrelhinge_protocol::types::{MachineId, Time};
 
-/// Other controllers, which send hints twice a second, were silent for so long, in
-/// seconds: the state service is asked whether it serves this one.
+/// Silence of all other controllers after which this controller asks the state service
+/// whether it still answers, in seconds. Other controllers send hints twice a second.
 pub const PROBE_AFTER_S: f64 = 1.0;
-/// Both were silent for so long, in seconds: healthy no more within 3 s.
+/// Silence of both the other controllers and the state service after which a controller
+/// counts as isolated, in seconds. With this value, an isolated controller is no longer
+/// healthy within 3 s.
 pub const ISOLATED_AFTER_S: f64 = 2.0;
-/// Workers remembered as dismissed.
+/// Maximum number of dismissed workers that a controller remembers.
 const MAX_DISMISSED_WORKERS: usize = 8192;
 
-/// For how long others have been silent.
+/// How long the other controllers and the state service have been silent to this
+/// controller.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct PeerContact {
-    /// Whether there are other controllers at all.
+    /// Whether the cluster has other controllers at all.
     pub others: bool,
-    /// Seconds since the last message of any of them.
+    /// Seconds since any other controller last sent a message to this controller.
     pub peers_silent_s: f64,
-    /// Seconds since the last request that the state service answered was sent.
+    /// Seconds since this controller sent the last request that the state service answered.
     pub unserved_s: f64,
 }
 
 impl PeerContact {
-    /// Whether to ask the state service now: in quiet times it is asked seldom.
+    /// Returns whether to ask the state service now whether it still answers. With little
+    /// work a controller asks it rarely, so its last answer may be old.
     pub fn should_probe_state(&self) -> bool {
         self.others && self.peers_silent_s >= PROBE_AFTER_S
     }
 
-    /// Whether this controller is isolated.
+    /// Returns whether neither the other controllers nor the state service have answered
+    /// for [`ISOLATED_AFTER_S`].
     pub fn is_isolated(&self) -> bool {
         self.others
             && self.peers_silent_s >= ISOLATED_AFTER_S
@@ -42,19 +48,21 @@
     }
 }
 
-/// The workers that were dismissed.
+/// Workers that an isolated controller has refused.
 ///
-/// A worker is refused once, so that it looks for the next owner long before its
-/// lease ends. One that comes back found nobody: in an outage in which no two
-/// controllers reach each other all are isolated, and all refusing it would have ended
-/// its tasks. It is answered then, as long as what is known allows.
+/// The controller refuses each worker once, so that the worker looks for the next owner
+/// long before its lease ends. A worker that comes back found no other owner. In an outage
+/// in which no two controllers reach each other, all controllers are isolated, and if all
+/// of them refused a worker, its tasks would end. The controller therefore answers a worker
+/// that comes back, as long as its own view of the records allows.
 #[derive(Default)]
 pub struct DismissedWorkers {
     dismissed_at: HashMap<MachineId, Time>,
 }
 
 impl DismissedWorkers {
-    /// Whether a worker that heartbeats is refused now; `lease_s` after that again.
+    /// Returns whether to refuse this worker's heartbeat. After a refusal, the controller
+    /// answers the same worker's heartbeats for `lease_s` seconds, then refuses one again.
     pub fn refuses(&mut self, machine: &MachineId, lease_s: f64, now: Time) -> bool {
         let back = |at: &Time| now.since(*at) < lease_s;
         if self.dismissed_at.get(machine).is_some_and(back) {
@@ -63,7 +71,8 @@
         if self.dismissed_at.len() >= MAX_DISMISSED_WORKERS {
             self.dismissed_at.retain(|_, at| back(at));
         }
-        // Not remembered as dismissed, it might be refused each time.
+        // A worker that can't be remembered as dismissed is never refused, because it might
+        // be refused at every heartbeat.
         if self.dismissed_at.len() >= MAX_DISMISSED_WORKERS {
             return false;
         }
@@ -71,7 +80,7 @@
         true
     }
 
-    /// No longer isolated.
+    /// Forgets all dismissed workers, because this controller is no longer isolated.
     pub fn clear(&mut self) {
         self.dismissed_at.clear();
     }
--- a/crates/sharding/src/lib.rs
+++ b/crates/sharding/src/lib.rs
@@ -1,15 +1,15 @@
-//! The machines shared among the controllers, without I/O or clock:
+//! Rules that share the machines among the controllers. This crate has no I/O and no clock.
 //!
-//! - [`served`]: what each class and team gets, and who starves;
+//! - [`served`]: what each job class and team gets, and which of them starve;
 //! - [`largest_jobs`]: the largest jobs of each class, which are logged one by one;
-//! - [`shard`]: which shard a machine or a job belongs to;
-//! - [`delegation`]: tasks that one shard leaves to another that has free capacity;
-//! - [`fair`]: who is next when there is less than all need;
-//! - [`isolation`]: whether a controller is left with nothing but its workers;
-//! - [`owners`]: who is granted which shard, and which one moves next;
-//! - [`reach`]: whether an owner still reaches the workers;
+//! - [`shard`]: the shard that a machine or a job belongs to;
+//! - [`delegation`]: tasks that one shard delegates to another shard with free capacity;
+//! - [`fair`]: who is served next when there is too little for all;
+//! - [`isolation`]: whether a controller is cut off from all but its workers;
+//! - [`owners`]: the controller that is granted each shard, and the shard that moves next;
+//! - [`reach`]: whether a shard's owner still reaches the workers;
 //! - [`slices`]: each shard's part of the teams' limits;
-//! - [`tally`]: who was served over a run, from the log.
+//! - [`tally`]: the jobs that were served over a whole run, read from the log.
 //!
 //! See `docs/blocks.md`.
 
--- a/crates/sharding/src/owners/mod.rs
+++ b/crates/sharding/src/owners/mod.rs
@@ -1,18 +1,18 @@
-//! Who owns which shard, and which one moves next.
+//! Choice of each shard's owner, and of the shard that moves next.
 //!
-//! A move has named steps, each one conditional write or none:
+//! A shard moves between controllers in named steps. Each step is one conditional write or none:
 //!
 //! | step | who | what |
 //! | --- | --- | --- |
-//! | offered | the leader | names the taker in the shard's record |
-//! | frozen | the giver | claims nothing more there, and lets what is under way settle |
-//! | handed | the giver | writes the taker as owner, with the next number |
-//! | confirmed | the taker | its fencing token is raised machine by machine; only then it counts on one |
-//! | taken back | the leader | clears the offer: the taker does not live any more, or it takes too long |
+//! | offered | the leader | names the new owner in the shard's record |
+//! | frozen | the old owner | stops claims in the shard, and waits until operations in flight settle |
+//! | handed | the old owner | writes the new owner into the record, with the next fencing token |
+//! | confirmed | the new owner | raises its fencing token machine by machine; the token counts on a machine only then |
+//! | taken back | the leader | clears the offer, because the new owner is not alive or the move takes too long |
 //!
-//! Whoever leads next reads from the record which step a move is at. Nothing is
-//! proved by who is alive: a grant that was wrong costs time only, as claims are
-//! guarded by the shard's record and commands by its number.
+//! The next leader reads from the shard's record which step a move has reached. Liveness of a
+//! controller proves nothing. A wrong grant only costs time, because the shard's record guards
+//! claims and its number guards commands.
 
 mod situation;
 
@@ -23,83 +23,86 @@
 use self::situation::{Pair, Situation};
 use crate::shard::ShardId;
 
-/// A controller that lives, as the state service has it.
+/// A live controller, as the state service records it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Member {
-    /// Its process: one that was restarted owns nothing.
+    /// Number of the controller's process. A process that replaces it after a restart owns
+    /// no shard.
     pub run: u64,
 }
 
-/// A shard, as recorded.
+/// A shard, as the state service records it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RecordedShard {
-    /// Its owner, and the process that was granted it.
+    /// Controller that owns the shard.
     pub owner: NodeId,
-    /// That process.
+    /// Number of the owner's process that was granted the shard.
     pub run: u64,
-    /// To whom it is offered.
+    /// Controller that the leader offers the shard to, if any.
     pub to: Option<NodeId>,
-    /// The controller that an operator pinned it to: it is moved there, and not away for balance.
+    /// Controller that an operator pinned the shard to. The leader moves the shard to this
+    /// controller, and never moves it away for balance.
     pub pin: Option<NodeId>,
 }
 
-/// What the leader does next.
+/// The leader's next change to the owner of a shard.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Step {
-    /// Grants a shard whose owner does not live any more.
+    /// Grants the shard to the controller, because the shard's owner is no longer alive.
     Grant(ShardId, NodeId),
-    /// Offers a shard to another controller.
+    /// Offers the shard to another controller than its owner.
     Offer(ShardId, NodeId),
-    /// Clears an offer.
+    /// Clears the offer of the shard.
     TakeBack(ShardId),
 }
 
-/// How long an offer may stand, in seconds: the giver lets what is under way
-/// settle for less than that.
+/// Time after which the leader clears an offer, in seconds. The old owner waits less than
+/// this until operations in flight settle.
 const OFFER_TIMEOUT_S: f64 = 8.0;
-/// A controller is offered shards once it has lived for so long, in seconds.
+/// Time that a controller must have been alive before the leader offers shards to it, in
+/// seconds.
 const MEMBERSHIP_SETTLED_S: f64 = 3.0;
-/// Between two moves that only balance, in seconds.
+/// Minimum time between two moves that only balance shards, in seconds.
 const BALANCE_INTERVAL_S: f64 = 1.0;
 
-/// A controller as the leader has seen it alive.
+/// A live controller, with the time since which the leader has seen it alive.
 #[derive(Debug)]
 struct Seen {
     run: u64,
     since: Time,
 }
 
-/// An offer as the leader has seen it recorded.
+/// A recorded offer, with the time since which the leader has seen it.
 #[derive(Debug)]
 struct SeenOffer {
     to: NodeId,
     since: Time,
 }
 
-/// What the leader remembers between its decisions. All of it can be lost: the
-/// next leader begins with what is recorded.
+/// The leader's memory between its decisions. All of it may be lost, because the next
+/// leader starts from the records.
 #[derive(Debug, Default)]
 pub struct Owners {
-    /// Each controller that lives, by the process that it is.
+    /// Live controllers, each with the number of its process.
     seen: BTreeMap<NodeId, Seen>,
-    /// Each offer that stands.
+    /// Offers that are recorded now, by the shard that each offers.
     offers: BTreeMap<ShardId, SeenOffer>,
-    /// When a shard was last moved for balance, or because moves are forced.
+    /// Time at which the leader last moved a shard for balance or because moves are forced.
     moved: Option<Time>,
 }
 
-/// How the operators want the shards to be owned.
+/// Preferences of the operators for the owners of the shards.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ShardPreference {
-    /// All shards are to go to this controller, as there is to be one again.
+    /// Controller that all shards move to, because they are to become one shard again.
     pub gather: Option<NodeId>,
-    /// A shard moves so often, in seconds, even if nothing asks for it, so that
-    /// moves are tried all the time.
+    /// Interval in seconds at which one shard moves even if no other reason to move it
+    /// exists, so that moves are exercised all the time.
     pub move_every_s: Option<f64>,
 }
 
 impl Owners {
-    /// The next step, if any is due.
+    /// Returns the leader's next step, or `None` if no step is due.
     pub fn next(
         &mut self,
         shards: &BTreeMap<ShardId, RecordedShard>,
@@ -132,7 +135,8 @@
         self.balance(&situation, preference)
     }
 
-    /// Notes who lives, and since when. One that was restarted begins anew.
+    /// Records the live controllers and when each was first seen. A controller that
+    /// restarted counts as new.
     fn record_members(&mut self, alive: &BTreeMap<NodeId, Member>, now: Time) {
         self.seen
             .retain(|node, seen| alive.get(node).is_some_and(|member| member.run == seen.run));
@@ -143,7 +147,7 @@
         }
     }
 
-    /// Notes which offers stand, and since when.
+    /// Records the current offers and when each was first seen.
     fn record_offers(&mut self, shards: &BTreeMap<ShardId, RecordedShard>, now: Time) {
         self.offers.retain(|shard, offer| {
             shards
@@ -158,7 +162,8 @@
         }
     }
 
-    /// The first offer whose taker does not live any more, or that has stood for too long.
+    /// Returns the first shard whose offer has timed out or names a controller that is no
+    /// longer alive.
     fn expired_offer(&self, situation: &Situation<'_>) -> Option<ShardId> {
         let expired = |offer: &SeenOffer| {
             !situation.alive.contains_key(&offer.to)
@@ -170,13 +175,14 @@
             .map(|(shard, _)| *shard)
     }
 
-    /// Whether a controller has lived long enough to be offered shards.
+    /// Returns whether a controller has been alive long enough to be offered shards.
     fn is_settled(&self, node: &NodeId, now: Time) -> bool {
         let seen = self.seen.get(node);
         seen.is_some_and(|seen| now.since(seen.since) >= MEMBERSHIP_SETTLED_S)
     }
 
-    /// A move for balance, or one that is forced, unless one was made just now.
+    /// Returns an offer that balances the shards or that is forced, or `None` if the last
+    /// such move was less than [`BALANCE_INTERVAL_S`] ago.
     fn balance(&mut self, situation: &Situation<'_>, preference: &ShardPreference) -> Option<Step> {
         let now = situation.now;
         let quiet_s = self.moved.map_or(f64::INFINITY, |moved| now.since(moved));
@@ -199,8 +205,9 @@
         Some(Step::Offer(shard, taker))
     }
 
-    /// Where nothing is to balance: the owner of one shard in turn gives, if moves
-    /// are forced and the last is long enough ago.
+    /// Returns the forced move of one shard in rotation, from its owner to another
+    /// controller, if moves are forced and the last move is long enough ago. Used when the
+    /// shards are balanced.
     fn forced_pair(
         &self,
         situation: &Situation<'_>,
@@ -219,7 +226,8 @@
         })
     }
 
-    /// The shard that its owner gives: one in turn of those not pinned to it.
+    /// Returns the shard that its owner gives away: one in rotation of the owner's shards
+    /// that are not pinned to it.
     fn shard_in_turn(&self, situation: &Situation<'_>, giver: &NodeId) -> Option<ShardId> {
         let turn = self.moved.map_or(0, |moved| moved.0 as usize);
         let own: Vec<ShardId> = situation
@@ -234,8 +242,9 @@
     }
 }
 
-/// How many shards there should be: never more than controllers that live, and
-/// no more than the records can number.
+/// Returns the number of shards that the cluster should have: `least`, but never more than
+/// the live controllers and never more than [`MAX_SHARDS`](crate::shard::MAX_SHARDS), which
+/// the records can number.
 pub fn how_many(least: u32, controllers: usize) -> u32 {
     let max = u32::try_from(controllers).unwrap_or(1);
     least.clamp(1, max.clamp(1, crate::shard::MAX_SHARDS))
--- a/crates/sharding/src/owners/situation.rs
+++ b/crates/sharding/src/owners/situation.rs
@@ -1,4 +1,4 @@
-//! What one decision of the leader looks at: shards as recorded, and controllers that live.
+//! Input of one decision of the leader: the recorded shards and the live controllers.
 
 use std::collections::BTreeMap;
 
@@ -7,23 +7,23 @@
 use super::{Member, RecordedShard, Step};
 use crate::shard::ShardId;
 
-/// What one decision looks at.
+/// Input of one decision of the leader on shard owners.
 pub(super) struct Situation<'a> {
     pub(super) shards: &'a BTreeMap<ShardId, RecordedShard>,
     pub(super) alive: &'a BTreeMap<NodeId, Member>,
-    /// How many shards each controller has, and will have once what is offered
-    /// has moved.
+    /// Number of shards that each live controller will own once all offered shards have
+    /// moved.
     pub(super) counts: BTreeMap<&'a NodeId, usize>,
     pub(super) now: Time,
 }
 
-/// A controller, and how many shards it has.
+/// A controller, with the number of shards that it owns.
 pub(super) struct Load {
     pub(super) node: NodeId,
     pub(super) shards: usize,
 }
 
-/// From whom and to whom a shard moves.
+/// The controllers that a shard moves between.
 pub(super) struct Pair {
     pub(super) giver: NodeId,
     pub(super) taker: NodeId,
@@ -52,13 +52,13 @@
         situation
     }
 
-    /// Whether the process that was granted a shard lives.
+    /// Returns whether the controller process that was granted the shard is alive.
     pub(super) fn is_owned(&self, recorded: &RecordedShard) -> bool {
         let member = self.alive.get(&recorded.owner);
         member.is_some_and(|member| member.run == recorded.run)
     }
 
-    /// To whom a shard is offered, if that controller lives.
+    /// Returns the controller that the shard is offered to, if that controller is alive.
     pub(super) fn living_taker(&self, recorded: &'a RecordedShard) -> Option<&'a NodeId> {
         recorded
             .to
@@ -66,7 +66,7 @@
             .filter(|to| self.alive.contains_key(*to))
     }
 
-    /// The first shard whose owner does not live any more.
+    /// Returns the first shard whose owner is no longer alive.
     pub(super) fn unowned(&self) -> Option<ShardId> {
         let mut shards = self.shards.iter();
         shards
@@ -74,21 +74,22 @@
             .map(|(shard, _)| *shard)
     }
 
-    /// Who is granted a shard whose owner does not live any more: the one it was offered to, if
-    /// that lives, as it may know more; else whoever has the fewest.
+    /// Returns the controller that is granted a shard whose owner is no longer alive. This
+    /// is the controller that the shard was offered to, if alive, because it may know more;
+    /// otherwise the controller with the fewest shards.
     pub(super) fn new_owner(&self, shard: ShardId) -> Option<NodeId> {
         let taker = self.living_taker(self.shards.get(&shard)?).cloned();
         taker.or_else(|| Some(self.fewest(|_| true)?.node))
     }
 
-    /// The controller with the fewest shards of those that may be chosen.
+    /// Returns the controller with the fewest shards among those that `may` accepts.
     pub(super) fn fewest(&self, may: impl Fn(&NodeId) -> bool) -> Option<Load> {
         let chosen = self.counts.iter().filter(|(node, _)| may(node));
         let least = chosen.min_by_key(|(node, shards)| (**shards, **node));
         least.map(Load::of)
     }
 
-    /// The controller with the most shards.
+    /// Returns the controller with the most shards.
     pub(super) fn max(&self) -> Option<Load> {
         let max = self
             .counts
@@ -97,14 +98,15 @@
         max.map(Load::of)
     }
 
-    /// The next shard that is not yet there where all are to go.
+    /// Returns an offer to `gather` of the first shard that `gather` does not own yet.
     pub(super) fn gather_to(&self, gather: &NodeId) -> Option<Step> {
         let mut shards = self.shards.iter();
         let away = shards.find(|(_, recorded)| recorded.owner != *gather);
         away.map(|(shard, _)| Step::Offer(*shard, gather.clone()))
     }
 
-    /// The next shard that is not with the controller that it is pinned to, if that lives.
+    /// Returns an offer of the first shard that is pinned to a live controller other than
+    /// its owner.
     pub(super) fn move_to_pin(&self) -> Option<Step> {
         self.shards.iter().find_map(|(shard, recorded)| {
             let there = recorded
--- a/crates/sharding/src/reach.rs
+++ b/crates/sharding/src/reach.rs
@@ -1,31 +1,37 @@
-//! Whether an owner still reaches the workers, by evidence from both sides: what
-//! it receives from them itself, what others receive for it, and whether its own commands
-//! get through.
+//! Detection of an owner that is cut off from the workers.
 //!
-//! An owner that is cut off from the workers alone keeps its lease and its view of
-//! the records, so nothing else ends its grant. It went on by way of others for
-//! the fifty seconds of such a cut: each start waited for a heartbeat, and direct
-//! commands failed by the thousand.
+//! The evidence comes from both sides: the heartbeats that the owner receives directly, the
+//! heartbeats that other controllers receive and forward to it, and whether its own
+//! commands get through.
+//!
+//! An owner that is cut off only from the workers keeps its lease and its view of the
+//! records, so nothing else ends its grant. Such an owner went on through other controllers
+//! for the fifty seconds of a cut. Each start of a task waited for a heartbeat, and
+//! thousands of direct commands failed.
 
 use std::collections::BTreeSet;
 
 use sorrelhinge_protocol::types::{MachineId, Time};
 
-/// For so long no worker heartbeats here itself while others receive heartbeats, in
-/// seconds. Counted from what the others receive, so that a pause of this process
-/// proves nothing.
+/// Time without any direct heartbeat, while other controllers forward heartbeats, after
+/// which an owner counts as cut off, in seconds. The time starts at the first forwarded
+/// heartbeat, so that a pause of this process proves nothing.
 pub const CUT_OFF_AFTER_S: f64 = 3.0;
-/// So many heartbeats came by way of others meanwhile, and commands to so many
-/// machines failed: one machine that is away is no cut.
+/// Minimum number of forwarded heartbeats, and of machines whose commands failed, before an
+/// owner counts as cut off. One machine that is unreachable does not prove a cut.
 pub const CUT_OFF_MIN_COUNT: usize = 5;
-/// Commands to so many machines failed, and for so long not one got through, in
-/// seconds: workers that lost an owner need up to ten seconds until others receive
-/// their heartbeats for it.
+/// Minimum number of machines whose commands failed before failed commands alone prove that
+/// an owner is cut off. No command may have succeeded for [`FAILED_AFTER_S`]. This rule
+/// needs no forwarded heartbeats, because workers that lost an owner need up to ten seconds
+/// until other controllers receive their heartbeats.
 pub const FAILED_MIN_MACHINES: usize = 24;
-/// See [`FAILED_MIN_MACHINES`]. Counted from the first that failed, as above.
+/// Time since the first failed command after which failed commands alone prove a cut, in
+/// seconds. See [`FAILED_MIN_MACHINES`]. The time starts at the first failure, so that a
+/// pause of this process proves nothing.
 pub const FAILED_AFTER_S: f64 = 2.0;
 
-/// The evidence since a worker last heartbeat here directly.
+/// Evidence that an owner is cut off, collected since its last direct contact with a
+/// worker.
 #[derive(Clone, Debug, Default)]
 pub struct Reach {
     passed_since: Option<Time>,
@@ -35,18 +41,19 @@
 }
 
 impl Reach {
-    /// A worker heartbeat here itself, or answered a command.
+    /// Clears the evidence, because a worker sent a heartbeat directly or answered a
+    /// command.
     pub fn direct(&mut self) {
         *self = Self::default();
     }
 
-    /// A heartbeat came by way of another controller.
+    /// Records a heartbeat that another controller forwarded.
     pub fn passed(&mut self, now: Time) {
         self.passed_since.get_or_insert(now);
         self.passed += 1;
     }
 
-    /// No command got through to a machine.
+    /// Records that no command got through to a machine.
     pub fn failed(&mut self, machine: &MachineId, now: Time) {
         self.failed_since.get_or_insert(now);
         if self.failed.len() < FAILED_MIN_MACHINES {
@@ -54,7 +61,8 @@
         }
     }
 
-    /// Whether workers are reached by others and not from here.
+    /// Returns whether this owner is cut off from the workers. Either other controllers
+    /// still reach the workers, or commands to many machines fail.
     pub fn cut_off(&self, now: Time) -> bool {
         let lasts = |since: Option<Time>, s: f64| since.is_some_and(|t| now.since(t) >= s);
         let others_reach =
--- a/crates/sharding/src/served.rs
+++ b/crates/sharding/src/served.rs
@@ -1,71 +1,72 @@
-//! Who is served: for each class and team what was accepted, started and
-//! finished, and who starves.
+//! Counts of accepted, started and finished jobs of each class and team, and detection of
+//! starvation.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// A class of jobs of one team.
+/// A job class and a team, in this order.
 pub type Sort = (Arc<str>, Arc<str>);
 
-/// Counts of jobs since this owner began.
+/// Counts of the jobs of one class and team since this owner began to own the shard.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 struct Count {
     accepted: u64,
     started: u64,
     done: u64,
-    /// How many waits were seen.
+    /// Number of waits that the mean in `usual_s` includes.
     waits: u64,
-    /// The usual wait until the first start, in seconds: a running mean.
+    /// Usual wait until a job's first task starts, in seconds. This is a running mean.
     usual_s: f64,
 }
 
-/// What waits of one class and team.
+/// Pending jobs of one class and team.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Waits {
-    /// Jobs of which no task has started.
+    /// Number of jobs of which no task has started.
     pub jobs: u32,
-    /// How long the oldest of them has waited, in seconds.
+    /// Time that the oldest pending job has waited, in seconds.
     pub oldest_s: f64,
 }
 
-/// A line of the log.
+/// A log line about one class and team.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Line {
-    /// Class and team.
+    /// Class and team that the line describes.
     pub sort: Sort,
-    /// Jobs that came.
+    /// Number of jobs that were accepted.
     pub accepted: u64,
-    /// Jobs of which a task was placed.
+    /// Number of jobs of which at least one task was placed.
     pub started: u64,
-    /// Jobs that ended.
+    /// Number of jobs that ended.
     pub done: u64,
-    /// What waits.
+    /// Pending jobs of the class and team.
     pub waits: Waits,
-    /// Whether it is passed over: see [`Served::lines`].
+    /// Whether the class and team starve, as defined by [`Served::lines`].
     pub starves: bool,
 }
 
-/// Nothing that waits for less is said to starve, in seconds.
+/// Minimum wait of the oldest job before its class and team count as starving, in seconds.
 const MIN_WAIT_S: f64 = 30.0;
-/// A wait of so many usual ones is one too many.
+/// Multiple of the usual wait that a job may wait before its class and team count as
+/// starving.
 const USUAL_WAIT_FACTOR: f64 = 2.0;
-/// How fast the usual wait follows: by this part at each start.
+/// Weight of each new wait in the running mean of the usual wait.
 const SMOOTHING_FACTOR: f64 = 0.1;
 
-/// The counts of all classes and teams.
+/// Counts of jobs of all classes and teams.
 #[derive(Debug, Default)]
 pub struct Served {
     counts: BTreeMap<Sort, Count>,
 }
 
 impl Served {
-    /// A job came.
+    /// Counts a job that was accepted.
     pub fn accepted(&mut self, sort: &Sort) {
         self.of(sort).accepted += 1;
     }
 
-    /// A task of a job was placed for the first time, so long after it came;
-    /// none: an earlier owner placed it.
+    /// Counts a job whose first task was placed, `wait_s` seconds after the job was
+    /// accepted. `wait_s` is `None` if an earlier owner placed the task.
     pub fn started(&mut self, sort: &Sort, wait_s: Option<f64>) {
         let count = self.of(sort);
         count.started += 1;
@@ -80,7 +81,7 @@
         }
     }
 
-    /// A job ended.
+    /// Counts a job that ended.
     pub fn done(&mut self, sort: &Sort) {
         self.of(sort).done += 1;
     }
@@ -89,15 +90,15 @@
         self.counts.entry(sort.clone()).or_default()
     }
 
-    /// How long a job of this class and team may wait, in seconds, before it is
-    /// passed over: twice the usual wait, and thirty seconds.
+    /// Returns how long a job of this class and team may wait before the class and team
+    /// starve, in seconds. This is twice the usual wait, and at least thirty seconds.
     pub fn patience_s(&self, sort: &Sort) -> f64 {
         let usual = self.counts.get(sort).map_or(0.0, |c| c.usual_s);
         (USUAL_WAIT_FACTOR * usual).max(MIN_WAIT_S)
     }
 
-    /// A line for each class and team. One starves if its oldest job has waited
-    /// for longer than [`Served::patience_s`].
+    /// Returns a line for each class and team. A class and team starve if their oldest
+    /// pending job has waited for longer than [`Served::patience_s`].
     pub fn lines(&self, waits: &BTreeMap<Sort, Waits>) -> Vec<Line> {
         let lines = self.counts.iter().map(|(sort, count)| {
             let waits = waits.get(sort).copied().unwrap_or_default();
--- a/crates/sharding/src/shard.rs
+++ b/crates/sharding/src/shard.rs
@@ -1,8 +1,9 @@
-//! Which shard a machine or a job belongs to: by its name alone, so everybody
-//! knows it at once and nothing has to be recorded for a machine.
+//! Assignment of machines and jobs to shards. The name alone decides the shard, so every
+//! controller knows it at once and nothing has to be recorded for a machine.
 //!
-//! Rendezvous hashing: each shard draws a number for the name, the highest has
-//! it. From `n` shards to `n + 1` one name in `n + 1` moves, and nothing else.
+//! The assignment uses rendezvous hashing: each shard gets a hash of the name, and the
+//! shard with the highest hash wins. When the number of shards grows from `n` to `n + 1`,
+//! one name in `n + 1` moves to the new shard, and no other name moves.
 
 use std::fmt;
 use std::hash::Hasher;
@@ -11,7 +12,7 @@
 use siphasher::sip::SipHasher13;
 use sorrelhinge_protocol::types::{JobId, MachineId};
 
-/// A shard: from 0, below the number of shards.
+/// Number of a shard, from 0 up to but not including the number of shards.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct ShardId(pub u32);
@@ -22,61 +23,62 @@
     }
 }
 
-/// The most shards that there may be: the change that divides the machines
-/// writes a record for each, and the least that a transaction takes is eight.
+/// Maximum number of shards. The transaction that divides the machines into shards writes
+/// one record for each shard, and the smallest limit on the operations of a transaction is
+/// eight.
 pub const MAX_SHARDS: u32 = 5;
 
-/// One shard of so many.
+/// One shard out of a number of shards.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ShardScope {
-    /// Which.
+    /// Number of this shard.
     pub shard: ShardId,
-    /// How many there are.
+    /// Total number of shards that the machines are divided into.
     pub of: u32,
 }
 
-/// Every controller must draw the same numbers, whatever its version: so the
-/// hash is one that is specified (SipHash-1-3), and keys are fixed.
+/// Returns the hash of a name for one shard. Every controller must get the same hash,
+/// whatever its version, so the hash is a specified one (SipHash-1-3) with fixed keys.
 fn draw(sort: u8, name: &str, shard: u32) -> u64 {
     let mut hasher = SipHasher13::new_with_keys(u64::from(sort), u64::from(shard));
     hasher.write(name.as_bytes());
     hasher.finish()
 }
 
-/// The shard that draws highest for a name: rendezvous hashing.
+/// Returns the shard with the highest hash for a name (rendezvous hashing).
 fn highest(sort: u8, name: &str, of: u32) -> ShardId {
     let best = (0..of.max(1)).max_by_key(|b| draw(sort, name, *b));
     ShardId(best.unwrap_or(0))
 }
 
-/// The shard of a machine, of `of` shards.
+/// Returns the shard that a machine belongs to, out of `of` shards.
 pub fn of_machine(machine: &MachineId, of: u32) -> ShardId {
     highest(0, machine.as_str(), of)
 }
 
-/// The shard that places a job, of `of` shards.
+/// Returns the shard that places a job, out of `of` shards.
 pub fn of_job(job: &JobId, of: u32) -> ShardId {
     highest(1, job.as_str(), of)
 }
 
 impl ShardScope {
-    /// All machines are one shard.
+    /// The only shard, which contains all machines.
     pub const WHOLE: Self = Self {
         shard: ShardId(0),
         of: 1,
     };
 
-    /// Whether a machine belongs to it.
+    /// Returns whether a machine belongs to this shard.
     pub fn covers(&self, machine: &MachineId) -> bool {
         self.of <= 1 || of_machine(machine, self.of) == self.shard
     }
 
-    /// Whether a job is placed by it.
+    /// Returns whether this shard places a job.
     pub fn homes(&self, job: &JobId) -> bool {
         self.of <= 1 || of_job(job, self.of) == self.shard
     }
 
-    /// Whether there are others.
+    /// Returns whether there are other shards besides this one.
     pub fn is_part(&self) -> bool {
         self.of > 1
     }
--- a/crates/sharding/src/slices.rs
+++ b/crates/sharding/src/slices.rs
@@ -1,46 +1,47 @@
-//! Each shard's part of the teams' limits.
+//! Division of the teams' limits among the shards.
 //!
-//! The parts are recorded and add up to the limit, at every revision: they are
-//! made so, and only ever change by a transaction that takes from one what it
-//! adds to another. It is the giver who sends it, after it has lowered what it
-//! places up to; so a transaction that is late, lost or sent twice can't make the
-//! sum of what is used pass the limit. Whoever owns a shard next finds that what
-//! is claimed there fits its part, as each claim was guarded by the grant under
-//! which it was checked.
+//! Each shard has a recorded part of each limit, called its slice. The slices add up to the
+//! limit at every revision. The first division makes them so, and afterwards they change
+//! only by a transaction that takes from one slice what it adds to another. The shard that
+//! gives sends this transaction, after it has lowered the amount up to which it places
+//! tasks. A transaction that is late, lost or sent twice therefore can't raise the total
+//! use above the limit. The next owner of a shard finds that the claims there fit the
+//! shard's slice, because each claim was guarded by the grant under which it was checked.
 
 use sorrelhinge_protocol::types::Amount;
 
 use crate::shard::ShardId;
 
-/// What a shard has and needs of one team's limit. Memory is not limited.
+/// A shard's slice of one team's limit, and its use and demand. Memory is not limited.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Need {
-    /// Its part.
+    /// The shard's part of the team's limit.
     pub slice: Amount,
-    /// What is claimed.
+    /// Amount that the team's tasks have claimed in the shard.
     pub used: Amount,
-    /// What waits to be placed.
+    /// Amount that the team's pending tasks in the shard request.
     pub waits: Amount,
 }
 
-/// CPUs and GPUs: what is limited.
+/// CPUs and GPUs, the two resources that team limits apply to.
 type Pair = [i64; 2];
 
-/// What limits are divided by: CPUs and GPUs.
+/// Returns the limited resources of an amount: CPUs and GPUs.
 fn pair(amount: Amount) -> Pair {
     [amount.cpu, amount.gpu]
 }
 
-/// The amount of a pair.
+/// Returns the amount that has these CPUs and GPUs, and no memory.
 fn amount([cpu, gpu]: Pair) -> Amount {
     Amount { cpu, gpu, ram: 0 }
 }
 
-/// The first division: to each shard what it uses, and an equal part of the
-/// rest. Outer index: shard; inner: team. None if more seems to be used than a
-/// limit allows, as when releases wait to be recorded: parts that add up to the
-/// limit would then be less than what is used somewhere, and what is claimed
-/// elsewhere meanwhile would be too much.
+/// Returns the first division of the limits, by shard and then by team. Each shard gets
+/// what it uses and an equal part of the rest.
+///
+/// Returns `None` if a team seems to use more than its limit, for example while releases
+/// wait to be recorded. Slices that add up to the limit would then be smaller than the use
+/// in some shard, and claims in other shards would meanwhile exceed the limit.
 pub fn divide(limits: &[Amount], used: &[Vec<Amount>]) -> Option<Vec<Vec<Amount>>> {
     let shards = used.len().max(1) as i64;
     for (team, limit) in limits.iter().enumerate() {
@@ -64,8 +65,9 @@
     Some((0..used.len()).map(parts).collect())
 }
 
-/// The part that a shard should have of what all have together: what it uses,
-/// and of the rest what it needs; beyond that an equal part.
+/// Returns the slice that a shard should have of the sum of all slices. Each shard gets
+/// what it uses, then what its pending tasks request as far as the rest allows, then an
+/// equal part of what remains.
 fn target(needs: &[Need], of: usize, i: usize) -> i64 {
     let sum = |f: &dyn Fn(&Need) -> i64| needs.iter().map(f).sum::<i64>();
     let used = |n: &Need| pair(n.used)[i];
@@ -81,21 +83,21 @@
     }
 }
 
-/// A part of a limit moves only if it is at least this part of the limit: each
-/// move costs two changes.
+/// A part of a limit moves to another shard only if it is at least the limit divided by
+/// this number, because each move costs two changes.
 const MIN_TRANSFER_DIVISOR: i64 = 40;
 
-/// What a shard gives to another: to which, and how much of each team's limit.
+/// A transfer of parts of the teams' limits to another shard.
 #[derive(Clone, Debug, PartialEq)]
 pub struct LimitTransfer {
-    /// To whom.
+    /// Shard that receives the parts of the limits.
     pub to: ShardId,
-    /// Of each team's limit, in the order of the teams.
+    /// Part of each team's limit that moves, in the order of the teams.
     pub amounts: Vec<Amount>,
 }
 
-/// What the shard `me` should give away now. `needs`: of every shard, by number
-/// and team. Only what it does not use can go.
+/// Returns the transfer that the shard `me` should make now, if any. `needs` lists each
+/// shard's needs by shard number, then by team. A shard gives only what it does not use.
 pub fn next_transfer(me: ShardId, needs: &[Vec<Need>]) -> Option<LimitTransfer> {
     let teams = needs.first()?.len();
     let mine = needs.get(me.0 as usize)?;
--- a/crates/sharding/src/tally.rs
+++ b/crates/sharding/src/tally.rs
@@ -1,20 +1,20 @@
-//! Who was served over a whole run, read from the `served` and `largest` lines of
-//! all owners' logs (`docs/blocks.md`).
+//! Counts of the jobs that were served over a whole run, read from the `served` and
+//! `largest` lines of all owners' logs (`docs/blocks.md`).
 //!
-//! Each owner counts anew from what it found in the records, so counts of several
-//! can't be added up as they are: a job that was accepted under one owner is
-//! counted as accepted by the next one too, as long as it is not over. What is done
-//! is counted by one owner only.
+//! Each owner counts anew from the jobs that it finds in the records, so the counts of
+//! several owners can't simply be added up. A job that was accepted under one owner also
+//! counts as accepted under the next owner, as long as the job has not ended. Only one
+//! owner counts a job as done.
 
 use std::cmp::Ordering;
 use std::collections::{BTreeMap, HashMap};
 
 use crate::largest_jobs::{tenth, BEGIN_WITHIN_S};
 
-/// A class and its team, by name.
+/// Names of a class and its team.
 pub type Name = (String, String);
 
-/// One owner's last line of a class and team.
+/// Counts in one owner's last `served` line of a class and team.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 struct Count {
     accepted: u64,
@@ -23,36 +23,39 @@
     waiting: u64,
 }
 
-/// What came of the jobs of a class and team.
+/// Outcome of the jobs of a class and team over the run.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Part {
-    /// Jobs that ended.
+    /// Number of jobs that ended.
     pub done: u64,
-    /// Jobs of which tasks were started, and that were not over at the last line.
+    /// Number of jobs of which tasks were started, and that had not ended at the last line.
     pub open: u64,
-    /// Jobs of which none was.
+    /// Number of jobs of which no task was started.
     pub waiting: u64,
 }
 
 impl Part {
-    /// The part that was served: what ended or was under way.
+    /// Returns the fraction of jobs that were served, which means that they ended or had
+    /// tasks started.
     pub fn served(&self) -> f64 {
         let served = self.done + self.open;
         served as f64 / (served + self.waiting).max(1) as f64
     }
 }
 
-/// What the log says of one of a class's largest jobs.
+/// One of a class's largest jobs, as the log describes it.
 #[derive(Clone, Debug, Default, PartialEq)]
 struct Large {
     class: String,
     cpus: f64,
     begun: bool,
-    /// Seconds until it began; none: not logged, as an earlier owner placed it.
+    /// Seconds until the job began. `None` if this was not logged because an earlier owner
+    /// placed the job.
     began_s: Option<f64>,
     late: bool,
     cancelled: bool,
-    /// The shard and the period of the owner that logged it last.
+    /// Shard that the job was last logged for; `period` is the index of its owner's period
+    /// then.
     shard: String,
     period: usize,
 }
@@ -64,32 +67,33 @@
 }
 
 impl Candidate<'_> {
-    /// By CPUs, then by id.
+    /// Orders jobs by CPUs, the largest first, then by id.
     fn largest_first(&self, other: &Self) -> Ordering {
         let by_cpus = other.large.cpus.total_cmp(&self.large.cpus);
         by_cpus.then_with(|| self.job.cmp(other.job))
     }
 }
 
-/// What came of a class's largest jobs: the top tenth by CPUs of all tasks, at
-/// least one.
+/// Outcome of a class's largest jobs: the top tenth by the CPUs of all tasks, and at least
+/// one job.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LargestPart {
-    /// How many there are.
+    /// Number of jobs that are among the class's largest.
     pub jobs: u64,
-    /// Of which tasks were placed.
+    /// Number of the largest jobs of which tasks were placed.
     pub begun: u64,
-    /// That began after four minutes, or had waited longer when last logged.
+    /// Number of the largest jobs that began after four minutes, or had waited longer than
+    /// that when last logged.
     pub late: u64,
-    /// The longest time until one began, in seconds.
+    /// The longest time until one of the largest jobs began, in seconds.
     pub longest_s: f64,
-    /// Left out: logged by an owner that ended before they began, and not by a
-    /// later one.
+    /// Number of jobs that the other counts leave out. An owner logged them but ended
+    /// before they began, and no later owner logged them.
     pub unknown: u64,
 }
 
 impl LargestPart {
-    /// The part that was served: what began.
+    /// Returns the fraction of the largest jobs that began.
     pub fn served(&self) -> f64 {
         if self.jobs == 0 {
             return 1.0;
@@ -98,37 +102,37 @@
     }
 }
 
-/// What was logged while one controller owned a shard.
+/// Counts that were logged while one controller owned a shard.
 #[derive(Debug)]
 struct Period {
     shard: String,
     counts: BTreeMap<Name, Count>,
 }
 
-/// Collects lines.
+/// Collects the counts of a run from log lines.
 #[derive(Debug, Default)]
 pub struct Tally {
-    /// The largest jobs, by id.
+    /// The largest jobs of all classes, by job id.
     large: HashMap<String, Large>,
-    /// Each controller's period as an owner of a shard, in the order of the lines.
+    /// All periods in which a controller owned a shard, in the order of the log lines.
     periods: Vec<Period>,
-    /// The period that each controller and shard is in.
+    /// Index of the current period of each controller and shard.
     present: BTreeMap<String, usize>,
 }
 
-/// A field's text, as `key=text` in the line.
+/// Returns the value of the field `key`, which stands in the line as `key=value`.
 fn field<'a>(line: &'a str, key: &str) -> Option<&'a str> {
     line.split_whitespace()
         .find_map(|word| word.strip_prefix(key)?.strip_prefix('='))
 }
 
 impl Tally {
-    /// Takes a line of a log, whatever stands before the message. `from`: whose
-    /// log it is, if the line itself does not say so.
+    /// Reads a line of a log, whatever precedes the message. `from` names the controller
+    /// whose log it is, if the line itself does not name it.
     pub fn line(&mut self, from: &str, line: &str) {
         let begins = ["leader elected", "shard ownership acquired", "serving"];
         let message = |word: &str| line.split_whitespace().any(|w| w == word);
-        // What stands before the level, but for the time, names who speaks.
+        // The word before the log level names the controller, unless that word is the time.
         let speaker = line.split("INFO").next().unwrap_or_default();
         let speaker = speaker.split_whitespace().last();
         let speaker = speaker.filter(|s| s.parse::<f64>().is_err());
@@ -138,7 +142,8 @@
         } else if message("served") {
             self.served(speaker, line);
         } else if message("done") {
-            // Whoever owns it by then may not have called it one of the largest.
+            // The owner that finishes a job may not have logged the job as one of the
+            // largest.
             let large = field(line, "job").and_then(|job| self.large.get_mut(job));
             if let Some(large) = large {
                 large.begun = true;
@@ -155,7 +160,7 @@
         }
     }
 
-    /// Takes a line with what was served of a class and team.
+    /// Reads a `served` line with the counts of a class and team.
     fn served(&mut self, speaker: &str, line: &str) {
         let text = |key: &str| field(line, key).map(str::to_owned);
         let number = |key: &str| field(line, key).and_then(|n| n.parse().ok());
@@ -172,8 +177,8 @@
         self.periods[at].counts.insert((class, team), count);
     }
 
-    /// The place of the period that a controller and shard are in; a new one if none
-    /// is.
+    /// Returns the index of the current period of a controller and shard. Starts a new
+    /// period if there is none.
     fn period(&mut self, speaker: &str, shard: &str) -> usize {
         let present = self.present.entry(format!("{speaker} {shard}"));
         *present.or_insert_with(|| {
@@ -185,7 +190,7 @@
         })
     }
 
-    /// Takes a line about one of a class's largest jobs.
+    /// Reads a `largest` line about one of a class's largest jobs.
     fn largest_line(&mut self, speaker: &str, line: &str) {
         let number = |key: &str| field(line, key).and_then(|n| n.parse::<f64>().ok());
         let Some((job, class)) = field(line, "job").zip(field(line, "class")) else {
@@ -210,8 +215,7 @@
         }
     }
 
-    /// For each class what came of its largest jobs. Those that were withdrawn
-    /// don't count.
+    /// Returns the outcome of each class's largest jobs. Cancelled jobs don't count.
     pub fn largest(&self) -> BTreeMap<String, LargestPart> {
         let mut all: BTreeMap<String, u64> = BTreeMap::new();
         for ((class, _), part) in self.parts() {
@@ -226,7 +230,8 @@
         for (job, large) in self.large.iter().filter(|(_, l)| !l.cancelled) {
             let part = parts.entry(large.class.clone()).or_default();
             let owner_ended = last.get(large.shard.as_str()) != Some(&large.period);
-            // If it was late before, a later owner makes it no earlier.
+            // A job that was already logged as late stays late, whatever a later owner
+            // logs.
             if !large.begun && !large.late && owner_ended {
                 part.unknown += 1;
             } else {
@@ -249,8 +254,8 @@
         parts
     }
 
-    /// For each class and team what came of its jobs: all that is done, and of the
-    /// last owner of each shard what is not.
+    /// Returns the outcome of the jobs of each class and team. Jobs that are done count for
+    /// every owner; other jobs count only for each shard's last owner.
     pub fn parts(&self) -> BTreeMap<Name, Part> {
         let mut parts: BTreeMap<Name, Part> = BTreeMap::new();
         let mut last: BTreeMap<(&str, &Name), &Count> = BTreeMap::new();
--- a/crates/sharding/tests/model.rs
+++ b/crates/sharding/tests/model.rs
@@ -1,6 +1,6 @@
-//! The decisions over generated losses, moves and late messages, against slow
-//! plain models; and checkers that must reject a planner which hands out a
-//! machine or a limit twice.
+//! Tests of the sharding decisions over generated losses, moves and late messages, compared
+//! with slow and simple models. Checkers must also reject a planner that gives a machine or
+//! a limit to two owners.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -32,11 +32,11 @@
     }
 }
 
-// ---- shards ---------------------------------------------------------------
+// Tests of `shard`: assignment of machines and jobs to shards.
 
-/// Every name belongs to exactly one shard, evenly; with one shard more, names
-/// only move to that one. Some are written down: another version must draw the
-/// same, or two owners would command one machine.
+/// Every name belongs to exactly one shard, and the shards get equal parts. With one more
+/// shard, names only move to the new shard. Some assignments are written down, because
+/// another version must compute the same ones, or two owners would command one machine.
 #[test]
 fn names_are_divided_evenly_and_for_good() {
     let machines: Vec<MachineId> = (0..6000)
@@ -77,27 +77,27 @@
 const DRAWN: [u32; 12] = [0, 1, 0, 1, 0, 0, 0, 0, 2, 1, 1, 0];
 const DRAWN_JOB: u32 = 1;
 
-// ---- owners ---------------------------------------------------------------
+// Tests of `owners`: grants and moves of shards.
 
-/// What the state service holds, with transactions that may be late.
+/// Model of the state service, in which transactions may be late.
 #[derive(Clone, Debug, Default)]
 struct World {
     shards: BTreeMap<ShardId, (RecordedShard, u64)>,
     alive: BTreeMap<NodeId, Member>,
-    /// What each process believes to own, by the number it was granted.
+    /// Shards that each process believes to own, with the record revision of each grant.
     believes: BTreeMap<(NodeId, u64), BTreeMap<ShardId, u64>>,
     late: Vec<(ShardId, u64, RecordedShard)>,
     mod_revision: u64,
 }
 
-/// A shard that is offered, by its record's stamp.
+/// A shard that is offered, with the revision of its record.
 struct Offer {
     shard: ShardId,
     mod_revision: u64,
     to: NodeId,
 }
 
-/// A shard's record with this owner and nothing else.
+/// Returns a shard's record that has this owner, no offer and no pin.
 fn owned_by(owner: &NodeId, run: u64) -> RecordedShard {
     RecordedShard {
         owner: owner.clone(),
@@ -108,7 +108,7 @@
 }
 
 impl World {
-    /// All shards are owned by the first of so many controllers.
+    /// Returns a model in which the first of `controllers` controllers owns all shards.
     fn new(controllers: u8, shards: u32) -> Self {
         let mut world = Self::default();
         for n in 0..controllers {
@@ -126,7 +126,7 @@
             .map(|(b, (h, _))| (*b, h.clone()))
             .collect()
     }
-    /// A conditional write: carried out only if nobody wrote since.
+    /// Writes a shard's record, but only if the record still has the given revision.
     fn write(&mut self, shard: ShardId, mod_revision: u64, held: RecordedShard) -> bool {
         let fits = self
             .shards
@@ -151,14 +151,14 @@
             self.write(shard, mod_revision, held);
         }
     }
-    /// A shard's record with another offer, or none.
+    /// Returns a shard's record with another offer, or with none.
     fn offered(&self, shard: ShardId, to: Option<NodeId>) -> RecordedShard {
         RecordedShard {
             to,
             ..self.shards[&shard].0.clone()
         }
     }
-    /// All offers that stand.
+    /// Returns all offers that are recorded now.
     fn offers(&self) -> Vec<Offer> {
         let offers = self
             .shards
@@ -172,13 +172,13 @@
             });
         offers.collect()
     }
-    /// A giver hands on what is offered, if the taker lives.
+    /// Writes the new owner of an offered shard, if the new owner is alive.
     fn hand_over(&mut self, offer: Offer) {
         if let Some(run) = self.alive.get(&offer.to).map(|m| m.run) {
             self.write(offer.shard, offer.mod_revision, owned_by(&offer.to, run));
         }
     }
-    /// The leader's next step, with what it must never do.
+    /// Carries out the leader's next step and checks that the step breaks no rule.
     fn lead(
         &mut self,
         leader: &mut Owners,
@@ -203,7 +203,8 @@
         self.carry_out(&step, late);
         Ok(())
     }
-    /// Nothing fails any more: one leader, and givers that hand on at once.
+    /// Runs without further failures: one leader decides, and owners hand over offered
+    /// shards at once.
     fn settle(&mut self, wish: &ShardPreference, mut now: f64) {
         self.late.clear();
         let mut leader = Owners::default();
@@ -217,7 +218,8 @@
             }
         }
     }
-    /// How many shards each that lives owns; all are owned by who lives.
+    /// Returns the number of shards that each live controller owns, and checks that live
+    /// processes own all shards.
     fn counts(&self) -> Result<BTreeMap<NodeId, usize>, TestCaseError> {
         let mut counts: BTreeMap<NodeId, usize> =
             self.alive.keys().map(|n| (n.clone(), 0)).collect();
@@ -227,7 +229,7 @@
         }
         Ok(counts)
     }
-    /// Owners read the records: who is not named any more stops.
+    /// Lets all owners read the records. An owner that a record no longer names stops.
     fn read(&mut self) {
         self.believes.clear();
         for (shard, (held, mod_revision)) in &self.shards {
@@ -238,8 +240,8 @@
                 .insert(*shard, *mod_revision);
         }
     }
-    /// The checker: no shard has two owners, each that is owned by somebody who
-    /// lives is owned by one process.
+    /// Checks that no shard has two owners. A shard that has a live owner is owned by one
+    /// process.
     fn check(&self) -> Result<(), String> {
         let mut seen = BTreeSet::new();
         for shards in self.believes.values() {
@@ -257,17 +259,18 @@
     NodeId::from(&*format!("c-{n}"))
 }
 
-/// The parts of one limit, and what their owners make of them.
+/// Model of the slices of one limit, and of their owners' use of them.
 struct Shares {
     slices: Vec<Amount>,
-    /// What each owner places up to: lowered before a transfer is sent.
+    /// Amount up to which each owner places tasks. An owner lowers it before it sends a
+    /// transfer.
     bound: Vec<Amount>,
     used: Vec<i64>,
     wants: Vec<i64>,
     under_way: Option<Transfer>,
 }
 
-/// A transfer under way, sent with these slices as its condition.
+/// A transfer in flight, with the slices that its transaction requires as a condition.
 struct Transfer {
     from: usize,
     given: LimitTransfer,
@@ -287,13 +290,13 @@
             under_way: None,
         }
     }
-    /// Uses what there is free capacity for.
+    /// Claims as much of the wanted amount as the shard's bound allows.
     fn claim(&mut self, shard: usize, wanted: i64) {
         self.wants[shard] = wanted;
         let free_capacity = self.bound[shard].cpu - self.used[shard];
         self.used[shard] += wanted.min(free_capacity).max(0);
     }
-    /// Sends a transfer, if one is worth it: never of what is used.
+    /// Sends a transfer if one is due, and checks that it gives nothing that is used.
     fn send(&mut self, shard: usize) -> Result<(), TestCaseError> {
         let needs: Vec<Vec<Need>> = (0..self.slices.len())
             .map(|i| {
@@ -317,7 +320,7 @@
         }
         Ok(())
     }
-    /// What becomes of a transfer.
+    /// Loses, carries out or delays the transfer in flight.
     fn arrive(&mut self, fate: u8) {
         let Some(transfer) = self.under_way.take() else {
             return;
@@ -326,29 +329,30 @@
         let as_seen = |shard: usize| transfer.seen[shard] == self.slices[shard];
         let fits = as_seen(from) && as_seen(to);
         match fate {
-            // Lost: the giver learns that, and takes up its part.
+            // The transfer is lost. The giving shard learns this and uses its whole slice
+            // again.
             0 => self.bound[from] = self.slices[from],
-            // Carried out, but nobody knows yet.
+            // The transfer is carried out, but the giving shard does not know this yet.
             1 if fits => {
                 let amount = transfer.given.amounts[0];
                 self.slices[from] -= amount;
                 self.slices[to] += amount;
                 self.bound[to] += amount;
             }
-            // Late: it is still under way.
+            // The transfer is late and stays in flight.
             _ => self.under_way = Some(transfer),
         }
     }
 }
 
 proptest! {
-    /// Whoever waits has its turn before anybody has two more.
+    /// Each waiting key is served before any other key is served twice more.
     #[test]
     fn turns_go_round(waiting in prop::collection::vec(prop::collection::btree_set(0..6_u8, 0..6), 1..80)) {
         let mut turns = Turns::default();
         let mut since: BTreeMap<u8, Vec<u8>> = BTreeMap::new();
         for now in waiting {
-            // Only who has waited all the time has a claim to a turn.
+            // Only a key that has waited all the time is entitled to a turn.
             since.retain(|k, _| now.contains(k));
             for k in &now {
                 since.entry(*k).or_default();
@@ -367,9 +371,9 @@
         }
     }
 
-    /// Controllers die, come back, and steps are late or carried out by two
-    /// leaders: no shard is ever owned twice, and once nothing fails any more
-    /// all are owned by those who live, as evenly as can be.
+    /// Controllers fail and come back, and steps are late or carried out by two leaders. No
+    /// shard ever has two owners. Once failures end, the live controllers own all shards,
+    /// as evenly as possible.
     #[test]
     fn shards_have_one_owner_and_settle(
         shards in 1..=MAX_SHARDS,
@@ -403,7 +407,7 @@
             world.read();
             prop_assert_eq!(world.check(), Ok(()));
         }
-        // At last all are to go to one, or stay balanced.
+        // Finally, all shards move to one controller or stay balanced.
         let one = gather.then(|| world.alive.keys().next().cloned()).flatten();
         world.settle(&ShardPreference { gather: one.clone(), move_every_s: None }, now);
         let count = world.counts()?;
@@ -415,11 +419,11 @@
         prop_assert!(max.unwrap_or(&0) - least.unwrap_or(&0) <= 1, "{:?}", count);
     }
 
-    // ---- slices -----------------------------------------------------------
+    // Tests of `slices`: division of the teams' limits among the shards.
 
-    /// Parts of limits move between shards while claims come and go, gifts are
-    /// late, lost or carried out after the giver was told nothing: the parts
-    /// always add up to the limit, and what is used never passes it.
+    /// Slices move between shards while claims come and go. Transfers are late, lost, or
+    /// carried out without the giving shard's knowledge. The slices always add up to the
+    /// limit, and the use never exceeds it.
     #[test]
     fn what_is_used_never_passes_the_limit(
         shards in 2..=5_usize,
@@ -443,8 +447,8 @@
         }
     }
 
-    /// Parts follow demand: what one shard needs alone it gets, but for what is
-    /// not worth a change.
+    /// Slices follow demand. If only one shard needs a limit, this shard gets all of it,
+    /// except parts that are too small to be worth a change.
     #[test]
     fn parts_go_where_work_waits(shards in 2..=5_usize, hungry in 0..5_usize, limit in 100..5000_i64) {
         let hungry = hungry % shards;
@@ -470,10 +474,10 @@
         prop_assert!(slices[hungry].cpu >= least, "{:?}", slices);
     }
 
-    // ---- served ---------------------------------------------------------
+    // Tests of `served`: counts of jobs and detection of starvation.
 
-    /// Whoever waits for longer than twice the usual wait starves, and nobody
-    /// else, by a plain list of all that happened.
+    /// A class and team starve exactly if their oldest job has waited for longer than twice
+    /// the usual wait. The expected value comes from a plain list of all events.
     #[test]
     fn who_starves_is_told(
         events in prop::collection::vec((0..3_u8, 0..2_u8, 0.0..120.0_f64), 0..80),
@@ -500,10 +504,10 @@
         }
     }
 
-    // ---- delegation -----------------------------------------------------------
+    // Tests of `delegation`: tasks that one shard delegates to another.
 
-    /// No more is left to a shard than it has free capacity for, nor more of a job than
-    /// waits; old news of free capacity is not used.
+    /// A shard never gets more delegated tasks than its free capacity holds, nor more tasks
+    /// of a job than are pending. Reports of free capacity that are too old are not used.
     #[test]
     fn tasks_are_left_only_where_there_is_free_capacity(
         free_capacities in prop::collection::vec((1..5_u32, 0..20_000_i64, 0.0..5.0_f64), 0..5),
@@ -534,7 +538,8 @@
         prop_assert!(free_capacity.values().all(|r| *r >= 0), "{:?}", free_capacity);
         for w in &waiting {
             prop_assert!(left.get(&w.job).copied().unwrap_or(0) <= w.tasks);
-            // Whoever waits long enough gets what free capacity there is.
+            // A job that has waited long enough gets all the free capacity that its tasks
+            // fit into.
             let all = left.get(&w.job).copied().unwrap_or(0) == w.tasks;
             let none_fits = free_capacity.values().all(|r| *r < w.cpu);
             prop_assert!(all || none_fits || now - w.since.0 < 0.6);
@@ -542,8 +547,8 @@
     }
 }
 
-/// The checkers find what they are for: a planner that grants a shard while its
-/// owner still believes in it, and a transfer of what is used.
+/// The checkers detect their faults: a planner that grants a shard while its old owner
+/// still believes to own it, and a division of a limit that is already exceeded.
 #[test]
 fn the_checkers_reject_what_is_handed_out_twice() {
     let mut world = World::default();
@@ -562,7 +567,7 @@
     assert_eq!(divide(&[cpu(800)], &[vec![cpu(500)], vec![cpu(400)]]), None);
 }
 
-/// A write that is late never undoes a newer one.
+/// A late write never overwrites a newer one.
 #[test]
 fn a_late_step_of_a_deposed_leader_changes_nothing() {
     let mut world = World::default();
@@ -603,7 +608,7 @@
     assert_eq!(how_many(0, 0), 1);
 }
 
-// ---- reach ----------------------------------------------------------------
+// Tests of `reach`: detection of an owner that is cut off from the workers.
 
 #[derive(Clone, Copy, Debug)]
 enum Seen {
@@ -623,7 +628,8 @@
 }
 
 proptest! {
-    /// Against the whole history since a worker was last heard directly.
+    /// The expected value comes from the whole history since the last direct contact with a
+    /// worker.
     #[test]
     fn an_owner_is_cut_off_by_what_it_saw_since_a_worker_was_heard(
         history in proptest::collection::vec(seen(), 0..150)
@@ -655,13 +661,13 @@
     }
 }
 
-/// A pause of this process makes everything late and proves nothing: what follows
-/// it counts from then on.
+/// A pause of this process makes all messages late and proves nothing. Only evidence that
+/// arrives after the pause counts.
 #[test]
 fn ones_own_pause_cuts_nobody_off() {
     let mut reach = Reach::default();
     reach.direct();
-    // It stood still for a minute; all that was under way failed meanwhile.
+    // This process was paused for a minute, and all operations in flight failed meanwhile.
     for n in 0..FAILED_MIN_MACHINES {
         reach.failed(&MachineId::from(&*format!("vm-{n}")), Time(60.0));
     }
@@ -674,13 +680,15 @@
     assert!(!reach.cut_off(Time(90.0)));
 }
 
-// ---- alone ----------------------------------------------------------------
+// Tests of `isolation`: detection of an isolated controller.
 
-/// Alone is who hears neither, not who hears one of them, nor the only controller.
-/// It asks the state service before it says so.
+/// A controller is isolated if it receives nothing from the other controllers and the state
+/// service. A controller that receives something from one of them is not isolated, nor is
+/// the only controller. A controller asks the state service before it counts as isolated.
 #[test]
 fn isolated_is_who_hears_neither_the_others_nor_the_state_service() {
-    // Whether there are others; since when both are not heard; alone, and asking.
+    // Columns: whether other controllers exist, seconds without contact to each side,
+    // whether the controller is isolated, and whether it asks the state service.
     for (others, unheard_s, unserved_s, alone, asks) in [
         (true, ISOLATED_AFTER_S, ISOLATED_AFTER_S, true, true),
         (true, PROBE_AFTER_S, 4.0, false, true),
@@ -699,7 +707,8 @@
 }
 
 proptest! {
-    /// Each worker is refused once in a lease, and answered whenever it comes back.
+    /// A worker is refused once per lease time, and answered whenever it comes back before
+    /// that.
     #[test]
     fn a_worker_is_sent_away_once_in_a_lease(
         comes in proptest::collection::vec((0_u8..3, 0_u8..40), 1..120)
@@ -719,7 +728,7 @@
     }
 }
 
-// ---- who was served over a run -------------------------------------------
+// Tests of `tally`: counts over a run, read from the logs.
 
 #[test]
 fn owners_counts_are_added_up_across_takeovers() {
@@ -734,13 +743,13 @@
     tally.line("a", "INFO leading term=1 grant=1");
     tally.line("a", &line(10, 4, 2, 6));
     tally.line("a", &line(20, 12, 8, 8));
-    // The next finds twelve that are not over. Its lines come with its name.
+    // The next owner finds twelve jobs that have not ended. Its log lines carry its name.
     tally.line("all", "   9.1 c-1  INFO leading term=2 grant=2");
     tally.line("all", &format!("  10.1 c-1  {}", line(12, 4, 0, 8)));
     tally.line("all", &format!("  40.1 c-1  {}", line(14, 9, 7, 5)));
     let part = tally.parts()[&red];
     assert_eq!((part.done, part.open, part.waiting), (15, 2, 5));
-    // It ends, and is the next owner too: it counts anew.
+    // The controller restarts and becomes the next owner too, so it counts anew.
     tally.line("all", "  50.0 c-1  INFO serving node=c-1 zone=z bind=x");
     tally.line("all", "  51.0 c-1  INFO leading term=3 grant=3");
     tally.line("all", &format!("  60.0 c-1  {}", line(7, 1, 1, 6)));
@@ -751,7 +760,7 @@
     assert_eq!(tally.parts()[&red], part, "other lines tell nothing");
 }
 
-/// Lines of one of the largest jobs.
+/// Returns a log line about one of the largest jobs.
 fn large(job: u32, cpus: u32, state: &str) -> String {
     format!("INFO largest shard=0 class=bake team=red job=run-{job} cpus={cpus}.0 {state}")
 }
@@ -762,7 +771,8 @@
         waiting=10 oldest_s=1.0 starves=false";
     let mut tally = Tally::default();
     tally.line("a", "INFO leading term=1 grant=1");
-    // Of thirty the three largest count, not the first, which was one for a while.
+    // Of thirty jobs the three largest count. The first job does not count, although it was
+    // one of the largest for a while.
     for (job, cpus) in [(1, 10), (2, 100), (3, 90), (4, 80), (5, 70)] {
         tally.line("a", &large(job, cpus, "state=came"));
     }
@@ -771,7 +781,7 @@
     let part = tally.largest()["bake"];
     assert_eq!((part.jobs, part.begun, part.late), (3, 1, 0));
     assert!(part.served() < 0.5 && part.longest_s == 12.0);
-    // The next owner speaks of one of them; another it only ends.
+    // The next owner logs one of the largest jobs, and only finishes another one.
     tally.line("b", "INFO leading term=2 grant=2");
     tally.line("b", &large(3, 90, "state=came"));
     tally.line("b", class);
@@ -786,8 +796,8 @@
 }
 
 proptest! {
-    /// Against all sizes that came: the share is a tenth whatever the sizes, but
-    /// for those that are larger than all, which are always told of.
+    /// The expected value comes from all sizes so far. A tenth of the jobs is selected
+    /// whatever their sizes, and a job that is larger than all others is always selected.
     #[test]
     fn the_largest_are_the_top_tenth_of_what_came(
         sizes in prop::collection::vec(1_i64..8, 1..600)
@@ -800,7 +810,7 @@
             let told = largest.came(&job, &class, cpu);
             prop_assert_eq!(told, largest.is(&job));
             let lately = &all[all.len().saturating_sub(WINDOW_JOBS - 1)..];
-            // Its place in order of size, those told of before others.
+            // Number of recent jobs that are larger, or equally large and already selected.
             let before = |o: &&(i64, bool)| o.0 > cpu || o.0 == cpu && o.1;
             let place = lately.iter().filter(before).count();
             prop_assert_eq!(told, place < tenth(lately.len() + 1));
@@ -808,7 +818,7 @@
                 prop_assert!(told, "larger than all");
             }
             all.push((cpu, told));
-            // Once late, once over.
+            // Each job is reported as late once and as ended once.
             prop_assert_eq!((largest.late(&job), largest.late(&job)), (told, false));
             prop_assert_eq!((largest.over(&job), largest.over(&job)), (told, false));
         }
