--- a/crates/sharding/src/largest_jobs.rs
+++ b/crates/sharding/src/largest_jobs.rs
@@ -33,7 +33,7 @@
 
 /// A recently accepted job of a class.
 #[derive(Clone, Copy, Debug)]
-struct Came {
+struct RecentJob {
     /// CPU of all tasks of the job, in thousandths of a CPU.
     cpu: i64,
     /// Whether this job was logged as one of its class's largest.
@@ -43,7 +43,7 @@
 /// Selects the largest jobs of all classes.
 #[derive(Debug, Default)]
 pub struct Largest {
-    classes: BTreeMap<Arc<str>, VecDeque<Came>>,
+    classes: BTreeMap<Arc<str>, VecDeque<RecentJob>>,
     /// Logged jobs that have not ended, each with whether it was also logged as late.
     logged: BTreeMap<JobId, bool>,
 }
@@ -58,13 +58,14 @@
         if !class_fits || self.logged.len() >= MAX_JOBS {
             return false;
         }
-        let came = self.classes.entry(class.clone()).or_default();
-        if came.len() >= WINDOW_JOBS {
-            came.pop_front();
+        let recent = self.classes.entry(class.clone()).or_default();
+        if recent.len() >= WINDOW_JOBS {
+            recent.pop_front();
         }
-        let before = |other: &&Came| other.cpu > cpu || other.cpu == cpu && other.logged;
-        let largest = came.iter().filter(before).count() < tenth(came.len() + 1);
-        came.push_back(Came {
+        let ranked_before =
+            |other: &&RecentJob| other.cpu > cpu || other.cpu == cpu && other.logged;
+        let largest = recent.iter().filter(ranked_before).count() < tenth(recent.len() + 1);
+        recent.push_back(RecentJob {
             cpu,
             logged: largest,
         });
--- a/crates/sharding/src/owners/mod.rs
+++ b/crates/sharding/src/owners/mod.rs
@@ -20,7 +20,7 @@
 
 use sorrelhinge_protocol::types::{NodeId, Time};
 
-use self::situation::{Pair, Situation};
+use self::situation::{ShardMove, Situation};
 use crate::shard::ShardId;
 
 /// A live controller, as the state service records it.
@@ -190,19 +190,22 @@
             return None;
         }
         let least = situation.fewest(|node| self.is_settled(node, now))?;
-        let Pair { giver, taker } = match situation.max() {
-            Some(max) if max.shards >= least.shards + 2 => Pair {
-                giver: max.node,
-                taker: least.node,
+        let ShardMove {
+            old_owner,
+            new_owner,
+        } = match situation.max() {
+            Some(max) if max.shards >= least.shards + 2 => ShardMove {
+                old_owner: max.node,
+                new_owner: least.node,
             },
             _ => self.forced_pair(situation, preference.move_every_s, quiet_s)?,
         };
-        let shard = self.shard_in_turn(situation, &giver)?;
-        if giver == taker {
+        let shard = self.shard_in_turn(situation, &old_owner)?;
+        if old_owner == new_owner {
             return None;
         }
         self.moved = Some(now);
-        Some(Step::Offer(shard, taker))
+        Some(Step::Offer(shard, new_owner))
     }
 
     /// Returns the forced move of one shard in rotation, from its owner to another
@@ -213,28 +216,28 @@
         situation: &Situation<'_>,
         every_s: Option<f64>,
         quiet_s: f64,
-    ) -> Option<Pair> {
+    ) -> Option<ShardMove> {
         let (shards, now) = (situation.shards, situation.now);
         let forced = every_s.is_some_and(|s| quiet_s >= s && situation.alive.len() > 1);
         let turn = (now.0 / every_s.unwrap_or(1.0).max(1.0)) as usize;
         let shard = shards.keys().nth(turn % shards.len().max(1));
-        let giver = &shards.get(shard.filter(|_| forced)?)?.owner;
-        let taker = situation.fewest(|node| node != giver && self.is_settled(node, now))?;
-        Some(Pair {
-            giver: giver.clone(),
-            taker: taker.node,
+        let old_owner = &shards.get(shard.filter(|_| forced)?)?.owner;
+        let new_owner = situation.fewest(|node| node != old_owner && self.is_settled(node, now))?;
+        Some(ShardMove {
+            old_owner: old_owner.clone(),
+            new_owner: new_owner.node,
         })
     }
 
     /// Returns the shard that its owner gives away: one in rotation of the owner's shards
     /// that are not pinned to it.
-    fn shard_in_turn(&self, situation: &Situation<'_>, giver: &NodeId) -> Option<ShardId> {
+    fn shard_in_turn(&self, situation: &Situation<'_>, old_owner: &NodeId) -> Option<ShardId> {
         let turn = self.moved.map_or(0, |moved| moved.0 as usize);
         let own: Vec<ShardId> = situation
             .shards
             .iter()
             .filter(|(_, recorded)| {
-                recorded.owner == *giver && recorded.pin.as_ref() != Some(giver)
+                recorded.owner == *old_owner && recorded.pin.as_ref() != Some(old_owner)
             })
             .map(|(shard, _)| *shard)
             .collect();
--- a/crates/sharding/src/owners/situation.rs
+++ b/crates/sharding/src/owners/situation.rs
@@ -24,9 +24,9 @@
 }
 
 /// The controllers that a shard moves between.
-pub(super) struct Pair {
-    pub(super) giver: NodeId,
-    pub(super) taker: NodeId,
+pub(super) struct ShardMove {
+    pub(super) old_owner: NodeId,
+    pub(super) new_owner: NodeId,
 }
 
 impl<'a> Situation<'a> {
@@ -43,7 +43,9 @@
             now,
         };
         for recorded in shards.values() {
-            let owner = situation.living_taker(recorded).unwrap_or(&recorded.owner);
+            let owner = situation
+                .live_offer_target(recorded)
+                .unwrap_or(&recorded.owner);
             let counted = situation.is_owned(recorded) || recorded.to.is_some();
             if let Some(count) = situation.counts.get_mut(owner) {
                 *count += usize::from(counted);
@@ -59,7 +61,7 @@
     }
 
     /// Returns the controller that the shard is offered to, if that controller is alive.
-    pub(super) fn living_taker(&self, recorded: &'a RecordedShard) -> Option<&'a NodeId> {
+    pub(super) fn live_offer_target(&self, recorded: &'a RecordedShard) -> Option<&'a NodeId> {
         recorded
             .to
             .as_ref()
@@ -78,8 +80,8 @@
     /// is the controller that the shard was offered to, if alive, because it may know more;
     /// otherwise the controller with the fewest shards.
     pub(super) fn new_owner(&self, shard: ShardId) -> Option<NodeId> {
-        let taker = self.living_taker(self.shards.get(&shard)?).cloned();
-        taker.or_else(|| Some(self.fewest(|_| true)?.node))
+        let new_owner = self.live_offer_target(self.shards.get(&shard)?).cloned();
+        new_owner.or_else(|| Some(self.fewest(|_| true)?.node))
     }
 
     /// Returns the controller with the fewest shards among those that `may` accepts.
--- a/crates/sharding/src/reach.rs
+++ b/crates/sharding/src/reach.rs
@@ -34,8 +34,8 @@
 /// worker.
 #[derive(Clone, Debug, Default)]
 pub struct Reach {
-    passed_since: Option<Time>,
-    passed: usize,
+    forwarded_since: Option<Time>,
+    forwarded: usize,
     failed_since: Option<Time>,
     failed: BTreeSet<MachineId>,
 }
@@ -49,8 +49,8 @@
 
     /// Records a heartbeat that another controller forwarded.
     pub fn passed(&mut self, now: Time) {
-        self.passed_since.get_or_insert(now);
-        self.passed += 1;
+        self.forwarded_since.get_or_insert(now);
+        self.forwarded += 1;
     }
 
     /// Records that no command got through to a machine.
@@ -66,7 +66,7 @@
     pub fn cut_off(&self, now: Time) -> bool {
         let lasts = |since: Option<Time>, s: f64| since.is_some_and(|t| now.since(t) >= s);
         let others_reach =
-            lasts(self.passed_since, CUT_OFF_AFTER_S) && self.passed >= CUT_OFF_MIN_COUNT;
+            lasts(self.forwarded_since, CUT_OFF_AFTER_S) && self.forwarded >= CUT_OFF_MIN_COUNT;
         others_reach && self.failed.len() >= CUT_OFF_MIN_COUNT
             || lasts(self.failed_since, FAILED_AFTER_S) && self.failed.len() >= FAILED_MIN_MACHINES
     }
--- a/crates/sharding/src/served.rs
+++ b/crates/sharding/src/served.rs
@@ -62,13 +62,13 @@
 impl Served {
     /// Counts a job that was accepted.
     pub fn accepted(&mut self, sort: &Sort) {
-        self.of(sort).accepted += 1;
+        self.count_mut(sort).accepted += 1;
     }
 
     /// Counts a job whose first task was placed, `wait_s` seconds after the job was
     /// accepted. `wait_s` is `None` if an earlier owner placed the task.
     pub fn started(&mut self, sort: &Sort, wait_s: Option<f64>) {
-        let count = self.of(sort);
+        let count = self.count_mut(sort);
         count.started += 1;
         if let Some(wait_s) = wait_s {
             let part = if count.waits == 0 {
@@ -83,10 +83,10 @@
 
     /// Counts a job that ended.
     pub fn done(&mut self, sort: &Sort) {
-        self.of(sort).done += 1;
+        self.count_mut(sort).done += 1;
     }
 
-    fn of(&mut self, sort: &Sort) -> &mut Count {
+    fn count_mut(&mut self, sort: &Sort) -> &mut Count {
         self.counts.entry(sort.clone()).or_default()
     }
 
--- a/crates/sharding/src/shard.rs
+++ b/crates/sharding/src/shard.rs
@@ -39,26 +39,26 @@
 
 /// Returns the hash of a name for one shard. Every controller must get the same hash,
 /// whatever its version, so the hash is a specified one (SipHash-1-3) with fixed keys.
-fn draw(sort: u8, name: &str, shard: u32) -> u64 {
-    let mut hasher = SipHasher13::new_with_keys(u64::from(sort), u64::from(shard));
+fn name_hash(kind: u8, name: &str, shard: u32) -> u64 {
+    let mut hasher = SipHasher13::new_with_keys(u64::from(kind), u64::from(shard));
     hasher.write(name.as_bytes());
     hasher.finish()
 }
 
 /// Returns the shard with the highest hash for a name (rendezvous hashing).
-fn highest(sort: u8, name: &str, of: u32) -> ShardId {
-    let best = (0..of.max(1)).max_by_key(|b| draw(sort, name, *b));
+fn shard_with_highest_hash(kind: u8, name: &str, of: u32) -> ShardId {
+    let best = (0..of.max(1)).max_by_key(|b| name_hash(kind, name, *b));
     ShardId(best.unwrap_or(0))
 }
 
 /// Returns the shard that a machine belongs to, out of `of` shards.
 pub fn of_machine(machine: &MachineId, of: u32) -> ShardId {
-    highest(0, machine.as_str(), of)
+    shard_with_highest_hash(0, machine.as_str(), of)
 }
 
 /// Returns the shard that places a job, out of `of` shards.
 pub fn of_job(job: &JobId, of: u32) -> ShardId {
-    highest(1, job.as_str(), of)
+    shard_with_highest_hash(1, job.as_str(), of)
 }
 
 impl ShardScope {
--- a/crates/sharding/src/tally.rs
+++ b/crates/sharding/src/tally.rs
@@ -45,7 +45,7 @@
 
 /// One of a class's largest jobs, as the log describes it.
 #[derive(Clone, Debug, Default, PartialEq)]
-struct Large {
+struct LargeJob {
     class: String,
     cpus: f64,
     begun: bool,
@@ -63,7 +63,7 @@
 /// A job that may be among its class's largest.
 struct Candidate<'a> {
     job: &'a str,
-    large: &'a Large,
+    large: &'a LargeJob,
 }
 
 impl Candidate<'_> {
@@ -113,7 +113,7 @@
 #[derive(Debug, Default)]
 pub struct Tally {
     /// The largest jobs of all classes, by job id.
-    large: HashMap<String, Large>,
+    large: HashMap<String, LargeJob>,
     /// All periods in which a controller owned a shard, in the order of the log lines.
     periods: Vec<Period>,
     /// Index of the current period of each controller and shard.
@@ -133,14 +133,14 @@
         let begins = ["leader elected", "shard ownership acquired", "serving"];
         let message = |word: &str| line.split_whitespace().any(|w| w == word);
         // The word before the log level names the controller, unless that word is the time.
-        let speaker = line.split("INFO").next().unwrap_or_default();
-        let speaker = speaker.split_whitespace().last();
-        let speaker = speaker.filter(|s| s.parse::<f64>().is_err());
-        let speaker = speaker.unwrap_or(from);
+        let controller = line.split("INFO").next().unwrap_or_default();
+        let controller = controller.split_whitespace().last();
+        let controller = controller.filter(|s| s.parse::<f64>().is_err());
+        let controller = controller.unwrap_or(from);
         if message("largest") {
-            self.largest_line(speaker, line);
+            self.largest_line(controller, line);
         } else if message("served") {
-            self.served(speaker, line);
+            self.served(controller, line);
         } else if message("done") {
             // The owner that finishes a job may not have logged the job as one of the
             // largest.
@@ -152,8 +152,8 @@
             let shard = field(line, "shard");
             let ends = |key: &String| {
                 shard.map_or_else(
-                    || key.starts_with(&format!("{speaker} ")),
-                    |b| *key == format!("{speaker} {b}"),
+                    || key.starts_with(&format!("{controller} ")),
+                    |b| *key == format!("{controller} {b}"),
                 )
             };
             self.present.retain(|key, _| !ends(key));
@@ -161,7 +161,7 @@
     }
 
     /// Reads a `served` line with the counts of a class and team.
-    fn served(&mut self, speaker: &str, line: &str) {
+    fn served(&mut self, controller: &str, line: &str) {
         let text = |key: &str| field(line, key).map(str::to_owned);
         let number = |key: &str| field(line, key).and_then(|n| n.parse().ok());
         let Some((class, team)) = text("class").zip(text("team")) else {
@@ -173,14 +173,14 @@
             done: number("done").unwrap_or(0),
             waiting: number("waiting").unwrap_or(0),
         };
-        let at = self.period(speaker, field(line, "shard").unwrap_or("0"));
+        let at = self.period(controller, field(line, "shard").unwrap_or("0"));
         self.periods[at].counts.insert((class, team), count);
     }
 
     /// Returns the index of the current period of a controller and shard. Starts a new
     /// period if there is none.
-    fn period(&mut self, speaker: &str, shard: &str) -> usize {
-        let present = self.present.entry(format!("{speaker} {shard}"));
+    fn period(&mut self, controller: &str, shard: &str) -> usize {
+        let present = self.present.entry(format!("{controller} {shard}"));
         *present.or_insert_with(|| {
             self.periods.push(Period {
                 shard: shard.to_owned(),
@@ -191,13 +191,13 @@
     }
 
     /// Reads a `largest` line about one of a class's largest jobs.
-    fn largest_line(&mut self, speaker: &str, line: &str) {
+    fn largest_line(&mut self, controller: &str, line: &str) {
         let number = |key: &str| field(line, key).and_then(|n| n.parse::<f64>().ok());
         let Some((job, class)) = field(line, "job").zip(field(line, "class")) else {
             return;
         };
         let shard = field(line, "shard").unwrap_or("0");
-        let period = self.period(speaker, shard);
+        let period = self.period(controller, shard);
         let large = self.large.entry(job.to_owned()).or_default();
         large.class = class.to_owned();
         large.shard = shard.to_owned();
--- a/crates/sharding/tests/model.rs
+++ b/crates/sharding/tests/model.rs
@@ -38,7 +38,7 @@
 /// shard, names only move to the new shard. Some assignments are written down, because
 /// another version must compute the same ones, or two owners would command one machine.
 #[test]
-fn names_are_divided_evenly_and_for_good() {
+fn names_divide_evenly_and_stay_stable() {
     let machines: Vec<MachineId> = (0..6000)
         .map(|n| MachineId::from(&*format!("vm-{n:06}")))
         .collect();
@@ -69,13 +69,16 @@
             "{count:?}"
         );
     }
-    let drawn: Vec<u32> = machines[..12].iter().map(|m| of_machine(m, 3).0).collect();
-    assert_eq!(drawn, DRAWN, "as every version draws");
-    assert_eq!(of_job(&JobId::from("run-000412"), 3), ShardId(DRAWN_JOB));
+    let assigned: Vec<u32> = machines[..12].iter().map(|m| of_machine(m, 3).0).collect();
+    assert_eq!(assigned, EXPECTED_SHARDS, "as every version draws");
+    assert_eq!(
+        of_job(&JobId::from("run-000412"), 3),
+        ShardId(EXPECTED_JOB_SHARD)
+    );
 }
 
-const DRAWN: [u32; 12] = [0, 1, 0, 1, 0, 0, 0, 0, 2, 1, 1, 0];
-const DRAWN_JOB: u32 = 1;
+const EXPECTED_SHARDS: [u32; 12] = [0, 1, 0, 1, 0, 0, 0, 0, 2, 1, 1, 0];
+const EXPECTED_JOB_SHARD: u32 = 1;
 
 // Tests of `owners`: grants and moves of shards.
 
@@ -182,20 +185,20 @@
     fn lead(
         &mut self,
         leader: &mut Owners,
-        wish: &ShardPreference,
+        preference: &ShardPreference,
         late: bool,
         now: f64,
     ) -> Result<(), TestCaseError> {
-        let Some(step) = leader.next(&self.held(), &self.alive, wish, Time(now)) else {
+        let Some(step) = leader.next(&self.held(), &self.alive, preference, Time(now)) else {
             return Ok(());
         };
         if let Step::Grant(shard, _) = &step {
             let held = &self.shards[shard].0;
-            let lives = self
+            let owner_is_alive = self
                 .alive
                 .get(&held.owner)
                 .is_some_and(|m| m.run == held.run);
-            prop_assert!(!lives, "granted away from one who lives");
+            prop_assert!(!owner_is_alive, "granted away from one who owner_is_alive");
         }
         if let Step::Grant(_, to) | Step::Offer(_, to) = &step {
             prop_assert!(self.alive.contains_key(to));
@@ -205,12 +208,12 @@
     }
     /// Runs without further failures: one leader decides, and owners hand over offered
     /// shards at once.
-    fn settle(&mut self, wish: &ShardPreference, mut now: f64) {
+    fn settle(&mut self, preference: &ShardPreference, mut now: f64) {
         self.late.clear();
         let mut leader = Owners::default();
         for _ in 0..200 {
             now += 0.5;
-            if let Some(step) = leader.next(&self.held(), &self.alive, wish, Time(now)) {
+            if let Some(step) = leader.next(&self.held(), &self.alive, preference, Time(now)) {
                 self.carry_out(&step, false);
             }
             for offer in self.offers() {
@@ -267,7 +270,7 @@
     bound: Vec<Amount>,
     used: Vec<i64>,
     wants: Vec<i64>,
-    under_way: Option<Transfer>,
+    in_flight: Option<Transfer>,
 }
 
 /// A transfer in flight, with the slices that its transaction requires as a condition.
@@ -287,7 +290,7 @@
             slices,
             used: vec![0; shards],
             wants: vec![0; shards],
-            under_way: None,
+            in_flight: None,
         }
     }
     /// Claims as much of the wanted amount as the shard's bound allows.
@@ -312,7 +315,7 @@
             prop_assert!(cpu(self.used[shard]).fits_team(left), "gave what is used");
             prop_assert!(given.to.0 as usize != shard);
             self.bound[shard] = left;
-            self.under_way = Some(Transfer {
+            self.in_flight = Some(Transfer {
                 from: shard,
                 given,
                 seen: self.slices.clone(),
@@ -321,14 +324,14 @@
         Ok(())
     }
     /// Loses, carries out or delays the transfer in flight.
-    fn arrive(&mut self, fate: u8) {
-        let Some(transfer) = self.under_way.take() else {
+    fn arrive(&mut self, outcome: u8) {
+        let Some(transfer) = self.in_flight.take() else {
             return;
         };
         let (from, to) = (transfer.from, transfer.given.to.0 as usize);
         let as_seen = |shard: usize| transfer.seen[shard] == self.slices[shard];
         let fits = as_seen(from) && as_seen(to);
-        match fate {
+        match outcome {
             // The transfer is lost. The giving shard learns this and uses its whole slice
             // again.
             0 => self.bound[from] = self.slices[from],
@@ -340,7 +343,7 @@
                 self.bound[to] += amount;
             }
             // The transfer is late and stays in flight.
-            _ => self.under_way = Some(transfer),
+            _ => self.in_flight = Some(transfer),
         }
     }
 }
@@ -348,7 +351,7 @@
 proptest! {
     /// Each waiting key is served before any other key is served twice more.
     #[test]
-    fn turns_go_round(waiting in prop::collection::vec(prop::collection::btree_set(0..6_u8, 0..6), 1..80)) {
+    fn turns_rotate(waiting in prop::collection::vec(prop::collection::btree_set(0..6_u8, 0..6), 1..80)) {
         let mut turns = Turns::default();
         let mut since: BTreeMap<u8, Vec<u8>> = BTreeMap::new();
         for now in waiting {
@@ -400,8 +403,8 @@
                 3 => world.offers().into_iter().take(1).for_each(|offer| world.hand_over(offer)),
                 _ => {
                     let leader = &mut leaders[usize::from(who % 2)];
-                    let wish = ShardPreference { gather: None, move_every_s: forced.then_some(2.0) };
-                    world.lead(leader, &wish, late, now)?;
+                    let preference = ShardPreference { gather: None, move_every_s: forced.then_some(2.0) };
+                    world.lead(leader, &preference, late, now)?;
                 }
             }
             world.read();
@@ -425,20 +428,20 @@
     /// carried out without the giving shard's knowledge. The slices always add up to the
     /// limit, and the use never exceeds it.
     #[test]
-    fn what_is_used_never_passes_the_limit(
+    fn use_never_exceeds_the_limit(
         shards in 2..=5_usize,
         limit in 10..2000_i64,
         events in prop::collection::vec((0..4_u8, 0..5_usize, 1..400_i64, 0..3_u8), 1..200),
     ) {
         let limits = [cpu(limit * 8)];
         let mut shares = Shares::new(limits, shards);
-        for (what, shard, n, fate) in events {
+        for (what, shard, n, outcome) in events {
             let shard = shard % shards;
             match what {
                 0 => shares.claim(shard, n),
                 1 => shares.used[shard] -= n.min(shares.used[shard]),
-                2 if shares.under_way.is_none() => shares.send(shard)?,
-                _ => shares.arrive(fate),
+                2 if shares.in_flight.is_none() => shares.send(shard)?,
+                _ => shares.arrive(outcome),
             }
             let sum = shares.slices.iter().fold(Amount::default(), |s, a| s + *a);
             prop_assert_eq!(sum, Amount { ram: 0, ..limits[0] });
@@ -450,8 +453,8 @@
     /// Slices follow demand. If only one shard needs a limit, this shard gets all of it,
     /// except parts that are too small to be worth a change.
     #[test]
-    fn parts_go_where_work_waits(shards in 2..=5_usize, hungry in 0..5_usize, limit in 100..5000_i64) {
-        let hungry = hungry % shards;
+    fn slices_follow_demand(shards in 2..=5_usize, demanding in 0..5_usize, limit in 100..5000_i64) {
+        let demanding = demanding % shards;
         let limits = [cpu(limit * 40)];
         let none = vec![vec![Amount::default()]; shards];
         let mut slices: Vec<Amount> = divide(&limits, &none).expect("nothing is used")
@@ -461,7 +464,7 @@
                 let needs: Vec<Vec<Need>> = (0..shards).map(|i| vec![Need {
                     slice: slices[i],
                     used: Amount::default(),
-                    waits: if i == hungry { limits[0] } else { Amount::default() },
+                    waits: if i == demanding { limits[0] } else { Amount::default() },
                 }]).collect();
                 if let Some(given) = next_transfer(ShardId(b as u32), &needs) {
                     slices[b] -= given.amounts[0];
@@ -471,7 +474,7 @@
         }
         let others = (shards - 1) as i64;
         let least = limits[0].cpu - others * (limits[0].cpu / 40 + 1);
-        prop_assert!(slices[hungry].cpu >= least, "{:?}", slices);
+        prop_assert!(slices[demanding].cpu >= least, "{:?}", slices);
     }
 
     // Tests of `served`: counts of jobs and detection of starvation.
@@ -479,7 +482,7 @@
     /// A class and team starve exactly if their oldest job has waited for longer than twice
     /// the usual wait. The expected value comes from a plain list of all events.
     #[test]
-    fn who_starves_is_told(
+    fn starving_classes_are_detected(
         events in prop::collection::vec((0..3_u8, 0..2_u8, 0.0..120.0_f64), 0..80),
         oldest in 0.0..400.0_f64,
     ) {
@@ -509,7 +512,7 @@
     /// A shard never gets more delegated tasks than its free capacity holds, nor more tasks
     /// of a job than are pending. Reports of free capacity that are too old are not used.
     #[test]
-    fn tasks_are_left_only_where_there_is_free_capacity(
+    fn tasks_are_delegated_only_to_free_capacity(
         free_capacities in prop::collection::vec((1..5_u32, 0..20_000_i64, 0.0..5.0_f64), 0..5),
         jobs in prop::collection::vec((1..40_u32, 1..8_i64, 0.0..3.0_f64), 0..10),
     ) {
@@ -550,7 +553,7 @@
 /// The checkers detect their faults: a planner that grants a shard while its old owner
 /// still believes to own it, and a division of a limit that is already exceeded.
 #[test]
-fn the_checkers_reject_what_is_handed_out_twice() {
+fn checkers_reject_double_grants() {
     let mut world = World::default();
     world.alive.insert(node(0), Member { run: 1 });
     world
@@ -611,19 +614,19 @@
 // Tests of `reach`: detection of an owner that is cut off from the workers.
 
 #[derive(Clone, Copy, Debug)]
-enum Seen {
+enum Evidence {
     Direct,
     Passed,
     Failed(u8),
     Pause(u8),
 }
 
-fn seen() -> impl Strategy<Value = Seen> {
+fn evidence() -> impl Strategy<Value = Evidence> {
     prop_oneof![
-        1 => Just(Seen::Direct),
-        20 => Just(Seen::Passed),
-        30 => (0_u8..40).prop_map(Seen::Failed),
-        8 => (0_u8..30).prop_map(Seen::Pause),
+        1 => Just(Evidence::Direct),
+        20 => Just(Evidence::Passed),
+        30 => (0_u8..40).prop_map(Evidence::Failed),
+        8 => (0_u8..30).prop_map(Evidence::Pause),
     ]
 }
 
@@ -631,30 +634,30 @@
     /// The expected value comes from the whole history since the last direct contact with a
     /// worker.
     #[test]
-    fn an_owner_is_cut_off_by_what_it_saw_since_a_worker_was_heard(
-        history in proptest::collection::vec(seen(), 0..150)
+    fn cut_off_depends_on_evidence_since_last_direct_contact(
+        history in proptest::collection::vec(evidence(), 0..150)
     ) {
         let mut reach = Reach::default();
         let mut now = 0.0;
-        let mut log: Vec<(f64, Seen)> = Vec::new();
+        let mut log: Vec<(f64, Evidence)> = Vec::new();
         for what in history {
             match what {
-                Seen::Direct => reach.direct(),
-                Seen::Passed => reach.passed(Time(now)),
-                Seen::Failed(n) => reach.failed(&MachineId::from(&*format!("vm-{n}")), Time(now)),
-                Seen::Pause(tenths) => now += f64::from(tenths) / 10.0,
+                Evidence::Direct => reach.direct(),
+                Evidence::Passed => reach.passed(Time(now)),
+                Evidence::Failed(n) => reach.failed(&MachineId::from(&*format!("vm-{n}")), Time(now)),
+                Evidence::Pause(tenths) => now += f64::from(tenths) / 10.0,
             }
             log.push((now, what));
-            let from = log.iter().rposition(|(_, w)| matches!(w, Seen::Direct)).map_or(0, |i| i + 1);
+            let from = log.iter().rposition(|(_, w)| matches!(w, Evidence::Direct)).map_or(0, |i| i + 1);
             let since = &log[from..];
-            let of = |f: fn(&Seen) -> bool| since.iter().filter(move |(_, w)| f(w));
-            let passed = of(|w| matches!(w, Seen::Passed));
-            let failed = of(|w| matches!(w, Seen::Failed(_)));
+            let of = |f: fn(&Evidence) -> bool| since.iter().filter(move |(_, w)| f(w));
+            let passed = of(|w| matches!(w, Evidence::Passed));
+            let failed = of(|w| matches!(w, Evidence::Failed(_)));
             let machines: BTreeSet<String> = failed.clone().map(|(_, w)| format!("{w:?}")).collect();
-            let lasts = |first: Option<&(f64, Seen)>, s| first.is_some_and(|(at, _)| now - at >= s);
-            let heard_by_others = passed.clone().count() >= CUT_OFF_MIN_COUNT
+            let lasts = |first: Option<&(f64, Evidence)>, s| first.is_some_and(|(at, _)| now - at >= s);
+            let others_reach = passed.clone().count() >= CUT_OFF_MIN_COUNT
                 && lasts(passed.clone().next(), CUT_OFF_AFTER_S);
-            let expected = heard_by_others && machines.len() >= CUT_OFF_MIN_COUNT
+            let expected = others_reach && machines.len() >= CUT_OFF_MIN_COUNT
                 || machines.len() >= FAILED_MIN_MACHINES && lasts(failed.clone().next(), FAILED_AFTER_S);
             prop_assert_eq!(reach.cut_off(Time(now)), expected);
         }
@@ -664,7 +667,7 @@
 /// A pause of this process makes all messages late and proves nothing. Only evidence that
 /// arrives after the pause counts.
 #[test]
-fn ones_own_pause_cuts_nobody_off() {
+fn pause_of_own_process_is_no_cut() {
     let mut reach = Reach::default();
     reach.direct();
     // This process was paused for a minute, and all operations in flight failed meanwhile.
@@ -686,10 +689,10 @@
 /// service. A controller that receives something from one of them is not isolated, nor is
 /// the only controller. A controller asks the state service before it counts as isolated.
 #[test]
-fn isolated_is_who_hears_neither_the_others_nor_the_state_service() {
+fn controller_is_isolated_if_peers_and_state_service_are_silent() {
     // Columns: whether other controllers exist, seconds without contact to each side,
     // whether the controller is isolated, and whether it asks the state service.
-    for (others, unheard_s, unserved_s, alone, asks) in [
+    for (others, silent_s, unserved_s, isolated, asks) in [
         (true, ISOLATED_AFTER_S, ISOLATED_AFTER_S, true, true),
         (true, PROBE_AFTER_S, 4.0, false, true),
         (true, 0.3, 60.0, false, false),
@@ -698,10 +701,10 @@
     ] {
         let peer_contact = PeerContact {
             others,
-            peers_silent_s: unheard_s,
+            peers_silent_s: silent_s,
             unserved_s,
         };
-        assert_eq!(peer_contact.is_isolated(), alone, "{peer_contact:?}");
+        assert_eq!(peer_contact.is_isolated(), isolated, "{peer_contact:?}");
         assert_eq!(peer_contact.should_probe_state(), asks, "{peer_contact:?}");
     }
 }
@@ -710,19 +713,19 @@
     /// A worker is refused once per lease time, and answered whenever it comes back before
     /// that.
     #[test]
-    fn a_worker_is_sent_away_once_in_a_lease(
+    fn worker_is_refused_once_per_lease(
         comes in proptest::collection::vec((0_u8..3, 0_u8..40), 1..120)
     ) {
         let mut dismissed_workers = DismissedWorkers::default();
-        let mut told: BTreeMap<u8, f64> = BTreeMap::new();
+        let mut refused_at: BTreeMap<u8, f64> = BTreeMap::new();
         let mut now = 0.0;
         for (worker, tenths) in comes {
             now += f64::from(tenths) / 10.0;
             let refuses = dismissed_workers.refuses(&MachineId::from(&*format!("vm-{worker}")), 20.0, Time(now));
-            let due = told.get(&worker).is_none_or(|at| now - at >= 20.0);
+            let due = refused_at.get(&worker).is_none_or(|at| now - at >= 20.0);
             prop_assert_eq!(refuses, due);
             if refuses {
-                told.insert(worker, now);
+                refused_at.insert(worker, now);
             }
         }
     }
@@ -766,7 +769,7 @@
 }
 
 #[test]
-fn the_largest_are_known_across_takeovers() {
+fn largest_jobs_are_counted_across_takeovers() {
     let class = "INFO served shard=0 class=bake team=red accepted=30 started=20 done=0 \
         waiting=10 oldest_s=1.0 starves=false";
     let mut tally = Tally::default();
@@ -799,7 +802,7 @@
     /// The expected value comes from all sizes so far. A tenth of the jobs is selected
     /// whatever their sizes, and a job that is larger than all others is always selected.
     #[test]
-    fn the_largest_are_the_top_tenth_of_what_came(
+    fn largest_jobs_are_the_top_tenth(
         sizes in prop::collection::vec(1_i64..8, 1..600)
     ) {
         let class: Arc<str> = "bake".into();
@@ -807,20 +810,20 @@
         let mut all: Vec<(i64, bool)> = Vec::new();
         for (n, cpu) in sizes.into_iter().enumerate() {
             let job = JobId::from(&*format!("run-{n}"));
-            let told = largest.came(&job, &class, cpu);
-            prop_assert_eq!(told, largest.is(&job));
+            let selected = largest.came(&job, &class, cpu);
+            prop_assert_eq!(selected, largest.is(&job));
             let lately = &all[all.len().saturating_sub(WINDOW_JOBS - 1)..];
             // Number of recent jobs that are larger, or equally large and already selected.
             let before = |o: &&(i64, bool)| o.0 > cpu || o.0 == cpu && o.1;
             let place = lately.iter().filter(before).count();
-            prop_assert_eq!(told, place < tenth(lately.len() + 1));
+            prop_assert_eq!(selected, place < tenth(lately.len() + 1));
             if lately.iter().all(|(size, _)| *size < cpu) {
-                prop_assert!(told, "larger than all");
+                prop_assert!(selected, "larger than all");
             }
-            all.push((cpu, told));
+            all.push((cpu, selected));
             // Each job is reported as late once and as ended once.
-            prop_assert_eq!((largest.late(&job), largest.late(&job)), (told, false));
-            prop_assert_eq!((largest.over(&job), largest.over(&job)), (told, false));
+            prop_assert_eq!((largest.late(&job), largest.late(&job)), (selected, false));
+            prop_assert_eq!((largest.over(&job), largest.over(&job)), (selected, false));
         }
     }
 }
