--- a/crates/sharding/tests/model.rs
+++ b/crates/sharding/tests/model.rs
@@ -59,7 +59,7 @@
                 let before = of_machine(m, of - 1);
                 assert!(
                     shard == before || shard.0 == of - 1,
-                    "moved to an old block"
+                    "moved to an old shard"
                 );
             }
         }
@@ -70,7 +70,10 @@
         );
     }
     let assigned: Vec<u32> = machines[..12].iter().map(|m| of_machine(m, 3).0).collect();
-    assert_eq!(assigned, EXPECTED_SHARDS, "as every version draws");
+    assert_eq!(
+        assigned, EXPECTED_SHARDS,
+        "every version must assign the same shards"
+    );
     assert_eq!(
         of_job(&JobId::from("run-000412"), 3),
         ShardId(EXPECTED_JOB_SHARD)
@@ -198,7 +201,7 @@
                 .alive
                 .get(&held.owner)
                 .is_some_and(|m| m.run == held.run);
-            prop_assert!(!owner_is_alive, "granted away from one who owner_is_alive");
+            prop_assert!(!owner_is_alive, "granted a shard whose owner is alive");
         }
         if let Step::Grant(_, to) | Step::Offer(_, to) = &step {
             prop_assert!(self.alive.contains_key(to));
@@ -228,7 +231,7 @@
             self.alive.keys().map(|n| (n.clone(), 0)).collect();
         for (held, _) in self.shards.values() {
             prop_assert_eq!(self.alive.get(&held.owner).map(|m| m.run), Some(held.run));
-            *counts.get_mut(&held.owner).expect("alive") += 1;
+            *counts.get_mut(&held.owner).expect("the owner is alive") += 1;
         }
         Ok(counts)
     }
@@ -250,7 +253,7 @@
         for shards in self.believes.values() {
             for shard in shards.keys() {
                 if !seen.insert(*shard) {
-                    return Err(format!("block {shard} is owned twice"));
+                    return Err(format!("shard {shard} has two owners"));
                 }
             }
         }
@@ -312,7 +315,10 @@
             .collect();
         if let Some(given) = next_transfer(ShardId(shard as u32), &needs) {
             let left = self.slices[shard] - given.amounts[0];
-            prop_assert!(cpu(self.used[shard]).fits_team(left), "gave what is used");
+            prop_assert!(
+                cpu(self.used[shard]).fits_team(left),
+                "transferred a part that is in use"
+            );
             prop_assert!(given.to.0 as usize != shard);
             self.bound[shard] = left;
             self.in_flight = Some(Transfer {
@@ -368,7 +374,7 @@
                 for (k, others) in &mut since {
                     others.push(turn);
                     let twice = others.iter().filter(|o| **o == turn).count();
-                    prop_assert!(twice <= 1, "{} was passed over for {}: {:?}", k, turn, others);
+                    prop_assert!(twice <= 1, "{} was skipped while {} was served twice: {:?}", k, turn, others);
                 }
             }
         }
@@ -446,7 +452,7 @@
             let sum = shares.slices.iter().fold(Amount::default(), |s, a| s + *a);
             prop_assert_eq!(sum, Amount { ram: 0, ..limits[0] });
             let used = shares.used.iter().sum::<i64>();
-            prop_assert!(used <= limits[0].cpu, "more is used than allowed");
+            prop_assert!(used <= limits[0].cpu, "use exceeds the limit");
         }
     }
 
@@ -533,7 +539,7 @@
         }).collect();
         let mut left: BTreeMap<JobId, u32> = BTreeMap::new();
         for delegated in delegation.delegate(&waiting, Time(now)) {
-            let job = waiting.iter().find(|w| w.job == delegated.job).expect("it waits");
+            let job = waiting.iter().find(|w| w.job == delegated.job).expect("the delegated job is pending");
             prop_assert!(now - job.since.0 >= 0.6);
             *free_capacity.entry(delegated.to.0).or_insert(0) -= job.cpu * i64::from(delegated.tasks);
             *left.entry(delegated.job).or_insert(0) += delegated.tasks;
@@ -760,7 +766,11 @@
     assert_eq!((part.done, part.open, part.waiting), (16, 0, 6));
     assert!((part.served() - 16.0 / 22.0).abs() < 1e-9);
     tally.line("all", "  61.0 c-1  INFO done job=run-1");
-    assert_eq!(tally.parts()[&red], part, "other lines tell nothing");
+    assert_eq!(
+        tally.parts()[&red],
+        part,
+        "a done line must not change the counts"
+    );
 }
 
 /// Returns a log line about one of the largest jobs.
@@ -818,7 +828,7 @@
             let place = lately.iter().filter(before).count();
             prop_assert_eq!(selected, place < tenth(lately.len() + 1));
             if lately.iter().all(|(size, _)| *size < cpu) {
-                prop_assert!(selected, "larger than all");
+                prop_assert!(selected, "a job larger than all recent ones must be selected");
             }
             all.push((cpu, selected));
             // Each job is reported as late once and as ended once.
