--- a/crates/image-distribution/examples/rollout.rs
+++ b/crates/image-distribution/examples/rollout.rs
@@ -1,10 +1,11 @@
-//! How long until the last of many machines has 140 GB, in virtual time: the
-//! plans `flat` (all from the origin), `tree` (whole images are handed on) and
-//! `ours` (parts are handed on while they arrive, [`plan::Rollout`] decides).
+//! Simulates how long it takes until the last of many machines has an image of 140 GB, in
+//! virtual time. It compares three plans: `flat` (all machines fetch from the origin),
+//! `tree` (machines upload whole images to others) and `ours` (machines upload parts while
+//! more parts arrive, as [`plan::Rollout`] decides).
 //!
-//! All links are alike, one each way a machine, ten at the origin. The limit is
-//! one fetch at full rate. Decision times are of this process; all else is
-//! computed.
+//! All links have the same rate. A machine has one link in each direction, and the origin
+//! has ten. The lower bound is one fetch at full rate. Decision times are measured in this
+//! process, and all else is computed.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap, VecDeque};
@@ -15,10 +16,10 @@
 use sorrelhinge_image_distribution::plan::{Has, Limits, RecentImages, Rollout, Source, Uploads};
 use sorrelhinge_protocol::types::{Image, MachineId};
 
-/// Weights for many machines, in virtual time.
+/// Simulates the distribution of an image to many machines, in virtual time.
 #[derive(Parser)]
 struct Args {
-    /// One line of JSON a row.
+    /// Print one line of JSON for each row.
     #[arg(long)]
     json: bool,
     /// Size of the image in GB.
@@ -30,11 +31,11 @@
     /// Size of a part in MB.
     #[arg(long, default_value_t = 16.0)]
     part_mb: f64,
-    /// Seconds from a part's arrival until its first byte may leave: checked,
-    /// asked for.
+    /// Seconds from a part's arrival until its first byte can be uploaded. The part is
+    /// checked and requested in this time.
     #[arg(long, default_value_t = 0.005)]
     hop_s: f64,
-    /// Seconds until a lost source is given up.
+    /// Seconds until a machine abandons a lost source.
     #[arg(long, default_value_t = 2.0)]
     detect_s: f64,
 }
@@ -42,12 +43,13 @@
 const ORIGIN_LINKS: usize = 10;
 const ZONES: usize = 3;
 const RACK: usize = 40;
-/// Seconds that a record's write takes.
+/// Seconds that the write of a record takes.
 const WRITE_S: f64 = 0.1;
-/// Seconds between two looks of the controller.
+/// Seconds between two rounds of the controller.
 const TICK_S: f64 = 0.1;
 
-/// The seconds at which each machine is lost; infinite: it stays.
+/// Returns the time in seconds at which each machine is lost, or infinity for a machine
+/// that stays.
 fn losses(n: usize, part: f64, within: f64) -> Vec<f64> {
     let mut state = 0x9e37_79b9_7f4a_7c15_u64 ^ n as u64;
     let mut draw = || {
@@ -66,28 +68,28 @@
     (0..n).map(one).collect()
 }
 
-/// What a plan came to.
+/// Result of the simulation of a plan.
 struct Outcome {
     last_s: f64,
     copies: f64,
     done: Vec<f64>,
 }
 
-/// What is wrong with a plan, or keeps it from being weighed.
+/// Faults of a plan, or errors that prevent its evaluation.
 enum RolloutError {
     /// A machine that is never lost has no image at the end.
     WithoutImage(usize),
-    /// A source gives to more machines than it has links; none: the origin.
+    /// A source uploads to more machines at once than it has links. `None` is the origin.
     TooManyAtOnce { source: Option<usize>, max: usize },
-    /// The rollout has written nothing.
+    /// The rollout has not written a record.
     NoRecord,
-    /// The rollout's record is not read by this version.
+    /// The rollout's record has a version that this code does not read.
     OtherVersion,
-    /// Times can't be kept.
+    /// The histogram of times could not be created.
     Histogram(hdrhistogram::CreationError),
 }
 
-/// As `main` shows it.
+/// Formats the error as `main` prints it.
 impl std::fmt::Debug for RolloutError {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
@@ -108,10 +110,12 @@
     }
 }
 
-/// Whole images only, from the origin and, if `hand_on`, from machines that have
-/// it; who loses its source begins again.
+/// Simulates a plan in which only whole images are transferred, from the origin and, if
+/// `hand_on` is set, also from machines that have the image. A machine that loses its
+/// source begins again.
 fn complete(lost: &[f64], fetch_s: f64, hand_on: bool) -> Outcome {
-    // Free sources by time; the origin's links come first and never end.
+    // Free sources are ordered by time. The links of the origin come first and are never
+    // lost.
     let key = |t: f64, who: usize| Reverse((t.to_bits(), who));
     let mut free: BinaryHeap<_> = (0..ORIGIN_LINKS).map(|_| key(0.0, usize::MAX)).collect();
     let mut wants: VecDeque<(usize, f64)> = (0..lost.len()).map(|m| (m, 0.0)).collect();
@@ -136,7 +140,8 @@
         if who == usize::MAX {
             out.copies += (end - begin) / fetch_s;
         }
-        // The origin gives its first copies; then machines hand on.
+        // With `hand_on`, the origin uploads only its first copies, and then machines
+        // upload.
         if source_lost > end && (who != usize::MAX || !hand_on || lost[m] <= end) {
             free.push(key(end, who));
         }
@@ -156,7 +161,7 @@
     out
 }
 
-/// Times of decisions in ns.
+/// Times that the rollout's decisions took, in ns.
 struct Decisions {
     each: Histogram<u64>,
     resume_ns: u64,
@@ -169,27 +174,28 @@
     result
 }
 
-/// A machine that was started: when, and its sources as sent.
+/// A machine that was started, with the time of its start and the sources that it named.
 struct Started {
     machine: usize,
     at: f64,
     from: Vec<Source>,
 }
 
-/// The controller's side: starts in the order and at the times that the rollout says.
+/// Simulates the controller, which starts machines in the order and at the times that the
+/// rollout decides.
 struct Starts<'a> {
     lost: &'a [f64],
     times: &'a mut Histogram<u64>,
     rollout: Rollout,
     uploads: Uploads,
-    /// Who is lost and when, the earliest last.
+    /// Machines that are lost, ordered by the time of loss, the earliest one last.
     leaves: Vec<Leave>,
-    /// Who has not been started.
+    /// Machines that have not been started yet.
     pending: VecDeque<usize>,
     started: Vec<Started>,
 }
 
-/// A machine that is lost, and when.
+/// A machine that is lost, with the time of the loss.
 struct Leave {
     at: f64,
     machine: usize,
@@ -217,7 +223,7 @@
         }
     }
 
-    /// Starts all that are not lost before.
+    /// Starts all machines that are not lost before their start.
     fn run(&mut self) {
         let mut now = 0.0;
         while !self.pending.is_empty() {
@@ -229,11 +235,11 @@
             self.start(now);
             now += TICK_S;
         }
-        // Who is lost later moves nobody's start, but is decided about all the same.
+        // Later losses change no start, but the rollout still decides about them.
         self.lose(f64::MAX);
     }
 
-    /// Tells the rollout who is lost up to a time.
+    /// Reports all machines to the rollout that are lost up to the time `until`.
     fn lose(&mut self, until: f64) {
         while let Some(leave) = next_lost(&mut self.leaves, until) {
             let machine = id(leave.machine);
@@ -243,7 +249,7 @@
         }
     }
 
-    /// Starts machines in their order, as far as the rollout lets them.
+    /// Starts machines in their order, as far as the rollout allows.
     fn start(&mut self, now: f64) {
         while let Some(machine) = self.pending.front().copied() {
             if self.lost[machine] > now {
@@ -264,7 +270,8 @@
     }
 }
 
-/// Who is lost next, up to a time; the earliest are last.
+/// Removes and returns the machine that is lost next, up to a time. The earliest loss is
+/// the last element.
 fn next_lost(leaves: &mut Vec<Leave>, until: f64) -> Option<Leave> {
     match leaves.last() {
         Some(leave) if leave.at <= until => leaves.pop(),
@@ -281,25 +288,27 @@
     vec![format!("z{zone}"), format!("z{zone}-r{}", m / ZONES / RACK)]
 }
 
-/// The machines' side, part by part: a machine takes parts from its source as it
-/// has them, and from the next in its list once that one is lost.
+/// Simulates the machines, part by part. A machine takes each part from its source once the
+/// source has it, and moves to the next source in its list once the current one is lost.
 struct Transfers<'a> {
     args: &'a Args,
     lost: &'a [f64],
     started: &'a [Started],
-    /// Parts of the image, and seconds that one takes at full rate.
+    /// Number of parts of the image. The next field is the time in seconds that one part
+    /// takes at full rate.
     parts: usize,
     part_s: f64,
-    /// The place of each machine among those that were started.
+    /// Position of each machine among the started machines.
     order: BTreeMap<MachineId, usize>,
-    /// When each that may still be asked had each part.
+    /// Times at which a machine received each part, for machines that may still be a
+    /// source.
     had: BTreeMap<usize, Vec<f64>>,
-    /// When each source gave; none: the origin.
+    /// Times during which each source uploaded. The key `None` is the origin.
     busy: BTreeMap<Option<usize>, Vec<Interval>>,
     outcome: Outcome,
 }
 
-/// From when to when a source gave, in seconds.
+/// Time interval in which a source uploaded, in seconds.
 struct Interval {
     from: f64,
     to: f64,
@@ -339,7 +348,7 @@
         Ok(self.outcome)
     }
 
-    /// Whose parts nobody asks for any more, by the machine after which that is so.
+    /// Returns, for each machine, the machines whose parts no later machine requests.
     fn last_uses(&self) -> Vec<Vec<usize>> {
         let mut last_use = vec![0; self.started.len()];
         for (i, start) in self.started.iter().enumerate() {
@@ -356,7 +365,7 @@
         drop_at
     }
 
-    /// A machine's fetch: when it had each part.
+    /// Simulates a machine's fetch and returns the time at which each part arrived.
     fn fetch(&mut self, start: &Started) -> Result<Vec<f64>, RolloutError> {
         let mine = self.lost[start.machine];
         let mut link = start.at;
@@ -394,7 +403,8 @@
         Ok(arrived)
     }
 
-    /// When a part has come from a source; never if it will not have it.
+    /// Returns the time at which a part has arrived from a source, or infinity if the
+    /// source never has the part.
     fn part_end(&self, source: Option<usize>, part: usize, link: f64) -> f64 {
         let has = match source {
             Some(o) => self.had.get(&o).and_then(|had| had.get(part)).copied(),
@@ -410,7 +420,8 @@
         self.busy.entry(source).or_default().push(interval);
     }
 
-    /// Full rate was assumed: nobody may have given to two at once.
+    /// Checks that no source uploaded to more machines at once than it has links, because
+    /// the simulation assumes full rate.
     fn check_rates(&self) -> Result<(), RolloutError> {
         for (source, uses) in &self.busy {
             let max = if source.is_some() { 1 } else { ORIGIN_LINKS };
@@ -423,7 +434,7 @@
     }
 }
 
-/// The plan of [`Rollout`], and how long its decisions take.
+/// Simulates the plan of [`Rollout`] and measures how long its decisions take.
 fn ours(lost: &[f64], args: &Args, times: &mut Decisions) -> Result<Outcome, RolloutError> {
     let mut starts = Starts::new(lost, &mut times.each, Limits::default());
     starts.run();
@@ -442,7 +453,7 @@
     }
 }
 
-/// The most of these intervals that hold at once.
+/// Returns the largest number of these intervals that overlap.
 fn at_once(uses: &[Interval]) -> usize {
     let mut edges: Vec<(f64, i32)> = Vec::new();
     for Interval { from, to } in uses.iter().filter(|gave| gave.from < gave.to) {
@@ -457,13 +468,13 @@
     sums.max().unwrap_or(0) as usize
 }
 
-/// How long a successor takes to go on with the rollout, in ns.
+/// Returns how long a new owner takes to resume the rollout, in ns.
 fn resumed(started: &[Started], rollout: &Rollout, lost: &[f64]) -> Result<u64, RolloutError> {
     let mut record = rollout
         .next(f64::INFINITY)
         .or_else(|| rollout.record().cloned());
     let record = record.take().ok_or(RolloutError::NoRecord)?;
-    // As the controller keeps its machines: by name.
+    // The machines are sorted by name, as the controller keeps them.
     let stay = started.iter().filter(|s| lost[s.machine].is_infinite());
     let stay: BTreeMap<_, _> = stay.map(|s| (id(s.machine), path(s.machine))).collect();
     let ran: Vec<RecentImages> = stay
@@ -486,11 +497,11 @@
     next.map(|_| ns).ok_or(RolloutError::OtherVersion)
 }
 
-/// A line of the table.
+/// A line of the printed table.
 struct Row<'a> {
     plan: &'a str,
     machines: usize,
-    /// The part of the machines that is lost.
+    /// Fraction of the machines that is lost.
     lost: f64,
     outcome: &'a Outcome,
     fetch_s: f64,
@@ -537,7 +548,7 @@
     }
 }
 
-/// Weighs the three plans for so many machines, of which a part is lost.
+/// Compares the three plans for a number of machines, a fraction of which is lost.
 fn compare(args: &Args, machines: usize, part: f64) -> Result<(), RolloutError> {
     let fetch_s = args.gb / args.rate;
     let lost = losses(machines, part, fetch_s);
--- a/crates/image-distribution/src/lib.rs
+++ b/crates/image-distribution/src/lib.rs
@@ -1,14 +1,14 @@
-//! Distribution of one image to many machines, without I/O or clock:
+//! Distribution of one image to many machines. This crate has no I/O and no clock.
 //!
-//! - [`plan`]: who fetches an image from the origin, and who gets it from whom;
-//! - [`record`]: what of that is in shared state, so that a successor goes on;
-//! - [`fetch_timeout`]: how long to wait for fetches of minutes, what giving one up
-//!   costs, and what may leave a cache for a new image.
+//! - [`plan`]: the machines that fetch an image from the origin, and the sources of the others;
+//! - [`record`]: the shared record from which a new owner continues a rollout;
+//! - [`fetch_timeout`]: waiting times for fetches that take minutes, the cost of abandoning a
+//!   fetch, and the images that a cache may evict for a new one.
 //!
-//! A machine hands parts on while its own fetch is under way, so the machines of
-//! a zone form a few *chains*: each takes its parts from the one before it. With
-//! one link each way every machine then gets the image at full rate, and the
-//! origin gives a few copies a zone however many machines there are. See
+//! A machine uploads parts of an image while its own fetch is in flight, so the machines of a
+//! zone form a few *chains*, in which each machine takes its parts from the one before it. With
+//! one link in each direction, every machine then gets the image at full rate, and the origin
+//! uploads only a few copies for each zone, whatever the number of machines. See
 //! `docs/staging.md`.
 
 pub mod fetch_timeout;
--- a/crates/image-distribution/src/locality.rs
+++ b/crates/image-distribution/src/locality.rs
@@ -1,18 +1,19 @@
-//! Sources by failure domain, so that the nearest with an upload slot is found
-//! without a look at all machines.
+//! Index of sources by failure domain. It finds the nearest source with an upload slot
+//! without a search of all machines.
 
 use std::collections::{BTreeSet, HashMap};
 
-/// A machine's stay in a rollout. One that left and came back is another seat: what
-/// was planned with the first must not be taken for the second.
+/// Number of a machine's membership in a rollout. A machine that left and came back gets a
+/// new number, so that plans made with the old membership don't apply to the new one.
 pub(crate) type Seat = u64;
-/// A domain: all machines, a zone, a rack, a switch.
+/// Index of a failure domain: all machines, a zone, a rack or a switch.
 pub(crate) type Domain = usize;
-/// All machines.
+/// The outermost domain, which contains all machines.
 pub(crate) const ALL: Domain = 0;
 
-/// What sources are ordered by: uploads under way, machines between them and the
-/// image, then who came first, so that all draw the same.
+/// Order of sources: by uploads in flight, then by the number of machines between the
+/// source and a complete copy, then by the time of joining. The last makes the order the
+/// same in every process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct Rank {
     pub load: u32,
@@ -23,7 +24,8 @@
 #[derive(Clone, Debug)]
 struct Part {
     within: Domain,
-    /// Looked up only, never gone through: its order is not the same twice.
+    /// Inner domains by name. The map is only used for look-ups and never iterated, because
+    /// its order differs between runs.
     names: HashMap<Box<str>, Domain>,
     sources: BTreeSet<Rank>,
 }
@@ -52,7 +54,8 @@
 }
 
 impl Locality {
-    /// The innermost domain of a path, the zone first.
+    /// Returns the innermost domain of a path that starts with the zone. Adds the domains
+    /// that don't exist yet.
     pub(crate) fn domain(&mut self, path: &[String]) -> Domain {
         let mut at = ALL;
         for name in path {
@@ -67,25 +70,26 @@
         }
         at
     }
-    /// A domain and those around it, from the inside, without [`ALL`].
+    /// Returns a domain and the domains that contain it, from the inside out, without
+    /// [`ALL`].
     pub(crate) fn around(&self, domain: Domain) -> impl Iterator<Item = Domain> + '_ {
         let wider = move |d: &Domain| Some(self.parts[*d].within);
         std::iter::successors(Some(domain), wider).take_while(|d| *d != ALL)
     }
-    /// The zone of a domain; [`ALL`] if none is known.
+    /// Returns the zone that contains a domain, or [`ALL`] if the zone is not known.
     pub(crate) fn zone(&self, domain: Domain) -> Domain {
         self.around(domain).last().unwrap_or(ALL)
     }
-    /// A machine hands on from now on.
+    /// Adds a machine to the sources of its domain and of all domains that contain it.
     pub(crate) fn insert(&mut self, domain: Domain, rank: Rank) {
         self.each(domain, |sources| sources.insert(rank));
     }
-    /// A machine hands on no more, or with another rank.
+    /// Removes a machine that is no longer a source, or that gets another rank.
     pub(crate) fn remove(&mut self, domain: Domain, rank: Rank) {
         self.each(domain, |sources| sources.remove(&rank));
     }
-    /// Many sources at once, into an empty index: a set built whole takes a tenth
-    /// of the time, and a successor has 10,000.
+    /// Adds many sources at once to an empty index. Building each set whole takes a tenth
+    /// of the time, and a new owner has 10,000 sources to add.
     pub(crate) fn fill(&mut self, ranks: &[(Domain, Rank)]) {
         let mut of = vec![Vec::new(); self.parts.len()];
         for (domain, rank) in ranks {
@@ -98,12 +102,12 @@
             part.sources = ranks.into_iter().collect();
         }
     }
-    /// The sources of a domain, the best first.
+    /// Returns the sources of a domain, the best one first.
     pub(crate) fn of(&self, domain: Domain) -> impl Iterator<Item = Rank> + '_ {
         self.parts[domain].sources.iter().copied()
     }
 
-    /// Changes the sources of a domain and of all around it.
+    /// Applies a change to the sources of a domain and of all domains that contain it.
     fn each(&mut self, domain: Domain, change: impl Fn(&mut BTreeSet<Rank>) -> bool) {
         let mut at = domain;
         while at != ALL {
--- a/crates/image-distribution/src/plan.rs
+++ b/crates/image-distribution/src/plan.rs
@@ -1,18 +1,19 @@
-//! Who fetches an image from the origin, and who gets it from whom.
+//! Choice of the machines that fetch an image from the origin, and of the sources of the
+//! others.
 //!
-//! A machine learns its sources with its start and at no other time, so they are
-//! chosen once, with others to fall back to: the machines before its source in
-//! the chain, nearest first. If a source is lost, its place in the chain is free,
-//! and the one before it has an upload slot again: a chain heals without a word
-//! from the controller. Every source was started earlier than who takes from it,
-//! so nobody waits for itself.
+//! A machine receives its sources with its start and at no other time. The plan therefore
+//! chooses them once and adds alternatives: the machines before its source in the chain,
+//! nearest first. If a source is lost, its place in the chain is free, and the machine
+//! before it has an upload slot again. A chain thus repairs itself without a message from
+//! the controller. Every source starts earlier than the machines that take from it, so no
+//! machine waits for itself.
 //!
-//! Every call looks at a bounded number of sources, whatever the fleet's size.
+//! Every call looks at a bounded number of sources, whatever the size of the fleet.
 //!
-//! In parts: what bounds a rollout and the uploads under way (`uploads`), a machine of
-//! it (`node`), the choice of a source (`choice`), the chains (`chains`), the stages
-//! (`stages`), the starts (`starts`), and a rollout
-//! gone on with by a new owner (`takeover`).
+//! The submodules contain the limits of a rollout and the uploads in flight (`uploads`),
+//! one machine of a rollout (`node`), the choice of a source (`choice`), the chains
+//! (`chains`), the stages (`stages`), the starts (`starts`), and the continuation of a
+//! rollout by a new owner (`takeover`).
 
 mod chains;
 mod choice;
@@ -34,24 +35,24 @@
 use crate::locality::{Domain, Locality, Seat};
 use crate::record::RolloutRecord;
 
-/// How many machines of a rollout are how far.
+/// Number of a rollout's machines in each state.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RolloutCounts {
-    /// Wait for the image.
+    /// Number of machines that wait for the image.
     pub waiting: u32,
-    /// Fetch it.
+    /// Number of machines that are fetching the image.
     pub fetching: u32,
-    /// Have it.
+    /// Number of machines that have the complete image.
     pub complete: u32,
 }
 
-/// An image that many machines need: which have it, fetch it or wait for it.
+/// Rollout of an image to the machines that need it, with each machine's state and source.
 #[derive(Clone, Debug)]
 pub struct Rollout {
     image: Image,
     limits: Limits,
     stage: u32,
-    /// Seconds at which a record was last written.
+    /// Time at which a record of this rollout was last written, in seconds.
     since: f64,
     written: Option<RolloutRecord>,
     refused_until: f64,
@@ -59,7 +60,7 @@
     seats: BTreeMap<MachineId, Seat>,
     next_seat: Seat,
     locality: Locality,
-    /// Machines that took a copy from outside their zone, and their zones.
+    /// Machines that fetched a copy from outside their zone, each with its zone.
     seeds: BTreeMap<MachineId, Domain>,
     heads: BTreeMap<Domain, u32>,
     waiting: u32,
@@ -71,8 +72,8 @@
 }
 
 impl Rollout {
-    /// A rollout that nobody has begun. Nothing starts before its first record is
-    /// written ([`Rollout::next`]).
+    /// Returns a new rollout that no owner has begun. No machine starts before the first
+    /// record of the rollout is written ([`Rollout::next`]).
     pub fn new(image: Image, limits: Limits) -> Self {
         Self {
             image,
@@ -96,22 +97,22 @@
         }
     }
 
-    /// The image.
+    /// Returns the image that this rollout distributes.
     pub fn image(&self) -> &Image {
         &self.image
     }
 
-    /// The stage that is open.
+    /// Returns the number of the stage that is open.
     pub fn stage(&self) -> u32 {
         self.stage
     }
 
-    /// The record as last written.
+    /// Returns the record of this rollout as last written.
     pub fn record(&self) -> Option<&RolloutRecord> {
         self.written.as_ref()
     }
 
-    /// How many machines are how far.
+    /// Returns the number of machines in each state.
     pub fn counts(&self) -> RolloutCounts {
         RolloutCounts {
             waiting: self.waiting,
@@ -120,24 +121,25 @@
         }
     }
 
-    /// No machine waits for it or fetches it any more: its record may be deleted.
+    /// Returns whether no machine waits for the image or fetches it any more. The rollout's
+    /// record may then be deleted.
     pub fn over(&self) -> bool {
         self.waiting + self.fetches == 0
     }
 
-    /// Copies asked of the origin by this owner, those that were gone on with
-    /// when a seed was lost among them.
+    /// Returns the number of copies that this owner requested from the origin. This
+    /// includes copies that were continued after a seed was lost.
     pub fn copies(&self) -> u64 {
         self.copies
     }
 
-    /// Copies planned by this owner from a machine of another zone.
+    /// Returns the number of copies that this owner planned from a machine of another zone.
     pub fn crossings(&self) -> u64 {
         self.crossings
     }
 
-    /// Whom a machine takes from, by what is known here; none if it doesn't
-    /// fetch, or a predecessor started it.
+    /// Returns the source that a machine takes the image from, as far as this owner knows.
+    /// Returns `None` if the machine does not fetch or a previous owner started it.
     pub fn source(&self, machine: &MachineId) -> Option<Source> {
         match self.node(machine)?.up {
             Up::None => None,
@@ -146,8 +148,9 @@
         }
     }
 
-    /// Adds a machine that needs the image, or has it (`complete`). Its path: zone, rack,
-    /// switch as far as known. One that is in the rollout already stays as it is.
+    /// Adds a machine that needs the image, or that already has it (`complete`). The path
+    /// names the machine's zone, rack and switch as far as known. A machine that is already
+    /// in the rollout stays unchanged.
     pub fn join(&mut self, machine: MachineId, path: &[String], complete: bool) {
         if self.seats.contains_key(&machine) {
             return;
@@ -164,7 +167,7 @@
         }
     }
 
-    /// A machine has the complete image: a task runs on it.
+    /// Records that a machine has the complete image, because a task runs on it.
     pub fn arrived(&mut self, machine: &MachineId, uploads: &mut Uploads) {
         let Some(seat) = self.seats.get(machine).copied() else {
             return;
@@ -184,14 +187,16 @@
         });
     }
 
-    /// A machine was deleted, or doesn't need the image any more. Those that took from it
-    /// go on with the next of their sources, as their agents do.
+    /// Removes a machine that was deleted or does not need the image any more. Machines
+    /// that took the image from it continue with the next of their sources, as their agents
+    /// do.
     pub fn lost(&mut self, machine: &MachineId, uploads: &mut Uploads) {
         let Some(seat) = self.seats.remove(machine) else {
             return;
         };
         self.detach(seat, uploads);
-        // Out of the sources first: its own children would be sent to it.
+        // The machine leaves the index of sources first, or the machines that took from it
+        // would be sent back to it.
         self.change(seat, |n| n.slow = true);
         if let Some(zone) = self.seeds.remove(machine) {
             if let Some(n) = self.heads.get_mut(&zone) {
@@ -209,14 +214,16 @@
         }
     }
 
-    /// A machine's image left its cache. It may [`Rollout::join`] again.
+    /// Records that a machine's cache evicted the image. The machine may [`Rollout::join`]
+    /// again.
     pub fn evicted(&mut self, machine: &MachineId, uploads: &mut Uploads) {
         self.lost(machine, uploads);
     }
 
-    /// A machine hands on too slowly: it is nobody's source from now on, and who
-    /// takes from it goes to another that has a slot. It still counts as a seed,
-    /// or slow seeds would have the origin asked again and again.
+    /// Records that a machine uploads too slowly. The machine is no longer a source, and
+    /// machines that take from it move to another source that has a slot. The machine still
+    /// counts as a seed, because otherwise slow seeds would cause requests to the origin
+    /// again and again.
     pub fn slow(&mut self, machine: &MachineId, uploads: &mut Uploads) {
         let Some(seat) = self.seats.get(machine).copied() else {
             return;
@@ -225,20 +232,21 @@
         self.move_children(seat, uploads, false);
     }
 
-    /// The origin refused, or is too slow: nothing more is asked of it before
-    /// `until` seconds; machines go on handing on.
+    /// Records that the origin refused a request or is too slow. The rollout requests
+    /// nothing more from the origin before `until` seconds, while machines continue to
+    /// upload to each other.
     pub fn origin_refused(&mut self, until: f64) {
         self.refused_until = self.refused_until.max(until);
     }
 
-    /// The next seat, which no machine has had.
+    /// Returns the next membership number, which no machine has had before.
     fn take_seat(&mut self) -> Seat {
         let seat = self.next_seat;
         self.next_seat += 1;
         seat
     }
 
-    /// A machine that waits for the image.
+    /// Returns the entry of a machine that waits for the image.
     fn node_of(&mut self, id: MachineId, path: &[String]) -> Node {
         let domain = self.locality.domain(path);
         Node {
@@ -255,7 +263,7 @@
         }
     }
 
-    /// A machine of the rollout.
+    /// Returns the rollout's entry of a machine, if the machine is in the rollout.
     fn node(&self, machine: &MachineId) -> Option<&Node> {
         self.nodes.get(self.seats.get(machine)?)
     }
--- a/crates/image-distribution/src/plan/chains.rs
+++ b/crates/image-distribution/src/plan/chains.rs
@@ -1,5 +1,4 @@
-//! The chains: who takes from whom, kept in step with what is known of each
-//! machine.
+//! The chains: the source of each machine, updated with what is known of each machine.
 
 use sorrelhinge_protocol::types::MachineId;
 
@@ -8,7 +7,7 @@
 use crate::locality::{Domain, Seat};
 
 impl Rollout {
-    /// Changes a machine, and its place among the sources with it.
+    /// Changes a machine's entry and updates the machine's place in the index of sources.
     pub(super) fn change(&mut self, seat: Seat, change: impl FnOnce(&mut Node)) {
         let Some(node) = self.nodes.get_mut(&seat) else {
             return;
@@ -24,14 +23,14 @@
         }
     }
 
-    /// A machine has its copy from outside its zone.
+    /// Records a machine that has its copy from outside its zone as a seed of the zone.
     pub(super) fn seed(&mut self, machine: &MachineId, zone: Domain) {
         if self.seeds.insert(machine.clone(), zone).is_none() {
             *self.heads.entry(zone).or_default() += 1;
         }
     }
 
-    /// A machine takes from this source from now on.
+    /// Makes a machine take the image from the given source.
     pub(super) fn attach(&mut self, seat: Seat, up: Up, uploads: &mut Uploads) {
         let Some(node) = self.nodes.get(&seat) else {
             return;
@@ -66,7 +65,7 @@
         });
     }
 
-    /// A machine takes from its source no more.
+    /// Removes a machine from its source.
     pub(super) fn detach(&mut self, seat: Seat, uploads: &mut Uploads) {
         match self.nodes[&seat].up {
             Up::None => {}
@@ -83,8 +82,9 @@
         self.change(seat, |n| n.up = Up::None);
     }
 
-    /// Who takes from a machine goes to the next of its sources that has a slot,
-    /// and if none has (`must`) to the origin, for the rest.
+    /// Moves the machines that take from a machine to the next of their sources that has a
+    /// slot. If none has a slot and `must` is set, a machine fetches the rest from the
+    /// origin.
     pub(super) fn move_children(&mut self, seat: Seat, uploads: &mut Uploads, must: bool) {
         let children = match self.nodes.get(&seat) {
             Some(node) => node.children.clone(),
--- a/crates/image-distribution/src/plan/choice.rs
+++ b/crates/image-distribution/src/plan/choice.rs
@@ -1,44 +1,47 @@
-//! Whom a machine takes the image from: the best source that has a slot free, and
-//! others to fall back to.
+//! Choice of a machine's source: the best one with a free slot, and alternatives to it.
 
 use super::node::{Node, State, Up};
 use super::{Rollout, Source, Uploads, LAST_STAGE};
 use crate::locality::{Domain, Rank, Seat, ALL};
 
-/// Machines of the first stage.
+/// Number of machines that may fetch at once in the first stage.
 const FIRST_STAGE_MACHINES: u32 = 12;
 
-/// Each stage has so many times the machines of the one before.
+/// Factor by which each stage has more machines than the stage before.
 const STAGE_GROWTH_FACTOR: u32 = 4;
 
-/// So many sources of a domain are looked at before a wider one is.
+/// Number of sources of a domain that are examined before a wider domain is.
 const MAX_SOURCES_LOOKED_AT: usize = 16;
 
-/// A nearer source may be so many machines further from the image than the best
-/// of the zone: otherwise one rack's chain would grow without end.
+/// Number of machines by which a nearer source may be further from a complete copy than the
+/// best source of the zone. Without this limit, the chain of one rack would grow without
+/// end.
 const MAX_EXTRA_DEPTH: u32 = 64;
 
-/// Other whole machines that are named as alternatives.
+/// Number of other machines with the complete image that are named as alternatives.
 const MAX_OTHER_SOURCES: usize = 2;
 
 impl Rollout {
-    /// Whether the origin refused lately.
+    /// Returns whether the origin refused a request so recently that no request may be sent
+    /// to it.
     pub(super) fn refused(&self, now: f64) -> bool {
         now < self.refused_until
     }
 
-    /// Machines that may fetch at once.
+    /// Returns the number of machines that may fetch at once.
     pub(super) fn allowed(&self) -> u32 {
         let stage = FIRST_STAGE_MACHINES * STAGE_GROWTH_FACTOR.pow(self.stage.min(LAST_STAGE));
         stage.max(self.complete)
     }
 
-    /// Machines of a zone that had their copies from outside it.
+    /// Returns the number of machines in a zone that had their copies from outside the
+    /// zone.
     pub(super) fn heads_of(&self, zone: Domain) -> u32 {
         self.heads.get(&zone).copied().unwrap_or(0)
     }
 
-    /// The sources that a start was sent; the origin if none is left.
+    /// Returns the sources that a machine's start named, or the origin if none of them is
+    /// left.
     pub(super) fn named(&self, node: &Node) -> Vec<Source> {
         let named = node.from.iter().filter_map(|s| self.nodes.get(s));
         let named: Vec<Source> = named.map(|n| Source::Machine(n.id.clone())).collect();
@@ -48,7 +51,7 @@
         named
     }
 
-    /// The best source for a machine; none if it has to wait.
+    /// Returns the best source for a machine, or `None` if the machine has to wait.
     pub(super) fn choose(&self, node: &Node, uploads: &Uploads, now: f64) -> Option<Up> {
         let zone = node.zone;
         let origin = uploads.origin < self.limits.origin && !self.refused(now);
@@ -66,22 +69,23 @@
         if head {
             return Some(Up::Origin);
         }
-        // Whoever shares a source gets half of its rate: better than to wait for
-        // minutes, and than another copy from outside.
+        // A machine that shares a source gets half of the source's rate. This is better
+        // than to wait for minutes, and better than another copy from outside.
         let max = self.limits.slots.saturating_sub(1);
         let shared = self.free(zone, max, uploads);
         let other = || self.free(ALL, max, uploads);
         if let Some(r) = shared.or_else(other) {
             return Some(Up::From(r.seat));
         }
-        // Nobody hands on any more, say as all are too slow: without this, who
-        // wants the image would wait for ever. Full sources are waited for, as
-        // who takes from them is a source next.
+        // Without this rule, machines that need the image would wait forever if no machine
+        // is a source any more, for example because all are too slow. If all sources are
+        // full, a machine waits instead, because the machines that take from them become
+        // sources next.
         (origin && self.hand_on == 0).then_some(Up::Origin)
     }
 
-    /// The best source of a domain with at most `max` uploads, those of other
-    /// images counted.
+    /// Returns the best source of a domain that has at most `max` uploads, including
+    /// uploads of other images.
     fn free(&self, domain: Domain, max: u32, uploads: &Uploads) -> Option<Rank> {
         let few = self.locality.of(domain).take(MAX_SOURCES_LOOKED_AT);
         few.take_while(|r| r.load <= max).find(|r| {
@@ -90,8 +94,9 @@
         })
     }
 
-    /// A source and what follows it: those before it in its chain, or other whole
-    /// machines of the zone. All were started earlier than who asks.
+    /// Returns a source and the alternatives to it: the machines before it in its chain, or
+    /// other machines of the zone with the complete image. All of them started earlier than
+    /// the machine that asks.
     pub(super) fn alternatives(&self, zone: Domain, source: Seat) -> Vec<Seat> {
         let mut from = vec![source];
         let Some(node) = self.nodes.get(&source) else {
--- a/crates/image-distribution/src/plan/node.rs
+++ b/crates/image-distribution/src/plan/node.rs
@@ -1,4 +1,4 @@
-//! A machine of a rollout: what it has of the image, and its place in a chain.
+//! One machine of a rollout: its part of the image, and its place in a chain.
 
 use std::collections::BTreeSet;
 
@@ -6,21 +6,21 @@
 
 use crate::locality::{Domain, Rank, Seat};
 
-/// What a machine has of the image.
+/// State of the image on a machine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum State {
-    /// Nothing: it waits for its start.
+    /// The machine has nothing of the image and waits for its start.
     Waits,
-    /// A part: it fetches.
+    /// The machine has a part of the image and fetches the rest.
     Fetches,
-    /// All of it.
+    /// The machine has the complete image.
     Complete,
 }
 
-/// Where a machine takes the image from.
+/// Source that a machine takes the image from.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Up {
-    /// Complete, or not started, or started by a predecessor.
+    /// The machine is complete, or was not started, or was started by a previous owner.
     None,
     Origin,
     From(Seat),
@@ -30,27 +30,28 @@
 #[derive(Clone, Debug)]
 pub(super) struct Node {
     pub(super) id: MachineId,
-    /// Its innermost failure domain, and its zone.
+    /// Innermost failure domain of the machine; the next field is its zone.
     pub(super) domain: Domain,
     pub(super) zone: Domain,
     pub(super) state: State,
     pub(super) up: Up,
     pub(super) children: BTreeSet<Seat>,
-    /// Uploads that a predecessor may have planned for it.
+    /// Number of uploads that a previous owner may have planned from this machine.
     pub(super) assumed: u32,
     pub(super) depth: u32,
-    /// Its sources by the start it was sent, the best first.
+    /// Sources that the machine's start named, the best one first.
     pub(super) from: Vec<Seat>,
     pub(super) slow: bool,
 }
 
 impl Node {
-    /// Uploads that it makes, or may make by a plan of before.
+    /// Returns the number of uploads from this machine, including those that a previous
+    /// owner may have planned.
     pub(super) fn load(&self) -> u32 {
         self.children.len() as u32 + self.assumed
     }
-    /// Its place among sources: who has least to do, and is nearest to the image, comes
-    /// first.
+    /// Returns the machine's place among the sources. Machines with the fewest uploads and
+    /// the shortest distance to a complete copy come first.
     pub(super) fn rank(&self, seat: Seat) -> Rank {
         Rank {
             load: self.load(),
@@ -58,11 +59,12 @@
             seat,
         }
     }
-    /// It hands on, to others by now or as soon as it is asked.
+    /// Returns whether the machine can be a source, so that others take from it now or can
+    /// do so on request.
     pub(super) fn hands_on(&self) -> bool {
         self.state != State::Waits && !self.slow
     }
-    /// Whether it has a slot free.
+    /// Returns whether the machine can be a source and has a free upload slot.
     pub(super) fn gives(&self, slots: u32) -> bool {
         self.hands_on() && self.load() < slots
     }
--- a/crates/image-distribution/src/plan/stages.rs
+++ b/crates/image-distribution/src/plan/stages.rs
@@ -1,18 +1,20 @@
-//! The stages of a rollout: each lets more machines fetch at a time, and is recorded before.
+//! The stages of a rollout. Each stage lets more machines fetch at a time, and is recorded
+//! before it opens.
 
 use super::Rollout;
 use crate::record::{RolloutRecord, VERSION};
 
-/// A stage is open for at least so long, and seeds are written no more often: a
-/// rollout of 10,000 machines is six changes.
+/// Minimum time that a stage is open, and minimum time between two writes of the seeds, in
+/// seconds. With this value, a rollout to 10,000 machines takes six changes.
 pub const MIN_STAGE_S: f64 = 1.0;
 
-/// No stage beyond: more machines than there can be.
+/// Number of the last stage. It allows more machines than a fleet can have.
 pub(super) const LAST_STAGE: u32 = 9;
 
 impl Rollout {
-    /// The record to write, if a step is due at `now` seconds: the rollout's first,
-    /// the next stage's, or one with other seeds. [`Rollout::written`] once it is.
+    /// Returns the record to write at `now` seconds, if one is due: the rollout's first
+    /// record, the record of the next stage, or one with changed seeds. The caller reports
+    /// the write with [`Rollout::written`].
     pub fn next(&self, now: f64) -> Option<RolloutRecord> {
         let record = |stage| RolloutRecord {
             v: VERSION,
@@ -26,8 +28,9 @@
         if now - self.since < MIN_STAGE_S {
             return None;
         }
-        // A rollout widens only while somebody has the image to hand on: if all
-        // seeds were refused, each stage more would ask the origin for more.
+        // A rollout opens the next stage only while a machine has the image to upload. If
+        // the origin refused all seeds, each further stage would request more from the
+        // origin.
         let flows = self.complete > 0 || (self.fetches > 0 && !self.refused(now));
         let full = self.waiting > 0 && self.fetches >= self.allowed();
         if full && flows && self.stage < LAST_STAGE {
@@ -38,7 +41,7 @@
         (!same).then(|| record(self.stage))
     }
 
-    /// A record is in shared state since `now` seconds: its stage is open.
+    /// Records that a record was written at `now` seconds, which opens the record's stage.
     pub fn written(&mut self, record: RolloutRecord, now: f64) {
         self.stage = self.stage.max(record.stage);
         self.since = now;
--- a/crates/image-distribution/src/plan/starts.rs
+++ b/crates/image-distribution/src/plan/starts.rs
@@ -1,4 +1,5 @@
-//! Starts of machines: which may be sent now, and the sources that each names.
+//! Starts of machines: the starts that may be sent now, and the sources that each start
+//! names.
 
 use sorrelhinge_protocol::types::MachineId;
 
@@ -6,8 +7,8 @@
 use super::{Rollout, Source, Uploads};
 
 impl Rollout {
-    /// Whether a start may be sent to a machine now that will make it fetch the
-    /// image. True also for one that fetches or has it.
+    /// Returns whether a start that makes a machine fetch the image may be sent to it now.
+    /// Returns true also for a machine that is fetching the image or has it.
     pub fn may_start(&self, machine: &MachineId, uploads: &Uploads, now: f64) -> bool {
         let Some(node) = self.node(machine) else {
             return false;
@@ -22,10 +23,11 @@
         }
     }
 
-    /// The sources of a machine for the start that is sent to it now, the best
-    /// first; what follows the last is the origin. Empty for a machine that has
-    /// it or isn't known. Asked again for one that fetches, it names what is left of its
-    /// sources: the start may be sent twice.
+    /// Returns the sources to name in the start that is sent to a machine now, the best one
+    /// first. After the last source, the machine uses the origin. Returns no sources for a
+    /// machine that has the image or is not in the rollout. For a machine that is already
+    /// fetching, it returns those of its sources that are left, because a start may be sent
+    /// twice.
     pub fn assign(&mut self, machine: &MachineId, uploads: &mut Uploads, now: f64) -> Vec<Source> {
         let Some(seat) = self.seats.get(machine).copied() else {
             return Vec::new();
--- a/crates/image-distribution/src/plan/takeover.rs
+++ b/crates/image-distribution/src/plan/takeover.rs
@@ -1,4 +1,4 @@
-//! A predecessor's rollout, gone on with after a change of owner.
+//! Continuation of a previous owner's rollout after a change of owner.
 
 use std::collections::BTreeSet;
 
@@ -9,32 +9,35 @@
 use crate::locality::Seat;
 use crate::record::RolloutRecord;
 
-/// What is known of a machine's image at a takeover.
+/// State of the image on a machine at a takeover.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Has {
-    /// A task has run on it here.
+    /// The machine has the complete image, because a task has run on the image there.
     Complete,
-    /// It fetches; so much is there (0 to 1), 0 if not known.
+    /// The machine is fetching the image and has this fraction of it (0 to 1), or 0 if the
+    /// fraction is not known.
     Part(f64),
 }
 
-/// A machine as a successor finds it.
+/// A machine as a new owner finds it.
 #[derive(Clone, Debug)]
 pub struct RecentImages<'a> {
-    /// The machine.
+    /// Machine that has the image or fetches it.
     pub machine: MachineId,
-    /// Its failure domains, the zone first.
+    /// Failure domains of the machine, the zone first.
     pub path: &'a [String],
-    /// What it has of the image.
+    /// State of the image on the machine.
     pub has: Has,
 }
 
 impl Rollout {
-    /// A predecessor's rollout, with the machines on which the image ran or whose
-    /// fetch was begun; none if the record is of a later version. `now` in
-    /// seconds. Seeds that are there still count, so the origin isn't asked for
-    /// their copies again. Who takes from whom isn't known: new machines take
-    /// from those that have least, which are the ends of the chains, and after
+    /// Returns a previous owner's rollout, with the machines on which the image ran or
+    /// whose fetch was begun. Returns `None` if the record is of a later version. `now` is
+    /// in seconds.
+    ///
+    /// Seeds that still exist keep counting, so the origin is not asked for their copies
+    /// again. The sources of the machines are not known. New machines first take from the
+    /// machines that have the smallest part, which are the ends of the chains, and after
     /// that from each other.
     pub fn resume<'a>(
         record: &RolloutRecord,
@@ -51,7 +54,8 @@
         rollout.since = now;
         rollout.written = Some(record.clone());
         let seeds: BTreeSet<&MachineId> = record.seeds.iter().collect();
-        // In order of names, whatever order they come in: all draw the same.
+        // The machines are sorted by name, so that the result is the same whatever order
+        // they come in.
         let mut ran: Vec<RecentImages> = ran.into_iter().collect();
         ran.sort_by(|a, b| a.machine.cmp(&b.machine));
         ran.dedup_by(|b, a| a.machine == b.machine);
@@ -73,8 +77,9 @@
         Some(rollout)
     }
 
-    /// A machine as it was found: it counts as one that has the image or fetches
-    /// it, and as a seed if it is one. `stage`: the one that the record names.
+    /// Returns the entry of a machine that a new owner finds. Counts the machine as one
+    /// that has the image or fetches it, and as a seed if it is one. `stage` is the stage
+    /// that the record names.
     fn adopt(
         &mut self,
         ran: &RecentImages,
@@ -92,14 +97,16 @@
             }
             Has::Part(done) => {
                 node.state = State::Fetches;
-                // It may have a child; of one slot it is asked all the same.
+                // A fetching machine may already upload to another one. With only one slot,
+                // the machine still counts as free.
                 node.assumed = limits.slots.saturating_sub(1).min(1);
                 node.depth = 1 + (done.clamp(0.0, 1.0) * f64::from(limits.deep)) as u32;
                 self.fetches += 1;
             }
         }
-        // In the first stage no record names the seeds yet: who fetches may
-        // be one, or the next owner would ask for a zone's copies again.
+        // In the first stage, no record names the seeds yet. A fetching machine may be a
+        // seed, so it counts as one; otherwise the new owner would request the zone's
+        // copies again.
         let maybe = stage == 0
             && node.state == State::Fetches
             && self.heads_of(node.zone) < limits.per_zone;
--- a/crates/image-distribution/src/plan/uploads.rs
+++ b/crates/image-distribution/src/plan/uploads.rs
@@ -1,24 +1,24 @@
-//! What bounds a rollout, where an image comes from, and the uploads under way.
+//! Limits of a rollout, sources of an image, and uploads in flight.
 
 use std::collections::BTreeMap;
 
 use sorrelhinge_protocol::types::MachineId;
 
-/// What bounds a rollout.
+/// Limits of a rollout.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Limits {
-    /// Uploads at once of a machine, all images together. One of them is for a
-    /// machine whose own source was lost.
+    /// Maximum number of concurrent uploads from a machine, over all images. One of them is
+    /// reserved for a machine whose own source was lost.
     pub slots: u32,
-    /// Copies that a zone takes from the origin or from other zones, as long as
+    /// Number of copies that a zone takes from the origin or from other zones, as long as
     /// one of its machines has or fetches the image.
     pub per_zone: u32,
-    /// Copies under way from the origin, all images together.
+    /// Maximum number of copies in flight from the origin, over all images.
     pub origin: u32,
-    /// From so many machines between the image and the end of every chain, a
-    /// zone takes another copy.
+    /// Number of machines between a complete copy and the end of a chain at which a zone
+    /// takes another copy. Every chain of the zone has to be that long.
     pub deep: u32,
-    /// Sources that a start names at most.
+    /// Maximum number of sources that a start names.
     pub sources: usize,
 }
 
@@ -34,17 +34,17 @@
     }
 }
 
-/// Where an image comes from.
+/// Source that a machine takes an image from.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Source {
-    /// Where all images come from.
+    /// The origin, which has all images.
     Origin,
-    /// A machine that has it or fetches it.
+    /// A machine that has the image or fetches it.
     Machine(MachineId),
 }
 
-/// Uploads under way of all rollouts: a machine has several images, and its link is
-/// one.
+/// Uploads in flight of all rollouts. They are counted together, because a machine has
+/// several images but only one link.
 #[derive(Clone, Debug, Default)]
 pub struct Uploads {
     pub(super) of: BTreeMap<MachineId, u32>,
@@ -52,19 +52,19 @@
 }
 
 impl Uploads {
-    /// Uploads that a machine is planned to make.
+    /// Returns the number of uploads that are planned from a machine.
     pub fn of(&self, machine: &MachineId) -> u32 {
         self.of.get(machine).copied().unwrap_or(0)
     }
-    /// Copies under way from the origin.
+    /// Returns the number of copies in flight from the origin.
     pub fn origin(&self) -> u32 {
         self.origin
     }
-    /// A machine makes one more.
+    /// Counts one more upload from a machine.
     pub(super) fn add(&mut self, machine: &MachineId) {
         *self.of.entry(machine.clone()).or_default() += 1;
     }
-    /// A machine makes one less.
+    /// Counts one upload less from a machine.
     pub(super) fn sub(&mut self, machine: &MachineId) {
         if let Some(n) = self.of.get_mut(machine) {
             *n -= 1;
--- a/crates/image-distribution/tests/model.rs
+++ b/crates/image-distribution/tests/model.rs
@@ -1,6 +1,7 @@
-//! The plan against machines that take part after part by nothing but the
-//! sources of their start, over generated losses; and a checker that must reject
-//! plans which ask the origin for all, or let machines wait for each other.
+//! Tests of the plan against model machines. A model machine takes one part after another
+//! and uses only the sources that its start named, while generated events remove machines.
+//! A checker must reject plans that send all requests to the origin or let machines wait
+//! for each other.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -14,7 +15,7 @@
 
 const PARTS: usize = 6;
 const ZONES: usize = 3;
-/// Steps for which an agent waits for a part that its source has not yet got.
+/// Number of steps that an agent waits for a part that its source does not have yet.
 const PATIENCE: u32 = 60;
 
 fn id(n: usize) -> MachineId {
@@ -28,8 +29,8 @@
     vec![format!("z{}", n % ZONES), format!("r{}", n / 7)]
 }
 
-/// Rejects a plan that gives a machine more uploads than slots, a zone more
-/// copies from outside than `copies`, a source that isn't there, or a circle.
+/// Rejects a plan that gives a machine more uploads than slots, a zone more copies from
+/// outside than `copies`, a source that does not exist, or a cycle.
 fn check(
     plan: &BTreeMap<MachineId, Source>,
     there: &BTreeSet<MachineId>,
@@ -110,7 +111,7 @@
     ]
 }
 
-/// A machine's side: it knows the sources it was started with.
+/// Model of a machine's agent, which only knows the sources that its start named.
 #[derive(Default)]
 struct Agent {
     parts: usize,
@@ -126,15 +127,17 @@
     uploads: Uploads,
     limits: Limits,
     born: usize,
-    /// Machines that were told to ask the origin and are there: the truth that
-    /// the rollout's seeds are compared with.
+    /// Machines that were started with the origin as source and still exist. The rollout's
+    /// seeds are compared with these machines.
     seeds: BTreeSet<MachineId>,
-    /// Machines that left and came back: who was started before may not go to
-    /// them, as they may take from it by now.
+    /// Machines that left and came back. A machine that started earlier may not move to one
+    /// of them, because the one that came back may take from it by now.
     back: BTreeSet<MachineId>,
-    /// Seeds that a new owner could not know of: no record named them yet.
+    /// Number of seeds that a new owner could not know of, because no record named them
+    /// yet.
     unknown: usize,
-    /// Parts read from the origin, and those that the plan allows for.
+    /// Number of parts read from the origin. The next field is the number of copies that
+    /// the plan allows.
     origin_parts: usize,
     planned_copies: usize,
     quiet: bool,
@@ -173,8 +176,8 @@
         let of = |m: &MachineId| Some((m.clone(), self.rollout.source(m)?));
         self.agents.keys().filter_map(of).collect()
     }
-    /// Whoever goes to the origin when another leaves has no source left that
-    /// could give.
+    /// Checks that a machine moves to the origin only if none of its sources could still
+    /// upload to it.
     fn moved(&mut self, before: &BTreeMap<MachineId, Source>) -> Result<(), TestCaseError> {
         let after = self.sources();
         let load = |m: &MachineId| {
@@ -234,7 +237,8 @@
         }
         self.moved(&before)
     }
-    /// A new owner: it has the record, and what each machine has.
+    /// Replaces the owner by a new one, which has only the record and each machine's state
+    /// of the image.
     fn take_over(&mut self, now: f64) -> Result<(), TestCaseError> {
         let Some(record) = self.rollout.record().cloned() else {
             return Ok(());
@@ -299,7 +303,7 @@
         let max = if self.quiet { planned } else { usize::MAX };
         check(&self.sources(), &there, self.limits.slots as usize, max).map_err(TestCaseError::fail)
     }
-    /// One part for each that can have it.
+    /// Transfers one part to each machine that can receive one.
     fn transfer(&mut self, step: u32) {
         let had: BTreeMap<MachineId, (usize, bool)> = self
             .agents
@@ -358,9 +362,10 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 64, ..ProptestConfig::default() })]
 
-    /// Whatever is lost, slow, evicted or taken over: everyone that stays gets
-    /// every part, nobody is planned to give to more than its slots, nobody waits
-    /// for itself, and the origin is asked for no more than a zone's copies.
+    /// Machines are lost, slow or evict the image, and owners change. Every machine that
+    /// stays still gets every part, no machine has more planned uploads than slots, no
+    /// machine waits for itself, and the origin receives no more requests than a zone's
+    /// copies.
     #[test]
     fn everyone_that_stays_gets_every_part(
         machines in 1..90_usize,
@@ -387,9 +392,9 @@
         }
     }
 
-    /// After any stage, with its record just written, and in the first one before
-    /// any record names a seed: a successor asks the origin for no more than was
-    /// left of each zone's copies.
+    /// The owner changes after any stage, with the stage's record just written, or in the
+    /// first stage before any record names a seed. The new owner requests no more from the
+    /// origin than what was left of each zone's copies.
     #[test]
     fn a_successor_asks_for_no_more(machines in 1..250_usize, stage in 0..4_u32) {
         let mut world = World::new(machines, Limits { deep: 4, ..Limits::default() });
@@ -410,8 +415,9 @@
     }
 }
 
-/// Neighbours first; two images share a machine's link; a zone that has nothing
-/// takes from the origin, or from another zone while that refuses.
+/// Machines take from near sources first, and two images share a machine's link. A zone
+/// without the image takes it from the origin, or from another zone while the origin
+/// refuses.
 #[test]
 fn near_sources_first_and_links_are_shared() {
     let place = |z: &str, r: &str| vec![z.to_string(), r.to_string()];
@@ -431,7 +437,7 @@
     }
     let first = rollouts[0].assign(&id(3), &mut uploads, 0.0);
     assert_eq!(first, [id(2), id(1)].map(Source::Machine));
-    // The other image's nearest source gives already.
+    // The nearest source is already uploading the other image.
     let second = rollouts[1].assign(&id(3), &mut uploads, 0.0);
     assert_eq!(second[0], Source::Machine(id(1)));
     assert_eq!(
@@ -444,8 +450,9 @@
     assert_eq!((rollouts[1].copies(), rollouts[1].crossings()), (0, 1));
 }
 
-/// A chain heals from within, a zone without a seed asks again, and where all are
-/// too slow the origin is asked rather than nobody.
+/// A chain repairs itself, and a zone without a seed requests the image from the origin
+/// again. Where all sources are too slow, a machine uses the origin rather than wait
+/// forever.
 #[test]
 fn losses_and_slow_sources() {
     let mut uploads = Uploads::default();
@@ -472,14 +479,16 @@
     for n in [1, 3, 4] {
         rollout.slow(&id(n), &mut uploads);
     }
-    // Who has no other source stays with a slow one: the origin isn't asked again.
+    // A machine without another source stays with a slow one, so the origin receives no
+    // further request.
     assert_eq!(rollout.source(&id(3)), Some(Source::Machine(id(1))));
     assert_eq!(rollout.copies(), 2);
     assert!(rollout.may_start(&id(5), &uploads, 0.0));
     assert_eq!(rollout.assign(&id(5), &mut uploads, 0.0), [Source::Origin]);
 }
 
-/// A later version's record is left alone, and this one's form stays.
+/// A record of a later version is not resumed, and the format of this version does not
+/// change.
 #[test]
 fn records_keep_their_form() {
     let text = r#"{"v":1,"i":"img-07","s":2,"m":["vm-1"]}"#;
@@ -492,7 +501,8 @@
 
 #[test]
 fn patience_grows_with_the_fetch() {
-    // As measured for images of seconds, and no more than before for them.
+    // Waits for images that are fetched in seconds are those that were measured, and no
+    // longer than without rollouts.
     for (fetch_s, max_s) in [(20.0, 1.0), (100.0, 5.0), (280.0, 14.0), (4_000.0, 30.0)] {
         assert_eq!(threshold_s(fetch_s), max_s);
     }
@@ -503,7 +513,7 @@
     assert!(abandon_cost(1.0, 280.0).is_finite());
 }
 
-/// An upgrade must not evict the version that serves, nor one that is handed on.
+/// An upgrade must not evict the version that serves tasks, nor one that is being uploaded.
 #[test]
 fn what_serves_stays() {
     let cache = [
