--- a/crates/image-distribution/tests/model.rs
+++ b/crates/image-distribution/tests/model.rs
@@ -501,8 +501,7 @@
 
 #[test]
 fn patience_grows_with_the_fetch() {
-    // Waits for images that are fetched in seconds are those that were measured, and no
-    // longer than without rollouts.
+    // Images that are fetched in seconds keep the waits that were measured for them.
     for (fetch_s, max_s) in [(20.0, 1.0), (100.0, 5.0), (280.0, 14.0), (4_000.0, 30.0)] {
         assert_eq!(threshold_s(fetch_s), max_s);
     }
