--- a/crates/image-distribution/src/fetch_timeout.rs
+++ b/crates/image-distribution/src/fetch_timeout.rs
@@ -23,7 +23,7 @@
 const ALLOWED_FACTOR: f64 = 3.0;
 /// Additional seconds that a fetch may take, for the stages of a rollout and for sources
 /// that don't answer.
-const ALLOWED_MORE_S: f64 = 30.0;
+const ALLOWED_EXTRA_S: f64 = 30.0;
 /// Minimum fraction of a fetch that counts as remaining, which keeps the cost of abandoning
 /// the fetch finite.
 const MIN_LEFT_SHARE: f64 = 0.1;
@@ -54,7 +54,7 @@
 
 /// Returns how long a machine may fetch an image before it counts as stuck.
 pub fn fetch_allowance_s(gb: f64, gb_per_s: f64) -> f64 {
-    ALLOWED_FACTOR * fetch_s(gb, gb_per_s) + ALLOWED_MORE_S
+    ALLOWED_FACTOR * fetch_s(gb, gb_per_s) + ALLOWED_EXTRA_S
 }
 
 /// Returns the cost of abandoning a fetch, in seconds: the time spent on it for each second
@@ -84,20 +84,20 @@
     pub moves: bool,
 }
 
-/// Returns the images to evict from a cache of `free_capacity_gb` so that an image of `gb`
+/// Returns the images to evict from a cache of `capacity_gb` so that an image of `gb`
 /// fits, or `None` if it can't fit. `cached` is ordered from the least recently used image,
 /// and the eviction follows this order. Images that serve tasks, are being fetched or are
 /// being uploaded stay. An upgrade that evicted the serving version could not be rolled
 /// back, and a lost replica would need a fetch of minutes.
-pub fn evictable(cached: &[Cached], gb: f64, free_capacity_gb: f64) -> Option<Vec<Image>> {
-    let mut over = cached.iter().map(|c| c.gb).sum::<f64>() + gb - free_capacity_gb;
-    let mut leave = Vec::new();
+pub fn evictable(cached: &[Cached], gb: f64, capacity_gb: f64) -> Option<Vec<Image>> {
+    let mut excess_gb = cached.iter().map(|c| c.gb).sum::<f64>() + gb - capacity_gb;
+    let mut evicted = Vec::new();
     for c in cached.iter().filter(|c| !c.serves && !c.moves) {
-        if over <= 0.0 {
+        if excess_gb <= 0.0 {
             break;
         }
-        over -= c.gb;
-        leave.push(c.image.clone());
+        excess_gb -= c.gb;
+        evicted.push(c.image.clone());
     }
-    (over <= 0.0).then_some(leave)
+    (excess_gb <= 0.0).then_some(evicted)
 }
--- a/crates/image-distribution/src/plan.rs
+++ b/crates/image-distribution/src/plan.rs
@@ -27,12 +27,12 @@
 
 use sorrelhinge_protocol::types::{Image, MachineId};
 
-use self::node::{Node, State, Up};
+use self::node::{Node, State, Upstream};
 use self::stages::LAST_STAGE;
 pub use self::stages::MIN_STAGE_S;
 pub use self::takeover::{Has, RecentImages};
 pub use self::uploads::{Limits, Source, Uploads};
-use crate::locality::{Domain, Locality, Seat};
+use crate::locality::{Domain, Locality, MemberId};
 use crate::record::RolloutRecord;
 
 /// Number of a rollout's machines in each state.
@@ -56,17 +56,17 @@
     since: f64,
     written: Option<RolloutRecord>,
     refused_until: f64,
-    nodes: BTreeMap<Seat, Node>,
-    seats: BTreeMap<MachineId, Seat>,
-    next_seat: Seat,
+    nodes: BTreeMap<MemberId, Node>,
+    members: BTreeMap<MachineId, MemberId>,
+    next_member: MemberId,
     locality: Locality,
     /// Machines that fetched a copy from outside their zone, each with its zone.
     seeds: BTreeMap<MachineId, Domain>,
-    heads: BTreeMap<Domain, u32>,
+    seeds_per_zone: BTreeMap<Domain, u32>,
     waiting: u32,
     fetches: u32,
     complete: u32,
-    hand_on: u32,
+    source_count: u32,
     copies: u64,
     crossings: u64,
 }
@@ -83,15 +83,15 @@
             written: None,
             refused_until: f64::NEG_INFINITY,
             nodes: BTreeMap::new(),
-            seats: BTreeMap::new(),
-            next_seat: 0,
+            members: BTreeMap::new(),
+            next_member: 0,
             locality: Locality::default(),
             seeds: BTreeMap::new(),
-            heads: BTreeMap::new(),
+            seeds_per_zone: BTreeMap::new(),
             waiting: 0,
             fetches: 0,
             complete: 0,
-            hand_on: 0,
+            source_count: 0,
             copies: 0,
             crossings: 0,
         }
@@ -141,10 +141,10 @@
     /// Returns the source that a machine takes the image from, as far as this owner knows.
     /// Returns `None` if the machine does not fetch or a previous owner started it.
     pub fn source(&self, machine: &MachineId) -> Option<Source> {
-        match self.node(machine)?.up {
-            Up::None => None,
-            Up::Origin => Some(Source::Origin),
-            Up::From(s) => Some(Source::Machine(self.nodes.get(&s)?.id.clone())),
+        match self.node(machine)?.upstream {
+            Upstream::None => None,
+            Upstream::Origin => Some(Source::Origin),
+            Upstream::From(s) => Some(Source::Machine(self.nodes.get(&s)?.id.clone())),
         }
     }
 
@@ -152,16 +152,16 @@
     /// names the machine's zone, rack and switch as far as known. A machine that is already
     /// in the rollout stays unchanged.
     pub fn join(&mut self, machine: MachineId, path: &[String], complete: bool) {
-        if self.seats.contains_key(&machine) {
+        if self.members.contains_key(&machine) {
             return;
         }
-        let seat = self.take_seat();
+        let member = self.new_member_id();
         let node = self.node_of(machine.clone(), path);
-        self.nodes.insert(seat, node);
-        self.seats.insert(machine, seat);
+        self.nodes.insert(member, node);
+        self.members.insert(machine, member);
         if complete {
             self.complete += 1;
-            self.change(seat, |n| n.state = State::Complete);
+            self.change(member, |n| n.state = State::Complete);
         } else {
             self.waiting += 1;
         }
@@ -169,19 +169,19 @@
 
     /// Records that a machine has the complete image, because a task runs on it.
     pub fn arrived(&mut self, machine: &MachineId, uploads: &mut Uploads) {
-        let Some(seat) = self.seats.get(machine).copied() else {
+        let Some(member) = self.members.get(machine).copied() else {
             return;
         };
-        match self.nodes[&seat].state {
+        match self.nodes[&member].state {
             State::Complete => return,
             State::Waits => self.waiting -= 1,
             State::Fetches => self.fetches -= 1,
         }
         self.complete += 1;
-        self.detach(seat, uploads);
-        self.change(seat, |n| {
+        self.detach(member, uploads);
+        self.change(member, |n| {
             n.state = State::Complete;
-            n.assumed = 0;
+            n.assumed_uploads = 0;
             n.depth = 0;
             n.from.clear();
         });
@@ -191,20 +191,20 @@
     /// that took the image from it continue with the next of their sources, as their agents
     /// do.
     pub fn lost(&mut self, machine: &MachineId, uploads: &mut Uploads) {
-        let Some(seat) = self.seats.remove(machine) else {
+        let Some(member) = self.members.remove(machine) else {
             return;
         };
-        self.detach(seat, uploads);
+        self.detach(member, uploads);
         // The machine leaves the index of sources first, or the machines that took from it
         // would be sent back to it.
-        self.change(seat, |n| n.slow = true);
+        self.change(member, |n| n.slow = true);
         if let Some(zone) = self.seeds.remove(machine) {
-            if let Some(n) = self.heads.get_mut(&zone) {
+            if let Some(n) = self.seeds_per_zone.get_mut(&zone) {
                 *n -= 1;
             }
         }
-        self.move_children(seat, uploads, true);
-        let Some(node) = self.nodes.remove(&seat) else {
+        self.move_children(member, uploads, true);
+        let Some(node) = self.nodes.remove(&member) else {
             return;
         };
         match node.state {
@@ -225,11 +225,11 @@
     /// counts as a seed, because otherwise slow seeds would cause requests to the origin
     /// again and again.
     pub fn slow(&mut self, machine: &MachineId, uploads: &mut Uploads) {
-        let Some(seat) = self.seats.get(machine).copied() else {
+        let Some(member) = self.members.get(machine).copied() else {
             return;
         };
-        self.change(seat, |n| n.slow = true);
-        self.move_children(seat, uploads, false);
+        self.change(member, |n| n.slow = true);
+        self.move_children(member, uploads, false);
     }
 
     /// Records that the origin refused a request or is too slow. The rollout requests
@@ -240,10 +240,10 @@
     }
 
     /// Returns the next membership number, which no machine has had before.
-    fn take_seat(&mut self) -> Seat {
-        let seat = self.next_seat;
-        self.next_seat += 1;
-        seat
+    fn new_member_id(&mut self) -> MemberId {
+        let member = self.next_member;
+        self.next_member += 1;
+        member
     }
 
     /// Returns the entry of a machine that waits for the image.
@@ -253,9 +253,9 @@
             domain,
             zone: self.locality.zone(domain),
             state: State::Waits,
-            up: Up::None,
+            upstream: Upstream::None,
             children: BTreeSet::new(),
-            assumed: 0,
+            assumed_uploads: 0,
             depth: 0,
             from: Vec::new(),
             slow: false,
@@ -265,6 +265,6 @@
 
     /// Returns the rollout's entry of a machine, if the machine is in the rollout.
     fn node(&self, machine: &MachineId) -> Option<&Node> {
-        self.nodes.get(self.seats.get(machine)?)
+        self.nodes.get(self.members.get(machine)?)
     }
 }
--- a/crates/image-distribution/src/plan/stages.rs
+++ b/crates/image-distribution/src/plan/stages.rs
@@ -31,9 +31,9 @@
         // A rollout opens the next stage only while a machine has the image to upload. If
         // the origin refused all seeds, each further stage would request more from the
         // origin.
-        let flows = self.complete > 0 || (self.fetches > 0 && !self.refused(now));
+        let can_grow = self.complete > 0 || (self.fetches > 0 && !self.origin_refuses(now));
         let full = self.waiting > 0 && self.fetches >= self.allowed();
-        if full && flows && self.stage < LAST_STAGE {
+        if full && can_grow && self.stage < LAST_STAGE {
             return Some(record(self.stage + 1));
         }
         let same = written.seeds.len() == self.seeds.len()
--- a/crates/image-distribution/src/plan/starts.rs
+++ b/crates/image-distribution/src/plan/starts.rs
@@ -3,7 +3,7 @@
 
 use sorrelhinge_protocol::types::MachineId;
 
-use super::node::{State, Up};
+use super::node::{State, Upstream};
 use super::{Rollout, Source, Uploads};
 
 impl Rollout {
@@ -29,27 +29,27 @@
     /// fetching, it returns those of its sources that are left, because a start may be sent
     /// twice.
     pub fn assign(&mut self, machine: &MachineId, uploads: &mut Uploads, now: f64) -> Vec<Source> {
-        let Some(seat) = self.seats.get(machine).copied() else {
+        let Some(member) = self.members.get(machine).copied() else {
             return Vec::new();
         };
-        let node = &self.nodes[&seat];
+        let node = &self.nodes[&member];
         match node.state {
             State::Complete => return Vec::new(),
-            State::Fetches => return self.named(node),
+            State::Fetches => return self.sent_sources(node),
             State::Waits => {}
         }
-        let up = self.choose(node, uploads, now).unwrap_or(Up::Origin);
-        let from = match up {
-            Up::From(source) => self.alternatives(node.zone, source),
+        let upstream = self.choose(node, uploads, now).unwrap_or(Upstream::Origin);
+        let from = match upstream {
+            Upstream::From(source) => self.alternatives(node.zone, source),
             _ => Vec::new(),
         };
         self.waiting -= 1;
         self.fetches += 1;
-        self.change(seat, |n| {
+        self.change(member, |n| {
             n.state = State::Fetches;
             n.from = from;
         });
-        self.attach(seat, up, uploads);
-        self.named(&self.nodes[&seat])
+        self.attach(member, upstream, uploads);
+        self.sent_sources(&self.nodes[&member])
     }
 }
--- a/crates/image-distribution/src/plan/takeover.rs
+++ b/crates/image-distribution/src/plan/takeover.rs
@@ -4,9 +4,9 @@
 
 use sorrelhinge_protocol::types::MachineId;
 
-use super::node::{Node, State, Up};
+use super::node::{Node, State, Upstream};
 use super::{Limits, Rollout, Uploads, LAST_STAGE};
-use crate::locality::Seat;
+use crate::locality::MemberId;
 use crate::record::RolloutRecord;
 
 /// State of the image on a machine at a takeover.
@@ -60,19 +60,19 @@
         ran.sort_by(|a, b| a.machine.cmp(&b.machine));
         ran.dedup_by(|b, a| a.machine == b.machine);
         let mut ranks = Vec::with_capacity(ran.len());
-        let mut seats = Vec::with_capacity(ran.len());
+        let mut members = Vec::with_capacity(ran.len());
         let mut nodes = Vec::with_capacity(ran.len());
         for r in ran {
-            let (seat, node) = rollout.adopt(&r, &seeds, record.stage, uploads);
-            rollout.hand_on += 1;
-            if node.gives(limits.slots) {
-                ranks.push((node.domain, node.rank(seat)));
+            let (member, node) = rollout.adopt(&r, &seeds, record.stage, uploads);
+            rollout.source_count += 1;
+            if node.has_free_slot(limits.slots) {
+                ranks.push((node.domain, node.rank(member)));
             }
-            nodes.push((seat, node));
-            seats.push((r.machine, seat));
+            nodes.push((member, node));
+            members.push((r.machine, member));
         }
         rollout.nodes = nodes.into_iter().collect();
-        rollout.seats = seats.into_iter().collect();
+        rollout.members = members.into_iter().collect();
         rollout.locality.fill(&ranks);
         Some(rollout)
     }
@@ -86,9 +86,9 @@
         seeds: &BTreeSet<&MachineId>,
         stage: u32,
         uploads: &mut Uploads,
-    ) -> (Seat, Node) {
+    ) -> (MemberId, Node) {
         let limits = self.limits;
-        let seat = self.take_seat();
+        let member = self.new_member_id();
         let mut node = self.node_of(ran.machine.clone(), ran.path);
         match ran.has {
             Has::Complete => {
@@ -99,7 +99,7 @@
                 node.state = State::Fetches;
                 // A fetching machine may already upload to another one. With only one slot,
                 // the machine still counts as free.
-                node.assumed = limits.slots.saturating_sub(1).min(1);
+                node.assumed_uploads = limits.slots.saturating_sub(1).min(1);
                 node.depth = 1 + (done.clamp(0.0, 1.0) * f64::from(limits.deep)) as u32;
                 self.fetches += 1;
             }
@@ -109,14 +109,14 @@
         // copies again.
         let maybe = stage == 0
             && node.state == State::Fetches
-            && self.heads_of(node.zone) < limits.per_zone;
+            && self.seed_count(node.zone) < limits.per_zone;
         if seeds.contains(&ran.machine) || maybe {
             self.seed(&node.id, node.zone);
             if node.state == State::Fetches {
-                node.up = Up::Origin;
+                node.upstream = Upstream::Origin;
                 uploads.origin += 1;
             }
         }
-        (seat, node)
+        (member, node)
     }
 }
