--- a/crates/image-distribution/examples/rollout.rs
+++ b/crates/image-distribution/examples/rollout.rs
@@ -52,15 +52,15 @@
 /// that stays.
 fn losses(n: usize, part: f64, within: f64) -> Vec<f64> {
     let mut state = 0x9e37_79b9_7f4a_7c15_u64 ^ n as u64;
-    let mut draw = || {
+    let mut next_random = || {
         state = state.wrapping_add(0x9e37_79b9_7f4a_7c15);
         let mut z = (state ^ (state >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
         z = (z ^ (z >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
         (z >> 11) as f64 / (1_u64 << 53) as f64
     };
     let one = |_| {
-        if draw() < part {
-            draw() * within
+        if next_random() < part {
+            next_random() * within
         } else {
             f64::INFINITY
         }
@@ -118,13 +118,13 @@
     // lost.
     let key = |t: f64, who: usize| Reverse((t.to_bits(), who));
     let mut free: BinaryHeap<_> = (0..ORIGIN_LINKS).map(|_| key(0.0, usize::MAX)).collect();
-    let mut wants: VecDeque<(usize, f64)> = (0..lost.len()).map(|m| (m, 0.0)).collect();
+    let mut waiting: VecDeque<(usize, f64)> = (0..lost.len()).map(|m| (m, 0.0)).collect();
     let mut out = Outcome {
         last_s: 0.0,
         copies: 0.0,
         done: Vec::new(),
     };
-    while let Some((m, from)) = wants.pop_front() {
+    while let Some((m, from)) = waiting.pop_front() {
         let Reverse((at, who)) = free.pop().unwrap_or(key(0.0, usize::MAX));
         let begin = f64::from_bits(at).max(from);
         let source_lost = lost.get(who).copied().unwrap_or(f64::INFINITY);
@@ -133,7 +133,7 @@
             continue;
         }
         if source_lost <= begin {
-            wants.push_front((m, from));
+            waiting.push_front((m, from));
             continue;
         }
         let end = (begin + fetch_s).min(lost[m]).min(source_lost);
@@ -149,7 +149,7 @@
             continue;
         }
         if source_lost <= end {
-            wants.push_back((m, end));
+            waiting.push_back((m, end));
             continue;
         }
         out.last_s = out.last_s.max(end);
@@ -189,14 +189,14 @@
     rollout: Rollout,
     uploads: Uploads,
     /// Machines that are lost, ordered by the time of loss, the earliest one last.
-    leaves: Vec<Leave>,
+    upcoming_losses: Vec<Loss>,
     /// Machines that have not been started yet.
     pending: VecDeque<usize>,
     started: Vec<Started>,
 }
 
 /// A machine that is lost, with the time of the loss.
-struct Leave {
+struct Loss {
     at: f64,
     machine: usize,
 }
@@ -207,17 +207,17 @@
         for m in 0..lost.len() {
             rollout.join(id(m), &path(m), false);
         }
-        let leaves = lost.iter().enumerate();
-        let mut leaves: Vec<Leave> = leaves
-            .map(|(machine, at)| Leave { at: *at, machine })
+        let upcoming_losses = lost.iter().enumerate();
+        let mut upcoming_losses: Vec<Loss> = upcoming_losses
+            .map(|(machine, at)| Loss { at: *at, machine })
             .collect();
-        leaves.sort_by(|a, b| b.at.total_cmp(&a.at));
+        upcoming_losses.sort_by(|a, b| b.at.total_cmp(&a.at));
         Self {
             lost,
             times,
             rollout,
             uploads: Uploads::default(),
-            leaves,
+            upcoming_losses,
             pending: (0..lost.len()).collect(),
             started: Vec::new(),
         }
@@ -241,8 +241,8 @@
 
     /// Reports all machines to the rollout that are lost up to the time `until`.
     fn lose(&mut self, until: f64) {
-        while let Some(leave) = next_lost(&mut self.leaves, until) {
-            let machine = id(leave.machine);
+        while let Some(loss) = next_lost(&mut self.upcoming_losses, until) {
+            let machine = id(loss.machine);
             timed(self.times, || {
                 self.rollout.lost(&machine, &mut self.uploads);
             });
@@ -272,9 +272,9 @@
 
 /// Removes and returns the machine that is lost next, up to a time. The earliest loss is
 /// the last element.
-fn next_lost(leaves: &mut Vec<Leave>, until: f64) -> Option<Leave> {
-    match leaves.last() {
-        Some(leave) if leave.at <= until => leaves.pop(),
+fn next_lost(upcoming_losses: &mut Vec<Loss>, until: f64) -> Option<Loss> {
+    match upcoming_losses.last() {
+        Some(loss) if loss.at <= until => upcoming_losses.pop(),
         _ => None,
     }
 }
@@ -337,10 +337,10 @@
 
     fn run(mut self) -> Result<Outcome, RolloutError> {
         let drop_at = self.last_uses();
-        for (i, of_no_use) in drop_at.iter().enumerate() {
+        for (i, unused) in drop_at.iter().enumerate() {
             let arrived = self.fetch(&self.started[i])?;
             self.had.insert(i, arrived);
-            for o in of_no_use {
+            for o in unused {
                 self.had.remove(o);
             }
         }
@@ -367,18 +367,18 @@
 
     /// Simulates a machine's fetch and returns the time at which each part arrived.
     fn fetch(&mut self, start: &Started) -> Result<Vec<f64>, RolloutError> {
-        let mine = self.lost[start.machine];
+        let lost_at = self.lost[start.machine];
         let mut link = start.at;
         let mut arrived = Vec::with_capacity(self.parts);
         let mut at = 0;
         let mut since = link;
         let source_at = |at: usize| start.from.get(at);
-        while arrived.len() < self.parts && link < mine {
+        while arrived.len() < self.parts && link < lost_at {
             let source = source_at(at).and_then(|f| number(&self.order, f));
             let gone = source.map_or(f64::INFINITY, |o| self.lost[self.started[o].machine]);
             let end = self.part_end(source, arrived.len(), link);
-            if end.min(mine) > gone {
-                self.gave(source, since, gone);
+            if end.min(lost_at) > gone {
+                self.record_upload(source, since, gone);
                 link = link.max(gone) + self.args.detect_s;
                 since = link;
                 at += 1;
@@ -388,16 +388,16 @@
                 self.outcome.copies += 1.0 / self.parts as f64;
             }
             link = end;
-            if end < mine {
+            if end < lost_at {
                 arrived.push(end);
             }
         }
         let source = source_at(at).and_then(|f| number(&self.order, f));
-        self.gave(source, since, link.min(mine));
+        self.record_upload(source, since, link.min(lost_at));
         if arrived.len() == self.parts {
             self.outcome.last_s = self.outcome.last_s.max(link);
             self.outcome.done.push(link);
-        } else if mine.is_infinite() {
+        } else if lost_at.is_infinite() {
             return Err(RolloutError::WithoutImage(start.machine));
         }
         Ok(arrived)
@@ -415,7 +415,7 @@
         })
     }
 
-    fn gave(&mut self, source: Option<usize>, from: f64, to: f64) {
+    fn record_upload(&mut self, source: Option<usize>, from: f64, to: f64) {
         let interval = Interval { from, to };
         self.busy.entry(source).or_default().push(interval);
     }
--- a/crates/image-distribution/tests/model.rs
+++ b/crates/image-distribution/tests/model.rs
@@ -16,7 +16,7 @@
 const PARTS: usize = 6;
 const ZONES: usize = 3;
 /// Number of steps that an agent waits for a part that its source does not have yet.
-const PATIENCE: u32 = 60;
+const SOURCE_WAIT_STEPS: u32 = 60;
 
 fn id(n: usize) -> MachineId {
     MachineId::from(&*format!("vm-{n:04}"))
@@ -72,21 +72,23 @@
         _ => Source::Machine(id(n - 3)),
     };
     let plan = |of: &dyn Fn(usize) -> Source| (0..30).map(|n| (id(n), of(n))).collect();
-    let judge = |of: &dyn Fn(usize) -> Source| check(&plan(of), &there, 2, 3);
-    assert_eq!(judge(&chain), Ok(()));
-    assert!(judge(&|_| Source::Origin).unwrap_err().contains("copies"));
-    let circle = |n| Source::Machine(id((n + 3) % 30));
-    assert!(judge(&circle).unwrap_err().contains("itself"));
+    let check_plan = |of: &dyn Fn(usize) -> Source| check(&plan(of), &there, 2, 3);
+    assert_eq!(check_plan(&chain), Ok(()));
+    assert!(check_plan(&|_| Source::Origin)
+        .unwrap_err()
+        .contains("copies"));
+    let cycle = |n| Source::Machine(id((n + 3) % 30));
+    assert!(check_plan(&cycle).unwrap_err().contains("itself"));
     let star = |n| match n {
         0..3 => Source::Origin,
         _ => Source::Machine(id(n % 3)),
     };
-    assert!(judge(&star).unwrap_err().contains("gives to"));
+    assert!(check_plan(&star).unwrap_err().contains("gives to"));
     let gone = |n| match n {
         9 => Source::Machine(id(99)),
         _ => chain(n),
     };
-    assert!(judge(&gone).unwrap_err().contains("isn't there"));
+    assert!(check_plan(&gone).unwrap_err().contains("isn't there"));
 }
 
 #[derive(Clone, Copy, Debug)]
@@ -126,21 +128,21 @@
     rollout: Rollout,
     uploads: Uploads,
     limits: Limits,
-    born: usize,
+    joined: usize,
     /// Machines that were started with the origin as source and still exist. The rollout's
     /// seeds are compared with these machines.
     seeds: BTreeSet<MachineId>,
     /// Machines that left and came back. A machine that started earlier may not move to one
     /// of them, because the one that came back may take from it by now.
-    back: BTreeSet<MachineId>,
+    rejoined: BTreeSet<MachineId>,
     /// Number of seeds that a new owner could not know of, because no record named them
     /// yet.
-    unknown: usize,
+    unrecorded_seeds: usize,
     /// Number of parts read from the origin. The next field is the number of copies that
     /// the plan allows.
     origin_parts: usize,
     planned_copies: usize,
-    quiet: bool,
+    no_events: bool,
 }
 
 impl World {
@@ -150,23 +152,23 @@
             rollout: Rollout::new(Image::from("weights"), limits),
             uploads: Uploads::default(),
             limits,
-            born: 0,
+            joined: 0,
             seeds: BTreeSet::new(),
-            back: BTreeSet::new(),
-            unknown: 0,
+            rejoined: BTreeSet::new(),
+            unrecorded_seeds: 0,
             origin_parts: 0,
             planned_copies: 0,
-            quiet: true,
+            no_events: true,
         };
         world.join(machines);
         world
     }
     fn join(&mut self, machines: usize) {
-        for n in self.born..self.born + machines {
+        for n in self.joined..self.joined + machines {
             self.agents.insert(id(n), Agent::default());
             self.rollout.join(id(n), &path(&id(n)), false);
         }
-        self.born += machines;
+        self.joined += machines;
     }
     fn pick(&self, n: usize) -> Option<MachineId> {
         let len = self.agents.len().max(1);
@@ -178,7 +180,10 @@
     }
     /// Checks that a machine moves to the origin only if none of its sources could still
     /// upload to it.
-    fn moved(&mut self, before: &BTreeMap<MachineId, Source>) -> Result<(), TestCaseError> {
+    fn check_moves_to_origin(
+        &mut self,
+        before: &BTreeMap<MachineId, Source>,
+    ) -> Result<(), TestCaseError> {
         let after = self.sources();
         let load = |m: &MachineId| {
             let takes = |s: &&Source| **s == Source::Machine(m.clone());
@@ -191,7 +196,7 @@
             let sent = self.agents[m].from.iter().flatten();
             for s in sent {
                 let Source::Machine(s) = s else { continue };
-                if self.back.contains(s) {
+                if self.rejoined.contains(s) {
                     continue;
                 }
                 let there = self.agents.get(s).filter(|a| !a.slow && a.from.is_some());
@@ -205,8 +210,8 @@
         }
         Ok(())
     }
-    fn happen(&mut self, event: Event, now: f64) -> Result<(), TestCaseError> {
-        self.quiet = false;
+    fn apply_event(&mut self, event: Event, now: f64) -> Result<(), TestCaseError> {
+        self.no_events = false;
         let before = self.sources();
         match event {
             Event::Join(n) => self.join(n),
@@ -220,7 +225,7 @@
             Event::Evict(n) => {
                 if let Some(m) = self.pick(n) {
                     self.seeds.remove(&m);
-                    self.back.insert(m.clone());
+                    self.rejoined.insert(m.clone());
                     self.rollout.evicted(&m, &mut self.uploads);
                     self.rollout.join(m.clone(), &path(&m), false);
                     self.agents.insert(m, Agent::default());
@@ -235,7 +240,7 @@
             Event::Refuse => self.rollout.origin_refused(now + 5.0),
             Event::Takeover => return self.take_over(now),
         }
-        self.moved(&before)
+        self.check_moves_to_origin(&before)
     }
     /// Replaces the owner by a new one, which has only the record and each machine's state
     /// of the image.
@@ -247,7 +252,7 @@
         let record: RolloutRecord = serde_json::from_str(&text).unwrap();
         if record.stage > 0 {
             let named: BTreeSet<&MachineId> = record.seeds.iter().collect();
-            self.unknown += self.seeds.iter().filter(|m| !named.contains(m)).count();
+            self.unrecorded_seeds += self.seeds.iter().filter(|m| !named.contains(m)).count();
         }
         let of = |m: &MachineId| (m.clone(), path(m));
         let paths: BTreeMap<MachineId, Vec<String>> = self.agents.keys().map(of).collect();
@@ -288,7 +293,7 @@
                 let of_zone = self.seeds.iter().filter(|s| zone(s) == zone(&m)).count();
                 let all_slow = self.agents.values().any(|a| a.slow);
                 prop_assert!(
-                    of_zone < self.limits.per_zone as usize + self.unknown || all_slow,
+                    of_zone < self.limits.per_zone as usize + self.unrecorded_seeds || all_slow,
                     "{} asks the origin after {} others of its zone",
                     m,
                     of_zone
@@ -300,7 +305,7 @@
         }
         let there = self.agents.keys().cloned().collect();
         let planned = self.limits.per_zone as usize;
-        let max = if self.quiet { planned } else { usize::MAX };
+        let max = if self.no_events { planned } else { usize::MAX };
         check(&self.sources(), &there, self.limits.slots as usize, max).map_err(TestCaseError::fail)
     }
     /// Transfers one part to each machine that can receive one.
@@ -310,7 +315,7 @@
             .iter()
             .map(|(m, a)| (m.clone(), (a.parts, a.slow)))
             .collect();
-        let mut given: BTreeMap<MachineId, u32> = BTreeMap::new();
+        let mut uploads: BTreeMap<MachineId, u32> = BTreeMap::new();
         let mut complete = Vec::new();
         for (m, a) in &mut self.agents {
             let Some(from) = a.from.as_ref().filter(|_| a.parts < PARTS) else {
@@ -321,10 +326,10 @@
                     a.at += 1;
                     continue;
                 };
-                let uses = given.entry(s.clone()).or_default();
+                let uses = uploads.entry(s.clone()).or_default();
                 if *parts <= a.parts || *uses >= self.limits.slots || (*slow && step % 4 != 0) {
                     a.waited += 1;
-                    if a.waited > PATIENCE {
+                    if a.waited > SOURCE_WAIT_STEPS {
                         (a.at, a.waited) = (a.at + 1, 0);
                     }
                     continue;
@@ -367,7 +372,7 @@
     /// machine waits for itself, and the origin receives no more requests than a zone's
     /// copies.
     #[test]
-    fn everyone_that_stays_gets_every_part(
+    fn every_remaining_machine_gets_every_part(
         machines in 1..90_usize,
         per_zone in 1..4_u32,
         deep in 1..12_u32,
@@ -381,12 +386,12 @@
         let mut step = 0;
         while !world.done() || events.peek().is_some() {
             while let Some((_, e)) = events.next_if(|(at, _)| *at <= step) {
-                world.happen(e, f64::from(step))?;
+                world.apply_event(e, f64::from(step))?;
             }
             world.step(&mut step)?;
         }
         prop_assert!(world.rollout.over());
-        if world.quiet {
+        if world.no_events {
             prop_assert!(world.origin_parts <= PARTS * world.planned_copies);
             prop_assert!(world.planned_copies <= per_zone as usize * ZONES);
         }
@@ -396,7 +401,7 @@
     /// first stage before any record names a seed. The new owner requests no more from the
     /// origin than what was left of each zone's copies.
     #[test]
-    fn a_successor_asks_for_no_more(machines in 1..250_usize, stage in 0..4_u32) {
+    fn new_owner_requests_no_more_copies(machines in 1..250_usize, stage in 0..4_u32) {
         let mut world = World::new(machines, Limits { deep: 4, ..Limits::default() });
         let mut step = 0;
         while step == 0 || (world.rollout.stage() < stage && step < 30) {
@@ -407,7 +412,7 @@
             world.rollout.written(record, f64::from(step));
         }
         world.take_over(f64::from(step))?;
-        prop_assert_eq!(world.unknown, 0);
+        prop_assert_eq!(world.unrecorded_seeds, 0);
         while !world.done() {
             world.step(&mut step)?;
         }
@@ -490,7 +495,7 @@
 /// A record of a later version is not resumed, and the format of this version does not
 /// change.
 #[test]
-fn records_keep_their_form() {
+fn record_format_is_stable() {
     let text = r#"{"v":1,"i":"img-07","s":2,"m":["vm-1"]}"#;
     let mut record: RolloutRecord = serde_json::from_str(text).unwrap();
     assert_eq!(serde_json::to_string(&record).unwrap(), text);
@@ -500,7 +505,7 @@
 }
 
 #[test]
-fn patience_grows_with_the_fetch() {
+fn wait_grows_with_fetch_time() {
     // Images that are fetched in seconds keep the waits that were measured for them.
     for (fetch_s, max_s) in [(20.0, 1.0), (100.0, 5.0), (280.0, 14.0), (4_000.0, 30.0)] {
         assert_eq!(threshold_s(fetch_s), max_s);
@@ -514,7 +519,7 @@
 
 /// An upgrade must not evict the version that serves tasks, nor one that is being uploaded.
 #[test]
-fn what_serves_stays() {
+fn serving_images_are_not_evicted() {
     let cache = [
         ("v1", 100.0, true, false),
         ("old", 60.0, false, false),
@@ -528,7 +533,7 @@
         moves,
     });
     let old = vec![Image::from("old")];
-    for (gb, gone) in [(10.0, Some(vec![])), (50.0, Some(old)), (100.0, None)] {
-        assert_eq!(evictable(&cache, gb, 200.0), gone);
+    for (gb, evicted) in [(10.0, Some(vec![])), (50.0, Some(old)), (100.0, None)] {
+        assert_eq!(evictable(&cache, gb, 200.0), evicted);
     }
 }
