--- a/crates/image-distribution/examples/rollout.rs
+++ b/crates/image-distribution/examples/rollout.rs
@@ -93,12 +93,17 @@
 impl std::fmt::Debug for RolloutError {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
-            Self::WithoutImage(machine) => write!(f, "vm-{machine:05} stays without the image"),
+            Self::WithoutImage(machine) => {
+                write!(f, "machine vm-{machine:05} never gets the image")
+            }
             Self::TooManyAtOnce { source, max } => {
-                write!(f, "{source:?} gives to more than {max} at once")
+                write!(
+                    f,
+                    "source {source:?} uploads to more than {max} machines at once"
+                )
             }
-            Self::NoRecord => write!(f, "no record"),
-            Self::OtherVersion => write!(f, "a record of another version"),
+            Self::NoRecord => write!(f, "rollout has not written a record"),
+            Self::OtherVersion => write!(f, "rollout record has another version"),
             Self::Histogram(error) => write!(f, "{error}"),
         }
     }
--- a/crates/image-distribution/tests/model.rs
+++ b/crates/image-distribution/tests/model.rs
@@ -41,7 +41,9 @@
     let mut outside = [0; ZONES];
     for (machine, source) in plan {
         match source {
-            Source::Machine(s) if !there.contains(s) => return Err(format!("{s} isn't there")),
+            Source::Machine(s) if !there.contains(s) => {
+                return Err(format!("source {s} does not exist"))
+            }
             Source::Machine(s) => *uploads.entry(s).or_default() += 1,
             Source::Origin => outside[zone(machine)] += 1,
         }
@@ -52,14 +54,14 @@
             }
         }
         if matches!(plan.get(at), Some(Source::Machine(_))) {
-            return Err(format!("{machine} waits for itself"));
+            return Err(format!("machine {machine} waits for itself"));
         }
     }
     if let Some((s, n)) = uploads.iter().find(|(_, n)| **n > slots) {
-        return Err(format!("{s} gives to {n}"));
+        return Err(format!("source {s} uploads to {n} machines"));
     }
     match outside.iter().find(|n| **n > copies) {
-        Some(n) => Err(format!("{n} copies for a zone")),
+        Some(n) => Err(format!("{n} copies from outside for a zone")),
         None => Ok(()),
     }
 }
@@ -83,12 +85,12 @@
         0..3 => Source::Origin,
         _ => Source::Machine(id(n % 3)),
     };
-    assert!(check_plan(&star).unwrap_err().contains("gives to"));
+    assert!(check_plan(&star).unwrap_err().contains("uploads to"));
     let gone = |n| match n {
         9 => Source::Machine(id(99)),
         _ => chain(n),
     };
-    assert!(check_plan(&gone).unwrap_err().contains("isn't there"));
+    assert!(check_plan(&gone).unwrap_err().contains("does not exist"));
 }
 
 #[derive(Clone, Copy, Debug)]
@@ -202,7 +204,7 @@
                 let there = self.agents.get(s).filter(|a| !a.slow && a.from.is_some());
                 prop_assert!(
                     there.is_none() || load(s) >= self.limits.slots as usize,
-                    "{m} goes to the origin, and {s} could give"
+                    "{m} moves to the origin, although {s} has a free slot"
                 );
             }
             self.seeds.insert(m.clone());
@@ -278,7 +280,11 @@
         if let Some(record) = self.rollout.next(now) {
             prop_assert!(record.stage <= self.rollout.stage() + 1);
             let there = record.seeds.iter().all(|m| self.agents.contains_key(m));
-            prop_assert!(there, "{:?} are not all there", record.seeds);
+            prop_assert!(
+                there,
+                "record names seeds that do not exist: {:?}",
+                record.seeds
+            );
             self.rollout.written(record, now);
         }
         let all: Vec<MachineId> = self.agents.keys().cloned().collect();
@@ -294,7 +300,7 @@
                 let all_slow = self.agents.values().any(|a| a.slow);
                 prop_assert!(
                     of_zone < self.limits.per_zone as usize + self.unrecorded_seeds || all_slow,
-                    "{} asks the origin after {} others of its zone",
+                    "{} uses the origin, although its zone has {} seeds",
                     m,
                     of_zone
                 );
@@ -351,7 +357,7 @@
     fn step(&mut self, step: &mut u32) -> Result<(), TestCaseError> {
         prop_assert!(
             *step < 2_000,
-            "{:?} after 2,000 steps",
+            "rollout not complete after 2,000 steps: {:?}",
             self.rollout.counts()
         );
         self.decide(f64::from(*step))?;
@@ -407,7 +413,7 @@
         while step == 0 || (world.rollout.stage() < stage && step < 30) {
             world.step(&mut step)?;
         }
-        prop_assert!(machines <= 12 || stage == 0 || world.rollout.stage() > 0, "no next stage");
+        prop_assert!(machines <= 12 || stage == 0 || world.rollout.stage() > 0, "rollout did not reach the next stage");
         if let Some(record) = world.rollout.next(f64::from(step)).filter(|_| stage > 0) {
             world.rollout.written(record, f64::from(step));
         }
@@ -436,7 +442,7 @@
         let record = rollout.next(0.0).unwrap();
         assert!(
             !rollout.may_start(&id(3), &uploads, 0.0),
-            "before its record"
+            "a start must wait for the first record"
         );
         rollout.written(record, 0.0);
     }
