--- a/crates/image-distribution/examples/rollout.rs
+++ b/crates/image-distribution/examples/rollout.rs
@@ -299,9 +299,9 @@
     args: &'a Args,
     lost: &'a [f64],
     started: &'a [Started],
-    /// Number of parts of the image. The next field is the time in seconds that one part
-    /// takes at full rate.
+    /// Number of parts of the image.
     parts: usize,
+    /// Time in seconds that one part takes at full rate.
     part_s: f64,
     /// Position of each machine among the started machines.
     order: BTreeMap<MachineId, usize>,
--- a/crates/image-distribution/src/plan/node.rs
+++ b/crates/image-distribution/src/plan/node.rs
@@ -30,8 +30,9 @@
 #[derive(Clone, Debug)]
 pub(super) struct Node {
     pub(super) id: MachineId,
-    /// Innermost failure domain of the machine; the next field is its zone.
+    /// Innermost failure domain that contains the machine.
     pub(super) domain: Domain,
+    /// Zone that contains the machine.
     pub(super) zone: Domain,
     pub(super) state: State,
     pub(super) upstream: Upstream,
--- a/crates/image-distribution/src/plan/uploads.rs
+++ b/crates/image-distribution/src/plan/uploads.rs
@@ -64,7 +64,7 @@
     pub(super) fn add(&mut self, machine: &MachineId) {
         *self.of.entry(machine.clone()).or_default() += 1;
     }
-    /// Counts one upload less from a machine.
+    /// Counts one upload fewer from a machine.
     pub(super) fn sub(&mut self, machine: &MachineId) {
         if let Some(n) = self.of.get_mut(machine) {
             *n -= 1;
--- a/crates/image-distribution/tests/model.rs
+++ b/crates/image-distribution/tests/model.rs
@@ -140,9 +140,9 @@
     /// Number of seeds that a new owner could not know of, because no record named them
     /// yet.
     unrecorded_seeds: usize,
-    /// Number of parts read from the origin. The next field is the number of copies that
-    /// the plan allows.
+    /// Number of parts that all machines read from the origin.
     origin_parts: usize,
+    /// Number of copies from the origin that the plan allows.
     planned_copies: usize,
     no_events: bool,
 }
--- a/crates/sharding/src/fair.rs
+++ b/crates/sharding/src/fair.rs
@@ -34,10 +34,10 @@
     }
 }
 
-/// Of this many items served, one is chosen in round-robin order instead of by urgency.
+/// Number of served items of which one is chosen in round-robin order instead of by urgency.
 pub const SERVED_PER_TURN: u64 = 4;
-/// Of this many items served, one is a job that is done, because such a job's users wait
-/// for nothing else.
+/// Number of served items of which one is a job that is done, because the users of such a
+/// job wait for nothing else.
 pub const SERVED_PER_DONE_JOB: u64 = 3;
 /// Minimum wait before an item takes part in the round-robin order, in seconds. Before
 /// that, the most urgent item is served first and everything else soon after.
--- a/crates/sharding/src/tally.rs
+++ b/crates/sharding/src/tally.rs
@@ -54,9 +54,9 @@
     began_s: Option<f64>,
     late: bool,
     cancelled: bool,
-    /// Shard that the job was last logged for; `period` is the index of its owner's period
-    /// then.
+    /// Number of the shard whose owner last logged the job.
     shard: String,
+    /// Index of the period in which an owner last logged the job.
     period: usize,
 }
 
