--- a/crates/image-distribution/tests/model.rs
+++ b/crates/image-distribution/tests/model.rs
@@ -1,6 +1,7 @@
-//! The plan against machines that take part after part by nothing but the
-//! sources of their start, over generated losses; and a checker that must reject
-//! plans which ask the origin for all, or let machines wait for each other.
+//! Tests of the plan against model machines. A model machine takes one part after another
+//! and uses only the sources that its start named, while generated events remove machines.
+//! A checker must reject plans that send all requests to the origin or let machines wait
+//! for each other.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -14,8 +15,8 @@
 
 const PARTS: usize = 6;
 const ZONES: usize = 3;
-/// Steps for which an agent waits for a part that its source has not yet got.
-const PATIENCE: u32 = 60;
+/// Number of steps that an agent waits for a part that its source does not have yet.
+const SOURCE_WAIT_STEPS: u32 = 60;
 
 fn id(n: usize) -> MachineId {
     MachineId::from(&*format!("vm-{n:04}"))
@@ -28,8 +29,8 @@
     vec![format!("z{}", n % ZONES), format!("r{}", n / 7)]
 }
 
-/// Rejects a plan that gives a machine more uploads than slots, a zone more
-/// copies from outside than `copies`, a source that isn't there, or a circle.
+/// Rejects a plan that gives a machine more uploads than slots, a zone more copies from
+/// outside than `copies`, a source that does not exist, or a cycle.
 fn check(
     plan: &BTreeMap<MachineId, Source>,
     there: &BTreeSet<MachineId>,
@@ -40,7 +41,9 @@
     let mut outside = [0; ZONES];
     for (machine, source) in plan {
         match source {
-            Source::Machine(s) if !there.contains(s) => return Err(format!("{s} isn't there")),
+            Source::Machine(s) if !there.contains(s) => {
+                return Err(format!("source {s} does not exist"))
+            }
             Source::Machine(s) => *uploads.entry(s).or_default() += 1,
             Source::Origin => outside[zone(machine)] += 1,
         }
@@ -51,14 +54,14 @@
             }
         }
         if matches!(plan.get(at), Some(Source::Machine(_))) {
-            return Err(format!("{machine} waits for itself"));
+            return Err(format!("machine {machine} waits for itself"));
         }
     }
     if let Some((s, n)) = uploads.iter().find(|(_, n)| **n > slots) {
-        return Err(format!("{s} gives to {n}"));
+        return Err(format!("source {s} uploads to {n} machines"));
     }
     match outside.iter().find(|n| **n > copies) {
-        Some(n) => Err(format!("{n} copies for a zone")),
+        Some(n) => Err(format!("{n} copies from outside for a zone")),
         None => Ok(()),
     }
 }
@@ -71,21 +74,23 @@
         _ => Source::Machine(id(n - 3)),
     };
     let plan = |of: &dyn Fn(usize) -> Source| (0..30).map(|n| (id(n), of(n))).collect();
-    let judge = |of: &dyn Fn(usize) -> Source| check(&plan(of), &there, 2, 3);
-    assert_eq!(judge(&chain), Ok(()));
-    assert!(judge(&|_| Source::Origin).unwrap_err().contains("copies"));
-    let circle = |n| Source::Machine(id((n + 3) % 30));
-    assert!(judge(&circle).unwrap_err().contains("itself"));
+    let check_plan = |of: &dyn Fn(usize) -> Source| check(&plan(of), &there, 2, 3);
+    assert_eq!(check_plan(&chain), Ok(()));
+    assert!(check_plan(&|_| Source::Origin)
+        .unwrap_err()
+        .contains("copies"));
+    let cycle = |n| Source::Machine(id((n + 3) % 30));
+    assert!(check_plan(&cycle).unwrap_err().contains("itself"));
     let star = |n| match n {
         0..3 => Source::Origin,
         _ => Source::Machine(id(n % 3)),
     };
-    assert!(judge(&star).unwrap_err().contains("gives to"));
+    assert!(check_plan(&star).unwrap_err().contains("uploads to"));
     let gone = |n| match n {
         9 => Source::Machine(id(99)),
         _ => chain(n),
     };
-    assert!(judge(&gone).unwrap_err().contains("isn't there"));
+    assert!(check_plan(&gone).unwrap_err().contains("does not exist"));
 }
 
 #[derive(Clone, Copy, Debug)]
@@ -110,7 +115,7 @@
     ]
 }
 
-/// A machine's side: it knows the sources it was started with.
+/// Model of a machine's agent, which only knows the sources that its start named.
 #[derive(Default)]
 struct Agent {
     parts: usize,
@@ -125,19 +130,21 @@
     rollout: Rollout,
     uploads: Uploads,
     limits: Limits,
-    born: usize,
-    /// Machines that were told to ask the origin and are there: the truth that
-    /// the rollout's seeds are compared with.
+    joined: usize,
+    /// Machines that were started with the origin as source and still exist. The rollout's
+    /// seeds are compared with these machines.
     seeds: BTreeSet<MachineId>,
-    /// Machines that left and came back: who was started before may not go to
-    /// them, as they may take from it by now.
-    back: BTreeSet<MachineId>,
-    /// Seeds that a new owner could not know of: no record named them yet.
-    unknown: usize,
-    /// Parts read from the origin, and those that the plan allows for.
+    /// Machines that left and came back. A machine that started earlier may not move to one
+    /// of them, because the one that came back may take from it by now.
+    rejoined: BTreeSet<MachineId>,
+    /// Number of seeds that a new owner could not know of, because no record named them
+    /// yet.
+    unrecorded_seeds: usize,
+    /// Number of parts that all machines read from the origin.
     origin_parts: usize,
+    /// Number of copies from the origin that the plan allows.
     planned_copies: usize,
-    quiet: bool,
+    no_events: bool,
 }
 
 impl World {
@@ -147,23 +154,23 @@
             rollout: Rollout::new(Image::from("weights"), limits),
             uploads: Uploads::default(),
             limits,
-            born: 0,
+            joined: 0,
             seeds: BTreeSet::new(),
-            back: BTreeSet::new(),
-            unknown: 0,
+            rejoined: BTreeSet::new(),
+            unrecorded_seeds: 0,
             origin_parts: 0,
             planned_copies: 0,
-            quiet: true,
+            no_events: true,
         };
         world.join(machines);
         world
     }
     fn join(&mut self, machines: usize) {
-        for n in self.born..self.born + machines {
+        for n in self.joined..self.joined + machines {
             self.agents.insert(id(n), Agent::default());
             self.rollout.join(id(n), &path(&id(n)), false);
         }
-        self.born += machines;
+        self.joined += machines;
     }
     fn pick(&self, n: usize) -> Option<MachineId> {
         let len = self.agents.len().max(1);
@@ -173,9 +180,12 @@
         let of = |m: &MachineId| Some((m.clone(), self.rollout.source(m)?));
         self.agents.keys().filter_map(of).collect()
     }
-    /// Whoever goes to the origin when another leaves has no source left that
-    /// could give.
-    fn moved(&mut self, before: &BTreeMap<MachineId, Source>) -> Result<(), TestCaseError> {
+    /// Checks that a machine moves to the origin only if none of its sources could still
+    /// upload to it.
+    fn check_moves_to_origin(
+        &mut self,
+        before: &BTreeMap<MachineId, Source>,
+    ) -> Result<(), TestCaseError> {
         let after = self.sources();
         let load = |m: &MachineId| {
             let takes = |s: &&Source| **s == Source::Machine(m.clone());
@@ -188,13 +198,13 @@
             let sent = self.agents[m].from.iter().flatten();
             for s in sent {
                 let Source::Machine(s) = s else { continue };
-                if self.back.contains(s) {
+                if self.rejoined.contains(s) {
                     continue;
                 }
                 let there = self.agents.get(s).filter(|a| !a.slow && a.from.is_some());
                 prop_assert!(
                     there.is_none() || load(s) >= self.limits.slots as usize,
-                    "{m} goes to the origin, and {s} could give"
+                    "{m} moves to the origin, although {s} has a free slot"
                 );
             }
             self.seeds.insert(m.clone());
@@ -202,8 +212,8 @@
         }
         Ok(())
     }
-    fn happen(&mut self, event: Event, now: f64) -> Result<(), TestCaseError> {
-        self.quiet = false;
+    fn apply_event(&mut self, event: Event, now: f64) -> Result<(), TestCaseError> {
+        self.no_events = false;
         let before = self.sources();
         match event {
             Event::Join(n) => self.join(n),
@@ -217,7 +227,7 @@
             Event::Evict(n) => {
                 if let Some(m) = self.pick(n) {
                     self.seeds.remove(&m);
-                    self.back.insert(m.clone());
+                    self.rejoined.insert(m.clone());
                     self.rollout.evicted(&m, &mut self.uploads);
                     self.rollout.join(m.clone(), &path(&m), false);
                     self.agents.insert(m, Agent::default());
@@ -232,9 +242,10 @@
             Event::Refuse => self.rollout.origin_refused(now + 5.0),
             Event::Takeover => return self.take_over(now),
         }
-        self.moved(&before)
+        self.check_moves_to_origin(&before)
     }
-    /// A new owner: it has the record, and what each machine has.
+    /// Replaces the owner by a new one, which has only the record and each machine's state
+    /// of the image.
     fn take_over(&mut self, now: f64) -> Result<(), TestCaseError> {
         let Some(record) = self.rollout.record().cloned() else {
             return Ok(());
@@ -243,7 +254,7 @@
         let record: RolloutRecord = serde_json::from_str(&text).unwrap();
         if record.stage > 0 {
             let named: BTreeSet<&MachineId> = record.seeds.iter().collect();
-            self.unknown += self.seeds.iter().filter(|m| !named.contains(m)).count();
+            self.unrecorded_seeds += self.seeds.iter().filter(|m| !named.contains(m)).count();
         }
         let of = |m: &MachineId| (m.clone(), path(m));
         let paths: BTreeMap<MachineId, Vec<String>> = self.agents.keys().map(of).collect();
@@ -269,7 +280,11 @@
         if let Some(record) = self.rollout.next(now) {
             prop_assert!(record.stage <= self.rollout.stage() + 1);
             let there = record.seeds.iter().all(|m| self.agents.contains_key(m));
-            prop_assert!(there, "{:?} are not all there", record.seeds);
+            prop_assert!(
+                there,
+                "record names seeds that do not exist: {:?}",
+                record.seeds
+            );
             self.rollout.written(record, now);
         }
         let all: Vec<MachineId> = self.agents.keys().cloned().collect();
@@ -284,8 +299,8 @@
                 let of_zone = self.seeds.iter().filter(|s| zone(s) == zone(&m)).count();
                 let all_slow = self.agents.values().any(|a| a.slow);
                 prop_assert!(
-                    of_zone < self.limits.per_zone as usize + self.unknown || all_slow,
-                    "{} asks the origin after {} others of its zone",
+                    of_zone < self.limits.per_zone as usize + self.unrecorded_seeds || all_slow,
+                    "{} uses the origin, although its zone has {} seeds",
                     m,
                     of_zone
                 );
@@ -296,17 +311,17 @@
         }
         let there = self.agents.keys().cloned().collect();
         let planned = self.limits.per_zone as usize;
-        let max = if self.quiet { planned } else { usize::MAX };
+        let max = if self.no_events { planned } else { usize::MAX };
         check(&self.sources(), &there, self.limits.slots as usize, max).map_err(TestCaseError::fail)
     }
-    /// One part for each that can have it.
+    /// Transfers one part to each machine that can receive one.
     fn transfer(&mut self, step: u32) {
         let had: BTreeMap<MachineId, (usize, bool)> = self
             .agents
             .iter()
             .map(|(m, a)| (m.clone(), (a.parts, a.slow)))
             .collect();
-        let mut given: BTreeMap<MachineId, u32> = BTreeMap::new();
+        let mut uploads: BTreeMap<MachineId, u32> = BTreeMap::new();
         let mut complete = Vec::new();
         for (m, a) in &mut self.agents {
             let Some(from) = a.from.as_ref().filter(|_| a.parts < PARTS) else {
@@ -317,10 +332,10 @@
                     a.at += 1;
                     continue;
                 };
-                let uses = given.entry(s.clone()).or_default();
+                let uses = uploads.entry(s.clone()).or_default();
                 if *parts <= a.parts || *uses >= self.limits.slots || (*slow && step % 4 != 0) {
                     a.waited += 1;
-                    if a.waited > PATIENCE {
+                    if a.waited > SOURCE_WAIT_STEPS {
                         (a.at, a.waited) = (a.at + 1, 0);
                     }
                     continue;
@@ -342,7 +357,7 @@
     fn step(&mut self, step: &mut u32) -> Result<(), TestCaseError> {
         prop_assert!(
             *step < 2_000,
-            "{:?} after 2,000 steps",
+            "rollout not complete after 2,000 steps: {:?}",
             self.rollout.counts()
         );
         self.decide(f64::from(*step))?;
@@ -358,11 +373,12 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 64, ..ProptestConfig::default() })]
 
-    /// Whatever is lost, slow, evicted or taken over: everyone that stays gets
-    /// every part, nobody is planned to give to more than its slots, nobody waits
-    /// for itself, and the origin is asked for no more than a zone's copies.
+    /// Machines are lost, slow or evict the image, and owners change. Every machine that
+    /// stays still gets every part, no machine has more planned uploads than slots, no
+    /// machine waits for itself, and the origin receives no more requests than a zone's
+    /// copies.
     #[test]
-    fn everyone_that_stays_gets_every_part(
+    fn every_remaining_machine_gets_every_part(
         machines in 1..90_usize,
         per_zone in 1..4_u32,
         deep in 1..12_u32,
@@ -376,33 +392,33 @@
         let mut step = 0;
         while !world.done() || events.peek().is_some() {
             while let Some((_, e)) = events.next_if(|(at, _)| *at <= step) {
-                world.happen(e, f64::from(step))?;
+                world.apply_event(e, f64::from(step))?;
             }
             world.step(&mut step)?;
         }
         prop_assert!(world.rollout.over());
-        if world.quiet {
+        if world.no_events {
             prop_assert!(world.origin_parts <= PARTS * world.planned_copies);
             prop_assert!(world.planned_copies <= per_zone as usize * ZONES);
         }
     }
 
-    /// After any stage, with its record just written, and in the first one before
-    /// any record names a seed: a successor asks the origin for no more than was
-    /// left of each zone's copies.
+    /// The owner changes after any stage, with the stage's record just written, or in the
+    /// first stage before any record names a seed. The new owner requests no more from the
+    /// origin than what was left of each zone's copies.
     #[test]
-    fn a_successor_asks_for_no_more(machines in 1..250_usize, stage in 0..4_u32) {
+    fn new_owner_requests_no_more_copies(machines in 1..250_usize, stage in 0..4_u32) {
         let mut world = World::new(machines, Limits { deep: 4, ..Limits::default() });
         let mut step = 0;
         while step == 0 || (world.rollout.stage() < stage && step < 30) {
             world.step(&mut step)?;
         }
-        prop_assert!(machines <= 12 || stage == 0 || world.rollout.stage() > 0, "no next stage");
+        prop_assert!(machines <= 12 || stage == 0 || world.rollout.stage() > 0, "rollout did not reach the next stage");
         if let Some(record) = world.rollout.next(f64::from(step)).filter(|_| stage > 0) {
             world.rollout.written(record, f64::from(step));
         }
         world.take_over(f64::from(step))?;
-        prop_assert_eq!(world.unknown, 0);
+        prop_assert_eq!(world.unrecorded_seeds, 0);
         while !world.done() {
             world.step(&mut step)?;
         }
@@ -410,8 +426,9 @@
     }
 }
 
-/// Neighbours first; two images share a machine's link; a zone that has nothing
-/// takes from the origin, or from another zone while that refuses.
+/// Machines take from near sources first, and two images share a machine's link. A zone
+/// without the image takes it from the origin, or from another zone while the origin
+/// refuses.
 #[test]
 fn near_sources_first_and_links_are_shared() {
     let place = |z: &str, r: &str| vec![z.to_string(), r.to_string()];
@@ -425,13 +442,13 @@
         let record = rollout.next(0.0).unwrap();
         assert!(
             !rollout.may_start(&id(3), &uploads, 0.0),
-            "before its record"
+            "a start must wait for the first record"
         );
         rollout.written(record, 0.0);
     }
     let first = rollouts[0].assign(&id(3), &mut uploads, 0.0);
     assert_eq!(first, [id(2), id(1)].map(Source::Machine));
-    // The other image's nearest source gives already.
+    // The nearest source is already uploading the other image.
     let second = rollouts[1].assign(&id(3), &mut uploads, 0.0);
     assert_eq!(second[0], Source::Machine(id(1)));
     assert_eq!(
@@ -444,8 +461,9 @@
     assert_eq!((rollouts[1].copies(), rollouts[1].crossings()), (0, 1));
 }
 
-/// A chain heals from within, a zone without a seed asks again, and where all are
-/// too slow the origin is asked rather than nobody.
+/// A chain repairs itself, and a zone without a seed requests the image from the origin
+/// again. Where all sources are too slow, a machine uses the origin rather than wait
+/// forever.
 #[test]
 fn losses_and_slow_sources() {
     let mut uploads = Uploads::default();
@@ -472,16 +490,18 @@
     for n in [1, 3, 4] {
         rollout.slow(&id(n), &mut uploads);
     }
-    // Who has no other source stays with a slow one: the origin isn't asked again.
+    // A machine without another source stays with a slow one, so the origin receives no
+    // further request.
     assert_eq!(rollout.source(&id(3)), Some(Source::Machine(id(1))));
     assert_eq!(rollout.copies(), 2);
     assert!(rollout.may_start(&id(5), &uploads, 0.0));
     assert_eq!(rollout.assign(&id(5), &mut uploads, 0.0), [Source::Origin]);
 }
 
-/// A later version's record is left alone, and this one's form stays.
+/// A record of a later version is not resumed, and the format of this version does not
+/// change.
 #[test]
-fn records_keep_their_form() {
+fn record_format_is_stable() {
     let text = r#"{"v":1,"i":"img-07","s":2,"m":["vm-1"]}"#;
     let mut record: RolloutRecord = serde_json::from_str(text).unwrap();
     assert_eq!(serde_json::to_string(&record).unwrap(), text);
@@ -491,8 +511,8 @@
 }
 
 #[test]
-fn patience_grows_with_the_fetch() {
-    // As measured for images of seconds, and no more than before for them.
+fn wait_grows_with_fetch_time() {
+    // Images that are fetched in seconds keep the waits that were measured for them.
     for (fetch_s, max_s) in [(20.0, 1.0), (100.0, 5.0), (280.0, 14.0), (4_000.0, 30.0)] {
         assert_eq!(threshold_s(fetch_s), max_s);
     }
@@ -503,9 +523,9 @@
     assert!(abandon_cost(1.0, 280.0).is_finite());
 }
 
-/// An upgrade must not evict the version that serves, nor one that is handed on.
+/// An upgrade must not evict the version that serves tasks, nor one that is being uploaded.
 #[test]
-fn what_serves_stays() {
+fn serving_images_are_not_evicted() {
     let cache = [
         ("v1", 100.0, true, false),
         ("old", 60.0, false, false),
@@ -519,7 +539,7 @@
         moves,
     });
     let old = vec![Image::from("old")];
-    for (gb, gone) in [(10.0, Some(vec![])), (50.0, Some(old)), (100.0, None)] {
-        assert_eq!(evictable(&cache, gb, 200.0), gone);
+    for (gb, evicted) in [(10.0, Some(vec![])), (50.0, Some(old)), (100.0, None)] {
+        assert_eq!(evictable(&cache, gb, 200.0), evicted);
     }
 }
