--- a/src/control/cancellations.rs
+++ b/src/control/cancellations.rs
@@ -117,8 +117,8 @@
             .await
     }
 
-    /// Applies a cancellation that this controller has written to the local view, and
-    /// announces it to the other controllers.
+    /// Updates the local view after this controller recorded a cancellation, and announces the
+    /// cancellation to the other controllers.
     fn cancellation_recorded(&self, id: &JobId, revision: Revision, cancellation: Cancellation) {
         if let Some(value) = cancellation.claims {
             let claims = Versioned {
--- a/src/control/core/active_rollout.rs
+++ b/src/control/core/active_rollout.rs
@@ -1,5 +1,5 @@
-//! This module tracks the staged rollout of one image. It records which machines take part and
-//! which task starts wait for their stage.
+//! This module tracks the staged rollout of one image. It records which machines take part, and for
+//! which machines the start commands of tasks are held back until their stage begins.
 
 use std::collections::btree_map::Entry;
 use std::collections::{BTreeMap, BTreeSet};
@@ -10,7 +10,7 @@
 use crate::scheduler::{Claim, Progress, Sent};
 use crate::types::{MachineId, Time};
 
-/// Maximum number of machines with a waiting start that one pass scans. With thousands of them
+/// Maximum number of machines that one scan for due start commands visits. With thousands of them
 /// and no free upload slot, a full scan would delay all other work.
 const MACHINES_SCANNED_PER_PASS: usize = 64;
 
@@ -69,7 +69,8 @@
     /// Size of the image in GB.
     pub(super) gb: f64,
     pub(super) members: BTreeMap<MachineId, Member>,
-    /// Machines whose task start waits for its stage of the rollout.
+    /// Machines for which start commands of tasks are held back. The rollout serves machines in
+    /// stages, and the stage of these machines has not begun.
     pub(super) waiting: BTreeSet<MachineId>,
     last_scanned: MachineId,
     /// Time since which no start is pending and no machine fetches the image.
@@ -118,8 +119,9 @@
         }
     }
 
-    /// Scans some of the machines whose start waits, from where the last scan ended. Removes
-    /// those whose start may be sent now from the waiting machines, and returns them.
+    /// Scans some of the machines for which start commands of tasks are held back. The scan
+    /// continues where the last one ended. Removes and returns the machines to which the commands
+    /// may be sent now.
     pub(super) fn take_due_starts(&mut self, uploads: &Uploads, now: Time) -> Vec<MachineId> {
         let mut due = Vec::new();
         let Some(rollout) = &self.rollout else {
@@ -131,7 +133,8 @@
             let Some(id) = next.or_else(|| self.waiting.first()).cloned() else {
                 break;
             };
-            // A machine that is not a member yet joins when its start is sent.
+            // A machine that is not a member of the rollout yet joins it when its start command is
+            // sent.
             let joins = !self.members.contains_key(&id);
             if joins || rollout.may_start(&id, uploads, now.0) {
                 self.waiting.remove(&id);
@@ -142,8 +145,8 @@
         due
     }
 
-    /// Returns the sources from which a machine fetches the image if its start is sent now, the
-    /// best first. Returns `None` if the start has to wait for its stage.
+    /// Returns the sources from which a machine fetches the image if its start command is sent now,
+    /// the best first. Returns `None` if the command has to wait for a later stage of the rollout.
     pub(super) fn start_on(
         &mut self,
         machine: &StartingMachine<'_>,
@@ -159,8 +162,8 @@
         sources
     }
 
-    /// Returns the sources of a machine and adds the machine to the rollout if it is not a
-    /// member. Returns `None` if its start is not due.
+    /// Returns the sources of a machine and adds the machine to the rollout if it is not a member.
+    /// Returns `None` if the machine's start command is not due.
     fn sources_if_due(
         &mut self,
         machine: &StartingMachine<'_>,
--- a/src/control/core/agent.rs
+++ b/src/control/core/agent.rs
@@ -33,9 +33,10 @@
     pub(super) fencing_token: FencingToken,
     /// Highest fencing token that the agent has reported.
     highest_fencing_token: FencingToken,
-    /// Time of the last heartbeat, received by this controller or, as a hint, by another one.
+    /// Time of the last heartbeat that this controller received, or of which another controller
+    /// notified it.
     last_contact: Time,
-    /// Sequence number of the newest heartbeat that another controller mentioned.
+    /// Sequence number of the newest heartbeat of which another controller notified this one.
     relayed_sequence: SequenceNumber,
     /// Evidence that commands to this machine take effect.
     pub(super) reachability: Reachability,
@@ -124,9 +125,9 @@
         self.relayed_sequence = SequenceNumber(0);
         self.direct.contact_confirmed();
         self.forwarded = source == Source::Forwarded;
-        // Only a heartbeat that the agent itself sent here shows that the network path works.
-        // Heartbeats received by other controllers once counted too. While the owner was cut
-        // off from all agents, it then retried direct commands after each of them.
+        // Only a heartbeat that the agent itself sent here shows that the network path works. An
+        // earlier version also counted heartbeats that other controllers received. While the owner
+        // was cut off from all agents, it then retried direct commands after each of them.
         if source == Source::Heartbeat {
             self.direct.reported(now);
         }
@@ -135,8 +136,8 @@
         }
         self.set_tasks(&heartbeat.tasks);
         self.images.clone_from(&heartbeat.images);
-        // A heartbeat is no evidence that commands reach the agent. Counting heartbeats as such
-        // made an unreachable machine usable again at each of them.
+        // A heartbeat is no evidence that commands reach the agent. An earlier version counted
+        // heartbeats as evidence, so each heartbeat made an unreachable machine usable again.
         self.reachability.reported(now);
         if token_adopted {
             self.reachability.proved(now);
@@ -149,8 +150,8 @@
         (heartbeat.incarnation, heartbeat.sequence) <= (self.incarnation, self.sequence)
     }
 
-    /// Records that another controller received a heartbeat of this agent. Each heartbeat
-    /// counts once: a copy that was relayed again and again made a dead machine seem up.
+    /// Records that another controller received a heartbeat of this agent. Each heartbeat counts
+    /// once, because a copy that was relayed again and again made a failed machine seem up.
     pub(super) fn relayed_contact(
         &mut self,
         incarnation: Incarnation,
@@ -181,8 +182,8 @@
         }
     }
 
-    /// Returns the seconds since the last heartbeat, received here or, as a hint, by another
-    /// controller.
+    /// Returns the seconds since the last heartbeat that this controller received, or of which
+    /// another controller notified it.
     pub(super) fn silence_s(&self, now: Time) -> f64 {
         now.since(self.last_contact)
     }
@@ -218,8 +219,8 @@
         self.deleting = true;
     }
 
-    /// Records that the agent reported the current fencing token. The agent is no longer
-    /// suspected unless nothing that is sent to it takes effect.
+    /// Records that the agent reported the current fencing token. Ends the suspicion that commands
+    /// don't reach the agent, unless no command takes effect there.
     pub(super) fn reported_fencing_token(&mut self) {
         self.suspected_one_way = self.reachability.in_doubt();
         if self.suspected_one_way {
--- a/src/control/core/agents.rs
+++ b/src/control/core/agents.rs
@@ -14,8 +14,9 @@
 use crate::types::{Kind, MachineId, MachineType, Time};
 
 /// Number of heartbeat intervals of silence after which the owner sends a direct command to a
-/// machine with tasks. An agent that accepts the connection and does not answer hangs, and its
-/// tasks hang with it. An agent that can't be reached may only be cut off.
+/// machine with tasks. The command shows why the agent is silent. An agent that accepts the
+/// connection and does not answer hangs, and so do its tasks. An agent that accepts no connection
+/// may only be cut off.
 const SUSPECT_HEARTBEATS: f64 = 1.6;
 /// Shortest silence before the owner contacts a machine, in seconds. Any process may stall for
 /// a moment.
@@ -35,7 +36,8 @@
     silent: bool,
     /// The owner returns or deletes the machine, or the cloud preempts it.
     leaving: bool,
-    /// A direct command failed, and no heartbeat has shown yet what reached the agent.
+    /// A direct command failed, and no heartbeat has shown since then that commands reach the
+    /// agent.
     suspected_one_way: bool,
     /// An operator drains the machine.
     draining: bool,
@@ -72,10 +74,10 @@
         let id = seen.id;
         let mut machine = Machine::new(kind, seen.zone.clone(), seen.spot, now);
         for CachedImage { image, gb } in self.failover.take_cached_images(id) {
-            // A placed task does not prove that a fetch of several minutes finished. When
-            // placement counted as proof, the next start on the machine named no source. After
-            // a takeover, all tasks that waited for their distribution stage then fetched from
-            // the origin.
+            // A placed task does not prove that a fetch of several minutes finished. When placement
+            // counted as proof, the next start command for the machine named no source for the
+            // image. After a takeover, all tasks that waited for their distribution stage then
+            // fetched from the origin.
             let ran = !self.cluster_state.is_distributed(gb);
             machine.cache.touch(&image, gb, machine.kind.cache_gb, ran);
         }
@@ -110,9 +112,9 @@
         })
     }
 
-    /// Queues a machine that may need commands. After a takeover the owner has to contact
-    /// thousands of machines at once. It contacts those with replicas first, then those with
-    /// other tasks, then empty ones.
+    /// Queues a machine that may need commands. After a takeover the owner has to contact thousands
+    /// of machines at once. It contacts machines with service replicas first, then machines with
+    /// other tasks, then empty machines.
     pub(super) fn queue_contact(&mut self, id: &MachineId) {
         let order = match self.cluster_state.machines().get(id) {
             Some(m) if self.failover.is_recent() => {
--- a/src/control/core/batch.rs
+++ b/src/control/core/batch.rs
@@ -130,10 +130,10 @@
                 job: record,
             };
         }
-        // The description alone exceeds the smaller limit. The update keeps the claims inline
-        // while the state service still takes such a record, because earlier versions read no
-        // other form. Under the smaller limits the claims go to a key of their own, which takes
-        // precedence over the claims in the record.
+        // Even without claims, the job's record exceeds the smaller value limit (`state.next`).
+        // Until that limit is in force, the claims stay inline, because earlier versions read no
+        // other form. Then the claims go to a key of their own, which takes precedence over the
+        // claims in the record.
         if self.rejected_changes.limits_fell() {
             RecordUpdate::Chunk {
                 chunk: 0,
--- a/src/control/core/command_queue.rs
+++ b/src/control/core/command_queue.rs
@@ -9,8 +9,8 @@
 
 /// Maximum number of direct commands in flight.
 pub const MAX_COMMANDS_IN_FLIGHT: usize = 48;
-/// Delay before the owner retries a machine that may hang, if too many commands were in flight,
-/// in seconds.
+/// Delay in seconds before the owner retries a machine that may hang, if it did not contact the
+/// machine because too many commands were in flight.
 const UNREACHABLE_RETRY_S: f64 = 0.5;
 
 /// Order in which machines are contacted.
@@ -65,9 +65,10 @@
         self.ready.pop_first().map(|contact| contact.machine)
     }
 
-    /// Returns whether the owner may contact a machine now that earlier commands did not reach.
-    /// Machines that may hang must not delay the others. `suspect` tells that the machine has
-    /// tasks and is silent.
+    /// Returns whether the owner may contact an unreachable machine now, given the number of
+    /// commands in flight. The limit is lower than for other machines, because machines that may
+    /// hang must not delay the others. `suspect` tells that the machine has tasks and is silent,
+    /// which raises the limit.
     pub(super) fn may_try_unreachable(&self, suspect: bool) -> bool {
         let max = if suspect {
             MAX_COMMANDS_IN_FLIGHT * 3 / 4
--- a/src/control/core/commands.rs
+++ b/src/control/core/commands.rs
@@ -39,14 +39,15 @@
         }
     }
 
-    /// Returns the commands for a machine. Start commands are included only if `starts` is set,
-    /// and their claims are marked as sent in that way.
+    /// Returns the commands for a machine. Start commands are included only if `starts` names the
+    /// path by which they go. Their claims are marked as sent by this path.
     ///
-    /// Before a heartbeat carries the machine's current fencing token, its task list proves
-    /// nothing. So no task is started or forgotten. Tasks that must not run are killed all the
-    /// same. An answer without the kill would renew the lease of a cancelled job's task. If
-    /// direct commands to the machine keep failing, each failure also raises the fencing token
-    /// again, so that no heartbeat ever carries it (`docs/incidents/fleet-x3-cancelled.md`).
+    /// The task list of a heartbeat proves nothing unless the heartbeat carries the machine's
+    /// current fencing token. Until then no task is started or forgotten. Tasks that must not run
+    /// are killed all the same. An answer without the kill command would renew the lease of a
+    /// cancelled job's task. If direct commands to the machine keep failing, each failure also
+    /// raises the fencing token again, so that no heartbeat ever carries it
+    /// (`docs/incidents/fleet-x3-cancelled.md`).
     pub(super) fn commands(
         &mut self,
         id: &MachineId,
@@ -155,9 +156,9 @@
         })
     }
 
-    /// Sets the time until which tasks may be started by the records that this owner has read.
-    /// A task that starts later could still be on its machine after `cancel_s` if its job was
-    /// cancelled through another controller in the meantime.
+    /// Sets the time until which the owner may start tasks, given the age of the records that it
+    /// has read. A task that starts later could still be on its machine after `cancel_s` if its job
+    /// was cancelled through another controller in the meantime.
     pub fn allow_starts_until(&mut self, until: Time, now: Time) {
         for id in self.start_permission.set(until, now) {
             self.command_queue.add(id, ContactOrder::First);
--- a/src/control/core/deleted_machines.rs
+++ b/src/control/core/deleted_machines.rs
@@ -15,7 +15,8 @@
 /// Maximum delay before the names of deleted machines are recorded, in seconds. The delay lets
 /// several names share one record.
 const MAX_RECORD_DELAY_S: f64 = 3.0;
-/// Number of names of deleted machines that are recorded without that delay.
+/// Number of unrecorded names of deleted machines from which they are recorded at once, without
+/// waiting for `MAX_RECORD_DELAY_S`.
 const DELETED_MACHINES_PER_RECORD: usize = 60;
 
 /// Names of deleted machines to record, and the slot (one of several records) to record them in.
@@ -28,8 +29,8 @@
 }
 
 impl DeletedMachines {
-    /// Continues with the record of deleted machines that the previous owner wrote last. Each of
-    /// several owners has its own slots for these records.
+    /// Loads the record of deleted machines that the previous owner of this shard wrote last, to
+    /// continue it. Each shard has its own slots for these records.
     pub(super) fn load(view: &View, scope: ShardScope) -> Self {
         let own = |slot: &u32| slot % scope.of == scope.shard.0;
         let last = view.retired_machines.iter().filter(|(slot, _)| own(slot));
--- a/src/control/core/direct_line.rs
+++ b/src/control/core/direct_line.rs
@@ -6,11 +6,11 @@
 /// each failure in a row, at most `MAX_DOUBLINGS` times.
 const FIRST_PAUSE_S: f64 = 0.25;
 const MAX_DOUBLINGS: u32 = 5;
-/// Longest wait before the next direct command after a heartbeat from the agent itself, in
-/// seconds. It applies after any number of failures.
+/// Longest wait before the next direct command once the agent itself has sent a heartbeat, in
+/// seconds. The limit applies after any number of failed commands.
 const RETRY_AFTER_HEARTBEAT_S: f64 = 1.0;
-/// Delay before a retry after an agent refused a command, in seconds. An overtaken report does
-/// not change the incarnation.
+/// Delay before the next direct command after an agent refused one, in seconds. Each command names
+/// the agent's newest known incarnation, and a late heartbeat does not set that incarnation back.
 const RETRY_AFTER_REFUSAL_S: f64 = 0.02;
 
 /// State of direct commands to one agent.
--- a/src/control/core/dispatch.rs
+++ b/src/control/core/dispatch.rs
@@ -109,7 +109,7 @@
             return;
         };
         agent.command_executed(now);
-        // The incarnation that received the command may end right after it. So the next
+        // The agent's incarnation may end right after it received the command. So the next
         // heartbeat decides which tasks are on the machine.
         self.resolve_in_flight(id, Sent::Answered);
     }
--- a/src/control/core/draft.rs
+++ b/src/control/core/draft.rs
@@ -167,7 +167,7 @@
         self.batch.rollout = Some(due.step);
     }
 
-    /// Adds a change to the transaction that has no condition of its own.
+    /// Adds a change to the transaction, but no condition.
     pub(super) fn add_change(&mut self, change: Change) {
         self.batch.transaction.changes.push(change);
     }
--- a/src/control/core/failures.rs
+++ b/src/control/core/failures.rs
@@ -23,7 +23,8 @@
 const FAULTY_JOB_PAUSE_S: f64 = 2.0;
 /// Longest pause of a faulty job, in seconds.
 const MAX_FAULTY_JOB_PAUSE_S: f64 = 40.0;
-/// Number of sound jobs whose failures on a machine make the machine count as faulty.
+/// Number of sound jobs whose failures on a machine make the machine count as faulty. A job is
+/// sound once one of its tasks succeeded, or runs as a replica of a service.
 const FAULTY_MACHINE_JOBS: usize = 2;
 
 /// Likely cause of a failure.
@@ -125,8 +126,8 @@
             return;
         };
         agent.failed_jobs.add(job, now);
-        // A job that is not known to be sound proves nothing. Two faulty jobs that met on a
-        // machine once cost the machine.
+        // Failures of a job that may itself be faulty prove nothing about the machine. Two faulty
+        // jobs once failed on the same machine, and the owner returned the machine.
         let cluster_state = &self.cluster_state;
         let sound = |job: &&JobId| cluster_state.job(job).is_none_or(Job::is_sound);
         if agent.failed_jobs.jobs().filter(sound).count() >= FAULTY_MACHINE_JOBS {
--- a/src/control/core/gang_restarts.rs
+++ b/src/control/core/gang_restarts.rs
@@ -6,7 +6,8 @@
 use super::Core;
 use crate::types::{JobId, Kind, Time};
 
-/// Jobs that lost a claim or were found in the records. A gang among them may be broken.
+/// Jobs that lost a claim or were found in the records. If such a job is a gang, it may be broken:
+/// some of its tasks are claimed and others are pending.
 #[derive(Default)]
 pub(super) struct JobsToCheck {
     jobs: BTreeSet<JobId>,
--- a/src/control/core/heartbeats.rs
+++ b/src/control/core/heartbeats.rs
@@ -19,9 +19,9 @@
         self.tombstones.contains(&heartbeat.machine)
     }
 
-    /// Applies an agent's heartbeat. Returns `false` if a newer grant commands the agent. That
-    /// holds for any late heartbeat too, because only the holder of the newer grant sends its
-    /// fencing tokens.
+    /// Applies an agent's heartbeat. Returns `false` if the heartbeat carries a fencing token of a
+    /// newer grant, which supersedes the grant of this owner. Even a late heartbeat proves this,
+    /// because only the holder of the newer grant issues such tokens.
     pub fn heartbeat(&mut self, heartbeat: &Heartbeat, source: Source, now: Time) -> bool {
         if heartbeat.fencing_token.grant() > self.grant {
             return false;
@@ -39,9 +39,10 @@
             return false;
         }
         // Only a heartbeat with a fencing token of this grant was certainly created under this
-        // grant. Any other may be an earlier copy from a machine deleted long ago. Once the
-        // machine list is read, such a heartbeat does not add a machine. The answer carries the
-        // fencing token, and the next heartbeat shows it.
+        // grant. Any other heartbeat may be an earlier copy from a machine deleted long ago. Once
+        // the owner has read the machine list, such a heartbeat does not add a machine. The answer
+        // to a live agent carries this grant's fencing token, and the agent's next heartbeat
+        // carries it back.
         let id = &heartbeat.machine;
         let shown =
             heartbeat.fencing_token >= self.base_fencing_token() || self.inventory.is_pending(id);
@@ -57,9 +58,10 @@
             return;
         };
         let changes = agent.apply_heartbeat(heartbeat, source, now);
-        // The agent's leases end although its heartbeats are answered, and all tasks on the machine
-        // are lost each time. So the owner returns the machine. While requests wait too long to be
-        // read, the answers may be the cause because they are late, so the machine stays.
+        // The agent's lease expires again and again although its heartbeats are answered, and each
+        // time all tasks on the machine are lost. So the owner returns the machine to the cloud.
+        // The machine stays while this controller reads requests too late, because late answers may
+        // be the cause.
         if changes.incarnation_ended
             && agent.reachability.incarnation_ended(lease_s, now)
             && !silence_ignored
@@ -83,8 +85,8 @@
         self.refresh_machine(id, now);
     }
 
-    /// Clears the suspicion of a machine that has the current fencing token, unless nothing
-    /// that is sent to it takes effect.
+    /// Clears the suspicion of a machine that has the current fencing token, unless no command that
+    /// is sent to it takes effect.
     fn clear_suspicion(&mut self, id: &MachineId) {
         let Some(agent) = self.agents.get_mut(id).filter(|agent| agent.fenced()) else {
             return;
@@ -116,11 +118,11 @@
         }
     }
 
-    /// Releases the claims that ended with a machine's incarnation. The owner sent these starts
-    /// to the old incarnation, so their tasks are lost whatever fencing token the agent has. On
-    /// a machine that no command reaches, no heartbeat ever carries the current token. Tasks
-    /// that a former owner started may belong to the new incarnation. They wait for the fencing
-    /// token.
+    /// Releases the claims that ended with a machine's incarnation. If this owner sent the start
+    /// command to the old incarnation, the task is lost whatever fencing token the agent has. On a
+    /// machine that no command reaches, no heartbeat ever carries the current token. Tasks that a
+    /// former owner started may belong to the new incarnation. Claims on such tasks stay until a
+    /// heartbeat carries the current token.
     fn incarnation_ended(&mut self, id: &MachineId, now: Time) {
         for task in self.cluster_state.claims_on(id) {
             let ours = self
@@ -135,8 +137,8 @@
         }
     }
 
-    /// Records that another controller received a heartbeat that shows nothing new. This is a
-    /// hint: it only saves a direct command that would test whether the machine still answers.
+    /// Records that another controller received a heartbeat that shows nothing new. The record is
+    /// only a hint. It saves the direct command that would test whether the machine still answers.
     pub fn relayed_contact(
         &mut self,
         id: &MachineId,
@@ -207,8 +209,8 @@
         }
     }
 
-    /// Handles a claimed task that is not on its machine. The task never started, has ended, or
-    /// its start has still to arrive.
+    /// Handles a claimed task that is not on its machine. Either the task never started, it ended,
+    /// or its start command is still on the way.
     fn claim_not_reported(&mut self, id: &MachineId, task: &TaskId, source: Source, now: Time) {
         let in_flight = self
             .agents
--- a/src/control/core/image_distribution.rs
+++ b/src/control/core/image_distribution.rs
@@ -1,7 +1,7 @@
 //! This module manages staged rollouts of images that many machines need, see
-//! `docs/image_distribution.md`. It decides which starts wait for their stage and from which
-//! machines the others fetch the image. [`super::active_rollout`] holds the rollout of one
-//! image, and [`super::rollout_records`] holds its record. Rollouts are off unless the
+//! `docs/image_distribution.md`. It decides which start commands wait for a later stage, and from
+//! which machines the other machines fetch the image. [`super::active_rollout`] holds the rollout
+//! of one image, and [`super::rollout_records`] holds its record. Rollouts are off unless the
 //! operators' settings give a minimum image size.
 //!
 //! Each owner plans for the machines of its own shard, so owners need no agreement. With
@@ -112,8 +112,8 @@
         self.rollouts.insert(image.clone(), rollout);
     }
 
-    /// Returns the sources from which a machine fetches an image if its start is sent now, the
-    /// best first. Returns `None` if the start has to wait for its stage.
+    /// Returns the sources from which a machine fetches an image if its start command is sent now,
+    /// the best first. Returns `None` if the command has to wait for a later stage of the rollout.
     pub(super) fn start_on(
         &mut self,
         image: &Image,
@@ -131,8 +131,8 @@
         }
     }
 
-    /// Returns machines whose task start waited for its stage and may be sent now, a few machines
-    /// of each rollout.
+    /// Returns machines for which start commands were held back by a rollout and may be sent now, a
+    /// few machines of each rollout.
     pub(super) fn take_due_starts(&mut self, now: Time) -> Vec<MachineId> {
         let uploads = &self.uploads;
         let rollouts = self.rollouts.values_mut();
@@ -146,9 +146,9 @@
         RolloutId::of(self.shard, image)
     }
 
-    /// Returns a rollout's record without as many of its seeds as it takes to fit into a value of
-    /// the state service. Each omitted seed costs one more copy. A record that is too large would
-    /// never be written, nor would the other changes of its transaction.
+    /// Returns a rollout's record with as many seeds left out as needed to fit into a value of the
+    /// state service. Each omitted seed costs one more copy. A record that is too large would never
+    /// be written, nor would the other changes of its transaction.
     pub(super) fn fitting(&self, record: &RolloutRecord) -> Option<RolloutRecord> {
         let mut record = record.clone();
         loop {
--- a/src/control/core/image_rollout.rs
+++ b/src/control/core/image_rollout.rs
@@ -1,7 +1,7 @@
-//! This module connects task starts with staged image rollouts. It decides which starts wait
-//! for their stage and from which machines the others fetch the image.
-//! [`super::image_distribution`] holds the state and the records of rollouts, and
-//! [`super::rollout_refresh`] reconciles them with the claims.
+//! This module connects task starts with staged image rollouts. A rollout serves machines in
+//! stages. This module decides which start commands wait for a later stage, and from which machines
+//! the other machines fetch the image. [`super::image_distribution`] holds the state and the
+//! records of rollouts, and [`super::rollout_refresh`] reconciles them with the claims.
 
 use std::net::SocketAddr;
 
@@ -15,9 +15,10 @@
 use crate::types::{Image, JobSpec, MachineId, TaskId, Time};
 
 impl Core {
-    /// Returns the sources from which a machine fetches a job's image if a task starts there
-    /// now, the best first. An empty list means the origin. Returns `None` if the start has to
-    /// wait for its stage. The machine is contacted as soon as its start may be sent.
+    /// Returns the sources from which a machine fetches a job's image if a task starts there now,
+    /// the best first. An empty list means the origin. Returns `None` if the start command has to
+    /// wait for a later stage of the rollout. The owner contacts the machine as soon as the command
+    /// may be sent.
     pub(super) fn sources_for(
         &mut self,
         id: &MachineId,
@@ -129,8 +130,8 @@
         }
     }
 
-    /// Queues machines to be contacted whose task start waited for its stage of an image rollout
-    /// and may be sent now. One call queues a few machines of each rollout.
+    /// Queues machines for which start commands were held back by an image rollout, if the commands
+    /// may be sent now. One call queues a few machines of each rollout.
     pub(super) fn wake_staged(&mut self, now: Time) {
         for id in self.image_distribution.take_due_starts(now) {
             self.queue_contact(&id);
--- a/src/control/core/inventory.rs
+++ b/src/control/core/inventory.rs
@@ -1,5 +1,5 @@
-//! Contents of the cloud's machine lists: pending machines, and machines that the lists no
-//! longer show.
+//! Record of what the cloud's machine lists show: machines that have not reported yet, and known
+//! machines that the lists no longer show.
 
 use std::collections::BTreeMap;
 
--- a/src/control/core/job_changes.rs
+++ b/src/control/core/job_changes.rs
@@ -130,9 +130,9 @@
         }
     }
 
-    /// Releases claims that are no longer needed and whose start was certainly never sent. These
-    /// are claims of cancelled jobs and of tasks to be stopped. Other tasks of a cancelled job
-    /// are stopped.
+    /// Releases claims that are no longer needed and whose start command was certainly never sent.
+    /// These are claims of cancelled jobs and of tasks to be stopped. Other tasks of a cancelled
+    /// job are stopped.
     pub(super) fn settle_stopped(&mut self, id: &JobId, now: Time) {
         let Some(job) = self.cluster_state.job(id) else {
             return;
--- a/src/control/core/machine_list.rs
+++ b/src/control/core/machine_list.rs
@@ -1,5 +1,5 @@
-//! Applies the cloud's machine list: adds new machines, and decides which machines were deleted
-//! and which to return.
+//! Applies the cloud's list of rented machines. Adds new machines, decides which machines no longer
+//! exist, and chooses machines to delete because no command reaches them.
 
 use std::collections::BTreeSet;
 
@@ -18,9 +18,9 @@
 /// lag of the list times `MAYBE_UNLISTED_LAGS`, plus `MAYBE_UNLISTED_S` seconds.
 const MAYBE_UNLISTED_LAGS: f64 = 3.0;
 const MAYBE_UNLISTED_S: f64 = 5.0;
-/// Largest lag of the cloud's machine list, as a multiple of its usual lag (PROTOCOL). A list
-/// that is read when this time and a margin (`LIST_LAG_MARGIN_S`) have passed since a failover
-/// certainly shows a moment after the failover.
+/// Largest lag of the cloud's machine list, as a multiple of its usual lag (PROTOCOL). Once this
+/// lag and `LIST_LAG_MARGIN_S` have passed since a failover, a list certainly shows a moment after
+/// the failover.
 const MAX_LIST_LAG_FACTOR: f64 = 2.0;
 /// Margin beyond the largest lag of the cloud's machine list, in seconds.
 const LIST_LAG_MARGIN_S: f64 = 2.0;
@@ -43,7 +43,8 @@
         }
         self.mark_missing_machines(&names, now);
         // The machine list is late by at most twice its usual lag (PROTOCOL). So the list now shows
-        // a time at which all machines existed that a former owner claimed.
+        // a moment after the failover. Every machine on which a former owner claimed a task already
+        // existed by then.
         if self.failover.age_s(now) > MAX_LIST_LAG_FACTOR * self.cfg.list_lag_s + LIST_LAG_MARGIN_S
         {
             self.mark_unknown_machines(&names);
@@ -56,8 +57,8 @@
         self.inventory.record_listed(id);
         if self.agents.contains(id) {
             if machine.phase == MachinePhase::Failed {
-                // The machine stopped without a request. That proves nothing about its tasks.
-                // The answer to its deletion request does.
+                // The machine stopped without a request. The stop does not prove that the machine's
+                // tasks ended. Only the answer to the deletion request proves that.
                 self.mark_for_deletion(id);
             }
             return;
@@ -81,8 +82,8 @@
         }
     }
 
-    /// Marks machines for deletion that were known before and are missing from several lists in
-    /// a row. They are probably deleted already, and the deletion request proves that.
+    /// Marks known machines for deletion if they are missing from several lists in a row. Such
+    /// machines are probably deleted already. The answer to the deletion request proves it.
     fn mark_missing_machines(&mut self, listed: &BTreeSet<&MachineId>, now: Time) {
         let known = self
             .agents
@@ -106,8 +107,9 @@
         }
     }
 
-    /// Marks machines for deletion that claims name but neither the list nor a heartbeat shows.
-    /// Until these machines are deleted, their claims count against limits.
+    /// Marks a machine for deletion if a task is claimed on it, but neither the cloud's list nor a
+    /// heartbeat shows the machine. Its claims count against limits until the deletion is
+    /// confirmed.
     fn mark_unknown_machines(&mut self, listed: &BTreeSet<&MachineId>) {
         let unknown = self.cluster_state.unknown_machines();
         let unknown = unknown.filter(|id| !listed.contains(id));
@@ -118,14 +120,14 @@
     }
 
     /// Returns the machines that the owner should delete because they send heartbeats but no
-    /// command reaches them. The answers to their heartbeats renew no lease, so their tasks
-    /// have ended by then. If the owner deleted them earlier, a network cut that heals would
-    /// cost their tasks.
+    /// command reaches them. The answers to their heartbeats renew no lease, so their tasks have
+    /// ended by then. If the owner deleted the machines earlier, their tasks would be lost in a
+    /// network cut that soon ends.
     pub(super) fn unreachable_machines(&self, now: Time) -> Vec<MachineId> {
         let patience_s = self.cfg.lease_s * CLOCK_DRIFT_FACTOR + 2.0 * self.cfg.heartbeat_s;
         // If most machines are unreachable, this controller's network may be the cause. Another
-        // controller may then become the owner soon. If none does, the machines are deleted all
-        // the same.
+        // controller may then become the owner soon. If no other controller becomes the owner, this
+        // one deletes the machines after a longer wait.
         let patience_s = if self.agents.most_in_doubt() {
             MOST_UNREACHABLE_FACTOR * patience_s
         } else {
--- a/src/control/core/mod.rs
+++ b/src/control/core/mod.rs
@@ -1,9 +1,9 @@
 //! Scheduling core of a shard owner, without I/O. Callers pass in the time, heartbeats and
 //! outcomes. The core returns transactions, commands and cloud calls.
 //!
-//! [`Core`] composes structs that each own one part of its state. Each struct is in a module of
-//! its own, and no other code changes its fields. The methods of `Core` are in the other
-//! modules, sorted by subject. They are the steps that involve several of these structs:
+//! [`Core`] composes structs that each own one part of its state. Each struct is in a module of its
+//! own, and no other code changes its fields. The methods of `Core` involve several of these
+//! structs. They are in the other modules, sorted by subject:
 //!
 //! | state | owner | main users |
 //! | --- | --- | --- |
@@ -139,7 +139,8 @@
 pub enum Source {
     /// The agent sent the heartbeat to this controller.
     Heartbeat,
-    /// Another controller received the heartbeat because the owner had asked it to.
+    /// Another controller received the heartbeat and forwarded it here. Under load, this owner asks
+    /// other controllers to receive heartbeats in its place.
     Offloaded,
     /// Another controller forwarded the heartbeat because the agent can't reach this one.
     Forwarded,
@@ -160,7 +161,7 @@
 
 /// State of a shard owner, from which it places tasks and commands agents.
 pub struct Core {
-    /// Settings of this controller. They don't change while this owner holds the grant.
+    /// Settings of this controller. The settings don't change while this owner holds the grant.
     cfg: Rc<Config>,
     /// Jobs, machines and team shares of this shard.
     pub cluster_state: ClusterState,
@@ -171,15 +172,16 @@
     /// Shard that the grant is for.
     pub scope: ShardScope,
     /// Freeze of the shard before its handover to another owner. While the shard is frozen, the
-    /// owner claims no more tasks, and claims in flight settle.
+    /// owner claims no more tasks. The handover waits for writes and commands in flight.
     freeze: HandoverFreeze,
-    /// Tasks delegated to and taken from other shards, and quota given to them.
+    /// Tasks delegated to other shards or accepted from them, and quota that is being transferred
+    /// to other shards.
     delegations: task_delegation::Delegations,
     /// Zone of each machine, for the machines of all shards.
     machine_zones: MachineZones,
-    /// Service levels of classes and teams, for the log.
+    /// Service levels of job classes and teams, for the log.
     served_log: ServedLog,
-    /// Largest jobs of each class, for the log.
+    /// Largest jobs of each job class, for the log.
     largest_jobs: Largest,
     types: MachineTypes,
     /// Agents of all machines that are up.
@@ -216,19 +218,21 @@
     gangs_to_check: JobsToCheck,
     /// Time at which tasks were last moved to repair their spread.
     repair_schedule: RepairSchedule,
-    /// Time at which each waiting job was last logged.
+    /// Time at which the log last gave the reason for each job's wait.
     waiting_log: WaitingLog,
     /// Changes that the state service rejected, and how they affect the next transactions.
     rejected_changes: RejectedChanges,
-    /// Time of the last rescan, which updates state that changes only with time.
+    /// Time of the last rescan. A rescan updates the state that the passage of time alone changes.
     last_rescan: Time,
 }
 
-/// Interval of the rescan, in seconds. The rescan updates state that changes only with time.
+/// Interval of the rescan, in seconds. The rescan updates the state that the passage of time alone
+/// changes.
 const RESCAN_INTERVAL_S: f64 = 1.0;
 
 impl Core {
-    /// Runs the periodic work: updates state that changes only with time, and places tasks.
+    /// Runs the periodic work: updates the state that the passage of time alone changes, and places
+    /// tasks.
     pub fn tick(&mut self, now: Time) {
         for id in self.command_queue.take_due_retries(now) {
             self.queue_contact(&id);
@@ -252,7 +256,7 @@
         self.failover.wall_ms(now)
     }
 
-    /// Updates all state that changes only with time.
+    /// Updates all state that the passage of time alone changes.
     fn rescan(&mut self, now: Time) {
         self.cluster_state.refresh_due_times(now);
         let wall_ms = self.wall_ms(now);
--- a/src/control/core/outcomes.rs
+++ b/src/control/core/outcomes.rs
@@ -21,12 +21,12 @@
         self.write_queue.finished(id, write_priority, now);
     }
 
-    /// Returns whether a write is pending that should not wait for the next tick.
+    /// Returns whether any pending write is too urgent to wait for the next tick.
     pub fn has_urgent(&self) -> bool {
         self.write_queue.urgent()
     }
 
-    /// Returns how many seconds the claim has waited that is recorded next.
+    /// Returns how many seconds the next claim to be recorded has waited.
     pub fn next_claim_wait_s(&self, now: Time) -> f64 {
         self.write_queue.next_claim_wait_s(now)
     }
@@ -190,7 +190,8 @@
             if write.record.phase == Phase::Done {
                 self.done_conflicted(&write.job, view, now);
             } else if write.record.inline.is_some() {
-                // The list of chunks already has claims that were to be moved to their own key.
+                // Only inline claims are added here. Claims that were to be moved to a key of their
+                // own are already in `chunks`.
                 chunks.push(ChunkWrite {
                     chunk: ChunkId::new(&write.job, 0),
                     record: write.record.inline,
@@ -236,8 +237,9 @@
         let place = index - from;
         RecordedClaim::from((place, claim.attempt, claim.machine.clone()))
     });
-    // Claims without units are named too. An earlier version wrote the claims that are not named
-    // here, and such claims may hold any units.
+    // If the job's tasks use devices, the record lists the devices of each claim, also if a claim
+    // holds none. An earlier version wrote claims without such a list, and those may hold any
+    // devices of their machine.
     let placement = job.spec.placement.as_ref();
     let devices = placement.is_some_and(|w| !w.devices.is_empty());
     let named = claims_of_chunk().filter(|(_, c)| devices && !c.unnamed);
--- a/src/control/core/placement.rs
+++ b/src/control/core/placement.rs
@@ -13,8 +13,9 @@
 const PREEMPT_PATIENCE_FACTOR: f64 = 2.0;
 /// Time after a failover during which nothing is preempted, in seconds.
 const PREEMPT_FAILOVER_DELAY_S: f64 = 3.0;
-/// Maximum number of steps of the placement walks in one turn. A placement walk places waiting
-/// tasks on one machine or on all machines. A step of it visits one job or place.
+/// Maximum number of steps that placement walks take in one turn. A placement walk is a scan that
+/// places waiting tasks on one machine or on all machines. Each step of a walk visits one job or
+/// place.
 const MAX_WALK_STEPS_PER_TURN: u64 = 4000;
 
 impl Core {
--- a/src/control/core/placement_queue.rs
+++ b/src/control/core/placement_queue.rs
@@ -21,11 +21,13 @@
     last_taken: MachineId,
     /// Whether the next placement walk offers all machines to the waiting jobs.
     full_walk: bool,
-    /// State that the placement walks share now. `None` before the first placement walk.
+    /// State that the current scans for places share. A scan (placement walk) places waiting tasks
+    /// on one machine or on all. `None` before the first scan.
     pass: Option<CurrentPass>,
 }
 
-/// State that placement walks share for a short time, and the time at which it was created.
+/// State that scans for places (placement walks) share for a short time, because it takes long to
+/// compute. `begun` is the time at which it was created.
 struct CurrentPass {
     begun: Time,
     pass: Pass,
@@ -64,7 +66,8 @@
         Some(machine)
     }
 
-    /// Requests a placement walk over all machines, because work arrived or capacity became free.
+    /// Requests a placement walk (a scan that places waiting tasks) over all machines, because work
+    /// arrived or capacity became free.
     pub(super) fn request_full_walk(&mut self) {
         self.full_walk = true;
     }
@@ -79,7 +82,8 @@
         std::mem::take(&mut self.full_walk)
     }
 
-    /// Replaces the state that placement walks share if it is too old.
+    /// Replaces the state that all placement walks (scans that place waiting tasks) share, if it is
+    /// too old.
     pub(super) fn refresh_pass(&mut self, now: Time) {
         let begun = self.pass.as_ref().map(|current| current.begun);
         if begun.is_none_or(|at| now.since(at) >= PASS_LIFETIME_S) {
@@ -90,7 +94,7 @@
         }
     }
 
-    /// Returns the state that placement walks share now.
+    /// Returns the state that all placement walks (scans that place waiting tasks) share now.
     pub(super) fn pass(&self) -> Option<&Pass> {
         self.pass.as_ref().map(|current| &current.pass)
     }
--- a/src/control/core/recorded_job.rs
+++ b/src/control/core/recorded_job.rs
@@ -48,14 +48,14 @@
     index: u32,
     attempt: Attempt,
     machine: MachineId,
-    /// Units of devices that the task holds. `None` if the record names none, because an earlier
-    /// version wrote it.
+    /// Devices of the machine that the task holds. `None` if the record lists none, because an
+    /// earlier version wrote the record.
     units: Option<Vec<Unit>>,
 }
 
 impl FoundClaim {
-    /// Returns the claim of the task `index`, with the units that the chunk's record names for
-    /// it.
+    /// Returns the claim of the task `index`. Adds the units (devices of the machine, such as one
+    /// GPU) that the chunk's record lists for the task.
     fn new(index: u32, claim: &RecordedClaim, chunk: &ChunkRecord) -> Self {
         let units = chunk.units.iter().find(|u| u.place == claim.place);
         Self {
@@ -147,7 +147,7 @@
         if all_done && placed_here {
             self.queue_finished(id.clone(), now);
         }
-        // A gang with only some of its tasks claimed starts again.
+        // A gang of which only some tasks are claimed has to restart, so the job is checked.
         self.gangs_to_check.add(id.clone());
         self.placement_queue.request_full_walk();
     }
@@ -172,7 +172,7 @@
 
     /// Puts the claims of a job that was just added into the cluster state.
     fn put_claims(&mut self, id: &JobId, claims: Vec<FoundClaim>, now: Time) {
-        // A record that an earlier version wrote names no units, so the job's placement tells
+        // A record that an earlier version wrote lists no devices, so the job's placement tells
         // whether its tasks hold devices.
         let job = self.cluster_state.job(id);
         let placement = job.and_then(|j| j.spec.placement.as_ref());
--- a/src/control/core/rollout_records.rs
+++ b/src/control/core/rollout_records.rs
@@ -13,8 +13,8 @@
 use crate::state::{Change, Condition};
 use crate::types::{Image, MachineId, Revision, Time};
 
-/// Seconds that a rollout's record remains after its last fetch. Replicas start one after the
-/// other, and without the delay each would cost two changes.
+/// Seconds that a rollout's record remains after its last fetch. Replicas of a service start one
+/// after the other. Without the delay, each would cost a write and a deletion of the record.
 pub(super) const DELETION_DELAY_S: f64 = 5.0;
 
 /// A rollout's record that is to be written.
@@ -84,8 +84,8 @@
         })
     }
 
-    /// Handles a committed change of a rollout's record. Returns the machines that may receive
-    /// their task starts now.
+    /// Handles a committed change of a rollout's record. Returns the machines to which start
+    /// commands may be sent now.
     pub(super) fn step_committed(
         &mut self,
         step: Step,
--- a/src/control/core/rollout_refresh.rs
+++ b/src/control/core/rollout_refresh.rs
@@ -14,8 +14,8 @@
 use crate::scheduler::{Machine, Sent};
 use crate::types::{Image, MachineId, Time};
 
-/// Number of heartbeats for which a new owner waits to learn which starts the previous owner
-/// sent. The bound keeps a silent machine from delaying all others.
+/// Number of heartbeat intervals for which a new owner waits to learn which start commands the
+/// previous owner sent. Without this limit, a silent machine would delay all others.
 const RESUME_DELAY_HEARTBEATS: f64 = 3.0;
 /// Time in seconds that is added to the heartbeats for which a new owner waits before it
 /// resumes rollouts.
@@ -25,8 +25,8 @@
 struct ImageUse {
     /// Progress of each machine with the image.
     machines: BTreeMap<MachineId, ImageState>,
-    /// Whether this owner knows, for each claim recovered from the records, if the start was
-    /// sent.
+    /// Whether this owner knows, for each claim recovered from the records, whether the start
+    /// command was sent.
     settled: bool,
     /// Size of the image in GB.
     gb: f64,
@@ -289,7 +289,7 @@
             let has = match on.get(id) {
                 Some(ImageState::Running) => Has::Complete,
                 Some(ImageState::Fetching) => Has::Part(self.reported_share(id, image)),
-                // The machine joins when its waiting start is sent.
+                // The machine joins the rollout when its start command is sent.
                 Some(ImageState::StartPending) => continue,
                 None if machine.cache.has(image) => Has::Complete,
                 None => continue,
--- a/src/control/core/scale_in.rs
+++ b/src/control/core/scale_in.rs
@@ -1,5 +1,5 @@
-//! This module decides the scale-in of the fleet. It selects lost machines to delete, and
-//! machines without use in any plan to empty and give back to the cloud.
+//! This module decides the scale-in of the fleet. It selects lost machines to delete. It also
+//! selects machines that no plan uses, to empty them and give them back to the cloud.
 
 use std::collections::BTreeSet;
 
@@ -49,7 +49,7 @@
 }
 
 impl Core {
-    /// Marks machines for scale-in that send heartbeats but that no command reaches.
+    /// Marks machines for scale-in if they send heartbeats but no command reaches them.
     pub(super) fn scale_in_unreachable(&mut self, now: Time) {
         for id in self.unreachable_machines(now) {
             tracing::info!(machine = %id, "machine sends heartbeats but is unreachable; scaling in");
--- a/src/control/core/shard_freeze.rs
+++ b/src/control/core/shard_freeze.rs
@@ -1,5 +1,6 @@
 //! Checks that this owner still holds the shard's grant, and the freeze of a shard before its
-//! handover. A frozen shard claims no tasks, and its commands and writes in flight settle.
+//! handover. A frozen shard claims no tasks. The handover waits for its commands and writes in
+//! flight.
 
 use super::Core;
 use crate::scheduler::Sent;
@@ -7,8 +8,8 @@
 use crate::state::view::View;
 use crate::types::{TaskId, Time};
 
-/// Longest time in seconds that a handover waits for unanswered commands. Such a command is in
-/// doubt for the next owner, like after any takeover.
+/// Longest time in seconds that a handover waits for unanswered commands. The next owner does not
+/// know the outcome of such a command, as after any takeover.
 const SETTLE_TIMEOUT_S: f64 = 1.0;
 
 /// Time at which the shard was frozen for its handover, if it is frozen.
--- a/src/control/core/shard_quota.rs
+++ b/src/control/core/shard_quota.rs
@@ -38,8 +38,9 @@
         }
     }
 
-    /// Returns what each team uses here and what its pending work needs. `slice` stays empty,
-    /// because the recorded part is not included.
+    /// Returns what each team uses in this shard and what its pending work needs. `slice`, the
+    /// shard's part of the team's quota, stays 0. A caller that needs this part reads it from the
+    /// quota records.
     pub fn needs(&self) -> Vec<Need> {
         let teams = self
             .cluster_state
--- a/src/control/core/start_permission.rs
+++ b/src/control/core/start_permission.rs
@@ -8,8 +8,8 @@
 
 use crate::types::{MachineId, Time};
 
-/// Time until which the owner may send start commands, and the machines whose start commands wait
-/// for a later time limit.
+/// Time until which the owner may send start commands, and the machines whose start commands are
+/// held back because that time has passed.
 #[derive(Debug)]
 pub(super) struct StartPermission {
     until: Time,
@@ -37,8 +37,8 @@
         self.withheld.insert(machine);
     }
 
-    /// Sets the time until which tasks may be started. Returns the machines on which start commands
-    /// were withheld if they may be sent now.
+    /// Sets the time until which tasks may be started. If start commands may be sent now, returns
+    /// the machines for which they were held back.
     pub(super) fn set(&mut self, until: Time, now: Time) -> BTreeSet<MachineId> {
         self.until = until;
         if self.is_valid(now) {
--- a/src/control/core/tombstones.rs
+++ b/src/control/core/tombstones.rs
@@ -54,15 +54,16 @@
         self.inherited.contains(machine)
     }
 
-    /// Adds a deleted machine.
+    /// Records that a machine was deleted, so that late lists and heartbeats don't add it again.
     pub(super) fn add(&mut self, machine: &MachineId, now: Time) {
         self.deleted.insert(machine.clone(), now);
         self.to_record.add(machine, now);
     }
 
-    /// Removes old names of deleted machines. Names are kept for longer than a late list shows
-    /// them, because copies of their heartbeats arrive well over a lease late. The names are few
-    /// enough for that. Beyond the maximum, the oldest names are removed first.
+    /// Removes old names of deleted machines. A machine's name is kept for longer than a late list
+    /// shows the machine, because copies of its heartbeats may arrive well over a lease late. The
+    /// names are few enough to keep for that long. Beyond the maximum, the oldest names are removed
+    /// first.
     pub(super) fn expire(&mut self, cfg: &Config, now: Time) {
         let mut keep_s = (4.0 * cfg.list_lag_s + 10.0).max(DELETED_LEASES * cfg.lease_s);
         self.deleted.retain(|_, at| now.since(*at) < keep_s);
--- a/src/control/core/topology_history.rs
+++ b/src/control/core/topology_history.rs
@@ -1,5 +1,5 @@
-//! Recent events in the failure domains of the topology: lost machines, and arrivals of
-//! requested machines. Without a topology both stay empty.
+//! Recent events in the failure domains of the topology: lost machines, and arrivals of requested
+//! machines. Without a topology no events are recorded.
 
 use sorrelhinge_topology::renting::{MachinePool, Memory};
 use sorrelhinge_topology::repair::Stability;
--- a/src/control/core/waiting_log.rs
+++ b/src/control/core/waiting_log.rs
@@ -6,12 +6,12 @@
 use crate::scheduler::Job;
 use crate::types::{JobId, Kind, Time};
 
-/// Interval at which the log repeats why the same job waits, in seconds.
+/// Minimum interval between two log lines about the wait of the same job, in seconds.
 const LOG_INTERVAL_S: f64 = 60.0;
 /// Time that a job has to wait before the log gives the reason, in seconds.
 const MIN_WAIT_BEFORE_LOG_S: f64 = 15.0;
 
-/// Time at which each waiting job was last logged.
+/// Time at which the log last gave the reason for each job's wait.
 #[derive(Default)]
 pub(super) struct WaitingLog {
     logged_at: BTreeMap<JobId, Time>,
@@ -24,7 +24,8 @@
             .retain(|_, at| now.since(*at) < LOG_INTERVAL_S);
     }
 
-    /// Returns whether a job was recently logged, as of the last expiry.
+    /// Returns whether the log gave the reason for a job's wait within `LOG_INTERVAL_S` before the
+    /// last call of [`Self::expire`].
     fn is_recent(&self, job: &JobId) -> bool {
         self.logged_at.contains_key(job)
     }
@@ -36,8 +37,8 @@
 }
 
 impl Core {
-    /// Logs why a job waits. Each call logs at most one job, and each job at most once a
-    /// minute.
+    /// Logs why a job waits. Each call writes a line for at most one job. A job gets at most one
+    /// line a minute.
     pub(super) fn log_waiting_jobs(&mut self, now: Time) {
         // Only clusters with a topology log these lines.
         if self.cluster_state.topology().is_none() {
@@ -54,7 +55,7 @@
         self.waiting_log.logged(id, now);
     }
 
-    /// Returns the first job that has waited for long and was not logged recently.
+    /// Returns the first job that has waited for long and whose reason was not logged recently.
     fn next_waiting_to_log(&self, now: Time) -> Option<JobId> {
         let mut waiting = self.cluster_state.jobs_to_place();
         let to_log = waiting.find(|(id, job)| {
--- a/src/control/leader.rs
+++ b/src/control/leader.rs
@@ -24,8 +24,8 @@
 /// Number of requests that a controller may send to the state service in one burst after an idle
 /// period.
 const REQUEST_BURST: f64 = 4.0;
-/// Divisor that derives the write burst to the state service after an idle period from the writes
-/// allowed per second.
+/// Divisor for the size of a write burst. After an idle period, a controller may send its writes
+/// per second divided by this number to the state service at once.
 const CHANGE_BURSTS_PER_SECOND: f64 = 4.0;
 /// Maximum number of writes that a controller may send to the state service in one burst after an
 /// idle period.
@@ -202,7 +202,8 @@
 
     /// Recovers the state of the only shard from the records, and owns the shard from then on.
     pub(super) async fn begin_leadership(&self, grant: GrantRecord, revision: Revision) {
-        // All that earlier owners recorded is older than the grant.
+        // All records of earlier owners are older than the grant, so a view as new as the grant
+        // contains them.
         self.catch_up(revision, CATCH_UP_PAUSE).await;
         if self.store.view().grant.value.number != grant.number {
             self.leadership.release();
@@ -222,8 +223,8 @@
             grant,
             MachineZones::default(),
         );
-        // Evidence from an earlier term of ownership would make this controller step down at
-        // once.
+        // Evidence from an earlier term that workers are unreachable would make this controller
+        // step down at once.
         self.leadership.forget_reachability();
         self.shards.adopt(ShardId(0), core);
         self.update_rate_limits();
--- a/src/control/leadership.rs
+++ b/src/control/leadership.rs
@@ -97,7 +97,7 @@
         let _ = timeout(VACANCY_CHECK_INTERVAL, self.vacant.notified()).await;
     }
 
-    /// Discards the evidence from an earlier term of ownership.
+    /// Discards the evidence, from an earlier term of ownership, of whether workers are reachable.
     pub(super) fn forget_reachability(&self) {
         *self.reach.borrow_mut() = Reach::default();
     }
--- a/src/control/operator_changes.rs
+++ b/src/control/operator_changes.rs
@@ -36,9 +36,10 @@
 }
 
 impl Node {
-    /// Carries out a change, and returns once it is recorded. `plan` creates the change anew
-    /// for each attempt. `patience` limits the time that one attempt waits at the state
-    /// service. `failed` receives the error if the state service did not carry out the change.
+    /// Carries out a change, and returns once it is recorded. `plan` creates the change anew for
+    /// each attempt. `patience` limits the time that one attempt waits for the rate limit of the
+    /// state service. `failed` receives the error if the state service did not carry out the
+    /// change.
     pub(super) async fn change_for_operator<T>(
         &self,
         patience: Duration,
--- a/src/control/quota_transfers.rs
+++ b/src/control/quota_transfers.rs
@@ -15,11 +15,12 @@
 
 /// Minimum interval between two quota transfers of a controller's shards.
 pub(super) const QUOTA_TRANSFER_INTERVAL: Duration = Duration::from_millis(1500);
-/// Time that a transfer may wait for its turn at the state service.
+/// Time that the write of a quota transfer may wait until the rate limit of the state service
+/// allows it.
 const TRANSFER_QUEUE_TIMEOUT: Duration = Duration::from_millis(1500);
-/// Pause after a transfer whose outcome is unknown.
+/// Pause after the write of a quota transfer whose outcome is unknown.
 const TRANSFER_RETRY_PAUSE: Duration = Duration::from_millis(200);
-/// Pause after a failed read, while the outcome of a transfer is looked up.
+/// Pause after a failed read, while the outcome of a quota transfer is looked up.
 const CATCH_UP_PAUSE: Duration = Duration::from_millis(100);
 
 impl Node {
--- a/src/control/reservations.rs
+++ b/src/control/reservations.rs
@@ -18,7 +18,7 @@
 
 /// Interval between checks of the windows.
 const CALENDAR_INTERVAL: Duration = Duration::from_secs(1);
-/// Time that a write of the calendar may wait at the state service.
+/// Time that a write of the calendar may wait until the rate limit of the state service allows it.
 const CALENDAR_QUEUE_TIMEOUT: Duration = Duration::from_millis(1500);
 
 /// Record of the windows in the calendar file, to be written over the calendar's current record.
--- a/src/control/resharding.rs
+++ b/src/control/resharding.rs
@@ -66,7 +66,7 @@
     pub(super) async fn split_shards(&self, next_attempt: &mut Option<Time>) {
         let shard_count = how_many(self.cfg.tuning.shards_least, self.cfg.others.len() + 1);
         let now = self.now();
-        // With a topology, a single core must see all places.
+        // With a topology, one core must see the places of all machines, so the shard is not split.
         if shard_count < 2 || self.topology().is_some() || !self.all_peers_support_shards() {
             // The core may be frozen from an earlier attempt, before this condition changed.
             if let Some(core) = self.shards.owned_mut().first_mut() {
@@ -229,8 +229,9 @@
         }
     }
 
-    /// Returns the first record of a shard after the split. This controller owns the shard, by
-    /// the grant numbers that follow the number of the replaced grant.
+    /// Returns the first record of a shard after the split, which names this controller as the
+    /// owner. The shards get consecutive grant numbers. The lowest one follows the number of the
+    /// grant that they replace.
     fn first_shard_record(&self, plan: &SplitPlan, shard: ShardId) -> ShardRecord {
         ShardRecord {
             version: ShardRecord::VERSION,
--- a/src/control/shard_merge.rs
+++ b/src/control/shard_merge.rs
@@ -11,8 +11,8 @@
 use crate::types::Term;
 
 impl Node {
-    /// Merges all shards into one, once this controller owns all of them and nothing is in
-    /// flight. The number of the new grant is above the numbers of all shards' grants.
+    /// Merges all shards into one, once this controller owns all of them and nothing is in flight.
+    /// The new grant gets a higher number than the grants of all shards.
     pub(super) async fn merge_shards(&self, shard_count: u32) {
         if !self.settle_all(shard_count) {
             return;
--- a/src/control/shard_owner.rs
+++ b/src/control/shard_owner.rs
@@ -20,14 +20,14 @@
 const SLOW_DUTY_S: f64 = 0.4;
 
 impl Node {
-    /// Runs the due work of the owned cores: placement walks, recording and commands.
+    /// Runs the due work of the owned cores: placement of waiting tasks, recording and commands.
     pub(super) fn run_due_work(self: &Rc<Self>) {
         let now = self.now();
         let mut cores = self.shards.owned_mut();
         let walks = self.paces.due(Duty::FillMachines, now);
         let starts_allowed_until = self.starts_allowed_until();
-        // An unrenewed lease expires, but the machine's next incarnation accepts starts again.
-        // A start sent then may belong to a job that was cancelled elsewhere long before.
+        // An unrenewed lease expires, but the machine's next incarnation accepts starts again. A
+        // start command sent then may belong to a job that was cancelled elsewhere long before.
         let may_command = self.knows_all_cancellations();
         let mut sends = Vec::new();
         for (shard, c) in cores.iter_mut() {
--- a/src/control/shard_ownership.rs
+++ b/src/control/shard_ownership.rs
@@ -24,7 +24,8 @@
 /// Number of machine zones that are kept beyond twice the number of listed machines.
 const MACHINE_ZONES_SLACK: usize = 1000;
 
-/// State of each owned shard, in the order of the shard numbers. The only shard has number 0.
+/// State of each owned shard, in the order of the shard numbers. If the machines are not divided
+/// into shards, the single shard has number 0.
 #[derive(Default)]
 pub(super) struct OwnedShards {
     cores: BTreeMap<ShardId, Core>,
--- a/src/control/shard_status.rs
+++ b/src/control/shard_status.rs
@@ -13,7 +13,8 @@
 use crate::state::Change;
 use crate::types::NodeId;
 
-/// Time that one attempt to pin a shard may wait at the state service.
+/// Time that one write that pins a shard may wait until the rate limit of the state service allows
+/// it.
 const PIN_QUEUE_TIMEOUT: Duration = Duration::from_secs(3);
 
 impl Node {
--- a/src/control/store_view.rs
+++ b/src/control/store_view.rs
@@ -38,7 +38,8 @@
 }
 
 impl StoreView {
-    /// Creates an empty copy, whose age counts from the start of the controller.
+    /// Creates an empty local copy of the state service's records. The age of the copy counts from
+    /// the start of the controller.
     pub(super) fn new() -> Self {
         Self {
             view: RefCell::default(),
