--- a/src/control/core/agent.rs
+++ b/src/control/core/agent.rs
@@ -172,8 +172,8 @@
         !self.direct.is_in_flight() && (self.forwarded || pauses)
     }
 
-    /// Returns direct commands for the incarnation that reported last, under the current
-    /// fencing token.
+    /// Returns direct commands for the incarnation that reported last, with the current fencing
+    /// token.
     pub(super) fn commands(&self, commands: Vec<Command>) -> DirectCommands {
         DirectCommands {
             fencing_token: self.fencing_token,
--- a/src/control/core/agents.rs
+++ b/src/control/core/agents.rs
@@ -191,7 +191,7 @@
         })
     }
 
-    /// Writes a machine's usability to the cluster state if the cluster state has another one.
+    /// Updates a machine's usability in the cluster state, unless it is unchanged.
     fn apply_usability(&mut self, id: &MachineId, status: &AgentUsability, now: Time) {
         let (usable, slow) = (status.usable, status.slow);
         let known = self.cluster_state.machines().get(id);
@@ -216,7 +216,7 @@
         for task in self.cluster_state.claims_on(id) {
             let claim = self.cluster_state.claim_of(&task);
             if claim.is_some_and(|c| c.sent == Sent::No) {
-                // The start command was not sent, so the task does better on a machine that
+                // The start command was not sent, so the task can still be placed on a machine that
                 // commands reach.
                 self.release(&task, now);
                 self.placement_queue.request_full_walk();
--- a/src/control/core/command_queue.rs
+++ b/src/control/core/command_queue.rs
@@ -9,18 +9,19 @@
 
 /// Maximum number of direct commands in flight.
 pub const MAX_COMMANDS_IN_FLIGHT: usize = 48;
-/// Delay in seconds before the owner retries a machine that may hang, if it did not contact the
-/// machine because too many commands were in flight.
+/// Delay before the owner tries again to contact a machine that may hang, in seconds. The delay
+/// applies if too many commands were in flight.
 const UNREACHABLE_RETRY_S: f64 = 0.5;
 
 /// Order in which machines are contacted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum ContactOrder {
-    /// Any machine in normal operation. After a failover, a machine that runs services.
+    /// Order of every machine in normal operation, and of a machine that runs services after a
+    /// failover.
     First,
-    /// After a failover, a machine that runs tasks but no services.
+    /// Order of a machine that runs tasks but no services, after a failover.
     WithTasks,
-    /// After a failover, a machine without tasks.
+    /// Order of a machine without tasks, after a failover.
     Empty,
 }
 
--- a/src/control/core/deleted_machines.rs
+++ b/src/control/core/deleted_machines.rs
@@ -1,8 +1,8 @@
 //! Records of deleted machines for later owners.
 //!
-//! While the write budget of the state service is short, results wait to be recorded. Records
-//! then claim tasks on machines that were returned long before. A new owner would count these
-//! claims against limits until the machine list and the cloud had shown that the machines are
+//! While the write budget of the state service is short, results wait to be recorded. Meanwhile the
+//! records still claim tasks on machines that were returned long before. A new owner would count
+//! these claims against limits until the machine list and the cloud had shown that the machines are
 //! gone.
 
 use sorrelhinge_sharding::shard::ShardScope;
@@ -59,7 +59,7 @@
     }
 
     /// Returns the change that records the new names, or `None` if it is not due. The names go to
-    /// the next slot if the record in this slot is full.
+    /// the next slot (one of several records) if the record in the current slot is full.
     pub(super) fn change(&mut self, value_bytes: usize, now: Time) -> Option<Change> {
         let due = self.unwritten.len() >= DELETED_MACHINES_PER_RECORD
             || now.since(self.since) >= MAX_RECORD_DELAY_S;
--- a/src/control/core/demand.rs
+++ b/src/control/core/demand.rs
@@ -20,7 +20,7 @@
 /// boot time of a machine.
 const BOOTS_COVERED: f64 = 1.5;
 /// Factor on the free capacity that is kept for replicas of services. With more free capacity, it
-/// is more likely that some of it has the image already, and fetching an image takes longer than
+/// is more likely that a free machine has the image already. Fetching an image takes longer than
 /// the users of replicas wait.
 const SERVICE_CAPACITY_FACTOR: f64 = 1.7;
 /// Share of a burst of array or gang tasks for which capacity is kept. Such tasks end and free
--- a/src/control/core/dispatch.rs
+++ b/src/control/core/dispatch.rs
@@ -41,8 +41,8 @@
             self.command_queue.retry_unreachable(id.clone(), now);
             return false;
         }
-        // If another controller forwards the heartbeats of an agent that has the current fencing
-        // token, its commands go in the reply to the next heartbeat.
+        // Another controller may forward the heartbeats of an agent that has the current fencing
+        // token. Commands for this agent then go in the reply to its next heartbeat.
         !(agent.is_forwarded() && agent.fenced())
     }
 
@@ -54,8 +54,9 @@
         let forgets_only = commands
             .iter()
             .all(|command| matches!(command, Command::Forget { .. }));
-        // Forget commands wait for the next heartbeat. An agent that does not have the current
-        // fencing token is contacted at once. An agent that a command did not reach is retried.
+        // Forget commands alone wait for the next heartbeat in most cases. An agent is contacted
+        // without that wait if it does not have the current fencing token or the last command did
+        // not reach it. The same holds for a silent agent with tasks.
         let contact_now = !agent.fenced() || agent.direct.is_failing() || agent.direct.is_suspect();
         if forgets_only && !contact_now {
             if !agent.sent_kills.is_empty() {
@@ -145,9 +146,9 @@
         self.resolve_in_flight(id, Sent::No);
     }
 
-    /// Records that a command may have reached the agent but got no answer. The agent may
-    /// execute the command minutes later unless a higher fencing token arrives first. Until a
-    /// heartbeat carries that token, nothing on this machine is settled.
+    /// Records that a command may have reached the agent but got no answer. The agent may execute
+    /// the command minutes later unless a higher fencing token arrives first. Until a heartbeat
+    /// carries that token, the owner concludes nothing about this machine's tasks.
     fn command_unanswered(&mut self, id: &MachineId, now: Time) {
         if let Some(agent) = self.agents.get_mut(id) {
             agent.command_unanswered(now);
--- a/src/control/core/failover.rs
+++ b/src/control/core/failover.rs
@@ -6,8 +6,8 @@
 use crate::state::history::CachedImage;
 use crate::types::{MachineId, Time};
 
-/// Time after a failover during which the owner contacts machines in the order of what runs on
-/// them, in seconds.
+/// Time after a failover during which the owner contacts machines with services first, then those
+/// with other tasks, in seconds.
 const RECENT_S: f64 = 60.0;
 
 /// Failover by which this controller became the owner.
--- a/src/control/core/failures.rs
+++ b/src/control/core/failures.rs
@@ -9,7 +9,7 @@
 /// Number of heartbeat intervals for which a job avoids a machine that refused one of its
 /// tasks.
 const AVOID_AFTER_REFUSAL_HEARTBEATS: f64 = 2.0;
-/// Longest delay of a job after a machine refused one of its tasks because it found no such task,
+/// Longest delay of a job after a machine refused one of its tasks with the reason "no such task",
 /// in seconds.
 const MAX_NOT_FOUND_PAUSE_S: f64 = 30.0;
 /// Time for which a job avoids a machine on which it failed, in seconds.
--- a/src/control/core/heartbeats.rs
+++ b/src/control/core/heartbeats.rs
@@ -230,8 +230,8 @@
             Sent::Found => {
                 self.release(task, now);
             }
-            // Only the next heartbeat that the agent sends itself shows whether a reply
-            // arrived. A direct answer may overtake the reply.
+            // Only the next heartbeat that the agent sends itself shows whether a reply arrived.
+            // The answer to a direct command may overtake the reply.
             Sent::InReply if source == Source::Direct => {}
             // The answer to the start command in flight is still to come, and shows the task.
             Sent::Flying if in_flight => {}
--- a/src/control/core/inventory.rs
+++ b/src/control/core/inventory.rs
@@ -57,7 +57,8 @@
         self.pending_machines.contains_key(machine)
     }
 
-    /// Records a machine as pending, and replaces an earlier entry.
+    /// Records a machine as pending (granted by the cloud, but without a heartbeat yet). Replaces
+    /// an earlier entry.
     pub(super) fn requested(&mut self, machine: MachineId, pending: PendingMachine) {
         self.pending_machines.insert(machine, pending);
     }
--- a/src/control/core/mod.rs
+++ b/src/control/core/mod.rs
@@ -167,7 +167,7 @@
     pub cluster_state: ClusterState,
     /// Number of the grant. Fencing tokens of this owner begin with it.
     pub grant: u64,
-    /// Store revision that wrote the grant.
+    /// Revision of the state service at which the grant was written.
     grant_revision: Revision,
     /// Shard that the grant is for.
     pub scope: ShardScope,
--- a/src/control/core/recovery.rs
+++ b/src/control/core/recovery.rs
@@ -157,7 +157,7 @@
         }
     }
 
-    /// Adds the jobs that this shard is home to or has claims of, in the order of their names.
+    /// Adds the jobs that this shard places or has claims of, in the order of their names.
     fn recover_jobs(&mut self, view: &View, now: Time, wall_ms: u64) {
         let mut jobs: Vec<&JobId> = view.jobs().map(|(id, _)| id).collect();
         jobs.sort();
@@ -171,7 +171,7 @@
         FencingToken::of_grant(self.grant)
     }
 
-    /// Adds a job if this shard is its home or has claims of it.
+    /// Adds a job if this shard places the job or has claims of its tasks.
     pub(super) fn add_job(&mut self, view: &View, id: &JobId, now: Time, wall_ms: u64) {
         let claimed_here = |entry: &JobEntry| self.has_claims_in_shard(entry);
         if self.scope.homes(id) || view.job(id).is_some_and(claimed_here) {
--- a/src/control/core/scale_in.rs
+++ b/src/control/core/scale_in.rs
@@ -119,9 +119,9 @@
         }
     }
 
-    /// Returns for each machine how long plans had no use for it. A machine is emptied on
-    /// purpose only after a long time without use, because a machine with a warm cache is worth
-    /// more than a new one.
+    /// Returns for each machine how long plans had no use for it. A machine is emptied on purpose
+    /// only after a long time without use. The reason is that a machine with images in its cache is
+    /// worth more than a new one.
     fn measure_disuse(&mut self, plan: &autoscaler::Plan, now: Time) -> Vec<Disuse> {
         let passed_s = self.scaling.record_plan(now);
         let weight = 1.0 - (-passed_s / self.cfg.tuning.idle_s.max(1.0)).exp();
--- a/src/control/core/scaling.rs
+++ b/src/control/core/scaling.rs
@@ -9,8 +9,8 @@
 use crate::cloud::Rental;
 use crate::types::{JobSpec, MachineId, MachineType, Time, TypeName, Zone};
 
-/// Number of heartbeat intervals after this controller became the owner during which it requests
-/// no machine from the cloud, because it does not know the existing machines until then.
+/// Number of heartbeat intervals for which a new owner requests no machine from the cloud. The
+/// owner does not know all existing machines until this time has passed.
 const MIN_OWNER_AGE_HEARTBEATS: f64 = 2.0;
 
 /// Changes of the fleet to carry out now.
--- a/src/control/core/tombstones.rs
+++ b/src/control/core/tombstones.rs
@@ -60,10 +60,10 @@
         self.to_record.add(machine, now);
     }
 
-    /// Removes old names of deleted machines. A machine's name is kept for longer than a late list
-    /// shows the machine, because copies of its heartbeats may arrive well over a lease late. The
-    /// names are few enough to keep for that long. Beyond the maximum, the oldest names are removed
-    /// first.
+    /// Removes old names of deleted machines. A name is kept for longer than a late list shows the
+    /// machine. The reason is that copies of the machine's heartbeats may arrive well over a lease
+    /// late. The names are few enough to keep for that long. Beyond the maximum, the oldest names
+    /// are removed first.
     pub(super) fn expire(&mut self, cfg: &Config, now: Time) {
         let mut keep_s = (4.0 * cfg.list_lag_s + 10.0).max(DELETED_LEASES * cfg.lease_s);
         self.deleted.retain(|_, at| now.since(*at) < keep_s);
--- a/src/control/lease_delegation.rs
+++ b/src/control/lease_delegation.rs
@@ -6,8 +6,8 @@
 use crate::state::view::View;
 use crate::types::TaskId;
 
-/// Returns whether the records claim every task that runs on the machine, or may still start
-/// there, for a job that is neither cancelled nor done.
+/// Returns whether the records claim every task that runs on the machine or may still start there.
+/// The job of each such task must be neither cancelled nor done.
 ///
 /// A delayed start command of the owner is executed while fencing token and incarnation match
 /// (PROTOCOL, "Delayed messages"). The owner raises the fencing token, but an answer in place
--- a/src/control/lease_renewal.rs
+++ b/src/control/lease_renewal.rs
@@ -19,10 +19,10 @@
 
 impl Node {
     /// Returns whether this controller's view of the records is recent enough to answer workers
-    /// without the state service. A job may have been cancelled through another controller
-    /// since an older view was read, and leases must be able to end its tasks in time
-    /// (`sorrelhinge_lease_safety::freshness`). Callers check this before each answer, after
-    /// the heartbeat has arrived.
+    /// without the state service. A job may have been cancelled through another controller since an
+    /// older view was read. Its tasks must then end in time as their leases expire
+    /// (`sorrelhinge_lease_safety::freshness`). Callers check this before each answer, after the
+    /// heartbeat has arrived.
     pub(super) fn knows_all_cancellations(&self) -> bool {
         let (lease_s, cancel_s) = (self.cfg.lease_s, self.cfg.cancel_s);
         let freshness = self.store.freshness();
--- a/src/control/quota_transfers.rs
+++ b/src/control/quota_transfers.rs
@@ -24,7 +24,7 @@
 const CATCH_UP_PAUSE: Duration = Duration::from_millis(100);
 
 impl Node {
-    /// Returns the quota, the use and the demand of each shard for each team, or `None` if
+    /// Returns the quota, the use and the demand of each shard for each team. Returns `None` if
     /// these are unknown for at least one shard.
     fn needs_by_shard(&self) -> Option<Vec<Vec<Need>>> {
         let view = self.store.view();
--- a/src/control/resharding.rs
+++ b/src/control/resharding.rs
@@ -190,9 +190,9 @@
         }
     }
 
-    /// Returns the transaction that writes the shard map, the fence in place of the grant, this
-    /// controller as a member, and a record for each shard. The transaction fails unless the
-    /// quotas are unchanged since `quotas_at`.
+    /// Returns the transaction that carries out the split. It writes the shard map, a fence in
+    /// place of the grant, this controller as a member, and a record for each shard. The
+    /// transaction fails unless the quotas are unchanged since `quotas_at`.
     fn split_transaction(
         &self,
         plan: &SplitPlan,
--- a/src/control/shard_owners.rs
+++ b/src/control/shard_owners.rs
@@ -200,8 +200,8 @@
     transaction: Transaction,
 }
 
-/// Returns the handover of a shard, if this controller still owns the shard by `grant` and the
-/// shard is offered to a controller that is alive.
+/// Returns the handover of a shard if it is offered to a controller that is alive. Returns `None`
+/// if this controller no longer owns the shard by `grant`.
 fn handover(view: &View, shard: ShardId, grant: u64) -> Option<Handover> {
     let recorded = view.shards.get(&shard);
     let recorded = recorded.filter(|b| b.value.number == grant)?;
