--- a/src/control/core/active_rollout.rs
+++ b/src/control/core/active_rollout.rs
@@ -10,8 +10,8 @@
 use crate::scheduler::{Claim, Progress, Sent};
 use crate::types::{MachineId, Time};
 
-/// Maximum number of machines that one scan for due start commands visits. With thousands of them
-/// and no free upload slot, a full scan would delay all other work.
+/// Maximum number of machines that one scan for due start commands visits. With thousands of
+/// waiting machines and no free upload slot, a full scan would delay all other work.
 const MACHINES_SCANNED_PER_PASS: usize = 64;
 
 /// Progress of a machine with an image, derived from the claims on the machine. The variants
--- a/src/control/core/heartbeats.rs
+++ b/src/control/core/heartbeats.rs
@@ -121,7 +121,7 @@
     /// Releases the claims that ended with a machine's incarnation. If this owner sent the start
     /// command to the old incarnation, the task is lost whatever fencing token the agent has. On a
     /// machine that no command reaches, no heartbeat ever carries the current token. Tasks that a
-    /// former owner started may belong to the new incarnation. Claims on such tasks stay until a
+    /// former owner started may belong to the new incarnation. Claims of such tasks stay until a
     /// heartbeat carries the current token.
     fn incarnation_ended(&mut self, id: &MachineId, now: Time) {
         for task in self.cluster_state.claims_on(id) {
--- a/src/control/core/silence.rs
+++ b/src/control/core/silence.rs
@@ -39,10 +39,10 @@
         self.ignored_silence.extend(now.after(self.cfg.silent_s()));
     }
 
-    /// Returns whether a machine's silence counts as evidence. If most machines are silent, nothing
-    /// reaches this controller. Silence is also no evidence while requests wait too long to be
-    /// read. The number of machines may then be too large for the controllers. If the owner
-    /// replaced silent machines by new ones, that number would not fall.
+    /// Returns whether a machine's silence counts as evidence. If most machines are silent, the
+    /// cause is that nothing reaches this controller. Silence is also no evidence while requests
+    /// wait too long to be read. The number of machines may then be too large for the controllers.
+    /// If the owner replaced silent machines by new ones, that number would not fall.
     pub(super) fn silence_is_evidence(&self, now: Time) -> bool {
         let limit_s = RECENT_HEARTBEATS * self.cfg.heartbeat_s;
         self.agents.most_reported_within(limit_s, now)
--- a/src/control/core/unknown_agent.rs
+++ b/src/control/core/unknown_agent.rs
@@ -1,10 +1,10 @@
 //! Answers to agents of which this owner has no state yet.
 //!
-//! To add such a machine, the owner needs the machine's type from the cloud. It also needs a
-//! heartbeat that is certainly no late copy. Until then the answer still renews the agent's lease
-//! (PROTOCOL, "Leases"), so it has to stop tasks that must not run. In one outage the cloud was
-//! unreachable and all controllers had just started. Answers without commands then kept tasks of
-//! cancelled jobs running as long as the outage lasted.
+//! To add the machine of such an agent, the owner needs the machine's type from the cloud. It also
+//! needs a heartbeat that is certainly no late copy. Until then the answer still renews the agent's
+//! lease (PROTOCOL, "Leases"), so it has to stop tasks that must not run. In one outage the cloud
+//! was unreachable and all controllers had just started. Answers without commands then kept tasks
+//! of cancelled jobs running as long as the outage lasted.
 
 use super::Core;
 use crate::agent_client::{Command, Heartbeat, Reply, ReportedTask, TaskPhase};
