--- a/src/control/core/task_delegation.rs
+++ b/src/control/core/task_delegation.rs
@@ -23,8 +23,8 @@
     pub(super) delegated_out: DelegatedTasks,
     /// Tasks of other shards' jobs that this shard may place.
     pub(super) delegated_in: DelegatedTasks,
-    /// Amount of each team's part of the limit that a transaction in flight gives to other
-    /// shards. The outcome of the transaction is not known yet.
+    /// Amount of each team's quota that a transaction in flight transfers to other shards. The
+    /// outcome of the transaction is not known yet.
     pub(super) quota_in_flight: Vec<Amount>,
     /// Rule that decides which shard gets which delegated tasks.
     pub(super) policy: Delegation,
@@ -89,8 +89,8 @@
         self.cluster_state.set_elsewhere(id, zones);
     }
 
-    /// Returns the number of other shards' claims by zone for a job with a spread or one-zone
-    /// rule, and an empty map for other jobs. Returns `None` if the zone of any claim is
+    /// Returns the number of other shards' claims by zone, for a job with a spread or one-zone
+    /// rule. Returns an empty map for other jobs. Returns `None` if the zone of any claim is
     /// unknown.
     fn zones_elsewhere(&self, spec: &JobSpec, entry: &JobEntry) -> Option<BTreeMap<Zone, u32>> {
         let mut zones = BTreeMap::new();
--- a/src/control/drains.rs
+++ b/src/control/drains.rs
@@ -19,7 +19,8 @@
 /// Maximum number of drains at a time. Each drain is a key of about 300 bytes that all
 /// controllers hold. Every machine in a fleet of thousands may have its own drain.
 const MAX_DRAINS: usize = 10_000;
-/// Time that one attempt to change a drain may wait at the state service.
+/// Time that one write that changes a drain may wait until the rate limit of the state service
+/// allows it.
 const DRAIN_QUEUE_TIMEOUT: Duration = Duration::from_millis(1500);
 
 impl Node {
@@ -117,8 +118,8 @@
         Ok(())
     }
 
-    /// Returns the write that deletes the drain with this number or target, with the drain's
-    /// number.
+    /// Returns the write that deletes the drain with this number or target. Also returns the
+    /// drain's number.
     fn plan_undrain(&self, target: &Target) -> Result<ChangePlan<u64>, OperatorError> {
         let view = self.store.view();
         let mut drains = view.drains.iter();
--- a/src/control/store_watch.rs
+++ b/src/control/store_watch.rs
@@ -16,7 +16,7 @@
 /// An announced revision that stays unread for this long shows that the state service serves
 /// other controllers.
 const WATCH_LAG_LIMIT: Duration = Duration::from_secs(1);
-/// Time that a user's request waits for a fresh view. Users wait 2 s for the answer.
+/// Maximum time that a user's request waits for a fresh view. Users wait 2 s for the answer.
 pub(super) const FRESH_VIEW_TIMEOUT: Duration = Duration::from_millis(1400);
 /// Minimum pause between two refreshes of the local view of the records.
 const REFRESH_GAP_MIN: Duration = Duration::from_millis(20);
@@ -28,7 +28,8 @@
 const OWNER_WATCH_PAUSE: Duration = Duration::from_millis(50);
 /// Pause between two watches of the state service by a controller that owns no shard.
 const FOLLOWER_WATCH_PAUSE: Duration = Duration::from_millis(200);
-/// Time that a refresh of the view or a watch may wait for its turn at the state service.
+/// Time that a refresh of the view or a watch may wait until the rate limit of the state service
+/// allows it.
 const READ_QUEUE_TIMEOUT: Duration = Duration::from_millis(800);
 
 impl Node {
@@ -157,7 +158,7 @@
         let view = self.store.view();
         let mut shards_changed = self.shards.retain_granted(&view);
         if shards_changed && view.shard_count() == 1 {
-            // A controller without the only shard is not the leader either.
+            // A controller that does not own the single shard is not the leader either.
             self.leadership.release();
         }
         let mut cores = self.shards.owned_mut();
