--- a/src/control/core/deleted_machines.rs
+++ b/src/control/core/deleted_machines.rs
@@ -1,8 +1,8 @@
 //! Records of deleted machines for later owners.
 //!
-//! While the write budget of the state service is short, results wait to be recorded. Records
-//! then claim tasks on machines that were returned long before. A new owner would count these
-//! claims against limits until the machine list and the cloud had shown that the machines are
+//! While the write budget of the state service is short, results wait to be recorded. Meanwhile the
+//! records still claim tasks on machines that were returned long before. A new owner would count
+//! these claims against limits until the machine list and the cloud had shown that the machines are
 //! gone.
 
 use sorrelhinge_sharding::shard::ShardScope;
@@ -15,7 +15,8 @@
 /// Maximum delay before the names of deleted machines are recorded, in seconds. The delay lets
 /// several names share one record.
 const MAX_RECORD_DELAY_S: f64 = 3.0;
-/// Number of names of deleted machines that are recorded without that delay.
+/// Number of unrecorded names of deleted machines from which they are recorded at once, without
+/// waiting for `MAX_RECORD_DELAY_S`.
 const DELETED_MACHINES_PER_RECORD: usize = 60;
 
 /// Names of deleted machines to record, and the slot (one of several records) to record them in.
@@ -28,8 +29,8 @@
 }
 
 impl DeletedMachines {
-    /// Continues with the record of deleted machines that the previous owner wrote last. Each of
-    /// several owners has its own slots for these records.
+    /// Loads the record of deleted machines that the previous owner of this shard wrote last, to
+    /// continue it. Each shard has its own slots for these records.
     pub(super) fn load(view: &View, scope: ShardScope) -> Self {
         let own = |slot: &u32| slot % scope.of == scope.shard.0;
         let last = view.retired_machines.iter().filter(|(slot, _)| own(slot));
@@ -58,7 +59,7 @@
     }
 
     /// Returns the change that records the new names, or `None` if it is not due. The names go to
-    /// the next slot if the record in this slot is full.
+    /// the next slot (one of several records) if the record in the current slot is full.
     pub(super) fn change(&mut self, value_bytes: usize, now: Time) -> Option<Change> {
         let due = self.unwritten.len() >= DELETED_MACHINES_PER_RECORD
             || now.since(self.since) >= MAX_RECORD_DELAY_S;
--- a/src/control/core/inventory.rs
+++ b/src/control/core/inventory.rs
@@ -1,5 +1,5 @@
-//! Contents of the cloud's machine lists: pending machines, and machines that the lists no
-//! longer show.
+//! Record of what the cloud's machine lists show: machines that have not reported yet, and known
+//! machines that the lists no longer show.
 
 use std::collections::BTreeMap;
 
@@ -57,7 +57,8 @@
         self.pending_machines.contains_key(machine)
     }
 
-    /// Records a machine as pending, and replaces an earlier entry.
+    /// Records a machine as pending (granted by the cloud, but without a heartbeat yet). Replaces
+    /// an earlier entry.
     pub(super) fn requested(&mut self, machine: MachineId, pending: PendingMachine) {
         self.pending_machines.insert(machine, pending);
     }
--- a/src/control/core/scale_in.rs
+++ b/src/control/core/scale_in.rs
@@ -1,5 +1,5 @@
-//! This module decides the scale-in of the fleet. It selects lost machines to delete, and
-//! machines without use in any plan to empty and give back to the cloud.
+//! This module decides the scale-in of the fleet. It selects lost machines to delete. It also
+//! selects machines that no plan uses, to empty them and give them back to the cloud.
 
 use std::collections::BTreeSet;
 
@@ -49,7 +49,7 @@
 }
 
 impl Core {
-    /// Marks machines for scale-in that send heartbeats but that no command reaches.
+    /// Marks machines for scale-in if they send heartbeats but no command reaches them.
     pub(super) fn scale_in_unreachable(&mut self, now: Time) {
         for id in self.unreachable_machines(now) {
             tracing::info!(machine = %id, "machine sends heartbeats but is unreachable; scaling in");
@@ -119,9 +119,9 @@
         }
     }
 
-    /// Returns for each machine how long plans had no use for it. A machine is emptied on
-    /// purpose only after a long time without use, because a machine with a warm cache is worth
-    /// more than a new one.
+    /// Returns for each machine how long plans had no use for it. A machine is emptied on purpose
+    /// only after a long time without use. The reason is that a machine with images in its cache is
+    /// worth more than a new one.
     fn measure_disuse(&mut self, plan: &autoscaler::Plan, now: Time) -> Vec<Disuse> {
         let passed_s = self.scaling.record_plan(now);
         let weight = 1.0 - (-passed_s / self.cfg.tuning.idle_s.max(1.0)).exp();
--- a/src/control/quota_transfers.rs
+++ b/src/control/quota_transfers.rs
@@ -15,15 +15,16 @@
 
 /// Minimum interval between two quota transfers of a controller's shards.
 pub(super) const QUOTA_TRANSFER_INTERVAL: Duration = Duration::from_millis(1500);
-/// Time that a transfer may wait for its turn at the state service.
+/// Time that the write of a quota transfer may wait until the rate limit of the state service
+/// allows it.
 const TRANSFER_QUEUE_TIMEOUT: Duration = Duration::from_millis(1500);
-/// Pause after a transfer whose outcome is unknown.
+/// Pause after the write of a quota transfer whose outcome is unknown.
 const TRANSFER_RETRY_PAUSE: Duration = Duration::from_millis(200);
-/// Pause after a failed read, while the outcome of a transfer is looked up.
+/// Pause after a failed read, while the outcome of a quota transfer is looked up.
 const CATCH_UP_PAUSE: Duration = Duration::from_millis(100);
 
 impl Node {
-    /// Returns the quota, the use and the demand of each shard for each team, or `None` if
+    /// Returns the quota, the use and the demand of each shard for each team. Returns `None` if
     /// these are unknown for at least one shard.
     fn needs_by_shard(&self) -> Option<Vec<Vec<Need>>> {
         let view = self.store.view();
